--- a/cmd/poppypass/commands.go
+++ b/cmd/poppypass/commands.go
@@ -13,9 +13,9 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/config"
 	"poppypass/internal/controller"
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // version is the release that this source becomes.
--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
 	"poppypass/internal/controller"
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 func run(args ...string) (string, error) {
@@ -29,7 +29,7 @@
 
 func settings(t *testing.T, bind, state, cloud string) string {
 	t.Helper()
-	return standin.File(t, "settings.toml", fmt.Sprintf(`
+	return fakes.File(t, "settings.toml", fmt.Sprintf(`
 member = "m0"
 bind = %q
 mesh_addr = %q
@@ -51,7 +51,7 @@
 txn_ops = 12
 [cluster.cloud]
 rps = 100.0
-`, bind, standin.FreeAddr(t), cloud, state))
+`, bind, fakes.FreeAddr(t), cloud, state))
 }
 
 func TestCheck(t *testing.T) {
@@ -66,8 +66,8 @@
 	}{
 		{"no file named", nil, "config"},
 		{"no such file", []string{"--config", "none.toml"}, "none.toml"},
-		{"a field is missing", []string{"--config", standin.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
-		{"bad properties", []string{"--config", good, "--properties", standin.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
+		{"a field is missing", []string{"--config", fakes.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
+		{"bad properties", []string{"--config", good, "--properties", fakes.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
 	} {
 		for _, verb := range []string{"check", "serve"} {
 			if _, err := run(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -86,16 +86,16 @@
 // TestJobs submits, queries and cancels a job with the client commands, against
 // a controller whose outside systems are stand-ins.
 func TestJobs(t *testing.T) {
-	state := standin.NewState(clockwork.NewRealClock())
-	cloud := standin.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
-	bind := standin.FreeAddr(t)
+	state := fakes.NewState(clockwork.NewRealClock())
+	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
+	bind := fakes.FreeAddr(t)
 	path := settings(t, bind, state.Addr(), cloud.Addr())
 	s, err := config.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	props := standin.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
+	props := fakes.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
 	own, err := config.LoadProperties(props)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	if out, err := run("ledger", "verify", "--config", path, "--properties", props); err != nil || !strings.Contains(out, "all totals are right") {
 		t.Errorf("verify: %q, %v", out, err)
 	}
-	job := standin.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
+	job := fakes.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
 		"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,
 		"ride_s":1,"stub_s":0,"stamp_s":0}`)
 	until(`"pending"`, "submit", job)
@@ -175,7 +175,7 @@
 		}
 	}
 	state.Refuse(false)
-	if _, err := run("job", "--addr", bind, "submit", standin.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
+	if _, err := run("job", "--addr", bind, "submit", fakes.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
 		t.Errorf("a bad description: %v", err)
 	}
 }
--- a/cmd/poppypass/graph.go
+++ b/cmd/poppypass/graph.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/dagfile"
-	"poppypass/internal/dagview"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/dagfile"
+	"poppypass/internal/graphs/dagview"
 )
 
 func graphCommand() *cobra.Command {
--- a/cmd/poppypass/graphapi.go
+++ b/cmd/poppypass/graphapi.go
@@ -15,13 +15,13 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/airflow"
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/dagview"
-	"poppypass/internal/graphs"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/dagview"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
 )
 
 // graphAPI is how a command reaches the API for graphs.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	hash, parts, err := graphs.Pack(codec, &p.Graph)
+	hash, parts, err := runner.Pack(codec, &p.Graph)
 	if err != nil {
 		return err
 	}
@@ -219,8 +219,8 @@
 
 // describe uploads the descriptions of a run's steps that can be named ahead.
 func describe(cmd *cobra.Command, p *dag.Plan, run, to string, conf json.RawMessage, logical time.Time) error {
-	steps := graphs.Foreseen(p, run, conf, logical)
-	source := &graphs.HTTPSource{URL: to, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
+	steps := runner.Foreseen(p, run, conf, logical)
+	source := &runner.HTTPSource{URL: to, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
 	for from := 0; from < len(steps); from += tuning.DescribeBatch {
 		ctx, cancel := context.WithTimeout(cmd.Context(), tuning.DescribeTimeout)
 		err := source.Describe(ctx, steps[from:min(len(steps), from+tuning.DescribeBatch)])
--- a/cmd/poppypass/graphruns.go
+++ b/cmd/poppypass/graphruns.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/dagview"
-	"poppypass/internal/graphs"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/dagview"
+	"poppypass/internal/graphs/runner"
 )
 
 func graphSubmitCommand() *cobra.Command {
@@ -59,7 +59,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			now := time.Now().UTC()
 			if run == "" {
-				run = graphs.RunName(graphs.Manual, now)
+				run = runner.RunName(runner.Manual, now)
 			}
 			if conf != "" && !json.Valid([]byte(conf)) {
 				return errors.New("--conf is not JSON")
@@ -282,7 +282,7 @@
 		if err != nil {
 			return err
 		}
-		var got graphs.Backfilled
+		var got runner.Backfilled
 		if err := a.call(cmd, http.MethodPost, map[string]any{"dag_id": args[0], "from_date": first, "to_date": last}, &got, nil, "backfills"); err != nil {
 			return err
 		}
--- a/cmd/poppypass/graphruns_test.go
+++ b/cmd/poppypass/graphruns_test.go
@@ -14,27 +14,27 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
 	"poppypass/internal/controller"
-	"poppypass/internal/graphs"
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // serveGraphs runs a controller over stand-ins, and gives its address.
 func serveGraphs(t *testing.T, properties string) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	state := standin.NewState(clock)
-	cloud := standin.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
+	state := fakes.NewState(clock)
+	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
 	s := &config.Settings{
-		Member: "m0", Bind: standin.FreeAddr(t), MeshAddr: standin.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
+		Member: "m0", Bind: fakes.FreeAddr(t), MeshAddr: fakes.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
 		Cluster: config.Cluster{
 			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	own, err := config.LoadProperties(standin.File(t, "own.properties", properties))
+	own, err := config.LoadProperties(fakes.File(t, "own.properties", properties))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 func TestGraphCommands(t *testing.T) {
 	var described atomic.Int32
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var steps []graphs.Description
+		var steps []runner.Description
 		if err := json.NewDecoder(r.Body).Decode(&steps); err != nil || r.URL.Path == "/none" {
 			w.WriteHeader(http.StatusNotFound)
 			return
@@ -80,7 +80,7 @@
 	}))
 	defer src.Close()
 	addr := serveGraphs(t, "graphs = on\n")
-	file := standin.File(t, "g.star", `
+	file := fakes.File(t, "g.star", `
 DAG("g", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"}, tags = ["x"])
 EmptyOperator(task_id = "begin") >> JobOperator(task_id = "work", estimate_s = 60) >> JobOperator(task_id = "end", estimate_s = 30)
 `)
@@ -165,7 +165,7 @@
 		fmt.Fprintf(&b, `{"task_id":"a-step-with-a-name-%d","kind":"job","job":{"class":"c","cpus":1,"memory_gb":1,"image":"i","estimate_s":%d}}`, i*7919%10_000, 1+i*31%977)
 	}
 	b.WriteString("]}")
-	file := standin.File(t, "large.json", b.String())
+	file := fakes.File(t, "large.json", b.String())
 	if out, err := graph(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
 		t.Fatalf("%q, %v", out, err)
 	}
--- a/cmd/poppypass/job.go
+++ b/cmd/poppypass/job.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/wire"
 )
 
 // clientTimeout is how long the client commands wait for an answer: as long
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/ledger"
-	"poppypass/internal/statement"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/ledger"
+	"poppypass/internal/accounting/statement"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/wire"
 )
 
 // service is how a command reaches the controllers and prints what it got.
--- a/internal/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Use is what was or will be used, in the ledger's units.
--- a/internal/budget/budget_test.go
+++ b/internal/accounting/budget/budget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/charge"
+	"poppypass/internal/accounting/charge"
 )
 
 func TestSetSaysWhatIsWrong(t *testing.T) {
--- a/internal/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
 )
 
 // BenchmarkCharge is what one attempt's charge costs the loop, with the bytes that its
--- a/internal/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Handler answers users and operators about charges, totals and budgets, as JSON or,
--- a/internal/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -15,14 +15,14 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/roster"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Config is what a ledger finds in its process.
@@ -319,7 +319,7 @@
 }
 
 // Ended charges an attempt that came to its end.
-func (l *Ledger) Ended(o roster.Outcome, now time.Time) {
+func (l *Ledger) Ended(o machines.Outcome, now time.Time) {
 	p := o.Place
 	delete(l.live, p)
 	c, ok := chargeFor(&o, now, l.rateNow(p))
--- a/internal/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -11,16 +11,16 @@
 
 	"pgregory.net/rapid"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.FixedSeed(m)) }
+func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
 
 func array(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
@@ -565,7 +565,7 @@
 	codec := w.ledger.codec
 	verify := func(items map[string]wire.Item) *Finding {
 		t.Helper()
-		state := standin.NewState(w.clock)
+		state := fakes.NewState(w.clock)
 		defer state.Close()
 		store := statestore.New(state.Addr(), 1e6, 1e6)
 		for key, item := range items {
--- a/internal/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -4,10 +4,10 @@
 	"math"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // What a task's charge counts:
@@ -46,7 +46,7 @@
 }
 
 // how tells how an attempt ended, for its charge.
-func how(o *roster.Outcome) charge.How {
+func how(o *machines.Outcome) charge.How {
 	p := o.Place
 	switch {
 	case o.Why == wire.WhyDone:
@@ -67,7 +67,7 @@
 
 // chargeFor gives the charge of an attempt from its outcome; ok is false for one that was
 // never started.
-func chargeFor(o *roster.Outcome, now time.Time, rateNow int64) (c charge.Charge, ok bool) {
+func chargeFor(o *machines.Outcome, now time.Time, rateNow int64) (c charge.Charge, ok bool) {
 	p := o.Place
 	if !p.Committed {
 		return c, false // no record named it, so nothing was started
--- a/internal/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -6,11 +6,11 @@
 	"maps"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Reader reads the ledger from the state service; any member and any command can.
--- a/internal/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"fmt"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Keys of the state service. Only the leader writes them.
--- a/internal/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
 )
 
 // A roll-up takes some Lefts and, in one transaction, drops them, adds their charges
--- a/internal/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Paths beside the protocol's.
--- a/internal/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/roster"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/scheduler/machines"
 )
 
 // world is a leader's book and ledger over a store in memory, with workers that the
@@ -247,7 +247,7 @@
 		if tr.ended.IsZero() {
 			continue
 		}
-		w.ledger.Ended(roster.Outcome{Place: p, Why: tr.why, Lost: tr.lost}, now)
+		w.ledger.Ended(machines.Outcome{Place: p, Why: tr.why, Lost: tr.lost}, now)
 		if tr.why == wire.WhyDone {
 			w.book.Finished(p, now)
 		} else {
--- a/internal/statement/statement.go
+++ b/internal/accounting/statement/statement.go
@@ -13,7 +13,7 @@
 	texttemplate "text/template"
 	"time"
 
-	"poppypass/internal/ledger"
+	"poppypass/internal/accounting/ledger"
 )
 
 //go:embed default.txt.tmpl
--- a/internal/statement/statement_test.go
+++ b/internal/accounting/statement/statement_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"poppypass/internal/ledger"
+	"poppypass/internal/accounting/ledger"
 )
 
 func TestRender(t *testing.T) {
--- a/internal/users/odd_test.go
+++ b/internal/api/userapi/odd_test.go
@@ -1,4 +1,4 @@
-package users
+package userapi
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
 // changed is a good submission of a job with some fields changed; nil takes a field away.
@@ -42,7 +42,7 @@
 // missing, null, of a wrong type and out of range, what is unknown, and what fits nowhere. The answer is one line that names the
 // field, nothing is stored, and each member says the same.
 func TestOddSubmissions(t *testing.T) {
-	state := standin.NewState(clockwork.NewFakeClock())
+	state := fakes.NewState(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	members := []*Handler{}
 	for range 2 {
@@ -126,7 +126,7 @@
 // Guards against a job that is refused, changed or forgotten once it was accepted: repeated with other content, after the machine
 // types changed, after its end; and against cancelling what is done, and ids that nobody knows.
 func TestOddRequestsForKnownJobs(t *testing.T) {
-	state := standin.NewState(clockwork.NewFakeClock())
+	state := fakes.NewState(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	do := func(serve http.HandlerFunc, id string, raw []byte) (int, wire.JobStatus) {
--- a/internal/users/polls.go
+++ b/internal/api/userapi/polls.go
@@ -1,4 +1,4 @@
-package users
+package userapi
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"net/http"
 	"sync"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // poller reads the states of jobs that the leader cannot tell: while nobody
--- a/internal/users/polls_test.go
+++ b/internal/api/userapi/polls_test.go
@@ -1,4 +1,4 @@
-package users
+package userapi
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"testing"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against polls that use up the limit on reads while nobody leads: many
--- a/internal/users/show.go
+++ b/internal/api/userapi/show.go
@@ -1,15 +1,15 @@
-package users
+package userapi
 
 import (
 	"context"
 	"encoding/json"
 	"net/http"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/leader"
-	"poppypass/internal/mesh"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Ask has the leader's subsystems answer a question: a path and query beside the
@@ -17,12 +17,12 @@
 func (d *Handler) Ask(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
 	defer cancel()
-	return d.ofLeader(ctx, mesh.Request{Verb: mesh.Show, Payload: []byte(uri)}, "the leader cannot be asked now",
+	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.Show, Payload: []byte(uri)}, "the leader cannot be asked now",
 		func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
 }
 
 // AnswerShow answers a question that another member hands on to the leader.
-func (d *Handler) AnswerShow(ctx context.Context, uri string) mesh.Response {
+func (d *Handler) AnswerShow(ctx context.Context, uri string) peerrpc.Response {
 	return d.asLeader(func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
 }
 
@@ -34,12 +34,12 @@
 	if err != nil {
 		return http.StatusBadRequest, problem("the command is not JSON")
 	}
-	return d.ofLeader(ctx, mesh.Request{Verb: mesh.Do, Payload: raw}, "the leader cannot be asked now; ask again",
+	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.Do, Payload: raw}, "the leader cannot be asked now; ask again",
 		func(l *leader.Loop) (int, json.RawMessage) { return do(ctx, l, c) })
 }
 
 // AnswerDo carries out a command that another member hands on to the leader.
-func (d *Handler) AnswerDo(ctx context.Context, payload []byte) mesh.Response {
+func (d *Handler) AnswerDo(ctx context.Context, payload []byte) peerrpc.Response {
 	var c leader.Command
 	if json.Unmarshal(payload, &c) != nil {
 		return notLeading()
@@ -49,7 +49,7 @@
 
 // ofLeader has the leader answer: this member, or the one that leads; none is what is said if
 // neither can.
-func (d *Handler) ofLeader(ctx context.Context, req mesh.Request, none string, here func(*leader.Loop) (int, json.RawMessage)) (int, json.RawMessage) {
+func (d *Handler) ofLeader(ctx context.Context, req peerrpc.Request, none string, here func(*leader.Loop) (int, json.RawMessage)) (int, json.RawMessage) {
 	if l := d.leader(); l != nil {
 		return here(l)
 	}
@@ -62,17 +62,17 @@
 }
 
 // asLeader answers another member, if this one leads.
-func (d *Handler) asLeader(here func(*leader.Loop) (int, json.RawMessage)) mesh.Response {
+func (d *Handler) asLeader(here func(*leader.Loop) (int, json.RawMessage)) peerrpc.Response {
 	l := d.leader()
 	if l == nil {
 		return notLeading()
 	}
 	status, body := here(l)
-	return mesh.Response{Status: status, Payload: body}
+	return peerrpc.Response{Status: status, Payload: body}
 }
 
-func notLeading() mesh.Response {
-	return mesh.Response{Status: http.StatusServiceUnavailable, Payload: problem("this member does not lead")}
+func notLeading() peerrpc.Response {
+	return peerrpc.Response{Status: http.StatusServiceUnavailable, Payload: problem("this member does not lead")}
 }
 
 func do(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
--- a/internal/users/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -1,4 +1,4 @@
-package users
+package userapi
 
 import (
 	"context"
@@ -6,13 +6,13 @@
 	"errors"
 	"net/http"
 
-	"poppypass/internal/fleet"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/jobs"
-	"poppypass/internal/mesh"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // ServeSubmit accepts a job: it is accepted once it is stored. Any member may
@@ -97,9 +97,9 @@
 func refused(status int, text string) submission { return submission{status: status, text: text} }
 
 // AnswerSubmission accepts a job that another member could not store.
-func (d *Handler) AnswerSubmission(ctx context.Context, body []byte) mesh.Response {
+func (d *Handler) AnswerSubmission(ctx context.Context, body []byte) peerrpc.Response {
 	a := d.submit(ctx, body)
-	return mesh.Response{Status: a.status, Job: wire.JobStatus{State: a.job.State}, Payload: []byte(a.text)}
+	return peerrpc.Response{Status: a.status, Job: wire.JobStatus{State: a.job.State}, Payload: []byte(a.text)}
 }
 
 // submit accepts a job here, or says why it is not accepted.
@@ -168,7 +168,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r, err := d.peers.Call(ctx, name, mesh.Request{Verb: mesh.Submit, Payload: body})
+		r, err := d.peers.Call(ctx, name, peerrpc.Request{Verb: peerrpc.Submit, Payload: body})
 		if err != nil {
 			continue
 		}
@@ -203,7 +203,7 @@
 	switch {
 	case n*j.CPUs > team.CPUsMax+slack || n*j.GPUs > team.GPUsMax+slack:
 		return "the job needs more than its team's limit"
-	case !fleet.Fits(j, types):
+	case !autoscale.Fits(j, types):
 		return "a task fits no allowed machine type"
 	}
 	return ""
--- a/internal/users/users.go
+++ b/internal/api/userapi/users.go
@@ -1,5 +1,5 @@
-// Package users is the HTTP handler for users: submissions, polls and cancellations.
-package users
+// Package userapi is the HTTP handler for users: submissions, polls and cancellations.
+package userapi
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/mesh"
-	"poppypass/internal/peers"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Handler answers users. It is safe for concurrent use.
@@ -107,7 +107,7 @@
 		return http.StatusOK, s
 	}
 	if d.leader() == nil {
-		if resp, ok := d.peers.Relay(ctx, mesh.Request{Verb: mesh.Query, Job: id}); ok {
+		if resp, ok := d.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.Query, Job: id}); ok {
 			resp.Job.ID = id
 			if resp.Status == http.StatusOK {
 				d.learn(resp.Job)
@@ -184,7 +184,7 @@
 	}
 	status, s := d.cancel(r.Context(), id)
 	if status < 0 {
-		if resp, ok := d.peers.Relay(r.Context(), mesh.Request{Verb: mesh.Cancel, Job: id}); ok {
+		if resp, ok := d.peers.Relay(r.Context(), peerrpc.Request{Verb: peerrpc.Cancel, Job: id}); ok {
 			status, s = resp.Status, resp.Job
 			s.ID = id
 		}
@@ -227,19 +227,19 @@
 
 // AnswerPeer answers a query or a cancellation that another member hands on to
 // the leader.
-func (d *Handler) AnswerPeer(ctx context.Context, req mesh.Request) mesh.Response {
+func (d *Handler) AnswerPeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	if !wire.ValidJobID(req.Job) || d.leader() == nil {
-		return mesh.Response{Status: http.StatusServiceUnavailable}
+		return peerrpc.Response{Status: http.StatusServiceUnavailable}
 	}
 	var status int
 	var s wire.JobStatus
 	switch req.Verb {
-	case mesh.Query:
+	case peerrpc.Query:
 		if known, ok := d.known(ctx, req.Job); ok {
-			return mesh.Response{Status: http.StatusOK, Job: known}
+			return peerrpc.Response{Status: http.StatusOK, Job: known}
 		}
 		status, s = d.polls.status(ctx, req.Job)
-	case mesh.Cancel:
+	case peerrpc.Cancel:
 		status, s = d.cancel(ctx, req.Job)
 	default:
 		status = http.StatusBadRequest
@@ -247,5 +247,5 @@
 	if status < 0 {
 		status = http.StatusServiceUnavailable
 	}
-	return mesh.Response{Status: status, Job: s}
+	return peerrpc.Response{Status: status, Job: s}
 }
--- a/internal/users/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -1,4 +1,4 @@
-package users
+package userapi
 
 import (
 	"bytes"
@@ -13,16 +13,16 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/leadership"
-	"poppypass/internal/mesh"
-	"poppypass/internal/peers"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/sim/fakes"
 )
 
 // handlerWith makes a handler of a member that does not lead, with a state service and other members.
@@ -33,7 +33,7 @@
 	s := &config.Settings{Member: "m0", Members: members, Cluster: config.Cluster{State: config.State{ValueKB: 16, TxnOps: 12}}}
 	store := statestore.New(state, 1e6, 1e6)
 	p := peers.New(s, clock, log)
-	p.Follow(leadership.New(store, p, s.Member, clock, log))
+	p.Follow(election.New(store, p, s.Member, clock, log))
 	types := []wire.MachineType{{Name: "g8", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}
 	return New(&leader.Env{
 		Settings: s, Clock: clock, Log: log, Store: store, Finals: jobs.NewFinals(8),
@@ -95,8 +95,8 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go mesh.Serve(ctx, peer, func(_ context.Context, r mesh.Request) mesh.Response {
-		return mesh.Response{Status: http.StatusCreated, Job: wire.JobStatus{State: wire.StateQueued}}
+	go peerrpc.Serve(ctx, peer, func(_ context.Context, r peerrpc.Request) peerrpc.Response {
+		return peerrpc.Response{Status: http.StatusCreated, Job: wire.JobStatus{State: wire.StateQueued}}
 	}, slog.New(slog.DiscardHandler))
 	d, clock := handlerWith(t, silent.Addr().String(), config.Member{Name: "m1", Endpoint: peer.Addr().String()})
 	done := make(chan int, 1)
@@ -113,7 +113,7 @@
 // Guards against a controller that is ended by the kernel with all that it does: what it
 // has no memory for is refused at once, with when to come back.
 func TestWithoutMemoryASubmissionIsRefusedAtOnce(t *testing.T) {
-	state := standin.NewState(clockwork.NewFakeClock())
+	state := fakes.NewState(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	full := true
@@ -135,7 +135,7 @@
 // Guards against users that stay with a controller which has lost the state service and all others: their polls failed for
 // as long as that lasted. It says at once that it serves nobody, and has them ask another.
 func TestAMemberThatIsCutOffFromAllSendsItsUsersOn(t *testing.T) {
-	state := standin.NewState(clockwork.NewFakeClock())
+	state := fakes.NewState(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	alone := true
--- a/internal/workers/kept.go
+++ b/internal/api/workerapi/kept.go
@@ -1,4 +1,4 @@
-package workers
+package workerapi
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Show asks a worker for its report; ok is false when it gives none.
--- a/internal/workers/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -1,12 +1,12 @@
-package workers
+package workerapi
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // keptWorld is a member that keeps workers, each of which says what it is asked, or nothing.
--- a/internal/workers/wanted.go
+++ b/internal/api/workerapi/wanted.go
@@ -1,11 +1,11 @@
-package workers
+package workerapi
 
 import (
 	"sync"
 	"time"
 
-	"poppypass/internal/config"
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // wanted tells since when workers want to be kept. A worker that is kept waits for a whole interval until it reports
--- a/internal/workers/wanted_test.go
+++ b/internal/api/workerapi/wanted_test.go
@@ -1,11 +1,11 @@
-package workers
+package workerapi
 
 import (
 	"testing"
 	"time"
 
-	"poppypass/internal/config"
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // Guards against workers that are kept a second before the next leader is there and do not report to it for ten more,
--- a/internal/workers/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -1,6 +1,6 @@
-// Package workers is the HTTP handler for workers: it answers their reports, sends
+// Package workerapi is the HTTP handler for workers: it answers their reports, sends
 // them to the leader, or helps them when they have lost it.
-package workers
+package workerapi
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/leader"
-	"poppypass/internal/leadership"
-	"poppypass/internal/mesh"
-	"poppypass/internal/peers"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Keeper gives the right to answer a machine now in the leader's stead.
@@ -39,7 +39,7 @@
 type Handler struct {
 	member    string
 	clock     clockwork.Clock
-	elector   *leadership.Elector
+	elector   *election.Elector
 	peers     *peers.Peers
 	keeper    Keeper
 	zone      ZoneKeeper
@@ -51,7 +51,7 @@
 
 // New makes the handler of a member. current gives the leader's loop while this
 // member has the right to act, nil otherwise; show asks a worker for its report.
-func New(member string, w config.Workers, clock clockwork.Clock, e *leadership.Elector, p *peers.Peers, k Keeper, z ZoneKeeper, current func() *leader.Loop, show Show) *Handler {
+func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k Keeper, z ZoneKeeper, current func() *leader.Loop, show Show) *Handler {
 	return &Handler{
 		member: member, clock: clock, elector: e, peers: p, keeper: k, zone: z, leader: current, redirects: newRedirects(), wanted: wanted{patience: patience(w)},
 		kept: newKept(time.Duration(w.LeaseS*float64(time.Second)), show),
@@ -136,7 +136,7 @@
 	}
 	cut := d.peers.Cut(lead)
 	if !cut {
-		resp, err := d.peers.Call(ctx, lead, mesh.Request{Verb: mesh.Report, Payload: body})
+		resp, err := d.peers.Call(ctx, lead, peerrpc.Request{Verb: peerrpc.Report, Payload: body})
 		if err == nil {
 			switch {
 			case resp.Status == http.StatusMisdirectedRequest:
@@ -257,21 +257,21 @@
 
 // AnswerPeer answers a report that a follower hands on: with 421 if this member does not lead, 503 if the leader does not
 // answer that report.
-func (d *Handler) AnswerPeer(ctx context.Context, body []byte) mesh.Response {
+func (d *Handler) AnswerPeer(ctx context.Context, body []byte) peerrpc.Response {
 	var rep wire.Report
 	if json.Unmarshal(body, &rep) != nil || rep.Check() != nil {
-		return mesh.Response{Status: http.StatusBadRequest}
+		return peerrpc.Response{Status: http.StatusBadRequest}
 	}
 	if d.leader() == nil {
-		return mesh.Response{Status: http.StatusMisdirectedRequest}
+		return peerrpc.Response{Status: http.StatusMisdirectedRequest}
 	}
 	a, ok := d.answerReport(ctx, &rep)
 	if !ok {
-		return mesh.Response{Status: http.StatusServiceUnavailable}
+		return peerrpc.Response{Status: http.StatusServiceUnavailable}
 	}
 	out, err := json.Marshal(a)
 	if err != nil {
-		return mesh.Response{Status: http.StatusInternalServerError}
+		return peerrpc.Response{Status: http.StatusInternalServerError}
 	}
-	return mesh.Response{Status: http.StatusOK, Payload: out}
+	return peerrpc.Response{Status: http.StatusOK, Payload: out}
 }
--- a/internal/workers/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -1,4 +1,4 @@
-package workers
+package workerapi
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/leader"
-	"poppypass/internal/leadership"
-	"poppypass/internal/mesh"
-	"poppypass/internal/peers"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // always keeps every machine.
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go mesh.Serve(t.Context(), l, func(context.Context, mesh.Request) mesh.Response { return mesh.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
+		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
 		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), always{}, always{}, func() *leader.Loop { return nil }, nil)
 		rep := &wire.Report{Machine: "n-1", Session: 1, Seq: 1, Token: 3, Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
@@ -147,9 +147,9 @@
 		t.Fatal(err)
 	}
 	d := New("m1", config.Workers{}, clock, nil, nil, never{}, never{}, func() *leader.Loop { return nil }, nil)
-	go mesh.Serve(t.Context(), l, func(ctx context.Context, r mesh.Request) mesh.Response { return d.AnswerPeer(ctx, r.Payload) }, slog.New(slog.DiscardHandler))
+	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response { return d.AnswerPeer(ctx, r.Payload) }, slog.New(slog.DiscardHandler))
 	d.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
-	d.elector = leadership.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
+	d.elector = election.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
 	d.elector.Hint("m0", 3)
 	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
--- a/internal/cloud/cloud.go
+++ b/internal/clients/cloud/cloud.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // ErrNoCapacity tells that no machine of this type, zone and kind is to be had now.
--- a/internal/catalog/catalog.go
+++ b/internal/clients/instancetypes/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog keeps the cloud's machine types and their prices.
-package catalog
+// Package instancetypes keeps the cloud's machine types and their prices.
+package instancetypes
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/cloud"
-	"poppypass/internal/pause"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Key holds the machine types as a leader last read them.
@@ -62,7 +62,7 @@
 				c.load(ctx)
 			}
 		}
-		pause.For(ctx, c.Clock, rest)
+		clock.Sleep(ctx, c.Clock, rest)
 	}
 }
 
--- a/internal/statestore/pace.go
+++ b/internal/clients/statestore/pace.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // pace is our own limit on one kind of calls. All controllers share the
--- a/internal/statestore/statestore.go
+++ b/internal/clients/statestore/statestore.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 var (
--- a/internal/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // answering makes a client of a service that always answers the same.
--- a/internal/leadership/fence.go
+++ b/internal/cluster/election/fence.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"errors"
 	"time"
 
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // prefixFence holds a key for a member that the leader has fenced off: while it
--- a/internal/leadership/former_test.go
+++ b/internal/cluster/election/former_test.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // mortal is a store whose member ends at its n-th call: before the call is executed, or after, without its answer.
@@ -84,7 +84,7 @@
 }
 
 // live starts a life of a member, which ends at its n-th call; 0: it does not.
-func live(t *testing.T, s *standin.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
+func live(t *testing.T, s *fakes.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var store Store = statestore.New(s.Addr(), 1e6, 1e6)
@@ -104,7 +104,7 @@
 // passUntil lets time pass in small steps until a channel is ready, and gives how long that took. A follower is one goroutine,
 // so no call of it is on its way while it waits for the clock. Once m leads the clock stands still: a leader's goroutines wait for
 // it all the time, and it once went on for seconds until the test's goroutine was woken.
-func passUntil[T any](t *testing.T, s *standin.State, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
+func passUntil[T any](t *testing.T, s *fakes.State, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second) // a hang is a failure
 	defer cancel()
@@ -147,7 +147,7 @@
 	for n := 1; n <= 10; n++ {
 		for _, after := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
-			s := standin.NewState(clock)
+			s := fakes.NewState(clock)
 			first, ended := live(t, s, clock, n, after)
 			passUntil(t, s, clock, nil, ended)
 			term := uint64(0)
@@ -168,7 +168,7 @@
 // A member that stands aside leaves the leadership to others, and takes it when none does.
 func TestAMemberStandsAside(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	a, _ := live(t, s, clock, 0, false)
 	a.StandAside(tuning.StandAside)
--- a/internal/leadership/leadership.go
+++ b/internal/cluster/election/leadership.go
@@ -1,7 +1,7 @@
-// Package leadership decides which controller leads: the one whose lease the
+// Package election decides which controller leads: the one whose lease the
 // leader key in the state service hangs on. Each leadership has a term that
 // only grows; it is the token that workers obey.
-package leadership
+package election
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/pause"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 const (
@@ -286,7 +286,7 @@
 }
 
 func (e *Elector) pause(ctx context.Context, d time.Duration) {
-	pause.For(ctx, e.clock, d)
+	clock.Sleep(ctx, e.clock, d)
 }
 
 func (e *Elector) readHolder(ctx context.Context) (h holder, revision uint64, held bool, err error) {
--- a/internal/leadership/leadership_test.go
+++ b/internal/cluster/election/leadership_test.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // peers are the other members, as a test wants them to answer.
@@ -48,7 +48,7 @@
 	over    chan Tenure
 }
 
-func start(t *testing.T, name string, s *standin.State, p Peers, clock clockwork.Clock) *member {
+func start(t *testing.T, name string, s *fakes.State, p Peers, clock clockwork.Clock) *member {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{
@@ -77,7 +77,7 @@
 
 // until lets time pass in small steps until a condition holds. It moves the
 // clock only while the one elector that runs waits for it, never during a call.
-func until(t *testing.T, s *standin.State, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
+func until(t *testing.T, s *fakes.State, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
 	defer cancel()
@@ -92,7 +92,7 @@
 
 func TestOneLeadsAndAnotherFollowsWhenItsLeaseEnds(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, alone, clock)
 	first := <-a.tenures
@@ -121,7 +121,7 @@
 // right ends by the local clock, and the tenure outlives it.
 func TestTheRightEndsInAnOutageAndComesBack(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, alone, clock)
 	tenure := <-a.tenures
@@ -142,7 +142,7 @@
 // on it, and when its lease is over the next campaign has a higher term.
 func TestACampaignWithoutAnAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	muted := 0
 	s.Mute(func(txn wire.Txn) bool {
@@ -171,7 +171,7 @@
 // go on answering them; without, it may not.
 func TestPromisesExtendTheRightInAnOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	var given atomic.Bool
 	given.Store(true)
@@ -202,7 +202,7 @@
 // that was started anew and may have promised in its former life.
 func TestPromisesAreKept(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &peers{nobody: always(false)}, "a", clock, slog.New(slog.DiscardHandler))
 	if e.mayCampaign(t.Context()) {
@@ -240,7 +240,7 @@
 // round that asked for it was still open.
 func TestAQuestionOfARestartedMemberVoidsTheRound(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	var a *member
 	ready := make(chan struct{})
@@ -311,7 +311,7 @@
 		{"another may have vouched for it", []string{"b"}, Promises{Silent: []string{"b"}, Forgetful: 1}, false},
 	} {
 		clock := clockwork.NewFakeClock()
-		s := standin.NewState(clock)
+		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
 		a := start(t, "a", s, &peers{nobody: always(true), silent: c.silent, promise: func() Promises { return c.promises }}, clock)
 		tenure := <-a.tenures
@@ -332,7 +332,7 @@
 // not even if it was set a moment before its transaction.
 func TestAFencedMemberWaitsForAVoucher(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &peers{vouch: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
 	early, ok := e.mayLead(t.Context(), 0)
@@ -371,7 +371,7 @@
 // A member that answers again is let free.
 func TestAFenceEndsWithTheSilence(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
 	leave, _ := e.mayLead(t.Context(), 0)
@@ -400,7 +400,7 @@
 // campaign: by then the voucher may be forgotten.
 func TestAnOldVoucherIsNotActedOn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	if _, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		Then: []wire.Change{{Put: prefixFence + "a", Value: json.RawMessage("true")}},
@@ -425,7 +425,7 @@
 // a member that was restarted and cannot know.
 func TestAVoucherBinds(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
 	s.Refuse(true)
@@ -462,7 +462,7 @@
 // asks has seen its lease's end. It does not for an earlier term.
 func TestALeaderThatIsAskedToVouchGivesUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, alone, clock)
 	tenure := <-a.tenures
@@ -479,7 +479,7 @@
 // leader alone: it gives up its right, then another ends its lease.
 func TestALeaderThatIsRefusedAloneHandsOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	var a *member
 	var tenure Tenure
--- a/internal/leadership/meetings_test.go
+++ b/internal/cluster/election/meetings_test.go
@@ -1,4 +1,4 @@
-package leadership
+package election
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // Guards against a former leader that takes its right up again, though another has led since: one that was cut off from the
@@ -37,7 +37,7 @@
 		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.setLeader("a", 5); e.setLeader("", 0) }, Promised},
 	} {
 		clock := clockwork.NewFakeClock()
-		s := standin.NewState(clock)
+		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
 		e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "b", clock, slog.New(slog.DiscardHandler))
 		clock.Advance(promiseKept + tuning.VoucherFor)
@@ -123,7 +123,7 @@
 // out after the second, hung the key on its own lease, which ended earlier.
 func TestALateFenceDoesNotReplaceANewerOne(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := standin.NewState(clock)
+	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(keepsLeases{statestore.New(s.Addr(), 1e6, 1e6)}, &peers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
 	leave, _ := e.mayLead(t.Context(), 0)
--- a/internal/leadership/promises.go
+++ b/internal/cluster/election/promises.go
@@ -1,10 +1,10 @@
-package leadership
+package election
 
 import (
 	"context"
 	"time"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // Peers asks the other members. One that cannot be reached may do anything.
--- a/internal/mesh/mesh.go
+++ b/internal/cluster/peerrpc/mesh.go
@@ -1,7 +1,7 @@
-// Package mesh carries what controllers say among themselves: FlatBuffers in
+// Package peerrpc carries what controllers say among themselves: FlatBuffers in
 // frames with a length, over TCP. A follower hands the leader what only the
 // leader may answer.
-package mesh
+package peerrpc
 
 //go:generate flatc --go mesh.fbs
 
@@ -23,9 +23,9 @@
 
 	flatbuffers "github.com/google/flatbuffers/go"
 
-	"poppypass/internal/mesh/fb"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/cluster/peerrpc/fb"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Verb is what a request asks.
--- a/internal/mesh/mesh_test.go
+++ b/internal/cluster/peerrpc/mesh_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peerrpc
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 func listen(t *testing.T, h Handler) string {
--- a/internal/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -17,23 +17,23 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/leadership"
-	"poppypass/internal/mesh"
-	"poppypass/internal/pause"
-	"poppypass/internal/tuning"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // Peers are the other members. It is safe for concurrent use.
 type Peers struct {
-	client   *mesh.Client
+	client   *peerrpc.Client
 	endpoint map[string]string // mesh addresses by member
 	member   string
 	members  int
 	lease    time.Duration // a worker's
 	clock    clockwork.Clock
 	log      *slog.Logger
-	elector  *leadership.Elector
+	elector  *election.Elector
 	reach    reach
 	full     atomic.Bool // the leader has no memory for more jobs
 
@@ -56,7 +56,7 @@
 // anything but what an elector asks.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
-		client: mesh.NewClient(), endpoint: map[string]string{}, members: len(s.Members),
+		client: peerrpc.NewClient(), endpoint: map[string]string{}, members: len(s.Members),
 		lease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), clock: clock, log: log, claims: map[string][]byte{}, member: s.Member,
 	}
 	for _, m := range s.Members {
@@ -66,7 +66,7 @@
 }
 
 // Follow has the peers know this member's elector.
-func (p *Peers) Follow(e *leadership.Elector) { p.elector = e }
+func (p *Peers) Follow(e *election.Elector) { p.elector = e }
 
 // Remember has the others remember a right. It must be called before Run.
 func (p *Peers) Remember(r Right) { p.right = r }
@@ -110,15 +110,15 @@
 }
 
 // Call asks one member.
-func (p *Peers) Call(ctx context.Context, name string, req mesh.Request) (mesh.Response, error) {
+func (p *Peers) Call(ctx context.Context, name string, req peerrpc.Request) (peerrpc.Response, error) {
 	return p.client.Call(ctx, p.endpoint[name], req)
 }
 
 // Relay asks the leader; ok is false when it gives no usable answer.
-func (p *Peers) Relay(ctx context.Context, req mesh.Request) (mesh.Response, bool) {
+func (p *Peers) Relay(ctx context.Context, req peerrpc.Request) (peerrpc.Response, bool) {
 	leader := p.Leader()
 	if leader == "" {
-		return mesh.Response{}, false
+		return peerrpc.Response{}, false
 	}
 	resp, err := p.Call(ctx, leader, req)
 	if err != nil {
@@ -135,7 +135,7 @@
 }
 
 // ask asks every other member at once and hands on each answer.
-func (p *Peers) ask(ctx context.Context, req mesh.Request) <-chan peerAnswer {
+func (p *Peers) ask(ctx context.Context, req peerrpc.Request) <-chan peerAnswer {
 	answers := make(chan peerAnswer, len(p.endpoint))
 	for name, addr := range p.endpoint {
 		go func() {
@@ -150,7 +150,7 @@
 }
 
 // anyOf tells whether a member answers 200.
-func (p *Peers) anyOf(ctx context.Context, req mesh.Request) bool {
+func (p *Peers) anyOf(ctx context.Context, req peerrpc.Request) bool {
 	answers := p.ask(ctx, req)
 	for range p.endpoint {
 		if (<-answers).status == http.StatusOK {
@@ -161,8 +161,8 @@
 }
 
 // Promise asks all other members neither to campaign nor to vouch for a while.
-func (p *Peers) Promise(ctx context.Context, term uint64) (got leadership.Promises) {
-	answers := p.ask(ctx, mesh.Request{Verb: mesh.Promise, Number: term})
+func (p *Peers) Promise(ctx context.Context, term uint64) (got election.Promises) {
+	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.Promise, Number: term})
 	for range p.endpoint {
 		switch a := <-answers; a.status {
 		case http.StatusOK:
@@ -179,7 +179,7 @@
 
 // NobodyLeads asks all other members whether they do not lead.
 func (p *Peers) NobodyLeads(ctx context.Context) bool {
-	answers := p.ask(ctx, mesh.Request{Verb: mesh.NotLeading})
+	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.NotLeading})
 	for range p.endpoint {
 		if (<-answers).status != http.StatusOK {
 			return false
@@ -190,14 +190,14 @@
 
 // Vouch asks all other members whether one vouches that a term is over.
 func (p *Peers) Vouch(ctx context.Context, term uint64) bool {
-	return len(p.endpoint) == 0 || p.anyOf(ctx, mesh.Request{Verb: mesh.Vouch, Number: term})
+	return len(p.endpoint) == 0 || p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Vouch, Number: term})
 }
 
 // Kept asks a member which of some machines it may have answered by its zone's right
 // within a worker's lease; sure is false when it cannot tell or does not answer.
 func (p *Peers) Kept(ctx context.Context, name string, names []string) (kept []string, sure bool) {
 	for part := range slices.Chunk(names, tuning.KeptNames) {
-		r, err := p.Call(ctx, name, mesh.Request{Verb: mesh.Kept, Names: part})
+		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.Kept, Names: part})
 		if err != nil || r.Status != http.StatusOK {
 			return nil, false
 		}
@@ -210,12 +210,12 @@
 func (p *Peers) Reach(ctx context.Context, addrs []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
-	return p.anyOf(ctx, mesh.Request{Verb: mesh.Reach, Names: addrs})
+	return p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Reach, Names: addrs})
 }
 
 // Yield has the other members end the lease of this one, which gave up its right.
 func (p *Peers) Yield(ctx context.Context, lease uint64) {
-	p.anyOf(ctx, mesh.Request{Verb: mesh.Yield, Number: lease})
+	p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Yield, Number: lease})
 }
 
 // Silent names the members that do not answer of late.
@@ -290,7 +290,7 @@
 		var wg sync.WaitGroup
 		for name, addr := range p.endpoint {
 			wg.Go(func() {
-				r, err := p.client.Call(ctx, addr, mesh.Request{Verb: mesh.Ping, Job: p.member, Payload: p.right.Claim()})
+				r, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.right.Claim()})
 				if err == nil {
 					p.right.Inherit(r.Payload)
 					p.elector.Hint(r.Leader, r.Term)
@@ -303,14 +303,14 @@
 			})
 		}
 		wg.Wait()
-		pause.For(ctx, p.clock, tuning.ReachEvery)
+		clock.Sleep(ctx, p.clock, tuning.ReachEvery)
 	}
 }
 
 // Unanswered tells whether a call ended because nothing at all came back.
 func Unanswered(err error) bool {
 	var ne net.Error
-	return errors.Is(err, mesh.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
+	return errors.Is(err, peerrpc.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
 }
 
 // wayBack is how long a worker takes at most that is sent to the leader, does
--- a/internal/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // Guards against a member that counts as cut off since a few pings were missed, and one that never does.
--- a/internal/keeper/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper lets a follower answer workers in the leader's stead.
-package keeper
+// Package workerlease lets a follower answer workers in the leader's stead.
+package workerlease
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/pause"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // prefixKeep holds the names of machines that followers answer in the
@@ -120,7 +120,7 @@
 		case r := <-k.requests:
 			// Workers that lose the leader come together: they share a write.
 			if !k.stored(r.machine) {
-				pause.For(ctx, k.clock, tuning.KeepGather)
+				clock.Sleep(ctx, k.clock, tuning.KeepGather)
 			}
 			batch := []keepRequest{r}
 			for len(k.requests) > 0 {
--- a/internal/keeper/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package workerlease
 
 import (
 	"fmt"
@@ -8,23 +8,23 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 type keeperWorld struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *standin.State
+	state *fakes.State
 	*Keeper
 }
 
 func newKeeperWorld(t *testing.T) *keeperWorld {
 	clock := clockwork.NewFakeClock()
-	state := standin.NewState(clock)
+	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	k := New(&config.Settings{
 		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
--- a/internal/keeper/several_test.go
+++ b/internal/cluster/workerlease/several_test.go
@@ -1,4 +1,4 @@
-package keeper
+package workerlease
 
 import (
 	"log/slog"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/config"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 )
 
 // Guards against a machine that several members answer one after the other while the leader reads and asks: each said,
--- a/internal/keeper/zone.go
+++ b/internal/cluster/workerlease/zone.go
@@ -1,4 +1,4 @@
-package keeper
+package workerlease
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/pause"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Zone is a member's right to answer the workers of its own zone in the leader's
@@ -168,7 +168,7 @@
 	}
 	for ctx.Err() == nil {
 		z.Renew(ctx)
-		pause.For(ctx, z.clock, tuning.ZoneRenew)
+		clock.Sleep(ctx, z.clock, tuning.ZoneRenew)
 	}
 }
 
--- a/internal/keeper/zone_test.go
+++ b/internal/cluster/workerlease/zone_test.go
@@ -1,4 +1,4 @@
-package keeper
+package workerlease
 
 import (
 	"log/slog"
@@ -8,10 +8,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/sim/fakes"
 )
 
 const zoneLease = 10 * time.Second
@@ -19,13 +19,13 @@
 type zoneWorld struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *standin.State
+	state *fakes.State
 	*Zone
 }
 
 func newZoneWorld(t *testing.T) *zoneWorld {
 	clock := clockwork.NewFakeClock()
-	w := &zoneWorld{t: t, clock: clock, state: standin.NewState(clock)}
+	w := &zoneWorld{t: t, clock: clock, state: fakes.NewState(clock)}
 	t.Cleanup(w.state.Close)
 	w.restart()
 	return w
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,26 +17,26 @@
 	"github.com/jonboulle/clockwork"
 	"golang.org/x/net/netutil"
 
-	"poppypass/internal/airflow"
-	"poppypass/internal/catalog"
-	"poppypass/internal/cloud"
-	"poppypass/internal/config"
-	"poppypass/internal/graphs"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/jobs"
-	"poppypass/internal/keeper"
-	"poppypass/internal/leader"
-	"poppypass/internal/leadership"
-	"poppypass/internal/ledger"
-	"poppypass/internal/memory"
-	"poppypass/internal/mesh"
-	"poppypass/internal/metrics"
-	"poppypass/internal/peers"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/users"
-	"poppypass/internal/wire"
-	"poppypass/internal/workers"
+	"poppypass/internal/accounting/ledger"
+	"poppypass/internal/api/userapi"
+	"poppypass/internal/api/workerapi"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/clients/instancetypes"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
+	"poppypass/internal/cluster/workerlease"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/memory"
+	"poppypass/internal/platform/metrics"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Controller is one member of the service.
@@ -49,13 +49,13 @@
 	env     *leader.Env
 	store   *statestore.Client
 	cloud   *cloud.Client
-	catalog *catalog.Catalog
-	elector *leadership.Elector
+	catalog *instancetypes.Catalog
+	elector *election.Elector
 	peers   *peers.Peers
-	keeper  *keeper.Keeper
-	zone    *keeper.Zone
-	users   *users.Handler
-	reports *workers.Handler
+	keeper  *workerlease.Keeper
+	zone    *workerlease.Zone
+	users   *userapi.Handler
+	reports *workerapi.Handler
 	ledger  *ledger.Handler  // nil: no charges are kept
 	graphs  *airflow.Handler // nil: no graphs are served
 	metrics *metrics.Metrics // nil: they are served nowhere
@@ -71,14 +71,14 @@
 		peers: peers.New(s, clock, log),
 	}
 	store := statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
-	c.elector = leadership.New(store.Urgent(), c.peers, s.Member, clock, log)
+	c.elector = election.New(store.Urgent(), c.peers, s.Member, clock, log)
 	c.peers.Follow(c.elector)
 	c.store = store.Share(c.memberShare(tuning.LeaderShare))
-	c.catalog = &catalog.Catalog{
+	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
-	c.keeper = keeper.New(s, c.store, clock, log)
-	c.zone = keeper.NewZone(s, c.store, clock, log)
+	c.keeper = workerlease.New(s, c.store, clock, log)
+	c.zone = workerlease.NewZone(s, c.store, clock, log)
 	c.peers.Remember(c.zone)
 	teams := map[string]config.Team{}
 	for _, t := range s.Cluster.Teams {
@@ -95,8 +95,8 @@
 	if err := c.join(); err != nil {
 		return nil, err
 	}
-	c.users = users.New(c.env, c.peers, c.leader, func() bool { return c.zone.Alone() && c.peers.Lonely() })
-	c.reports = workers.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, c.show)
+	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Alone() && c.peers.Lonely() })
+	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, c.show)
 	c.setCloudShare(false)
 	return c, nil
 }
@@ -131,19 +131,19 @@
 // joinGraphs has graphs served.
 func (c *Controller) joinGraphs(descriptions string) {
 	cluster := c.settings.Cluster
-	cfg := graphs.Config{
+	cfg := runner.Config{
 		Clock: c.clock, TxnOps: cluster.State.TxnOps - 1, ValueKB: cluster.State.ValueKB, Bytes: int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
 		Impossible: func(j *wire.Job) string { return c.users.Impossible(j) }, Jitter: rand.Float64, Pools: c.own.Pool,
 	}
 	if descriptions != "" {
-		cfg.Source = &graphs.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
+		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
-		Reader: graphs.NewReader(c.store.Spare()), Clock: c.clock, Log: c.log,
+		Reader: runner.NewReader(c.store.Spare()), Clock: c.clock, Log: c.log,
 		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Do(ctx, cmd) },
 		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) },
 	}
-	c.env.Joins = append(c.env.Joins, func(log *slog.Logger) (leader.Slice, error) { return graphs.New(cfg, log) })
+	c.env.Joins = append(c.env.Joins, func(log *slog.Logger) (leader.Slice, error) { return runner.New(cfg, log) })
 }
 
 // memberShare is what one member may use of a limit that all share, when the
@@ -185,7 +185,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { mesh.Serve(ctx, peers, c.servePeer, c.log) })
+	wg.Go(func() { peerrpc.Serve(ctx, peers, c.servePeer, c.log) })
 	wg.Go(func() { c.catalog.Run(ctx) })
 	wg.Go(func() { c.own.Run(ctx, c.clock, c.log) })
 	wg.Go(func() { c.keeper.Run(ctx) })
@@ -234,7 +234,7 @@
 }
 
 // lead runs the leader's loop until the tenure is lost.
-func (c *Controller) lead(ctx context.Context, t leadership.Tenure) {
+func (c *Controller) lead(ctx context.Context, t election.Tenure) {
 	l := leader.New(c.env, t)
 	l.Start(ctx)
 	c.setCloudShare(true)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -14,13 +14,13 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/catalog"
-	"poppypass/internal/config"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/standin"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/instancetypes"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/sim/fakes"
 )
 
 // world is a controller with stand-ins of all that is outside. Its clock
@@ -29,8 +29,8 @@
 type world struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *standin.State
-	cloud *standin.Cloud
+	state *fakes.State
+	cloud *fakes.Cloud
 	addr  string
 	c     *Controller
 	stop  func()
@@ -44,7 +44,7 @@
 
 func newWorld(t *testing.T) *world {
 	clock := clockwork.NewFakeClock()
-	w := &world{t: t, clock: clock, state: standin.NewState(clock), cloud: standin.NewCloud(10, wire.MachineType{
+	w := &world{t: t, clock: clock, state: fakes.NewState(clock), cloud: fakes.NewCloud(10, wire.MachineType{
 		Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"},
 	})}
 	w.boot()
@@ -58,9 +58,9 @@
 
 // boot starts the controller, as a process with no memory of an earlier one.
 func (w *world) boot() {
-	w.addr = standin.FreeAddr(w.t)
+	w.addr = fakes.FreeAddr(w.t)
 	s := &config.Settings{
-		Member: "m0", Bind: w.addr, MeshAddr: standin.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
+		Member: "m0", Bind: w.addr, MeshAddr: fakes.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
 		Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}},
 			Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
@@ -464,7 +464,7 @@
 // the cloud: the machines that are there go on being used.
 func TestARestartWhileTheCloudIsDown(t *testing.T) {
 	w := newWorld(t)
-	w.until("the types are stored", func() bool { _, ok := w.state.Value(catalog.Key); return ok })
+	w.until("the types are stored", func() bool { _, ok := w.state.Value(instancetypes.Key); return ok })
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/airflow"
-	"poppypass/internal/graphs"
-	"poppypass/internal/standin"
-	"poppypass/internal/tuning"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/sim/fakes"
 )
 
 // descriptions is a source at which steps are described: it remembers which job is which.
 type descriptions struct {
 	mu    sync.Mutex
-	steps map[string]graphs.Description // by job
+	steps map[string]runner.Description // by job
 }
 
 func (d *descriptions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var steps []graphs.Description
+	var steps []runner.Description
 	if err := json.NewDecoder(r.Body).Decode(&steps); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-func (d *descriptions) get(job string) (graphs.Description, bool) {
+func (d *descriptions) get(job string) (runner.Description, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, ok := d.steps[job]
@@ -49,7 +49,7 @@
 
 // graphWorld is a world that serves graphs, with a source of descriptions.
 func graphWorld(t *testing.T) (*world, *descriptions) {
-	d := &descriptions{steps: map[string]graphs.Description{}}
+	d := &descriptions{steps: map[string]runner.Description{}}
 	srv := httptest.NewServer(d)
 	t.Cleanup(srv.Close)
 	return rebooted(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), d
@@ -114,7 +114,7 @@
 	runs := func(step string) func() bool {
 		return func() bool {
 			k.beat()
-			return len(k.rep.Tasks) == 1 && d.of(standin.JobOf(k.rep.Tasks[0].Task)) == step && k.running() == 1
+			return len(k.rep.Tasks) == 1 && d.of(fakes.JobOf(k.rep.Tasks[0].Task)) == step && k.running() == 1
 		}
 	}
 	w.until("the first step runs", runs("first"))
@@ -276,7 +276,7 @@
 	k.finish()
 	for len(got) < len(want) {
 		w.until("the next one runs", func() bool { k.tick(); return k.running() == 1 })
-		id := standin.JobOf(k.rep.Tasks[len(k.rep.Tasks)-1].Task)
+		id := fakes.JobOf(k.rep.Tasks[len(k.rep.Tasks)-1].Task)
 		if s, ok := d.get(id); ok {
 			id = s.Graph + "." + s.Step
 		}
@@ -338,7 +338,7 @@
 
 // A budget runs out in the middle of a graph: the next step waits, and says for what.
 func TestABudgetRunsOutInTheMiddleOfAGraph(t *testing.T) {
-	srv := httptest.NewServer(&descriptions{steps: map[string]graphs.Description{}})
+	srv := httptest.NewServer(&descriptions{steps: map[string]runner.Description{}})
 	defer srv.Close()
 	w := rebooted(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
 	w.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/ledger"
-	"poppypass/internal/standin"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/ledger"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
 // rebooted is a world whose controller has operators' properties.
@@ -21,7 +21,7 @@
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
-	w.props = standin.File(t, "own.properties", properties)
+	w.props = fakes.File(t, "own.properties", properties)
 	w.boot()
 	return w
 }
@@ -30,7 +30,7 @@
 func ms(v any) int64 { return int64(v.(float64)) }
 
 func TestAJobIsChargedToItsTeamAndAccount(t *testing.T) {
-	metrics := standin.FreeAddr(t)
+	metrics := fakes.FreeAddr(t)
 	w := rebooted(t, "ledger = on\nmetrics.addr = "+metrics+"\n")
 	j := job("job-1", 2)
 	j["account"] = "a coach owner"
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/metrics"
-	"poppypass/internal/standin"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/metrics"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
 // Guards against a leader that tells a user less than another member told: the transaction that ends a job is carried out, its answer is
@@ -25,7 +25,7 @@
 	w.until("both run", func() bool { k.beat(); return k.running() == 2 })
 	finish := func(job string) {
 		for i := range k.rep.Tasks {
-			if standin.JobOf(k.rep.Tasks[i].Task) == job {
+			if fakes.JobOf(k.rep.Tasks[i].Task) == job {
 				k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyDone
 			}
 		}
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -4,43 +4,43 @@
 	"context"
 	"net/http"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/leadership"
-	"poppypass/internal/mesh"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // servePeer answers another member.
-func (c *Controller) servePeer(ctx context.Context, req mesh.Request) mesh.Response {
+func (c *Controller) servePeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	wait := tuning.RelayTimeout
-	if req.Verb == mesh.Do {
+	if req.Verb == peerrpc.Do {
 		wait = tuning.CommandWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	switch req.Verb {
-	case mesh.Promise:
+	case peerrpc.Promise:
 		return c.servePromise(ctx, req.Number)
-	case mesh.Vouch:
+	case peerrpc.Vouch:
 		return yesOrNo(c.elector.Vouch(req.Number))
-	case mesh.Yield:
+	case peerrpc.Yield:
 		return yesOrNo(c.store.Urgent().Revoke(ctx, req.Number) == nil)
-	case mesh.Ping:
+	case peerrpc.Ping:
 		return c.servePing(req)
-	case mesh.NotLeading:
+	case peerrpc.NotLeading:
 		return yesOrNo(c.elector.NotLeading())
-	case mesh.Kept:
+	case peerrpc.Kept:
 		return c.serveKept(req.Names)
-	case mesh.Reach:
+	case peerrpc.Reach:
 		return yesOrNo(c.reaches(ctx, req.Names))
-	case mesh.Report:
+	case peerrpc.Report:
 		return c.reports.AnswerPeer(ctx, req.Payload)
-	case mesh.Show:
+	case peerrpc.Show:
 		return c.users.AnswerShow(ctx, string(req.Payload))
-	case mesh.Do:
+	case peerrpc.Do:
 		return c.users.AnswerDo(ctx, req.Payload)
-	case mesh.Submit:
+	case peerrpc.Submit:
 		return c.users.AnswerSubmission(ctx, req.Payload)
 	}
 	return c.users.AnswerPeer(ctx, req)
@@ -70,18 +70,18 @@
 }
 
 // servePromise answers a leader that asks for our promise.
-func (c *Controller) servePromise(ctx context.Context, term uint64) mesh.Response {
+func (c *Controller) servePromise(ctx context.Context, term uint64) peerrpc.Response {
 	switch c.elector.Promise(ctx, term) {
-	case leadership.Promised:
-		return mesh.Response{Status: http.StatusOK}
-	case leadership.Forgetful:
-		return mesh.Response{Status: http.StatusAccepted}
+	case election.Promised:
+		return peerrpc.Response{Status: http.StatusOK}
+	case election.Forgetful:
+		return peerrpc.Response{Status: http.StatusAccepted}
 	}
-	return mesh.Response{Status: http.StatusConflict}
+	return peerrpc.Response{Status: http.StatusConflict}
 }
 
 // serveKept tells a leader which machines this member may have answered by its zone's right.
-func (c *Controller) serveKept(names []string) mesh.Response {
+func (c *Controller) serveKept(names []string) peerrpc.Response {
 	kept, sure := c.zone.Kept(names)
 	r := yesOrNo(sure)
 	r.Names = kept
@@ -90,18 +90,18 @@
 
 // servePing answers a ping, and tells whether this member has no memory for more jobs and what it remembers of the other's right for
 // its zone. Members from before that send no name.
-func (c *Controller) servePing(req mesh.Request) mesh.Response {
+func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.Holder()
 	status := http.StatusOK
 	if c.env.Full() {
 		status = http.StatusInsufficientStorage
 	}
-	return mesh.Response{Status: status, Leader: name, Term: term, Payload: c.peers.Pinged(req.Job, req.Payload)}
+	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.Pinged(req.Job, req.Payload)}
 }
 
-func yesOrNo(yes bool) mesh.Response {
+func yesOrNo(yes bool) peerrpc.Response {
 	if yes {
-		return mesh.Response{Status: http.StatusOK}
+		return peerrpc.Response{Status: http.StatusOK}
 	}
-	return mesh.Response{Status: http.StatusConflict}
+	return peerrpc.Response{Status: http.StatusConflict}
 }
--- a/internal/controller/sockets.go
+++ b/internal/controller/sockets.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"sync/atomic"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // sockets shares the connections that users and workers may hold. Each worker keeps one
--- a/internal/airflow/dags.go
+++ b/internal/graphs/airflow/dags.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/graphs"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // stamp is a time as the API has it; nil: none.
@@ -70,7 +70,7 @@
 	NextAt      *string  `json:"next_dagrun_create_after"`
 }
 
-func (d *Handler) viewDAG(g *graphs.GraphRecord) dagView {
+func (d *Handler) viewDAG(g *runner.GraphRecord) dagView {
 	v := dagView{
 		ID: g.ID, Display: g.ID, Paused: g.Paused, Active: true, Owners: []string{g.Team}, MaxTasks: g.MaxTasks, MaxRuns: g.MaxRuns, Tags: []tag{},
 	}
@@ -120,7 +120,7 @@
 }
 
 // wanted tells whether a graph is among those that a list asks for.
-func (d *Handler) wanted(r *request, g *graphs.GraphRecord) bool {
+func (d *Handler) wanted(r *request, g *runner.GraphRecord) bool {
 	if text := r.query.Get("paused"); text != "" && strconv.FormatBool(g.Paused) != strings.ToLower(text) {
 		return false
 	}
@@ -138,7 +138,7 @@
 	return false
 }
 
-func (d *Handler) graph(r *request) (graphs.GraphRecord, error) {
+func (d *Handler) graph(r *request) (runner.GraphRecord, error) {
 	return d.Reader.Graph(r.Context(), r.team, r.PathValue("dag"))
 }
 
@@ -150,7 +150,7 @@
 	return d.viewDAG(&g), nil
 }
 
-func (d *Handler) plan(r *request) (graphs.GraphRecord, *dag.Plan, error) {
+func (d *Handler) plan(r *request) (runner.GraphRecord, *dag.Plan, error) {
 	g, err := d.graph(r)
 	if err != nil {
 		return g, nil, err
@@ -223,7 +223,7 @@
 			return nil, err
 		}
 	}
-	status, err := d.order(r, graphs.DoPut, graphs.Order{Graph: r.PathValue("dag"), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}, nil)
+	status, err := d.order(r, runner.DoPut, runner.Order{Graph: r.PathValue("dag"), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -245,7 +245,7 @@
 	switch err := d.Reader.StorePart(r.Context(), r.PathValue("hash"), n, of, raw); {
 	case err == nil:
 		return nil, nil
-	case err == graphs.ErrPart:
+	case err == runner.ErrPart:
 		return nil, badRequest("%s", err)
 	default:
 		return nil, err
@@ -262,14 +262,14 @@
 	if body.Paused == nil {
 		return nil, badRequest("is_paused is missing: nothing else of a DAG can be changed by this")
 	}
-	if _, err := d.order(r, graphs.DoPause, graphs.Order{Graph: r.PathValue("dag"), Paused: body.Paused}, nil); err != nil {
+	if _, err := d.order(r, runner.DoPause, runner.Order{Graph: r.PathValue("dag"), Paused: body.Paused}, nil); err != nil {
 		return nil, err
 	}
 	return d.getDAG(r)
 }
 
 func (d *Handler) deleteDAG(r *request) (any, error) {
-	_, err := d.order(r, graphs.DoRemove, graphs.Order{Graph: r.PathValue("dag")}, nil)
+	_, err := d.order(r, runner.DoRemove, runner.Order{Graph: r.PathValue("dag")}, nil)
 	return nil, err
 }
 
@@ -304,7 +304,7 @@
 		ID: s.ID, Display: s.ID, Owner: p.Team, Operator: operators[s.Kind], Class: map[string]any{"class_name": operators[s.Kind], "module_path": "poppypass"},
 		Down: []string{}, Dependency: []string{}, Rule: string(cmp.Or(s.Rule, dag.AllSuccess)), Retries: s.Retries,
 		Delay: delta(time.Duration(cmp.Or(s.Delay, dag.DefaultRetryDelay))), Backoff: s.Exponential, Timeout: delta(time.Duration(s.Timeout)),
-		Past: s.DependsOnPast, Pool: cmp.Or(s.Pool, graphs.DefaultPool), Slots: max(1, s.PoolSlots), Weight: max(1, s.Weight), Mapped: s.Map != nil,
+		Past: s.DependsOnPast, Pool: cmp.Or(s.Pool, runner.DefaultPool), Slots: max(1, s.PoolSlots), Weight: max(1, s.Weight), Mapped: s.Map != nil,
 	}
 	for _, j := range p.Down[i] {
 		v.Down = append(v.Down, p.Steps[j].ID)
@@ -345,7 +345,7 @@
 	}
 	i, ok := p.Index[r.PathValue("task")]
 	if !ok {
-		return nil, graphs.ErrNone
+		return nil, runner.ErrNone
 	}
 	return viewTask(p, i), nil
 }
--- a/internal/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -23,11 +23,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/graphs"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/leader"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // PathAPI begins all paths of the API.
@@ -44,7 +44,7 @@
 
 // Handler answers clients. It is safe for concurrent use.
 type Handler struct {
-	Reader *graphs.Reader
+	Reader *runner.Reader
 	// Do has the leader carry out a command.
 	Do func(ctx context.Context, c leader.Command) (status int, body json.RawMessage)
 	// Ask has the leader answer a path and query.
@@ -167,7 +167,7 @@
 	var p *problem
 	switch {
 	case errors.As(err, &p):
-	case errors.Is(err, graphs.ErrNone):
+	case errors.Is(err, runner.ErrNone):
 		p = &problem{Status: http.StatusNotFound, Title: "Not Found", Detail: "it is not known", Type: "about:blank"}
 	default:
 		d.Log.Debug("graphs are unreadable", "err", err)
@@ -210,13 +210,13 @@
 }
 
 // order has the leader carry out an order.
-func (d *Handler) order(r *request, verb string, o graphs.Order, out any) (int, error) {
+func (d *Handler) order(r *request, verb string, o runner.Order, out any) (int, error) {
 	o.Team = r.team
 	raw, err := json.Marshal(o)
 	if err != nil {
 		return 0, badRequest("%s", httpjson.OneLine(err))
 	}
-	status, body := d.Do(r.Context(), leader.Command{URI: graphs.PathOrders + verb, Body: raw})
+	status, body := d.Do(r.Context(), leader.Command{URI: runner.PathOrders + verb, Body: raw})
 	if status >= http.StatusBadRequest {
 		var e wire.Error
 		_ = json.Unmarshal(body, &e) // without a reason the status says it
@@ -289,7 +289,7 @@
 	if _, err := d.Reader.Graphs(ctx, ""); err != nil {
 		store.Status = "unhealthy"
 	}
-	if status, _ := d.Ask(ctx, graphs.PathPools); status == http.StatusOK {
+	if status, _ := d.Ask(ctx, runner.PathPools); status == http.StatusOK {
 		now := stamp(d.Clock.Now())
 		scheduler = part{Status: "healthy", Beat: now}
 	}
--- a/internal/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/graphs"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
 )
 
 // instanceView is an instance of a step as the API has it.
@@ -44,9 +44,9 @@
 
 // instances gives those of a run's steps, in the plan's order. A step whose instances are not
 // known yet, or that never had any, has one.
-func instances(v *graphs.RunView) []instanceView {
+func instances(v *runner.RunView) []instanceView {
 	out := []instanceView{}
-	newest := map[dag.Ref]*graphs.Try{}
+	newest := map[dag.Ref]*runner.Try{}
 	for i := range v.Tries {
 		t := &v.Tries[i]
 		newest[dag.Ref{Step: t.Step, Index: t.Index}] = t
@@ -73,10 +73,10 @@
 	return out
 }
 
-func viewInstance(v *graphs.RunView, step, index int, state dag.State, failures int, t *graphs.Try) instanceView {
+func viewInstance(v *runner.RunView, step, index int, state dag.State, failures int, t *runner.Try) instanceView {
 	s := &v.Run.Plan.Steps[step]
 	x := instanceView{
-		Task: s.ID, Display: s.ID, DAG: v.Graph, Run: v.ID, Execution: stamp(v.Logical), Index: index, MaxTries: s.Retries, Pool: cmp.Or(s.Pool, graphs.DefaultPool),
+		Task: s.ID, Display: s.ID, DAG: v.Graph, Run: v.ID, Execution: stamp(v.Logical), Index: index, MaxTries: s.Retries, Pool: cmp.Or(s.Pool, runner.DefaultPool),
 		Slots: max(1, s.PoolSlots), Queue: "default", Weight: max(1, s.Weight), Operator: operators[s.Kind], Config: "{}", Rendered: map[string]any{},
 	}
 	if state != dag.None {
@@ -97,7 +97,7 @@
 }
 
 // tryTimes gives when a try began and ended; zero: it runs.
-func tryTimes(v *graphs.RunView, t *graphs.Try) (begin, end time.Time) {
+func tryTimes(v *runner.RunView, t *runner.Try) (begin, end time.Time) {
 	begin = v.Queued.Add(time.Duration(t.BeginMS) * time.Millisecond)
 	if t.EndMS > 0 {
 		end = v.Queued.Add(time.Duration(t.EndMS) * time.Millisecond)
@@ -113,7 +113,7 @@
 	return &s
 }
 
-func (d *Handler) run(r *request) (*graphs.RunView, error) {
+func (d *Handler) run(r *request) (*runner.RunView, error) {
 	return d.Reader.Run(r.Context(), r.team, r.PathValue("dag"), r.PathValue("run"))
 }
 
@@ -162,13 +162,13 @@
 }
 
 // step gives the step that a request names.
-func (d *Handler) step(r *request) (v *graphs.RunView, step int, err error) {
+func (d *Handler) step(r *request) (v *runner.RunView, step int, err error) {
 	if v, err = d.run(r); err != nil {
 		return nil, 0, err
 	}
 	step, ok := v.Run.Plan.Index[r.PathValue("task")]
 	if !ok {
-		return nil, 0, graphs.ErrNone
+		return nil, 0, runner.ErrNone
 	}
 	return v, step, nil
 }
@@ -181,7 +181,7 @@
 	index := -1
 	if text := r.PathValue("index"); text != "" {
 		if index, err = strconv.Atoi(text); err != nil {
-			return nil, graphs.ErrNone
+			return nil, runner.ErrNone
 		}
 	}
 	for _, x := range instances(v) {
@@ -192,7 +192,7 @@
 	if index < 0 {
 		return nil, fault(http.StatusNotFound, "Task instance is mapped", "the step is mapped; name a map_index")
 	}
-	return nil, graphs.ErrNone
+	return nil, runner.ErrNone
 }
 
 func (d *Handler) listMapped(r *request) (any, error) {
@@ -276,7 +276,7 @@
 	return map[string]any{"xcom_entries": entries, "total_entries": len(entries)}, nil
 }
 
-func resultOf(v *graphs.RunView, step int) map[string]any {
+func resultOf(v *runner.RunView, step int) map[string]any {
 	return map[string]any{
 		"key": resultKey, "timestamp": stamp(v.Queued), "execution_date": stamp(v.Logical), "task_id": v.Run.Plan.Steps[step].ID, "dag_id": v.Graph,
 		"map_index": -1, "value": string(v.Run.Result(step)),
@@ -289,7 +289,7 @@
 		return nil, err
 	}
 	if r.PathValue("key") != resultKey || v.Run.Result(step) == nil {
-		return nil, graphs.ErrNone
+		return nil, runner.ErrNone
 	}
 	return resultOf(v, step), nil
 }
@@ -307,8 +307,8 @@
 	if body.Key != resultKey || len(body.Value) == 0 {
 		return nil, badRequest("key is %q and has to be %s, and value is what the step leaves", body.Key, resultKey)
 	}
-	o := graphs.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run"), Step: r.PathValue("task"), Result: body.Value}
-	if _, err := d.order(r, graphs.DoPush, o, nil); err != nil {
+	o := runner.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run"), Step: r.PathValue("task"), Result: body.Value}
+	if _, err := d.order(r, runner.DoPush, o, nil); err != nil {
 		return nil, err
 	}
 	return done{http.StatusCreated, map[string]any{"key": resultKey, "value": body.Value}}, nil
@@ -329,8 +329,8 @@
 }
 
 func (d *Handler) pools(r *request) ([]poolView, error) {
-	status, body := d.Ask(r.Context(), graphs.PathPools+"?team="+url.QueryEscape(r.team))
-	var got []graphs.PoolView
+	status, body := d.Ask(r.Context(), runner.PathPools+"?team="+url.QueryEscape(r.team))
+	var got []runner.PoolView
 	if status != http.StatusOK || json.Unmarshal(body, &got) != nil {
 		return nil, fault(http.StatusServiceUnavailable, "Service Unavailable", "the leader cannot be asked now; ask again")
 	}
@@ -368,5 +368,5 @@
 			return v, nil
 		}
 	}
-	return nil, graphs.ErrNone
+	return nil, runner.ErrNone
 }
--- a/internal/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/graphs"
+	"poppypass/internal/graphs/runner"
 )
 
 // runView is a run as the API has it.
@@ -26,10 +26,10 @@
 	Note      *string         `json:"note"`
 }
 
-func viewRun(i *graphs.RunInfo) runView {
+func viewRun(i *runner.RunInfo) runView {
 	v := runView{
 		ID: i.ID, DAG: i.Graph, Logical: stamp(i.Logical), Execution: stamp(i.Logical), Start: stamp(i.Start), End: stamp(i.End),
-		From: stamp(i.From), To: stamp(i.To), State: i.State, Type: i.Type, External: i.Type == graphs.Manual, Conf: i.Conf,
+		From: stamp(i.From), To: stamp(i.To), State: i.State, Type: i.Type, External: i.Type == runner.Manual, Conf: i.Conf,
 	}
 	if len(v.Conf) == 0 {
 		v.Conf = json.RawMessage("{}")
@@ -151,13 +151,13 @@
 			logical = *t
 		}
 	}
-	o := graphs.Order{
-		Graph: r.PathValue("dag"), Run: cmp.Or(body.ID, graphs.RunName(graphs.Manual, logical)), LogicalMS: logical.UnixMilli(), Note: body.Note, Described: body.Described,
+	o := runner.Order{
+		Graph: r.PathValue("dag"), Run: cmp.Or(body.ID, runner.RunName(runner.Manual, logical)), LogicalMS: logical.UnixMilli(), Note: body.Note, Described: body.Described,
 	}
 	if string(body.Conf) != "null" {
 		o.Conf = body.Conf
 	}
-	if _, err := d.order(r, graphs.DoTrigger, o, nil); err != nil {
+	if _, err := d.order(r, runner.DoTrigger, o, nil); err != nil {
 		return nil, err
 	}
 	return d.viewOf(r, o.Run)
@@ -181,13 +181,13 @@
 	if err := r.read(&body); err != nil {
 		return nil, err
 	}
-	o := graphs.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run"), Below: true}
+	o := runner.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run"), Below: true}
 	verb := ""
 	switch body.State {
 	case "failed":
-		verb = graphs.DoCancel
+		verb = runner.DoCancel
 	case "queued":
-		verb = graphs.DoClear
+		verb = runner.DoClear
 	default:
 		return nil, badRequest("state is %q; it can be failed, which ends the run, or queued, which has it go again: what jobs did is not rewritten", body.State)
 	}
@@ -198,7 +198,7 @@
 }
 
 func (d *Handler) deleteRun(r *request) (any, error) {
-	_, err := d.order(r, graphs.DoForget, graphs.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run")}, nil)
+	_, err := d.order(r, runner.DoForget, runner.Order{Graph: r.PathValue("dag"), Run: r.PathValue("run")}, nil)
 	return nil, err
 }
 
@@ -259,8 +259,8 @@
 		return nil, badRequest("%s", err)
 	}
 	if c.DryRun != nil && !*c.DryRun {
-		o := graphs.Order{Graph: r.PathValue("dag"), Run: c.Run, Steps: c.Steps, Below: c.Down, OnlyFailed: onlyFailed}
-		if _, err := d.order(r, graphs.DoClear, o, nil); err != nil {
+		o := runner.Order{Graph: r.PathValue("dag"), Run: c.Run, Steps: c.Steps, Below: c.Down, OnlyFailed: onlyFailed}
+		if _, err := d.order(r, runner.DoClear, o, nil); err != nil {
 			return nil, err
 		}
 	}
@@ -290,8 +290,8 @@
 	if body.From.IsZero() || body.To.Before(body.From) {
 		return nil, badRequest("from_date is missing, or behind to_date")
 	}
-	var out graphs.Backfilled
-	if _, err := d.order(r, graphs.DoBackfill, graphs.Order{Graph: body.DAG, From: body.From, To: body.To}, &out); err != nil {
+	var out runner.Backfilled
+	if _, err := d.order(r, runner.DoBackfill, runner.Order{Graph: body.DAG, From: body.From, To: body.To}, &out); err != nil {
 		return nil, err
 	}
 	return out, nil
--- /dev/null
+++ b/internal/graphs/dag/main_test.go
@@ -0,0 +1,10 @@
+package dag
+
+import (
+	"os"
+	"testing"
+
+	"poppypass/internal/sim/fakes"
+)
+
+func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
--- a/internal/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -18,7 +18,7 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 // Limits bound what a file may take.
--- a/internal/dagfile/dagfile_test.go
+++ b/internal/graphs/dagfile/dagfile_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 const settlement = `
--- a/internal/dagfile/words.go
+++ b/internal/graphs/dagfile/words.go
@@ -12,7 +12,7 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 // loader gathers what a file describes.
--- a/internal/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 // Text tells what a graph is: its size, its critical path and when it runs next.
--- a/internal/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 // Run is a run of a graph as people look at it.
--- a/internal/dagview/run_test.go
+++ b/internal/graphs/dagview/run_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/dag"
+	"poppypass/internal/graphs/dag"
 )
 
 // nightly is a run with a step of each look.
--- a/internal/graphs/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -1,12 +1,12 @@
-package graphs
+package runner
 
 import (
 	"fmt"
 	"runtime"
 	"testing"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/wire"
 )
 
 // fan is a graph of a first step, n behind it and a last one.
--- a/internal/graphs/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"cmp"
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // def is a definition: a graph as it was uploaded, under the hash of what it says.
--- a/internal/graphs/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"net/http"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/tuning"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
 )
 
 // Source makes the descriptions of steps' jobs known to workers, before the jobs are
--- a/internal/graphs/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -1,4 +1,4 @@
-// Package graphs runs graphs of steps on the same core as every other job: when a step is
+// Package runner runs graphs of steps on the same core as every other job: when a step is
 // ready, it is submitted as a job of its graph's team, and what becomes of that job is the
 // step's state. It joins the leader's loop as a slice; package dag decides.
 //
@@ -9,7 +9,7 @@
 //
 // Only the leader writes graphs and runs; any member stores definitions, which are named by
 // what they say, and reads all of it (Reader).
-package graphs
+package runner
 
 import (
 	"context"
@@ -20,14 +20,14 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/roster"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Config is what the graphs find in their process.
@@ -143,7 +143,7 @@
 func (g *Graphs) Placed(*jobs.Place, bool, *wire.MachineType, time.Time) {}
 
 // Ended counts a step's failed attempts.
-func (g *Graphs) Ended(o roster.Outcome, now time.Time) {
+func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Place.Job.ID
 	w, ok := g.byJob[id]
 	if !ok || !w.current() || o.Why != wire.WhyError || o.Place.Job.Cancelled() {
--- a/internal/graphs/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 
 	"pgregory.net/rapid"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
-func TestMain(m *testing.M) { os.Exit(standin.FixedSeed(m)) }
+func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
 
 func TestAGraphFromItsBeginToItsEnd(t *testing.T) {
 	w := newWorld(t)
--- a/internal/graphs/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/leader"
-	"poppypass/internal/tuning"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/scheduler/leader"
 )
 
 // PathOrders begins the URI of each command (leader.Command): what is to be done follows,
--- a/internal/graphs/read.go
+++ b/internal/graphs/runner/read.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"log/slog"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // loader holds what a new leader reads.
--- a/internal/graphs/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"errors"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Reader reads what is stored of graphs; any member can. It is safe for concurrent use,
--- a/internal/graphs/records.go
+++ b/internal/graphs/runner/records.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"crypto/sha256"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Keys of the state service. Any member writes definitions, only the leader the others.
--- a/internal/graphs/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"cmp"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // live is a run that is not over.
--- a/internal/graphs/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"encoding/json"
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
 )
 
 // counts gives how many steps of a run are in each state.
--- a/internal/graphs/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -1,10 +1,10 @@
-package graphs
+package runner
 
 import (
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/dag"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/graphs/dag"
 )
 
 // Try is one try of an instance of a step: from when its job was seen to run until it was
--- a/internal/graphs/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -1,4 +1,4 @@
-package graphs
+package runner
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/dag"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leader"
-	"poppypass/internal/roster"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/sim/fakes"
 )
 
 // world is a leader's book and graphs over a stand-in of the state service, and workers
@@ -26,7 +26,7 @@
 type world struct {
 	t      testing.TB
 	clock  *clockwork.FakeClock
-	state  *standin.State
+	state  *fakes.State
 	store  *statestore.Client
 	book   *jobs.Book
 	graphs *Graphs
@@ -46,7 +46,7 @@
 // newWorldWith makes a world that nobody leads yet.
 func newWorldWith(t testing.TB, cfg Config) *world {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC))
-	state := standin.NewState(clock)
+	state := fakes.NewState(clock)
 	cfg.Clock, cfg.TxnOps, cfg.ValueKB, cfg.Jitter = clock, 12, 16, func() float64 { return 0 }
 	return &world{t: t, clock: clock, state: state, store: statestore.New(state.Addr(), 1e6, 1e6), ends: map[string]int{}, cfg: cfg, stop: func() {}}
 }
@@ -198,7 +198,7 @@
 	if p.Removed {
 		return
 	}
-	w.graphs.Ended(roster.Outcome{Place: p, Why: why}, w.clock.Now())
+	w.graphs.Ended(machines.Outcome{Place: p, Why: why}, w.clock.Now())
 	if why == wire.WhyDone {
 		w.ends[p.Job.ID]++
 		w.book.Finished(p, w.clock.Now())
--- a/internal/config/config.go
+++ b/internal/platform/config/config.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // Settings is the platform's settings file. Unknown fields are ignored.
--- a/internal/config/properties.go
+++ b/internal/platform/config/properties.go
@@ -9,8 +9,8 @@
 
 	"github.com/magiconair/properties"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/tuning"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/platform/tuning"
 )
 
 // The keys of the operators' properties.
--- a/internal/config/watch.go
+++ b/internal/platform/config/watch.go
@@ -8,8 +8,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/budget"
-	"poppypass/internal/tuning"
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/platform/tuning"
 )
 
 // Watched are the operators' settings, of which budgets take effect while the
--- a/internal/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // ErrTooLarge tells that an answer was longer than tuning.MaxResponse.
--- a/internal/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -9,7 +9,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // Gauge looks at the process's memory now and then. It is safe for concurrent use.
--- a/internal/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 func TestFullNearTheLimit(t *testing.T) {
--- a/internal/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -15,8 +15,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
 )
 
 // Metrics counts what a controller does. It implements leader.Observer and is safe for
--- a/internal/fleet/fleet.go
+++ b/internal/scheduler/autoscale/fleet.go
@@ -1,14 +1,14 @@
-// Package fleet decides which machines are wanted beyond those that are there:
+// Package autoscale decides which machines are wanted beyond those that are there:
 // what to rent for the tasks that found no room, and what to return. It does
 // no I/O and keeps no state.
-package fleet
+package autoscale
 
 import (
 	"slices"
 	"time"
 
-	"poppypass/internal/placement"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/placement"
 )
 
 // Option is a type, zone and kind of machine that can be asked for.
--- a/internal/fleet/fleet_test.go
+++ b/internal/scheduler/autoscale/fleet_test.go
@@ -1,12 +1,12 @@
-package fleet
+package autoscale
 
 import (
 	"reflect"
 	"testing"
 	"time"
 
-	"poppypass/internal/placement"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/placement"
 )
 
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/internal/fleet/headroom.go
+++ b/internal/scheduler/autoscale/headroom.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscale
 
 import (
 	"maps"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/placement"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/placement"
 )
 
 // Arrival is a job that was accepted not long ago.
--- a/internal/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // TaskState is what the book knows of a task.
--- a/internal/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Charges ride in the records that are written anyway. While a job is live, the
--- a/internal/jobs/finals.go
+++ b/internal/scheduler/jobs/finals.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 // Finals remembers the final states of jobs, which never change. When full it
--- a/internal/jobs/finals_test.go
+++ b/internal/scheduler/jobs/finals_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 func TestFinalsForgetTheOldest(t *testing.T) {
--- a/internal/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Keys of the state service.
--- a/internal/jobs/tries.go
+++ b/internal/scheduler/jobs/tries.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Failed records that a task of a job failed. What fails of one wave counts
--- a/internal/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Batch is one transaction of the book's changes.
--- a/internal/leader/chain_test.go
+++ b/internal/scheduler/leader/chain_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // Guards against a subsystem's transaction that had no answer, was repeated, and is carried out once more after newer ones of the same
@@ -29,7 +29,7 @@
 			wire.Txn{Then: []wire.Change{{Delete: "g/2"}}}, "g/2", ""},
 	} {
 		l, clock := leaderWith(t)
-		state := standin.NewState(clock)
+		state := fakes.NewState(clock)
 		t.Cleanup(state.Close)
 		l.store = statestore.New(state.Addr(), 1e6, 1e6)
 		lost := 0 // answers
@@ -78,7 +78,7 @@
 // the tenure began.
 func TestAFormerLeaderWritesNothing(t *testing.T) {
 	l, clock := leaderWith(t)
-	state := standin.NewState(clock)
+	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	holder := func() uint64 {
--- a/internal/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/fleet"
-	"poppypass/internal/jobs"
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // consolidate empties machines whose work fits on others that are kept anyway,
@@ -29,7 +29,7 @@
 	// What is free on the others, less the room for what is expected.
 	open := l.openMachines(now)
 	expected := l.expected(now)
-	placement.Pass(now, expected, open, fleet.Unlimited(expected))
+	placement.Pass(now, expected, open, autoscale.Unlimited(expected))
 	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Places) == 0 })
 	trial := placement.NewTrial(used)
 	for _, m := range draining {
@@ -45,14 +45,14 @@
 	l.move(l.draining(), now)
 }
 
-func (l *Loop) draining() []*roster.Machine {
-	var out []*roster.Machine
+func (l *Loop) draining() []*machines.Machine {
+	var out []*machines.Machine
 	for _, m := range l.roster.Machines {
 		if m.Draining {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, func(a, b *roster.Machine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b *machines.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -65,7 +65,7 @@
 }
 
 // giveBack ends the emptying of machines that have room for what waits.
-func (l *Loop) giveBack(short []*placement.Item, draining []*roster.Machine, now time.Time) {
+func (l *Loop) giveBack(short []*placement.Item, draining []*machines.Machine, now time.Time) {
 	var views []*placement.Machine
 	for _, m := range draining {
 		if v, ok := l.view(m); ok && m.Alive() {
@@ -108,7 +108,7 @@
 }
 
 // itemsOn are the tasks on a machine as if they waited to be placed.
-func itemsOn(m *roster.Machine, now time.Time) []*placement.Item {
+func itemsOn(m *machines.Machine, now time.Time) []*placement.Item {
 	byJob := map[*jobs.Job]*placement.Item{}
 	var items []*placement.Item
 	for _, p := range m.Places {
@@ -130,7 +130,7 @@
 // them anew. The time for which all moves together may keep replicas down is a
 // share of the time that all replicas run. A start that is stopped within 30 s
 // does not count, so fresh ones stay for now.
-func (l *Loop) move(draining []*roster.Machine, now time.Time) {
+func (l *Loop) move(draining []*machines.Machine, now time.Time) {
 	replicas := 0
 	for _, j := range l.book.Jobs {
 		if j.Kind == wire.KindService {
--- a/internal/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -8,15 +8,15 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/cloud"
-	"poppypass/internal/config"
-	"poppypass/internal/httpjson"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leadership"
-	"poppypass/internal/roster"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // leaderWith makes a leader whose machines have reported: a small one and a
@@ -39,12 +39,12 @@
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
 		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinals(8),
 		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
-	}, leadership.Tenure{Term: 1})
+	}, election.Tenure{Term: 1})
 	l.ended = t.Context()
 	l.loaded = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
 		if _, err := l.roster.Report(&wire.Report{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Session: 1, Seq: 1, Token: 1},
-			false, clock.Now(), func(roster.Key) bool { return false }); err != nil {
+			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -110,7 +110,7 @@
 	for i := range n {
 		name := fmt.Sprintf("n-%03d", i)
 		if _, err := l.roster.Report(&wire.Report{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1},
-			false, clock.Now(), func(roster.Key) bool { return false }); err != nil {
+			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 		p := l.runs(t, fmt.Sprintf("job-%d", i), name, 1)
--- a/internal/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
-	"poppypass/internal/keeper"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/workerlease"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // cutWorld is a leader, a member in each of two zones that has its zone's right, and a
@@ -21,14 +21,14 @@
 type cutWorld struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *standin.State
+	state *fakes.State
 	l     *Loop
 
 	cut     map[string]bool // zones that reach nothing outside
 	down    map[string]bool // members, by zone, that do not run
 	lost    map[string]bool // zones whose workers reach their own member alone
 	inside  string          // the zone in which the leader is; it is no zone's member
-	members map[string]*keeper.Zone
+	members map[string]*workerlease.Zone
 	workers map[string]*cutWorker
 }
 
@@ -45,11 +45,11 @@
 func newCutWorld(t *testing.T) *cutWorld {
 	w := &cutWorld{
 		t: t, cut: map[string]bool{}, lost: map[string]bool{}, down: map[string]bool{}, inside: "a",
-		members: map[string]*keeper.Zone{}, workers: map[string]*cutWorker{},
+		members: map[string]*workerlease.Zone{}, workers: map[string]*cutWorker{},
 	}
 	w.l, w.clock = leaderWith(t)
 	clear(w.l.roster.Machines)
-	w.state = standin.NewState(w.clock)
+	w.state = fakes.NewState(w.clock)
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		w.boot(zone)
@@ -71,7 +71,7 @@
 // boot starts a zone's member; it renews its right through a state service that a cut or
 // an outage takes away.
 func (w *cutWorld) boot(zone string) {
-	w.members[zone] = keeper.NewZone(&config.Settings{
+	w.members[zone] = workerlease.NewZone(&config.Settings{
 		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: cutLease.Seconds()}},
 	}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 	w.down[zone] = false
--- a/internal/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -11,13 +11,13 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/cloud"
-	"poppypass/internal/config"
-	"poppypass/internal/jobs"
-	"poppypass/internal/pause"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/clock"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Env is what a leader's loop finds in its process.
@@ -79,7 +79,7 @@
 }
 
 func (e *Env) sleep(ctx context.Context, d time.Duration) {
-	pause.For(ctx, e.Clock, d)
+	clock.Sleep(ctx, e.Clock, d)
 }
 
 // typeOf gives a machine type; nil when it is not known.
--- a/internal/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/fleet"
-	"poppypass/internal/jobs"
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // ends has a replica of a job fail or be refused on a machine.
 func (l *Loop) ends(p *jobs.Place, why wire.Why) {
-	l.settle([]roster.Outcome{{Place: p, Why: why}}, l.env.Clock.Now())
+	l.settle([]machines.Outcome{{Place: p, Why: why}}, l.env.Clock.Now())
 }
 
 // A machine is bad on which jobs fail that work elsewhere, and none completes.
@@ -53,7 +53,7 @@
 	for _, id := range []string{"job-1", "job-2"} {
 		p := l.runs(t, id, "n-large", 1)
 		j := p.Job
-		l.fleet.recent = append(l.fleet.recent, fleet.Arrival{At: clock.Now(), Job: &j.Job})
+		l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
 		j.Kind = wire.KindArray
 		j.Tasks = append(j.Tasks, make([]jobs.Task, 3)...)
 		for range 8 {
--- a/internal/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"poppypass/internal/keeper"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
+	"poppypass/internal/cluster/workerlease"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/scheduler/machines"
 )
 
 // expire ends the sessions of machines that nobody has answered for a lease:
@@ -50,11 +50,11 @@
 // before now: those that a record names, and those of which a member with the right for
 // their zone does not say that it did not. It must not take longer than KeptAsking: all then speak of the lease before it began.
 func (l *Loop) keptMachines(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
-	kept, rights, err := keeper.Read(ctx, l.store)
+	kept, rights, err := workerlease.Read(ctx, l.store)
 	if err != nil {
 		return nil, err
 	}
-	asked := map[keeper.ZoneRight]bool{}
+	asked := map[workerlease.ZoneRight]bool{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, r := range rights {
@@ -89,13 +89,13 @@
 }
 
 // silent tells whether a machine, nil if it is not known, has neither reported nor answered us for a while.
-func (l *Loop) silent(m *roster.Machine, now time.Time) bool {
+func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
 	return m == nil || now.Sub(m.Seen()) > l.silence()
 }
 
 // doubtful tells whether a machine that still counts as heard did not answer a command since:
 // it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func doubtful(m *roster.Machine) bool { return m.Unanswered.After(m.Heard) }
+func doubtful(m *machines.Machine) bool { return m.Unanswered.After(m.Heard) }
 
 // silence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) silence() time.Duration {
--- a/internal/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/sim/fakes"
 )
 
 // twoZones is a leader with n machines in each of two zones, each with a task of a
@@ -21,7 +21,7 @@
 func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
 	l, clock := leaderWith(t)
 	clear(l.roster.Machines)
-	state := standin.NewState(clock)
+	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"poppypass/internal/fleet"
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // failed takes in a task's failure. Mostly the machine is to blame, and the
@@ -59,7 +59,7 @@
 
 // completed takes in that a task completed, after the time at which its machine was heard before: its job works,
 // and so does its machine. One that runs everything slowly is given up like a faulty one.
-func (l *Loop) completed(p *jobs.Place, m *roster.Machine, heard, now time.Time) {
+func (l *Loop) completed(p *jobs.Place, m *machines.Machine, heard, now time.Time) {
 	if p.Job.Tries > 0 {
 		l.acquit(p.Job, now)
 	}
@@ -82,8 +82,8 @@
 
 // arrivals are the jobs that came of late, as a guide to those to come; one on
 // trial is none.
-func (l *Loop) arrivals(now time.Time) []fleet.Arrival {
-	out := make([]fleet.Arrival, 0, len(l.fleet.recent))
+func (l *Loop) arrivals(now time.Time) []autoscale.Arrival {
+	out := make([]autoscale.Arrival, 0, len(l.fleet.recent))
 	for _, a := range l.fleet.recent {
 		if j := l.book.Jobs[a.Job.ID]; j == nil || !l.onTrial(j, now) {
 			out = append(out, a)
--- a/internal/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/cloud"
-	"poppypass/internal/fleet"
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // fleetState is what the leader's loop keeps for renting and returning.
@@ -25,17 +25,17 @@
 	deleting bool     // a deletion is on its way
 	doomed   []string // to be deleted after it
 
-	moveBudget float64                    // seconds for which replicas may still be down for moves
-	recent     []fleet.Arrival            // accepted within the last window
-	bookings   int                        // request names used in this term
-	asked      map[string]fleet.Want      // rentals on their way, by request name
-	refused    map[fleet.Option]time.Time // not asked before
-	spotLimitS float64                    // arrays that would lose more with a machine are tried on ordinary ones first
+	moveBudget float64                        // seconds for which replicas may still be down for moves
+	recent     []autoscale.Arrival            // accepted within the last window
+	bookings   int                            // request names used in this term
+	asked      map[string]autoscale.Want      // rentals on their way, by request name
+	refused    map[autoscale.Option]time.Time // not asked before
+	spotLimitS float64                        // arrays that would lose more with a machine are tried on ordinary ones first
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		asked: map[string]fleet.Want{}, refused: map[fleet.Option]time.Time{},
+		asked: map[string]autoscale.Want{}, refused: map[autoscale.Option]time.Time{},
 		moveBudget: tuning.MoveBudgetMax.Seconds(), spotLimitS: math.Inf(1),
 	}
 }
@@ -60,7 +60,7 @@
 
 // expect drops the arrivals that are too long ago to tell anything.
 func (l *Loop) expect(now time.Time) {
-	l.fleet.recent = slices.DeleteFunc(l.fleet.recent, func(a fleet.Arrival) bool {
+	l.fleet.recent = slices.DeleteFunc(l.fleet.recent, func(a autoscale.Arrival) bool {
 		return now.Sub(a.At) > tuning.ArrivalWindow
 	})
 }
@@ -107,7 +107,7 @@
 
 // expected is the work to keep room for, by what came of late.
 func (l *Loop) expected(now time.Time) []*placement.Item {
-	return fleet.Expected(now, l.arrivals(now), l.horizon(), func(class string) float64 {
+	return autoscale.Expected(now, l.arrivals(now), l.horizon(), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
@@ -117,7 +117,7 @@
 // promptly: work of lower priority does not get the last room before it, only
 // to be stopped for it.
 func (l *Loop) reserved(now time.Time) []*placement.Item {
-	items := fleet.Expected(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
+	items := autoscale.Expected(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
@@ -137,10 +137,10 @@
 		return
 	}
 	cut := l.cutZones(now)
-	in := fleet.Input{
+	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.Types(),
-		Refused: func(o fleet.Option) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
-		Room:    l.maxMachines() - len(l.roster.Machines), Count: map[fleet.Option]int{},
+		Refused: func(o autoscale.Option) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
+		Room:    l.maxMachines() - len(l.roster.Machines), Count: map[autoscale.Option]int{},
 		Booting: l.comingMachines(cut, now),
 	}
 	items, _ := l.items(now)
@@ -157,12 +157,12 @@
 		in.Count[w.Option] += w.Count
 	}
 	// One request of a kind at a time: if it is refused, so would be the next.
-	busy := map[fleet.Option]bool{}
+	busy := map[autoscale.Option]bool{}
 	for _, w := range l.fleet.asked {
 		busy[w.Option] = true
 	}
-	in.Busy, in.Most = func(o fleet.Option) bool { return busy[o] }, wire.MaxRent
-	for _, w := range fleet.Plan(&in) {
+	in.Busy, in.Most = func(o autoscale.Option) bool { return busy[o] }, wire.MaxRent
+	for _, w := range autoscale.Plan(&in) {
 		l.request(w)
 		busy[w.Option] = true
 	}
@@ -172,22 +172,22 @@
 	}
 	in.Items = l.expected(now)
 	in.Booting = append(in.Booting, l.roomyMachines(now, in.Items)...)
-	in.Teams = fleet.Unlimited(in.Items)
+	in.Teams = autoscale.Unlimited(in.Items)
 	in.Thrifty = true
-	for _, w := range fleet.Plan(&in) {
+	for _, w := range autoscale.Plan(&in) {
 		l.request(w)
 	}
 }
 
 // countKinds adds the machines of each kind. There are few kinds, and thousands of machines.
-func (l *Loop) countKinds(counts map[fleet.Option]int) {
+func (l *Loop) countKinds(counts map[autoscale.Option]int) {
 	type kind struct {
-		fleet.Option
+		autoscale.Option
 		n int
 	}
 	var kinds []kind
 	for _, m := range l.roster.Machines {
-		o := fleet.Option{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		o := autoscale.Option{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		i := slices.IndexFunc(kinds, func(k kind) bool { return k.Option == o })
 		if i < 0 {
 			kinds, i = append(kinds, kind{Option: o}), len(kinds)
@@ -200,7 +200,7 @@
 }
 
 // request asks for machines, if not too many requests are on their way.
-func (l *Loop) request(w fleet.Want) {
+func (l *Loop) request(w autoscale.Want) {
 	if len(l.fleet.asked) >= tuning.RentAtOnce {
 		return
 	}
@@ -238,7 +238,7 @@
 	}
 	for name, w := range l.fleet.asked {
 		for i := range w.Count {
-			v, ok := l.view(&roster.Machine{Name: fmt.Sprint(name, "/", i), Type: w.Type, Zone: w.Zone, Spot: w.Spot})
+			v, ok := l.view(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: w.Type, Zone: w.Zone, Spot: w.Spot})
 			if ok {
 				out = append(out, &v)
 			}
@@ -263,7 +263,7 @@
 
 // rental asks for machines until it has a definite answer: a request without
 // one may have been executed, and the same name gives the same machines.
-func (l *Loop) rental(name string, w fleet.Want) {
+func (l *Loop) rental(name string, w autoscale.Want) {
 	req := wire.Rent{Request: name, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count}
 	for l.mayCall() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
@@ -278,7 +278,7 @@
 }
 
 // rented takes in which machines a request got.
-func (l *Loop) rented(name string, w fleet.Want, names []string) {
+func (l *Loop) rented(name string, w autoscale.Want, names []string) {
 	now := l.env.Clock.Now()
 	delete(l.fleet.asked, name)
 	for _, m := range names {
--- a/internal/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against reports that outgrow what a request may be: ends are written late, and a worker of tiny tasks holds
--- a/internal/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -6,13 +6,13 @@
 	"errors"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
-// keyImages holds which machines hold which images: {"z": a zstd frame of CBOR, roster.Images}. Nothing of the rules
+// keyImages holds which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. Nothing of the rules
 // hangs on it; a leader that finds none, or one that it cannot read, begins without.
 const keyImages = "hint/images"
 
@@ -25,7 +25,7 @@
 	codec   *charge.Codec // nil until it is needed
 	next    time.Time     // nothing is stored before
 	writing bool
-	told    map[string][]roster.HeldImage // by a former leader, of machines that have not reported yet
+	told    map[string][]machines.HeldImage // by a former leader, of machines that have not reported yet
 }
 
 // loadImages reads what the former leader left; it may fail.
@@ -35,7 +35,7 @@
 		return
 	}
 	var r imagesRecord
-	var images roster.Images
+	var images machines.Images
 	codec, err := charge.NewCodec()
 	if err == nil {
 		err = json.Unmarshal(item.Value, &r)
@@ -57,7 +57,7 @@
 }
 
 // recall takes in what was told of a machine, once.
-func (l *Loop) recall(m *roster.Machine) {
+func (l *Loop) recall(m *machines.Machine) {
 	if held := l.images.told[m.Name]; held != nil {
 		delete(l.images.told, m.Name)
 		m.Recall(held, l.begun)
@@ -98,7 +98,7 @@
 }
 
 // squeezeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to tell.
-func (l *Loop) squeezeImages(images roster.Images) json.RawMessage {
+func (l *Loop) squeezeImages(images machines.Images) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
 		if err != nil {
--- a/internal/leader/images_test.go
+++ b/internal/scheduler/leader/images_test.go
@@ -6,28 +6,28 @@
 	"strings"
 	"testing"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/roster"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Guards against a record that the state service refuses: what fewest machines hold is left out.
 func TestTheRecordOfImagesFitsAValue(t *testing.T) {
 	l, _ := leaderWith(t)
 	l.env.Settings.Cluster.State.ValueKB = 2
-	var images roster.Images
+	var images machines.Images
 	for i := range 200 {
 		images.Machines = append(images.Machines, fmt.Sprintf("n-%06d", i))
 	}
 	for i := range 300 {
 		on := []byte(strings.Repeat(string(rune('A'+i%50)), 25))
-		images.Held = append(images.Held, roster.HeldImage{Name: fmt.Sprintf("img-%d-%x", i, i*i*7919), GB: 1, On: on})
+		images.Held = append(images.Held, machines.HeldImage{Name: fmt.Sprintf("img-%d-%x", i, i*i*7919), GB: 1, On: on})
 	}
 	value := l.squeezeImages(images)
 	if value == nil || len(value) > 2048 {
 		t.Fatalf("a record of %d bytes", len(value))
 	}
 	var r imagesRecord
-	var got roster.Images
+	var got machines.Images
 	codec, err := charge.NewCodec()
 	if err == nil {
 		err = json.Unmarshal(value, &r)
@@ -38,7 +38,7 @@
 	if err != nil || len(got.Machines) != 200 || len(got.Held) == 0 || got.Held[0].Name != images.Held[0].Name {
 		t.Errorf("%v: %d machines, %d images", err, len(got.Machines), len(got.Held))
 	}
-	if l.squeezeImages(roster.Images{}) != nil {
+	if l.squeezeImages(machines.Images{}) != nil {
 		t.Error("a record of nothing")
 	}
 }
@@ -47,7 +47,7 @@
 func TestWhatWasToldIsTakenInOnce(t *testing.T) {
 	l, _ := leaderWith(t)
 	m := l.roster.Machines["n-large"]
-	l.images.told = map[string][]roster.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
+	l.images.told = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
 	l.recall(m)
 	l.recall(m)
 	if !m.Holds("img-x", 10) || len(l.images.told) != 0 {
--- a/internal/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -10,21 +10,21 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/leadership"
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // Loop is the leader's loop of one tenure. One goroutine owns all its state; I/O
 // is done by others, which hand their results back as messages.
 type Loop struct {
 	env    *Env
-	tenure leadership.Tenure
+	tenure election.Tenure
 	log    *slog.Logger
 	inbox  chan func()
 	ended  context.Context
@@ -32,7 +32,7 @@
 
 	store   *statestore.Client // with the leader's share of the limits
 	book    *jobs.Book
-	roster  *roster.Roster
+	roster  *machines.Roster
 	fleet   fleetState
 	holding placement.Holds
 	leaving map[string]bool // machines that the cloud will soon take
@@ -73,12 +73,12 @@
 )
 
 // New makes the loop of a tenure.
-func New(env *Env, t leadership.Tenure) *Loop {
+func New(env *Env, t election.Tenure) *Loop {
 	now := env.Clock.Now()
 	state := env.Settings.Cluster.State
 	l := &Loop{
 		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
-		book: jobs.NewBook(state.TxnOps), roster: roster.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
+		book: jobs.NewBook(state.TxnOps), roster: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
 		store: env.Store.Share(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
 		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), ways: newWays(), served: newServed(), broken: map[Slice]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
@@ -94,7 +94,7 @@
 }
 
 // Tenure is the leadership that the loop serves.
-func (l *Loop) Tenure() leadership.Tenure { return l.tenure }
+func (l *Loop) Tenure() election.Tenure { return l.tenure }
 
 // Start makes the loop ready to be asked, until ctx ends; Run does the work.
 func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
--- a/internal/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // pass places what waits.
@@ -101,7 +101,7 @@
 // victims are the tasks on a machine that can be stopped now. A task that was
 // lost or stopped before is spared: in a full cluster the same ones would be
 // stopped over and over, and nothing would ever be done.
-func victims(m *roster.Machine, now time.Time) []placement.Victim {
+func victims(m *machines.Machine, now time.Time) []placement.Victim {
 	var out []placement.Victim
 	for _, p := range m.Places {
 		if p.Stop != nil || !p.Committed || p.Attempt > 1 || p.State != wire.TaskRunning && p.State != wire.TaskFetching {
@@ -230,7 +230,7 @@
 }
 
 // view is a machine as placement sees it.
-func (l *Loop) view(m *roster.Machine) (placement.Machine, bool) {
+func (l *Loop) view(m *machines.Machine) (placement.Machine, bool) {
 	t := l.env.typeOf(m.Type)
 	if t == nil {
 		return placement.Machine{}, false
@@ -238,7 +238,7 @@
 	return viewOf(m, t), true
 }
 
-func viewOf(m *roster.Machine, t *wire.MachineType) placement.Machine {
+func viewOf(m *machines.Machine, t *wire.MachineType) placement.Machine {
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
 		Total: placement.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
@@ -247,14 +247,14 @@
 }
 
 // freeOn is what the tasks that may be on a machine leave of it.
-func freeOn(m *roster.Machine, t *wire.MachineType) placement.Room {
+func freeOn(m *machines.Machine, t *wire.MachineType) placement.Room {
 	used := m.Used()
 	return placement.Room{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
 }
 
 // freeTime estimates how long it takes until what ends by itself on a machine, or was told to, leaves so much more room. The machine's
 // tasks are put in order once, when it is first asked for: most machines never are.
-func freeTime(m *roster.Machine, now time.Time) func(lacks placement.Room) float64 {
+func freeTime(m *machines.Machine, now time.Time) func(lacks placement.Room) float64 {
 	type end struct {
 		s    float64
 		left placement.Room // that it and those before leave
@@ -296,7 +296,7 @@
 // fetchTime estimates how long a machine takes to get an image: nothing for
 // one that it holds, as far as its tasks show; images fetched at the same time
 // share its rate.
-func fetchTime(m *roster.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
+func fetchTime(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
 	sharing := 0 // counted when it is first asked for: full machines never are
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.Holds(image, t.CacheGB) {
--- a/internal/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Guards against tasks that are stopped over and over in a full cluster: on a
@@ -22,10 +22,10 @@
 	uncommitted.Committed = false
 	stopped := place(1, wire.TaskRunning)
 	stopped.Stop = &jobs.Stop{}
-	m := &roster.Machine{Places: map[roster.Key]*jobs.Place{}}
+	m := &machines.Machine{Places: map[machines.Key]*jobs.Place{}}
 	want := place(1, wire.TaskRunning)
 	for i, p := range []*jobs.Place{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
-		m.Places[roster.Key{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
+		m.Places[machines.Key{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
 	}
 	got := victims(m, now)
 	if len(got) != 1 || got[0].Ref != any(want) {
--- a/internal/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // reconcile compares the stored jobs with the book again and again: one that is stored and in no place here would be
--- a/internal/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against a job that is stored, known to its user, and in no place here: it would never run.
--- a/internal/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/fleet"
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // load reads the stored jobs and their progress, then follows new jobs.
@@ -96,7 +96,7 @@
 			}
 			l.fleet.next = now // rent at once if it finds no room
 			if l.arrived++; !l.rush(now) || l.arrived%tuning.RushShare == 0 {
-				l.fleet.recent = append(l.fleet.recent, fleet.Arrival{At: j.WaitSince, Job: &j.Job})
+				l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: j.WaitSince, Job: &j.Job})
 			}
 		}
 	}
--- a/internal/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -4,13 +4,13 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"poppypass/internal/cloud"
+	"poppypass/internal/clients/cloud"
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // waits adds an accepted job none of whose tasks is placed.
--- a/internal/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -5,12 +5,12 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/cloud"
-	"poppypass/internal/fleet"
-	"poppypass/internal/keeper"
-	"poppypass/internal/placement"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/cluster/workerlease"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/placement"
 )
 
 // needed are the idle machines that what is expected would use, when it takes
@@ -30,7 +30,7 @@
 	slices.SortFunc(order, func(a, b key) int {
 		return cmp.Or(cmp.Compare(btoi(a.idle), btoi(b.idle)), cmp.Compare(btoi(!a.Spot), btoi(!b.Spot)), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
 	})
-	teams := fleet.Unlimited(items)
+	teams := autoscale.Unlimited(items)
 	placement.Sort(items, teams, now)
 	for _, m := range order {
 		items = slices.DeleteFunc(items, func(it *placement.Item) bool { return it.Waiting == 0 })
@@ -69,7 +69,7 @@
 		var why string
 		switch {
 		case m.Heard.IsZero() && m.Up:
-			if now.Sub(m.Added) > keeper.Stretched(l.workerLease())+release {
+			if now.Sub(m.Added) > workerlease.Stretched(l.workerLease())+release {
 				why = "silent"
 			}
 		case m.Heard.IsZero() && m.Session == 0:
--- a/internal/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/config"
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // atScale makes a leader with 400 full machines that run the tasks of 260
@@ -26,7 +26,7 @@
 		reports = append(reports, &wire.Report{
 			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Session: 1, Seq: 1, Token: 1,
 		})
-		if _, err := l.roster.Report(reports[i], false, now, func(roster.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Report(reports[i], false, now, func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/leader/served.go
+++ b/internal/scheduler/leader/served.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // served tells operators who is served: jobs that came and jobs that began, by class, team and size. A job is large when
--- a/internal/leader/sides.go
+++ b/internal/scheduler/leader/sides.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/placement"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/placement"
 )
 
 // Where spot machines are short, arrays run on ordinary ones too. Which of them is not the same: spot machines go, and
--- a/internal/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -5,9 +5,9 @@
 	"math"
 	"testing"
 
-	"poppypass/internal/placement"
-	"poppypass/internal/roster"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/scheduler/placement"
 )
 
 // Guards against jobs that are late since one long task went with its spot machine, while short tasks, which would
@@ -19,7 +19,7 @@
 	for i := range 4 {
 		if _, err := l.roster.Report(&wire.Report{
 			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Session: 1, Seq: 1,
-		}, false, now, func(roster.Key) bool { return false }); err != nil {
+		}, false, now, func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -7,11 +7,11 @@
 	"net/http"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/statestore"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Slice is a subsystem that joins the loop for one tenure. The loop's goroutine
@@ -31,7 +31,7 @@
 	// Placed hears of a decision, on a machine of a type.
 	Placed(p *jobs.Place, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended hears of the proven end of an attempt, before the book does.
-	Ended(o roster.Outcome, now time.Time)
+	Ended(o machines.Outcome, now time.Time)
 	// Over hears that a job came to a final state, which is stored.
 	Over(o jobs.Over, now time.Time)
 	// Tick does what is due, about every SliceTick, and names places that are to be stopped.
--- a/internal/leader/slices_test.go
+++ b/internal/scheduler/leader/slices_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 // busySlice always has something to write, and knows one command.
--- a/internal/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/roster"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Guards against a machine that runs everything three times slower and gets tasks for ever, and against machines
@@ -36,7 +36,7 @@
 			p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
 			l.roster.Add(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]roster.Outcome{{Place: p, Why: wire.WhyDone, Idle: clock.Now().Add(-late)}}, clock.Now())
+			l.settle([]machines.Outcome{{Place: p, Why: wire.WhyDone, Idle: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
--- a/internal/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -4,17 +4,17 @@
 	"math"
 	"time"
 
-	"poppypass/internal/charge"
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // drainSpot empties a machine that the cloud will soon take: tasks that can
 // save do so at once, those that are worth waiting for run on until shortly before the end, and
 // the others move at once.
-func (l *Loop) drainSpot(m *roster.Machine, now time.Time) {
+func (l *Loop) drainSpot(m *machines.Machine, now time.Time) {
 	left := m.Notice.Sub(now)
 	var stopped []*jobs.Place
 	for _, p := range m.Places {
--- a/internal/leader/spot_test.go
+++ b/internal/scheduler/leader/spot_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against tasks that were stopped half a minute before their machine was taken, though half of
--- a/internal/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -8,11 +8,11 @@
 	"net/http"
 	"time"
 
-	"poppypass/internal/httpjson"
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // direct tells machines at once what was decided for some places, rather than
@@ -159,7 +159,7 @@
 // mayForget tells whether an exited attempt that no place holds can be
 // forgotten by its worker: its end is stored, so no leader to come starts the
 // same attempt again.
-func (l *Loop) mayForget(k roster.Key) bool {
+func (l *Loop) mayForget(k machines.Key) bool {
 	j := l.book.Jobs[k.Task.Job]
 	if j == nil || k.Task.Index >= len(j.Tasks) {
 		return true
@@ -168,7 +168,7 @@
 }
 
 // settle takes in how tasks ended in their places.
-func (l *Loop) settle(outs []roster.Outcome, now time.Time) {
+func (l *Loop) settle(outs []machines.Outcome, now time.Time) {
 	for _, o := range outs {
 		p := o.Place
 		if p.Removed {
--- a/internal/leader/util.go
+++ b/internal/scheduler/leader/util.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"time"
 
-	"poppypass/internal/statestore"
+	"poppypass/internal/clients/statestore"
 )
 
 type conflictError = statestore.Conflict
--- a/internal/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/time/rate"
 
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Reports that arrive prove only that a machine speaks. The leader asks those machines of which it doubts that they hear
@@ -46,9 +46,9 @@
 func (l *Loop) setAside(rep *wire.Report, err error) {
 	why := "older"
 	switch {
-	case errors.Is(err, roster.ErrReturned):
+	case errors.Is(err, machines.ErrReturned):
 		why = "returned"
-	case errors.Is(err, roster.ErrContradicts):
+	case errors.Is(err, machines.ErrContradicts):
 		why = "contradicts"
 	}
 	l.env.observe(func(o Observer) { o.Aside(why) })
@@ -56,7 +56,7 @@
 }
 
 // outOfReach tells whether no command is likely to get to a machine now.
-func (l *Loop) outOfReach(m *roster.Machine, now time.Time) bool {
+func (l *Loop) outOfReach(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reach.Deaf()
 }
 
@@ -67,7 +67,7 @@
 }
 
 // doubts tells whether there is reason to ask a machine, the more pressing the lower.
-func (l *Loop) doubts(m *roster.Machine, now time.Time) (rank int, ok bool) {
+func (l *Loop) doubts(m *machines.Machine, now time.Time) (rank int, ok bool) {
 	deaf, heard := m.Reach.Deaf(), m.Heard
 	if heard.Before(l.begun) {
 		heard = l.begun
@@ -96,7 +96,7 @@
 	l.ways.limit.SetLimitAt(now, rate.Limit(perS))
 	l.ways.limit.SetBurstAt(now, max(tuning.AskLeast, int(perS*tuning.SliceTick.Seconds())+1))
 	type doubt struct {
-		m    *roster.Machine
+		m    *machines.Machine
 		rank int
 	}
 	var doubts []doubt
@@ -124,7 +124,7 @@
 }
 
 // question asks a machine for its report.
-func (l *Loop) question(m *roster.Machine, now time.Time) {
+func (l *Loop) question(m *machines.Machine, now time.Time) {
 	addr, req, mark, ok := l.roster.Question(m, now)
 	if !ok {
 		return
@@ -141,7 +141,7 @@
 }
 
 // asked takes in how a question to a machine ended: its report, or why there is none.
-func (l *Loop) asked(name string, mark roster.Mark, rep *wire.Report, err error) {
+func (l *Loop) asked(name string, mark machines.Mark, rep *wire.Report, err error) {
 	l.ways.onWay--
 	m, now := l.roster.Machines[name], l.env.Clock.Now()
 	if m == nil {
@@ -159,20 +159,20 @@
 	}
 	l.ways.heard(now)
 	switch l.roster.Restarted(m, mark, rep) {
-	case roster.AskLater:
+	case machines.AskLater:
 		m.Doubt = true
 		return
-	case roster.AskAgain:
+	case machines.AskAgain:
 		l.question(m, now)
 		return
-	case roster.GiveUp:
+	case machines.GiveUp:
 		if !m.Returning {
 			m.Returning = true
 			l.log.Info("returning machine", "machine", name, "why", "started anew with a start on its way")
 			l.deleteMachines([]string{name})
 		}
 		return
-	case roster.Anew:
+	case machines.Anew:
 		l.log.Info("machine was started anew", "machine", name, "session", rep.Session, "tasks", len(m.Places))
 		l.settle(l.roster.Begin(m, rep, now), now)
 		l.changed = true
--- a/internal/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/roster"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
 // fleetHeard makes a leader with n machines that hear it, each with a task.
@@ -19,7 +19,7 @@
 	reports := make([]*wire.Report, n)
 	for i := range reports {
 		rep := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}
-		if _, err := l.roster.Report(rep, false, clock.Now(), func(roster.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Report(rep, false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 		p := l.book.Place(j, i, rep.Machine, "a", 1, clock.Now())
@@ -51,7 +51,7 @@
 	for i := 0; b.Loop(); i++ {
 		rep := reports[i%len(reports)]
 		rep.Seq++
-		if _, err := l.roster.Report(rep, false, l.env.Clock.Now(), func(roster.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Report(rep, false, l.env.Clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/roster"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
 )
 
 // answering has a worker that answers direct commands as fn says; nil: it does not answer.
@@ -52,7 +52,7 @@
 }
 
 // heardBy makes a leader in the middle of its tenure and a machine at an address that reported to it.
-func heardBy(t *testing.T, addr string) (l *Loop, m *roster.Machine, rep *wire.Report, pass func(time.Duration)) {
+func heardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, rep *wire.Report, pass func(time.Duration)) {
 	l, pass = twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
 	rep = &wire.Report{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}
@@ -188,7 +188,7 @@
 	l, pass := twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
 	l.tenure.Term = 2
-	l.roster = roster.New(2, 10)
+	l.roster = machines.New(2, 10)
 	j := l.book.Jobs["job-1"]
 	p := j.Tasks[0].Place
 	l.roster.Inherit(p, l.env.Clock.Now())
@@ -211,7 +211,7 @@
 		t.Error("the end of its task is not seen")
 	}
 	// A copy of an earlier report is none the newer for that.
-	if _, err := l.take(&wire.Report{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Session: 1, Seq: 6, Token: 1}, false); !errors.Is(err, roster.ErrStale) {
+	if _, err := l.take(&wire.Report{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Session: 1, Seq: 6, Token: 1}, false); !errors.Is(err, machines.ErrStale) {
 		t.Errorf("a copy after a direct answer: %v", err)
 	}
 }
@@ -263,7 +263,7 @@
 			*rep = *first
 			rep.Session, rep.Seq, rep.Token = c.session, c.seq, 0
 			pass(tuning.AnswerLife)
-			if _, err := l.take(&wire.Report{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Session: rep.Session, Seq: rep.Seq}, false); !errors.Is(err, roster.ErrStale) {
+			if _, err := l.take(&wire.Report{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Session: rep.Session, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("taken before it is known what it is: %v", err)
 			}
 			l.asks()
--- a/internal/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"poppypass/internal/placement"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/placement"
 )
 
 // jobOf reads the job's id from a path of the form /v2/runs/ID/end.
--- a/internal/roster/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -1,10 +1,10 @@
-package roster
+package machines
 
 import (
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Mark is the newest message of a machine that was known when it was asked. Its answer is newer in the same life of its
--- a/internal/roster/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -1,13 +1,13 @@
-package roster
+package machines
 
 import (
 	"errors"
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 func noticed(rep *wire.Report, s float64) *wire.Report {
--- a/internal/roster/images.go
+++ b/internal/scheduler/machines/images.go
@@ -1,4 +1,4 @@
-package roster
+package machines
 
 import (
 	"cmp"
--- a/internal/roster/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -1,11 +1,11 @@
-package roster
+package machines
 
 import (
 	"fmt"
 	"testing"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against a new leader that has every image fetched anew.
--- a/internal/roster/listed.go
+++ b/internal/scheduler/machines/listed.go
@@ -1,8 +1,8 @@
-package roster
+package machines
 
 import (
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Gone gives those machines that one answer of the cloud's list proves to be gone: the machines with names behind
--- a/internal/roster/listed_test.go
+++ b/internal/scheduler/machines/listed_test.go
@@ -1,4 +1,4 @@
-package roster
+package machines
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 func page(machines ...any) []wire.ListedMachine {
--- a/internal/roster/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -1,12 +1,12 @@
-package roster
+package machines
 
 import (
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Guards against a start by the leader before us that arrives after its task counts as gone, and its job as cancelled: only once the
--- a/internal/roster/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -1,18 +1,18 @@
-// Package roster keeps the machines: what their workers report, how long a
+// Package machines keeps the machines: what their workers report, how long a
 // task on them may still be alive, and the commands that bring what runs in
 // line with what the book wants.
 //
 // The Roster belongs to the leader's loop and is not safe for concurrent use.
-package roster
+package machines
 
 import (
 	"errors"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/reach"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/reachability"
 )
 
 // Key is one attempt of a task.
@@ -71,14 +71,14 @@
 	errorsOf   map[string]bool
 	Pace       Pace // how fast it runs against others
 
-	Reach  reach.State // whether it hears us
-	Known  bool        // the cloud or a record names it; else only its own reports do, which may be copies
-	Ours   bool        // rented in this term, so that no leader before can have returned it
-	Doubt  bool        // a report came that looks older than one before: a copy, or the machine was started anew
-	life   uint64      // the session to which it is to be asked; 0: the newest known
-	former Mark        // the newest message of its former life, if it was started anew
-	loose  bool        // its notice comes from a report that may be a copy
-	told   told        // what the answer to its newest report said
+	Reach  reachability.State // whether it hears us
+	Known  bool               // the cloud or a record names it; else only its own reports do, which may be copies
+	Ours   bool               // rented in this term, so that no leader before can have returned it
+	Doubt  bool               // a report came that looks older than one before: a copy, or the machine was started anew
+	life   uint64             // the session to which it is to be asked; 0: the newest known
+	former Mark               // the newest message of its former life, if it was started anew
+	loose  bool               // its notice comes from a report that may be a copy
+	told   told               // what the answer to its newest report said
 }
 
 // told is an answer to a report: the next report shows whether it arrived, since a worker has one report in flight.
--- a/internal/roster/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -1,13 +1,13 @@
-package roster
+package machines
 
 import (
 	"errors"
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/internal/roster/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -1,10 +1,10 @@
-package roster
+package machines
 
 import (
 	"math"
 	"slices"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // Pace is how fast a machine runs its tasks against the same work elsewhere: the evidence, as the logarithm of a
--- a/internal/roster/speed_test.go
+++ b/internal/scheduler/machines/speed_test.go
@@ -1,11 +1,11 @@
-package roster
+package machines
 
 import (
 	"math"
 	"math/rand/v2"
 	"testing"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // Guards against a machine that runs everything three times slower and goes on getting tasks, and against one that
--- a/internal/roster/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -1,4 +1,4 @@
-package roster
+package machines
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // world is workers, leaders one after the other, and a network that loses, keeps and doubles what they say, in steps of
--- a/internal/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // The order within a priority favours little work: the longest wait for each CPU second goes first, and what had its fill
--- a/internal/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // queue is a small cluster in time: jobs come, passes place their tasks, tasks end.
--- a/internal/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Room is what a machine has or a task takes.
--- a/internal/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/internal/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"poppypass/internal/tuning"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Victim is a placed task that may have to make room.
--- a/internal/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // A pass asks for the best machine once for each task, and most tasks are like others. So
--- a/internal/reach/reach.go
+++ b/internal/scheduler/reachability/reach.go
@@ -1,15 +1,15 @@
-// Package reach tells whether what the leader says gets to a machine. Reports that arrive prove only that the machine
+// Package reachability tells whether what the leader says gets to a machine. Reports that arrive prove only that the machine
 // speaks: its answers and commands may be lost on the way, its reports may be copies that the network kept for
 // minutes, and it may have been started anew. What proves that it is there, now, is its own answer to a question of ours,
 // or a report that shows what only an answer of ours can have brought about.
 //
 // A State belongs to the leader's loop. It does no I/O.
-package reach
+package reachability
 
 import (
 	"time"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 // State is what is known of the way to one machine.
--- a/internal/reach/reach_test.go
+++ b/internal/scheduler/reachability/reach_test.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"poppypass/internal/tuning"
+	"poppypass/internal/platform/tuning"
 )
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/internal/lab/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -3,7 +3,7 @@
 // whose tasks fail, are cancelled and lose their machines, while the leader is killed
 // again and again. It prints the totals of each team both ways.
 //
-//	go run ./internal/lab/billing --program target/poppypass --for 3m --kill-every 20s
+//	go run ./internal/sim/billing --program target/poppypass --for 3m --kill-every 20s
 package main
 
 import (
@@ -18,11 +18,11 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/lab/rig"
-	"poppypass/internal/ledger"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/accounting/ledger"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testcluster"
 )
 
 const (
@@ -35,16 +35,16 @@
 	length    time.Duration
 	killEvery time.Duration
 	loses     bool
-	rig       *rig.Rig
+	rig       *testcluster.Rig
 
 	mu       sync.Mutex
-	measured map[standin.Attempt]standin.Measured
+	measured map[fakes.Attempt]fakes.Measured
 	twice    int
 	submits  int
 }
 
 func main() {
-	l := &lab{measured: map[standin.Attempt]standin.Measured{}}
+	l := &lab{measured: map[fakes.Attempt]fakes.Measured{}}
 	cmd := &cobra.Command{
 		Use: "billing", Short: "Compare the ledger with what workers measured", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
@@ -68,11 +68,11 @@
 		why = wire.WhyError
 	}
 	var n int
-	_, _ = fmt.Sscanf(standin.JobOf(task), "job-%d", &n) // a name of ours
+	_, _ = fmt.Sscanf(fakes.JobOf(task), "job-%d", &n) // a name of ours
 	return 20*time.Second + time.Duration(r.Int64N(int64(40*time.Second))), why, fmt.Sprintf("team-%d", n%teams)
 }
 
-func (l *lab) saw(m standin.Measured) {
+func (l *lab) saw(m fakes.Measured) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, again := l.measured[m.Attempt]; again {
@@ -84,7 +84,7 @@
 func (l *lab) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
 	defer stop()
-	l.rig = &rig.Rig{
+	l.rig = &testcluster.Rig{
 		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, Report: 2 * time.Second, Lease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, Measured: l.saw,
@@ -132,13 +132,13 @@
 		return err
 	}
 	type key struct {
-		standin.Attempt
+		fakes.Attempt
 		part int
 	}
 	type sums struct{ measured, charged, seenMeasured, seenCharged, n, bounds float64 }
 	byTeam := map[string]*sums{}
-	charged := map[standin.Attempt]time.Duration{}
-	bound := map[standin.Attempt]bool{}
+	charged := map[fakes.Attempt]time.Duration{}
+	bound := map[fakes.Attempt]bool{}
 	parts := map[key]int{}
 	for id := 1; id <= l.submits; id++ {
 		for after := ""; ; {
@@ -147,7 +147,7 @@
 				return err
 			}
 			for _, c := range page.Charges {
-				a := standin.Attempt{Task: c.Task, Attempt: c.Attempt}
+				a := fakes.Attempt{Task: c.Task, Attempt: c.Attempt}
 				if parts[key{a, c.Part}]++; parts[key{a, c.Part}] > 1 {
 					fmt.Printf("%v is charged twice\n", a)
 				}
--- a/internal/standin/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strings"
 	"sync"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 // Cloud is a cloud that rents what is asked for, up to Capacity machines.
--- a/internal/standin/seed.go
+++ b/internal/sim/fakes/seed.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"flag"
--- a/internal/standin/state.go
+++ b/internal/sim/fakes/state.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 // State is a state service in memory. Leases run by the test's clock.
--- a/internal/standin/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
 )
 
 // Attempt names an attempt of a task.
--- a/internal/lab/meetings/later_test.go
+++ b/internal/sim/faults/later_test.go
@@ -1,4 +1,4 @@
-package meetings_test
+package faults_test
 
 import (
 	"fmt"
--- a/internal/lab/meetings/letter_test.go
+++ b/internal/sim/faults/letter_test.go
@@ -1,4 +1,4 @@
-package meetings_test
+package faults_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/jobs"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // plays has a meeting in a world of its own, with the leases of a deployment of three controllers and of one of five.
--- a/internal/lab/meetings/troubles_test.go
+++ b/internal/sim/faults/troubles_test.go
@@ -1,4 +1,4 @@
-package meetings_test
+package faults_test
 
 import (
 	"math/rand/v2"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // ending is the end of a trouble.
@@ -153,16 +153,16 @@
 func requestsLost(w *world, _ *node) {
 	w.say("requests are lost or late")
 	w.lasts(w.seconds(5, 40), func() {
-		w.state.Lose(func(r *http.Request) standin.Fate {
+		w.state.Lose(func(r *http.Request) fakes.Fate {
 			switch rand.IntN(6) {
 			case 0:
-				return standin.Unanswered
+				return fakes.Unanswered
 			case 1:
 				if r.Method != http.MethodGet {
-					return standin.Delayed
+					return fakes.Delayed
 				}
 			}
-			return standin.Answered
+			return fakes.Answered
 		})
 	}, func() { w.state.Lose(nil) })
 }
--- a/internal/lab/meetings/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -1,4 +1,4 @@
-package meetings_test
+package faults_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // spec is what a user asks for; what is left out is as most jobs have it.
@@ -182,10 +182,10 @@
 }
 
 func (w *world) jobOf(task string) *job {
-	j := w.byID[standin.JobOf(task)]
+	j := w.byID[fakes.JobOf(task)]
 	if j == nil {
 		w.breaks("invented: task %s of a job that nobody submitted", task)
-		return &job{id: standin.JobOf(task), completed: map[string]bool{}}
+		return &job{id: fakes.JobOf(task), completed: map[string]bool{}}
 	}
 	return j
 }
@@ -384,7 +384,7 @@
 	n := 0
 	for _, k := range w.workers {
 		for _, t := range k.rep.Tasks {
-			if !k.gone && standin.JobOf(t.Task) == id && present(t.State) {
+			if !k.gone && fakes.JobOf(t.Task) == id && present(t.State) {
 				n++
 			}
 		}
@@ -450,7 +450,7 @@
 func (w *world) siblings(j *job, but string, fetching bool) map[string]int {
 	zones := map[string]int{}
 	for k, t := range w.onMachines(fetching) {
-		if t.Task != but && standin.JobOf(t.Task) == j.id {
+		if t.Task != but && fakes.JobOf(t.Task) == j.id {
 			zones[k.rep.Zone]++
 		}
 	}
--- a/internal/lab/meetings/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -1,4 +1,4 @@
-package meetings_test
+package faults_test
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // worker is a worker and its machine.
@@ -22,9 +22,9 @@
 	next                    time.Time
 	at                      int // which controller it reports to
 	sent                    time.Time
-	waits                   context.CancelFunc            // its report is on its way; nil: none is
-	due                     map[standin.Attempt]time.Time // when the present state of a task is over
-	hangs, deaf, lost, mute time.Time                     // until when; lost: no way to any controller or from it; mute: direct commands come
+	waits                   context.CancelFunc          // its report is on its way; nil: none is
+	due                     map[fakes.Attempt]time.Time // when the present state of a task is over
+	hangs, deaf, lost, mute time.Time                   // until when; lost: no way to any controller or from it; mute: direct commands come
 	held                    []wire.DirectCommands
 	only                    *node  // the one controller that it reaches, and that reaches it; nil: all
 	term                    uint64 // that one's
@@ -69,7 +69,7 @@
 	for _, m := range there {
 		if !slices.ContainsFunc(w.workers, func(k *worker) bool { return k.rep.Machine == m.Name }) {
 			now := w.now()
-			k := &worker{w: w, seen: now, next: now.Add(w.bootTime()), due: map[standin.Attempt]time.Time{}, at: w.r.IntN(len(w.nodes))}
+			k := &worker{w: w, seen: now, next: now.Add(w.bootTime()), due: map[fakes.Attempt]time.Time{}, at: w.r.IntN(len(w.nodes))}
 			mux := http.NewServeMux()
 			mux.HandleFunc("POST "+wire.PathCommands, k.direct)
 			mux.HandleFunc("GET "+wire.PathShow, k.show)
@@ -128,7 +128,7 @@
 	}
 	for i := range k.rep.Tasks {
 		t := &k.rep.Tasks[i]
-		key := standin.Attempt{Task: t.Task, Attempt: t.Attempt}
+		key := fakes.Attempt{Task: t.Task, Attempt: t.Attempt}
 		switch {
 		case t.State == wire.TaskFetching && !now.Before(k.due[key]):
 			k.w.begins(k, t)
@@ -221,7 +221,7 @@
 	now := k.w.now()
 	for _, c := range commands {
 		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskReport) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
-		key := standin.Attempt{Task: c.Task, Attempt: c.Attempt}
+		key := fakes.Attempt{Task: c.Task, Attempt: c.Attempt}
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			t := wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}
--- a/internal/lab/meetings/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -1,6 +1,6 @@
-// Package meetings_test is a whole service on one machine in which troubles meet: controllers, workers, users, the state service and the
+// Package faults_test is a whole service on one machine in which troubles meet: controllers, workers, users, the state service and the
 // cloud, and the ways between them, on a clock that its tests hold.
-package meetings_test
+package faults_test
 
 import (
 	"bytes"
@@ -23,10 +23,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/config"
 	"poppypass/internal/controller"
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // world is a whole service: several controllers, workers that report, hang and do not hear, users who submit, ask and cancel, a
@@ -38,8 +38,8 @@
 	r      *rand.Rand
 	site   site
 	clock  *clockwork.FakeClock
-	state  *standin.State
-	cloud  *standin.Cloud
+	state  *fakes.State
+	cloud  *fakes.Cloud
 	nodes  []*node
 	client *http.Client
 	begun  time.Time
@@ -98,7 +98,7 @@
 	mesh     string
 	zone     string
 	clock    *clockwork.FakeClock // its own: it goes with the world's unless the process stands still
-	endpoint *standin.Endpoint
+	endpoint *fakes.Endpoint
 	links    map[string]*link // ways to the others, by their names
 	ways     []*link          // its ways from users and workers, and to the state service and the cloud
 	toState  string           // the addresses of the last two
@@ -227,8 +227,8 @@
 func newWorld(t testing.TB, s site, seed uint64) *world {
 	clock := clockwork.NewFakeClock()
 	w := &world{
-		t: t, r: rand.New(&dice{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: standin.NewState(clock), begun: clock.Now(),
-		cloud: standin.NewCloud(s.machines,
+		t: t, r: rand.New(&dice{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewState(clock), begun: clock.Now(),
+		cloud: fakes.NewCloud(s.machines,
 			wire.MachineType{Name: "g8", CPUs: typeCPUs["g8"], MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
 			wire.MachineType{Name: "m4", CPUs: typeCPUs["m4"], MemoryGB: 32, Price: 0.6, SpotPrice: 0.25, BootS: 5, Zones: []string{"b"}}),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
--- a/internal/lab/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -2,7 +2,7 @@
 // fewer sockets than workers if so asked, and prints how many were answered in time, and the
 // controller's threads, sockets and memory.
 //
-//	go run ./internal/lab/intake --program target/poppypass --workers 10000 --sockets 3851 --for 60s
+//	go run ./internal/sim/intake --program target/poppypass --workers 10000 --sockets 3851 --for 60s
 package main
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 type lab struct {
@@ -62,19 +62,19 @@
 func (l *lab) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length)
 	defer stop()
-	state := standin.NewState(clockwork.NewRealClock())
+	state := fakes.NewState(clockwork.NewRealClock())
 	defer state.Close()
-	cloud := standin.NewCloud(24, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, SpotPrice: 0.05, BootS: 20, Zones: []string{"a", "b"}})
+	cloud := fakes.NewCloud(24, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, SpotPrice: 0.05, BootS: 20, Zones: []string{"a", "b"}})
 	defer cloud.Close()
 	dir, err := os.MkdirTemp("", "intake")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if l.bind, err = standin.Loopback(); err != nil {
+	if l.bind, err = fakes.Loopback(); err != nil {
 		return err
 	}
-	mesh, err := standin.Loopback()
+	mesh, err := fakes.Loopback()
 	if err != nil {
 		return err
 	}
--- a/internal/lab/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -2,7 +2,7 @@
 // while the leader is killed again and again. It prints the waits of both, whether every step
 // came to one end, and the controllers' memory.
 //
-//	go run ./internal/lab/pipelines --program target/poppypass --for 3m --kill-every 40s
+//	go run ./internal/sim/pipelines --program target/poppypass --for 3m --kill-every 40s
 package main
 
 import (
@@ -20,13 +20,13 @@
 
 	"github.com/spf13/cobra"
 
-	"poppypass/internal/airflow"
-	"poppypass/internal/dag"
-	"poppypass/internal/graphs"
-	"poppypass/internal/lab/rig"
-	"poppypass/internal/standin"
-	"poppypass/internal/statestore"
-	"poppypass/internal/wire"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testcluster"
 )
 
 type lab struct {
@@ -35,7 +35,7 @@
 	killEvery time.Duration
 	steps     int
 	crowd     int
-	rig       *rig.Rig
+	rig       *testcluster.Rig
 
 	mu    sync.Mutex
 	ready map[string]time.Time // when a job began to wait: a step's when it was described
@@ -63,7 +63,7 @@
 
 // describe takes descriptions: a step begins to wait as it comes to be known here.
 func (l *lab) describe(_ http.ResponseWriter, r *http.Request) {
-	var steps []graphs.Description
+	var steps []runner.Description
 	if json.NewDecoder(r.Body).Decode(&steps) != nil {
 		return
 	}
@@ -79,10 +79,10 @@
 	}
 }
 
-func (l *lab) saw(m standin.Measured) {
+func (l *lab) saw(m fakes.Measured) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := standin.JobOf(m.Task)
+	id := fakes.JobOf(m.Task)
 	l.tries++
 	if first, ok := l.begun[id]; !ok || m.Begin.Before(first) {
 		l.begun[id] = m.Begin
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	hash, n, err := graphs.NewReader(statestore.New(l.rig.State.Addr(), 1e6, 1e6)).Store(ctx, d)
+	hash, n, err := runner.NewReader(statestore.New(l.rig.State.Addr(), 1e6, 1e6)).Store(ctx, d)
 	if err != nil {
 		return err
 	}
@@ -166,12 +166,12 @@
 	defer stop()
 	source := httptest.NewServer(http.HandlerFunc(l.describe))
 	defer source.Close()
-	l.rig = &rig.Rig{
+	l.rig = &testcluster.Rig{
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, Report: time.Second, Lease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", Measured: l.saw,
 		Task: func(task string, _ uint64) (time.Duration, wire.Why, string) {
-			if strings.HasPrefix(task, "job-9") && len(standin.JobOf(task)) == len("job-9000000") {
+			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
 				return 15 * time.Second, wire.WhyDone, "team-1" // the replica of a service
 			}
 			return 6 * time.Second, wire.WhyDone, "team-0"
--- a/internal/lab/rig/rig.go
+++ b/internal/sim/testcluster/rig.go
@@ -1,6 +1,6 @@
-// Package rig runs real controllers on loopback for the labs, over stand-ins of the state
+// Package testcluster runs real controllers on loopback for the labs, over stand-ins of the state
 // service and the cloud, with a worker for each machine that is rented.
-package rig
+package testcluster
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/standin"
-	"poppypass/internal/wire"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
 )
 
 // Rig is a cluster on one machine. Fill in the fields, then Start.
@@ -33,11 +33,11 @@
 	Report     time.Duration
 	Lease      time.Duration
 	Properties string
-	Task       standin.Task
-	Measured   func(standin.Measured)
+	Task       fakes.Task
+	Measured   func(fakes.Measured)
 
-	State *standin.State
-	Cloud *standin.Cloud
+	State *fakes.State
+	Cloud *fakes.Cloud
 	Users []string // the members' addresses
 	Kills int      // of leaders
 
@@ -55,11 +55,11 @@
 		return err
 	}
 	r.ended, r.killed = map[string]context.CancelFunc{}, time.Now()
-	r.State = standin.NewState(clockwork.NewRealClock())
-	r.Cloud = standin.NewCloud(r.Machines, r.Type)
+	r.State = fakes.NewState(clockwork.NewRealClock())
+	r.Cloud = fakes.NewCloud(r.Machines, r.Type)
 	for range r.Members {
 		for _, addrs := range []*[]string{&r.Users, &r.mesh} {
-			addr, err := standin.Loopback()
+			addr, err := fakes.Loopback()
 			if err != nil {
 				return err
 			}
@@ -180,7 +180,7 @@
 				continue
 			}
 			known[m.Name] = true
-			k := standin.NewWorker(m, nodes, order, r.Report, r.Lease, r.Task, r.Measured)
+			k := fakes.NewWorker(m, nodes, order, r.Report, r.Lease, r.Task, r.Measured)
 			wctx, end := context.WithCancel(ctx)
 			r.mu.Lock()
 			r.ended[m.Name] = end
--- a/internal/standin/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package standin has scripted stand-ins of the outside systems for tests:
-// a state service, a cloud and workers, each speaking the published protocol.
-package standin
