--- /dev/null
+++ b/internal/accounting/charge/formats_test.go
@@ -0,0 +1,84 @@
+package charge
+
+import (
+	"testing"
+
+	"poppypass/internal/platform/golden"
+)
+
+func fullKind() *Kind { return &Kind{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000} }
+
+func fullBrief() *Brief {
+	return &Brief{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000}
+}
+
+func fullCharge() *Charge {
+	return &Charge{
+		Task: 4, Attempt: 5, Part: 6, Kind: 1, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, How: Drained, Flags: Bound | Blind,
+	}
+}
+
+func fullPack() *Pack {
+	spare := Kind{Type: "small", Zone: "b", Spot: true, Rate: 200_000}
+	return &Pack{Job: "job-17", Brief: *fullBrief(), Kinds: []Kind{spare, *fullKind()}, Charges: []Charge{*fullCharge()}}
+}
+
+func fullAmounts() *Amounts {
+	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, Ends: [hows]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
+}
+
+// Packs of charges are stored in progress records and segments, amounts in the ledger's
+// pages.
+func TestStoredFormats(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"kind", fullKind()},
+		{"brief", fullBrief()},
+		{"charge", fullCharge()},
+		{"pack", fullPack()},
+		{"amounts", fullAmounts()},
+	} {
+		t.Run(c.name, func(t *testing.T) { golden.CBOR(t, c.name, c.value) })
+	}
+}
+
+func TestStoredPack(t *testing.T) {
+	pack := fullPack()
+	raw := EncodePack(pack)
+	golden.Hex(t, "encoded-pack", raw)
+	again, err := DecodePack(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "encoded-pack", again, pack)
+}
+
+func TestCompressedForm(t *testing.T) {
+	codec, err := NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	packs := []Pack{*fullPack()}
+	raw := codec.Squeeze(packs)
+	golden.Hex(t, "compressed-packs", raw)
+	var again []Pack
+	if err := codec.Expand(raw, &again); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "compressed-packs", again, packs)
+}
+
+// The names of ends are part of messages and metrics, their numbers of stored charges.
+func TestNumbersAndNames(t *testing.T) {
+	var lines []string
+	for how := range How(hows) {
+		lines = append(lines, how.String())
+	}
+	golden.Lines(t, "ends", lines...)
+	golden.Hex(t, "ends-numbers", []byte{
+		byte(Continues), byte(Done), byte(Failed), byte(Refused), byte(Stopped), byte(Preempted), byte(Drained), byte(Cancelled), byte(OverSpent), byte(Lost),
+	})
+	golden.Hex(t, "flags", []byte{byte(Bound), byte(Saved), byte(Blind)})
+}
--- /dev/null
+++ b/internal/cluster/election/formats_test.go
@@ -0,0 +1,39 @@
+package election
+
+import (
+	"log/slog"
+	"testing"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/sim/fakes"
+)
+
+func TestStoredFormats(t *testing.T) {
+	golden.JSON(t, "term", golden.Fill(new(termRecord)))
+	golden.JSON(t, "holder", golden.Fill(new(holder)))
+	golden.Lines(t, "keys", keyHolder, keyTerm, prefixFence)
+}
+
+// What a leader writes that wins a campaign and fences a silent member off.
+func TestStoredRecordsOfALeader(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	state := fakes.NewState(clock)
+	t.Cleanup(state.Close)
+	elector := New(statestore.New(state.Addr(), 1e6, 1e6), alone, "m1", clock, slog.New(slog.DiscardHandler))
+	leave, _ := elector.mayLead(t.Context(), 0)
+	tenure, ok := elector.campaign(t.Context(), 0, 0, leave)
+	if !ok {
+		t.Fatal("the campaign failed")
+	}
+	elector.setFence(t.Context(), tenure, "m2")
+	var lines []string
+	for _, txn := range state.Applied() {
+		for _, change := range txn.Then {
+			lines = append(lines, change.Put+" "+string(change.Value))
+		}
+	}
+	golden.Lines(t, "leader", lines...)
+}
--- /dev/null
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -0,0 +1,46 @@
+package peerrpc
+
+import (
+	"testing"
+
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/platform/wire"
+)
+
+// lengthBytes is how many bytes of a frame tell the length of the rest.
+const lengthBytes = 4
+
+func TestRequestFormat(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		verb Verb
+	}{
+		{"query", Query}, {"cancel", Cancel}, {"promise", Promise}, {"not-leading", NotLeading}, {"report", Report},
+		{"submit", Submit}, {"vouch", Vouch}, {"yield", Yield}, {"show", Show}, {"kept", Kept}, {"do", Do}, {"reach", Reach}, {"ping", Ping},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			request := Request{Verb: c.verb, Job: "job-17", Payload: []byte(`{"a":1}`), Number: 41, Names: []string{"n-1", "n-2"}}
+			frame := encodeRequest(77, request)
+			golden.Hex(t, "request-"+c.name, frame)
+			seq, again, err := decodeRequest(frame[lengthBytes:])
+			if err != nil || seq != 77 {
+				t.Fatalf("read back as message %d, %v", seq, err)
+			}
+			golden.Equal(t, c.name, again, request)
+		})
+	}
+}
+
+func TestResponseFormat(t *testing.T) {
+	response := Response{
+		Status: 200, Job: wire.JobStatus{State: wire.StateRunning, Done: 11, Running: 12}, // the job's id is not sent back
+		Payload: []byte(`{"b":2}`), Leader: "m1", Term: 42, Names: []string{"n-1", "n-2"},
+	}
+	frame := encodeResponse(78, response)
+	golden.Hex(t, "response", frame)
+	seq, again, err := decodeResponse(frame[lengthBytes:])
+	if err != nil || seq != 78 {
+		t.Fatalf("read back as message %d, %v", seq, err)
+	}
+	golden.Equal(t, "response", again, response)
+}
--- /dev/null
+++ b/internal/cluster/workerlease/formats_test.go
@@ -0,0 +1,44 @@
+package workerlease
+
+import (
+	"testing"
+
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/sim/fakes"
+)
+
+func TestStoredFormats(t *testing.T) {
+	golden.JSON(t, "record", golden.Fill(new(keepRecord)))
+	golden.JSON(t, "zone-right", golden.Fill(new(ZoneRight)))
+	golden.Lines(t, "keys", prefixKeep)
+}
+
+// A ping carries what its sender claims, and the answer what the receiver remembers of it.
+func TestClaimFormat(t *testing.T) {
+	golden.JSON(t, "claim", golden.Fill(new(claim)))
+}
+
+func TestStoredRecordOfKeptMachines(t *testing.T) {
+	world := newKeeperWorld(t)
+	if !world.ask("n-1") {
+		t.Fatal("the machine is not kept")
+	}
+	golden.Lines(t, "kept-machines", written(world.state)...)
+}
+
+func TestStoredRecordOfAZone(t *testing.T) {
+	world := newZoneWorld(t)
+	world.Renew(t.Context())
+	golden.Lines(t, "zone", written(world.state)...)
+}
+
+// written gives the keys and values that were stored.
+func written(state *fakes.State) []string {
+	var lines []string
+	for _, txn := range state.Applied() {
+		for _, change := range txn.Then {
+			lines = append(lines, change.Put+" "+string(change.Value))
+		}
+	}
+	return lines
+}
--- /dev/null
+++ b/internal/platform/wire/formats_test.go
@@ -0,0 +1,82 @@
+package wire
+
+import (
+	"testing"
+
+	"poppypass/internal/platform/golden"
+)
+
+func TestMessageFormats(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"job-accepted", golden.Fill(new(Accepted))},
+		{"job-status", golden.Fill(new(JobStatus))},
+		{"job-reasons", golden.Fill(new(Reasons))},
+		{"error", golden.Fill(new(Error))},
+		{"worker-report", golden.Fill(new(Report))},
+		{"worker-task-report", golden.Fill(new(TaskReport))},
+		{"worker-command", golden.Fill(new(Command))},
+		{"worker-report-answer", golden.Fill(new(ReportAnswer))},
+		{"worker-redirect", golden.Fill(new(Redirect))},
+		{"worker-direct-commands", golden.Fill(new(DirectCommands))},
+		{"cloud-machine-type", golden.Fill(new(MachineType))},
+		{"cloud-machine-types", golden.Fill(new(MachineTypes))},
+		{"cloud-rent", golden.Fill(new(Rent))},
+		{"cloud-machine-names", golden.Fill(new(MachineNames))},
+		{"cloud-listed-machine", golden.Fill(new(ListedMachine))},
+		{"cloud-machine-page", golden.Fill(new(MachinePage))},
+		{"state-item", golden.Fill(new(Item))},
+		{"state-item-page", golden.Fill(new(ItemPage))},
+		{"state-condition", golden.Fill(new(Condition))},
+		{"state-change", golden.Fill(new(Change))},
+		{"state-transaction", golden.Fill(new(Txn))},
+		{"state-transaction-result", golden.Fill(new(TxnResult))},
+		{"state-lease-request", golden.Fill(new(LeaseRequest))},
+		{"state-lease-grant", golden.Fill(new(LeaseGrant))},
+		{"state-event", golden.Fill(new(Event))},
+		{"state-watch-result", golden.Fill(new(WatchResult))},
+	} {
+		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
+	}
+}
+
+// A submission is a job whose fields are all read, by the parser that also finds out
+// which are missing.
+func TestSubmissionFormat(t *testing.T) {
+	job := golden.Fill(new(Job))
+	job.ID, job.Kind, job.Priority = "job-17", KindService, PriorityHigh
+	golden.JSON(t, "job", job)
+	body := golden.Written(t, "job", job)
+	again, err := ParseJob(body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := again.ReadAccount(body); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "submission", again, job)
+}
+
+func TestPaths(t *testing.T) {
+	golden.Lines(t, "paths",
+		PathJobs, PathHealth, EndCancel, EndWhy, EndCharges,
+		PathReport, PathCommands, PathShow,
+		PathMachineTypes, PathMachines, PathDelete,
+		PathKV, PathTxn, PathLeases, EndRenew, PathWatch,
+	)
+}
+
+func TestWords(t *testing.T) {
+	golden.Lines(t, "words",
+		string(KindArray), string(KindService),
+		string(PriorityProduction), string(PriorityHigh), string(PriorityNormal), string(PriorityLow),
+		string(StateQueued), string(StateRunning), string(StateDone), string(StateCancelled),
+		string(TaskFetching), string(TaskRunning), string(TaskSaving), string(TaskExited),
+		string(WhyDone), string(WhyStopped), string(WhyError), string(WhyNoRoom), string(WhyBusy), string(WhyUnknown),
+		string(OpStart), string(OpStop), string(OpForget),
+		string(MachineBooting), string(MachineRunning), string(MachineFailed),
+		TaskID{Job: "job-17", Index: 3}.String(),
+	)
+}
--- /dev/null
+++ b/internal/scheduler/jobs/formats_test.go
@@ -0,0 +1,78 @@
+package jobs
+
+import (
+	"strconv"
+	"testing"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+)
+
+func TestStoredFormats(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"accepted-job", golden.Fill(new(Record))},
+		{"progress", golden.Fill(new(chunkRecord))},
+		{"task-entry", golden.Fill(new(taskEntry))},
+		{"final-state", golden.Fill(new(End))},
+		{"moved-charges", golden.Fill(new(leftRecord))},
+	} {
+		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
+	}
+}
+
+func TestStoredKeys(t *testing.T) {
+	golden.Lines(t, "keys",
+		PrefixJob, PrefixRun, PrefixEnd, PrefixLeft,
+		KeyJob("job-17"), KeyEnd("job-17"), keyRun("job-17", 3), keyRun("job-17", 12345),
+		keyLeft("job-17", &charge.Charge{Task: 4, Attempt: 5, Part: 6}),
+	)
+	id, chunk, ok := parseRunKey(keyRun("job-17", 3))
+	if id != "job-17" || chunk != 3 || !ok {
+		t.Errorf("the key of a progress record is read as %q, %d, %v", id, chunk, ok)
+	}
+}
+
+// The charges of ended attempts lie in progress records and in those that they are
+// moved to, under the same field.
+func TestStoredCharges(t *testing.T) {
+	pack := charge.Pack{
+		Job: "job-17", Brief: charge.Brief{Team: "vision", Class: "train", Cores: 8000, Memory: 64_000},
+		Kinds:   []charge.Kind{{Type: "large", Zone: "a", Rate: 3_400_000}},
+		Charges: []charge.Charge{{Task: 4, Attempt: 5, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, How: charge.Done}},
+	}
+	encoded := charge.EncodePack(&pack)
+	for _, c := range []struct {
+		name  string
+		value any
+	}{
+		{"progress-with-charges", chunkRecord{Done: "0-3", Charges: encoded}},
+		{"moved-charges-pack", leftRecord{Charges: encoded}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			again, err := PackOf(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Equal(t, c.name, again, &pack)
+		})
+	}
+}
+
+// Done tasks are stored as ranges. Which tasks share a record follows from the size of
+// a chunk, so that size is part of the format.
+func TestStoredRanges(t *testing.T) {
+	done := []int{0, 1, 2, 5, 7, 8, 99_999}
+	text := encodeRanges(done)
+	golden.Lines(t, "ranges", text)
+	again, err := decodeRanges(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "ranges", again, done)
+	golden.Lines(t, "chunk-size", strconv.Itoa(tuning.ChunkTasks))
+}
--- /dev/null
+++ b/internal/scheduler/leader/formats_test.go
@@ -0,0 +1,42 @@
+package leader
+
+import (
+	"encoding/json"
+	"testing"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/scheduler/machines"
+)
+
+func TestStoredFormats(t *testing.T) {
+	golden.JSON(t, "link", golden.Fill(new(linkRecord)))
+	golden.JSON(t, "images", golden.Fill(new(imagesRecord)))
+	golden.Lines(t, "keys", keyLink, keyImages)
+}
+
+// A member hands a command to the leader as JSON.
+func TestCommandFormat(t *testing.T) {
+	golden.JSON(t, "command", golden.Fill(new(Command)))
+}
+
+func TestStoredImages(t *testing.T) {
+	loop, _ := leaderWith(t)
+	loop.env.Settings.Cluster.State.ValueKB = 16
+	images := machines.Images{Machines: []string{"n-1", "n-2"}, Held: []machines.HeldImage{{Name: "img-07", GB: 6.25, On: []byte{3}}}}
+	value := loop.squeezeImages(images)
+	golden.Check(t, "images-of-machines", value)
+	var record imagesRecord
+	if err := json.Unmarshal(value, &record); err != nil {
+		t.Fatal(err)
+	}
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var again machines.Images
+	if err := codec.Expand(record.Frame, &again); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "images-of-machines", again, images)
+}
