--- /dev/null
+++ b/internal/accounting/ledger/formats_test.go
@@ -0,0 +1,104 @@
+package ledger
+
+import (
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/platform/wire"
+)
+
+func fullRow() *Row {
+	return &Row{
+		Name: RowName{Day: "2026-12-01", Team: "vision", Account: "grant-7", Class: "train", Type: "large", Spot: true},
+		Sum:  charge.Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, Ends: [10]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}},
+	}
+}
+
+func fullPack() charge.Pack {
+	return charge.Pack{
+		Job: "job-17", Brief: charge.Brief{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000},
+		Kinds: []charge.Kind{{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000}},
+		Charges: []charge.Charge{{
+			Task: 4, Attempt: 5, Part: 6, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, How: charge.Drained,
+			Flags: charge.Bound | charge.Saved | charge.Blind,
+		}},
+	}
+}
+
+func TestStoredFormats(t *testing.T) {
+	golden.JSON(t, "segment", golden.Fill(new(segmentRecord)))
+	golden.JSON(t, "page", golden.Fill(new(pageRecord)))
+	golden.CBOR(t, "row", fullRow())
+	golden.CBOR(t, "row-name", &fullRow().Name)
+}
+
+func TestStoredKeys(t *testing.T) {
+	golden.Lines(t, "keys", PrefixSegment, PrefixPage, keySegment(17), keyPage(18))
+	for prefix, key := range map[string]string{PrefixSegment: keySegment(17), PrefixPage: keyPage(17)} {
+		if n, err := number(prefix, key); n != 17 || err != nil {
+			t.Errorf("%s is read as %d, %v", key, n, err)
+		}
+	}
+}
+
+func TestStoredSegment(t *testing.T) {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	packs := []charge.Pack{fullPack()}
+	value := segmentValue(codec, packs)
+	golden.Check(t, "segment-of-packs", value)
+	again, err := ReadSegment(codec, wire.Item{Key: keySegment(0), Value: value})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "segment-of-packs", again, packs)
+}
+
+func TestStoredPage(t *testing.T) {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	rows := []Row{*fullRow()}
+	value := pageValue(codec, rows)
+	golden.Check(t, "page-of-rows", value)
+	again, err := ReadPage(codec, wire.Item{Key: keyPage(0), Value: value})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "page-of-rows", again, rows)
+}
+
+func TestAnswerFormats(t *testing.T) {
+	golden.JSON(t, "answer-total", golden.Fill(new(Total)))
+	golden.JSON(t, "answer-totals", golden.Fill(new(Totals)))
+	golden.JSON(t, "answer-stats", golden.Fill(new(Stats)))
+	golden.Written(t, "answer-charge", golden.Fill(new(ChargeView)))
+	golden.Written(t, "answer-charges", golden.Fill(new(Page)))
+}
+
+// What answers say of stored amounts and charges.
+func TestAnswersToQuestions(t *testing.T) {
+	question, err := ParseQuery(url.Values{
+		"team": {"vision"}, "account": {"grant-7"}, "class": {"train"}, "from": {"2026-12-01"}, "to": {"2026-12-31"}, "by": {strings.Join(columns, ",")},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	tally := NewTally(question)
+	tally.Add(fullRow().Name, fullRow().Sum)
+	totals := tally.Answer(time.UTC)
+	golden.Written(t, "question-totals", totals)
+	pack := fullPack()
+	charges := Views(&pack)
+	golden.Written(t, "question-charges", charges)
+	golden.Written(t, "csv-totals", TotalsCSV(totals))
+	golden.Written(t, "csv-charges", ChargesCSV(charges))
+	golden.Lines(t, "paths", append([]string{PathTotals, PathStats, PathBudgets}, columns...)...)
+}
--- /dev/null
+++ b/internal/graphs/dag/formats_test.go
@@ -0,0 +1,79 @@
+package dag
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/golden"
+)
+
+// A graph is registered, stored and answered in the same form.
+func TestGraphFormat(t *testing.T) {
+	graph := golden.Fill(new(Graph))
+	for i := range graph.Steps {
+		step := &graph.Steps[i] // durations are whole seconds in JSON
+		step.Delay, step.MaxDelay, step.Timeout = Duration(7*time.Second), Duration(8*time.Second), Duration(9*time.Second)
+	}
+	golden.JSON(t, "graph", graph)
+	raw, err := json.Marshal(graph)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := ParseJSON("graph", raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "graph", again, graph)
+}
+
+func TestStoredFormats(t *testing.T) {
+	instance := storedInstance{Index: 1, Failures: 2, HoldMS: 3, BegunMS: 4, Ending: true}
+	step := storedStep{Step: 1, Generation: 2, Result: []byte(`{"a":1}`), States: []byte{5, 6}, Notes: []storedInstance{instance}}
+	run := storedRun{Format: runFormat, ID: "manual__1", Stopped: true, States: []byte{5, 6, 7}, Steps: []storedStep{step}, Orphans: []string{"job-1", "job-2"}}
+	golden.CBOR(t, "stored-instance", &instance)
+	golden.CBOR(t, "stored-step", &step)
+	golden.CBOR(t, "stored-run", &run)
+}
+
+// A run is written as it is by the state machine, and read back to be written the same.
+func TestStoredRun(t *testing.T) {
+	job := &Job{Class: "train", CPUs: 1, MemoryGB: 1, Image: "img-07"}
+	plan, err := Check(&Graph{ID: "nightly", Team: "vision", Steps: []Step{
+		{ID: "first", Kind: KindJob, Job: job},
+		{ID: "second", Kind: KindJob, Job: job, Upstream: []string{"first"}},
+		{ID: "third", Kind: KindEmpty, Upstream: []string{"second"}},
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	run := NewRun(plan, "manual__1")
+	run.orphans = []string{"job-7"}
+	run.nodes[0].generation = 2
+	run.nodes[0].result = json.RawMessage(`{"a":1}`)
+	run.nodes[0].instances[0] = Instance{State: UpForRetry, Failures: 3, Hold: time.UnixMilli(1_780_000_000_000), Begun: time.UnixMilli(1_780_000_000_001), Ending: true}
+	raw := run.Encode()
+	golden.Hex(t, "run", raw)
+	again, err := DecodeRun(plan, raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Hex(t, "run", again.Encode())
+	golden.Lines(t, "job-id", run.JobID(Ref{Step: 0, Index: 0}), run.JobID(Ref{Step: 1, Index: 2}))
+}
+
+// States are stored as numbers and answered as names.
+func TestNumbersAndNames(t *testing.T) {
+	var lines []string
+	for state := range State(states) {
+		lines = append(lines, state.String())
+	}
+	for _, state := range []RunState{RunRunning, RunSuccess, RunFailed} {
+		lines = append(lines, state.String())
+	}
+	lines = append(lines, Rules()...)
+	golden.Lines(t, "names", append(lines, string(KindJob), string(KindBranch), string(KindEmpty))...)
+	golden.Hex(t, "states", []byte{
+		byte(None), byte(Scheduled), byte(Queued), byte(Running), byte(UpForRetry), byte(Success), byte(Failed), byte(Skipped), byte(UpstreamFailed),
+	})
+}
--- /dev/null
+++ b/internal/graphs/runner/formats_test.go
@@ -0,0 +1,116 @@
+package runner
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/golden"
+)
+
+var formatTime = time.Date(2026, time.December, 1, 12, 0, 0, 123_000_000, time.UTC)
+
+func TestStoredFormats(t *testing.T) {
+	golden.JSON(t, "graph", golden.Fill(new(GraphRecord)))
+	golden.JSON(t, "part", golden.Fill(new(partRecord)))
+	golden.JSON(t, "run", golden.Fill(new(runRecord)))
+	golden.CBOR(t, "try", &Try{Step: 1, Index: 2, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success})
+}
+
+func TestStoredKeys(t *testing.T) {
+	golden.Lines(t, "keys",
+		PrefixDef, PrefixGraph, PrefixRun,
+		keyGraph("vision", "nightly"), keyRun("vision", "nightly", "manual__2026-12-01T12:00:00+00:00"),
+		strings.Join(partKeys("00112233445566778899aabbccddeeff", 2), "\n"),
+		RunName(Manual, formatTime), RunName(Scheduled, formatTime), RunName(Backfill, formatTime), DefaultPool,
+	)
+}
+
+// Orders ride in commands to the leader, descriptions go to the operators' source.
+func TestMessageFormats(t *testing.T) {
+	golden.JSON(t, "order", golden.Fill(new(Order)))
+	golden.JSON(t, "backfilled", golden.Fill(new(Backfilled)))
+	golden.JSON(t, "pool", golden.Fill(new(PoolView)))
+	golden.JSON(t, "description", golden.Fill(new(Description)))
+	golden.Lines(t, "orders", PathOrders, PathPools, DoPut, DoPause, DoRemove, DoTrigger, DoBackfill, DoCancel, DoClear, DoForget, DoPush)
+}
+
+func formatPlan(t *testing.T) *dag.Plan {
+	t.Helper()
+	job := &dag.Job{Class: "train", Urgency: "urgent", Tasks: 3, CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "img-07", ImageGB: 4.5, Types: []string{"large"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, Account: "grant-7"}
+	plan, err := dag.Check(&dag.Graph{
+		ID: "nightly", Team: "vision", Params: map[string]json.RawMessage{"level": json.RawMessage("3")},
+		Steps: []dag.Step{
+			{ID: "first", Kind: dag.KindJob, Job: job},
+			{ID: "second", Kind: dag.KindJob, Job: job, Upstream: []string{"first"}, Map: &dag.Map{List: []json.RawMessage{json.RawMessage("1"), json.RawMessage("2")}}},
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return plan
+}
+
+func TestStoredDefinition(t *testing.T) {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	plan := formatPlan(t)
+	hash, parts, err := Pack(codec, &plan.Graph)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(parts) != 1 {
+		t.Fatalf("%d parts", len(parts))
+	}
+	golden.Lines(t, "definition-hash", hash)
+	golden.Hex(t, "definition", parts[0])
+	again, err := unpack(codec, hash, parts[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "definition", again, plan)
+}
+
+func TestStoredRun(t *testing.T) {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	plan := formatPlan(t)
+	run := &live{
+		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), def: "00112233445566778899aabbccddeeff", active: 1,
+		meta: *golden.Fill(new(meta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
+	}
+	value, err := runValue(codec, run, 16<<10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "run-of-graph", value)
+	var record runRecord
+	if err := json.Unmarshal(value, &record); err != nil {
+		t.Fatal(err)
+	}
+	again, err := decodeRun(codec, &record, plan)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Hex(t, "run-of-graph-states", again.Encode())
+	golden.Equal(t, "run-of-graph", readTries(codec, &record), run.tries)
+}
+
+// The job of a step, and what its source is told of it.
+func TestJobOfAStep(t *testing.T) {
+	run := dag.NewRun(formatPlan(t), "manual__1")
+	at := dag.Ref{Step: 0}
+	_, value, err := jobOf(run, at, formatTime.UnixMilli())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "job-of-step", value)
+	golden.Written(t, "description-of-step", describe(run, golden.Fill(new(meta)), at))
+}
