--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -43,21 +43,21 @@
 		how  charge.How
 		flag charge.Flag
 	}{
-		{"done", func(w *world, p *jobs.Place) { w.end(p, wire.WhyDone, false) }, charge.Done, 0},
-		{"failed", func(w *world, p *jobs.Place) { w.end(p, wire.WhyError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(w *world, p *jobs.Place) { w.end(p, wire.WhyStopped, true) }, charge.Lost, charge.Bound},
+		{"done", func(w *world, p *jobs.Place) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
+		{"failed", func(w *world, p *jobs.Place) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
+		{"its machine is taken back or its session ends", func(w *world, p *jobs.Place) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.Bound},
 		{"drained", func(w *world, p *jobs.Place) {
 			p.Stop = &jobs.Stop{For: charge.Drained}
-			w.end(p, wire.WhyStopped, false)
+			w.end(p, wire.ExitStopped, false)
 		}, charge.Drained, 0},
 		{"stopped for others", func(w *world, p *jobs.Place) {
 			p.Stop = &jobs.Stop{For: charge.Preempted}
-			w.end(p, wire.WhyStopped, false)
+			w.end(p, wire.ExitStopped, false)
 		}, charge.Preempted, 0},
 		{"its job is cancelled", func(w *world, p *jobs.Place) {
 			w.book.Cancel(p.Job, func(wire.JobState) {})
 			w.flush()
-			w.end(p, wire.WhyStopped, false)
+			w.end(p, wire.ExitStopped, false)
 		}, charge.Cancelled, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -104,8 +104,8 @@
 		w.submit(array("job-1", 2))
 		a, b := w.start("job-1"), w.start("job-1")
 		w.clock.Advance(20 * time.Second)
-		w.end(a, wire.WhyError, false) // and is repeated
-		w.end(b, wire.WhyDone, false)
+		w.end(a, wire.ExitError, false) // and is repeated
+		w.end(b, wire.ExitDone, false)
 		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
 			steps[o%n](w)
 			w.clock.Advance(time.Second)
@@ -113,7 +113,7 @@
 		w.flush()
 		again := w.start("job-1")
 		w.clock.Advance(20 * time.Second)
-		w.end(again, wire.WhyDone, false)
+		w.end(again, wire.ExitDone, false)
 		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
 			steps[n-1-o%n](w)
 		}
@@ -171,18 +171,18 @@
 				for range rapid.IntRange(1, 30).Draw(rt, "count") {
 					if p := pick(); p != nil {
 						w.run(p)
-						w.end(p, rapid.SampledFrom([]wire.Why{wire.WhyDone, wire.WhyError, wire.WhyStopped}).Draw(rt, "why"), false)
+						w.end(p, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"), false)
 					}
 				}
 			},
 			"refuse": func(*rapid.T) {
 				if p := pick(); p != nil && w.attempts[keyOf(p)].began.IsZero() {
-					w.end(p, wire.WhyNoRoom, false)
+					w.end(p, wire.ExitNoRoom, false)
 				}
 			},
 			"lose": func(*rapid.T) {
 				if p := pick(); p != nil {
-					w.end(p, wire.WhyStopped, true)
+					w.end(p, wire.ExitStopped, true)
 				}
 			},
 			"cancel": func(*rapid.T) {
@@ -239,7 +239,7 @@
 	}
 	w.lead() // the new leader goes on from the turn
 	w.clock.Advance(time.Hour)
-	w.end(w.places[keyOf(p)], wire.WhyDone, false)
+	w.end(w.places[keyOf(p)], wire.ExitDone, false)
 	w.check()
 	if got := day("2026-12-02"); got != 2*3600_000 {
 		t.Errorf("the second day has %d ms", got)
@@ -263,7 +263,7 @@
 	w.lead()
 	w.clock.Advance(10 * time.Second)
 	p = w.places[keyOf(p)]
-	w.end(p, wire.WhyDone, false)
+	w.end(p, wire.ExitDone, false)
 	w.check()
 	if c := w.only(keyOf(p)); c.Run != 20_000 || c.Flags != 0 {
 		t.Errorf("charged %+v", c)
@@ -284,7 +284,7 @@
 	w.report()
 	w.clock.Advance(time.Minute)
 	for _, p := range w.places {
-		w.attempts[keyOf(p)].ended, w.attempts[keyOf(p)].why = w.now(), wire.WhyDone
+		w.attempts[keyOf(p)].ended, w.attempts[keyOf(p)].why = w.now(), wire.ExitDone
 	}
 	w.report()
 	w.check()
@@ -295,7 +295,7 @@
 	for range 3 * tuning.SealCharges {
 		p := w.start("job-2")
 		w.clock.Advance(time.Second)
-		w.end(p, wire.WhyError, false)
+		w.end(p, wire.ExitError, false)
 	}
 	w.check()
 	w.roll()
@@ -330,8 +330,8 @@
 		w.report()
 		w.clock.Advance(time.Minute)
 		for _, k := range w.sorted() {
-			if w.attempts[k].ended, w.attempts[k].why = w.now(), wire.WhyDone; round < 2 && k.task%8 < 5 {
-				w.attempts[k].why = wire.WhyStopped
+			if w.attempts[k].ended, w.attempts[k].why = w.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
+				w.attempts[k].why = wire.ExitStopped
 			}
 		}
 		w.report()
@@ -367,7 +367,7 @@
 	}
 	w.clock.Advance(20 * time.Second) // twice what was expected
 	for _, p := range placed {
-		w.end(p, wire.WhyDone, false)
+		w.end(p, wire.ExitDone, false)
 	}
 	w.flush()
 	w.ledger.Tick(w.now())
@@ -445,7 +445,7 @@
 		t.Error("a second one starts beside it")
 	}
 	w.clock.Advance(time.Minute)
-	w.end(p, wire.WhyDone, false)
+	w.end(p, wire.ExitDone, false)
 	w.flush()
 	w.ledger.Tick(w.now())
 	if w.place("job-1") != nil {
@@ -485,7 +485,7 @@
 	if again := w.ledger.Tick(w.now()); len(again) != 0 {
 		t.Error("what stops already is stopped again")
 	}
-	w.end(p, wire.WhyStopped, false)
+	w.end(p, wire.ExitStopped, false)
 	w.check()
 	if c := w.only(keyOf(p)); c.How != charge.OverSpent {
 		t.Errorf("charged %+v", c)
@@ -502,7 +502,7 @@
 		w.submit(j)
 		p := w.start(j.ID)
 		w.clock.Advance(time.Minute)
-		w.end(p, wire.WhyDone, false)
+		w.end(p, wire.ExitDone, false)
 		w.flush()
 		if i%8 == 7 {
 			w.ledger.Tick(w.now())
@@ -555,7 +555,7 @@
 		p := w.start(j.ID)
 		w.clock.Advance(13 * time.Hour) // so that there are parts
 		w.ledger.Tick(w.now())
-		w.end(w.places[keyOf(p)], wire.WhyDone, false)
+		w.end(w.places[keyOf(p)], wire.ExitDone, false)
 		if i == 30 {
 			w.roll()
 			w.ledger.segment.size = tuning.SegmentBytes // the next roll-up begins another segment
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -49,11 +49,11 @@
 func how(o *machines.Outcome) charge.How {
 	p := o.Place
 	switch {
-	case o.Why == wire.WhyDone:
+	case o.Why == wire.ExitDone:
 		return charge.Done
-	case o.Why == wire.WhyError:
+	case o.Why == wire.ExitError:
 		return charge.Failed
-	case o.Why == wire.WhyNoRoom || o.Why == wire.WhyBusy || o.Why == wire.WhyUnknown:
+	case o.Why == wire.ExitNoRoom || o.Why == wire.ExitBusy || o.Why == wire.ExitUnknown:
 		return charge.Refused
 	case o.Lost:
 		return charge.Lost
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -46,9 +46,9 @@
 
 // truth is what really happened to an attempt that was started.
 type truth struct {
-	began, ended time.Time // zero: not yet
-	why          wire.Why  // as its worker reports it
-	lost         bool      // its machine is gone
+	began, ended time.Time       // zero: not yet
+	why          wire.ExitReason // as its worker reports it
+	lost         bool            // its machine is gone
 }
 
 var (
@@ -214,7 +214,7 @@
 }
 
 // end has an attempt end at its worker.
-func (w *world) end(p *jobs.Place, why wire.Why, lost bool) {
+func (w *world) end(p *jobs.Place, why wire.ExitReason, lost bool) {
 	if tr := w.attempts[keyOf(p)]; tr != nil && tr.ended.IsZero() {
 		tr.ended, tr.why, tr.lost = w.now(), why, lost
 	}
@@ -248,7 +248,7 @@
 			continue
 		}
 		w.ledger.Ended(machines.Outcome{Place: p, Why: tr.why, Lost: tr.lost}, now)
-		if tr.why == wire.WhyDone {
+		if tr.why == wire.ExitDone {
 			w.book.Finished(p, now)
 		} else {
 			w.book.Gone(p, now)
--- a/internal/api/workerapi/kept.go
+++ b/internal/api/workerapi/kept.go
@@ -12,7 +12,7 @@
 )
 
 // Show asks a worker for its report; ok is false when it gives none.
-type Show func(ctx context.Context, addr string) (rep wire.Report, ok bool)
+type Show func(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool)
 
 // kept is what this member knows of the workers that it answers in the leader's stead. Two things are to be found out:
 //
@@ -53,14 +53,14 @@
 }
 
 // may tells whether a worker may be answered in the leader's stead now, as far as this member knows of it.
-func (k *kept) may(ctx context.Context, rep *wire.Report, now time.Time) bool {
+func (k *kept) may(ctx context.Context, rep *wire.Heartbeat, now time.Time) bool {
 	k.mu.Lock()
 	w := k.by[rep.Machine]
 	if w != nil && now.Sub(w.at) > k.lease && !w.failed {
 		w = nil // its lease, if we gave it one, is over
 	}
 	if w == nil {
-		w = &keptWorker{session: rep.Session, seq: rep.Seq, token: rep.Token, at: now, seen: now}
+		w = &keptWorker{session: rep.Incarnation, seq: rep.Seq, token: rep.FencingToken, at: now, seen: now}
 		thin(k.by, &k.next, func(w *keptWorker) bool { return now.Sub(w.seen) > 2*k.lease && !w.asking })
 		k.by[rep.Machine] = w
 		k.mu.Unlock()
@@ -68,10 +68,10 @@
 		return true
 	}
 	older := !rep.Newer(w.session, w.seq)
-	reached := rep.Token > w.token
+	reached := rep.FencingToken > w.token
 	refused := older || reached || w.failed
 	if !older {
-		w.session, w.seq, w.token = rep.Session, rep.Seq, rep.Token
+		w.session, w.seq, w.token = rep.Incarnation, rep.Seq, rep.FencingToken
 	}
 	w.seen = now
 	if !refused {
@@ -86,7 +86,7 @@
 }
 
 // ask asks a worker beside its answer whether it is there, if it is not being asked and there is room for it.
-func (k *kept) ask(ctx context.Context, rep *wire.Report, w *keptWorker, now time.Time) {
+func (k *kept) ask(ctx context.Context, rep *wire.Heartbeat, w *keptWorker, now time.Time) {
 	if k.show == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // told takes in what a worker that was asked at a time said, if anything. What it says is newer than all reports that came
 // before it was asked; if it looks older, it was started anew.
-func (k *kept) told(machine string, w *keptWorker, said wire.Report, ok bool, asked time.Time) {
+func (k *kept) told(machine string, w *keptWorker, said wire.Heartbeat, ok bool, asked time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w.asking = false
@@ -122,7 +122,7 @@
 		return
 	}
 	w.proven = asked
-	if said.Session < w.session || said.Session == w.session && said.Seq < w.seq {
-		w.session, w.seq, w.token = said.Session, said.Seq, said.Token
+	if said.Incarnation < w.session || said.Incarnation == w.session && said.Seq < w.seq {
+		w.session, w.seq, w.token = said.Incarnation, said.Seq, said.FencingToken
 	}
 }
--- a/internal/api/workerapi/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -14,25 +14,25 @@
 	*kept
 	t    *testing.T
 	now  time.Time
-	says map[string]*wire.Report // by address
+	says map[string]*wire.Heartbeat // by address
 	told chan struct{}
 }
 
 func newKeptWorld(t *testing.T) *keptWorld {
-	w := &keptWorld{t: t, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), says: map[string]*wire.Report{}, told: make(chan struct{}, 64)}
-	w.kept = newKept(10*time.Second, func(_ context.Context, addr string) (wire.Report, bool) {
+	w := &keptWorld{t: t, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), says: map[string]*wire.Heartbeat{}, told: make(chan struct{}, 64)}
+	w.kept = newKept(10*time.Second, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
 		defer func() { w.told <- struct{}{} }()
 		if rep := w.says[addr]; rep != nil {
 			rep.Seq++
 			return *rep, true
 		}
-		return wire.Report{}, false
+		return wire.Heartbeat{}, false
 	})
 	return w
 }
 
 // report tells whether a worker is kept, and lets what it was asked be known.
-func (w *keptWorld) report(rep *wire.Report) bool {
+func (w *keptWorld) report(rep *wire.Heartbeat) bool {
 	w.t.Helper()
 	ok := w.may(w.t.Context(), rep, w.now)
 	for {
@@ -54,9 +54,9 @@
 	}
 }
 
-func worker(seq, token uint64) *wire.Report {
-	return &wire.Report{Machine: "n-1", Address: "a:1", Type: "g8", Zone: "z", Session: 1, Seq: seq, Token: token,
-		Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+func worker(seq, token uint64) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "n-1", Address: "a:1", Type: "g8", Zone: "z", Incarnation: 1, Seq: seq, FencingToken: token,
+		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 }
 
 // Guards against a dead machine that counts as kept for as long as copies of its reports come: its tasks were not started
@@ -141,7 +141,7 @@
 // What is asked is bounded: hundreds of workers come together in a cut.
 func TestKeptWorkersAreAskedAFewAtATime(t *testing.T) {
 	block := make(chan struct{})
-	k := newKept(10*time.Second, func(context.Context, string) (wire.Report, bool) { <-block; return wire.Report{}, false })
+	k := newKept(10*time.Second, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for i := range 500 {
 		rep := worker(1, 3)
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -62,12 +62,12 @@
 // A follower names the leader; a worker that has evidently lost the leader, or
 // comes while the leader does not answer us either, is helped instead.
 func (d *Handler) ServeReport(w http.ResponseWriter, r *http.Request) {
-	body, err := httpjson.ReadBody(r, tuning.MaxReport)
+	body, err := httpjson.ReadBody(r, tuning.MaxHeartbeat)
 	if err != nil {
 		httpjson.Fail(w, http.StatusBadRequest, httpjson.OneLine(err))
 		return
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := json.Unmarshal(body, &rep); err != nil {
 		httpjson.Fail(w, http.StatusBadRequest, httpjson.OneLine(fmt.Errorf("malformed report: %w", err)))
 		return
@@ -110,27 +110,27 @@
 
 // answerReport has the leader's loop answer a report; ok is false when this
 // member may not answer it.
-func (d *Handler) answerReport(ctx context.Context, rep *wire.Report) (wire.ReportAnswer, bool) {
+func (d *Handler) answerReport(ctx context.Context, rep *wire.Heartbeat) (wire.HeartbeatReply, bool) {
 	l := d.leader()
 	if l == nil {
-		return wire.ReportAnswer{}, false
+		return wire.HeartbeatReply{}, false
 	}
 	term := l.Tenure().Term
 	commands, err := l.Report(ctx, rep)
 	// The right to act is checked again now that the answer is ready.
 	if err != nil || !d.elector.Valid(term) {
-		return wire.ReportAnswer{}, false
+		return wire.HeartbeatReply{}, false
 	}
 	if commands == nil {
 		commands = []wire.Command{}
 	}
-	return wire.ReportAnswer{Token: term, Commands: commands}, true
+	return wire.HeartbeatReply{FencingToken: term, Commands: commands}, true
 }
 
 // help answers a worker that cannot reach the leader: by asking the leader
 // through the mesh, or, when that cannot be reached from here either, by
 // keeping the worker's lease without any commands. leads is false if the one that is named said that it does not lead.
-func (d *Handler) help(ctx context.Context, body []byte, rep *wire.Report, lead string) (a wire.ReportAnswer, ok, leads bool) {
+func (d *Handler) help(ctx context.Context, body []byte, rep *wire.Heartbeat, lead string) (a wire.HeartbeatReply, ok, leads bool) {
 	if !d.peers.Known(lead) {
 		return a, false, true
 	}
@@ -167,8 +167,8 @@
 // the leader is out of reach, or between two leaders. The answer bears the
 // worker's own token: it claims no right that the worker does not know. A
 // worker without tasks has nothing to lose.
-func (d *Handler) keep(ctx context.Context, rep *wire.Report) (a wire.ReportAnswer, ok bool) {
-	if rep.Token == 0 || len(rep.Tasks) == 0 || d.wanted.soon(d.clock.Now()) {
+func (d *Handler) keep(ctx context.Context, rep *wire.Heartbeat) (a wire.HeartbeatReply, ok bool) {
+	if rep.FencingToken == 0 || len(rep.Tasks) == 0 || d.wanted.soon(d.clock.Now()) {
 		return a, false
 	}
 	if !d.kept.may(ctx, rep, d.clock.Now()) {
@@ -179,7 +179,7 @@
 	if !d.zone.Answer(rep.Machine, rep.Zone) && !d.keeper.Keep(ctx, rep.Machine) {
 		return a, false
 	}
-	return wire.ReportAnswer{Token: rep.Token, Commands: []wire.Command{}}, true
+	return wire.HeartbeatReply{FencingToken: rep.FencingToken, Commands: []wire.Command{}}, true
 }
 
 // redirects tells which workers have lost the leader: one that has seen the
@@ -215,10 +215,10 @@
 	return true
 }
 
-func (r *redirects) lost(rep *wire.Report, term uint64, now time.Time) bool {
+func (r *redirects) lost(rep *wire.Heartbeat, term uint64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rep.Token >= term {
+	if rep.FencingToken >= term {
 		return true
 	}
 	_, again := r.sent.of(rep.Machine, now)
@@ -258,7 +258,7 @@
 // AnswerPeer answers a report that a follower hands on: with 421 if this member does not lead, 503 if the leader does not
 // answer that report.
 func (d *Handler) AnswerPeer(ctx context.Context, body []byte) peerrpc.Response {
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if json.Unmarshal(body, &rep) != nil || rep.Check() != nil {
 		return peerrpc.Response{Status: http.StatusBadRequest}
 	}
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -33,17 +33,17 @@
 func TestLostWorkers(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	r := newRedirects()
-	fresh := &wire.Report{Machine: "n-1", Token: 3}
+	fresh := &wire.Heartbeat{Machine: "n-1", FencingToken: 3}
 	if r.lost(fresh, 4, now) {
 		t.Error("a worker that has not met this leader is sent to it first")
 	}
 	if !r.lost(fresh, 4, now.Add(5*time.Second)) {
 		t.Error("one that comes back did not find it")
 	}
-	if r.lost(&wire.Report{Machine: "n-1", Token: 3}, 4, now.Add(5*time.Second+2*tuning.RedirectMemory)) {
+	if r.lost(&wire.Heartbeat{Machine: "n-1", FencingToken: 3}, 4, now.Add(5*time.Second+2*tuning.RedirectMemory)) {
 		t.Error("what was long ago tells nothing")
 	}
-	if !r.lost(&wire.Report{Machine: "n-2", Token: 4}, 4, now) {
+	if !r.lost(&wire.Heartbeat{Machine: "n-2", FencingToken: 4}, 4, now) {
 		t.Error("one that has seen the leader's token has lost it")
 	}
 	// A kept worker tries the leader again now and then.
@@ -69,7 +69,7 @@
 	}
 	p := those(4)
 	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, nil)
-	rep := &wire.Report{Machine: "n-1", Session: 1, Token: 3, Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.ReachMissed {
 		if p.Cut("m0") {
 			t.Error("one missed ping is no cut")
@@ -121,9 +121,9 @@
 		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
 		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), always{}, always{}, func() *leader.Loop { return nil }, nil)
-		rep := &wire.Report{Machine: "n-1", Session: 1, Seq: 1, Token: 3, Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+		rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 		a, ok, leads := d.help(t.Context(), nil, rep, "m0")
-		if ok != c.kept || leads == c.kept || ok && (a.Token != 3 || len(a.Commands) != 0) {
+		if ok != c.kept || leads == c.kept || ok && (a.FencingToken != 3 || len(a.Commands) != 0) {
 			t.Errorf("told %d: kept %v, with %+v; leads %v", c.status, ok, a, leads)
 		}
 	}
@@ -153,7 +153,7 @@
 	d.elector.Hint("m0", 3)
 	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
-	d.ServeReport(w, httptest.NewRequest(http.MethodPost, wire.PathReport, strings.NewReader(report)))
+	d.ServeReport(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
 	if w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d: %s", w.Code, w.Body)
 	}
--- a/internal/clients/cloud/cloud.go
+++ b/internal/clients/cloud/cloud.go
@@ -65,7 +65,7 @@
 
 // Rent rents machines. After any error but ErrNoCapacity the same request
 // must be repeated, since it may have been executed.
-func (c *Client) Rent(ctx context.Context, r wire.Rent) ([]string, error) {
+func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
 	var names wire.MachineNames
 	var refused wire.Error
 	status, err := c.call(ctx, http.MethodPost, wire.PathMachines, r, func(status int) any {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -222,7 +222,7 @@
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.users.ServeGet)
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.EndCancel, c.users.ServeCancel)
 	mux.HandleFunc("GET "+wire.PathHealth, c.users.ServeHealth)
-	mux.HandleFunc("POST "+wire.PathReport, c.reports.ServeReport)
+	mux.HandleFunc("POST "+wire.PathHeartbeat, c.reports.ServeReport)
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndWhy, c.users.ServeWhy)
 	if c.ledger != nil {
 		c.ledger.Routes(mux)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -181,14 +181,14 @@
 // worker is a scripted worker: the test has it report, and it obeys.
 type worker struct {
 	w     *world
-	rep   wire.Report
+	rep   wire.Heartbeat
 	start map[string]int // starts of each task that had an effect
 	saves bool           // its tasks save when they are given time to
 }
 
 func (w *world) worker(name, zone string) *worker {
-	return &worker{w: w, start: map[string]int{}, rep: wire.Report{
-		Machine: name, Address: "127.0.0.1:1", Type: "g8", Zone: zone, Session: 1,
+	return &worker{w: w, start: map[string]int{}, rep: wire.Heartbeat{
+		Machine: name, Address: "127.0.0.1:1", Type: "g8", Zone: zone, Incarnation: 1,
 	}}
 }
 
@@ -200,19 +200,19 @@
 	if err != nil {
 		k.w.t.Fatal(err)
 	}
-	resp, err := http.Post("http://"+k.w.addr+wire.PathReport, "application/json", bytes.NewReader(raw))
+	resp, err := http.Post("http://"+k.w.addr+wire.PathHeartbeat, "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0
 	}
 	defer resp.Body.Close()
-	var a wire.ReportAnswer
+	var a wire.HeartbeatReply
 	if resp.StatusCode != 200 {
 		return resp.StatusCode
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		k.w.t.Fatal(err)
 	}
-	k.rep.Token = max(k.rep.Token, a.Token)
+	k.rep.FencingToken = max(k.rep.FencingToken, a.FencingToken)
 	for _, c := range a.Commands {
 		i := -1
 		for n, t := range k.rep.Tasks {
@@ -223,9 +223,9 @@
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			k.start[c.Task]++
-			k.rep.Tasks = append(k.rep.Tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			k.rep.Tasks = append(k.rep.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		case c.Op == wire.OpStop && i >= 0 && k.rep.Tasks[i].State != wire.TaskExited:
-			k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyStopped
+			k.rep.Tasks[i].State, k.rep.Tasks[i].Reason = wire.TaskExited, wire.ExitStopped
 			k.rep.Tasks[i].Saved = k.saves && c.GraceS != nil && *c.GraceS > 0
 		case c.Op == wire.OpForget && i >= 0:
 			k.rep.Tasks = append(k.rep.Tasks[:i:i], k.rep.Tasks[i+1:]...)
@@ -247,7 +247,7 @@
 func (k *worker) finish() {
 	for i := range k.rep.Tasks {
 		if k.rep.Tasks[i].State == wire.TaskRunning {
-			k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyDone
+			k.rep.Tasks[i].State, k.rep.Tasks[i].Reason = wire.TaskExited, wire.ExitDone
 		}
 	}
 }
@@ -296,8 +296,8 @@
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
 	w.boot()
-	old := k.rep.Token
-	w.until("the new leader answers", func() bool { return k.beat() == 200 && k.rep.Token > old })
+	old := k.rep.FencingToken
+	w.until("the new leader answers", func() bool { return k.beat() == 200 && k.rep.FencingToken > old })
 	if s := w.jobState("job-1"); s != "running" && s != "pending" {
 		t.Errorf("state %q", s)
 	}
@@ -423,8 +423,8 @@
 		{"no such path", "GET", "/v3/runs", nil, 404},
 		{"wrong method", "PUT", "/v2/runs", job("job-1", 1), 405},
 		{"not an id", "GET", "/v2/runs/x", nil, 404},
-		{"malformed report", "POST", wire.PathReport, `{"stall":3}`, 400},
-		{"report without a session", "POST", wire.PathReport, `{"stall":"n-1","address":"x:1","build":"g8","yard":"a"}`, 400},
+		{"malformed report", "POST", wire.PathHeartbeat, `{"stall":3}`, 400},
+		{"report without a session", "POST", wire.PathHeartbeat, `{"stall":"n-1","address":"x:1","build":"g8","yard":"a"}`, 400},
 	} {
 		w.until("there is a leader", func() bool { return w.c.leader() != nil })
 		if status, out := w.call(c.method, c.path, c.body); status != c.want {
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -160,9 +160,9 @@
 	}{
 		{"drained", true, func(k *worker) { k.rep.NoticeS = &notice }},
 		{"drained", false, func(k *worker) { k.rep.NoticeS = &notice }},
-		{"lost", false, func(k *worker) { k.rep.Session++; k.rep.Seq, k.rep.Tasks, k.rep.NoticeS = 0, nil, &notice }},
+		{"lost", false, func(k *worker) { k.rep.Incarnation++; k.rep.Seq, k.rep.Tasks, k.rep.NoticeS = 0, nil, &notice }},
 		{"failed", false, func(k *worker) {
-			k.rep.Tasks[0].State, k.rep.Tasks[0].Why = wire.TaskExited, wire.WhyError
+			k.rep.Tasks[0].State, k.rep.Tasks[0].Reason = wire.TaskExited, wire.ExitError
 			k.rep.NoticeS = &notice
 		}},
 		{"done", false, func(k *worker) { k.finish() }},
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -26,7 +26,7 @@
 	finish := func(job string) {
 		for i := range k.rep.Tasks {
 			if fakes.JobOf(k.rep.Tasks[i].Task) == job {
-				k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyDone
+				k.rep.Tasks[i].State, k.rep.Tasks[i].Reason = wire.TaskExited, wire.ExitDone
 			}
 		}
 		k.beat()
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -47,7 +47,7 @@
 }
 
 // show asks a worker for its report.
-func (c *Controller) show(ctx context.Context, addr string) (rep wire.Report, ok bool) {
+func (c *Controller) show(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool) {
 	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathShow, nil, httpjson.On(&rep))
 	return rep, err == nil && status == http.StatusOK && rep.Check() == nil
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -146,7 +146,7 @@
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Place.Job.ID
 	w, ok := g.byJob[id]
-	if !ok || !w.current() || o.Why != wire.WhyError || o.Place.Job.Cancelled() {
+	if !ok || !w.current() || o.Why != wire.ExitError || o.Place.Job.Cancelled() {
 		return
 	}
 	w.run.ended(w.at, now, dag.Failed)
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -28,10 +28,10 @@
 	if len(w.live()) != 1 {
 		t.Fatalf("submitted are %v", w.live())
 	}
-	w.end(w.place(w.live()[0]), wire.WhyDone)
+	w.end(w.place(w.live()[0]), wire.ExitDone)
 	w.settle()
 	id := w.live()[0]
-	w.end(w.place(id), wire.WhyError)
+	w.end(w.place(id), wire.ExitError)
 	w.settle()
 	// It rests before its next try, while the last step waits; a new leader knows that.
 	w.lead()
@@ -39,9 +39,9 @@
 		t.Fatalf("does not rest: %v", w.live())
 	}
 	w.clock.Advance(time.Minute)
-	w.end(w.place(id), wire.WhyDone)
+	w.end(w.place(id), wire.ExitDone)
 	w.settle()
-	w.end(w.place(w.live()[0]), wire.WhyDone)
+	w.end(w.place(w.live()[0]), wire.ExitDone)
 	w.settle()
 	if r := w.run(p, "one"); r.RunState() != dag.RunSuccess || len(w.live()) != 0 || len(w.graphs.runs) != 0 {
 		t.Errorf("the run is %v, %d runs are live", r.RunState(), len(w.graphs.runs))
@@ -62,7 +62,7 @@
 	ids := w.live()
 	for _, id := range ids {
 		if pl := w.place(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.Ref{}) {
-			w.end(pl, wire.WhyError)
+			w.end(pl, wire.ExitError)
 		}
 	}
 	w.settle()
@@ -71,7 +71,7 @@
 	for _, id := range w.live() {
 		for i := range w.book.Jobs[id].Tasks {
 			if pl := w.book.Jobs[id].Tasks[i].Place; pl != nil {
-				w.end(pl, wire.WhyStopped)
+				w.end(pl, wire.ExitStopped)
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 						}
 					}
 					if pl != nil {
-						w.end(pl, rapid.SampledFrom([]wire.Why{wire.WhyDone, wire.WhyError, wire.WhyStopped}).Draw(rt, "why"))
+						w.end(pl, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"))
 						break
 					}
 				}
@@ -187,7 +187,7 @@
 					pl = w.book.Jobs[id].Tasks[0].Place
 				}
 				if pl != nil {
-					w.end(pl, wire.WhyDone)
+					w.end(pl, wire.ExitDone)
 				}
 			}
 		}
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -89,7 +89,7 @@
 	if got := w.live(); len(got) != 1 {
 		t.Fatalf("submitted are %v", got)
 	}
-	w.end(w.place(first), wire.WhyError) // its only try
+	w.end(w.place(first), wire.ExitError) // its only try
 	w.settle()
 	w.lead()
 	w.settle()
@@ -126,7 +126,7 @@
 	if j := w.book.Jobs[old]; !j.Cancelled() {
 		t.Error("the old job goes on")
 	}
-	w.end(w.book.Jobs[old].Tasks[0].Place, wire.WhyStopped)
+	w.end(w.book.Jobs[old].Tasks[0].Place, wire.ExitStopped)
 	w.settle()
 	if r := w.run(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
 		t.Errorf("the old job's end changed the step: %v", counts(r))
@@ -443,7 +443,7 @@
 	}
 	// Each end has one more step submitted, of whichever run stands first in line.
 	for round := range 20 {
-		w.end(w.place(w.live()[round]), wire.WhyDone)
+		w.end(w.place(w.live()[round]), wire.ExitDone)
 		w.settle()
 		if n := len(w.graphs.byJob); n != 128 {
 			t.Fatalf("round %d: %d steps are submitted", round, n)
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -194,12 +194,12 @@
 }
 
 // end ends a task's attempt.
-func (w *world) end(p *jobs.Place, why wire.Why) {
+func (w *world) end(p *jobs.Place, why wire.ExitReason) {
 	if p.Removed {
 		return
 	}
 	w.graphs.Ended(machines.Outcome{Place: p, Why: why}, w.clock.Now())
-	if why == wire.WhyDone {
+	if why == wire.ExitDone {
 		w.ends[p.Job.ID]++
 		w.book.Finished(p, w.clock.Now())
 		return
@@ -215,7 +215,7 @@
 			pl = j.Tasks[0].Place
 		}
 		if pl != nil {
-			w.end(pl, wire.WhyDone)
+			w.end(pl, wire.ExitDone)
 		}
 	}
 	w.settle()
--- a/internal/platform/tuning/tuning.go
+++ b/internal/platform/tuning/tuning.go
@@ -111,9 +111,9 @@
 	AnswerTimeout = 15 * time.Second
 	// MaxHeader is the largest request head in bytes.
 	MaxHeader = 16 << 10
-	// MaxReport is the largest report of a worker in bytes: the protocol
+	// MaxHeartbeat is the largest report of a worker in bytes: the protocol
 	// bounds a request body, reports included.
-	MaxReport = 64 << 10
+	MaxHeartbeat = 64 << 10
 	// CancelWait is how long a cancellation may wait to be stored: a user waits 5 s.
 	// It fits a few tries of one transaction; after that the user is told to ask again.
 	CancelWait = 1500 * time.Millisecond
--- a/internal/platform/wire/cloud.go
+++ b/internal/platform/wire/cloud.go
@@ -43,8 +43,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// Rent asks for machines.
-type Rent struct {
+// RentRequest asks for machines.
+type RentRequest struct {
 	Request string `json:"booking"`
 	Type    string `json:"build"`
 	Zone    string `json:"yard"`
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -8,9 +8,9 @@
 
 // Paths between workers and controllers.
 const (
-	PathReport   = "/agent/beat"
-	PathCommands = "/do"
-	PathShow     = "/show"
+	PathHeartbeat = "/agent/beat"
+	PathCommands  = "/do"
+	PathShow      = "/show"
 )
 
 // TaskState is the state of a task on its machine.
@@ -24,17 +24,17 @@
 	TaskExited   TaskState = "exited"
 )
 
-// Why tells how a task came to its end.
-type Why string
+// ExitReason tells how a task came to its end.
+type ExitReason string
 
 // The ends of a task.
 const (
-	WhyDone    Why = "done"
-	WhyStopped Why = "stopped"
-	WhyError   Why = "error"
-	WhyNoRoom  Why = "full"
-	WhyBusy    Why = "busy"
-	WhyUnknown Why = "unknown"
+	ExitDone    ExitReason = "done"
+	ExitStopped ExitReason = "stopped"
+	ExitError   ExitReason = "error"
+	ExitNoRoom  ExitReason = "full"
+	ExitBusy    ExitReason = "busy"
+	ExitUnknown ExitReason = "unknown"
 )
 
 // Op is what a command asks of a worker.
@@ -47,26 +47,26 @@
 	OpForget Op = "forget"
 )
 
-// Report is what a worker tells about itself.
-type Report struct {
-	Machine string       `json:"stall"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"standby"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"punch"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"warning_s"`
-	Tasks   []TaskReport `json:"seats"`
+// Heartbeat is what a worker tells about itself.
+type Heartbeat struct {
+	Machine      string       `json:"stall"`
+	Address      string       `json:"address"`
+	Type         string       `json:"build"`
+	Zone         string       `json:"yard"`
+	Spot         bool         `json:"standby"`
+	Incarnation  uint64       `json:"shift"`
+	Seq          uint64       `json:"punch"`
+	FencingToken uint64       `json:"baton"`
+	NoticeS      *float64     `json:"warning_s"`
+	Tasks        []TaskStatus `json:"seats"`
 }
 
 // Check says what is malformed in a report.
-func (r *Report) Check() error {
+func (r *Heartbeat) Check() error {
 	if r.Machine == "" || r.Address == "" || r.Type == "" || r.Zone == "" {
 		return errors.New("a report lacks its machine, address, type or zone")
 	}
-	if r.Session == 0 {
+	if r.Incarnation == 0 {
 		return errors.New("a report lacks its session")
 	}
 	type attempt struct {
@@ -88,17 +88,17 @@
 }
 
 // Newer tells whether the report is newer than a message with a session and seq of the same worker's life.
-func (r *Report) Newer(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+func (r *Heartbeat) Newer(session, seq uint64) bool {
+	return r.Incarnation > session || r.Incarnation == session && r.Seq > seq
 }
 
-// TaskReport is one task of a report.
-type TaskReport struct {
-	Task    string    `json:"seat"`
-	Attempt uint64    `json:"boarding"`
-	State   TaskState `json:"status"`
-	Why     Why       `json:"cause,omitempty"`
-	Saved   bool      `json:"kept,omitempty"`
+// TaskStatus is one task of a report.
+type TaskStatus struct {
+	Task    string     `json:"seat"`
+	Attempt uint64     `json:"boarding"`
+	State   TaskState  `json:"status"`
+	Reason  ExitReason `json:"cause,omitempty"`
+	Saved   bool       `json:"kept,omitempty"`
 }
 
 // Command is one thing that a worker shall do.
@@ -109,10 +109,10 @@
 	GraceS  *float64 `json:"boarding_s,omitempty"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"calls"`
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"calls"`
 }
 
 // Redirect sends a worker to the controller that leads.
@@ -122,9 +122,9 @@
 
 // DirectCommands is a request to a worker.
 type DirectCommands struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift"`
-	Commands []Command `json:"calls"`
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"`
+	Commands     []Command `json:"calls"`
 }
 
 // TaskID names one task of a job.
--- a/internal/platform/wire/worker_test.go
+++ b/internal/platform/wire/worker_test.go
@@ -25,7 +25,7 @@
 		{`}],"news"`, `},{"seat":"job-1/0","boarding":1,"status":"exited","cause":"done"}],"news"`, true},
 		{`"status":"running"`, `"status":"exited"`, false}, // it ended, and did not complete
 	} {
-		var r Report
+		var r Heartbeat
 		err := json.Unmarshal([]byte(strings.Replace(good, c.from, c.to, 1)), &r)
 		if err == nil {
 			err = r.Check()
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -43,7 +43,7 @@
 	l.ended = t.Context()
 	l.loaded = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
-		if _, err := l.roster.Report(&wire.Report{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Session: 1, Seq: 1, Token: 1},
+		if _, err := l.roster.Report(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
 			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 	delete(l.roster.Machines, "n-small")
 	for i := range n {
 		name := fmt.Sprintf("n-%03d", i)
-		if _, err := l.roster.Report(&wire.Report{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1},
+		if _, err := l.roster.Report(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
 			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -33,7 +33,7 @@
 }
 
 type cutWorker struct {
-	rep   wire.Report
+	rep   wire.Heartbeat
 	seen  time.Time // when its last answered report was sent
 	hangs bool
 	died  time.Time // when its lease ended; zero: it lives
@@ -53,9 +53,9 @@
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		w.boot(zone)
-		w.workers[zone] = &cutWorker{seen: w.clock.Now(), rep: wire.Report{
-			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Session: 1, Seq: 1, Token: 1,
-			Tasks: []wire.TaskReport{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
+		w.workers[zone] = &cutWorker{seen: w.clock.Now(), rep: wire.Heartbeat{
+			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1,
+			Tasks: []wire.TaskStatus{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
 		}}
 	}
 	j := w.l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -15,7 +15,7 @@
 )
 
 // ends has a replica of a job fail or be refused on a machine.
-func (l *Loop) ends(p *jobs.Place, why wire.Why) {
+func (l *Loop) ends(p *jobs.Place, why wire.ExitReason) {
 	l.settle([]machines.Outcome{{Place: p, Why: why}}, l.env.Clock.Now())
 }
 
@@ -26,7 +26,7 @@
 		if l.roster.Machines["n-large"].Bad {
 			t.Fatalf("bad after %d jobs", i)
 		}
-		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.WhyError)
+		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
 		again := l.runs(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.WorksAfter)
 		l.items(clock.Now())
@@ -39,7 +39,7 @@
 	}
 	m := l.roster.Machines["n-small"]
 	m.NoteError("job-8")
-	l.ends(l.runs(t, "job-9", "n-small", 1), wire.WhyDone)
+	l.ends(l.runs(t, "job-9", "n-small", 1), wire.ExitDone)
 	if m.NoteError("job-10"); m.Bad {
 		t.Error("a machine on which tasks complete is held to be faulty")
 	}
@@ -59,11 +59,11 @@
 		for range 8 {
 			pause := j.PauseUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
-				l.ends(p, wire.WhyError)
+				l.ends(p, wire.ExitError)
 				p = l.book.Place(j, 0, m, "a", 1, clock.Now())
 				l.roster.Add(p, clock.Now())
 			}
-			l.ends(p, wire.WhyError)
+			l.ends(p, wire.ExitError)
 			next := j.PauseUntil.Sub(clock.Now())
 			if next < pause || next > tuning.ErrorPauseMax {
 				t.Fatalf("pause %v after %v", next, pause)
@@ -76,7 +76,7 @@
 			p = l.book.Place(j, 0, "n-large", "a", 1, clock.Now())
 			l.roster.Add(p, clock.Now())
 		}
-		l.ends(p, wire.WhyError)
+		l.ends(p, wire.ExitError)
 		if j.Tries != 9 || j.PauseUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
 			t.Errorf("%d tries, and a pause of %v", j.Tries, j.PauseUntil.Sub(clock.Now()))
 		}
@@ -102,12 +102,12 @@
 	l, clock := leaderWith(t)
 	now := clock.Now()
 	full := l.runs(t, "job-1", "n-small", 1)
-	l.ends(full, wire.WhyNoRoom)
+	l.ends(full, wire.ExitNoRoom)
 	if full.Job.Waiting() != 1 || !l.roster.Machines["n-small"].NoRoom.After(now) {
 		t.Error("a machine that refused for room is asked again at once")
 	}
 	unknown := l.runs(t, "job-2", "n-large", 1)
-	l.ends(unknown, wire.WhyUnknown)
+	l.ends(unknown, wire.ExitUnknown)
 	if unknown.Job.Waiting() != 1 || !unknown.Job.PauseUntil.After(now) {
 		t.Error("a job whose description is not there yet is started again at once")
 	}
@@ -140,7 +140,7 @@
 func TestAMachineIsNotAvoidedForEver(t *testing.T) {
 	l, clock := leaderWith(t)
 	p := l.runs(t, "job-1", "n-large", 1)
-	l.ends(p, wire.WhyError)
+	l.ends(p, wire.ExitError)
 	avoids := func() bool {
 		l.book.Jobs["job-1"].PauseUntil = time.Time{}
 		items, _ := l.items(clock.Now())
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -34,7 +34,7 @@
 	}
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
 	for i := range 2 * n {
-		rep := wire.Report{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Session: 1, Seq: 1, Token: 1}
+		rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
 		if _, err := l.roster.Report(&rep, false, clock.Now(), nil); err != nil {
 			t.Fatal(err)
 		}
@@ -189,13 +189,13 @@
 	if j.Open() || j.Tasks[0].Place.Stop == nil || j.Tasks[1].Place.Stop == nil {
 		t.Error("its tasks are not to stop")
 	}
-	rep := wire.Report{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 2, Token: 1,
-		Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+	rep := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
+		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	stops, err := l.take(&rep, false)
 	if err != nil || len(stops) != 1 || stops[0].Op != wire.OpStop {
 		t.Fatalf("commands %v, %v", stops, err)
 	}
-	rep.Seq, rep.Tasks[0].State, rep.Tasks[0].Why = 3, wire.TaskExited, wire.WhyStopped
+	rep.Seq, rep.Tasks[0].State, rep.Tasks[0].Reason = 3, wire.TaskExited, wire.ExitStopped
 	if _, err := l.take(&rep, false); err != nil {
 		t.Fatal(err)
 	}
@@ -234,7 +234,7 @@
 	}
 	pass(time.Second)
 	l.env.Valid = func(uint64) bool { return true }
-	l.send("n-0", "127.0.0.1:1", &wire.DirectCommands{Session: 1}) // nobody is there
+	l.send("n-0", "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1}) // nobody is there
 	for len(l.inbox) > 0 {
 		(<-l.inbox)()
 	}
@@ -242,7 +242,7 @@
 		t.Errorf("open after a command without an answer: %s", got)
 	}
 	pass(time.Second)
-	if _, err := l.take(&wire.Report{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 2, Token: 1}, false); err != nil {
+	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}, false); err != nil {
 		t.Fatal(err)
 	}
 	if got := open(); got != "[n-0 n-1]" {
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -264,7 +264,7 @@
 // rental asks for machines until it has a definite answer: a request without
 // one may have been executed, and the same name gives the same machines.
 func (l *Loop) rental(name string, w autoscale.Want) {
-	req := wire.Rent{Request: name, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count}
+	req := wire.RentRequest{Request: name, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count}
 	for l.mayCall() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -15,12 +15,12 @@
 		l, clock := leaderWith(t)
 		now := clock.Now()
 		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: held + 1, CPUs: 0.1, MemoryGB: 0.1})
-		rep := &wire.Report{Machine: "n-large", Address: "127.0.0.1:1", Type: "large", Zone: "a", Session: 1, Seq: 2, Token: 1}
+		rep := &wire.Heartbeat{Machine: "n-large", Address: "127.0.0.1:1", Type: "large", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}
 		for i := range held {
 			p := l.book.Place(j, i, "n-large", "a", 1, now)
 			p.Committed = true
 			l.roster.Add(p, now)
-			rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: p.Task().String(), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
+			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone})
 		}
 		for w := l.book.Take(now, jobs.Budget{}); w != nil; w = l.book.Take(now, jobs.Budget{}) {
 			l.book.Written(w, 1)
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -14,17 +14,17 @@
 
 // atScale makes a leader with 400 full machines that run the tasks of 260
 // services and arrays, while 40 large arrays wait.
-func atScale(t testing.TB) (*Loop, []*wire.Report) {
+func atScale(t testing.TB) (*Loop, []*wire.Heartbeat) {
 	l, clock := leaderWith(t)
 	now := clock.Now()
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
 	l.writing = true // nothing is stored: that is another's work
 	l.fleet.next = now.Add(time.Hour)
 	clear(l.roster.Machines)
-	var reports []*wire.Report
+	var reports []*wire.Heartbeat
 	for i := range 400 {
-		reports = append(reports, &wire.Report{
-			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Session: 1, Seq: 1, Token: 1,
+		reports = append(reports, &wire.Heartbeat{
+			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1, FencingToken: 1,
 		})
 		if _, err := l.roster.Report(reports[i], false, now, func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
@@ -41,7 +41,7 @@
 			p := l.book.Place(j, k, rep.Machine, "a", 1, now)
 			p.Committed, p.State, p.Running = true, wire.TaskRunning, now
 			l.roster.Add(p, now)
-			rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
+			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
 			next++
 		}
 	}
@@ -128,7 +128,7 @@
 			}
 			l.rented(name, w, names)
 			for _, m := range names {
-				rep := wire.Report{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Session: 1, Seq: 1}
+				rep := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
 				if _, err := l.roster.Report(&rep, false, clock.Now(), nil); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -17,8 +17,8 @@
 	now := clock.Now()
 	clear(l.roster.Machines)
 	for i := range 4 {
-		if _, err := l.roster.Report(&wire.Report{
-			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Session: 1, Seq: 1,
+		if _, err := l.roster.Report(&wire.Heartbeat{
+			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1,
 		}, false, now, func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -36,7 +36,7 @@
 			p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
 			l.roster.Add(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]machines.Outcome{{Place: p, Why: wire.WhyDone, Idle: clock.Now().Add(-late)}}, clock.Now())
+			l.settle([]machines.Outcome{{Place: p, Why: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -79,8 +79,8 @@
 }
 
 // command sends a machine commands and gives the report that it answers with, carried out or not.
-func (l *Loop) command(ctx context.Context, name, addr string, req *wire.DirectCommands) (*wire.Report, error) {
-	var rep wire.Report
+func (l *Loop) command(ctx context.Context, name, addr string, req *wire.DirectCommands) (*wire.Heartbeat, error) {
+	var rep wire.Heartbeat
 	answers := func(status int) bool { return status == http.StatusOK || status == http.StatusConflict }
 	status, err := httpjson.Call(ctx, l.env.Workers, http.MethodPost, "http://"+addr+wire.PathCommands, req, func(status int) any {
 		if answers(status) {
@@ -100,7 +100,7 @@
 }
 
 // Report takes a worker's report and gives the commands for the answer.
-func (l *Loop) Report(ctx context.Context, rep *wire.Report) ([]wire.Command, error) {
+func (l *Loop) Report(ctx context.Context, rep *wire.Heartbeat) ([]wire.Command, error) {
 	type result struct {
 		commands []wire.Command
 		err      error
@@ -117,7 +117,7 @@
 	return r.commands, r.err
 }
 
-func (l *Loop) take(rep *wire.Report, direct bool) ([]wire.Command, error) {
+func (l *Loop) take(rep *wire.Heartbeat, direct bool) ([]wire.Command, error) {
 	now := l.env.Clock.Now()
 	if !l.loaded {
 		// Nothing can be concluded yet, but the lease can be kept: what the
@@ -181,25 +181,25 @@
 		l.roster.Remove(p, now)
 		l.changed = true
 		m := l.roster.Machines[p.Machine]
-		if o.Why == wire.WhyDone {
+		if o.Why == wire.ExitDone {
 			l.book.Finished(p, now)
 			l.completed(p, m, o.Idle, now)
 			continue
 		}
 		l.book.Gone(p, now)
 		switch o.Why {
-		case wire.WhyError:
+		case wire.ExitError:
 			l.failed(p, now)
-		case wire.WhyNoRoom:
+		case wire.ExitNoRoom:
 			// Something that we do not see takes room there; ask again later.
 			if m != nil {
 				m.NoRoom = now.Add(tuning.NoRoomPause)
 			}
-		case wire.WhyUnknown:
+		case wire.ExitUnknown:
 			// The job's description is not there (yet).
 			p.Job.PauseUntil = now.Add(tuning.ErrorPause)
 		}
-		if o.Why != wire.WhyStopped {
+		if o.Why != wire.ExitStopped {
 			l.log.Debug("task ended", "task", p.Task().String(), "machine", p.Machine, "why", o.Why)
 		}
 	}
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -43,7 +43,7 @@
 func (w *ways) unheard(machine string) { w.unmet[machine] = true }
 
 // setAside counts a report that changes nothing.
-func (l *Loop) setAside(rep *wire.Report, err error) {
+func (l *Loop) setAside(rep *wire.Heartbeat, err error) {
 	why := "older"
 	switch {
 	case errors.Is(err, machines.ErrReturned):
@@ -52,7 +52,7 @@
 		why = "contradicts"
 	}
 	l.env.observe(func(o Observer) { o.Aside(why) })
-	l.log.Debug("report set aside", "machine", rep.Machine, "why", why, "session", rep.Session, "seq", rep.Seq)
+	l.log.Debug("report set aside", "machine", rep.Machine, "why", why, "session", rep.Incarnation, "seq", rep.Seq)
 }
 
 // outOfReach tells whether no command is likely to get to a machine now.
@@ -141,7 +141,7 @@
 }
 
 // asked takes in how a question to a machine ended: its report, or why there is none.
-func (l *Loop) asked(name string, mark machines.Mark, rep *wire.Report, err error) {
+func (l *Loop) asked(name string, mark machines.Mark, rep *wire.Heartbeat, err error) {
 	l.ways.onWay--
 	m, now := l.roster.Machines[name], l.env.Clock.Now()
 	if m == nil {
@@ -173,7 +173,7 @@
 		}
 		return
 	case machines.Anew:
-		l.log.Info("machine was started anew", "machine", name, "session", rep.Session, "tasks", len(m.Places))
+		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Places))
 		l.settle(l.roster.Begin(m, rep, now), now)
 		l.changed = true
 		return
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -10,22 +10,22 @@
 )
 
 // fleetHeard makes a leader with n machines that hear it, each with a task.
-func fleetHeard(t testing.TB, n int) (*Loop, []*wire.Report) {
+func fleetHeard(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
 	l, clock := leaderWith(t)
 	clear(l.roster.Machines)
 	l.env.Valid = func(uint64) bool { return true }
 	l.env.Settings.Cluster.Workers.ReportS = 10
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, MemoryGB: 1})
-	reports := make([]*wire.Report, n)
+	reports := make([]*wire.Heartbeat, n)
 	for i := range reports {
-		rep := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}
+		rep := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
 		if _, err := l.roster.Report(rep, false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 		p := l.book.Place(j, i, rep.Machine, "a", 1, clock.Now())
 		p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
 		l.roster.Add(p, clock.Now())
-		rep.Tasks = []wire.TaskReport{{Task: p.Task().String(), Attempt: 1, State: wire.TaskRunning}}
+		rep.Tasks = []wire.TaskStatus{{Task: p.Task().String(), Attempt: 1, State: wire.TaskRunning}}
 		reports[i] = rep
 	}
 	return l, reports
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -17,7 +17,7 @@
 )
 
 // answering has a worker that answers direct commands as fn says; nil: it does not answer.
-func answering(t *testing.T, fn func(wire.DirectCommands) *wire.Report) string {
+func answering(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req wire.DirectCommands
 		if json.NewDecoder(r.Body).Decode(&req) != nil || req.Commands == nil {
@@ -29,7 +29,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if req.Session != rep.Session {
+		if req.Incarnation != rep.Incarnation {
 			w.WriteHeader(http.StatusConflict)
 		}
 		_ = json.NewEncoder(w).Encode(rep)
@@ -52,15 +52,15 @@
 }
 
 // heardBy makes a leader in the middle of its tenure and a machine at an address that reported to it.
-func heardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, rep *wire.Report, pass func(time.Duration)) {
+func heardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, rep *wire.Heartbeat, pass func(time.Duration)) {
 	l, pass = twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
-	rep = &wire.Report{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Session: 1, Seq: 1, Token: 1}
+	rep = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
 	l.takes(t, rep)
 	return l, l.roster.Machines["n-9"], rep, pass
 }
 
-func (l *Loop) takes(t *testing.T, rep *wire.Report) []wire.Command {
+func (l *Loop) takes(t *testing.T, rep *wire.Heartbeat) []wire.Command {
 	t.Helper()
 	c := *rep
 	commands, err := l.take(&c, false)
@@ -83,8 +83,8 @@
 // session, since no answer or command gets to it.
 func TestAMachineThatDoesNotHearUsGetsNothing(t *testing.T) {
 	hears := false
-	var rep *wire.Report
-	addr := answering(t, func(wire.DirectCommands) *wire.Report {
+	var rep *wire.Heartbeat
+	addr := answering(t, func(wire.DirectCommands) *wire.Heartbeat {
 		if !hears {
 			return nil
 		}
@@ -115,7 +115,7 @@
 	tries := p.Job.Tries
 	// Its session ends since no answer reached it: the task is proven gone, and wanted elsewhere.
 	pass(time.Second)
-	rep.Session, rep.Seq = 2, rep.Seq+1
+	rep.Incarnation, rep.Seq = 2, rep.Seq+1
 	l.takes(t, rep)
 	if !p.Removed || p.Job.Tries != tries {
 		t.Errorf("gone %v, tries %d", p.Removed, p.Job.Tries)
@@ -136,8 +136,8 @@
 
 // A slow answer is none that is lost: the machine answers the question.
 func TestAMachineThatAnswersIsNotDeaf(t *testing.T) {
-	var rep *wire.Report
-	l, _, r, pass := heardBy(t, answering(t, func(wire.DirectCommands) *wire.Report { rep.Seq++; return rep }))
+	var rep *wire.Heartbeat
+	l, _, r, pass := heardBy(t, answering(t, func(wire.DirectCommands) *wire.Heartbeat { rep.Seq++; return rep }))
 	rep = r
 	l.runs(t, "job-9", "n-9", 1).State = ""
 	for range 8 {
@@ -160,9 +160,9 @@
 		pass(time.Second)
 		seq++
 		for i := range 12 {
-			rep := &wire.Report{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/6], Session: 1, Seq: seq, Token: 1}
+			rep := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/6], Incarnation: 1, Seq: seq, FencingToken: 1}
 			if i < 6 { // zone a shows what it was told
-				rep.Tasks = []wire.TaskReport{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}
+				rep.Tasks = []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}
 			}
 			l.takes(t, rep)
 		}
@@ -193,25 +193,25 @@
 	p := j.Tasks[0].Place
 	l.roster.Inherit(p, l.env.Clock.Now())
 	m := l.roster.Machines["n-0"]
-	m.Listed = answering(t, func(req wire.DirectCommands) *wire.Report {
+	m.Listed = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
 		asked = req
-		return &wire.Report{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Session: 1, Seq: 7, Token: 2,
-			Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone}}}
+		return &wire.Heartbeat{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Incarnation: 1, Seq: 7, FencingToken: 2,
+			Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone}}}
 	})
 	l.asks()
-	if asked.Token != 0 {
+	if asked.FencingToken != 0 {
 		t.Fatal("asked before it could have reported")
 	}
 	pass(l.askAfter() + time.Second)
 	l.asks()
-	if asked.Token != 2 || asked.Session != 1 || len(asked.Commands) != 0 {
+	if asked.FencingToken != 2 || asked.Incarnation != 1 || len(asked.Commands) != 0 {
 		t.Errorf("asked %+v", asked)
 	}
 	if !p.Removed || j.Done != 1 {
 		t.Error("the end of its task is not seen")
 	}
 	// A copy of an earlier report is none the newer for that.
-	if _, err := l.take(&wire.Report{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Session: 1, Seq: 6, Token: 1}, false); !errors.Is(err, machines.ErrStale) {
+	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
 		t.Errorf("a copy after a direct answer: %v", err)
 	}
 }
@@ -231,11 +231,11 @@
 		{"a start may still arrive", 1, 2, false, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rep := &wire.Report{}
-			l, m, first, pass := heardBy(t, answering(t, func(req wire.DirectCommands) *wire.Report {
+			rep := &wire.Heartbeat{}
+			l, m, first, pass := heardBy(t, answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
 				rep.Seq++
-				if req.Session == rep.Session {
-					rep.Token = max(rep.Token, req.Token)
+				if req.Incarnation == rep.Incarnation {
+					rep.FencingToken = max(rep.FencingToken, req.FencingToken)
 				}
 				return rep
 			}))
@@ -253,17 +253,17 @@
 				m.Listed = first.Address
 			} else {
 				older := *first
-				older.Session, older.Seq = 3, 50
-				older.Tasks = []wire.TaskReport{{Task: "job-9/0", Attempt: p.Attempt, State: wire.TaskRunning}}
+				older.Incarnation, older.Seq = 3, 50
+				older.Tasks = []wire.TaskStatus{{Task: "job-9/0", Attempt: p.Attempt, State: wire.TaskRunning}}
 				l.takes(t, &older)
 			}
 			if c.openStart {
 				l.roster.Direct("n-9", []*jobs.Place{p})
 			}
 			*rep = *first
-			rep.Session, rep.Seq, rep.Token = c.session, c.seq, 0
+			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
 			pass(tuning.AnswerLife)
-			if _, err := l.take(&wire.Report{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Session: rep.Session, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
+			if _, err := l.take(&wire.Heartbeat{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Incarnation: rep.Incarnation, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("taken before it is known what it is: %v", err)
 			}
 			l.asks()
@@ -292,10 +292,10 @@
 		for s := range 20 {
 			pass(time.Second)
 			for i := range 8 {
-				l.takes(t, &wire.Report{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Session: 1, Seq: uint64(s + 2), Token: 1,
-					Tasks: []wire.TaskReport{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
+				l.takes(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(s + 2), FencingToken: 1,
+					Tasks: []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
 				if i < tuning.UnheardMachines {
-					l.send(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Session: 1})
+					l.send(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
 				}
 			}
 			for len(l.inbox) > 0 {
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -28,7 +28,7 @@
 	if addr == "" || session == 0 || m.Returning {
 		return "", nil, mark, false
 	}
-	return addr, &wire.DirectCommands{Token: r.term, Session: session, Commands: []wire.Command{}}, Mark{m.Session, m.seq, now}, true
+	return addr, &wire.DirectCommands{FencingToken: r.term, Incarnation: session, Commands: []wire.Command{}}, Mark{m.Session, m.seq, now}, true
 }
 
 // Open takes in that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a life of the
@@ -58,7 +58,7 @@
 // Restarted judges an answer to a question. A worker drops answers after 4 s. Within that of the last report that we took, an
 // answer with a start may be on its way to the new life: its first report may have been taken for one of the former
 // life, and a copy of a later one of that for its next.
-func (r *Roster) Restarted(m *Machine, mark Mark, rep *wire.Report) Restart {
+func (r *Roster) Restarted(m *Machine, mark Mark, rep *wire.Heartbeat) Restart {
 	switch {
 	case rep.Newer(mark.Session, mark.Seq):
 		return SameLife
@@ -66,8 +66,8 @@
 		return AskLater
 	case len(m.sent) > 0:
 		return GiveUp
-	case rep.Token < r.term:
-		m.life = rep.Session
+	case rep.FencingToken < r.term:
+		m.life = rep.Incarnation
 		return AskAgain
 	}
 	return Anew
@@ -77,7 +77,7 @@
 // its former life is gone. The worker lists all that is on its machine; older leaders' commands are refused by their
 // tokens; answers to reports of the former life reach nobody, and none to one of the new life is on its way (Restarted); and no direct start of ours is open. Without this a
 // machine that was back at once was shut out as a copy until its new life had sent as many reports as the former one.
-func (r *Roster) Begin(m *Machine, rep *wire.Report, now time.Time) []Outcome {
+func (r *Roster) Begin(m *Machine, rep *wire.Heartbeat, now time.Time) []Outcome {
 	var a Answer
 	there := map[Key]bool{}
 	for i := range rep.Tasks {
@@ -87,7 +87,7 @@
 	}
 	for k, p := range m.Places {
 		if !there[k] {
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.WhyStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
 		}
 	}
 	clear(m.strays)
@@ -95,7 +95,7 @@
 	if m.former.Session < m.Session || m.former.Session == m.Session && m.former.Seq < m.seq {
 		m.former = Mark{Session: m.Session, Seq: m.seq}
 	}
-	m.Session, m.seq, m.Token, m.Dead, m.life = rep.Session, rep.Seq, rep.Token, rep.Session-1, 0
+	m.Session, m.seq, m.Token, m.Dead, m.life = rep.Incarnation, rep.Seq, rep.FencingToken, rep.Incarnation-1, 0
 	m.Doubt, m.told, m.Notice = false, told{}, time.Time{}
 	m.LeaseEnd = now.Add(r.lease) // nobody of ours had answered this life before
 	m.Reach.Proved(now)
--- a/internal/scheduler/machines/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-func noticed(rep *wire.Report, s float64) *wire.Report {
+func noticed(rep *wire.Heartbeat, s float64) *wire.Heartbeat {
 	rep.NoticeS = &s
 	return rep
 }
@@ -29,7 +29,7 @@
 	}
 	f.report(noticed(report(1, 10, term), 25), 2*time.Second, no)
 	before := f.Machines["n-1"].Notice
-	for _, late := range []*wire.Report{report(1, 8, term), noticed(report(1, 10, term), 3)} {
+	for _, late := range []*wire.Heartbeat{report(1, 8, term), noticed(report(1, 10, term), 3)} {
 		if _, err := f.Report(late, false, t0.Add(3*time.Second), no); !errors.Is(err, ErrStale) {
 			t.Errorf("a copy: %v", err)
 		}
@@ -66,9 +66,9 @@
 func TestAReportThatContradictsIsSetAside(t *testing.T) {
 	f := newFixture(t)
 	f.report(report(1, 5, term), 0, no)
-	for _, change := range []func(*wire.Report){
-		func(r *wire.Report) { r.Address = "10.0.0.1:9" }, func(r *wire.Report) { r.Type = "g9" },
-		func(r *wire.Report) { r.Zone = "b" }, func(r *wire.Report) { r.Spot = true },
+	for _, change := range []func(*wire.Heartbeat){
+		func(r *wire.Heartbeat) { r.Address = "10.0.0.1:9" }, func(r *wire.Heartbeat) { r.Type = "g9" },
+		func(r *wire.Heartbeat) { r.Zone = "b" }, func(r *wire.Heartbeat) { r.Spot = true },
 	} {
 		rep := report(2, 9, term, taskIs("job-1/0", 1, wire.TaskRunning, ""))
 		change(rep)
@@ -198,10 +198,10 @@
 // Guards against an end from a former life of a machine: a recorded attempt is started again in the life that runs.
 func TestAnEndWithoutOurTokenIsOneOnlyIfTheTaskCompleted(t *testing.T) {
 	for _, c := range []struct {
-		why   wire.Why
+		why   wire.ExitReason
 		token uint64
 		ends  int
-	}{{wire.WhyStopped, term - 1, 0}, {wire.WhyError, term - 1, 0}, {wire.WhyDone, term - 1, 1}, {wire.WhyStopped, term, 1}} {
+	}{{wire.ExitStopped, term - 1, 0}, {wire.ExitError, term - 1, 0}, {wire.ExitDone, term - 1, 1}, {wire.ExitStopped, term, 1}} {
 		f := newFixture(t)
 		f.Inherit(place(1), t0)
 		if a := f.report(report(1, 7, c.token, taskIs("job-1/0", 1, wire.TaskExited, c.why)), time.Second, no); len(a.Outcomes) != c.ends {
--- a/internal/scheduler/machines/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -51,10 +51,10 @@
 		if !ok {
 			t.Fatal("nobody can be asked")
 		}
-		if got := f.Restarted(m, mark, &wire.Report{Machine: "n-1", Session: 1, Seq: 2, Token: c.token}); got != c.want {
+		if got := f.Restarted(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
-		if got := f.Restarted(m, mark, &wire.Report{Machine: "n-1", Session: 1, Seq: 6, Token: c.token}); got != SameLife {
+		if got := f.Restarted(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != SameLife {
 			t.Errorf("%s: a newer answer is of another life: %v", c.name, got)
 		}
 	}
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -89,9 +89,9 @@
 
 // effect compares a report with the answer to the one before: whether something shows that the answer was carried out, and
 // whether something shows that it was not.
-func (t *told) effect(rep *wire.Report, listed map[Key]*wire.TaskReport, term uint64) (seen, missed bool) {
+func (t *told) effect(rep *wire.Heartbeat, listed map[Key]*wire.TaskStatus, term uint64) (seen, missed bool) {
 	if t.token {
-		seen, missed = rep.Token >= term, rep.Token < term
+		seen, missed = rep.FencingToken >= term, rep.FencingToken < term
 	}
 	for i := range t.commands {
 		c := &t.commands[i]
@@ -294,10 +294,10 @@
 // Outcome is the proven end of a task in a place.
 type Outcome struct {
 	Place *jobs.Place
-	Why   wire.Why  // WhyStopped also when its machine's session is over
-	Saved bool      // it saved its progress when it was stopped
-	Lost  bool      // nobody saw its end: its machine's session is over, or the machine is gone
-	Idle  time.Time // a time at which it was known not to run yet; zero: none
+	Why   wire.ExitReason // WhyStopped also when its machine's session is over
+	Saved bool            // it saved its progress when it was stopped
+	Lost  bool            // nobody saw its end: its machine's session is over, or the machine is gone
+	Idle  time.Time       // a time at which it was known not to run yet; zero: none
 }
 
 // How names the end, for people.
@@ -326,7 +326,7 @@
 // command, so that no commands can be given back and it renews no lease; and
 // it proves nothing of tasks that it lacks, since a report's answer may still
 // be on its way to the worker.
-func (r *Roster) Report(rep *wire.Report, direct bool, now time.Time, mayForget MayForget) (Answer, error) {
+func (r *Roster) Report(rep *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (Answer, error) {
 	var a Answer
 	if r.Was(rep.Machine) {
 		return a, ErrReturned
@@ -334,7 +334,7 @@
 	m := r.Machines[rep.Machine]
 	if m != nil {
 		// A session whose lease ran out is over, whatever a late report says.
-		if r.older(m, rep) || !direct && r.otherLife(m, rep) || rep.Session <= m.Dead {
+		if r.older(m, rep) || !direct && r.otherLife(m, rep) || rep.Incarnation <= m.Dead {
 			m.Doubt = true
 			return a, ErrStale
 		}
@@ -349,25 +349,25 @@
 	m = r.ensure(rep.Machine, now)
 	a.Machine = m
 	usable := m.Usable(r.term, now)
-	risen := rep.Session > m.Session // endSession settles its places then
+	risen := rep.Incarnation > m.Session // endSession settles its places then
 	a.Changed = m.Heard.IsZero() || risen
 	if risen {
 		// Its lease ran out though its reports were answered: the answers did not arrive.
 		if !direct && now.Sub(m.Heard) < r.lease/2 {
 			m.Reach.Missed(now)
 		}
-		m.Session, m.told = rep.Session, told{}
+		m.Session, m.told = rep.Incarnation, told{}
 		// Its lease counts from its begin, which may be this moment. When a direct answer told of it, the end of the
 		// former session's lease once counted for the new one: tasks that had just been started there were started elsewhere.
 		m.LeaseEnd = now.Add(r.lease)
-		r.endSession(m, rep.Session-1, &a)
+		r.endSession(m, rep.Incarnation-1, &a)
 	}
-	unseen := rep.Token < r.term
+	unseen := rep.FencingToken < r.term
 	if direct || !unseen && !m.Reach.Proven() {
 		m.Reach.Proved(now)
 		m.Doubt, m.life = m.Doubt && !direct, 0
 	}
-	m.seq, m.Token = rep.Seq, rep.Token
+	m.seq, m.Token = rep.Seq, rep.FencingToken
 	m.Address, m.Type, m.Zone, m.Spot = rep.Address, rep.Type, rep.Zone, rep.Spot
 	if m.Heard.IsZero() && len(m.Places) == 0 {
 		m.IdleSince = now
@@ -394,8 +394,8 @@
 	}
 	// Whatever an older term's leader sent directly can no longer start once
 	// the worker has seen our token.
-	fenced := rep.Token >= r.term
-	listed := make(map[Key]*wire.TaskReport, len(rep.Tasks))
+	fenced := rep.FencingToken >= r.term
+	listed := make(map[Key]*wire.TaskStatus, len(rep.Tasks))
 	var stops, forgets, starts []wire.Command
 	zero := 0.0
 	for i := range rep.Tasks {
@@ -423,11 +423,11 @@
 			// Nothing that we know of put it here. It counts until it is gone.
 			m.strays[k] = true
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
-		case t.State == wire.TaskExited && t.Why != wire.WhyDone && !direct && !fenced:
+		case t.State == wire.TaskExited && t.Reason != wire.ExitDone && !direct && !fenced:
 			// Perhaps a copy from a former life, in which the attempt was stopped; a recorded attempt is started again in the
 			// next one. What completed, completed.
 		case t.State == wire.TaskExited:
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: t.Why, Saved: t.Saved, Idle: before})
+			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: t.Reason, Saved: t.Saved, Idle: before})
 		default:
 			if t.State == wire.TaskRunning && p.State != wire.TaskRunning {
 				p.Running = now
@@ -447,14 +447,14 @@
 		}
 	}
 	for k, p := range m.Places {
-		if !risen && fenced && p.Session < rep.Session {
+		if !risen && fenced && p.Session < rep.Incarnation {
 			// Recorded in a session that is over, beside others of a later one: a leader ended before it had written that
 			// the task is gone. The session did not rise for this one, so the task was never wanted again. Without our
 			// token the report may be a copy from a former life, and the task in the session of the life that runs.
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.WhyStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
 			continue
 		}
-		if listed[k] != nil || !p.Committed || p.Session != rep.Session {
+		if listed[k] != nil || !p.Committed || p.Session != rep.Incarnation {
 			continue
 		}
 		switch {
@@ -473,7 +473,7 @@
 			p.Offered = now
 		default:
 			// No answer of ours that held its start is still on the way, since workers drop them after 4 s: it is not there.
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.WhyStopped, Idle: now})
+			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Idle: now})
 		}
 	}
 	if !direct {
@@ -492,23 +492,23 @@
 
 // older tells whether a message is no newer than one that is known of its machine. Direct answers tell the order as well, also of
 // a machine that has not reported to us yet.
-func (r *Roster) older(m *Machine, rep *wire.Report) bool {
-	return rep.Session < m.Session || !rep.Newer(m.Session, m.seq) && (m.seq > 0 || !m.Heard.IsZero())
+func (r *Roster) older(m *Machine, rep *wire.Heartbeat) bool {
+	return rep.Incarnation < m.Session || !rep.Newer(m.Session, m.seq) && (m.seq > 0 || !m.Heard.IsZero())
 }
 
 // otherLife tells whether a report that looks newer may be of another life of its machine, as far as that was started anew: then
 // the machine itself is to tell.
-func (r *Roster) otherLife(m *Machine, rep *wire.Report) bool {
-	risen := rep.Session > m.Session
+func (r *Roster) otherLife(m *Machine, rep *wire.Heartbeat) bool {
+	risen := rep.Incarnation > m.Session
 	switch {
-	case rep.Token < m.Token: // a worker keeps the highest token that it has seen
+	case rep.FencingToken < m.Token: // a worker keeps the highest token that it has seen
 		return true
 	case risen && !rep.Newer(m.former.Session, m.former.Seq): // a copy from before looks newer than all of the new life
 		return true
 	}
 	// What is recorded there would count as gone, by a session that may be that of a former life, of which this leader never
 	// knew, unless the machine has proved itself in this term.
-	return risen && len(m.Places) > 0 && rep.Token < r.term && !m.Reach.Proven()
+	return risen && len(m.Places) > 0 && rep.FencingToken < r.term && !m.Reach.Proven()
 }
 
 func startCommand(p *jobs.Place) wire.Command {
@@ -526,7 +526,7 @@
 	m.Dead = max(m.Dead, last)
 	for _, p := range m.Places {
 		if p.Session <= last {
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.WhyStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
 		}
 	}
 	clear(m.strays)
@@ -574,7 +574,7 @@
 	}
 	var outs []Outcome
 	for _, p := range m.Places {
-		outs = append(outs, Outcome{Place: p, Why: wire.WhyStopped, Lost: true})
+		outs = append(outs, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
 	}
 	delete(r.Machines, name)
 	return outs
@@ -591,7 +591,7 @@
 	if m == nil || m.Address == "" || !m.Alive() || m.Returning {
 		return "", nil
 	}
-	req = &wire.DirectCommands{Token: r.term, Session: m.Session}
+	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Session}
 	for _, p := range places {
 		switch {
 		case p.Removed || !p.Committed || p.Session != m.Session:
@@ -612,7 +612,7 @@
 // executed again. Without one its starts stay open for the session's rest.
 func (r *Roster) Sent(name string, req *wire.DirectCommands) {
 	m := r.Machines[name]
-	if m == nil || m.Session != req.Session {
+	if m == nil || m.Session != req.Incarnation {
 		return
 	}
 	for _, c := range req.Commands {
--- a/internal/scheduler/machines/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -20,12 +20,12 @@
 func yes(Key) bool { return true }
 func no(Key) bool  { return false }
 
-func report(session, seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Machine: "n-1", Address: "10.0.0.9:1", Type: "g8", Zone: "a", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func report(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "n-1", Address: "10.0.0.9:1", Type: "g8", Zone: "a", Incarnation: session, Seq: seq, FencingToken: token, Tasks: tasks}
 }
 
-func taskIs(task string, attempt uint64, state wire.TaskState, why wire.Why) wire.TaskReport {
-	return wire.TaskReport{Task: task, Attempt: attempt, State: state, Why: why}
+func taskIs(task string, attempt uint64, state wire.TaskState, why wire.ExitReason) wire.TaskStatus {
+	return wire.TaskStatus{Task: task, Attempt: attempt, State: state, Reason: why}
 }
 
 // place makes a stored place of job-1/0 on n-1 in session 1.
@@ -43,7 +43,7 @@
 
 func newFixture(t *testing.T) *fixture { return &fixture{t, New(term, lease)} }
 
-func (f *fixture) report(rep *wire.Report, at time.Duration, forget MayForget) Answer {
+func (f *fixture) report(rep *wire.Heartbeat, at time.Duration, forget MayForget) Answer {
 	f.t.Helper()
 	a, err := f.Report(rep, false, t0.Add(at), forget)
 	if err != nil {
@@ -89,9 +89,9 @@
 func TestOldReportsAreRefused(t *testing.T) {
 	f := newFixture(t)
 	f.report(report(2, 5, term), 0, no)
-	for _, r := range []*wire.Report{report(2, 5, term), report(2, 4, term), report(1, 9, term)} {
+	for _, r := range []*wire.Heartbeat{report(2, 5, term), report(2, 4, term), report(1, 9, term)} {
 		if _, err := f.Report(r, false, t0, no); !errors.Is(err, ErrStale) {
-			t.Errorf("session %d, seq %d: %v", r.Session, r.Seq, err)
+			t.Errorf("session %d, seq %d: %v", r.Incarnation, r.Seq, err)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	p := place(1)
 	f.Add(p, t0)
 	a := f.report(report(2, 2, term), time.Second, no)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Place != p || a.Outcomes[0].Why != wire.WhyStopped {
+	if len(a.Outcomes) != 1 || a.Outcomes[0].Place != p || a.Outcomes[0].Why != wire.ExitStopped {
 		t.Fatalf("outcomes %v", a.Outcomes)
 	}
 }
@@ -166,7 +166,7 @@
 	p := place(1)
 	f.Add(p, t0)
 	addr, req := f.Direct("n-1", []*jobs.Place{p})
-	if addr == "" || ops(req.Commands) != "start " || req.Token != term || req.Session != 1 {
+	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
 		t.Fatalf("direct: %s %+v", addr, req)
 	}
 	p.Stop = &jobs.Stop{}
@@ -174,7 +174,7 @@
 	if ops(a.Commands) != "start halt " || len(a.Outcomes) != 0 {
 		t.Fatalf("commands %v, outcomes %v", a.Commands, a.Outcomes)
 	}
-	exited := taskIs("job-1/0", 1, wire.TaskExited, wire.WhyStopped)
+	exited := taskIs("job-1/0", 1, wire.TaskExited, wire.ExitStopped)
 	a = f.report(report(1, 3, term, exited), 2*time.Second, yes)
 	if len(a.Outcomes) != 1 {
 		t.Fatalf("outcomes %v", a.Outcomes)
@@ -191,7 +191,7 @@
 
 func TestForgetWaitsForTheRecord(t *testing.T) {
 	f := newFixture(t)
-	exited := taskIs("job-1/0", 1, wire.TaskExited, wire.WhyDone)
+	exited := taskIs("job-1/0", 1, wire.TaskExited, wire.ExitDone)
 	if a := f.report(report(1, 1, term, exited), 0, no); len(a.Commands) != 0 {
 		t.Fatalf("forgotten before its end is stored: %v", a.Commands)
 	}
--- a/internal/scheduler/machines/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -41,7 +41,7 @@
 
 type simWorker struct {
 	life                int
-	rep                 wire.Report
+	rep                 wire.Heartbeat
 	heard               time.Time // when the last answered report was sent
 	deaf, hangs, silent time.Time // until when
 	waits               time.Time // for an answer, until then
@@ -52,12 +52,12 @@
 // letter is something on its way.
 type letter struct {
 	at, sent time.Time
-	copyOf   *wire.Report // a report that came already, or was late
-	to       *simWorker   // else commands to a worker's life
+	copyOf   *wire.Heartbeat // a report that came already, or was late
+	to       *simWorker      // else commands to a worker's life
 	life     int
 	session  uint64
 	req      *wire.DirectCommands // direct ones
-	answer   *wire.ReportAnswer   // or those of an answer to a report of a session
+	answer   *wire.HeartbeatReply // or those of an answer to a report of a session
 }
 
 const simLease = time.Duration(lease * float64(time.Second))
@@ -70,7 +70,7 @@
 	return time.Duration(rapid.IntRange(0, int(most/time.Millisecond)).Draw(w.t, what)) * time.Millisecond
 }
 
-func clone(rep *wire.Report) *wire.Report {
+func clone(rep *wire.Heartbeat) *wire.Heartbeat {
 	c := *rep
 	c.Tasks = slices.Clone(rep.Tasks)
 	return &c
@@ -109,7 +109,7 @@
 // obey has a worker carry out commands.
 func (w *world) obey(k *simWorker, commands []wire.Command) {
 	for _, c := range commands {
-		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskReport) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			for _, o := range w.workers {
@@ -120,9 +120,9 @@
 					}
 				}
 			}
-			k.rep.Tasks = append(k.rep.Tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			k.rep.Tasks = append(k.rep.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 		case c.Op == wire.OpStop && i >= 0 && k.rep.Tasks[i].State != wire.TaskExited:
-			k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyStopped
+			k.rep.Tasks[i].State, k.rep.Tasks[i].Reason = wire.TaskExited, wire.ExitStopped
 		case c.Op == wire.OpForget && i >= 0 && k.rep.Tasks[i].State == wire.TaskExited:
 			k.rep.Tasks = slices.Delete(slices.Clone(k.rep.Tasks), i, i+1)
 		}
@@ -140,7 +140,7 @@
 		w.note("settle %v att %d on %s s%d why %s lost %v", o.Place.Task(), o.Place.Attempt, o.Place.Machine, o.Place.Session, o.Why, o.Lost)
 		task.place = nil
 		w.r.Remove(o.Place, w.now)
-		if o.Why == wire.WhyDone {
+		if o.Why == wire.ExitDone {
 			if !task.isDone {
 				w.t.Fatalf("%v counts as done, and is not", task.id)
 			}
@@ -155,35 +155,35 @@
 }
 
 // report has the leader take a report, and gives its answer.
-func (w *world) report(rep *wire.Report) *wire.ReportAnswer {
+func (w *world) report(rep *wire.Heartbeat) *wire.HeartbeatReply {
 	a, err := w.r.Report(clone(rep), false, w.now, w.mayForget)
-	w.note("report %s s%d q%d t%d %v -> %v %v", rep.Machine, rep.Session, rep.Seq, rep.Token, rep.Tasks, a.Commands, err)
+	w.note("report %s s%d q%d t%d %v -> %v %v", rep.Machine, rep.Incarnation, rep.Seq, rep.FencingToken, rep.Tasks, a.Commands, err)
 	if err != nil {
 		return nil
 	}
 	w.settle(a.Outcomes)
-	return &wire.ReportAnswer{Token: w.term, Commands: a.Commands}
+	return &wire.HeartbeatReply{FencingToken: w.term, Commands: a.Commands}
 }
 
 // hears has a worker take the answer to a report that it sent at a time.
-func (w *world) hears(k *simWorker, a *wire.ReportAnswer, sent time.Time) {
-	if a == nil || a.Token < k.rep.Token {
+func (w *world) hears(k *simWorker, a *wire.HeartbeatReply, sent time.Time) {
+	if a == nil || a.FencingToken < k.rep.FencingToken {
 		return
 	}
-	k.rep.Token, k.heard = a.Token, sent
+	k.rep.FencingToken, k.heard = a.FencingToken, sent
 	w.note("hears %s %v", k.rep.Machine, a.Commands)
 	w.obey(k, a.Commands)
 }
 
 // do has a worker take direct commands, and gives its report; nil: it gives none.
-func (w *world) do(k *simWorker, req *wire.DirectCommands) *wire.Report {
+func (w *world) do(k *simWorker, req *wire.DirectCommands) *wire.Heartbeat {
 	if k.dead || w.now.Before(k.hangs) {
 		return nil
 	}
 	k.rep.Seq++
-	w.note("do %s s%d t%d %+v", k.rep.Machine, k.rep.Session, k.rep.Token, *req)
-	if req.Token >= k.rep.Token && req.Session == k.rep.Session {
-		k.rep.Token = req.Token
+	w.note("do %s s%d t%d %+v", k.rep.Machine, k.rep.Incarnation, k.rep.FencingToken, *req)
+	if req.FencingToken >= k.rep.FencingToken && req.Incarnation == k.rep.Incarnation {
+		k.rep.FencingToken = req.FencingToken
 		w.obey(k, req.Commands)
 	}
 	return clone(&k.rep)
@@ -203,7 +203,7 @@
 		case l.copyOf != nil:
 			w.report(l.copyOf) // its answer reaches nobody
 		case l.life != l.to.life || l.to.dead:
-		case l.answer != nil && l.session != l.to.rep.Session: // dropped
+		case l.answer != nil && l.session != l.to.rep.Incarnation: // dropped
 		case l.answer != nil:
 			w.hears(l.to, l.answer, l.sent)
 		case w.now.Before(l.to.hangs):
@@ -233,7 +233,7 @@
 	case w.chance(1, "restarted"):
 		k.life++
 		w.note("restarted %s", k.rep.Machine)
-		k.rep.Session, k.rep.Seq, k.rep.Token, k.rep.Tasks, k.heard, k.waits = 1, 0, 0, nil, w.now, time.Time{}
+		k.rep.Incarnation, k.rep.Seq, k.rep.FencingToken, k.rep.Tasks, k.heard, k.waits = 1, 0, 0, nil, w.now, time.Time{}
 	case k != w.workers[0] && w.chance(1, "dies"):
 		k.dead, k.rep.Tasks = true, nil
 		return
@@ -244,11 +244,11 @@
 	}
 	if w.now.Sub(k.heard) > simLease {
 		w.note("lease ends %s", k.rep.Machine)
-		k.rep.Session, k.rep.Tasks, k.heard, k.waits = k.rep.Session+1, nil, w.now, time.Time{}
+		k.rep.Incarnation, k.rep.Tasks, k.heard, k.waits = k.rep.Incarnation+1, nil, w.now, time.Time{}
 	}
 	for i := range k.rep.Tasks {
 		if id, _ := wire.ParseTaskID(k.rep.Tasks[i].Task); k.rep.Tasks[i].State == wire.TaskRunning && (w.calm || w.chance(3, "ends")) {
-			k.rep.Tasks[i].State, k.rep.Tasks[i].Why = wire.TaskExited, wire.WhyDone
+			k.rep.Tasks[i].State, k.rep.Tasks[i].Reason = wire.TaskExited, wire.ExitDone
 			w.taskOf(id).isDone = true
 		}
 	}
@@ -270,7 +270,7 @@
 		k.next = w.now.Add(5 * time.Second)
 	case a != nil && w.chance(15, "slow"):
 		k.waits = w.now.Add(time.Duration(rapid.IntRange(1, 7).Draw(w.t, "slow")) * 500 * time.Millisecond)
-		w.mail = append(w.mail, letter{at: k.waits, sent: w.now, to: k, life: k.life, session: k.rep.Session, answer: a})
+		w.mail = append(w.mail, letter{at: k.waits, sent: w.now, to: k, life: k.life, session: k.rep.Incarnation, answer: a})
 	default:
 		w.hears(k, a, w.now)
 	}
@@ -318,7 +318,7 @@
 			}
 			m.Reach.Ask(w.now)
 			m.Reach.Asked()
-			var rep *wire.Report
+			var rep *wire.Heartbeat
 			if !w.now.Before(k.deaf) {
 				rep = w.do(k, req)
 			}
@@ -327,7 +327,7 @@
 				break
 			}
 			life := w.r.Restarted(m, mark, rep)
-			w.note("asked %s %+v: %v s%d q%d", name, mark, life, rep.Session, rep.Seq)
+			w.note("asked %s %+v: %v s%d q%d", name, mark, life, rep.Incarnation, rep.Seq)
 			switch life {
 			case Anew:
 				w.settle(w.r.Begin(m, rep, w.now))
@@ -381,7 +381,7 @@
 func (w *world) show() string {
 	s := ""
 	for _, k := range w.workers {
-		s += fmt.Sprintf("%s dead %v, session %d, seq %d, tasks %v; ", k.rep.Machine, k.dead, k.rep.Session, k.rep.Seq, k.rep.Tasks)
+		s += fmt.Sprintf("%s dead %v, session %d, seq %d, tasks %v; ", k.rep.Machine, k.dead, k.rep.Incarnation, k.rep.Seq, k.rep.Tasks)
 		if m := w.r.Machines[k.rep.Machine]; m != nil {
 			s += fmt.Sprintf("known: session %d, seq %d, dead %d, token %d of %d, strays %v, alive %v, usable %v, doubt %v\n",
 				m.Session, m.seq, m.Dead, m.Token, w.term, m.strays, m.Alive(), m.Usable(w.term, w.now), m.Doubt)
@@ -401,8 +401,8 @@
 			w.tasks = append(w.tasks, &simTask{id: wire.TaskID{Job: "job-1", Index: i}, job: job})
 		}
 		for i := range 4 {
-			w.workers = append(w.workers, &simWorker{heard: t0, rep: wire.Report{
-				Machine: fmt.Sprintf("n-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Type: "g8", Zone: "a", Session: 1,
+			w.workers = append(w.workers, &simWorker{heard: t0, rep: wire.Heartbeat{
+				Machine: fmt.Sprintf("n-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i), Type: "g8", Zone: "a", Incarnation: 1,
 			}})
 		}
 		w.lead()
--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -59,13 +59,13 @@
 }
 
 // task draws a task's length and end from its name, so that each attempt has its own.
-func (l *lab) task(task string, attempt uint64) (time.Duration, wire.Why, string) {
+func (l *lab) task(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
 	h := fnv.New64a()
 	fmt.Fprint(h, task, attempt)
 	r := rand.New(rand.NewPCG(h.Sum64(), 1))
-	why := wire.WhyDone
+	why := wire.ExitDone
 	if r.IntN(10) == 0 {
-		why = wire.WhyError
+		why = wire.ExitError
 	}
 	var n int
 	_, _ = fmt.Sscanf(fakes.JobOf(task), "job-%d", &n) // a name of ours
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -21,7 +21,7 @@
 	Capacity int
 	booked   map[string][]string
 	machines []wire.ListedMachine
-	rents    []wire.Rent
+	rents    []wire.RentRequest
 	deleted  []string
 	named    int // machines so far
 	trouble  bool
@@ -95,10 +95,10 @@
 }
 
 // Rents gives the rentals asked for, repetitions included.
-func (c *Cloud) Rents() []wire.Rent {
+func (c *Cloud) Rents() []wire.RentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]wire.Rent(nil), c.rents...)
+	return append([]wire.RentRequest(nil), c.rents...)
 }
 
 // Deleted gives the machines whose deletion was asked for.
@@ -116,7 +116,7 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var q wire.Rent
+	var q wire.RentRequest
 	if json.NewDecoder(r.Body).Decode(&q) != nil {
 		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
--- a/internal/sim/fakes/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -22,18 +22,18 @@
 // Measured is what a worker itself saw of an attempt.
 type Measured struct {
 	Attempt
-	Begin time.Time     // when it began to run
-	Run   time.Duration // from then to when it ended
-	Why   wire.Why      // empty: it was killed with its worker's session
+	Begin time.Time       // when it began to run
+	Run   time.Duration   // from then to when it ended
+	Why   wire.ExitReason // empty: it was killed with its worker's session
 	Team  string
 }
 
 // Task says how long a task runs and how it ends, and whose it is.
-type Task func(task string, attempt uint64) (run time.Duration, why wire.Why, team string)
+type Task func(task string, attempt uint64) (run time.Duration, why wire.ExitReason, team string)
 
 // Worker is a worker in real time: it reports, obeys, and measures each attempt.
 type Worker struct {
-	rep      wire.Report
+	rep      wire.Heartbeat
 	nodes    map[string]string // addresses of the controllers by member
 	order    []string
 	every    time.Duration
@@ -57,7 +57,7 @@
 // NewWorker makes a worker of a machine. measured is told each attempt that ended.
 func NewWorker(m wire.ListedMachine, nodes map[string]string, order []string, every, lease time.Duration, task Task, measured func(Measured)) *Worker {
 	return &Worker{
-		rep:   wire.Report{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: 1},
+		rep:   wire.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1},
 		nodes: nodes, order: order, every: every, lease: lease, task: task, measured: measured,
 		wake: make(chan struct{}, 1), running: map[Attempt]*run{}, seen: time.Now(),
 	}
@@ -121,14 +121,14 @@
 func (k *Worker) beat(ctx context.Context, client *http.Client, name string) (status int, to string) {
 	k.mu.Lock()
 	k.rep.Seq++
-	session := k.rep.Session
+	session := k.rep.Incarnation
 	raw, err := json.Marshal(k.rep)
 	k.mu.Unlock()
 	if err != nil {
 		return 0, ""
 	}
 	sent := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.nodes[name]+wire.PathReport, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.nodes[name]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, ""
 	}
@@ -142,14 +142,14 @@
 		_ = json.NewDecoder(resp.Body).Decode(&r) // without one, the next controller is tried
 		return resp.StatusCode, r.ReportTo
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatReply
 	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&a) != nil {
 		return 0, ""
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if a.Token >= k.rep.Token && session == k.rep.Session {
-		k.rep.Token = a.Token
+	if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
+		k.rep.FencingToken = a.FencingToken
 		k.seen = sent
 		k.obey(a.Commands)
 	}
@@ -165,8 +165,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	status := http.StatusConflict
-	if q.Token >= k.rep.Token && q.Session == k.rep.Session {
-		k.rep.Token = q.Token
+	if q.FencingToken >= k.rep.FencingToken && q.Incarnation == k.rep.Incarnation {
+		k.rep.FencingToken = q.FencingToken
 		k.obey(q.Commands)
 		status = http.StatusOK
 	}
@@ -187,7 +187,7 @@
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			length, why, team := k.task(c.Task, c.Attempt)
-			k.rep.Tasks = append(k.rep.Tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			k.rep.Tasks = append(k.rep.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 			k.running[id] = &run{begun: time.Now(), team: team, end: time.AfterFunc(length, func() {
 				k.mu.Lock()
 				defer k.mu.Unlock()
@@ -198,7 +198,7 @@
 			if r := k.running[id]; r != nil {
 				r.saved = c.GraceS != nil && *c.GraceS > 0
 				r.end.Stop()
-				k.exit(id, wire.WhyStopped)
+				k.exit(id, wire.ExitStopped)
 			}
 		case c.Op == wire.OpForget && i >= 0 && k.rep.Tasks[i].State == wire.TaskExited:
 			k.rep.Tasks = append(k.rep.Tasks[:i:i], k.rep.Tasks[i+1:]...)
@@ -207,7 +207,7 @@
 }
 
 // exit ends a running attempt. The lock is held.
-func (k *Worker) exit(id Attempt, why wire.Why) {
+func (k *Worker) exit(id Attempt, why wire.ExitReason) {
 	r := k.running[id]
 	if r == nil {
 		return
@@ -215,7 +215,7 @@
 	delete(k.running, id)
 	for i := range k.rep.Tasks {
 		if t := &k.rep.Tasks[i]; t.Task == id.Task && t.Attempt == id.Attempt {
-			t.State, t.Why, t.Saved = wire.TaskExited, why, r.saved
+			t.State, t.Reason, t.Saved = wire.TaskExited, why, r.saved
 		}
 	}
 	k.measured(Measured{id, r.begun, time.Since(r.begun), why, r.team})
@@ -230,7 +230,7 @@
 		return
 	}
 	k.killAll()
-	k.rep.Session++
+	k.rep.Incarnation++
 	k.seen = time.Now()
 }
 
--- a/internal/sim/faults/later_test.go
+++ b/internal/sim/faults/later_test.go
@@ -520,7 +520,7 @@
 	w.mu.Lock()
 	for _, k := range w.workers {
 		if len(k.rep.Tasks) > 0 {
-			busy[k] = k.rep.Session
+			busy[k] = k.rep.Incarnation
 		}
 	}
 	w.mu.Unlock()
@@ -531,7 +531,7 @@
 	w.pass(seconds(2.5 * w.site.lease))
 	if kept := w.locked(func() bool {
 		for k, session := range busy {
-			if !k.gone && k.rep.Session != session {
+			if !k.gone && k.rep.Incarnation != session {
 				w.note("%s in %s lost its session", k.rep.Machine, k.rep.Zone)
 				return false
 			}
--- a/internal/sim/faults/troubles_test.go
+++ b/internal/sim/faults/troubles_test.go
@@ -225,7 +225,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.workers {
-		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskReport) bool { return slices.Contains(ids, w.jobOf(t.Task).id) }) {
+		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return slices.Contains(ids, w.jobOf(t.Task).id) }) {
 			some = append(some, k)
 		}
 	}
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -397,8 +397,8 @@
 
 // onMachines gives the tasks that are on machines whose leases are not over, and those that wait for their image as well if fetching
 // is set. The lock is held.
-func (w *world) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskReport] {
-	return func(yield func(*worker, wire.TaskReport) bool) {
+func (w *world) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
+	return func(yield func(*worker, wire.TaskStatus) bool) {
 		for _, k := range w.workers {
 			if !k.holds() {
 				continue
@@ -481,7 +481,7 @@
 }
 
 // begins checks the rules at the start of a task. The lock is held.
-func (w *world) begins(k *worker, t *wire.TaskReport) {
+func (w *world) begins(k *worker, t *wire.TaskStatus) {
 	w.starts++
 	w.note("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
 	for o, u := range w.onMachines(false) {
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -15,7 +15,7 @@
 // worker is a worker and its machine.
 type worker struct {
 	w                       *world
-	rep                     wire.Report
+	rep                     wire.Heartbeat
 	srv                     *httptest.Server
 	gone                    bool
 	seen                    time.Time // when the last answered report was sent
@@ -48,7 +48,7 @@
 func (k *worker) comesLate(q wire.DirectCommands) {
 	k.live()
 	switch {
-	case k.gone || k.w.now().Before(k.lost) || k.w.now().Before(k.deaf) || k.only != nil && q.Token != k.term: // it is lost
+	case k.gone || k.w.now().Before(k.lost) || k.w.now().Before(k.deaf) || k.only != nil && q.FencingToken != k.term: // it is lost
 	case k.away():
 		k.held = append(k.held, q)
 	default:
@@ -74,7 +74,7 @@
 			mux.HandleFunc("POST "+wire.PathCommands, k.direct)
 			mux.HandleFunc("GET "+wire.PathShow, k.show)
 			k.srv = httptest.NewServer(mux)
-			k.rep = wire.Report{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: 1, Tasks: []wire.TaskReport{}}
+			k.rep = wire.Heartbeat{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
 			w.workers = append(w.workers, k)
 			w.note("%s in %s", m.Name, m.Zone)
 		}
@@ -114,8 +114,8 @@
 		return
 	}
 	if k.over() {
-		k.w.note("%s: session %d is over with %d tasks", k.rep.Machine, k.rep.Session, len(k.rep.Tasks))
-		k.rep.Session, k.seen, k.rep.Tasks, k.held = k.rep.Session+1, now, []wire.TaskReport{}, nil
+		k.w.note("%s: session %d is over with %d tasks", k.rep.Machine, k.rep.Incarnation, len(k.rep.Tasks))
+		k.rep.Incarnation, k.seen, k.rep.Tasks, k.held = k.rep.Incarnation+1, now, []wire.TaskStatus{}, nil
 		k.next = now
 		clear(k.due)
 	}
@@ -136,11 +136,11 @@
 			k.due[key] = now.Add(k.w.runs(t.Task))
 			k.next = now
 		case t.State == wire.TaskRunning && !now.Before(k.due[key]):
-			t.State, t.Why = wire.TaskExited, wire.WhyDone
+			t.State, t.Reason = wire.TaskExited, wire.ExitDone
 			k.w.completes(k.w.jobOf(t.Task), t.Task)
 			k.next = now
 		case t.State == wire.TaskSaving && !now.Before(k.due[key]):
-			t.State, t.Why, t.Saved = wire.TaskExited, wire.WhyStopped, true
+			t.State, t.Reason, t.Saved = wire.TaskExited, wire.ExitStopped, true
 			k.next = now
 		}
 	}
@@ -154,11 +154,11 @@
 
 // carryOut executes direct commands, late or not, and tells whether token and session allowed it. The lock is held.
 func (k *worker) carryOut(q wire.DirectCommands, when string) bool {
-	if q.Token < k.rep.Token || q.Session != k.rep.Session {
+	if q.FencingToken < k.rep.FencingToken || q.Incarnation != k.rep.Incarnation {
 		return false
 	}
-	if q.Token > k.rep.Token {
-		k.rep.Token, k.next = q.Token, k.w.now()
+	if q.FencingToken > k.rep.FencingToken {
+		k.rep.FencingToken, k.next = q.FencingToken, k.w.now()
 	}
 	k.obey(q.Commands, when+"direct")
 	return true
@@ -177,7 +177,7 @@
 		k.w.waits(k.w.t.Context(), d) // it is executed late, also when its sender has given it up
 		k.w.mu.Lock()
 	}
-	for k.w.heldBack(q.Token) {
+	for k.w.heldBack(q.FencingToken) {
 		k.w.mu.Unlock()
 		k.w.waits(k.w.t.Context(), tick)
 		k.w.mu.Lock()
@@ -187,7 +187,7 @@
 		k.w.heldUp = append(k.w.heldUp, lateCommands{k.w.now().Add(k.w.seconds(2, 16)), k, q})
 		panic(http.ErrAbortHandler)
 	}
-	if now := k.w.now(); k.away() || now.Before(k.deaf) || k.only != nil && q.Token != k.term {
+	if now := k.w.now(); k.away() || now.Before(k.deaf) || k.only != nil && q.FencingToken != k.term {
 		if !k.gone && !now.Before(k.deaf) && k.w.r.IntN(2) == 0 {
 			k.held = append(k.held, q) // it is carried out when the machine goes on
 		}
@@ -220,13 +220,13 @@
 func (k *worker) obey(commands []wire.Command, how string) {
 	now := k.w.now()
 	for _, c := range commands {
-		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskReport) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		key := fakes.Attempt{Task: c.Task, Attempt: c.Attempt}
 		switch {
 		case c.Op == wire.OpStart && i < 0:
-			t := wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}
-			if slices.ContainsFunc(k.rep.Tasks, func(o wire.TaskReport) bool { return o.Task == c.Task && o.State != wire.TaskExited }) {
-				t.State, t.Why = wire.TaskExited, wire.WhyBusy
+			t := wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}
+			if slices.ContainsFunc(k.rep.Tasks, func(o wire.TaskStatus) bool { return o.Task == c.Task && o.State != wire.TaskExited }) {
+				t.State, t.Reason = wire.TaskExited, wire.ExitBusy
 			}
 			k.w.note("%s attempt %d starts on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
 			k.due[key] = now.Add(k.w.seconds(0, k.w.site.imageS))
@@ -238,7 +238,7 @@
 			if c.GraceS != nil && *c.GraceS >= 4 && t.State == wire.TaskRunning {
 				t.State, k.due[key] = wire.TaskSaving, now.Add(4*time.Second)
 			} else {
-				t.State, t.Why = wire.TaskExited, wire.WhyStopped
+				t.State, t.Reason = wire.TaskExited, wire.ExitStopped
 			}
 			k.next = now
 		case c.Op == wire.OpForget && i >= 0 && k.rep.Tasks[i].State == wire.TaskExited:
@@ -261,7 +261,7 @@
 		return
 	}
 	k.rep.Seq++
-	session := k.rep.Session
+	session := k.rep.Incarnation
 	raw, _ := json.Marshal(k.rep)
 	to := w.nodes[k.at%len(w.nodes)]
 	if w.r.IntN(100) < w.copies {
@@ -281,7 +281,7 @@
 		var a answer
 		status := 0
 		if w.waits(ctx, there) {
-			status = w.post(ctx, "http://"+to.addr+wire.PathReport, raw, &a)
+			status = w.post(ctx, "http://"+to.addr+wire.PathHeartbeat, raw, &a)
 		} else {
 			w.delivers(raw, to) // it arrives, though its worker has given it up
 		}
@@ -321,7 +321,7 @@
 
 // answer is what a controller answers a report.
 type answer struct {
-	wire.ReportAnswer
+	wire.HeartbeatReply
 	wire.Redirect
 }
 
@@ -335,11 +335,11 @@
 	pause := w.seconds(0.75*w.site.report, 1.25*w.site.report)
 	switch {
 	case status == http.StatusOK:
-		if a.Token >= k.rep.Token && session == k.rep.Session {
-			k.rep.Token, k.seen = a.Token, k.sent
+		if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
+			k.rep.FencingToken, k.seen = a.FencingToken, k.sent
 			k.obey(a.Commands, by.name)
 		}
-		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskReport) bool { return t.State == wire.TaskExited }) {
+		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskExited }) {
 			pause = 500 * time.Millisecond
 		}
 	case status == http.StatusMisdirectedRequest && a.ReportTo != "" && a.ReportTo != by.name:
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -584,7 +584,7 @@
 func (w *world) delivers(raw []byte, n *node) {
 	w.asking.Go(func() {
 		var out map[string]any
-		w.post(w.t.Context(), "http://"+n.addr+wire.PathReport, raw, &out)
+		w.post(w.t.Context(), "http://"+n.addr+wire.PathHeartbeat, raw, &out)
 	})
 }
 
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -118,7 +118,7 @@
 func (l *lab) work(ctx context.Context, i int) {
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	rep := wire.Report{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Session: 1}
+	rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1}
 	wait := time.Duration(rand.Int64N(int64(l.every)))
 	for {
 		select {
@@ -133,7 +133,7 @@
 			return
 		}
 		begun := time.Now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.bind+wire.PathReport, bytes.NewReader(raw))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.bind+wire.PathHeartbeat, bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
@@ -149,9 +149,9 @@
 			}
 			continue
 		}
-		var a wire.ReportAnswer
+		var a wire.HeartbeatReply
 		if json.NewDecoder(resp.Body).Decode(&a) == nil {
-			rep.Token = a.Token
+			rep.FencingToken = a.FencingToken
 		}
 		_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
 		resp.Body.Close()
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -87,7 +87,7 @@
 	if first, ok := l.begun[id]; !ok || m.Begin.Before(first) {
 		l.begun[id] = m.Begin
 	}
-	if m.Why == wire.WhyDone {
+	if m.Why == wire.ExitDone {
 		l.done[id]++
 	}
 }
@@ -170,11 +170,11 @@
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, Report: time.Second, Lease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", Measured: l.saw,
-		Task: func(task string, _ uint64) (time.Duration, wire.Why, string) {
+		Task: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
 			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
-				return 15 * time.Second, wire.WhyDone, "team-1" // the replica of a service
+				return 15 * time.Second, wire.ExitDone, "team-1" // the replica of a service
 			}
-			return 6 * time.Second, wire.WhyDone, "team-0"
+			return 6 * time.Second, wire.ExitDone, "team-0"
 		},
 	}
 	defer l.rig.Close()
