--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -55,7 +55,7 @@
 			}
 			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: w.revision + 1, Value: leftValue(pack)}
 			w.apply(wire.Txn{Then: []wire.Change{{Put: item.Key, Value: item.Value}}})
-			w.book.LoadLeft(w.items[item.Key])
+			w.book.LoadDetached(w.items[item.Key])
 			made += time.Since(begun)
 			if i%9 == 8 {
 				w.ledger.Tick(w.now())
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps what every attempt of every task took: one charge for each,
 // borne by exactly one team. It joins the leader's loop as a slice; charges ride in the
-// book's own transactions (see jobs.Book.Charge) and are rolled up into totals and
+// book's own transactions (see jobs.Store.Charge) and are rolled up into totals and
 // compressed segments later. It also holds work back that its team's budget no longer
 // allows (package budget).
 package ledger
@@ -46,18 +46,18 @@
 	valueBytes int
 	codec      *charge.Codec
 	where      *time.Location // in which days begin
-	book       *jobs.Book
+	book       *jobs.Store
 
 	read      bool // the segments and totals are in: roll-ups may begin
 	segment   segment
 	open      *page
 	closed    map[int]*page
-	lefts     []jobs.Left
+	lefts     []jobs.DetachedCharges
 	nextTell  time.Time
 	nextCare  time.Time // the totals are not looked at for compaction before
 	leftSince time.Time // when the oldest of them came
 
-	live    map[*jobs.Place]bool
+	live    map[*jobs.Allocation]bool
 	turn    time.Time // when the present day ends
 	budgets *budget.Keeper
 	seen    *budget.Settings // those that are in force
@@ -81,7 +81,7 @@
 	return &Ledger{
 		cfg: cfg, log: log, txnOps: cfg.TxnOps, valueBytes: int(cfg.ValueKB * 1024), codec: codec,
 		where: cfg.Budgets().Where(), open: newPage(0), closed: map[int]*page{},
-		live: map[*jobs.Place]bool{}, budgets: budget.NewKeeper(),
+		live: map[*jobs.Allocation]bool{}, budgets: budget.NewKeeper(),
 	}, nil
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Loaded takes in the book, with the charges and the live tasks of former leaders.
-func (l *Ledger) Loaded(book *jobs.Book, now time.Time) {
+func (l *Ledger) Loaded(book *jobs.Store, now time.Time) {
 	l.book = book
 	book.Meter = true
 	l.turn = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.where))
@@ -205,7 +205,7 @@
 	}
 	for _, j := range book.Jobs {
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil {
+			if p := j.Tasks[i].Allocation; p != nil {
 				l.live[p] = true
 				l.budgets.Start(p, l.task(p))
 			}
@@ -226,8 +226,8 @@
 }
 
 // collect takes the records of charges that lie apart by now.
-func (l *Ledger) collect(now time.Time) []jobs.Left {
-	lefts := l.book.TakeLefts()
+func (l *Ledger) collect(now time.Time) []jobs.DetachedCharges {
+	lefts := l.book.TakeDetached()
 	if len(l.lefts) == 0 {
 		l.leftSince = now
 	}
@@ -247,12 +247,12 @@
 	l.budgets.Charged(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.where), budget.Use{Core: a.Core, Money: a.Money})
 }
 
-func (l *Ledger) brief(p *jobs.Place) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
+func (l *Ledger) brief(p *jobs.Allocation) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
 
 // task is a place as budgets see it.
-func (l *Ledger) task(p *jobs.Place) *budget.Task {
+func (l *Ledger) task(p *jobs.Allocation) *budget.Task {
 	t := budget.TaskOf(&p.Job.Job)
-	t.Rate, t.Began = p.Kind.Rate, p.Began
+	t.Rate, t.Began = p.Kind.Rate, p.BeganAt
 	return t
 }
 
@@ -295,7 +295,7 @@
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := waiting[a], waiting[b]
-		return cmp.Or(cmp.Compare(y.Priority.Level(), x.Priority.Level()), x.WaitSince.Compare(y.WaitSince), cmp.Compare(x.ID, y.ID))
+		return cmp.Or(cmp.Compare(y.Priority.Level(), x.Priority.Level()), x.WaitingSince.Compare(y.WaitingSince), cmp.Compare(x.ID, y.ID))
 	})
 	release := l.budgets.Try()
 	defer release()
@@ -309,7 +309,7 @@
 
 // Placed notes on what kind of machine an attempt will run, and reserves what it is
 // expected to take.
-func (l *Ledger) Placed(p *jobs.Place, spot bool, typ *wire.MachineType, _ time.Time) {
+func (l *Ledger) Placed(p *jobs.Allocation, spot bool, typ *wire.MachineType, _ time.Time) {
 	p.Kind = charge.Kind{Zone: p.Zone, Spot: spot, Rate: Rate(&p.Job.Job, typ, spot)}
 	if typ != nil {
 		p.Kind.Type = typ.Name
@@ -320,7 +320,7 @@
 
 // Ended charges an attempt that came to its end.
 func (l *Ledger) Ended(o machines.Outcome, now time.Time) {
-	p := o.Place
+	p := o.Allocation
 	delete(l.live, p)
 	c, ok := chargeFor(&o, now, l.rateNow(p))
 	l.budgets.End(p, c.How == charge.Done && c.Flags&charge.Bound == 0, time.Duration(c.Run)*time.Millisecond)
@@ -330,10 +330,10 @@
 }
 
 // Over is nothing to the ledger: charges are of attempts.
-func (l *Ledger) Over(jobs.Over, time.Time) {}
+func (l *Ledger) Over(jobs.FinishedJob, time.Time) {}
 
 // write has charges written, and counts them.
-func (l *Ledger) write(p *jobs.Place, parts []charge.Charge, now time.Time) {
+func (l *Ledger) write(p *jobs.Allocation, parts []charge.Charge, now time.Time) {
 	brief := l.brief(p)
 	for i := range parts {
 		l.count(&brief, &parts[i])
@@ -354,12 +354,12 @@
 }
 
 // rateNow is what an attempt's task would take of its machine's price by now.
-func (l *Ledger) rateNow(p *jobs.Place) int64 {
+func (l *Ledger) rateNow(p *jobs.Allocation) int64 {
 	return Rate(&p.Job.Job, wire.TypeNamed(l.cfg.Types(), p.Kind.Type), p.Kind.Spot)
 }
 
 // Tick closes days, looks at the budgets and takes what lies apart.
-func (l *Ledger) Tick(now time.Time) []*jobs.Place {
+func (l *Ledger) Tick(now time.Time) []*jobs.Allocation {
 	l.collect(now)
 	l.configure(now)
 	l.tell(now)
@@ -370,8 +370,8 @@
 		return nil
 	}
 	for p := range l.live {
-		if !p.Began.IsZero() {
-			l.budgets.Began(p, p.Began)
+		if !p.BeganAt.IsZero() {
+			l.budgets.Began(p, p.BeganAt)
 		}
 	}
 	l.budgets.Sum(now)
@@ -381,11 +381,11 @@
 	if !l.read {
 		return nil
 	}
-	var stop []*jobs.Place
+	var stop []*jobs.Allocation
 	for _, ref := range l.budgets.OverSpent() {
-		p := ref.(*jobs.Place)
+		p := ref.(*jobs.Allocation)
 		if p.Stop == nil {
-			p.Stop = &jobs.Stop{For: charge.OverSpent}
+			p.Stop = &jobs.StopRequest{Reason: charge.OverSpent}
 			if p.Job.CheckpointS > 0 {
 				p.Stop.GraceS = p.Job.SaveS + tuning.GraceExtra.Seconds()
 			}
@@ -405,7 +405,7 @@
 	t := l.totals(Query{By: []string{"team"}}, now)
 	running := 0
 	for p := range l.live {
-		if !p.Began.IsZero() {
+		if !p.BeganAt.IsZero() {
 			running++
 		}
 	}
@@ -420,13 +420,13 @@
 	turn := l.turn
 	l.turn = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.where))
 	for p := range l.live {
-		if p.Began.IsZero() || !p.Began.Before(turn) {
+		if p.BeganAt.IsZero() || !p.BeganAt.Before(turn) {
 			continue
 		}
 		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.Part, How: charge.Continues, Flags: blindStart(p)}
-		meter(&c, p, p.Began, turn, l.rateNow(p))
+		meter(&c, p, p.BeganAt, turn, l.rateNow(p))
 		parts := charge.Split(c, l.where)
-		p.Began, p.Part = turn, p.Part+len(parts)
+		p.BeganAt, p.Part = turn, p.Part+len(parts)
 		l.write(p, parts, now)
 	}
 }
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -39,22 +39,22 @@
 func TestHowAttemptsEndAndWhatTheyTake(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(w *world, p *jobs.Place)
+		end  func(w *world, p *jobs.Allocation)
 		how  charge.How
 		flag charge.Flag
 	}{
-		{"done", func(w *world, p *jobs.Place) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
-		{"failed", func(w *world, p *jobs.Place) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(w *world, p *jobs.Place) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.Bound},
-		{"drained", func(w *world, p *jobs.Place) {
-			p.Stop = &jobs.Stop{For: charge.Drained}
+		{"done", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
+		{"failed", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
+		{"its machine is taken back or its session ends", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.Bound},
+		{"drained", func(w *world, p *jobs.Allocation) {
+			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			w.end(p, wire.ExitStopped, false)
 		}, charge.Drained, 0},
-		{"stopped for others", func(w *world, p *jobs.Place) {
-			p.Stop = &jobs.Stop{For: charge.Preempted}
+		{"stopped for others", func(w *world, p *jobs.Allocation) {
+			p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 			w.end(p, wire.ExitStopped, false)
 		}, charge.Preempted, 0},
-		{"its job is cancelled", func(w *world, p *jobs.Place) {
+		{"its job is cancelled", func(w *world, p *jobs.Allocation) {
 			w.book.Cancel(p.Job, func(wire.JobState) {})
 			w.flush()
 			w.end(p, wire.ExitStopped, false)
@@ -123,7 +123,7 @@
 		if stored, _ := w.stored(); len(stored) != 3 {
 			t.Fatalf("order %d: %d attempts are charged, want 3", order, len(stored))
 		}
-		if len(w.with(jobs.PrefixRun))+len(w.with(jobs.PrefixLeft)) != 0 {
+		if len(w.with(jobs.PrefixProgress))+len(w.with(jobs.PrefixDetached)) != 0 {
 			t.Fatalf("order %d: records of a job that is over and rolled up are left", order)
 		}
 	}
@@ -135,8 +135,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(t)
 		next := 0
-		pick := func() *jobs.Place {
-			var live []*jobs.Place
+		pick := func() *jobs.Allocation {
+			var live []*jobs.Allocation
 			for _, k := range w.sorted() {
 				p := w.places[k]
 				if tr := w.attempts[keyOf(p)]; tr != nil && tr.ended.IsZero() && !p.Removed {
@@ -300,7 +300,7 @@
 	w.check()
 	w.roll()
 	w.check()
-	if n := len(w.with(jobs.PrefixLeft)); n != 0 {
+	if n := len(w.with(jobs.PrefixDetached)); n != 0 {
 		t.Errorf("%d records are left", n)
 	}
 }
@@ -353,7 +353,7 @@
 	}
 	w.lead()
 	w.submit(array("job-1", 10_000))
-	var placed []*jobs.Place
+	var placed []*jobs.Allocation
 	for p := w.place("job-1"); p != nil; p = w.place("job-1") {
 		placed = append(placed, p)
 	}
@@ -479,7 +479,7 @@
 	}
 	w.clock.Advance(time.Minute) // 240 core-seconds of 180
 	stop := w.ledger.Tick(w.now())
-	if len(stop) != 1 || stop[0] != p || p.Stop.For != charge.OverSpent || p.Stop.GraceS < 4 || replica.Stop != nil {
+	if len(stop) != 1 || stop[0] != p || p.Stop.Reason != charge.OverSpent || p.Stop.GraceS < 4 || replica.Stop != nil {
 		t.Fatalf("stopped are %v", stop)
 	}
 	if again := w.ledger.Tick(w.now()); len(again) != 0 {
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -47,7 +47,7 @@
 
 // how tells how an attempt ended, for its charge.
 func how(o *machines.Outcome) charge.How {
-	p := o.Place
+	p := o.Allocation
 	switch {
 	case o.Why == wire.ExitDone:
 		return charge.Done
@@ -59,8 +59,8 @@
 		return charge.Lost
 	case p.Job.Cancelled():
 		return charge.Cancelled
-	case p.Stop != nil && p.Stop.For != charge.Continues:
-		return p.Stop.For
+	case p.Stop != nil && p.Stop.Reason != charge.Continues:
+		return p.Stop.Reason
 	}
 	return charge.Stopped
 }
@@ -68,7 +68,7 @@
 // chargeFor gives the charge of an attempt from its outcome; ok is false for one that was
 // never started.
 func chargeFor(o *machines.Outcome, now time.Time, rateNow int64) (c charge.Charge, ok bool) {
-	p := o.Place
+	p := o.Allocation
 	if !p.Committed {
 		return c, false // no record named it, so nothing was started
 	}
@@ -76,7 +76,7 @@
 	if o.Saved {
 		c.Flags |= charge.Saved
 	}
-	begun := p.Began
+	begun := p.BeganAt
 	switch {
 	case !begun.IsZero():
 		c.Flags |= blindStart(p)
@@ -86,7 +86,7 @@
 	case c.How == charge.Refused:
 		begun = now
 	default:
-		begun = p.Placed
+		begun = p.PlacedAt
 		if o.Idle.After(begun) {
 			begun = o.Idle
 		}
@@ -102,8 +102,8 @@
 
 // blindStart marks a charge whose task counts from when it was placed, since nobody
 // knows when it began.
-func blindStart(p *jobs.Place) charge.Flag {
-	if p.Part == 0 && !p.Began.After(p.Placed) {
+func blindStart(p *jobs.Allocation) charge.Flag {
+	if p.Part == 0 && !p.BeganAt.After(p.PlacedAt) {
 		return charge.Bound
 	}
 	return 0
@@ -111,7 +111,7 @@
 
 // meter sets a charge's time and money. The price is the mean of those at the
 // beginning and the end.
-func meter(c *charge.Charge, p *jobs.Place, begun, now time.Time, rateNow int64) {
+func meter(c *charge.Charge, p *jobs.Allocation, begun, now time.Time, rateNow int64) {
 	run := max(0, now.Sub(begun))
 	c.Start, c.Run = begun.UnixMilli(), run.Milliseconds()
 	rate := p.Kind.Rate
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -43,7 +43,7 @@
 func (r *Reader) Job(ctx context.Context, id, after string) (Page, error) {
 	page := Page{Charges: []ChargeView{}}
 	if after == "" {
-		for _, prefix := range []string{jobs.PrefixRun + id + "/", jobs.PrefixLeft + id + "/"} {
+		for _, prefix := range []string{jobs.PrefixProgress + id + "/", jobs.PrefixDetached + id + "/"} {
 			if _, err := r.store.ListAll(ctx, prefix, func(items []wire.Item) error {
 				for _, item := range items {
 					p, err := jobs.PackOf(item)
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -80,7 +80,7 @@
 	if full := min(l.txnOps-2, len(l.lefts)) == l.txnOps-2; !full && now.Sub(l.leftSince) < tuning.RollAfter {
 		return nil
 	}
-	var take []jobs.Left
+	var take []jobs.DetachedCharges
 	size := 0
 	for _, left := range l.lefts {
 		n := len(charge.EncodePack(left.Pack))
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -233,11 +233,11 @@
 	out := t.Answer(l.where)
 	running := NewTally(q)
 	for p := range l.live {
-		if p.Began.IsZero() {
+		if p.BeganAt.IsZero() {
 			continue
 		}
 		var c charge.Charge
-		meter(&c, p, p.Began, now, l.rateNow(p))
+		meter(&c, p, p.BeganAt, now, l.rateNow(p))
 		brief := l.brief(p)
 		a := brief.Of(&c)
 		a.Ends = [len(a.Ends)]int64{}
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -30,9 +30,9 @@
 	txnOps   int
 	settings *budget.Settings
 
-	book     *jobs.Book
+	book     *jobs.Store
 	ledger   *Ledger
-	places   map[attempt]*jobs.Place // as the present leader knows them
+	places   map[attempt]*jobs.Allocation // as the present leader knows them
 	attempts map[attempt]*truth
 	changes  int // put and deleted so far
 	longest  int // bytes of a transaction
@@ -111,7 +111,7 @@
 func (w *world) lead() {
 	w.t.Helper()
 	now := w.now()
-	w.book, w.places = jobs.NewBook(w.txnOps), map[attempt]*jobs.Place{}
+	w.book, w.places = jobs.NewStore(w.txnOps), map[attempt]*jobs.Allocation{}
 	var err error
 	if w.ledger, err = New(Config{
 		Clock: w.clock, TxnOps: w.txnOps, ValueKB: 16, Types: func() []wire.MachineType { return []wire.MachineType{small} },
@@ -124,20 +124,20 @@
 			w.t.Fatal(err)
 		}
 	}
-	for _, item := range w.with(jobs.PrefixRun) {
-		places, err := w.book.LoadRun(item, now)
+	for _, item := range w.with(jobs.PrefixProgress) {
+		places, err := w.book.LoadProgress(item, now)
 		if err != nil {
 			w.t.Fatal(err)
 		}
 		for _, p := range places {
 			w.places[keyOf(p)] = p
 			if p.Job.Cancelled() {
-				p.Stop = &jobs.Stop{For: charge.Cancelled}
+				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
 		}
 	}
-	for _, item := range w.with(jobs.PrefixLeft) {
-		w.book.LoadLeft(item)
+	for _, item := range w.with(jobs.PrefixDetached) {
+		w.book.LoadDetached(item)
 	}
 	w.book.Loaded()
 	if errs := w.book.Damaged(); len(errs) > 0 {
@@ -154,7 +154,7 @@
 	w.report()
 }
 
-func keyOf(p *jobs.Place) attempt { return attempt{p.Job.ID, p.Index, p.Attempt} }
+func keyOf(p *jobs.Allocation) attempt { return attempt{p.Job.ID, p.Index, p.Attempt} }
 
 // submit stores a job.
 func (w *world) submit(j wire.Job) *jobs.Job {
@@ -178,22 +178,22 @@
 }
 
 // place decides on the next waiting task of a job; nil: none waits.
-func (w *world) place(id string) *jobs.Place {
+func (w *world) place(id string) *jobs.Allocation {
 	j := w.book.Jobs[id]
-	if j == nil || !j.Open() {
+	if j == nil || !j.CanStart() {
 		return nil
 	}
 	i := j.NextWaiting(0)
 	if n, _ := w.ledger.Admit(j, w.now()); i < 0 || n <= 0 {
 		return nil
 	}
-	p := w.book.Place(j, i, "a-machine-000001", "mombasa-port", 1, w.now())
+	p := w.book.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, w.now())
 	w.ledger.Placed(p, false, &small, w.now())
 	return p
 }
 
 // start places a task, stores that and has it run.
-func (w *world) start(id string) *jobs.Place {
+func (w *world) start(id string) *jobs.Allocation {
 	w.t.Helper()
 	p := w.place(id)
 	if p == nil {
@@ -206,7 +206,7 @@
 }
 
 // run has a started task begin to run.
-func (w *world) run(p *jobs.Place) {
+func (w *world) run(p *jobs.Allocation) {
 	if tr := w.attempts[keyOf(p)]; tr != nil && tr.began.IsZero() && tr.ended.IsZero() {
 		tr.began = w.now()
 	}
@@ -214,7 +214,7 @@
 }
 
 // end has an attempt end at its worker.
-func (w *world) end(p *jobs.Place, why wire.ExitReason, lost bool) {
+func (w *world) end(p *jobs.Allocation, why wire.ExitReason, lost bool) {
 	if tr := w.attempts[keyOf(p)]; tr != nil && tr.ended.IsZero() {
 		tr.ended, tr.why, tr.lost = w.now(), why, lost
 	}
@@ -242,16 +242,16 @@
 		}
 		if !tr.began.IsZero() && tr.ended.IsZero() && p.State == "" {
 			p.State = wire.TaskRunning
-			w.book.Began(p, now)
+			w.book.MarkBegan(p, now)
 		}
 		if tr.ended.IsZero() {
 			continue
 		}
-		w.ledger.Ended(machines.Outcome{Place: p, Why: tr.why, Lost: tr.lost}, now)
+		w.ledger.Ended(machines.Outcome{Allocation: p, Why: tr.why, Lost: tr.lost}, now)
 		if tr.why == wire.ExitDone {
-			w.book.Finished(p, now)
+			w.book.MarkDone(p, now)
 		} else {
-			w.book.Gone(p, now)
+			w.book.MarkLost(p, now)
 		}
 	}
 }
@@ -259,20 +259,20 @@
 // commit stores one of the book's transactions, and tells whether there was one.
 func (w *world) commit(answered bool) bool {
 	w.book.Due(w.now())
-	batch := w.book.Take(w.now().Add(time.Hour), jobs.Budget{Spare: 1000})
+	batch := w.book.NextBatch(w.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
 	if batch == nil {
 		return false
 	}
 	revision := w.apply(batch.Txn)
 	for _, j := range w.book.Jobs {
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil {
+			if p := j.Tasks[i].Allocation; p != nil {
 				w.places[keyOf(p)] = p
 			}
 		}
 	}
 	// What is stored is started, even if this leader never learns of it.
-	for _, item := range w.with(jobs.PrefixRun) {
+	for _, item := range w.with(jobs.PrefixProgress) {
 		w.started(item)
 	}
 	if answered {
@@ -345,7 +345,7 @@
 			sum.Add(p.Brief.Of(c))
 		}
 	}
-	for _, item := range append(w.with(jobs.PrefixRun), w.with(jobs.PrefixLeft)...) {
+	for _, item := range append(w.with(jobs.PrefixProgress), w.with(jobs.PrefixDetached)...) {
 		p, err := jobs.PackOf(item)
 		if err != nil {
 			w.t.Fatal(err)
--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -28,7 +28,7 @@
 	store    *statestore.Client
 	peers    *peers.Peers
 	teams    map[string]config.Team
-	finals   *jobs.Finals
+	finals   *jobs.FinalStates
 	types    func() []wire.MachineType
 	leader   func() *leader.Loop
 	polls    *poller
@@ -162,7 +162,7 @@
 	if !live {
 		return http.StatusNotFound, s
 	}
-	var e jobs.End
+	var e jobs.FinalState
 	if err := json.Unmarshal(end.Value, &e); err != nil || !e.State.Final() {
 		d.log.Error("end record is malformed", "job", id)
 		return http.StatusServiceUnavailable, s
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 	c.env = &leader.Env{
 		Settings: s, Knobs: own.Knobs(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers: httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
-		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinals(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
+		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
 		Valid: c.elector.Valid, Kept: c.kept, Reach: c.peers.Reach, Types: c.catalog.Types,
 		Full: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
 	}
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -115,7 +115,7 @@
 	w.until("done", func() bool { k.beat(); k.finish(); return w.jobState("job-1") == "done" })
 	for _, txn := range w.state.Applied() {
 		for _, c := range txn.Then {
-			if strings.HasPrefix(c.Put, "ledger/") || strings.HasPrefix(c.Put, jobs.PrefixLeft) || strings.Contains(string(c.Value), `"c":`) {
+			if strings.HasPrefix(c.Put, "ledger/") || strings.HasPrefix(c.Put, jobs.PrefixDetached) || strings.Contains(string(c.Value), `"c":`) {
 				t.Errorf("%s is written: %s", c.Put, c.Value)
 			}
 		}
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -52,7 +52,7 @@
 	cfg   Config
 	log   *slog.Logger
 	codec *charge.Codec
-	book  *jobs.Book
+	book  *jobs.Store
 
 	ended context.Context    // of the tenure
 	ask   func(func()) error // has the loop do something
@@ -76,7 +76,7 @@
 	late   map[*live]struct{} // runs with something that may wait to be stored
 
 	cancels map[string]struct{} // jobs that are to be cancelled
-	stops   []*jobs.Place       // of those that were, for the loop to stop
+	stops   []*jobs.Allocation  // of those that were, for the loop to stop
 }
 
 // where is a step's job that is not over.
@@ -109,7 +109,7 @@
 }
 
 // Loaded takes in the book.
-func (g *Graphs) Loaded(book *jobs.Book, _ time.Time) { g.book = book }
+func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.book = book }
 
 // Admit has a step's job rest before its next try.
 func (g *Graphs) Admit(j *jobs.Job, now time.Time) (int, string) {
@@ -140,13 +140,13 @@
 }
 
 // Placed is nothing to graphs.
-func (g *Graphs) Placed(*jobs.Place, bool, *wire.MachineType, time.Time) {}
+func (g *Graphs) Placed(*jobs.Allocation, bool, *wire.MachineType, time.Time) {}
 
 // Ended counts a step's failed attempts.
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
-	id := o.Place.Job.ID
+	id := o.Allocation.Job.ID
 	w, ok := g.byJob[id]
-	if !ok || !w.current() || o.Why != wire.ExitError || o.Place.Job.Cancelled() {
+	if !ok || !w.current() || o.Why != wire.ExitError || o.Allocation.Job.Cancelled() {
 		return
 	}
 	w.run.ended(w.at, now, dag.Failed)
@@ -158,7 +158,7 @@
 }
 
 // Over takes in what became of a step's job.
-func (g *Graphs) Over(o jobs.Over, now time.Time) { g.over(o.Job.ID, o.State, now) }
+func (g *Graphs) Over(o jobs.FinishedJob, now time.Time) { g.over(o.Job.ID, o.State, now) }
 
 func (g *Graphs) over(id string, state wire.JobState, now time.Time) {
 	w, ok := g.byJob[id]
@@ -244,13 +244,13 @@
 }
 
 // Tick looks which steps run, and for how long, which runs are due, and what may go.
-func (g *Graphs) Tick(now time.Time) []*jobs.Place {
+func (g *Graphs) Tick(now time.Time) []*jobs.Allocation {
 	if !g.read {
 		return nil
 	}
 	for id, w := range g.young {
 		j := g.book.Jobs[id]
-		if j == nil || j.Placed == 0 || !w.current() || now.Before(w.instance().Hold) || j.Status().Running == 0 {
+		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().Hold) || j.Status().Running == 0 {
 			continue
 		}
 		w.run.run.Running(w.at, now)
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -70,7 +70,7 @@
 	w.settle()
 	for _, id := range w.live() {
 		for i := range w.book.Jobs[id].Tasks {
-			if pl := w.book.Jobs[id].Tasks[i].Place; pl != nil {
+			if pl := w.book.Jobs[id].Tasks[i].Allocation; pl != nil {
 				w.end(pl, wire.ExitStopped)
 			}
 		}
@@ -153,7 +153,7 @@
 				w.next(true)
 			case 3:
 				// The book's write is applied, and its leader never knows.
-				if b := w.book.Take(w.clock.Now().Add(time.Hour), jobs.Budget{Spare: 1000}); b != nil {
+				if b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
 					w.commit(b.Txn)
 					w.lead()
 				}
@@ -167,8 +167,8 @@
 				for _, id := range w.live() {
 					pl := w.place(id)
 					if pl == nil {
-						if j := w.book.Jobs[id]; j != nil && j.Tasks[0].Place != nil {
-							pl = j.Tasks[0].Place
+						if j := w.book.Jobs[id]; j != nil && j.Tasks[0].Allocation != nil {
+							pl = j.Tasks[0].Allocation
 						}
 					}
 					if pl != nil {
@@ -184,7 +184,7 @@
 			for _, id := range w.live() {
 				pl := w.place(id)
 				if pl == nil && w.book.Jobs[id] != nil {
-					pl = w.book.Jobs[id].Tasks[0].Place
+					pl = w.book.Jobs[id].Tasks[0].Allocation
 				}
 				if pl != nil {
 					w.end(pl, wire.ExitDone)
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var e jobs.End
+		var e jobs.FinalState
 		if ok {
 			if err := json.Unmarshal(item.Value, &e); err != nil {
 				return nil, err
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -126,7 +126,7 @@
 	if j := w.book.Jobs[old]; !j.Cancelled() {
 		t.Error("the old job goes on")
 	}
-	w.end(w.book.Jobs[old].Tasks[0].Place, wire.ExitStopped)
+	w.end(w.book.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
 	w.settle()
 	if r := w.run(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
 		t.Errorf("the old job's end changed the step: %v", counts(r))
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -28,7 +28,7 @@
 	clock  *clockwork.FakeClock
 	state  *fakes.State
 	store  *statestore.Client
-	book   *jobs.Book
+	book   *jobs.Store
 	graphs *Graphs
 	cfg    Config
 	known  map[string]bool // jobs that the book took in
@@ -85,10 +85,10 @@
 	if w.graphs, err = New(w.cfg, slog.New(slog.DiscardHandler)); err != nil {
 		w.t.Fatal(err)
 	}
-	w.book, w.known = jobs.NewBook(12), map[string]bool{}
+	w.book, w.known = jobs.NewStore(12), map[string]bool{}
 	w.watch()
-	for _, item := range w.list(jobs.PrefixRun) {
-		if _, err := w.book.LoadRun(item, w.clock.Now()); err != nil {
+	for _, item := range w.list(jobs.PrefixProgress) {
+		if _, err := w.book.LoadProgress(item, w.clock.Now()); err != nil {
 			w.t.Fatal(err)
 		}
 	}
@@ -148,7 +148,7 @@
 
 // flush stores the book's changes.
 func (w *world) flush() {
-	for b := w.book.Take(w.clock.Now().Add(time.Hour), jobs.Budget{Spare: 1000}); b != nil; b = w.book.Take(w.clock.Now().Add(time.Hour), jobs.Budget{Spare: 1000}) {
+	for b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil; b = w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}) {
 		_, over := w.book.Written(b, w.commit(b.Txn))
 		for _, o := range over {
 			w.graphs.Over(o, w.clock.Now())
@@ -178,15 +178,15 @@
 func describes([]Description) error { return nil }
 
 // place has the first waiting task of a job run.
-func (w *world) place(id string) *jobs.Place {
+func (w *world) place(id string) *jobs.Allocation {
 	j := w.book.Jobs[id]
-	if j == nil || !j.Open() || j.NextWaiting(0) < 0 {
+	if j == nil || !j.CanStart() || j.NextWaiting(0) < 0 {
 		return nil
 	}
 	if n, _ := w.graphs.Admit(j, w.clock.Now()); n == 0 {
 		return nil
 	}
-	p := w.book.Place(j, j.NextWaiting(0), "n-1", "a", 1, w.clock.Now())
+	p := w.book.Allocate(j, j.NextWaiting(0), "n-1", "a", 1, w.clock.Now())
 	w.flush()
 	p.State = wire.TaskRunning
 	w.graphs.Tick(w.clock.Now())
@@ -194,17 +194,17 @@
 }
 
 // end ends a task's attempt.
-func (w *world) end(p *jobs.Place, why wire.ExitReason) {
+func (w *world) end(p *jobs.Allocation, why wire.ExitReason) {
 	if p.Removed {
 		return
 	}
-	w.graphs.Ended(machines.Outcome{Place: p, Why: why}, w.clock.Now())
+	w.graphs.Ended(machines.Outcome{Allocation: p, Why: why}, w.clock.Now())
 	if why == wire.ExitDone {
 		w.ends[p.Job.ID]++
-		w.book.Finished(p, w.clock.Now())
+		w.book.MarkDone(p, w.clock.Now())
 		return
 	}
-	w.book.Gone(p, w.clock.Now())
+	w.book.MarkLost(p, w.clock.Now())
 }
 
 // finish has all that runs or may run be done.
@@ -212,7 +212,7 @@
 	for _, id := range w.live() {
 		pl := w.place(id)
 		if j := w.book.Jobs[id]; pl == nil && j != nil {
-			pl = j.Tasks[0].Place
+			pl = j.Tasks[0].Allocation
 		}
 		if pl != nil {
 			w.end(pl, wire.ExitDone)
--- a/internal/scheduler/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -22,51 +22,51 @@
 // The states of a task.
 const (
 	Waiting TaskState = iota
-	Placed
+	Allocated
 	Done
 )
 
 // Task is one task of a job.
 type Task struct {
-	State   TaskState
-	Attempt uint64 // the last attempt used
-	Place   *Place // where it may be, while placed
+	State      TaskState
+	Attempt    uint64      // the last attempt used
+	Allocation *Allocation // where it may be, while placed
 }
 
-// Stop is the wish that a placed task ends.
-type Stop struct {
+// StopRequest is the wish that a placed task ends.
+type StopRequest struct {
 	GraceS float64    // time to save
-	For    charge.How // why, for its charge
+	Reason charge.How // why, for its charge
 }
 
-// Place is a machine on which a task may be. It lasts from the decision until
+// Allocation is a machine on which a task may be. It lasts from the decision until
 // the task is proven gone from there.
-type Place struct {
-	Job       *Job
-	Index     int
-	Attempt   uint64
-	Machine   string
-	Session   uint64
-	Zone      string
-	Committed bool // the record that names it is stored: it may be started
-	Removed   bool // proven gone, or given up before it was ever started
-	Stop      *Stop
-	State     wire.TaskState // as reported; empty: not yet
-	At        time.Time      // when it was placed (or found, by a new leader)
-	Running   time.Time      // when it was first reported running
-	Offered   time.Time      // when an answer to a report last held its start
+type Allocation struct {
+	Job          *Job
+	Index        int
+	Attempt      uint64
+	Machine      string
+	Incarnation  uint64
+	Zone         string
+	Committed    bool // the record that names it is stored: it may be started
+	Removed      bool // proven gone, or given up before it was ever started
+	Stop         *StopRequest
+	State        wire.TaskState // as reported; empty: not yet
+	KnownSince   time.Time      // when it was placed (or found, by a new leader)
+	RunningSince time.Time      // when it was first reported running
+	StartSentAt  time.Time      // when an answer to a report last held its start
 
 	// What its charge counts from; kept only while charges are (Book.Meter).
 	Kind        charge.Kind
-	Placed      time.Time // when it was placed, by the time of day, whoever led then
-	Began       time.Time // when it was first seen to run, or its day began
+	PlacedAt    time.Time // when it was placed, by the time of day, whoever led then
+	BeganAt     time.Time // when it was first seen to run, or its day began
 	Part        int       // how many parts of it are charged already
 	beganStored bool
 	Inherited   bool // a former leader placed it
 }
 
 // Task names the task.
-func (p *Place) Task() wire.TaskID { return wire.TaskID{Job: p.Job.ID, Index: p.Index} }
+func (p *Allocation) Task() wire.TaskID { return wire.TaskID{Job: p.Job.ID, Index: p.Index} }
 
 type chunk struct {
 	version uint64
@@ -82,19 +82,19 @@
 // Job is a live job.
 type Job struct {
 	wire.Job
-	AcceptedAt time.Time // by the time of day
-	Tasks      []Task
-	Done       int
-	Placed     int
-	WaitSince  time.Time // since when some task of it waits without a break
-	Entered    time.Time // when it was accepted, by the steady clock
-	PauseUntil time.Time // no task is placed before, after failures
-	MakingRoom time.Time // until then, what was stopped for it is on its way out
-	Errors     int
-	Tries      int                  // in vain, since a task of it last worked
-	Avoid      map[string]time.Time // machines on which a task of it failed, until when
-	runs       []Run                // of its last completed tasks
-	usualS     float64              // the median of theirs, from SeenRuns on
+	AcceptedAt      time.Time // by the time of day
+	Tasks           []Task
+	Done            int
+	Allocated       int
+	WaitingSince    time.Time // since when some task of it waits without a break
+	EnqueuedAt      time.Time // when it was accepted, by the steady clock
+	PauseUntil      time.Time // no task is placed before, after failures
+	PreemptingUntil time.Time // until then, what was stopped for it is on its way out
+	Errors          int
+	Tries           int                  // in vain, since a task of it last worked
+	AvoidMachines   map[string]time.Time // machines on which a task of it failed, until when
+	runs            []CompletedRun       // of its last completed tasks
+	usualS          float64              // the median of theirs, from SeenRuns on
 
 	version      uint64 // of the stored job
 	atMS         int64
@@ -109,15 +109,15 @@
 	zones        map[string]int
 }
 
-// Run is how long a completed task ran, and where.
-type Run struct {
+// CompletedRun is how long a completed task ran, and where.
+type CompletedRun struct {
 	Machine, Type string
 	Seconds       float64
 }
 
-// Ran notes a completed task, and gives how long the last others took on other machines of the type: another type
+// RecordRun notes a completed task, and gives how long the last others took on other machines of the type: another type
 // may be slower as it is.
-func (j *Job) Ran(r Run) (elsewhere []float64) {
+func (j *Job) RecordRun(r CompletedRun) (elsewhere []float64) {
 	for _, o := range j.runs {
 		if o.Machine != r.Machine && o.Type == r.Type {
 			elsewhere = append(elsewhere, o.Seconds)
@@ -127,15 +127,15 @@
 		j.runs = j.runs[1:]
 	}
 	if len(j.runs) >= tuning.SeenRuns {
-		sorted := slices.SortedFunc(slices.Values(j.runs), func(a, b Run) int { return cmp.Compare(a.Seconds, b.Seconds) })
+		sorted := slices.SortedFunc(slices.Values(j.runs), func(a, b CompletedRun) int { return cmp.Compare(a.Seconds, b.Seconds) })
 		j.usualS = sorted[len(sorted)/2].Seconds
 	}
 	return elsewhere
 }
 
-// RunS is for how long a task of the job is expected to run, in seconds: as long as those that completed, whose run
+// ExpectedRunS is for how long a task of the job is expected to run, in seconds: as long as those that completed, whose run
 // times differ little within a job (seen is true then), or else as its owner says.
-func (j *Job) RunS() (s float64, seen bool) {
+func (j *Job) ExpectedRunS() (s float64, seen bool) {
 	if len(j.runs) < tuning.SeenRuns {
 		return j.EstimateS, false
 	}
@@ -143,10 +143,10 @@
 }
 
 // Waiting is how many tasks wait to be placed.
-func (j *Job) Waiting() int { return len(j.Tasks) - j.Done - j.Placed }
+func (j *Job) Waiting() int { return len(j.Tasks) - j.Done - j.Allocated }
 
-// Open tells whether tasks of the job may be started.
-func (j *Job) Open() bool { return !j.cancelWanted && !j.cancelled && !j.ended }
+// CanStart tells whether tasks of the job may be started.
+func (j *Job) CanStart() bool { return !j.cancelWanted && !j.cancelled && !j.ended }
 
 // Cancelled tells whether the job's cancellation is stored or wanted.
 func (j *Job) Cancelled() bool { return j.cancelWanted || j.cancelled }
@@ -161,7 +161,7 @@
 func (j *Job) Status() wire.JobStatus {
 	s := wire.JobStatus{ID: j.ID, State: wire.StateQueued, Done: j.Done}
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil && (p.State == wire.TaskRunning || p.State == wire.TaskSaving) {
+		if p := j.Tasks[i].Allocation; p != nil && (p.State == wire.TaskRunning || p.State == wire.TaskSaving) {
 			s.Running++
 		}
 	}
@@ -188,19 +188,19 @@
 }
 
 // StopAll wants all places of a job empty, with no time to save, and gives them.
-func (j *Job) StopAll(why charge.How) []*Place {
-	var places []*Place
+func (j *Job) StopAll(why charge.How) []*Allocation {
+	var places []*Allocation
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil {
-			p.Stop = &Stop{For: why}
+		if p := j.Tasks[i].Allocation; p != nil {
+			p.Stop = &StopRequest{Reason: why}
 			places = append(places, p)
 		}
 	}
 	return places
 }
 
-// Book holds the live jobs.
-type Book struct {
+// Store holds the live jobs.
+type Store struct {
 	Jobs map[string]*Job
 
 	txnOps  int
@@ -213,8 +213,8 @@
 
 	// Meter tells whether what tasks take is charged: times are stored then.
 	Meter bool
-	began []*Place // seen to run, in that order
-	lefts []Left
+	began []*Allocation // seen to run, in that order
+	lefts []DetachedCharges
 
 	damaged []error
 }
@@ -224,11 +224,11 @@
 	n   int
 }
 
-// NewBook makes an empty book; txnOps is how many changes one transaction may hold.
-func NewBook(txnOps int) *Book { return &Book{Jobs: map[string]*Job{}, txnOps: txnOps} }
+// NewStore makes an empty book; txnOps is how many changes one transaction may hold.
+func NewStore(txnOps int) *Store { return &Store{Jobs: map[string]*Job{}, txnOps: txnOps} }
 
 // LoadJob takes in a stored job; it is known already if it was seen before.
-func (b *Book) LoadJob(item wire.Item, now, wall time.Time) (*Job, error) {
+func (b *Store) LoadJob(item wire.Item, now, wall time.Time) (*Job, error) {
 	var r Record
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("job record %s: %w", item.Key, err)
@@ -244,10 +244,10 @@
 	// the job comes from the time of day, which may be a little off.
 	waited := max(0, wall.Sub(at))
 	j := &Job{
-		Job: r.Job, AcceptedAt: at, Tasks: make([]Task, r.Job.Tasks), WaitSince: now.Add(-waited), Entered: now.Add(-waited),
+		Job: r.Job, AcceptedAt: at, Tasks: make([]Task, r.Job.Tasks), WaitingSince: now.Add(-waited), EnqueuedAt: now.Add(-waited),
 		version: item.Version, atMS: r.AtMS, cancelled: r.Cancelled,
 		chunks: make([]chunk, (r.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
-		zones:  map[string]int{}, Avoid: map[string]time.Time{},
+		zones:  map[string]int{}, AvoidMachines: map[string]time.Time{},
 	}
 	for n := range j.chunks {
 		j.chunks[n].pack.Job, j.chunks[n].pack.Brief = j.ID, BriefOf(&j.Job)
@@ -256,9 +256,9 @@
 	return j, nil
 }
 
-// LoadRun takes in a stored progress record of a job loaded before, and
+// LoadProgress takes in a stored progress record of a job loaded before, and
 // returns the places in which tasks of it may be.
-func (b *Book) LoadRun(item wire.Item, now time.Time) ([]*Place, error) {
+func (b *Store) LoadProgress(item wire.Item, now time.Time) ([]*Allocation, error) {
 	id, n, ok := parseRunKey(item.Key)
 	if !ok {
 		return nil, fmt.Errorf("progress record %s: malformed key", item.Key)
@@ -270,7 +270,7 @@
 	j := b.Jobs[id]
 	if j == nil {
 		if len(r.Charges) > 0 {
-			b.LoadLeft(item)
+			b.LoadDetached(item)
 			return nil, nil
 		}
 		// Left behind by a job that is over: the leader that ended it could
@@ -298,7 +298,7 @@
 			j.Done++
 		}
 	}
-	var places []*Place
+	var places []*Allocation
 	for _, e := range r.Tasks {
 		if e.Index < 0 || e.Index >= len(j.Tasks) || j.Tasks[e.Index].State == Done {
 			continue
@@ -308,10 +308,10 @@
 		if e.Machine == "" {
 			continue
 		}
-		p := &Place{Job: j, Index: e.Index, Attempt: e.Attempt, Machine: e.Machine, Session: e.Session, Zone: e.Zone, Committed: true, At: now, Placed: now, Inherited: true}
+		p := &Allocation{Job: j, Index: e.Index, Attempt: e.Attempt, Machine: e.Machine, Incarnation: e.Session, Zone: e.Zone, Committed: true, KnownSince: now, PlacedAt: now, Inherited: true}
 		c.metered(&e, p)
-		t.State, t.Place = Placed, p
-		j.Placed++
+		t.State, t.Allocation = Allocated, p
+		j.Allocated++
 		j.zones[e.Zone]++
 		places = append(places, p)
 	}
@@ -319,38 +319,38 @@
 }
 
 // Loaded is called when all records are in: what they imply is queued for writing.
-func (b *Book) Loaded() {
+func (b *Store) Loaded() {
 	for _, j := range b.Jobs {
 		b.checkEnd(j)
 	}
 }
 
-// Place decides that a waiting task goes to a machine. It may be started once
+// Allocation decides that a waiting task goes to a machine. It may be started once
 // the place is committed.
-func (b *Book) Place(j *Job, index int, machine, zone string, session uint64, now time.Time) *Place {
+func (b *Store) Allocate(j *Job, index int, machine, zone string, session uint64, now time.Time) *Allocation {
 	t := &j.Tasks[index]
 	t.Attempt++
-	p := &Place{Job: j, Index: index, Attempt: t.Attempt, Machine: machine, Zone: zone, Session: session, At: now, Placed: now}
-	t.State, t.Place = Placed, p
-	j.Placed++
+	p := &Allocation{Job: j, Index: index, Attempt: t.Attempt, Machine: machine, Zone: zone, Incarnation: session, KnownSince: now, PlacedAt: now}
+	t.State, t.Allocation = Allocated, p
+	j.Allocated++
 	j.zones[zone]++
 	b.touch(j, index/tuning.ChunkTasks, now)
 	b.hurry(j, index/tuning.ChunkTasks)
 	return p
 }
 
-func (b *Book) unplace(p *Place, now time.Time) *Task {
+func (b *Store) unplace(p *Allocation, now time.Time) *Task {
 	t := &p.Job.Tasks[p.Index]
 	p.Removed = true
 	p.Job.zones[p.Zone]--
-	t.Place = nil
-	p.Job.Placed--
+	t.Allocation = nil
+	p.Job.Allocated--
 	b.touch(p.Job, p.Index/tuning.ChunkTasks, now)
 	return t
 }
 
-// Finished records that a task has completed in its place.
-func (b *Book) Finished(p *Place, now time.Time) {
+// MarkDone records that a task has completed in its place.
+func (b *Store) MarkDone(p *Allocation, now time.Time) {
 	if p.Removed {
 		return
 	}
@@ -360,14 +360,14 @@
 	b.checkEnd(p.Job)
 }
 
-// Gone records that a task is proven gone from its place without completing; it waits again.
-func (b *Book) Gone(p *Place, now time.Time) {
+// MarkLost records that a task is proven gone from its place without completing; it waits again.
+func (b *Store) MarkLost(p *Allocation, now time.Time) {
 	if p.Removed {
 		return
 	}
 	j := p.Job
 	if j.Waiting() == 0 {
-		j.WaitSince = now
+		j.WaitingSince = now
 	}
 	b.unplace(p, now).State = Waiting
 	j.first = min(j.first, p.Index)
@@ -377,7 +377,7 @@
 
 // Cancel wants a job cancelled; fn is told the final state once it is stored.
 // That is stored once all its tasks are gone: until then no more are started.
-func (b *Book) Cancel(j *Job, fn func(wire.JobState)) {
+func (b *Store) Cancel(j *Job, fn func(wire.JobState)) {
 	if j.cancelled {
 		fn(wire.StateCancelled)
 		return
@@ -392,13 +392,13 @@
 
 // checkEnd queues the end of a job whose tasks are all done, the cancellation of
 // one that is to be cancelled and whose tasks are all gone, or the dropping of one that was.
-func (b *Book) checkEnd(j *Job) {
-	if j.Done == len(j.Tasks) || (j.cancelled || j.cancelWanted) && j.Placed == 0 {
+func (b *Store) checkEnd(j *Job) {
+	if j.Done == len(j.Tasks) || (j.cancelled || j.cancelWanted) && j.Allocated == 0 {
 		b.queueEnd(j)
 	}
 }
 
-func (b *Book) queueEnd(j *Job) {
+func (b *Store) queueEnd(j *Job) {
 	if j.ending || j.ended {
 		return
 	}
@@ -407,7 +407,7 @@
 	b.urgent = true
 }
 
-func (b *Book) touch(j *Job, n int, now time.Time) {
+func (b *Store) touch(j *Job, n int, now time.Time) {
 	if c := &j.chunks[n]; !c.dirty {
 		c.dirty, c.since = true, now
 		if !c.writing {
@@ -417,7 +417,7 @@
 }
 
 // list has a dirty chunk written when there is room to spare.
-func (b *Book) list(ref chunkRef) {
+func (b *Store) list(ref chunkRef) {
 	if c := &ref.job.chunks[ref.n]; !c.listed {
 		c.listed = true
 		b.slow = append(b.slow, ref)
@@ -425,7 +425,7 @@
 }
 
 // hurry has a dirty chunk written before those that nobody waits for.
-func (b *Book) hurry(j *Job, n int) {
+func (b *Store) hurry(j *Job, n int) {
 	if c := &j.chunks[n]; !c.urgent {
 		c.urgent = true
 		if !c.writing {
@@ -435,22 +435,22 @@
 	}
 }
 
-func (b *Book) lazy(now time.Time) {
+func (b *Store) lazy(now time.Time) {
 	if b.lazyAt.IsZero() {
 		b.lazyAt = now.Add(tuning.LazyFlush)
 	}
 }
 
-// Press has a task's record written soon, since a worker holds many ends that it may not forget: its
+// FlushSoon has a task's record written soon, since a worker holds many ends that it may not forget: its
 // report must not outgrow what a request may be.
-func (b *Book) Press(j *Job, index int) {
+func (b *Store) FlushSoon(j *Job, index int) {
 	if n := index / tuning.ChunkTasks; !j.ending && j.chunks[n].dirty {
 		b.hurry(j, n)
 	}
 }
 
-// Clean tells whether the stored record of a task says what the book says.
-func (b *Book) Clean(j *Job, index int) bool {
+// Persisted tells whether the stored record of a task says what the book says.
+func (b *Store) Persisted(j *Job, index int) bool {
 	c := &j.chunks[index/tuning.ChunkTasks]
 	// While the job's end is on its way nothing tells of its last tasks: workers that forgot
 	// them in an outage had the next leader run them again.
--- a/internal/scheduler/jobs/book_test.go
+++ b/internal/scheduler/jobs/book_test.go
@@ -52,9 +52,9 @@
 }
 
 // flush writes all that is pending, and gives what may start and what is over.
-func (s *store) flush(b *Book) (start []*Place, over []Over) {
+func (s *store) flush(b *Store) (start []*Allocation, over []FinishedJob) {
 	s.t.Helper()
-	for w := b.Take(later, Budget{Spare: 1000}); w != nil; w = b.Take(later, Budget{Spare: 1000}) {
+	for w := b.NextBatch(later, WriteBudget{Spare: 1000}); w != nil; w = b.NextBatch(later, WriteBudget{Spare: 1000}) {
 		st, ov := b.Written(w, s.apply(w.Txn))
 		start, over = append(start, st...), append(over, ov...)
 	}
@@ -62,10 +62,10 @@
 }
 
 // load is what a new leader does.
-func (s *store) load(txnOps int) (*Book, []*Place) {
+func (s *store) load(txnOps int) (*Store, []*Allocation) {
 	s.t.Helper()
-	b := NewBook(txnOps)
-	var places []*Place
+	b := NewStore(txnOps)
+	var places []*Allocation
 	for key, item := range s.items {
 		if strings.HasPrefix(key, PrefixJob) {
 			if _, err := b.LoadJob(item, t0, t0); err != nil {
@@ -74,8 +74,8 @@
 		}
 	}
 	for key, item := range s.items {
-		if strings.HasPrefix(key, PrefixRun) {
-			p, err := b.LoadRun(item, t0)
+		if strings.HasPrefix(key, PrefixProgress) {
+			p, err := b.LoadProgress(item, t0)
 			if err != nil {
 				s.t.Fatal(err)
 			}
@@ -90,7 +90,7 @@
 	s := newStore(t)
 	s.accept("job-1", 2)
 	b, _ := s.load(12)
-	p := b.Place(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
+	p := b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	if p.Committed {
 		t.Fatal("a place counts as stored before it is")
 	}
@@ -100,7 +100,7 @@
 	}
 	// A new leader finds the place, with all that it needs to count it.
 	_, places := s.load(12)
-	if len(places) != 1 || places[0].Machine != "n-1" || places[0].Session != 1 || places[0].Attempt != 1 || places[0].Zone != "a" || !places[0].Committed {
+	if len(places) != 1 || places[0].Machine != "n-1" || places[0].Incarnation != 1 || places[0].Attempt != 1 || places[0].Zone != "a" || !places[0].Committed {
 		t.Fatalf("found again: %+v", places)
 	}
 }
@@ -112,11 +112,11 @@
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
 	j := b.Jobs["job-1"]
-	p := b.Place(j, 0, "n-1", "a", 1, t0)
+	p := b.Allocate(j, 0, "n-1", "a", 1, t0)
 	s.flush(b)
-	b.Finished(p, t0)
-	w := b.Take(later, Budget{Spare: 1000})
-	if b.Clean(j, 0) {
+	b.MarkDone(p, t0)
+	w := b.NextBatch(later, WriteBudget{Spare: 1000})
+	if b.Persisted(j, 0) {
 		t.Error("its worker may forget it before its end is stored")
 	}
 	if _, over := b.Written(w, s.apply(w.Txn)); len(over) != 1 || b.Jobs["job-1"] != nil {
@@ -128,9 +128,9 @@
 	s := newStore(t)
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
-	p := b.Place(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
-	w := b.Take(later, Budget{Spare: 1000})
-	b.Gone(p, t0) // its machine's session ended while the record was on its way
+	p := b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
+	w := b.NextBatch(later, WriteBudget{Spare: 1000})
+	b.MarkLost(p, t0) // its machine's session ended while the record was on its way
 	if start, _ := b.Written(w, s.apply(w.Txn)); len(start) != 0 {
 		t.Fatalf("to start: %v", start)
 	}
@@ -145,17 +145,17 @@
 	j := b.Jobs["job-1"]
 	for i := range 3 { // each a try, since the pause of the one before is over
 		now := t0.Add(time.Duration(i) * time.Hour)
-		p := b.Place(j, tuning.ChunkTasks+1, "n-1", "a", 1, now)
-		b.Gone(p, now)
-		b.Failed(j, now)
-		b.Failed(j, now) // another of the same wave
+		p := b.Allocate(j, tuning.ChunkTasks+1, "n-1", "a", 1, now)
+		b.MarkLost(p, now)
+		b.MarkFailed(j, now)
+		b.MarkFailed(j, now) // another of the same wave
 	}
 	s.flush(b)
 	b, _ = s.load(12)
 	if j := b.Jobs["job-1"]; j.Tries != 3 || j.PauseUntil.Sub(t0) != 4*tuning.ErrorPause {
 		t.Errorf("%d tries and a pause of %v are known", j.Tries, j.PauseUntil.Sub(t0))
 	}
-	b.Works(b.Jobs["job-1"], t0)
+	b.MarkWorking(b.Jobs["job-1"], t0)
 	b.lazy(t0)
 	s.flush(b)
 	if b, _ = s.load(12); b.Jobs["job-1"].Tries != 0 {
@@ -174,29 +174,29 @@
 	for i := range 8 {
 		b.Jobs[fmt.Sprintf("job-%d", i)].Priority = wire.PriorityLow
 	}
-	place := func(i int) *Place {
-		return b.Place(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0)
+	place := func(i int) *Allocation {
+		return b.Allocate(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0)
 	}
 	done := place(0)
 	s.flush(b)
-	b.Finished(done, t0)
+	b.MarkDone(done, t0)
 	for i := 1; i < 6; i++ {
 		place(i)
 	}
 	b.Jobs["job-6"].Priority = wire.PriorityProduction
 	urgent := place(6)
 	b.Cancel(b.Jobs["job-7"], func(wire.JobState) {})
-	w := b.Take(t0, Budget{Spare: 0})
+	w := b.NextBatch(t0, WriteBudget{Spare: 0})
 	if w.Txn.Then[0].Put != keyRun("job-6", 0) || w.Txn.Then[1].Put != KeyEnd("job-7") || len(w.Txn.Then) != 4 {
 		t.Errorf("the first transaction writes %+v", w.Txn.Then)
 	}
 	if b.Written(w, s.apply(w.Txn)); !urgent.Committed {
 		t.Error("the urgent start waits")
 	}
-	for w = b.Take(t0, Budget{Spare: 0}); w != nil && w.Txn.Then[0].Put != KeyEnd("job-0"); w = b.Take(t0, Budget{Spare: 0}) {
+	for w = b.NextBatch(t0, WriteBudget{Spare: 0}); w != nil && w.Txn.Then[0].Put != KeyEnd("job-0"); w = b.NextBatch(t0, WriteBudget{Spare: 0}) {
 		b.Written(w, s.apply(w.Txn))
 	}
-	if w == nil || b.Jobs["job-5"].Tasks[0].Place.Committed != true {
+	if w == nil || b.Jobs["job-5"].Tasks[0].Allocation.Committed != true {
 		t.Error("an end goes before the starts of its priority")
 	}
 }
@@ -208,13 +208,13 @@
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
 	j := b.Jobs["job-1"]
-	first := b.Place(j, 0, "n-1", "a", 1, t0)
+	first := b.Allocate(j, 0, "n-1", "a", 1, t0)
 	s.flush(b)
-	b.Gone(first, t0)
-	p := b.Place(j, 0, "n-2", "a", 1, t0)
+	b.MarkLost(first, t0)
+	p := b.Allocate(j, 0, "n-2", "a", 1, t0)
 	b.Cancel(j, func(wire.JobState) {})
-	w := b.Take(t0, Budget{Spare: 0})
-	b.Gone(p, t0) // the machine is lost while that is on its way
+	w := b.NextBatch(t0, WriteBudget{Spare: 0})
+	b.MarkLost(p, t0) // the machine is lost while that is on its way
 	b.hurry(j, 0)
 	b.Written(w, s.apply(w.Txn))
 	s.flush(b)
@@ -234,15 +234,15 @@
 	for range 5 {
 		b, places := s.load(12) // a new leader each time
 		for _, p := range places {
-			b.Gone(p, t0)
+			b.MarkLost(p, t0)
 		}
-		p := b.Place(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
+		p := b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 		if seen[p.Attempt] {
 			t.Fatalf("attempt %d again", p.Attempt)
 		}
 		seen[p.Attempt] = true
 		s.flush(b)
-		b.Gone(p, t0)
+		b.MarkLost(p, t0)
 		s.flush(b)
 	}
 }
@@ -252,13 +252,13 @@
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
 	j := b.Jobs["job-1"]
-	p := b.Place(j, 0, "n-1", "a", 1, t0)
+	p := b.Allocate(j, 0, "n-1", "a", 1, t0)
 	s.flush(b)
-	b.Finished(p, t0)
+	b.MarkDone(p, t0)
 	if st := j.Status(); st.State.Final() {
 		t.Fatalf("said %v before it is stored", st)
 	}
-	if b.Clean(j, 0) {
+	if b.Persisted(j, 0) {
 		t.Error("the attempt could be forgotten before its end is stored")
 	}
 	_, over := s.flush(b)
@@ -277,17 +277,17 @@
 	s.accept("job-1", 3)
 	b, _ := s.load(12)
 	j := b.Jobs["job-1"]
-	p := b.Place(j, 0, "n-1", "a", 1, t0)
+	p := b.Allocate(j, 0, "n-1", "a", 1, t0)
 	s.flush(b)
 	var told []wire.JobState
 	tell := func(st wire.JobState) { told = append(told, st) }
 	b.Cancel(j, tell)
 	b.Cancel(j, tell) // the request is repeated meanwhile
 	s.flush(b)
-	if j.Open() || len(told) != 0 || s.items[KeyEnd("job-1")].Key != "" {
-		t.Fatalf("open %v, told %v while a task may run", j.Open(), told)
+	if j.CanStart() || len(told) != 0 || s.items[KeyEnd("job-1")].Key != "" {
+		t.Fatalf("open %v, told %v while a task may run", j.CanStart(), told)
 	}
-	b.Gone(p, t0)
+	b.MarkLost(p, t0)
 	if len(told) != 0 {
 		t.Fatal("told before it is stored")
 	}
@@ -305,17 +305,17 @@
 	s := newStore(t)
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
-	b.Place(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
+	b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	s.flush(b)
 	item := s.items[KeyJob("job-1")]
 	item.Value = wire.Value(Record{Job: b.Jobs["job-1"].Job, Cancelled: true})
 	s.items[item.Key] = item
-	s.items[KeyEnd("job-1")] = wire.Item{Key: KeyEnd("job-1"), Value: wire.Value(End{State: wire.StateCancelled})}
+	s.items[KeyEnd("job-1")] = wire.Item{Key: KeyEnd("job-1"), Value: wire.Value(FinalState{State: wire.StateCancelled})}
 	b, places := s.load(12)
-	if b.Jobs["job-1"].Open() || len(places) != 1 {
-		t.Fatalf("found open %v, places %v", b.Jobs["job-1"].Open(), places)
+	if b.Jobs["job-1"].CanStart() || len(places) != 1 {
+		t.Fatalf("found open %v, places %v", b.Jobs["job-1"].CanStart(), places)
 	}
-	b.Gone(places[0], t0)
+	b.MarkLost(places[0], t0)
 	if _, over := s.flush(b); len(s.items) != 1 || s.items[KeyEnd("job-1")].Key == "" || len(over) != 0 {
 		t.Errorf("left in the store: %v; over: %v", s.items, over)
 	}
@@ -328,10 +328,10 @@
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
 	j := b.Jobs["job-1"]
-	p := b.Place(j, 0, "n-1", "a", 1, t0)
+	p := b.Allocate(j, 0, "n-1", "a", 1, t0)
 	s.flush(b)
-	b.Finished(p, t0)
-	w := b.Take(later, Budget{Spare: 1000})
+	b.MarkDone(p, t0)
+	w := b.NextBatch(later, WriteBudget{Spare: 1000})
 	var told wire.JobState
 	b.Cancel(j, func(st wire.JobState) { told = st })
 	if _, over := b.Written(w, s.apply(w.Txn)); told != wire.StateDone || over[0].State != wire.StateDone {
@@ -345,11 +345,11 @@
 	s.accept("job-7", wire.MaxTasks)
 	b, _ := s.load(ops)
 	j := b.Jobs["job-7"]
-	var places []*Place
+	var places []*Allocation
 	for i := range 20 * tuning.ChunkTasks {
-		places = append(places, b.Place(j, i, fmt.Sprintf("n-%06d-with-a-long-name", i), "a-zone-with-a-long-name", 1<<40, t0))
+		places = append(places, b.Allocate(j, i, fmt.Sprintf("n-%06d-with-a-long-name", i), "a-zone-with-a-long-name", 1<<40, t0))
 	}
-	for w := b.Take(later, Budget{Spare: 1000}); w != nil; w = b.Take(later, Budget{Spare: 1000}) {
+	for w := b.NextBatch(later, WriteBudget{Spare: 1000}); w != nil; w = b.NextBatch(later, WriteBudget{Spare: 1000}) {
 		size := 0
 		for _, c := range w.Txn.Then {
 			if len(c.Value) > tuning.MinValueKB<<10 {
@@ -363,7 +363,7 @@
 		b.Written(w, s.apply(w.Txn))
 	}
 	for _, p := range places {
-		b.Finished(p, t0)
+		b.MarkDone(p, t0)
 	}
 	s.flush(b)
 	nb, _ := s.load(ops)
@@ -384,7 +384,7 @@
 	s := newStore(t)
 	s.accept("job-1", 1)
 	b, _ := s.load(12)
-	b.Place(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
+	b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	s.flush(b)
 	delete(s.items, KeyJob("job-1"))
 	b, places := s.load(12)
@@ -420,28 +420,28 @@
 		s.accept(fmt.Sprintf("job-%d", i), 2)
 	}
 	b, _ := s.load(4)
-	var placed []*Place
+	var placed []*Allocation
 	for i := range n {
-		placed = append(placed, b.Place(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0))
+		placed = append(placed, b.Allocate(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0))
 	}
 	s.flush(b)
 	for _, p := range placed {
-		b.Finished(p, t0)
+		b.MarkDone(p, t0)
 	}
 	last := b.Jobs[fmt.Sprintf("job-%d", n-1)]
-	p := b.Place(last, 1, "n-1", "a", 1, t0)
-	w := b.Take(later, Budget{Spare: 0})
+	p := b.Allocate(last, 1, "n-1", "a", 1, t0)
+	w := b.NextBatch(later, WriteBudget{Spare: 0})
 	if w == nil || len(w.Txn.Then) != 1 {
 		t.Fatalf("the first transaction is %+v, want the start alone", w)
 	}
 	if start, _ := b.Written(w, s.apply(w.Txn)); len(start) != 1 || start[0] != p {
 		t.Fatalf("may start %v", start)
 	}
-	if w := b.Take(later, Budget{Spare: 0}); w != nil {
+	if w := b.NextBatch(later, WriteBudget{Spare: 0}); w != nil {
 		t.Errorf("without room to spare %d changes are written", len(w.Txn.Then))
 	}
 	// They do not wait for ever.
-	if w := b.Take(later.Add(tuning.LazyMax), Budget{Overdue: 2}); w == nil || len(w.Txn.Then) != 2 {
+	if w := b.NextBatch(later.Add(tuning.LazyMax), WriteBudget{Overdue: 2}); w == nil || len(w.Txn.Then) != 2 {
 		t.Errorf("written at last: %+v", w)
 	}
 }
@@ -455,17 +455,17 @@
 	}
 	b, _ := s.load(24)
 	for i := range 8 {
-		b.Place(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0)
+		b.Allocate(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0)
 	}
-	w := b.Take(t0, Budget{Changes: 3})
+	w := b.NextBatch(t0, WriteBudget{Changes: 3})
 	if len(w.Txn.Then) != 3 {
 		t.Fatalf("%d changes, of which three may be sent", len(w.Txn.Then))
 	}
 	late := b.Jobs["job-8"]
 	late.Priority = wire.PriorityProduction
-	p := b.Place(late, 0, "n-1", "a", 1, t0)
+	p := b.Allocate(late, 0, "n-1", "a", 1, t0)
 	b.Written(w, s.apply(w.Txn))
-	w = b.Take(t0, Budget{Changes: 3})
+	w = b.NextBatch(t0, WriteBudget{Changes: 3})
 	if b.Written(w, s.apply(w.Txn)); !p.Committed {
 		t.Error("a production start waits behind starts that came before")
 	}
@@ -478,26 +478,26 @@
 		s.accept(fmt.Sprintf("job-%d", i), 2)
 	}
 	b, _ := s.load(24)
-	var places []*Place
+	var places []*Allocation
 	for i := range 6 {
-		places = append(places, b.Place(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0))
+		places = append(places, b.Allocate(b.Jobs[fmt.Sprintf("job-%d", i)], 0, "n-1", "a", 1, t0))
 	}
 	s.flush(b)
 	for i, p := range places {
-		b.Finished(p, t0.Add(time.Duration(i)*time.Second))
+		b.MarkDone(p, t0.Add(time.Duration(i)*time.Second))
 	}
 	at := t0.Add(tuning.LazyMax + 2500*time.Millisecond) // three of them are overdue
-	if w := b.Take(at, Budget{Overdue: 2}); w == nil || len(w.Txn.Then) != 2 {
+	if w := b.NextBatch(at, WriteBudget{Overdue: 2}); w == nil || len(w.Txn.Then) != 2 {
 		t.Fatalf("with a share of two: %+v", w)
 	} else {
 		b.Written(w, s.apply(w.Txn))
 	}
-	if w := b.Take(at, Budget{Overdue: 9}); w == nil || len(w.Txn.Then) != 1 {
+	if w := b.NextBatch(at, WriteBudget{Overdue: 9}); w == nil || len(w.Txn.Then) != 1 {
 		t.Fatalf("one more is overdue: %+v", w)
 	} else {
 		b.Written(w, s.apply(w.Txn))
 	}
-	if w := b.Take(at, Budget{Spare: 9}); w == nil || len(w.Txn.Then) != 3 || w.Counts.Progress != 3 {
+	if w := b.NextBatch(at, WriteBudget{Spare: 9}); w == nil || len(w.Txn.Then) != 3 || w.Counts.Progress != 3 {
 		t.Errorf("with room to spare: %+v", w)
 	}
 }
@@ -510,16 +510,16 @@
 	b, _ := s.load(12)
 	var sent []wire.Txn
 	flush := func() {
-		for w := b.Take(later, Budget{Spare: 1000}); w != nil; w = b.Take(later, Budget{Spare: 1000}) {
+		for w := b.NextBatch(later, WriteBudget{Spare: 1000}); w != nil; w = b.NextBatch(later, WriteBudget{Spare: 1000}) {
 			sent = append(sent, w.Txn)
 			b.Written(w, s.apply(w.Txn))
 		}
 	}
 	j := b.Jobs["job-1"]
 	for i := range 2 {
-		p := b.Place(j, i, "n-1", "a", 1, t0)
+		p := b.Allocate(j, i, "n-1", "a", 1, t0)
 		flush()
-		b.Finished(p, t0)
+		b.MarkDone(p, t0)
 		flush()
 	}
 	if len(sent) < 4 || b.Jobs["job-1"] != nil {
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -22,15 +22,15 @@
 // So a charge lies in exactly one record at any time, and each step of it is
 // guarded on the version of the record that it comes from.
 
-// PrefixLeft holds charges that were moved out of progress records.
-const PrefixLeft = "left/"
+// PrefixDetached holds charges that were moved out of progress records.
+const PrefixDetached = "left/"
 
 func keyLeft(job string, c *charge.Charge) string {
-	return fmt.Sprintf("%s%s/%d.%d.%d", PrefixLeft, job, c.Task, c.Attempt, c.Part)
+	return fmt.Sprintf("%s%s/%d.%d.%d", PrefixDetached, job, c.Task, c.Attempt, c.Part)
 }
 
-// Left is a record of charges that the book no longer touches.
-type Left struct {
+// DetachedCharges is a record of charges that the book no longer touches.
+type DetachedCharges struct {
 	Key     string
 	Version uint64
 	Pack    *charge.Pack
@@ -51,7 +51,7 @@
 
 // Charge notes what an attempt took, or parts of it. It must be called in the
 // step in which its end, or the turn of its day, is taken in.
-func (b *Book) Charge(p *Place, parts []charge.Charge, now time.Time) {
+func (b *Store) Charge(p *Allocation, parts []charge.Charge, now time.Time) {
 	n := p.Index / tuning.ChunkTasks
 	c := &p.Job.chunks[n]
 	for _, part := range parts {
@@ -62,24 +62,24 @@
 	b.lazy(now)
 }
 
-// Began takes in that a task was seen to run. Its time is stored with the next
+// MarkBegan takes in that a task was seen to run. Its time is stored with the next
 // write of its record, or by itself if it runs on for BeganAfter: what ends sooner
 // costs no write.
-func (b *Book) Began(p *Place, now time.Time) {
-	if b.Meter && p.Began.IsZero() {
-		p.Began = now
+func (b *Store) MarkBegan(p *Allocation, now time.Time) {
+	if b.Meter && p.BeganAt.IsZero() {
+		p.BeganAt = now
 		if p.Inherited {
 			// It may have run since before this leader: that it was placed is all that
 			// is known. A start that equals the placing says so.
-			p.Began = p.Placed
+			p.BeganAt = p.PlacedAt
 		}
 		b.began = append(b.began, p)
 	}
 }
 
 // noteBegan has the times of tasks that run on written.
-func (b *Book) noteBegan(now time.Time) {
-	for len(b.began) > 0 && now.Sub(b.began[0].At) >= tuning.BeganAfter {
+func (b *Store) noteBegan(now time.Time) {
+	for len(b.began) > 0 && now.Sub(b.began[0].KnownSince) >= tuning.BeganAfter {
 		p := b.began[0]
 		b.began = b.began[1:]
 		if !p.Removed && !p.beganStored {
@@ -90,7 +90,7 @@
 }
 
 // Charges calls fn with the charges that still lie with each live job.
-func (b *Book) Charges(fn func(*charge.Pack)) {
+func (b *Store) Charges(fn func(*charge.Pack)) {
 	for _, j := range b.Jobs {
 		for n := range j.chunks {
 			if p := &j.chunks[n].pack; len(p.Charges) > 0 {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TakeLefts gives the records of charges that came to lie apart since it was last asked.
-func (b *Book) TakeLefts() []Left {
+// TakeDetached gives the records of charges that came to lie apart since it was last asked.
+func (b *Store) TakeDetached() []DetachedCharges {
 	out := b.lefts
 	b.lefts = nil
 	return out
@@ -109,7 +109,7 @@
 
 // Damaged gives the records whose charges could not be read. What their jobs are owed
 // is not touched by that.
-func (b *Book) Damaged() []error {
+func (b *Store) Damaged() []error {
 	out := b.damaged
 	b.damaged = nil
 	return out
@@ -131,13 +131,13 @@
 	return p, nil
 }
 
-// LoadLeft takes in a stored Left.
-func (b *Book) LoadLeft(item wire.Item) {
+// LoadDetached takes in a stored Left.
+func (b *Store) LoadDetached(item wire.Item) {
 	switch p, err := PackOf(item); {
 	case err != nil:
 		b.damaged = append(b.damaged, err)
 	case p != nil:
-		b.lefts = append(b.lefts, Left{Key: item.Key, Version: item.Version, Pack: p})
+		b.lefts = append(b.lefts, DetachedCharges{Key: item.Key, Version: item.Version, Pack: p})
 	}
 }
 
@@ -156,14 +156,14 @@
 
 // seal gives a record to which the first of a chunk's charges are moved, if there are
 // many. The chunk must be written in the same transaction.
-func (c *chunk) seal() (Left, json.RawMessage, bool) {
+func (c *chunk) seal() (DetachedCharges, json.RawMessage, bool) {
 	n := min(len(c.pack.Charges), tuning.SealMax)
 	if n < tuning.SealCharges {
-		return Left{}, nil, false
+		return DetachedCharges{}, nil, false
 	}
 	pack := c.pack
 	pack.Charges = c.pack.Charges[:n:n]
-	left := Left{Key: keyLeft(pack.Job, &pack.Charges[0]), Pack: &pack}
+	left := DetachedCharges{Key: keyLeft(pack.Job, &pack.Charges[0]), Pack: &pack}
 	value := wire.Value(leftRecord{Charges: charge.EncodePack(&pack)})
 	c.pack.Charges = slices.Clone(c.pack.Charges[n:])
 	c.pack.Kinds = slices.Clone(pack.Kinds)
@@ -172,13 +172,13 @@
 
 // meter adds what the charge of an attempt will count from to its stored entry.
 // Times are stored as milliseconds from the record's base, and at least 1.
-func (c *chunk) meter(e *taskEntry, p *Place) {
+func (c *chunk) meter(e *taskEntry, p *Allocation) {
 	if c.base == 0 {
-		c.base = p.Placed.UnixMilli() - 1
+		c.base = p.PlacedAt.UnixMilli() - 1
 	}
-	e.Placed = max(1, p.Placed.UnixMilli()-c.base)
-	if !p.Began.IsZero() {
-		e.Began = max(1, p.Began.UnixMilli()-c.base)
+	e.Placed = max(1, p.PlacedAt.UnixMilli()-c.base)
+	if !p.BeganAt.IsZero() {
+		e.Began = max(1, p.BeganAt.UnixMilli()-c.base)
 		p.beganStored = true
 	}
 	e.Part = p.Part
@@ -188,12 +188,12 @@
 }
 
 // metered is the reverse of meter.
-func (c *chunk) metered(e *taskEntry, p *Place) {
+func (c *chunk) metered(e *taskEntry, p *Allocation) {
 	if e.Placed > 0 {
-		p.Placed = time.UnixMilli(c.base + e.Placed)
+		p.PlacedAt = time.UnixMilli(c.base + e.Placed)
 	}
 	if e.Began > 0 {
-		p.Began, p.beganStored = time.UnixMilli(c.base+e.Began), true
+		p.BeganAt, p.beganStored = time.UnixMilli(c.base+e.Began), true
 	}
 	p.Part = e.Part
 	if e.Kind > 0 && e.Kind <= len(c.pack.Kinds) {
--- a/internal/scheduler/jobs/finals.go
+++ b/internal/scheduler/jobs/finals.go
@@ -6,23 +6,23 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Finals remembers the final states of jobs, which never change. When full it
+// FinalStates remembers the final states of jobs, which never change. When full it
 // forgets the oldest; the state service still knows them. It is safe for
 // concurrent use.
-type Finals struct {
+type FinalStates struct {
 	mu    sync.Mutex
 	byID  map[string]wire.JobStatus
 	order []string
 	next  int
 }
 
-// NewFinals makes one that remembers up to size jobs.
-func NewFinals(size int) *Finals {
-	return &Finals{byID: make(map[string]wire.JobStatus), order: make([]string, size)}
+// NewFinalStates makes one that remembers up to size jobs.
+func NewFinalStates(size int) *FinalStates {
+	return &FinalStates{byID: make(map[string]wire.JobStatus), order: make([]string, size)}
 }
 
 // Add remembers a final state.
-func (f *Finals) Add(s wire.JobStatus) {
+func (f *FinalStates) Add(s wire.JobStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, known := f.byID[s.ID]; known {
@@ -35,7 +35,7 @@
 }
 
 // Get gives the final state of a job, if it is remembered.
-func (f *Finals) Get(id string) (wire.JobStatus, bool) {
+func (f *FinalStates) Get(id string) (wire.JobStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.byID[id]
--- a/internal/scheduler/jobs/finals_test.go
+++ b/internal/scheduler/jobs/finals_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestFinalsForgetTheOldest(t *testing.T) {
-	f := NewFinals(2)
+	f := NewFinalStates(2)
 	for _, id := range []string{"job-1", "job-2", "job-2", "job-3"} {
 		f.Add(wire.JobStatus{ID: id, State: wire.StateDone})
 	}
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -14,8 +14,8 @@
 	// PrefixJob holds accepted jobs until they are over; any controller may
 	// add one, only the leader changes or drops it.
 	PrefixJob = "job/"
-	// PrefixRun holds the progress of live jobs, in chunks of tasks; only the leader writes it.
-	PrefixRun = "run/"
+	// PrefixProgress holds the progress of live jobs, in chunks of tasks; only the leader writes it.
+	PrefixProgress = "run/"
 	// PrefixEnd holds the final states of jobs, for ever.
 	PrefixEnd = "end/"
 )
@@ -26,10 +26,10 @@
 // KeyEnd is the key of a job's final state.
 func KeyEnd(id string) string { return PrefixEnd + id }
 
-func keyRun(id string, chunk int) string { return fmt.Sprintf("%s%s/%04d", PrefixRun, id, chunk) }
+func keyRun(id string, chunk int) string { return fmt.Sprintf("%s%s/%04d", PrefixProgress, id, chunk) }
 
 func parseRunKey(key string) (id string, chunk int, ok bool) {
-	id, num, found := strings.Cut(strings.TrimPrefix(key, PrefixRun), "/")
+	id, num, found := strings.Cut(strings.TrimPrefix(key, PrefixProgress), "/")
 	chunk, err := strconv.Atoi(num)
 	return id, chunk, found && err == nil && chunk >= 0 && chunk <= wire.MaxTasks/tuning.ChunkTasks
 }
@@ -41,14 +41,14 @@
 	Cancelled bool     `json:"cancelled,omitempty"`
 }
 
-// End is the final state of a job as it is stored.
-type End struct {
+// FinalState is the final state of a job as it is stored.
+type FinalState struct {
 	State wire.JobState `json:"state"`
 	Done  int           `json:"done"`
 }
 
 // Status is the answer to a user that the record gives.
-func (e End) Status(id string) wire.JobStatus {
+func (e FinalState) Status(id string) wire.JobStatus {
 	return wire.JobStatus{ID: id, State: e.State, Done: e.Done}
 }
 
--- a/internal/scheduler/jobs/tries.go
+++ b/internal/scheduler/jobs/tries.go
@@ -7,11 +7,11 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Failed records that a task of a job failed. What fails of one wave counts
+// MarkFailed records that a task of a job failed. What fails of one wave counts
 // as one try: a job that is submitted with a mistake has all its tasks fail at
 // once. The count is stored, so that a new leader does not begin with a wave
 // again.
-func (b *Book) Failed(j *Job, now time.Time) {
+func (b *Store) MarkFailed(j *Job, now time.Time) {
 	j.Errors++
 	if now.Before(j.PauseUntil) {
 		return
@@ -22,8 +22,8 @@
 	b.lazy(now)
 }
 
-// Works records that a task of the job works: it is not to blame.
-func (b *Book) Works(j *Job, now time.Time) {
+// MarkWorking records that a task of the job works: it is not to blame.
+func (b *Store) MarkWorking(j *Job, now time.Time) {
 	if j.Tries > 0 {
 		j.Tries = 0
 		j.PauseUntil = time.Time{}
@@ -38,7 +38,7 @@
 		return true
 	}
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil && p.State == wire.TaskRunning && now.Sub(p.Running) >= tuning.WorksAfter {
+		if p := j.Tasks[i].Allocation; p != nil && p.State == wire.TaskRunning && now.Sub(p.RunningSince) >= tuning.WorksAfter {
 			return true
 		}
 	}
--- a/internal/scheduler/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -15,9 +15,9 @@
 type Batch struct {
 	Txn    wire.Txn
 	chunks []chunkRef
-	places []*Place
+	places []*Allocation
 	ends   []endRef
-	lefts  []Left // charges that come to lie apart; their version is that of the batch, if 0
+	lefts  []DetachedCharges // charges that come to lie apart; their version is that of the batch, if 0
 	// Counts is how many of its changes serve what.
 	Counts Counts
 }
@@ -35,31 +35,31 @@
 	state wire.JobState // the state that it stores; empty: it was stored before
 }
 
-// Over is a job that came to a final state.
-type Over struct {
+// FinishedJob is a job that came to a final state.
+type FinishedJob struct {
 	Job   *Job
 	State wire.JobState
 }
 
 // Due tells whether changes should be written now.
-func (b *Book) Due(now time.Time) bool {
+func (b *Store) Due(now time.Time) bool {
 	b.noteBegan(now)
 	return b.urgent || !b.lazyAt.IsZero() && !now.Before(b.lazyAt)
 }
 
-// Budget is how much of the limit on changes a transaction may use.
-type Budget struct {
+// WriteBudget is how much of the limit on changes a transaction may use.
+type WriteBudget struct {
 	Changes int // all that go into it; 0: as many as one transaction holds
 	Spare   int // those of them that nobody waits for
 	Overdue int // the same, for records that have waited for LazyMax
 }
 
-// Take gathers the next transaction, or nil when there is nothing to write.
+// NextBatch gathers the next transaction, or nil when there is nothing to write.
 // Only one may be on its way at a time. What somebody waits for goes first: finished tasks
 // of large arrays would otherwise use up the limit on changes, and starts wait
 // behind them. It is best called once the changes may be written at once: what has
 // to wait for the limit anyway is then put in order as late as can be.
-func (b *Book) Take(now time.Time, budget Budget) *Batch {
+func (b *Store) NextBatch(now time.Time, budget WriteBudget) *Batch {
 	ops := b.txnOps
 	if budget.Changes > 0 {
 		ops = min(ops, budget.Changes)
@@ -98,7 +98,7 @@
 			if j.Done < len(j.Tasks) {
 				ref.state = wire.StateCancelled
 			}
-			put(KeyEnd(j.ID), 0, wire.Value(End{State: ref.state, Done: j.Done}))
+			put(KeyEnd(j.ID), 0, wire.Value(FinalState{State: ref.state, Done: j.Done}))
 		}
 		drop(KeyJob(j.ID), j.version)
 		for n := range j.chunks {
@@ -107,7 +107,7 @@
 			c.dirty, c.urgent = false, false
 			switch {
 			case len(c.pack.Charges) > 0:
-				left := Left{Key: keyRun(j.ID, n), Pack: &c.pack, Version: c.version}
+				left := DetachedCharges{Key: keyRun(j.ID, n), Pack: &c.pack, Version: c.version}
 				if dirty {
 					put(left.Key, c.version, wire.Value(leftRecord{Charges: charge.EncodePack(&c.pack)}))
 					left.Version = 0
@@ -246,7 +246,7 @@
 // sort puts what waits to be written in the order of the jobs' priorities, so
 // that starts of urgent work do not wait behind hundreds of tiny jobs: starts before ends, and
 // cancellations, which users wait for, behind the starts of the highest priority only.
-func (b *Book) sort() {
+func (b *Store) sort() {
 	slices.SortStableFunc(b.ends, func(x, y *Job) int { return cmp.Compare(y.endLevel(), x.endLevel()) })
 	// What is about to be dropped with its job needs no writing.
 	b.dirty = slices.DeleteFunc(b.dirty, func(r chunkRef) bool { return r.job.ending })
@@ -263,28 +263,28 @@
 }
 
 // endFirst tells whether the first end goes before the first start.
-func (b *Book) endFirst() bool {
+func (b *Store) endFirst() bool {
 	return len(b.dirty) == 0 || len(b.ends) > 0 && b.ends[0].endLevel() > b.dirty[0].job.Priority.Level()
 }
 
-func (j *Job) encodeChunk(n int, meter bool) (json.RawMessage, []*Place) {
+func (j *Job) encodeChunk(n int, meter bool) (json.RawMessage, []*Allocation) {
 	var r chunkRecord
 	c := &j.chunks[n]
 	var done []int
-	var places []*Place
+	var places []*Allocation
 	for i := n * tuning.ChunkTasks; i < min(len(j.Tasks), (n+1)*tuning.ChunkTasks); i++ {
 		t := &j.Tasks[i]
 		switch {
 		case t.State == Done:
 			done = append(done, i)
-		case t.Place != nil:
-			e := taskEntry{Index: i, Attempt: t.Attempt, Machine: t.Place.Machine, Session: t.Place.Session, Zone: t.Place.Zone}
+		case t.Allocation != nil:
+			e := taskEntry{Index: i, Attempt: t.Attempt, Machine: t.Allocation.Machine, Session: t.Allocation.Incarnation, Zone: t.Allocation.Zone}
 			if meter {
-				c.meter(&e, t.Place)
+				c.meter(&e, t.Allocation)
 			}
 			r.Tasks = append(r.Tasks, e)
-			if !t.Place.Committed {
-				places = append(places, t.Place)
+			if !t.Allocation.Committed {
+				places = append(places, t.Allocation)
 			}
 		case t.Attempt > 0:
 			r.Tasks = append(r.Tasks, taskEntry{Index: i, Attempt: t.Attempt})
@@ -302,7 +302,7 @@
 
 // Written takes in that a batch is stored at a revision. It returns the places
 // that may now be started, and the jobs that came to a final state.
-func (b *Book) Written(w *Batch, revision uint64) (start []*Place, over []Over) {
+func (b *Store) Written(w *Batch, revision uint64) (start []*Allocation, over []FinishedJob) {
 	for _, ref := range w.chunks {
 		c := &ref.job.chunks[ref.n]
 		c.version, c.writing = revision, false
@@ -331,14 +331,14 @@
 		j.ending, j.ended = false, true
 		delete(b.Jobs, j.ID)
 		if e.state != "" {
-			over = append(over, Over{j, e.state})
+			over = append(over, FinishedJob{j, e.state})
 			b.notify(j, e.state)
 		}
 	}
 	return start, over
 }
 
-func (b *Book) notify(j *Job, s wire.JobState) {
+func (b *Store) notify(j *Job, s wire.JobState) {
 	for _, fn := range j.waiters {
 		fn(s)
 	}
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -134,12 +134,12 @@
 	replicas := 0
 	for _, j := range l.book.Jobs {
 		if j.Kind == wire.KindService {
-			replicas += j.Placed
+			replicas += j.Allocated
 		}
 	}
 	grows := float64(replicas) * tuning.MoveEvery.Seconds() * tuning.MoveDownShare
 	l.fleet.moveBudget = min(l.fleet.moveBudget+grows, max(grows, tuning.MoveBudgetMax.Seconds()))
-	var moved []*jobs.Place
+	var moved []*jobs.Allocation
 	most := max(tuning.MoveAtOnce, replicas/tuning.MoveAtOnceShare)
 	var trial *placement.Trial // of the machines in use; most of the time nothing is to be moved
 	for _, m := range draining {
@@ -147,7 +147,7 @@
 			continue
 		}
 		for _, p := range m.Places {
-			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.Running) < tuning.PreemptSettle {
+			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.RunningSince) < tuning.PreemptSettle {
 				continue
 			}
 			if trial == nil {
@@ -158,7 +158,7 @@
 				continue
 			}
 			l.fleet.moveBudget -= down
-			p.Stop = &jobs.Stop{For: charge.Drained}
+			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			moved = append(moved, p)
 		}
 	}
@@ -167,7 +167,7 @@
 
 // downFor is how long a replica would fetch its image on the machine to which
 // it would move, in seconds; ok is false when no machine in use has room for it.
-func downFor(p *jobs.Place, trial *placement.Trial, now time.Time) (fetch float64, ok bool) {
+func downFor(p *jobs.Allocation, trial *placement.Trial, now time.Time) (fetch float64, ok bool) {
 	it := &placement.Item{Job: &p.Job.Job, Since: now, Waiting: 1, Zones: cloneCounts(p.Job.Zones()), Prompt: true}
 	it.Zones[p.Zone]--
 	m := trial.Best(it)
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -37,7 +37,7 @@
 		Settings: settings, Knobs: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
-		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinals(8),
+		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinalStates(8),
 		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
 	}, election.Tenure{Term: 1})
 	l.ended = t.Context()
@@ -52,7 +52,7 @@
 }
 
 // runs puts a running replica on a machine.
-func (l *Loop) runs(t *testing.T, id, machine string, cpus float64) *jobs.Place {
+func (l *Loop) runs(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
 	t.Helper()
 	now := l.env.Clock.Now()
 	value, err := json.Marshal(jobs.Record{Job: wire.Job{
@@ -65,8 +65,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := l.book.Place(j, 0, machine, "a", 1, now)
-	p.Committed, p.State, p.Running = true, wire.TaskRunning, now
+	p := l.book.Allocate(j, 0, machine, "a", 1, now)
+	p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
 	l.roster.Add(p, now)
 	return p
 }
@@ -85,7 +85,7 @@
 	if p.Stop != nil {
 		t.Error("a fresh replica is moved: its start would not count")
 	}
-	p.Running = clock.Now().Add(-tuning.PreemptSettle)
+	p.RunningSince = clock.Now().Add(-tuning.PreemptSettle)
 	l.fleet.nextMove = clock.Now()
 	if l.consolidate(clock.Now()); p.Stop == nil {
 		t.Error("the replica is not moved")
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		p := l.runs(t, fmt.Sprintf("job-%d", i), name, 1)
-		p.Running = clock.Now().Add(-tuning.PreemptSettle)
+		p.RunningSince = clock.Now().Add(-tuning.PreemptSettle)
 	}
 	return l, clock
 }
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -60,7 +60,7 @@
 	}
 	j := w.l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
 	for i, zone := range []string{"a", "b"} {
-		p := w.l.book.Place(j, i, "n-"+zone, zone, 1, w.clock.Now())
+		p := w.l.book.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
 		p.Committed = true
 		w.l.roster.Add(p, w.clock.Now())
 	}
@@ -106,7 +106,7 @@
 	w.l.book = old.book
 	for _, j := range old.book.Jobs {
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil {
+			if p := j.Tasks[i].Allocation; p != nil {
 				w.l.roster.Inherit(p, w.l.begun)
 			}
 		}
@@ -143,7 +143,7 @@
 	}
 	for zone, k := range w.workers {
 		j := w.l.book.Jobs["job-1"]
-		if p := j.Tasks[int(zone[0]-'a')].Place; p == nil && k.found.IsZero() {
+		if p := j.Tasks[int(zone[0]-'a')].Allocation; p == nil && k.found.IsZero() {
 			k.found = now
 			if k.died.IsZero() {
 				w.t.Fatalf("zone %s: concluded after %v without an answer, while the task may run", zone, now.Sub(k.seen))
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -32,7 +32,7 @@
 	Workers *http.Client  // for direct commands
 	Sending chan struct{} // holds one for each of them on its way, as many as sockets allow; nil: any number
 	Teams   map[string]config.Team
-	Finals  *jobs.Finals
+	Finals  *jobs.FinalStates
 
 	// Observer hears what the loop does; nil: nobody does.
 	Observer Observer
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -15,8 +15,8 @@
 )
 
 // ends has a replica of a job fail or be refused on a machine.
-func (l *Loop) ends(p *jobs.Place, why wire.ExitReason) {
-	l.settle([]machines.Outcome{{Place: p, Why: why}}, l.env.Clock.Now())
+func (l *Loop) ends(p *jobs.Allocation, why wire.ExitReason) {
+	l.settle([]machines.Outcome{{Allocation: p, Why: why}}, l.env.Clock.Now())
 }
 
 // A machine is bad on which jobs fail that work elsewhere, and none completes.
@@ -60,7 +60,7 @@
 			pause := j.PauseUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
 				l.ends(p, wire.ExitError)
-				p = l.book.Place(j, 0, m, "a", 1, clock.Now())
+				p = l.book.Allocate(j, 0, m, "a", 1, clock.Now())
 				l.roster.Add(p, clock.Now())
 			}
 			l.ends(p, wire.ExitError)
@@ -73,7 +73,7 @@
 			if len(items) == 0 || !items[len(items)-1].Trial || items[len(items)-1].Waiting != 1 {
 				t.Fatalf("it is tried as %+v", items)
 			}
-			p = l.book.Place(j, 0, "n-large", "a", 1, clock.Now())
+			p = l.book.Allocate(j, 0, "n-large", "a", 1, clock.Now())
 			l.roster.Add(p, clock.Now())
 		}
 		l.ends(p, wire.ExitError)
@@ -171,15 +171,15 @@
 	if s := free(); !math.IsInf(s, 1) {
 		t.Errorf("beside a replica there is room in %v s", s)
 	}
-	p.Job.Kind, p.Job.EstimateS, p.Running = wire.KindArray, 100, clock.Now().Add(-40*time.Second)
+	p.Job.Kind, p.Job.EstimateS, p.RunningSince = wire.KindArray, 100, clock.Now().Add(-40*time.Second)
 	if s := free(); s != 60 {
 		t.Errorf("room in %v s, 60 are left of its run", s)
 	}
-	p.Running = clock.Now().Add(-200 * time.Second)
+	p.RunningSince = clock.Now().Add(-200 * time.Second)
 	if s := free(); s != 50 {
 		t.Errorf("room in %v s for a task that runs on beyond what was expected", s)
 	}
-	p.Stop = &jobs.Stop{GraceS: 5}
+	p.Stop = &jobs.StopRequest{GraceS: 5}
 	if s := free(); s != 5 {
 		t.Errorf("room in %v s for one that was told to stop", s)
 	}
@@ -192,7 +192,7 @@
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
 	begun := clock.Now()
 	blocked := l.waits(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
-	for j.PauseUntil = begun.Add(40 * time.Second); j.Placed == 0; clock.Advance(250 * time.Millisecond) {
+	for j.PauseUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
 		for _, m := range l.roster.Machines { // it reports all the while
 			m.Heard, m.LeaseEnd = now, now.Add(10*time.Second)
@@ -204,7 +204,7 @@
 			t.Fatalf("waits for %v since it may be placed", waited)
 		}
 	}
-	if blocked.Placed > 0 {
+	if blocked.Allocated > 0 {
 		t.Error("a task is placed that fits nowhere")
 	}
 }
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -38,8 +38,8 @@
 		if _, err := l.roster.Report(&rep, false, clock.Now(), nil); err != nil {
 			t.Fatal(err)
 		}
-		p := l.book.Place(j, i, rep.Machine, rep.Zone, 1, clock.Now())
-		p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
+		p := l.book.Allocate(j, i, rep.Machine, rep.Zone, 1, clock.Now())
+		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
 		l.roster.Add(p, clock.Now())
 	}
 	return l, func(d time.Duration) { clock.Advance(d) }
@@ -186,7 +186,7 @@
 		t.Fatalf("told %v while a task may run", err)
 	}
 	j := l.book.Jobs["job-1"]
-	if j.Open() || j.Tasks[0].Place.Stop == nil || j.Tasks[1].Place.Stop == nil {
+	if j.CanStart() || j.Tasks[0].Allocation.Stop == nil || j.Tasks[1].Allocation.Stop == nil {
 		t.Error("its tasks are not to stop")
 	}
 	rep := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
@@ -204,10 +204,10 @@
 	}
 	pass(tuning.SilentRelease + l.workerLease())
 	l.settled()
-	if j.Placed != 0 {
+	if j.Allocated != 0 {
 		t.Fatal("the other is not found gone")
 	}
-	w := l.book.Take(l.env.Clock.Now(), jobs.Budget{Spare: 100})
+	w := l.book.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
 	if w == nil || w.Txn.Then[0].Put != jobs.KeyEnd("job-1") {
 		t.Fatalf("stored: %+v", w)
 	}
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -14,17 +14,17 @@
 // job avoids it. But as long as no task of the job works, the job itself may
 // be: it is on trial, and its failures count against no machine. Two jobs
 // submitted with a mistake used to have healthy machines emptied.
-func (l *Loop) failed(p *jobs.Place, now time.Time) {
+func (l *Loop) failed(p *jobs.Allocation, now time.Time) {
 	j := p.Job
-	j.Avoid[p.Machine] = now.Add(tuning.AvoidFor)
-	l.book.Failed(j, now)
-	if ran := !p.Running.IsZero() && now.Sub(p.Running) >= tuning.WorksAfter; ran {
+	j.AvoidMachines[p.Machine] = now.Add(tuning.AvoidFor)
+	l.book.MarkFailed(j, now)
+	if ran := !p.RunningSince.IsZero() && now.Sub(p.RunningSince) >= tuning.WorksAfter; ran {
 		l.acquit(j, now)
 	} else if l.onTrial(j, now) {
 		return
 	}
 	l.blame(j)
-	if n := len(j.Avoid); n >= tuning.BadJobMachines {
+	if n := len(j.AvoidMachines); n >= tuning.BadJobMachines {
 		j.PauseUntil = now.Add(min(tuning.ErrorPause<<min(j.Errors-tuning.BadJobMachines, 10), tuning.ErrorPauseMax))
 	}
 }
@@ -45,12 +45,12 @@
 
 // acquit ends a job's trial: the machines on which it failed are to blame.
 func (l *Loop) acquit(j *jobs.Job, now time.Time) {
-	l.book.Works(j, now)
+	l.book.MarkWorking(j, now)
 	l.blame(j)
 }
 
 func (l *Loop) blame(j *jobs.Job) {
-	for name := range j.Avoid {
+	for name := range j.AvoidMachines {
 		if m := l.roster.Machines[name]; m != nil {
 			m.NoteError(j.ID)
 		}
@@ -59,7 +59,7 @@
 
 // completed takes in that a task completed, after the time at which its machine was heard before: its job works,
 // and so does its machine. One that runs everything slowly is given up like a faulty one.
-func (l *Loop) completed(p *jobs.Place, m *machines.Machine, heard, now time.Time) {
+func (l *Loop) completed(p *jobs.Allocation, m *machines.Machine, heard, now time.Time) {
 	if p.Job.Tries > 0 {
 		l.acquit(p.Job, now)
 	}
@@ -67,13 +67,13 @@
 		return
 	}
 	m.NoteDone()
-	if p.Job.Kind != wire.KindArray || p.Running.IsZero() || p.Inherited {
+	if p.Job.Kind != wire.KindArray || p.RunningSince.IsZero() || p.Inherited {
 		return // it is not known for how long it ran
 	}
 	// It may have ended at any time since: after a cut or without a leader ends are seen late, of many tasks
 	// of a machine together.
-	least := heard.Sub(p.Running).Seconds()
-	elsewhere := p.Job.Ran(jobs.Run{Machine: m.Name, Type: m.Type, Seconds: now.Sub(p.Running).Seconds()})
+	least := heard.Sub(p.RunningSince).Seconds()
+	elsewhere := p.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(p.RunningSince).Seconds()})
 	if m.Pace.Note(least, elsewhere) && !m.Bad {
 		m.Bad = true
 		l.log.Info("machine is slow", "machine", m.Name, "spot", m.Spot)
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -31,7 +31,7 @@
 	end    context.CancelCauseFunc
 
 	store   *statestore.Client // with the leader's share of the limits
-	book    *jobs.Book
+	book    *jobs.Store
 	roster  *machines.Roster
 	fleet   fleetState
 	holding placement.Holds
@@ -78,7 +78,7 @@
 	state := env.Settings.Cluster.State
 	l := &Loop{
 		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
-		book: jobs.NewBook(state.TxnOps), roster: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
+		book: jobs.NewStore(state.TxnOps), roster: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
 		store: env.Store.Share(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
 		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), ways: newWays(), served: newServed(), broken: map[Slice]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
@@ -265,7 +265,7 @@
 		l.book.Cancel(j, func(s wire.JobState) { answer(result{state: s, known: true}) })
 		places := j.StopAll(charge.Cancelled)
 		l.direct(places)
-		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Place) bool { return l.outOfReach(l.roster.Machines[p.Machine], now) }) {
+		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Allocation) bool { return l.outOfReach(l.roster.Machines[p.Machine], now) }) {
 			answer(result{known: true, err: errOutOfReach})
 		}
 	})
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -39,14 +39,14 @@
 		}
 		next[j.ID] = i + 1
 		m := l.roster.Machines[d.Machine.Name]
-		p := l.book.Place(j, i, m.Name, m.Zone, m.Session, now)
+		p := l.book.Allocate(j, i, m.Name, m.Zone, m.Session, now)
 		l.roster.Add(p, now)
 		for _, s := range l.slices {
 			s.Placed(p, m.Spot, l.env.typeOf(m.Type), now)
 		}
 		l.env.observe(func(o Observer) { o.Started(j.Class) })
 		l.log.Debug("placed", "task", p.Task().String(), "attempt", p.Attempt, "class", j.Class, "machine", m.Name,
-			"type", m.Type, "spot", m.Spot, "waited_s", now.Sub(j.WaitSince).Seconds())
+			"type", m.Type, "spot", m.Spot, "waited_s", now.Sub(j.WaitingSince).Seconds())
 	}
 	l.preempt(now, items, open, teams, byID)
 	// The design's loop: a pass that places nothing waits 1 s, doubling to
@@ -66,7 +66,7 @@
 	for _, it := range items {
 		j := byID[it.Job.ID]
 		patience, ok := l.env.patience(it.Job.Class)
-		if ok && it.Waiting > 0 && !it.Trial && !now.Before(j.MakingRoom) && now.Sub(it.Since) >= seconds(patience*tuning.PreemptShare) {
+		if ok && it.Waiting > 0 && !it.Trial && !now.Before(j.PreemptingUntil) && now.Sub(it.Since) >= seconds(patience*tuning.PreemptShare) {
 			due = append(due, it)
 		}
 	}
@@ -82,17 +82,17 @@
 	for _, it := range due {
 		before[it] = it.Waiting
 	}
-	var stopped []*jobs.Place
+	var stopped []*jobs.Allocation
 	for _, v := range placement.Preempt(due, open, teams) {
-		p := v.Ref.(*jobs.Place)
-		p.Stop = &jobs.Stop{For: charge.Preempted}
+		p := v.Ref.(*jobs.Allocation)
+		p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 		stopped = append(stopped, p)
 		l.log.Debug("making room", "task", p.Task().String(), "class", p.Job.Class, "machine", p.Machine,
 			"cost_s", v.Cost, "for", v.For.ID, "for_class", v.For.Class)
 	}
 	for _, it := range due {
 		if it.Waiting < before[it] {
-			byID[it.Job.ID].MakingRoom = now.Add(tuning.PreemptAgain)
+			byID[it.Job.ID].PreemptingUntil = now.Add(tuning.PreemptAgain)
 		}
 	}
 	l.direct(stopped)
@@ -109,7 +109,7 @@
 		}
 		v := placement.Victim{Job: &p.Job.Job, Ref: p, Cost: tuning.PriorityCost * float64(p.Job.Priority.Level())}
 		if p.State == wire.TaskRunning {
-			ran := now.Sub(p.Running)
+			ran := now.Sub(p.RunningSince)
 			lost := ran.Seconds()
 			if p.Job.CheckpointS > 0 {
 				lost = min(lost, p.Job.CheckpointS)
@@ -132,7 +132,7 @@
 		if l.onTrial(j, now) { // also for what it ends
 			trials[j] = true
 		}
-		if j.Open() && j.Waiting() > 0 && !now.Before(j.PauseUntil) {
+		if j.CanStart() && j.Waiting() > 0 && !now.Before(j.PauseUntil) {
 			waiting = append(waiting, j)
 		}
 	}
@@ -146,22 +146,22 @@
 		j := waiting[i]
 		_, prompt := l.promptness(j.Class)
 		room = append(room, placement.Item{
-			Job: &j.Job, Since: j.WaitSince, Waiting: n, Started: j.Placed + j.Done, Zones: zonesOf(j), Prompt: prompt,
+			Job: &j.Job, Since: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), Prompt: prompt,
 		})
 		it := &room[len(room)-1]
-		it.RunS, _ = j.RunS()
+		it.RunS, _ = j.ExpectedRunS()
 		// An array whose last tasks were lost does not queue up anew: of a team beyond its guarantee they
 		// waited 120 s until they aged, and their jobs, nearly done, were late.
 		if j.Kind == wire.KindArray {
-			it.Entered = j.Entered
+			it.Entered = j.EnqueuedAt
 		}
 		// A job that fails everywhere may go anywhere, and so may one that has nothing and waits beside such a machine for long.
-		waits := j.Placed == 0 && now.Sub(j.WaitSince) >= tuning.AvoidWait
-		if bad := len(j.Avoid); bad > 0 && bad < tuning.BadJobMachines && !waits {
-			it.Avoid = func(machine string) bool { return now.Before(j.Avoid[machine]) }
+		waits := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidWait
+		if bad := len(j.AvoidMachines); bad > 0 && bad < tuning.BadJobMachines && !waits {
+			it.Avoid = func(machine string) bool { return now.Before(j.AvoidMachines[machine]) }
 		}
 		if trials[j] {
-			if j.Placed > 0 {
+			if j.Allocated > 0 {
 				continue
 			}
 			it.Trial, it.Waiting, it.Since, it.Entered = true, 1, now, now
@@ -271,9 +271,9 @@
 				case p.Job.Kind == wire.KindService:
 					continue
 				default:
-					e.s, _ = p.Job.RunS()
-					if !p.Running.IsZero() {
-						ran := now.Sub(p.Running).Seconds()
+					e.s, _ = p.Job.ExpectedRunS()
+					if !p.RunningSince.IsZero() {
+						ran := now.Sub(p.RunningSince).Seconds()
 						e.s = max(e.s-ran, ran/4) // one that takes longer than expected goes on for a while
 					}
 				}
@@ -331,11 +331,11 @@
 	}
 	for _, j := range l.book.Jobs {
 		if t := teams[j.Team]; t != nil {
-			t.CPUs += float64(j.Placed) * j.CPUs
-			t.GPUs += float64(j.Placed) * j.GPUs
-			if j.Kind == wire.KindService && j.Open() {
-				t.Stays.CPUs += float64(j.Placed) * j.CPUs
-				t.Stays.GPUs += float64(j.Placed) * j.GPUs
+			t.CPUs += float64(j.Allocated) * j.CPUs
+			t.GPUs += float64(j.Allocated) * j.GPUs
+			if j.Kind == wire.KindService && j.CanStart() {
+				t.Stays.CPUs += float64(j.Allocated) * j.CPUs
+				t.Stays.GPUs += float64(j.Allocated) * j.GPUs
 			}
 		}
 	}
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -15,16 +15,16 @@
 func TestATaskIsStoppedForOthersAtMostOnce(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	job := &jobs.Job{Job: wire.Job{ID: "job-1", Priority: wire.PriorityLow, CheckpointS: 10}}
-	place := func(attempt uint64, state wire.TaskState) *jobs.Place {
-		return &jobs.Place{Job: job, Attempt: attempt, Committed: true, State: state, Running: now.Add(-time.Hour)}
+	place := func(attempt uint64, state wire.TaskState) *jobs.Allocation {
+		return &jobs.Allocation{Job: job, Attempt: attempt, Committed: true, State: state, RunningSince: now.Add(-time.Hour)}
 	}
 	uncommitted := place(1, wire.TaskRunning)
 	uncommitted.Committed = false
 	stopped := place(1, wire.TaskRunning)
-	stopped.Stop = &jobs.Stop{}
-	m := &machines.Machine{Places: map[machines.Key]*jobs.Place{}}
+	stopped.Stop = &jobs.StopRequest{}
+	m := &machines.Machine{Places: map[machines.Key]*jobs.Allocation{}}
 	want := place(1, wire.TaskRunning)
-	for i, p := range []*jobs.Place{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
+	for i, p := range []*jobs.Allocation{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
 		m.Places[machines.Key{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
 	}
 	got := victims(m, now)
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -50,7 +50,7 @@
 		switch j := l.book.Jobs[item.Key[len(jobs.PrefixJob):]]; {
 		case j == nil:
 			unreadable++
-		case item.Version <= l.watched || now.Sub(j.Entered) > tuning.JobWatch && l.env.Valid(l.tenure.Term):
+		case item.Version <= l.watched || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.tenure.Term):
 			found++
 		}
 	}
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -41,12 +41,12 @@
 	// The progress is gathered first and taken in at once: a repeated reading
 	// must not count a place twice.
 	var progress []wire.Item
-	if !read(jobs.PrefixRun, func(items []wire.Item) { progress = append(progress, items...) }) {
+	if !read(jobs.PrefixProgress, func(items []wire.Item) { progress = append(progress, items...) }) {
 		return
 	}
 	// Charges that were moved apart matter only where they are kept.
 	var lefts []wire.Item
-	if len(l.slices) > 0 && !read(jobs.PrefixLeft, func(items []wire.Item) { lefts = append(lefts, items...) }) {
+	if len(l.slices) > 0 && !read(jobs.PrefixDetached, func(items []wire.Item) { lefts = append(lefts, items...) }) {
 		return
 	}
 	listed := revision
@@ -96,7 +96,7 @@
 			}
 			l.fleet.next = now // rent at once if it finds no room
 			if l.arrived++; !l.rush(now) || l.arrived%tuning.RushShare == 0 {
-				l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: j.WaitSince, Job: &j.Job})
+				l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: j.WaitingSince, Job: &j.Job})
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 			continue
 		}
 		seen[item.Key] = true
-		places, err := l.book.LoadRun(item, now)
+		places, err := l.book.LoadProgress(item, now)
 		if err != nil {
 			// Without this record nobody knows where its tasks may be.
 			l.end(err)
@@ -126,7 +126,7 @@
 		}
 		for _, p := range places {
 			if p.Job.Cancelled() {
-				p.Stop = &jobs.Stop{For: charge.Cancelled}
+				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
 			l.roster.Inherit(p, l.begun)
 		}
@@ -136,7 +136,7 @@
 			continue
 		}
 		seen[item.Key] = true
-		l.book.LoadLeft(item)
+		l.book.LoadDetached(item)
 	}
 	l.book.Loaded()
 	for _, err := range l.book.Damaged() {
@@ -144,7 +144,7 @@
 	}
 	l.loaded, l.changed = true, true
 	for id, p := range l.served.live {
-		p.begun = l.book.Jobs[id].Placed+l.book.Jobs[id].Done > 0
+		p.begun = l.book.Jobs[id].Allocated+l.book.Jobs[id].Done > 0
 	}
 	for _, s := range l.slices {
 		s.Loaded(l.book, now)
@@ -166,11 +166,11 @@
 	if ready < min(most, tuning.WriteLeast) {
 		return // the tick looks again
 	}
-	budget := jobs.Budget{Changes: ready, Spare: ready - most/2, Overdue: int(l.overdue.TokensAt(now))}
+	budget := jobs.WriteBudget{Changes: ready, Spare: ready - most/2, Overdue: int(l.overdue.TokensAt(now))}
 	if ready >= most {
 		budget.Changes = 0 // more will never be ready
 	}
-	batch := l.book.Take(now, budget)
+	batch := l.book.NextBatch(now, budget)
 	if batch == nil {
 		return
 	}
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -38,8 +38,8 @@
 		})
 		for k := 0; i < 260 && k < 6 && next < 1600; k++ {
 			rep := reports[next%400]
-			p := l.book.Place(j, k, rep.Machine, "a", 1, now)
-			p.Committed, p.State, p.Running = true, wire.TaskRunning, now
+			p := l.book.Allocate(j, k, rep.Machine, "a", 1, now)
+			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
 			l.roster.Add(p, now)
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
 			next++
@@ -135,7 +135,7 @@
 			}
 		}
 		l.pass(clock.Now())
-		for w := l.book.Take(clock.Now(), jobs.Budget{Spare: 1000}); w != nil; w = l.book.Take(clock.Now(), jobs.Budget{Spare: 1000}) {
+		for w := l.book.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.book.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
 			start, _ := l.book.Written(w, uint64(round+2))
 			stored += len(start)
 		}
@@ -145,7 +145,7 @@
 	}
 	for _, m := range l.roster.Machines {
 		for _, p := range m.Places {
-			l.book.Finished(p, clock.Now())
+			l.book.MarkDone(p, clock.Now())
 			l.roster.Remove(p, clock.Now())
 		}
 	}
--- a/internal/scheduler/leader/served.go
+++ b/internal/scheduler/leader/served.go
@@ -65,8 +65,8 @@
 func (l *Loop) oldest(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, j := range l.book.Jobs {
-		if j.Open() && j.Placed+j.Done == 0 {
-			out[j.Class] = max(out[j.Class], now.Sub(j.Entered).Seconds())
+		if j.CanStart() && j.Allocated+j.Done == 0 {
+			out[j.Class] = max(out[j.Class], now.Sub(j.EnqueuedAt).Seconds())
 		}
 	}
 	return out
--- a/internal/scheduler/leader/sides.go
+++ b/internal/scheduler/leader/sides.go
@@ -17,7 +17,7 @@
 
 // loses is what a task of an array loses at the most when its machine goes, in seconds.
 func loses(j *jobs.Job) float64 {
-	s, _ := j.RunS()
+	s, _ := j.ExpectedRunS()
 	if j.CheckpointS > 0 {
 		return min(s, j.CheckpointS)
 	}
@@ -49,11 +49,11 @@
 		return 0
 	}
 	weight := func(j *jobs.Job) float64 {
-		s, _ := j.RunS()
-		return float64(j.Placed+j.Waiting()) * j.CPUs * s
+		s, _ := j.ExpectedRunS()
+		return float64(j.Allocated+j.Waiting()) * j.CPUs * s
 	}
 	for _, j := range l.book.Jobs {
-		if mayTakeSides(&j.Job) && j.Open() {
+		if mayTakeSides(&j.Job) && j.CanStart() {
 			arrays = append(arrays, j)
 			work += weight(j)
 		}
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -39,7 +39,7 @@
 	}
 	j := l.book.Jobs["job-1"]
 	for i := range 4 {
-		l.roster.Add(l.book.Place(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
+		l.roster.Add(l.book.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
 	l.fleet.spotLimitS = l.spotLimit()
 	items := []*placement.Item{short, long, saves}
--- a/internal/scheduler/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -22,20 +22,20 @@
 	// must look up in the book meanwhile, ask has the loop do.
 	Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (take func(), err error)
 	// Loaded tells that the book is in.
-	Loaded(book *jobs.Book, now time.Time)
+	Loaded(book *jobs.Store, now time.Time)
 	// Admit says how many of a job's waiting tasks may start now, and why no more.
 	Admit(j *jobs.Job, now time.Time) (n int, why string)
 	// Look lowers counts, of the waiting tasks of each job that a look at all of them may
 	// consider, to what may start together: each is at most what Admit allows.
 	Look(waiting []*jobs.Job, counts []int, now time.Time)
 	// Placed hears of a decision, on a machine of a type.
-	Placed(p *jobs.Place, spot bool, typ *wire.MachineType, now time.Time)
+	Placed(p *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended hears of the proven end of an attempt, before the book does.
 	Ended(o machines.Outcome, now time.Time)
 	// Over hears that a job came to a final state, which is stored.
-	Over(o jobs.Over, now time.Time)
+	Over(o jobs.FinishedJob, now time.Time)
 	// Tick does what is due, about every SliceTick, and names places that are to be stopped.
-	Tick(now time.Time) []*jobs.Place
+	Tick(now time.Time) []*jobs.Allocation
 	// Next gives a transaction of the slice's own, on keys that the book does not
 	// touch, of at most room changes; nil: none. One is on its way at a time.
 	Next(now time.Time, room int) *Write
@@ -261,7 +261,7 @@
 func (l *Loop) holds(o Observer) {
 	waiting := map[string]int{}
 	for _, j := range l.book.Jobs {
-		if j.Open() {
+		if j.CanStart() {
 			waiting[j.Class] += j.Waiting()
 		}
 	}
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -32,11 +32,11 @@
 		}
 		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
 		ends := func(i int, machine string, ran, late time.Duration) {
-			p := l.book.Place(j, i, machine, "a", 1, clock.Now())
-			p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
+			p := l.book.Allocate(j, i, machine, "a", 1, clock.Now())
+			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
 			l.roster.Add(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]machines.Outcome{{Place: p, Why: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
+			l.settle([]machines.Outcome{{Allocation: p, Why: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
--- a/internal/scheduler/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -16,7 +16,7 @@
 // the others move at once.
 func (l *Loop) drainSpot(m *machines.Machine, now time.Time) {
 	left := m.Notice.Sub(now)
-	var stopped []*jobs.Place
+	var stopped []*jobs.Allocation
 	for _, p := range m.Places {
 		if p.Stop != nil {
 			continue
@@ -24,11 +24,11 @@
 		j := &p.Job.Job
 		switch {
 		case p.State == wire.TaskRunning && j.CheckpointS > 0:
-			p.Stop = &jobs.Stop{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), For: charge.Drained}
-		case p.State == wire.TaskRunning && mayEnd(p.Job, now.Sub(p.Running), left-tuning.LastCall):
+			p.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), Reason: charge.Drained}
+		case p.State == wire.TaskRunning && mayEnd(p.Job, now.Sub(p.RunningSince), left-tuning.LastCall):
 			continue
 		default:
-			p.Stop = &jobs.Stop{For: charge.Drained}
+			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 		}
 		stopped = append(stopped, p)
 	}
@@ -54,7 +54,7 @@
 // run that would be saved, if it ends in time, against the time that is lost if it does not. Its run time is
 // taken to lie around what is expected of its job, given that it ran for so long already.
 func mayEnd(j *jobs.Job, ran, left time.Duration) bool {
-	expectS, seen := j.RunS()
+	expectS, seen := j.ExpectedRunS()
 	if expectS <= 0 || left <= 0 {
 		return false
 	}
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -17,8 +17,8 @@
 
 // direct tells machines at once what was decided for some places, rather than
 // wait for their next reports. The reports' answers repeat it.
-func (l *Loop) direct(places []*jobs.Place) {
-	byMachine := map[string][]*jobs.Place{}
+func (l *Loop) direct(places []*jobs.Allocation) {
+	byMachine := map[string][]*jobs.Allocation{}
 	now := l.env.Clock.Now()
 	for _, p := range places {
 		// One that is silent would keep a connection waiting.
@@ -136,14 +136,14 @@
 	if len(a.Held) > tuning.HeldExits {
 		for _, k := range a.Held {
 			if j := l.book.Jobs[k.Task.Job]; j != nil {
-				l.book.Press(j, k.Task.Index)
+				l.book.FlushSoon(j, k.Task.Index)
 			}
 		}
 	}
 	for _, p := range a.Began {
-		l.book.Began(p, now)
+		l.book.MarkBegan(p, now)
 		if first := l.served.began(p.Job); first != nil {
-			l.env.observe(func(o Observer) { o.Began(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.Entered)) })
+			l.env.observe(func(o Observer) { o.Began(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
 		}
 	}
 	l.settle(a.Outcomes, now)
@@ -164,13 +164,13 @@
 	if j == nil || k.Task.Index >= len(j.Tasks) {
 		return true
 	}
-	return l.book.Clean(j, k.Task.Index)
+	return l.book.Persisted(j, k.Task.Index)
 }
 
 // settle takes in how tasks ended in their places.
 func (l *Loop) settle(outs []machines.Outcome, now time.Time) {
 	for _, o := range outs {
-		p := o.Place
+		p := o.Allocation
 		if p.Removed {
 			continue
 		}
@@ -182,11 +182,11 @@
 		l.changed = true
 		m := l.roster.Machines[p.Machine]
 		if o.Why == wire.ExitDone {
-			l.book.Finished(p, now)
+			l.book.MarkDone(p, now)
 			l.completed(p, m, o.Idle, now)
 			continue
 		}
-		l.book.Gone(p, now)
+		l.book.MarkLost(p, now)
 		switch o.Why {
 		case wire.ExitError:
 			l.failed(p, now)
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -22,8 +22,8 @@
 		if _, err := l.roster.Report(rep, false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		p := l.book.Place(j, i, rep.Machine, "a", 1, clock.Now())
-		p.Committed, p.State, p.Running = true, wire.TaskRunning, clock.Now()
+		p := l.book.Allocate(j, i, rep.Machine, "a", 1, clock.Now())
+		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
 		l.roster.Add(p, clock.Now())
 		rep.Tasks = []wire.TaskStatus{{Task: p.Task().String(), Attempt: 1, State: wire.TaskRunning}}
 		reports[i] = rep
@@ -76,7 +76,7 @@
 	l, clock := leaderWith(t)
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1})
 	for i := range 2000 {
-		p := l.book.Place(j, i, "n-large", "a", 1, clock.Now())
+		p := l.book.Allocate(j, i, "n-large", "a", 1, clock.Now())
 		p.State = wire.TaskRunning
 	}
 	if s := j.Status(); s.Running != 2000 || s.State != wire.StateRunning {
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -94,7 +94,7 @@
 	l, m, r, pass := heardBy(t, addr)
 	rep = r
 	p := l.runs(t, "job-9", "n-9", 1)
-	p.State, p.Running = "", time.Time{}
+	p.State, p.RunningSince = "", time.Time{}
 	for range 2 { // the answer to the first holds the start, the second does not show it
 		pass(time.Second)
 		rep.Seq++
@@ -190,7 +190,7 @@
 	l.tenure.Term = 2
 	l.roster = machines.New(2, 10)
 	j := l.book.Jobs["job-1"]
-	p := j.Tasks[0].Place
+	p := j.Tasks[0].Allocation
 	l.roster.Inherit(p, l.env.Clock.Now())
 	m := l.roster.Machines["n-0"]
 	m.Listed = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
@@ -244,7 +244,7 @@
 				m = nil
 			}
 			p := l.runs(t, "job-9", "n-9", 1)
-			p.Session = 3
+			p.Incarnation = 3
 			if c.inherited {
 				l.roster.Remove(p, l.env.Clock.Now())
 				delete(l.roster.Machines, "n-9")
@@ -258,7 +258,7 @@
 				l.takes(t, &older)
 			}
 			if c.openStart {
-				l.roster.Direct("n-9", []*jobs.Place{p})
+				l.roster.Direct("n-9", []*jobs.Allocation{p})
 			}
 			*rep = *first
 			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -36,7 +36,7 @@
 	}
 	r := wire.Reasons{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
 	add := func(format string, args ...any) { r.Reasons = append(r.Reasons, fmt.Sprintf(format, args...)) }
-	if !j.Open() || r.Waiting == 0 {
+	if !j.CanStart() || r.Waiting == 0 {
 		return http.StatusOK, r
 	}
 	n, held := l.admitted(j, now)
@@ -53,11 +53,11 @@
 	if now.Before(j.PauseUntil) {
 		add("after failures, no task starts for %d s", 1+int(j.PauseUntil.Sub(now).Seconds()))
 	}
-	it := &placement.Item{Job: &j.Job, Since: j.WaitSince, Waiting: n, Started: j.Placed + j.Done, Entered: j.Entered, Trial: l.onTrial(j, now)}
+	it := &placement.Item{Job: &j.Job, Since: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Entered: j.EnqueuedAt, Trial: l.onTrial(j, now)}
 	if it.Overdue(now) {
-		add("it has waited %d s to begin: one task of it goes before all else of its priority, and a machine is held for it", int(now.Sub(j.Entered).Seconds()))
+		add("it has waited %d s to begin: one task of it goes before all else of its priority, and a machine is held for it", int(now.Sub(j.EnqueuedAt).Seconds()))
 	}
-	switch placed := j.Placed > 0; {
+	switch placed := j.Allocated > 0; {
 	case placement.Left(it, l.teams()) == 0:
 		add("the team's tasks use as much as the team's limit allows")
 	case it.Overdue(now):
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -87,7 +87,7 @@
 	}
 	for k, p := range m.Places {
 		if !there[k] {
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
 		}
 	}
 	clear(m.strays)
--- a/internal/scheduler/machines/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -114,7 +114,7 @@
 		t.Errorf("outcomes %+v of what may be a copy", a.Outcomes)
 	}
 	a := f.report(report(2, 7, term, taskIs("job-1/1", 1, wire.TaskRunning, "")), time.Second, no)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Place != gone || !a.Outcomes[0].Lost {
+	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != gone || !a.Outcomes[0].Lost {
 		t.Errorf("outcomes %+v", a.Outcomes)
 	}
 }
@@ -162,7 +162,7 @@
 	if a := f.report(report(1, 2, term), time.Second, no); ops(a.Commands) != "start " {
 		t.Fatalf("commands %v", a.Commands)
 	}
-	p.Stop = &jobs.Stop{}
+	p.Stop = &jobs.StopRequest{}
 	if a := f.report(report(1, 90, term), 2*time.Second, no); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
 		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
 	}
@@ -217,7 +217,7 @@
 	m := f.Machines["n-1"]
 	f.Begin(m, report(1, 2, term), t0.Add(5*time.Second))
 	p := place(1)
-	p.Stop = &jobs.Stop{}
+	p.Stop = &jobs.StopRequest{}
 	f.Add(p, t0.Add(5*time.Second))
 	if a := f.report(report(1, 39, term), 30*time.Second, no); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
 		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -13,7 +13,7 @@
 	r := New(1, 40)
 	cache := func(string) float64 { return 2 }
 	use := func(machine, image string) {
-		p := &jobs.Place{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
+		p := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
 		r.Add(p, t0)
 		r.Remove(p, t0)
 	}
--- a/internal/scheduler/machines/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -14,7 +14,7 @@
 func TestWhatAReportLacksProvesNothingBeforeOurToken(t *testing.T) {
 	f := newFixture(t)
 	p := place(1)
-	p.Stop = &jobs.Stop{}
+	p.Stop = &jobs.StopRequest{}
 	f.Inherit(p, t0)
 	if a := f.report(report(1, 1, term-1), time.Second, yes); len(a.Outcomes) != 0 {
 		t.Fatalf("concluded while an older leader's start may arrive: %v", a.Outcomes)
@@ -44,7 +44,7 @@
 		p := place(1)
 		f.Add(p, t0)
 		m := f.Machines["n-1"]
-		if _, req := f.Direct("n-1", []*jobs.Place{p}); !c.open {
+		if _, req := f.Direct("n-1", []*jobs.Allocation{p}); !c.open {
 			f.Sent("n-1", req)
 		}
 		_, _, mark, ok := f.Question(m, t0.Add(c.after))
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -21,7 +21,7 @@
 	Attempt uint64
 }
 
-func keyOf(p *jobs.Place) Key { return Key{Task: p.Task(), Attempt: p.Attempt} }
+func keyOf(p *jobs.Allocation) Key { return Key{Task: p.Task(), Attempt: p.Attempt} }
 
 // Amount is what tasks take of a machine or a team.
 type Amount struct{ CPUs, GPUs, MemoryGB float64 }
@@ -51,7 +51,7 @@
 	LeaseEnd time.Time // by then its session is over unless it reports again; zero: not counted
 	Notice   time.Time // when the cloud takes it, by its notice; zero: no notice
 
-	Places  map[Key]*jobs.Place
+	Places  map[Key]*jobs.Allocation
 	used    Amount // what they take, while counted
 	counted bool
 	strays  map[Key]bool // reported tasks that no record places here
@@ -154,7 +154,7 @@
 	last  time.Time // when the last one was placed or went
 }
 
-func (m *Machine) use(p *jobs.Place, now time.Time) {
+func (m *Machine) use(p *jobs.Allocation, now time.Time) {
 	m.counted = false
 	u := m.images[p.Job.Image]
 	if u == nil {
@@ -168,7 +168,7 @@
 	u.last = now
 }
 
-func (m *Machine) unuse(p *jobs.Place, now time.Time) {
+func (m *Machine) unuse(p *jobs.Allocation, now time.Time) {
 	m.counted = false
 	if u := m.images[p.Job.Image]; u != nil {
 		u.tasks = max(0, u.tasks-1)
@@ -240,7 +240,7 @@
 	m := r.Machines[name]
 	if m == nil {
 		m = &Machine{
-			Name: name, Places: map[Key]*jobs.Place{}, strays: map[Key]bool{}, sent: map[Key]int{},
+			Name: name, Places: map[Key]*jobs.Allocation{}, strays: map[Key]bool{}, sent: map[Key]int{},
 			images: map[string]*imageUse{}, Added: now, IdleSince: now, Rented: now,
 		}
 		r.Machines[name] = m
@@ -250,11 +250,11 @@
 
 // Inherit takes in a place that a former leader recorded. Whoever answered
 // the machine last did so before our term began, so its lease runs from then at most.
-func (r *Roster) Inherit(p *jobs.Place, begun time.Time) {
+func (r *Roster) Inherit(p *jobs.Allocation, begun time.Time) {
 	m := r.ensure(p.Machine, begun)
 	m.Places[keyOf(p)] = p
 	m.use(p, begun)
-	m.Session = max(m.Session, p.Session)
+	m.Session = max(m.Session, p.Incarnation)
 	m.Zone, m.Known = p.Zone, true
 	if m.LeaseEnd.Before(begun.Add(r.lease)) {
 		m.LeaseEnd = begun.Add(r.lease)
@@ -272,14 +272,14 @@
 }
 
 // Add puts a new place on its machine.
-func (r *Roster) Add(p *jobs.Place, now time.Time) {
+func (r *Roster) Add(p *jobs.Allocation, now time.Time) {
 	m := r.ensure(p.Machine, now)
 	m.Places[keyOf(p)] = p
 	m.use(p, now)
 }
 
 // Remove takes a place that is proven gone off its machine.
-func (r *Roster) Remove(p *jobs.Place, now time.Time) {
+func (r *Roster) Remove(p *jobs.Allocation, now time.Time) {
 	if m := r.Machines[p.Machine]; m != nil {
 		if _, there := m.Places[keyOf(p)]; there {
 			delete(m.Places, keyOf(p))
@@ -293,11 +293,11 @@
 
 // Outcome is the proven end of a task in a place.
 type Outcome struct {
-	Place *jobs.Place
-	Why   wire.ExitReason // WhyStopped also when its machine's session is over
-	Saved bool            // it saved its progress when it was stopped
-	Lost  bool            // nobody saw its end: its machine's session is over, or the machine is gone
-	Idle  time.Time       // a time at which it was known not to run yet; zero: none
+	Allocation *jobs.Allocation
+	Why        wire.ExitReason // WhyStopped also when its machine's session is over
+	Saved      bool            // it saved its progress when it was stopped
+	Lost       bool            // nobody saw its end: its machine's session is over, or the machine is gone
+	Idle       time.Time       // a time at which it was known not to run yet; zero: none
 }
 
 // How names the end, for people.
@@ -313,9 +313,9 @@
 	Machine  *Machine
 	Outcomes []Outcome
 	Commands []wire.Command
-	Began    []*jobs.Place // those that were seen to run for the first time
-	Held     []Key         // exited attempts that may not be forgotten yet
-	Changed  bool          // something that matters to placement changed, outcomes apart
+	Began    []*jobs.Allocation // those that were seen to run for the first time
+	Held     []Key              // exited attempts that may not be forgotten yet
+	Changed  bool               // something that matters to placement changed, outcomes apart
 }
 
 // MayForget tells whether an exited attempt that no place holds may be
@@ -427,10 +427,10 @@
 			// Perhaps a copy from a former life, in which the attempt was stopped; a recorded attempt is started again in the
 			// next one. What completed, completed.
 		case t.State == wire.TaskExited:
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: t.Reason, Saved: t.Saved, Idle: before})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: t.Reason, Saved: t.Saved, Idle: before})
 		default:
 			if t.State == wire.TaskRunning && p.State != wire.TaskRunning {
-				p.Running = now
+				p.RunningSince = now
 				a.Began = append(a.Began, p)
 			}
 			p.State = t.State
@@ -447,14 +447,14 @@
 		}
 	}
 	for k, p := range m.Places {
-		if !risen && fenced && p.Session < rep.Incarnation {
+		if !risen && fenced && p.Incarnation < rep.Incarnation {
 			// Recorded in a session that is over, beside others of a later one: a leader ended before it had written that
 			// the task is gone. The session did not rise for this one, so the task was never wanted again. Without our
 			// token the report may be a copy from a former life, and the task in the session of the life that runs.
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
 			continue
 		}
-		if listed[k] != nil || !p.Committed || p.Session != rep.Incarnation {
+		if listed[k] != nil || !p.Committed || p.Incarnation != rep.Incarnation {
 			continue
 		}
 		switch {
@@ -462,18 +462,18 @@
 			// Starting the same attempt again has no effect if it is known there.
 			starts = append(starts, startCommand(p))
 			if !direct {
-				p.Offered = now
+				p.StartSentAt = now
 			}
 		case direct || !fenced:
-		case m.sent[k] > 0 || now.Sub(p.Offered) < tuning.AnswerLife || !rep.Newer(m.former.Session, m.former.Seq):
+		case m.sent[k] > 0 || now.Sub(p.StartSentAt) < tuning.AnswerLife || !rep.Newer(m.former.Session, m.former.Seq):
 			// The report may be a copy from a former life that we know of. Or a direct start may still arrive, or the answer that held one: the report may be a copy from a former life of
 			// a machine that was started anew. Started and stopped here, the
 			// attempt becomes known, and the late start has no effect.
 			starts = append(starts, startCommand(p), stopCommand(p))
-			p.Offered = now
+			p.StartSentAt = now
 		default:
 			// No answer of ours that held its start is still on the way, since workers drop them after 4 s: it is not there.
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Idle: now})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Idle: now})
 		}
 	}
 	if !direct {
@@ -511,11 +511,11 @@
 	return risen && len(m.Places) > 0 && rep.FencingToken < r.term && !m.Reach.Proven()
 }
 
-func startCommand(p *jobs.Place) wire.Command {
+func startCommand(p *jobs.Allocation) wire.Command {
 	return wire.Command{Op: wire.OpStart, Task: p.Task().String(), Attempt: p.Attempt}
 }
 
-func stopCommand(p *jobs.Place) wire.Command {
+func stopCommand(p *jobs.Allocation) wire.Command {
 	grace := p.Stop.GraceS
 	return wire.Command{Op: wire.OpStop, Task: p.Task().String(), Attempt: p.Attempt, GraceS: &grace}
 }
@@ -525,8 +525,8 @@
 func (r *Roster) endSession(m *Machine, last uint64, a *Answer) {
 	m.Dead = max(m.Dead, last)
 	for _, p := range m.Places {
-		if p.Session <= last {
-			a.Outcomes = append(a.Outcomes, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
+		if p.Incarnation <= last {
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
 		}
 	}
 	clear(m.strays)
@@ -574,7 +574,7 @@
 	}
 	var outs []Outcome
 	for _, p := range m.Places {
-		outs = append(outs, Outcome{Place: p, Why: wire.ExitStopped, Lost: true})
+		outs = append(outs, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
 	}
 	delete(r.Machines, name)
 	return outs
@@ -586,7 +586,7 @@
 // Direct makes the request that tells a machine at once what was decided for
 // some of its places: starts, or stops where they are wanted. It is nil when
 // the machine cannot be told. Sent must be told how it went.
-func (r *Roster) Direct(name string, places []*jobs.Place) (addr string, req *wire.DirectCommands) {
+func (r *Roster) Direct(name string, places []*jobs.Allocation) (addr string, req *wire.DirectCommands) {
 	m := r.Machines[name]
 	if m == nil || m.Address == "" || !m.Alive() || m.Returning {
 		return "", nil
@@ -594,7 +594,7 @@
 	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Session}
 	for _, p := range places {
 		switch {
-		case p.Removed || !p.Committed || p.Session != m.Session:
+		case p.Removed || !p.Committed || p.Incarnation != m.Session:
 		case p.Stop == nil:
 			m.sent[keyOf(p)]++
 			req.Commands = append(req.Commands, startCommand(p))
--- a/internal/scheduler/machines/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -29,10 +29,10 @@
 }
 
 // place makes a stored place of job-1/0 on n-1 in session 1.
-func place(session uint64) *jobs.Place {
-	return &jobs.Place{
+func place(session uint64) *jobs.Allocation {
+	return &jobs.Allocation{
 		Job:     &jobs.Job{Job: wire.Job{ID: "job-1", Team: "t", CPUs: 2, Tasks: 1, Image: "img"}},
-		Attempt: 1, Machine: "n-1", Session: session, Zone: "a", Committed: true,
+		Attempt: 1, Machine: "n-1", Incarnation: session, Zone: "a", Committed: true,
 	}
 }
 
@@ -102,7 +102,7 @@
 	p := place(1)
 	f.Add(p, t0)
 	a := f.report(report(2, 2, term), time.Second, no)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Place != p || a.Outcomes[0].Why != wire.ExitStopped {
+	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != p || a.Outcomes[0].Why != wire.ExitStopped {
 		t.Fatalf("outcomes %v", a.Outcomes)
 	}
 }
@@ -125,7 +125,7 @@
 	if len(outs) != 1 {
 		t.Fatalf("not gone at the end: %v", outs)
 	}
-	f.Remove(outs[0].Place, t0)
+	f.Remove(outs[0].Allocation, t0)
 	// A report of that session that comes later was kept by the network.
 	if _, err := f.Report(report(1, 4, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), false, t0.Add(end), no); !errors.Is(err, ErrStale) {
 		t.Errorf("a report of a session that is over: %v", err)
@@ -147,7 +147,7 @@
 	if a := f.report(report(3, 1, term-1), 0, yes); ops(a.Commands) != "start " || len(a.Outcomes) != 0 {
 		t.Fatalf("commands %v, outcomes %v", a.Commands, a.Outcomes)
 	}
-	p.Stop = &jobs.Stop{}
+	p.Stop = &jobs.StopRequest{}
 	if a := f.report(report(3, 2, term-1), 0, yes); len(a.Outcomes) != 0 {
 		t.Fatalf("gone while an old start may arrive: %v", a.Outcomes)
 	}
@@ -165,11 +165,11 @@
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
 	f.Add(p, t0)
-	addr, req := f.Direct("n-1", []*jobs.Place{p})
+	addr, req := f.Direct("n-1", []*jobs.Allocation{p})
 	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
 		t.Fatalf("direct: %s %+v", addr, req)
 	}
-	p.Stop = &jobs.Stop{}
+	p.Stop = &jobs.StopRequest{}
 	a := f.report(report(1, 2, term), time.Second, yes)
 	if ops(a.Commands) != "start halt " || len(a.Outcomes) != 0 {
 		t.Fatalf("commands %v, outcomes %v", a.Commands, a.Outcomes)
@@ -220,7 +220,7 @@
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
 	f.Add(p, t0)
-	p.Stop = &jobs.Stop{GraceS: 5}
+	p.Stop = &jobs.StopRequest{GraceS: 5}
 	if a := f.report(report(1, 2, term, taskIs("job-1/0", 1, wire.TaskSaving, "")), 0, no); len(a.Commands) != 0 {
 		t.Fatalf("a saving task is told again: %v", a.Commands)
 	}
@@ -235,7 +235,7 @@
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
 	f.Add(p, t0)
-	if outs := f.Lost("n-1", t0); len(outs) != 1 || outs[0].Place != p {
+	if outs := f.Lost("n-1", t0); len(outs) != 1 || outs[0].Allocation != p {
 		t.Fatalf("outcomes %v", outs)
 	}
 	if _, err := f.Report(report(1, 2, term), false, t0, no); !errors.Is(err, ErrReturned) {
@@ -266,7 +266,7 @@
 // there for a fetch: a cache keeps what was used most recently.
 func TestImagesLeaveAFullCache(t *testing.T) {
 	f := newFixture(t)
-	use := func(image string, at time.Duration) *jobs.Place {
+	use := func(image string, at time.Duration) *jobs.Allocation {
 		p := place(1)
 		p.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
 		f.Add(p, t0.Add(at))
--- a/internal/scheduler/machines/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -33,10 +33,10 @@
 	id      wire.TaskID
 	job     *jobs.Job
 	attempt uint64
-	place   *jobs.Place // as the present leader has it
-	stored  *jobs.Place // as the record has it: written with each new place, and some time after an end
-	done    bool        // as the present leader has it
-	isDone  bool        // it completed somewhere
+	place   *jobs.Allocation // as the present leader has it
+	stored  *jobs.Allocation // as the record has it: written with each new place, and some time after an end
+	done    bool             // as the present leader has it
+	isDone  bool             // it completed somewhere
 }
 
 type simWorker struct {
@@ -132,14 +132,14 @@
 // settle is what the loop does with outcomes.
 func (w *world) settle(outs []Outcome) {
 	for _, o := range outs {
-		task := w.taskOf(o.Place.Task())
-		if o.Place.Removed || task.place != o.Place {
+		task := w.taskOf(o.Allocation.Task())
+		if o.Allocation.Removed || task.place != o.Allocation {
 			continue
 		}
-		o.Place.Removed = true
-		w.note("settle %v att %d on %s s%d why %s lost %v", o.Place.Task(), o.Place.Attempt, o.Place.Machine, o.Place.Session, o.Why, o.Lost)
+		o.Allocation.Removed = true
+		w.note("settle %v att %d on %s s%d why %s lost %v", o.Allocation.Task(), o.Allocation.Attempt, o.Allocation.Machine, o.Allocation.Incarnation, o.Why, o.Lost)
 		task.place = nil
-		w.r.Remove(o.Place, w.now)
+		w.r.Remove(o.Allocation, w.now)
 		if o.Why == wire.ExitDone {
 			if !task.isDone {
 				w.t.Fatalf("%v counts as done, and is not", task.id)
@@ -277,7 +277,7 @@
 }
 
 // direct has the leader send commands at once.
-func (w *world) direct(name string, places []*jobs.Place) {
+func (w *world) direct(name string, places []*jobs.Allocation) {
 	_, req := w.r.Direct(name, places)
 	if req == nil {
 		return
@@ -353,8 +353,8 @@
 			task.stored = task.place
 		}
 		if task.place != nil && task.place.Stop == nil && w.chance(10, "stop") {
-			task.place.Stop = &jobs.Stop{}
-			w.direct(task.place.Machine, []*jobs.Place{task.place})
+			task.place.Stop = &jobs.StopRequest{}
+			w.direct(task.place.Machine, []*jobs.Allocation{task.place})
 		}
 		if task.place != nil || task.done {
 			continue
@@ -370,10 +370,10 @@
 		}
 		m := w.r.Machines[rapid.SampledFrom(open).Draw(w.t, "machine")]
 		task.attempt++
-		task.place = &jobs.Place{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Session: m.Session, Committed: true}
+		task.place = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Session, Committed: true}
 		task.stored = task.place
 		w.r.Add(task.place, w.now)
-		w.direct(m.Name, []*jobs.Place{task.place})
+		w.direct(m.Name, []*jobs.Allocation{task.place})
 	}
 }
 
--- a/internal/sim/faults/letter_test.go
+++ b/internal/sim/faults/letter_test.go
@@ -117,7 +117,7 @@
 
 // inDoubt has transactions of each kind be in doubt: fn has the state service treat those that are picked so; nil ends that.
 func inDoubt(t *testing.T, fn func(*world, func(wire.Txn) bool)) {
-	for _, prefix := range []string{jobs.PrefixJob, jobs.PrefixRun, jobs.PrefixEnd, "lead/", "fence/", "keep/", ""} {
+	for _, prefix := range []string{jobs.PrefixJob, jobs.PrefixProgress, jobs.PrefixEnd, "lead/", "fence/", "keep/", ""} {
 		t.Run("key "+prefix, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, sites["lease 18, five"], 2+*shift)
@@ -256,7 +256,7 @@
 			w.cloud.Unlisted(len(w.cloud.Machines()))
 			w.cloud.Silent(2)
 			w.state.Late(func(txn wire.Txn) bool {
-				return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put, jobs.PrefixRun) }) && (round%2 == 0 || rand.IntN(2) == 0)
+				return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put, jobs.PrefixProgress) }) && (round%2 == 0 || rand.IntN(2) == 0)
 			})
 			for i := range 3 {
 				w.submits(fmt.Sprintf("job-%d", 3*round+i), spec{tasks: 6, cpus: 8, runS: 10})
