--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -49,11 +49,11 @@
 func how(o *machines.Outcome) charge.How {
 	p := o.Allocation
 	switch {
-	case o.Why == wire.ExitDone:
+	case o.Reason == wire.ExitDone:
 		return charge.Done
-	case o.Why == wire.ExitError:
+	case o.Reason == wire.ExitError:
 		return charge.Failed
-	case o.Why == wire.ExitNoRoom || o.Why == wire.ExitBusy || o.Why == wire.ExitUnknown:
+	case o.Reason == wire.ExitNoRoom || o.Reason == wire.ExitBusy || o.Reason == wire.ExitUnknown:
 		return charge.Refused
 	case o.Lost:
 		return charge.Lost
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -247,7 +247,7 @@
 		if tr.ended.IsZero() {
 			continue
 		}
-		w.ledger.Ended(machines.Outcome{Allocation: p, Why: tr.why, Lost: tr.lost}, now)
+		w.ledger.Ended(machines.Outcome{Allocation: p, Reason: tr.why, Lost: tr.lost}, now)
 		if tr.why == wire.ExitDone {
 			w.book.MarkDone(p, now)
 		} else {
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -146,7 +146,7 @@
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Allocation.Job.ID
 	w, ok := g.byJob[id]
-	if !ok || !w.current() || o.Why != wire.ExitError || o.Allocation.Job.Cancelled() {
+	if !ok || !w.current() || o.Reason != wire.ExitError || o.Allocation.Job.Cancelled() {
 		return
 	}
 	w.run.ended(w.at, now, dag.Failed)
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -198,7 +198,7 @@
 	if p.Removed {
 		return
 	}
-	w.graphs.Ended(machines.Outcome{Allocation: p, Why: why}, w.clock.Now())
+	w.graphs.Ended(machines.Outcome{Allocation: p, Reason: why}, w.clock.Now())
 	if why == wire.ExitDone {
 		w.ends[p.Job.ID]++
 		w.book.MarkDone(p, w.clock.Now())
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -30,7 +30,7 @@
 	open := l.openMachines(now)
 	expected := l.expected(now)
 	placement.Pass(now, expected, open, autoscale.Unlimited(expected))
-	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Places) == 0 })
+	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 })
 	trial := placement.NewTrial(used)
 	for _, m := range draining {
 		if m.Draining && (!m.Alive() || !trial.Fit(now, itemsOn(m, now), nil)) {
@@ -85,7 +85,7 @@
 // out of placement.
 func (l *Loop) drainSurplus(trial *placement.Trial, used []*placement.Machine, now time.Time) {
 	gain := func(v *placement.Machine) float64 {
-		return l.price(v) / float64(1+len(l.roster.Machines[v.Name].Places))
+		return l.price(v) / float64(1+len(l.roster.Machines[v.Name].Allocations))
 	}
 	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(gain(b), gain(a)), cmp.Compare(a.Name, b.Name))
@@ -94,7 +94,7 @@
 		m := l.roster.Machines[v.Name]
 		if trial.Fit(now, itemsOn(m, now), v) {
 			m.Draining = true
-			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Places))
+			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
 		}
 	}
 }
@@ -111,7 +111,7 @@
 func itemsOn(m *machines.Machine, now time.Time) []*placement.Item {
 	byJob := map[*jobs.Job]*placement.Item{}
 	var items []*placement.Item
-	for _, p := range m.Places {
+	for _, p := range m.Allocations {
 		it := byJob[p.Job]
 		if it == nil {
 			it = &placement.Item{Job: &p.Job.Job, Since: now, Zones: zonesOf(p.Job)}
@@ -146,12 +146,12 @@
 		if !m.Draining || len(moved) >= most {
 			continue
 		}
-		for _, p := range m.Places {
+		for _, p := range m.Allocations {
 			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.RunningSince) < tuning.PreemptSettle {
 				continue
 			}
 			if trial == nil {
-				trial = placement.NewTrial(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Places) == 0 }))
+				trial = placement.NewTrial(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 }))
 			}
 			down, ok := downFor(p, trial, now)
 			if down += tuning.MoveDown.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -43,8 +43,8 @@
 	l.ended = t.Context()
 	l.loaded = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
-		if _, err := l.roster.Report(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
-			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
+			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -109,8 +109,8 @@
 	delete(l.roster.Machines, "n-small")
 	for i := range n {
 		name := fmt.Sprintf("n-%03d", i)
-		if _, err := l.roster.Report(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
-			false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
+			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 		p := l.runs(t, fmt.Sprintf("job-%d", i), name, 1)
@@ -129,7 +129,7 @@
 	}
 	moving := 0
 	for _, m := range l.draining() {
-		for _, p := range m.Places {
+		for _, p := range m.Allocations {
 			if p.Stop != nil {
 				moving++
 			}
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -16,14 +16,14 @@
 
 // ends has a replica of a job fail or be refused on a machine.
 func (l *Loop) ends(p *jobs.Allocation, why wire.ExitReason) {
-	l.settle([]machines.Outcome{{Allocation: p, Why: why}}, l.env.Clock.Now())
+	l.settle([]machines.Outcome{{Allocation: p, Reason: why}}, l.env.Clock.Now())
 }
 
 // A machine is bad on which jobs fail that work elsewhere, and none completes.
 func TestAMachineOnWhichSeveralJobsFailIsBad(t *testing.T) {
 	l, clock := leaderWith(t)
 	for i := range tuning.BadMachineJobs {
-		if l.roster.Machines["n-large"].Bad {
+		if l.roster.Machines["n-large"].Unhealthy {
 			t.Fatalf("bad after %d jobs", i)
 		}
 		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
@@ -34,13 +34,13 @@
 			t.Error("a job that works is still on trial")
 		}
 	}
-	if !l.roster.Machines["n-large"].Bad || l.roster.Machines["n-small"].Bad {
+	if !l.roster.Machines["n-large"].Unhealthy || l.roster.Machines["n-small"].Unhealthy {
 		t.Error("the faulty machine is not told from the good one")
 	}
 	m := l.roster.Machines["n-small"]
 	m.NoteError("job-8")
 	l.ends(l.runs(t, "job-9", "n-small", 1), wire.ExitDone)
-	if m.NoteError("job-10"); m.Bad {
+	if m.NoteError("job-10"); m.Unhealthy {
 		t.Error("a machine on which tasks complete is held to be faulty")
 	}
 }
@@ -82,7 +82,7 @@
 		}
 	}
 	for name, m := range l.roster.Machines {
-		if m.Bad {
+		if m.Unhealthy {
 			t.Errorf("%s is held to be faulty", name)
 		}
 	}
@@ -103,7 +103,7 @@
 	now := clock.Now()
 	full := l.runs(t, "job-1", "n-small", 1)
 	l.ends(full, wire.ExitNoRoom)
-	if full.Job.Waiting() != 1 || !l.roster.Machines["n-small"].NoRoom.After(now) {
+	if full.Job.Waiting() != 1 || !l.roster.Machines["n-small"].RefusedAt.After(now) {
 		t.Error("a machine that refused for room is asked again at once")
 	}
 	unknown := l.runs(t, "job-2", "n-large", 1)
@@ -121,7 +121,7 @@
 	saves, long, short := l.runs(t, "job-1", m.Name, 1), l.runs(t, "job-2", m.Name, 1), l.runs(t, "job-3", m.Name, 1)
 	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
 	long.Job.EstimateS, short.Job.EstimateS = 300, 3
-	m.Notice = clock.Now().Add(15 * time.Second)
+	m.InterruptionAt = clock.Now().Add(15 * time.Second)
 	l.drainSpot(m, clock.Now())
 	if saves.Stop == nil || saves.Stop.GraceS < 4 {
 		t.Errorf("what can save: %+v", saves.Stop)
@@ -195,7 +195,7 @@
 	for j.PauseUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
 		for _, m := range l.roster.Machines { // it reports all the while
-			m.Heard, m.LeaseEnd = now, now.Add(10*time.Second)
+			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
 		}
 		if l.changed || !now.Before(l.nextPass) {
 			l.pass(now)
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -19,7 +19,7 @@
 		return
 	}
 	l.nextAsk = now.Add(tuning.Tick)
-	due := l.roster.Due(now)
+	due := l.roster.ExpiredLeases(now)
 	if len(due) == 0 {
 		return
 	}
@@ -41,7 +41,7 @@
 				l.log.Debug("kept machines unreadable", "err", err)
 				return
 			}
-			l.settle(l.roster.Expire(now, kept), done)
+			l.settle(l.roster.EndExpired(now, kept), done)
 		})
 	}()
 }
@@ -90,12 +90,12 @@
 
 // silent tells whether a machine, nil if it is not known, has neither reported nor answered us for a while.
 func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
-	return m == nil || now.Sub(m.Seen()) > l.silence()
+	return m == nil || now.Sub(m.LastSeen()) > l.silence()
 }
 
 // doubtful tells whether a machine that still counts as heard did not answer a command since:
 // it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func doubtful(m *machines.Machine) bool { return m.Unanswered.After(m.Heard) }
+func doubtful(m *machines.Machine) bool { return m.Unanswered.After(m.LastHeartbeat) }
 
 // silence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) silence() time.Duration {
@@ -108,7 +108,7 @@
 	type count struct{ silent, all int }
 	zones := map[string]*count{}
 	for _, m := range l.roster.Machines {
-		if m.Session == 0 {
+		if m.Incarnation == 0 {
 			continue // it never reported, nor had it a task
 		}
 		c := zones[m.Zone]
@@ -118,7 +118,7 @@
 		}
 		c.all++
 		// One that a new leader has not heard yet may only be on its way to it.
-		if m.Reach.Deaf() || l.silent(m, now) && now.Sub(l.begun) > l.silence() {
+		if m.Reachability.Deaf() || l.silent(m, now) && now.Sub(l.begun) > l.silence() {
 			c.silent++
 		}
 	}
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -35,7 +35,7 @@
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
 	for i := range 2 * n {
 		rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.roster.Report(&rep, false, clock.Now(), nil); err != nil {
+		if _, err := l.roster.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
 			t.Fatal(err)
 		}
 		p := l.book.Allocate(j, i, rep.Machine, rep.Zone, 1, clock.Now())
@@ -81,7 +81,7 @@
 		l.settled()
 		got := []string{}
 		for i := range 4 {
-			if name := fmt.Sprintf("n-%d", i); len(l.roster.Machines[name].Places) > 0 {
+			if name := fmt.Sprintf("n-%d", i); len(l.roster.Machines[name].Allocations) > 0 {
 				got = append(got, name)
 			}
 		}
@@ -104,11 +104,11 @@
 		}
 		pass(l.workerLease() + time.Second)
 		l.settled()
-		if gone := len(l.roster.Machines["n-0"].Places) == 0; gone != c.gone {
+		if gone := len(l.roster.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
 		}
 		l.env.Kept = func(context.Context, string, []string) ([]string, bool) { return nil, true }
-		if l.settled(); len(l.roster.Machines["n-0"].Places) != 0 {
+		if l.settled(); len(l.roster.Machines["n-0"].Allocations) != 0 {
 			t.Error("not found gone by the next reading")
 		}
 	}
@@ -119,16 +119,16 @@
 func TestNothingIsRentedInAZoneThatIsCutOff(t *testing.T) {
 	l, pass := twoZones(t, 10)
 	now := l.env.Clock.Now()
-	l.roster.Know("n-boots", "small", "b", false, now, now)
+	l.roster.Register("n-boots", "small", "b", false, now, now)
 	if cut := l.cutZones(now); len(cut) != 0 {
 		t.Errorf("cut off: %v", cut)
 	}
 	pass(l.silence() + time.Second)
 	now = l.env.Clock.Now()
 	for i := range 10 { // zone a, and one of b, go on reporting
-		l.roster.Machines[fmt.Sprintf("n-%d", i)].Heard = now
+		l.roster.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
 	}
-	l.roster.Machines["n-10"].Heard = now
+	l.roster.Machines["n-10"].LastHeartbeat = now
 	cut := l.cutZones(now)
 	if len(cut) != 1 || !cut["b"] {
 		t.Fatalf("cut off: %v", cut)
@@ -165,7 +165,7 @@
 	l.loaded = true
 	pass(l.silence() + time.Second)
 	now := l.env.Clock.Now()
-	l.roster.Machines["n-0"].Heard = now // n-1 is silent
+	l.roster.Machines["n-0"].LastHeartbeat = now // n-1 is silent
 	cancel := func() (wire.JobState, error) {
 		type result struct {
 			state wire.JobState
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -74,8 +74,8 @@
 	// of a machine together.
 	least := heard.Sub(p.RunningSince).Seconds()
 	elsewhere := p.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(p.RunningSince).Seconds()})
-	if m.Pace.Note(least, elsewhere) && !m.Bad {
-		m.Bad = true
+	if m.RelativeSpeed.Note(least, elsewhere) && !m.Unhealthy {
+		m.Unhealthy = true
 		l.log.Info("machine is slow", "machine", m.Name, "spot", m.Spot)
 	}
 }
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -230,7 +230,7 @@
 func (l *Loop) comingMachines(cut map[string]bool, now time.Time) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.roster.Machines {
-		if m.Heard.IsZero() && !cut[m.Zone] && !m.Returning && m.Session == 0 && now.Sub(m.Rented) < l.bootTime(m.Type, tuning.BootFactor) {
+		if m.LastHeartbeat.IsZero() && !cut[m.Zone] && !m.Returning && m.Incarnation == 0 && now.Sub(m.RentedAt) < l.bootTime(m.Type, tuning.BootFactor) {
 			if v, ok := l.view(m); ok {
 				out = append(out, &v)
 			}
@@ -282,8 +282,8 @@
 	now := l.env.Clock.Now()
 	delete(l.fleet.asked, name)
 	for _, m := range names {
-		if !l.roster.Was(m) {
-			l.roster.Know(m, w.Type, w.Zone, w.Spot, now, now).Ours = true
+		if !l.roster.WasReturned(m) {
+			l.roster.Register(m, w.Type, w.Zone, w.Spot, now, now).RentedThisTerm = true
 		}
 	}
 	if len(names) < w.Count {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -32,7 +32,7 @@
 
 	store   *statestore.Client // with the leader's share of the limits
 	book    *jobs.Store
-	roster  *machines.Roster
+	roster  *machines.Registry
 	fleet   fleetState
 	holding placement.Holds
 	leaving map[string]bool // machines that the cloud will soon take
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -39,7 +39,7 @@
 		}
 		next[j.ID] = i + 1
 		m := l.roster.Machines[d.Machine.Name]
-		p := l.book.Allocate(j, i, m.Name, m.Zone, m.Session, now)
+		p := l.book.Allocate(j, i, m.Name, m.Zone, m.Incarnation, now)
 		l.roster.Add(p, now)
 		for _, s := range l.slices {
 			s.Placed(p, m.Spot, l.env.typeOf(m.Type), now)
@@ -103,7 +103,7 @@
 // stopped over and over, and nothing would ever be done.
 func victims(m *machines.Machine, now time.Time) []placement.Victim {
 	var out []placement.Victim
-	for _, p := range m.Places {
+	for _, p := range m.Allocations {
 		if p.Stop != nil || !p.Committed || p.Attempt > 1 || p.State != wire.TaskRunning && p.State != wire.TaskFetching {
 			continue
 		}
@@ -203,8 +203,8 @@
 		if t == nil || !freeOn(m, t).Holds(least) {
 			continue
 		}
-		if !m.Alive() || m.Returning || m.Draining || m.Bad || m.HasStrays() || !m.Notice.IsZero() ||
-			l.silent(m, now) || doubtful(m) || !m.Usable(l.tenure.Term, now) || now.Before(m.NoRoom) {
+		if !m.Alive() || m.Returning || m.Draining || m.Unhealthy || m.HasOrphans() || !m.InterruptionAt.IsZero() ||
+			l.silent(m, now) || doubtful(m) || !m.Usable(l.tenure.Term, now) || now.Before(m.RefusedAt) {
 			continue
 		}
 		v := viewOf(m, t)
@@ -242,7 +242,7 @@
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
 		Total: placement.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
-		FetchS: fetchTime(m, t), Unproven: !m.Reach.Proven(),
+		FetchS: fetchTime(m, t), Unproven: !m.Reachability.Proven(),
 	}
 }
 
@@ -262,8 +262,8 @@
 	var ends []end
 	return func(lacks placement.Room) float64 {
 		if ends == nil {
-			ends = append(make([]end, 0, len(m.Places)+1), end{}) // nothing has ended yet
-			for _, p := range m.Places {
+			ends = append(make([]end, 0, len(m.Allocations)+1), end{}) // nothing has ended yet
+			for _, p := range m.Allocations {
 				e := end{left: placement.Room{CPUs: p.Job.CPUs, GPUs: p.Job.GPUs, MemoryGB: p.Job.MemoryGB}}
 				switch {
 				case p.Stop != nil:
@@ -304,7 +304,7 @@
 		}
 		if sharing == 0 {
 			fetching := map[string]bool{}
-			for _, p := range m.Places {
+			for _, p := range m.Allocations {
 				if p.State == "" || p.State == wire.TaskFetching {
 					fetching[p.Job.Image] = true
 				}
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -22,10 +22,10 @@
 	uncommitted.Committed = false
 	stopped := place(1, wire.TaskRunning)
 	stopped.Stop = &jobs.StopRequest{}
-	m := &machines.Machine{Places: map[machines.Key]*jobs.Allocation{}}
+	m := &machines.Machine{Allocations: map[machines.AttemptID]*jobs.Allocation{}}
 	want := place(1, wire.TaskRunning)
 	for i, p := range []*jobs.Allocation{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
-		m.Places[machines.Key{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
+		m.Allocations[machines.AttemptID{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
 	}
 	got := victims(m, now)
 	if len(got) != 1 || got[0].Ref != any(want) {
--- a/internal/scheduler/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -76,8 +76,8 @@
 		l.compare([]cloud.ListPage{{Machines: listed}}, clock.Now())
 		returned := func() int {
 			for name := range l.roster.Machines { // the others report
-				if m := l.roster.Machines[name]; m.Session > 0 {
-					m.Heard, m.IdleSince = clock.Now(), clock.Now()
+				if m := l.roster.Machines[name]; m.Incarnation > 0 {
+					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
 				}
 			}
 			l.returnMachines(clock.Now())
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -25,7 +25,7 @@
 	}
 	order := make([]key, len(open))
 	for i, m := range open {
-		order[i] = key{m, len(l.roster.Machines[m.Name].Places) == 0}
+		order[i] = key{m, len(l.roster.Machines[m.Name].Allocations) == 0}
 	}
 	slices.SortFunc(order, func(a, b key) int {
 		return cmp.Or(cmp.Compare(btoi(a.idle), btoi(b.idle)), cmp.Compare(btoi(!a.Spot), btoi(!b.Spot)), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
@@ -63,29 +63,29 @@
 	var needed map[string]bool // worked out for the first machine that could go
 	release := l.silentRelease()
 	for _, m := range l.roster.Machines {
-		if m.Returning || len(m.Places) > 0 {
+		if m.Returning || len(m.Allocations) > 0 {
 			continue
 		}
 		var why string
 		switch {
-		case m.Heard.IsZero() && m.Up:
-			if now.Sub(m.Added) > workerlease.Stretched(l.workerLease())+release {
+		case m.LastHeartbeat.IsZero() && m.ListedRunning:
+			if now.Sub(m.AddedAt) > workerlease.Stretched(l.workerLease())+release {
 				why = "silent"
 			}
-		case m.Heard.IsZero() && m.Session == 0:
-			if now.Sub(m.Rented) > l.bootTime(m.Type, tuning.BootGiveUp) && now.Sub(m.Added) > tuning.AdoptWait {
+		case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
+			if now.Sub(m.RentedAt) > l.bootTime(m.Type, tuning.BootGiveUp) && now.Sub(m.AddedAt) > tuning.AdoptWait {
 				why = "never came up"
 			}
 		case !m.Alive():
-			if now.Sub(m.LeaseEnd) > release {
+			if now.Sub(m.LeaseExpiry) > release {
 				why = "silent"
 			}
-		case m.Reach.Deaf():
-			if now.Sub(m.Reach.DeafSince()) > release {
+		case m.Reachability.Deaf():
+			if now.Sub(m.Reachability.DeafSince()) > release {
 				why = "deaf"
 			}
-		case m.HasStrays():
-		case m.Bad:
+		case m.HasOrphans():
+		case m.Unhealthy:
 			why = "faulty"
 		case m.Draining:
 			why = "surplus"
@@ -115,7 +115,7 @@
 func (l *Loop) silentRelease() time.Duration {
 	silent := 0
 	for _, m := range l.roster.Machines {
-		if m.Reach.Deaf() || !m.Alive() && (m.Up || m.Session > 0) {
+		if m.Reachability.Deaf() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
 			silent++
 		}
 	}
@@ -156,7 +156,7 @@
 func (l *Loop) lost(names []string) {
 	now := l.env.Clock.Now()
 	for _, name := range names {
-		l.settle(l.roster.Lost(name, now), now)
+		l.settle(l.roster.MarkLost(name, now), now)
 	}
 }
 
@@ -182,7 +182,7 @@
 // those that the cloud takes back go without a word, and their tasks waited for their leases.
 func (l *Loop) compareGone(page cloud.ListPage) {
 	var gone []string
-	for _, name := range l.roster.Gone(page.After, page.Last, page.Machines) {
+	for _, name := range l.roster.ProvenGone(page.After, page.Last, page.Machines) {
 		if m := l.roster.Machines[name]; !m.Returning { // that one's deletion will tell
 			gone = append(gone, name)
 		}
@@ -202,7 +202,7 @@
 	var failed []string
 	for _, lm := range listed {
 		there[lm.Name] = true
-		if l.roster.Was(lm.Name) {
+		if l.roster.WasReturned(lm.Name) {
 			continue
 		}
 		m := l.roster.Machines[lm.Name]
@@ -213,14 +213,14 @@
 			}
 		case m == nil || m.Type == "":
 			// Not expected, or inherited from records: it is used or returned like any other.
-			l.roster.Know(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
+			l.roster.Register(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
 			if m == nil {
 				l.log.Info("machine found", "machine", lm.Name, "state", lm.State)
 			}
 		}
 		if m := l.roster.Machines[lm.Name]; m != nil {
 			l.changed = l.changed || !m.Known // it may be used from now on
-			m.Up, m.Known, m.Listed = lm.State == wire.MachineRunning, true, lm.Address
+			m.ListedRunning, m.Known, m.Listed = lm.State == wire.MachineRunning, true, lm.Address
 		}
 	}
 	if len(failed) > 0 {
@@ -231,13 +231,13 @@
 	}
 	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
 	for _, m := range l.roster.Machines {
-		if there[m.Name] || m.Alive() || now.Sub(m.Added) < lag {
-			m.Unlisted = 0
+		if there[m.Name] || m.Alive() || now.Sub(m.AddedAt) < lag {
+			m.MissedListings = 0
 			continue
 		}
 		// Its lease ran out, or it never came up, and list after list lacks
 		// it: it was taken.
-		if m.Unlisted++; m.Unlisted >= tuning.UnlistedLists && len(m.Places) == 0 && !m.Returning {
+		if m.MissedListings++; m.MissedListings >= tuning.UnlistedLists && len(m.Allocations) == 0 && !m.Returning {
 			l.roster.Drop(m.Name)
 		}
 	}
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -26,7 +26,7 @@
 		reports = append(reports, &wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1, FencingToken: 1,
 		})
-		if _, err := l.roster.Report(reports[i], false, now, func(machines.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Heartbeat(reports[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -129,7 +129,7 @@
 			l.rented(name, w, names)
 			for _, m := range names {
 				rep := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
-				if _, err := l.roster.Report(&rep, false, clock.Now(), nil); err != nil {
+				if _, err := l.roster.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -144,14 +144,14 @@
 		t.Errorf("%d machines for what fits on %d", len(l.roster.Machines), machines)
 	}
 	for _, m := range l.roster.Machines {
-		for _, p := range m.Places {
+		for _, p := range m.Allocations {
 			l.book.MarkDone(p, clock.Now())
 			l.roster.Remove(p, clock.Now())
 		}
 	}
 	clock.Advance(l.env.Knobs.IdleKeep + time.Second)
 	for _, m := range l.roster.Machines {
-		m.Heard = clock.Now()
+		m.LastHeartbeat = clock.Now()
 	}
 	deletions := 0
 	for ; len(l.roster.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
--- a/internal/scheduler/leader/sides.go
+++ b/internal/scheduler/leader/sides.go
@@ -33,7 +33,7 @@
 	var arrays []*jobs.Job
 	onSpot, placed, work := 0, 0, 0.0
 	for _, m := range l.roster.Machines {
-		for _, p := range m.Places {
+		for _, p := range m.Allocations {
 			if mayTakeSides(&p.Job.Job) {
 				placed++
 				if m.Spot {
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -17,9 +17,9 @@
 	now := clock.Now()
 	clear(l.roster.Machines)
 	for i := range 4 {
-		if _, err := l.roster.Report(&wire.Heartbeat{
+		if _, err := l.roster.Heartbeat(&wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1,
-		}, false, now, func(machines.Key) bool { return false }); err != nil {
+		}, false, now, func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -36,7 +36,7 @@
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
 			l.roster.Add(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]machines.Outcome{{Allocation: p, Why: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
+			l.settle([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
@@ -44,10 +44,10 @@
 		for i := range 6 {
 			ends(8+i, "n-large", c.ran, c.late)
 		}
-		if got := l.roster.Machines["n-large"].Bad; got != c.bad {
+		if got := l.roster.Machines["n-large"].Unhealthy; got != c.bad {
 			t.Errorf("%s: given up %v", c.name, got)
 		}
-		if l.roster.Machines["n-small"].Bad {
+		if l.roster.Machines["n-small"].Unhealthy {
 			t.Errorf("%s: the others are given up", c.name)
 		}
 	}
--- a/internal/scheduler/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -15,9 +15,9 @@
 // save do so at once, those that are worth waiting for run on until shortly before the end, and
 // the others move at once.
 func (l *Loop) drainSpot(m *machines.Machine, now time.Time) {
-	left := m.Notice.Sub(now)
+	left := m.InterruptionAt.Sub(now)
 	var stopped []*jobs.Allocation
-	for _, p := range m.Places {
+	for _, p := range m.Allocations {
 		if p.Stop != nil {
 			continue
 		}
@@ -41,9 +41,9 @@
 	for name := range l.leaving {
 		m := l.roster.Machines[name]
 		switch {
-		case m == nil || !m.Notice.After(now):
+		case m == nil || !m.InterruptionAt.After(now):
 			delete(l.leaving, name)
-		case m.Notice.Sub(now) <= tuning.LastCall:
+		case m.InterruptionAt.Sub(now) <= tuning.LastCall:
 			delete(l.leaving, name)
 			l.drainSpot(m, now)
 		}
--- a/internal/scheduler/leader/spot_test.go
+++ b/internal/scheduler/leader/spot_test.go
@@ -16,7 +16,7 @@
 	m := l.roster.Machines["n-large"]
 	p := l.runs(t, "job-1", m.Name, 1)
 	p.Job.EstimateS, p.RunningSince = 60, clock.Now().Add(-50*time.Second)
-	m.Notice = clock.Now().Add(25 * time.Second)
+	m.InterruptionAt = clock.Now().Add(25 * time.Second)
 	l.leaving[m.Name] = true
 	l.drainSpot(m, clock.Now())
 	if p.Stop != nil {
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for name, places := range byMachine {
-		addr, req := l.roster.Direct(name, places)
+		addr, req := l.roster.CommandsFor(name, places)
 		if req == nil {
 			continue
 		}
@@ -47,13 +47,13 @@
 		}
 	}
 	if ctx.Err() != nil || !l.env.Valid(l.tenure.Term) {
-		l.post(func() { l.roster.Sent(name, req) }) // it was never sent
+		l.post(func() { l.roster.CommandsAnswered(name, req) }) // it was never sent
 		return
 	}
 	rep, err := l.command(ctx, name, addr, req)
 	if err == nil {
 		l.post(func() {
-			l.roster.Sent(name, req)
+			l.roster.CommandsAnswered(name, req)
 			l.ways.heard(l.env.Clock.Now())
 			if _, err := l.take(rep, true); err != nil {
 				l.log.Debug("answer to commands not used", "machine", name, "err", err)
@@ -65,17 +65,17 @@
 	l.post(func() {
 		if m := l.roster.Machines[name]; m != nil && m.Unanswered.Before(begun) {
 			m.Unanswered = begun
-			m.Reach.Failed(begun, l.env.Clock.Now())
+			m.Reachability.Failed(begun, l.env.Clock.Now())
 		}
 		l.ways.unheard(name)
 	})
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		// No connection, so nothing was sent that could arrive later.
-		l.post(func() { l.roster.Sent(name, req) })
+		l.post(func() { l.roster.CommandsAnswered(name, req) })
 		return
 	}
-	l.post(func() { l.roster.Open(name, begun) })
+	l.post(func() { l.roster.CommandsUnanswered(name, begun) })
 }
 
 // command sends a machine commands and gives the report that it answers with, carried out or not.
@@ -128,7 +128,7 @@
 		}
 		return nil, nil
 	}
-	a, err := l.roster.Report(rep, direct, now, l.mayForget)
+	a, err := l.roster.Heartbeat(rep, direct, now, l.mayForget)
 	if err != nil {
 		l.setAside(rep, err)
 		return nil, err
@@ -148,7 +148,7 @@
 	}
 	l.settle(a.Outcomes, now)
 	l.recall(a.Machine)
-	if a.Machine.Notice.After(now) {
+	if a.Machine.InterruptionAt.After(now) {
 		l.leaving[a.Machine.Name] = true
 		l.drainSpot(a.Machine, now)
 	}
@@ -159,7 +159,7 @@
 // mayForget tells whether an exited attempt that no place holds can be
 // forgotten by its worker: its end is stored, so no leader to come starts the
 // same attempt again.
-func (l *Loop) mayForget(k machines.Key) bool {
+func (l *Loop) mayForget(k machines.AttemptID) bool {
 	j := l.book.Jobs[k.Task.Job]
 	if j == nil || k.Task.Index >= len(j.Tasks) {
 		return true
@@ -181,26 +181,26 @@
 		l.roster.Remove(p, now)
 		l.changed = true
 		m := l.roster.Machines[p.Machine]
-		if o.Why == wire.ExitDone {
+		if o.Reason == wire.ExitDone {
 			l.book.MarkDone(p, now)
 			l.completed(p, m, o.Idle, now)
 			continue
 		}
 		l.book.MarkLost(p, now)
-		switch o.Why {
+		switch o.Reason {
 		case wire.ExitError:
 			l.failed(p, now)
 		case wire.ExitNoRoom:
 			// Something that we do not see takes room there; ask again later.
 			if m != nil {
-				m.NoRoom = now.Add(tuning.NoRoomPause)
+				m.RefusedAt = now.Add(tuning.NoRoomPause)
 			}
 		case wire.ExitUnknown:
 			// The job's description is not there (yet).
 			p.Job.PauseUntil = now.Add(tuning.ErrorPause)
 		}
-		if o.Why != wire.ExitStopped {
-			l.log.Debug("task ended", "task", p.Task().String(), "machine", p.Machine, "why", o.Why)
+		if o.Reason != wire.ExitStopped {
+			l.log.Debug("task ended", "task", p.Task().String(), "machine", p.Machine, "why", o.Reason)
 		}
 	}
 }
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -57,7 +57,7 @@
 
 // outOfReach tells whether no command is likely to get to a machine now.
 func (l *Loop) outOfReach(m *machines.Machine, now time.Time) bool {
-	return l.silent(m, now) || m.Reach.Deaf()
+	return l.silent(m, now) || m.Reachability.Deaf()
 }
 
 // askAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
@@ -68,18 +68,18 @@
 
 // doubts tells whether there is reason to ask a machine, the more pressing the lower.
 func (l *Loop) doubts(m *machines.Machine, now time.Time) (rank int, ok bool) {
-	deaf, heard := m.Reach.Deaf(), m.Heard
+	deaf, heard := m.Reachability.Deaf(), m.LastHeartbeat
 	if heard.Before(l.begun) {
 		heard = l.begun
 	}
 	switch {
-	case m.Reach.Doubted() && !deaf:
+	case m.Reachability.Doubted() && !deaf:
 		return 0, true
-	case m.Doubt:
+	case m.SuspectCopy:
 		return 1, true
-	case m.Session > m.Dead && len(m.Places) > 0 && now.Sub(heard) > l.askAfter():
+	case m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(heard) > l.askAfter():
 		return 2, true
-	case deaf, m.Token > l.tenure.Term:
+	case deaf, m.FencingToken > l.tenure.Term:
 		return 3, true
 	}
 	return 0, false
@@ -102,13 +102,13 @@
 	var doubts []doubt
 	deaf, unproven := 0, 0
 	for _, m := range l.roster.Machines {
-		if m.Reach.Deaf() {
+		if m.Reachability.Deaf() {
 			deaf++
 		}
-		if m.Alive() && !m.Reach.Proven() {
+		if m.Alive() && !m.Reachability.Proven() {
 			unproven++
 		}
-		if rank, ok := l.doubts(m, now); ok && m.Reach.Due(now) {
+		if rank, ok := l.doubts(m, now); ok && m.Reachability.Due(now) {
 			doubts = append(doubts, doubt{m, rank})
 		}
 	}
@@ -125,11 +125,11 @@
 
 // question asks a machine for its report.
 func (l *Loop) question(m *machines.Machine, now time.Time) {
-	addr, req, mark, ok := l.roster.Question(m, now)
+	addr, req, mark, ok := l.roster.Probe(m, now)
 	if !ok {
 		return
 	}
-	m.Reach.Ask(now)
+	m.Reachability.Ask(now)
 	l.ways.onWay++
 	name := m.Name
 	go func() {
@@ -141,26 +141,26 @@
 }
 
 // asked takes in how a question to a machine ended: its report, or why there is none.
-func (l *Loop) asked(name string, mark machines.Mark, rep *wire.Heartbeat, err error) {
+func (l *Loop) asked(name string, mark machines.MessageMark, rep *wire.Heartbeat, err error) {
 	l.ways.onWay--
 	m, now := l.roster.Machines[name], l.env.Clock.Now()
 	if m == nil {
 		return
 	}
-	m.Reach.Asked()
+	m.Reachability.Asked()
 	if err != nil {
-		was := m.Reach.Deaf()
-		m.Reach.Failed(mark.Sent, now)
+		was := m.Reachability.Deaf()
+		m.Reachability.Failed(mark.Sent, now)
 		l.ways.unheard(name)
-		if m.Reach.Deaf() && !was {
-			l.log.Info("machine reports, but does not hear us", "machine", name, "zone", m.Zone, "tasks", len(m.Places))
+		if m.Reachability.Deaf() && !was {
+			l.log.Info("machine reports, but does not hear us", "machine", name, "zone", m.Zone, "tasks", len(m.Allocations))
 		}
 		return
 	}
 	l.ways.heard(now)
 	switch l.roster.Restarted(m, mark, rep) {
 	case machines.AskLater:
-		m.Doubt = true
+		m.SuspectCopy = true
 		return
 	case machines.AskAgain:
 		l.question(m, now)
@@ -173,7 +173,7 @@
 		}
 		return
 	case machines.Anew:
-		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Places))
+		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Allocations))
 		l.settle(l.roster.Begin(m, rep, now), now)
 		l.changed = true
 		return
@@ -181,7 +181,7 @@
 	if _, err := l.take(rep, true); err != nil {
 		l.log.Debug("answer to a question not used", "machine", name, "err", err)
 	}
-	m.Doubt = false // also if a report overtook the answer
+	m.SuspectCopy = false // also if a report overtook the answer
 }
 
 // stepAside leaves the leadership to another member if no worker answers this one, though their reports come, and
@@ -203,7 +203,7 @@
 			continue
 		}
 		// One that is dead reports to nobody, and is no reason.
-		if m.Address != "" && now.Sub(m.Heard) <= l.silence() && len(addrs) < tuning.UnheardMachines {
+		if m.Address != "" && now.Sub(m.LastHeartbeat) <= l.silence() && len(addrs) < tuning.UnheardMachines {
 			addrs = append(addrs, m.Address)
 		}
 	}
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -19,7 +19,7 @@
 	reports := make([]*wire.Heartbeat, n)
 	for i := range reports {
 		rep := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.roster.Report(rep, false, clock.Now(), func(machines.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Heartbeat(rep, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 		p := l.book.Allocate(j, i, rep.Machine, "a", 1, clock.Now())
@@ -51,7 +51,7 @@
 	for i := 0; b.Loop(); i++ {
 		rep := reports[i%len(reports)]
 		rep.Seq++
-		if _, err := l.roster.Report(rep, false, l.env.Clock.Now(), func(machines.Key) bool { return false }); err != nil {
+		if _, err := l.roster.Heartbeat(rep, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -63,7 +63,7 @@
 	l, _ := fleetHeard(t, 2000)
 	l.env.Sending = make(chan struct{}, 400)
 	for _, m := range l.roster.Machines {
-		m.Doubt = true
+		m.SuspectCopy = true
 	}
 	l.stepWays(l.env.Clock.Now())
 	if most := 400 / 8; l.ways.onWay == 0 || l.ways.onWay > most {
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -106,7 +106,7 @@
 		t.Error("given up for one answer that may have been slow")
 	}
 	l.asks()
-	if l.opens("n-9") || len(m.Places) != 1 {
+	if l.opens("n-9") || len(m.Allocations) != 1 {
 		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.opens("n-9"))
 	}
 	if cut := l.cutZones(l.env.Clock.Now()); len(cut) != 0 {
@@ -258,7 +258,7 @@
 				l.takes(t, &older)
 			}
 			if c.openStart {
-				l.roster.Direct("n-9", []*jobs.Allocation{p})
+				l.roster.CommandsFor("n-9", []*jobs.Allocation{p})
 			}
 			*rep = *first
 			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -7,17 +7,17 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Mark is the newest message of a machine that was known when it was asked. Its answer is newer in the same life of its
+// MessageMark is the newest message of a machine that was known when it was asked. Its answer is newer in the same life of its
 // worker, since (session, seq) only grow; an answer that is older comes from another life: the machine was started anew.
-type Mark struct {
-	Session, Seq uint64
-	Sent         time.Time
+type MessageMark struct {
+	Incarnation, Seq uint64
+	Sent             time.Time
 }
 
-// Question makes the request that asks a machine for its report: no commands, but our token, which the worker keeps. What
+// Probe makes the request that asks a machine for its report: no commands, but our token, which the worker keeps. What
 // it answers was so after the question was sent. ok is false where nobody can be asked.
-func (r *Roster) Question(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark Mark, ok bool) {
-	session := m.Session
+func (r *Registry) Probe(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, ok bool) {
+	session := m.Incarnation
 	if m.life != 0 {
 		session = m.life
 	}
@@ -28,18 +28,18 @@
 	if addr == "" || session == 0 || m.Returning {
 		return "", nil, mark, false
 	}
-	return addr, &wire.DirectCommands{FencingToken: r.term, Incarnation: session, Commands: []wire.Command{}}, Mark{m.Session, m.seq, now}, true
+	return addr, &wire.DirectCommands{FencingToken: r.term, Incarnation: session, Commands: []wire.Command{}}, MessageMark{m.Incarnation, m.seq, now}, true
 }
 
-// Open takes in that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a life of the
+// CommandsUnanswered takes in that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a life of the
 // machine that began until then and counts its first session anew, as long as that session's lease lasts.
-func (r *Roster) Open(name string, sent time.Time) {
+func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
-	if m == nil || len(m.sent) == 0 || m.LeaseEnd.IsZero() {
+	if m == nil || len(m.sent) == 0 || m.LeaseExpiry.IsZero() {
 		return
 	}
-	if end := sent.Add(r.lease); m.LeaseEnd.Before(end) {
-		m.LeaseEnd = end
+	if end := sent.Add(r.lease); m.LeaseExpiry.Before(end) {
+		m.LeaseExpiry = end
 	}
 }
 
@@ -58,11 +58,11 @@
 // Restarted judges an answer to a question. A worker drops answers after 4 s. Within that of the last report that we took, an
 // answer with a start may be on its way to the new life: its first report may have been taken for one of the former
 // life, and a copy of a later one of that for its next.
-func (r *Roster) Restarted(m *Machine, mark Mark, rep *wire.Heartbeat) Restart {
+func (r *Registry) Restarted(m *Machine, mark MessageMark, rep *wire.Heartbeat) Restart {
 	switch {
-	case rep.Newer(mark.Session, mark.Seq):
+	case rep.Newer(mark.Incarnation, mark.Seq):
 		return SameLife
-	case mark.Sent.Sub(m.Heard) < tuning.AnswerLife:
+	case mark.Sent.Sub(m.LastHeartbeat) < tuning.AnswerLife:
 		return AskLater
 	case len(m.sent) > 0:
 		return GiveUp
@@ -77,27 +77,27 @@
 // its former life is gone. The worker lists all that is on its machine; older leaders' commands are refused by their
 // tokens; answers to reports of the former life reach nobody, and none to one of the new life is on its way (Restarted); and no direct start of ours is open. Without this a
 // machine that was back at once was shut out as a copy until its new life had sent as many reports as the former one.
-func (r *Roster) Begin(m *Machine, rep *wire.Heartbeat, now time.Time) []Outcome {
-	var a Answer
-	there := map[Key]bool{}
+func (r *Registry) Begin(m *Machine, rep *wire.Heartbeat, now time.Time) []Outcome {
+	var a HeartbeatResult
+	there := map[AttemptID]bool{}
 	for i := range rep.Tasks {
 		if id, ok := wire.ParseTaskID(rep.Tasks[i].Task); ok {
-			there[Key{Task: id, Attempt: rep.Tasks[i].Attempt}] = true
+			there[AttemptID{Task: id, Attempt: rep.Tasks[i].Attempt}] = true
 		}
 	}
-	for k, p := range m.Places {
+	for k, p := range m.Allocations {
 		if !there[k] {
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, Lost: true})
 		}
 	}
-	clear(m.strays)
+	clear(m.orphans)
 	clear(m.images)
-	if m.former.Session < m.Session || m.former.Session == m.Session && m.former.Seq < m.seq {
-		m.former = Mark{Session: m.Session, Seq: m.seq}
+	if m.previous.Incarnation < m.Incarnation || m.previous.Incarnation == m.Incarnation && m.previous.Seq < m.seq {
+		m.previous = MessageMark{Incarnation: m.Incarnation, Seq: m.seq}
 	}
-	m.Session, m.seq, m.Token, m.Dead, m.life = rep.Incarnation, rep.Seq, rep.FencingToken, rep.Incarnation-1, 0
-	m.Doubt, m.told, m.Notice = false, told{}, time.Time{}
-	m.LeaseEnd = now.Add(r.lease) // nobody of ours had answered this life before
-	m.Reach.Proved(now)
+	m.Incarnation, m.seq, m.FencingToken, m.EndedIncarnation, m.life = rep.Incarnation, rep.Seq, rep.FencingToken, rep.Incarnation-1, 0
+	m.SuspectCopy, m.told, m.InterruptionAt = false, told{}, time.Time{}
+	m.LeaseExpiry = now.Add(r.lease) // nobody of ours had answered this life before
+	m.Reachability.Proved(now)
 	return a.Outcomes
 }
--- a/internal/scheduler/machines/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -20,22 +20,22 @@
 	f := newFixture(t)
 	f.Inherit(place(1), t0)
 	f.report(noticed(report(1, 5, term-1), 25), 0, no) // may be a copy
-	if m := f.Machines["n-1"]; m.Notice.IsZero() {
+	if m := f.Machines["n-1"]; m.InterruptionAt.IsZero() {
 		t.Error("a notice is not taken as long as nothing tells against it")
 	}
 	f.report(report(1, 9, term), time.Second, no)
-	if m := f.Machines["n-1"]; !m.Notice.IsZero() {
+	if m := f.Machines["n-1"]; !m.InterruptionAt.IsZero() {
 		t.Error("the machine itself says that it has none")
 	}
 	f.report(noticed(report(1, 10, term), 25), 2*time.Second, no)
-	before := f.Machines["n-1"].Notice
+	before := f.Machines["n-1"].InterruptionAt
 	for _, late := range []*wire.Heartbeat{report(1, 8, term), noticed(report(1, 10, term), 3)} {
-		if _, err := f.Report(late, false, t0.Add(3*time.Second), no); !errors.Is(err, ErrStale) {
+		if _, err := f.Heartbeat(late, false, t0.Add(3*time.Second), no); !errors.Is(err, ErrStale) {
 			t.Errorf("a copy: %v", err)
 		}
 	}
-	if m := f.Machines["n-1"]; m.Notice != before || before.IsZero() || !m.Doubt {
-		t.Errorf("a copy changed the notice (%v, %v), or is not looked into", before, m.Notice)
+	if m := f.Machines["n-1"]; m.InterruptionAt != before || before.IsZero() || !m.SuspectCopy {
+		t.Errorf("a copy changed the notice (%v, %v), or is not looked into", before, m.InterruptionAt)
 	}
 }
 
@@ -47,12 +47,12 @@
 	if m.Usable(term, t0) {
 		t.Error("trusted")
 	}
-	f.Know("n-1", "g8", "a", false, t0, t0) // the cloud lists it
+	f.Register("n-1", "g8", "a", false, t0, t0) // the cloud lists it
 	if !m.Usable(term, t0) {
 		t.Error("not trusted though it is listed and met the last leader")
 	}
 	old := newFixture(t)
-	old.Know("n-1", "g8", "a", false, t0, t0)
+	old.Register("n-1", "g8", "a", false, t0, t0)
 	old.report(report(1, 5, term-2), 0, no)
 	if old.Machines["n-1"].Usable(term, t0) {
 		t.Error("trusted by a report from before the last term")
@@ -73,10 +73,10 @@
 		rep := report(2, 9, term, taskIs("job-1/0", 1, wire.TaskRunning, ""))
 		change(rep)
 		before := *f.Machines["n-1"]
-		if _, err := f.Report(rep, false, t0.Add(time.Second), no); !errors.Is(err, ErrContradicts) {
+		if _, err := f.Heartbeat(rep, false, t0.Add(time.Second), no); !errors.Is(err, ErrContradicts) {
 			t.Errorf("%+v: %v", rep, err)
 		}
-		if m := f.Machines["n-1"]; m.Session != before.Session || m.Address != before.Address || m.Heard != before.Heard || m.HasStrays() {
+		if m := f.Machines["n-1"]; m.Incarnation != before.Incarnation || m.Address != before.Address || m.LastHeartbeat != before.LastHeartbeat || m.HasOrphans() {
 			t.Errorf("it changed %+v", m)
 		}
 	}
@@ -88,7 +88,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	back := 30 * time.Second // long after its lease; nothing was concluded, since others may have kept it
-	if _, err := f.Report(report(2, 9, term), true, t0.Add(back), no); err != nil {
+	if _, err := f.Heartbeat(report(2, 9, term), true, t0.Add(back), no); err != nil {
 		t.Fatal(err)
 	}
 	p := place(2)
@@ -124,14 +124,14 @@
 	f := newFixture(t)
 	f.report(report(3, 40, term), 0, no)
 	m := f.Machines["n-1"]
-	_, _, mark, _ := f.Question(m, t0.Add(5*time.Second))
+	_, _, mark, _ := f.Probe(m, t0.Add(5*time.Second))
 	anew := report(1, 2, term)
 	if got := f.Restarted(m, mark, anew); got != Anew {
 		t.Fatalf("judged %v", got)
 	}
 	f.Begin(m, anew, t0.Add(5*time.Second))
 	f.Add(place(1), t0.Add(5*time.Second))
-	if a, err := f.Report(report(3, 39, term), false, t0.Add(6*time.Second), no); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
+	if a, err := f.Heartbeat(report(3, 39, term), false, t0.Add(6*time.Second), no); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
 		t.Errorf("%v, %v", a.Outcomes, err)
 	}
 	if a := f.report(report(1, 3, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, no); len(a.Outcomes) != 0 {
@@ -143,10 +143,10 @@
 func TestADirectAnswerTellsTheOrderBeforeTheFirstReport(t *testing.T) {
 	f := newFixture(t)
 	f.Inherit(place(1), t0)
-	if _, err := f.Report(report(1, 7, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), true, t0.Add(time.Second), no); err != nil {
+	if _, err := f.Heartbeat(report(1, 7, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), true, t0.Add(time.Second), no); err != nil {
 		t.Fatal(err)
 	}
-	if a, err := f.Report(report(1, 6, term), false, t0.Add(2*time.Second), no); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
+	if a, err := f.Heartbeat(report(1, 6, term), false, t0.Add(2*time.Second), no); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
 		t.Errorf("a copy from before the answer: %v, %v", a.Commands, err)
 	}
 	f.report(report(1, 8, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, no)
@@ -184,12 +184,12 @@
 		}
 		p := place(1)
 		f.Inherit(p, t0)
-		a, err := f.Report(report(2, 5, term-1), false, t0.Add(time.Second), no)
-		if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.Doubt {
+		a, err := f.Heartbeat(report(2, 5, term-1), false, t0.Add(time.Second), no)
+		if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.SuspectCopy {
 			t.Errorf("%s: %v, %v", c.name, a.Outcomes, err)
 		}
 		// If it is so, the machine says so itself.
-		if a, err := f.Report(report(2, 6, term), true, t0.Add(2*time.Second), no); err != nil || len(a.Outcomes) != 1 {
+		if a, err := f.Heartbeat(report(2, 6, term), true, t0.Add(2*time.Second), no); err != nil || len(a.Outcomes) != 1 {
 			t.Errorf("%s: the machine's own answer: %v, %v", c.name, a.Outcomes, err)
 		}
 	}
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -25,7 +25,7 @@
 }
 
 // Images gives what the machines hold; cacheGB is the size of a type's cache. The images that most hold come first.
-func (r *Roster) Images(cacheGB func(typ string) float64) Images {
+func (r *Registry) Images(cacheGB func(typ string) float64) Images {
 	var out Images
 	index := map[string]int{} // of images
 	count := map[string]int{}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -19,7 +19,7 @@
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
-		r.Know(name, "small", "a", true, t0, t0)
+		r.Register(name, "small", "a", true, t0, t0)
 		if i%2 == 0 {
 			use(name, "img-1")
 		}
@@ -34,7 +34,7 @@
 	next := New(2, 40)
 	told := images.ByMachine()
 	for i := range 20 {
-		m := next.Know(fmt.Sprintf("n-%02d", i), "small", "a", true, t0, t0)
+		m := next.Register(fmt.Sprintf("n-%02d", i), "small", "a", true, t0, t0)
 		m.Recall(told[m.Name], t0)
 		if m.Holds("img-1", 2) != (i%2 == 0) || m.Holds("img-2", 2) != (i%9 == 0) || m.Holds("img-3", 2) {
 			t.Errorf("%s holds %v", m.Name, m.images)
--- a/internal/scheduler/machines/listed.go
+++ b/internal/scheduler/machines/listed.go
@@ -5,7 +5,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Gone gives those machines that one answer of the cloud's list proves to be gone: the machines with names behind
+// ProvenGone gives those machines that one answer of the cloud's list proves to be gone: the machines with names behind
 // after, up to and with last (empty: to the end of the list), as they were at one time. The protocol says that the
 // list is in the order of creation, that it tells of one time, however late, and that a machine, once listed, remains so
 // until it is gone. So where a machine is listed that was created later, each earlier one that existed at all either
@@ -14,7 +14,7 @@
 //
 // The machines of the roster are such that existed: they reported, were named by an answer to a rental or by a list, or
 // a former leader placed tasks on them, which it does only on machines that reported.
-func (r *Roster) Gone(after, last string, listed []wire.ListedMachine) []string {
+func (r *Registry) ProvenGone(after, last string, listed []wire.ListedMachine) []string {
 	newest := "" // the last name that was there for long enough
 	there := make(map[string]bool, len(listed))
 	for i := range listed {
--- a/internal/scheduler/machines/listed_test.go
+++ b/internal/scheduler/machines/listed_test.go
@@ -40,9 +40,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := New(1, 40)
 			for _, name := range []string{"n-1", "n-2", "n-3"} {
-				r.Know(name, "small", "a", true, t0, t0)
+				r.Register(name, "small", "a", true, t0, t0)
 			}
-			if got := r.Gone(c.after, c.last, c.listed); !reflect.DeepEqual(got, c.want) {
+			if got := r.ProvenGone(c.after, c.last, c.listed); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("gone are %v, want %v", got, c.want)
 			}
 		})
@@ -65,12 +65,12 @@
 					m.ends = now + 60*rnd.Float64()
 				}
 				machines[name] = m
-				r.Know(name, "small", "a", true, t0, t0)
+				r.Register(name, "small", "a", true, t0, t0)
 			}
 			if rnd.IntN(20) == 0 { // another leads
 				r = New(2, 40)
 				for name := range machines {
-					r.Know(name, "small", "a", true, t0, t0)
+					r.Register(name, "small", "a", true, t0, t0)
 				}
 			}
 			late := 20.0
@@ -95,7 +95,7 @@
 				for _, n := range names {
 					p = append(p, wire.ListedMachine{Name: n, AgeS: float64(int(10*(at-machines[n].born))) / 10})
 				}
-				for _, n := range r.Gone(after, last, p) {
+				for _, n := range r.ProvenGone(after, last, p) {
 					if now < machines[n].ends {
 						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, n, now, machines[n].ends)
 					}
--- a/internal/scheduler/machines/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -44,10 +44,10 @@
 		p := place(1)
 		f.Add(p, t0)
 		m := f.Machines["n-1"]
-		if _, req := f.Direct("n-1", []*jobs.Allocation{p}); !c.open {
-			f.Sent("n-1", req)
+		if _, req := f.CommandsFor("n-1", []*jobs.Allocation{p}); !c.open {
+			f.CommandsAnswered("n-1", req)
 		}
-		_, _, mark, ok := f.Question(m, t0.Add(c.after))
+		_, _, mark, ok := f.Probe(m, t0.Add(c.after))
 		if !ok {
 			t.Fatal("nobody can be asked")
 		}
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -15,26 +15,26 @@
 	"poppypass/internal/scheduler/reachability"
 )
 
-// Key is one attempt of a task.
-type Key struct {
+// AttemptID is one attempt of a task.
+type AttemptID struct {
 	Task    wire.TaskID
 	Attempt uint64
 }
 
-func keyOf(p *jobs.Allocation) Key { return Key{Task: p.Task(), Attempt: p.Attempt} }
+func attemptOf(p *jobs.Allocation) AttemptID { return AttemptID{Task: p.Task(), Attempt: p.Attempt} }
 
-// Amount is what tasks take of a machine or a team.
-type Amount struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is what tasks take of a machine or a team.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // Add adds n times another amount.
-func (a *Amount) Add(b Amount, n float64) {
+func (a *Resources) Add(b Resources, n float64) {
 	a.CPUs += n * b.CPUs
 	a.GPUs += n * b.GPUs
 	a.MemoryGB += n * b.MemoryGB
 }
 
-// Of is what one task of a job takes.
-func Of(j *wire.Job) Amount { return Amount{j.CPUs, j.GPUs, j.MemoryGB} }
+// DemandOf is what one task of a job takes.
+func DemandOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // Machine is a rented machine, as far as it is known.
 type Machine struct {
@@ -42,43 +42,43 @@
 	Spot                      bool
 	Listed                    string // its address by the cloud's list; empty: not listed
 
-	Session uint64 // the newest session known
-	seq     uint64 // of the newest report of that session
-	Dead    uint64 // this session and the earlier ones are over, with all their tasks
-	Token   uint64 // the highest token that the worker is known to have seen
-
-	Heard    time.Time // when its newest report came; zero: it never reported to us
-	LeaseEnd time.Time // by then its session is over unless it reports again; zero: not counted
-	Notice   time.Time // when the cloud takes it, by its notice; zero: no notice
-
-	Places  map[Key]*jobs.Allocation
-	used    Amount // what they take, while counted
-	counted bool
-	strays  map[Key]bool // reported tasks that no record places here
-	sent    map[Key]int  // starts sent by direct commands that had no answer (yet)
-
-	images     map[string]*imageUse // images that its tasks had it fetch
-	IdleSince  time.Time
-	Added      time.Time // when we learned of it
-	Rented     time.Time // when it was rented, as far as known
-	Draining   bool      // it gets no more tasks while the others suffice, and is returned once empty
-	Returning  bool      // it gets no more tasks and is being deleted
-	Bad        bool      // tasks of several jobs failed on it
-	Unanswered time.Time // when a command to it was sent that had no answer
-	NoRoom     time.Time // it refused a task for room; not asked before
-	Up         bool      // the cloud lists it as running
-	Unlisted   int       // lists in a row that lacked it, since it was last listed or heard
-	errorsOf   map[string]bool
-	Pace       Pace // how fast it runs against others
-
-	Reach  reachability.State // whether it hears us
-	Known  bool               // the cloud or a record names it; else only its own reports do, which may be copies
-	Ours   bool               // rented in this term, so that no leader before can have returned it
-	Doubt  bool               // a report came that looks older than one before: a copy, or the machine was started anew
-	life   uint64             // the session to which it is to be asked; 0: the newest known
-	former Mark               // the newest message of its former life, if it was started anew
-	loose  bool               // its notice comes from a report that may be a copy
-	told   told               // what the answer to its newest report said
+	Incarnation      uint64 // the newest session known
+	seq              uint64 // of the newest report of that session
+	EndedIncarnation uint64 // this session and the earlier ones are over, with all their tasks
+	FencingToken     uint64 // the highest token that the worker is known to have seen
+
+	LastHeartbeat  time.Time // when its newest report came; zero: it never reported to us
+	LeaseExpiry    time.Time // by then its session is over unless it reports again; zero: not counted
+	InterruptionAt time.Time // when the cloud takes it, by its notice; zero: no notice
+
+	Allocations map[AttemptID]*jobs.Allocation
+	used        Resources // what they take, while counted
+	counted     bool
+	orphans     map[AttemptID]bool // reported tasks that no record places here
+	sent        map[AttemptID]int  // starts sent by direct commands that had no answer (yet)
+
+	images         map[string]*imageUse // images that its tasks had it fetch
+	IdleSince      time.Time
+	AddedAt        time.Time // when we learned of it
+	RentedAt       time.Time // when it was rented, as far as known
+	Draining       bool      // it gets no more tasks while the others suffice, and is returned once empty
+	Returning      bool      // it gets no more tasks and is being deleted
+	Unhealthy      bool      // tasks of several jobs failed on it
+	Unanswered     time.Time // when a command to it was sent that had no answer
+	RefusedAt      time.Time // it refused a task for room; not asked before
+	ListedRunning  bool      // the cloud lists it as running
+	MissedListings int       // lists in a row that lacked it, since it was last listed or heard
+	errorsOf       map[string]bool
+	RelativeSpeed  RelativeSpeed // how fast it runs against others
+
+	Reachability   reachability.State // whether it hears us
+	Known          bool               // the cloud or a record names it; else only its own reports do, which may be copies
+	RentedThisTerm bool               // rented in this term, so that no leader before can have returned it
+	SuspectCopy    bool               // a report came that looks older than one before: a copy, or the machine was started anew
+	life           uint64             // the session to which it is to be asked; 0: the newest known
+	previous       MessageMark        // the newest message of its former life, if it was started anew
+	suspectNotice  bool               // its notice comes from a report that may be a copy
+	told           told               // what the answer to its newest report said
 }
 
 // told is an answer to a report: the next report shows whether it arrived, since a worker has one report in flight.
@@ -89,7 +89,7 @@
 
 // effect compares a report with the answer to the one before: whether something shows that the answer was carried out, and
 // whether something shows that it was not.
-func (t *told) effect(rep *wire.Heartbeat, listed map[Key]*wire.TaskStatus, term uint64) (seen, missed bool) {
+func (t *told) effect(rep *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, term uint64) (seen, missed bool) {
 	if t.token {
 		seen, missed = rep.FencingToken >= term, rep.FencingToken < term
 	}
@@ -99,7 +99,7 @@
 		if !ok {
 			continue
 		}
-		task := listed[Key{Task: id, Attempt: c.Attempt}]
+		task := listed[AttemptID{Task: id, Attempt: c.Attempt}]
 		there := task != nil && task.State != wire.TaskExited
 		switch c.Op {
 		case wire.OpStart: // whatever came of it, it is listed until it is forgotten
@@ -116,32 +116,34 @@
 // Usable tells whether the machine may be given work now, as far as the way to it goes: it proved to hear us, or there is
 // no reason to think that its reports are copies, and it is not found deaf. term is ours.
 func (m *Machine) Usable(term uint64, now time.Time) bool {
-	if m.Token > term {
+	if m.FencingToken > term {
 		return false // it obeys a later leader, or nobody
 	}
-	return m.Reach.Usable(now, m.Ours || m.Known && m.Token+1 >= term)
+	return m.Reachability.Usable(now, m.RentedThisTerm || m.Known && m.FencingToken+1 >= term)
 }
 
 // Alive tells whether the machine's present session can run tasks.
-func (m *Machine) Alive() bool { return (!m.Heard.IsZero() || m.Reach.Proven()) && m.Session > m.Dead }
+func (m *Machine) Alive() bool {
+	return (!m.LastHeartbeat.IsZero() || m.Reachability.Proven()) && m.Incarnation > m.EndedIncarnation
+}
 
-// Seen is when the machine last reported or answered us.
-func (m *Machine) Seen() time.Time {
-	if at := m.Reach.ProvenAt(); at.After(m.Heard) {
+// LastSeen is when the machine last reported or answered us.
+func (m *Machine) LastSeen() time.Time {
+	if at := m.Reachability.ProvenAt(); at.After(m.LastHeartbeat) {
 		return at
 	}
-	return m.Heard
+	return m.LastHeartbeat
 }
 
-// HasStrays tells whether tasks run there that no record places there.
-func (m *Machine) HasStrays() bool { return len(m.strays) > 0 }
+// HasOrphans tells whether tasks run there that no record places there.
+func (m *Machine) HasOrphans() bool { return len(m.orphans) > 0 }
 
 // Used is what the tasks that may be on the machine take.
-func (m *Machine) Used() Amount {
+func (m *Machine) Used() Resources {
 	if !m.counted {
-		m.used, m.counted = Amount{}, true
-		for _, p := range m.Places {
-			m.used.Add(Of(&p.Job.Job), 1)
+		m.used, m.counted = Resources{}, true
+		for _, p := range m.Allocations {
+			m.used.Add(DemandOf(&p.Job.Job), 1)
 		}
 	}
 	return m.used
@@ -200,15 +202,15 @@
 		m.errorsOf = map[string]bool{}
 	}
 	m.errorsOf[job] = true
-	m.Bad = m.Bad || len(m.errorsOf) >= tuning.BadMachineJobs
+	m.Unhealthy = m.Unhealthy || len(m.errorsOf) >= tuning.BadMachineJobs
 }
 
 // NoteDone takes in that a task completed on the machine: what failed there
 // before does not count against it.
 func (m *Machine) NoteDone() { clear(m.errorsOf) }
 
-// Roster holds the machines.
-type Roster struct {
+// Registry holds the machines.
+type Registry struct {
 	Machines map[string]*Machine
 
 	term     uint64
@@ -217,8 +219,8 @@
 }
 
 // New makes the roster of a term. leaseS is the workers' lease in seconds.
-func New(term uint64, leaseS float64) *Roster {
-	return &Roster{
+func New(term uint64, leaseS float64) *Registry {
+	return &Registry{
 		Machines: map[string]*Machine{}, term: term, returned: map[string]time.Time{},
 		lease: time.Duration(leaseS*(1+tuning.ClockDrift)*float64(time.Second)) + tuning.LeaseMargin,
 	}
@@ -233,15 +235,15 @@
 	ErrContradicts = errors.New("the report contradicts what is known of its machine")
 )
 
-// Was tells whether a machine was returned not long ago.
-func (r *Roster) Was(name string) bool { _, ok := r.returned[name]; return ok }
+// WasReturned tells whether a machine was returned not long ago.
+func (r *Registry) WasReturned(name string) bool { _, ok := r.returned[name]; return ok }
 
-func (r *Roster) ensure(name string, now time.Time) *Machine {
+func (r *Registry) ensure(name string, now time.Time) *Machine {
 	m := r.Machines[name]
 	if m == nil {
 		m = &Machine{
-			Name: name, Places: map[Key]*jobs.Allocation{}, strays: map[Key]bool{}, sent: map[Key]int{},
-			images: map[string]*imageUse{}, Added: now, IdleSince: now, Rented: now,
+			Name: name, Allocations: map[AttemptID]*jobs.Allocation{}, orphans: map[AttemptID]bool{}, sent: map[AttemptID]int{},
+			images: map[string]*imageUse{}, AddedAt: now, IdleSince: now, RentedAt: now,
 		}
 		r.Machines[name] = m
 	}
@@ -250,21 +252,21 @@
 
 // Inherit takes in a place that a former leader recorded. Whoever answered
 // the machine last did so before our term began, so its lease runs from then at most.
-func (r *Roster) Inherit(p *jobs.Allocation, begun time.Time) {
+func (r *Registry) Inherit(p *jobs.Allocation, begun time.Time) {
 	m := r.ensure(p.Machine, begun)
-	m.Places[keyOf(p)] = p
+	m.Allocations[attemptOf(p)] = p
 	m.use(p, begun)
-	m.Session = max(m.Session, p.Incarnation)
+	m.Incarnation = max(m.Incarnation, p.Incarnation)
 	m.Zone, m.Known = p.Zone, true
-	if m.LeaseEnd.Before(begun.Add(r.lease)) {
-		m.LeaseEnd = begun.Add(r.lease)
+	if m.LeaseExpiry.Before(begun.Add(r.lease)) {
+		m.LeaseExpiry = begun.Add(r.lease)
 	}
 }
 
-// Know takes in a machine from the cloud: rented or listed.
-func (r *Roster) Know(name, typ, zone string, spot bool, rented, now time.Time) *Machine {
+// Register takes in a machine from the cloud: rented or listed.
+func (r *Registry) Register(name, typ, zone string, spot bool, rented, now time.Time) *Machine {
 	m := r.ensure(name, now)
-	m.Rented, m.Known = rented, true
+	m.RentedAt, m.Known = rented, true
 	if m.Address == "" { // else it said so itself
 		m.Type, m.Zone, m.Spot = typ, zone, spot
 	}
@@ -272,20 +274,20 @@
 }
 
 // Add puts a new place on its machine.
-func (r *Roster) Add(p *jobs.Allocation, now time.Time) {
+func (r *Registry) Add(p *jobs.Allocation, now time.Time) {
 	m := r.ensure(p.Machine, now)
-	m.Places[keyOf(p)] = p
+	m.Allocations[attemptOf(p)] = p
 	m.use(p, now)
 }
 
 // Remove takes a place that is proven gone off its machine.
-func (r *Roster) Remove(p *jobs.Allocation, now time.Time) {
+func (r *Registry) Remove(p *jobs.Allocation, now time.Time) {
 	if m := r.Machines[p.Machine]; m != nil {
-		if _, there := m.Places[keyOf(p)]; there {
-			delete(m.Places, keyOf(p))
+		if _, there := m.Allocations[attemptOf(p)]; there {
+			delete(m.Allocations, attemptOf(p))
 			m.unuse(p, now)
 		}
-		if len(m.Places) == 0 {
+		if len(m.Allocations) == 0 {
 			m.IdleSince = now
 		}
 	}
@@ -294,7 +296,7 @@
 // Outcome is the proven end of a task in a place.
 type Outcome struct {
 	Allocation *jobs.Allocation
-	Why        wire.ExitReason // WhyStopped also when its machine's session is over
+	Reason     wire.ExitReason // WhyStopped also when its machine's session is over
 	Saved      bool            // it saved its progress when it was stopped
 	Lost       bool            // nobody saw its end: its machine's session is over, or the machine is gone
 	Idle       time.Time       // a time at which it was known not to run yet; zero: none
@@ -305,42 +307,42 @@
 	if o.Lost {
 		return "lost"
 	}
-	return string(o.Why)
+	return string(o.Reason)
 }
 
-// Answer is what a report leads to.
-type Answer struct {
+// HeartbeatResult is what a report leads to.
+type HeartbeatResult struct {
 	Machine  *Machine
 	Outcomes []Outcome
 	Commands []wire.Command
 	Began    []*jobs.Allocation // those that were seen to run for the first time
-	Held     []Key              // exited attempts that may not be forgotten yet
+	Held     []AttemptID        // exited attempts that may not be forgotten yet
 	Changed  bool               // something that matters to placement changed, outcomes apart
 }
 
 // MayForget tells whether an exited attempt that no place holds may be
 // forgotten: the stored record no longer names it.
-type MayForget func(Key) bool
+type MayForget func(AttemptID) bool
 
-// Report takes in a worker's report. direct: it is the answer to a direct
+// Heartbeat takes in a worker's report. direct: it is the answer to a direct
 // command, so that no commands can be given back and it renews no lease; and
 // it proves nothing of tasks that it lacks, since a report's answer may still
 // be on its way to the worker.
-func (r *Roster) Report(rep *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (Answer, error) {
-	var a Answer
-	if r.Was(rep.Machine) {
+func (r *Registry) Heartbeat(rep *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
+	var a HeartbeatResult
+	if r.WasReturned(rep.Machine) {
 		return a, ErrReturned
 	}
 	m := r.Machines[rep.Machine]
 	if m != nil {
 		// A session whose lease ran out is over, whatever a late report says.
-		if r.older(m, rep) || !direct && r.otherLife(m, rep) || rep.Incarnation <= m.Dead {
-			m.Doubt = true
+		if r.older(m, rep) || !direct && r.otherLife(m, rep) || rep.Incarnation <= m.EndedIncarnation {
+			m.SuspectCopy = true
 			return a, ErrStale
 		}
 		// A report in which its machine is another one is set aside, before it changes anything.
 		if m.Address != "" && (m.Address != rep.Address || m.Type != rep.Type || m.Zone != rep.Zone || m.Spot != rep.Spot) {
-			m.Doubt = m.Doubt || !direct
+			m.SuspectCopy = m.SuspectCopy || !direct
 			return a, ErrContradicts
 		}
 	} else if direct {
@@ -349,53 +351,53 @@
 	m = r.ensure(rep.Machine, now)
 	a.Machine = m
 	usable := m.Usable(r.term, now)
-	risen := rep.Incarnation > m.Session // endSession settles its places then
-	a.Changed = m.Heard.IsZero() || risen
+	risen := rep.Incarnation > m.Incarnation // endSession settles its places then
+	a.Changed = m.LastHeartbeat.IsZero() || risen
 	if risen {
 		// Its lease ran out though its reports were answered: the answers did not arrive.
-		if !direct && now.Sub(m.Heard) < r.lease/2 {
-			m.Reach.Missed(now)
+		if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
+			m.Reachability.Missed(now)
 		}
-		m.Session, m.told = rep.Incarnation, told{}
+		m.Incarnation, m.told = rep.Incarnation, told{}
 		// Its lease counts from its begin, which may be this moment. When a direct answer told of it, the end of the
 		// former session's lease once counted for the new one: tasks that had just been started there were started elsewhere.
-		m.LeaseEnd = now.Add(r.lease)
+		m.LeaseExpiry = now.Add(r.lease)
 		r.endSession(m, rep.Incarnation-1, &a)
 	}
 	unseen := rep.FencingToken < r.term
-	if direct || !unseen && !m.Reach.Proven() {
-		m.Reach.Proved(now)
-		m.Doubt, m.life = m.Doubt && !direct, 0
+	if direct || !unseen && !m.Reachability.Proven() {
+		m.Reachability.Proved(now)
+		m.SuspectCopy, m.life = m.SuspectCopy && !direct, 0
 	}
-	m.seq, m.Token = rep.Seq, rep.FencingToken
+	m.seq, m.FencingToken = rep.Seq, rep.FencingToken
 	m.Address, m.Type, m.Zone, m.Spot = rep.Address, rep.Type, rep.Zone, rep.Spot
-	if m.Heard.IsZero() && len(m.Places) == 0 {
+	if m.LastHeartbeat.IsZero() && len(m.Allocations) == 0 {
 		m.IdleSince = now
 	}
-	before := m.Heard
-	m.Unlisted = 0
+	before := m.LastHeartbeat
+	m.MissedListings = 0
 	// The first report that a new leader sees may be a copy, whose notice is as old as it is: it counts until the
 	// machine has proved itself, and clears none.
-	if m.Reach.Proven() && m.loose {
-		m.Notice, m.loose = time.Time{}, false
+	if m.Reachability.Proven() && m.suspectNotice {
+		m.InterruptionAt, m.suspectNotice = time.Time{}, false
 	}
 	switch {
-	case !m.Reach.Proven() && rep.NoticeS == nil:
+	case !m.Reachability.Proven() && rep.NoticeS == nil:
 	case rep.NoticeS == nil:
-		m.Notice = time.Time{}
-	case m.Notice.IsZero():
-		m.Notice = now.Add(time.Duration(max(0, *rep.NoticeS) * float64(time.Second)))
-		m.loose = !m.Reach.Proven()
+		m.InterruptionAt = time.Time{}
+	case m.InterruptionAt.IsZero():
+		m.InterruptionAt = now.Add(time.Duration(max(0, *rep.NoticeS) * float64(time.Second)))
+		m.suspectNotice = !m.Reachability.Proven()
 		a.Changed = true
 	}
 	if !direct {
-		m.Heard = now
-		m.LeaseEnd = now.Add(r.lease)
+		m.LastHeartbeat = now
+		m.LeaseExpiry = now.Add(r.lease)
 	}
 	// Whatever an older term's leader sent directly can no longer start once
 	// the worker has seen our token.
 	fenced := rep.FencingToken >= r.term
-	listed := make(map[Key]*wire.TaskStatus, len(rep.Tasks))
+	listed := make(map[AttemptID]*wire.TaskStatus, len(rep.Tasks))
 	var stops, forgets, starts []wire.Command
 	zero := 0.0
 	for i := range rep.Tasks {
@@ -404,13 +406,13 @@
 		if !ok {
 			continue
 		}
-		k := Key{Task: id, Attempt: t.Attempt}
+		k := AttemptID{Task: id, Attempt: t.Attempt}
 		listed[k] = t
-		p := m.Places[k]
+		p := m.Allocations[k]
 		switch {
 		case p == nil && t.State == wire.TaskExited:
-			if m.strays[k] {
-				delete(m.strays, k)
+			if m.orphans[k] {
+				delete(m.orphans, k)
 				a.Changed = true
 			}
 			switch {
@@ -421,13 +423,13 @@
 			}
 		case p == nil:
 			// Nothing that we know of put it here. It counts until it is gone.
-			m.strays[k] = true
+			m.orphans[k] = true
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		case t.State == wire.TaskExited && t.Reason != wire.ExitDone && !direct && !fenced:
 			// Perhaps a copy from a former life, in which the attempt was stopped; a recorded attempt is started again in the
 			// next one. What completed, completed.
 		case t.State == wire.TaskExited:
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: t.Reason, Saved: t.Saved, Idle: before})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: t.Reason, Saved: t.Saved, Idle: before})
 		default:
 			if t.State == wire.TaskRunning && p.State != wire.TaskRunning {
 				p.RunningSince = now
@@ -439,19 +441,19 @@
 			}
 		}
 	}
-	for k := range m.strays {
+	for k := range m.orphans {
 		// A stray that the newest report lacks is gone.
 		if listed[k] == nil && !direct {
-			delete(m.strays, k)
+			delete(m.orphans, k)
 			a.Changed = true
 		}
 	}
-	for k, p := range m.Places {
+	for k, p := range m.Allocations {
 		if !risen && fenced && p.Incarnation < rep.Incarnation {
 			// Recorded in a session that is over, beside others of a later one: a leader ended before it had written that
 			// the task is gone. The session did not rise for this one, so the task was never wanted again. Without our
 			// token the report may be a copy from a former life, and the task in the session of the life that runs.
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, Lost: true})
 			continue
 		}
 		if listed[k] != nil || !p.Committed || p.Incarnation != rep.Incarnation {
@@ -465,7 +467,7 @@
 				p.StartSentAt = now
 			}
 		case direct || !fenced:
-		case m.sent[k] > 0 || now.Sub(p.StartSentAt) < tuning.AnswerLife || !rep.Newer(m.former.Session, m.former.Seq):
+		case m.sent[k] > 0 || now.Sub(p.StartSentAt) < tuning.AnswerLife || !rep.Newer(m.previous.Incarnation, m.previous.Seq):
 			// The report may be a copy from a former life that we know of. Or a direct start may still arrive, or the answer that held one: the report may be a copy from a former life of
 			// a machine that was started anew. Started and stopped here, the
 			// attempt becomes known, and the late start has no effect.
@@ -473,15 +475,15 @@
 			p.StartSentAt = now
 		default:
 			// No answer of ours that held its start is still on the way, since workers drop them after 4 s: it is not there.
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Idle: now})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, Idle: now})
 		}
 	}
 	if !direct {
 		switch seen, missed := m.told.effect(rep, listed, r.term); {
 		case seen:
-			m.Reach.Proved(now)
+			m.Reachability.Proved(now)
 		case missed:
-			m.Reach.Missed(now)
+			m.Reachability.Missed(now)
 		}
 		a.Commands = append(append(append(make([]wire.Command, 0, len(stops)+len(forgets)+len(starts)), stops...), forgets...), starts...)
 		m.told = told{unseen, a.Commands}
@@ -492,23 +494,23 @@
 
 // older tells whether a message is no newer than one that is known of its machine. Direct answers tell the order as well, also of
 // a machine that has not reported to us yet.
-func (r *Roster) older(m *Machine, rep *wire.Heartbeat) bool {
-	return rep.Incarnation < m.Session || !rep.Newer(m.Session, m.seq) && (m.seq > 0 || !m.Heard.IsZero())
+func (r *Registry) older(m *Machine, rep *wire.Heartbeat) bool {
+	return rep.Incarnation < m.Incarnation || !rep.Newer(m.Incarnation, m.seq) && (m.seq > 0 || !m.LastHeartbeat.IsZero())
 }
 
 // otherLife tells whether a report that looks newer may be of another life of its machine, as far as that was started anew: then
 // the machine itself is to tell.
-func (r *Roster) otherLife(m *Machine, rep *wire.Heartbeat) bool {
-	risen := rep.Incarnation > m.Session
+func (r *Registry) otherLife(m *Machine, rep *wire.Heartbeat) bool {
+	risen := rep.Incarnation > m.Incarnation
 	switch {
-	case rep.FencingToken < m.Token: // a worker keeps the highest token that it has seen
+	case rep.FencingToken < m.FencingToken: // a worker keeps the highest token that it has seen
 		return true
-	case risen && !rep.Newer(m.former.Session, m.former.Seq): // a copy from before looks newer than all of the new life
+	case risen && !rep.Newer(m.previous.Incarnation, m.previous.Seq): // a copy from before looks newer than all of the new life
 		return true
 	}
 	// What is recorded there would count as gone, by a session that may be that of a former life, of which this leader never
 	// knew, unless the machine has proved itself in this term.
-	return risen && len(m.Places) > 0 && rep.FencingToken < r.term && !m.Reach.Proven()
+	return risen && len(m.Allocations) > 0 && rep.FencingToken < r.term && !m.Reachability.Proven()
 }
 
 func startCommand(p *jobs.Allocation) wire.Command {
@@ -522,23 +524,23 @@
 
 // endSession records that a machine's sessions up to last are over: what was
 // started in them is gone.
-func (r *Roster) endSession(m *Machine, last uint64, a *Answer) {
-	m.Dead = max(m.Dead, last)
-	for _, p := range m.Places {
+func (r *Registry) endSession(m *Machine, last uint64, a *HeartbeatResult) {
+	m.EndedIncarnation = max(m.EndedIncarnation, last)
+	for _, p := range m.Allocations {
 		if p.Incarnation <= last {
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, Lost: true})
 		}
 	}
-	clear(m.strays)
+	clear(m.orphans)
 	clear(m.sent)
 }
 
-// Due names the machines whose leases have run out, as far as the answers of
+// ExpiredLeases names the machines whose leases have run out, as far as the answers of
 // leaders go.
-func (r *Roster) Due(now time.Time) []string {
+func (r *Registry) ExpiredLeases(now time.Time) []string {
 	var due []string
 	for _, m := range r.Machines {
-		if !m.LeaseEnd.IsZero() && !now.Before(m.LeaseEnd) && m.Session > m.Dead {
+		if !m.LeaseExpiry.IsZero() && !now.Before(m.LeaseExpiry) && m.Incarnation > m.EndedIncarnation {
 			due = append(due, m.Name)
 		}
 	}
@@ -550,53 +552,53 @@
 	return due
 }
 
-// Expire ends the sessions whose leases had run out by the time when it was
+// EndExpired ends the sessions whose leases had run out by the time when it was
 // asked which machines followers answer in the leader's stead. Those that are
 // kept so are asked about again; one that is not was answered by no follower
 // for a whole lease before.
-func (r *Roster) Expire(asked time.Time, kept map[string]bool) []Outcome {
-	var a Answer
-	for _, name := range r.Due(asked) {
+func (r *Registry) EndExpired(asked time.Time, kept map[string]bool) []Outcome {
+	var a HeartbeatResult
+	for _, name := range r.ExpiredLeases(asked) {
 		if m := r.Machines[name]; !kept[name] {
-			r.endSession(m, m.Session, &a)
+			r.endSession(m, m.Incarnation, &a)
 		}
 	}
 	return a.Outcomes
 }
 
-// Lost records that a machine is gone with all that was on it: its deletion
+// MarkLost records that a machine is gone with all that was on it: its deletion
 // was answered, or the cloud lists it as failed.
-func (r *Roster) Lost(name string, now time.Time) []Outcome {
+func (r *Registry) MarkLost(name string, now time.Time) []Outcome {
 	r.returned[name] = now
 	m := r.Machines[name]
 	if m == nil {
 		return nil
 	}
 	var outs []Outcome
-	for _, p := range m.Places {
-		outs = append(outs, Outcome{Allocation: p, Why: wire.ExitStopped, Lost: true})
+	for _, p := range m.Allocations {
+		outs = append(outs, Outcome{Allocation: p, Reason: wire.ExitStopped, Lost: true})
 	}
 	delete(r.Machines, name)
 	return outs
 }
 
 // Drop forgets a machine that no longer exists and holds nothing.
-func (r *Roster) Drop(name string) { delete(r.Machines, name) }
+func (r *Registry) Drop(name string) { delete(r.Machines, name) }
 
-// Direct makes the request that tells a machine at once what was decided for
+// CommandsFor makes the request that tells a machine at once what was decided for
 // some of its places: starts, or stops where they are wanted. It is nil when
 // the machine cannot be told. Sent must be told how it went.
-func (r *Roster) Direct(name string, places []*jobs.Allocation) (addr string, req *wire.DirectCommands) {
+func (r *Registry) CommandsFor(name string, places []*jobs.Allocation) (addr string, req *wire.DirectCommands) {
 	m := r.Machines[name]
 	if m == nil || m.Address == "" || !m.Alive() || m.Returning {
 		return "", nil
 	}
-	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Session}
+	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Incarnation}
 	for _, p := range places {
 		switch {
-		case p.Removed || !p.Committed || p.Incarnation != m.Session:
+		case p.Removed || !p.Committed || p.Incarnation != m.Incarnation:
 		case p.Stop == nil:
-			m.sent[keyOf(p)]++
+			m.sent[attemptOf(p)]++
 			req.Commands = append(req.Commands, startCommand(p))
 		case p.State != "":
 			req.Commands = append(req.Commands, stopCommand(p))
@@ -608,16 +610,16 @@
 	return m.Address, req
 }
 
-// Sent records that a direct request had a definite answer: it will not be
+// CommandsAnswered records that a direct request had a definite answer: it will not be
 // executed again. Without one its starts stay open for the session's rest.
-func (r *Roster) Sent(name string, req *wire.DirectCommands) {
+func (r *Registry) CommandsAnswered(name string, req *wire.DirectCommands) {
 	m := r.Machines[name]
-	if m == nil || m.Session != req.Incarnation {
+	if m == nil || m.Incarnation != req.Incarnation {
 		return
 	}
 	for _, c := range req.Commands {
 		if id, ok := wire.ParseTaskID(c.Task); ok && c.Op == wire.OpStart {
-			k := Key{Task: id, Attempt: c.Attempt}
+			k := AttemptID{Task: id, Attempt: c.Attempt}
 			if m.sent[k]--; m.sent[k] <= 0 {
 				delete(m.sent, k)
 			}
--- a/internal/scheduler/machines/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -17,8 +17,8 @@
 	lease = 10.0
 )
 
-func yes(Key) bool { return true }
-func no(Key) bool  { return false }
+func yes(AttemptID) bool { return true }
+func no(AttemptID) bool  { return false }
 
 func report(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Address: "10.0.0.9:1", Type: "g8", Zone: "a", Incarnation: session, Seq: seq, FencingToken: token, Tasks: tasks}
@@ -38,14 +38,14 @@
 
 type fixture struct {
 	t *testing.T
-	*Roster
+	*Registry
 }
 
 func newFixture(t *testing.T) *fixture { return &fixture{t, New(term, lease)} }
 
-func (f *fixture) report(rep *wire.Heartbeat, at time.Duration, forget MayForget) Answer {
+func (f *fixture) report(rep *wire.Heartbeat, at time.Duration, forget MayForget) HeartbeatResult {
 	f.t.Helper()
-	a, err := f.Report(rep, false, t0.Add(at), forget)
+	a, err := f.Heartbeat(rep, false, t0.Add(at), forget)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 
 // expire is what the leader does when no follower answers any machine.
 func (f *fixture) expire(at time.Duration) []Outcome {
-	return f.Expire(t0.Add(at), nil)
+	return f.EndExpired(t0.Add(at), nil)
 }
 
 func ops(cmds []wire.Command) string {
@@ -90,7 +90,7 @@
 	f := newFixture(t)
 	f.report(report(2, 5, term), 0, no)
 	for _, r := range []*wire.Heartbeat{report(2, 5, term), report(2, 4, term), report(1, 9, term)} {
-		if _, err := f.Report(r, false, t0, no); !errors.Is(err, ErrStale) {
+		if _, err := f.Heartbeat(r, false, t0, no); !errors.Is(err, ErrStale) {
 			t.Errorf("session %d, seq %d: %v", r.Incarnation, r.Seq, err)
 		}
 	}
@@ -102,7 +102,7 @@
 	p := place(1)
 	f.Add(p, t0)
 	a := f.report(report(2, 2, term), time.Second, no)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != p || a.Outcomes[0].Why != wire.ExitStopped {
+	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != p || a.Outcomes[0].Reason != wire.ExitStopped {
 		t.Fatalf("outcomes %v", a.Outcomes)
 	}
 }
@@ -114,7 +114,7 @@
 	f.Add(place(1), t0)
 	f.report(report(1, 2, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), 5*time.Second, no)
 	// A direct answer renews no lease: it must not put the end off, nor does it prove a task gone.
-	if a, err := f.Report(report(1, 3, term), true, t0.Add(9*time.Second), yes); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
+	if a, err := f.Heartbeat(report(1, 3, term), true, t0.Add(9*time.Second), yes); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
 		t.Fatalf("direct answer: %+v, %v", a, err)
 	}
 	if outs := f.expire(15 * time.Second); len(outs) != 0 {
@@ -127,7 +127,7 @@
 	}
 	f.Remove(outs[0].Allocation, t0)
 	// A report of that session that comes later was kept by the network.
-	if _, err := f.Report(report(1, 4, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), false, t0.Add(end), no); !errors.Is(err, ErrStale) {
+	if _, err := f.Heartbeat(report(1, 4, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), false, t0.Add(end), no); !errors.Is(err, ErrStale) {
 		t.Errorf("a report of a session that is over: %v", err)
 	}
 	if a := f.report(report(2, 5, term), end, no); len(a.Outcomes) != 0 {
@@ -165,7 +165,7 @@
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
 	f.Add(p, t0)
-	addr, req := f.Direct("n-1", []*jobs.Allocation{p})
+	addr, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
 	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
 		t.Fatalf("direct: %s %+v", addr, req)
 	}
@@ -183,7 +183,7 @@
 	if a = f.report(report(1, 4, term, exited), 3*time.Second, yes); len(a.Commands) != 0 {
 		t.Fatalf("forgotten while a start is open: %v", a.Commands)
 	}
-	f.Sent("n-1", req) // now its answer came
+	f.CommandsAnswered("n-1", req) // now its answer came
 	if a = f.report(report(1, 5, term, exited), 4*time.Second, yes); ops(a.Commands) != "forget " {
 		t.Fatalf("commands %v", a.Commands)
 	}
@@ -207,10 +207,10 @@
 func TestStraysAreStoppedAndCounted(t *testing.T) {
 	f := newFixture(t)
 	a := f.report(report(1, 1, term, taskIs("job-9/4", 2, wire.TaskRunning, "")), 0, yes)
-	if ops(a.Commands) != "halt " || *a.Commands[0].GraceS != 0 || !a.Machine.HasStrays() {
-		t.Fatalf("commands %v, strays %v", a.Commands, a.Machine.HasStrays())
+	if ops(a.Commands) != "halt " || *a.Commands[0].GraceS != 0 || !a.Machine.HasOrphans() {
+		t.Fatalf("commands %v, strays %v", a.Commands, a.Machine.HasOrphans())
 	}
-	if a = f.report(report(1, 2, term), time.Second, yes); a.Machine.HasStrays() {
+	if a = f.report(report(1, 2, term), time.Second, yes); a.Machine.HasOrphans() {
 		t.Error("still there after it was gone")
 	}
 }
@@ -235,10 +235,10 @@
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
 	f.Add(p, t0)
-	if outs := f.Lost("n-1", t0); len(outs) != 1 || outs[0].Allocation != p {
+	if outs := f.MarkLost("n-1", t0); len(outs) != 1 || outs[0].Allocation != p {
 		t.Fatalf("outcomes %v", outs)
 	}
-	if _, err := f.Report(report(1, 2, term), false, t0, no); !errors.Is(err, ErrReturned) {
+	if _, err := f.Heartbeat(report(1, 2, term), false, t0, no); !errors.Is(err, ErrReturned) {
 		t.Errorf("a late report of it: %v", err)
 	}
 }
@@ -251,13 +251,13 @@
 	f.Add(place(1), t0)
 	kept := map[string]bool{"n-1": true}
 	// The lease ran out between the question and its answer: nothing is known yet.
-	if outs := f.Expire(t0.Add(9*time.Second), nil); len(outs) != 0 {
+	if outs := f.EndExpired(t0.Add(9*time.Second), nil); len(outs) != 0 {
 		t.Fatalf("gone by an answer that is older than the lease's end: %v", outs)
 	}
-	if outs := f.Expire(t0.Add(20*time.Second), kept); len(outs) != 0 {
+	if outs := f.EndExpired(t0.Add(20*time.Second), kept); len(outs) != 0 {
 		t.Fatalf("gone while it is kept: %v", outs)
 	}
-	if outs := f.Expire(t0.Add(21*time.Second), nil); len(outs) != 1 {
+	if outs := f.EndExpired(t0.Add(21*time.Second), nil); len(outs) != 1 {
 		t.Fatalf("not gone though nobody kept it for a lease: %v", outs)
 	}
 }
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -7,14 +7,14 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Pace is how fast a machine runs its tasks against the same work elsewhere: the evidence, as the logarithm of a
+// RelativeSpeed is how fast a machine runs its tasks against the same work elsewhere: the evidence, as the logarithm of a
 // likelihood ratio, that it is slower by tuning.SlowFactor rather than like the others (Wald's sequential
 // test, begun anew whenever it speaks for the machine). One long task proves nothing: tasks of one job differ.
-type Pace struct{ evidence float64 }
+type RelativeSpeed struct{ evidence float64 }
 
 // Note takes in a completed task that ran for ran seconds, by how long others of its job ran on other machines, and tells
 // whether the machine counts as slow now. With fewer than tuning.SlowPeers others it learns nothing.
-func (p *Pace) Note(ran float64, others []float64) bool {
+func (p *RelativeSpeed) Note(ran float64, others []float64) bool {
 	if len(others) < tuning.SlowPeers || ran <= 0 {
 		return false
 	}
--- a/internal/scheduler/machines/speed_test.go
+++ b/internal/scheduler/machines/speed_test.go
@@ -15,7 +15,7 @@
 	run := func() float64 { return 60 * math.Exp(0.42*r.NormFloat64()) }
 	others := make([]float64, 12)
 	tasks := func(factor float64, most int) int {
-		var p Pace
+		var p RelativeSpeed
 		for n := 1; n <= most; n++ {
 			for i := range others {
 				others[i] = run()
@@ -48,11 +48,11 @@
 }
 
 func TestOneLongTaskProvesNothing(t *testing.T) {
-	var p Pace
+	var p RelativeSpeed
 	if p.Note(1e6, []float64{1, 1, 1, 1, 1, 1}) || p.Note(1, nil) || p.Note(9, []float64{1, 1}) {
 		t.Error("given up after one task, or with nothing to compare it with")
 	}
-	if (&Pace{evidence: tuning.SlowEvidence}).Note(60, []float64{60, 60, 60, 60, 60}) {
+	if (&RelativeSpeed{evidence: tuning.SlowEvidence}).Note(60, []float64{60, 60, 60, 60, 60}) {
 		t.Error("a task of usual length speaks against its machine")
 	}
 }
--- a/internal/scheduler/machines/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -20,7 +20,7 @@
 type world struct {
 	t       *rapid.T
 	now     time.Time
-	r       *Roster
+	r       *Registry
 	term    uint64
 	workers []*simWorker
 	tasks   []*simTask
@@ -92,7 +92,7 @@
 	}
 	for _, k := range w.workers {
 		if !k.dead {
-			w.r.Know(k.rep.Machine, k.rep.Type, k.rep.Zone, k.rep.Spot, w.now, w.now).Listed = k.rep.Address
+			w.r.Register(k.rep.Machine, k.rep.Type, k.rep.Zone, k.rep.Spot, w.now, w.now).Listed = k.rep.Address
 		}
 	}
 }
@@ -137,10 +137,10 @@
 			continue
 		}
 		o.Allocation.Removed = true
-		w.note("settle %v att %d on %s s%d why %s lost %v", o.Allocation.Task(), o.Allocation.Attempt, o.Allocation.Machine, o.Allocation.Incarnation, o.Why, o.Lost)
+		w.note("settle %v att %d on %s s%d why %s lost %v", o.Allocation.Task(), o.Allocation.Attempt, o.Allocation.Machine, o.Allocation.Incarnation, o.Reason, o.Lost)
 		task.place = nil
 		w.r.Remove(o.Allocation, w.now)
-		if o.Why == wire.ExitDone {
+		if o.Reason == wire.ExitDone {
 			if !task.isDone {
 				w.t.Fatalf("%v counts as done, and is not", task.id)
 			}
@@ -149,14 +149,14 @@
 	}
 }
 
-func (w *world) mayForget(k Key) bool {
+func (w *world) mayForget(k AttemptID) bool {
 	task := w.taskOf(k.Task)
 	return task.stored == nil || task.stored.Attempt != k.Attempt
 }
 
 // report has the leader take a report, and gives its answer.
 func (w *world) report(rep *wire.Heartbeat) *wire.HeartbeatReply {
-	a, err := w.r.Report(clone(rep), false, w.now, w.mayForget)
+	a, err := w.r.Heartbeat(clone(rep), false, w.now, w.mayForget)
 	w.note("report %s s%d q%d t%d %v -> %v %v", rep.Machine, rep.Incarnation, rep.Seq, rep.FencingToken, rep.Tasks, a.Commands, err)
 	if err != nil {
 		return nil
@@ -278,20 +278,20 @@
 
 // direct has the leader send commands at once.
 func (w *world) direct(name string, places []*jobs.Allocation) {
-	_, req := w.r.Direct(name, places)
+	_, req := w.r.CommandsFor(name, places)
 	if req == nil {
 		return
 	}
 	k := w.worker(name)
 	if w.now.Before(k.deaf) || k.dead || w.chance(30, "lost") {
 		w.mail = append(w.mail, letter{at: w.now.Add(w.within(5*simLease, "late")), to: k, life: k.life, req: req})
-		w.r.Machines[name].Reach.Failed(w.now, w.now)
-		w.r.Open(name, w.now)
+		w.r.Machines[name].Reachability.Failed(w.now, w.now)
+		w.r.CommandsUnanswered(name, w.now)
 		return
 	}
 	if rep := w.do(k, req); rep != nil {
-		w.r.Sent(name, req)
-		if a, err := w.r.Report(rep, true, w.now, w.mayForget); err == nil {
+		w.r.CommandsAnswered(name, req)
+		if a, err := w.r.Heartbeat(rep, true, w.now, w.mayForget); err == nil {
 			w.settle(a.Outcomes)
 		}
 	}
@@ -303,27 +303,27 @@
 
 // lookAfter is what the leader does in a step: expiries, questions, records and placements.
 func (w *world) lookAfter() {
-	w.settle(w.r.Expire(w.now, nil))
+	w.settle(w.r.EndExpired(w.now, nil))
 	for _, name := range slices.Sorted(maps.Keys(w.r.Machines)) {
 		m, k := w.r.Machines[name], w.worker(name)
-		deaf := m.Reach.Deaf()
-		quiet := m.Session > m.Dead && len(m.Places) > 0 && w.now.Sub(m.Heard) > simLease/2
-		if !(deaf || quiet || m.Doubt || m.Reach.Doubted()) || !m.Reach.Due(w.now) {
+		deaf := m.Reachability.Deaf()
+		quiet := m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && w.now.Sub(m.LastHeartbeat) > simLease/2
+		if !(deaf || quiet || m.SuspectCopy || m.Reachability.Doubted()) || !m.Reachability.Due(w.now) {
 			continue
 		}
 		for range 2 {
-			_, req, mark, ok := w.r.Question(m, w.now)
+			_, req, mark, ok := w.r.Probe(m, w.now)
 			if !ok {
 				break
 			}
-			m.Reach.Ask(w.now)
-			m.Reach.Asked()
+			m.Reachability.Ask(w.now)
+			m.Reachability.Asked()
 			var rep *wire.Heartbeat
 			if !w.now.Before(k.deaf) {
 				rep = w.do(k, req)
 			}
 			if rep == nil {
-				m.Reach.Failed(w.now, w.now)
+				m.Reachability.Failed(w.now, w.now)
 				break
 			}
 			life := w.r.Restarted(m, mark, rep)
@@ -334,12 +334,12 @@
 			case GiveUp:
 				k.life++
 				k.dead, k.rep.Tasks = true, nil
-				w.settle(w.r.Lost(name, w.now))
+				w.settle(w.r.MarkLost(name, w.now))
 			case AskLater:
-				m.Doubt = true
+				m.SuspectCopy = true
 			case SameLife:
-				m.Doubt = false
-				if a, err := w.r.Report(rep, true, w.now, w.mayForget); err == nil {
+				m.SuspectCopy = false
+				if a, err := w.r.Heartbeat(rep, true, w.now, w.mayForget); err == nil {
 					w.settle(a.Outcomes)
 				}
 			}
@@ -361,7 +361,7 @@
 		}
 		var open []string
 		for _, name := range slices.Sorted(maps.Keys(w.r.Machines)) {
-			if m := w.r.Machines[name]; m.Alive() && m.Usable(w.term, w.now) && !m.HasStrays() {
+			if m := w.r.Machines[name]; m.Alive() && m.Usable(w.term, w.now) && !m.HasOrphans() {
 				open = append(open, name)
 			}
 		}
@@ -370,7 +370,7 @@
 		}
 		m := w.r.Machines[rapid.SampledFrom(open).Draw(w.t, "machine")]
 		task.attempt++
-		task.place = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Session, Committed: true}
+		task.place = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Incarnation, Committed: true}
 		task.stored = task.place
 		w.r.Add(task.place, w.now)
 		w.direct(m.Name, []*jobs.Allocation{task.place})
@@ -384,7 +384,7 @@
 		s += fmt.Sprintf("%s dead %v, session %d, seq %d, tasks %v; ", k.rep.Machine, k.dead, k.rep.Incarnation, k.rep.Seq, k.rep.Tasks)
 		if m := w.r.Machines[k.rep.Machine]; m != nil {
 			s += fmt.Sprintf("known: session %d, seq %d, dead %d, token %d of %d, strays %v, alive %v, usable %v, doubt %v\n",
-				m.Session, m.seq, m.Dead, m.Token, w.term, m.strays, m.Alive(), m.Usable(w.term, w.now), m.Doubt)
+				m.Incarnation, m.seq, m.EndedIncarnation, m.FencingToken, w.term, m.orphans, m.Alive(), m.Usable(w.term, w.now), m.SuspectCopy)
 		}
 	}
 	return s
@@ -419,7 +419,7 @@
 		}
 		for _, k := range w.workers {
 			m := w.r.Machines[k.rep.Machine]
-			if !k.dead && !w.r.Was(k.rep.Machine) && (m == nil || !m.Alive() || !m.Usable(w.term, w.now)) {
+			if !k.dead && !w.r.WasReturned(k.rep.Machine) && (m == nil || !m.Alive() || !m.Usable(w.term, w.now)) {
 				t.Fatalf("%s lives and is given no work: %+v", k.rep.Machine, m)
 			}
 		}
