--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -118,7 +118,7 @@
 		}
 		c.all++
 		// One that a new leader has not heard yet may only be on its way to it.
-		if m.Reachability.Deaf() || l.silent(m, now) && now.Sub(l.begun) > l.silence() {
+		if m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.begun) > l.silence() {
 			c.silent++
 		}
 	}
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -242,7 +242,7 @@
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
 		Total: placement.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
-		FetchS: fetchTime(m, t), Unproven: !m.Reachability.Proven(),
+		FetchS: fetchTime(m, t), Unproven: !m.Reachability.EverAcknowledged(),
 	}
 }
 
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -80,8 +80,8 @@
 			if now.Sub(m.LeaseExpiry) > release {
 				why = "silent"
 			}
-		case m.Reachability.Deaf():
-			if now.Sub(m.Reachability.DeafSince()) > release {
+		case m.Reachability.Unreachable():
+			if now.Sub(m.Reachability.UnreachableSince()) > release {
 				why = "deaf"
 			}
 		case m.HasOrphans():
@@ -115,7 +115,7 @@
 func (l *Loop) silentRelease() time.Duration {
 	silent := 0
 	for _, m := range l.roster.Machines {
-		if m.Reachability.Deaf() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
+		if m.Reachability.Unreachable() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
 			silent++
 		}
 	}
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -65,7 +65,7 @@
 	l.post(func() {
 		if m := l.roster.Machines[name]; m != nil && m.Unanswered.Before(begun) {
 			m.Unanswered = begun
-			m.Reachability.Failed(begun, l.env.Clock.Now())
+			m.Reachability.NoteFailed(begun, l.env.Clock.Now())
 		}
 		l.ways.unheard(name)
 	})
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -32,7 +32,7 @@
 }
 
 func newWays() ways {
-	return ways{limit: rate.NewLimiter(tuning.AskRateLeast, tuning.AskLeast), unmet: map[string]bool{}}
+	return ways{limit: rate.NewLimiter(tuning.ProbeRateLeast, tuning.ProbeLeast), unmet: map[string]bool{}}
 }
 
 func (w *ways) heard(now time.Time) {
@@ -57,7 +57,7 @@
 
 // outOfReach tells whether no command is likely to get to a machine now.
 func (l *Loop) outOfReach(m *machines.Machine, now time.Time) bool {
-	return l.silent(m, now) || m.Reachability.Deaf()
+	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
 // askAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
@@ -68,12 +68,12 @@
 
 // doubts tells whether there is reason to ask a machine, the more pressing the lower.
 func (l *Loop) doubts(m *machines.Machine, now time.Time) (rank int, ok bool) {
-	deaf, heard := m.Reachability.Deaf(), m.LastHeartbeat
+	deaf, heard := m.Reachability.Unreachable(), m.LastHeartbeat
 	if heard.Before(l.begun) {
 		heard = l.begun
 	}
 	switch {
-	case m.Reachability.Doubted() && !deaf:
+	case m.Reachability.Suspect() && !deaf:
 		return 0, true
 	case m.SuspectCopy:
 		return 1, true
@@ -91,10 +91,10 @@
 		return
 	}
 	l.ways.next = now.Add(tuning.SliceTick)
-	most := max(tuning.AskLeast, int(tuning.AskShare*float64(cap(l.env.Sending))))
-	perS := max(tuning.AskRateLeast, tuning.AskRate*float64(len(l.roster.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
+	most := max(tuning.ProbeLeast, int(tuning.ProbeShare*float64(cap(l.env.Sending))))
+	perS := max(tuning.ProbeRateLeast, tuning.ProbeRate*float64(len(l.roster.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
 	l.ways.limit.SetLimitAt(now, rate.Limit(perS))
-	l.ways.limit.SetBurstAt(now, max(tuning.AskLeast, int(perS*tuning.SliceTick.Seconds())+1))
+	l.ways.limit.SetBurstAt(now, max(tuning.ProbeLeast, int(perS*tuning.SliceTick.Seconds())+1))
 	type doubt struct {
 		m    *machines.Machine
 		rank int
@@ -102,13 +102,13 @@
 	var doubts []doubt
 	deaf, unproven := 0, 0
 	for _, m := range l.roster.Machines {
-		if m.Reachability.Deaf() {
+		if m.Reachability.Unreachable() {
 			deaf++
 		}
-		if m.Alive() && !m.Reachability.Proven() {
+		if m.Alive() && !m.Reachability.EverAcknowledged() {
 			unproven++
 		}
-		if rank, ok := l.doubts(m, now); ok && m.Reachability.Due(now) {
+		if rank, ok := l.doubts(m, now); ok && m.Reachability.ProbeDue(now) {
 			doubts = append(doubts, doubt{m, rank})
 		}
 	}
@@ -129,7 +129,7 @@
 	if !ok {
 		return
 	}
-	m.Reachability.Ask(now)
+	m.Reachability.ProbeSent(now)
 	l.ways.onWay++
 	name := m.Name
 	go func() {
@@ -147,12 +147,12 @@
 	if m == nil {
 		return
 	}
-	m.Reachability.Asked()
+	m.Reachability.ProbeEnded()
 	if err != nil {
-		was := m.Reachability.Deaf()
-		m.Reachability.Failed(mark.Sent, now)
+		was := m.Reachability.Unreachable()
+		m.Reachability.NoteFailed(mark.Sent, now)
 		l.ways.unheard(name)
-		if m.Reachability.Deaf() && !was {
+		if m.Reachability.Unreachable() && !was {
 			l.log.Info("machine reports, but does not hear us", "machine", name, "zone", m.Zone, "tasks", len(m.Allocations))
 		}
 		return
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -121,12 +121,12 @@
 		t.Errorf("gone %v, tries %d", p.Removed, p.Job.Tries)
 	}
 	hears = true
-	pass(tuning.AskPauseMax)
+	pass(tuning.ProbePauseMax)
 	l.asks()
 	if l.opens("n-9") {
 		t.Error("given work at once")
 	}
-	pass(tuning.DeafPause)
+	pass(tuning.UnreachablePause)
 	rep.Seq++
 	l.takes(t, rep)
 	if !l.opens("n-9") {
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -98,6 +98,6 @@
 	m.Incarnation, m.seq, m.FencingToken, m.EndedIncarnation, m.life = rep.Incarnation, rep.Seq, rep.FencingToken, rep.Incarnation-1, 0
 	m.SuspectCopy, m.told, m.InterruptionAt = false, told{}, time.Time{}
 	m.LeaseExpiry = now.Add(r.lease) // nobody of ours had answered this life before
-	m.Reachability.Proved(now)
+	m.Reachability.Acknowledged(now)
 	return a.Outcomes
 }
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -124,12 +124,12 @@
 
 // Alive tells whether the machine's present session can run tasks.
 func (m *Machine) Alive() bool {
-	return (!m.LastHeartbeat.IsZero() || m.Reachability.Proven()) && m.Incarnation > m.EndedIncarnation
+	return (!m.LastHeartbeat.IsZero() || m.Reachability.EverAcknowledged()) && m.Incarnation > m.EndedIncarnation
 }
 
 // LastSeen is when the machine last reported or answered us.
 func (m *Machine) LastSeen() time.Time {
-	if at := m.Reachability.ProvenAt(); at.After(m.LastHeartbeat) {
+	if at := m.Reachability.AcknowledgedAt(); at.After(m.LastHeartbeat) {
 		return at
 	}
 	return m.LastHeartbeat
@@ -356,7 +356,7 @@
 	if risen {
 		// Its lease ran out though its reports were answered: the answers did not arrive.
 		if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
-			m.Reachability.Missed(now)
+			m.Reachability.NoteMissed(now)
 		}
 		m.Incarnation, m.told = rep.Incarnation, told{}
 		// Its lease counts from its begin, which may be this moment. When a direct answer told of it, the end of the
@@ -365,8 +365,8 @@
 		r.endSession(m, rep.Incarnation-1, &a)
 	}
 	unseen := rep.FencingToken < r.term
-	if direct || !unseen && !m.Reachability.Proven() {
-		m.Reachability.Proved(now)
+	if direct || !unseen && !m.Reachability.EverAcknowledged() {
+		m.Reachability.Acknowledged(now)
 		m.SuspectCopy, m.life = m.SuspectCopy && !direct, 0
 	}
 	m.seq, m.FencingToken = rep.Seq, rep.FencingToken
@@ -378,16 +378,16 @@
 	m.MissedListings = 0
 	// The first report that a new leader sees may be a copy, whose notice is as old as it is: it counts until the
 	// machine has proved itself, and clears none.
-	if m.Reachability.Proven() && m.suspectNotice {
+	if m.Reachability.EverAcknowledged() && m.suspectNotice {
 		m.InterruptionAt, m.suspectNotice = time.Time{}, false
 	}
 	switch {
-	case !m.Reachability.Proven() && rep.NoticeS == nil:
+	case !m.Reachability.EverAcknowledged() && rep.NoticeS == nil:
 	case rep.NoticeS == nil:
 		m.InterruptionAt = time.Time{}
 	case m.InterruptionAt.IsZero():
 		m.InterruptionAt = now.Add(time.Duration(max(0, *rep.NoticeS) * float64(time.Second)))
-		m.suspectNotice = !m.Reachability.Proven()
+		m.suspectNotice = !m.Reachability.EverAcknowledged()
 		a.Changed = true
 	}
 	if !direct {
@@ -481,9 +481,9 @@
 	if !direct {
 		switch seen, missed := m.told.effect(rep, listed, r.term); {
 		case seen:
-			m.Reachability.Proved(now)
+			m.Reachability.Acknowledged(now)
 		case missed:
-			m.Reachability.Missed(now)
+			m.Reachability.NoteMissed(now)
 		}
 		a.Commands = append(append(append(make([]wire.Command, 0, len(stops)+len(forgets)+len(starts)), stops...), forgets...), starts...)
 		m.told = told{unseen, a.Commands}
@@ -510,7 +510,7 @@
 	}
 	// What is recorded there would count as gone, by a session that may be that of a former life, of which this leader never
 	// knew, unless the machine has proved itself in this term.
-	return risen && len(m.Allocations) > 0 && rep.FencingToken < r.term && !m.Reachability.Proven()
+	return risen && len(m.Allocations) > 0 && rep.FencingToken < r.term && !m.Reachability.EverAcknowledged()
 }
 
 func startCommand(p *jobs.Allocation) wire.Command {
--- a/internal/scheduler/machines/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -285,7 +285,7 @@
 	k := w.worker(name)
 	if w.now.Before(k.deaf) || k.dead || w.chance(30, "lost") {
 		w.mail = append(w.mail, letter{at: w.now.Add(w.within(5*simLease, "late")), to: k, life: k.life, req: req})
-		w.r.Machines[name].Reachability.Failed(w.now, w.now)
+		w.r.Machines[name].Reachability.NoteFailed(w.now, w.now)
 		w.r.CommandsUnanswered(name, w.now)
 		return
 	}
@@ -306,9 +306,9 @@
 	w.settle(w.r.EndExpired(w.now, nil))
 	for _, name := range slices.Sorted(maps.Keys(w.r.Machines)) {
 		m, k := w.r.Machines[name], w.worker(name)
-		deaf := m.Reachability.Deaf()
+		deaf := m.Reachability.Unreachable()
 		quiet := m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && w.now.Sub(m.LastHeartbeat) > simLease/2
-		if !(deaf || quiet || m.SuspectCopy || m.Reachability.Doubted()) || !m.Reachability.Due(w.now) {
+		if !(deaf || quiet || m.SuspectCopy || m.Reachability.Suspect()) || !m.Reachability.ProbeDue(w.now) {
 			continue
 		}
 		for range 2 {
@@ -316,14 +316,14 @@
 			if !ok {
 				break
 			}
-			m.Reachability.Ask(w.now)
-			m.Reachability.Asked()
+			m.Reachability.ProbeSent(w.now)
+			m.Reachability.ProbeEnded()
 			var rep *wire.Heartbeat
 			if !w.now.Before(k.deaf) {
 				rep = w.do(k, req)
 			}
 			if rep == nil {
-				m.Reachability.Failed(w.now, w.now)
+				m.Reachability.NoteFailed(w.now, w.now)
 				break
 			}
 			life := w.r.Restarted(m, mark, rep)
@@ -414,7 +414,7 @@
 			k.hangs, k.deaf, k.silent = time.Time{}, time.Time{}, time.Time{}
 		}
 		// What the network keeps comes within five leases; a machine that was deaf again and again waits for longest.
-		for end := w.now.Add(5*simLease + tuning.DeafPauseMax + tuning.AskPauseMax); w.now.Before(end); {
+		for end := w.now.Add(5*simLease + tuning.UnreachablePauseMax + tuning.ProbePauseMax); w.now.Before(end); {
 			w.step()
 		}
 		for _, k := range w.workers {
--- a/internal/scheduler/reachability/reach.go
+++ b/internal/scheduler/reachability/reach.go
@@ -25,31 +25,31 @@
 	asking bool
 }
 
-// Proved takes in that the machine heard us: it answered a question, or reports the effect of an answer. One that was deaf
+// Acknowledged takes in that the machine heard us: it answered a question, or reports the effect of an answer. One that was deaf
 // is given work again after a pause, which doubles each time.
-func (s *State) Proved(now time.Time) {
+func (s *State) Acknowledged(now time.Time) {
 	if !s.deaf.IsZero() {
-		s.until = now.Add(min(tuning.DeafPause<<min(s.times-1, 16), tuning.DeafPauseMax))
+		s.until = now.Add(min(tuning.UnreachablePause<<min(s.times-1, 16), tuning.UnreachablePauseMax))
 	}
 	s.proven = now
 	s.missed, s.failed, s.deaf = time.Time{}, time.Time{}, time.Time{}
 	s.pause = 0
-	if soon := now.Add(tuning.AskPause); s.next.After(soon) {
+	if soon := now.Add(tuning.ProbePause); s.next.After(soon) {
 		s.next = soon
 	}
 }
 
-// Missed takes in a report that shows no effect of the answer to the one before: that answer did not arrive, or came too
+// NoteMissed takes in a report that shows no effect of the answer to the one before: that answer did not arrive, or came too
 // late. By itself this proves nothing of the way; it has the machine asked.
-func (s *State) Missed(now time.Time) {
+func (s *State) NoteMissed(now time.Time) {
 	if s.missed.IsZero() {
 		s.missed = now
 	}
 	s.judge(now)
 }
 
-// Failed takes in that a question or command, sent at a time, had no answer.
-func (s *State) Failed(sent, now time.Time) {
+// NoteFailed takes in that a question or command, sent at a time, had no answer.
+func (s *State) NoteFailed(sent, now time.Time) {
 	if sent.Before(s.proven) {
 		return // it proved to hear us since
 	}
@@ -65,42 +65,42 @@
 	if !s.deaf.IsZero() || s.missed.IsZero() || s.failed.IsZero() {
 		return
 	}
-	if now.Sub(s.until) > tuning.DeafForget {
+	if now.Sub(s.until) > tuning.UnreachableForget {
 		s.times = 0
 	}
 	s.deaf, s.times = now, s.times+1
 }
 
-// Deaf tells whether the machine reports but does not hear us.
-func (s *State) Deaf() bool { return !s.deaf.IsZero() }
+// Unreachable tells whether the machine reports but does not hear us.
+func (s *State) Unreachable() bool { return !s.deaf.IsZero() }
 
-// DeafSince is since when it does not; zero: it does.
-func (s *State) DeafSince() time.Time { return s.deaf }
+// UnreachableSince is since when it does not; zero: it does.
+func (s *State) UnreachableSince() time.Time { return s.deaf }
 
-// Proven tells whether the machine ever proved in this term to be there and to hear us.
-func (s *State) Proven() bool { return !s.proven.IsZero() }
+// EverAcknowledged tells whether the machine ever proved in this term to be there and to hear us.
+func (s *State) EverAcknowledged() bool { return !s.proven.IsZero() }
 
-// ProvenAt is when it last did.
-func (s *State) ProvenAt() time.Time { return s.proven }
+// AcknowledgedAt is when it last did.
+func (s *State) AcknowledgedAt() time.Time { return s.proven }
 
 // Usable tells whether the machine may be given work now, as far as the way to it goes: it proved to hear us, or is
 // trusted until there is reason to doubt it.
 func (s *State) Usable(now time.Time, trusted bool) bool {
-	return (trusted || s.Proven()) && s.deaf.IsZero() && !now.Before(s.until)
+	return (trusted || s.EverAcknowledged()) && s.deaf.IsZero() && !now.Before(s.until)
 }
 
-// Doubted tells whether an answer of ours has had no effect so far, so that the machine is to be asked.
-func (s *State) Doubted() bool { return !s.missed.IsZero() }
+// Suspect tells whether an answer of ours has had no effect so far, so that the machine is to be asked.
+func (s *State) Suspect() bool { return !s.missed.IsZero() }
 
-// Due tells whether the machine may be asked now, if there is reason to.
-func (s *State) Due(now time.Time) bool { return !s.asking && !now.Before(s.next) }
+// ProbeDue tells whether the machine may be asked now, if there is reason to.
+func (s *State) ProbeDue(now time.Time) bool { return !s.asking && !now.Before(s.next) }
 
-// Ask takes in that a question is on its way. The next comes after a pause that doubles until one is answered.
-func (s *State) Ask(now time.Time) {
+// ProbeSent takes in that a question is on its way. The next comes after a pause that doubles until one is answered.
+func (s *State) ProbeSent(now time.Time) {
 	s.asking = true
-	s.pause = min(max(tuning.AskPause, 2*s.pause), tuning.AskPauseMax)
+	s.pause = min(max(tuning.ProbePause, 2*s.pause), tuning.ProbePauseMax)
 	s.next = now.Add(s.pause)
 }
 
-// Asked takes in that the question came to its end, answered or not.
-func (s *State) Asked() { s.asking = false }
+// ProbeEnded takes in that the question came to its end, answered or not.
+func (s *State) ProbeEnded() { s.asking = false }
--- a/internal/scheduler/reachability/reach_test.go
+++ b/internal/scheduler/reachability/reach_test.go
@@ -19,18 +19,18 @@
 		does func(s *State)
 		deaf bool
 	}{
-		{"a slow answer", func(s *State) { s.Missed(at(5)); s.Missed(at(10)) }, false},
-		{"a lost question", func(s *State) { s.Failed(at(5), at(7)) }, false},
-		{"no effect, and no answer", func(s *State) { s.Missed(at(5)); s.Failed(at(5), at(7)) }, true},
-		{"no answer, then no effect", func(s *State) { s.Failed(at(5), at(7)); s.Missed(at(10)) }, true},
-		{"an answer in between", func(s *State) { s.Missed(at(5)); s.Proved(at(6)); s.Failed(at(7), at(9)) }, false},
-		{"a question that was sent before the proof", func(s *State) { s.Proved(at(6)); s.Missed(at(8)); s.Failed(at(5), at(9)) }, false},
-		{"proved since", func(s *State) { s.Missed(at(5)); s.Failed(at(5), at(7)); s.Proved(at(9)) }, false},
+		{"a slow answer", func(s *State) { s.NoteMissed(at(5)); s.NoteMissed(at(10)) }, false},
+		{"a lost question", func(s *State) { s.NoteFailed(at(5), at(7)) }, false},
+		{"no effect, and no answer", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)) }, true},
+		{"no answer, then no effect", func(s *State) { s.NoteFailed(at(5), at(7)); s.NoteMissed(at(10)) }, true},
+		{"an answer in between", func(s *State) { s.NoteMissed(at(5)); s.Acknowledged(at(6)); s.NoteFailed(at(7), at(9)) }, false},
+		{"a question that was sent before the proof", func(s *State) { s.Acknowledged(at(6)); s.NoteMissed(at(8)); s.NoteFailed(at(5), at(9)) }, false},
+		{"proved since", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)); s.Acknowledged(at(9)) }, false},
 	} {
 		s := &State{}
-		s.Proved(t0)
+		s.Acknowledged(t0)
 		c.does(s)
-		if deaf := s.Deaf(); deaf != c.deaf {
+		if deaf := s.Unreachable(); deaf != c.deaf {
 			t.Errorf("%s: deaf %v", c.name, deaf)
 		}
 	}
@@ -49,33 +49,33 @@
 			wasDeaf, times := !s.deaf.IsZero(), s.times
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				s.Missed(now)
+				s.NoteMissed(now)
 			case 1:
-				s.Failed(now.Add(-time.Second), now)
+				s.NoteFailed(now.Add(-time.Second), now)
 			case 2:
-				s.Proved(now)
-				if pause := s.until.Sub(now); wasDeaf && times > 1 && pause < min(2*tuning.DeafPause, tuning.DeafPauseMax) {
+				s.Acknowledged(now)
+				if pause := s.until.Sub(now); wasDeaf && times > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
 					t.Fatalf("work %v after it was deaf %d times", pause, times)
 				}
 			case 3:
-				if s.Due(now) {
-					if !asked.IsZero() && now.Sub(asked) < tuning.AskPause {
+				if s.ProbeDue(now) {
+					if !asked.IsZero() && now.Sub(asked) < tuning.ProbePause {
 						t.Fatalf("asked %v after the last question", now.Sub(asked))
 					}
-					s.Ask(now)
-					if s.Due(now) {
+					s.ProbeSent(now)
+					if s.ProbeDue(now) {
 						t.Fatal("two questions at a time")
 					}
-					s.Asked()
+					s.ProbeEnded()
 					asked = now
 				}
 			}
-			if s.Deaf() && s.Usable(now, true) {
+			if s.Unreachable() && s.Usable(now, true) {
 				t.Fatal("a deaf machine is given work")
 			}
 		}
-		s.Proved(now)
-		if !s.Usable(now.Add(tuning.DeafPauseMax), false) {
+		s.Acknowledged(now)
+		if !s.Usable(now.Add(tuning.UnreachablePauseMax), false) {
 			t.Fatal("shut out for longer than the longest pause")
 		}
 	})
@@ -87,10 +87,10 @@
 	s, now := &State{}, t0
 	for range 12 {
 		now = now.Add(20 * time.Second)
-		s.Missed(now)
-		s.Failed(now, now.Add(time.Second))
+		s.NoteMissed(now)
+		s.NoteFailed(now, now.Add(time.Second))
 		now = now.Add(20 * time.Second)
-		s.Proved(now)
+		s.Acknowledged(now)
 	}
 	if most := 75 * time.Second; !s.Usable(now.Add(most), true) {
 		t.Errorf("%v after it heard us it is given no work", most)
