--- a/internal/scheduler/autoscale/fleet.go
+++ b/internal/scheduler/autoscale/fleet.go
@@ -17,8 +17,8 @@
 	Spot       bool
 }
 
-// Want is a wish for machines.
-type Want struct {
+// Purchase is a wish for machines.
+type Purchase struct {
 	Option
 	Count int
 }
@@ -27,8 +27,8 @@
 // from it comes on top.
 type Input struct {
 	Now     time.Time
-	Items   []*placement.Item    // with the tasks that found no room
-	Booting []*placement.Machine // machines that will be there soon
+	Items   []*placement.PendingJob // with the tasks that found no room
+	Booting []*placement.Machine    // machines that will be there soon
 	Teams   map[string]*placement.Team
 	Types   []wire.MachineType
 	Refused func(Option) bool // not to be asked for now
@@ -44,19 +44,19 @@
 // asked for now: an item whose next machine would be one more of what is asked for already, or
 // fills a request, waits for the next plan. Planned to its end, a backlog that wanted a thousand
 // machines took 92 ms for the first fifty of them.
-func Plan(in *Input) []Want {
+func Plan(in *Input) []Purchase {
 	placement.Pass(in.Now, in.Items, in.Booting, in.Teams)
 	wants := map[Option]int{}
 	var order []Option
 	for _, it := range in.Items {
 		// Each round rents one machine for the item and fills it with it and
 		// with those behind it.
-		for in.Room > 0 && placement.Left(it, in.Teams) > 0 {
+		for in.Room > 0 && placement.WithinLimit(it, in.Teams) > 0 {
 			o, t, ok := cheapest(in, it)
 			if !ok || in.Busy != nil && in.Busy(o) || in.Most > 0 && wants[o] >= in.Most {
 				break
 			}
-			total := placement.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+			total := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 			m := &placement.Machine{Name: "", Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: total, Free: total}
 			if len(placement.Sorted(in.Now, in.Items, []*placement.Machine{m}, in.Teams)) == 0 {
 				break
@@ -69,17 +69,17 @@
 			in.Room--
 		}
 	}
-	out := make([]Want, 0, len(order))
+	out := make([]Purchase, 0, len(order))
 	for _, o := range order {
-		out = append(out, Want{o, wants[o]})
+		out = append(out, Purchase{o, wants[o]})
 	}
 	return out
 }
 
 // cheapest finds the option with the least price for each task that it would
 // hold; among equals the zone with the fewest machines.
-func cheapest(in *Input, it *placement.Item) (best Option, typ wire.MachineType, found bool) {
-	left := float64(placement.Left(it, in.Teams))
+func cheapest(in *Input, it *placement.PendingJob) (best Option, typ wire.MachineType, found bool) {
+	left := float64(placement.WithinLimit(it, in.Teams))
 	need := it.Need()
 	var bestCost float64
 	var bestCount int
@@ -91,7 +91,7 @@
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				o := Option{t.Name, zone, spot}
-				if !it.Allowed(t.Name, zone, spot) || in.Refused(o) || (in.Thrifty || it.Thrifty) && it.Job.Spot && !spot {
+				if !it.Allowed(t.Name, zone, spot) || in.Refused(o) || (in.Thrifty || it.AwaitSpot) && it.Job.Spot && !spot {
 					continue
 				}
 				price := t.Price
@@ -123,7 +123,7 @@
 }
 
 // perMachine is how many tasks of a size a machine of a type holds.
-func perMachine(t wire.MachineType, need placement.Room) float64 {
+func perMachine(t wire.MachineType, need placement.Resources) float64 {
 	per := float64(wire.MaxTasks)
 	for _, r := range [][2]float64{{t.CPUs, need.CPUs}, {t.GPUs, need.GPUs}, {t.MemoryGB, need.MemoryGB}} {
 		if r[1] > 0 {
@@ -135,7 +135,7 @@
 
 // Fits tells whether a task of the job fits some type that the job allows.
 func Fits(j *wire.Job, types []wire.MachineType) bool {
-	need := placement.Room{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
+	need := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	return slices.ContainsFunc(types, func(t wire.MachineType) bool {
 		return (j.Types == nil || slices.Contains(j.Types, t.Name)) &&
 			(j.Zone == "" || slices.Contains(t.Zones, j.Zone)) && perMachine(t, need) >= 1
--- a/internal/scheduler/autoscale/fleet_test.go
+++ b/internal/scheduler/autoscale/fleet_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func input(items ...*placement.Item) Input {
+func input(items ...*placement.PendingJob) Input {
 	return Input{
 		Now: now, Items: items, Teams: map[string]*placement.Team{"t": {CPUsMax: 100}}, Room: 100, Count: map[Option]int{},
 		Refused: func(Option) bool { return false },
@@ -22,28 +22,28 @@
 	}
 }
 
-func item(tasks int, cpus float64, spot, spread bool) *placement.Item {
-	return &placement.Item{
-		Job:   &wire.Job{ID: "job-1", Team: "t", Priority: wire.PriorityNormal, Tasks: tasks, CPUs: cpus, Spot: spot, Spread: spread},
-		Since: now, Waiting: tasks, Zones: map[string]int{},
+func item(tasks int, cpus float64, spot, spread bool) *placement.PendingJob {
+	return &placement.PendingJob{
+		Job:          &wire.Job{ID: "job-1", Team: "t", Priority: wire.PriorityNormal, Tasks: tasks, CPUs: cpus, Spot: spot, Spread: spread},
+		WaitingSince: now, Waiting: tasks, Zones: map[string]int{},
 	}
 }
 
 func TestPlan(t *testing.T) {
-	small := func(zone string, spot bool, n int) Want { return Want{Option{"small", zone, spot}, n} }
+	small := func(zone string, spot bool, n int) Purchase { return Purchase{Option{"small", zone, spot}, n} }
 	refuse := func(in Input, o Option) Input {
 		in.Refused = func(x Option) bool { return x == o }
 		return in
 	}
 	booting := input(item(1, 4, true, false))
-	booting.Booting = []*placement.Machine{{Name: "n-1", Type: "small", Zone: "a", Spot: true, Free: placement.Room{CPUs: 4, MemoryGB: 16}}}
+	booting.Booting = []*placement.Machine{{Name: "n-1", Type: "small", Zone: "a", Spot: true, Free: placement.Resources{CPUs: 4, MemoryGB: 16}}}
 	full := input(item(1, 4, true, false))
 	full.Room = 0
 	limited := input(item(9, 4, true, false))
 	limited.Teams["t"].CPUsMax = 8
 	noSpot := func(thrifty bool) Input {
 		it := item(1, 4, true, false)
-		it.Thrifty = thrifty
+		it.AwaitSpot = thrifty
 		in := input(it)
 		in.Refused = func(o Option) bool { return o.Spot }
 		return in
@@ -51,18 +51,18 @@
 	for _, c := range []struct {
 		name string
 		in   Input
-		want []Want
+		want []Purchase
 	}{
-		{"an ordinary machine when spot is refused", noSpot(false), []Want{small("a", false, 1)}},
-		{"but not while thrift is asked for", noSpot(true), []Want{}},
-		{"the cheapest kind", input(item(1, 4, true, false)), []Want{small("a", true, 1)}},
-		{"no spot without leave", input(item(1, 4, false, false)), []Want{small("a", false, 1)}},
-		{"a large task takes the type that fits", input(item(1, 32, true, false)), []Want{{Option{"big", "a", true}, 1}}},
-		{"another zone when refused", refuse(input(item(1, 4, true, false)), Option{"small", "a", true}), []Want{small("b", true, 1)}},
-		{"spread over the zones", input(item(2, 4, false, true)), []Want{small("a", false, 1), small("b", false, 1)}},
-		{"booting machines are counted", booting, []Want{}},
-		{"never more than may be rented", full, []Want{}},
-		{"never more than the team's limit allows", limited, []Want{small("a", true, 1), small("b", true, 1)}},
+		{"an ordinary machine when spot is refused", noSpot(false), []Purchase{small("a", false, 1)}},
+		{"but not while thrift is asked for", noSpot(true), []Purchase{}},
+		{"the cheapest kind", input(item(1, 4, true, false)), []Purchase{small("a", true, 1)}},
+		{"no spot without leave", input(item(1, 4, false, false)), []Purchase{small("a", false, 1)}},
+		{"a large task takes the type that fits", input(item(1, 32, true, false)), []Purchase{{Option{"big", "a", true}, 1}}},
+		{"another zone when refused", refuse(input(item(1, 4, true, false)), Option{"small", "a", true}), []Purchase{small("b", true, 1)}},
+		{"spread over the zones", input(item(2, 4, false, true)), []Purchase{small("a", false, 1), small("b", false, 1)}},
+		{"booting machines are counted", booting, []Purchase{}},
+		{"never more than may be rented", full, []Purchase{}},
+		{"never more than the team's limit allows", limited, []Purchase{small("a", true, 1), small("b", true, 1)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Plan(&c.in); !reflect.DeepEqual(got, c.want) {
--- a/internal/scheduler/autoscale/headroom.go
+++ b/internal/scheduler/autoscale/headroom.go
@@ -21,7 +21,7 @@
 // recent ones are any guide, before a machine rented now would be up. Each
 // class is expected to go on as it did, in rate and in shape; promptness says
 // for which classes room is kept, and how much of what is expected.
-func Expected(now time.Time, recent []Arrival, horizon time.Duration, promptness func(class string) float64) []*placement.Item {
+func Expected(now time.Time, recent []Arrival, horizon time.Duration, promptness func(class string) float64) []*placement.PendingJob {
 	byClass := map[string][]Arrival{}
 	var first time.Time
 	for _, a := range recent {
@@ -36,7 +36,7 @@
 	// A service that has just begun has seen less than a window; the jobs that
 	// waited for its begin say little of those to come.
 	seen := min(max(now.Sub(first), tuning.ArrivalLeast), tuning.ArrivalWindow)
-	var items []*placement.Item
+	var items []*placement.PendingJob
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		of := byClass[class]
 		expect := float64(len(of)) * horizon.Seconds() / seen.Seconds() * promptness(class)
@@ -48,14 +48,14 @@
 		}
 		n := min(int(math.Ceil(expect)), len(of))
 		for _, a := range of[len(of)-n:] {
-			items = append(items, &placement.Item{Job: a.Job, Since: now, Waiting: a.Job.Tasks, Zones: map[string]int{}})
+			items = append(items, &placement.PendingJob{Job: a.Job, WaitingSince: now, Waiting: a.Job.Tasks, Zones: map[string]int{}})
 		}
 	}
 	return items
 }
 
 // Unlimited are teams without limits, for work that has not come yet.
-func Unlimited(items []*placement.Item) map[string]*placement.Team {
+func Unlimited(items []*placement.PendingJob) map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, it := range items {
 		teams[it.Job.Team] = &placement.Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -31,13 +31,13 @@
 	expected := l.expected(now)
 	placement.Pass(now, expected, open, autoscale.Unlimited(expected))
 	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 })
-	trial := placement.NewTrial(used)
+	trial := placement.NewDryRun(used)
 	for _, m := range draining {
 		if m.Draining && (!m.Alive() || !trial.Fit(now, itemsOn(m, now), nil)) {
 			m.Draining = false // its room is wanted after all
 		}
 	}
-	kept := !slices.ContainsFunc(expected, func(it *placement.Item) bool { return it.Waiting > 0 })
+	kept := !slices.ContainsFunc(expected, func(it *placement.PendingJob) bool { return it.Waiting > 0 })
 	// In a cut the rest of the fleet stands in for the zone that is out of reach.
 	if len(short) == 0 && kept && len(l.cutZones(now)) == 0 {
 		l.drainSurplus(trial, used, now)
@@ -58,14 +58,14 @@
 
 // shortOfRoom are the jobs that wait for room. Those at their team's limit
 // wait for their team's own tasks: more machines would not help them.
-func (l *Loop) shortOfRoom(now time.Time) []*placement.Item {
+func (l *Loop) shortOfRoom(now time.Time) []*placement.PendingJob {
 	items, _ := l.items(now)
 	teams := l.teams()
-	return slices.DeleteFunc(items, func(it *placement.Item) bool { return it.Trial || placement.Left(it, teams) == 0 })
+	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.OnTrial || placement.WithinLimit(it, teams) == 0 })
 }
 
 // giveBack ends the emptying of machines that have room for what waits.
-func (l *Loop) giveBack(short []*placement.Item, draining []*machines.Machine, now time.Time) {
+func (l *Loop) giveBack(short []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
 	var views []*placement.Machine
 	for _, m := range draining {
 		if v, ok := l.view(m); ok && m.Alive() {
@@ -83,7 +83,7 @@
 // drainSurplus finds machines whose work fits on the others in use, those
 // first that save the most money for each task that has to go, and takes them
 // out of placement.
-func (l *Loop) drainSurplus(trial *placement.Trial, used []*placement.Machine, now time.Time) {
+func (l *Loop) drainSurplus(trial *placement.DryRun, used []*placement.Machine, now time.Time) {
 	gain := func(v *placement.Machine) float64 {
 		return l.price(v) / float64(1+len(l.roster.Machines[v.Name].Allocations))
 	}
@@ -108,13 +108,13 @@
 }
 
 // itemsOn are the tasks on a machine as if they waited to be placed.
-func itemsOn(m *machines.Machine, now time.Time) []*placement.Item {
-	byJob := map[*jobs.Job]*placement.Item{}
-	var items []*placement.Item
+func itemsOn(m *machines.Machine, now time.Time) []*placement.PendingJob {
+	byJob := map[*jobs.Job]*placement.PendingJob{}
+	var items []*placement.PendingJob
 	for _, p := range m.Allocations {
 		it := byJob[p.Job]
 		if it == nil {
-			it = &placement.Item{Job: &p.Job.Job, Since: now, Zones: zonesOf(p.Job)}
+			it = &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Zones: zonesOf(p.Job)}
 			byJob[p.Job] = it
 			items = append(items, it)
 		}
@@ -141,7 +141,7 @@
 	l.fleet.moveBudget = min(l.fleet.moveBudget+grows, max(grows, tuning.MoveBudgetMax.Seconds()))
 	var moved []*jobs.Allocation
 	most := max(tuning.MoveAtOnce, replicas/tuning.MoveAtOnceShare)
-	var trial *placement.Trial // of the machines in use; most of the time nothing is to be moved
+	var trial *placement.DryRun // of the machines in use; most of the time nothing is to be moved
 	for _, m := range draining {
 		if !m.Draining || len(moved) >= most {
 			continue
@@ -151,7 +151,7 @@
 				continue
 			}
 			if trial == nil {
-				trial = placement.NewTrial(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 }))
+				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 }))
 			}
 			down, ok := downFor(p, trial, now)
 			if down += tuning.MoveDown.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
@@ -167,8 +167,8 @@
 
 // downFor is how long a replica would fetch its image on the machine to which
 // it would move, in seconds; ok is false when no machine in use has room for it.
-func downFor(p *jobs.Allocation, trial *placement.Trial, now time.Time) (fetch float64, ok bool) {
-	it := &placement.Item{Job: &p.Job.Job, Since: now, Waiting: 1, Zones: cloneCounts(p.Job.Zones()), Prompt: true}
+func downFor(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
+	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.Zones()), Prompt: true}
 	it.Zones[p.Zone]--
 	m := trial.Best(it)
 	if m == nil {
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -70,7 +70,7 @@
 			}
 			clock.Advance(next)
 			items, _ := l.items(clock.Now())
-			if len(items) == 0 || !items[len(items)-1].Trial || items[len(items)-1].Waiting != 1 {
+			if len(items) == 0 || !items[len(items)-1].OnTrial || items[len(items)-1].Waiting != 1 {
 				t.Fatalf("it is tried as %+v", items)
 			}
 			p = l.book.Allocate(j, 0, "n-large", "a", 1, clock.Now())
@@ -160,7 +160,7 @@
 	l, clock := leaderWith(t)
 	m := l.roster.Machines["n-large"]
 	free := func() float64 {
-		lacks := placement.Room{CPUs: 64}
+		lacks := placement.Resources{CPUs: 64}
 		lacks.Sub(freeOn(m, l.env.typeOf(m.Type)), 1)
 		return freeTime(m, clock.Now())(lacks)
 	}
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -28,14 +28,14 @@
 	moveBudget float64                        // seconds for which replicas may still be down for moves
 	recent     []autoscale.Arrival            // accepted within the last window
 	bookings   int                            // request names used in this term
-	asked      map[string]autoscale.Want      // rentals on their way, by request name
+	asked      map[string]autoscale.Purchase  // rentals on their way, by request name
 	refused    map[autoscale.Option]time.Time // not asked before
 	spotLimitS float64                        // arrays that would lose more with a machine are tried on ordinary ones first
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		asked: map[string]autoscale.Want{}, refused: map[autoscale.Option]time.Time{},
+		asked: map[string]autoscale.Purchase{}, refused: map[autoscale.Option]time.Time{},
 		moveBudget: tuning.MoveBudgetMax.Seconds(), spotLimitS: math.Inf(1),
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // expected is the work to keep room for, by what came of late.
-func (l *Loop) expected(now time.Time) []*placement.Item {
+func (l *Loop) expected(now time.Time) []*placement.PendingJob {
 	return autoscale.Expected(now, l.arrivals(now), l.horizon(), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
@@ -116,13 +116,13 @@
 // reserved are ghosts of the work that will come within moments and must start
 // promptly: work of lower priority does not get the last room before it, only
 // to be stopped for it.
-func (l *Loop) reserved(now time.Time) []*placement.Item {
+func (l *Loop) reserved(now time.Time) []*placement.PendingJob {
 	items := autoscale.Expected(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
 	for _, it := range items {
-		it.Ghost = true
+		it.Placeholder = true
 	}
 	return items
 }
@@ -145,8 +145,8 @@
 	}
 	items, _ := l.items(now)
 	for _, it := range items {
-		if !it.Trial {
-			it.Thrifty = !it.Prompt && now.Sub(it.Since) < tuning.ThriftyFor
+		if !it.OnTrial {
+			it.AwaitSpot = !it.Prompt && now.Sub(it.WaitingSince) < tuning.ThriftyFor
 			in.Items = append(in.Items, it)
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // request asks for machines, if not too many requests are on their way.
-func (l *Loop) request(w autoscale.Want) {
+func (l *Loop) request(w autoscale.Purchase) {
 	if len(l.fleet.asked) >= tuning.RentAtOnce {
 		return
 	}
@@ -263,7 +263,7 @@
 
 // rental asks for machines until it has a definite answer: a request without
 // one may have been executed, and the same name gives the same machines.
-func (l *Loop) rental(name string, w autoscale.Want) {
+func (l *Loop) rental(name string, w autoscale.Purchase) {
 	req := wire.RentRequest{Request: name, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count}
 	for l.mayCall() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
@@ -278,7 +278,7 @@
 }
 
 // rented takes in which machines a request got.
-func (l *Loop) rented(name string, w autoscale.Want, names []string) {
+func (l *Loop) rented(name string, w autoscale.Purchase, names []string) {
 	now := l.env.Clock.Now()
 	delete(l.fleet.asked, name)
 	for _, m := range names {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -34,7 +34,7 @@
 	book    *jobs.Store
 	roster  *machines.Registry
 	fleet   fleetState
-	holding placement.Holds
+	holding placement.BackfillReservations
 	leaving map[string]bool // machines that the cloud will soon take
 	images  imageHints
 	begun   time.Time
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -61,12 +61,12 @@
 
 // preempt stops tasks for work within a guarantee that found no room and has
 // used up half of the wait that its aim allows.
-func (l *Loop) preempt(now time.Time, items []*placement.Item, open []*placement.Machine, teams map[string]*placement.Team, byID map[string]*jobs.Job) {
-	var due []*placement.Item
+func (l *Loop) preempt(now time.Time, items []*placement.PendingJob, open []*placement.Machine, teams map[string]*placement.Team, byID map[string]*jobs.Job) {
+	var due []*placement.PendingJob
 	for _, it := range items {
 		j := byID[it.Job.ID]
 		patience, ok := l.env.patience(it.Job.Class)
-		if ok && it.Waiting > 0 && !it.Trial && !now.Before(j.PreemptingUntil) && now.Sub(it.Since) >= seconds(patience*tuning.PreemptShare) {
+		if ok && it.Waiting > 0 && !it.OnTrial && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptShare) {
 			due = append(due, it)
 		}
 	}
@@ -78,7 +78,7 @@
 	for _, v := range open {
 		v.Victims = victims(l.roster.Machines[v.Name], now)
 	}
-	before := map[*placement.Item]int{}
+	before := map[*placement.PendingJob]int{}
 	for _, it := range due {
 		before[it] = it.Waiting
 	}
@@ -125,7 +125,7 @@
 }
 
 // items are the jobs with tasks that may be placed now.
-func (l *Loop) items(now time.Time) ([]*placement.Item, map[string]*jobs.Job) {
+func (l *Loop) items(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	var waiting []*jobs.Job
 	trials := map[*jobs.Job]bool{}
 	for _, j := range l.book.Jobs {
@@ -136,8 +136,8 @@
 			waiting = append(waiting, j)
 		}
 	}
-	items := make([]*placement.Item, 0, len(waiting))
-	room := make([]placement.Item, 0, len(waiting)) // one allocation for all of them
+	items := make([]*placement.PendingJob, 0, len(waiting))
+	room := make([]placement.PendingJob, 0, len(waiting)) // one allocation for all of them
 	byID := make(map[string]*jobs.Job, len(waiting))
 	for i, n := range l.look(waiting, now) {
 		if n <= 0 {
@@ -145,15 +145,15 @@
 		}
 		j := waiting[i]
 		_, prompt := l.promptness(j.Class)
-		room = append(room, placement.Item{
-			Job: &j.Job, Since: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), Prompt: prompt,
+		room = append(room, placement.PendingJob{
+			Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), Prompt: prompt,
 		})
 		it := &room[len(room)-1]
-		it.RunS, _ = j.ExpectedRunS()
+		it.ExpectedRunS, _ = j.ExpectedRunS()
 		// An array whose last tasks were lost does not queue up anew: of a team beyond its guarantee they
 		// waited 120 s until they aged, and their jobs, nearly done, were late.
 		if j.Kind == wire.KindArray {
-			it.Entered = j.EnqueuedAt
+			it.EnqueuedAt = j.EnqueuedAt
 		}
 		// A job that fails everywhere may go anywhere, and so may one that has nothing and waits beside such a machine for long.
 		waits := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidWait
@@ -164,7 +164,7 @@
 			if j.Allocated > 0 {
 				continue
 			}
-			it.Trial, it.Waiting, it.Since, it.Entered = true, 1, now, now
+			it.OnTrial, it.Waiting, it.WaitingSince, it.EnqueuedAt = true, 1, now, now
 		}
 		byID[j.ID] = j
 		items = append(items, it)
@@ -183,12 +183,12 @@
 
 // openMachines are the machines that may get tasks now.
 func (l *Loop) openMachines(now time.Time) []*placement.Machine {
-	return l.machinesWith(now, placement.Room{})
+	return l.machinesWith(now, placement.Resources{})
 }
 
 // roomyMachines are those of them that have room for some of the items: in a large cluster most are
 // full, and a view of each, for each pass, was most of its cost.
-func (l *Loop) roomyMachines(now time.Time, items []*placement.Item) []*placement.Machine {
+func (l *Loop) roomyMachines(now time.Time, items []*placement.PendingJob) []*placement.Machine {
 	if len(items) == 0 {
 		return nil
 	}
@@ -196,11 +196,11 @@
 }
 
 // machinesWith are the machines that may get tasks now and have at least so much free.
-func (l *Loop) machinesWith(now time.Time, least placement.Room) []*placement.Machine {
+func (l *Loop) machinesWith(now time.Time, least placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.roster.Machines {
 		t := l.env.typeOf(m.Type)
-		if t == nil || !freeOn(m, t).Holds(least) {
+		if t == nil || !freeOn(m, t).Fits(least) {
 			continue
 		}
 		if !m.Alive() || m.Returning || m.Draining || m.Unhealthy || m.HasOrphans() || !m.InterruptionAt.IsZero() ||
@@ -241,30 +241,30 @@
 func viewOf(m *machines.Machine, t *wire.MachineType) placement.Machine {
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
-		Total: placement.Room{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
-		FetchS: fetchTime(m, t), Unproven: !m.Reachability.EverAcknowledged(),
+		Total: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
+		FetchS: fetchTime(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
 	}
 }
 
 // freeOn is what the tasks that may be on a machine leave of it.
-func freeOn(m *machines.Machine, t *wire.MachineType) placement.Room {
+func freeOn(m *machines.Machine, t *wire.MachineType) placement.Resources {
 	used := m.Used()
-	return placement.Room{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
+	return placement.Resources{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
 }
 
 // freeTime estimates how long it takes until what ends by itself on a machine, or was told to, leaves so much more room. The machine's
 // tasks are put in order once, when it is first asked for: most machines never are.
-func freeTime(m *machines.Machine, now time.Time) func(lacks placement.Room) float64 {
+func freeTime(m *machines.Machine, now time.Time) func(lacks placement.Resources) float64 {
 	type end struct {
 		s    float64
-		left placement.Room // that it and those before leave
+		left placement.Resources // that it and those before leave
 	}
 	var ends []end
-	return func(lacks placement.Room) float64 {
+	return func(lacks placement.Resources) float64 {
 		if ends == nil {
 			ends = append(make([]end, 0, len(m.Allocations)+1), end{}) // nothing has ended yet
 			for _, p := range m.Allocations {
-				e := end{left: placement.Room{CPUs: p.Job.CPUs, GPUs: p.Job.GPUs, MemoryGB: p.Job.MemoryGB}}
+				e := end{left: placement.Resources{CPUs: p.Job.CPUs, GPUs: p.Job.GPUs, MemoryGB: p.Job.MemoryGB}}
 				switch {
 				case p.Stop != nil:
 					e.s = p.Stop.GraceS
@@ -285,7 +285,7 @@
 			}
 		}
 		for _, e := range ends {
-			if e.left.Holds(lacks) {
+			if e.left.Fits(lacks) {
 				return e.s
 			}
 		}
@@ -320,22 +320,22 @@
 	teams := make(map[string]*placement.Team, len(l.env.Teams))
 	fill := 0.0
 	for name, t := range l.env.Teams {
-		teams[name] = &placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, CPUsMin: t.CPUs, GPUsMin: t.GPUs}
+		teams[name] = &placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs}
 		if !math.IsInf(t.CPUsMax, 1) {
 			continue
 		}
 		if fill == 0 {
 			fill = tuning.FillShare * l.fleetCPUs()
 		}
-		teams[name].Fill = fill
+		teams[name].FillCPUs = fill
 	}
 	for _, j := range l.book.Jobs {
 		if t := teams[j.Team]; t != nil {
 			t.CPUs += float64(j.Allocated) * j.CPUs
 			t.GPUs += float64(j.Allocated) * j.GPUs
 			if j.Kind == wire.KindService && j.CanStart() {
-				t.Stays.CPUs += float64(j.Allocated) * j.CPUs
-				t.Stays.GPUs += float64(j.Allocated) * j.GPUs
+				t.Permanent.CPUs += float64(j.Allocated) * j.CPUs
+				t.Permanent.GPUs += float64(j.Allocated) * j.GPUs
 			}
 		}
 	}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -33,7 +33,7 @@
 	teams := autoscale.Unlimited(items)
 	placement.Sort(items, teams, now)
 	for _, m := range order {
-		items = slices.DeleteFunc(items, func(it *placement.Item) bool { return it.Waiting == 0 })
+		items = slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.Waiting == 0 })
 		if len(items) == 0 {
 			break
 		}
--- a/internal/scheduler/leader/sides.go
+++ b/internal/scheduler/leader/sides.go
@@ -69,7 +69,7 @@
 }
 
 // takeSides says which of the items are tried on which kind of machine first.
-func (l *Loop) takeSides(items []*placement.Item) {
+func (l *Loop) takeSides(items []*placement.PendingJob) {
 	if math.IsInf(l.fleet.spotLimitS, 1) {
 		return
 	}
@@ -77,9 +77,9 @@
 		if !mayTakeSides(it.Job) {
 			continue
 		}
-		it.Side = placement.SpotSide
+		it.Preference = placement.PreferSpot
 		if loses(l.book.Jobs[it.Job.ID]) > l.fleet.spotLimitS {
-			it.Side = placement.OrdinarySide
+			it.Preference = placement.PreferOnDemand
 		}
 	}
 }
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -23,18 +23,18 @@
 			t.Fatal(err)
 		}
 	}
-	array := func(id string, estimate, checkpoint float64) *placement.Item {
+	array := func(id string, estimate, checkpoint float64) *placement.PendingJob {
 		j := l.waits(t, wire.Job{
 			ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 10, CPUs: 1, MemoryGB: 1, Spot: true,
 			EstimateS: estimate, CheckpointS: checkpoint,
 		})
-		return &placement.Item{Job: &j.Job, Since: now, Waiting: 10}
+		return &placement.PendingJob{Job: &j.Job, WaitingSince: now, Waiting: 10}
 	}
 	short, long, saves := array("job-1", 40, 0), array("job-2", 150, 0), array("job-3", 150, 10)
 	if l.fleet.spotLimitS = l.spotLimit(); !math.IsInf(l.fleet.spotLimitS, 1) {
 		t.Errorf("nothing runs on ordinary machines, and the limit is %v", l.fleet.spotLimitS)
 	}
-	if l.takeSides([]*placement.Item{short, long}); short.Side != placement.AnySide || long.Side != placement.AnySide {
+	if l.takeSides([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
 		t.Error("sides are taken where spot machines suffice")
 	}
 	j := l.book.Jobs["job-1"]
@@ -42,15 +42,15 @@
 		l.roster.Add(l.book.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
 	l.fleet.spotLimitS = l.spotLimit()
-	items := []*placement.Item{short, long, saves}
+	items := []*placement.PendingJob{short, long, saves}
 	l.takeSides(items)
-	if short.Side != placement.SpotSide || long.Side != placement.SpotSide && long.Side != placement.OrdinarySide || saves.Side != placement.SpotSide {
-		t.Errorf("sides %v, %v, %v with a limit of %v", short.Side, long.Side, saves.Side, l.fleet.spotLimitS)
+	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
+		t.Errorf("sides %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLimitS)
 	}
 	// Two long jobs have more than the share of ordinary machines: the longest is tried there.
 	longest := array("job-4", 160, 0)
 	l.fleet.spotLimitS = l.spotLimit()
-	if l.takeSides([]*placement.Item{longest, short}); longest.Side != placement.OrdinarySide || short.Side != placement.SpotSide {
-		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Side, short.Side, l.fleet.spotLimitS)
+	if l.takeSides([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
+		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLimitS)
 	}
 }
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -53,12 +53,12 @@
 	if now.Before(j.PauseUntil) {
 		add("after failures, no task starts for %d s", 1+int(j.PauseUntil.Sub(now).Seconds()))
 	}
-	it := &placement.Item{Job: &j.Job, Since: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Entered: j.EnqueuedAt, Trial: l.onTrial(j, now)}
+	it := &placement.PendingJob{Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, EnqueuedAt: j.EnqueuedAt, OnTrial: l.onTrial(j, now)}
 	if it.Overdue(now) {
 		add("it has waited %d s to begin: one task of it goes before all else of its priority, and a machine is held for it", int(now.Sub(j.EnqueuedAt).Seconds()))
 	}
 	switch placed := j.Allocated > 0; {
-	case placement.Left(it, l.teams()) == 0:
+	case placement.WithinLimit(it, l.teams()) == 0:
 		add("the team's tasks use as much as the team's limit allows")
 	case it.Overdue(now):
 	case len(r.Reasons) == 0 && placed:
--- a/internal/scheduler/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -18,7 +18,7 @@
 
 // overdueIn gives the places of the overdue items among those from lo to hi, the largest first, of equals those that came
 // first. The small ones have the usual order in their favour, and the large are few: one task for each is little.
-func overdueIn(items []*Item, lo, hi int, now time.Time) []int {
+func overdueIn(items []*PendingJob, lo, hi int, now time.Time) []int {
 	var late []int
 	for i := lo; i < hi; i++ {
 		if items[i].Overdue(now) {
@@ -26,51 +26,51 @@
 		}
 	}
 	slices.SortFunc(late, func(a, b int) int {
-		return cmp.Or(cmp.Compare(items[b].size(), items[a].size()), items[a].entered().Compare(items[b].entered()), cmp.Compare(items[a].Job.ID, items[b].Job.ID))
+		return cmp.Or(cmp.Compare(items[b].size(), items[a].size()), items[a].enqueuedAt().Compare(items[b].enqueuedAt()), cmp.Compare(items[a].Job.ID, items[b].Job.ID))
 	})
 	return late
 }
 
 // size is what all tasks of an item's job take together, in CPUs.
-func (it *Item) size() float64 { return it.Job.CPUs * float64(it.Job.Tasks) }
+func (it *PendingJob) size() float64 { return it.Job.CPUs * float64(it.Job.Tasks) }
 
 // Overdue tells whether an item's job waits for its first task for too long.
-func (it *Item) Overdue(now time.Time) bool {
-	return it.Started == 0 && !it.Ghost && !it.Trial && it.Waiting > 0 && now.Sub(it.entered()) >= tuning.BeginBound
+func (it *PendingJob) Overdue(now time.Time) bool {
+	return it.Started == 0 && !it.Placeholder && !it.OnTrial && it.Waiting > 0 && now.Sub(it.enqueuedAt()) >= tuning.BeginBound
 }
 
 // begin places one task of an overdue item, or keeps for it what it lacks.
-func (p *pass) begin(placed []Placement, it *Item) []Placement {
+func (p *pass) begin(placed []Placement, it *PendingJob) []Placement {
 	team, need := p.teams[it.Job.Team], it.Need()
 	if team == nil {
 		return placed
 	}
 	if team.leaves(it) {
-		if m := p.searchFor(it, AnySide).best(it); m != nil {
+		if m := p.searchFor(it, AnyKind).best(it); m != nil {
 			it.take(m, need, team)
 			return append(placed, Placement{it, m})
 		}
 	}
 	// What stays of the team's use leaves too little of its limit: keeping the rest brings nothing, and keeps its other jobs waiting.
-	if !p.mayHold || team.Stays.CPUs+need.CPUs > team.CPUsMax+slack || team.Stays.GPUs+need.GPUs > team.GPUsMax+slack {
+	if !p.mayHold || team.Permanent.CPUs+need.CPUs > team.CPUsMax+slack || team.Permanent.GPUs+need.GPUs > team.GPUsMax+slack {
 		return placed
 	}
 	// Both at a time: one after the other took as long as both.
-	if team.keeps == "" {
-		team.keeps, team.kept, p.keeps = it.Job.ID, need, true
+	if team.reservedFor == "" {
+		team.reservedFor, team.reserved, p.keeps = it.Job.ID, need, true
 	}
-	if team.keeps == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.BeginHoldShare) && it.hold(p.machines, need) {
+	if team.reservedFor == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.BeginHoldShare) && it.hold(p.machines, need) {
 		p.holds++
 	}
 	return placed
 }
 
 // leaves tells whether a task of an item fits the team's limit beside what is kept for the begin of another job.
-func (t *Team) leaves(it *Item) bool {
+func (t *Team) leaves(it *PendingJob) bool {
 	need := it.Need()
-	if t.keeps != "" && t.keeps != it.Job.ID {
-		need.CPUs += t.kept.CPUs
-		need.GPUs += t.kept.GPUs
+	if t.reservedFor != "" && t.reservedFor != it.Job.ID {
+		need.CPUs += t.reserved.CPUs
+		need.GPUs += t.reserved.GPUs
 	}
 	return t.fits(need)
 }
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -17,26 +17,26 @@
 	now      time.Time
 	machines []*Machine
 	limits   map[string]*Team
-	items    []*Item
+	items    []*PendingJob
 	running  []ending
 	began    map[string]time.Duration // after its coming
 	done     float64                  // CPU seconds of tasks that ended
-	holds    Holds
-	ghosts   func() []*Item      // work that is expected; nil: none
-	beside   map[*Item]time.Time // since when an item waits though a machine that fits has room and its team is under its limit
-	longest  time.Duration       // for how long any did
+	holds    BackfillReservations
+	ghosts   func() []*PendingJob      // work that is expected; nil: none
+	beside   map[*PendingJob]time.Time // since when an item waits though a machine that fits has room and its team is under its limit
+	longest  time.Duration             // for how long any did
 }
 
 type ending struct {
 	at   time.Time
 	m    *Machine
-	need Room
+	need Resources
 	team string
-	it   *Item
+	it   *PendingJob
 }
 
-func (q *queue) come(id, team string, tasks int, cpus, runS float64, prio wire.Priority) *Item {
-	it := &Item{Job: &wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: prio, Tasks: tasks, CPUs: cpus, EstimateS: runS}, Since: q.now, Entered: q.now, Waiting: tasks}
+func (q *queue) come(id, team string, tasks int, cpus, runS float64, prio wire.Priority) *PendingJob {
+	it := &PendingJob{Job: &wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: prio, Tasks: tasks, CPUs: cpus, EstimateS: runS}, WaitingSince: q.now, EnqueuedAt: q.now, Waiting: tasks}
 	q.items = append(q.items, it)
 	return it
 }
@@ -55,7 +55,7 @@
 		q.done += e.need.CPUs * e.it.Job.EstimateS
 	}
 	q.running = rest
-	var waiting []*Item
+	var waiting []*PendingJob
 	for _, it := range q.items {
 		if it.Waiting > 0 {
 			waiting = append(waiting, it)
@@ -63,17 +63,17 @@
 	}
 	q.items = waiting
 	for _, m := range q.machines {
-		m.held = ""
-		m.FreeS = func(lacks Room) float64 {
+		m.reservedFor = ""
+		m.FreeS = func(lacks Resources) float64 {
 			lacks.Sub(m.Free, -1)
 			return q.freeS(m, lacks)
 		}
 	}
 	for _, t := range q.limits {
-		t.keeps = ""
+		t.reservedFor = ""
 	}
-	wanted := append([]*Item{}, waiting...)
-	free := make([]Room, len(q.machines)) // what ghosts take is theirs for one pass
+	wanted := append([]*PendingJob{}, waiting...)
+	free := make([]Resources, len(q.machines)) // what ghosts take is theirs for one pass
 	if q.ghosts != nil {
 		wanted = append(wanted, q.ghosts()...)
 	}
@@ -88,7 +88,7 @@
 		p.Machine.Free.Sub(p.Item.Need(), 1)
 
 		if p.Item.Started++; p.Item.Started == 1 {
-			q.began[p.Item.Job.ID] = q.now.Sub(p.Item.Entered)
+			q.began[p.Item.Job.ID] = q.now.Sub(p.Item.EnqueuedAt)
 		}
 		run := time.Duration(p.Item.Job.EstimateS * float64(time.Second))
 		q.running = append(q.running, ending{q.now.Add(run), p.Machine, p.Item.Need(), p.Item.Job.Team, p.Item})
@@ -97,7 +97,7 @@
 }
 
 // freeS is when a machine has room, by the tasks that run there; replicas stay.
-func (q *queue) freeS(m *Machine, need Room) float64 {
+func (q *queue) freeS(m *Machine, need Resources) float64 {
 	free := m.Free
 	var there []ending
 	for _, e := range q.running {
@@ -107,25 +107,25 @@
 	}
 	slices.SortFunc(there, func(a, b ending) int { return a.at.Compare(b.at) })
 	for _, e := range there {
-		if free.Holds(need) {
+		if free.Fits(need) {
 			break
 		}
-		if free.Sub(e.need, -1); free.Holds(need) {
+		if free.Sub(e.need, -1); free.Fits(need) {
 			return e.at.Sub(q.now).Seconds()
 		}
 	}
-	if free.Holds(need) {
+	if free.Fits(need) {
 		return 0
 	}
 	return math.Inf(1)
 }
 
 // watch looks for items that wait beside room.
-func (q *queue) watch(waiting []*Item) {
+func (q *queue) watch(waiting []*PendingJob) {
 	for _, it := range waiting {
 		team, need := q.limits[it.Job.Team], it.Need()
 		room := it.Waiting > 0 && team.fits(need) && slices.ContainsFunc(q.machines, func(m *Machine) bool {
-			return m.Free.Holds(need) && it.Allowed(m.Type, m.Zone, m.Spot)
+			return m.Free.Fits(need) && it.Allowed(m.Type, m.Zone, m.Spot)
 		})
 		if since, known := q.beside[it]; !room {
 			delete(q.beside, it)
@@ -142,20 +142,20 @@
 func TestNoJobWaitsBesideRoom(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*Item]time.Time{}, limits: map[string]*Team{"hot": {CPUsMax: 64}, "t": {CPUsMax: 1000}}}
+		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*PendingJob]time.Time{}, limits: map[string]*Team{"hot": {CPUsMax: 64}, "t": {CPUsMax: 1000}}}
 		for i := range 2 + r.IntN(6) {
 			m := machine(fmt.Sprintf("m-%d", i), string(rune('a'+i%2)), false, 16)
 			if r.IntN(3) > 0 { // a replica stays
 				m.Free.CPUs -= 1
 				q.limits["hot"].CPUs++
-				q.limits["hot"].Stays.CPUs++
+				q.limits["hot"].Permanent.CPUs++
 			}
 			q.machines = append(q.machines, m)
 		}
 		q.limits["hot"].CPUsMax = q.limits["hot"].CPUs + 8
 		if seed%2 == 1 { // room is kept for work of higher priority
-			q.ghosts = func() []*Item {
-				return []*Item{{Job: &wire.Job{ID: "ghost", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 3, CPUs: 4, EstimateS: 20}, Since: q.now, Waiting: 3, Ghost: true}}
+			q.ghosts = func() []*PendingJob {
+				return []*PendingJob{{Job: &wire.Job{ID: "ghost", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 3, CPUs: 4, EstimateS: 20}, WaitingSince: q.now, Waiting: 3, Placeholder: true}}
 			}
 		}
 		for s := range 900 {
@@ -182,13 +182,13 @@
 	const bound = 240 * time.Second
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*Item]time.Time{}, limits: map[string]*Team{
-			"hot": {CPUsMax: 64, CPUsMin: 16}, "guest": {CPUsMax: 1e9, Fill: 40}, "t": {CPUsMax: 80, CPUsMin: 40},
+		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*PendingJob]time.Time{}, limits: map[string]*Team{
+			"hot": {CPUsMax: 64, GuaranteedCPUs: 16}, "guest": {CPUsMax: 1e9, FillCPUs: 40}, "t": {CPUsMax: 80, GuaranteedCPUs: 40},
 		}}
 		for i := range 10 {
 			q.machines = append(q.machines, machine(fmt.Sprintf("m-%d", i), "a", false, 16))
 		}
-		large := map[string]*Item{}
+		large := map[string]*PendingJob{}
 		n := 0
 		for s := range 600 {
 			// Small work for more than there is, of all teams.
@@ -200,7 +200,7 @@
 				work += cpus * run * float64(tasks)
 			}
 			if s%100 == 50 && s < 350 {
-				for id, it := range map[string]*Item{
+				for id, it := range map[string]*PendingJob{
 					fmt.Sprintf("whole-machine-%d", s): q.come(fmt.Sprintf("whole-machine-%d", s), "t", 4, 16, 60, wire.PriorityNormal),
 					fmt.Sprintf("whole-limit-%d", s):   q.come(fmt.Sprintf("whole-limit-%d", s), "hot", 200, 16, 60, wire.PriorityNormal),
 					fmt.Sprintf("huge-%d", s):          q.come(fmt.Sprintf("huge-%d", s), "guest", 25000, 4, 60, wire.PriorityNormal),
@@ -238,7 +238,7 @@
 	begun.Started, begun.Job.EstimateS, late.Job.EstimateS = 1, 1, 1000
 	late.Job.Kind, begun.Job.Kind = wire.KindArray, wire.KindArray
 	got := map[string]int{}
-	for _, p := range Pass(now, []*Item{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {CPUsMax: 100}}) {
+	for _, p := range Pass(now, []*PendingJob{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {CPUsMax: 100}}) {
 		got[p.Item.Job.ID]++
 	}
 	if got["late"] != 1 || got["begun"] != 4 {
@@ -254,7 +254,7 @@
 	other.Job.Team = "u"
 	teams := map[string]*Team{"t": {CPUs: 4, CPUsMax: 10}, "u": {CPUsMax: 10}}
 	got := map[string]int{}
-	for _, p := range Pass(now, []*Item{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
+	for _, p := range Pass(now, []*PendingJob{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
 		got[p.Item.Job.ID]++
 	}
 	if got["late"] != 0 || got["small"] != 0 || got["other"] != 4 {
@@ -263,7 +263,7 @@
 	teams["t"] = &Team{CPUs: 2, CPUsMax: 10}
 	clear(got)
 	small.Waiting, late.Waiting = 4, 1
-	for _, p := range Pass(now, []*Item{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
+	for _, p := range Pass(now, []*PendingJob{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
 		got[p.Item.Job.ID]++
 	}
 	if got["late"] != 1 {
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -13,19 +13,19 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Room is what a machine has or a task takes.
-type Room struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is what a machine has or a task takes.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // slack forgives the rounding of sums of decimal amounts.
 const slack = 1e-9
 
-// Holds tells whether there is room for a task.
-func (r Room) Holds(t Room) bool {
+// Fits tells whether there is room for a task.
+func (r Resources) Fits(t Resources) bool {
 	return t.CPUs <= r.CPUs+slack && t.GPUs <= r.GPUs+slack && t.MemoryGB <= r.MemoryGB+slack
 }
 
 // Sub takes n tasks' room away.
-func (r *Room) Sub(t Room, n float64) {
+func (r *Resources) Sub(t Resources, n float64) {
 	r.CPUs -= n * t.CPUs
 	r.GPUs -= n * t.GPUs
 	r.MemoryGB -= n * t.MemoryGB
@@ -36,12 +36,12 @@
 	Name, Type, Zone string
 	Spot             bool
 	Price            float64 // an hour, of the whole machine
-	Total, Free      Room
+	Total, Free      Resources
 	FetchS           func(image string, gb float64) float64 // until it would have the image; nil: no time
-	FreeS            func(lacks Room) float64               // until what ends by itself leaves so much more, in seconds; infinite: it never does; nil: not known
+	FreeS            func(lacks Resources) float64          // until what ends by itself leaves so much more, in seconds; infinite: it never does; nil: not known
 	Victims          []Victim                               // tasks on it that may be stopped for others
-	Unproven         bool                                   // nothing has proved yet that it hears this leader
-	held             string                                 // the job that holds it against those behind
+	Unacknowledged   bool                                   // nothing has proved yet that it hears this leader
+	reservedFor      string                                 // the job that holds it against those behind
 }
 
 // FreeShare is the share of the machine's scarcest resource that is free.
@@ -55,93 +55,93 @@
 	return share
 }
 
-// Item is a job with waiting tasks.
-type Item struct {
-	Job     *wire.Job
-	Since   time.Time      // since when it waits
-	Entered time.Time      // when its job came, if that counts for its place in the queue; zero: Since does
-	Waiting int            // tasks that wait
-	Started int            // tasks that are placed or done
-	Zones   map[string]int // its placed tasks by zone, if its job cares; the pass counts on in it
-	Avoid   func(machine string) bool
-	RunS    float64 // for how long a task is expected to run, in seconds; 0: as its owner says
-	Side    Side    // the kind of machines that it is to be tried on first
-	Prompt  bool    // it is to start sooner than a machine boots
-	Thrifty bool    // no dearer kind of machine is to be rented for it yet
-	Trial   bool    // its job has only ever failed: nothing makes room for it
-	Ghost   bool    // work that is expected: it takes room from lower priorities, and is not placed
+// PendingJob is a job with waiting tasks.
+type PendingJob struct {
+	Job          *wire.Job
+	WaitingSince time.Time      // since when it waits
+	EnqueuedAt   time.Time      // when its job came, if that counts for its place in the queue; zero: Since does
+	Waiting      int            // tasks that wait
+	Started      int            // tasks that are placed or done
+	Zones        map[string]int // its placed tasks by zone, if its job cares; the pass counts on in it
+	Avoid        func(machine string) bool
+	ExpectedRunS float64        // for how long a task is expected to run, in seconds; 0: as its owner says
+	Preference   KindPreference // the kind of machines that it is to be tried on first
+	Prompt       bool           // it is to start sooner than a machine boots
+	AwaitSpot    bool           // no dearer kind of machine is to be rented for it yet
+	OnTrial      bool           // its job has only ever failed: nothing makes room for it
+	Placeholder  bool           // work that is expected: it takes room from lower priorities, and is not placed
 }
 
-// Side is a kind of machines.
-type Side int
+// KindPreference is a kind of machines.
+type KindPreference int
 
 // The sides that work may be tried on first. While spot machines are short, what would lose most with one
 // goes to ordinary ones and the rest to spot ones; then all to any.
 const (
-	AnySide Side = iota
-	OrdinarySide
-	SpotSide
+	AnyKind KindPreference = iota
+	PreferOnDemand
+	PreferSpot
 )
 
 // admits tells whether machines of a kind are on the side.
-func (s Side) admits(spot bool) bool { return s == AnySide || spot == (s == SpotSide) }
+func (s KindPreference) admits(spot bool) bool { return s == AnyKind || spot == (s == PreferSpot) }
 
-// runS is for how long a task of the item is expected to run.
-func (it *Item) runS() float64 {
-	if it.RunS > 0 {
-		return it.RunS
+// expectedRunS is for how long a task of the item is expected to run.
+func (it *PendingJob) expectedRunS() float64 {
+	if it.ExpectedRunS > 0 {
+		return it.ExpectedRunS
 	}
 	return it.Job.EstimateS
 }
 
-// entered is from when the item's time in the queue counts.
-func (it *Item) entered() time.Time {
-	if it.Entered.IsZero() {
-		return it.Since
+// enqueuedAt is from when the item's time in the queue counts.
+func (it *PendingJob) enqueuedAt() time.Time {
+	if it.EnqueuedAt.IsZero() {
+		return it.WaitingSince
 	}
-	return it.Entered
+	return it.EnqueuedAt
 }
 
 // Need is what a task of the item takes.
-func (it *Item) Need() Room { return Room{it.Job.CPUs, it.Job.GPUs, it.Job.MemoryGB} }
+func (it *PendingJob) Need() Resources { return Resources{it.Job.CPUs, it.Job.GPUs, it.Job.MemoryGB} }
 
 // Team is a team's use; the pass counts on in it.
 type Team struct {
-	CPUs, GPUs       float64 // used by all tasks that may be somewhere
-	CPUsMax, GPUsMax float64
-	CPUsMin, GPUsMin float64 // its guarantee
-	Stays            Room    // what of its use does not end by itself
-	keeps            string  // the overdue job for whose begin a part of the limit is kept from the others
-	kept             Room    // that part
-	Fill             float64 // CPUs that one job of a team without a cap may have had before it lets others begin; 0: any
+	CPUs, GPUs                     float64 // used by all tasks that may be somewhere
+	CPUsMax, GPUsMax               float64
+	GuaranteedCPUs, GuaranteedGPUs float64   // its guarantee
+	Permanent                      Resources // what of its use does not end by itself
+	reservedFor                    string    // the overdue job for whose begin a part of the limit is kept from the others
+	reserved                       Resources // that part
+	FillCPUs                       float64   // CPUs that one job of a team without a cap may have had before it lets others begin; 0: any
 }
 
-func (t *Team) fits(n Room) bool {
+func (t *Team) fits(n Resources) bool {
 	return t.CPUs+n.CPUs <= t.CPUsMax+slack && t.GPUs+n.GPUs <= t.GPUsMax+slack
 }
 
-func (t *Team) add(n Room) { t.CPUs += n.CPUs; t.GPUs += n.GPUs }
+func (t *Team) add(n Resources) { t.CPUs += n.CPUs; t.GPUs += n.GPUs }
 
 // Placement is a decision: one more task of the item goes to the machine.
 type Placement struct {
-	Item    *Item
+	Item    *PendingJob
 	Machine *Machine
 }
 
-// Level is an item's priority after aging: one step up past the wait bound. A
+// EffectivePriority is an item's priority after aging: one step up past the wait bound. A
 // job that had its fill does not age: its tasks are served, others wait.
-func Level(it *Item, teams map[string]*Team, now time.Time) int {
+func EffectivePriority(it *PendingJob, teams map[string]*Team, now time.Time) int {
 	l := it.Job.Priority.Level()
-	if now.Sub(it.entered()) >= tuning.AgeStep && !filled(it, teams) {
+	if now.Sub(it.enqueuedAt()) >= tuning.AgeStep && !filled(it, teams) {
 		l++
 	}
 	return l
 }
 
 // filled tells whether an item of a team without a limit has had its fill.
-func filled(it *Item, teams map[string]*Team) bool {
+func filled(it *PendingJob, teams map[string]*Team) bool {
 	t := teams[it.Job.Team]
-	return t != nil && it.Started > 0 && t.Fill > 0 && float64(it.Started+1)*it.Job.CPUs > t.Fill
+	return t != nil && it.Started > 0 && t.FillCPUs > 0 && float64(it.Started+1)*it.Job.CPUs > t.FillCPUs
 }
 
 // had is how many quarters of what its team's limit allows at a time the item
@@ -149,15 +149,15 @@
 // take every slot again as its own tasks end. Where there is no limit a share of the
 // fleet stands for it: hundreds of tiny jobs of a guest waited three minutes
 // behind its array of 25,000 tasks.
-func had(it *Item, teams map[string]*Team) int {
+func had(it *PendingJob, teams map[string]*Team) int {
 	t := teams[it.Job.Team]
 	if t == nil {
 		return 0
 	}
 	n, need := float64(it.Started+1), it.Need()
 	cpus := t.CPUsMax
-	if t.Fill > 0 {
-		cpus = t.Fill
+	if t.FillCPUs > 0 {
+		cpus = t.FillCPUs
 	}
 	share := 0.0
 	for _, r := range [][2]float64{{need.CPUs, cpus}, {need.GPUs, t.GPUsMax}} {
@@ -171,26 +171,26 @@
 // response is how long ago an array came for each CPU second of the work that it waits for:
 // who waits long for little goes first (highest response ratio next), so that a backlog
 // makes few jobs late rather than all. It is endless for others: a replica's absence is an outage.
-func response(it *Item, now time.Time) float64 {
-	work := it.Job.CPUs * float64(it.Waiting) * it.runS()
+func response(it *PendingJob, now time.Time) float64 {
+	work := it.Job.CPUs * float64(it.Waiting) * it.expectedRunS()
 	if it.Job.Kind != wire.KindArray || work <= 0 {
 		return math.Inf(1)
 	}
-	return now.Sub(it.entered()).Seconds() / work
+	return now.Sub(it.enqueuedAt()).Seconds() / work
 }
 
 // Sort puts items in the order in which they are placed: by priority, then
 // those that had least of their fill, then by the time waited for the work, then by the time
 // waited, then by name so that the order is always the same.
-func Sort(items []*Item, teams map[string]*Team, now time.Time) {
+func Sort(items []*PendingJob, teams map[string]*Team, now time.Time) {
 	type key struct {
-		*Item
+		*PendingJob
 		level, full, place int
 		response           float64
 	}
 	keys := make([]key, len(items))
 	for i, it := range items {
-		keys[i] = key{it, Level(it, teams, now), had(it, teams), i, response(it, now)}
+		keys[i] = key{it, EffectivePriority(it, teams, now), had(it, teams), i, response(it, now)}
 	}
 	slices.SortFunc(keys, func(a, b key) int {
 		if a.level != b.level {
@@ -202,16 +202,16 @@
 		if a.response != b.response {
 			return cmp.Compare(b.response, a.response)
 		}
-		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job.ID, b.Job.ID), a.place-b.place)
+		return cmp.Or(a.WaitingSince.Compare(b.WaitingSince), cmp.Compare(a.Job.ID, b.Job.ID), a.place-b.place)
 	})
 	for i, k := range keys {
-		items[i] = k.Item
+		items[i] = k.PendingJob
 	}
 }
 
 // ZoneOpen tells whether one more task of the item may be in a zone, given
 // where its others may be.
-func (it *Item) ZoneOpen(zone string) bool {
+func (it *PendingJob) ZoneOpen(zone string) bool {
 	j := it.Job
 	if j.Zone != "" && j.Zone != zone {
 		return false
@@ -227,7 +227,7 @@
 }
 
 // Allowed tells whether the item may run on a type, in a zone and on a kind of machine.
-func (it *Item) Allowed(typ, zone string, spot bool) bool {
+func (it *PendingJob) Allowed(typ, zone string, spot bool) bool {
 	return (!spot || it.Job.Spot) && (it.Job.Types == nil || slices.Contains(it.Job.Types, typ)) && it.ZoneOpen(zone)
 }
 
@@ -238,7 +238,7 @@
 // little to fetch. Then the machine that costs least to keep: what runs on a
 // machine keeps it rented, so the dear ones empty and can be returned. For
 // patient work the start comes after the price. Then one that proved to hear the leader; then the most free room.
-func (it *Item) better(a, b *Machine) bool {
+func (it *PendingJob) better(a, b *Machine) bool {
 	if a.Spot != b.Spot {
 		return a.Spot
 	}
@@ -255,8 +255,8 @@
 	if it.Job.Spread && a.Zone != b.Zone && it.Zones[a.Zone] != it.Zones[b.Zone] {
 		return it.Zones[a.Zone] < it.Zones[b.Zone]
 	}
-	if a.Unproven != b.Unproven {
-		return b.Unproven
+	if a.Unacknowledged != b.Unacknowledged {
+		return b.Unacknowledged
 	}
 	if a.Free.CPUs != b.Free.CPUs {
 		return a.Free.CPUs > b.Free.CPUs
@@ -275,7 +275,7 @@
 	return math.Round(m.FetchS(image, gb))
 }
 
-func (it *Item) take(m *Machine, need Room, team *Team) {
+func (it *PendingJob) take(m *Machine, need Resources, team *Team) {
 	m.Free.Sub(need, 1)
 	team.add(need)
 	if it.Zones != nil {
@@ -295,24 +295,24 @@
 //
 // It changes the items' waiting counts and zones, the machines' free room and
 // the teams' use.
-func Pass(now time.Time, items []*Item, machines []*Machine, teams map[string]*Team) []Placement {
+func Pass(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(items, teams, now)
 	return Sorted(now, items, machines, teams)
 }
 
 // Sorted is Pass for items that are in order already.
-func Sorted(now time.Time, items []*Item, machines []*Machine, teams map[string]*Team) []Placement {
+func Sorted(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	placed, _ := sorted(now, items, machines, teams, true)
 	return placed
 }
 
-// Holds bounds for how long machines and parts of limits are held for those that wait for more than there is, and room for work that
+// BackfillReservations bounds for how long machines and parts of limits are held for those that wait for more than there is, and room for work that
 // is expected, while others wait: what is held is room in which they may not start. It remembers between passes since when something has been held; after tuning.HoldMax one pass
 // holds nothing, so that no job waits for longer beside room, and what is held then counts anew. The zero value holds nothing yet.
-type Holds struct{ since time.Time }
+type BackfillReservations struct{ since time.Time }
 
 // Pass is Pass with that bound.
-func (h *Holds) Pass(now time.Time, items []*Item, machines []*Machine, teams map[string]*Team) []Placement {
+func (h *BackfillReservations) Pass(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(items, teams, now)
 	open := !h.since.IsZero() && now.Sub(h.since) >= tuning.HoldMax
 	placed, held := sorted(now, items, machines, teams, !open)
@@ -326,10 +326,10 @@
 }
 
 // sorted places items that are in order; held tells that something was held against others, which it is only if that may be.
-func sorted(now time.Time, items []*Item, machines []*Machine, teams map[string]*Team, mayHold bool) (placed []Placement, held bool) {
+func sorted(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team, mayHold bool) (placed []Placement, held bool) {
 	p := pass{now: now, machines: machines, roomy: roomy(machines, items), teams: teams, stuck: make([]bool, len(items)), searches: map[shape]*search{}, mayHold: mayHold}
 	for lo, hi := 0, 0; lo < len(items); lo = hi {
-		for hi = lo; hi < len(items) && Level(items[hi], teams, now) == Level(items[lo], teams, now); hi++ {
+		for hi = lo; hi < len(items) && EffectivePriority(items[hi], teams, now) == EffectivePriority(items[lo], teams, now); hi++ {
 		}
 		for _, i := range overdueIn(items, lo, hi, now) {
 			placed = p.begin(placed, items[i])
@@ -338,12 +338,12 @@
 			// First all in order, those that are on a side only there; then what is left of these anywhere.
 			for _, again := range []bool{false, true} {
 				for i := lo; i < hi; i++ {
-					if again && items[i].Side == AnySide || p.stuck[i] || items[i].Ghost != (t == expected) {
+					if again && items[i].Preference == AnyKind || p.stuck[i] || items[i].Placeholder != (t == expected) {
 						continue
 					}
-					side := items[i].Side
+					side := items[i].Preference
 					if again {
-						side = AnySide
+						side = AnyKind
 					}
 					placed = p.place(placed, items, i, t, side)
 				}
@@ -379,14 +379,14 @@
 
 // roomy are the machines with room for the least of what the items need. In a
 // large cluster most are full, and every waiting item would look at each.
-func roomy(machines []*Machine, items []*Item) []*Machine {
+func roomy(machines []*Machine, items []*PendingJob) []*Machine {
 	if len(items) == 0 {
 		return nil
 	}
 	least := Least(items)
 	out := make([]*Machine, 0, len(machines))
 	for _, m := range machines {
-		if m.Free.Holds(least) {
+		if m.Free.Fits(least) {
 			out = append(out, m)
 		}
 	}
@@ -394,24 +394,24 @@
 }
 
 // Least is the least of what tasks of the items need, of which there must be some.
-func Least(items []*Item) Room {
+func Least(items []*PendingJob) Resources {
 	least := items[0].Need()
 	for _, it := range items[1:] {
 		n := it.Need()
-		least = Room{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)}
+		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)}
 	}
 	return least
 }
 
 // place places as many tasks of an item as its turn, its team's limit and the
 // machines allow.
-func (p *pass) place(placed []Placement, items []*Item, i int, t turn, side Side) []Placement {
+func (p *pass) place(placed []Placement, items []*PendingJob, i int, t turn, side KindPreference) []Placement {
 	it := items[i]
 	team := p.teams[it.Job.Team]
-	if it.Ghost {
+	if it.Placeholder {
 		team = &Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
 	}
-	if team == nil || it.Ghost && !p.mayHold {
+	if team == nil || it.Placeholder && !p.mayHold {
 		return placed
 	}
 	need := it.Need()
@@ -421,19 +421,19 @@
 			s = p.searchFor(it, side)
 		}
 		m := s.best(it)
-		if m == nil && side != AnySide {
+		if m == nil && side != AnyKind {
 			break
 		}
 		if m == nil {
 			p.stuck[i] = true
-			p.starved = p.starved || p.ghosts && !it.Ghost
-			if p.mayHold && !p.held && !it.Ghost && p.now.Sub(it.Since) >= tuning.HeadHold {
+			p.starved = p.starved || p.ghosts && !it.Placeholder
+			if p.mayHold && !p.held && !it.Placeholder && p.now.Sub(it.WaitingSince) >= tuning.HeadHold {
 				p.held = it.hold(p.machines, need)
 			}
 			break
 		}
 		it.take(m, need, team)
-		if p.ghosts = p.ghosts || it.Ghost; !it.Ghost {
+		if p.ghosts = p.ghosts || it.Placeholder; !it.Placeholder {
 			placed = append(placed, Placement{it, m})
 		}
 	}
@@ -442,11 +442,11 @@
 
 // hold takes the machine that has room for the item soonest, by what runs there; of equals, or where that is not known, the one with
 // the most. One whose room never comes, since replicas stay there, is not held: it was once, against all others, for as long as they ran.
-func (it *Item) hold(machines []*Machine, need Room) bool {
+func (it *PendingJob) hold(machines []*Machine, need Resources) bool {
 	var best *Machine
 	soonest := math.Inf(1)
 	for _, m := range machines {
-		if m.held != "" || !m.Total.Holds(need) || !it.Allowed(m.Type, m.Zone, m.Spot) || it.Avoid != nil && it.Avoid(m.Name) {
+		if m.reservedFor != "" || !m.Total.Fits(need) || !it.Allowed(m.Type, m.Zone, m.Spot) || it.Avoid != nil && it.Avoid(m.Name) {
 			continue
 		}
 		s := 0.0
@@ -463,12 +463,12 @@
 	if best == nil {
 		return false
 	}
-	best.held = it.Job.ID
+	best.reservedFor = it.Job.ID
 	return true
 }
 
-// Left counts the waiting tasks of an item that its team's limit allows.
-func Left(it *Item, teams map[string]*Team) int {
+// WithinLimit counts the waiting tasks of an item that its team's limit allows.
+func WithinLimit(it *PendingJob, teams map[string]*Team) int {
 	t := teams[it.Job.Team]
 	if t == nil {
 		return 0
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -16,19 +16,19 @@
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func machine(name, zone string, spot bool, cpus float64) *Machine {
-	r := Room{CPUs: cpus, MemoryGB: 100}
-	return &Machine{Name: name, Type: "g8", Zone: zone, Spot: spot, Total: Room{CPUs: 16, MemoryGB: 100}, Free: r}
+	r := Resources{CPUs: cpus, MemoryGB: 100}
+	return &Machine{Name: name, Type: "g8", Zone: zone, Spot: spot, Total: Resources{CPUs: 16, MemoryGB: 100}, Free: r}
 }
 
-func item(id string, p wire.Priority, waited time.Duration, tasks int, cpus float64, opts ...func(*wire.Job)) *Item {
+func item(id string, p wire.Priority, waited time.Duration, tasks int, cpus float64, opts ...func(*wire.Job)) *PendingJob {
 	j := &wire.Job{ID: id, Team: "t", Priority: p, Tasks: tasks, CPUs: cpus, Spot: true}
 	for _, o := range opts {
 		o(j)
 	}
-	return &Item{Job: j, Since: now.Add(-waited), Waiting: tasks, Zones: map[string]int{}}
+	return &PendingJob{Job: j, WaitingSince: now.Add(-waited), Waiting: tasks, Zones: map[string]int{}}
 }
 
-func run(items []*Item, machines []*Machine, limit float64) string {
+func run(items []*PendingJob, machines []*Machine, limit float64) string {
 	var b strings.Builder
 	for _, p := range Pass(now, items, machines, map[string]*Team{"t": {CPUsMax: limit}}) {
 		fmt.Fprintf(&b, "%s:%s ", p.Item.Job.ID, p.Machine.Name)
@@ -45,44 +45,44 @@
 	type ms = []*Machine
 	for _, c := range []struct {
 		name     string
-		items    []*Item
+		items    []*PendingJob
 		machines ms
 		limit    float64
 		want     string
 	}{
 		{"priority goes before waiting",
-			[]*Item{item("b", wire.PriorityNormal, 9*time.Second, 1, 4), item("a", wire.PriorityHigh, 0, 1, 4)},
+			[]*PendingJob{item("b", wire.PriorityNormal, 9*time.Second, 1, 4), item("a", wire.PriorityHigh, 0, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "a:m"},
 		{"the longest wait goes first",
-			[]*Item{item("a", wire.PriorityNormal, time.Second, 1, 4), item("b", wire.PriorityNormal, 2*time.Second, 1, 4)},
+			[]*PendingJob{item("a", wire.PriorityNormal, time.Second, 1, 4), item("b", wire.PriorityNormal, 2*time.Second, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"past the wait bound a task rises one step",
-			[]*Item{item("a", wire.PriorityHigh, 0, 1, 4), item("b", wire.PriorityNormal, tuning.AgeStep, 1, 4)},
+			[]*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4), item("b", wire.PriorityNormal, tuning.AgeStep, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
-		{"most free room wins", []*Item{item("a", wire.PriorityHigh, 0, 1, 4)},
+		{"most free room wins", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4)},
 			ms{machine("m", "a", false, 8), machine("n", "a", false, 12)}, 100, "a:n"},
-		{"full machines are skipped", []*Item{item("a", wire.PriorityHigh, 0, 2, 4)},
+		{"full machines are skipped", []*PendingJob{item("a", wire.PriorityHigh, 0, 2, 4)},
 			ms{machine("m", "a", false, 3.9), machine("n", "a", false, 4)}, 100, "a:n"},
-		{"never beyond the team's limit", []*Item{item("a", wire.PriorityHigh, 0, 5, 4)},
+		{"never beyond the team's limit", []*PendingJob{item("a", wire.PriorityHigh, 0, 5, 4)},
 			ms{machine("m", "a", false, 16)}, 8, "a:m a:m"},
-		{"a limit of 0 means none", []*Item{item("a", wire.PriorityHigh, 0, 5, 4)}, ms{machine("m", "a", false, 16)}, 0, ""},
+		{"a limit of 0 means none", []*PendingJob{item("a", wire.PriorityHigh, 0, 5, 4)}, ms{machine("m", "a", false, 16)}, 0, ""},
 		{"those behind are tried in the same pass",
-			[]*Item{item("a", wire.PriorityHigh, 0, 1, 8), item("b", wire.PriorityLow, 0, 1, 4)},
+			[]*PendingJob{item("a", wire.PriorityHigh, 0, 1, 8), item("b", wire.PriorityLow, 0, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"a long-waiting head holds its machine against those behind",
-			[]*Item{item("a", wire.PriorityHigh, tuning.HeadHold, 1, 8), item("b", wire.PriorityLow, 0, 2, 4)},
+			[]*PendingJob{item("a", wire.PriorityHigh, tuning.HeadHold, 1, 8), item("b", wire.PriorityLow, 0, 2, 4)},
 			ms{machine("m", "a", false, 6), machine("n", "a", false, 4)}, 100, "b:n"},
-		{"no spot machine without leave", []*Item{item("a", wire.PriorityHigh, 0, 1, 4, ordinary)},
+		{"no spot machine without leave", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4, ordinary)},
 			ms{machine("m", "a", true, 16)}, 100, ""},
-		{"spot first for work that may", []*Item{item("a", wire.PriorityHigh, 0, 1, 4)},
+		{"spot first for work that may", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4)},
 			ms{machine("m", "a", false, 16), machine("n", "a", true, 8)}, 100, "a:n"},
-		{"at most half, rounded up, in one zone", []*Item{item("a", wire.PriorityHigh, 0, 5, 1, spread)},
+		{"at most half, rounded up, in one zone", []*PendingJob{item("a", wire.PriorityHigh, 0, 5, 1, spread)},
 			ms{machine("m", "a", false, 16)}, 100, "a:m a:m a:m"},
-		{"all tasks in one zone", []*Item{item("a", wire.PriorityHigh, 0, 3, 4, oneZone)},
+		{"all tasks in one zone", []*PendingJob{item("a", wire.PriorityHigh, 0, 3, 4, oneZone)},
 			ms{machine("m", "a", false, 8), machine("n", "b", false, 4)}, 100, "a:m a:m"},
-		{"only the allowed zone", []*Item{item("a", wire.PriorityHigh, 0, 2, 4, inZone("b"))},
+		{"only the allowed zone", []*PendingJob{item("a", wire.PriorityHigh, 0, 2, 4, inZone("b"))},
 			ms{machine("m", "a", false, 16), machine("n", "b", false, 4)}, 100, "a:n"},
-		{"only the allowed types", []*Item{item("a", wire.PriorityHigh, 0, 1, 4, ofType("h1"))},
+		{"only the allowed types", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4, ofType("h1"))},
 			ms{machine("m", "a", false, 16)}, 100, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,13 +98,13 @@
 func TestAnArrayThatHadItsFillLetsOthersBegin(t *testing.T) {
 	large, small := item("a", wire.PriorityHigh, 9*time.Second, 20, 4), item("b", wire.PriorityHigh, 0, 1, 4)
 	large.Started = 2
-	if got := run([]*Item{large, small}, []*Machine{machine("m", "a", false, 8)}, 8); got != "b:m a:m" {
+	if got := run([]*PendingJob{large, small}, []*Machine{machine("m", "a", false, 8)}, 8); got != "b:m a:m" {
 		t.Errorf("placed %q", got)
 	}
 	for started, want := range []string{"a:m", "a:m", "b:m"} { // a quarter of the limit goes by the time waited
 		large, small := item("a", wire.PriorityHigh, 9*time.Second, 20, 4), item("b", wire.PriorityHigh, 0, 1, 4)
 		large.Started = started
-		if got := run([]*Item{large, small}, []*Machine{machine("m", "a", false, 4)}, 32); got != want {
+		if got := run([]*PendingJob{large, small}, []*Machine{machine("m", "a", false, 4)}, 32); got != want {
 			t.Errorf("after %d tasks: placed %q", started, got)
 		}
 	}
@@ -117,13 +117,13 @@
 		return func(j *wire.Job) { j.Kind, j.EstimateS = wire.KindArray, run }
 	}
 	for _, c := range []struct {
-		items []*Item
+		items []*PendingJob
 		want  string
 	}{
-		{[]*Item{item("a", wire.PriorityNormal, 9*time.Second, 3, 4, array(40)), item("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "b:m a:m"},
-		{[]*Item{item("a", wire.PriorityNormal, 30*time.Second, 3, 4, array(40)), item("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "a:m a:m"},
-		{[]*Item{item("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(80)), item("b", wire.PriorityNormal, 8*time.Second, 2, 4, array(40))}, "b:m b:m"},
-		{[]*Item{item("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(40)), item("b", wire.PriorityNormal, 0, 1, 4)}, "b:m a:m"},
+		{[]*PendingJob{item("a", wire.PriorityNormal, 9*time.Second, 3, 4, array(40)), item("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "b:m a:m"},
+		{[]*PendingJob{item("a", wire.PriorityNormal, 30*time.Second, 3, 4, array(40)), item("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "a:m a:m"},
+		{[]*PendingJob{item("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(80)), item("b", wire.PriorityNormal, 8*time.Second, 2, 4, array(40))}, "b:m b:m"},
+		{[]*PendingJob{item("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(40)), item("b", wire.PriorityNormal, 0, 1, 4)}, "b:m a:m"},
 	} {
 		if got := run(c.items, []*Machine{machine("m", "a", false, 8)}, 100); got != c.want {
 			t.Errorf("%q, want %q", got, c.want)
@@ -138,10 +138,10 @@
 	n.Price = 3
 	prompt, patient := item("a", wire.PriorityHigh, 0, 1, 4), item("a", wire.PriorityHigh, 0, 1, 4)
 	prompt.Prompt = true
-	if got := run([]*Item{prompt}, []*Machine{m, n}, 100); got != "a:n" {
+	if got := run([]*PendingJob{prompt}, []*Machine{m, n}, 100); got != "a:n" {
 		t.Errorf("prompt work placed %q", got)
 	}
-	if got := run([]*Item{patient}, []*Machine{m, n}, 100); got != "a:m" {
+	if got := run([]*PendingJob{patient}, []*Machine{m, n}, 100); got != "a:m" {
 		t.Errorf("patient work placed %q", got)
 	}
 }
@@ -149,7 +149,7 @@
 func TestZonesOfTasksPlacedBeforeCount(t *testing.T) {
 	it := item("a", wire.PriorityHigh, 0, 4, 1, func(j *wire.Job) { j.Spread = true })
 	it.Waiting, it.Zones = 2, map[string]int{"a": 2}
-	if got := run([]*Item{it}, []*Machine{machine("m", "a", false, 16)}, 100); got != "" {
+	if got := run([]*PendingJob{it}, []*Machine{machine("m", "a", false, 16)}, 100); got != "" {
 		t.Errorf("placed %q", got)
 	}
 }
@@ -160,9 +160,9 @@
 func TestWhatFitsTheGuaranteeGoesBeforeWhatIsBorrowed(t *testing.T) {
 	borrower, owner := item("b", wire.PriorityHigh, 9*time.Second, 3, 4), item("o", wire.PriorityHigh, 0, 3, 4)
 	owner.Job.Team = "owner"
-	teams := map[string]*Team{"t": {CPUsMin: 4, CPUsMax: 100}, "owner": {CPUsMin: 8, CPUsMax: 100}}
+	teams := map[string]*Team{"t": {GuaranteedCPUs: 4, CPUsMax: 100}, "owner": {GuaranteedCPUs: 8, CPUsMax: 100}}
 	var got []string
-	for _, p := range Pass(now, []*Item{borrower, owner}, []*Machine{machine("m", "a", false, 16)}, teams) {
+	for _, p := range Pass(now, []*PendingJob{borrower, owner}, []*Machine{machine("m", "a", false, 16)}, teams) {
 		got = append(got, p.Item.Job.ID)
 	}
 	if strings.Join(got, " ") != "b o o b" {
@@ -174,12 +174,12 @@
 // and has to have tasks stopped.
 func TestGhostsKeepRoomFromLowerPrioritiesOnly(t *testing.T) {
 	ghost := item("g", wire.PriorityHigh, 0, 1, 8)
-	ghost.Ghost, ghost.Job.Team = true, "of no team"
+	ghost.Placeholder, ghost.Job.Team = true, "of no team"
 	for p, want := range map[wire.Priority]string{
 		wire.PriorityNormal: "a:m a:m", wire.PriorityHigh: "a:m a:m a:m a:m",
 	} {
 		ghost.Waiting = 1
-		if got := run([]*Item{ghost, item("a", p, time.Second, 5, 4)}, []*Machine{machine("m", "a", false, 16)}, 100); got != want {
+		if got := run([]*PendingJob{ghost, item("a", p, time.Second, 5, 4)}, []*Machine{machine("m", "a", false, 16)}, 100); got != want {
 			t.Errorf("%s work placed %q, want %q", p, got, want)
 		}
 	}
@@ -187,11 +187,11 @@
 
 // plain is the pass as it is described, without anything to make it fast: each
 // turn looks at all items and all machines.
-func plain(items []*Item, machines []*Machine, teams map[string]*Team) (placed []Placement) {
+func plain(items []*PendingJob, machines []*Machine, teams map[string]*Team) (placed []Placement) {
 	Sort(items, teams, now)
-	held, holds, stuck := false, 0, map[*Item]bool{}
+	held, holds, stuck := false, 0, map[*PendingJob]bool{}
 	for level := 4; level >= 0; level-- {
-		of := slices.DeleteFunc(slices.Clone(items), func(it *Item) bool { return Level(it, teams, now) != level })
+		of := slices.DeleteFunc(slices.Clone(items), func(it *PendingJob) bool { return EffectivePriority(it, teams, now) != level })
 		for _, i := range overdueIn(of, 0, len(of), now) {
 			it := of[i]
 			team, need := teams[it.Job.Team], it.Need()
@@ -200,18 +200,18 @@
 				placed = append(placed, Placement{it, m})
 				continue
 			}
-			if team.keeps == "" {
-				team.keeps, team.kept = it.Job.ID, need
+			if team.reservedFor == "" {
+				team.reservedFor, team.reserved = it.Job.ID, need
 			}
-			if team.keeps == it.Job.ID && holds < max(1, len(machines)/tuning.BeginHoldShare) && it.hold(machines, need) {
+			if team.reservedFor == it.Job.ID && holds < max(1, len(machines)/tuning.BeginHoldShare) && it.hold(machines, need) {
 				holds++
 			}
 		}
 		for _, t := range []turn{guaranteed, borrowing, expected} {
 			for _, it := range items {
-				for Level(it, teams, now) == level && it.Ghost == (t == expected) && it.Waiting > 0 && !stuck[it] {
+				for EffectivePriority(it, teams, now) == level && it.Placeholder == (t == expected) && it.Waiting > 0 && !stuck[it] {
 					team, need := teams[it.Job.Team], it.Need()
-					if it.Ghost {
+					if it.Placeholder {
 						team = &Team{CPUsMax: 1e9}
 					}
 					if !team.leaves(it) || t == guaranteed && !team.within(need) {
@@ -220,13 +220,13 @@
 					m := best(it, machines, need)
 					if m == nil {
 						stuck[it] = true
-						if !held && !it.Ghost && now.Sub(it.Since) >= tuning.HeadHold {
+						if !held && !it.Placeholder && now.Sub(it.WaitingSince) >= tuning.HeadHold {
 							held = it.hold(machines, need)
 						}
 						break
 					}
 					it.take(m, need, team)
-					if !it.Ghost {
+					if !it.Placeholder {
 						placed = append(placed, Placement{it, m})
 					}
 				}
@@ -237,9 +237,9 @@
 }
 
 // best looks at all machines.
-func best(it *Item, machines []*Machine, need Room) (best *Machine) {
+func best(it *PendingJob, machines []*Machine, need Resources) (best *Machine) {
 	for _, m := range machines {
-		if m.Free.Holds(need) && (m.held == "" || m.held == it.Job.ID) && it.Allowed(m.Type, m.Zone, m.Spot) &&
+		if m.Free.Fits(need) && (m.reservedFor == "" || m.reservedFor == it.Job.ID) && it.Allowed(m.Type, m.Zone, m.Spot) &&
 			(it.Avoid == nil || !it.Avoid(m.Name)) && (best == nil || it.better(m, best)) {
 			best = m
 		}
@@ -256,7 +256,7 @@
 	}{{1, "a:m"}, {2, "b:m"}} {
 		huge, tiny := item("a", wire.PriorityLow, tuning.AgeStep, 25000, 4), item("b", wire.PriorityLow, 0, 1, 4)
 		huge.Started = c.started
-		placed := Pass(now, []*Item{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {CPUsMax: math.Inf(1), Fill: 8}})
+		placed := Pass(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {CPUsMax: math.Inf(1), FillCPUs: 8}})
 		if got := placed[0].Item.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
 			t.Errorf("after %d tasks: placed %s", c.started, got)
 		}
@@ -268,13 +268,13 @@
 	priorities := []wire.Priority{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}
 	for seed := range uint64(3000) {
 		// The same world twice, since a pass changes what it is given.
-		world := func() (items []*Item, machines []*Machine, teams map[string]*Team) {
+		world := func() (items []*PendingJob, machines []*Machine, teams map[string]*Team) {
 			r := rand.New(rand.NewPCG(seed, 1))
 			for i := range 1 + r.IntN(40) {
 				m := machine(fmt.Sprintf("m-%02d", i), []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, float64(r.IntN(17)))
 				m.Free.MemoryGB, m.Price = float64(r.IntN(20)), float64(r.IntN(3))
 				fetch := float64(r.IntN(4))
-				m.Unproven = r.IntN(4) == 0
+				m.Unacknowledged = r.IntN(4) == 0
 				m.Type = []string{"x", "y"}[r.IntN(2)]
 				m.FetchS = func(image string, _ float64) float64 { return fetch * float64(len(image)) }
 				machines = append(machines, m)
@@ -285,7 +285,7 @@
 						j.Team, j.MemoryGB = []string{"t", "u"}[r.IntN(2)], float64(r.IntN(6))
 						j.Spread, j.OneZone, j.Spot = r.IntN(4) == 0, r.IntN(4) == 0, r.IntN(2) == 0
 					})
-				it.Prompt, it.Ghost = r.IntN(2) == 0, r.IntN(6) == 0
+				it.Prompt, it.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
 				it.Job.Image = []string{"i", "ii"}[r.IntN(2)]
 				if r.IntN(4) == 0 {
 					it.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
@@ -299,7 +299,7 @@
 				}
 				items = append(items, it)
 			}
-			return items, machines, map[string]*Team{"t": {CPUsMin: 10, CPUsMax: 30}, "u": {CPUsMin: 40, CPUsMax: 60}}
+			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 10, CPUsMax: 30}, "u": {GuaranteedCPUs: 40, CPUsMax: 60}}
 		}
 		show := func(placed []Placement) string {
 			var b strings.Builder
@@ -320,7 +320,7 @@
 // A trial that keeps its order answers as one that begins anew each time, whatever fitted before.
 func TestATrialAnswersLikePasses(t *testing.T) {
 	for seed := range uint64(500) {
-		world := func(ask func(r *rand.Rand, machines []*Machine, items []*Item, not *Machine) bool) (out string) {
+		world := func(ask func(r *rand.Rand, machines []*Machine, items []*PendingJob, not *Machine) bool) (out string) {
 			r := rand.New(rand.NewPCG(seed, 2))
 			var machines []*Machine
 			for i := range 2 + r.IntN(20) {
@@ -329,7 +329,7 @@
 				machines = append(machines, m)
 			}
 			for n := range 20 {
-				var items []*Item
+				var items []*PendingJob
 				for i := range 1 + r.IntN(3) {
 					items = append(items, item(fmt.Sprint("job-", n, "-", i), wire.PriorityNormal, time.Duration(i)*time.Second, 1+r.IntN(4), float64(1+r.IntN(4)),
 						func(j *wire.Job) { j.Spread, j.Spot = r.IntN(3) == 0, r.IntN(2) == 0 }))
@@ -349,14 +349,14 @@
 			}
 			return out
 		}
-		var trial *Trial
-		got := world(func(_ *rand.Rand, machines []*Machine, items []*Item, not *Machine) bool {
+		var trial *DryRun
+		got := world(func(_ *rand.Rand, machines []*Machine, items []*PendingJob, not *Machine) bool {
 			if trial == nil {
-				trial = NewTrial(machines)
+				trial = NewDryRun(machines)
 			}
 			return trial.Fit(now, items, not)
 		})
-		want := world(func(_ *rand.Rand, machines []*Machine, items []*Item, not *Machine) bool {
+		want := world(func(_ *rand.Rand, machines []*Machine, items []*PendingJob, not *Machine) bool {
 			waiting, teams := 0, map[string]*Team{"t": {CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}}
 			for _, it := range items {
 				waiting += it.Waiting
@@ -387,7 +387,7 @@
 			m.FetchS = func(string, float64) float64 { looks++; return float64(i % 5) }
 			machines = append(machines, m)
 		}
-		var items []*Item
+		var items []*PendingJob
 		for i := range 50 { // of five shapes
 			items = append(items, item(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, float64(1+i%5)))
 		}
@@ -411,7 +411,7 @@
 					m.FetchS = func(string, float64) float64 { return float64(i % 7) }
 					machines = append(machines, m)
 				}
-				var items []*Item
+				var items []*PendingJob
 				for i := range 40 {
 					items = append(items, item(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, 4))
 				}
@@ -427,14 +427,14 @@
 // once by a pass for each, as before, and once by a trial.
 func BenchmarkTrial(b *testing.B) {
 	for _, n := range []int{400, 1000, 4000} {
-		world := func() (machines []*Machine, ask func(i int) []*Item) {
+		world := func() (machines []*Machine, ask func(i int) []*PendingJob) {
 			for i := range n {
 				m := machine(fmt.Sprintf("m-%05d", i), []string{"a", "b"}[i%2], i%3 == 0, float64(i%5))
 				m.FetchS = func(string, float64) float64 { return float64(i % 7) }
 				machines = append(machines, m)
 			}
-			return machines, func(i int) []*Item {
-				return []*Item{item(fmt.Sprint("job-", i), wire.PriorityNormal, 0, 4, 1+float64(i%4))}
+			return machines, func(i int) []*PendingJob {
+				return []*PendingJob{item(fmt.Sprint("job-", i), wire.PriorityNormal, 0, 4, 1+float64(i%4))}
 			}
 		}
 		b.Run(fmt.Sprint("passes/", n), func(b *testing.B) {
@@ -449,7 +449,7 @@
 		b.Run(fmt.Sprint("trial/", n), func(b *testing.B) {
 			for b.Loop() {
 				machines, ask := world()
-				t := NewTrial(machines)
+				t := NewDryRun(machines)
 				for i := range n / 16 {
 					t.Fit(now, ask(i), machines[i])
 				}
@@ -462,33 +462,33 @@
 func TestALostTaskCountsFromItsJobsComing(t *testing.T) {
 	lost, fresh := item("b", wire.PriorityNormal, time.Second, 1, 4), item("a", wire.PriorityNormal, 100*time.Second, 40, 4)
 	lost.Job.EstimateS, fresh.Job.EstimateS = 60, 60
-	lost.Entered = now.Add(-tuning.AgeStep)
-	items := []*Item{fresh, lost}
+	lost.EnqueuedAt = now.Add(-tuning.AgeStep)
+	items := []*PendingJob{fresh, lost}
 	if Sort(items, map[string]*Team{}, now); items[0] != lost {
 		t.Error("a task lost a second ago waits behind an array that has not begun")
 	}
-	if Level(lost, map[string]*Team{}, now) != wire.PriorityNormal.Level()+1 {
+	if EffectivePriority(lost, map[string]*Team{}, now) != wire.PriorityNormal.Level()+1 {
 		t.Error("its job does not age")
 	}
 }
 
 // Items on a side get room there before others take it, and no slot waits for them.
 func TestSidesComeFirstAndLeaveNothingFree(t *testing.T) {
-	on := func(id string, side Side, tasks int) *Item {
+	on := func(id string, side KindPreference, tasks int) *PendingJob {
 		it := item(id, wire.PriorityNormal, time.Second, tasks, 4)
-		it.Job.Spot, it.Side = true, side
+		it.Job.Spot, it.Preference = true, side
 		return it
 	}
 	for _, c := range []struct {
 		name  string
-		items []*Item
+		items []*PendingJob
 		want  string
 	}{
-		{"each on its own", []*Item{on("a", SpotSide, 1), on("b", OrdinarySide, 1)}, "a:s b:o"},
-		{"however they are ordered", []*Item{on("a", OrdinarySide, 1), on("b", SpotSide, 1)}, "a:o b:s"},
-		{"what is left goes anywhere", []*Item{on("a", OrdinarySide, 2)}, "a:o a:s"},
-		{"also to ordinary ones", []*Item{on("a", SpotSide, 2)}, "a:s a:o"},
-		{"an item without a side keeps its place", []*Item{on("a", AnySide, 1), on("b", SpotSide, 1)}, "a:s b:o"},
+		{"each on its own", []*PendingJob{on("a", PreferSpot, 1), on("b", PreferOnDemand, 1)}, "a:s b:o"},
+		{"however they are ordered", []*PendingJob{on("a", PreferOnDemand, 1), on("b", PreferSpot, 1)}, "a:o b:s"},
+		{"what is left goes anywhere", []*PendingJob{on("a", PreferOnDemand, 2)}, "a:o a:s"},
+		{"also to ordinary ones", []*PendingJob{on("a", PreferSpot, 2)}, "a:s a:o"},
+		{"an item without a side keeps its place", []*PendingJob{on("a", AnyKind, 1), on("b", PreferSpot, 1)}, "a:s b:o"},
 	} {
 		if got := run(c.items, []*Machine{machine("s", "a", true, 4), machine("o", "a", false, 4)}, 100); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -17,18 +17,20 @@
 }
 
 // within tells whether a task more keeps the team within its guarantee.
-func (t *Team) within(n Room) bool {
-	return t.CPUs+n.CPUs <= t.CPUsMin+slack && t.GPUs+n.GPUs <= t.GPUsMin+slack
+func (t *Team) within(n Resources) bool {
+	return t.CPUs+n.CPUs <= t.GuaranteedCPUs+slack && t.GPUs+n.GPUs <= t.GuaranteedGPUs+slack
 }
 
 // beyond tells whether the team uses more than its guarantee.
-func (t *Team) beyond() bool { return t.CPUs > t.CPUsMin+slack || t.GPUs > t.GPUsMin+slack }
+func (t *Team) beyond() bool {
+	return t.CPUs > t.GuaranteedCPUs+slack || t.GPUs > t.GuaranteedGPUs+slack
+}
 
 // Preempt chooses tasks to stop for items that found no room. Only work within
 // its team's guarantee has others stopped: those of a lower priority, and, of
 // any, what another team runs beyond its own guarantee. For each task the
 // machine is taken on which the least work is lost.
-func Preempt(items []*Item, machines []*Machine, teams map[string]*Team) []Victim {
+func Preempt(items []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
 	var out []Victim
 	offers := make([]offer, len(machines))
 	for _, it := range items {
@@ -61,10 +63,10 @@
 				v := best.Victims[k]
 				v.For = it.Job
 				out = append(out, v)
-				best.Free.Sub(Room{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
+				best.Free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
 				if t := teams[v.Job.Team]; t != nil {
 					before := t.beyond()
-					t.add(Room{-v.Job.CPUs, -v.Job.GPUs, 0})
+					t.add(Resources{-v.Job.CPUs, -v.Job.GPUs, 0})
 					known = known && before == t.beyond()
 				}
 			}
@@ -86,8 +88,8 @@
 	victims []int
 }
 
-func (it *Item) offerOf(m *Machine, need Room, teams map[string]*Team) (o offer) {
-	if m.Total.Holds(need) && it.Allowed(m.Type, m.Zone, m.Spot) && (it.Avoid == nil || !it.Avoid(m.Name)) {
+func (it *PendingJob) offerOf(m *Machine, need Resources, teams map[string]*Team) (o offer) {
+	if m.Total.Fits(need) && it.Allowed(m.Type, m.Zone, m.Spot) && (it.Avoid == nil || !it.Avoid(m.Name)) {
 		o.victims, o.cost, o.ok = it.victimsOn(m, need, teams)
 	}
 	return o
@@ -105,7 +107,7 @@
 }
 
 // victimsOn picks the cheapest tasks of a machine whose end makes room for one of the item's.
-func (it *Item) victimsOn(m *Machine, need Room, teams map[string]*Team) (idx []int, cost float64, ok bool) {
+func (it *PendingJob) victimsOn(m *Machine, need Resources, teams map[string]*Team) (idx []int, cost float64, ok bool) {
 	var may []int
 	for i, v := range m.Victims {
 		t := teams[v.Job.Team]
@@ -119,13 +121,13 @@
 	slices.SortFunc(may, func(a, b int) int { return cmp.Compare(m.Victims[a].Cost, m.Victims[b].Cost) })
 	free := m.Free
 	for _, i := range may {
-		if free.Holds(need) {
+		if free.Fits(need) {
 			break
 		}
 		v := m.Victims[i]
-		free.Sub(Room{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
+		free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
 		idx = append(idx, i)
 		cost += v.Cost
 	}
-	return idx, cost, free.Holds(need)
+	return idx, cost, free.Fits(need)
 }
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -18,7 +18,7 @@
 	}
 	for _, c := range []struct {
 		name    string
-		item    *Item
+		item    *PendingJob
 		victims []Victim
 		used    float64 // by team "other", whose guarantee is 8
 		want    string
@@ -41,9 +41,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := machine("m", "a", false, 0)
 			m.Victims = c.victims
-			teams := map[string]*Team{"t": {CPUsMin: 8, CPUsMax: 100}, "other": {CPUsMin: 8, CPUsMax: 100, CPUs: c.used}}
+			teams := map[string]*Team{"t": {GuaranteedCPUs: 8, CPUsMax: 100}, "other": {GuaranteedCPUs: 8, CPUsMax: 100, CPUs: c.used}}
 			got := ""
-			for _, v := range Preempt([]*Item{c.item}, []*Machine{m}, teams) {
+			for _, v := range Preempt([]*PendingJob{c.item}, []*Machine{m}, teams) {
 				got += v.Ref.(string)
 			}
 			if got != c.want {
@@ -54,7 +54,7 @@
 }
 
 // plainPreempt looks at all machines for each task.
-func plainPreempt(items []*Item, machines []*Machine, teams map[string]*Team) (out []string) {
+func plainPreempt(items []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
 	for _, it := range items {
 		team, need := teams[it.Job.Team], it.Need()
 		for n := 0; it.Waiting > 0 && n < tuning.PreemptAtOnce && team.fits(need) && team.within(need); n++ {
@@ -62,7 +62,7 @@
 			var chosen []int
 			var cost float64
 			for _, m := range machines {
-				if !m.Total.Holds(need) || !it.Allowed(m.Type, m.Zone, m.Spot) {
+				if !m.Total.Fits(need) || !it.Allowed(m.Type, m.Zone, m.Spot) {
 					continue
 				}
 				if idx, c, ok := it.victimsOn(m, need, teams); ok && (best == nil || c < cost) {
@@ -75,8 +75,8 @@
 			for _, i := range chosen {
 				v := best.Victims[i]
 				out = append(out, fmt.Sprint(v.Ref, " for ", it.Job.ID))
-				best.Free.Sub(Room{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
-				teams[v.Job.Team].add(Room{-v.Job.CPUs, -v.Job.GPUs, 0})
+				best.Free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
+				teams[v.Job.Team].add(Resources{-v.Job.CPUs, -v.Job.GPUs, 0})
 			}
 			slices.Sort(chosen)
 			for _, i := range slices.Backward(chosen) {
@@ -92,12 +92,12 @@
 func TestPreemptionDecidesLikeThePlainOne(t *testing.T) {
 	stopped := 0
 	for seed := range uint64(1000) {
-		world := func() (items []*Item, machines []*Machine, teams map[string]*Team) {
+		world := func() (items []*PendingJob, machines []*Machine, teams map[string]*Team) {
 			r := rand.New(rand.NewPCG(seed, 3))
 			names := []string{"t", "u", "v"}
 			teams = map[string]*Team{}
 			for _, name := range names {
-				teams[name] = &Team{CPUsMin: float64(5 + r.IntN(30)), CPUsMax: 80, GPUsMin: 9, GPUsMax: 9}
+				teams[name] = &Team{GuaranteedCPUs: float64(5 + r.IntN(30)), CPUsMax: 80, GuaranteedGPUs: 9, GPUsMax: 9}
 			}
 			for i := range 1 + r.IntN(12) {
 				m := machine(fmt.Sprintf("m-%02d", i), []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, 16)
@@ -133,7 +133,7 @@
 // BenchmarkPreempt has 20 items find room for eight tasks each on full machines.
 func BenchmarkPreempt(b *testing.B) {
 	for _, n := range []int{400, 4000} {
-		world := func() (items []*Item, machines []*Machine, teams map[string]*Team) {
+		world := func() (items []*PendingJob, machines []*Machine, teams map[string]*Team) {
 			for i := range n {
 				m := machine(fmt.Sprintf("m-%05d", i), "a", false, 16)
 				m.Free.CPUs = 0
@@ -145,7 +145,7 @@
 			for i := range 20 {
 				items = append(items, item(fmt.Sprint("job-", i), wire.PriorityHigh, 0, 8, 4))
 			}
-			return items, machines, map[string]*Team{"t": {CPUsMin: 1e6, CPUsMax: 1e6}, "u": {CPUs: float64(16 * n), CPUsMax: 1e6}}
+			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 1e6, CPUsMax: 1e6}, "u": {CPUs: float64(16 * n), CPUsMax: 1e6}}
 		}
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -19,15 +19,15 @@
 
 // shape is what the order of machines within a zone hangs on.
 type shape struct {
-	need         Room
+	need         Resources
 	image        string
 	imageGB      float64
 	types        string
 	spot, prompt bool
-	side         Side
+	side         KindPreference
 }
 
-func shapeOf(it *Item, side Side) shape {
+func shapeOf(it *PendingJob, side KindPreference) shape {
 	s := shape{side: side, need: it.Need(), image: it.Job.Image, imageGB: it.Job.ImageGB, spot: it.Job.Spot, prompt: it.Prompt}
 	if it.Job.Types != nil {
 		s.types = "\x00" + strings.Join(it.Job.Types, "\x00") // none allowed is not the same as all
@@ -38,8 +38,8 @@
 // candidate is a machine in the order of a shape.
 type candidate struct {
 	m     *Machine
-	fetch float64 // seconds until it has the image, rounded
-	free  Room    // by which it stands where it does
+	fetch float64   // seconds until it has the image, rounded
+	free  Resources // by which it stands where it does
 }
 
 // front is the machines of a zone that have room for a shape, the best first.
@@ -57,7 +57,7 @@
 }
 
 // searchFor gives the search of an item's shape.
-func (p *pass) searchFor(it *Item, side Side) *search {
+func (p *pass) searchFor(it *PendingJob, side KindPreference) *search {
 	key := shapeOf(it, side)
 	if s := p.searches[key]; s != nil {
 		return s
@@ -84,7 +84,7 @@
 
 // takes tells whether a machine has room for the shape, and is of an allowed kind.
 func (s *search) takes(m *Machine) bool {
-	return m.Free.Holds(s.shape.need) && s.shape.side.admits(m.Spot) && (!m.Spot || s.shape.spot) && (s.types == nil || slices.Contains(s.types, m.Type))
+	return m.Free.Fits(s.shape.need) && s.shape.side.admits(m.Spot) && (!m.Spot || s.shape.spot) && (s.types == nil || slices.Contains(s.types, m.Type))
 }
 
 func (s *search) candidate(m *Machine) candidate {
@@ -112,8 +112,8 @@
 	if a.m.Price != b.m.Price && (a.m.Spot || !s.shape.spot) {
 		return a.m.Price < b.m.Price
 	}
-	if a.fetch == b.fetch && a.m.Unproven != b.m.Unproven {
-		return b.m.Unproven
+	if a.fetch == b.fetch && a.m.Unacknowledged != b.m.Unacknowledged {
+		return b.m.Unacknowledged
 	}
 	return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(b.free.CPUs, a.free.CPUs), cmp.Compare(b.free.MemoryGB, a.free.MemoryGB),
 		cmp.Compare(a.m.Name, b.m.Name)) < 0
@@ -154,7 +154,7 @@
 }
 
 // best gives the best machine for one more task of an item; nil: there is none.
-func (s *search) best(it *Item) (best *Machine) {
+func (s *search) best(it *PendingJob) (best *Machine) {
 	for i := range s.zones {
 		f := &s.zones[i]
 		if !it.ZoneOpen(f.zone) {
@@ -164,7 +164,7 @@
 		for len(f.heap) > 0 {
 			c := &f.heap[0]
 			if c.free != c.m.Free {
-				if !c.m.Free.Holds(s.shape.need) {
+				if !c.m.Free.Fits(s.shape.need) {
 					s.drop(f)
 				} else {
 					c.free = c.m.Free
@@ -172,11 +172,11 @@
 				}
 				continue
 			}
-			if c.m.held == gone {
+			if c.m.reservedFor == gone {
 				s.drop(f)
 				continue
 			}
-			if c.m.held != "" && c.m.held != it.Job.ID || it.Avoid != nil && it.Avoid(c.m.Name) {
+			if c.m.reservedFor != "" && c.m.reservedFor != it.Job.ID || it.Avoid != nil && it.Avoid(c.m.Name) {
 				s.aside = append(s.aside, *c)
 				s.drop(f)
 				continue
--- a/internal/scheduler/placement/trial.go
+++ b/internal/scheduler/placement/trial.go
@@ -11,27 +11,27 @@
 	gone  = "\x01" // it is out of the trial
 )
 
-// Trial tells where tasks would go on machines that it keeps in order from one question to the
+// DryRun tells where tasks would go on machines that it keeps in order from one question to the
 // next: to ask for each of hundreds of machines whether its work fits on the others costs
 // as much as one pass, rather than one each.
-type Trial struct {
+type DryRun struct {
 	p    pass
 	used []*search // by the present question
 }
 
-// NewTrial begins a trial. What fits takes the machines' room; nothing else may change it meanwhile.
-func NewTrial(machines []*Machine) *Trial {
-	return &Trial{p: pass{machines: machines, roomy: machines, searches: map[shape]*search{}}}
+// NewDryRun begins a trial. What fits takes the machines' room; nothing else may change it meanwhile.
+func NewDryRun(machines []*Machine) *DryRun {
+	return &DryRun{p: pass{machines: machines, roomy: machines, searches: map[shape]*search{}}}
 }
 
 // Best gives the machine on which one more task of an item would be placed; nil: there is none.
-func (t *Trial) Best(it *Item) *Machine { return t.p.searchFor(it, AnySide).best(it) }
+func (t *DryRun) Best(it *PendingJob) *Machine { return t.p.searchFor(it, AnyKind).best(it) }
 
 // Fit tells whether all waiting tasks of some items, whose teams have no limits, fit on the
 // machines but one, and takes their room if they do. That one is out of the trial then.
-func (t *Trial) Fit(now time.Time, items []*Item, not *Machine) bool {
+func (t *DryRun) Fit(now time.Time, items []*PendingJob, not *Machine) bool {
 	if not != nil {
-		not.held = asked
+		not.reservedFor = asked
 	}
 	none := Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
 	teams := map[string]*Team{}
@@ -45,14 +45,14 @@
 		if it.Waiting == 0 {
 			continue
 		}
-		s := t.p.searchFor(it, AnySide)
+		s := t.p.searchFor(it, AnyKind)
 		t.used = append(t.used, s)
 		for need := it.Need(); it.Waiting > 0; {
 			m := s.best(it)
 			if m == nil {
 				t.giveBack(placed)
 				if not != nil {
-					not.held = ""
+					not.reservedFor = ""
 				}
 				return false
 			}
@@ -61,14 +61,14 @@
 		}
 	}
 	if not != nil {
-		not.held = gone
+		not.reservedFor = gone
 	}
 	return true
 }
 
 // giveBack gives back what a question took. Its searches may have seen the machines with less
 // room, and have them too far behind: they get a new entry.
-func (t *Trial) giveBack(placed []Placement) {
+func (t *DryRun) giveBack(placed []Placement) {
 	for _, p := range placed {
 		p.Machine.Free.Sub(p.Item.Need(), -1)
 	}
