--- a/internal/api/userapi/show.go
+++ b/internal/api/userapi/show.go
@@ -17,7 +17,7 @@
 func (d *Handler) Ask(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
 	defer cancel()
-	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.Show, Payload: []byte(uri)}, "the leader cannot be asked now",
+	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemQuery, Payload: []byte(uri)}, "the leader cannot be asked now",
 		func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		return http.StatusBadRequest, problem("the command is not JSON")
 	}
-	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.Do, Payload: raw}, "the leader cannot be asked now; ask again",
+	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemCommand, Payload: raw}, "the leader cannot be asked now; ask again",
 		func(l *leader.Loop) (int, json.RawMessage) { return do(ctx, l, c) })
 }
 
--- a/internal/api/userapi/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -121,7 +121,7 @@
 		return refused(http.StatusServiceUnavailable, "the machine types are not known yet")
 	}
 	reason := d.impossible(job, types)
-	if reason == "" && (d.peers.Full() || d.full != nil && d.full()) {
+	if reason == "" && (d.peers.LeaderFull() || d.full != nil && d.full()) {
 		return refused(http.StatusServiceUnavailable, "there is no memory for more jobs now; submit it again")
 	}
 	if reason == "" {
@@ -168,7 +168,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r, err := d.peers.Call(ctx, name, peerrpc.Request{Verb: peerrpc.Submit, Payload: body})
+		r, err := d.peers.Call(ctx, name, peerrpc.Request{Verb: peerrpc.SubmitJob, Payload: body})
 		if err != nil {
 			continue
 		}
--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -107,7 +107,7 @@
 		return http.StatusOK, s
 	}
 	if d.leader() == nil {
-		if resp, ok := d.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.Query, Job: id}); ok {
+		if resp, ok := d.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.JobStatus, Job: id}); ok {
 			resp.Job.ID = id
 			if resp.Status == http.StatusOK {
 				d.learn(resp.Job)
@@ -184,7 +184,7 @@
 	}
 	status, s := d.cancel(r.Context(), id)
 	if status < 0 {
-		if resp, ok := d.peers.Relay(r.Context(), peerrpc.Request{Verb: peerrpc.Cancel, Job: id}); ok {
+		if resp, ok := d.peers.Relay(r.Context(), peerrpc.Request{Verb: peerrpc.CancelJob, Job: id}); ok {
 			status, s = resp.Status, resp.Job
 			s.ID = id
 		}
@@ -234,12 +234,12 @@
 	var status int
 	var s wire.JobStatus
 	switch req.Verb {
-	case peerrpc.Query:
+	case peerrpc.JobStatus:
 		if known, ok := d.known(ctx, req.Job); ok {
 			return peerrpc.Response{Status: http.StatusOK, Job: known}
 		}
 		status, s = d.polls.status(ctx, req.Job)
-	case peerrpc.Cancel:
+	case peerrpc.CancelJob:
 		status, s = d.cancel(ctx, req.Job)
 	default:
 		status = http.StatusBadRequest
--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -33,7 +33,7 @@
 	s := &config.Settings{Member: "m0", Members: members, Cluster: config.Cluster{State: config.State{ValueKB: 16, TxnOps: 12}}}
 	store := statestore.New(state, 1e6, 1e6)
 	p := peers.New(s, clock, log)
-	p.Follow(election.New(store, p, s.Member, clock, log))
+	p.SetElector(election.New(store, p, s.Member, clock, log))
 	types := []wire.MachineType{{Name: "g8", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}
 	return New(&leader.Env{
 		Settings: s, Clock: clock, Log: log, Store: store, Finals: jobs.NewFinalStates(8),
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -93,7 +93,7 @@
 		httpjson.Unavailable(w, "nobody leads")
 		return
 	}
-	if d.redirects.lost(&rep, term, d.clock.Now()) || d.peers.Cut(name) {
+	if d.redirects.lost(&rep, term, d.clock.Now()) || d.peers.LeaderUnreachable(name) {
 		a, ok, leads := d.help(r.Context(), body, &rep, name)
 		switch {
 		case ok:
@@ -134,9 +134,9 @@
 	if !d.peers.Known(lead) {
 		return a, false, true
 	}
-	cut := d.peers.Cut(lead)
+	cut := d.peers.LeaderUnreachable(lead)
 	if !cut {
-		resp, err := d.peers.Call(ctx, lead, peerrpc.Request{Verb: peerrpc.Report, Payload: body})
+		resp, err := d.peers.Call(ctx, lead, peerrpc.Request{Verb: peerrpc.Heartbeat, Payload: body})
 		if err == nil {
 			switch {
 			case resp.Status == http.StatusMisdirectedRequest:
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -71,12 +71,12 @@
 	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, nil)
 	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.ReachMissed {
-		if p.Cut("m0") {
+		if p.LeaderUnreachable("m0") {
 			t.Error("one missed ping is no cut")
 		}
-		p.Note("m0", true)
+		p.NotePing("m0", true)
 	}
-	if p.Cut("m2") {
+	if p.LeaderUnreachable("m2") {
 		t.Error("another leader was not asked yet")
 	}
 	kept := func() bool { rep.Seq++; _, ok, _ := d.help(t.Context(), nil, rep, "m0"); return ok }
@@ -88,7 +88,7 @@
 	}
 	d.peers = those(1)
 	for range tuning.ReachMissed {
-		d.peers.Note("m0", true)
+		d.peers.NotePing("m0", true)
 	}
 	if !kept() {
 		t.Error("sent to the leader at once")
@@ -97,8 +97,8 @@
 	if kept() {
 		t.Error("never tries the leader again, though it would be back in time")
 	}
-	p.Note("m0", false)
-	if p.Cut("m0") {
+	p.NotePing("m0", false)
+	if p.LeaderUnreachable("m0") {
 		t.Error("an answer does not end the cut")
 	}
 }
@@ -150,7 +150,7 @@
 	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response { return d.AnswerPeer(ctx, r.Payload) }, slog.New(slog.DiscardHandler))
 	d.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
 	d.elector = election.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
-	d.elector.Hint("m0", 3)
+	d.elector.NoteLeader("m0", 3)
 	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
 	d.ServeReport(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
--- a/internal/cluster/election/fence.go
+++ b/internal/cluster/election/fence.go
@@ -11,68 +11,68 @@
 	"poppypass/internal/platform/wire"
 )
 
-// prefixFence holds a key for a member that the leader has fenced off: while it
+// prefixFencing holds a key for a member that the leader has fenced off: while it
 // stands, that member does not campaign unless another vouches for it.
-const prefixFence = "fence/"
+const prefixFencing = "fence/"
 
-// fence is what a leader knows of the member that it has fenced off. It may
-// count on that until fenceRelied after the key's lease got its time.
-type fence struct {
+// fencingLease is what a leader knows of the member that it has fenced off. It may
+// count on that until fencingReliedFor after the key's lease got its time.
+type fencingLease struct {
 	member string
 	lease  uint64
 	sent   time.Time // when the request was sent that gave the lease its time
 }
 
-// fenceRelied is how long the leader may count on a fence.
-var fenceRelied = stretch(tuning.FenceFor, -tuning.ClockDrift)
+// fencingReliedFor is how long the leader may count on a fence.
+var fencingReliedFor = stretch(tuning.FencingLeaseTTL, -tuning.ClockDrift)
 
-// keepFences looks after the fence until the tenure is over: apart from the
+// maintainFencing looks after the fence until the tenure is over: apart from the
 // renewals, which must not wait for it.
-func (e *Elector) keepFences(ctx context.Context, t Tenure) {
+func (e *Elector) maintainFencing(ctx context.Context, t Leadership) {
 	for ctx.Err() == nil {
 		if e.pause(ctx, tuning.RenewEvery); ctx.Err() == nil {
-			e.keepFence(ctx, t)
+			e.renewOrTakeFencing(ctx, t)
 		}
 	}
 }
 
-// keepFence fences off the one member that does not answer, as long as the
+// renewOrTakeFencing fences off the one member that does not answer, as long as the
 // state service serves us: in an outage its promise cannot be had. A member that
 // answers again is let free, but only while our right rests on the lease alone.
-func (e *Elector) keepFence(ctx context.Context, t Tenure) {
+func (e *Elector) renewOrTakeFencing(ctx context.Context, t Leadership) {
 	silent := e.peers.Silent()
 	e.mu.Lock()
 	if e.failures > 0 || e.term != t.Term {
 		e.mu.Unlock()
 		return
 	}
-	f := e.fence
+	f := e.fencing
 	stale := f.member != "" && (len(silent) != 1 || silent[0] != f.member)
 	if stale {
-		e.fence = fence{} // not counted on from here, before it ends
+		e.fencing = fencingLease{} // not counted on from here, before it ends
 	}
 	e.mu.Unlock()
 	switch {
 	case stale:
-		e.giveBack(ctx, f.lease)
+		e.revokeLease(ctx, f.lease)
 	case len(silent) != 1:
 	case f.member == "":
-		e.setFence(ctx, t, silent[0])
-	case e.clock.Since(f.sent) >= tuning.FenceRenew:
-		e.renewFence(ctx, f)
+		e.takeFencing(ctx, t, silent[0])
+	case e.clock.Since(f.sent) >= tuning.FencingLeaseRenew:
+		e.renewFencing(ctx, f)
 	}
 }
 
-// setFence fences a member off. The transaction is guarded on the key as it was read: an earlier one without an answer, if it
+// takeFencing fences a member off. The transaction is guarded on the key as it was read: an earlier one without an answer, if it
 // is carried out after this one, would hang the key on a lease that ends before we stop counting on it.
-func (e *Elector) setFence(ctx context.Context, t Tenure, member string) {
-	key := prefixFence + member
+func (e *Elector) takeFencing(ctx context.Context, t Leadership, member string) {
+	key := prefixFencing + member
 	old, _, err := e.store.Get(ctx, key)
 	if err != nil {
 		return
 	}
 	sent := e.clock.Now()
-	lease, err := e.store.Grant(ctx, tuning.FenceFor)
+	lease, err := e.store.Grant(ctx, tuning.FencingLeaseTTL)
 	if err != nil {
 		return
 	}
@@ -81,53 +81,53 @@
 		Then: []wire.Change{{Put: key, Value: json.RawMessage("true"), Lease: lease}},
 	}); err != nil {
 		e.log.Debug("not fenced off", "member", member, "err", err)
-		e.giveBack(ctx, lease)
+		e.revokeLease(ctx, lease)
 		return
 	}
 	e.log.Info("fencing off a silent member", "member", member)
-	e.noteFence(t.Term, fence{member, lease, sent})
+	e.noteFencing(t.Term, fencingLease{member, lease, sent})
 }
 
-func (e *Elector) renewFence(ctx context.Context, f fence) {
+func (e *Elector) renewFencing(ctx context.Context, f fencingLease) {
 	f.sent = e.clock.Now()
 	switch err := e.store.Renew(ctx, f.lease); {
 	case err == nil:
 		e.mu.Lock()
-		if e.fence.lease == f.lease {
-			e.fence = f
+		if e.fencing.lease == f.lease {
+			e.fencing = f
 		}
 		e.mu.Unlock()
 	case errors.Is(err, statestore.ErrNoLease):
 		e.mu.Lock()
-		e.fence = fence{}
+		e.fencing = fencingLease{}
 		e.mu.Unlock()
 	}
 }
 
-func (e *Elector) noteFence(term uint64, f fence) {
+func (e *Elector) noteFencing(term uint64, f fencingLease) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term == term {
-		e.fence = f
+		e.fencing = f
 	}
 }
 
-// leave is what a member needs to campaign: that no leader has fenced it off,
+// eligibility is what a member needs to campaign: that no leader has fenced it off,
 // or another's voucher.
-type leave struct {
+type eligibility struct {
 	guards []wire.Condition // of the campaign's transaction
 	until  time.Time        // when it is too late to act on a voucher; zero: never
 }
 
-// mayLead gives leave to campaign, the leader key being vacant after a term.
-func (e *Elector) mayLead(ctx context.Context, term uint64) (leave, bool) {
-	key := prefixFence + e.member
+// eligible gives leave to campaign, the leader key being vacant after a term.
+func (e *Elector) eligible(ctx context.Context, term uint64) (eligibility, bool) {
+	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
 	if err != nil {
-		return leave{}, false
+		return eligibility{}, false
 	}
 	if !fenced {
-		return leave{guards: []wire.Condition{{Key: key}}}, true
+		return eligibility{guards: []wire.Condition{{Key: key}}}, true
 	}
-	return leave{until: e.clock.Now().Add(tuning.VoucherFor)}, e.peers.Vouch(ctx, term)
+	return eligibility{until: e.clock.Now().Add(tuning.ConfirmationFor)}, e.peers.ConfirmTermOver(ctx, term)
 }
--- a/internal/cluster/election/former_test.go
+++ b/internal/cluster/election/former_test.go
@@ -91,11 +91,11 @@
 	if n > 0 {
 		store = &mortal{Store: store, left: n, after: after, end: stop}
 	}
-	m = &member{Elector: New(store, alone, "a", clock, slog.New(slog.DiscardHandler)), stop: stop, tenures: make(chan Tenure, 64), over: make(chan Tenure, 64)}
+	m = &member{Elector: New(store, alone, "a", clock, slog.New(slog.DiscardHandler)), stop: stop, tenures: make(chan Leadership, 64), over: make(chan Leadership, 64)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.Run(ctx, func(ctx context.Context, t Tenure) { m.tenures <- t; <-ctx.Done(); m.over <- t })
+		m.Run(ctx, func(ctx context.Context, t Leadership) { m.tenures <- t; <-ctx.Done(); m.over <- t })
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	return m, done
@@ -174,7 +174,7 @@
 	a.StandAside(tuning.StandAside)
 	begun := clock.Now()
 	passUntil(t, s, clock, a, a.tenures)
-	if took := clock.Since(begun); took < tuning.AsideVacant || took > tuning.AsideVacant+time.Second {
+	if took := clock.Since(begun); took < tuning.StandAsideVacant || took > tuning.StandAsideVacant+time.Second {
 		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
 	}
 }
--- a/internal/cluster/election/leadership.go
+++ b/internal/cluster/election/leadership.go
@@ -36,9 +36,9 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResult, error)
 }
 
-// Tenure is one leadership. Its guard makes a transaction fail once the
+// Leadership is one leadership. Its guard makes a transaction fail once the
 // leadership is over, however late it is applied.
-type Tenure struct {
+type Leadership struct {
 	Term  uint64
 	Guard wire.Condition
 }
@@ -70,18 +70,18 @@
 	leaderTerm uint64        // its term
 	overTerm   uint64        // this term and the earlier ones are over, as far as we know
 
-	campaigning bool      // a campaign is on its way on whose success we would act
-	quietUntil  time.Time // we promised neither to campaign nor to vouch before
-	born        time.Time // until then, an earlier process of this member may have promised
-	sure        time.Time // until then, one may have vouched
-	sureTerm    uint64    // the last term that was read as leading since then
-	vouched     uint64    // we vouched that this term is over; no promise for it or an earlier one
-	round       uint64    // of asking the peers for promises; a newer one voids it
-	failures    int       // renewals in a row without success
-	servedAt    int       // how many there were when another member was first seen to be served
-	fence       fence     // that our own tenure has set
-	aside       time.Time // until then the leadership is left to others, unless none takes it
-	vacant      time.Time // since when the leader key was found vacant; zero: it was held
+	campaigning   bool         // a campaign is on its way on whose success we would act
+	voteUntil     time.Time    // we promised neither to campaign nor to vouch before
+	born          time.Time    // until then, an earlier process of this member may have promised
+	sure          time.Time    // until then, one may have vouched
+	sureTerm      uint64       // the last term that was read as leading since then
+	confirmedTerm uint64       // we vouched that this term is over; no promise for it or an earlier one
+	round         uint64       // of asking the peers for promises; a newer one voids it
+	failures      int          // renewals in a row without success
+	servedAt      int          // how many there were when another member was first seen to be served
+	fencing       fencingLease // that our own tenure has set
+	aside         time.Time    // until then the leadership is left to others, unless none takes it
+	vacant        time.Time    // since when the leader key was found vacant; zero: it was held
 }
 
 // New makes an elector for a member.
@@ -90,9 +90,9 @@
 	// What an earlier process of this member promised or vouched for is not
 	// known. It ended before this one began, so its promises end within
 	// PromiseFor, and what it vouched for is acted on within VoucherFor.
-	e.born = clock.Now().Add(promiseKept)
-	e.quietUntil = e.born
-	e.sure = clock.Now().Add(stretch(tuning.VoucherFor, tuning.ClockDrift))
+	e.born = clock.Now().Add(voteKeptFor)
+	e.voteUntil = e.born
+	e.sure = clock.Now().Add(stretch(tuning.ConfirmationFor, tuning.ClockDrift))
 	return e
 }
 
@@ -144,28 +144,28 @@
 	e.aside = e.clock.Now().Add(d)
 }
 
-// Hint takes in who leads by another member's knowledge: the state service may
+// NoteLeader takes in who leads by another member's knowledge: the state service may
 // refuse us alone, and workers that come here must find the leader all the
 // same. No right to act hangs on it.
-func (e *Elector) Hint(name string, term uint64) {
+func (e *Elector) NoteLeader(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if name != "" && term > e.leaderTerm && term > e.overTerm {
 		e.leader, e.leaderTerm = name, term
 	}
 	if e.term != 0 && e.laterThan(e.term) {
-		e.giveUp() // our lease is over, though the state service does not tell us
+		e.resign() // our lease is over, though the state service does not tell us
 	}
 }
 
-// gain sets our own right to act, in a tenure that begins. sent is when the
+// becomeLeader sets our own right to act, in a tenure that begins. sent is when the
 // request that gained the lease was sent: the lease cannot have begun earlier,
 // and our clock may run fast or slow.
-func (e *Elector) gain(term, lease uint64, sent time.Time) {
+func (e *Elector) becomeLeader(term, lease uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.term, e.lease, e.yielded = term, lease, make(chan struct{})
-	e.campaigning, e.fence = false, fence{}
+	e.campaigning, e.fencing = false, fencingLease{}
 	e.renew(sent)
 }
 
@@ -187,14 +187,14 @@
 	e.validUntil = sent.Add(stretch(tuning.LeaseTTL, -tuning.ClockDrift))
 }
 
-func (e *Elector) clear() {
+func (e *Elector) forgetLeadership() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.giveUp()
+	e.resign()
 }
 
-// giveUp ends our own tenure; the caller holds the lock.
-func (e *Elector) giveUp() {
+// resign ends our own tenure; the caller holds the lock.
+func (e *Elector) resign() {
 	if e.term == 0 {
 		return
 	}
@@ -211,18 +211,18 @@
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.clock.Now()
-	ask := now.Before(e.quietUntil) && e.quietUntil.Equal(e.born)
+	ask := now.Before(e.voteUntil) && e.voteUntil.Equal(e.born)
 	e.mu.Unlock()
 	// Only a leader relies on promises. If nobody leads, those that an
 	// earlier process may have given bind no more.
 	free := ask && e.peers.NobodyLeads(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if free && e.quietUntil.Equal(e.born) {
-		e.quietUntil = time.Time{}
+	if free && e.voteUntil.Equal(e.born) {
+		e.voteUntil = time.Time{}
 	}
 	now = e.clock.Now()
-	if now.Before(e.quietUntil) || now.Before(e.aside) && now.Sub(e.vacant) < tuning.AsideVacant {
+	if now.Before(e.voteUntil) || now.Before(e.aside) && now.Sub(e.vacant) < tuning.StandAsideVacant {
 		return false
 	}
 	e.campaigning = true
@@ -237,7 +237,7 @@
 
 // Run campaigns until ctx ends. It calls lead in a goroutine of its own for
 // each tenure; lead's context ends when the tenure is lost, and Run waits for it.
-func (e *Elector) Run(ctx context.Context, lead func(context.Context, Tenure)) {
+func (e *Elector) Run(ctx context.Context, lead func(context.Context, Leadership)) {
 	for ctx.Err() == nil {
 		// The term is read first: if the key is vacant after that, all terms up
 		// to this one are over.
@@ -256,11 +256,11 @@
 		}
 		if held {
 			if h.Member == e.member {
-				e.endFormer(ctx, h)
+				e.endPreviousProcess(ctx, h)
 				continue
 			}
 			e.setLeader(h.Member, h.Term)
-			e.readAsLeading(h.Term, sent)
+			e.noteStillLeading(h.Term, sent)
 			e.waitForChange(ctx, revision)
 			continue
 		}
@@ -269,7 +269,7 @@
 			e.pause(ctx, tuning.RetryCampaign)
 			continue
 		}
-		leave, ok := e.mayLead(ctx, last)
+		leave, ok := e.eligible(ctx, last)
 		if !ok {
 			e.endCampaign()
 			e.pause(ctx, tuning.RetryCampaign)
@@ -281,7 +281,7 @@
 			e.pause(ctx, time.Duration(rand.Int64N(int64(tuning.RetryLeader))))
 			continue
 		}
-		e.reign(ctx, tenure, lead)
+		e.lead(ctx, tenure, lead)
 	}
 }
 
@@ -332,7 +332,7 @@
 // transaction is unknown it gives the lease back and reports failure: a late
 // success then holds a dead lease, and nobody acts on it. Nor does anybody
 // once the leave is over: whoever vouched for us may not remember it after that.
-func (e *Elector) campaign(ctx context.Context, last, version uint64, leave leave) (t Tenure, ok bool) {
+func (e *Elector) campaign(ctx context.Context, last, version uint64, leave eligibility) (t Leadership, ok bool) {
 	sent := e.clock.Now()
 	lease, err := e.store.Grant(ctx, tuning.LeaseTTL)
 	if err != nil {
@@ -360,18 +360,18 @@
 	}
 	if err != nil {
 		e.log.Debug("campaign failed", "err", err)
-		e.giveBack(ctx, lease)
+		e.revokeLease(ctx, lease)
 		return t, false
 	}
-	e.gain(term, lease, sent)
+	e.becomeLeader(term, lease, sent)
 	e.setLeader(e.member, term)
-	return Tenure{Term: term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
+	return Leadership{Term: term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
 }
 
-// endFormer ends a tenure that the leader key gives to this member, which does not lead: that of an earlier process of it,
+// endPreviousProcess ends a tenure that the leader key gives to this member, which does not lead: that of an earlier process of it,
 // which is gone, since its addresses are ours; or of a campaign that had no answer, on which nobody acts. Both
 // otherwise keep the key until the lease runs out, 4 s more without a leader for a process that is back at once.
-func (e *Elector) endFormer(ctx context.Context, h holder) {
+func (e *Elector) endPreviousProcess(ctx context.Context, h holder) {
 	e.log.Info("ending the tenure of an earlier process", "term", h.Term)
 	if err := e.store.Revoke(ctx, h.Lease); err != nil {
 		e.log.Debug("its lease is not ended", "err", err)
@@ -379,18 +379,18 @@
 	e.pause(ctx, tuning.RetryCampaign)
 }
 
-func (e *Elector) giveBack(ctx context.Context, lease uint64) {
+func (e *Elector) revokeLease(ctx context.Context, lease uint64) {
 	if err := e.store.Revoke(ctx, lease); err != nil {
 		e.log.Debug("lease not given back", "err", err)
 	}
 }
 
-// reign keeps the lease until it is lost. While the state service does not
+// lead keeps the lease until it is lost. While the state service does not
 // answer, the right to act runs out by the local clock (unless the peers'
 // promises extend it), but the leadership is kept: after an outage the lease
 // has its full time again, nobody else can have written anything, and a
 // renewal brings the right back.
-func (e *Elector) reign(ctx context.Context, t Tenure, lead func(context.Context, Tenure)) {
+func (e *Elector) lead(ctx context.Context, t Leadership, lead func(context.Context, Leadership)) {
 	e.log.Info("leading", "term", t.Term)
 	e.mu.Lock()
 	lease, yielded := e.lease, e.yielded
@@ -402,10 +402,10 @@
 		lead(leadCtx, t)
 	}()
 	var helpers sync.WaitGroup
-	helpers.Go(func() { e.extend(leadCtx, t.Term) })
-	helpers.Go(func() { e.keepFences(leadCtx, t) })
+	helpers.Go(func() { e.askForVotes(leadCtx, t.Term) })
+	helpers.Go(func() { e.maintainFencing(leadCtx, t) })
 	defer func() {
-		e.clear()
+		e.forgetLeadership()
 		stop()
 		<-done
 		helpers.Wait()
@@ -420,7 +420,7 @@
 			return false
 		case <-done:
 			// The leader's work ended by itself: let another lead.
-			e.giveBack(ctx, lease)
+			e.revokeLease(ctx, lease)
 			return false
 		case <-yielded:
 			return false
--- a/internal/cluster/election/leadership_test.go
+++ b/internal/cluster/election/leadership_test.go
@@ -19,23 +19,23 @@
 
 // peers are the other members, as a test wants them to answer.
 type peers struct {
-	promise func() Promises
+	promise func() Votes
 	nobody  func() bool
 	vouch   func() bool // nil: they do
 	yield   func(lease uint64)
 	silent  []string
 }
 
-func (p *peers) Promise(context.Context, uint64) Promises { return p.promise() }
-func (p *peers) NobodyLeads(context.Context) bool         { return p.nobody() }
-func (p *peers) Vouch(context.Context, uint64) bool       { return p.vouch == nil || p.vouch() }
-func (p *peers) Yield(_ context.Context, lease uint64)    { p.yield(lease) }
-func (p *peers) Silent() []string                         { return p.silent }
+func (p *peers) RequestVotes(context.Context, uint64) Votes   { return p.promise() }
+func (p *peers) NobodyLeads(context.Context) bool             { return p.nobody() }
+func (p *peers) ConfirmTermOver(context.Context, uint64) bool { return p.vouch == nil || p.vouch() }
+func (p *peers) EndLease(_ context.Context, lease uint64)     { p.yield(lease) }
+func (p *peers) Silent() []string                             { return p.silent }
 
 func always(b bool) func() bool { return func() bool { return b } }
 
-func silent(names ...string) func() Promises {
-	return func() Promises { return Promises{Silent: names} }
+func silent(names ...string) func() Votes {
+	return func() Votes { return Votes{Silent: names} }
 }
 
 // alone is how it is when no peer answers a leader, though none leads.
@@ -44,8 +44,8 @@
 type member struct {
 	*Elector
 	stop    context.CancelFunc
-	tenures chan Tenure
-	over    chan Tenure
+	tenures chan Leadership
+	over    chan Leadership
 }
 
 func start(t *testing.T, name string, s *fakes.State, p Peers, clock clockwork.Clock) *member {
@@ -53,12 +53,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{
 		Elector: New(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock, slog.New(slog.DiscardHandler)),
-		stop:    stop, tenures: make(chan Tenure, 8), over: make(chan Tenure, 8),
+		stop:    stop, tenures: make(chan Leadership, 8), over: make(chan Leadership, 8),
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.Run(ctx, func(ctx context.Context, t Tenure) {
+		m.Run(ctx, func(ctx context.Context, t Leadership) {
 			m.tenures <- t
 			<-ctx.Done()
 			m.over <- t
@@ -152,7 +152,7 @@
 		return muted == 1
 	})
 	a := start(t, "a", s, alone, clock)
-	var tenure Tenure
+	var tenure Leadership
 	until(t, s, clock, following, "a tenure", func() bool {
 		select {
 		case tenure = <-a.tenures:
@@ -175,17 +175,17 @@
 	t.Cleanup(s.Close)
 	var given atomic.Bool
 	given.Store(true)
-	a := start(t, "a", s, &peers{nobody: always(true), promise: func() Promises {
+	a := start(t, "a", s, &peers{nobody: always(true), promise: func() Votes {
 		if given.Load() {
-			return Promises{}
+			return Votes{}
 		}
-		return Promises{Silent: []string{"b", "c"}}
+		return Votes{Silent: []string{"b", "c"}}
 	}}, clock)
 	tenure := <-a.tenures
 	s.Refuse(true)
 	begun := clock.Now()
 	until(t, s, clock, leading, "a long outage to pass", func() bool {
-		return clock.Since(begun) > 2*tuning.FenceFor || !a.Valid(tenure.Term)
+		return clock.Since(begun) > 2*tuning.FencingLeaseTTL || !a.Valid(tenure.Term)
 	})
 	if !a.Valid(tenure.Term) {
 		t.Fatalf("the right ended after %v", clock.Since(begun))
@@ -193,7 +193,7 @@
 	given.Store(false)
 	begun = clock.Now()
 	until(t, s, clock, leading, "the end of the right", func() bool { return !a.Valid(tenure.Term) })
-	if clock.Since(begun) > tuning.PromiseFor {
+	if clock.Since(begun) > tuning.VoteFor {
 		t.Errorf("acted for %v after the last promise", clock.Since(begun))
 	}
 }
@@ -208,29 +208,29 @@
 	if e.mayCampaign(t.Context()) {
 		t.Error("campaigns at once though a leader may count on its former life's promise")
 	}
-	clock.Advance(promiseKept)
+	clock.Advance(voteKeptFor)
 	if !e.mayCampaign(t.Context()) {
 		t.Error("does not campaign once those promises are over")
 	}
-	e.readAsLeading(5, e.sure)
-	if e.Promise(t.Context(), 5) != Refused {
+	e.noteStillLeading(5, e.sure)
+	if e.Vote(t.Context(), 5) != Refused {
 		t.Error("promises while it campaigns")
 	}
 	e.endCampaign()
-	if e.Promise(t.Context(), 5) != Refused {
+	if e.Vote(t.Context(), 5) != Refused {
 		t.Error("promises though the state service answers it")
 	}
 	s.Refuse(true)
-	if e.Promise(t.Context(), 5) != Promised {
+	if e.Vote(t.Context(), 5) != Granted {
 		t.Error("does not promise in an outage")
 	}
 	if e.mayCampaign(t.Context()) {
 		t.Error("campaigns in spite of its promise")
 	}
-	if e.Vouch(5) {
+	if e.ConfirmTermOver(5) {
 		t.Error("vouches for another in spite of its promise")
 	}
-	clock.Advance(promiseKept)
+	clock.Advance(voteKeptFor)
 	if !e.mayCampaign(t.Context()) {
 		t.Error("keeps quiet after its promise is over")
 	}
@@ -244,12 +244,12 @@
 	t.Cleanup(s.Close)
 	var a *member
 	ready := make(chan struct{})
-	p := &peers{nobody: always(true), promise: func() Promises {
+	p := &peers{nobody: always(true), promise: func() Votes {
 		<-ready
 		if a.NotLeading() { // asked in the middle of the round, it says that it leads
-			return Promises{Refused: 1}
+			return Votes{Refused: 1}
 		}
-		return Promises{}
+		return Votes{}
 	}}
 	a = start(t, "a", s, p, clock)
 	close(ready)
@@ -274,23 +274,23 @@
 			t.Errorf("leader %q of term %d, want %q of %d", name, term, want, wantTerm)
 		}
 	}
-	e.gain(3, 1, clock.Now())
+	e.becomeLeader(3, 1, clock.Now())
 	e.setLeader("a", 3)
-	e.Hint("b", 2) // by one that lags behind
-	e.Hint("", 9)
+	e.NoteLeader("b", 2) // by one that lags behind
+	e.NoteLeader("", 9)
 	holds("a", 3)
 	clock.Advance(tuning.LeaseTTL) // renewals are refused: the right ends, the tenure does not
-	e.Hint("b", 4)
+	e.NoteLeader("b", 4)
 	holds("b", 4)
 	if e.Valid(4) || e.Valid(3) {
 		t.Error("what is heard gives a right to act")
 	}
-	e.clear() // the own tenure's end comes later
+	e.forgetLeadership() // the own tenure's end comes later
 	holds("b", 4)
 	e.setLeader("", 0) // the state service says that nobody leads
-	e.Hint("b", 4)
+	e.NoteLeader("b", 4)
 	holds("", 0)
-	e.Hint("c", 5)
+	e.NoteLeader("c", 5)
 	holds("c", 5)
 }
 
@@ -301,27 +301,27 @@
 	for _, c := range []struct {
 		name     string
 		silent   []string // before the outage
-		promises Promises
+		promises Votes
 		goesOn   bool
 	}{
-		{"fenced off", []string{"b"}, Promises{Silent: []string{"b"}}, true},
-		{"silent only now", nil, Promises{Silent: []string{"b"}}, false},
-		{"another is silent", []string{"b"}, Promises{Silent: []string{"c"}}, false},
-		{"two are silent", []string{"b", "c"}, Promises{Silent: []string{"b", "c"}}, false},
-		{"another may have vouched for it", []string{"b"}, Promises{Silent: []string{"b"}, Forgetful: 1}, false},
+		{"fenced off", []string{"b"}, Votes{Silent: []string{"b"}}, true},
+		{"silent only now", nil, Votes{Silent: []string{"b"}}, false},
+		{"another is silent", []string{"b"}, Votes{Silent: []string{"c"}}, false},
+		{"two are silent", []string{"b", "c"}, Votes{Silent: []string{"b", "c"}}, false},
+		{"another may have vouched for it", []string{"b"}, Votes{Silent: []string{"b"}, WithoutMemory: 1}, false},
 	} {
 		clock := clockwork.NewFakeClock()
 		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
-		a := start(t, "a", s, &peers{nobody: always(true), silent: c.silent, promise: func() Promises { return c.promises }}, clock)
+		a := start(t, "a", s, &peers{nobody: always(true), silent: c.silent, promise: func() Votes { return c.promises }}, clock)
 		tenure := <-a.tenures
 		begun := clock.Now()
-		until(t, s, clock, leading, "a look at who is silent", func() bool { return clock.Since(begun) > 2*tuning.FenceRenew })
+		until(t, s, clock, leading, "a look at who is silent", func() bool { return clock.Since(begun) > 2*tuning.FencingLeaseRenew })
 		s.Refuse(true)
 		begun = clock.Now()
 		until(t, s, clock, leading, "the end of the right", func() bool { return !a.Valid(tenure.Term) })
 		d := clock.Since(begun)
-		if c.goesOn && (d < tuning.FenceFor/2 || d > tuning.FenceFor) || !c.goesOn && d > tuning.LeaseTTL {
+		if c.goesOn && (d < tuning.FencingLeaseTTL/2 || d > tuning.FencingLeaseTTL) || !c.goesOn && d > tuning.LeaseTTL {
 			t.Errorf("%s: the right ended after %v", c.name, d)
 		}
 	}
@@ -335,13 +335,13 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &peers{vouch: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
-	early, ok := e.mayLead(t.Context(), 0)
+	early, ok := e.eligible(t.Context(), 0)
 	if !ok {
 		t.Fatal("a member that is not fenced off needs a voucher")
 	}
 	a := start(t, "a", s, &peers{nobody: always(true), promise: silent("b"), silent: []string{"b"}}, clock)
 	tenure := <-a.tenures
-	until(t, s, clock, leading, "the fence", func() bool { _, ok := s.Value(prefixFence + "b"); return ok })
+	until(t, s, clock, leading, "the fence", func() bool { _, ok := s.Value(prefixFencing + "b"); return ok })
 	a.stop()
 	<-a.over
 	clock.Advance(tuning.LeaseTTL + time.Second) // the leader's lease is over, the fence stands
@@ -353,17 +353,17 @@
 	if _, ok := e.campaign(t.Context(), tenure.Term, version, early); ok {
 		t.Error("leads on a leave that is older than the fence")
 	}
-	if _, ok := e.mayLead(t.Context(), tenure.Term); ok {
+	if _, ok := e.eligible(t.Context(), tenure.Term); ok {
 		t.Error("campaigns though it is fenced off")
 	}
 	e.peers = &peers{vouch: always(true)}
-	if l, ok := e.mayLead(t.Context(), tenure.Term); !ok || l.until.IsZero() {
+	if l, ok := e.eligible(t.Context(), tenure.Term); !ok || l.until.IsZero() {
 		t.Error("a voucher gives no leave for a time")
 	}
 	e.peers = &peers{vouch: always(false)}
-	clock.Advance(tuning.FenceFor)
+	clock.Advance(tuning.FencingLeaseTTL)
 	s.Expire()
-	if _, ok := e.mayLead(t.Context(), tenure.Term); !ok {
+	if _, ok := e.eligible(t.Context(), tenure.Term); !ok {
 		t.Error("waits though the fence is gone")
 	}
 }
@@ -374,24 +374,24 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
-	leave, _ := e.mayLead(t.Context(), 0)
+	leave, _ := e.eligible(t.Context(), 0)
 	tenure, ok := e.campaign(t.Context(), 0, 0, leave)
 	if !ok {
 		t.Fatal("does not lead")
 	}
 	e.peers = &peers{silent: []string{"b"}}
-	e.keepFence(t.Context(), tenure)
-	if _, ok := s.Value(prefixFence + "b"); !ok || e.fence.member != "b" {
+	e.renewOrTakeFencing(t.Context(), tenure)
+	if _, ok := s.Value(prefixFencing + "b"); !ok || e.fencing.member != "b" {
 		t.Fatal("a silent member is not fenced off")
 	}
 	e.peers = &peers{}
 	e.failedRenewal() // the right may rest on the fence
-	if e.keepFence(t.Context(), tenure); e.fence.member != "b" {
+	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "b" {
 		t.Error("a fence that may be counted on is taken down")
 	}
 	e.renewal(tenure.Term, clock.Now())
-	e.keepFence(t.Context(), tenure)
-	if _, ok := s.Value(prefixFence + "b"); ok || e.fence.member != "" {
+	e.renewOrTakeFencing(t.Context(), tenure)
+	if _, ok := s.Value(prefixFencing + "b"); ok || e.fencing.member != "" {
 		t.Error("it stays fenced off")
 	}
 }
@@ -403,14 +403,14 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	if _, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
-		Then: []wire.Change{{Put: prefixFence + "a", Value: json.RawMessage("true")}},
+		Then: []wire.Change{{Put: prefixFencing + "a", Value: json.RawMessage("true")}},
 	}); err != nil {
 		t.Fatal(err)
 	}
 	asked := 0
 	p := &peers{nobody: always(true), vouch: func() bool {
 		if asked++; asked == 1 {
-			clock.Advance(tuning.VoucherFor)
+			clock.Advance(tuning.ConfirmationFor)
 		}
 		return true
 	}}
@@ -429,31 +429,31 @@
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
 	s.Refuse(true)
-	if e.Vouch(5) {
+	if e.ConfirmTermOver(5) {
 		t.Error("vouches though its former life may have promised otherwise")
 	}
-	e.readAsLeading(5, clock.Now()) // its former life may have vouched a moment ago
-	clock.Advance(promiseKept)
-	if got := e.Promise(t.Context(), 5); got != Forgetful {
+	e.noteStillLeading(5, clock.Now()) // its former life may have vouched a moment ago
+	clock.Advance(voteKeptFor)
+	if got := e.Vote(t.Context(), 5); got != GrantedWithoutMemory {
 		t.Errorf("restarted, it answers %v", got)
 	}
-	clock.Advance(tuning.VoucherFor)
-	e.readAsLeading(5, clock.Now())
-	if got := e.Promise(t.Context(), 5); got != Promised {
+	clock.Advance(tuning.ConfirmationFor)
+	e.noteStillLeading(5, clock.Now())
+	if got := e.Vote(t.Context(), 5); got != Granted {
 		t.Errorf("having read that the term still leads, it answers %v", got)
 	}
-	if e.Vouch(5) {
+	if e.ConfirmTermOver(5) {
 		t.Error("vouches in spite of its promise")
 	}
-	clock.Advance(promiseKept)
-	if !e.Vouch(5) {
+	clock.Advance(voteKeptFor)
+	if !e.ConfirmTermOver(5) {
 		t.Error("does not vouch for anybody")
 	}
-	if got := e.Promise(t.Context(), 5); got != Refused {
+	if got := e.Vote(t.Context(), 5); got != Refused {
 		t.Errorf("having vouched that the term is over, it answers %v", got)
 	}
-	e.readAsLeading(6, clock.Now())
-	if got := e.Promise(t.Context(), 6); got != Promised {
+	e.noteStillLeading(6, clock.Now())
+	if got := e.Vote(t.Context(), 6); got != Granted {
 		t.Errorf("a later term's leader is answered %v", got)
 	}
 }
@@ -466,10 +466,10 @@
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, alone, clock)
 	tenure := <-a.tenures
-	if a.Vouch(tenure.Term-1) || !a.Valid(tenure.Term) {
+	if a.ConfirmTermOver(tenure.Term-1) || !a.Valid(tenure.Term) {
 		t.Error("gives up for a term before its own")
 	}
-	if !a.Vouch(tenure.Term) || a.Valid(tenure.Term) {
+	if !a.ConfirmTermOver(tenure.Term) || a.Valid(tenure.Term) {
 		t.Error("acts on, though its lease was seen to be over")
 	}
 	<-a.over
@@ -482,9 +482,9 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	var a *member
-	var tenure Tenure
+	var tenure Leadership
 	yielded := make(chan bool, 1)
-	p := &peers{nobody: always(true), promise: func() Promises { return Promises{Refused: 1} }}
+	p := &peers{nobody: always(true), promise: func() Votes { return Votes{Refused: 1} }}
 	p.yield = func(uint64) { yielded <- a.Valid(tenure.Term) }
 	a = start(t, "a", s, p, clock)
 	tenure = <-a.tenures
@@ -503,7 +503,7 @@
 func TestTheEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	e := New(nil, &peers{yield: func(uint64) { t.Error("has its lease ended") }}, "a", clock, slog.New(slog.DiscardHandler))
-	e.gain(3, 1, clock.Now())
+	e.becomeLeader(3, 1, clock.Now())
 	for range 100 {
 		e.failedRenewal() // the outage
 	}
--- a/internal/cluster/election/meetings_test.go
+++ b/internal/cluster/election/meetings_test.go
@@ -21,30 +21,30 @@
 	for _, c := range []struct {
 		name string
 		past func(e *Elector, now time.Time)
-		want Answer
+		want Vote
 	}{
-		{"nothing later is known", func(*Elector, time.Time) {}, Promised},
-		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.gain(6, 1, now); e.setLeader("b", 6); e.clear() }, Refused},
+		{"nothing later is known", func(*Elector, time.Time) {}, Granted},
+		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.becomeLeader(6, 1, now); e.setLeader("b", 6); e.forgetLeadership() }, Refused},
 		{"it led itself, and heard that nobody does now", func(e *Elector, now time.Time) {
-			e.gain(6, 1, now)
+			e.becomeLeader(6, 1, now)
 			e.setLeader("b", 6)
-			e.clear()
+			e.forgetLeadership()
 			e.setLeader("", 0)
 		}, Refused},
 		{"it read of another", func(e *Elector, _ time.Time) { e.setLeader("c", 6) }, Refused},
 		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.setLeader("c", 6); e.setLeader("", 0) }, Refused},
-		{"it heard of another", func(e *Elector, _ time.Time) { e.Hint("c", 6) }, Refused},
-		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.setLeader("a", 5); e.setLeader("", 0) }, Promised},
+		{"it heard of another", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
+		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.setLeader("a", 5); e.setLeader("", 0) }, Granted},
 	} {
 		clock := clockwork.NewFakeClock()
 		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
 		e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "b", clock, slog.New(slog.DiscardHandler))
-		clock.Advance(promiseKept + tuning.VoucherFor)
-		e.readAsLeading(5, clock.Now())
+		clock.Advance(voteKeptFor + tuning.ConfirmationFor)
+		e.noteStillLeading(5, clock.Now())
 		c.past(e, clock.Now())
 		s.Refuse(true)
-		if got := e.Promise(t.Context(), 5); got != c.want {
+		if got := e.Vote(t.Context(), 5); got != c.want {
 			t.Errorf("%s: it answers %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -56,24 +56,24 @@
 	for _, c := range []struct {
 		name   string
 		lapsed bool
-		p      Promises
+		p      Votes
 		valid  bool
 	}{
-		{"goes on with a right", false, Promises{Forgetful: 2}, true},
-		{"does not bring one back", true, Promises{Forgetful: 2}, false},
-		{"nor does one of two", true, Promises{Forgetful: 1}, false},
-		{"those that remember bring it back", true, Promises{}, true},
+		{"goes on with a right", false, Votes{WithoutMemory: 2}, true},
+		{"does not bring one back", true, Votes{WithoutMemory: 2}, false},
+		{"nor does one of two", true, Votes{WithoutMemory: 1}, false},
+		{"those that remember bring it back", true, Votes{}, true},
 	} {
 		clock := clockwork.NewFakeClock()
 		e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-		e.gain(5, 1, clock.Now())
-		clock.Advance(tuning.LeaseTTL - tuning.PromiseFor/2)
+		e.becomeLeader(5, 1, clock.Now())
+		clock.Advance(tuning.LeaseTTL - tuning.VoteFor/2)
 		if c.lapsed {
-			clock.Advance(tuning.PromiseFor)
+			clock.Advance(tuning.VoteFor)
 		}
 		sent := clock.Now()
-		e.prolong(5, e.round, sent, c.p)
-		clock.Advance(tuning.PromiseFor * 3 / 4)
+		e.extendByVotes(5, e.round, sent, c.p)
+		clock.Advance(tuning.VoteFor * 3 / 4)
 		if e.Valid(5) != c.valid {
 			t.Errorf("%s: valid %v", c.name, e.Valid(5))
 		}
@@ -84,11 +84,11 @@
 func TestARightThatLapsesInTheRoundIsNotBroughtBack(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-	e.gain(5, 1, clock.Now())
-	clock.Advance(tuning.LeaseTTL - tuning.PromiseFor/4)
+	e.becomeLeader(5, 1, clock.Now())
+	clock.Advance(tuning.LeaseTTL - tuning.VoteFor/4)
 	sent := clock.Now()
-	clock.Advance(tuning.PromiseFor / 2)
-	if e.prolong(5, e.round, sent, Promises{Forgetful: 1}); e.Valid(5) {
+	clock.Advance(tuning.VoteFor / 2)
+	if e.extendByVotes(5, e.round, sent, Votes{WithoutMemory: 1}); e.Valid(5) {
 		t.Error("the right came back")
 	}
 }
@@ -97,18 +97,18 @@
 func TestALeaderThatHearsOfALaterOneGivesUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-	e.gain(5, 1, clock.Now())
+	e.becomeLeader(5, 1, clock.Now())
 	e.setLeader("a", 5)
-	e.Hint("b", 4)
-	e.Hint("a", 5)
+	e.NoteLeader("b", 4)
+	e.NoteLeader("a", 5)
 	if !e.Valid(5) {
 		t.Error("gives up for itself or an earlier one")
 	}
-	e.Hint("b", 6)
+	e.NoteLeader("b", 6)
 	if name, term := e.Holder(); e.Valid(5) || name != "b" || term != 6 {
 		t.Errorf("valid %v, names %q of term %d", e.Valid(5), name, term)
 	}
-	e.prolong(5, e.round, clock.Now(), Promises{})
+	e.extendByVotes(5, e.round, clock.Now(), Votes{})
 	if e.Valid(5) {
 		t.Error("promises bring the right back")
 	}
@@ -126,13 +126,13 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(keepsLeases{statestore.New(s.Addr(), 1e6, 1e6)}, &peers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
-	leave, _ := e.mayLead(t.Context(), 0)
+	leave, _ := e.eligible(t.Context(), 0)
 	tenure, ok := e.campaign(t.Context(), 0, 0, leave)
 	if !ok {
 		t.Fatal("does not lead")
 	}
-	s.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFence+"b" })
-	if e.keepFence(t.Context(), tenure); e.fence.member != "" || s.Held() != 1 {
+	s.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFencing+"b" })
+	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "" || s.Held() != 1 {
 		t.Fatal("counts on a fence that may not be there")
 	}
 	s.Late(nil)
@@ -144,17 +144,17 @@
 			}
 		}
 	}
-	pass(tuning.FenceFor / 2)
-	if e.keepFence(t.Context(), tenure); e.fence.member != "b" {
+	pass(tuning.FencingLeaseTTL / 2)
+	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "b" {
 		t.Fatal("the silent member is not fenced off")
 	}
 	if late := s.Deliver(); len(late) != 0 {
 		t.Error("the first attempt was carried out after the second")
 	}
-	for clock.Since(e.fence.sent) < fenceRelied-tuning.RenewEvery {
+	for clock.Since(e.fencing.sent) < fencingReliedFor-tuning.RenewEvery {
 		pass(tuning.RenewEvery)
-		if _, ok := s.Value(prefixFence + "b"); !ok {
-			t.Fatalf("the fence is gone %v after it was set, and is counted on for %v", clock.Since(e.fence.sent), fenceRelied)
+		if _, ok := s.Value(prefixFencing + "b"); !ok {
+			t.Fatalf("the fence is gone %v after it was set, and is counted on for %v", clock.Since(e.fencing.sent), fencingReliedFor)
 		}
 	}
 }
@@ -179,9 +179,9 @@
 		clock := clockwork.NewFakeClock()
 		var e *Elector
 		e = New(inBetween{fn: func() { begin(e) }}, alone, "a", clock, slog.New(slog.DiscardHandler))
-		clock.Advance(promiseKept + tuning.VoucherFor)
-		e.readAsLeading(5, clock.Now())
-		if got := e.Promise(t.Context(), 5); got != Refused {
+		clock.Advance(voteKeptFor + tuning.ConfirmationFor)
+		e.noteStillLeading(5, clock.Now())
+		if got := e.Vote(t.Context(), 5); got != Refused {
 			t.Errorf("%s: it answers %v", name, got)
 		}
 	}
@@ -190,8 +190,8 @@
 // Guards against a right that outlives the lease by the time that a renewal took: it counts from before the request.
 func TestTheRightCountsFromBeforeTheRequest(t *testing.T) {
 	for name, renew := range map[string]func(e *Elector, sent time.Time){
-		"gained":  func(e *Elector, sent time.Time) { e.gain(5, 1, sent) },
-		"renewed": func(e *Elector, sent time.Time) { e.gain(5, 1, sent); e.renewal(5, sent) },
+		"gained":  func(e *Elector, sent time.Time) { e.becomeLeader(5, 1, sent) },
+		"renewed": func(e *Elector, sent time.Time) { e.becomeLeader(5, 1, sent); e.renewal(5, sent) },
 	} {
 		clock := clockwork.NewFakeClock()
 		e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
--- a/internal/cluster/election/promises.go
+++ b/internal/cluster/election/promises.go
@@ -9,46 +9,46 @@
 
 // Peers asks the other members. One that cannot be reached may do anything.
 type Peers interface {
-	// Promise asks them neither to campaign nor to vouch for PromiseFor, for
+	// RequestVotes asks them neither to campaign nor to vouch for PromiseFor, for
 	// the leader of a term.
-	Promise(ctx context.Context, term uint64) Promises
+	RequestVotes(ctx context.Context, term uint64) Votes
 	// NobodyLeads asks whether none of them leads; each must have said so.
 	NobodyLeads(ctx context.Context) bool
-	// Vouch tells whether one of them vouches that no leader of this term or
+	// ConfirmTermOver tells whether one of them vouches that no leader of this term or
 	// an earlier one can count on its promise any more. There may be none to ask.
-	Vouch(ctx context.Context, term uint64) bool
-	// Yield has one of them end a lease.
-	Yield(ctx context.Context, lease uint64)
+	ConfirmTermOver(ctx context.Context, term uint64) bool
+	// EndLease has one of them end a lease.
+	EndLease(ctx context.Context, lease uint64)
 	// Silent names those that do not answer of late.
 	Silent() []string
 }
 
-// Promises is how a round of asking for promises went.
-type Promises struct {
-	Refused   int      // members that answered otherwise
-	Forgetful int      // members that promised, but cannot tell whom they vouched for before a restart
-	Silent    []string // members that gave no answer
+// Votes is how a round of asking for promises went.
+type Votes struct {
+	Refused       int      // members that answered otherwise
+	WithoutMemory int      // members that promised, but cannot tell whom they vouched for before a restart
+	Silent        []string // members that gave no answer
 }
 
-// Answer is a member's answer to the question for a promise.
-type Answer int
+// Vote is a member's answer to the question for a promise.
+type Vote int
 
 // The answers.
 const (
-	Refused Answer = iota
-	Promised
-	Forgetful // promised, but it cannot tell whom it vouched for before its restart
+	Refused Vote = iota
+	Granted
+	GrantedWithoutMemory // promised, but it cannot tell whom it vouched for before its restart
 )
 
 var (
-	promiseKept   = stretch(tuning.PromiseFor, tuning.ClockDrift)  // by those who gave it
-	promiseRelied = stretch(tuning.PromiseFor, -tuning.ClockDrift) // by the one who asked
+	voteKeptFor   = stretch(tuning.VoteFor, tuning.ClockDrift)  // by those who gave it
+	voteReliedFor = stretch(tuning.VoteFor, -tuning.ClockDrift) // by the one who asked
 )
 
-// Promise answers a leader that cannot reach the state service and asks us
+// Vote answers a leader that cannot reach the state service and asks us
 // neither to campaign nor to vouch for another for PromiseFor. We promise only if we
 // cannot reach it either: a leader that it refuses alone had better be replaced.
-func (e *Elector) Promise(ctx context.Context, term uint64) Answer {
+func (e *Elector) Vote(ctx context.Context, term uint64) Vote {
 	if !e.follows() {
 		return Refused
 	}
@@ -59,16 +59,16 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.term != 0 || e.campaigning || e.vouched >= term || e.laterThan(term) {
+	if e.term != 0 || e.campaigning || e.confirmedTerm >= term || e.laterThan(term) {
 		return Refused
 	}
-	if until := e.clock.Now().Add(promiseKept); until.After(e.quietUntil) {
-		e.quietUntil = until
+	if until := e.clock.Now().Add(voteKeptFor); until.After(e.voteUntil) {
+		e.voteUntil = until
 	}
 	if e.sureTerm < term {
-		return Forgetful
+		return GrantedWithoutMemory
 	}
-	return Promised
+	return Granted
 }
 
 // laterThan tells whether this member knows of a leader after a term, itself for one: that term's leader must not act
@@ -81,9 +81,9 @@
 	return e.term == 0 && !e.campaigning
 }
 
-// readAsLeading takes in that a term was read as leading, by a request sent at
+// noteStillLeading takes in that a term was read as leading, by a request sent at
 // a time. What an earlier process of ours vouched for before has failed by then.
-func (e *Elector) readAsLeading(term uint64, sent time.Time) {
+func (e *Elector) noteStillLeading(term uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !sent.Before(e.sure) {
@@ -91,19 +91,19 @@
 	}
 }
 
-// Vouch answers a member that found the leader key vacant after a term and
+// ConfirmTermOver answers a member that found the leader key vacant after a term and
 // wants to lead. Once we vouched, we promise no leader of that term anything. A
 // leader that is asked so learns that its lease is over.
-func (e *Elector) Vouch(term uint64) bool {
+func (e *Elector) ConfirmTermOver(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term != 0 && e.term <= term {
-		e.giveUp()
+		e.resign()
 	}
-	if e.term != 0 || e.clock.Now().Before(e.quietUntil) {
+	if e.term != 0 || e.clock.Now().Before(e.voteUntil) {
 		return false
 	}
-	e.vouched = max(e.vouched, term)
+	e.confirmedTerm = max(e.confirmedTerm, term)
 	return true
 }
 
@@ -117,16 +117,16 @@
 	return e.term == 0
 }
 
-// extend keeps the right to act while renewals have no success, as long as
+// askForVotes keeps the right to act while renewals have no success, as long as
 // the other members promise neither to campaign nor to vouch: then nobody can
 // have taken over, whatever became of the lease. One of them may be silent if it
 // was fenced off before: it finds nobody to vouch for it.
 // Workers can be answered; what needs the state service waits. If a member is
 // served by the state service, which refuses us alone, the right is given up and
 // the lease ended through that one.
-func (e *Elector) extend(ctx context.Context, term uint64) {
+func (e *Elector) askForVotes(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
-		e.pause(ctx, tuning.PromiseEvery)
+		e.pause(ctx, tuning.VoteEvery)
 		e.mu.Lock()
 		needed := e.failures > 0 && e.term == term
 		e.round++
@@ -135,31 +135,31 @@
 		if !needed {
 			continue
 		}
-		p := e.peers.Promise(ctx, term)
+		p := e.peers.RequestVotes(ctx, term)
 		if p.Refused > 0 {
 			e.yield(ctx, term)
 			continue
 		}
-		e.prolong(term, round, sent, p)
+		e.extendByVotes(term, round, sent, p)
 	}
 }
 
-// prolong takes in a round of promises that was begun at a time.
-func (e *Elector) prolong(term, round uint64, sent time.Time, p Promises) {
+// extendByVotes takes in a round of promises that was begun at a time.
+func (e *Elector) extendByVotes(term, round uint64, sent time.Time, p Votes) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	until := sent.Add(promiseRelied)
+	until := sent.Add(voteReliedFor)
 	// Once the right has lapsed, another may have led and be gone again: a leader that was cut off from all took its right
 	// up with the promises of members that knew nothing of the leaders between, since they had been restarted. Those that
 	// have run since know whether they led, and refuse.
-	if p.Forgetful > 0 && !e.clock.Now().Before(e.validUntil) {
+	if p.WithoutMemory > 0 && !e.clock.Now().Before(e.validUntil) {
 		return
 	}
 	if len(p.Silent) > 0 {
-		if len(p.Silent) > 1 || p.Forgetful > 0 || p.Silent[0] != e.fence.member {
+		if len(p.Silent) > 1 || p.WithoutMemory > 0 || p.Silent[0] != e.fencing.member {
 			return
 		}
-		if last := e.fence.sent.Add(fenceRelied); until.After(last) {
+		if last := e.fencing.sent.Add(fencingReliedFor); until.After(last) {
 			until = last
 		}
 	}
@@ -182,10 +182,10 @@
 		return
 	}
 	lease := e.lease
-	e.giveUp()
+	e.resign()
 	e.mu.Unlock()
 	e.log.Info("handing over: the state service serves others", "term", term)
-	e.peers.Yield(context.WithoutCancel(ctx), lease)
+	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
 func (e *Elector) failedRenewal() {
--- a/internal/cluster/peerrpc/mesh.go
+++ b/internal/cluster/peerrpc/mesh.go
@@ -33,19 +33,19 @@
 
 // The verbs.
 const (
-	Query      = Verb(fb.VerbQuery)      // a job's state, of the leader
-	Cancel     = Verb(fb.VerbCancel)     // cancel a job, of the leader
-	Promise    = Verb(fb.VerbPromise)    // neither to campaign nor to vouch for a while, of a follower
-	NotLeading = Verb(fb.VerbNotLeading) // whether a member does not lead
-	Report     = Verb(fb.VerbReport)     // a worker's report, to the leader
-	Submit     = Verb(fb.VerbSubmit)     // a submission, to any member
-	Vouch      = Verb(fb.VerbVouch)      // that no leader of a term, or an earlier one, can count on it any more
-	Yield      = Verb(fb.VerbYield)      // to end the lease of a leader that gave up its right
-	Show       = Verb(fb.VerbShow)       // what a subsystem of the leader knows, by a path
-	Kept       = Verb(fb.VerbKept)       // which of some machines a member may have kept by its zone's right
-	Do         = Verb(fb.VerbDo)         // a command to a subsystem of the leader
-	Reach      = Verb(fb.VerbReach)      // whether one of some workers, by their addresses, answers a member
-	Ping       = Verb(fb.VerbPing)       // whether a member can be reached, and who leads by its knowledge
+	JobStatus        = Verb(fb.VerbQuery)      // a job's state, of the leader
+	CancelJob        = Verb(fb.VerbCancel)     // cancel a job, of the leader
+	RequestVote      = Verb(fb.VerbPromise)    // neither to campaign nor to vouch for a while, of a follower
+	NotLeading       = Verb(fb.VerbNotLeading) // whether a member does not lead
+	Heartbeat        = Verb(fb.VerbReport)     // a worker's report, to the leader
+	SubmitJob        = Verb(fb.VerbSubmit)     // a submission, to any member
+	ConfirmTermOver  = Verb(fb.VerbVouch)      // that no leader of a term, or an earlier one, can count on it any more
+	EndLease         = Verb(fb.VerbYield)      // to end the lease of a leader that gave up its right
+	SubsystemQuery   = Verb(fb.VerbShow)       // what a subsystem of the leader knows, by a path
+	MayHaveRenewed   = Verb(fb.VerbKept)       // which of some machines a member may have kept by its zone's right
+	SubsystemCommand = Verb(fb.VerbDo)         // a command to a subsystem of the leader
+	ProbeWorkers     = Verb(fb.VerbReach)      // whether one of some workers, by their addresses, answers a member
+	Ping             = Verb(fb.VerbPing)       // whether a member can be reached, and who leads by its knowledge
 )
 
 // Request asks another member.
@@ -284,7 +284,7 @@
 
 // prompt tells whether the verb is answered from memory. Others may wait for
 // the state service, which says nothing of the peer.
-func (v Verb) prompt() bool { return v == Ping || v == Report }
+func (v Verb) prompt() bool { return v == Ping || v == Heartbeat }
 
 // Silent tells whether a peer did not answer of late.
 func (c *Client) Silent(addr string) bool {
--- a/internal/cluster/peerrpc/mesh_test.go
+++ b/internal/cluster/peerrpc/mesh_test.go
@@ -36,7 +36,7 @@
 		return Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}, Payload: r.Payload, Leader: r.Job, Term: r.Number}
 	})
 	c := NewClient()
-	for _, r := range []Request{{Verb: Query, Job: "job-1"}, {Verb: Cancel, Job: "job-2"}, {Verb: Yield, Number: 1 << 40}, {Verb: Report, Payload: []byte(`{"x":1}`)}, {}} {
+	for _, r := range []Request{{Verb: JobStatus, Job: "job-1"}, {Verb: CancelJob, Job: "job-2"}, {Verb: EndLease, Number: 1 << 40}, {Verb: Heartbeat, Payload: []byte(`{"x":1}`)}, {}} {
 		got, err := c.Call(t.Context(), addr, r)
 		want := Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}}
 		if err != nil || got.Status != want.Status || got.Job != want.Job || string(got.Payload) != string(r.Payload) || got.Leader != r.Job || got.Term != r.Number {
@@ -82,7 +82,7 @@
 	answering := make(chan struct{})
 	var reports atomic.Int32
 	addr := listen(t, func(ctx context.Context, r Request) Response {
-		if r.Verb == Report {
+		if r.Verb == Heartbeat {
 			reports.Add(1)
 		}
 		select {
@@ -97,14 +97,14 @@
 		_, err := c.Call(t.Context(), addr, Request{Verb: v})
 		return err
 	}
-	if err := call(Submit); err == nil || errors.Is(err, ErrSilent) {
+	if err := call(SubmitJob); err == nil || errors.Is(err, ErrSilent) {
 		t.Errorf("a verb that may wait for others: %v", err)
 	}
 	if err := call(Ping); !errors.Is(err, ErrSilent) {
 		t.Errorf("a ping without an answer: %v", err)
 	}
 	for range 10 {
-		if err := call(Report); !errors.Is(err, ErrSilent) {
+		if err := call(Heartbeat); !errors.Is(err, ErrSilent) {
 			t.Errorf("a call to a silent peer: %v", err)
 		}
 	}
@@ -113,7 +113,7 @@
 	if err := call(Ping); err != nil {
 		t.Errorf("it answers again: %v", err)
 	}
-	if err := call(Report); err != nil {
+	if err := call(Heartbeat); err != nil {
 		t.Errorf("after it answered: %v", err)
 	}
 	if n := reports.Load(); n != 1 {
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -37,15 +37,15 @@
 	reach    reach
 	full     atomic.Bool // the leader has no memory for more jobs
 
-	right  Right
-	mu     sync.Mutex
-	heard  time.Time         // when any other member answered a ping last, or this one began
-	claims map[string][]byte // what each other member said last of its zone's right
+	zoneLease ZoneLease
+	mu        sync.Mutex
+	heard     time.Time         // when any other member answered a ping last, or this one began
+	claims    map[string][]byte // what each other member said last of its zone's right
 }
 
-// Right is this member's right to answer its zone. Its claim goes with pings, so that others remember it for the next
+// ZoneLease is this member's right to answer its zone. Its claim goes with pings, so that others remember it for the next
 // life of this process, which asks for it by its own pings.
-type Right interface {
+type ZoneLease interface {
 	// Claim is what the others are to remember; nil: nothing.
 	Claim() []byte
 	// Inherit takes in what another remembers.
@@ -65,11 +65,11 @@
 	return p
 }
 
-// Follow has the peers know this member's elector.
-func (p *Peers) Follow(e *election.Elector) { p.elector = e }
+// SetElector has the peers know this member's elector.
+func (p *Peers) SetElector(e *election.Elector) { p.elector = e }
 
-// Remember has the others remember a right. It must be called before Run.
-func (p *Peers) Remember(r Right) { p.right = r }
+// ShareZoneLease has the others remember a right. It must be called before Run.
+func (p *Peers) ShareZoneLease(r ZoneLease) { p.zoneLease = r }
 
 // Pinged takes in what a member claims, nil if nothing, and gives what is remembered of it.
 func (p *Peers) Pinged(name string, claim []byte) []byte {
@@ -160,14 +160,14 @@
 	return false
 }
 
-// Promise asks all other members neither to campaign nor to vouch for a while.
-func (p *Peers) Promise(ctx context.Context, term uint64) (got election.Promises) {
-	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.Promise, Number: term})
+// RequestVotes asks all other members neither to campaign nor to vouch for a while.
+func (p *Peers) RequestVotes(ctx context.Context, term uint64) (got election.Votes) {
+	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
 	for range p.endpoint {
 		switch a := <-answers; a.status {
 		case http.StatusOK:
 		case http.StatusAccepted:
-			got.Forgetful++
+			got.WithoutMemory++
 		case 0:
 			got.Silent = append(got.Silent, a.name)
 		default:
@@ -188,16 +188,16 @@
 	return true
 }
 
-// Vouch asks all other members whether one vouches that a term is over.
-func (p *Peers) Vouch(ctx context.Context, term uint64) bool {
-	return len(p.endpoint) == 0 || p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Vouch, Number: term})
+// ConfirmTermOver asks all other members whether one vouches that a term is over.
+func (p *Peers) ConfirmTermOver(ctx context.Context, term uint64) bool {
+	return len(p.endpoint) == 0 || p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, Number: term})
 }
 
-// Kept asks a member which of some machines it may have answered by its zone's right
+// MayHaveRenewed asks a member which of some machines it may have answered by its zone's right
 // within a worker's lease; sure is false when it cannot tell or does not answer.
-func (p *Peers) Kept(ctx context.Context, name string, names []string) (kept []string, sure bool) {
+func (p *Peers) MayHaveRenewed(ctx context.Context, name string, names []string) (kept []string, sure bool) {
 	for part := range slices.Chunk(names, tuning.KeptNames) {
-		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.Kept, Names: part})
+		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: part})
 		if err != nil || r.Status != http.StatusOK {
 			return nil, false
 		}
@@ -206,16 +206,16 @@
 	return kept, true
 }
 
-// Reach asks the other members whether one of them gets an answer from one of some workers, by their addresses.
-func (p *Peers) Reach(ctx context.Context, addrs []string) bool {
+// ProbeWorkers asks the other members whether one of them gets an answer from one of some workers, by their addresses.
+func (p *Peers) ProbeWorkers(ctx context.Context, addrs []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
-	return p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Reach, Names: addrs})
+	return p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.ProbeWorkers, Names: addrs})
 }
 
-// Yield has the other members end the lease of this one, which gave up its right.
-func (p *Peers) Yield(ctx context.Context, lease uint64) {
-	p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.Yield, Number: lease})
+// EndLease has the other members end the lease of this one, which gave up its right.
+func (p *Peers) EndLease(ctx context.Context, lease uint64) {
+	p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.EndLease, Number: lease})
 }
 
 // Silent names the members that do not answer of late.
@@ -229,14 +229,14 @@
 	return names
 }
 
-// Note takes in how a ping of the leader went: missed tells that nothing came back.
-func (p *Peers) Note(leader string, missed bool) { p.reach.note(leader, missed) }
+// NotePing takes in how a ping of the leader went: missed tells that nothing came back.
+func (p *Peers) NotePing(leader string, missed bool) { p.reach.note(leader, missed) }
 
-// Full tells whether the leader said, when it was last asked, that it has no memory for more jobs.
-func (p *Peers) Full() bool { return p.full.Load() }
+// LeaderFull tells whether the leader said, when it was last asked, that it has no memory for more jobs.
+func (p *Peers) LeaderFull() bool { return p.full.Load() }
 
-// Cut tells whether the leader has not answered for a while: it is cut off.
-func (p *Peers) Cut(leader string) bool { return p.reach.cut(leader) }
+// LeaderUnreachable tells whether the leader has not answered for a while: it is cut off.
+func (p *Peers) LeaderUnreachable(leader string) bool { return p.reach.cut(leader) }
 
 // reach tells whether the leader is cut off from this member: it does not
 // answer at all. A refused connection is no cut: a process that ended refuses,
@@ -271,11 +271,11 @@
 	p.heard = p.clock.Now()
 }
 
-// Lonely tells whether there are other members, and none of them has answered for a while.
-func (p *Peers) Lonely() bool {
+// Isolated tells whether there are other members, and none of them has answered for a while.
+func (p *Peers) Isolated() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.heard.IsZero() && p.clock.Since(p.heard) > tuning.LonelyFor
+	return !p.heard.IsZero() && p.clock.Since(p.heard) > tuning.IsolatedFor
 }
 
 // Run looks again and again whether the leader can be reached, and hears
@@ -290,14 +290,14 @@
 		var wg sync.WaitGroup
 		for name, addr := range p.endpoint {
 			wg.Go(func() {
-				r, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.right.Claim()})
+				r, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
 				if err == nil {
-					p.right.Inherit(r.Payload)
-					p.elector.Hint(r.Leader, r.Term)
+					p.zoneLease.Inherit(r.Payload)
+					p.elector.NoteLeader(r.Leader, r.Term)
 					p.hear()
 				}
 				if name == leader {
-					p.Note(leader, Unanswered(err))
+					p.NotePing(leader, Unanswered(err))
 					p.full.Store(err == nil && r.Status == http.StatusInsufficientStorage)
 				}
 			})
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -14,20 +14,20 @@
 func TestAMemberIsLonelyAfterAWhile(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clock, slog.New(slog.DiscardHandler))
-	clock.Advance(2 * tuning.LonelyFor)
-	if p.Lonely() {
+	clock.Advance(2 * tuning.IsolatedFor)
+	if p.Isolated() {
 		t.Error("lonely before it has asked anybody")
 	}
 	p.hear()
-	clock.Advance(tuning.LonelyFor)
-	if p.Lonely() {
+	clock.Advance(tuning.IsolatedFor)
+	if p.Isolated() {
 		t.Error("lonely too soon")
 	}
-	clock.Advance(tuning.LonelyFor / 2)
-	if !p.Lonely() {
+	clock.Advance(tuning.IsolatedFor / 2)
+	if !p.Isolated() {
 		t.Error("not lonely")
 	}
-	if p.hear(); p.Lonely() {
+	if p.hear(); p.Isolated() {
 		t.Error("lonely though a member answered")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -72,14 +72,14 @@
 	}
 	store := statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
 	c.elector = election.New(store.Urgent(), c.peers, s.Member, clock, log)
-	c.peers.Follow(c.elector)
+	c.peers.SetElector(c.elector)
 	c.store = store.Share(c.memberShare(tuning.LeaderShare))
 	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
 	c.keeper = workerlease.New(s, c.store, clock, log)
 	c.zone = workerlease.NewZone(s, c.store, clock, log)
-	c.peers.Remember(c.zone)
+	c.peers.ShareZoneLease(c.zone)
 	teams := map[string]config.Team{}
 	for _, t := range s.Cluster.Teams {
 		teams[t.Name] = t
@@ -89,13 +89,13 @@
 		Settings: s, Knobs: own.Knobs(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers: httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
 		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
-		Valid: c.elector.Valid, Kept: c.kept, Reach: c.peers.Reach, Types: c.catalog.Types,
+		Valid: c.elector.Valid, Kept: c.kept, Reach: c.peers.ProbeWorkers, Types: c.catalog.Types,
 		Full: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
 	}
 	if err := c.join(); err != nil {
 		return nil, err
 	}
-	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Alone() && c.peers.Lonely() })
+	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Alone() && c.peers.Isolated() })
 	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, c.show)
 	c.setCloudShare(false)
 	return c, nil
@@ -234,7 +234,7 @@
 }
 
 // lead runs the leader's loop until the tenure is lost.
-func (c *Controller) lead(ctx context.Context, t election.Tenure) {
+func (c *Controller) lead(ctx context.Context, t election.Leadership) {
 	l := leader.New(c.env, t)
 	l.Start(ctx)
 	c.setCloudShare(true)
@@ -258,7 +258,7 @@
 	if member == c.settings.Member {
 		return c.zone.Kept(names)
 	}
-	return c.peers.Kept(ctx, member, names)
+	return c.peers.MayHaveRenewed(ctx, member, names)
 }
 
 // leader gives the leader's loop when this member has the right to act now.
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -14,33 +14,33 @@
 // servePeer answers another member.
 func (c *Controller) servePeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	wait := tuning.RelayTimeout
-	if req.Verb == peerrpc.Do {
+	if req.Verb == peerrpc.SubsystemCommand {
 		wait = tuning.CommandWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	switch req.Verb {
-	case peerrpc.Promise:
+	case peerrpc.RequestVote:
 		return c.servePromise(ctx, req.Number)
-	case peerrpc.Vouch:
-		return yesOrNo(c.elector.Vouch(req.Number))
-	case peerrpc.Yield:
+	case peerrpc.ConfirmTermOver:
+		return yesOrNo(c.elector.ConfirmTermOver(req.Number))
+	case peerrpc.EndLease:
 		return yesOrNo(c.store.Urgent().Revoke(ctx, req.Number) == nil)
 	case peerrpc.Ping:
 		return c.servePing(req)
 	case peerrpc.NotLeading:
 		return yesOrNo(c.elector.NotLeading())
-	case peerrpc.Kept:
+	case peerrpc.MayHaveRenewed:
 		return c.serveKept(req.Names)
-	case peerrpc.Reach:
+	case peerrpc.ProbeWorkers:
 		return yesOrNo(c.reaches(ctx, req.Names))
-	case peerrpc.Report:
+	case peerrpc.Heartbeat:
 		return c.reports.AnswerPeer(ctx, req.Payload)
-	case peerrpc.Show:
+	case peerrpc.SubsystemQuery:
 		return c.users.AnswerShow(ctx, string(req.Payload))
-	case peerrpc.Do:
+	case peerrpc.SubsystemCommand:
 		return c.users.AnswerDo(ctx, req.Payload)
-	case peerrpc.Submit:
+	case peerrpc.SubmitJob:
 		return c.users.AnswerSubmission(ctx, req.Payload)
 	}
 	return c.users.AnswerPeer(ctx, req)
@@ -71,10 +71,10 @@
 
 // servePromise answers a leader that asks for our promise.
 func (c *Controller) servePromise(ctx context.Context, term uint64) peerrpc.Response {
-	switch c.elector.Promise(ctx, term) {
-	case election.Promised:
+	switch c.elector.Vote(ctx, term) {
+	case election.Granted:
 		return peerrpc.Response{Status: http.StatusOK}
-	case election.Forgetful:
+	case election.GrantedWithoutMemory:
 		return peerrpc.Response{Status: http.StatusAccepted}
 	}
 	return peerrpc.Response{Status: http.StatusConflict}
--- a/internal/platform/tuning/tuning.go
+++ b/internal/platform/tuning/tuning.go
@@ -19,26 +19,26 @@
 	RetryLeader = 250 * time.Millisecond
 	// RetryCampaign is the pause of a member that may not campaign yet.
 	RetryCampaign = 100 * time.Millisecond
-	// PromiseFor is how long a member promises not to campaign while the
+	// VoteFor is how long a member promises not to campaign while the
 	// state service answers neither it nor the leader. It bounds how much later
 	// another can lead when the leader dies in an outage.
-	PromiseFor = 1200 * time.Millisecond
-	// VoucherFor is how long a member may take from asking another to vouch for it
+	VoteFor = 1200 * time.Millisecond
+	// ConfirmationFor is how long a member may take from asking another to vouch for it
 	// until it leads: three calls to the state service, some hundred ms each at the worst.
-	VoucherFor = 3 * time.Second
-	// FenceFor is how long a silent member stays fenced off without a renewal: for
+	ConfirmationFor = 3 * time.Second
+	// FencingLeaseTTL is how long a silent member stays fenced off without a renewal: for
 	// as long a leader with the promises of all others keeps the workers in an
-	// outage. Those seen last half a minute. FenceRenew is how often it is renewed.
-	FenceFor   = 40 * time.Second
-	FenceRenew = 3 * time.Second
+	// outage. Those seen last half a minute. FencingLeaseRenew is how often it is renewed.
+	FencingLeaseTTL   = 40 * time.Second
+	FencingLeaseRenew = 3 * time.Second
 	// YieldAfter is how many more renewals must fail before the leader hands over to
 	// a member that was seen to be served: one may have been on its way.
 	YieldAfter = 2
-	// AsideVacant is how long the leader key must be vacant for a member to campaign that stands aside: another's campaign
-	// takes three calls, and one that was just started waits for PromiseFor.
-	AsideVacant = 5 * time.Second
-	// PromiseEvery is how often the leader asks for promises: several rounds may fail.
-	PromiseEvery = 250 * time.Millisecond
+	// StandAsideVacant is how long the leader key must be vacant for a member to campaign that stands aside: another's campaign
+	// takes three calls, and one that was just started waits for VoteFor.
+	StandAsideVacant = 5 * time.Second
+	// VoteEvery is how often the leader asks for promises: several rounds may fail.
+	VoteEvery = 250 * time.Millisecond
 	// ProbeTimeout ends the look at the state service before a promise; it
 	// must fit RelayTimeout.
 	ProbeTimeout = 400 * time.Millisecond
@@ -332,9 +332,9 @@
 	// miss a starved process.
 	ReachEvery  = 1 * time.Second
 	ReachMissed = 2
-	// LonelyFor is how long no other member may have answered for this one to count as cut off from all of them; with a
+	// IsolatedFor is how long no other member may have answered for this one to count as cut off from all of them; with a
 	// state service that does not answer either it is not healthy. A starved process misses a few pings.
-	LonelyFor = 6 * time.Second
+	IsolatedFor = 6 * time.Second
 	// ZoneRight is how long a member that reaches neither the leader nor the state service
 	// goes on answering the workers of its own zone: most cuts of a zone last about a minute, and one
 	// of 170 s was served better with 300 s than with 120, arrays too. If the member ends with its
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -39,7 +39,7 @@
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
 		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinalStates(8),
 		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
-	}, election.Tenure{Term: 1})
+	}, election.Leadership{Term: 1})
 	l.ended = t.Context()
 	l.loaded = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -24,7 +24,7 @@
 // is done by others, which hand their results back as messages.
 type Loop struct {
 	env    *Env
-	tenure election.Tenure
+	tenure election.Leadership
 	log    *slog.Logger
 	inbox  chan func()
 	ended  context.Context
@@ -73,7 +73,7 @@
 )
 
 // New makes the loop of a tenure.
-func New(env *Env, t election.Tenure) *Loop {
+func New(env *Env, t election.Leadership) *Loop {
 	now := env.Clock.Now()
 	state := env.Settings.Cluster.State
 	l := &Loop{
@@ -94,7 +94,7 @@
 }
 
 // Tenure is the leadership that the loop serves.
-func (l *Loop) Tenure() election.Tenure { return l.tenure }
+func (l *Loop) Tenure() election.Leadership { return l.tenure }
 
 // Start makes the loop ready to be asked, until ctx ends; Run does the work.
 func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
