--- a/internal/api/workerapi/kept.go
+++ b/internal/api/workerapi/kept.go
@@ -48,7 +48,7 @@
 func newKept(lease time.Duration, show Show) *kept {
 	return &kept{
 		lease: lease, show: show, by: map[string]*keptWorker{},
-		limit: rate.NewLimiter(tuning.KeptAskRate, tuning.KeptAsks), onWay: make(chan struct{}, tuning.KeptAsks),
+		limit: rate.NewLimiter(tuning.RenewedQueryRate, tuning.RenewedQueries), onWay: make(chan struct{}, tuning.RenewedQueries),
 	}
 }
 
--- a/internal/api/workerapi/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -150,7 +150,7 @@
 			t.Fatal("not kept since there was no room to ask it")
 		}
 	}
-	if n := len(k.onWay); n > tuning.KeptAsks {
+	if n := len(k.onWay); n > tuning.RenewedQueries {
 		t.Errorf("%d are asked", n)
 	}
 	close(block)
--- a/internal/api/workerapi/wanted.go
+++ b/internal/api/workerapi/wanted.go
@@ -22,15 +22,15 @@
 // patience is how long workers may be refused: a share of what a lease leaves beyond the longest pause between reports and
 // the search for a node.
 func patience(w config.Workers) time.Duration {
-	spare := w.LeaseS - tuning.ReportLate*w.ReportS - tuning.KeepSearch.Seconds()
-	return time.Duration(max(0, spare) * tuning.KeepPatience * float64(time.Second))
+	spare := w.LeaseS - tuning.ReportLate*w.ReportS - tuning.WorkerSearch.Seconds()
+	return time.Duration(max(0, spare) * tuning.WorkerPatience * float64(time.Second))
 }
 
 // soon tells whether a leader is likely to be there before long, so that a worker better looks for it.
 func (w *wanted) soon(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.last) > tuning.KeepSearch {
+	if now.Sub(w.last) > tuning.WorkerSearch {
 		w.first = now
 	}
 	w.last = now
--- a/internal/api/workerapi/wanted_test.go
+++ b/internal/api/workerapi/wanted_test.go
@@ -24,7 +24,7 @@
 		{long.patience - time.Millisecond, true},
 		{time.Millisecond, false},
 		{5 * time.Second, false}, // still the same search
-		{tuning.KeepSearch + time.Second, true},
+		{tuning.WorkerSearch + time.Second, true},
 	} {
 		now = now.Add(c.after)
 		if got := long.soon(now); got != c.soon {
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -25,14 +25,14 @@
 
 // Keeper gives the right to answer a machine now in the leader's stead.
 type Keeper interface {
-	Keep(ctx context.Context, machine string) bool
+	Acquire(ctx context.Context, machine string) bool
 }
 
 // ZoneKeeper gives it without the state service, for machines of the own zone.
 type ZoneKeeper interface {
-	Answer(machine, zone string) bool
+	MayRenew(machine, zone string) bool
 	// Alone tells that the state service does not answer us either.
-	Alone() bool
+	Isolated() bool
 }
 
 // Handler answers workers. It is safe for concurrent use.
@@ -156,7 +156,7 @@
 	// sent on took 30 s to come back, and its lease of 18 s was over.
 	// If the state service does not answer us either, it is we who are cut off, and our
 	// zone's workers with us.
-	if (!cut || d.peers.MayProbe() && !d.zone.Alone()) && d.redirects.probe(rep.Machine, d.clock.Now()) {
+	if (!cut || d.peers.MayProbe() && !d.zone.Isolated()) && d.redirects.probe(rep.Machine, d.clock.Now()) {
 		return a, false, true
 	}
 	a, ok = d.keep(ctx, rep)
@@ -174,9 +174,9 @@
 	if !d.kept.may(ctx, rep, d.clock.Now()) {
 		return a, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.KeepWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseWait)
 	defer cancel()
-	if !d.zone.Answer(rep.Machine, rep.Zone) && !d.keeper.Keep(ctx, rep.Machine) {
+	if !d.zone.MayRenew(rep.Machine, rep.Zone) && !d.keeper.Acquire(ctx, rep.Machine) {
 		return a, false
 	}
 	return wire.HeartbeatReply{FencingToken: rep.FencingToken, Commands: []wire.Command{}}, true
@@ -194,7 +194,7 @@
 func newRedirects() redirects {
 	return redirects{
 		sent: memory{at: map[string]time.Time{}, lasts: tuning.RedirectMemory},
-		kept: memory{at: map[string]time.Time{}, lasts: tuning.KeepProbe + tuning.RedirectMemory},
+		kept: memory{at: map[string]time.Time{}, lasts: tuning.LeaderRetryHint + tuning.RedirectMemory},
 	}
 }
 
@@ -208,7 +208,7 @@
 		r.kept.note(machine, now)
 		return false
 	}
-	if now.Sub(since) < tuning.KeepProbe {
+	if now.Sub(since) < tuning.LeaderRetryHint {
 		return false
 	}
 	delete(r.kept.at, machine)
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -25,10 +25,10 @@
 // always keeps every machine.
 type always struct{}
 
-func (always) Keep(context.Context, string) bool { return true }
+func (always) Acquire(context.Context, string) bool { return true }
 
-func (always) Answer(string, string) bool { return false }
-func (always) Alone() bool                { return false }
+func (always) MayRenew(string, string) bool { return false }
+func (always) Isolated() bool               { return false }
 
 func TestLostWorkers(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -47,7 +47,7 @@
 		t.Error("one that has seen the leader's token has lost it")
 	}
 	// A kept worker tries the leader again now and then.
-	if r.probe("n-2", now) || r.probe("n-2", now.Add(tuning.KeepProbe/2)) || !r.probe("n-2", now.Add(tuning.KeepProbe)) {
+	if r.probe("n-2", now) || r.probe("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.probe("n-2", now.Add(tuning.LeaderRetryHint)) {
 		t.Error("a kept worker tries the leader at the wrong times")
 	}
 }
@@ -84,7 +84,7 @@
 		if !kept() {
 			t.Error("sent to a leader that does not answer")
 		}
-		clock.Advance(tuning.KeepProbe)
+		clock.Advance(tuning.LeaderRetryHint)
 	}
 	d.peers = those(1)
 	for range tuning.ReachMissed {
@@ -93,7 +93,7 @@
 	if !kept() {
 		t.Error("sent to the leader at once")
 	}
-	clock.Advance(tuning.KeepProbe)
+	clock.Advance(tuning.LeaderRetryHint)
 	if kept() {
 		t.Error("never tries the leader again, though it would be back in time")
 	}
@@ -136,7 +136,7 @@
 // never keeps any machine.
 type never struct{ always }
 
-func (never) Keep(context.Context, string) bool { return false }
+func (never) Acquire(context.Context, string) bool { return false }
 
 // Guards against workers that are sent to one that does not lead, by members that cannot keep them: they never came to the member of
 // their own zone, which may.
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -196,7 +196,7 @@
 // MayHaveRenewed asks a member which of some machines it may have answered by its zone's right
 // within a worker's lease; sure is false when it cannot tell or does not answer.
 func (p *Peers) MayHaveRenewed(ctx context.Context, name string, names []string) (kept []string, sure bool) {
-	for part := range slices.Chunk(names, tuning.KeptNames) {
+	for part := range slices.Chunk(names, tuning.RenewedNames) {
 		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: part})
 		if err != nil || r.Status != http.StatusOK {
 			return nil, false
--- a/internal/cluster/workerlease/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -20,11 +20,11 @@
 	"poppypass/internal/platform/wire"
 )
 
-// prefixKeep holds the names of machines that followers answer in the
+// prefixRenewed holds the names of machines that followers answer in the
 // leader's stead.
-const prefixKeep = "keep/"
+const prefixRenewed = "keep/"
 
-// Keeper lets a follower answer workers that cannot reach the leader, when
+// FollowerLeases lets a follower answer workers that cannot reach the leader, when
 // the follower cannot reach it either: two zones that are apart. The answers
 // hold no commands; they only keep the workers' leases. What makes that safe:
 //
@@ -37,14 +37,14 @@
 //
 // Each process writes under a key of its own, so that a restart cannot take
 // away what its former life has written. One goroutine owns the state.
-type Keeper struct {
+type FollowerLeases struct {
 	store       *statestore.Client
 	clock       clockwork.Clock
 	log         *slog.Logger
 	member      string
 	workerLease time.Duration // a worker's lease
 	valueKB     float64
-	requests    chan keepRequest
+	requests    chan acquireRequest
 
 	lease uint64
 	sent  time.Time            // when the request was sent that gave the lease its time
@@ -62,45 +62,45 @@
 	changed bool
 }
 
-type keepRequest struct {
+type acquireRequest struct {
 	machine string
-	kept    chan bool
+	granted chan bool
 }
 
-// keepRecord names machines, or holds the right for a zone.
-type keepRecord struct {
+// renewedRecord names machines, or holds the right for a zone.
+type renewedRecord struct {
 	Machines []string `json:"machines,omitempty"`
-	ZoneRight
+	ZoneLeaseRecord
 }
 
 // New makes the keeper of a member.
-func New(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *Keeper {
-	return &Keeper{
+func New(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
+	return &FollowerLeases{
 		store: store, clock: clock, log: log, member: s.Member, valueKB: s.Cluster.State.ValueKB,
-		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan keepRequest, tuning.Inbox),
+		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.Inbox),
 		names: map[string]time.Time{}, on: map[string]*page{},
 	}
 }
 
 // life is how long the record outlives its last renewal.
-func (k *Keeper) life() time.Duration { return 2*k.workerLease + tuning.KeepExtra }
+func (k *FollowerLeases) life() time.Duration { return 2*k.workerLease + tuning.FollowerLeaseExtra }
 
 // mayAnswer tells whether the record will outlive a worker's lease that
 // begins now.
-func (k *Keeper) mayAnswer(now time.Time) bool {
-	return k.lease != 0 && now.Sub(k.sent) < k.life()-k.workerLease-tuning.KeepExtra/2
+func (k *FollowerLeases) mayAnswer(now time.Time) bool {
+	return k.lease != 0 && now.Sub(k.sent) < k.life()-k.workerLease-tuning.FollowerLeaseExtra/2
 }
 
-// Keep asks for the right to answer a machine now.
-func (k *Keeper) Keep(ctx context.Context, machine string) bool {
-	r := keepRequest{machine, make(chan bool, 1)}
+// Acquire asks for the right to answer a machine now.
+func (k *FollowerLeases) Acquire(ctx context.Context, machine string) bool {
+	r := acquireRequest{machine, make(chan bool, 1)}
 	select {
 	case k.requests <- r:
 	case <-ctx.Done():
 		return false
 	}
 	select {
-	case ok := <-r.kept:
+	case ok := <-r.granted:
 		return ok
 	case <-ctx.Done():
 		return false
@@ -108,11 +108,11 @@
 }
 
 // Run serves until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *FollowerLeases) Run(ctx context.Context) {
 	for {
 		var wake <-chan time.Time
 		if k.lease != 0 {
-			wake = k.clock.After(tuning.KeepRenew)
+			wake = k.clock.After(tuning.FollowerLeaseRenew)
 		}
 		select {
 		case <-ctx.Done():
@@ -120,28 +120,28 @@
 		case r := <-k.requests:
 			// Workers that lose the leader come together: they share a write.
 			if !k.stored(r.machine) {
-				clock.Sleep(ctx, k.clock, tuning.KeepGather)
+				clock.Sleep(ctx, k.clock, tuning.FollowerLeaseGather)
 			}
-			batch := []keepRequest{r}
+			batch := []acquireRequest{r}
 			for len(k.requests) > 0 {
 				batch = append(batch, <-k.requests)
 			}
 			k.serve(ctx, batch)
 		case <-wake:
 		}
-		if k.lease != 0 && k.clock.Since(k.sent) >= tuning.KeepRenew {
+		if k.lease != 0 && k.clock.Since(k.sent) >= tuning.FollowerLeaseRenew {
 			k.renew(ctx)
 		}
 	}
 }
 
 // stored tells whether the record names a machine.
-func (k *Keeper) stored(machine string) bool {
+func (k *FollowerLeases) stored(machine string) bool {
 	p := k.on[machine]
 	return p != nil && p.names[machine]
 }
 
-func (k *Keeper) serve(ctx context.Context, batch []keepRequest) {
+func (k *FollowerLeases) serve(ctx context.Context, batch []acquireRequest) {
 	missing := false
 	for _, r := range batch {
 		k.names[r.machine] = k.clock.Now()
@@ -151,12 +151,12 @@
 		k.write(ctx)
 	}
 	for _, r := range batch {
-		r.kept <- k.stored(r.machine) && k.mayAnswer(k.clock.Now())
+		r.granted <- k.stored(r.machine) && k.mayAnswer(k.clock.Now())
 	}
 }
 
 // write stores the names. Until that has an answer, no new one counts.
-func (k *Keeper) write(ctx context.Context) bool {
+func (k *FollowerLeases) write(ctx context.Context) bool {
 	if k.lease == 0 {
 		sent := k.clock.Now()
 		lease, err := k.store.Grant(ctx, k.life())
@@ -185,7 +185,7 @@
 }
 
 // add puts a name on the first page that has room for it.
-func (k *Keeper) add(name string) {
+func (k *FollowerLeases) add(name string) {
 	size := len(name) + len(`"",`)
 	room := int(k.valueKB*1024) - len(`{"machines":[]}`)
 	i := slices.IndexFunc(k.pages, func(p *page) bool { return p.bytes+size <= room })
@@ -201,7 +201,7 @@
 }
 
 // remove takes a name off its page.
-func (k *Keeper) remove(name string) {
+func (k *FollowerLeases) remove(name string) {
 	delete(k.names, name)
 	if p := k.on[name]; p != nil {
 		delete(k.on, name)
@@ -211,12 +211,12 @@
 	}
 }
 
-func (k *Keeper) writePage(ctx context.Context, i int, p *page) bool {
-	value, err := json.Marshal(keepRecord{Machines: slices.Sorted(maps.Keys(p.names))})
+func (k *FollowerLeases) writePage(ctx context.Context, i int, p *page) bool {
+	value, err := json.Marshal(renewedRecord{Machines: slices.Sorted(maps.Keys(p.names))})
 	if err != nil {
 		return false
 	}
-	key := fmt.Sprintf("%s%s/%d/%d", prefixKeep, k.member, k.lease, i)
+	key := fmt.Sprintf("%s%s/%d/%d", prefixRenewed, k.member, k.lease, i)
 	version, err := k.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: p.version}},
 		Then: []wire.Change{{Put: key, Value: value, Lease: k.lease}},
@@ -239,7 +239,7 @@
 
 // renew keeps the record while there is something to keep, and takes out the
 // machines whose leases have surely run out since their last answer.
-func (k *Keeper) renew(ctx context.Context) {
+func (k *FollowerLeases) renew(ctx context.Context) {
 	sent := k.clock.Now()
 	if err := k.store.Renew(ctx, k.lease); err == nil {
 		k.sent = sent
@@ -247,7 +247,7 @@
 		k.abandon()
 		return
 	}
-	over := spoken(k.workerLease)
+	over := claimValidFor(k.workerLease)
 	for name, at := range k.names {
 		if k.clock.Since(at) > over {
 			k.remove(name)
@@ -262,32 +262,32 @@
 }
 
 // runOut is how long after an answer a worker's lease has run out on every clock.
-func runOut(lease time.Duration) time.Duration { return Stretched(lease) + tuning.LeaseMargin }
+func runOut(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
-// spoken is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most KeptAsking
+// claimValidFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most KeptAsking
 // before: each tells of the lease before that beginning. With a lease before each was asked, two that answered a machine one
 // after the other both denied it, and its tasks counted as gone while they ran.
-func spoken(lease time.Duration) time.Duration { return runOut(lease) + tuning.KeptAsking }
+func claimValidFor(lease time.Duration) time.Duration { return runOut(lease) + tuning.RenewedQueryTime }
 
-// Stretched is a time that is over on every clock when it is over on ours.
-func Stretched(d time.Duration) time.Duration {
+// WithDrift is a time that is over on every clock when it is over on ours.
+func WithDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + tuning.ClockDrift))
 }
 
 // abandon leaves the record to its lease's end, which is late enough for all
 // that was answered; the next one gets a new key.
-func (k *Keeper) abandon() {
+func (k *FollowerLeases) abandon() {
 	k.lease, k.pages = 0, nil
 	clear(k.names)
 	clear(k.on)
 }
 
-// Read reads which machines followers answer, and the rights for zones that stand.
-func Read(ctx context.Context, store *statestore.Client) (kept map[string]bool, rights []ZoneRight, err error) {
+// ReadAll reads which machines followers answer, and the rights for zones that stand.
+func ReadAll(ctx context.Context, store *statestore.Client) (kept map[string]bool, rights []ZoneLeaseRecord, err error) {
 	kept = map[string]bool{}
-	_, err = store.ListAll(ctx, prefixKeep, func(items []wire.Item) error {
+	_, err = store.ListAll(ctx, prefixRenewed, func(items []wire.Item) error {
 		for _, item := range items {
-			var r keepRecord
+			var r renewedRecord
 			if err := json.Unmarshal(item.Value, &r); err != nil {
 				return fmt.Errorf("record %s: %w", item.Key, err)
 			}
@@ -295,7 +295,7 @@
 				kept[n] = true
 			}
 			if r.Zone != "" {
-				rights = append(rights, r.ZoneRight)
+				rights = append(rights, r.ZoneLeaseRecord)
 			}
 		}
 		return nil
--- a/internal/cluster/workerlease/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -19,7 +19,7 @@
 	t     *testing.T
 	clock *clockwork.FakeClock
 	state *fakes.State
-	*Keeper
+	*FollowerLeases
 }
 
 func newKeeperWorld(t *testing.T) *keeperWorld {
@@ -33,15 +33,15 @@
 }
 
 func (w *keeperWorld) ask(machine string) bool {
-	r := keepRequest{machine, make(chan bool, 1)}
-	w.serve(w.t.Context(), []keepRequest{r})
-	return <-r.kept
+	r := acquireRequest{machine, make(chan bool, 1)}
+	w.serve(w.t.Context(), []acquireRequest{r})
+	return <-r.granted
 }
 
 // recorded is what a leader would read.
 func (w *keeperWorld) recorded(machine string) bool {
 	w.t.Helper()
-	kept, _, err := Read(w.t.Context(), w.store)
+	kept, _, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	w.ask("n-1")
 	w.clock.Advance(w.workerLease)
 	w.renew(t.Context())
-	w.clock.Advance(tuning.KeptAsking)
+	w.clock.Advance(tuning.RenewedQueryTime)
 	w.ask("n-2")
 	if w.renew(t.Context()); !w.recorded("n-1") {
 		t.Error("taken out while a leader that began to read within its lease may read")
@@ -125,19 +125,19 @@
 	const n = 5000
 	name := func(i int) string { return fmt.Sprintf("n-%06d", i) }
 	for begin := 0; begin < n; begin += 500 {
-		var batch []keepRequest
+		var batch []acquireRequest
 		for i := begin; i < begin+500; i++ {
-			batch = append(batch, keepRequest{name(i), make(chan bool, 1)})
+			batch = append(batch, acquireRequest{name(i), make(chan bool, 1)})
 		}
 		w.serve(t.Context(), batch)
 		for _, r := range batch {
-			if !<-r.kept {
+			if !<-r.granted {
 				t.Fatalf("%s is not kept", r.machine)
 			}
 		}
 	}
 	recorded := func() int {
-		kept, _, err := Read(t.Context(), w.store)
+		kept, _, err := ReadAll(t.Context(), w.store)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -153,7 +153,7 @@
 	}
 	w.clock.Advance(w.workerLease)
 	w.renew(t.Context())
-	w.clock.Advance(tuning.KeptAsking)
+	w.clock.Advance(tuning.RenewedQueryTime)
 	for i := 0; i < n; i += 2 {
 		w.ask(name(i))
 	}
--- a/internal/cluster/workerlease/several_test.go
+++ b/internal/cluster/workerlease/several_test.go
@@ -19,9 +19,9 @@
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
 		w := newKeeperWorld(t)
-		var zones []*Zone
+		var zones []*ZoneLease
 		for _, name := range []string{"m2", "m3"} {
-			z := NewZone(&config.Settings{
+			z := NewZoneLease(&config.Settings{
 				Member: name, Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: w.workerLease.Seconds()}},
 			}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 			z.Renew(t.Context())
@@ -45,7 +45,7 @@
 				session, by = session+1, -1 // the next one began
 			}
 			who := r.IntN(3)
-			if who == 2 && w.ask("n-1") || who < 2 && zones[who].Answer("n-1", "a") {
+			if who == 2 && w.ask("n-1") || who < 2 && zones[who].MayRenew("n-1", "a") {
 				if last = w.clock.Now(); by != who {
 					handed++
 				}
@@ -67,7 +67,7 @@
 			}
 			begun, of := w.clock.Now(), session
 			trouble()
-			kept, rights, err := Read(t.Context(), w.store)
+			kept, rights, err := ReadAll(t.Context(), w.store)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,12 +77,12 @@
 			}
 			for _, i := range r.Perm(len(zones)) {
 				trouble()
-				names, sure := zones[i].Kept([]string{"n-1"})
+				names, sure := zones[i].MayHaveRenewed([]string{"n-1"})
 				gone = gone && sure && len(names) == 0
 			}
 			switch {
 			case !gone:
-			case w.clock.Since(begun) > tuning.KeptAsking:
+			case w.clock.Since(begun) > tuning.RenewedQueryTime:
 				late++
 			default:
 				if concluded++; session == of && !last.IsZero() && w.clock.Since(last) < w.workerLease {
--- a/internal/cluster/workerlease/zone.go
+++ b/internal/cluster/workerlease/zone.go
@@ -18,13 +18,13 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Zone is a member's right to answer the workers of its own zone in the leader's
+// ZoneLease is a member's right to answer the workers of its own zone in the leader's
 // stead while it reaches neither the leader nor the state service: a zone that is
 // cut off from all else. The answers hold no commands and bear the worker's own
 // token. What makes that safe:
 //
 //   - The right is a record in the state service, on a lease that the member renews
-//     while it is served. It answers for ZoneRight after it sent the last renewal that
+//     while it is served. It answers for ZoneLeaseRecord after it sent the last renewal that
 //     succeeded, and the record outlives the workers' leases that begin by then.
 //   - A leader concludes nothing from the end of a lease on a machine of that zone
 //     before it has read these records after that end and, of each that stands, has heard
@@ -38,65 +38,65 @@
 //
 // Terms and fences play no part in that: the right allows no command, no record and
 // no campaign. It is safe for concurrent use.
-type Zone struct {
+type ZoneLease struct {
 	store  *statestore.Client
 	clock  clockwork.Clock
 	log    *slog.Logger
 	member string
 	zone   string
 	lease  time.Duration // a worker's
-	right  time.Duration // how long the right lasts; 0: workers' leases are too long for one
+	ttl    time.Duration // how long the right lasts; 0: workers' leases are too long for one
 	born   time.Time
 	off    time.Duration // how far a time of day may be from the true one
 
 	mu       sync.Mutex
-	pass     uint64               // the lease of our record; 0: none
+	leaseID  uint64               // the lease of our record; 0: none
 	sent     time.Time            // when the request was sent that gave it its time
 	former   time.Time            // by the time of day: when the right of a former life ends; zero: none is known
 	answered map[string]time.Time // machines that we answered by the right, and when
 }
 
-// ZoneRight is a record of such a right.
-type ZoneRight struct {
+// ZoneLeaseRecord is a record of such a right.
+type ZoneLeaseRecord struct {
 	Zone   string `json:"zone,omitempty"`
 	Member string `json:"member,omitempty"`
 }
 
-// NewZone makes the right of a member; Run obtains it.
-func NewZone(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *Zone {
-	z := &Zone{
+// NewZoneLease makes the right of a member; Run obtains it.
+func NewZoneLease(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *ZoneLease {
+	z := &ZoneLease{
 		store: store, clock: clock, log: log, member: s.Member, zone: s.Zone,
 		lease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)),
 		born:  clock.Now(), answered: map[string]time.Time{},
 		off: time.Duration(s.Cluster.ClockErrorMS * float64(time.Millisecond)),
 	}
-	z.right = max(0, min(tuning.ZoneRight, tuning.MaxTTL-z.over()-tuning.KeepExtra))
+	z.ttl = max(0, min(tuning.ZoneLeaseTTL, tuning.MaxTTL-z.over()-tuning.FollowerLeaseExtra))
 	return z
 }
 
-func (z *Zone) over() time.Duration { return spoken(z.lease) }
+func (z *ZoneLease) over() time.Duration { return claimValidFor(z.lease) }
 
 // life is how long the record outlives its last renewal.
-func (z *Zone) life() time.Duration { return z.right + z.over() + tuning.KeepExtra }
+func (z *ZoneLease) life() time.Duration { return z.ttl + z.over() + tuning.FollowerLeaseExtra }
 
-// Answer asks for the right to answer a machine of a zone now.
-func (z *Zone) Answer(machine, zone string) bool {
+// MayRenew asks for the right to answer a machine of a zone now.
+func (z *ZoneLease) MayRenew(machine, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	if zone == "" || zone != z.zone || !z.own(now) && !z.inherited(now) {
+	if zone == "" || zone != z.zone || !z.held(now) && !z.inherited(now) {
 		return false
 	}
 	z.answered[machine] = now
 	return true
 }
 
-// own tells whether the right that this process obtained lasts. The lock is held.
-func (z *Zone) own(now time.Time) bool { return z.pass != 0 && now.Sub(z.sent) < z.right }
+// held tells whether the right that this process obtained lasts. The lock is held.
+func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.sent) < z.ttl }
 
 // inherited tells whether that of a former life surely lasts. The lock is held.
-func (z *Zone) inherited(now time.Time) bool {
-	return z.right > 0 && now.Round(0).Add(2*z.off).Before(z.former)
+func (z *ZoneLease) inherited(now time.Time) bool {
+	return z.ttl > 0 && now.Round(0).Add(2*z.off).Before(z.former)
 }
 
 // claim is what a member tells others of its right, for its next life.
@@ -106,18 +106,18 @@
 }
 
 // Claim tells until when the right lasts; nil: there is none.
-func (z *Zone) Claim() []byte {
+func (z *ZoneLease) Claim() []byte {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	if !z.own(now) {
+	if !z.held(now) {
 		return nil
 	}
-	return wire.Value(claim{Zone: z.zone, UntilMS: now.Add(z.right - now.Sub(z.sent)).UnixMilli()})
+	return wire.Value(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.sent)).UnixMilli()})
 }
 
 // Inherit takes up what another member remembers of this one's right. What cannot be read counts as nothing.
-func (z *Zone) Inherit(remembered []byte) {
+func (z *ZoneLease) Inherit(remembered []byte) {
 	var c claim
 	if json.Unmarshal(remembered, &c) != nil || c.Zone != z.zone {
 		return
@@ -129,10 +129,10 @@
 	}
 }
 
-// Kept gives those of some machines that this member may have answered by its right
+// MayHaveRenewed gives those of some machines that this member may have answered by its right
 // within a worker's lease and KeptAsking before now. sure is false while it cannot tell: an earlier
 // process of it may have.
-func (z *Zone) Kept(names []string) (kept []string, sure bool) {
+func (z *ZoneLease) MayHaveRenewed(names []string) (kept []string, sure bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
@@ -149,33 +149,33 @@
 	return kept, now.Sub(z.born) > z.over()
 }
 
-// Alone tells whether the state service has not answered for a while, so that we may be
+// Isolated tells whether the state service has not answered for a while, so that we may be
 // the one that is cut off.
-func (z *Zone) Alone() bool {
+func (z *ZoneLease) Isolated() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	since := z.sent
-	if z.pass == 0 {
+	if z.leaseID == 0 {
 		since = z.born
 	}
-	return (z.pass != 0 || z.inherited(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneRenew
+	return (z.leaseID != 0 || z.inherited(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
 }
 
 // Run obtains the right and renews it until ctx ends.
-func (z *Zone) Run(ctx context.Context) {
-	if z.zone == "" || z.right <= 0 {
+func (z *ZoneLease) Run(ctx context.Context) {
+	if z.zone == "" || z.ttl <= 0 {
 		return
 	}
 	for ctx.Err() == nil {
 		z.Renew(ctx)
-		clock.Sleep(ctx, z.clock, tuning.ZoneRenew)
+		clock.Sleep(ctx, z.clock, tuning.ZoneLeaseRenew)
 	}
 }
 
 // Renew renews the record once, or makes one where there is none.
-func (z *Zone) Renew(ctx context.Context) {
+func (z *ZoneLease) Renew(ctx context.Context) {
 	z.mu.Lock()
-	pass := z.pass
+	pass := z.leaseID
 	z.mu.Unlock()
 	sent := z.clock.Now()
 	if pass == 0 {
@@ -189,24 +189,24 @@
 	case err == nil:
 		z.sent = sent
 	case errors.Is(err, statestore.ErrNoLease):
-		z.pass = 0 // the right was over long before
+		z.leaseID = 0 // the right was over long before
 	}
 }
 
 // obtain makes a record under a key of its own. The right counts from before the lease
 // was asked for, and only once the record is surely stored; one whose storing had no answer is
 // left to its lease's end.
-func (z *Zone) obtain(ctx context.Context) {
+func (z *ZoneLease) obtain(ctx context.Context) {
 	sent := z.clock.Now()
 	pass, err := z.store.Grant(ctx, z.life())
 	if err != nil {
 		return
 	}
-	value, err := json.Marshal(keepRecord{ZoneRight: ZoneRight{Zone: z.zone, Member: z.member}})
+	value, err := json.Marshal(renewedRecord{ZoneLeaseRecord: ZoneLeaseRecord{Zone: z.zone, Member: z.member}})
 	if err != nil {
 		return
 	}
-	key := fmt.Sprintf("%s%s/zone-%d", prefixKeep, z.member, pass)
+	key := fmt.Sprintf("%s%s/zone-%d", prefixRenewed, z.member, pass)
 	if _, err := z.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: key}},
 		Then: []wire.Change{{Put: key, Value: value, Lease: pass}},
@@ -216,5 +216,5 @@
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.pass, z.sent = pass, sent
+	z.leaseID, z.sent = pass, sent
 }
--- a/internal/cluster/workerlease/zone_test.go
+++ b/internal/cluster/workerlease/zone_test.go
@@ -20,7 +20,7 @@
 	t     *testing.T
 	clock *clockwork.FakeClock
 	state *fakes.State
-	*Zone
+	*ZoneLease
 }
 
 func newZoneWorld(t *testing.T) *zoneWorld {
@@ -33,7 +33,7 @@
 
 // restart begins a new life of the member.
 func (w *zoneWorld) restart() {
-	w.Zone = NewZone(&config.Settings{
+	w.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: zoneLease.Seconds()}},
 	}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 }
@@ -48,7 +48,7 @@
 // lease by its own count, concludes that its tasks are gone.
 func (w *zoneWorld) concludes(machine string, reached bool) bool {
 	w.t.Helper()
-	_, rights, err := Read(w.t.Context(), w.store)
+	_, rights, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -58,33 +58,33 @@
 	if !reached {
 		return false
 	}
-	kept, sure := w.Kept([]string{machine})
+	kept, sure := w.MayHaveRenewed([]string{machine})
 	return sure && len(kept) == 0
 }
 
 func TestAZoneIsAnsweredThroughACut(t *testing.T) {
 	w := newZoneWorld(t)
-	if w.Answer("n-1", "a") {
+	if w.MayRenew("n-1", "a") {
 		t.Error("answers before the right is recorded")
 	}
 	w.Renew(t.Context())
-	if !w.Answer("n-1", "a") || w.Answer("n-2", "b") {
+	if !w.MayRenew("n-1", "a") || w.MayRenew("n-2", "b") {
 		t.Error("answers another zone's machines, or not its own")
 	}
 	w.state.Refuse(true) // a cut
 	begun := w.clock.Now()
-	for w.Answer("n-1", "a") {
+	for w.MayRenew("n-1", "a") {
 		w.pass(time.Second)
 		w.Renew(t.Context())
-		if alone := w.clock.Since(begun) > 2*tuning.ZoneRenew; w.Alone() != alone {
-			t.Fatalf("alone %v after %v", w.Alone(), w.clock.Since(begun))
+		if alone := w.clock.Since(begun) > 2*tuning.ZoneLeaseRenew; w.Isolated() != alone {
+			t.Fatalf("alone %v after %v", w.Isolated(), w.clock.Since(begun))
 		}
 	}
-	if d := w.clock.Since(begun); d != tuning.ZoneRight {
+	if d := w.clock.Since(begun); d != tuning.ZoneLeaseTTL {
 		t.Errorf("answers for %v", d)
 	}
 	w.state.Refuse(false)
-	if w.Renew(t.Context()); !w.Answer("n-1", "a") || w.Alone() {
+	if w.Renew(t.Context()); !w.MayRenew("n-1", "a") || w.Isolated() {
 		t.Error("does not answer after the cut")
 	}
 }
@@ -95,7 +95,7 @@
 	w := newZoneWorld(t)
 	w.Renew(t.Context())
 	w.pass(time.Minute)
-	w.Answer("n-1", "a")
+	w.MayRenew("n-1", "a")
 	w.restart()
 	if w.concludes("n-1", true) {
 		t.Error("concluded on the word of one that cannot know")
@@ -104,7 +104,7 @@
 	if w.concludes("n-1", true) {
 		t.Error("concluded on a word that may be asked for later than it counts from")
 	}
-	w.pass(tuning.KeptAsking)
+	w.pass(tuning.RenewedQueryTime)
 	if !w.concludes("n-1", true) {
 		t.Error("not concluded though the former life's answers are over")
 	}
@@ -113,11 +113,11 @@
 // Workers' leases too long for the state service's leave no right.
 func TestNoRightBesideVeryLongLeases(t *testing.T) {
 	w := newZoneWorld(t)
-	w.Zone = NewZone(&config.Settings{
+	w.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.MaxTTL.Seconds()}},
 	}, w.store, w.clock, w.log)
 	w.Run(t.Context()) // which ends at once
-	if w.Answer("n-1", "a") {
+	if w.MayRenew("n-1", "a") {
 		t.Error("answers without a right")
 	}
 }
@@ -146,7 +146,7 @@
 				}
 			case n < 80:
 				if last.IsZero() || w.clock.Since(last) < zoneLease {
-					if w.Answer("n-1", "a") {
+					if w.MayRenew("n-1", "a") {
 						last = w.clock.Now()
 						answered++
 					}
@@ -177,24 +177,24 @@
 	w.Renew(t.Context())
 	w.pass(20 * time.Second)
 	w.state.Refuse(true)
-	claim, ends := w.Claim(), w.clock.Now().Add(tuning.ZoneRight-20*time.Second)
+	claim, ends := w.Claim(), w.clock.Now().Add(tuning.ZoneLeaseTTL-20*time.Second)
 	off := w.off
 	w.restart()
 	w.off = off
 	w.Renew(t.Context())
-	if w.Answer("n-1", "a") || w.Claim() != nil {
+	if w.MayRenew("n-1", "a") || w.Claim() != nil {
 		t.Error("answers without any right")
 	}
 	for _, other := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
-		if w.Inherit([]byte(other)); w.Answer("n-1", "a") {
+		if w.Inherit([]byte(other)); w.MayRenew("n-1", "a") {
 			t.Errorf("answers by %q", other)
 		}
 	}
 	w.Inherit(claim)
-	if w.Answer("n-2", "b") {
+	if w.MayRenew("n-2", "b") {
 		t.Error("answers another zone's machine")
 	}
-	for w.Answer("n-1", "a") {
+	for w.MayRenew("n-1", "a") {
 		if w.pass(time.Second); w.clock.Now().After(ends) {
 			t.Fatal("answers beyond the end of its former life's right")
 		}
@@ -207,11 +207,11 @@
 	if w.concludes("n-1", true) || w.concludes("n-1", false) {
 		t.Error("concluded, though it was answered a moment ago")
 	}
-	w.pass(zoneLease + tuning.KeptAsking + time.Second)
+	w.pass(zoneLease + tuning.RenewedQueryTime + time.Second)
 	if !w.concludes("n-1", true) || w.concludes("n-1", false) {
 		t.Error("not concluded a lease after the last answer, or without the member's word while the record stands")
 	}
-	if w.Renew(t.Context()); !w.Answer("n-1", "a") || w.Claim() == nil {
+	if w.Renew(t.Context()); !w.MayRenew("n-1", "a") || w.Claim() == nil {
 		t.Error("has no right of its own once it is served")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,8 +52,8 @@
 	catalog *instancetypes.Catalog
 	elector *election.Elector
 	peers   *peers.Peers
-	keeper  *workerlease.Keeper
-	zone    *workerlease.Zone
+	keeper  *workerlease.FollowerLeases
+	zone    *workerlease.ZoneLease
 	users   *userapi.Handler
 	reports *workerapi.Handler
 	ledger  *ledger.Handler  // nil: no charges are kept
@@ -78,7 +78,7 @@
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
 	c.keeper = workerlease.New(s, c.store, clock, log)
-	c.zone = workerlease.NewZone(s, c.store, clock, log)
+	c.zone = workerlease.NewZoneLease(s, c.store, clock, log)
 	c.peers.ShareZoneLease(c.zone)
 	teams := map[string]config.Team{}
 	for _, t := range s.Cluster.Teams {
@@ -89,13 +89,13 @@
 		Settings: s, Knobs: own.Knobs(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers: httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
 		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
-		Valid: c.elector.Valid, Kept: c.kept, Reach: c.peers.ProbeWorkers, Types: c.catalog.Types,
-		Full: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
+		Valid: c.elector.Valid, MayHaveRenewed: c.kept, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
+		MemoryFull: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
 	}
 	if err := c.join(); err != nil {
 		return nil, err
 	}
-	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Alone() && c.peers.Isolated() })
+	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Isolated() && c.peers.Isolated() })
 	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, c.show)
 	c.setCloudShare(false)
 	return c, nil
@@ -256,7 +256,7 @@
 // kept asks a member, this one or another, which machines it may have answered.
 func (c *Controller) kept(ctx context.Context, member string, names []string) ([]string, bool) {
 	if member == c.settings.Member {
-		return c.zone.Kept(names)
+		return c.zone.MayHaveRenewed(names)
 	}
 	return c.peers.MayHaveRenewed(ctx, member, names)
 }
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -82,7 +82,7 @@
 
 // serveKept tells a leader which machines this member may have answered by its zone's right.
 func (c *Controller) serveKept(names []string) peerrpc.Response {
-	kept, sure := c.zone.Kept(names)
+	kept, sure := c.zone.MayHaveRenewed(names)
 	r := yesOrNo(sure)
 	r.Names = kept
 	return r
@@ -93,7 +93,7 @@
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.Holder()
 	status := http.StatusOK
-	if c.env.Full() {
+	if c.env.MemoryFull() {
 		status = http.StatusInsufficientStorage
 	}
 	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.Pinged(req.Job, req.Payload)}
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -28,7 +28,7 @@
 	down    map[string]bool // members, by zone, that do not run
 	lost    map[string]bool // zones whose workers reach their own member alone
 	inside  string          // the zone in which the leader is; it is no zone's member
-	members map[string]*workerlease.Zone
+	members map[string]*workerlease.ZoneLease
 	workers map[string]*cutWorker
 }
 
@@ -45,7 +45,7 @@
 func newCutWorld(t *testing.T) *cutWorld {
 	w := &cutWorld{
 		t: t, cut: map[string]bool{}, lost: map[string]bool{}, down: map[string]bool{}, inside: "a",
-		members: map[string]*workerlease.Zone{}, workers: map[string]*cutWorker{},
+		members: map[string]*workerlease.ZoneLease{}, workers: map[string]*cutWorker{},
 	}
 	w.l, w.clock = leaderWith(t)
 	clear(w.l.roster.Machines)
@@ -71,7 +71,7 @@
 // boot starts a zone's member; it renews its right through a state service that a cut or
 // an outage takes away.
 func (w *cutWorld) boot(zone string) {
-	w.members[zone] = workerlease.NewZone(&config.Settings{
+	w.members[zone] = workerlease.NewZoneLease(&config.Settings{
 		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: cutLease.Seconds()}},
 	}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 	w.down[zone] = false
@@ -80,12 +80,12 @@
 // lead has the loop see the state service, and ask the members that it reaches.
 func (w *cutWorld) lead() {
 	w.l.store = statestore.New(w.state.Addr(), 1e6, 1e6)
-	w.l.env.Kept = func(_ context.Context, member string, names []string) ([]string, bool) {
+	w.l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
 		zone := member[1:]
 		if w.down[zone] || !w.reaches(zone) {
 			return nil, false
 		}
-		return w.members[zone].Kept(names)
+		return w.members[zone].MayHaveRenewed(names)
 	}
 }
 
@@ -132,7 +132,7 @@
 			_, err := w.l.take(&k.rep, false)
 			answered = err == nil
 		} else if !w.down[zone] {
-			answered = w.members[zone].Answer(k.rep.Machine, zone)
+			answered = w.members[zone].MayRenew(k.rep.Machine, zone)
 		}
 		if answered {
 			k.seen = now
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -42,14 +42,14 @@
 	Joins []func(log *slog.Logger) (Slice, error)
 	// Valid tells whether this member has the right to act in a term now.
 	Valid func(term uint64) bool
-	// Kept asks a member, this one or another, which of some machines it may have answered by
+	// MayHaveRenewed asks a member, this one or another, which of some machines it may have answered by
 	// its zone's right within a lease; sure is false when it cannot tell, or gives no answer.
-	Kept func(ctx context.Context, member string, names []string) (kept []string, sure bool)
-	// Reach asks the other members whether one of them gets an answer from one of some workers, by their addresses; nil:
+	MayHaveRenewed func(ctx context.Context, member string, names []string) (kept []string, sure bool)
+	// ProbeWorkers asks the other members whether one of them gets an answer from one of some workers, by their addresses; nil:
 	// there are no others.
-	Reach func(ctx context.Context, addrs []string) bool
-	// Full tells that this process has no memory for more jobs; nil: it always has.
-	Full func() bool
+	ProbeWorkers func(ctx context.Context, addrs []string) bool
+	// MemoryFull tells that this process has no memory for more jobs; nil: it always has.
+	MemoryFull func() bool
 	// Types gives the machine types; nil while none are known.
 	Types func() []wire.MachineType
 }
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -33,8 +33,8 @@
 		kept, err := l.keptMachines(l.ended, byZone)
 		l.post(func() {
 			done := l.env.Clock.Now()
-			l.asking, l.nextAsk = false, done.Add(tuning.KeptEvery)
-			if err == nil && done.Sub(now) > tuning.KeptAsking {
+			l.asking, l.nextAsk = false, done.Add(tuning.RenewedReadEvery)
+			if err == nil && done.Sub(now) > tuning.RenewedQueryTime {
 				err = fmt.Errorf("it took %v", done.Sub(now))
 			}
 			if err != nil {
@@ -50,11 +50,11 @@
 // before now: those that a record names, and those of which a member with the right for
 // their zone does not say that it did not. It must not take longer than KeptAsking: all then speak of the lease before it began.
 func (l *Loop) keptMachines(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
-	kept, rights, err := workerlease.Read(ctx, l.store)
+	kept, rights, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
 		return nil, err
 	}
-	asked := map[workerlease.ZoneRight]bool{}
+	asked := map[workerlease.ZoneLeaseRecord]bool{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, r := range rights {
@@ -81,7 +81,7 @@
 func (l *Loop) mayKeep(ctx context.Context, member string, names []string) []string {
 	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer stop()
-	kept, sure := l.env.Kept(ctx, member, names)
+	kept, sure := l.env.MayHaveRenewed(ctx, member, names)
 	if !sure {
 		return names
 	}
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -73,7 +73,7 @@
 		{"a record names a machine", []string{inA, `{"machines":["n-3"]}`}, map[string][]string{"ma": nil}, "[n-3]"},
 	} {
 		l, pass := twoZones(t, 2, c.rights...)
-		l.env.Kept = func(_ context.Context, member string, names []string) ([]string, bool) {
+		l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
 			kept, ok := c.says[member]
 			return kept, ok
 		}
@@ -96,9 +96,9 @@
 	for _, c := range []struct {
 		took time.Duration
 		gone bool
-	}{{tuning.KeptAsking, true}, {tuning.KeptAsking + time.Millisecond, false}} {
+	}{{tuning.RenewedQueryTime, true}, {tuning.RenewedQueryTime + time.Millisecond, false}} {
 		l, pass := twoZones(t, 1, `{"zone":"a","member":"ma"}`)
-		l.env.Kept = func(context.Context, string, []string) ([]string, bool) {
+		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) {
 			pass(c.took)
 			return nil, true
 		}
@@ -107,7 +107,7 @@
 		if gone := len(l.roster.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
 		}
-		l.env.Kept = func(context.Context, string, []string) ([]string, bool) { return nil, true }
+		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) { return nil, true }
 		if l.settled(); len(l.roster.Machines["n-0"].Allocations) != 0 {
 			t.Error("not found gone by the next reading")
 		}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -69,7 +69,7 @@
 		var why string
 		switch {
 		case m.LastHeartbeat.IsZero() && m.ListedRunning:
-			if now.Sub(m.AddedAt) > workerlease.Stretched(l.workerLease())+release {
+			if now.Sub(m.AddedAt) > workerlease.WithDrift(l.workerLease())+release {
 				why = "silent"
 			}
 		case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -192,7 +192,7 @@
 	if met.Before(l.begun) {
 		met = l.begun
 	}
-	if l.env.Reach == nil || w.probing || now.Before(w.again) || len(w.unmet) < tuning.UnheardMachines || now.Sub(met) < tuning.UnheardFor {
+	if l.env.ProbeWorkers == nil || w.probing || now.Before(w.again) || len(w.unmet) < tuning.UnheardMachines || now.Sub(met) < tuning.UnheardFor {
 		return
 	}
 	var addrs []string
@@ -212,7 +212,7 @@
 	}
 	w.probing, w.again = true, now.Add(tuning.UnheardFor)
 	go func() {
-		reached := l.env.Reach(l.ended, addrs)
+		reached := l.env.ProbeWorkers(l.ended, addrs)
 		l.post(func() {
 			w.probing = false
 			if reached && len(w.unmet) >= tuning.UnheardMachines {
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -288,7 +288,7 @@
 		ctx, end := context.WithCancelCause(t.Context())
 		l.ended, l.end = ctx, end
 		l.env.Valid = func(uint64) bool { return true }
-		l.env.Reach = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
+		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
 		for s := range 20 {
 			pass(time.Second)
 			for i := range 8 {
