--- a/cmd/poppypass/commands.go
+++ b/cmd/poppypass/commands.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func (f *files) load() (*config.Settings, *config.Own, error) {
+func (f *files) load() (*config.Settings, *config.OperatorSettings, error) {
 	s, err := config.Load(f.config)
 	if err != nil {
 		return nil, nil, err
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -38,7 +38,7 @@
 	Charged func(team, how string, sum charge.Amounts)
 }
 
-// Ledger is the ledger of one tenure. It implements leader.Slice.
+// Ledger is the ledger of one tenure. It implements leader.Subsystem.
 type Ledger struct {
 	cfg        Config
 	log        *slog.Logger
@@ -285,7 +285,7 @@
 // Look lowers the counts of waiting tasks to what the budgets allow together. Otherwise
 // machines were rented for every job of a team whose budget allows one of them. The rest
 // of a budget goes to the jobs in the order in which they are placed.
-func (l *Ledger) Look(waiting []*jobs.Job, counts []int, _ time.Time) {
+func (l *Ledger) LimitTogether(waiting []*jobs.Job, counts []int, _ time.Time) {
 	if !l.budgets.Any() {
 		return
 	}
@@ -330,7 +330,7 @@
 }
 
 // Over is nothing to the ledger: charges are of attempts.
-func (l *Ledger) Over(jobs.FinishedJob, time.Time) {}
+func (l *Ledger) Finished(jobs.FinishedJob, time.Time) {}
 
 // write has charges written, and counts them.
 func (l *Ledger) write(p *jobs.Allocation, parts []charge.Charge, now time.Time) {
@@ -432,7 +432,7 @@
 }
 
 // Next gives the ledger's own next transaction.
-func (l *Ledger) Next(now time.Time, room int) *leader.Write {
+func (l *Ledger) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	if !l.read {
 		return nil
 	}
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -421,7 +421,7 @@
 	}
 	for range 2 { // a look leaves no trace
 		counts := []int{4, 4, 4, 4}
-		w.ledger.Look(waiting, counts, w.now())
+		w.ledger.LimitTogether(waiting, counts, w.now())
 		if !slices.Equal(counts, []int{0, 1, 4, 4}) {
 			t.Fatalf("may consider %v", counts)
 		}
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -69,7 +69,7 @@
 }
 
 // rollUp makes the next roll-up, or nil if none is due.
-func (l *Ledger) rollUp(now time.Time, room int) *leader.Write {
+func (l *Ledger) rollUp(now time.Time, room int) *leader.SubsystemWrite {
 	most := min(l.txnOps, room) - 2 // beside the segment and the page
 	if most < 1 || len(l.lefts) == 0 {
 		return nil
@@ -119,7 +119,7 @@
 	for _, left := range take {
 		drop(&txn, left.Key, left.Version)
 	}
-	return &leader.Write{Txn: txn, Done: func(revision uint64) {
+	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		seg.version, pg.version = revision, revision
 		l.segment = seg
 		if pg.n != l.open.n {
@@ -136,7 +136,7 @@
 // compact brings rows of the same name together: those of one closed page are moved
 // to another closed page that has rows of the same names. A page that is left
 // without rows is dropped, and two small ones become one.
-func (l *Ledger) compact(room int) *leader.Write {
+func (l *Ledger) compact(room int) *leader.SubsystemWrite {
 	if room < 2 || len(l.closed) < tuning.CompactPages {
 		return nil
 	}
@@ -164,7 +164,7 @@
 	} else {
 		put(&txn, keyPage(b.n), b.version, pageValue(l.codec, b.list()))
 	}
-	return &leader.Write{Txn: txn, Done: func(revision uint64) {
+	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		a.version, b.version = revision, revision
 		l.closed[a.n] = a
 		if len(b.rows) == 0 {
@@ -202,7 +202,7 @@
 
 // fold gives the rows of a closed page whose days are long ago the names of their
 // months; the page is rewritten, and compaction does the rest.
-func (l *Ledger) fold(now time.Time, room int) *leader.Write {
+func (l *Ledger) fold(now time.Time, room int) *leader.SubsystemWrite {
 	if room < 1 {
 		return nil
 	}
@@ -222,7 +222,7 @@
 		}
 		var txn wire.Txn
 		put(&txn, keyPage(n), p.version, pageValue(l.codec, p.list()))
-		return &leader.Write{Txn: txn, Done: func(revision uint64) {
+		return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 			p.version = revision
 			l.closed[n] = p
 			l.stats.Changes += len(txn.Then)
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -188,7 +188,7 @@
 }
 
 // Show answers the questions that the ledger has the answers to in memory.
-func (l *Ledger) Show(uri string, now time.Time) (status int, body any, ok bool) {
+func (l *Ledger) Query(uri string, now time.Time) (status int, body any, ok bool) {
 	u, err := url.Parse(uri)
 	if err != nil {
 		return 0, nil, false
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -310,8 +310,8 @@
 // next does one of the ledger's own transactions.
 func (w *world) next(answered bool) bool {
 	w.ledger.Tick(w.now())
-	var write *leader.Write
-	if write = w.ledger.Next(w.now(), 1000); write == nil {
+	var write *leader.SubsystemWrite
+	if write = w.ledger.NextWrite(w.now(), 1000); write == nil {
 		return false
 	}
 	if revision := w.apply(write.Txn); answered {
--- a/internal/api/userapi/show.go
+++ b/internal/api/userapi/show.go
@@ -76,12 +76,12 @@
 }
 
 func do(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
-	status, v, err := l.Do(ctx, c)
+	status, v, err := l.Command(ctx, c)
 	return answerOf(status, v, err)
 }
 
 func show(ctx context.Context, l *leader.Loop, uri string) (int, json.RawMessage) {
-	status, v, err := l.Show(ctx, uri)
+	status, v, err := l.Query(ctx, uri)
 	return answerOf(status, v, err)
 }
 
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -116,7 +116,7 @@
 		return wire.HeartbeatReply{}, false
 	}
 	term := l.Tenure().Term
-	commands, err := l.Report(ctx, rep)
+	commands, err := l.Heartbeat(ctx, rep)
 	// The right to act is checked again now that the answer is ready.
 	if err != nil || !d.elector.Valid(term) {
 		return wire.HeartbeatReply{}, false
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -86,7 +86,7 @@
 	}
 	fds := s.Cluster.Limits.FDLimit
 	c.env = &leader.Env{
-		Settings: s, Knobs: own.Knobs(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
+		Settings: s, Tunables: own.Tunables(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers: httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
 		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
 		Valid: c.elector.Valid, MayHaveRenewed: c.kept, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
@@ -124,7 +124,7 @@
 	}
 	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) }}
 	c.env.Accounts = true
-	c.env.Joins = append(c.env.Joins, func(log *slog.Logger) (leader.Slice, error) { return ledger.New(cfg, log) })
+	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
 	return nil
 }
 
@@ -143,7 +143,7 @@
 		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Do(ctx, cmd) },
 		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) },
 	}
-	c.env.Joins = append(c.env.Joins, func(log *slog.Logger) (leader.Slice, error) { return runner.New(cfg, log) })
+	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
 }
 
 // memberShare is what one member may use of a limit that all share, when the
@@ -248,7 +248,7 @@
 		c.setCloudShare(false)
 	}()
 	go c.catalog.Save(ctx)
-	if errors.Is(l.Run(), leader.ErrUnheard) {
+	if errors.Is(l.Run(), leader.ErrUnreachable) {
 		c.elector.StandAside(tuning.StandAside)
 	}
 }
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -120,7 +120,7 @@
 	w.until("the first step runs", runs("first"))
 	w.until("that is shown", func() bool {
 		k.beat()
-		w.clock.Advance(tuning.SliceTick)
+		w.clock.Advance(tuning.SubsystemTick)
 		return w.stateOf("one", "first") == "running"
 	})
 	w.want("POST", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries", map[string]any{"key": "return_value", "value": []int{1}}, 201)
@@ -151,7 +151,7 @@
 	w.want("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
 	w.until("the run has failed", func() bool {
 		k.beat()
-		w.clock.Advance(tuning.SliceTick)
+		w.clock.Advance(tuning.SubsystemTick)
 		_, out := w.api("GET", "/dags/g/dagRuns/one", nil)
 		return out["state"] == "failed"
 	})
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -84,8 +84,8 @@
 	then atomic.Pointer[func()]
 }
 
-func (p *pausing) Reported(took time.Duration) {
-	p.Metrics.Reported(took)
+func (p *pausing) HeartbeatTaken(took time.Duration) {
+	p.Metrics.HeartbeatTaken(took)
 	if fn := p.then.Load(); fn != nil {
 		(*fn)()
 	}
--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -38,7 +38,7 @@
 	for i := range 1000 {
 		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
-	for write := w.graphs.Next(w.clock.Now(), 1000); write != nil; write = w.graphs.Next(w.clock.Now(), 1000) {
+	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		write.Done(w.commit(write.Txn))
 	}
 	w.graphs = nil
@@ -59,7 +59,7 @@
 		b.Fatalf("%+v", a)
 	}
 	next := func() bool {
-		write := w.graphs.Next(w.clock.Now(), 1000)
+		write := w.graphs.NextWrite(w.clock.Now(), 1000)
 		if write != nil {
 			write.Done(1) // what is measured is the deciding, not the store
 		}
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -46,8 +46,8 @@
 	Pools func(team, name string) (slots int, ok bool)
 }
 
-// Graphs are the graphs and live runs of one tenure. It implements leader.Slice and
-// leader.Doer.
+// Graphs are the graphs and live runs of one tenure. It implements leader.Subsystem and
+// leader.CommandHandler.
 type Graphs struct {
 	cfg   Config
 	log   *slog.Logger
@@ -128,7 +128,7 @@
 }
 
 // Look lowers the counts of jobs that rest.
-func (g *Graphs) Look(waiting []*jobs.Job, counts []int, now time.Time) {
+func (g *Graphs) LimitTogether(waiting []*jobs.Job, counts []int, now time.Time) {
 	if len(g.byJob) == 0 {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // Over takes in what became of a step's job.
-func (g *Graphs) Over(o jobs.FinishedJob, now time.Time) { g.over(o.Job.ID, o.State, now) }
+func (g *Graphs) Finished(o jobs.FinishedJob, now time.Time) { g.over(o.Job.ID, o.State, now) }
 
 func (g *Graphs) over(id string, state wire.JobState, now time.Time) {
 	w, ok := g.byJob[id]
@@ -295,7 +295,7 @@
 
 // Next gives the next transaction of the graphs: graphs, runs with the jobs of steps that
 // are ready, and records that are to go, as many as it takes.
-func (g *Graphs) Next(now time.Time, room int) *leader.Write {
+func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	b := &batch{most: min(room, g.cfg.TxnOps), value: int(g.cfg.ValueKB * 1024)}
 	if !g.read || b.most < 2 {
 		return nil
@@ -307,7 +307,7 @@
 	if len(b.txn.Then) == 0 {
 		return nil
 	}
-	return &leader.Write{Txn: b.txn, Done: func(revision uint64) {
+	return &leader.SubsystemWrite{Txn: b.txn, Done: func(revision uint64) {
 		for _, fn := range b.done {
 			fn(revision)
 		}
@@ -343,7 +343,7 @@
 const PathPools = "/graphs/pools"
 
 // Show answers what only the leader knows; the rest is answered from what is stored (Reader).
-func (g *Graphs) Show(uri string, _ time.Time) (int, any, bool) {
+func (g *Graphs) Query(uri string, _ time.Time) (int, any, bool) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
 		return 0, nil, false
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -56,7 +56,7 @@
 }
 
 // Do carries out a command.
-func (g *Graphs) Do(c leader.Command, now time.Time, tell func(int, any)) bool {
+func (g *Graphs) Command(c leader.Command, now time.Time, tell func(int, any)) bool {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
 		return false
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -289,7 +289,7 @@
 	}
 	a := w.order(DoTrigger, Order{Run: "one", Described: true})
 	conflicts := 0
-	for write := w.graphs.Next(w.clock.Now(), 1000); write != nil; write = w.graphs.Next(w.clock.Now(), 1000) {
+	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		if revision, err := w.store.Commit(t.Context(), write.Txn); err == nil {
 			write.Done(revision)
 		} else {
@@ -410,7 +410,7 @@
 			t.Errorf("%s: %q and %q", verb, theirs, none)
 		}
 	}
-	if w.graphs.Do(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil) {
+	if w.graphs.Command(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil) {
 		t.Error("it takes orders that are not its own")
 	}
 	reader := NewReader(w.store)
@@ -433,7 +433,7 @@
 	for i := range 1000 {
 		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
-	for write := w.graphs.Next(w.clock.Now(), 1000); write != nil; write = w.graphs.Next(w.clock.Now(), 1000) {
+	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		write.Done(w.commit(write.Txn))
 	}
 	w.lead()
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -135,7 +135,7 @@
 
 // next does one of the graphs' transactions.
 func (w *world) next(answered bool) bool {
-	write := w.graphs.Next(w.clock.Now(), 1000)
+	write := w.graphs.NextWrite(w.clock.Now(), 1000)
 	if write == nil {
 		return false
 	}
@@ -151,7 +151,7 @@
 	for b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil; b = w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}) {
 		_, over := w.book.Written(b, w.commit(b.Txn))
 		for _, o := range over {
-			w.graphs.Over(o, w.clock.Now())
+			w.graphs.Finished(o, w.clock.Now())
 		}
 	}
 }
@@ -241,7 +241,7 @@
 		w.t.Fatal(err)
 	}
 	a := &answers{}
-	if !w.graphs.Do(leader.Command{URI: PathOrders + verb, Body: raw}, w.clock.Now(), func(status int, body any) {
+	if !w.graphs.Command(leader.Command{URI: PathOrders + verb, Body: raw}, w.clock.Now(), func(status int, body any) {
 		if a.status != 0 {
 			w.t.Errorf("%s is answered twice", verb)
 		}
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -99,10 +99,10 @@
 
 func TestLoadProperties(t *testing.T) {
 	k, err := LoadProperties(fakes.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
-	if err != nil || k.Knobs.IdleKeep != 45*time.Second || k.Knobs.MaxMachines != 7 {
+	if err != nil || k.Tunables.IdleKeep != 45*time.Second || k.Tunables.MaxMachines != 7 {
 		t.Errorf("read as %+v, %v", k, err)
 	}
-	if k, err = LoadProperties(""); err != nil || k.Knobs != tuning.Defaults() {
+	if k, err = LoadProperties(""); err != nil || k.Tunables != tuning.Defaults() {
 		t.Errorf("without a file: %+v, %v", k, err)
 	}
 	own, err := LoadProperties(fakes.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
--- a/internal/platform/config/properties.go
+++ b/internal/platform/config/properties.go
@@ -25,9 +25,9 @@
 	keyPool        = "graphs.pool."
 )
 
-// Own are the operators' own settings.
-type Own struct {
-	Knobs tuning.Knobs
+// OperatorSettings are the operators' own settings.
+type OperatorSettings struct {
+	Tunables tuning.Tunables
 	// Ledger tells that charges are kept.
 	Ledger bool
 	// Budgets is never nil. Without a ledger it holds none.
@@ -46,8 +46,8 @@
 type Pool struct{ Team, Name string }
 
 // LoadProperties reads the operators' settings; an empty path gives the defaults.
-func LoadProperties(path string) (*Own, error) {
-	own := &Own{Knobs: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
+func LoadProperties(path string) (*OperatorSettings, error) {
+	own := &OperatorSettings{Tunables: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
 	if path == "" {
 		return own, nil
 	}
@@ -70,7 +70,7 @@
 	return own, nil
 }
 
-func (o *Own) set(key string, p *properties.Properties) error {
+func (o *OperatorSettings) set(key string, p *properties.Properties) error {
 	value := p.GetString(key, "")
 	switch key {
 	case keyIdleKeep:
@@ -78,13 +78,13 @@
 		if err != nil || d < 0 {
 			return fmt.Errorf("%s: %q is not a duration such as 45s", key, value)
 		}
-		o.Knobs.IdleKeep = d
+		o.Tunables.IdleKeep = d
 	case keyMaxMachines:
 		n := p.GetInt(key, -1)
 		if n < 1 {
 			return fmt.Errorf("%s: %q is not a count above 0", key, value)
 		}
-		o.Knobs.MaxMachines = n
+		o.Tunables.MaxMachines = n
 	case keyLedger:
 		if value != "on" && value != "off" {
 			return fmt.Errorf("%s: %q is neither on nor off", key, value)
@@ -130,7 +130,7 @@
 }
 
 // Check says what does not fit the platform's settings, in one line.
-func (o *Own) Check(s *Settings) error {
+func (o *OperatorSettings) Check(s *Settings) error {
 	for pool := range o.Pools {
 		if !s.hasTeam(pool.Team) {
 			return fmt.Errorf("%s%s.%s: no team has that name", keyPool, pool.Team, pool.Name)
--- a/internal/platform/config/watch.go
+++ b/internal/platform/config/watch.go
@@ -17,14 +17,14 @@
 type Watched struct {
 	path     string
 	settings *Settings
-	own      *Own
+	operator *OperatorSettings
 	budgets  atomic.Pointer[budget.Settings]
 	seen     os.FileInfo
 }
 
 // Watch begins to look after a properties file that was loaded and checked.
-func Watch(path string, s *Settings, own *Own) *Watched {
-	w := &Watched{path: path, settings: s, own: own}
+func Watch(path string, s *Settings, own *OperatorSettings) *Watched {
+	w := &Watched{path: path, settings: s, operator: own}
 	if path != "" {
 		w.seen, _ = os.Stat(path) // a file that is gone meanwhile has changed
 	}
@@ -32,23 +32,25 @@
 	return w
 }
 
-// Knobs gives the knobs as the program began with them.
-func (w *Watched) Knobs() tuning.Knobs { return w.own.Knobs }
+// Tunables gives the knobs as the program began with them.
+func (w *Watched) Tunables() tuning.Tunables { return w.operator.Tunables }
 
 // Ledger tells whether charges are kept.
-func (w *Watched) Ledger() bool { return w.own.Ledger }
+func (w *Watched) Ledger() bool { return w.operator.Ledger }
 
 // Graphs tells whether graphs are served, and where their steps are described, if anywhere.
-func (w *Watched) Graphs() (on bool, descriptions string) { return w.own.Graphs, w.own.Descriptions }
+func (w *Watched) Graphs() (on bool, descriptions string) {
+	return w.operator.Graphs, w.operator.Descriptions
+}
 
 // Pool gives the slots of a team's pool, as they were when the process started.
 func (w *Watched) Pool(team, name string) (slots int, ok bool) {
-	slots, ok = w.own.Pools[Pool{team, name}]
+	slots, ok = w.operator.Pools[Pool{team, name}]
 	return slots, ok
 }
 
 // MetricsAddr is where metrics are served; empty: nowhere.
-func (w *Watched) MetricsAddr() string { return w.own.MetricsAddr }
+func (w *Watched) MetricsAddr() string { return w.operator.MetricsAddr }
 
 // Budgets gives the budgets that are in force.
 func (w *Watched) Budgets() *budget.Settings { return w.budgets.Load() }
@@ -85,11 +87,11 @@
 		log.Error("the changed properties are not used", "err", err)
 		return
 	}
-	if !w.own.Ledger {
+	if !w.operator.Ledger {
 		return
 	}
 	// Days of charges are named as they were when the program began.
-	own.Budgets.Zone = w.own.Budgets.Zone
+	own.Budgets.Zone = w.operator.Budgets.Zone
 	w.budgets.Store(own.Budgets)
 	log.Info("changed budgets taken in; other properties take effect at the next start")
 }
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -101,7 +101,7 @@
 	m.oldest.Reset()
 	m.machines.Set(0)
 	m.jobs.Set(0)
-	m.Ways(0, 0)
+	m.Reachability(0, 0)
 }
 
 // TookOver takes in how long it took to load the records.
@@ -110,8 +110,8 @@
 // Passed takes in a pass.
 func (m *Metrics) Passed(took time.Duration) { m.pass.Observe(took.Seconds()) }
 
-// Reported takes in how long a report waited.
-func (m *Metrics) Reported(took time.Duration) { m.report.Observe(took.Seconds()) }
+// HeartbeatTaken takes in how long a report waited.
+func (m *Metrics) HeartbeatTaken(took time.Duration) { m.report.Observe(took.Seconds()) }
 
 // Started takes in that an attempt was placed.
 func (m *Metrics) Started(class string) { m.started.WithLabelValues(class).Inc() }
@@ -122,8 +122,8 @@
 // Wrote takes in that changes were written.
 func (m *Metrics) Wrote(changes int) { m.written.Add(float64(changes)) }
 
-// Came takes in a job that came.
-func (m *Metrics) Came(class, team, size string) { m.came.WithLabelValues(class, team, size).Inc() }
+// Arrived takes in a job that came.
+func (m *Metrics) Arrived(class, team, size string) { m.came.WithLabelValues(class, team, size).Inc() }
 
 // Began takes in a job whose first task runs.
 func (m *Metrics) Began(class, team, size string, waited time.Duration) {
@@ -149,11 +149,11 @@
 	}
 }
 
-// Aside takes in that a report was set aside.
-func (m *Metrics) Aside(why string) { m.aside.WithLabelValues(why).Inc() }
+// SetAside takes in that a report was set aside.
+func (m *Metrics) SetAside(why string) { m.aside.WithLabelValues(why).Inc() }
 
-// Ways takes in how many machines report but do not hear the leader, and how many have not proved yet that they do.
-func (m *Metrics) Ways(deaf, unproven int) {
+// Reachability takes in how many machines report but do not hear the leader, and how many have not proved yet that they do.
+func (m *Metrics) Reachability(deaf, unproven int) {
 	m.deaf.Set(float64(deaf))
 	m.unproven.Set(float64(unproven))
 }
--- a/internal/platform/tuning/tuning.go
+++ b/internal/platform/tuning/tuning.go
@@ -202,11 +202,11 @@
 	// ReconcileEvery is how often the stored jobs are compared with those that the leader knows: one that it missed has to
 	// begin within minutes. A thousand jobs are two calls.
 	ReconcileEvery = 30 * time.Second
-	// ServedSizes is of how many jobs of a class the sizes are remembered, ServedLarge from which share of them on one is
-	// among the largest, and ServedLeast how many there must be to tell.
-	ServedSizes = 200
-	ServedLarge = 0.9
-	ServedLeast = 10
+	// SizesRemembered is of how many jobs of a class the sizes are remembered, LargestShare from which share of them on one is
+	// among the largest, and SizesLeast how many there must be to tell.
+	SizesRemembered = 200
+	LargestShare    = 0.9
+	SizesLeast      = 10
 	// JobWatch is how long the leader's watch for new jobs waits.
 	JobWatch = 10 * time.Second
 	// LoadPage is how many keys a new leader reads in one call.
@@ -373,18 +373,18 @@
 	FillSteps = 4
 	// BeginBound is how long a job may wait for its first task before that goes before all else of its priority: users
 	// expect the largest jobs to begin within four minutes, and a machine or a share of a team's limit that is kept
-	// for one gets free as what runs ends, within two minutes mostly. BeginHoldShare is the share of the machines with
+	// for one gets free as what runs ends, within two minutes mostly. BeginReservationShare is the share of the machines with
 	// room, as a divisor, that may be held for such jobs at a time, one at the least.
-	BeginBound     = 60 * time.Second
-	BeginHoldShare = 8
+	BeginBound            = 60 * time.Second
+	BeginReservationShare = 8
 	// SearchShapes is for how many shapes of tasks a pass keeps the machines in order: with 40
 	// bytes for each machine and shape, 16 MB at the most with 10,000 machines, until the pass ends.
 	SearchShapes = 40
-	// HoldMax is for how long machines and parts of limits are held for those that need more than there is, before one pass
+	// ReservationMax is for how long machines and parts of limits are held for those that need more than there is, before one pass
 	// holds nothing: users expect that no job waits for 90 s while a machine that fits has room, and a pass may be PassWaitMax away.
-	HoldMax = 70 * time.Second
-	// HeadHold is the wait after which the queue's head holds a machine against those behind.
-	HeadHold = 30 * time.Second
+	ReservationMax = 70 * time.Second
+	// HeadReservationAfter is the wait after which the queue's head holds a machine against those behind.
+	HeadReservationAfter = 30 * time.Second
 	// PassWaitMin and PassWaitMax bound the pause between passes that place
 	// nothing: the design's 1 s doubling to 10 s. Any change wakes the loop early.
 	PassWaitMin = 1 * time.Second
@@ -514,9 +514,9 @@
 const (
 	// Tick is the leader's own clock for expiries and timed work.
 	Tick = 100 * time.Millisecond
-	// SliceTick is how often the subsystems that joined the leader's loop are asked
+	// SubsystemTick is how often the subsystems that joined the leader's loop are asked
 	// what is due: budgets are looked at and charges rolled up that often.
-	SliceTick = 500 * time.Millisecond
+	SubsystemTick = 500 * time.Millisecond
 	// Inbox is how many messages may wait for the leader's loop.
 	Inbox = 1024
 	// MemoryShare is the share of the machine's memory that the Go runtime aims to stay under.
@@ -635,8 +635,8 @@
 	MaxKey = 200
 )
 
-// Knobs are the settings that operators may change.
-type Knobs struct {
+// Tunables are the settings that operators may change.
+type Tunables struct {
 	// IdleKeep is how long a machine without tasks is kept before it is returned.
 	IdleKeep time.Duration
 	// MaxMachines bounds how many machines are rented at a time; 0: what memory allows.
@@ -644,8 +644,8 @@
 }
 
 // Defaults gives the knobs' values when no properties are given.
-func Defaults() Knobs {
-	return Knobs{
+func Defaults() Tunables {
+	return Tunables{
 		// A machine costs at least 60 s and boots for 20 s or more; work comes
 		// every few seconds, so a short idle time is cheaper than a new boot.
 		IdleKeep: 30 * time.Second,
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -30,7 +30,7 @@
 	open := l.openMachines(now)
 	expected := l.expected(now)
 	placement.Pass(now, expected, open, autoscale.Unlimited(expected))
-	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 })
+	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 })
 	trial := placement.NewDryRun(used)
 	for _, m := range draining {
 		if m.Draining && (!m.Alive() || !trial.Fit(now, itemsOn(m, now), nil)) {
@@ -47,7 +47,7 @@
 
 func (l *Loop) draining() []*machines.Machine {
 	var out []*machines.Machine
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.Draining {
 			out = append(out, m)
 		}
@@ -59,7 +59,7 @@
 // shortOfRoom are the jobs that wait for room. Those at their team's limit
 // wait for their team's own tasks: more machines would not help them.
 func (l *Loop) shortOfRoom(now time.Time) []*placement.PendingJob {
-	items, _ := l.items(now)
+	items, _ := l.pendingJobs(now)
 	teams := l.teams()
 	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.OnTrial || placement.WithinLimit(it, teams) == 0 })
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, p := range placement.Pass(now, short, views, l.teams()) {
-		l.roster.Machines[p.Machine.Name].Draining = false
+		l.machines.Machines[p.Machine.Name].Draining = false
 	}
 }
 
@@ -85,13 +85,13 @@
 // out of placement.
 func (l *Loop) drainSurplus(trial *placement.DryRun, used []*placement.Machine, now time.Time) {
 	gain := func(v *placement.Machine) float64 {
-		return l.price(v) / float64(1+len(l.roster.Machines[v.Name].Allocations))
+		return l.price(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
 	}
 	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(gain(b), gain(a)), cmp.Compare(a.Name, b.Name))
 	})
 	for _, v := range order[:min(len(order), max(tuning.MoveCandidates, len(order)/tuning.MoveCandidateShare))] {
-		m := l.roster.Machines[v.Name]
+		m := l.machines.Machines[v.Name]
 		if trial.Fit(now, itemsOn(m, now), v) {
 			m.Draining = true
 			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
@@ -132,7 +132,7 @@
 // does not count, so fresh ones stay for now.
 func (l *Loop) move(draining []*machines.Machine, now time.Time) {
 	replicas := 0
-	for _, j := range l.book.Jobs {
+	for _, j := range l.jobs.Jobs {
 		if j.Kind == wire.KindService {
 			replicas += j.Allocated
 		}
@@ -151,7 +151,7 @@
 				continue
 			}
 			if trial == nil {
-				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.roster.Machines[v.Name].Allocations) == 0 }))
+				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 }))
 			}
 			down, ok := downFor(p, trial, now)
 			if down += tuning.MoveDown.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -34,7 +34,7 @@
 		{Name: "large", CPUs: 64, MemoryGB: 512, Price: 3.4, Zones: []string{"a"}},
 	}
 	l := New(&Env{
-		Settings: settings, Knobs: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Settings: settings, Tunables: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
 		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinalStates(8),
@@ -43,7 +43,7 @@
 	l.ended = t.Context()
 	l.loaded = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
-		if _, err := l.roster.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
+		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
 			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
@@ -61,13 +61,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j, err := l.book.LoadJob(wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 1}, now, now)
+	j, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 1}, now, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := l.book.Allocate(j, 0, machine, "a", 1, now)
+	p := l.jobs.Allocate(j, 0, machine, "a", 1, now)
 	p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
-	l.roster.Add(p, now)
+	l.machines.Add(p, now)
 	return p
 }
 
@@ -77,9 +77,9 @@
 	l, clock := leaderWith(t)
 	l.runs(t, "job-1", "n-small", 1)
 	p := l.runs(t, "job-2", "n-large", 1)
-	m := l.roster.Machines["n-large"]
+	m := l.machines.Machines["n-large"]
 	l.consolidate(clock.Now())
-	if !m.Draining || l.roster.Machines["n-small"].Draining {
+	if !m.Draining || l.machines.Machines["n-small"].Draining {
 		t.Fatal("the dear machine is not emptied")
 	}
 	if p.Stop != nil {
@@ -96,7 +96,7 @@
 	l, clock := leaderWith(t)
 	l.runs(t, "job-1", "n-small", 3)
 	l.runs(t, "job-2", "n-large", 2)
-	if l.consolidate(clock.Now()); l.roster.Machines["n-large"].Draining {
+	if l.consolidate(clock.Now()); l.machines.Machines["n-large"].Draining {
 		t.Error("emptied though its work fits nowhere else")
 	}
 }
@@ -105,11 +105,11 @@
 // of a quarter of its size.
 func fleetOf(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
 	l, clock := leaderWith(t)
-	delete(l.roster.Machines, "n-large")
-	delete(l.roster.Machines, "n-small")
+	delete(l.machines.Machines, "n-large")
+	delete(l.machines.Machines, "n-small")
 	for i := range n {
 		name := fmt.Sprintf("n-%03d", i)
-		if _, err := l.roster.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
+		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
 			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -48,7 +48,7 @@
 		members: map[string]*workerlease.ZoneLease{}, workers: map[string]*cutWorker{},
 	}
 	w.l, w.clock = leaderWith(t)
-	clear(w.l.roster.Machines)
+	clear(w.l.machines.Machines)
 	w.state = fakes.NewState(w.clock)
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
@@ -60,9 +60,9 @@
 	}
 	j := w.l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
 	for i, zone := range []string{"a", "b"} {
-		p := w.l.book.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
+		p := w.l.jobs.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
 		p.Committed = true
-		w.l.roster.Add(p, w.clock.Now())
+		w.l.machines.Add(p, w.clock.Now())
 	}
 	w.lead()
 	return w
@@ -99,15 +99,15 @@
 	w.inside = zone
 	old := w.l
 	w.l, _ = leaderWith(w.t)
-	clear(w.l.roster.Machines)
+	clear(w.l.machines.Machines)
 	w.l.env.Clock, w.l.tenure.Term = w.clock, old.tenure.Term+1
 	w.l.begun = w.clock.Now()
 	w.lead()
-	w.l.book = old.book
-	for _, j := range old.book.Jobs {
+	w.l.jobs = old.jobs
+	for _, j := range old.jobs.Jobs {
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
-				w.l.roster.Inherit(p, w.l.begun)
+				w.l.machines.Inherit(p, w.l.begun)
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 		w.l.settled()
 	}
 	for zone, k := range w.workers {
-		j := w.l.book.Jobs["job-1"]
+		j := w.l.jobs.Jobs["job-1"]
 		if p := j.Tasks[int(zone[0]-'a')].Allocation; p == nil && k.found.IsZero() {
 			k.found = now
 			if k.died.IsZero() {
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -23,7 +23,7 @@
 // Env is what a leader's loop finds in its process.
 type Env struct {
 	Settings *config.Settings
-	Knobs    tuning.Knobs
+	Tunables tuning.Tunables
 	Clock    clockwork.Clock
 	Log      *slog.Logger
 
@@ -38,8 +38,8 @@
 	Observer Observer
 	// Accounts tells that charges are kept, by accounts that jobs may name.
 	Accounts bool
-	// Joins makes the slices that join each tenure's loop.
-	Joins []func(log *slog.Logger) (Slice, error)
+	// Subsystems makes the slices that join each tenure's loop.
+	Subsystems []func(log *slog.Logger) (Subsystem, error)
 	// Valid tells whether this member has the right to act in a term now.
 	Valid func(term uint64) bool
 	// MayHaveRenewed asks a member, this one or another, which of some machines it may have answered by
@@ -58,17 +58,17 @@
 type Observer interface {
 	TookOver(took time.Duration)
 	Passed(took time.Duration)
-	Reported(took time.Duration)
+	HeartbeatTaken(took time.Duration)
 	Started(class string)
 	Ended(class, how string)
 	Wrote(changes int)
 	// Holds: waiting tasks, and seconds for which the oldest job waits to begin, by class.
 	Holds(jobs, machines int, waiting map[string]int, oldest map[string]float64)
-	Came(class, team, size string)
+	Arrived(class, team, size string)
 	Began(class, team, size string, waited time.Duration) // a job's first task runs
 	Found(jobs int)                                       // stored jobs that the leader did not know
-	Aside(why string)                                     // a report was set aside
-	Ways(deaf, unproven int)
+	SetAside(why string)                                  // a report was set aside
+	Reachability(deaf, unproven int)
 }
 
 // observe calls fn if somebody observes.
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -23,21 +23,21 @@
 func TestAMachineOnWhichSeveralJobsFailIsBad(t *testing.T) {
 	l, clock := leaderWith(t)
 	for i := range tuning.BadMachineJobs {
-		if l.roster.Machines["n-large"].Unhealthy {
+		if l.machines.Machines["n-large"].Unhealthy {
 			t.Fatalf("bad after %d jobs", i)
 		}
 		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
 		again := l.runs(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.WorksAfter)
-		l.items(clock.Now())
+		l.pendingJobs(clock.Now())
 		if again.Job.Tries != 0 {
 			t.Error("a job that works is still on trial")
 		}
 	}
-	if !l.roster.Machines["n-large"].Unhealthy || l.roster.Machines["n-small"].Unhealthy {
+	if !l.machines.Machines["n-large"].Unhealthy || l.machines.Machines["n-small"].Unhealthy {
 		t.Error("the faulty machine is not told from the good one")
 	}
-	m := l.roster.Machines["n-small"]
+	m := l.machines.Machines["n-small"]
 	m.NoteError("job-8")
 	l.ends(l.runs(t, "job-9", "n-small", 1), wire.ExitDone)
 	if m.NoteError("job-10"); m.Unhealthy {
@@ -60,8 +60,8 @@
 			pause := j.PauseUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
 				l.ends(p, wire.ExitError)
-				p = l.book.Allocate(j, 0, m, "a", 1, clock.Now())
-				l.roster.Add(p, clock.Now())
+				p = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
+				l.machines.Add(p, clock.Now())
 			}
 			l.ends(p, wire.ExitError)
 			next := j.PauseUntil.Sub(clock.Now())
@@ -69,19 +69,19 @@
 				t.Fatalf("pause %v after %v", next, pause)
 			}
 			clock.Advance(next)
-			items, _ := l.items(clock.Now())
+			items, _ := l.pendingJobs(clock.Now())
 			if len(items) == 0 || !items[len(items)-1].OnTrial || items[len(items)-1].Waiting != 1 {
 				t.Fatalf("it is tried as %+v", items)
 			}
-			p = l.book.Allocate(j, 0, "n-large", "a", 1, clock.Now())
-			l.roster.Add(p, clock.Now())
+			p = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
+			l.machines.Add(p, clock.Now())
 		}
 		l.ends(p, wire.ExitError)
 		if j.Tries != 9 || j.PauseUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
 			t.Errorf("%d tries, and a pause of %v", j.Tries, j.PauseUntil.Sub(clock.Now()))
 		}
 	}
-	for name, m := range l.roster.Machines {
+	for name, m := range l.machines.Machines {
 		if m.Unhealthy {
 			t.Errorf("%s is held to be faulty", name)
 		}
@@ -103,7 +103,7 @@
 	now := clock.Now()
 	full := l.runs(t, "job-1", "n-small", 1)
 	l.ends(full, wire.ExitNoRoom)
-	if full.Job.Waiting() != 1 || !l.roster.Machines["n-small"].RefusedAt.After(now) {
+	if full.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusedAt.After(now) {
 		t.Error("a machine that refused for room is asked again at once")
 	}
 	unknown := l.runs(t, "job-2", "n-large", 1)
@@ -117,7 +117,7 @@
 // moves, and what ends soon may.
 func TestANoticeDrainsTheMachine(t *testing.T) {
 	l, clock := leaderWith(t)
-	m := l.roster.Machines["n-large"]
+	m := l.machines.Machines["n-large"]
 	saves, long, short := l.runs(t, "job-1", m.Name, 1), l.runs(t, "job-2", m.Name, 1), l.runs(t, "job-3", m.Name, 1)
 	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
 	long.Job.EstimateS, short.Job.EstimateS = 300, 3
@@ -142,8 +142,8 @@
 	p := l.runs(t, "job-1", "n-large", 1)
 	l.ends(p, wire.ExitError)
 	avoids := func() bool {
-		l.book.Jobs["job-1"].PauseUntil = time.Time{}
-		items, _ := l.items(clock.Now())
+		l.jobs.Jobs["job-1"].PauseUntil = time.Time{}
+		items, _ := l.pendingJobs(clock.Now())
 		return len(items) == 1 && items[0].Avoid != nil && items[0].Avoid("n-large")
 	}
 	if !avoids() {
@@ -158,7 +158,7 @@
 // Guards against a hold that brings nothing: what a machine's replicas take never gets free, and what runs on others does.
 func TestWhenAMachineHasRoom(t *testing.T) {
 	l, clock := leaderWith(t)
-	m := l.roster.Machines["n-large"]
+	m := l.machines.Machines["n-large"]
 	free := func() float64 {
 		lacks := placement.Resources{CPUs: 64}
 		lacks.Sub(freeOn(m, l.env.typeOf(m.Type)), 1)
@@ -194,11 +194,11 @@
 	blocked := l.waits(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
 	for j.PauseUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
-		for _, m := range l.roster.Machines { // it reports all the while
+		for _, m := range l.machines.Machines { // it reports all the while
 			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
 		}
 		if l.changed || !now.Before(l.nextPass) {
-			l.pass(now)
+			l.schedule(now)
 		}
 		if waited := now.Sub(j.PauseUntil); waited > tuning.PassWaitMax+time.Second {
 			t.Fatalf("waits for %v since it may be placed", waited)
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -19,13 +19,13 @@
 		return
 	}
 	l.nextAsk = now.Add(tuning.Tick)
-	due := l.roster.ExpiredLeases(now)
+	due := l.machines.ExpiredLeases(now)
 	if len(due) == 0 {
 		return
 	}
 	byZone := map[string][]string{}
 	for _, name := range due {
-		zone := l.roster.Machines[name].Zone
+		zone := l.machines.Machines[name].Zone
 		byZone[zone] = append(byZone[zone], name)
 	}
 	l.asking = true
@@ -41,7 +41,7 @@
 				l.log.Debug("kept machines unreadable", "err", err)
 				return
 			}
-			l.settle(l.roster.EndExpired(now, kept), done)
+			l.settle(l.machines.EndExpired(now, kept), done)
 		})
 	}()
 }
@@ -93,9 +93,9 @@
 	return m == nil || now.Sub(m.LastSeen()) > l.silence()
 }
 
-// doubtful tells whether a machine that still counts as heard did not answer a command since:
+// mayBeCopy tells whether a machine that still counts as heard did not answer a command since:
 // it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func doubtful(m *machines.Machine) bool { return m.Unanswered.After(m.LastHeartbeat) }
+func mayBeCopy(m *machines.Machine) bool { return m.Unanswered.After(m.LastHeartbeat) }
 
 // silence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) silence() time.Duration {
@@ -107,7 +107,7 @@
 func (l *Loop) cutZones(now time.Time) map[string]bool {
 	type count struct{ silent, all int }
 	zones := map[string]*count{}
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.Incarnation == 0 {
 			continue // it never reported, nor had it a task
 		}
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -20,7 +20,7 @@
 // spread service, and a state service with rights of members for the zones.
 func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
 	l, clock := leaderWith(t)
-	clear(l.roster.Machines)
+	clear(l.machines.Machines)
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
@@ -35,12 +35,12 @@
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
 	for i := range 2 * n {
 		rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.roster.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
+		if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
 			t.Fatal(err)
 		}
-		p := l.book.Allocate(j, i, rep.Machine, rep.Zone, 1, clock.Now())
+		p := l.jobs.Allocate(j, i, rep.Machine, rep.Zone, 1, clock.Now())
 		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-		l.roster.Add(p, clock.Now())
+		l.machines.Add(p, clock.Now())
 	}
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
@@ -81,7 +81,7 @@
 		l.settled()
 		got := []string{}
 		for i := range 4 {
-			if name := fmt.Sprintf("n-%d", i); len(l.roster.Machines[name].Allocations) > 0 {
+			if name := fmt.Sprintf("n-%d", i); len(l.machines.Machines[name].Allocations) > 0 {
 				got = append(got, name)
 			}
 		}
@@ -104,11 +104,11 @@
 		}
 		pass(l.workerLease() + time.Second)
 		l.settled()
-		if gone := len(l.roster.Machines["n-0"].Allocations) == 0; gone != c.gone {
+		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
 		}
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) { return nil, true }
-		if l.settled(); len(l.roster.Machines["n-0"].Allocations) != 0 {
+		if l.settled(); len(l.machines.Machines["n-0"].Allocations) != 0 {
 			t.Error("not found gone by the next reading")
 		}
 	}
@@ -119,16 +119,16 @@
 func TestNothingIsRentedInAZoneThatIsCutOff(t *testing.T) {
 	l, pass := twoZones(t, 10)
 	now := l.env.Clock.Now()
-	l.roster.Register("n-boots", "small", "b", false, now, now)
+	l.machines.Register("n-boots", "small", "b", false, now, now)
 	if cut := l.cutZones(now); len(cut) != 0 {
 		t.Errorf("cut off: %v", cut)
 	}
 	pass(l.silence() + time.Second)
 	now = l.env.Clock.Now()
 	for i := range 10 { // zone a, and one of b, go on reporting
-		l.roster.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
+		l.machines.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
 	}
-	l.roster.Machines["n-10"].LastHeartbeat = now
+	l.machines.Machines["n-10"].LastHeartbeat = now
 	cut := l.cutZones(now)
 	if len(cut) != 1 || !cut["b"] {
 		t.Fatalf("cut off: %v", cut)
@@ -165,7 +165,7 @@
 	l.loaded = true
 	pass(l.silence() + time.Second)
 	now := l.env.Clock.Now()
-	l.roster.Machines["n-0"].LastHeartbeat = now // n-1 is silent
+	l.machines.Machines["n-0"].LastHeartbeat = now // n-1 is silent
 	cancel := func() (wire.JobState, error) {
 		type result struct {
 			state wire.JobState
@@ -185,7 +185,7 @@
 	if _, err := cancel(); err != errOutOfReach {
 		t.Fatalf("told %v while a task may run", err)
 	}
-	j := l.book.Jobs["job-1"]
+	j := l.jobs.Jobs["job-1"]
 	if j.CanStart() || j.Tasks[0].Allocation.Stop == nil || j.Tasks[1].Allocation.Stop == nil {
 		t.Error("its tasks are not to stop")
 	}
@@ -207,12 +207,12 @@
 	if j.Allocated != 0 {
 		t.Fatal("the other is not found gone")
 	}
-	w := l.book.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
+	w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
 	if w == nil || w.Txn.Then[0].Put != jobs.KeyEnd("job-1") {
 		t.Fatalf("stored: %+v", w)
 	}
-	l.book.Written(w, 9)
-	if l.book.Jobs["job-1"] != nil {
+	l.jobs.Written(w, 9)
+	if l.jobs.Jobs["job-1"] != nil {
 		t.Error("the job is not over")
 	}
 }
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -17,7 +17,7 @@
 func (l *Loop) failed(p *jobs.Allocation, now time.Time) {
 	j := p.Job
 	j.AvoidMachines[p.Machine] = now.Add(tuning.AvoidFor)
-	l.book.MarkFailed(j, now)
+	l.jobs.MarkFailed(j, now)
 	if ran := !p.RunningSince.IsZero() && now.Sub(p.RunningSince) >= tuning.WorksAfter; ran {
 		l.acquit(j, now)
 	} else if l.onTrial(j, now) {
@@ -45,13 +45,13 @@
 
 // acquit ends a job's trial: the machines on which it failed are to blame.
 func (l *Loop) acquit(j *jobs.Job, now time.Time) {
-	l.book.MarkWorking(j, now)
+	l.jobs.MarkWorking(j, now)
 	l.blame(j)
 }
 
 func (l *Loop) blame(j *jobs.Job) {
 	for name := range j.AvoidMachines {
-		if m := l.roster.Machines[name]; m != nil {
+		if m := l.machines.Machines[name]; m != nil {
 			m.NoteError(j.ID)
 		}
 	}
@@ -85,7 +85,7 @@
 func (l *Loop) arrivals(now time.Time) []autoscale.Arrival {
 	out := make([]autoscale.Arrival, 0, len(l.fleet.recent))
 	for _, a := range l.fleet.recent {
-		if j := l.book.Jobs[a.Job.ID]; j == nil || !l.onTrial(j, now) {
+		if j := l.jobs.Jobs[a.Job.ID]; j == nil || !l.onTrial(j, now) {
 			out = append(out, a)
 		}
 	}
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -140,10 +140,10 @@
 	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.Types(),
 		Refused: func(o autoscale.Option) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
-		Room:    l.maxMachines() - len(l.roster.Machines), Count: map[autoscale.Option]int{},
+		Room:    l.maxMachines() - len(l.machines.Machines), Count: map[autoscale.Option]int{},
 		Booting: l.comingMachines(cut, now),
 	}
-	items, _ := l.items(now)
+	items, _ := l.pendingJobs(now)
 	for _, it := range items {
 		if !it.OnTrial {
 			it.AwaitSpot = !it.Prompt && now.Sub(it.WaitingSince) < tuning.ThriftyFor
@@ -186,7 +186,7 @@
 		n int
 	}
 	var kinds []kind
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		o := autoscale.Option{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		i := slices.IndexFunc(kinds, func(k kind) bool { return k.Option == o })
 		if i < 0 {
@@ -216,7 +216,7 @@
 // this process's memory holds. The cloud's refusals say the rest.
 func (l *Loop) maxMachines() int {
 	most := math.MaxInt
-	if n := l.env.Knobs.MaxMachines; n > 0 {
+	if n := l.env.Tunables.MaxMachines; n > 0 {
 		most = n
 	}
 	if mb := l.env.Settings.Cluster.Limits.RAMMB; mb > 0 {
@@ -229,7 +229,7 @@
 // are cut off: nobody hears when they are up.
 func (l *Loop) comingMachines(cut map[string]bool, now time.Time) []*placement.Machine {
 	var out []*placement.Machine
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.LastHeartbeat.IsZero() && !cut[m.Zone] && !m.Returning && m.Incarnation == 0 && now.Sub(m.RentedAt) < l.bootTime(m.Type, tuning.BootFactor) {
 			if v, ok := l.view(m); ok {
 				out = append(out, &v)
@@ -282,8 +282,8 @@
 	now := l.env.Clock.Now()
 	delete(l.fleet.asked, name)
 	for _, m := range names {
-		if !l.roster.WasReturned(m) {
-			l.roster.Register(m, w.Type, w.Zone, w.Spot, now, now).RentedThisTerm = true
+		if !l.machines.WasReturned(m) {
+			l.machines.Register(m, w.Type, w.Zone, w.Spot, now, now).RentedThisTerm = true
 		}
 	}
 	if len(names) < w.Count {
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -17,25 +17,25 @@
 		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: held + 1, CPUs: 0.1, MemoryGB: 0.1})
 		rep := &wire.Heartbeat{Machine: "n-large", Address: "127.0.0.1:1", Type: "large", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}
 		for i := range held {
-			p := l.book.Allocate(j, i, "n-large", "a", 1, now)
+			p := l.jobs.Allocate(j, i, "n-large", "a", 1, now)
 			p.Committed = true
-			l.roster.Add(p, now)
+			l.machines.Add(p, now)
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone})
 		}
-		for w := l.book.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.book.NextBatch(now, jobs.WriteBudget{}) {
-			l.book.Written(w, 1)
+		for w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.jobs.NextBatch(now, jobs.WriteBudget{}) {
+			l.jobs.Written(w, 1)
 		}
 		if _, err := l.take(rep, false); err != nil { // the ends are taken in
 			t.Fatal(err)
 		}
-		if w := l.book.NextBatch(now, jobs.WriteBudget{}); w != nil {
+		if w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil {
 			t.Fatalf("%d ends are written at once", held)
 		}
 		rep.Seq++
 		if _, err := l.take(rep, false); err != nil {
 			t.Fatal(err)
 		}
-		w := l.book.NextBatch(now, jobs.WriteBudget{})
+		w := l.jobs.NextBatch(now, jobs.WriteBudget{})
 		if got, want := w != nil, held > tuning.HeldExits; got != want {
 			t.Errorf("a worker holds %d ends: written %v", held, got)
 		}
--- a/internal/scheduler/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -50,7 +50,7 @@
 	told := images.ByMachine()
 	l.post(func() {
 		l.images.told, l.images.codec = told, codec // it takes some MB: the loop goes on with it
-		for _, m := range l.roster.Machines {
+		for _, m := range l.machines.Machines {
 			l.recall(m)
 		}
 	})
@@ -73,7 +73,7 @@
 		return
 	}
 	l.images.next = now.Add(tuning.ImagesEvery)
-	images := l.roster.Images(func(typ string) float64 {
+	images := l.machines.Images(func(typ string) float64 {
 		if t := l.env.typeOf(typ); t != nil {
 			return t.CacheGB
 		}
--- a/internal/scheduler/leader/images_test.go
+++ b/internal/scheduler/leader/images_test.go
@@ -46,7 +46,7 @@
 // What a former leader told counts once the machine reports, and once only.
 func TestWhatWasToldIsTakenInOnce(t *testing.T) {
 	l, _ := leaderWith(t)
-	m := l.roster.Machines["n-large"]
+	m := l.machines.Machines["n-large"]
 	l.images.told = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
 	l.recall(m)
 	l.recall(m)
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -30,31 +30,31 @@
 	ended  context.Context
 	end    context.CancelCauseFunc
 
-	store   *statestore.Client // with the leader's share of the limits
-	book    *jobs.Store
-	roster  *machines.Registry
-	fleet   fleetState
-	holding placement.BackfillReservations
-	leaving map[string]bool // machines that the cloud will soon take
-	images  imageHints
-	begun   time.Time
-	arrived int           // jobs that came in this tenure
-	watched uint64        // the revision up to which new jobs are in
-	loaded  bool          // all stored records are in: before, nothing is placed or concluded
-	writing bool          // a transaction is on its way
-	doubt   atomic.Bool   // that transaction may be carried out already
-	overdue *rate.Limiter // changes that nobody waits for, once they have waited long
-	asking  bool          // the machines that followers answer are being read
-	nextAsk time.Time
-	ways    ways
-	served  served
+	store        *statestore.Client // with the leader's share of the limits
+	jobs         *jobs.Store
+	machines     *machines.Registry
+	fleet        fleetState
+	reservations placement.BackfillReservations
+	leaving      map[string]bool // machines that the cloud will soon take
+	images       imageHints
+	begun        time.Time
+	arrived      int           // jobs that came in this tenure
+	watched      uint64        // the revision up to which new jobs are in
+	loaded       bool          // all stored records are in: before, nothing is placed or concluded
+	writing      bool          // a transaction is on its way
+	doubt        atomic.Bool   // that transaction may be carried out already
+	overdue      *rate.Limiter // changes that nobody waits for, once they have waited long
+	asking       bool          // the machines that followers answer are being read
+	nextAsk      time.Time
+	probing      probing
+	levels       serviceLevels
 
-	slices     []Slice
-	turn       int            // counts whose turn it is to write
-	broken     map[Slice]bool // those whose records could not be stored
-	aside      bool           // a slice's transaction is on its way
-	nextSlices time.Time
-	link       link
+	subsystems       []Subsystem
+	turn             int                // counts whose turn it is to write
+	broken           map[Subsystem]bool // those whose records could not be stored
+	subsystemWriting bool               // a slice's transaction is on its way
+	nextSubsystems   time.Time
+	link             link
 
 	changed  bool          // a pass could find something new
 	rested   time.Time     // no pass before, whatever changed
@@ -66,8 +66,8 @@
 	// errChanged tells that a record is not as we know it.
 	errChanged    = errors.New("records were changed by another")
 	errTenureOver = errors.New("the tenure is over")
-	// ErrUnheard tells that this member's answers and commands reach no worker, though another member does.
-	ErrUnheard = errors.New("no worker hears this member, others they do")
+	// ErrUnreachable tells that this member's answers and commands reach no worker, though another member does.
+	ErrUnreachable = errors.New("no worker hears this member, others they do")
 	// errDeposed tells that the leader key is another's, as after standing still.
 	errDeposed = errors.New("the leader key is another's")
 )
@@ -78,17 +78,17 @@
 	state := env.Settings.Cluster.State
 	l := &Loop{
 		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
-		book: jobs.NewStore(state.TxnOps), roster: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
+		jobs: jobs.NewStore(state.TxnOps), machines: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
 		store: env.Store.Share(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
-		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), ways: newWays(), served: newServed(), broken: map[Slice]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
+		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
-	for _, join := range env.Joins {
+	for _, join := range env.Subsystems {
 		s, err := join(l.log)
 		if err != nil {
 			l.log.Error("a subsystem cannot join", "err", err)
 			continue
 		}
-		l.slices = append(l.slices, s)
+		l.subsystems = append(l.subsystems, s)
 	}
 	return l
 }
@@ -108,7 +108,7 @@
 	switch cause := context.Cause(l.ended); {
 	case errors.Is(cause, errDeposed):
 		l.log.Info("another leads", "err", cause)
-	case errors.Is(cause, ErrUnheard):
+	case errors.Is(cause, ErrUnreachable):
 		l.log.Info("handing over: workers hear others, not this member")
 		return cause
 	case cause != nil && !errors.Is(cause, context.Canceled):
@@ -189,11 +189,11 @@
 		return
 	}
 	l.expire(now)
-	l.stepWays(now)
+	l.stepProbing(now)
 	l.stepLeaving(now)
 	if l.env.Valid(l.tenure.Term) {
 		if l.changed && !now.Before(l.rested) || !now.Before(l.nextPass) {
-			l.pass(now)
+			l.schedule(now)
 			l.env.observe(func(o Observer) { o.Passed(l.env.Clock.Since(now)) })
 			l.rested = l.rest(now, tuning.RestLeast)
 		}
@@ -203,7 +203,7 @@
 			l.fleet.rested = l.rest(begun, tuning.PlanRest)
 		}
 	}
-	l.stepSlices(now)
+	l.stepSubsystems(now)
 	l.flush(now)
 	l.stepImages(now)
 }
@@ -231,7 +231,7 @@
 	r, err := ask(ctx, l, func(answer func(result)) {
 		// While the job's end may be stored without our knowing, what is stored has to be read: another member may have read it and
 		// told its user, and what we remember would be older.
-		if j := l.book.Jobs[id]; j != nil && l.loaded && !(j.EndSent() && l.doubt.Load()) {
+		if j := l.jobs.Jobs[id]; j != nil && l.loaded && !(j.EndSent() && l.doubt.Load()) {
 			answer(result{j.Status(), true})
 			return
 		}
@@ -257,15 +257,15 @@
 	ctx, stop := context.WithTimeout(ctx, tuning.CancelWait)
 	defer stop()
 	r, err := ask(ctx, l, func(answer func(result)) {
-		j := l.book.Jobs[id]
+		j := l.jobs.Jobs[id]
 		if j == nil || !l.loaded {
 			answer(result{})
 			return
 		}
-		l.book.Cancel(j, func(s wire.JobState) { answer(result{state: s, known: true}) })
+		l.jobs.Cancel(j, func(s wire.JobState) { answer(result{state: s, known: true}) })
 		places := j.StopAll(charge.Cancelled)
 		l.direct(places)
-		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Allocation) bool { return l.outOfReach(l.roster.Machines[p.Machine], now) }) {
+		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Allocation) bool { return l.outOfReach(l.machines.Machines[p.Machine], now) }) {
 			answer(result{known: true, err: errOutOfReach})
 		}
 	})
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -14,18 +14,18 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// pass places what waits.
-func (l *Loop) pass(now time.Time) {
+// schedule places what waits.
+func (l *Loop) schedule(now time.Time) {
 	l.changed = false
-	items, byID := l.items(now)
+	items, byID := l.pendingJobs(now)
 	if len(items) == 0 {
 		l.nextPass = now.Add(tuning.PassWaitMax)
 		return
 	}
 	wanted, teams := append(slices.Clone(items), l.reserved(now)...), l.teams()
 	open := l.roomyMachines(now, wanted)
-	l.takeSides(items)
-	placed := l.holding.Pass(now, wanted, open, teams)
+	l.preferKinds(items)
+	placed := l.reservations.Pass(now, wanted, open, teams)
 	next := map[string]int{}
 	for _, d := range placed {
 		j := byID[d.Item.Job.ID]
@@ -38,10 +38,10 @@
 			continue
 		}
 		next[j.ID] = i + 1
-		m := l.roster.Machines[d.Machine.Name]
-		p := l.book.Allocate(j, i, m.Name, m.Zone, m.Incarnation, now)
-		l.roster.Add(p, now)
-		for _, s := range l.slices {
+		m := l.machines.Machines[d.Machine.Name]
+		p := l.jobs.Allocate(j, i, m.Name, m.Zone, m.Incarnation, now)
+		l.machines.Add(p, now)
+		for _, s := range l.subsystems {
 			s.Placed(p, m.Spot, l.env.typeOf(m.Type), now)
 		}
 		l.env.observe(func(o Observer) { o.Started(j.Class) })
@@ -76,7 +76,7 @@
 	}
 	open = l.allMachines(now, open)
 	for _, v := range open {
-		v.Victims = victims(l.roster.Machines[v.Name], now)
+		v.Victims = victims(l.machines.Machines[v.Name], now)
 	}
 	before := map[*placement.PendingJob]int{}
 	for _, it := range due {
@@ -124,11 +124,11 @@
 	return out
 }
 
-// items are the jobs with tasks that may be placed now.
-func (l *Loop) items(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
+// pendingJobs are the jobs with tasks that may be placed now.
+func (l *Loop) pendingJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	var waiting []*jobs.Job
 	trials := map[*jobs.Job]bool{}
-	for _, j := range l.book.Jobs {
+	for _, j := range l.jobs.Jobs {
 		if l.onTrial(j, now) { // also for what it ends
 			trials[j] = true
 		}
@@ -198,13 +198,13 @@
 // machinesWith are the machines that may get tasks now and have at least so much free.
 func (l *Loop) machinesWith(now time.Time, least placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		t := l.env.typeOf(m.Type)
 		if t == nil || !freeOn(m, t).Fits(least) {
 			continue
 		}
 		if !m.Alive() || m.Returning || m.Draining || m.Unhealthy || m.HasOrphans() || !m.InterruptionAt.IsZero() ||
-			l.silent(m, now) || doubtful(m) || !m.Usable(l.tenure.Term, now) || now.Before(m.RefusedAt) {
+			l.silent(m, now) || mayBeCopy(m) || !m.Usable(l.tenure.Term, now) || now.Before(m.RefusedAt) {
 			continue
 		}
 		v := viewOf(m, t)
@@ -329,7 +329,7 @@
 		}
 		teams[name].FillCPUs = fill
 	}
-	for _, j := range l.book.Jobs {
+	for _, j := range l.jobs.Jobs {
 		if t := teams[j.Team]; t != nil {
 			t.CPUs += float64(j.Allocated) * j.CPUs
 			t.GPUs += float64(j.Allocated) * j.GPUs
@@ -349,7 +349,7 @@
 		cpus[t.Name] = t.CPUs
 	}
 	sum := 0.0
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		sum += cpus[m.Type]
 	}
 	return sum
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -37,7 +37,7 @@
 	var lacked []wire.Item
 	for _, item := range items {
 		id := item.Key[len(jobs.PrefixJob):]
-		if _, over := l.env.Finals.Get(id); !over && l.book.Jobs[id] == nil {
+		if _, over := l.env.Finals.Get(id); !over && l.jobs.Jobs[id] == nil {
 			lacked = append(lacked, item)
 		}
 	}
@@ -47,7 +47,7 @@
 	l.takeJobs(lacked)
 	found, unreadable := 0, 0
 	for _, item := range lacked {
-		switch j := l.book.Jobs[item.Key[len(jobs.PrefixJob):]]; {
+		switch j := l.jobs.Jobs[item.Key[len(jobs.PrefixJob):]]; {
 		case j == nil:
 			unreadable++
 		case item.Version <= l.watched || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.tenure.Term):
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -28,8 +28,8 @@
 	l.env.Finals.Add(wire.JobStatus{ID: "job-3", State: wire.StateDone}) // it ended after it was read
 	l.changed = false
 	l.compareJobs([]wire.Item{item("job-1"), item("job-2"), item("job-3"), {Key: jobs.KeyJob("job-4"), Value: []byte("{")}})
-	if l.book.Jobs["job-2"] == nil || l.book.Jobs["job-3"] != nil || l.book.Jobs["job-1"] != known || !l.changed {
-		t.Errorf("known: %v, changed %v", len(l.book.Jobs), l.changed)
+	if l.jobs.Jobs["job-2"] == nil || l.jobs.Jobs["job-3"] != nil || l.jobs.Jobs["job-1"] != known || !l.changed {
+		t.Errorf("known: %v, changed %v", len(l.jobs.Jobs), l.changed)
 	}
 	if counted.found != 1 {
 		t.Errorf("%d are counted as missing", counted.found)
@@ -38,7 +38,7 @@
 	early := item("job-5")
 	early.Version = l.watched + 1
 	l.compareJobs([]wire.Item{early})
-	if l.book.Jobs["job-5"] == nil || counted.found != 1 {
+	if l.jobs.Jobs["job-5"] == nil || counted.found != 1 {
 		t.Errorf("%d are counted as missing, with one that the watch has yet to tell", counted.found)
 	}
 	// One that the watch should have told long ago was missing; but not where the process stood still, and has no right to act any more.
@@ -46,12 +46,12 @@
 	late.Version, still.Version = l.watched+2, l.watched+3
 	clock.Advance(tuning.JobWatch + time.Second)
 	l.compareJobs([]wire.Item{still})
-	if l.book.Jobs["job-7"] == nil || counted.found != 1 {
+	if l.jobs.Jobs["job-7"] == nil || counted.found != 1 {
 		t.Errorf("%d are counted as missing, with one that came as the process stood still", counted.found)
 	}
 	l.env.Valid = func(term uint64) bool { return term == l.tenure.Term }
 	l.compareJobs([]wire.Item{late})
-	if l.book.Jobs["job-6"] == nil || counted.found != 2 {
+	if l.jobs.Jobs["job-6"] == nil || counted.found != 2 {
 		t.Errorf("%d are counted as missing, with one that the watch never told", counted.found)
 	}
 }
@@ -64,7 +64,7 @@
 
 func (c *countsFound) Found(n int) { c.found += n }
 
-func (c *countsFound) Came(string, string, string) {}
+func (c *countsFound) Arrived(string, string, string) {}
 
 // Operators see who is served: the largest tenth of a class beside the others, and for how long the oldest waits to begin.
 func TestTheLargestOfAClassAreTold(t *testing.T) {
@@ -72,8 +72,8 @@
 	var last *jobs.Job
 	for i := range 20 {
 		last = l.waits(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
-		p := l.served.came(last)
-		if large := i >= tuning.ServedLeast-1 && i%10 == 9; p.large != large {
+		p := l.levels.came(last)
+		if large := i >= tuning.SizesLeast-1 && i%10 == 9; p.large != large {
 			t.Errorf("job %d of %d tasks: large %v", i, 1+i%10, p.large)
 		}
 	}
@@ -81,10 +81,10 @@
 	if got := int(l.oldest(clock.Now())["c"]); got != 60 {
 		t.Errorf("the oldest waits for %v s", got)
 	}
-	if p := l.served.began(last); p == nil || !p.large || l.served.began(last) != nil {
+	if p := l.levels.began(last); p == nil || !p.large || l.levels.began(last) != nil {
 		t.Error("it does not begin once")
 	}
-	if l.served.over(last.ID); l.served.began(last) != nil {
+	if l.levels.over(last.ID); l.levels.began(last) != nil {
 		t.Error("remembered though it is over")
 	}
 }
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -46,7 +46,7 @@
 	}
 	// Charges that were moved apart matter only where they are kept.
 	var lefts []wire.Item
-	if len(l.slices) > 0 && !read(jobs.PrefixDetached, func(items []wire.Item) { lefts = append(lefts, items...) }) {
+	if len(l.subsystems) > 0 && !read(jobs.PrefixDetached, func(items []wire.Item) { lefts = append(lefts, items...) }) {
 		return
 	}
 	listed := revision
@@ -84,15 +84,15 @@
 		if _, over := l.env.Finals.Get(id); over && l.loaded {
 			continue // a late event of a job that is over by now
 		}
-		known := l.book.Jobs[id] != nil
-		j, err := l.book.LoadJob(item, now, now)
+		known := l.jobs.Jobs[id] != nil
+		j, err := l.jobs.LoadJob(item, now, now)
 		if err != nil {
 			l.log.Error("stored job unreadable", "err", err)
 			continue
 		}
 		if !known {
-			if p := l.served.came(j); l.loaded {
-				l.env.observe(func(o Observer) { o.Came(j.Class, j.Team, p.sizeName()) })
+			if p := l.levels.came(j); l.loaded {
+				l.env.observe(func(o Observer) { o.Arrived(j.Class, j.Team, p.sizeName()) })
 			}
 			l.fleet.next = now // rent at once if it finds no room
 			if l.arrived++; !l.rush(now) || l.arrived%tuning.RushShare == 0 {
@@ -118,7 +118,7 @@
 			continue
 		}
 		seen[item.Key] = true
-		places, err := l.book.LoadProgress(item, now)
+		places, err := l.jobs.LoadProgress(item, now)
 		if err != nil {
 			// Without this record nobody knows where its tasks may be.
 			l.end(err)
@@ -128,7 +128,7 @@
 			if p.Job.Cancelled() {
 				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
-			l.roster.Inherit(p, l.begun)
+			l.machines.Inherit(p, l.begun)
 		}
 	}
 	for _, item := range lefts {
@@ -136,22 +136,22 @@
 			continue
 		}
 		seen[item.Key] = true
-		l.book.LoadDetached(item)
+		l.jobs.LoadDetached(item)
 	}
-	l.book.Loaded()
-	for _, err := range l.book.Damaged() {
+	l.jobs.Loaded()
+	for _, err := range l.jobs.Damaged() {
 		l.log.Error("charges are lost", "err", err)
 	}
 	l.loaded, l.changed = true, true
-	for id, p := range l.served.live {
-		p.begun = l.book.Jobs[id].Allocated+l.book.Jobs[id].Done > 0
+	for id, p := range l.levels.live {
+		p.begun = l.jobs.Jobs[id].Allocated+l.jobs.Jobs[id].Done > 0
 	}
-	for _, s := range l.slices {
-		s.Loaded(l.book, now)
+	for _, s := range l.subsystems {
+		s.Loaded(l.jobs, now)
 	}
-	l.readSlices()
+	l.readSubsystems()
 	l.env.observe(func(o Observer) { o.TookOver(now.Sub(l.begun)) })
-	l.log.Info("records loaded", "jobs", len(l.book.Jobs), "machines", len(l.roster.Machines),
+	l.log.Info("records loaded", "jobs", len(l.jobs.Jobs), "machines", len(l.machines.Machines),
 		"took_ms", now.Sub(l.begun).Milliseconds())
 }
 
@@ -159,7 +159,7 @@
 // transaction of 24 changes once waited half a second for the limit, and starts of services that came
 // meanwhile waited behind it.
 func (l *Loop) flush(now time.Time) {
-	if l.writing || !l.book.Due(now) {
+	if l.writing || !l.jobs.Due(now) {
 		return
 	}
 	ready, most := l.store.Ready()
@@ -170,7 +170,7 @@
 	if ready >= most {
 		budget.Changes = 0 // more will never be ready
 	}
-	batch := l.book.NextBatch(now, budget)
+	batch := l.jobs.NextBatch(now, budget)
 	if batch == nil {
 		return
 	}
@@ -259,12 +259,12 @@
 	l.env.observe(func(o Observer) { o.Wrote(len(batch.Txn.Then)) })
 	l.log.Debug("written", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
 		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(begun).Milliseconds())
-	start, over := l.book.Written(batch, revision)
+	start, over := l.jobs.Written(batch, revision)
 	for _, o := range over {
-		l.served.over(o.Job.ID)
+		l.levels.over(o.Job.ID)
 		l.env.Finals.Add(wire.JobStatus{ID: o.Job.ID, State: o.State, Done: o.Job.Done})
-		for _, s := range l.slices {
-			s.Over(o, l.env.Clock.Now())
+		for _, s := range l.subsystems {
+			s.Finished(o, l.env.Clock.Now())
 		}
 		l.log.Debug("job over", "job", o.Job.ID, "state", o.State)
 		l.changed = true
--- a/internal/scheduler/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := l.book.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
+	out, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,14 +75,14 @@
 		}
 		l.compare([]cloud.ListPage{{Machines: listed}}, clock.Now())
 		returned := func() int {
-			for name := range l.roster.Machines { // the others report
-				if m := l.roster.Machines[name]; m.Incarnation > 0 {
+			for name := range l.machines.Machines { // the others report
+				if m := l.machines.Machines[name]; m.Incarnation > 0 {
 					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
 				}
 			}
 			l.returnMachines(clock.Now())
 			n := 0
-			for _, m := range l.roster.Machines {
+			for _, m := range l.machines.Machines {
 				if m.Returning {
 					n++
 				}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -25,7 +25,7 @@
 	}
 	order := make([]key, len(open))
 	for i, m := range open {
-		order[i] = key{m, len(l.roster.Machines[m.Name].Allocations) == 0}
+		order[i] = key{m, len(l.machines.Machines[m.Name].Allocations) == 0}
 	}
 	slices.SortFunc(order, func(a, b key) int {
 		return cmp.Or(cmp.Compare(btoi(a.idle), btoi(b.idle)), cmp.Compare(btoi(!a.Spot), btoi(!b.Spot)), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
@@ -62,7 +62,7 @@
 	var names []string
 	var needed map[string]bool // worked out for the first machine that could go
 	release := l.silentRelease()
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.Returning || len(m.Allocations) > 0 {
 			continue
 		}
@@ -89,7 +89,7 @@
 			why = "faulty"
 		case m.Draining:
 			why = "surplus"
-		case now.Sub(m.IdleSince) > l.env.Knobs.IdleKeep:
+		case now.Sub(m.IdleSince) > l.env.Tunables.IdleKeep:
 			if needed == nil {
 				needed = l.needed(now)
 			}
@@ -114,12 +114,12 @@
 // were returned as never having come up.
 func (l *Loop) silentRelease() time.Duration {
 	silent := 0
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.Reachability.Unreachable() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
 			silent++
 		}
 	}
-	if silent >= tuning.SilentMany && float64(silent) >= tuning.SilentManyShare*float64(len(l.roster.Machines)) {
+	if silent >= tuning.SilentMany && float64(silent) >= tuning.SilentManyShare*float64(len(l.machines.Machines)) {
 		return tuning.SilentReleaseMany
 	}
 	return tuning.SilentRelease
@@ -156,7 +156,7 @@
 func (l *Loop) lost(names []string) {
 	now := l.env.Clock.Now()
 	for _, name := range names {
-		l.settle(l.roster.MarkLost(name, now), now)
+		l.settle(l.machines.MarkLost(name, now), now)
 	}
 }
 
@@ -182,8 +182,8 @@
 // those that the cloud takes back go without a word, and their tasks waited for their leases.
 func (l *Loop) compareGone(page cloud.ListPage) {
 	var gone []string
-	for _, name := range l.roster.ProvenGone(page.After, page.Last, page.Machines) {
-		if m := l.roster.Machines[name]; !m.Returning { // that one's deletion will tell
+	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
+		if m := l.machines.Machines[name]; !m.Returning { // that one's deletion will tell
 			gone = append(gone, name)
 		}
 	}
@@ -202,10 +202,10 @@
 	var failed []string
 	for _, lm := range listed {
 		there[lm.Name] = true
-		if l.roster.WasReturned(lm.Name) {
+		if l.machines.WasReturned(lm.Name) {
 			continue
 		}
-		m := l.roster.Machines[lm.Name]
+		m := l.machines.Machines[lm.Name]
 		switch {
 		case lm.State == wire.MachineFailed:
 			if m == nil || !m.Returning {
@@ -213,12 +213,12 @@
 			}
 		case m == nil || m.Type == "":
 			// Not expected, or inherited from records: it is used or returned like any other.
-			l.roster.Register(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
+			l.machines.Register(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
 			if m == nil {
 				l.log.Info("machine found", "machine", lm.Name, "state", lm.State)
 			}
 		}
-		if m := l.roster.Machines[lm.Name]; m != nil {
+		if m := l.machines.Machines[lm.Name]; m != nil {
 			l.changed = l.changed || !m.Known // it may be used from now on
 			m.ListedRunning, m.Known, m.Listed = lm.State == wire.MachineRunning, true, lm.Address
 		}
@@ -230,7 +230,7 @@
 		l.deleteMachines(failed)
 	}
 	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if there[m.Name] || m.Alive() || now.Sub(m.AddedAt) < lag {
 			m.MissedListings = 0
 			continue
@@ -238,7 +238,7 @@
 		// Its lease ran out, or it never came up, and list after list lacks
 		// it: it was taken.
 		if m.MissedListings++; m.MissedListings >= tuning.UnlistedLists && len(m.Allocations) == 0 && !m.Returning {
-			l.roster.Drop(m.Name)
+			l.machines.Drop(m.Name)
 		}
 	}
 }
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -20,13 +20,13 @@
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
 	l.writing = true // nothing is stored: that is another's work
 	l.fleet.next = now.Add(time.Hour)
-	clear(l.roster.Machines)
+	clear(l.machines.Machines)
 	var reports []*wire.Heartbeat
 	for i := range 400 {
 		reports = append(reports, &wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1, FencingToken: 1,
 		})
-		if _, err := l.roster.Heartbeat(reports[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
+		if _, err := l.machines.Heartbeat(reports[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -38,9 +38,9 @@
 		})
 		for k := 0; i < 260 && k < 6 && next < 1600; k++ {
 			rep := reports[next%400]
-			p := l.book.Allocate(j, k, rep.Machine, "a", 1, now)
+			p := l.jobs.Allocate(j, k, rep.Machine, "a", 1, now)
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
-			l.roster.Add(p, now)
+			l.machines.Add(p, now)
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
 			next++
 		}
@@ -60,7 +60,7 @@
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
-		l.pass(l.env.Clock.Now()) // which a step leaves to the one with the right to act
+		l.schedule(l.env.Clock.Now()) // which a step leaves to the one with the right to act
 	}
 }
 
@@ -76,9 +76,9 @@
 		if _, err := l.take(rep, false); err != nil {
 			t.Fatal(err)
 		}
-		l.pass(l.env.Clock.Now())
+		l.schedule(l.env.Clock.Now())
 	})
-	if most := 4.0 * float64(len(l.roster.Machines)+len(l.book.Jobs)); got > most {
+	if most := 4.0 * float64(len(l.machines.Machines)+len(l.jobs.Jobs)); got > most {
 		t.Errorf("%v allocations, want at most %v", got, most)
 	}
 }
@@ -102,7 +102,7 @@
 func TestNothingHoldsTenThousandMachinesBack(t *testing.T) {
 	const machines, jobsOf, tasks = 10_000, 10, 100_000
 	l, clock := leaderWith(t)
-	clear(l.roster.Machines)
+	clear(l.machines.Machines)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
 	l.env.Settings.Cluster.State.TxnOps = 40
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a", "b", "c"}}}
@@ -116,7 +116,7 @@
 	requests, stored, named := 0, 0, 0
 	for round := 0; stored < tasks; round++ {
 		if round > 2*machines/wire.MaxRent {
-			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", stored, tasks, len(l.roster.Machines), requests)
+			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", stored, tasks, len(l.machines.Machines), requests)
 		}
 		l.rent(clock.Now())
 		for name, w := range l.fleet.asked {
@@ -129,42 +129,42 @@
 			l.rented(name, w, names)
 			for _, m := range names {
 				rep := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
-				if _, err := l.roster.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
+				if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		l.pass(clock.Now())
-		for w := l.book.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.book.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
-			start, _ := l.book.Written(w, uint64(round+2))
+		l.schedule(clock.Now())
+		for w := l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
+			start, _ := l.jobs.Written(w, uint64(round+2))
 			stored += len(start)
 		}
 	}
-	if len(l.roster.Machines) != machines {
-		t.Errorf("%d machines for what fits on %d", len(l.roster.Machines), machines)
+	if len(l.machines.Machines) != machines {
+		t.Errorf("%d machines for what fits on %d", len(l.machines.Machines), machines)
 	}
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		for _, p := range m.Allocations {
-			l.book.MarkDone(p, clock.Now())
-			l.roster.Remove(p, clock.Now())
+			l.jobs.MarkDone(p, clock.Now())
+			l.machines.Remove(p, clock.Now())
 		}
 	}
-	clock.Advance(l.env.Knobs.IdleKeep + time.Second)
-	for _, m := range l.roster.Machines {
+	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
+	for _, m := range l.machines.Machines {
 		m.LastHeartbeat = clock.Now()
 	}
 	deletions := 0
-	for ; len(l.roster.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
+	for ; len(l.machines.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
 		l.fleet.deleting, l.fleet.doomed = false, nil // the one before is answered
 		l.returnMachines(clock.Now())
-		for _, m := range l.roster.Machines {
+		for _, m := range l.machines.Machines {
 			if m.Returning {
 				l.lost([]string{m.Name})
 			}
 		}
 	}
 	if deletions != machines/wire.MaxDelete {
-		t.Errorf("%d deletions, %d machines are left", deletions, len(l.roster.Machines))
+		t.Errorf("%d deletions, %d machines are left", deletions, len(l.machines.Machines))
 	}
 }
 
@@ -178,7 +178,7 @@
 	if n := l.maxMachines(); n < 2500 || n > 5000 {
 		t.Errorf("%d with 322 MB", n)
 	}
-	l.env.Knobs.MaxMachines = 7
+	l.env.Tunables.MaxMachines = 7
 	if n := l.maxMachines(); n != 7 {
 		t.Errorf("%d where the operators say 7", n)
 	}
--- a/internal/scheduler/leader/served.go
+++ b/internal/scheduler/leader/served.go
@@ -8,9 +8,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// served tells operators who is served: jobs that came and jobs that began, by class, team and size. A job is large when
+// serviceLevels tells operators who is served: jobs that came and jobs that began, by class, team and size. A job is large when
 // it is among the largest tenth of its class's last ones, by the CPUs of all its tasks.
-type served struct {
+type serviceLevels struct {
 	sizes map[string][]float64 // of the last jobs of a class, in the order in which they came
 	live  map[string]*presence
 }
@@ -18,7 +18,9 @@
 // presence is a live job.
 type presence struct{ large, begun bool }
 
-func newServed() served { return served{sizes: map[string][]float64{}, live: map[string]*presence{}} }
+func newServiceLevels() serviceLevels {
+	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*presence{}}
+}
 
 // sizeName is how metrics call it.
 func (p *presence) sizeName() string {
@@ -29,10 +31,10 @@
 }
 
 // came takes in a job, and tells how it stands.
-func (s *served) came(j *jobs.Job) *presence {
+func (s *serviceLevels) came(j *jobs.Job) *presence {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
-	if len(last) > tuning.ServedSizes {
+	if len(last) > tuning.SizesRemembered {
 		last = last[1:]
 	}
 	s.sizes[j.Class] = last
@@ -45,13 +47,13 @@
 			larger++
 		}
 	}
-	p := &presence{large: len(last) >= tuning.ServedLeast && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.ServedLarge)}
+	p := &presence{large: len(last) >= tuning.SizesLeast && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
 	s.live[j.ID] = p
 	return p
 }
 
 // began takes in that a task of a job runs; first is nil unless it is the job's first.
-func (s *served) began(j *jobs.Job) (first *presence) {
+func (s *serviceLevels) began(j *jobs.Job) (first *presence) {
 	if p := s.live[j.ID]; p != nil && !p.begun {
 		p.begun = true
 		return p
@@ -59,12 +61,12 @@
 	return nil
 }
 
-func (s *served) over(id string) { delete(s.live, id) }
+func (s *serviceLevels) over(id string) { delete(s.live, id) }
 
 // oldest gives for each class for how long its oldest job waits to begin, in seconds.
 func (l *Loop) oldest(now time.Time) map[string]float64 {
 	out := map[string]float64{}
-	for _, j := range l.book.Jobs {
+	for _, j := range l.jobs.Jobs {
 		if j.CanStart() && j.Allocated+j.Done == 0 {
 			out[j.Class] = max(out[j.Class], now.Sub(j.EnqueuedAt).Seconds())
 		}
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -15,9 +15,9 @@
 func TestWhatWouldLoseMostIsTriedOnOrdinaryMachinesFirst(t *testing.T) {
 	l, clock := leaderWith(t)
 	now := clock.Now()
-	clear(l.roster.Machines)
+	clear(l.machines.Machines)
 	for i := range 4 {
-		if _, err := l.roster.Heartbeat(&wire.Heartbeat{
+		if _, err := l.machines.Heartbeat(&wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1,
 		}, false, now, func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
@@ -34,23 +34,23 @@
 	if l.fleet.spotLimitS = l.spotLimit(); !math.IsInf(l.fleet.spotLimitS, 1) {
 		t.Errorf("nothing runs on ordinary machines, and the limit is %v", l.fleet.spotLimitS)
 	}
-	if l.takeSides([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
+	if l.preferKinds([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
 		t.Error("sides are taken where spot machines suffice")
 	}
-	j := l.book.Jobs["job-1"]
+	j := l.jobs.Jobs["job-1"]
 	for i := range 4 {
-		l.roster.Add(l.book.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
+		l.machines.Add(l.jobs.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
 	l.fleet.spotLimitS = l.spotLimit()
 	items := []*placement.PendingJob{short, long, saves}
-	l.takeSides(items)
+	l.preferKinds(items)
 	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
 		t.Errorf("sides %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLimitS)
 	}
 	// Two long jobs have more than the share of ordinary machines: the longest is tried there.
 	longest := array("job-4", 160, 0)
 	l.fleet.spotLimitS = l.spotLimit()
-	if l.takeSides([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
+	if l.preferKinds([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
 		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLimitS)
 	}
 }
--- a/internal/scheduler/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -14,9 +14,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Slice is a subsystem that joins the loop for one tenure. The loop's goroutine
+// Subsystem is a subsystem that joins the loop for one tenure. The loop's goroutine
 // makes all calls but Read, so a slice needs no lock, and must not wait for anything.
-type Slice interface {
+type Subsystem interface {
 	// Read reads the slice's own records. It runs beside the loop, once the jobs'
 	// records are in, and is repeated until it succeeds; the loop then calls take. What it
 	// must look up in the book meanwhile, ask has the loop do.
@@ -25,30 +25,30 @@
 	Loaded(book *jobs.Store, now time.Time)
 	// Admit says how many of a job's waiting tasks may start now, and why no more.
 	Admit(j *jobs.Job, now time.Time) (n int, why string)
-	// Look lowers counts, of the waiting tasks of each job that a look at all of them may
+	// LimitTogether lowers counts, of the waiting tasks of each job that a look at all of them may
 	// consider, to what may start together: each is at most what Admit allows.
-	Look(waiting []*jobs.Job, counts []int, now time.Time)
+	LimitTogether(waiting []*jobs.Job, counts []int, now time.Time)
 	// Placed hears of a decision, on a machine of a type.
 	Placed(p *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended hears of the proven end of an attempt, before the book does.
 	Ended(o machines.Outcome, now time.Time)
-	// Over hears that a job came to a final state, which is stored.
-	Over(o jobs.FinishedJob, now time.Time)
+	// Finished hears that a job came to a final state, which is stored.
+	Finished(o jobs.FinishedJob, now time.Time)
 	// Tick does what is due, about every SliceTick, and names places that are to be stopped.
 	Tick(now time.Time) []*jobs.Allocation
-	// Next gives a transaction of the slice's own, on keys that the book does not
+	// NextWrite gives a transaction of the slice's own, on keys that the book does not
 	// touch, of at most room changes; nil: none. One is on its way at a time.
-	Next(now time.Time, room int) *Write
-	// Show answers a question of an operator or user: a path below the slice's own, as
+	NextWrite(now time.Time, room int) *SubsystemWrite
+	// Query answers a question of an operator or user: a path below the slice's own, as
 	// in a URL. ok is false when the slice knows no such path.
-	Show(uri string, now time.Time) (status int, body any, ok bool)
+	Query(uri string, now time.Time) (status int, body any, ok bool)
 }
 
-// Doer is a slice that also carries out commands of users.
-type Doer interface {
-	// Do carries out a command. answer is called once, by the loop's goroutine: at once, or
+// CommandHandler is a slice that also carries out commands of users.
+type CommandHandler interface {
+	// Command carries out a command. answer is called once, by the loop's goroutine: at once, or
 	// when what was decided is stored. ok is false when the slice knows no such command.
-	Do(c Command, now time.Time, answer func(status int, body any)) (ok bool)
+	Command(c Command, now time.Time, answer func(status int, body any)) (ok bool)
 }
 
 // Command asks a subsystem to change something. Whoever has no answer may repeat it.
@@ -58,8 +58,8 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// Write is a transaction of a slice. Done is called with its revision.
-type Write struct {
+// SubsystemWrite is a transaction of a slice. Done is called with its revision.
+type SubsystemWrite struct {
 	Txn  wire.Txn
 	Done func(revision uint64)
 	// Conflict is called instead if a condition does not hold, which the slice expects
@@ -67,9 +67,9 @@
 	Conflict func()
 }
 
-// readSlices has each slice read its records.
-func (l *Loop) readSlices() {
-	for _, s := range l.slices {
+// readSubsystems has each slice read its records.
+func (l *Loop) readSubsystems() {
+	for _, s := range l.subsystems {
 		go func() {
 			for pause := tuning.StateRetry; l.ended.Err() == nil; pause = min(2*pause, tuning.StateRetryMax) {
 				take, err := s.Read(l.ended, l.store, func(fn func()) error {
@@ -90,7 +90,7 @@
 // admitted is how many of a job's waiting tasks may start now.
 func (l *Loop) admitted(j *jobs.Job, now time.Time) (n int, why string) {
 	n = j.Waiting()
-	for _, s := range l.slices {
+	for _, s := range l.subsystems {
 		if may, reason := s.Admit(j, now); may < n {
 			n, why = may, reason
 		}
@@ -104,22 +104,22 @@
 	for i, j := range waiting {
 		counts[i] = j.Waiting()
 	}
-	for _, s := range l.slices {
-		s.Look(waiting, counts, now)
+	for _, s := range l.subsystems {
+		s.LimitTogether(waiting, counts, now)
 	}
 	return counts
 }
 
-// stepSlices does what the slices have due.
-func (l *Loop) stepSlices(now time.Time) {
-	if !now.Before(l.nextSlices) {
-		l.nextSlices = now.Add(tuning.SliceTick)
+// stepSubsystems does what the slices have due.
+func (l *Loop) stepSubsystems(now time.Time) {
+	if !now.Before(l.nextSubsystems) {
+		l.nextSubsystems = now.Add(tuning.SubsystemTick)
 		l.env.observe(l.holds)
-		for _, s := range l.slices {
+		for _, s := range l.subsystems {
 			l.direct(s.Tick(now))
 		}
 	}
-	if l.aside {
+	if l.subsystemWriting {
 		return
 	}
 	s, w := l.nextWrite(now, l.store.Room()-1) // one change is the link's
@@ -127,7 +127,7 @@
 		return
 	}
 	// Its keys are none of the book's, so the two need not wait for each other.
-	l.aside = true
+	l.subsystemWriting = true
 	go func() {
 		revision, err := l.chained(w.Txn)
 		switch {
@@ -135,17 +135,17 @@
 			l.end(err)
 			return
 		case errors.Is(err, errChanged) && w.Conflict != nil:
-			l.post(func() { l.aside = false; w.Conflict() })
+			l.post(func() { l.subsystemWriting = false; w.Conflict() })
 			return
 		case err != nil:
 			// The scheduling and the other subsystems go on; this one writes no more in this
 			// tenure, and the next leader begins from what is stored.
 			l.log.Error("a subsystem's records cannot be stored", "err", err)
-			l.post(func() { l.aside, l.broken[s] = false, true })
+			l.post(func() { l.subsystemWriting, l.broken[s] = false, true })
 			return
 		}
 		l.post(func() {
-			l.aside = false
+			l.subsystemWriting = false
 			l.env.observe(func(o Observer) { o.Wrote(len(w.Txn.Then)) })
 			w.Done(revision)
 		})
@@ -194,22 +194,22 @@
 
 // nextWrite gives the next transaction of the subsystems, which take turns: one that always
 // has something to write must not hold up the others.
-func (l *Loop) nextWrite(now time.Time, room int) (Slice, *Write) {
-	for range l.slices {
-		s := l.slices[l.turn%len(l.slices)]
+func (l *Loop) nextWrite(now time.Time, room int) (Subsystem, *SubsystemWrite) {
+	for range l.subsystems {
+		s := l.subsystems[l.turn%len(l.subsystems)]
 		l.turn++
 		if l.broken[s] {
 			continue
 		}
-		if w := s.Next(now, room); w != nil {
+		if w := s.NextWrite(now, room); w != nil {
 			return s, w
 		}
 	}
 	return nil, nil
 }
 
-// Show answers a question, or 404. The answer is JSON.
-func (l *Loop) Show(ctx context.Context, uri string) (status int, body any, err error) {
+// Query answers a question, or 404. The answer is JSON.
+func (l *Loop) Query(ctx context.Context, uri string) (status int, body any, err error) {
 	r, err := ask(ctx, l, func(answer func(shown)) {
 		now := l.env.Clock.Now()
 		if !l.loaded {
@@ -217,12 +217,12 @@
 			return
 		}
 		if id, ok := jobOf(uri, wire.EndWhy); ok {
-			status, body := l.why(id, now)
+			status, body := l.explain(id, now)
 			answer(shown{status, body})
 			return
 		}
-		for _, s := range l.slices {
-			if status, body, ok := s.Show(uri, now); ok {
+		for _, s := range l.subsystems {
+			if status, body, ok := s.Query(uri, now); ok {
 				answer(shown{status, body})
 				return
 			}
@@ -232,16 +232,16 @@
 	return r.status, r.body, err
 }
 
-// Do has a subsystem carry out a command. The answer is JSON.
-func (l *Loop) Do(ctx context.Context, c Command) (status int, body any, err error) {
+// Command has a subsystem carry out a command. The answer is JSON.
+func (l *Loop) Command(ctx context.Context, c Command) (status int, body any, err error) {
 	r, err := ask(ctx, l, func(answer func(shown)) {
 		tell := func(status int, body any) { answer(shown{status, body}) }
 		if !l.loaded {
 			tell(http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"})
 			return
 		}
-		for _, s := range l.slices {
-			if d, ok := s.(Doer); ok && d.Do(c, l.env.Clock.Now(), tell) {
+		for _, s := range l.subsystems {
+			if d, ok := s.(CommandHandler); ok && d.Command(c, l.env.Clock.Now(), tell) {
 				l.changed = true
 				return
 			}
@@ -260,10 +260,10 @@
 // holds tells an observer what the loop holds.
 func (l *Loop) holds(o Observer) {
 	waiting := map[string]int{}
-	for _, j := range l.book.Jobs {
+	for _, j := range l.jobs.Jobs {
 		if j.CanStart() {
 			waiting[j.Class] += j.Waiting()
 		}
 	}
-	o.Holds(len(l.book.Jobs), len(l.roster.Machines), waiting, l.oldest(l.env.Clock.Now()))
+	o.Holds(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldest(l.env.Clock.Now()))
 }
--- a/internal/scheduler/leader/slices_test.go
+++ b/internal/scheduler/leader/slices_test.go
@@ -10,17 +10,17 @@
 
 // busySlice always has something to write, and knows one command.
 type busySlice struct {
-	Slice
+	Subsystem
 	name  string
 	asked int
 }
 
-func (s *busySlice) Next(time.Time, int) *Write {
+func (s *busySlice) NextWrite(time.Time, int) *SubsystemWrite {
 	s.asked++
-	return &Write{Txn: wire.Txn{Then: []wire.Change{{Put: s.name}}}}
+	return &SubsystemWrite{Txn: wire.Txn{Then: []wire.Change{{Put: s.name}}}}
 }
 
-func (s *busySlice) Do(c Command, _ time.Time, answer func(int, any)) bool {
+func (s *busySlice) Command(c Command, _ time.Time, answer func(int, any)) bool {
 	if c.URI != "/"+s.name {
 		return false
 	}
@@ -33,7 +33,7 @@
 func TestSubsystemsTakeTurns(t *testing.T) {
 	l, clock := leaderWith(t)
 	a, b := &busySlice{name: "a"}, &busySlice{name: "b"}
-	l.slices = []Slice{a, b}
+	l.subsystems = []Subsystem{a, b}
 	for range 10 {
 		if _, w := l.nextWrite(clock.Now(), 10); w == nil {
 			t.Fatal("nothing to write")
@@ -52,11 +52,11 @@
 
 func TestCommandsFindTheirSubsystem(t *testing.T) {
 	l, _ := leaderWith(t)
-	l.slices = []Slice{&busySlice{name: "a"}, &busySlice{name: "b"}}
+	l.subsystems = []Subsystem{&busySlice{name: "a"}, &busySlice{name: "b"}}
 	for uri, want := range map[string]int{"/a": http.StatusOK, "/b": http.StatusOK, "/c": http.StatusNotFound} {
 		got := make(chan int, 1)
 		go func() {
-			status, _, err := l.Do(t.Context(), Command{URI: uri})
+			status, _, err := l.Command(t.Context(), Command{URI: uri})
 			if err != nil {
 				status = -1
 			}
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -24,17 +24,17 @@
 		{"slower than another type", 180 * time.Second, time.Second, true, false},
 	} {
 		l, clock := leaderWith(t)
-		for _, m := range l.roster.Machines {
+		for _, m := range l.machines.Machines {
 			m.Type = "large"
 		}
 		if c.other {
-			l.roster.Machines["n-small"].Type = "small"
+			l.machines.Machines["n-small"].Type = "small"
 		}
 		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
 		ends := func(i int, machine string, ran, late time.Duration) {
-			p := l.book.Allocate(j, i, machine, "a", 1, clock.Now())
+			p := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-			l.roster.Add(p, clock.Now())
+			l.machines.Add(p, clock.Now())
 			clock.Advance(ran)
 			l.settle([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
 		}
@@ -44,10 +44,10 @@
 		for i := range 6 {
 			ends(8+i, "n-large", c.ran, c.late)
 		}
-		if got := l.roster.Machines["n-large"].Unhealthy; got != c.bad {
+		if got := l.machines.Machines["n-large"].Unhealthy; got != c.bad {
 			t.Errorf("%s: given up %v", c.name, got)
 		}
-		if l.roster.Machines["n-small"].Unhealthy {
+		if l.machines.Machines["n-small"].Unhealthy {
 			t.Errorf("%s: the others are given up", c.name)
 		}
 	}
--- a/internal/scheduler/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -39,7 +39,7 @@
 // before, so that it can be started elsewhere at once rather than when the machine is known to be gone.
 func (l *Loop) stepLeaving(now time.Time) {
 	for name := range l.leaving {
-		m := l.roster.Machines[name]
+		m := l.machines.Machines[name]
 		switch {
 		case m == nil || !m.InterruptionAt.After(now):
 			delete(l.leaving, name)
--- a/internal/scheduler/leader/spot_test.go
+++ b/internal/scheduler/leader/spot_test.go
@@ -13,7 +13,7 @@
 // them would have ended by then, and against others that go with it and are missed until its lease ends.
 func TestATaskRunsOnUntilShortlyBeforeItsMachineIsTaken(t *testing.T) {
 	l, clock := leaderWith(t)
-	m := l.roster.Machines["n-large"]
+	m := l.machines.Machines["n-large"]
 	p := l.runs(t, "job-1", m.Name, 1)
 	p.Job.EstimateS, p.RunningSince = 60, clock.Now().Add(-50*time.Second)
 	m.InterruptionAt = clock.Now().Add(25 * time.Second)
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -22,12 +22,12 @@
 	now := l.env.Clock.Now()
 	for _, p := range places {
 		// One that is silent would keep a connection waiting.
-		if !l.silent(l.roster.Machines[p.Machine], now) {
+		if !l.silent(l.machines.Machines[p.Machine], now) {
 			byMachine[p.Machine] = append(byMachine[p.Machine], p)
 		}
 	}
 	for name, places := range byMachine {
-		addr, req := l.roster.CommandsFor(name, places)
+		addr, req := l.machines.CommandsFor(name, places)
 		if req == nil {
 			continue
 		}
@@ -47,14 +47,14 @@
 		}
 	}
 	if ctx.Err() != nil || !l.env.Valid(l.tenure.Term) {
-		l.post(func() { l.roster.CommandsAnswered(name, req) }) // it was never sent
+		l.post(func() { l.machines.CommandsAnswered(name, req) }) // it was never sent
 		return
 	}
 	rep, err := l.command(ctx, name, addr, req)
 	if err == nil {
 		l.post(func() {
-			l.roster.CommandsAnswered(name, req)
-			l.ways.heard(l.env.Clock.Now())
+			l.machines.CommandsAnswered(name, req)
+			l.probing.heard(l.env.Clock.Now())
 			if _, err := l.take(rep, true); err != nil {
 				l.log.Debug("answer to commands not used", "machine", name, "err", err)
 			}
@@ -63,19 +63,19 @@
 	}
 	l.log.Debug("direct commands unanswered", "machine", name, "err", err)
 	l.post(func() {
-		if m := l.roster.Machines[name]; m != nil && m.Unanswered.Before(begun) {
+		if m := l.machines.Machines[name]; m != nil && m.Unanswered.Before(begun) {
 			m.Unanswered = begun
 			m.Reachability.NoteFailed(begun, l.env.Clock.Now())
 		}
-		l.ways.unheard(name)
+		l.probing.unheard(name)
 	})
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		// No connection, so nothing was sent that could arrive later.
-		l.post(func() { l.roster.CommandsAnswered(name, req) })
+		l.post(func() { l.machines.CommandsAnswered(name, req) })
 		return
 	}
-	l.post(func() { l.roster.CommandsUnanswered(name, begun) })
+	l.post(func() { l.machines.CommandsUnanswered(name, begun) })
 }
 
 // command sends a machine commands and gives the report that it answers with, carried out or not.
@@ -99,14 +99,14 @@
 	return &rep, rep.Check()
 }
 
-// Report takes a worker's report and gives the commands for the answer.
-func (l *Loop) Report(ctx context.Context, rep *wire.Heartbeat) ([]wire.Command, error) {
+// Heartbeat takes a worker's report and gives the commands for the answer.
+func (l *Loop) Heartbeat(ctx context.Context, rep *wire.Heartbeat) ([]wire.Command, error) {
 	type result struct {
 		commands []wire.Command
 		err      error
 	}
 	begun := l.env.Clock.Now()
-	defer func() { l.env.observe(func(o Observer) { o.Reported(l.env.Clock.Since(begun)) }) }()
+	defer func() { l.env.observe(func(o Observer) { o.HeartbeatTaken(l.env.Clock.Since(begun)) }) }()
 	r, err := ask(ctx, l, func(answer func(result)) {
 		commands, err := l.take(rep, false)
 		answer(result{commands, err})
@@ -128,21 +128,21 @@
 		}
 		return nil, nil
 	}
-	a, err := l.roster.Heartbeat(rep, direct, now, l.mayForget)
+	a, err := l.machines.Heartbeat(rep, direct, now, l.mayForget)
 	if err != nil {
 		l.setAside(rep, err)
 		return nil, err
 	}
 	if len(a.Held) > tuning.HeldExits {
 		for _, k := range a.Held {
-			if j := l.book.Jobs[k.Task.Job]; j != nil {
-				l.book.FlushSoon(j, k.Task.Index)
+			if j := l.jobs.Jobs[k.Task.Job]; j != nil {
+				l.jobs.FlushSoon(j, k.Task.Index)
 			}
 		}
 	}
 	for _, p := range a.Began {
-		l.book.MarkBegan(p, now)
-		if first := l.served.began(p.Job); first != nil {
+		l.jobs.MarkBegan(p, now)
+		if first := l.levels.began(p.Job); first != nil {
 			l.env.observe(func(o Observer) { o.Began(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
 		}
 	}
@@ -160,11 +160,11 @@
 // forgotten by its worker: its end is stored, so no leader to come starts the
 // same attempt again.
 func (l *Loop) mayForget(k machines.AttemptID) bool {
-	j := l.book.Jobs[k.Task.Job]
+	j := l.jobs.Jobs[k.Task.Job]
 	if j == nil || k.Task.Index >= len(j.Tasks) {
 		return true
 	}
-	return l.book.Persisted(j, k.Task.Index)
+	return l.jobs.Persisted(j, k.Task.Index)
 }
 
 // settle takes in how tasks ended in their places.
@@ -174,19 +174,19 @@
 		if p.Removed {
 			continue
 		}
-		for _, s := range l.slices {
+		for _, s := range l.subsystems {
 			s.Ended(o, now)
 		}
 		l.env.observe(func(b Observer) { b.Ended(p.Job.Class, o.How()) })
-		l.roster.Remove(p, now)
+		l.machines.Remove(p, now)
 		l.changed = true
-		m := l.roster.Machines[p.Machine]
+		m := l.machines.Machines[p.Machine]
 		if o.Reason == wire.ExitDone {
-			l.book.MarkDone(p, now)
+			l.jobs.MarkDone(p, now)
 			l.completed(p, m, o.Idle, now)
 			continue
 		}
-		l.book.MarkLost(p, now)
+		l.jobs.MarkLost(p, now)
 		switch o.Reason {
 		case wire.ExitError:
 			l.failed(p, now)
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -20,8 +20,8 @@
 // controller that is cut off from all but its workers keeps these with answers that bear no command. The question holds
 // our token, which the worker keeps, so the member that answers it can see that a leader reaches it, and sends it on.
 
-// ways is what the loop keeps of that.
-type ways struct {
+// probing is what the loop keeps of that.
+type probing struct {
 	next    time.Time
 	limit   *rate.Limiter // questions
 	onWay   int
@@ -31,16 +31,16 @@
 	again   time.Time       // they are not asked before
 }
 
-func newWays() ways {
-	return ways{limit: rate.NewLimiter(tuning.ProbeRateLeast, tuning.ProbeLeast), unmet: map[string]bool{}}
+func newProbing() probing {
+	return probing{limit: rate.NewLimiter(tuning.ProbeRateLeast, tuning.ProbeLeast), unmet: map[string]bool{}}
 }
 
-func (w *ways) heard(now time.Time) {
+func (w *probing) heard(now time.Time) {
 	w.met = now
 	clear(w.unmet)
 }
 
-func (w *ways) unheard(machine string) { w.unmet[machine] = true }
+func (w *probing) unheard(machine string) { w.unmet[machine] = true }
 
 // setAside counts a report that changes nothing.
 func (l *Loop) setAside(rep *wire.Heartbeat, err error) {
@@ -51,7 +51,7 @@
 	case errors.Is(err, machines.ErrContradicts):
 		why = "contradicts"
 	}
-	l.env.observe(func(o Observer) { o.Aside(why) })
+	l.env.observe(func(o Observer) { o.SetAside(why) })
 	l.log.Debug("report set aside", "machine", rep.Machine, "why", why, "session", rep.Incarnation, "seq", rep.Seq)
 }
 
@@ -85,23 +85,23 @@
 	return 0, false
 }
 
-// stepWays asks the machines of which there is doubt, a few at a time.
-func (l *Loop) stepWays(now time.Time) {
-	if now.Before(l.ways.next) || !l.env.Valid(l.tenure.Term) {
+// stepProbing asks the machines of which there is doubt, a few at a time.
+func (l *Loop) stepProbing(now time.Time) {
+	if now.Before(l.probing.next) || !l.env.Valid(l.tenure.Term) {
 		return
 	}
-	l.ways.next = now.Add(tuning.SliceTick)
+	l.probing.next = now.Add(tuning.SubsystemTick)
 	most := max(tuning.ProbeLeast, int(tuning.ProbeShare*float64(cap(l.env.Sending))))
-	perS := max(tuning.ProbeRateLeast, tuning.ProbeRate*float64(len(l.roster.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
-	l.ways.limit.SetLimitAt(now, rate.Limit(perS))
-	l.ways.limit.SetBurstAt(now, max(tuning.ProbeLeast, int(perS*tuning.SliceTick.Seconds())+1))
+	perS := max(tuning.ProbeRateLeast, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
+	l.probing.limit.SetLimitAt(now, rate.Limit(perS))
+	l.probing.limit.SetBurstAt(now, max(tuning.ProbeLeast, int(perS*tuning.SubsystemTick.Seconds())+1))
 	type doubt struct {
 		m    *machines.Machine
 		rank int
 	}
 	var doubts []doubt
 	deaf, unproven := 0, 0
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		if m.Reachability.Unreachable() {
 			deaf++
 		}
@@ -112,38 +112,38 @@
 			doubts = append(doubts, doubt{m, rank})
 		}
 	}
-	l.env.observe(func(o Observer) { o.Ways(deaf, unproven) })
+	l.env.observe(func(o Observer) { o.Reachability(deaf, unproven) })
 	slices.SortFunc(doubts, func(a, b doubt) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.m.Name, b.m.Name)) })
 	for _, d := range doubts {
-		if l.ways.onWay >= most || !l.ways.limit.AllowN(now, 1) {
+		if l.probing.onWay >= most || !l.probing.limit.AllowN(now, 1) {
 			break
 		}
-		l.question(d.m, now)
+		l.probe(d.m, now)
 	}
 	l.stepAside(now)
 }
 
-// question asks a machine for its report.
-func (l *Loop) question(m *machines.Machine, now time.Time) {
-	addr, req, mark, ok := l.roster.Probe(m, now)
+// probe asks a machine for its report.
+func (l *Loop) probe(m *machines.Machine, now time.Time) {
+	addr, req, mark, ok := l.machines.Probe(m, now)
 	if !ok {
 		return
 	}
 	m.Reachability.ProbeSent(now)
-	l.ways.onWay++
+	l.probing.onWay++
 	name := m.Name
 	go func() {
 		ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
 		defer cancel()
 		rep, err := l.command(ctx, name, addr, req)
-		l.post(func() { l.asked(name, mark, rep, err) })
+		l.post(func() { l.probeAnswered(name, mark, rep, err) })
 	}()
 }
 
-// asked takes in how a question to a machine ended: its report, or why there is none.
-func (l *Loop) asked(name string, mark machines.MessageMark, rep *wire.Heartbeat, err error) {
-	l.ways.onWay--
-	m, now := l.roster.Machines[name], l.env.Clock.Now()
+// probeAnswered takes in how a question to a machine ended: its report, or why there is none.
+func (l *Loop) probeAnswered(name string, mark machines.MessageMark, rep *wire.Heartbeat, err error) {
+	l.probing.onWay--
+	m, now := l.machines.Machines[name], l.env.Clock.Now()
 	if m == nil {
 		return
 	}
@@ -151,19 +151,19 @@
 	if err != nil {
 		was := m.Reachability.Unreachable()
 		m.Reachability.NoteFailed(mark.Sent, now)
-		l.ways.unheard(name)
+		l.probing.unheard(name)
 		if m.Reachability.Unreachable() && !was {
 			l.log.Info("machine reports, but does not hear us", "machine", name, "zone", m.Zone, "tasks", len(m.Allocations))
 		}
 		return
 	}
-	l.ways.heard(now)
-	switch l.roster.Restarted(m, mark, rep) {
+	l.probing.heard(now)
+	switch l.machines.Restarted(m, mark, rep) {
 	case machines.AskLater:
 		m.SuspectCopy = true
 		return
 	case machines.AskAgain:
-		l.question(m, now)
+		l.probe(m, now)
 		return
 	case machines.GiveUp:
 		if !m.Returning {
@@ -174,7 +174,7 @@
 		return
 	case machines.Anew:
 		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Allocations))
-		l.settle(l.roster.Begin(m, rep, now), now)
+		l.settle(l.machines.Begin(m, rep, now), now)
 		l.changed = true
 		return
 	}
@@ -187,7 +187,7 @@
 // stepAside leaves the leadership to another member if no worker answers this one, though their reports come, and
 // another member reaches them: then it is this one's own way that is cut.
 func (l *Loop) stepAside(now time.Time) {
-	w := &l.ways
+	w := &l.probing
 	met := w.met
 	if met.Before(l.begun) {
 		met = l.begun
@@ -197,7 +197,7 @@
 	}
 	var addrs []string
 	for name := range w.unmet {
-		m := l.roster.Machines[name]
+		m := l.machines.Machines[name]
 		if m == nil {
 			delete(w.unmet, name)
 			continue
@@ -216,7 +216,7 @@
 		l.post(func() {
 			w.probing = false
 			if reached && len(w.unmet) >= tuning.UnheardMachines {
-				l.end(ErrUnheard)
+				l.end(ErrUnreachable)
 			}
 		})
 	}()
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -12,19 +12,19 @@
 // fleetHeard makes a leader with n machines that hear it, each with a task.
 func fleetHeard(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
 	l, clock := leaderWith(t)
-	clear(l.roster.Machines)
+	clear(l.machines.Machines)
 	l.env.Valid = func(uint64) bool { return true }
 	l.env.Settings.Cluster.Workers.ReportS = 10
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, MemoryGB: 1})
 	reports := make([]*wire.Heartbeat, n)
 	for i := range reports {
 		rep := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.roster.Heartbeat(rep, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+		if _, err := l.machines.Heartbeat(rep, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		p := l.book.Allocate(j, i, rep.Machine, "a", 1, clock.Now())
+		p := l.jobs.Allocate(j, i, rep.Machine, "a", 1, clock.Now())
 		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-		l.roster.Add(p, clock.Now())
+		l.machines.Add(p, clock.Now())
 		rep.Tasks = []wire.TaskStatus{{Task: p.Task().String(), Attempt: 1, State: wire.TaskRunning}}
 		reports[i] = rep
 	}
@@ -37,8 +37,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l, _ := fleetHeard(b, n)
 			for b.Loop() {
-				l.ways.next = time.Time{}
-				l.stepWays(l.env.Clock.Now())
+				l.probing.next = time.Time{}
+				l.stepProbing(l.env.Clock.Now())
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	for i := 0; b.Loop(); i++ {
 		rep := reports[i%len(reports)]
 		rep.Seq++
-		if _, err := l.roster.Heartbeat(rep, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+		if _, err := l.machines.Heartbeat(rep, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -62,12 +62,12 @@
 func TestQuestionsAreBounded(t *testing.T) {
 	l, _ := fleetHeard(t, 2000)
 	l.env.Sending = make(chan struct{}, 400)
-	for _, m := range l.roster.Machines {
+	for _, m := range l.machines.Machines {
 		m.SuspectCopy = true
 	}
-	l.stepWays(l.env.Clock.Now())
-	if most := 400 / 8; l.ways.onWay == 0 || l.ways.onWay > most {
-		t.Errorf("%d questions at a time, at most %d", l.ways.onWay, most)
+	l.stepProbing(l.env.Clock.Now())
+	if most := 400 / 8; l.probing.onWay == 0 || l.probing.onWay > most {
+		t.Errorf("%d questions at a time, at most %d", l.probing.onWay, most)
 	}
 }
 
@@ -76,7 +76,7 @@
 	l, clock := leaderWith(t)
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1})
 	for i := range 2000 {
-		p := l.book.Allocate(j, i, "n-large", "a", 1, clock.Now())
+		p := l.jobs.Allocate(j, i, "n-large", "a", 1, clock.Now())
 		p.State = wire.TaskRunning
 	}
 	if s := j.Status(); s.Running != 2000 || s.State != wire.StateRunning {
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -40,8 +40,8 @@
 
 // asks has the loop ask whom it doubts, and takes in what comes of it.
 func (l *Loop) asks() {
-	l.ways.next = time.Time{}
-	for l.stepWays(l.env.Clock.Now()); l.ways.onWay > 0; {
+	l.probing.next = time.Time{}
+	for l.stepProbing(l.env.Clock.Now()); l.probing.onWay > 0; {
 		select {
 		case fn := <-l.inbox:
 			fn()
@@ -57,7 +57,7 @@
 	l.env.Valid = func(uint64) bool { return true }
 	rep = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
 	l.takes(t, rep)
-	return l, l.roster.Machines["n-9"], rep, pass
+	return l, l.machines.Machines["n-9"], rep, pass
 }
 
 func (l *Loop) takes(t *testing.T, rep *wire.Heartbeat) []wire.Command {
@@ -188,11 +188,11 @@
 	l, pass := twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
 	l.tenure.Term = 2
-	l.roster = machines.New(2, 10)
-	j := l.book.Jobs["job-1"]
+	l.machines = machines.New(2, 10)
+	j := l.jobs.Jobs["job-1"]
 	p := j.Tasks[0].Allocation
-	l.roster.Inherit(p, l.env.Clock.Now())
-	m := l.roster.Machines["n-0"]
+	l.machines.Inherit(p, l.env.Clock.Now())
+	m := l.machines.Machines["n-0"]
 	m.Listed = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
 		asked = req
 		return &wire.Heartbeat{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Incarnation: 1, Seq: 7, FencingToken: 2,
@@ -240,16 +240,16 @@
 				return rep
 			}))
 			if c.inherited {
-				delete(l.roster.Machines, "n-9")
+				delete(l.machines.Machines, "n-9")
 				m = nil
 			}
 			p := l.runs(t, "job-9", "n-9", 1)
 			p.Incarnation = 3
 			if c.inherited {
-				l.roster.Remove(p, l.env.Clock.Now())
-				delete(l.roster.Machines, "n-9")
-				l.roster.Inherit(p, l.env.Clock.Now())
-				m = l.roster.Machines["n-9"]
+				l.machines.Remove(p, l.env.Clock.Now())
+				delete(l.machines.Machines, "n-9")
+				l.machines.Inherit(p, l.env.Clock.Now())
+				m = l.machines.Machines["n-9"]
 				m.Listed = first.Address
 			} else {
 				older := *first
@@ -258,7 +258,7 @@
 				l.takes(t, &older)
 			}
 			if c.openStart {
-				l.roster.CommandsFor("n-9", []*jobs.Allocation{p})
+				l.machines.CommandsFor("n-9", []*jobs.Allocation{p})
 			}
 			*rep = *first
 			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
@@ -301,7 +301,7 @@
 			for len(l.inbox) > 0 {
 				(<-l.inbox)()
 			}
-			if l.asks(); l.ways.probing {
+			if l.asks(); l.probing.probing {
 				select {
 				case fn := <-l.inbox:
 					fn()
@@ -312,7 +312,7 @@
 				break
 			}
 		}
-		if got := errors.Is(context.Cause(ctx), ErrUnheard); got != others {
+		if got := errors.Is(context.Cause(ctx), ErrUnreachable); got != others {
 			t.Errorf("others reach workers: %v, stood aside: %v", others, got)
 		}
 	}
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -25,12 +25,12 @@
 	return id, ok && wire.ValidJobID(id)
 }
 
-// why says what the waiting tasks of a job wait for.
-func (l *Loop) why(id string, now time.Time) (status int, body any) {
+// explain says what the waiting tasks of a job wait for.
+func (l *Loop) explain(id string, now time.Time) (status int, body any) {
 	if s, over := l.env.Finals.Get(id); over {
 		return http.StatusOK, wire.Reasons{JobStatus: s}
 	}
-	j := l.book.Jobs[id]
+	j := l.jobs.Jobs[id]
 	if j == nil {
 		return http.StatusNotFound, wire.Error{Error: "no such live job"}
 	}
--- a/internal/scheduler/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -13,7 +13,7 @@
 // taken by small ones, its team's limit is used up by them, or it is behind them in every pass. So the wait to begin is
 // bounded. A job none of whose tasks was placed within tuning.BeginBound is overdue: before anything else of its priority it
 // gets one task; if none fits, a machine, and what it needs of its team's limit, is kept from those behind it until one
-// does, as far as what runs ends by itself, and for tuning.HoldMax at a time (Holds). With that task it has begun, and the order is the
+// does, as far as what runs ends by itself, and for tuning.ReservationMax at a time (Holds). With that task it has begun, and the order is the
 // usual one again, so that the small lose one task's time to each large job.
 
 // overdueIn gives the places of the overdue items among those from lo to hi, the largest first, of equals those that came
@@ -59,7 +59,7 @@
 	if team.reservedFor == "" {
 		team.reservedFor, team.reserved, p.keeps = it.Job.ID, need, true
 	}
-	if team.reservedFor == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.BeginHoldShare) && it.hold(p.machines, need) {
+	if team.reservedFor == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.BeginReservationShare) && it.hold(p.machines, need) {
 		p.holds++
 	}
 	return placed
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -307,14 +307,14 @@
 }
 
 // BackfillReservations bounds for how long machines and parts of limits are held for those that wait for more than there is, and room for work that
-// is expected, while others wait: what is held is room in which they may not start. It remembers between passes since when something has been held; after tuning.HoldMax one pass
+// is expected, while others wait: what is held is room in which they may not start. It remembers between passes since when something has been held; after tuning.ReservationMax one pass
 // holds nothing, so that no job waits for longer beside room, and what is held then counts anew. The zero value holds nothing yet.
 type BackfillReservations struct{ since time.Time }
 
 // Pass is Pass with that bound.
 func (h *BackfillReservations) Pass(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(items, teams, now)
-	open := !h.since.IsZero() && now.Sub(h.since) >= tuning.HoldMax
+	open := !h.since.IsZero() && now.Sub(h.since) >= tuning.ReservationMax
 	placed, held := sorted(now, items, machines, teams, !open)
 	switch {
 	case !held:
@@ -427,7 +427,7 @@
 		if m == nil {
 			p.stuck[i] = true
 			p.starved = p.starved || p.ghosts && !it.Placeholder
-			if p.mayHold && !p.held && !it.Placeholder && p.now.Sub(it.WaitingSince) >= tuning.HeadHold {
+			if p.mayHold && !p.held && !it.Placeholder && p.now.Sub(it.WaitingSince) >= tuning.HeadReservationAfter {
 				p.held = it.hold(p.machines, need)
 			}
 			break
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -70,7 +70,7 @@
 			[]*PendingJob{item("a", wire.PriorityHigh, 0, 1, 8), item("b", wire.PriorityLow, 0, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"a long-waiting head holds its machine against those behind",
-			[]*PendingJob{item("a", wire.PriorityHigh, tuning.HeadHold, 1, 8), item("b", wire.PriorityLow, 0, 2, 4)},
+			[]*PendingJob{item("a", wire.PriorityHigh, tuning.HeadReservationAfter, 1, 8), item("b", wire.PriorityLow, 0, 2, 4)},
 			ms{machine("m", "a", false, 6), machine("n", "a", false, 4)}, 100, "b:n"},
 		{"no spot machine without leave", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4, ordinary)},
 			ms{machine("m", "a", true, 16)}, 100, ""},
@@ -203,7 +203,7 @@
 			if team.reservedFor == "" {
 				team.reservedFor, team.reserved = it.Job.ID, need
 			}
-			if team.reservedFor == it.Job.ID && holds < max(1, len(machines)/tuning.BeginHoldShare) && it.hold(machines, need) {
+			if team.reservedFor == it.Job.ID && holds < max(1, len(machines)/tuning.BeginReservationShare) && it.hold(machines, need) {
 				holds++
 			}
 		}
@@ -220,7 +220,7 @@
 					m := best(it, machines, need)
 					if m == nil {
 						stuck[it] = true
-						if !held && !it.Placeholder && now.Sub(it.WaitingSince) >= tuning.HeadHold {
+						if !held && !it.Placeholder && now.Sub(it.WaitingSince) >= tuning.HeadReservationAfter {
 							held = it.hold(machines, need)
 						}
 						break
