--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -35,7 +35,7 @@
 	length    time.Duration
 	killEvery time.Duration
 	loses     bool
-	rig       *testcluster.Rig
+	rig       *testcluster.Cluster
 
 	mu       sync.Mutex
 	measured map[fakes.Attempt]fakes.Measured
@@ -84,7 +84,7 @@
 func (l *lab) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
 	defer stop()
-	l.rig = &testcluster.Rig{
+	l.rig = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, Report: 2 * time.Second, Lease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, Measured: l.saw,
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -35,7 +35,7 @@
 	killEvery time.Duration
 	steps     int
 	crowd     int
-	rig       *testcluster.Rig
+	rig       *testcluster.Cluster
 
 	mu    sync.Mutex
 	ready map[string]time.Time // when a job began to wait: a step's when it was described
@@ -166,7 +166,7 @@
 	defer stop()
 	source := httptest.NewServer(http.HandlerFunc(l.describe))
 	defer source.Close()
-	l.rig = &testcluster.Rig{
+	l.rig = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, Report: time.Second, Lease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", Measured: l.saw,
--- a/internal/sim/testcluster/rig.go
+++ b/internal/sim/testcluster/rig.go
@@ -22,8 +22,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// Rig is a cluster on one machine. Fill in the fields, then Start.
-type Rig struct {
+// Cluster is a cluster on one machine. Fill in the fields, then Start.
+type Cluster struct {
 	Program    string // the controllers' binary
 	Members    int
 	Teams      int // named team-0, team-1 and so on
@@ -50,7 +50,7 @@
 }
 
 // Start starts all of it; it ends with the context, and Close clears up.
-func (r *Rig) Start(ctx context.Context) (err error) {
+func (r *Cluster) Start(ctx context.Context) (err error) {
 	if r.dir, err = os.MkdirTemp("", "rig"); err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 }
 
 // Close ends the controllers.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	for _, p := range r.processes {
 		if p != nil {
 			_ = p.Process.Kill()
@@ -87,7 +87,7 @@
 	_ = os.RemoveAll(r.dir) // what is left is in the system's temporary files
 }
 
-func (r *Rig) settings(i int) string {
+func (r *Cluster) settings(i int) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "member = \"m%d\"\nbind = %q\nmesh_addr = %q\n", i, r.Users[i], r.mesh[i])
 	for k := range r.Members {
@@ -104,7 +104,7 @@
 	return b.String()
 }
 
-func (r *Rig) start(ctx context.Context, i int) error {
+func (r *Cluster) start(ctx context.Context, i int) error {
 	props := filepath.Join(r.dir, "own.properties")
 	path := filepath.Join(r.dir, fmt.Sprintf("m%d.toml", i))
 	if err := os.WriteFile(props, []byte(r.Properties), 0o600); err != nil {
@@ -122,7 +122,7 @@
 
 // KillLeader kills the member that leads, if one does, and starts it again, when that was not
 // done for some time; 0: never.
-func (r *Rig) KillLeader(ctx context.Context, every time.Duration) error {
+func (r *Cluster) KillLeader(ctx context.Context, every time.Duration) error {
 	if every <= 0 || time.Since(r.killed) < every {
 		return nil
 	}
@@ -138,7 +138,7 @@
 }
 
 // leader finds which member leads.
-func (r *Rig) leader() int {
+func (r *Cluster) leader() int {
 	member, _ := r.State.Holder()
 	var i int
 	if _, err := fmt.Sscanf(member, "m%d", &i); err != nil {
@@ -148,7 +148,7 @@
 }
 
 // PeakMB is the most memory that any member has had at once, in MiB, as the system counts it.
-func (r *Rig) PeakMB() (most float64) {
+func (r *Cluster) PeakMB() (most float64) {
 	for _, p := range r.processes {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 		if err != nil {
@@ -166,7 +166,7 @@
 
 // workers starts a worker for each machine that is rented, and ends it when its
 // machine is deleted.
-func (r *Rig) workers(ctx context.Context) {
+func (r *Cluster) workers(ctx context.Context) {
 	nodes, order := map[string]string{}, []string{}
 	for i, addr := range r.Users {
 		nodes[fmt.Sprint("m", i)] = addr
@@ -197,7 +197,7 @@
 }
 
 // Lose ends a machine without a word.
-func (r *Rig) Lose() {
+func (r *Cluster) Lose() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, end := range r.ended {
@@ -207,7 +207,7 @@
 }
 
 // Send repeats a request until a controller decides it, and gives its answer.
-func (r *Rig) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte) {
+func (r *Cluster) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte) {
 	for i := 0; ctx.Err() == nil; i++ {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Users[i%r.Members]+path, bytes.NewReader(body))
 		if err != nil {
@@ -226,7 +226,7 @@
 }
 
 // Any tells whether the state service has keys with a prefix, or cannot be asked.
-func (r *Rig) Any(prefix string) bool {
+func (r *Cluster) Any(prefix string) bool {
 	resp, err := http.Get("http://" + r.State.Addr() + wire.PathKV + "?starts=" + prefix + "&page=1")
 	if err != nil {
 		return true
