--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -14,7 +14,7 @@
 func TestStoredFormats(t *testing.T) {
 	golden.JSON(t, "term", golden.Fill(new(termRecord)))
 	golden.JSON(t, "holder", golden.Fill(new(holder)))
-	golden.Lines(t, "keys", keyHolder, keyTerm, prefixFence)
+	golden.Lines(t, "keys", keyHolder, keyTerm, prefixFencing)
 }
 
 // What a leader writes that wins a campaign and fences a silent member off.
@@ -23,12 +23,12 @@
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	elector := New(statestore.New(state.Addr(), 1e6, 1e6), alone, "m1", clock, slog.New(slog.DiscardHandler))
-	leave, _ := elector.mayLead(t.Context(), 0)
+	leave, _ := elector.eligible(t.Context(), 0)
 	tenure, ok := elector.campaign(t.Context(), 0, 0, leave)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
-	elector.setFence(t.Context(), tenure, "m2")
+	elector.takeFencing(t.Context(), tenure, "m2")
 	var lines []string
 	for _, txn := range state.Applied() {
 		for _, change := range txn.Then {
--- a/internal/cluster/peerrpc/formats_test.go
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -15,8 +15,8 @@
 		name string
 		verb Verb
 	}{
-		{"query", Query}, {"cancel", Cancel}, {"promise", Promise}, {"not-leading", NotLeading}, {"report", Report},
-		{"submit", Submit}, {"vouch", Vouch}, {"yield", Yield}, {"show", Show}, {"kept", Kept}, {"do", Do}, {"reach", Reach}, {"ping", Ping},
+		{"query", JobStatus}, {"cancel", CancelJob}, {"promise", RequestVote}, {"not-leading", NotLeading}, {"report", Heartbeat},
+		{"submit", SubmitJob}, {"vouch", ConfirmTermOver}, {"yield", EndLease}, {"show", SubsystemQuery}, {"kept", MayHaveRenewed}, {"do", SubsystemCommand}, {"reach", ProbeWorkers}, {"ping", Ping},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			request := Request{Verb: c.verb, Job: "job-17", Payload: []byte(`{"a":1}`), Number: 41, Names: []string{"n-1", "n-2"}}
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "record", golden.Fill(new(keepRecord)))
-	golden.JSON(t, "zone-right", golden.Fill(new(ZoneRight)))
-	golden.Lines(t, "keys", prefixKeep)
+	golden.JSON(t, "record", golden.Fill(new(renewedRecord)))
+	golden.JSON(t, "zone-right", golden.Fill(new(ZoneLeaseRecord)))
+	golden.Lines(t, "keys", prefixRenewed)
 }
 
 // A ping carries what its sender claims, and the answer what the receiver remembers of it.
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -18,7 +18,7 @@
 		{"accepted-job", golden.Fill(new(Record))},
 		{"progress", golden.Fill(new(chunkRecord))},
 		{"task-entry", golden.Fill(new(taskEntry))},
-		{"final-state", golden.Fill(new(End))},
+		{"final-state", golden.Fill(new(FinalState))},
 		{"moved-charges", golden.Fill(new(leftRecord))},
 	} {
 		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
@@ -27,7 +27,7 @@
 
 func TestStoredKeys(t *testing.T) {
 	golden.Lines(t, "keys",
-		PrefixJob, PrefixRun, PrefixEnd, PrefixLeft,
+		PrefixJob, PrefixProgress, PrefixEnd, PrefixDetached,
 		KeyJob("job-17"), KeyEnd("job-17"), keyRun("job-17", 3), keyRun("job-17", 12345),
 		keyLeft("job-17", &charge.Charge{Task: 4, Attempt: 5, Part: 6}),
 	)
