--- /dev/null
+++ b/internal/platform/tuning/calls.go
@@ -0,0 +1,51 @@
+package tuning
+
+import "time"
+
+// Calls to the state service, the cloud, workers and other controllers.
+const (
+	// StateTimeout ends a call to the state service: most take 10 ms, a few
+	// some hundred, and a user waits 2 to 5 s for the answer behind it.
+	StateTimeout = 1500 * time.Millisecond
+	// StateRetry is the first pause before a call is repeated; it doubles.
+	StateRetry = 100 * time.Millisecond
+	// StateRetryMax bounds that doubling.
+	StateRetryMax = 1 * time.Second
+	// CloudTimeout ends a call to the cloud. A rental may take long.
+	CloudTimeout = 5 * time.Second
+	// CloudRetry is the pause after a failed call to the cloud.
+	CloudRetry = 1 * time.Second
+	// CommandTimeout ends a direct command to a worker; the next report repeats it anyway.
+	CommandTimeout = 2 * time.Second
+	// RelayTimeout ends a request to the leader through the mesh: a user waits 2 s for a poll.
+	RelayTimeout = 800 * time.Millisecond
+	// MeshIdle closes a mesh connection that was silent for so long.
+	MeshIdle = 30 * time.Second
+	// MeshFrame is the largest mesh message in bytes: a relayed body of 64 KiB and what is around it.
+	MeshFrame = 72 << 10
+	// MaxShow bounds the answer to an operator's question, in bytes: it must fit that.
+	MaxShow = 64 << 10
+	// MaxResponse is the largest response body read from outside, in bytes:
+	// a watch has no limit of its own, a list page is 512 KiB.
+	MaxResponse = 4 << 20
+	// LeaderShare is the share of the state service's limits that the leader's
+	// loop may use in any case. All members, the leading one too, divide the rest
+	// for what users ask of them: a submission must not wait behind hundreds of
+	// starts. Each may use more while the service refuses nothing.
+	LeaderShare = 0.6
+	// PaceRecover is how long our own limit takes to grow from its share to the
+	// whole of the published limit: the refusals in between tell where the others are.
+	PaceRecover = 4 * time.Second
+	// PaceBurst times a second's share may be used at once.
+	PaceBurst = 2.0
+	// BusyPause is about how long a refused transaction waits before its next turn.
+	BusyPause = 60 * time.Millisecond
+	// CloudLeaderShare is the same for the cloud, of which followers only ask
+	// the machine types, once a minute.
+	CloudLeaderShare = 0.85
+	// LimitMargin keeps our own rate below the published limit, since its
+	// window and ours do not start together.
+	LimitMargin = 0.9
+	// TypesRefresh is how often the machine types (and spot prices) are read again.
+	TypesRefresh = 60 * time.Second
+)
--- /dev/null
+++ b/internal/platform/tuning/reachability.go
@@ -0,0 +1,30 @@
+package tuning
+
+import "time"
+
+// Whether machines hear the leader.
+const (
+	// UnreachablePause is how long a machine that did not hear us gets no work once it does again; it doubles each time up to
+	// UnreachablePauseMax, and counts anew after UnreachableForget: a way that flaps costs a lease each time.
+	UnreachablePause    = 5 * time.Second
+	UnreachablePauseMax = time.Minute
+	UnreachableForget   = 15 * time.Minute
+	// ProbePause is the first pause between questions to a machine that does not answer; it doubles up to ProbePauseMax, so
+	// that one that is back is found within that.
+	ProbePause    = 2 * time.Second
+	ProbePauseMax = 30 * time.Second
+	// ProbeShare is the share of the commands on their way that questions may take, at least ProbeLeast: commands of a pass
+	// must not wait behind questions to hundreds of dead machines, each of which takes CommandTimeout.
+	ProbeShare = 0.125
+	ProbeLeast = 4
+	// ProbeRate is how many questions are sent a second, as a share of the reports that the machines send in one, at least
+	// ProbeRateLeast: a question costs about as much as a report.
+	ProbeRate      = 0.5
+	ProbeRateLeast = 10.0
+	// UnheardMachines is how many machines must have left commands unanswered, and UnheardFor how long none of any may
+	// have been answered, for the leader to ask whether others reach them: then it is the leader's own way that is cut.
+	UnheardMachines = 4
+	UnheardFor      = 8 * time.Second
+	// StandAside is how long a leader that reaches no worker, though another member does, leaves the leadership to others.
+	StandAside = 60 * time.Second
+)
--- /dev/null
+++ b/internal/platform/tuning/workers.go
@@ -0,0 +1,50 @@
+package tuning
+
+import "time"
+
+// Workers, their tasks and what is concluded from them.
+const (
+	// LeaseMargin is added to a worker's lease before its tasks count as gone.
+	LeaseMargin = 100 * time.Millisecond
+	// AnswerLife is for how long after a report came its answer may still be executed: workers drop answers after 4 s, by
+	// a clock that may run slow.
+	AnswerLife = 4100 * time.Millisecond
+	// SilentReports is after how many report intervals without a report a
+	// machine gets no new task.
+	SilentReports = 2.5
+	// BadMachineJobs is how many jobs must fail on a machine before it is avoided.
+	BadMachineJobs = 2
+	// SlowFactor is by how much a machine runs everything slower that is to be found, SlowEvidence the logarithm of how
+	// much likelier that must be than that it is like the others, SlowPeers with how many tasks of the same job a run
+	// is compared at the least, and SlowRuns how many of a job's are remembered.
+	SlowFactor   = 3.0
+	SlowEvidence = 9.0
+	SlowPeers    = 5
+	SlowRuns     = 16
+	// SeenRuns is from how many completed tasks on a job's run times are taken from them, and SeenSpread how far its tasks
+	// lie from each other then, as the standard deviation of the logarithm.
+	SeenRuns   = 3
+	SeenSpread = 0.25
+	// ErrorPause is the first pause of a job whose task failed; it doubles.
+	ErrorPause = 2 * time.Second
+	// ErrorPauseMax bounds it.
+	ErrorPauseMax = 60 * time.Second
+	// BadJobMachines is on how many machines a job must fail so that it avoids none.
+	BadJobMachines = 3
+	// WorksAfter is how long a task must have run so that its job is not to blame
+	// for failures: tasks of a job with a mistake fail when they start.
+	WorksAfter = 5 * time.Second
+	// NoRoomPause is how long a machine that refused a task for room gets none.
+	NoRoomPause = 2 * time.Second
+	// ImagesKnown bounds what is remembered of a machine's images, in names: more
+	// than any cache holds.
+	ImagesKnown = 256
+	// ImagesEvery is how often it is stored which machines hold which images, if there is room for ImagesRoom
+	// changes to spare: what the next leader does not know is fetched once more, a second or two for a start.
+	ImagesEvery = 10 * time.Second
+	ImagesRoom  = 4
+	// AvoidFor is how long a job avoids a machine on which its task failed, and AvoidWait for how long one none of whose tasks is
+	// placed may wait beside such a machine: a place that may fail is better than none.
+	AvoidFor  = 300 * time.Second
+	AvoidWait = 60 * time.Second
+)
