--- a/internal/api/workerapi/kept.go
+++ b/internal/api/workerapi/kept.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"math"
 	"sync"
 	"time"
 
@@ -24,14 +25,15 @@
 //     all others cannot tell that from a zone that is cut off. A worker that was kept with one token and comes with a
 //     higher one was given it by a leader meanwhile: it is sent on. If it comes back it found nobody, and is kept.
 type kept struct {
-	lease time.Duration
-	show  Show // nil: nobody is asked
-	limit *rate.Limiter
-	onWay chan struct{}
+	lease    time.Duration
+	show     Show // nil: nobody is asked
+	mostAsks int  // how many questions the member's sockets allow at a time
+	limit    *rate.Limiter
 
-	mu   sync.Mutex
-	by   map[string]*keptWorker
-	next int // how many there must be before the old ones are looked for
+	mu    sync.Mutex
+	onWay int // questions that have no answer yet
+	by    map[string]*keptWorker
+	next  int // how many there must be before the old ones are looked for
 }
 
 // keptWorker is one of them.
@@ -45,13 +47,31 @@
 	failed       bool // it was asked since and did not say so
 }
 
-func newKept(lease time.Duration, show Show) *kept {
+// newKept makes the memory of a member that may have mostAsks questions on their way at a time.
+func newKept(lease time.Duration, mostAsks int, show Show) *kept {
 	return &kept{
-		lease: lease, show: show, by: map[string]*keptWorker{},
-		limit: rate.NewLimiter(tuning.RenewedQueryRate, tuning.RenewedQueries), onWay: make(chan struct{}, tuning.RenewedQueries),
+		lease: lease, show: show, mostAsks: max(tuning.RenewedQueriesLeast, mostAsks), by: map[string]*keptWorker{},
+		limit: rate.NewLimiter(tuning.RenewedQueryRateLeast, tuning.RenewedQueriesLeast),
 	}
 }
 
+// askPace gives how many questions a second, and how many at a time, are needed to ask every worker that is kept within
+// RenewedQueryShare of a lease. The lock is held.
+func (k *kept) askPace() (perSecond float64, atOnce int) {
+	within := max(1, tuning.RenewedQueryShare*k.lease.Seconds())
+	perSecond = max(tuning.RenewedQueryRateLeast, float64(len(k.by))/within)
+	atOnce = int(math.Ceil(perSecond * tuning.RenewedQueryAnswer.Seconds()))
+	return perSecond, min(max(tuning.RenewedQueriesLeast, atOnce), k.mostAsks)
+}
+
+// mayAsk tells whether one more question may be sent now. The lock is held.
+func (k *kept) mayAsk(now time.Time) bool {
+	perSecond, atOnce := k.askPace()
+	k.limit.SetLimitAt(now, rate.Limit(perSecond))
+	k.limit.SetBurstAt(now, atOnce)
+	return k.onWay < atOnce && k.limit.AllowN(now, 1)
+}
+
 // may tells whether a worker may be answered in the leader's stead now, as far as this member knows of it.
 func (k *kept) may(ctx context.Context, rep *wire.Heartbeat, now time.Time) bool {
 	k.mu.Lock()
@@ -92,22 +112,17 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if w.asking || !k.limit.AllowN(now, 1) {
-		return
-	}
-	select {
-	case k.onWay <- struct{}{}:
-	default:
+	if w.asking || !k.mayAsk(now) {
 		return
 	}
 	w.asking = true
+	k.onWay++
 	machine, addr := rep.Machine, rep.Address
 	ctx = context.WithoutCancel(ctx)
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 		defer cancel()
 		said, ok := k.show(ctx, addr)
-		<-k.onWay
 		k.told(machine, w, said, ok && said.Machine == machine, now)
 	}()
 }
@@ -118,6 +133,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w.asking = false
+	k.onWay--
 	if w.failed = !ok; !ok || k.by[machine] != w {
 		return
 	}
--- a/internal/api/workerapi/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fmt"
+	"runtime"
 	"testing"
 	"time"
 
@@ -20,7 +22,7 @@
 
 func newKeptWorld(t *testing.T) *keptWorld {
 	w := &keptWorld{t: t, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), says: map[string]*wire.Heartbeat{}, told: make(chan struct{}, 64)}
-	w.kept = newKept(10*time.Second, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
+	w.kept = newKept(10*time.Second, 0, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
 		defer func() { w.told <- struct{}{} }()
 		if rep := w.says[addr]; rep != nil {
 			rep.Seq++
@@ -138,10 +140,77 @@
 	}
 }
 
+func (k *kept) questionsOnWay() int {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.onWay
+}
+
+// Guards against a fixed rate of questions: at 40 a second 4,000 workers took 100 s, and a copy of a dead one's report
+// could count as the worker's own for all of its lease.
+func TestEveryKeptWorkerIsAskedWithinALease(t *testing.T) {
+	const reportsInALease, mostAsks = 5, 400
+	for _, c := range []struct {
+		name     string
+		machines int
+		lease    time.Duration
+	}{
+		{"400 machines", 400, 18 * time.Second},
+		{"4,000 machines", 4000, 42 * time.Second},
+		{"6,000 machines", 6000, 42 * time.Second},
+		{"6,000 machines with short leases", 6000, 18 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			k := newKept(c.lease, mostAsks, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
+				rep := worker(1<<32, 3)
+				rep.Machine = addr
+				return *rep, true
+			})
+			begun := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+			reports := reportsInALease * c.machines
+			for i := range reports {
+				rep := worker(1<<32+uint64(i/c.machines), 3)
+				rep.Machine = fmt.Sprintf("n-%06d", i%c.machines)
+				rep.Address = rep.Machine
+				k.may(t.Context(), rep, begun.Add(c.lease*time.Duration(i)/time.Duration(reports)))
+				for k.questionsOnWay() > 0 { // each answers before the next report
+					runtime.Gosched()
+				}
+			}
+			unasked := 0
+			for _, w := range k.by {
+				if w.proven.IsZero() {
+					unasked++
+				}
+			}
+			if len(k.by) != c.machines || unasked > 0 {
+				t.Errorf("%d of %d workers were not asked within a lease", unasked, len(k.by))
+			}
+		})
+	}
+}
+
+// Guards against questions that take the sockets which workers need.
+func TestQuestionsStayWithinTheMembersSockets(t *testing.T) {
+	const machines, mostAsks = 6000, 56
+	block := make(chan struct{})
+	defer close(block)
+	k := newKept(10*time.Second, mostAsks, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
+	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+	for i := range machines {
+		rep := worker(1, 3)
+		rep.Machine = fmt.Sprintf("n-%06d", i)
+		k.may(t.Context(), rep, now.Add(time.Duration(i)*time.Millisecond))
+	}
+	if n := k.questionsOnWay(); n != mostAsks {
+		t.Errorf("%d questions are on their way", n)
+	}
+}
+
 // What is asked is bounded: hundreds of workers come together in a cut.
 func TestKeptWorkersAreAskedAFewAtATime(t *testing.T) {
 	block := make(chan struct{})
-	k := newKept(10*time.Second, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
+	k := newKept(10*time.Second, 0, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for i := range 500 {
 		rep := worker(1, 3)
@@ -150,7 +219,7 @@
 			t.Fatal("not kept since there was no room to ask it")
 		}
 	}
-	if n := len(k.onWay); n > tuning.RenewedQueries {
+	if n := k.questionsOnWay(); n > tuning.RenewedQueriesLeast {
 		t.Errorf("%d are asked", n)
 	}
 	close(block)
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -50,11 +50,11 @@
 }
 
 // New makes the handler of a member. current gives the leader's loop while this
-// member has the right to act, nil otherwise; show asks a worker for its report.
-func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k Keeper, z ZoneKeeper, current func() *leader.Loop, show Show) *Handler {
+// member has the right to act, nil otherwise; show asks a worker for its report, at most mostAsks workers at a time.
+func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k Keeper, z ZoneKeeper, current func() *leader.Loop, mostAsks int, show Show) *Handler {
 	return &Handler{
 		member: member, clock: clock, elector: e, peers: p, keeper: k, zone: z, leader: current, redirects: newRedirects(), wanted: wanted{patience: patience(w)},
-		kept: newKept(time.Duration(w.LeaseS*float64(time.Second)), show),
+		kept: newKept(time.Duration(w.LeaseS*float64(time.Second)), mostAsks, show),
 	}
 }
 
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -68,7 +68,7 @@
 		return peers.New(s, clock, slog.New(slog.DiscardHandler))
 	}
 	p := those(4)
-	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, nil)
+	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
 	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.ReachMissed {
 		if p.LeaderUnreachable("m0") {
@@ -120,14 +120,14 @@
 		}
 		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
-		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), always{}, always{}, func() *leader.Loop { return nil }, nil)
+		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
 		rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 		a, ok, leads := d.help(t.Context(), nil, rep, "m0")
 		if ok != c.kept || leads == c.kept || ok && (a.FencingToken != 3 || len(a.Commands) != 0) {
 			t.Errorf("told %d: kept %v, with %+v; leads %v", c.status, ok, a, leads)
 		}
 	}
-	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, always{}, always{}, func() *leader.Loop { return nil }, nil)
+	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
 	if r := d.AnswerPeer(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
 		t.Errorf("a member that does not lead answers %d", r.Status)
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New("m1", config.Workers{}, clock, nil, nil, never{}, never{}, func() *leader.Loop { return nil }, nil)
+	d := New("m1", config.Workers{}, clock, nil, nil, never{}, never{}, func() *leader.Loop { return nil }, 0, nil)
 	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response { return d.AnswerPeer(ctx, r.Payload) }, slog.New(slog.DiscardHandler))
 	d.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
 	d.elector = election.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
--- a/internal/cluster/peerrpc/mesh_test.go
+++ b/internal/cluster/peerrpc/mesh_test.go
@@ -1,12 +1,14 @@
 package peerrpc
 
 import (
+	"bytes"
 	"context"
 	"encoding/binary"
 	"errors"
 	"io"
 	"log/slog"
 	"net"
+	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -120,3 +122,22 @@
 		t.Errorf("%d reports were sent, all but one to a silent peer", n)
 	}
 }
+
+// Guards against a question or an answer that the other side's frame limit refuses: what NameBytes allows for a name is
+// what it takes at the most.
+func TestAsManyNamesAsAQuestionHoldsFitAFrame(t *testing.T) {
+	for _, length := range []int{1, 2, 3, 4, 8, 20, 63, 200} {
+		var names []string
+		for size := length + tuning.NameBytes; size <= tuning.RenewedNamesBytes; size += length + tuning.NameBytes {
+			names = append(names, strings.Repeat("n", length))
+		}
+		for side, framed := range map[string][]byte{
+			"question": encodeRequest(1<<60, Request{Verb: MayHaveRenewed, Names: names}),
+			"answer":   encodeResponse(1<<60, Response{Status: 200, Names: names}),
+		} {
+			if _, err := readFrame(bytes.NewReader(framed)); err != nil {
+				t.Errorf("%s with %d names of %d bytes: %d bytes: %v", side, len(names), length, len(framed), err)
+			}
+		}
+	}
+}
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -1,7 +1,9 @@
 package peers
 
 import (
+	"fmt"
 	"log/slog"
+	"slices"
 	"testing"
 
 	"github.com/jonboulle/clockwork"
@@ -49,3 +51,42 @@
 		t.Errorf("%q is remembered of a stranger", got)
 	}
 }
+
+// Guards against a cut of a zone whose machines take more questions than there is time for: all of them together have
+// RelayTimeout, and 400 machines in each were 15 for 6,000.
+func TestAZonesMachinesTakeFewQuestions(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		machines, size int
+		most           int
+	}{
+		{"no machine", 0, 8, 0},
+		{"one machine", 1, 8, 1},
+		{"400 machines", 400, 8, 1},
+		{"4,000 machines", 4000, 8, 2},
+		{"6,000 machines", 6000, 8, 2},
+		{"6,000 machines with names of 20 bytes", 6000, 20, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var names, asked []string
+			for i := range c.machines {
+				names = append(names, fmt.Sprintf("n-%0*d", c.size-len("n-"), i))
+			}
+			count := 0
+			for part := range questions(names) {
+				size := 0
+				for _, name := range part {
+					size += len(name) + tuning.NameBytes
+				}
+				if size > tuning.RenewedNamesBytes {
+					t.Errorf("a question of %d bytes", size)
+				}
+				asked = append(asked, part...)
+				count++
+			}
+			if !slices.Equal(asked, names) || count > c.most {
+				t.Errorf("%d names in %d questions, want %d in at most %d", len(asked), count, len(names), c.most)
+			}
+		})
+	}
+}
--- a/internal/cluster/workerlease/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -29,10 +29,10 @@
 // hold no commands; they only keep the workers' leases. What makes that safe:
 //
 //   - A machine's name is in a record of the state service before its first
-//     answer, and stays there for a worker's lease and KeptAsking after the last
+//     answer, and stays there for a worker's lease and RenewedQueryTime after the last
 //     one, even if this process dies.
 //   - The leader concludes nothing from a lease before it has read these
-//     records after the lease's end, within KeptAsking of its beginning to. A machine
+//     records after the lease's end, within RenewedQueryTime of its beginning to. A machine
 //     that is in none of them was answered by no keeper for a whole lease before that beginning.
 //
 // Each process writes under a key of its own, so that a restart cannot take
@@ -51,6 +51,7 @@
 	names map[string]time.Time // the machines that were asked for, and when they were last
 	pages []*page
 	on    map[string]*page // the page that names a machine
+	turn  int              // the index of the page from which on renew looks for one to shorten
 }
 
 // page is one of the record's values: as many names as one holds. A name stays on its
@@ -237,7 +238,7 @@
 	return true
 }
 
-// renew keeps the record while there is something to keep, and takes out the
+// renew keeps the record while there is something to keep, and takes out
 // machines whose leases have surely run out since their last answer.
 func (k *FollowerLeases) renew(ctx context.Context) {
 	sent := k.clock.Now()
@@ -247,24 +248,46 @@
 		k.abandon()
 		return
 	}
+	k.removeExpired()
+	if slices.ContainsFunc(k.pages, func(p *page) bool { return p.changed }) && !k.write(ctx) {
+		return
+	}
+	if len(k.names) == 0 {
+		k.abandon()
+	}
+}
+
+// removeExpired takes the machines whose leases have surely run out off as many pages, in turn, as the member's share of
+// the changes has room for, and off one in any case: with thousands of machines a change of each page at each renewal
+// was more than that share. A name that stands longer only has the leader conclude later that the machine's tasks
+// are gone.
+func (k *FollowerLeases) removeExpired() {
 	over := claimValidFor(k.workerLease)
+	expired := map[*page][]string{} // nil: not on any page yet
 	for name, at := range k.names {
 		if k.clock.Since(at) > over {
-			k.remove(name)
+			p := k.on[name]
+			expired[p] = append(expired[p], name)
 		}
 	}
-	if slices.ContainsFunc(k.pages, func(p *page) bool { return p.changed }) && !k.write(ctx) {
-		return
+	remove := expired[nil]
+	room := max(1, k.store.Room())
+	for i, turn := 0, k.turn; i < len(k.pages) && room > 0; i++ {
+		at := (turn + i) % len(k.pages)
+		if names := expired[k.pages[at]]; len(names) > 0 {
+			remove = append(remove, names...)
+			room, k.turn = room-1, at+1
+		}
 	}
-	if len(k.names) == 0 {
-		k.abandon()
+	for _, name := range remove {
+		k.remove(name)
 	}
 }
 
 // runOut is how long after an answer a worker's lease has run out on every clock.
 func runOut(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
-// claimValidFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most KeptAsking
+// claimValidFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most RenewedQueryTime
 // before: each tells of the lease before that beginning. With a lease before each was asked, two that answered a machine one
 // after the other both denied it, and its tasks counted as gone while they ran.
 func claimValidFor(lease time.Duration) time.Duration { return runOut(lease) + tuning.RenewedQueryTime }
--- a/internal/cluster/workerlease/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -165,3 +165,33 @@
 		t.Error("room on the pages is not used again")
 	}
 }
+
+// Guards against a record of thousands of machines each of whose pages is written at each renewal, when workers return to
+// the leader one after the other: that was more than the member's share of the changes, and new machines waited behind.
+func TestExpiredMachinesLeaveTheRecordWithinTheShareOfChanges(t *testing.T) {
+	const machines, writeRPS, share = 6000, 50, 0.08
+	w := newKeeperWorld(t)
+	w.store = statestore.New(w.state.Addr(), 1e6, writeRPS).Share(share)
+	var batch []acquireRequest
+	for i := range machines {
+		batch = append(batch, acquireRequest{fmt.Sprintf("n-%06d", i), make(chan bool, 1)})
+	}
+	w.serve(t.Context(), batch)
+	pages := len(w.pages)
+	w.clock.Advance(w.workerLease)
+	w.renew(t.Context())
+	w.clock.Advance(tuning.RenewedQueryTime + time.Second)
+	for renewals := 1; len(w.names) > 0; renewals++ {
+		room, before := max(1, w.store.Room()), len(w.state.Applied())
+		w.renew(t.Context())
+		if changes := len(w.state.Applied()) - before; changes < 1 || changes > room {
+			t.Fatalf("renewal %d wrote %d of %d pages, where there was room for %d", renewals, changes, pages, room)
+		}
+		if renewals > pages {
+			t.Fatalf("%d machines are left after %d renewals", len(w.names), renewals)
+		}
+	}
+	if w.recorded("n-000000") || w.recorded("n-005999") {
+		t.Error("a machine whose lease ran out is recorded")
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Isolated() && c.peers.Isolated() })
-	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, c.show)
+	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, cap(c.env.Sending), c.show)
 	c.setCloudShare(false)
 	return c, nil
 }
--- a/internal/platform/tuning/fleet.go
+++ b/internal/platform/tuning/fleet.go
@@ -55,7 +55,8 @@
 	// MoveBudgetMax is how much of that can be saved up at the least: one move with a long
 	// fetch. With thousands of replicas it is what they grant between two looks.
 	MoveBudgetMax = 10 * time.Second
-	// ListEvery is how often the cloud's list is read.
+	// ListEvery is the pause between two readings of the cloud's list, or as long as the one before took if that is
+	// more: its pages (12 for 6,000 machines) then use at most half of the cloud's rate, and rentals the rest.
 	ListEvery = 5 * time.Second
 	// RefusedFor is how long a type, zone and kind is not asked again after "no capacity".
 	RefusedFor = 10 * time.Second
--- a/internal/platform/tuning/reachability.go
+++ b/internal/platform/tuning/reachability.go
@@ -14,9 +14,13 @@
 	ProbePause    = 2 * time.Second
 	ProbePauseMax = 30 * time.Second
 	// ProbeShare is the share of the commands on their way that questions may take, at least ProbeLeast: commands of a pass
-	// must not wait behind questions to hundreds of dead machines, each of which takes CommandTimeout.
-	ProbeShare = 0.125
-	ProbeLeast = 4
+	// must not wait behind questions to hundreds of dead machines, each of which takes CommandTimeout. It grows up to
+	// ProbeShareMost where that many are needed to ask all doubtful machines within ProbeWithinLease, as a share of a lease: at
+	// one round of questions each SubsystemTick an eighth of 400 commands took 60 s for 6,000 machines.
+	ProbeShare       = 0.125
+	ProbeShareMost   = 0.5
+	ProbeLeast       = 4
+	ProbeWithinLease = 0.5
 	// ProbeRate is how many questions are sent a second, as a share of the reports that the machines send in one, at least
 	// ProbeRateLeast: a question costs about as much as a report.
 	ProbeRate      = 0.5
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -25,10 +25,16 @@
 	ReportLate     = 1.25
 	WorkerSearch   = 15 * time.Second
 	WorkerPatience = 0.25
-	// RenewedQueries is how many workers that are kept are asked at a time whether they are there, and RenewedQueryRate how many a
-	// second: each costs about as much as a report.
-	RenewedQueries   = 32
-	RenewedQueryRate = 40.0
+	// RenewedQueryShare is the share of a worker's lease within which every worker that a follower keeps is asked whether it
+	// is there. The rate of these questions is the number of such workers over that time, RenewedQueryRateLeast a second at
+	// the least: a fixed 40 a second took 100 s for 4,000 workers, longer than their leases. Each costs about as much as
+	// a report, and there are several reports in half a lease.
+	RenewedQueryShare     = 0.5
+	RenewedQueryRateLeast = 40.0
+	// RenewedQueryAnswer is the time that a live worker takes to answer such a question at the most, so that the rate times it is
+	// how many are on their way at a time: RenewedQueriesLeast at the least, and no more than the member may send commands.
+	RenewedQueryAnswer  = 250 * time.Millisecond
+	RenewedQueriesLeast = 32
 	// LeaderRetryHint is after how long a worker kept without commands is sent to
 	// the leader once more; if it does not find it, it loses about 5 s of its lease.
 	LeaderRetryHint = 20 * time.Second
@@ -49,8 +55,11 @@
 	ZoneLeaseRenew = 5 * time.Second
 	// MaxTTL is the longest lease that the state service grants.
 	MaxTTL = 600 * time.Second
-	// RenewedNames is how many machines one question about them names: it must fit MeshFrame.
-	RenewedNames = 400
+	// RenewedNamesBytes is what the names of one question about machines may take of a MeshFrame, and NameBytes what a name
+	// takes beside its own length: its place in the vector, its length, its end and the alignment. All questions
+	// together have RelayTimeout: 400 names in each were 15 questions for 6,000 machines, one after the other.
+	RenewedNamesBytes = 64 << 10
+	NameBytes         = 12
 	// WorkerTry is how long a worker takes for a controller that does not answer:
 	// 4 s for the answer, 1 s until the next.
 	WorkerTry = 5 * time.Second
--- /dev/null
+++ b/internal/scheduler/leader/limits_test.go
@@ -0,0 +1,119 @@
+package leader
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
+)
+
+// sizeMost is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
+// half as many again come with a busy day.
+const sizeMost = 6000
+
+// machineName is the name of the i-th machine of a test, in the order of the cloud's list.
+func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
+
+// workersAnswer answers direct commands to any number of workers, whose addresses are their machines' names.
+type workersAnswer struct {
+	mu    sync.Mutex
+	asked map[string]int
+}
+
+func (a *workersAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
+	var req wire.DirectCommands
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
+		return nil, err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	name := r.URL.Host
+	a.asked[name]++
+	body, err := json.Marshal(&wire.Heartbeat{
+		Machine: name, Address: name, Type: "small", Zone: "a", Incarnation: 1, Seq: 100 + uint64(a.asked[name]), FencingToken: 1, Tasks: []wire.TaskStatus{},
+	})
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, err
+}
+
+// Guards against questions so few at a time that the last of many doubtful machines is asked after its lease: an eighth of
+// 400 commands each half a second were 100 machines a second at the most.
+func TestEveryDoubtfulMachineIsAskedWithinALease(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		machines        int
+		fdLimit         float64
+		leaseS, reportS float64
+	}{
+		{"400 machines", 400, 700, 18, 3},
+		{"4,000 machines", 4000, 5000, 42, 10},
+		{"6,000 machines", sizeMost, 5000, 42, 10},
+		{"6,000 machines with short leases", sizeMost, 5000, 18, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, clock := leaderWith(t)
+			workers := &workersAnswer{asked: map[string]int{}}
+			l.env.Workers = &http.Client{Transport: workers}
+			l.env.Sending = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
+			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.ReportS = c.leaseS, c.reportS
+			l.env.Valid = func(uint64) bool { return true }
+			clear(l.machines.Machines)
+			for i := range c.machines {
+				rep := wire.Heartbeat{Machine: machineName(i), Address: machineName(i), Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
+				if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+					t.Fatal(err)
+				}
+				l.machines.Machines[machineName(i)].SuspectCopy = true
+			}
+			for begun := clock.Now(); clock.Since(begun) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
+				if l.asks(); l.probing.onWay > 0 {
+					t.Fatal("the leader ended")
+				}
+			}
+			if len(workers.asked) != c.machines {
+				t.Errorf("%d of %d machines were asked within a lease", len(workers.asked), c.machines)
+			}
+		})
+	}
+}
+
+// Guards against questions that leave no room for the commands of a pass.
+func TestQuestionsLeaveRoomForCommands(t *testing.T) {
+	l, _ := leaderWith(t)
+	for _, c := range []struct {
+		name           string
+		sending        int
+		doubtful, most int
+	}{
+		{"few machines", 400, 10, 50},
+		{"as many as an eighth serves", 400, 500, 50},
+		{"more machines", 400, 1500, 150},
+		{"half of the commands at the most", 400, sizeMost, 200},
+		{"few sockets", 16, sizeMost, 8},
+	} {
+		l.env.Sending = make(chan struct{}, c.sending)
+		if got := l.probesAtOnce(c.doubtful); got != c.most {
+			t.Errorf("%s: %d questions at a time, want %d", c.name, got, c.most)
+		}
+	}
+}
+
+// Guards against a large list whose pages take all of the cloud's rate: the pause after it is as long as it took.
+func TestTheListLeavesHalfOfTheCloudsRate(t *testing.T) {
+	for _, c := range []struct{ took, pause time.Duration }{
+		{0, tuning.ListEvery},
+		{tuning.ListEvery / 2, tuning.ListEvery},
+		{2 * tuning.ListEvery, 2 * tuning.ListEvery},
+	} {
+		if got := listPause(c.took); got != c.pause {
+			t.Errorf("a pause of %v after a list that took %v, want %v", got, c.took, c.pause)
+		}
+	}
+}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -162,11 +162,12 @@
 
 // list compares the cloud's list with the machines known.
 func (l *Loop) list() {
+	begun := l.env.Clock.Now()
 	listed, err := l.env.Cloud.List(l.ended)
 	l.post(func() {
 		now := l.env.Clock.Now()
 		l.fleet.listing = false
-		l.fleet.nextList = now.Add(tuning.ListEvery)
+		l.fleet.nextList = now.Add(listPause(now.Sub(begun)))
 		if err != nil {
 			l.log.Debug("machine list unreadable", "err", err)
 			return
@@ -178,6 +179,9 @@
 	})
 }
 
+// listPause is the pause after a reading of the cloud's list that took a time.
+func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
+
 // compareGone takes in which machines the list proves to be gone, with all that was on them: a quarter of
 // those that the cloud takes back go without a word, and their tasks waited for their leases.
 func (l *Loop) compareGone(page cloud.ListPage) {
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"errors"
+	"math"
 	"slices"
 	"time"
 
@@ -25,6 +26,7 @@
 	next    time.Time
 	limit   *rate.Limiter // questions
 	onWay   int
+	most    int             // machines that were to be asked at a time, at the most since there were none
 	unmet   map[string]bool // machines that left a command unanswered since any was answered
 	met     time.Time       // when any was answered last; zero: none yet
 	probing bool            // the other members are being asked
@@ -91,7 +93,6 @@
 		return
 	}
 	l.probing.next = now.Add(tuning.SubsystemTick)
-	most := max(tuning.ProbeLeast, int(tuning.ProbeShare*float64(cap(l.env.Sending))))
 	perS := max(tuning.ProbeRateLeast, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
 	l.probing.limit.SetLimitAt(now, rate.Limit(perS))
 	l.probing.limit.SetBurstAt(now, max(tuning.ProbeLeast, int(perS*tuning.SubsystemTick.Seconds())+1))
@@ -114,6 +115,11 @@
 	}
 	l.env.observe(func(o Observer) { o.Reachability(deaf, unproven) })
 	slices.SortFunc(doubts, func(a, b doubt) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.m.Name, b.m.Name)) })
+	// Not by those that are left: the last of them would be asked ever more slowly.
+	if l.probing.most = max(l.probing.most, len(doubts)); len(doubts) == 0 {
+		l.probing.most = 0
+	}
+	most := l.probesAtOnce(l.probing.most)
 	for _, d := range doubts {
 		if l.probing.onWay >= most || !l.probing.limit.AllowN(now, 1) {
 			break
@@ -123,6 +129,15 @@
 	l.stepAside(now)
 }
 
+// probesAtOnce gives how many questions may be on their way when so many machines are to be asked: enough to ask them
+// all within ProbeWithinLease of a lease, at one round each SubsystemTick, but no more than ProbeShareMost of the commands.
+func (l *Loop) probesAtOnce(doubtful int) int {
+	commands := float64(cap(l.env.Sending))
+	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
+	needed := int(math.Ceil(float64(doubtful) / rounds))
+	return max(tuning.ProbeLeast, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
+}
+
 // probe asks a machine for its report.
 func (l *Loop) probe(m *machines.Machine, now time.Time) {
 	addr, req, mark, ok := l.machines.Probe(m, now)
