--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -156,7 +156,7 @@
 	// sent on took 30 s to come back, and its lease of 18 s was over.
 	// If the state service does not answer us either, it is we who are cut off, and our
 	// zone's workers with us.
-	if (!cut || d.peers.MayProbe() && !d.zone.Isolated()) && d.redirects.probe(rep.Machine, d.clock.Now()) {
+	if (!cut || d.peers.MayTryLeader() && !d.zone.Isolated()) && d.redirects.probe(rep.Machine, d.clock.Now()) {
 		return a, false, true
 	}
 	a, ok = d.keep(ctx, rep)
--- a/internal/cluster/peerrpc/mesh.go
+++ b/internal/cluster/peerrpc/mesh.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n == 0 || n > tuning.MeshFrame {
+	if n == 0 || n > tuning.PeerFrameBytes {
 		return nil, errFrame
 	}
 	buf := make([]byte, n)
@@ -211,7 +211,7 @@
 	var writing sync.Mutex
 	in := bufio.NewReader(conn)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(tuning.MeshIdle))
+		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
 		buf, err := readFrame(in)
 		if err != nil {
 			return
--- a/internal/cluster/peerrpc/mesh_test.go
+++ b/internal/cluster/peerrpc/mesh_test.go
@@ -55,7 +55,7 @@
 	addr := listen(t, func(context.Context, Request) Response { return Response{Status: 200} })
 	bad := [][]byte{
 		binary.BigEndian.AppendUint32(nil, 0),
-		binary.BigEndian.AppendUint32(nil, tuning.MeshFrame+1),
+		binary.BigEndian.AppendUint32(nil, tuning.PeerFrameBytes+1),
 		append(binary.BigEndian.AppendUint32(nil, 8), 0xff, 0xff, 0xff, 0xff, 1, 2, 3, 4),
 		append(binary.BigEndian.AppendUint32(nil, 2), 1, 2),
 	}
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -72,8 +72,8 @@
 // ShareZoneLease has the others remember a right. It must be called before Run.
 func (p *Peers) ShareZoneLease(r ZoneLease) { p.zoneLease = r }
 
-// Pinged takes in what a member claims, nil if nothing, and gives what is remembered of it.
-func (p *Peers) Pinged(name string, claim []byte) []byte {
+// ExchangeClaim takes in what a member claims, nil if nothing, and gives what is remembered of it.
+func (p *Peers) ExchangeClaim(name string, claim []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(claim) > 0 && p.Known(name) {
@@ -340,8 +340,8 @@
 	return time.Duration(p.members) * tuning.WorkerTry
 }
 
-// MayProbe tells whether a worker whose leader does not answer us may be sent
+// MayTryLeader tells whether a worker whose leader does not answer us may be sent
 // to it: only if it would be back well within its lease.
-func (p *Peers) MayProbe() bool {
+func (p *Peers) MayTryLeader() bool {
 	return p.wayBack() < time.Duration(float64(p.lease)*tuning.ProbeLeaseShare)
 }
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -37,17 +37,17 @@
 // Guards against a claim that is gone with the process that made it, and against memory that strangers fill.
 func TestAClaimOutlivesItsProcess(t *testing.T) {
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clockwork.NewFakeClock(), slog.New(slog.DiscardHandler))
-	if got := p.Pinged("m1", nil); got != nil {
+	if got := p.ExchangeClaim("m1", nil); got != nil {
 		t.Errorf("%q is remembered of one that claimed nothing", got)
 	}
-	p.Pinged("m1", []byte("until five"))
-	if got := p.Pinged("m1", nil); string(got) != "until five" {
+	p.ExchangeClaim("m1", []byte("until five"))
+	if got := p.ExchangeClaim("m1", nil); string(got) != "until five" {
 		t.Errorf("%q is remembered for the next life", got)
 	}
-	if got := p.Pinged("m1", []byte("until six")); string(got) != "until six" {
+	if got := p.ExchangeClaim("m1", []byte("until six")); string(got) != "until six" {
 		t.Errorf("%q is remembered, not what was said last", got)
 	}
-	if got := p.Pinged("stranger", []byte("x")); got != nil || len(p.claims) != 1 {
+	if got := p.ExchangeClaim("stranger", []byte("x")); got != nil || len(p.claims) != 1 {
 		t.Errorf("%q is remembered of a stranger", got)
 	}
 }
--- a/internal/cluster/workerlease/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -74,8 +74,8 @@
 	ZoneLeaseRecord
 }
 
-// New makes the keeper of a member.
-func New(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
+// NewFollowerLeases makes the keeper of a member.
+func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
 		store: store, clock: clock, log: log, member: s.Member, valueKB: s.Cluster.State.ValueKB,
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.Inbox),
--- a/internal/cluster/workerlease/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -26,7 +26,7 @@
 	clock := clockwork.NewFakeClock()
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
-	k := New(&config.Settings{
+	k := NewFollowerLeases(&config.Settings{
 		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
 	}, statestore.New(state.Addr(), 1e6, 1e6), clock, slog.New(slog.DiscardHandler))
 	return &keeperWorld{t, clock, state, k}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -77,7 +77,7 @@
 	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
-	c.keeper = workerlease.New(s, c.store, clock, log)
+	c.keeper = workerlease.NewFollowerLeases(s, c.store, clock, log)
 	c.zone = workerlease.NewZoneLease(s, c.store, clock, log)
 	c.peers.ShareZoneLease(c.zone)
 	teams := map[string]config.Team{}
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -96,7 +96,7 @@
 	if c.env.MemoryFull() {
 		status = http.StatusInsufficientStorage
 	}
-	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.Pinged(req.Job, req.Payload)}
+	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.ExchangeClaim(req.Job, req.Payload)}
 }
 
 func yesOrNo(yes bool) peerrpc.Response {
--- a/internal/platform/tuning/calls.go
+++ b/internal/platform/tuning/calls.go
@@ -19,10 +19,10 @@
 	CommandTimeout = 2 * time.Second
 	// RelayTimeout ends a request to the leader through the mesh: a user waits 2 s for a poll.
 	RelayTimeout = 800 * time.Millisecond
-	// MeshIdle closes a mesh connection that was silent for so long.
-	MeshIdle = 30 * time.Second
-	// MeshFrame is the largest mesh message in bytes: a relayed body of 64 KiB and what is around it.
-	MeshFrame = 72 << 10
+	// PeerIdle closes a mesh connection that was silent for so long.
+	PeerIdle = 30 * time.Second
+	// PeerFrameBytes is the largest mesh message in bytes: a relayed body of 64 KiB and what is around it.
+	PeerFrameBytes = 72 << 10
 	// MaxShow bounds the answer to an operator's question, in bytes: it must fit that.
 	MaxShow = 64 << 10
 	// MaxResponse is the largest response body read from outside, in bytes:
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -55,7 +55,7 @@
 	ZoneLeaseRenew = 5 * time.Second
 	// MaxTTL is the longest lease that the state service grants.
 	MaxTTL = 600 * time.Second
-	// RenewedNamesBytes is what the names of one question about machines may take of a MeshFrame, and NameBytes what a name
+	// RenewedNamesBytes is what the names of one question about machines may take of a frame (PeerFrameBytes), and NameBytes what a name
 	// takes beside its own length: its place in the vector, its length, its end and the alignment. All questions
 	// together have RelayTimeout: 400 names in each were 15 questions for 6,000 machines, one after the other.
 	RenewedNamesBytes = 64 << 10
