--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -43,7 +43,7 @@
 func New(env *leader.Env, p *peers.Peers, current func() *leader.Loop, alone func() bool) *Handler {
 	d := &Handler{
 		settings: env.Settings, clock: env.Clock, log: env.Log, store: env.Store, peers: p,
-		teams: env.Teams, finals: env.Finals, types: env.Types, leader: current, full: env.MemoryFull, accounts: env.Accounts, alone: alone,
+		teams: env.Teams, finals: env.FinalStates, types: env.Types, leader: current, full: env.MemoryFull, accounts: env.Accounts, alone: alone,
 	}
 	d.polls = newPoller(d)
 	return d
--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -36,7 +36,7 @@
 	p.SetElector(election.New(store, p, s.Member, clock, log))
 	types := []wire.MachineType{{Name: "g8", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}
 	return New(&leader.Env{
-		Settings: s, Clock: clock, Log: log, Store: store, Finals: jobs.NewFinalStates(8),
+		Settings: s, Clock: clock, Log: log, Store: store, FinalStates: jobs.NewFinalStates(8),
 		Teams: map[string]config.Team{"t": {Name: "t", CPUsMax: 100}},
 		Types: func() []wire.MachineType { return types },
 	}, p, func() *leader.Loop { return nil }, func() bool { return false }), clock
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -115,7 +115,7 @@
 	if l == nil {
 		return wire.HeartbeatReply{}, false
 	}
-	term := l.Tenure().Term
+	term := l.Leadership().Term
 	commands, err := l.Heartbeat(ctx, rep)
 	// The right to act is checked again now that the answer is ready.
 	if err != nil || !d.elector.Valid(term) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,8 +87,8 @@
 	fds := s.Cluster.Limits.FDLimit
 	c.env = &leader.Env{
 		Settings: s, Tunables: own.Tunables(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
-		Workers: httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
-		Sending: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, Finals: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
+		Workers:      httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
+		CommandSlots: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, FinalStates: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
 		Valid: c.elector.Valid, MayHaveRenewed: c.kept, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
 		MemoryFull: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
 	}
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Isolated() && c.peers.Isolated() })
-	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, cap(c.env.Sending), c.show)
+	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, cap(c.env.CommandSlots), c.show)
 	c.setCloudShare(false)
 	return c, nil
 }
@@ -263,7 +263,7 @@
 
 // leader gives the leader's loop when this member has the right to act now.
 func (c *Controller) leader() *leader.Loop {
-	if l := c.leading.Load(); l != nil && c.elector.Valid(l.Tenure().Term) {
+	if l := c.leading.Load(); l != nil && c.elector.Valid(l.Leadership().Term) {
 		return l
 	}
 	return nil
@@ -272,7 +272,7 @@
 // guard is the condition under which this member leads.
 func (c *Controller) guard() (wire.Condition, bool) {
 	if l := c.leader(); l != nil {
-		return l.Tenure().Guard, true
+		return l.Leadership().Guard, true
 	}
 	return wire.Condition{}, false
 }
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -84,8 +84,8 @@
 	then atomic.Pointer[func()]
 }
 
-func (p *pausing) HeartbeatTaken(took time.Duration) {
-	p.Metrics.HeartbeatTaken(took)
+func (p *pausing) HeartbeatHandled(took time.Duration) {
+	p.Metrics.HeartbeatHandled(took)
 	if fn := p.then.Load(); fn != nil {
 		(*fn)()
 	}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -105,38 +105,40 @@
 }
 
 // TookOver takes in how long it took to load the records.
-func (m *Metrics) TookOver(took time.Duration) { m.takeOver.Observe(took.Seconds()) }
+func (m *Metrics) FailoverDone(took time.Duration) { m.takeOver.Observe(took.Seconds()) }
 
 // Passed takes in a pass.
-func (m *Metrics) Passed(took time.Duration) { m.pass.Observe(took.Seconds()) }
+func (m *Metrics) CycleDone(took time.Duration) { m.pass.Observe(took.Seconds()) }
 
 // HeartbeatTaken takes in how long a report waited.
-func (m *Metrics) HeartbeatTaken(took time.Duration) { m.report.Observe(took.Seconds()) }
+func (m *Metrics) HeartbeatHandled(took time.Duration) { m.report.Observe(took.Seconds()) }
 
 // Started takes in that an attempt was placed.
-func (m *Metrics) Started(class string) { m.started.WithLabelValues(class).Inc() }
+func (m *Metrics) TaskStarted(class string) { m.started.WithLabelValues(class).Inc() }
 
 // Ended takes in that an attempt is over.
-func (m *Metrics) Ended(class, how string) { m.ended.WithLabelValues(class, how).Inc() }
+func (m *Metrics) AttemptEnded(class, how string) { m.ended.WithLabelValues(class, how).Inc() }
 
 // Wrote takes in that changes were written.
-func (m *Metrics) Wrote(changes int) { m.written.Add(float64(changes)) }
+func (m *Metrics) RecordsWritten(changes int) { m.written.Add(float64(changes)) }
 
 // Arrived takes in a job that came.
-func (m *Metrics) Arrived(class, team, size string) { m.came.WithLabelValues(class, team, size).Inc() }
+func (m *Metrics) JobArrived(class, team, size string) {
+	m.came.WithLabelValues(class, team, size).Inc()
+}
 
 // Began takes in a job whose first task runs.
-func (m *Metrics) Began(class, team, size string, waited time.Duration) {
+func (m *Metrics) JobBegan(class, team, size string, waited time.Duration) {
 	m.begun.WithLabelValues(class, team, size).Inc()
 	m.begin.WithLabelValues(class, size).Observe(waited.Seconds())
 }
 
 // Found takes in stored jobs that the leader did not know.
-func (m *Metrics) Found(jobs int) { m.found.Add(float64(jobs)) }
+func (m *Metrics) MissingJobsFound(jobs int) { m.found.Add(float64(jobs)) }
 
 // Holds takes in what the leader holds: jobs, machines, and by class the waiting tasks and the seconds for which the
 // oldest job waits to begin.
-func (m *Metrics) Holds(jobs, machines int, waiting map[string]int, oldest map[string]float64) {
+func (m *Metrics) StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64) {
 	m.oldest.Reset()
 	for class, s := range oldest {
 		m.oldest.WithLabelValues(class).Set(s)
@@ -150,7 +152,7 @@
 }
 
 // SetAside takes in that a report was set aside.
-func (m *Metrics) SetAside(why string) { m.aside.WithLabelValues(why).Inc() }
+func (m *Metrics) HeartbeatRejected(why string) { m.aside.WithLabelValues(why).Inc() }
 
 // Reachability takes in how many machines report but do not hear the leader, and how many have not proved yet that they do.
 func (m *Metrics) Reachability(deaf, unproven int) {
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -37,7 +37,7 @@
 		Settings: settings, Tunables: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
-		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, Finals: jobs.NewFinalStates(8),
+		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, FinalStates: jobs.NewFinalStates(8),
 		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
 	}, election.Leadership{Term: 1})
 	l.ended = t.Context()
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -27,12 +27,12 @@
 	Clock    clockwork.Clock
 	Log      *slog.Logger
 
-	Store   *statestore.Client
-	Cloud   *cloud.Client
-	Workers *http.Client  // for direct commands
-	Sending chan struct{} // holds one for each of them on its way, as many as sockets allow; nil: any number
-	Teams   map[string]config.Team
-	Finals  *jobs.FinalStates
+	Store        *statestore.Client
+	Cloud        *cloud.Client
+	Workers      *http.Client  // for direct commands
+	CommandSlots chan struct{} // holds one for each of them on its way, as many as sockets allow; nil: any number
+	Teams        map[string]config.Team
+	FinalStates  *jobs.FinalStates
 
 	// Observer hears what the loop does; nil: nobody does.
 	Observer Observer
@@ -56,18 +56,18 @@
 
 // Observer hears what a leader's loop does, for metrics. Its methods must not wait.
 type Observer interface {
-	TookOver(took time.Duration)
-	Passed(took time.Duration)
-	HeartbeatTaken(took time.Duration)
-	Started(class string)
-	Ended(class, how string)
-	Wrote(changes int)
+	FailoverDone(took time.Duration)
+	CycleDone(took time.Duration)
+	HeartbeatHandled(took time.Duration)
+	TaskStarted(class string)
+	AttemptEnded(class, how string)
+	RecordsWritten(changes int)
 	// Holds: waiting tasks, and seconds for which the oldest job waits to begin, by class.
-	Holds(jobs, machines int, waiting map[string]int, oldest map[string]float64)
-	Arrived(class, team, size string)
-	Began(class, team, size string, waited time.Duration) // a job's first task runs
-	Found(jobs int)                                       // stored jobs that the leader did not know
-	SetAside(why string)                                  // a report was set aside
+	StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64)
+	JobArrived(class, team, size string)
+	JobBegan(class, team, size string, waited time.Duration) // a job's first task runs
+	MissingJobsFound(jobs int)                               // stored jobs that the leader did not know
+	HeartbeatRejected(why string)                            // a report was set aside
 	Reachability(deaf, unproven int)
 }
 
--- a/internal/scheduler/leader/limits_test.go
+++ b/internal/scheduler/leader/limits_test.go
@@ -61,7 +61,7 @@
 			l, clock := leaderWith(t)
 			workers := &workersAnswer{asked: map[string]int{}}
 			l.env.Workers = &http.Client{Transport: workers}
-			l.env.Sending = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
+			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
 			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.ReportS = c.leaseS, c.reportS
 			l.env.Valid = func(uint64) bool { return true }
 			clear(l.machines.Machines)
@@ -98,7 +98,7 @@
 		{"half of the commands at the most", 400, sizeMost, 200},
 		{"few sockets", 16, sizeMost, 8},
 	} {
-		l.env.Sending = make(chan struct{}, c.sending)
+		l.env.CommandSlots = make(chan struct{}, c.sending)
 		if got := l.probesAtOnce(c.doubtful); got != c.most {
 			t.Errorf("%s: %d questions at a time, want %d", c.name, got, c.most)
 		}
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -93,8 +93,8 @@
 	return l
 }
 
-// Tenure is the leadership that the loop serves.
-func (l *Loop) Tenure() election.Leadership { return l.tenure }
+// Leadership is the leadership that the loop serves.
+func (l *Loop) Leadership() election.Leadership { return l.tenure }
 
 // Start makes the loop ready to be asked, until ctx ends; Run does the work.
 func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
@@ -194,7 +194,7 @@
 	if l.env.Valid(l.tenure.Term) {
 		if l.changed && !now.Before(l.rested) || !now.Before(l.nextPass) {
 			l.schedule(now)
-			l.env.observe(func(o Observer) { o.Passed(l.env.Clock.Since(now)) })
+			l.env.observe(func(o Observer) { o.CycleDone(l.env.Clock.Since(now)) })
 			l.rested = l.rest(now, tuning.RestLeast)
 		}
 		if !now.Before(l.fleet.next) && !now.Before(l.fleet.rested) {
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -44,7 +44,7 @@
 		for _, s := range l.subsystems {
 			s.Placed(p, m.Spot, l.env.typeOf(m.Type), now)
 		}
-		l.env.observe(func(o Observer) { o.Started(j.Class) })
+		l.env.observe(func(o Observer) { o.TaskStarted(j.Class) })
 		l.log.Debug("placed", "task", p.Task().String(), "attempt", p.Attempt, "class", j.Class, "machine", m.Name,
 			"type", m.Type, "spot", m.Spot, "waited_s", now.Sub(j.WaitingSince).Seconds())
 	}
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -37,7 +37,7 @@
 	var lacked []wire.Item
 	for _, item := range items {
 		id := item.Key[len(jobs.PrefixJob):]
-		if _, over := l.env.Finals.Get(id); !over && l.jobs.Jobs[id] == nil {
+		if _, over := l.env.FinalStates.Get(id); !over && l.jobs.Jobs[id] == nil {
 			lacked = append(lacked, item)
 		}
 	}
@@ -57,6 +57,6 @@
 	if found+unreadable == 0 {
 		return
 	}
-	l.env.observe(func(o Observer) { o.Found(found) })
+	l.env.observe(func(o Observer) { o.MissingJobsFound(found) })
 	l.log.Error("stored jobs were missing here", "found", found, "unreadable", unreadable)
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -25,7 +25,7 @@
 	l.watched = 3
 	counted := &countsFound{}
 	l.env.Observer = counted
-	l.env.Finals.Add(wire.JobStatus{ID: "job-3", State: wire.StateDone}) // it ended after it was read
+	l.env.FinalStates.Add(wire.JobStatus{ID: "job-3", State: wire.StateDone}) // it ended after it was read
 	l.changed = false
 	l.compareJobs([]wire.Item{item("job-1"), item("job-2"), item("job-3"), {Key: jobs.KeyJob("job-4"), Value: []byte("{")}})
 	if l.jobs.Jobs["job-2"] == nil || l.jobs.Jobs["job-3"] != nil || l.jobs.Jobs["job-1"] != known || !l.changed {
@@ -62,9 +62,9 @@
 	found int
 }
 
-func (c *countsFound) Found(n int) { c.found += n }
+func (c *countsFound) MissingJobsFound(n int) { c.found += n }
 
-func (c *countsFound) Arrived(string, string, string) {}
+func (c *countsFound) JobArrived(string, string, string) {}
 
 // Operators see who is served: the largest tenth of a class beside the others, and for how long the oldest waits to begin.
 func TestTheLargestOfAClassAreTold(t *testing.T) {
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -81,7 +81,7 @@
 	now := l.env.Clock.Now()
 	for _, item := range items {
 		id := item.Key[len(jobs.PrefixJob):]
-		if _, over := l.env.Finals.Get(id); over && l.loaded {
+		if _, over := l.env.FinalStates.Get(id); over && l.loaded {
 			continue // a late event of a job that is over by now
 		}
 		known := l.jobs.Jobs[id] != nil
@@ -92,7 +92,7 @@
 		}
 		if !known {
 			if p := l.levels.came(j); l.loaded {
-				l.env.observe(func(o Observer) { o.Arrived(j.Class, j.Team, p.sizeName()) })
+				l.env.observe(func(o Observer) { o.JobArrived(j.Class, j.Team, p.sizeName()) })
 			}
 			l.fleet.next = now // rent at once if it finds no room
 			if l.arrived++; !l.rush(now) || l.arrived%tuning.RushShare == 0 {
@@ -150,7 +150,7 @@
 		s.Loaded(l.jobs, now)
 	}
 	l.readSubsystems()
-	l.env.observe(func(o Observer) { o.TookOver(now.Sub(l.begun)) })
+	l.env.observe(func(o Observer) { o.FailoverDone(now.Sub(l.begun)) })
 	l.log.Info("records loaded", "jobs", len(l.jobs.Jobs), "machines", len(l.machines.Machines),
 		"took_ms", now.Sub(l.begun).Milliseconds())
 }
@@ -256,13 +256,13 @@
 
 func (l *Loop) written(batch *jobs.Batch, revision uint64, begun time.Time) {
 	l.writing = false
-	l.env.observe(func(o Observer) { o.Wrote(len(batch.Txn.Then)) })
+	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
 	l.log.Debug("written", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
 		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(begun).Milliseconds())
 	start, over := l.jobs.Written(batch, revision)
 	for _, o := range over {
 		l.levels.over(o.Job.ID)
-		l.env.Finals.Add(wire.JobStatus{ID: o.Job.ID, State: o.State, Done: o.Job.Done})
+		l.env.FinalStates.Add(wire.JobStatus{ID: o.Job.ID, State: o.State, Done: o.Job.Done})
 		for _, s := range l.subsystems {
 			s.Finished(o, l.env.Clock.Now())
 		}
--- a/internal/scheduler/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -146,7 +146,7 @@
 		}
 		l.post(func() {
 			l.subsystemWriting = false
-			l.env.observe(func(o Observer) { o.Wrote(len(w.Txn.Then)) })
+			l.env.observe(func(o Observer) { o.RecordsWritten(len(w.Txn.Then)) })
 			w.Done(revision)
 		})
 	}()
@@ -265,5 +265,5 @@
 			waiting[j.Class] += j.Waiting()
 		}
 	}
-	o.Holds(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldest(l.env.Clock.Now()))
+	o.StateSize(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldest(l.env.Clock.Now()))
 }
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -39,10 +39,10 @@
 	begun := l.env.Clock.Now()
 	ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
 	defer cancel()
-	if l.env.Sending != nil {
+	if l.env.CommandSlots != nil {
 		select {
-		case l.env.Sending <- struct{}{}:
-			defer func() { <-l.env.Sending }()
+		case l.env.CommandSlots <- struct{}{}:
+			defer func() { <-l.env.CommandSlots }()
 		case <-ctx.Done():
 		}
 	}
@@ -106,7 +106,7 @@
 		err      error
 	}
 	begun := l.env.Clock.Now()
-	defer func() { l.env.observe(func(o Observer) { o.HeartbeatTaken(l.env.Clock.Since(begun)) }) }()
+	defer func() { l.env.observe(func(o Observer) { o.HeartbeatHandled(l.env.Clock.Since(begun)) }) }()
 	r, err := ask(ctx, l, func(answer func(result)) {
 		commands, err := l.take(rep, false)
 		answer(result{commands, err})
@@ -143,7 +143,7 @@
 	for _, p := range a.Began {
 		l.jobs.MarkBegan(p, now)
 		if first := l.levels.began(p.Job); first != nil {
-			l.env.observe(func(o Observer) { o.Began(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
+			l.env.observe(func(o Observer) { o.JobBegan(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
 		}
 	}
 	l.settle(a.Outcomes, now)
@@ -177,7 +177,7 @@
 		for _, s := range l.subsystems {
 			s.Ended(o, now)
 		}
-		l.env.observe(func(b Observer) { b.Ended(p.Job.Class, o.How()) })
+		l.env.observe(func(b Observer) { b.AttemptEnded(p.Job.Class, o.How()) })
 		l.machines.Remove(p, now)
 		l.changed = true
 		m := l.machines.Machines[p.Machine]
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -53,7 +53,7 @@
 	case errors.Is(err, machines.ErrContradicts):
 		why = "contradicts"
 	}
-	l.env.observe(func(o Observer) { o.SetAside(why) })
+	l.env.observe(func(o Observer) { o.HeartbeatRejected(why) })
 	l.log.Debug("report set aside", "machine", rep.Machine, "why", why, "session", rep.Incarnation, "seq", rep.Seq)
 }
 
@@ -132,7 +132,7 @@
 // probesAtOnce gives how many questions may be on their way when so many machines are to be asked: enough to ask them
 // all within ProbeWithinLease of a lease, at one round each SubsystemTick, but no more than ProbeShareMost of the commands.
 func (l *Loop) probesAtOnce(doubtful int) int {
-	commands := float64(cap(l.env.Sending))
+	commands := float64(cap(l.env.CommandSlots))
 	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
 	needed := int(math.Ceil(float64(doubtful) / rounds))
 	return max(tuning.ProbeLeast, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -61,7 +61,7 @@
 // of what is on its way, and to their rate.
 func TestQuestionsAreBounded(t *testing.T) {
 	l, _ := fleetHeard(t, 2000)
-	l.env.Sending = make(chan struct{}, 400)
+	l.env.CommandSlots = make(chan struct{}, 400)
 	for _, m := range l.machines.Machines {
 		m.SuspectCopy = true
 	}
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -27,7 +27,7 @@
 
 // explain says what the waiting tasks of a job wait for.
 func (l *Loop) explain(id string, now time.Time) (status int, body any) {
-	if s, over := l.env.Finals.Get(id); over {
+	if s, over := l.env.FinalStates.Get(id); over {
 		return http.StatusOK, wire.Reasons{JobStatus: s}
 	}
 	j := l.jobs.Jobs[id]
