--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -231,7 +231,7 @@
 				return err
 			}
 			// It leaves nine tenths of the limit to the controllers.
-			reader, err := ledger.NewReader(statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS).Share(0.1))
+			reader, err := ledger.NewReader(statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS).WithShare(0.1))
 			if err != nil {
 				return err
 			}
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps what every attempt of every task took: one charge for each,
 // borne by exactly one team. It joins the leader's loop as a slice; charges ride in the
-// book's own transactions (see jobs.Store.Charge) and are rolled up into totals and
+// book's own transactions (see jobs.Store.AddCharges) and are rolled up into totals and
 // compressed segments later. It also holds work back that its team's budget no longer
 // allows (package budget).
 package ledger
@@ -197,9 +197,9 @@
 // Loaded takes in the book, with the charges and the live tasks of former leaders.
 func (l *Ledger) Loaded(book *jobs.Store, now time.Time) {
 	l.book = book
-	book.Meter = true
+	book.Metered = true
 	l.turn = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.where))
-	book.Charges(l.charged)
+	book.VisitCharges(l.charged)
 	for _, left := range l.collect(now) {
 		l.charged(left.Pack)
 	}
@@ -342,7 +342,7 @@
 		}
 	}
 	l.stats.Charges += len(parts)
-	l.book.Charge(p, parts, now)
+	l.book.AddCharges(p, parts, now)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
 		for i := range parts {
 			c, a := &parts[i], brief.Of(&parts[i])
@@ -423,10 +423,10 @@
 		if p.BeganAt.IsZero() || !p.BeganAt.Before(turn) {
 			continue
 		}
-		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.Part, How: charge.Continues, Flags: blindStart(p)}
+		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, How: charge.Continues, Flags: blindStart(p)}
 		meter(&c, p, p.BeganAt, turn, l.rateNow(p))
 		parts := charge.Split(c, l.where)
-		p.BeganAt, p.Part = turn, p.Part+len(parts)
+		p.BeganAt, p.ChargedParts = turn, p.ChargedParts+len(parts)
 		l.write(p, parts, now)
 	}
 }
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -288,7 +288,7 @@
 	}
 	w.report()
 	w.check()
-	if _, over := w.items[jobs.KeyEnd("job-1")]; !over {
+	if _, over := w.items[jobs.KeyFinalState("job-1")]; !over {
 		t.Fatal("the job does not end")
 	}
 	w.submit(array("job-2", 1))
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -72,7 +72,7 @@
 	if !p.Committed {
 		return c, false // no record named it, so nothing was started
 	}
-	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.Part, How: how(o)}
+	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, How: how(o)}
 	if o.Saved {
 		c.Flags |= charge.Saved
 	}
@@ -103,7 +103,7 @@
 // blindStart marks a charge whose task counts from when it was placed, since nobody
 // knows when it began.
 func blindStart(p *jobs.Allocation) charge.Flag {
-	if p.Part == 0 && !p.BeganAt.After(p.PlacedAt) {
+	if p.ChargedParts == 0 && !p.BeganAt.After(p.PlacedAt) {
 		return charge.Bound
 	}
 	return 0
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -46,7 +46,7 @@
 		for _, prefix := range []string{jobs.PrefixProgress + id + "/", jobs.PrefixDetached + id + "/"} {
 			if _, err := r.store.ListAll(ctx, prefix, func(items []wire.Item) error {
 				for _, item := range items {
-					p, err := jobs.PackOf(item)
+					p, err := jobs.DecodeCharges(item)
 					if err != nil {
 						return err
 					}
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -229,7 +229,7 @@
 	for _, left := range l.lefts {
 		pack(left.Pack)
 	}
-	l.book.Charges(pack)
+	l.book.VisitCharges(pack)
 	out := t.Answer(l.where)
 	running := NewTally(q)
 	for p := range l.live {
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -139,8 +139,8 @@
 	for _, item := range w.with(jobs.PrefixDetached) {
 		w.book.LoadDetached(item)
 	}
-	w.book.Loaded()
-	if errs := w.book.Damaged(); len(errs) > 0 {
+	w.book.FinishLoading()
+	if errs := w.book.TakeDamaged(); len(errs) > 0 {
 		w.t.Fatal(errs)
 	}
 	w.ledger.Loaded(w.book, now)
@@ -165,11 +165,11 @@
 	if j.CPUs == 0 {
 		j.CPUs, j.MemoryGB = 2, 8
 	}
-	value, err := json.Marshal(jobs.Record{Job: j, AtMS: w.now().UnixMilli()})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: w.now().UnixMilli()})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.apply(wire.Txn{If: []wire.Condition{{Key: jobs.KeyEnd(j.ID)}}, Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
+	w.apply(wire.Txn{If: []wire.Condition{{Key: jobs.KeyFinalState(j.ID)}}, Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
 	out, err := w.book.LoadJob(w.items[jobs.KeyJob(j.ID)], w.now(), w.now())
 	if err != nil {
 		w.t.Fatal(err)
@@ -242,7 +242,7 @@
 		}
 		if !tr.began.IsZero() && tr.ended.IsZero() && p.State == "" {
 			p.State = wire.TaskRunning
-			w.book.MarkBegan(p, now)
+			w.book.MarkRunning(p, now)
 		}
 		if tr.ended.IsZero() {
 			continue
@@ -258,7 +258,7 @@
 
 // commit stores one of the book's transactions, and tells whether there was one.
 func (w *world) commit(answered bool) bool {
-	w.book.Due(w.now())
+	w.book.WriteDue(w.now())
 	batch := w.book.NextBatch(w.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
 	if batch == nil {
 		return false
@@ -276,7 +276,7 @@
 		w.started(item)
 	}
 	if answered {
-		w.book.Written(batch, revision)
+		w.book.MarkCommitted(batch, revision)
 	}
 	return true
 }
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, item := range append(w.with(jobs.PrefixProgress), w.with(jobs.PrefixDetached)...) {
-		p, err := jobs.PackOf(item)
+		p, err := jobs.DecodeCharges(item)
 		if err != nil {
 			w.t.Fatal(err)
 		}
--- a/internal/api/userapi/polls.go
+++ b/internal/api/userapi/polls.go
@@ -69,7 +69,7 @@
 func (p *poller) serve(batch map[string][]chan pollAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollWait)
 	defer cancel()
-	store := p.d.store.Spare()
+	store := p.d.store.LowPriority()
 	live := map[string]wire.JobStatus{}
 	listed := len(batch) >= tuning.PollBatch
 	if listed {
@@ -115,7 +115,7 @@
 // liveStatus is what a stored job's record tells its user.
 func liveStatus(item wire.Item) wire.JobStatus {
 	s := wire.JobStatus{ID: item.Key[len(jobs.PrefixJob):], State: wire.StateQueued}
-	var rec jobs.Record
+	var rec jobs.JobRecord
 	if err := json.Unmarshal(item.Value, &rec); err == nil && rec.Cancelled {
 		s.State = wire.StateCancelled
 	}
--- a/internal/api/userapi/polls_test.go
+++ b/internal/api/userapi/polls_test.go
@@ -26,7 +26,7 @@
 			var page wire.ItemPage
 			for i := range 20 {
 				id := fmt.Sprintf("job-%d", i)
-				value, _ := json.Marshal(jobs.Record{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: i == 3}) // always encodable
+				value, _ := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Tasks: 1}, Cancelled: i == 3}) // always encodable
 				page.Items = append(page.Items, wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 1})
 			}
 			write(page)
@@ -34,8 +34,8 @@
 		}
 		gets.Add(1)
 		<-release
-		if strings.HasSuffix(r.URL.Path, jobs.KeyEnd("job-over")) {
-			write(wire.Item{Key: jobs.KeyEnd("job-over"), Value: json.RawMessage(`{"state":"done"}`), Version: 1})
+		if strings.HasSuffix(r.URL.Path, jobs.KeyFinalState("job-over")) {
+			write(wire.Item{Key: jobs.KeyFinalState("job-over"), Value: json.RawMessage(`{"state":"done"}`), Version: 1})
 			return
 		}
 		w.WriteHeader(http.StatusNotFound)
--- a/internal/api/userapi/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -125,19 +125,19 @@
 		return refused(http.StatusServiceUnavailable, "there is no memory for more jobs now; submit it again")
 	}
 	if reason == "" {
-		value, err := json.Marshal(jobs.Record{Job: *job, AtMS: d.clock.Now().UnixMilli()})
+		value, err := json.Marshal(jobs.JobRecord{Job: *job, AtMS: d.clock.Now().UnixMilli()})
 		if err != nil || float64(len(value)) > d.settings.Cluster.State.ValueKB*1024 {
 			return refused(http.StatusBadRequest, "the job's description is too long")
 		}
 		_, err = d.store.Commit(ctx, wire.Txn{
-			If:   []wire.Condition{{Key: jobs.KeyJob(job.ID)}, {Key: jobs.KeyEnd(job.ID)}},
+			If:   []wire.Condition{{Key: jobs.KeyJob(job.ID)}, {Key: jobs.KeyFinalState(job.ID)}},
 			Then: []wire.Change{{Put: jobs.KeyJob(job.ID), Value: value}},
 		})
 		if err == nil {
 			d.log.Debug("accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
 			return accepted(http.StatusCreated, job.ID, wire.StateQueued)
 		}
-		var conflict *statestore.Conflict
+		var conflict *statestore.ConflictError
 		if !errors.As(err, &conflict) {
 			d.log.Debug("submission not stored", "job", job.ID, "err", err)
 			return refused(http.StatusServiceUnavailable, "the job could not be stored; submit it again")
--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -154,7 +154,7 @@
 // endStatus reads the final state of a job that had no record a moment before.
 func (d *Handler) endStatus(ctx context.Context, id string, store *statestore.Client) (int, wire.JobStatus) {
 	s := wire.JobStatus{ID: id}
-	end, live, err := store.Get(ctx, jobs.KeyEnd(id))
+	end, live, err := store.Get(ctx, jobs.KeyFinalState(id))
 	if err != nil {
 		d.log.Debug("state unreadable", "job", id, "err", err)
 		return http.StatusServiceUnavailable, s
--- a/internal/clients/statestore/statestore.go
+++ b/internal/clients/statestore/statestore.go
@@ -22,20 +22,20 @@
 	ErrNotExecuted = errors.New("state service refused the request")
 	// ErrBusy tells that it refused it because of its limits.
 	ErrBusy = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	// ErrUnknown tells that a request may have been executed, or may still be.
-	ErrUnknown = errors.New("state service gave no usable answer")
-	// ErrNoLease tells that the lease has ended.
-	ErrNoLease = errors.New("no such lease")
+	// ErrOutcomeUnknown tells that a request may have been executed, or may still be.
+	ErrOutcomeUnknown = errors.New("state service gave no usable answer")
+	// ErrLeaseNotFound tells that the lease has ended.
+	ErrLeaseNotFound = errors.New("no such lease")
 	// ErrCompacted tells that a watch asked for changes that are no longer kept.
 	ErrCompacted = errors.New("revision is too old to watch")
 	// ErrMalformed tells that the service did not understand the request.
 	ErrMalformed = errors.New("state service calls the request malformed")
 )
 
-// Conflict tells that a transaction's conditions did not hold.
-type Conflict struct{ Failed []string }
+// ConflictError tells that a transaction's conditions did not hold.
+type ConflictError struct{ Failed []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("conditions failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.Failed) }
 
 // Client talks to the state service. It is safe for concurrent use.
 type Client struct {
@@ -64,9 +64,9 @@
 // while nobody led had used up the limit, and the election waited behind them.
 func (c *Client) Urgent() *Client { return c.as(urgent) }
 
-// Spare gives a view of the client for calls that are to leave room for
+// LowPriority gives a view of the client for calls that are to leave room for
 // others: they are refused at once when the limit is half used up.
-func (c *Client) Spare() *Client { return c.as(spare) }
+func (c *Client) LowPriority() *Client { return c.as(spare) }
 
 func (c *Client) as(k class) *Client {
 	view := *c
@@ -74,14 +74,14 @@
 	return &view
 }
 
-// Room is how many changes could be written now without using up more than
+// SpareWrites is how many changes could be written now without using up more than
 // half of what may be written at once.
-func (c *Client) Room() int {
+func (c *Client) SpareWrites() int {
 	return int((c.writes.free() - 0.5) * float64(c.writes.limiter.Burst()))
 }
 
-// Ready is how many changes could be written at once now, and most how many at the best of times.
-func (c *Client) Ready() (now, most int) {
+// AvailableWrites is how many changes could be written at once now, and most how many at the best of times.
+func (c *Client) AvailableWrites() (now, most int) {
 	return int(c.writes.limiter.Tokens()), c.writes.limiter.Burst()
 }
 
@@ -92,12 +92,12 @@
 		http:    httpjson.NewClient(16, 8, 0, tuning.StateTimeout),
 		watches: httpjson.NewClient(4, 2, 0, tuning.StateTimeout), rest: rest,
 	}
-	return c.Share(1)
+	return c.WithShare(1)
 }
 
-// Share gives a client of the same service with limits of its own: at least a
+// WithShare gives a client of the same service with limits of its own: at least a
 // share of the published ones, and what others leave.
-func (c *Client) Share(share float64) *Client {
+func (c *Client) WithShare(share float64) *Client {
 	view := *c
 	now := time.Now()
 	view.calls, view.writes = newPace(c.rps, share, now), newPace(c.wps, share, now)
@@ -110,7 +110,7 @@
 	status, err := httpjson.Call(ctx, hc, method, c.base+path, in, decode)
 	switch {
 	case err != nil:
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	case status == http.StatusTooManyRequests:
 		if path == wire.PathTxn {
 			c.writes.refused(time.Now())
@@ -128,7 +128,7 @@
 	if status == http.StatusBadRequest {
 		return ErrMalformed
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, status)
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
 func (c *Client) wait(ctx context.Context) error {
@@ -201,7 +201,7 @@
 }
 
 // Commit executes a transaction and returns its revision. The error is a
-// *Conflict, ErrNoLease, ErrMalformed, ErrNotExecuted or ErrUnknown. One that
+// *Conflict, ErrLeaseNotFound, ErrMalformed, ErrNotExecuted or ErrOutcomeUnknown. One that
 // is refused because of the service's limits waits for another turn.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	for {
@@ -253,16 +253,16 @@
 	case status == http.StatusOK:
 		return res.Revision, nil
 	case status == http.StatusConflict:
-		return 0, &Conflict{Failed: res.Failed}
+		return 0, &ConflictError{Failed: res.Failed}
 	case status == http.StatusBadRequest && refused.Error == "no such lease":
-		return 0, ErrNoLease
+		return 0, ErrLeaseNotFound
 	}
 	return 0, unexpected(status)
 }
 
-// Grant asks for a lease. Leases are not held up by our own limit: the right
+// GrantLease asks for a lease. Leases are not held up by our own limit: the right
 // to act hangs on them.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var g wire.LeaseGrant
 	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, wire.PathLeases,
 		wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, httpjson.On(&g))
@@ -272,22 +272,22 @@
 	return g.Lease, err
 }
 
-// Renew gives a lease its full time again.
-func (c *Client) Renew(ctx context.Context, lease uint64) error {
+// RenewLease gives a lease its full time again.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, c.leasePath(lease)+"/"+wire.EndRenew, nil, httpjson.On(nil))
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusNotFound:
-		return ErrNoLease
+		return ErrLeaseNotFound
 	case status != http.StatusOK:
 		return unexpected(status)
 	}
 	return nil
 }
 
-// Revoke ends a lease at once.
-func (c *Client) Revoke(ctx context.Context, lease uint64) error {
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodDelete, c.leasePath(lease), nil, httpjson.On(nil))
 	return err
 }
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -42,18 +42,18 @@
 	}{
 		{"applied", 200, `{"ledger":7}`, nil},
 		{"outage", 503, ``, ErrNotExecuted},
-		{"no lease", 400, `{"error":"no such lease"}`, ErrNoLease},
+		{"no lease", 400, `{"error":"no such lease"}`, ErrLeaseNotFound},
 		{"malformed", 400, `{"error":"bad key"}`, ErrMalformed},
-		{"no answer", 0, ``, ErrUnknown},
-		{"half an answer", 200, `{"ledger":`, ErrUnknown},
-		{"server error", 500, `oops`, ErrUnknown},
+		{"no answer", 0, ``, ErrOutcomeUnknown},
+		{"half an answer", 200, `{"ledger":`, ErrOutcomeUnknown},
+		{"server error", 500, `oops`, ErrOutcomeUnknown},
 	} {
 		revision, err := answering(t, c.status, c.body).Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}})
 		if !errors.Is(err, c.want) || c.want == nil && revision != 7 {
 			t.Errorf("%s: %d, %v", c.name, revision, err)
 		}
 	}
-	var conflict *Conflict
+	var conflict *ConflictError
 	_, err := answering(t, 409, `{"failed":["a/b"],"ledger":3}`).Commit(t.Context(), wire.Txn{})
 	if !errors.As(err, &conflict) || conflict.Failed[0] != "a/b" {
 		t.Errorf("conflict: %v", err)
@@ -79,10 +79,10 @@
 	if _, err := answering(t, 410, ``).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
 		t.Errorf("watch: %v", err)
 	}
-	if err := answering(t, 404, ``).Renew(t.Context(), 1); !errors.Is(err, ErrNoLease) {
+	if err := answering(t, 404, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrLeaseNotFound) {
 		t.Errorf("renew: %v", err)
 	}
-	if err := answering(t, 503, ``).Renew(t.Context(), 1); !errors.Is(err, ErrNotExecuted) {
+	if err := answering(t, 503, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrNotExecuted) {
 		t.Errorf("renew in an outage: %v", err)
 	}
 }
@@ -96,7 +96,7 @@
 	defer cancel()
 	got := 0
 	for range 10 {
-		if _, _, err := c.Spare().Get(ctx, "a"); err == nil {
+		if _, _, err := c.LowPriority().Get(ctx, "a"); err == nil {
 			got++
 		} else if !errors.Is(err, ErrNotExecuted) {
 			t.Fatal(err)
--- a/internal/cluster/election/fence.go
+++ b/internal/cluster/election/fence.go
@@ -72,7 +72,7 @@
 		return
 	}
 	sent := e.clock.Now()
-	lease, err := e.store.Grant(ctx, tuning.FencingLeaseTTL)
+	lease, err := e.store.GrantLease(ctx, tuning.FencingLeaseTTL)
 	if err != nil {
 		return
 	}
@@ -90,14 +90,14 @@
 
 func (e *Elector) renewFencing(ctx context.Context, f fencingLease) {
 	f.sent = e.clock.Now()
-	switch err := e.store.Renew(ctx, f.lease); {
+	switch err := e.store.RenewLease(ctx, f.lease); {
 	case err == nil:
 		e.mu.Lock()
 		if e.fencing.lease == f.lease {
 			e.fencing = f
 		}
 		e.mu.Unlock()
-	case errors.Is(err, statestore.ErrNoLease):
+	case errors.Is(err, statestore.ErrLeaseNotFound):
 		e.mu.Lock()
 		e.fencing = fencingLease{}
 		e.mu.Unlock()
--- a/internal/cluster/election/former_test.go
+++ b/internal/cluster/election/former_test.go
@@ -69,17 +69,17 @@
 	return call(m, func() (uint64, error) { return m.Store.Commit(ctx, t) })
 }
 
-func (m *mortal) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	return call(m, func() (uint64, error) { return m.Store.Grant(ctx, ttl) })
+func (m *mortal) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	return call(m, func() (uint64, error) { return m.Store.GrantLease(ctx, ttl) })
 }
 
-func (m *mortal) Renew(ctx context.Context, lease uint64) error {
-	_, err := call(m, func() (bool, error) { return true, m.Store.Renew(ctx, lease) })
+func (m *mortal) RenewLease(ctx context.Context, lease uint64) error {
+	_, err := call(m, func() (bool, error) { return true, m.Store.RenewLease(ctx, lease) })
 	return err
 }
 
-func (m *mortal) Revoke(ctx context.Context, lease uint64) error {
-	_, err := call(m, func() (bool, error) { return true, m.Store.Revoke(ctx, lease) })
+func (m *mortal) RevokeLease(ctx context.Context, lease uint64) error {
+	_, err := call(m, func() (bool, error) { return true, m.Store.RevokeLease(ctx, lease) })
 	return err
 }
 
--- a/internal/cluster/election/leadership.go
+++ b/internal/cluster/election/leadership.go
@@ -30,9 +30,9 @@
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64) error
-	Revoke(ctx context.Context, lease uint64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64) error
+	RevokeLease(ctx context.Context, lease uint64) error
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResult, error)
 }
 
@@ -334,7 +334,7 @@
 // once the leave is over: whoever vouched for us may not remember it after that.
 func (e *Elector) campaign(ctx context.Context, last, version uint64, leave eligibility) (t Leadership, ok bool) {
 	sent := e.clock.Now()
-	lease, err := e.store.Grant(ctx, tuning.LeaseTTL)
+	lease, err := e.store.GrantLease(ctx, tuning.LeaseTTL)
 	if err != nil {
 		e.log.Debug("no lease granted", "err", err)
 		return t, false
@@ -373,14 +373,14 @@
 // otherwise keep the key until the lease runs out, 4 s more without a leader for a process that is back at once.
 func (e *Elector) endPreviousProcess(ctx context.Context, h holder) {
 	e.log.Info("ending the tenure of an earlier process", "term", h.Term)
-	if err := e.store.Revoke(ctx, h.Lease); err != nil {
+	if err := e.store.RevokeLease(ctx, h.Lease); err != nil {
 		e.log.Debug("its lease is not ended", "err", err)
 	}
 	e.pause(ctx, tuning.RetryCampaign)
 }
 
 func (e *Elector) revokeLease(ctx context.Context, lease uint64) {
-	if err := e.store.Revoke(ctx, lease); err != nil {
+	if err := e.store.RevokeLease(ctx, lease); err != nil {
 		e.log.Debug("lease not given back", "err", err)
 	}
 }
@@ -434,14 +434,14 @@
 		}
 		for ctx.Err() == nil {
 			sent := e.clock.Now()
-			err := e.store.Renew(ctx, lease)
+			err := e.store.RenewLease(ctx, lease)
 			if err == nil {
 				if !e.renewal(t.Term, sent) {
 					return
 				}
 				break
 			}
-			if errors.Is(err, statestore.ErrNoLease) {
+			if errors.Is(err, statestore.ErrLeaseNotFound) {
 				return
 			}
 			e.failedRenewal()
--- a/internal/cluster/election/meetings_test.go
+++ b/internal/cluster/election/meetings_test.go
@@ -117,7 +117,7 @@
 // keepsLeases is a store in which no lease can be given back.
 type keepsLeases struct{ Store }
 
-func (keepsLeases) Revoke(context.Context, uint64) error { return statestore.ErrNotExecuted }
+func (keepsLeases) RevokeLease(context.Context, uint64) error { return statestore.ErrNotExecuted }
 
 // Guards against a fence that ends while the leader counts on it: the first attempt to set it, without an answer and carried
 // out after the second, hung the key on its own lease, which ended earlier.
@@ -139,7 +139,7 @@
 	pass := func(d time.Duration) {
 		for ; d > 0; d -= tuning.RenewEvery {
 			clock.Advance(tuning.RenewEvery)
-			if err := e.store.Renew(t.Context(), e.lease); err != nil {
+			if err := e.store.RenewLease(t.Context(), e.lease); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/cluster/workerlease/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -160,7 +160,7 @@
 func (k *FollowerLeases) write(ctx context.Context) bool {
 	if k.lease == 0 {
 		sent := k.clock.Now()
-		lease, err := k.store.Grant(ctx, k.life())
+		lease, err := k.store.GrantLease(ctx, k.life())
 		if err != nil {
 			return false
 		}
@@ -242,7 +242,7 @@
 // machines whose leases have surely run out since their last answer.
 func (k *FollowerLeases) renew(ctx context.Context) {
 	sent := k.clock.Now()
-	if err := k.store.Renew(ctx, k.lease); err == nil {
+	if err := k.store.RenewLease(ctx, k.lease); err == nil {
 		k.sent = sent
 	} else if !k.mayAnswer(k.clock.Now()) {
 		k.abandon()
@@ -271,7 +271,7 @@
 		}
 	}
 	remove := expired[nil]
-	room := max(1, k.store.Room())
+	room := max(1, k.store.SpareWrites())
 	for i, turn := 0, k.turn; i < len(k.pages) && room > 0; i++ {
 		at := (turn + i) % len(k.pages)
 		if names := expired[k.pages[at]]; len(names) > 0 {
--- a/internal/cluster/workerlease/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -171,7 +171,7 @@
 func TestExpiredMachinesLeaveTheRecordWithinTheShareOfChanges(t *testing.T) {
 	const machines, writeRPS, share = 6000, 50, 0.08
 	w := newKeeperWorld(t)
-	w.store = statestore.New(w.state.Addr(), 1e6, writeRPS).Share(share)
+	w.store = statestore.New(w.state.Addr(), 1e6, writeRPS).WithShare(share)
 	var batch []acquireRequest
 	for i := range machines {
 		batch = append(batch, acquireRequest{fmt.Sprintf("n-%06d", i), make(chan bool, 1)})
@@ -182,7 +182,7 @@
 	w.renew(t.Context())
 	w.clock.Advance(tuning.RenewedQueryTime + time.Second)
 	for renewals := 1; len(w.names) > 0; renewals++ {
-		room, before := max(1, w.store.Room()), len(w.state.Applied())
+		room, before := max(1, w.store.SpareWrites()), len(w.state.Applied())
 		w.renew(t.Context())
 		if changes := len(w.state.Applied()) - before; changes < 1 || changes > room {
 			t.Fatalf("renewal %d wrote %d of %d pages, where there was room for %d", renewals, changes, pages, room)
--- a/internal/cluster/workerlease/zone.go
+++ b/internal/cluster/workerlease/zone.go
@@ -182,13 +182,13 @@
 		z.obtain(ctx)
 		return
 	}
-	err := z.store.Renew(ctx, pass)
+	err := z.store.RenewLease(ctx, pass)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	switch {
 	case err == nil:
 		z.sent = sent
-	case errors.Is(err, statestore.ErrNoLease):
+	case errors.Is(err, statestore.ErrLeaseNotFound):
 		z.leaseID = 0 // the right was over long before
 	}
 }
@@ -198,7 +198,7 @@
 // left to its lease's end.
 func (z *ZoneLease) obtain(ctx context.Context) {
 	sent := z.clock.Now()
-	pass, err := z.store.Grant(ctx, z.life())
+	pass, err := z.store.GrantLease(ctx, z.life())
 	if err != nil {
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -73,7 +73,7 @@
 	store := statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
 	c.elector = election.New(store.Urgent(), c.peers, s.Member, clock, log)
 	c.peers.SetElector(c.elector)
-	c.store = store.Share(c.memberShare(tuning.LeaderShare))
+	c.store = store.WithShare(c.memberShare(tuning.LeaderShare))
 	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
@@ -118,7 +118,7 @@
 	if c.metrics != nil {
 		cfg.Charged = c.metrics.Charged
 	}
-	reader, err := ledger.NewReader(c.store.Spare())
+	reader, err := ledger.NewReader(c.store.LowPriority())
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
-		Reader: runner.NewReader(c.store.Spare()), Clock: c.clock, Log: c.log,
+		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log,
 		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Do(ctx, cmd) },
 		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) },
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -321,7 +321,7 @@
 	var muted atomic.Int32
 	w.state.Mute(func(txn wire.Txn) bool {
 		for _, c := range txn.Then {
-			if strings.HasPrefix(c.Put, jobs.PrefixProgress) || strings.HasPrefix(c.Put, jobs.PrefixEnd) {
+			if strings.HasPrefix(c.Put, jobs.PrefixProgress) || strings.HasPrefix(c.Put, jobs.PrefixFinalState) {
 				muted.Add(1)
 				return true
 			}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -32,10 +32,10 @@
 		k.beat()
 	}
 	w.state.Mute(func(txn wire.Txn) bool {
-		return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return c.Put == jobs.KeyEnd("job-1") })
+		return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return c.Put == jobs.KeyFinalState("job-1") })
 	})
 	finish("job-1")
-	w.until("the end is stored", func() bool { _, ok := w.state.Value(jobs.KeyEnd("job-1")); return ok })
+	w.until("the end is stored", func() bool { _, ok := w.state.Value(jobs.KeyFinalState("job-1")); return ok })
 	if s := w.jobState("job-1"); s != "done" {
 		t.Errorf("called %s though it is stored as done", s)
 	}
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -25,7 +25,7 @@
 	case peerrpc.ConfirmTermOver:
 		return yesOrNo(c.elector.ConfirmTermOver(req.Number))
 	case peerrpc.EndLease:
-		return yesOrNo(c.store.Urgent().Revoke(ctx, req.Number) == nil)
+		return yesOrNo(c.store.Urgent().RevokeLease(ctx, req.Number) == nil)
 	case peerrpc.Ping:
 		return c.servePing(req)
 	case peerrpc.NotLeading:
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("the run is %v", r.RunState())
 	}
 	for _, id := range ids {
-		if item, ok := w.state.Value(jobs.KeyEnd(id)); !ok || !strings.Contains(string(item.Value), string(wire.StateCancelled)) {
+		if item, ok := w.state.Value(jobs.KeyFinalState(id)); !ok || !strings.Contains(string(item.Value), string(wire.StateCancelled)) {
 			t.Errorf("%s is not cancelled: %s", id, item.Value)
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 		for i := range p.Steps {
 			id := r.JobID(dag.Ref{Step: i})
-			item, ended := w.state.Value(jobs.KeyEnd(id))
+			item, ended := w.state.Value(jobs.KeyFinalState(id))
 			state, _ := r.State(i)
 			switch {
 			case state == dag.Success && (!ended || !strings.Contains(string(item.Value), string(wire.StateDone))),
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -40,7 +40,7 @@
 	}
 	states := map[string]wire.JobState{}
 	for _, id := range ended {
-		item, ok, err := store.Get(ctx, jobs.KeyEnd(id))
+		item, ok, err := store.Get(ctx, jobs.KeyFinalState(id))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -218,7 +218,7 @@
 	}
 	key := partKeys(hash, n+1)[n]
 	_, err = r.store.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Change{{Put: key, Value: value}}})
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
 		return nil // it is there: its name says what it holds
 	}
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -220,6 +220,6 @@
 	if d.Urgency != "" {
 		j.Priority = wire.Priority(d.Urgency)
 	}
-	value, err := json.Marshal(jobs.Record{Job: j, AtMS: nowMS})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: nowMS})
 	return j, value, err
 }
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -320,7 +320,7 @@
 			continue
 		}
 		x.run.Submitted(p.at)
-		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyEnd(p.id)})
+		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
 		b.put(jobs.KeyJob(p.id), 0, value)
 		// What hears of the job first, its end or this transaction's, must find it.
 		g.byJob[p.id] = where{x, p.at, x.run.Generation(p.at.Step)}
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -92,7 +92,7 @@
 			w.t.Fatal(err)
 		}
 	}
-	w.book.Loaded()
+	w.book.FinishLoading()
 	w.graphs.Loaded(w.book, w.clock.Now())
 	reading, asked := true, w.asked
 	take, err := w.graphs.Read(ctx, w.store, func(fn func()) error {
@@ -149,7 +149,7 @@
 // flush stores the book's changes.
 func (w *world) flush() {
 	for b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil; b = w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}) {
-		_, over := w.book.Written(b, w.commit(b.Txn))
+		_, over := w.book.MarkCommitted(b, w.commit(b.Txn))
 		for _, o := range over {
 			w.graphs.Finished(o, w.clock.Now())
 		}
--- a/internal/scheduler/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -57,12 +57,12 @@
 	StartSentAt  time.Time      // when an answer to a report last held its start
 
 	// What its charge counts from; kept only while charges are (Book.Meter).
-	Kind        charge.Kind
-	PlacedAt    time.Time // when it was placed, by the time of day, whoever led then
-	BeganAt     time.Time // when it was first seen to run, or its day began
-	Part        int       // how many parts of it are charged already
-	beganStored bool
-	Inherited   bool // a former leader placed it
+	Kind         charge.Kind
+	PlacedAt     time.Time // when it was placed, by the time of day, whoever led then
+	BeganAt      time.Time // when it was first seen to run, or its day began
+	ChargedParts int       // how many parts of it are charged already
+	beganStored  bool
+	Inherited    bool // a former leader placed it
 }
 
 // Task names the task.
@@ -88,10 +88,10 @@
 	Allocated       int
 	WaitingSince    time.Time // since when some task of it waits without a break
 	EnqueuedAt      time.Time // when it was accepted, by the steady clock
-	PauseUntil      time.Time // no task is placed before, after failures
+	BackoffUntil    time.Time // no task is placed before, after failures
 	PreemptingUntil time.Time // until then, what was stopped for it is on its way out
-	Errors          int
-	Tries           int                  // in vain, since a task of it last worked
+	Failures        int
+	FailedWaves     int                  // in vain, since a task of it last worked
 	AvoidMachines   map[string]time.Time // machines on which a task of it failed, until when
 	runs            []CompletedRun       // of its last completed tasks
 	usualS          float64              // the median of theirs, from SeenRuns on
@@ -154,8 +154,8 @@
 // EndSent tells whether a transaction that ends the job was made: if it is on its way, the end may be stored already.
 func (j *Job) EndSent() bool { return j.sent }
 
-// Zones is how many tasks of the job may be in each zone.
-func (j *Job) Zones() map[string]int { return j.zones }
+// AllocationsByZone is how many tasks of the job may be in each zone.
+func (j *Job) AllocationsByZone() map[string]int { return j.zones }
 
 // Status is what the job's user may be told now.
 func (j *Job) Status() wire.JobStatus {
@@ -211,10 +211,10 @@
 	lazyAt  time.Time        // when the oldest lazy change wants to be written
 	urgent  bool
 
-	// Meter tells whether what tasks take is charged: times are stored then.
-	Meter bool
-	began []*Allocation // seen to run, in that order
-	lefts []DetachedCharges
+	// Metered tells whether what tasks take is charged: times are stored then.
+	Metered bool
+	began   []*Allocation // seen to run, in that order
+	lefts   []DetachedCharges
 
 	damaged []error
 }
@@ -229,7 +229,7 @@
 
 // LoadJob takes in a stored job; it is known already if it was seen before.
 func (b *Store) LoadJob(item wire.Item, now, wall time.Time) (*Job, error) {
-	var r Record
+	var r JobRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("job record %s: %w", item.Key, err)
 	}
@@ -289,8 +289,8 @@
 		b.damaged = append(b.damaged, fmt.Errorf("progress record %s: %w", item.Key, err))
 	}
 	if r.Tries > 0 {
-		j.Tries = r.Tries
-		j.PauseUntil = now.Add(tryPause(j.Tries))
+		j.FailedWaves = r.Tries
+		j.BackoffUntil = now.Add(tryPause(j.FailedWaves))
 	}
 	for _, i := range done {
 		if i < len(j.Tasks) && j.Tasks[i].State != Done {
@@ -318,8 +318,8 @@
 	return places, nil
 }
 
-// Loaded is called when all records are in: what they imply is queued for writing.
-func (b *Store) Loaded() {
+// FinishLoading is called when all records are in: what they imply is queued for writing.
+func (b *Store) FinishLoading() {
 	for _, j := range b.Jobs {
 		b.checkEnd(j)
 	}
--- a/internal/scheduler/jobs/book_test.go
+++ b/internal/scheduler/jobs/book_test.go
@@ -29,7 +29,7 @@
 
 func (s *store) accept(id string, tasks int) {
 	s.revision++
-	rec := Record{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AtMS: t0.UnixMilli()}
+	rec := JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AtMS: t0.UnixMilli()}
 	s.items[KeyJob(id)] = wire.Item{Key: KeyJob(id), Value: wire.Value(rec), Version: s.revision}
 }
 
@@ -55,7 +55,7 @@
 func (s *store) flush(b *Store) (start []*Allocation, over []FinishedJob) {
 	s.t.Helper()
 	for w := b.NextBatch(later, WriteBudget{Spare: 1000}); w != nil; w = b.NextBatch(later, WriteBudget{Spare: 1000}) {
-		st, ov := b.Written(w, s.apply(w.Txn))
+		st, ov := b.MarkCommitted(w, s.apply(w.Txn))
 		start, over = append(start, st...), append(over, ov...)
 	}
 	return start, over
@@ -82,7 +82,7 @@
 			places = append(places, p...)
 		}
 	}
-	b.Loaded()
+	b.FinishLoading()
 	return b, places
 }
 
@@ -119,7 +119,7 @@
 	if b.Persisted(j, 0) {
 		t.Error("its worker may forget it before its end is stored")
 	}
-	if _, over := b.Written(w, s.apply(w.Txn)); len(over) != 1 || b.Jobs["job-1"] != nil {
+	if _, over := b.MarkCommitted(w, s.apply(w.Txn)); len(over) != 1 || b.Jobs["job-1"] != nil {
 		t.Errorf("over are %v", over)
 	}
 }
@@ -131,7 +131,7 @@
 	p := b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	w := b.NextBatch(later, WriteBudget{Spare: 1000})
 	b.MarkLost(p, t0) // its machine's session ended while the record was on its way
-	if start, _ := b.Written(w, s.apply(w.Txn)); len(start) != 0 {
+	if start, _ := b.MarkCommitted(w, s.apply(w.Txn)); len(start) != 0 {
 		t.Fatalf("to start: %v", start)
 	}
 }
@@ -152,13 +152,13 @@
 	}
 	s.flush(b)
 	b, _ = s.load(12)
-	if j := b.Jobs["job-1"]; j.Tries != 3 || j.PauseUntil.Sub(t0) != 4*tuning.ErrorPause {
-		t.Errorf("%d tries and a pause of %v are known", j.Tries, j.PauseUntil.Sub(t0))
+	if j := b.Jobs["job-1"]; j.FailedWaves != 3 || j.BackoffUntil.Sub(t0) != 4*tuning.ErrorPause {
+		t.Errorf("%d tries and a pause of %v are known", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
 	b.MarkWorking(b.Jobs["job-1"], t0)
 	b.lazy(t0)
 	s.flush(b)
-	if b, _ = s.load(12); b.Jobs["job-1"].Tries != 0 {
+	if b, _ = s.load(12); b.Jobs["job-1"].FailedWaves != 0 {
 		t.Error("a job that worked is on trial again")
 	}
 }
@@ -187,14 +187,14 @@
 	urgent := place(6)
 	b.Cancel(b.Jobs["job-7"], func(wire.JobState) {})
 	w := b.NextBatch(t0, WriteBudget{Spare: 0})
-	if w.Txn.Then[0].Put != keyRun("job-6", 0) || w.Txn.Then[1].Put != KeyEnd("job-7") || len(w.Txn.Then) != 4 {
+	if w.Txn.Then[0].Put != keyRun("job-6", 0) || w.Txn.Then[1].Put != KeyFinalState("job-7") || len(w.Txn.Then) != 4 {
 		t.Errorf("the first transaction writes %+v", w.Txn.Then)
 	}
-	if b.Written(w, s.apply(w.Txn)); !urgent.Committed {
+	if b.MarkCommitted(w, s.apply(w.Txn)); !urgent.Committed {
 		t.Error("the urgent start waits")
 	}
-	for w = b.NextBatch(t0, WriteBudget{Spare: 0}); w != nil && w.Txn.Then[0].Put != KeyEnd("job-0"); w = b.NextBatch(t0, WriteBudget{Spare: 0}) {
-		b.Written(w, s.apply(w.Txn))
+	for w = b.NextBatch(t0, WriteBudget{Spare: 0}); w != nil && w.Txn.Then[0].Put != KeyFinalState("job-0"); w = b.NextBatch(t0, WriteBudget{Spare: 0}) {
+		b.MarkCommitted(w, s.apply(w.Txn))
 	}
 	if w == nil || b.Jobs["job-5"].Tasks[0].Allocation.Committed != true {
 		t.Error("an end goes before the starts of its priority")
@@ -216,10 +216,10 @@
 	w := b.NextBatch(t0, WriteBudget{Spare: 0})
 	b.MarkLost(p, t0) // the machine is lost while that is on its way
 	b.hurry(j, 0)
-	b.Written(w, s.apply(w.Txn))
+	b.MarkCommitted(w, s.apply(w.Txn))
 	s.flush(b)
 	for key := range s.items {
-		if key != KeyEnd("job-1") {
+		if key != KeyFinalState("job-1") {
 			t.Errorf("%s is left", key)
 		}
 	}
@@ -265,7 +265,7 @@
 	if len(over) != 1 || over[0].State != wire.StateDone {
 		t.Fatalf("over: %v", over)
 	}
-	if _, live := s.items[KeyJob("job-1")]; live || len(s.items) != 1 || s.items[KeyEnd("job-1")].Key == "" {
+	if _, live := s.items[KeyJob("job-1")]; live || len(s.items) != 1 || s.items[KeyFinalState("job-1")].Key == "" {
 		t.Errorf("left in the store: %v", s.items)
 	}
 }
@@ -284,7 +284,7 @@
 	b.Cancel(j, tell)
 	b.Cancel(j, tell) // the request is repeated meanwhile
 	s.flush(b)
-	if j.CanStart() || len(told) != 0 || s.items[KeyEnd("job-1")].Key != "" {
+	if j.CanStart() || len(told) != 0 || s.items[KeyFinalState("job-1")].Key != "" {
 		t.Fatalf("open %v, told %v while a task may run", j.CanStart(), told)
 	}
 	b.MarkLost(p, t0)
@@ -295,7 +295,7 @@
 	if !reflect.DeepEqual(told, []wire.JobState{wire.StateCancelled, wire.StateCancelled}) {
 		t.Fatalf("told %v", told)
 	}
-	if len(s.items) != 1 || s.items[KeyEnd("job-1")].Key == "" {
+	if len(s.items) != 1 || s.items[KeyFinalState("job-1")].Key == "" {
 		t.Errorf("left in the store: %v", s.items)
 	}
 }
@@ -308,15 +308,15 @@
 	b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	s.flush(b)
 	item := s.items[KeyJob("job-1")]
-	item.Value = wire.Value(Record{Job: b.Jobs["job-1"].Job, Cancelled: true})
+	item.Value = wire.Value(JobRecord{Job: b.Jobs["job-1"].Job, Cancelled: true})
 	s.items[item.Key] = item
-	s.items[KeyEnd("job-1")] = wire.Item{Key: KeyEnd("job-1"), Value: wire.Value(FinalState{State: wire.StateCancelled})}
+	s.items[KeyFinalState("job-1")] = wire.Item{Key: KeyFinalState("job-1"), Value: wire.Value(FinalState{State: wire.StateCancelled})}
 	b, places := s.load(12)
 	if b.Jobs["job-1"].CanStart() || len(places) != 1 {
 		t.Fatalf("found open %v, places %v", b.Jobs["job-1"].CanStart(), places)
 	}
 	b.MarkLost(places[0], t0)
-	if _, over := s.flush(b); len(s.items) != 1 || s.items[KeyEnd("job-1")].Key == "" || len(over) != 0 {
+	if _, over := s.flush(b); len(s.items) != 1 || s.items[KeyFinalState("job-1")].Key == "" || len(over) != 0 {
 		t.Errorf("left in the store: %v; over: %v", s.items, over)
 	}
 }
@@ -334,7 +334,7 @@
 	w := b.NextBatch(later, WriteBudget{Spare: 1000})
 	var told wire.JobState
 	b.Cancel(j, func(st wire.JobState) { told = st })
-	if _, over := b.Written(w, s.apply(w.Txn)); told != wire.StateDone || over[0].State != wire.StateDone {
+	if _, over := b.MarkCommitted(w, s.apply(w.Txn)); told != wire.StateDone || over[0].State != wire.StateDone {
 		t.Errorf("told %q, over %v", told, over)
 	}
 }
@@ -360,7 +360,7 @@
 		if len(w.Txn.Then) > ops || len(w.Txn.If) > 4*ops-1 || size > 60<<10 {
 			t.Fatalf("a transaction has %d changes, %d conditions and %d bytes", len(w.Txn.Then), len(w.Txn.If), size)
 		}
-		b.Written(w, s.apply(w.Txn))
+		b.MarkCommitted(w, s.apply(w.Txn))
 	}
 	for _, p := range places {
 		b.MarkDone(p, t0)
@@ -434,7 +434,7 @@
 	if w == nil || len(w.Txn.Then) != 1 {
 		t.Fatalf("the first transaction is %+v, want the start alone", w)
 	}
-	if start, _ := b.Written(w, s.apply(w.Txn)); len(start) != 1 || start[0] != p {
+	if start, _ := b.MarkCommitted(w, s.apply(w.Txn)); len(start) != 1 || start[0] != p {
 		t.Fatalf("may start %v", start)
 	}
 	if w := b.NextBatch(later, WriteBudget{Spare: 0}); w != nil {
@@ -464,9 +464,9 @@
 	late := b.Jobs["job-8"]
 	late.Priority = wire.PriorityProduction
 	p := b.Allocate(late, 0, "n-1", "a", 1, t0)
-	b.Written(w, s.apply(w.Txn))
+	b.MarkCommitted(w, s.apply(w.Txn))
 	w = b.NextBatch(t0, WriteBudget{Changes: 3})
-	if b.Written(w, s.apply(w.Txn)); !p.Committed {
+	if b.MarkCommitted(w, s.apply(w.Txn)); !p.Committed {
 		t.Error("a production start waits behind starts that came before")
 	}
 }
@@ -490,12 +490,12 @@
 	if w := b.NextBatch(at, WriteBudget{Overdue: 2}); w == nil || len(w.Txn.Then) != 2 {
 		t.Fatalf("with a share of two: %+v", w)
 	} else {
-		b.Written(w, s.apply(w.Txn))
+		b.MarkCommitted(w, s.apply(w.Txn))
 	}
 	if w := b.NextBatch(at, WriteBudget{Overdue: 9}); w == nil || len(w.Txn.Then) != 1 {
 		t.Fatalf("one more is overdue: %+v", w)
 	} else {
-		b.Written(w, s.apply(w.Txn))
+		b.MarkCommitted(w, s.apply(w.Txn))
 	}
 	if w := b.NextBatch(at, WriteBudget{Spare: 9}); w == nil || len(w.Txn.Then) != 3 || w.Counts.Progress != 3 {
 		t.Errorf("with room to spare: %+v", w)
@@ -512,7 +512,7 @@
 	flush := func() {
 		for w := b.NextBatch(later, WriteBudget{Spare: 1000}); w != nil; w = b.NextBatch(later, WriteBudget{Spare: 1000}) {
 			sent = append(sent, w.Txn)
-			b.Written(w, s.apply(w.Txn))
+			b.MarkCommitted(w, s.apply(w.Txn))
 		}
 	}
 	j := b.Jobs["job-1"]
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Charge notes what an attempt took, or parts of it. It must be called in the
+// AddCharges notes what an attempt took, or parts of it. It must be called in the
 // step in which its end, or the turn of its day, is taken in.
-func (b *Store) Charge(p *Allocation, parts []charge.Charge, now time.Time) {
+func (b *Store) AddCharges(p *Allocation, parts []charge.Charge, now time.Time) {
 	n := p.Index / tuning.ChunkTasks
 	c := &p.Job.chunks[n]
 	for _, part := range parts {
@@ -62,11 +62,11 @@
 	b.lazy(now)
 }
 
-// MarkBegan takes in that a task was seen to run. Its time is stored with the next
+// MarkRunning takes in that a task was seen to run. Its time is stored with the next
 // write of its record, or by itself if it runs on for BeganAfter: what ends sooner
 // costs no write.
-func (b *Store) MarkBegan(p *Allocation, now time.Time) {
-	if b.Meter && p.BeganAt.IsZero() {
+func (b *Store) MarkRunning(p *Allocation, now time.Time) {
+	if b.Metered && p.BeganAt.IsZero() {
 		p.BeganAt = now
 		if p.Inherited {
 			// It may have run since before this leader: that it was placed is all that
@@ -89,8 +89,8 @@
 	}
 }
 
-// Charges calls fn with the charges that still lie with each live job.
-func (b *Store) Charges(fn func(*charge.Pack)) {
+// VisitCharges calls fn with the charges that still lie with each live job.
+func (b *Store) VisitCharges(fn func(*charge.Pack)) {
 	for _, j := range b.Jobs {
 		for n := range j.chunks {
 			if p := &j.chunks[n].pack; len(p.Charges) > 0 {
@@ -107,16 +107,16 @@
 	return out
 }
 
-// Damaged gives the records whose charges could not be read. What their jobs are owed
+// TakeDamaged gives the records whose charges could not be read. What their jobs are owed
 // is not touched by that.
-func (b *Store) Damaged() []error {
+func (b *Store) TakeDamaged() []error {
 	out := b.damaged
 	b.damaged = nil
 	return out
 }
 
-// PackOf gives the charges in a record, of a live job or apart; nil if it holds none.
-func PackOf(item wire.Item) (*charge.Pack, error) {
+// DecodeCharges gives the charges in a record, of a live job or apart; nil if it holds none.
+func DecodeCharges(item wire.Item) (*charge.Pack, error) {
 	var r leftRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
@@ -133,7 +133,7 @@
 
 // LoadDetached takes in a stored Left.
 func (b *Store) LoadDetached(item wire.Item) {
-	switch p, err := PackOf(item); {
+	switch p, err := DecodeCharges(item); {
 	case err != nil:
 		b.damaged = append(b.damaged, err)
 	case p != nil:
@@ -181,7 +181,7 @@
 		e.Began = max(1, p.BeganAt.UnixMilli()-c.base)
 		p.beganStored = true
 	}
-	e.Part = p.Part
+	e.Part = p.ChargedParts
 	if p.Kind.Type != "" {
 		e.Kind = c.pack.KindIndex(p.Kind) + 1
 	}
@@ -195,7 +195,7 @@
 	if e.Began > 0 {
 		p.BeganAt, p.beganStored = time.UnixMilli(c.base+e.Began), true
 	}
-	p.Part = e.Part
+	p.ChargedParts = e.Part
 	if e.Kind > 0 && e.Kind <= len(c.pack.Kinds) {
 		p.Kind = c.pack.Kinds[e.Kind-1]
 	}
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -15,7 +15,7 @@
 		name  string
 		value any
 	}{
-		{"accepted-job", golden.Fill(new(Record))},
+		{"accepted-job", golden.Fill(new(JobRecord))},
 		{"progress", golden.Fill(new(chunkRecord))},
 		{"task-entry", golden.Fill(new(taskEntry))},
 		{"final-state", golden.Fill(new(FinalState))},
@@ -27,8 +27,8 @@
 
 func TestStoredKeys(t *testing.T) {
 	golden.Lines(t, "keys",
-		PrefixJob, PrefixProgress, PrefixEnd, PrefixDetached,
-		KeyJob("job-17"), KeyEnd("job-17"), keyRun("job-17", 3), keyRun("job-17", 12345),
+		PrefixJob, PrefixProgress, PrefixFinalState, PrefixDetached,
+		KeyJob("job-17"), KeyFinalState("job-17"), keyRun("job-17", 3), keyRun("job-17", 12345),
 		keyLeft("job-17", &charge.Charge{Task: 4, Attempt: 5, Part: 6}),
 	)
 	id, chunk, ok := parseRunKey(keyRun("job-17", 3))
@@ -54,7 +54,7 @@
 		{"moved-charges-pack", leftRecord{Charges: encoded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			again, err := PackOf(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
+			again, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -16,15 +16,15 @@
 	PrefixJob = "job/"
 	// PrefixProgress holds the progress of live jobs, in chunks of tasks; only the leader writes it.
 	PrefixProgress = "run/"
-	// PrefixEnd holds the final states of jobs, for ever.
-	PrefixEnd = "end/"
+	// PrefixFinalState holds the final states of jobs, for ever.
+	PrefixFinalState = "end/"
 )
 
 // KeyJob is the key of an accepted job.
 func KeyJob(id string) string { return PrefixJob + id }
 
-// KeyEnd is the key of a job's final state.
-func KeyEnd(id string) string { return PrefixEnd + id }
+// KeyFinalState is the key of a job's final state.
+func KeyFinalState(id string) string { return PrefixFinalState + id }
 
 func keyRun(id string, chunk int) string { return fmt.Sprintf("%s%s/%04d", PrefixProgress, id, chunk) }
 
@@ -34,8 +34,8 @@
 	return id, chunk, found && err == nil && chunk >= 0 && chunk <= wire.MaxTasks/tuning.ChunkTasks
 }
 
-// Record is an accepted job as it is stored.
-type Record struct {
+// JobRecord is an accepted job as it is stored.
+type JobRecord struct {
 	Job       wire.Job `json:"job"`
 	AtMS      int64    `json:"at_ms"` // time of day when it was accepted
 	Cancelled bool     `json:"cancelled,omitempty"`
--- a/internal/scheduler/jobs/tries.go
+++ b/internal/scheduler/jobs/tries.go
@@ -12,28 +12,28 @@
 // once. The count is stored, so that a new leader does not begin with a wave
 // again.
 func (b *Store) MarkFailed(j *Job, now time.Time) {
-	j.Errors++
-	if now.Before(j.PauseUntil) {
+	j.Failures++
+	if now.Before(j.BackoffUntil) {
 		return
 	}
-	j.Tries++
-	j.PauseUntil = now.Add(tryPause(j.Tries))
+	j.FailedWaves++
+	j.BackoffUntil = now.Add(tryPause(j.FailedWaves))
 	b.touch(j, 0, now)
 	b.lazy(now)
 }
 
 // MarkWorking records that a task of the job works: it is not to blame.
 func (b *Store) MarkWorking(j *Job, now time.Time) {
-	if j.Tries > 0 {
-		j.Tries = 0
-		j.PauseUntil = time.Time{}
+	if j.FailedWaves > 0 {
+		j.FailedWaves = 0
+		j.BackoffUntil = time.Time{}
 		b.touch(j, 0, now)
 	}
 }
 
-// SeenWorking tells whether a task of the job has completed or has run for a
+// HasWorked tells whether a task of the job has completed or has run for a
 // while: tasks of a job with a mistake fail as soon as they start.
-func (j *Job) SeenWorking(now time.Time) bool {
+func (j *Job) HasWorked(now time.Time) bool {
 	if j.Done > 0 {
 		return true
 	}
--- a/internal/scheduler/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -18,12 +18,12 @@
 	places []*Allocation
 	ends   []endRef
 	lefts  []DetachedCharges // charges that come to lie apart; their version is that of the batch, if 0
-	// Counts is how many of its changes serve what.
-	Counts Counts
+	// BatchCounts is how many of its changes serve what.
+	Counts BatchCounts
 }
 
-// Counts are changes by what they serve.
-type Counts struct {
+// BatchCounts are changes by what they serve.
+type BatchCounts struct {
 	Starts   int // records of places that wait to be started
 	Ends     int // ends of jobs, with what goes with them
 	Progress int // records that nobody waits for
@@ -41,8 +41,8 @@
 	State wire.JobState
 }
 
-// Due tells whether changes should be written now.
-func (b *Store) Due(now time.Time) bool {
+// WriteDue tells whether changes should be written now.
+func (b *Store) WriteDue(now time.Time) bool {
 	b.noteBegan(now)
 	return b.urgent || !b.lazyAt.IsZero() && !now.Before(b.lazyAt)
 }
@@ -98,7 +98,7 @@
 			if j.Done < len(j.Tasks) {
 				ref.state = wire.StateCancelled
 			}
-			put(KeyEnd(j.ID), 0, wire.Value(FinalState{State: ref.state, Done: j.Done}))
+			put(KeyFinalState(j.ID), 0, wire.Value(FinalState{State: ref.state, Done: j.Done}))
 		}
 		drop(KeyJob(j.ID), j.version)
 		for n := range j.chunks {
@@ -138,7 +138,7 @@
 			put(left.Key, 0, value)
 			w.lefts = append(w.lefts, left)
 		}
-		value, places := ref.job.encodeChunk(ref.n, b.Meter)
+		value, places := ref.job.encodeChunk(ref.n, b.Metered)
 		c.dirty, c.urgent, c.writing = false, false, true
 		// Progress is only written for a job that is still stored as it was
 		// loaded: one that is over can never come back to life.
@@ -292,7 +292,7 @@
 	}
 	r.Done = encodeRanges(done)
 	if n == 0 {
-		r.Tries = j.Tries
+		r.Tries = j.FailedWaves
 	}
 	if r.Base = c.base; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
 		r.Charges = charge.EncodePack(&c.pack)
@@ -300,9 +300,9 @@
 	return wire.Value(r), places
 }
 
-// Written takes in that a batch is stored at a revision. It returns the places
+// MarkCommitted takes in that a batch is stored at a revision. It returns the places
 // that may now be started, and the jobs that came to a final state.
-func (b *Store) Written(w *Batch, revision uint64) (start []*Allocation, over []FinishedJob) {
+func (b *Store) MarkCommitted(w *Batch, revision uint64) (start []*Allocation, over []FinishedJob) {
 	for _, ref := range w.chunks {
 		c := &ref.job.chunks[ref.n]
 		c.version, c.writing = revision, false
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -168,7 +168,7 @@
 // downFor is how long a replica would fetch its image on the machine to which
 // it would move, in seconds; ok is false when no machine in use has room for it.
 func downFor(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
-	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.Zones()), Prompt: true}
+	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.AllocationsByZone()), Prompt: true}
 	it.Zones[p.Zone]--
 	m := trial.Best(it)
 	if m == nil {
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -55,7 +55,7 @@
 func (l *Loop) runs(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
 	t.Helper()
 	now := l.env.Clock.Now()
-	value, err := json.Marshal(jobs.Record{Job: wire.Job{
+	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{
 		ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "img",
 	}})
 	if err != nil {
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -30,7 +30,7 @@
 		again := l.runs(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.WorksAfter)
 		l.pendingJobs(clock.Now())
-		if again.Job.Tries != 0 {
+		if again.Job.FailedWaves != 0 {
 			t.Error("a job that works is still on trial")
 		}
 	}
@@ -57,14 +57,14 @@
 		j.Kind = wire.KindArray
 		j.Tasks = append(j.Tasks, make([]jobs.Task, 3)...)
 		for range 8 {
-			pause := j.PauseUntil.Sub(clock.Now())
+			pause := j.BackoffUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
 				l.ends(p, wire.ExitError)
 				p = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
 				l.machines.Add(p, clock.Now())
 			}
 			l.ends(p, wire.ExitError)
-			next := j.PauseUntil.Sub(clock.Now())
+			next := j.BackoffUntil.Sub(clock.Now())
 			if next < pause || next > tuning.ErrorPauseMax {
 				t.Fatalf("pause %v after %v", next, pause)
 			}
@@ -77,8 +77,8 @@
 			l.machines.Add(p, clock.Now())
 		}
 		l.ends(p, wire.ExitError)
-		if j.Tries != 9 || j.PauseUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
-			t.Errorf("%d tries, and a pause of %v", j.Tries, j.PauseUntil.Sub(clock.Now()))
+		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
+			t.Errorf("%d tries, and a pause of %v", j.FailedWaves, j.BackoffUntil.Sub(clock.Now()))
 		}
 	}
 	for name, m := range l.machines.Machines {
@@ -108,7 +108,7 @@
 	}
 	unknown := l.runs(t, "job-2", "n-large", 1)
 	l.ends(unknown, wire.ExitUnknown)
-	if unknown.Job.Waiting() != 1 || !unknown.Job.PauseUntil.After(now) {
+	if unknown.Job.Waiting() != 1 || !unknown.Job.BackoffUntil.After(now) {
 		t.Error("a job whose description is not there yet is started again at once")
 	}
 }
@@ -142,7 +142,7 @@
 	p := l.runs(t, "job-1", "n-large", 1)
 	l.ends(p, wire.ExitError)
 	avoids := func() bool {
-		l.jobs.Jobs["job-1"].PauseUntil = time.Time{}
+		l.jobs.Jobs["job-1"].BackoffUntil = time.Time{}
 		items, _ := l.pendingJobs(clock.Now())
 		return len(items) == 1 && items[0].Avoid != nil && items[0].Avoid("n-large")
 	}
@@ -192,7 +192,7 @@
 	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
 	begun := clock.Now()
 	blocked := l.waits(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
-	for j.PauseUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
+	for j.BackoffUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
 		for _, m := range l.machines.Machines { // it reports all the while
 			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
@@ -200,7 +200,7 @@
 		if l.changed || !now.Before(l.nextPass) {
 			l.schedule(now)
 		}
-		if waited := now.Sub(j.PauseUntil); waited > tuning.PassWaitMax+time.Second {
+		if waited := now.Sub(j.BackoffUntil); waited > tuning.PassWaitMax+time.Second {
 			t.Fatalf("waits for %v since it may be placed", waited)
 		}
 	}
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -208,10 +208,10 @@
 		t.Fatal("the other is not found gone")
 	}
 	w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
-	if w == nil || w.Txn.Then[0].Put != jobs.KeyEnd("job-1") {
+	if w == nil || w.Txn.Then[0].Put != jobs.KeyFinalState("job-1") {
 		t.Fatalf("stored: %+v", w)
 	}
-	l.jobs.Written(w, 9)
+	l.jobs.MarkCommitted(w, 9)
 	if l.jobs.Jobs["job-1"] != nil {
 		t.Error("the job is not over")
 	}
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -25,7 +25,7 @@
 	}
 	l.blame(j)
 	if n := len(j.AvoidMachines); n >= tuning.BadJobMachines {
-		j.PauseUntil = now.Add(min(tuning.ErrorPause<<min(j.Errors-tuning.BadJobMachines, 10), tuning.ErrorPauseMax))
+		j.BackoffUntil = now.Add(min(tuning.ErrorPause<<min(j.Failures-tuning.BadJobMachines, 10), tuning.ErrorPauseMax))
 	}
 }
 
@@ -33,10 +33,10 @@
 // at a time, after growing pauses. Nothing makes room for it: no machine is
 // rented, no task stopped, no room kept, and it holds no machine as the head.
 func (l *Loop) onTrial(j *jobs.Job, now time.Time) bool {
-	if j.Tries == 0 {
+	if j.FailedWaves == 0 {
 		return false
 	}
-	if j.SeenWorking(now) {
+	if j.HasWorked(now) {
 		l.acquit(j, now)
 		return false
 	}
@@ -60,7 +60,7 @@
 // completed takes in that a task completed, after the time at which its machine was heard before: its job works,
 // and so does its machine. One that runs everything slowly is given up like a faulty one.
 func (l *Loop) completed(p *jobs.Allocation, m *machines.Machine, heard, now time.Time) {
-	if p.Job.Tries > 0 {
+	if p.Job.FailedWaves > 0 {
 		l.acquit(p.Job, now)
 	}
 	if m == nil {
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -23,7 +23,7 @@
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone})
 		}
 		for w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.jobs.NextBatch(now, jobs.WriteBudget{}) {
-			l.jobs.Written(w, 1)
+			l.jobs.MarkCommitted(w, 1)
 		}
 		if _, err := l.take(rep, false); err != nil { // the ends are taken in
 			t.Fatal(err)
--- a/internal/scheduler/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -69,7 +69,7 @@
 	if l.images.writing || now.Before(l.images.next) {
 		return
 	}
-	if l.store.Room() < tuning.ImagesRoom {
+	if l.store.SpareWrites() < tuning.ImagesRoom {
 		return
 	}
 	l.images.next = now.Add(tuning.ImagesEvery)
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -79,7 +79,7 @@
 	l := &Loop{
 		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
 		jobs: jobs.NewStore(state.TxnOps), machines: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
-		store: env.Store.Share(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
+		store: env.Store.WithShare(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
 		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
 	for _, join := range env.Subsystems {
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -132,7 +132,7 @@
 		if l.onTrial(j, now) { // also for what it ends
 			trials[j] = true
 		}
-		if j.CanStart() && j.Waiting() > 0 && !now.Before(j.PauseUntil) {
+		if j.CanStart() && j.Waiting() > 0 && !now.Before(j.BackoffUntil) {
 			waiting = append(waiting, j)
 		}
 	}
@@ -178,7 +178,7 @@
 	if !j.Spread && !j.OneZone {
 		return nil
 	}
-	return cloneCounts(j.Zones())
+	return cloneCounts(j.AllocationsByZone())
 }
 
 // openMachines are the machines that may get tasks now.
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -17,7 +17,7 @@
 			return
 		}
 		var items []wire.Item
-		if _, err := l.store.Spare().ListAll(ctx, jobs.PrefixJob, func(page []wire.Item) error {
+		if _, err := l.store.LowPriority().ListAll(ctx, jobs.PrefixJob, func(page []wire.Item) error {
 			items = append(items, page...)
 			return nil
 		}); err != nil {
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -16,7 +16,7 @@
 	l, clock := leaderWith(t)
 	known := l.waits(t, wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
 	item := func(id string) wire.Item {
-		value, err := json.Marshal(jobs.Record{Job: wire.Job{ID: id, Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 2, CPUs: 1}, AtMS: clock.Now().UnixMilli()})
+		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 2, CPUs: 1}, AtMS: clock.Now().UnixMilli()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -138,8 +138,8 @@
 		seen[item.Key] = true
 		l.jobs.LoadDetached(item)
 	}
-	l.jobs.Loaded()
-	for _, err := range l.jobs.Damaged() {
+	l.jobs.FinishLoading()
+	for _, err := range l.jobs.TakeDamaged() {
 		l.log.Error("charges are lost", "err", err)
 	}
 	l.loaded, l.changed = true, true
@@ -159,10 +159,10 @@
 // transaction of 24 changes once waited half a second for the limit, and starts of services that came
 // meanwhile waited behind it.
 func (l *Loop) flush(now time.Time) {
-	if l.writing || !l.jobs.Due(now) {
+	if l.writing || !l.jobs.WriteDue(now) {
 		return
 	}
-	ready, most := l.store.Ready()
+	ready, most := l.store.AvailableWrites()
 	if ready < min(most, tuning.WriteLeast) {
 		return // the tick looks again
 	}
@@ -259,7 +259,7 @@
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
 	l.log.Debug("written", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
 		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(begun).Milliseconds())
-	start, over := l.jobs.Written(batch, revision)
+	start, over := l.jobs.MarkCommitted(batch, revision)
 	for _, o := range over {
 		l.levels.over(o.Job.ID)
 		l.env.FinalStates.Add(wire.JobStatus{ID: o.Job.ID, State: o.State, Done: o.Job.Done})
--- a/internal/scheduler/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -17,7 +17,7 @@
 func (l *Loop) waits(t testing.TB, j wire.Job) *jobs.Job {
 	t.Helper()
 	now := l.env.Clock.Now()
-	value, err := json.Marshal(jobs.Record{Job: j, AtMS: now.UnixMilli()})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: now.UnixMilli()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	l, clock := leaderWith(t)
 	l.begun = clock.Now()
 	take := func(id string) int {
-		value, err := json.Marshal(jobs.Record{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1}})
+		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -136,7 +136,7 @@
 		}
 		l.schedule(clock.Now())
 		for w := l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
-			start, _ := l.jobs.Written(w, uint64(round+2))
+			start, _ := l.jobs.MarkCommitted(w, uint64(round+2))
 			stored += len(start)
 		}
 	}
--- a/internal/scheduler/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -122,7 +122,7 @@
 	if l.subsystemWriting {
 		return
 	}
-	s, w := l.nextWrite(now, l.store.Room()-1) // one change is the link's
+	s, w := l.nextWrite(now, l.store.SpareWrites()-1) // one change is the link's
 	if w == nil {
 		return
 	}
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, p := range a.Began {
-		l.jobs.MarkBegan(p, now)
+		l.jobs.MarkRunning(p, now)
 		if first := l.levels.began(p.Job); first != nil {
 			l.env.observe(func(o Observer) { o.JobBegan(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
 		}
@@ -197,7 +197,7 @@
 			}
 		case wire.ExitUnknown:
 			// The job's description is not there (yet).
-			p.Job.PauseUntil = now.Add(tuning.ErrorPause)
+			p.Job.BackoffUntil = now.Add(tuning.ErrorPause)
 		}
 		if o.Reason != wire.ExitStopped {
 			l.log.Debug("task ended", "task", p.Task().String(), "machine", p.Machine, "why", o.Reason)
--- a/internal/scheduler/leader/util.go
+++ b/internal/scheduler/leader/util.go
@@ -9,10 +9,10 @@
 	"poppypass/internal/clients/statestore"
 )
 
-type conflictError = statestore.Conflict
+type conflictError = statestore.ConflictError
 
 var (
-	errUnknown     = statestore.ErrUnknown
+	errUnknown     = statestore.ErrOutcomeUnknown
 	errNotExecuted = statestore.ErrNotExecuted
 	errCompacted   = statestore.ErrCompacted
 )
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -112,13 +112,13 @@
 	if cut := l.cutZones(l.env.Clock.Now()); len(cut) != 0 {
 		t.Errorf("one machine is no zone: %v", cut)
 	}
-	tries := p.Job.Tries
+	tries := p.Job.FailedWaves
 	// Its session ends since no answer reached it: the task is proven gone, and wanted elsewhere.
 	pass(time.Second)
 	rep.Incarnation, rep.Seq = 2, rep.Seq+1
 	l.takes(t, rep)
-	if !p.Removed || p.Job.Tries != tries {
-		t.Errorf("gone %v, tries %d", p.Removed, p.Job.Tries)
+	if !p.Removed || p.Job.FailedWaves != tries {
+		t.Errorf("gone %v, tries %d", p.Removed, p.Job.FailedWaves)
 	}
 	hears = true
 	pass(tuning.ProbePauseMax)
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -50,8 +50,8 @@
 	if l.onTrial(j, now) {
 		add("every task of the job failed so far: one is tried at a time, after pauses")
 	}
-	if now.Before(j.PauseUntil) {
-		add("after failures, no task starts for %d s", 1+int(j.PauseUntil.Sub(now).Seconds()))
+	if now.Before(j.BackoffUntil) {
+		add("after failures, no task starts for %d s", 1+int(j.BackoffUntil.Sub(now).Seconds()))
 	}
 	it := &placement.PendingJob{Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, EnqueuedAt: j.EnqueuedAt, OnTrial: l.onTrial(j, now)}
 	if it.Overdue(now) {
--- a/internal/sim/faults/letter_test.go
+++ b/internal/sim/faults/letter_test.go
@@ -117,7 +117,7 @@
 
 // inDoubt has transactions of each kind be in doubt: fn has the state service treat those that are picked so; nil ends that.
 func inDoubt(t *testing.T, fn func(*world, func(wire.Txn) bool)) {
-	for _, prefix := range []string{jobs.PrefixJob, jobs.PrefixProgress, jobs.PrefixEnd, "lead/", "fence/", "keep/", ""} {
+	for _, prefix := range []string{jobs.PrefixJob, jobs.PrefixProgress, jobs.PrefixFinalState, "lead/", "fence/", "keep/", ""} {
 		t.Run("key "+prefix, func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, sites["lease 18, five"], 2+*shift)
