--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -425,7 +425,7 @@
 func TaskOf(j *wire.Job) *Task {
 	return &Task{
 		Scope: Scope{j.Team, j.Account}, Production: j.Priority == wire.PriorityProduction, Class: j.Class,
-		Cores: charge.Milli(j.CPUs), EstimateS: j.EstimateS,
+		Cores: charge.InMilli(j.CPUs), EstimateS: j.EstimateS,
 	}
 }
 
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -17,37 +17,37 @@
 	"time"
 )
 
-// How tells how an attempt came to its end.
-type How uint8
+// Outcome tells how an attempt came to its end.
+type Outcome uint8
 
 // The ends of attempts.
 const (
-	Continues How = iota // a part of an attempt that runs on: its day is over
-	Done                 // completed
-	Failed               // ended by itself with an error
-	Refused              // the worker did not take it: it never ran
-	Stopped              // stopped for a reason that is no longer known
-	Preempted            // stopped to make room for others
-	Drained              // stopped since its machine is taken or emptied
-	Cancelled            // its job was cancelled
-	OverSpent            // stopped since its team's budget is spent
-	Lost                 // its machine was lost: the charge is an upper bound
-
-	hows = iota
+	Continues  Outcome = iota // a part of an attempt that runs on: its day is over
+	Done                      // completed
+	Failed                    // ended by itself with an error
+	Refused                   // the worker did not take it: it never ran
+	Stopped                   // stopped for a reason that is no longer known
+	Preempted                 // stopped to make room for others
+	Drained                   // stopped since its machine is taken or emptied
+	Cancelled                 // its job was cancelled
+	OverBudget                // stopped since its team's budget is spent
+	Lost                      // its machine was lost: the charge is an upper bound
+
+	outcomeCount = iota
 )
 
-var howNames = [hows]string{"continues", "done", "failed", "refused", "stopped", "preempted", "drained", "cancelled", "over-spent", "lost"}
+var outcomeNames = [outcomeCount]string{"continues", "done", "failed", "refused", "stopped", "preempted", "drained", "cancelled", "over-spent", "lost"}
 
 // String gives the end's name, as programs and people see it.
-func (h How) String() string {
-	if h >= hows {
+func (h Outcome) String() string {
+	if h >= outcomeCount {
 		return fmt.Sprintf("how-%d", uint8(h))
 	}
-	return howNames[h]
+	return outcomeNames[h]
 }
 
 // MarshalText gives the end's name.
-func (h How) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
+func (h Outcome) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
 // Kind is the kind of machine an attempt ran on, and what it cost there.
 type Kind struct {
@@ -69,8 +69,8 @@
 	Memory  int64 // in milli-gigabytes
 }
 
-// Milli is an amount in thousandths, rounded.
-func Milli(v float64) int64 { return int64(math.Round(v * 1000)) }
+// InMilli is an amount in thousandths, rounded.
+func InMilli(v float64) int64 { return int64(math.Round(v * 1000)) }
 
 // Charge is what one attempt of a task took, or a part of that which lies in
 // one day: the parts of an attempt are numbered from 0 and follow each other
@@ -84,7 +84,7 @@
 	Start   int64 // time of day in milliseconds
 	Run     int64 // milliseconds from then on
 	Money   int64
-	How     How
+	Outcome Outcome
 	Flags   Flag
 }
 
@@ -93,9 +93,9 @@
 
 // The remarks.
 const (
-	Bound Flag = 1 << iota // its time is an upper bound: its start or its end was not seen
-	Saved                  // its progress was saved
-	Blind                  // the machine's price was not known
+	UpperBound    Flag = 1 << iota // its time is an upper bound: its start or its end was not seen
+	ProgressSaved                  // its progress was saved
+	PriceUnknown                   // the machine's price was not known
 )
 
 // End is the time of day, in milliseconds, up to which the charge counts.
@@ -123,20 +123,20 @@
 
 // Amounts is what some charges took together.
 type Amounts struct {
-	_      struct{} `cbor:",toarray"`
-	Core   int64
-	GPU    int64
-	Memory int64
-	Money  int64
-	Run    int64
-	Ends   [hows]int64 // charges by how they ended; attempts are all but Continues
+	_         struct{} `cbor:",toarray"`
+	Core      int64
+	GPU       int64
+	Memory    int64
+	Money     int64
+	Run       int64
+	ByOutcome [outcomeCount]int64 // charges by how they ended; attempts are all but Continues
 }
 
-// Of is what a charge of a job took.
-func (b *Brief) Of(c *Charge) Amounts {
+// AmountsOf is what a charge of a job took.
+func (b *Brief) AmountsOf(c *Charge) Amounts {
 	a := Amounts{Core: b.Cores * c.Run, GPU: b.GPUs * c.Run, Memory: b.Memory * c.Run, Money: c.Money, Run: c.Run}
-	if c.How < hows {
-		a.Ends[c.How] = 1
+	if c.Outcome < outcomeCount {
+		a.ByOutcome[c.Outcome] = 1
 	}
 	return a
 }
@@ -148,16 +148,16 @@
 	a.Memory += b.Memory
 	a.Money += b.Money
 	a.Run += b.Run
-	for i := range a.Ends {
-		a.Ends[i] += b.Ends[i]
+	for i := range a.ByOutcome {
+		a.ByOutcome[i] += b.ByOutcome[i]
 	}
 }
 
 // Attempts is how many attempts came to an end.
 func (a *Amounts) Attempts() int64 {
 	var n int64
-	for h, v := range a.Ends {
-		if How(h) != Continues {
+	for h, v := range a.ByOutcome {
+		if Outcome(h) != Continues {
 			n += v
 		}
 	}
@@ -183,9 +183,9 @@
 	return time.Date(t.Year(), t.Month(), t.Day()+1, 0, 0, 0, 0, where).UnixMilli()
 }
 
-// Split cuts a charge at the turns of days, so that each part lies in one day.
+// SplitByDay cuts a charge at the turns of days, so that each part lies in one day.
 // Its time and money are shared out without a rest.
-func Split(c Charge, where *time.Location) []Charge {
+func SplitByDay(c Charge, where *time.Location) []Charge {
 	var out []Charge
 	for {
 		turn := NextDay(c.Start, where)
@@ -195,7 +195,7 @@
 		part := c
 		part.Run = turn - c.Start
 		part.Money = int64(math.Round(float64(c.Money) * float64(part.Run) / float64(c.Run)))
-		part.How, part.Flags = Continues, c.Flags&^Saved
+		part.Outcome, part.Flags = Continues, c.Flags&^ProgressSaved
 		out = append(out, part)
 		c.Start, c.Run, c.Money, c.Part = turn, c.Run-part.Run, c.Money-part.Money, c.Part+1
 	}
--- a/internal/accounting/charge/codec.go
+++ b/internal/accounting/charge/codec.go
@@ -61,8 +61,8 @@
 	return &Codec{enc: enc, dec: dec}, nil
 }
 
-// Squeeze gives the compressed form of a value.
-func (c *Codec) Squeeze(v any) []byte {
+// Encode gives the compressed form of a value.
+func (c *Codec) Encode(v any) []byte {
 	raw, err := cbor.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("records are always encodable: %v", err))
@@ -70,8 +70,8 @@
 	return c.enc.EncodeAll(raw, nil)
 }
 
-// Expand reads a compressed form into v.
-func (c *Codec) Expand(raw []byte, v any) error {
+// Decode reads a compressed form into v.
+func (c *Codec) Decode(raw []byte, v any) error {
 	plain, err := c.dec.DecodeAll(raw, nil)
 	if err != nil {
 		return fmt.Errorf("a compressed record is damaged: %w", err)
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -14,7 +14,7 @@
 
 func fullCharge() *Charge {
 	return &Charge{
-		Task: 4, Attempt: 5, Part: 6, Kind: 1, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, How: Drained, Flags: Bound | Blind,
+		Task: 4, Attempt: 5, Part: 6, Kind: 1, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: Drained, Flags: UpperBound | PriceUnknown,
 	}
 }
 
@@ -24,7 +24,7 @@
 }
 
 func fullAmounts() *Amounts {
-	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, Ends: [hows]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
+	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [outcomeCount]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
 }
 
 // Packs of charges are stored in progress records and segments, amounts in the ledger's
@@ -61,10 +61,10 @@
 		t.Fatal(err)
 	}
 	packs := []Pack{*fullPack()}
-	raw := codec.Squeeze(packs)
+	raw := codec.Encode(packs)
 	golden.Hex(t, "compressed-packs", raw)
 	var again []Pack
-	if err := codec.Expand(raw, &again); err != nil {
+	if err := codec.Decode(raw, &again); err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "compressed-packs", again, packs)
@@ -73,12 +73,12 @@
 // The names of ends are part of messages and metrics, their numbers of stored charges.
 func TestNumbersAndNames(t *testing.T) {
 	var lines []string
-	for how := range How(hows) {
+	for how := range Outcome(outcomeCount) {
 		lines = append(lines, how.String())
 	}
 	golden.Lines(t, "ends", lines...)
 	golden.Hex(t, "ends-numbers", []byte{
-		byte(Continues), byte(Done), byte(Failed), byte(Refused), byte(Stopped), byte(Preempted), byte(Drained), byte(Cancelled), byte(OverSpent), byte(Lost),
+		byte(Continues), byte(Done), byte(Failed), byte(Refused), byte(Stopped), byte(Preempted), byte(Drained), byte(Cancelled), byte(OverBudget), byte(Lost),
 	})
-	golden.Hex(t, "flags", []byte{byte(Bound), byte(Saved), byte(Blind)})
+	golden.Hex(t, "flags", []byte{byte(UpperBound), byte(ProgressSaved), byte(PriceUnknown)})
 }
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -15,7 +15,7 @@
 	w := newWorld(b)
 	w.submit(array("job-1", 1))
 	p := w.start("job-1")
-	c := charge.Charge{Attempt: 1, Start: begin.UnixMilli(), Run: 50_000, Money: 11_111, How: charge.Done}
+	c := charge.Charge{Attempt: 1, Start: begin.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Attempt++ // no two charges have the same name
@@ -50,7 +50,7 @@
 				run := int64(30_000 + (i*7919+k*104729)%40_000)
 				pack.Charges = append(pack.Charges, charge.Charge{
 					Task: k, Attempt: 1, Start: begin.UnixMilli() + int64(i)*4000 + int64(k*37%900), Run: run,
-					Money: charge.Cost(90_000, time.Duration(run)*time.Millisecond), How: charge.Done,
+					Money: charge.Cost(90_000, time.Duration(run)*time.Millisecond), Outcome: charge.Done,
 				})
 			}
 			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: w.revision + 1, Value: leftValue(pack)}
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -243,7 +243,7 @@
 }
 
 func (l *Ledger) count(b *charge.Brief, c *charge.Charge) {
-	a := b.Of(c)
+	a := b.AmountsOf(c)
 	l.budgets.Charged(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.where), budget.Use{Core: a.Core, Money: a.Money})
 }
 
@@ -323,9 +323,9 @@
 	p := o.Allocation
 	delete(l.live, p)
 	c, ok := chargeFor(&o, now, l.rateNow(p))
-	l.budgets.End(p, c.How == charge.Done && c.Flags&charge.Bound == 0, time.Duration(c.Run)*time.Millisecond)
+	l.budgets.End(p, c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0, time.Duration(c.Run)*time.Millisecond)
 	if ok {
-		l.write(p, charge.Split(c, l.where), now)
+		l.write(p, charge.SplitByDay(c, l.where), now)
 	}
 }
 
@@ -338,16 +338,16 @@
 	for i := range parts {
 		l.count(&brief, &parts[i])
 		if l.cfg.Charged != nil {
-			l.cfg.Charged(brief.Team, parts[i].How.String(), brief.Of(&parts[i]))
+			l.cfg.Charged(brief.Team, parts[i].Outcome.String(), brief.AmountsOf(&parts[i]))
 		}
 	}
 	l.stats.Charges += len(parts)
 	l.book.AddCharges(p, parts, now)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
 		for i := range parts {
-			c, a := &parts[i], brief.Of(&parts[i])
+			c, a := &parts[i], brief.AmountsOf(&parts[i])
 			l.log.Debug("charged", "task", p.Task().String(), "attempt", c.Attempt, "part", c.Part, "team", brief.Team, "class", brief.Class,
-				"type", p.Kind.Type, "spot", p.Kind.Spot, "how", c.How.String(), "bound", c.Flags&charge.Bound != 0, "saved", c.Flags&charge.Saved != 0,
+				"type", p.Kind.Type, "spot", p.Kind.Spot, "how", c.Outcome.String(), "bound", c.Flags&charge.UpperBound != 0, "saved", c.Flags&charge.ProgressSaved != 0,
 				"run_ms", c.Run, "core_us", a.Core, "money_u", a.Money)
 		}
 	}
@@ -385,7 +385,7 @@
 	for _, ref := range l.budgets.OverSpent() {
 		p := ref.(*jobs.Allocation)
 		if p.Stop == nil {
-			p.Stop = &jobs.StopRequest{Reason: charge.OverSpent}
+			p.Stop = &jobs.StopRequest{Reason: charge.OverBudget}
 			if p.Job.CheckpointS > 0 {
 				p.Stop.GraceS = p.Job.SaveS + tuning.GraceExtra.Seconds()
 			}
@@ -423,9 +423,9 @@
 		if p.BeganAt.IsZero() || !p.BeganAt.Before(turn) {
 			continue
 		}
-		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, How: charge.Continues, Flags: blindStart(p)}
+		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: charge.Continues, Flags: blindStart(p)}
 		meter(&c, p, p.BeganAt, turn, l.rateNow(p))
-		parts := charge.Split(c, l.where)
+		parts := charge.SplitByDay(c, l.where)
 		p.BeganAt, p.ChargedParts = turn, p.ChargedParts+len(parts)
 		l.write(p, parts, now)
 	}
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -40,12 +40,12 @@
 	for _, c := range []struct {
 		name string
 		end  func(w *world, p *jobs.Allocation)
-		how  charge.How
+		how  charge.Outcome
 		flag charge.Flag
 	}{
 		{"done", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
 		{"failed", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.Bound},
+		{"its machine is taken back or its session ends", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
 		{"drained", func(w *world, p *jobs.Allocation) {
 			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			w.end(p, wire.ExitStopped, false)
@@ -68,7 +68,7 @@
 			c.end(w, p)
 			w.check()
 			got := w.only(keyOf(p))
-			if got.How != c.how || got.Flags != c.flag || got.Run != 30_000 {
+			if got.Outcome != c.how || got.Flags != c.flag || got.Run != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
 			// Half of its processors and half of its memory, at 0.8 an hour, for 30 s.
@@ -479,7 +479,7 @@
 	}
 	w.clock.Advance(time.Minute) // 240 core-seconds of 180
 	stop := w.ledger.Tick(w.now())
-	if len(stop) != 1 || stop[0] != p || p.Stop.Reason != charge.OverSpent || p.Stop.GraceS < 4 || replica.Stop != nil {
+	if len(stop) != 1 || stop[0] != p || p.Stop.Reason != charge.OverBudget || p.Stop.GraceS < 4 || replica.Stop != nil {
 		t.Fatalf("stopped are %v", stop)
 	}
 	if again := w.ledger.Tick(w.now()); len(again) != 0 {
@@ -487,7 +487,7 @@
 	}
 	w.end(p, wire.ExitStopped, false)
 	w.check()
-	if c := w.only(keyOf(p)); c.How != charge.OverSpent {
+	if c := w.only(keyOf(p)); c.Outcome != charge.OverBudget {
 		t.Errorf("charged %+v", c)
 	}
 }
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -46,7 +46,7 @@
 }
 
 // how tells how an attempt ended, for its charge.
-func how(o *machines.Outcome) charge.How {
+func how(o *machines.Outcome) charge.Outcome {
 	p := o.Allocation
 	switch {
 	case o.Reason == wire.ExitDone:
@@ -72,29 +72,29 @@
 	if !p.Committed {
 		return c, false // no record named it, so nothing was started
 	}
-	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, How: how(o)}
+	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: how(o)}
 	if o.Saved {
-		c.Flags |= charge.Saved
+		c.Flags |= charge.ProgressSaved
 	}
 	begun := p.BeganAt
 	switch {
 	case !begun.IsZero():
 		c.Flags |= blindStart(p)
-		if c.How == charge.Lost {
-			c.Flags |= charge.Bound
+		if c.Outcome == charge.Lost {
+			c.Flags |= charge.UpperBound
 		}
-	case c.How == charge.Refused:
+	case c.Outcome == charge.Refused:
 		begun = now
 	default:
 		begun = p.PlacedAt
 		if o.Idle.After(begun) {
 			begun = o.Idle
 		}
-		c.Flags |= charge.Bound
+		c.Flags |= charge.UpperBound
 	}
-	if p.Inherited && p.State == "" && c.How != charge.Refused {
+	if p.Inherited && p.State == "" && c.Outcome != charge.Refused {
 		// This leader never saw it run: it may have ended while nobody led.
-		c.Flags |= charge.Bound
+		c.Flags |= charge.UpperBound
 	}
 	meter(&c, p, begun, now, rateNow)
 	return c, true
@@ -104,7 +104,7 @@
 // knows when it began.
 func blindStart(p *jobs.Allocation) charge.Flag {
 	if p.ChargedParts == 0 && !p.BeganAt.After(p.PlacedAt) {
-		return charge.Bound
+		return charge.UpperBound
 	}
 	return 0
 }
@@ -122,7 +122,7 @@
 		rate = rateNow
 	}
 	if rate == 0 && c.Run > 0 {
-		c.Flags |= charge.Blind
+		c.Flags |= charge.PriceUnknown
 	}
 	c.Money = charge.Cost(rate, time.Duration(c.Run)*time.Millisecond)
 }
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
 	}
-	if err := c.Expand(r.Zstd, &packs); err != nil {
+	if err := c.Decode(r.Zstd, &packs); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
 	}
 	n := 0
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
 	}
-	if err := c.Expand(r.Zstd, &rows); err != nil {
+	if err := c.Decode(r.Zstd, &rows); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
 	}
 	return rows, nil
@@ -109,11 +109,11 @@
 	for i := range packs {
 		n += len(packs[i].Charges)
 	}
-	return wire.Value(segmentRecord{Charges: n, Zstd: c.Squeeze(packs)})
+	return wire.Value(segmentRecord{Charges: n, Zstd: c.Encode(packs)})
 }
 
 func pageValue(c *charge.Codec, rows []Row) json.RawMessage {
-	return wire.Value(pageRecord{Zstd: c.Squeeze(rows)})
+	return wire.Value(pageRecord{Zstd: c.Encode(rows)})
 }
 
 // segment is the one that grows.
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -50,7 +50,7 @@
 			Type: kind.Type, Spot: kind.Spot,
 		}
 		sum := rows[name]
-		sum.Add(p.Brief.Of(c))
+		sum.Add(p.Brief.AmountsOf(c))
 		rows[name] = sum
 	}
 	return rows
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -62,9 +62,9 @@
 		Attempts: a.Attempts(), CoreHours: a.CoreHours(), GPUHours: float64(a.GPU) / 1e6 / 3600, MemoryGBH: float64(a.Memory) / 1e6 / 3600,
 		Money: float64(a.Money) / 1e6, CoreMicroS: a.Core, MoneyMicro: a.Money, RunMS: a.Run, Ends: map[string]int64{},
 	}
-	for h, n := range a.Ends {
-		if n > 0 && charge.How(h) != charge.Continues {
-			t.Ends[charge.How(h).String()] = n
+	for h, n := range a.ByOutcome {
+		if n > 0 && charge.Outcome(h) != charge.Continues {
+			t.Ends[charge.Outcome(h).String()] = n
 		}
 	}
 	return t
@@ -239,8 +239,8 @@
 		var c charge.Charge
 		meter(&c, p, p.BeganAt, now, l.rateNow(p))
 		brief := l.brief(p)
-		a := brief.Of(&c)
-		a.Ends = [len(a.Ends)]int64{}
+		a := brief.AmountsOf(&c)
+		a.ByOutcome = [len(a.ByOutcome)]int64{}
 		running.Add(RowName{Day: charge.DayOf(now.UnixMilli(), l.where), Team: brief.Team, Account: brief.Account, Class: brief.Class}, a)
 	}
 	out.Running = TotalOf(running.sum)
@@ -249,25 +249,25 @@
 
 // ChargeView is a charge for people and programs.
 type ChargeView struct {
-	Task    string     `json:"task"`
-	Attempt uint64     `json:"attempt"`
-	Part    int        `json:"part"`
-	Team    string     `json:"team"`
-	Account string     `json:"account,omitempty"`
-	Class   string     `json:"class"`
-	Type    string     `json:"type"`
-	Zone    string     `json:"zone"`
-	Spot    bool       `json:"spot"`
-	Start   time.Time  `json:"start"`
-	End     time.Time  `json:"end"`
-	CoreS   float64    `json:"core_s"`
-	GPUS    float64    `json:"gpu_s"`
-	MemGBS  float64    `json:"memory_gb_s"`
-	Money   float64    `json:"money"`
-	How     charge.How `json:"how"`
-	Bound   bool       `json:"upper_bound,omitempty"`
-	Saved   bool       `json:"saved,omitempty"`
-	Blind   bool       `json:"price_unknown,omitempty"`
+	Task    string         `json:"task"`
+	Attempt uint64         `json:"attempt"`
+	Part    int            `json:"part"`
+	Team    string         `json:"team"`
+	Account string         `json:"account,omitempty"`
+	Class   string         `json:"class"`
+	Type    string         `json:"type"`
+	Zone    string         `json:"zone"`
+	Spot    bool           `json:"spot"`
+	Start   time.Time      `json:"start"`
+	End     time.Time      `json:"end"`
+	CoreS   float64        `json:"core_s"`
+	GPUS    float64        `json:"gpu_s"`
+	MemGBS  float64        `json:"memory_gb_s"`
+	Money   float64        `json:"money"`
+	How     charge.Outcome `json:"how"`
+	Bound   bool           `json:"upper_bound,omitempty"`
+	Saved   bool           `json:"saved,omitempty"`
+	Blind   bool           `json:"price_unknown,omitempty"`
 }
 
 // Views gives the charges of a pack.
@@ -275,13 +275,13 @@
 	out := make([]ChargeView, 0, len(p.Charges))
 	for i := range p.Charges {
 		c := &p.Charges[i]
-		kind, a := p.Kinds[c.Kind], p.Brief.Of(c)
+		kind, a := p.Kinds[c.Kind], p.Brief.AmountsOf(c)
 		out = append(out, ChargeView{
 			Task: wire.TaskID{Job: p.Job, Index: c.Task}.String(), Attempt: c.Attempt, Part: c.Part,
 			Team: p.Brief.Team, Account: p.Brief.Account, Class: p.Brief.Class, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot,
 			Start: time.UnixMilli(c.Start).UTC(), End: time.UnixMilli(c.End()).UTC(),
 			CoreS: float64(a.Core) / 1e6, GPUS: float64(a.GPU) / 1e6, MemGBS: float64(a.Memory) / 1e6, Money: float64(c.Money) / 1e6,
-			How: c.How, Bound: c.Flags&charge.Bound != 0, Saved: c.Flags&charge.Saved != 0, Blind: c.Flags&charge.Blind != 0,
+			How: c.Outcome, Bound: c.Flags&charge.UpperBound != 0, Saved: c.Flags&charge.ProgressSaved != 0, Blind: c.Flags&charge.PriceUnknown != 0,
 		})
 	}
 	return out
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -342,7 +342,7 @@
 			c := &p.Charges[i]
 			k := attempt{p.Job, c.Task, c.Attempt}
 			out[k] = append(out[k], *c)
-			sum.Add(p.Brief.Of(c))
+			sum.Add(p.Brief.AmountsOf(c))
 		}
 	}
 	for _, item := range append(w.with(jobs.PrefixProgress), w.with(jobs.PrefixDetached)...) {
@@ -385,8 +385,8 @@
 			if c.Part != i {
 				w.t.Fatalf("%v: part %d stands where %d is expected", k, c.Part, i)
 			}
-			if last := i == len(parts)-1; last && !tr.ended.IsZero() == (c.How == charge.Continues) || !last && c.How != charge.Continues {
-				w.t.Fatalf("%v: part %d of %d ended as %v", k, i, len(parts), c.How)
+			if last := i == len(parts)-1; last && !tr.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
+				w.t.Fatalf("%v: part %d of %d ended as %v", k, i, len(parts), c.Outcome)
 			}
 			if i > 0 && parts[i-1].End() != c.Start {
 				w.t.Fatalf("%v: a gap before part %d", k, i)
@@ -395,7 +395,7 @@
 				w.t.Fatalf("%v: part %d lies in two days", k, i)
 			}
 			run += c.Run
-			bound = bound || c.Flags&charge.Bound != 0
+			bound = bound || c.Flags&charge.UpperBound != 0
 		}
 		if tr.ended.IsZero() {
 			continue
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return "", nil, fmt.Errorf("graph %s: %w", g.ID, err)
 	}
-	packed := c.Squeeze(raw)
+	packed := c.Encode(raw)
 	for len(packed) > 0 {
 		n := min(len(packed), tuning.GraphPart)
 		parts = append(parts, packed[:n])
@@ -149,7 +149,7 @@
 // unpack reads a definition.
 func unpack(c *charge.Codec, hash string, packed []byte) (*dag.Plan, error) {
 	var raw []byte
-	if err := c.Expand(packed, &raw); err != nil {
+	if err := c.Decode(packed, &raw); err != nil {
 		return nil, err
 	}
 	if hashOf(raw) != hash {
@@ -184,13 +184,13 @@
 func runValue(c *charge.Codec, x *live, limit int) (json.RawMessage, error) {
 	rec := runRecord{
 		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.def, State: x.run.RunState().String(), meta: x.meta,
-		Open: x.active > 0, Zstd: c.Squeeze(x.run.Encode()),
+		Open: x.active > 0, Zstd: c.Encode(x.run.Encode()),
 	}
 	if n := int(tuning.TryShare*float64(limit)) / tuning.TryBytes; len(x.tries) > n {
 		x.tries = slices.Clone(x.tries[len(x.tries)-n:])
 	}
 	if len(x.tries) > 0 {
-		rec.Tries = c.Squeeze(x.tries)
+		rec.Tries = c.Encode(x.tries)
 	}
 	value, err := json.Marshal(rec)
 	if err == nil && len(value) > limit && rec.Tries != nil {
@@ -202,7 +202,7 @@
 
 func decodeRun(c *charge.Codec, rec *runRecord, p *dag.Plan) (*dag.Run, error) {
 	var raw []byte
-	if err := c.Expand(rec.Zstd, &raw); err != nil {
+	if err := c.Decode(rec.Zstd, &raw); err != nil {
 		return nil, fmt.Errorf("run %s of %s: %w", rec.ID, rec.Graph, err)
 	}
 	return dag.DecodeRun(p, raw)
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -40,7 +40,7 @@
 
 // readTries gives a stored run's tries; none, if they cannot be read: nothing hangs on them.
 func readTries(c *charge.Codec, rec *runRecord) (tries []Try) {
-	if len(rec.Tries) > 0 && c.Expand(rec.Tries, &tries) != nil {
+	if len(rec.Tries) > 0 && c.Decode(rec.Tries, &tries) != nil {
 		return nil
 	}
 	return tries
--- a/internal/scheduler/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -35,8 +35,8 @@
 
 // StopRequest is the wish that a placed task ends.
 type StopRequest struct {
-	GraceS float64    // time to save
-	Reason charge.How // why, for its charge
+	GraceS float64        // time to save
+	Reason charge.Outcome // why, for its charge
 }
 
 // Allocation is a machine on which a task may be. It lasts from the decision until
@@ -188,7 +188,7 @@
 }
 
 // StopAll wants all places of a job empty, with no time to save, and gives them.
-func (j *Job) StopAll(why charge.How) []*Allocation {
+func (j *Job) StopAll(why charge.Outcome) []*Allocation {
 	var places []*Allocation
 	for i := range j.Tasks {
 		if p := j.Tasks[i].Allocation; p != nil {
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -45,7 +45,7 @@
 func BriefOf(j *wire.Job) charge.Brief {
 	return charge.Brief{
 		Team: j.Team, Account: j.Account, Class: j.Class,
-		Cores: charge.Milli(j.CPUs), GPUs: charge.Milli(j.GPUs), Memory: charge.Milli(j.MemoryGB),
+		Cores: charge.InMilli(j.CPUs), GPUs: charge.InMilli(j.GPUs), Memory: charge.InMilli(j.MemoryGB),
 	}
 }
 
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	var again machines.Images
-	if err := codec.Expand(record.Frame, &again); err != nil {
+	if err := codec.Decode(record.Frame, &again); err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "images-of-machines", again, images)
--- a/internal/scheduler/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -41,7 +41,7 @@
 		err = json.Unmarshal(item.Value, &r)
 	}
 	if err == nil {
-		err = codec.Expand(r.Frame, &images)
+		err = codec.Decode(r.Frame, &images)
 	}
 	if err != nil {
 		l.log.Info("what machines hold is not known", "err", err)
@@ -108,7 +108,7 @@
 		l.images.codec = codec
 	}
 	for ; len(images.Held) > 0; images.Held = images.Held[:len(images.Held)/2] {
-		value := wire.Value(imagesRecord{l.images.codec.Squeeze(images)})
+		value := wire.Value(imagesRecord{l.images.codec.Encode(images)})
 		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.CommitBytes {
 			return value
 		}
--- a/internal/scheduler/leader/images_test.go
+++ b/internal/scheduler/leader/images_test.go
@@ -33,7 +33,7 @@
 		err = json.Unmarshal(value, &r)
 	}
 	if err == nil {
-		err = codec.Expand(r.Frame, &got)
+		err = codec.Decode(r.Frame, &got)
 	}
 	if err != nil || len(got.Machines) != 200 || len(got.Held) == 0 || got.Held[0].Name != images.Held[0].Name {
 		t.Errorf("%v: %d machines, %d images", err, len(got.Machines), len(got.Held))
