--- a/internal/accounting/budget/formats_test.go
+++ b/internal/accounting/budget/formats_test.go
@@ -25,7 +25,6 @@
 		"budget.vision.when-spent = drain",
 		"budget.vision.production = held",
 	}
-	golden.Lines(t, "properties", lines...)
 	var got Settings
 	for _, line := range lines {
 		key, value, _ := strings.Cut(line, " = ")
--- /dev/null
+++ b/internal/graphs/dagview/formats_test.go
@@ -0,0 +1,28 @@
+package dagview
+
+import (
+	"bytes"
+	"io"
+	"testing"
+
+	"poppypass/internal/platform/golden"
+)
+
+// The drawing that Graphviz reads, and the table of a run's steps.
+func TestFormatsOfARun(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		write func(io.Writer, *Run) error
+	}{
+		{"dot", RunDot},
+		{"text", func(w io.Writer, r *Run) error { return RunText(w, r, true) }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := c.write(&out, nightly(t)); err != nil {
+				t.Fatal(err)
+			}
+			golden.Check(t, c.name, out.Bytes())
+		})
+	}
+}
