--- a/internal/api/userapi/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -203,7 +203,7 @@
 	switch {
 	case n*j.CPUs > team.CPUsMax+slack || n*j.GPUs > team.GPUsMax+slack:
 		return "the job needs more than its team's limit"
-	case !autoscale.Fits(j, types):
+	case !autoscale.FitsSomeType(j, types):
 		return "a task fits no allowed machine type"
 	}
 	return ""
--- a/internal/scheduler/autoscale/fleet.go
+++ b/internal/scheduler/autoscale/fleet.go
@@ -11,32 +11,32 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Option is a type, zone and kind of machine that can be asked for.
-type Option struct {
+// Offering is a type, zone and kind of machine that can be asked for.
+type Offering struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // Purchase is a wish for machines.
 type Purchase struct {
-	Option
+	Offering
 	Count int
 }
 
 // Input is what a plan is made from. Plan changes it, so that a further plan
 // from it comes on top.
 type Input struct {
-	Now     time.Time
-	Items   []*placement.PendingJob // with the tasks that found no room
-	Booting []*placement.Machine    // machines that will be there soon
-	Teams   map[string]*placement.Team
-	Types   []wire.MachineType
-	Refused func(Option) bool // not to be asked for now
-	Busy    func(Option) bool // asked for already: what more of it is wanted is asked for after the answer; nil: none is
-	Most    int               // how many of an option one request may ask for; 0: any number
-	Room    int               // how many machines more may be rented
-	Count   map[Option]int    // machines there or booting
-	Thrifty bool              // work that may run on spot machines gets no others
+	Now           time.Time
+	Pending       []*placement.PendingJob // with the tasks that found no room
+	Booting       []*placement.Machine    // machines that will be there soon
+	Teams         map[string]*placement.Team
+	Types         []wire.MachineType
+	Unavailable   func(Offering) bool // not to be asked for now
+	InFlight      func(Offering) bool // asked for already: what more of it is wanted is asked for after the answer; nil: none is
+	MaxPerRequest int                 // how many of an option one request may ask for; 0: any number
+	MaxNew        int                 // how many machines more may be rented
+	Existing      map[Offering]int    // machines there or booting
+	SpotOnly      bool                // work that may run on spot machines gets no others
 }
 
 // Plan wants machines for the tasks that fit neither on the machines there
@@ -45,28 +45,28 @@
 // fills a request, waits for the next plan. Planned to its end, a backlog that wanted a thousand
 // machines took 92 ms for the first fifty of them.
 func Plan(in *Input) []Purchase {
-	placement.Pass(in.Now, in.Items, in.Booting, in.Teams)
-	wants := map[Option]int{}
-	var order []Option
-	for _, it := range in.Items {
+	placement.Schedule(in.Now, in.Pending, in.Booting, in.Teams)
+	wants := map[Offering]int{}
+	var order []Offering
+	for _, it := range in.Pending {
 		// Each round rents one machine for the item and fills it with it and
 		// with those behind it.
-		for in.Room > 0 && placement.WithinLimit(it, in.Teams) > 0 {
+		for in.MaxNew > 0 && placement.TasksWithinQuota(it, in.Teams) > 0 {
 			o, t, ok := cheapest(in, it)
-			if !ok || in.Busy != nil && in.Busy(o) || in.Most > 0 && wants[o] >= in.Most {
+			if !ok || in.InFlight != nil && in.InFlight(o) || in.MaxPerRequest > 0 && wants[o] >= in.MaxPerRequest {
 				break
 			}
 			total := placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 			m := &placement.Machine{Name: "", Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: total, Free: total}
-			if len(placement.Sorted(in.Now, in.Items, []*placement.Machine{m}, in.Teams)) == 0 {
+			if len(placement.ScheduleSorted(in.Now, in.Pending, []*placement.Machine{m}, in.Teams)) == 0 {
 				break
 			}
 			if wants[o] == 0 {
 				order = append(order, o)
 			}
 			wants[o]++
-			in.Count[o]++
-			in.Room--
+			in.Existing[o]++
+			in.MaxNew--
 		}
 	}
 	out := make([]Purchase, 0, len(order))
@@ -78,9 +78,9 @@
 
 // cheapest finds the option with the least price for each task that it would
 // hold; among equals the zone with the fewest machines.
-func cheapest(in *Input, it *placement.PendingJob) (best Option, typ wire.MachineType, found bool) {
-	left := float64(placement.WithinLimit(it, in.Teams))
-	need := it.Need()
+func cheapest(in *Input, it *placement.PendingJob) (best Offering, typ wire.MachineType, found bool) {
+	left := float64(placement.TasksWithinQuota(it, in.Teams))
+	need := it.Request()
 	var bestCost float64
 	var bestCount int
 	for _, t := range in.Types {
@@ -90,8 +90,8 @@
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
-				o := Option{t.Name, zone, spot}
-				if !it.Allowed(t.Name, zone, spot) || in.Refused(o) || (in.Thrifty || it.AwaitSpot) && it.Job.Spot && !spot {
+				o := Offering{t.Name, zone, spot}
+				if !it.Allows(t.Name, zone, spot) || in.Unavailable(o) || (in.SpotOnly || it.AwaitSpot) && it.Job.Spot && !spot {
 					continue
 				}
 				price := t.Price
@@ -114,7 +114,7 @@
 
 func (in *Input) zoneCount(zone string) int {
 	n := 0
-	for o, c := range in.Count {
+	for o, c := range in.Existing {
 		if o.Zone == zone {
 			n += c
 		}
@@ -133,8 +133,8 @@
 	return per
 }
 
-// Fits tells whether a task of the job fits some type that the job allows.
-func Fits(j *wire.Job, types []wire.MachineType) bool {
+// FitsSomeType tells whether a task of the job fits some type that the job allows.
+func FitsSomeType(j *wire.Job, types []wire.MachineType) bool {
 	need := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	return slices.ContainsFunc(types, func(t wire.MachineType) bool {
 		return (j.Types == nil || slices.Contains(j.Types, t.Name)) &&
--- a/internal/scheduler/autoscale/fleet_test.go
+++ b/internal/scheduler/autoscale/fleet_test.go
@@ -13,8 +13,8 @@
 
 func input(items ...*placement.PendingJob) Input {
 	return Input{
-		Now: now, Items: items, Teams: map[string]*placement.Team{"t": {CPUsMax: 100}}, Room: 100, Count: map[Option]int{},
-		Refused: func(Option) bool { return false },
+		Now: now, Pending: items, Teams: map[string]*placement.Team{"t": {QuotaCPUs: 100}}, MaxNew: 100, Existing: map[Offering]int{},
+		Unavailable: func(Offering) bool { return false },
 		Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, SpotPrice: 0.05, Zones: []string{"a", "b"}},
 			{Name: "big", CPUs: 64, MemoryGB: 512, Price: 3, SpotPrice: 1, Zones: []string{"a"}},
@@ -30,22 +30,22 @@
 }
 
 func TestPlan(t *testing.T) {
-	small := func(zone string, spot bool, n int) Purchase { return Purchase{Option{"small", zone, spot}, n} }
-	refuse := func(in Input, o Option) Input {
-		in.Refused = func(x Option) bool { return x == o }
+	small := func(zone string, spot bool, n int) Purchase { return Purchase{Offering{"small", zone, spot}, n} }
+	refuse := func(in Input, o Offering) Input {
+		in.Unavailable = func(x Offering) bool { return x == o }
 		return in
 	}
 	booting := input(item(1, 4, true, false))
 	booting.Booting = []*placement.Machine{{Name: "n-1", Type: "small", Zone: "a", Spot: true, Free: placement.Resources{CPUs: 4, MemoryGB: 16}}}
 	full := input(item(1, 4, true, false))
-	full.Room = 0
+	full.MaxNew = 0
 	limited := input(item(9, 4, true, false))
-	limited.Teams["t"].CPUsMax = 8
+	limited.Teams["t"].QuotaCPUs = 8
 	noSpot := func(thrifty bool) Input {
 		it := item(1, 4, true, false)
 		it.AwaitSpot = thrifty
 		in := input(it)
-		in.Refused = func(o Option) bool { return o.Spot }
+		in.Unavailable = func(o Offering) bool { return o.Spot }
 		return in
 	}
 	for _, c := range []struct {
@@ -57,8 +57,8 @@
 		{"but not while thrift is asked for", noSpot(true), []Purchase{}},
 		{"the cheapest kind", input(item(1, 4, true, false)), []Purchase{small("a", true, 1)}},
 		{"no spot without leave", input(item(1, 4, false, false)), []Purchase{small("a", false, 1)}},
-		{"a large task takes the type that fits", input(item(1, 32, true, false)), []Purchase{{Option{"big", "a", true}, 1}}},
-		{"another zone when refused", refuse(input(item(1, 4, true, false)), Option{"small", "a", true}), []Purchase{small("b", true, 1)}},
+		{"a large task takes the type that fits", input(item(1, 32, true, false)), []Purchase{{Offering{"big", "a", true}, 1}}},
+		{"another zone when refused", refuse(input(item(1, 4, true, false)), Offering{"small", "a", true}), []Purchase{small("b", true, 1)}},
 		{"spread over the zones", input(item(2, 4, false, true)), []Purchase{small("a", false, 1), small("b", false, 1)}},
 		{"booting machines are counted", booting, []Purchase{}},
 		{"never more than may be rented", full, []Purchase{}},
@@ -86,7 +86,7 @@
 		{wire.Job{CPUs: 1, Types: []string{}}, false},
 		{wire.Job{CPUs: 1, GPUs: 1}, false},
 	} {
-		if got := Fits(&c.job, in.Types); got != c.want {
+		if got := FitsSomeType(&c.job, in.Types); got != c.want {
 			t.Errorf("%+v: %v", c.job, got)
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 	recent = append(recent, Arrival{At: now, Job: &wire.Job{ID: "job-2", Team: "t", Class: "patient", Tasks: 50}})
 	tasks := func(horizon time.Duration, share float64) (n []int) {
-		for _, it := range Expected(now, recent, horizon, func(class string) float64 {
+		for _, it := range Forecast(now, recent, horizon, func(class string) float64 {
 			if class == "patient" {
 				return 0
 			}
@@ -121,11 +121,11 @@
 	for i := range 36 {
 		many = append(many, Arrival{At: now.Add(time.Duration(i-36) * 10 * time.Second / 3), Job: &wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1}})
 	}
-	if got := Expected(now, many, 30*time.Second, func(string) float64 { return 1 }); len(got) != 3 {
+	if got := Forecast(now, many, 30*time.Second, func(string) float64 { return 1 }); len(got) != 3 {
 		t.Errorf("keeps room for %d arrays", len(got))
 	}
 	old := []Arrival{{At: now.Add(-time.Hour), Job: recent[0].Job}}
-	if got := Expected(now, old, time.Minute, func(string) float64 { return 1 }); len(got) != 0 {
+	if got := Forecast(now, old, time.Minute, func(string) float64 { return 1 }); len(got) != 0 {
 		t.Errorf("expects %v of an hour ago", got)
 	}
 }
--- a/internal/scheduler/autoscale/headroom.go
+++ b/internal/scheduler/autoscale/headroom.go
@@ -17,11 +17,11 @@
 	Job *wire.Job
 }
 
-// Expected gives the jobs to keep room for: those that will come, if the
+// Forecast gives the jobs to keep room for: those that will come, if the
 // recent ones are any guide, before a machine rented now would be up. Each
 // class is expected to go on as it did, in rate and in shape; promptness says
 // for which classes room is kept, and how much of what is expected.
-func Expected(now time.Time, recent []Arrival, horizon time.Duration, promptness func(class string) float64) []*placement.PendingJob {
+func Forecast(now time.Time, recent []Arrival, horizon time.Duration, promptness func(class string) float64) []*placement.PendingJob {
 	byClass := map[string][]Arrival{}
 	var first time.Time
 	for _, a := range recent {
@@ -54,11 +54,11 @@
 	return items
 }
 
-// Unlimited are teams without limits, for work that has not come yet.
-func Unlimited(items []*placement.PendingJob) map[string]*placement.Team {
+// UnlimitedTeams are teams without limits, for work that has not come yet.
+func UnlimitedTeams(items []*placement.PendingJob) map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, it := range items {
-		teams[it.Job.Team] = &placement.Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
+		teams[it.Job.Team] = &placement.Team{QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}
 	}
 	return teams
 }
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -29,11 +29,11 @@
 	// What is free on the others, less the room for what is expected.
 	open := l.openMachines(now)
 	expected := l.expected(now)
-	placement.Pass(now, expected, open, autoscale.Unlimited(expected))
+	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected))
 	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 })
 	trial := placement.NewDryRun(used)
 	for _, m := range draining {
-		if m.Draining && (!m.Alive() || !trial.Fit(now, itemsOn(m, now), nil)) {
+		if m.Draining && (!m.Alive() || !trial.TryPlace(now, itemsOn(m, now), nil)) {
 			m.Draining = false // its room is wanted after all
 		}
 	}
@@ -61,7 +61,9 @@
 func (l *Loop) shortOfRoom(now time.Time) []*placement.PendingJob {
 	items, _ := l.pendingJobs(now)
 	teams := l.teams()
-	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.OnTrial || placement.WithinLimit(it, teams) == 0 })
+	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool {
+		return it.OnProbation || placement.TasksWithinQuota(it, teams) == 0
+	})
 }
 
 // giveBack ends the emptying of machines that have room for what waits.
@@ -75,7 +77,7 @@
 	if len(short) == 0 || len(views) == 0 {
 		return
 	}
-	for _, p := range placement.Pass(now, short, views, l.teams()) {
+	for _, p := range placement.Schedule(now, short, views, l.teams()) {
 		l.machines.Machines[p.Machine.Name].Draining = false
 	}
 }
@@ -92,7 +94,7 @@
 	})
 	for _, v := range order[:min(len(order), max(tuning.MoveCandidates, len(order)/tuning.MoveCandidateShare))] {
 		m := l.machines.Machines[v.Name]
-		if trial.Fit(now, itemsOn(m, now), v) {
+		if trial.TryPlace(now, itemsOn(m, now), v) {
 			m.Draining = true
 			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
 		}
@@ -168,9 +170,9 @@
 // downFor is how long a replica would fetch its image on the machine to which
 // it would move, in seconds; ok is false when no machine in use has room for it.
 func downFor(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
-	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.AllocationsByZone()), Prompt: true}
+	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.AllocationsByZone()), LatencySensitive: true}
 	it.Zones[p.Zone]--
-	m := trial.Best(it)
+	m := trial.BestMachine(it)
 	if m == nil {
 		return 0, false
 	}
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -70,7 +70,7 @@
 			}
 			clock.Advance(next)
 			items, _ := l.pendingJobs(clock.Now())
-			if len(items) == 0 || !items[len(items)-1].OnTrial || items[len(items)-1].Waiting != 1 {
+			if len(items) == 0 || !items[len(items)-1].OnProbation || items[len(items)-1].Waiting != 1 {
 				t.Fatalf("it is tried as %+v", items)
 			}
 			p = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -25,17 +25,17 @@
 	deleting bool     // a deletion is on its way
 	doomed   []string // to be deleted after it
 
-	moveBudget float64                        // seconds for which replicas may still be down for moves
-	recent     []autoscale.Arrival            // accepted within the last window
-	bookings   int                            // request names used in this term
-	asked      map[string]autoscale.Purchase  // rentals on their way, by request name
-	refused    map[autoscale.Option]time.Time // not asked before
-	spotLimitS float64                        // arrays that would lose more with a machine are tried on ordinary ones first
+	moveBudget float64                          // seconds for which replicas may still be down for moves
+	recent     []autoscale.Arrival              // accepted within the last window
+	bookings   int                              // request names used in this term
+	asked      map[string]autoscale.Purchase    // rentals on their way, by request name
+	refused    map[autoscale.Offering]time.Time // not asked before
+	spotLimitS float64                          // arrays that would lose more with a machine are tried on ordinary ones first
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		asked: map[string]autoscale.Purchase{}, refused: map[autoscale.Option]time.Time{},
+		asked: map[string]autoscale.Purchase{}, refused: map[autoscale.Offering]time.Time{},
 		moveBudget: tuning.MoveBudgetMax.Seconds(), spotLimitS: math.Inf(1),
 	}
 }
@@ -107,7 +107,7 @@
 
 // expected is the work to keep room for, by what came of late.
 func (l *Loop) expected(now time.Time) []*placement.PendingJob {
-	return autoscale.Expected(now, l.arrivals(now), l.horizon(), func(class string) float64 {
+	return autoscale.Forecast(now, l.arrivals(now), l.horizon(), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
@@ -117,7 +117,7 @@
 // promptly: work of lower priority does not get the last room before it, only
 // to be stopped for it.
 func (l *Loop) reserved(now time.Time) []*placement.PendingJob {
-	items := autoscale.Expected(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
+	items := autoscale.Forecast(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
@@ -139,63 +139,63 @@
 	cut := l.cutZones(now)
 	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.Types(),
-		Refused: func(o autoscale.Option) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
-		Room:    l.maxMachines() - len(l.machines.Machines), Count: map[autoscale.Option]int{},
+		Unavailable: func(o autoscale.Offering) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
+		MaxNew:      l.maxMachines() - len(l.machines.Machines), Existing: map[autoscale.Offering]int{},
 		Booting: l.comingMachines(cut, now),
 	}
 	items, _ := l.pendingJobs(now)
 	for _, it := range items {
-		if !it.OnTrial {
-			it.AwaitSpot = !it.Prompt && now.Sub(it.WaitingSince) < tuning.ThriftyFor
-			in.Items = append(in.Items, it)
+		if !it.OnProbation {
+			it.AwaitSpot = !it.LatencySensitive && now.Sub(it.WaitingSince) < tuning.ThriftyFor
+			in.Pending = append(in.Pending, it)
 		}
 	}
-	placement.Sort(in.Items, in.Teams, now)
-	l.countKinds(in.Count)
+	placement.Sort(in.Pending, in.Teams, now)
+	l.countKinds(in.Existing)
 	for _, w := range l.fleet.asked {
-		in.Room -= w.Count
-		in.Count[w.Option] += w.Count
+		in.MaxNew -= w.Count
+		in.Existing[w.Offering] += w.Count
 	}
 	// One request of a kind at a time: if it is refused, so would be the next.
-	busy := map[autoscale.Option]bool{}
+	busy := map[autoscale.Offering]bool{}
 	for _, w := range l.fleet.asked {
-		busy[w.Option] = true
+		busy[w.Offering] = true
 	}
-	in.Busy, in.Most = func(o autoscale.Option) bool { return busy[o] }, wire.MaxRent
+	in.InFlight, in.MaxPerRequest = func(o autoscale.Offering) bool { return busy[o] }, wire.MaxRent
 	for _, w := range autoscale.Plan(&in) {
 		l.request(w)
-		busy[w.Option] = true
+		busy[w.Offering] = true
 	}
 	// Then room for what is expected, with what is free here and what comes.
 	if len(l.fleet.asked) >= tuning.RentAtOnce {
 		return
 	}
-	in.Items = l.expected(now)
-	in.Booting = append(in.Booting, l.roomyMachines(now, in.Items)...)
-	in.Teams = autoscale.Unlimited(in.Items)
-	in.Thrifty = true
+	in.Pending = l.expected(now)
+	in.Booting = append(in.Booting, l.roomyMachines(now, in.Pending)...)
+	in.Teams = autoscale.UnlimitedTeams(in.Pending)
+	in.SpotOnly = true
 	for _, w := range autoscale.Plan(&in) {
 		l.request(w)
 	}
 }
 
 // countKinds adds the machines of each kind. There are few kinds, and thousands of machines.
-func (l *Loop) countKinds(counts map[autoscale.Option]int) {
+func (l *Loop) countKinds(counts map[autoscale.Offering]int) {
 	type kind struct {
-		autoscale.Option
+		autoscale.Offering
 		n int
 	}
 	var kinds []kind
 	for _, m := range l.machines.Machines {
-		o := autoscale.Option{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		i := slices.IndexFunc(kinds, func(k kind) bool { return k.Option == o })
+		o := autoscale.Offering{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		i := slices.IndexFunc(kinds, func(k kind) bool { return k.Offering == o })
 		if i < 0 {
-			kinds, i = append(kinds, kind{Option: o}), len(kinds)
+			kinds, i = append(kinds, kind{Offering: o}), len(kinds)
 		}
 		kinds[i].n++
 	}
 	for _, k := range kinds {
-		counts[k.Option] += k.n
+		counts[k.Offering] += k.n
 	}
 }
 
@@ -287,7 +287,7 @@
 		}
 	}
 	if len(names) < w.Count {
-		l.fleet.refused[w.Option] = now.Add(tuning.RefusedFor)
+		l.fleet.refused[w.Offering] = now.Add(tuning.RefusedFor)
 	}
 	l.changed = true   // one may have reported already
 	l.fleet.next = now // for what is still wanted, of another kind if this one was refused
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -25,10 +25,10 @@
 	wanted, teams := append(slices.Clone(items), l.reserved(now)...), l.teams()
 	open := l.roomyMachines(now, wanted)
 	l.preferKinds(items)
-	placed := l.reservations.Pass(now, wanted, open, teams)
+	placed := l.reservations.Schedule(now, wanted, open, teams)
 	next := map[string]int{}
 	for _, d := range placed {
-		j := byID[d.Item.Job.ID]
+		j := byID[d.Pending.Job.ID]
 		i := j.NextWaiting(next[j.ID])
 		if i < 0 {
 			continue
@@ -66,7 +66,7 @@
 	for _, it := range items {
 		j := byID[it.Job.ID]
 		patience, ok := l.env.patience(it.Job.Class)
-		if ok && it.Waiting > 0 && !it.OnTrial && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptShare) {
+		if ok && it.Waiting > 0 && !it.OnProbation && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptShare) {
 			due = append(due, it)
 		}
 	}
@@ -88,7 +88,7 @@
 		p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 		stopped = append(stopped, p)
 		l.log.Debug("making room", "task", p.Task().String(), "class", p.Job.Class, "machine", p.Machine,
-			"cost_s", v.Cost, "for", v.For.ID, "for_class", v.For.Class)
+			"cost_s", v.Cost, "for", v.Preemptor.ID, "for_class", v.Preemptor.Class)
 	}
 	for _, it := range due {
 		if it.Waiting < before[it] {
@@ -146,7 +146,7 @@
 		j := waiting[i]
 		_, prompt := l.promptness(j.Class)
 		room = append(room, placement.PendingJob{
-			Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), Prompt: prompt,
+			Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), LatencySensitive: prompt,
 		})
 		it := &room[len(room)-1]
 		it.ExpectedRunS, _ = j.ExpectedRunS()
@@ -164,7 +164,7 @@
 			if j.Allocated > 0 {
 				continue
 			}
-			it.OnTrial, it.Waiting, it.WaitingSince, it.EnqueuedAt = true, 1, now, now
+			it.OnProbation, it.Waiting, it.WaitingSince, it.EnqueuedAt = true, 1, now, now
 		}
 		byID[j.ID] = j
 		items = append(items, it)
@@ -192,7 +192,7 @@
 	if len(items) == 0 {
 		return nil
 	}
-	return l.machinesWith(now, placement.Least(items))
+	return l.machinesWith(now, placement.MinRequest(items))
 }
 
 // machinesWith are the machines that may get tasks now and have at least so much free.
@@ -208,7 +208,7 @@
 			continue
 		}
 		v := viewOf(m, t)
-		v.FreeS = freeTime(m, now)
+		v.FreeInS = freeTime(m, now)
 		out = append(out, &v)
 	}
 	return out
@@ -320,22 +320,22 @@
 	teams := make(map[string]*placement.Team, len(l.env.Teams))
 	fill := 0.0
 	for name, t := range l.env.Teams {
-		teams[name] = &placement.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax, GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs}
+		teams[name] = &placement.Team{QuotaCPUs: t.CPUsMax, QuotaGPUs: t.GPUsMax, GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs}
 		if !math.IsInf(t.CPUsMax, 1) {
 			continue
 		}
 		if fill == 0 {
 			fill = tuning.FillShare * l.fleetCPUs()
 		}
-		teams[name].FillCPUs = fill
+		teams[name].FairShareCPUs = fill
 	}
 	for _, j := range l.jobs.Jobs {
 		if t := teams[j.Team]; t != nil {
-			t.CPUs += float64(j.Allocated) * j.CPUs
-			t.GPUs += float64(j.Allocated) * j.GPUs
+			t.UsedCPUs += float64(j.Allocated) * j.CPUs
+			t.UsedGPUs += float64(j.Allocated) * j.GPUs
 			if j.Kind == wire.KindService && j.CanStart() {
-				t.Permanent.CPUs += float64(j.Allocated) * j.CPUs
-				t.Permanent.GPUs += float64(j.Allocated) * j.GPUs
+				t.PermanentUse.CPUs += float64(j.Allocated) * j.CPUs
+				t.PermanentUse.GPUs += float64(j.Allocated) * j.GPUs
 			}
 		}
 	}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -30,14 +30,14 @@
 	slices.SortFunc(order, func(a, b key) int {
 		return cmp.Or(cmp.Compare(btoi(a.idle), btoi(b.idle)), cmp.Compare(btoi(!a.Spot), btoi(!b.Spot)), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
 	})
-	teams := autoscale.Unlimited(items)
+	teams := autoscale.UnlimitedTeams(items)
 	placement.Sort(items, teams, now)
 	for _, m := range order {
 		items = slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.Waiting == 0 })
 		if len(items) == 0 {
 			break
 		}
-		if len(placement.Sorted(now, items, []*placement.Machine{m.Machine}, teams)) > 0 && m.idle {
+		if len(placement.ScheduleSorted(now, items, []*placement.Machine{m.Machine}, teams)) > 0 && m.idle {
 			needed[m.Name] = true
 		}
 	}
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -53,14 +53,14 @@
 	if now.Before(j.BackoffUntil) {
 		add("after failures, no task starts for %d s", 1+int(j.BackoffUntil.Sub(now).Seconds()))
 	}
-	it := &placement.PendingJob{Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, EnqueuedAt: j.EnqueuedAt, OnTrial: l.onTrial(j, now)}
-	if it.Overdue(now) {
+	it := &placement.PendingJob{Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, EnqueuedAt: j.EnqueuedAt, OnProbation: l.onTrial(j, now)}
+	if it.Starving(now) {
 		add("it has waited %d s to begin: one task of it goes before all else of its priority, and a machine is held for it", int(now.Sub(j.EnqueuedAt).Seconds()))
 	}
 	switch placed := j.Allocated > 0; {
-	case placement.WithinLimit(it, l.teams()) == 0:
+	case placement.TasksWithinQuota(it, l.teams()) == 0:
 		add("the team's tasks use as much as the team's limit allows")
-	case it.Overdue(now):
+	case it.Starving(now):
 	case len(r.Reasons) == 0 && placed:
 		add("no machine has room for more of its tasks; work of higher priority, or that waited longer, goes first")
 	case len(r.Reasons) == 0:
--- a/internal/scheduler/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -21,7 +21,7 @@
 func overdueIn(items []*PendingJob, lo, hi int, now time.Time) []int {
 	var late []int
 	for i := lo; i < hi; i++ {
-		if items[i].Overdue(now) {
+		if items[i].Starving(now) {
 			late = append(late, i)
 		}
 	}
@@ -34,14 +34,14 @@
 // size is what all tasks of an item's job take together, in CPUs.
 func (it *PendingJob) size() float64 { return it.Job.CPUs * float64(it.Job.Tasks) }
 
-// Overdue tells whether an item's job waits for its first task for too long.
-func (it *PendingJob) Overdue(now time.Time) bool {
-	return it.Started == 0 && !it.Placeholder && !it.OnTrial && it.Waiting > 0 && now.Sub(it.enqueuedAt()) >= tuning.BeginBound
+// Starving tells whether an item's job waits for its first task for too long.
+func (it *PendingJob) Starving(now time.Time) bool {
+	return it.Started == 0 && !it.Placeholder && !it.OnProbation && it.Waiting > 0 && now.Sub(it.enqueuedAt()) >= tuning.BeginBound
 }
 
 // begin places one task of an overdue item, or keeps for it what it lacks.
 func (p *pass) begin(placed []Placement, it *PendingJob) []Placement {
-	team, need := p.teams[it.Job.Team], it.Need()
+	team, need := p.teams[it.Job.Team], it.Request()
 	if team == nil {
 		return placed
 	}
@@ -52,7 +52,7 @@
 		}
 	}
 	// What stays of the team's use leaves too little of its limit: keeping the rest brings nothing, and keeps its other jobs waiting.
-	if !p.mayHold || team.Permanent.CPUs+need.CPUs > team.CPUsMax+slack || team.Permanent.GPUs+need.GPUs > team.GPUsMax+slack {
+	if !p.mayHold || team.PermanentUse.CPUs+need.CPUs > team.QuotaCPUs+slack || team.PermanentUse.GPUs+need.GPUs > team.QuotaGPUs+slack {
 		return placed
 	}
 	// Both at a time: one after the other took as long as both.
@@ -67,7 +67,7 @@
 
 // leaves tells whether a task of an item fits the team's limit beside what is kept for the begin of another job.
 func (t *Team) leaves(it *PendingJob) bool {
-	need := it.Need()
+	need := it.Request()
 	if t.reservedFor != "" && t.reservedFor != it.Job.ID {
 		need.CPUs += t.reserved.CPUs
 		need.GPUs += t.reserved.GPUs
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		e.m.Free.Sub(e.need, -1)
-		q.limits[e.team].CPUs -= e.need.CPUs
+		q.limits[e.team].UsedCPUs -= e.need.CPUs
 		q.done += e.need.CPUs * e.it.Job.EstimateS
 	}
 	q.running = rest
@@ -64,7 +64,7 @@
 	q.items = waiting
 	for _, m := range q.machines {
 		m.reservedFor = ""
-		m.FreeS = func(lacks Resources) float64 {
+		m.FreeInS = func(lacks Resources) float64 {
 			lacks.Sub(m.Free, -1)
 			return q.freeS(m, lacks)
 		}
@@ -80,18 +80,18 @@
 	for i, m := range q.machines {
 		free[i] = m.Free
 	}
-	placed := q.holds.Pass(q.now, wanted, q.machines, q.limits)
+	placed := q.holds.Schedule(q.now, wanted, q.machines, q.limits)
 	for i, m := range q.machines {
 		m.Free = free[i]
 	}
 	for _, p := range placed {
-		p.Machine.Free.Sub(p.Item.Need(), 1)
+		p.Machine.Free.Sub(p.Pending.Request(), 1)
 
-		if p.Item.Started++; p.Item.Started == 1 {
-			q.began[p.Item.Job.ID] = q.now.Sub(p.Item.EnqueuedAt)
+		if p.Pending.Started++; p.Pending.Started == 1 {
+			q.began[p.Pending.Job.ID] = q.now.Sub(p.Pending.EnqueuedAt)
 		}
-		run := time.Duration(p.Item.Job.EstimateS * float64(time.Second))
-		q.running = append(q.running, ending{q.now.Add(run), p.Machine, p.Item.Need(), p.Item.Job.Team, p.Item})
+		run := time.Duration(p.Pending.Job.EstimateS * float64(time.Second))
+		q.running = append(q.running, ending{q.now.Add(run), p.Machine, p.Pending.Request(), p.Pending.Job.Team, p.Pending})
 	}
 	q.watch(waiting)
 }
@@ -123,9 +123,9 @@
 // watch looks for items that wait beside room.
 func (q *queue) watch(waiting []*PendingJob) {
 	for _, it := range waiting {
-		team, need := q.limits[it.Job.Team], it.Need()
+		team, need := q.limits[it.Job.Team], it.Request()
 		room := it.Waiting > 0 && team.fits(need) && slices.ContainsFunc(q.machines, func(m *Machine) bool {
-			return m.Free.Fits(need) && it.Allowed(m.Type, m.Zone, m.Spot)
+			return m.Free.Fits(need) && it.Allows(m.Type, m.Zone, m.Spot)
 		})
 		if since, known := q.beside[it]; !room {
 			delete(q.beside, it)
@@ -142,17 +142,17 @@
 func TestNoJobWaitsBesideRoom(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*PendingJob]time.Time{}, limits: map[string]*Team{"hot": {CPUsMax: 64}, "t": {CPUsMax: 1000}}}
+		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*PendingJob]time.Time{}, limits: map[string]*Team{"hot": {QuotaCPUs: 64}, "t": {QuotaCPUs: 1000}}}
 		for i := range 2 + r.IntN(6) {
 			m := machine(fmt.Sprintf("m-%d", i), string(rune('a'+i%2)), false, 16)
 			if r.IntN(3) > 0 { // a replica stays
 				m.Free.CPUs -= 1
-				q.limits["hot"].CPUs++
-				q.limits["hot"].Permanent.CPUs++
+				q.limits["hot"].UsedCPUs++
+				q.limits["hot"].PermanentUse.CPUs++
 			}
 			q.machines = append(q.machines, m)
 		}
-		q.limits["hot"].CPUsMax = q.limits["hot"].CPUs + 8
+		q.limits["hot"].QuotaCPUs = q.limits["hot"].UsedCPUs + 8
 		if seed%2 == 1 { // room is kept for work of higher priority
 			q.ghosts = func() []*PendingJob {
 				return []*PendingJob{{Job: &wire.Job{ID: "ghost", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 3, CPUs: 4, EstimateS: 20}, WaitingSince: q.now, Waiting: 3, Placeholder: true}}
@@ -183,7 +183,7 @@
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 2))
 		q := &queue{now: now, began: map[string]time.Duration{}, beside: map[*PendingJob]time.Time{}, limits: map[string]*Team{
-			"hot": {CPUsMax: 64, GuaranteedCPUs: 16}, "guest": {CPUsMax: 1e9, FillCPUs: 40}, "t": {CPUsMax: 80, GuaranteedCPUs: 40},
+			"hot": {QuotaCPUs: 64, GuaranteedCPUs: 16}, "guest": {QuotaCPUs: 1e9, FairShareCPUs: 40}, "t": {QuotaCPUs: 80, GuaranteedCPUs: 40},
 		}}
 		for i := range 10 {
 			q.machines = append(q.machines, machine(fmt.Sprintf("m-%d", i), "a", false, 16))
@@ -210,8 +210,8 @@
 			}
 			q.second()
 			for name, team := range q.limits {
-				if team.CPUs > team.CPUsMax+slack {
-					t.Fatalf("seed %d: %s uses %v", seed, name, team.CPUs)
+				if team.UsedCPUs > team.QuotaCPUs+slack {
+					t.Fatalf("seed %d: %s uses %v", seed, name, team.UsedCPUs)
 				}
 			}
 		}
@@ -238,8 +238,8 @@
 	begun.Started, begun.Job.EstimateS, late.Job.EstimateS = 1, 1, 1000
 	late.Job.Kind, begun.Job.Kind = wire.KindArray, wire.KindArray
 	got := map[string]int{}
-	for _, p := range Pass(now, []*PendingJob{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {CPUsMax: 100}}) {
-		got[p.Item.Job.ID]++
+	for _, p := range Schedule(now, []*PendingJob{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {QuotaCPUs: 100}}) {
+		got[p.Pending.Job.ID]++
 	}
 	if got["late"] != 1 || got["begun"] != 4 {
 		t.Errorf("placed %v", got)
@@ -252,19 +252,19 @@
 	small := item("small", wire.PriorityNormal, 0, 4, 1)
 	other := item("other", wire.PriorityNormal, 0, 4, 1)
 	other.Job.Team = "u"
-	teams := map[string]*Team{"t": {CPUs: 4, CPUsMax: 10}, "u": {CPUsMax: 10}}
+	teams := map[string]*Team{"t": {UsedCPUs: 4, QuotaCPUs: 10}, "u": {QuotaCPUs: 10}}
 	got := map[string]int{}
-	for _, p := range Pass(now, []*PendingJob{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
-		got[p.Item.Job.ID]++
+	for _, p := range Schedule(now, []*PendingJob{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
+		got[p.Pending.Job.ID]++
 	}
 	if got["late"] != 0 || got["small"] != 0 || got["other"] != 4 {
 		t.Errorf("placed %v while the limit is kept", got)
 	}
-	teams["t"] = &Team{CPUs: 2, CPUsMax: 10}
+	teams["t"] = &Team{UsedCPUs: 2, QuotaCPUs: 10}
 	clear(got)
 	small.Waiting, late.Waiting = 4, 1
-	for _, p := range Pass(now, []*PendingJob{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
-		got[p.Item.Job.ID]++
+	for _, p := range Schedule(now, []*PendingJob{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
+		got[p.Pending.Job.ID]++
 	}
 	if got["late"] != 1 {
 		t.Errorf("placed %v once it fits", got)
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -38,7 +38,7 @@
 	Price            float64 // an hour, of the whole machine
 	Total, Free      Resources
 	FetchS           func(image string, gb float64) float64 // until it would have the image; nil: no time
-	FreeS            func(lacks Resources) float64          // until what ends by itself leaves so much more, in seconds; infinite: it never does; nil: not known
+	FreeInS          func(lacks Resources) float64          // until what ends by itself leaves so much more, in seconds; infinite: it never does; nil: not known
 	Victims          []Victim                               // tasks on it that may be stopped for others
 	Unacknowledged   bool                                   // nothing has proved yet that it hears this leader
 	reservedFor      string                                 // the job that holds it against those behind
@@ -57,19 +57,19 @@
 
 // PendingJob is a job with waiting tasks.
 type PendingJob struct {
-	Job          *wire.Job
-	WaitingSince time.Time      // since when it waits
-	EnqueuedAt   time.Time      // when its job came, if that counts for its place in the queue; zero: Since does
-	Waiting      int            // tasks that wait
-	Started      int            // tasks that are placed or done
-	Zones        map[string]int // its placed tasks by zone, if its job cares; the pass counts on in it
-	Avoid        func(machine string) bool
-	ExpectedRunS float64        // for how long a task is expected to run, in seconds; 0: as its owner says
-	Preference   KindPreference // the kind of machines that it is to be tried on first
-	Prompt       bool           // it is to start sooner than a machine boots
-	AwaitSpot    bool           // no dearer kind of machine is to be rented for it yet
-	OnTrial      bool           // its job has only ever failed: nothing makes room for it
-	Placeholder  bool           // work that is expected: it takes room from lower priorities, and is not placed
+	Job              *wire.Job
+	WaitingSince     time.Time      // since when it waits
+	EnqueuedAt       time.Time      // when its job came, if that counts for its place in the queue; zero: Since does
+	Waiting          int            // tasks that wait
+	Started          int            // tasks that are placed or done
+	Zones            map[string]int // its placed tasks by zone, if its job cares; the pass counts on in it
+	Avoid            func(machine string) bool
+	ExpectedRunS     float64        // for how long a task is expected to run, in seconds; 0: as its owner says
+	Preference       KindPreference // the kind of machines that it is to be tried on first
+	LatencySensitive bool           // it is to start sooner than a machine boots
+	AwaitSpot        bool           // no dearer kind of machine is to be rented for it yet
+	OnProbation      bool           // its job has only ever failed: nothing makes room for it
+	Placeholder      bool           // work that is expected: it takes room from lower priorities, and is not placed
 }
 
 // KindPreference is a kind of machines.
@@ -102,29 +102,31 @@
 	return it.EnqueuedAt
 }
 
-// Need is what a task of the item takes.
-func (it *PendingJob) Need() Resources { return Resources{it.Job.CPUs, it.Job.GPUs, it.Job.MemoryGB} }
+// Request is what a task of the item takes.
+func (it *PendingJob) Request() Resources {
+	return Resources{it.Job.CPUs, it.Job.GPUs, it.Job.MemoryGB}
+}
 
 // Team is a team's use; the pass counts on in it.
 type Team struct {
-	CPUs, GPUs                     float64 // used by all tasks that may be somewhere
-	CPUsMax, GPUsMax               float64
+	UsedCPUs, UsedGPUs             float64 // used by all tasks that may be somewhere
+	QuotaCPUs, QuotaGPUs           float64
 	GuaranteedCPUs, GuaranteedGPUs float64   // its guarantee
-	Permanent                      Resources // what of its use does not end by itself
+	PermanentUse                   Resources // what of its use does not end by itself
 	reservedFor                    string    // the overdue job for whose begin a part of the limit is kept from the others
 	reserved                       Resources // that part
-	FillCPUs                       float64   // CPUs that one job of a team without a cap may have had before it lets others begin; 0: any
+	FairShareCPUs                  float64   // CPUs that one job of a team without a cap may have had before it lets others begin; 0: any
 }
 
 func (t *Team) fits(n Resources) bool {
-	return t.CPUs+n.CPUs <= t.CPUsMax+slack && t.GPUs+n.GPUs <= t.GPUsMax+slack
+	return t.UsedCPUs+n.CPUs <= t.QuotaCPUs+slack && t.UsedGPUs+n.GPUs <= t.QuotaGPUs+slack
 }
 
-func (t *Team) add(n Resources) { t.CPUs += n.CPUs; t.GPUs += n.GPUs }
+func (t *Team) add(n Resources) { t.UsedCPUs += n.CPUs; t.UsedGPUs += n.GPUs }
 
 // Placement is a decision: one more task of the item goes to the machine.
 type Placement struct {
-	Item    *PendingJob
+	Pending *PendingJob
 	Machine *Machine
 }
 
@@ -141,7 +143,7 @@
 // filled tells whether an item of a team without a limit has had its fill.
 func filled(it *PendingJob, teams map[string]*Team) bool {
 	t := teams[it.Job.Team]
-	return t != nil && it.Started > 0 && t.FillCPUs > 0 && float64(it.Started+1)*it.Job.CPUs > t.FillCPUs
+	return t != nil && it.Started > 0 && t.FairShareCPUs > 0 && float64(it.Started+1)*it.Job.CPUs > t.FairShareCPUs
 }
 
 // had is how many quarters of what its team's limit allows at a time the item
@@ -154,13 +156,13 @@
 	if t == nil {
 		return 0
 	}
-	n, need := float64(it.Started+1), it.Need()
-	cpus := t.CPUsMax
-	if t.FillCPUs > 0 {
-		cpus = t.FillCPUs
+	n, need := float64(it.Started+1), it.Request()
+	cpus := t.QuotaCPUs
+	if t.FairShareCPUs > 0 {
+		cpus = t.FairShareCPUs
 	}
 	share := 0.0
-	for _, r := range [][2]float64{{need.CPUs, cpus}, {need.GPUs, t.GPUsMax}} {
+	for _, r := range [][2]float64{{need.CPUs, cpus}, {need.GPUs, t.QuotaGPUs}} {
 		if r[0] > 0 {
 			share = max(share, (n*r[0]-slack)/r[1])
 		}
@@ -209,9 +211,9 @@
 	}
 }
 
-// ZoneOpen tells whether one more task of the item may be in a zone, given
+// AllowsZone tells whether one more task of the item may be in a zone, given
 // where its others may be.
-func (it *PendingJob) ZoneOpen(zone string) bool {
+func (it *PendingJob) AllowsZone(zone string) bool {
 	j := it.Job
 	if j.Zone != "" && j.Zone != zone {
 		return false
@@ -226,9 +228,9 @@
 	return !j.Spread || it.Zones[zone] < (j.Tasks+1)/2
 }
 
-// Allowed tells whether the item may run on a type, in a zone and on a kind of machine.
-func (it *PendingJob) Allowed(typ, zone string, spot bool) bool {
-	return (!spot || it.Job.Spot) && (it.Job.Types == nil || slices.Contains(it.Job.Types, typ)) && it.ZoneOpen(zone)
+// Allows tells whether the item may run on a type, in a zone and on a kind of machine.
+func (it *PendingJob) Allows(typ, zone string, spot bool) bool {
+	return (!spot || it.Job.Spot) && (it.Job.Types == nil || slices.Contains(it.Job.Types, typ)) && it.AllowsZone(zone)
 }
 
 // better tells whether a is a better place than b for the item. Work that may
@@ -243,7 +245,7 @@
 		return a.Spot
 	}
 	fa, fb := a.fetch(it.Job.Image, it.Job.ImageGB), b.fetch(it.Job.Image, it.Job.ImageGB)
-	if it.Prompt && fa != fb {
+	if it.LatencySensitive && fa != fb {
 		return fa < fb
 	}
 	if a.Price != b.Price && (a.Spot || !it.Job.Spot) {
@@ -284,7 +286,7 @@
 	it.Waiting--
 }
 
-// Pass tries the items in order, each with as many of its waiting tasks as fit
+// Schedule tries the items in order, each with as many of its waiting tasks as fit
 // its team's limit and the machines. An item that cannot go on leaves the turn
 // to those behind; one that has waited long holds a machine against them, so
 // that small tasks do not take every slot before a large one fits. Within a
@@ -295,13 +297,13 @@
 //
 // It changes the items' waiting counts and zones, the machines' free room and
 // the teams' use.
-func Pass(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
+func Schedule(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(items, teams, now)
-	return Sorted(now, items, machines, teams)
+	return ScheduleSorted(now, items, machines, teams)
 }
 
-// Sorted is Pass for items that are in order already.
-func Sorted(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
+// ScheduleSorted is Pass for items that are in order already.
+func ScheduleSorted(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	placed, _ := sorted(now, items, machines, teams, true)
 	return placed
 }
@@ -311,8 +313,8 @@
 // holds nothing, so that no job waits for longer beside room, and what is held then counts anew. The zero value holds nothing yet.
 type BackfillReservations struct{ since time.Time }
 
-// Pass is Pass with that bound.
-func (h *BackfillReservations) Pass(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
+// Schedule is Pass with that bound.
+func (h *BackfillReservations) Schedule(now time.Time, items []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(items, teams, now)
 	open := !h.since.IsZero() && now.Sub(h.since) >= tuning.ReservationMax
 	placed, held := sorted(now, items, machines, teams, !open)
@@ -383,7 +385,7 @@
 	if len(items) == 0 {
 		return nil
 	}
-	least := Least(items)
+	least := MinRequest(items)
 	out := make([]*Machine, 0, len(machines))
 	for _, m := range machines {
 		if m.Free.Fits(least) {
@@ -393,11 +395,11 @@
 	return out
 }
 
-// Least is the least of what tasks of the items need, of which there must be some.
-func Least(items []*PendingJob) Resources {
-	least := items[0].Need()
+// MinRequest is the least of what tasks of the items need, of which there must be some.
+func MinRequest(items []*PendingJob) Resources {
+	least := items[0].Request()
 	for _, it := range items[1:] {
-		n := it.Need()
+		n := it.Request()
 		least = Resources{min(least.CPUs, n.CPUs), min(least.GPUs, n.GPUs), min(least.MemoryGB, n.MemoryGB)}
 	}
 	return least
@@ -409,12 +411,12 @@
 	it := items[i]
 	team := p.teams[it.Job.Team]
 	if it.Placeholder {
-		team = &Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
+		team = &Team{QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}
 	}
 	if team == nil || it.Placeholder && !p.mayHold {
 		return placed
 	}
-	need := it.Need()
+	need := it.Request()
 	var s *search
 	for it.Waiting > 0 && team.leaves(it) && (t != guaranteed || team.within(need)) {
 		if s == nil {
@@ -446,14 +448,14 @@
 	var best *Machine
 	soonest := math.Inf(1)
 	for _, m := range machines {
-		if m.reservedFor != "" || !m.Total.Fits(need) || !it.Allowed(m.Type, m.Zone, m.Spot) || it.Avoid != nil && it.Avoid(m.Name) {
+		if m.reservedFor != "" || !m.Total.Fits(need) || !it.Allows(m.Type, m.Zone, m.Spot) || it.Avoid != nil && it.Avoid(m.Name) {
 			continue
 		}
 		s := 0.0
-		if m.FreeS != nil {
+		if m.FreeInS != nil {
 			lacks := need
 			lacks.Sub(m.Free, 1)
-			s = m.FreeS(lacks)
+			s = m.FreeInS(lacks)
 		}
 		if math.IsInf(s, 1) || best != nil && (s > soonest || s == soonest && m.Free.CPUs <= best.Free.CPUs) {
 			continue
@@ -467,15 +469,15 @@
 	return true
 }
 
-// WithinLimit counts the waiting tasks of an item that its team's limit allows.
-func WithinLimit(it *PendingJob, teams map[string]*Team) int {
+// TasksWithinQuota counts the waiting tasks of an item that its team's limit allows.
+func TasksWithinQuota(it *PendingJob, teams map[string]*Team) int {
 	t := teams[it.Job.Team]
 	if t == nil {
 		return 0
 	}
-	need := it.Need()
+	need := it.Request()
 	left := float64(it.Waiting)
-	for _, r := range [][2]float64{{t.CPUsMax - t.CPUs, need.CPUs}, {t.GPUsMax - t.GPUs, need.GPUs}} {
+	for _, r := range [][2]float64{{t.QuotaCPUs - t.UsedCPUs, need.CPUs}, {t.QuotaGPUs - t.UsedGPUs, need.GPUs}} {
 		if r[1] > 0 {
 			left = min(left, math.Floor((r[0]+slack)/r[1]))
 		}
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -30,8 +30,8 @@
 
 func run(items []*PendingJob, machines []*Machine, limit float64) string {
 	var b strings.Builder
-	for _, p := range Pass(now, items, machines, map[string]*Team{"t": {CPUsMax: limit}}) {
-		fmt.Fprintf(&b, "%s:%s ", p.Item.Job.ID, p.Machine.Name)
+	for _, p := range Schedule(now, items, machines, map[string]*Team{"t": {QuotaCPUs: limit}}) {
+		fmt.Fprintf(&b, "%s:%s ", p.Pending.Job.ID, p.Machine.Name)
 	}
 	return strings.TrimSpace(b.String())
 }
@@ -137,7 +137,7 @@
 	n.FetchS = func(string, float64) float64 { return 2 }
 	n.Price = 3
 	prompt, patient := item("a", wire.PriorityHigh, 0, 1, 4), item("a", wire.PriorityHigh, 0, 1, 4)
-	prompt.Prompt = true
+	prompt.LatencySensitive = true
 	if got := run([]*PendingJob{prompt}, []*Machine{m, n}, 100); got != "a:n" {
 		t.Errorf("prompt work placed %q", got)
 	}
@@ -160,10 +160,10 @@
 func TestWhatFitsTheGuaranteeGoesBeforeWhatIsBorrowed(t *testing.T) {
 	borrower, owner := item("b", wire.PriorityHigh, 9*time.Second, 3, 4), item("o", wire.PriorityHigh, 0, 3, 4)
 	owner.Job.Team = "owner"
-	teams := map[string]*Team{"t": {GuaranteedCPUs: 4, CPUsMax: 100}, "owner": {GuaranteedCPUs: 8, CPUsMax: 100}}
+	teams := map[string]*Team{"t": {GuaranteedCPUs: 4, QuotaCPUs: 100}, "owner": {GuaranteedCPUs: 8, QuotaCPUs: 100}}
 	var got []string
-	for _, p := range Pass(now, []*PendingJob{borrower, owner}, []*Machine{machine("m", "a", false, 16)}, teams) {
-		got = append(got, p.Item.Job.ID)
+	for _, p := range Schedule(now, []*PendingJob{borrower, owner}, []*Machine{machine("m", "a", false, 16)}, teams) {
+		got = append(got, p.Pending.Job.ID)
 	}
 	if strings.Join(got, " ") != "b o o b" {
 		t.Errorf("placed %v", got)
@@ -194,7 +194,7 @@
 		of := slices.DeleteFunc(slices.Clone(items), func(it *PendingJob) bool { return EffectivePriority(it, teams, now) != level })
 		for _, i := range overdueIn(of, 0, len(of), now) {
 			it := of[i]
-			team, need := teams[it.Job.Team], it.Need()
+			team, need := teams[it.Job.Team], it.Request()
 			if m := best(it, machines, need); m != nil && team.leaves(it) {
 				it.take(m, need, team)
 				placed = append(placed, Placement{it, m})
@@ -210,9 +210,9 @@
 		for _, t := range []turn{guaranteed, borrowing, expected} {
 			for _, it := range items {
 				for EffectivePriority(it, teams, now) == level && it.Placeholder == (t == expected) && it.Waiting > 0 && !stuck[it] {
-					team, need := teams[it.Job.Team], it.Need()
+					team, need := teams[it.Job.Team], it.Request()
 					if it.Placeholder {
-						team = &Team{CPUsMax: 1e9}
+						team = &Team{QuotaCPUs: 1e9}
 					}
 					if !team.leaves(it) || t == guaranteed && !team.within(need) {
 						break
@@ -239,7 +239,7 @@
 // best looks at all machines.
 func best(it *PendingJob, machines []*Machine, need Resources) (best *Machine) {
 	for _, m := range machines {
-		if m.Free.Fits(need) && (m.reservedFor == "" || m.reservedFor == it.Job.ID) && it.Allowed(m.Type, m.Zone, m.Spot) &&
+		if m.Free.Fits(need) && (m.reservedFor == "" || m.reservedFor == it.Job.ID) && it.Allows(m.Type, m.Zone, m.Spot) &&
 			(it.Avoid == nil || !it.Avoid(m.Name)) && (best == nil || it.better(m, best)) {
 			best = m
 		}
@@ -256,8 +256,8 @@
 	}{{1, "a:m"}, {2, "b:m"}} {
 		huge, tiny := item("a", wire.PriorityLow, tuning.AgeStep, 25000, 4), item("b", wire.PriorityLow, 0, 1, 4)
 		huge.Started = c.started
-		placed := Pass(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {CPUsMax: math.Inf(1), FillCPUs: 8}})
-		if got := placed[0].Item.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
+		placed := Schedule(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), FairShareCPUs: 8}})
+		if got := placed[0].Pending.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
 			t.Errorf("after %d tasks: placed %s", c.started, got)
 		}
 	}
@@ -285,7 +285,7 @@
 						j.Team, j.MemoryGB = []string{"t", "u"}[r.IntN(2)], float64(r.IntN(6))
 						j.Spread, j.OneZone, j.Spot = r.IntN(4) == 0, r.IntN(4) == 0, r.IntN(2) == 0
 					})
-				it.Prompt, it.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
+				it.LatencySensitive, it.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
 				it.Job.Image = []string{"i", "ii"}[r.IntN(2)]
 				if r.IntN(4) == 0 {
 					it.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
@@ -299,17 +299,17 @@
 				}
 				items = append(items, it)
 			}
-			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 10, CPUsMax: 30}, "u": {GuaranteedCPUs: 40, CPUsMax: 60}}
+			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 10, QuotaCPUs: 30}, "u": {GuaranteedCPUs: 40, QuotaCPUs: 60}}
 		}
 		show := func(placed []Placement) string {
 			var b strings.Builder
 			for _, p := range placed {
-				fmt.Fprintf(&b, "%s:%s ", p.Item.Job.ID, p.Machine.Name)
+				fmt.Fprintf(&b, "%s:%s ", p.Pending.Job.ID, p.Machine.Name)
 			}
 			return b.String()
 		}
 		items, machines, teams := world()
-		got := show(Pass(now, items, machines, teams))
+		got := show(Schedule(now, items, machines, teams))
 		items, machines, teams = world()
 		if want := show(plain(items, machines, teams)); got != want {
 			t.Fatalf("seed %d: placed %s\nwant %s", seed, got, want)
@@ -354,19 +354,19 @@
 			if trial == nil {
 				trial = NewDryRun(machines)
 			}
-			return trial.Fit(now, items, not)
+			return trial.TryPlace(now, items, not)
 		})
 		want := world(func(_ *rand.Rand, machines []*Machine, items []*PendingJob, not *Machine) bool {
-			waiting, teams := 0, map[string]*Team{"t": {CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}}
+			waiting, teams := 0, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}}
 			for _, it := range items {
 				waiting += it.Waiting
 			}
-			placed := Pass(now, items, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == not }), teams)
+			placed := Schedule(now, items, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == not }), teams)
 			if len(placed) == waiting {
 				return true
 			}
 			for _, p := range placed {
-				p.Machine.Free.Sub(p.Item.Need(), -1)
+				p.Machine.Free.Sub(p.Pending.Request(), -1)
 			}
 			return false
 		})
@@ -391,7 +391,7 @@
 		for i := range 50 { // of five shapes
 			items = append(items, item(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, float64(1+i%5)))
 		}
-		placed := len(Pass(now, items, machines, map[string]*Team{"t": {CPUsMax: math.Inf(1)}}))
+		placed := len(Schedule(now, items, machines, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}}))
 		if each := float64(looks-5*n) / float64(placed); placed < 4*n || each > 4 {
 			t.Errorf("%d machines: %d placed, each looks at %.1f", n, placed, each)
 		}
@@ -416,7 +416,7 @@
 					items = append(items, item(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, 4))
 				}
 				b.StartTimer()
-				placed += len(Pass(now, items, machines, map[string]*Team{"t": {CPUsMax: math.Inf(1)}}))
+				placed += len(Schedule(now, items, machines, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}}))
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(placed), "ns/placement")
 		})
@@ -442,7 +442,7 @@
 				machines, ask := world()
 				for i := range n / 16 {
 					others := slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == machines[i] })
-					Pass(now, ask(i), others, map[string]*Team{"t": {CPUsMax: math.Inf(1)}})
+					Schedule(now, ask(i), others, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}})
 				}
 			}
 		})
@@ -451,7 +451,7 @@
 				machines, ask := world()
 				t := NewDryRun(machines)
 				for i := range n / 16 {
-					t.Fit(now, ask(i), machines[i])
+					t.TryPlace(now, ask(i), machines[i])
 				}
 			}
 		})
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -10,20 +10,20 @@
 
 // Victim is a placed task that may have to make room.
 type Victim struct {
-	Job  *wire.Job
-	Cost float64   // what stopping it costs, in seconds of work
-	Ref  any       // the caller's own name for it
-	For  *wire.Job // the job that it makes room for, once it is chosen
+	Job       *wire.Job
+	Cost      float64   // what stopping it costs, in seconds of work
+	Ref       any       // the caller's own name for it
+	Preemptor *wire.Job // the job that it makes room for, once it is chosen
 }
 
 // within tells whether a task more keeps the team within its guarantee.
 func (t *Team) within(n Resources) bool {
-	return t.CPUs+n.CPUs <= t.GuaranteedCPUs+slack && t.GPUs+n.GPUs <= t.GuaranteedGPUs+slack
+	return t.UsedCPUs+n.CPUs <= t.GuaranteedCPUs+slack && t.UsedGPUs+n.GPUs <= t.GuaranteedGPUs+slack
 }
 
 // beyond tells whether the team uses more than its guarantee.
 func (t *Team) beyond() bool {
-	return t.CPUs > t.GuaranteedCPUs+slack || t.GPUs > t.GuaranteedGPUs+slack
+	return t.UsedCPUs > t.GuaranteedCPUs+slack || t.UsedGPUs > t.GuaranteedGPUs+slack
 }
 
 // Preempt chooses tasks to stop for items that found no room. Only work within
@@ -34,7 +34,7 @@
 	var out []Victim
 	offers := make([]offer, len(machines))
 	for _, it := range items {
-		team, need := teams[it.Job.Team], it.Need()
+		team, need := teams[it.Job.Team], it.Request()
 		known := false
 		for n := 0; team != nil && it.Waiting > 0 && n < tuning.PreemptAtOnce && team.fits(need) && team.within(need); n++ {
 			if !known {
@@ -61,7 +61,7 @@
 			best, chosen := machines[i], offers[i].victims
 			for _, k := range chosen {
 				v := best.Victims[k]
-				v.For = it.Job
+				v.Preemptor = it.Job
 				out = append(out, v)
 				best.Free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
 				if t := teams[v.Job.Team]; t != nil {
@@ -89,7 +89,7 @@
 }
 
 func (it *PendingJob) offerOf(m *Machine, need Resources, teams map[string]*Team) (o offer) {
-	if m.Total.Fits(need) && it.Allowed(m.Type, m.Zone, m.Spot) && (it.Avoid == nil || !it.Avoid(m.Name)) {
+	if m.Total.Fits(need) && it.Allows(m.Type, m.Zone, m.Spot) && (it.Avoid == nil || !it.Avoid(m.Name)) {
 		o.victims, o.cost, o.ok = it.victimsOn(m, need, teams)
 	}
 	return o
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -41,7 +41,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := machine("m", "a", false, 0)
 			m.Victims = c.victims
-			teams := map[string]*Team{"t": {GuaranteedCPUs: 8, CPUsMax: 100}, "other": {GuaranteedCPUs: 8, CPUsMax: 100, CPUs: c.used}}
+			teams := map[string]*Team{"t": {GuaranteedCPUs: 8, QuotaCPUs: 100}, "other": {GuaranteedCPUs: 8, QuotaCPUs: 100, UsedCPUs: c.used}}
 			got := ""
 			for _, v := range Preempt([]*PendingJob{c.item}, []*Machine{m}, teams) {
 				got += v.Ref.(string)
@@ -56,13 +56,13 @@
 // plainPreempt looks at all machines for each task.
 func plainPreempt(items []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
 	for _, it := range items {
-		team, need := teams[it.Job.Team], it.Need()
+		team, need := teams[it.Job.Team], it.Request()
 		for n := 0; it.Waiting > 0 && n < tuning.PreemptAtOnce && team.fits(need) && team.within(need); n++ {
 			var best *Machine
 			var chosen []int
 			var cost float64
 			for _, m := range machines {
-				if !m.Total.Fits(need) || !it.Allowed(m.Type, m.Zone, m.Spot) {
+				if !m.Total.Fits(need) || !it.Allows(m.Type, m.Zone, m.Spot) {
 					continue
 				}
 				if idx, c, ok := it.victimsOn(m, need, teams); ok && (best == nil || c < cost) {
@@ -97,7 +97,7 @@
 			names := []string{"t", "u", "v"}
 			teams = map[string]*Team{}
 			for _, name := range names {
-				teams[name] = &Team{GuaranteedCPUs: float64(5 + r.IntN(30)), CPUsMax: 80, GuaranteedGPUs: 9, GPUsMax: 9}
+				teams[name] = &Team{GuaranteedCPUs: float64(5 + r.IntN(30)), QuotaCPUs: 80, GuaranteedGPUs: 9, QuotaGPUs: 9}
 			}
 			for i := range 1 + r.IntN(12) {
 				m := machine(fmt.Sprintf("m-%02d", i), []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, 16)
@@ -105,7 +105,7 @@
 				for k := range r.IntN(6) {
 					v := item(fmt.Sprint("v", i, "-", k), []wire.Priority{wire.PriorityProduction, wire.PriorityNormal, wire.PriorityLow}[r.IntN(3)], 0, 1, float64(1+r.IntN(4)),
 						func(j *wire.Job) { j.Team = names[r.IntN(3)] })
-					teams[v.Job.Team].CPUs += v.Job.CPUs
+					teams[v.Job.Team].UsedCPUs += v.Job.CPUs
 					m.Victims = append(m.Victims, Victim{Job: v.Job, Cost: float64(r.IntN(50)), Ref: v.Job.ID})
 				}
 				machines = append(machines, m)
@@ -118,7 +118,7 @@
 		}
 		var got []string
 		for _, v := range Preempt(world()) {
-			got = append(got, fmt.Sprint(v.Ref, " for ", v.For.ID))
+			got = append(got, fmt.Sprint(v.Ref, " for ", v.Preemptor.ID))
 		}
 		if want := plainPreempt(world()); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("seed %d: stopped %v\nwant %v", seed, got, want)
@@ -145,7 +145,7 @@
 			for i := range 20 {
 				items = append(items, item(fmt.Sprint("job-", i), wire.PriorityHigh, 0, 8, 4))
 			}
-			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 1e6, CPUsMax: 1e6}, "u": {CPUs: float64(16 * n), CPUsMax: 1e6}}
+			return items, machines, map[string]*Team{"t": {GuaranteedCPUs: 1e6, QuotaCPUs: 1e6}, "u": {UsedCPUs: float64(16 * n), QuotaCPUs: 1e6}}
 		}
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -28,7 +28,7 @@
 }
 
 func shapeOf(it *PendingJob, side KindPreference) shape {
-	s := shape{side: side, need: it.Need(), image: it.Job.Image, imageGB: it.Job.ImageGB, spot: it.Job.Spot, prompt: it.Prompt}
+	s := shape{side: side, need: it.Request(), image: it.Job.Image, imageGB: it.Job.ImageGB, spot: it.Job.Spot, prompt: it.LatencySensitive}
 	if it.Job.Types != nil {
 		s.types = "\x00" + strings.Join(it.Job.Types, "\x00") // none allowed is not the same as all
 	}
@@ -157,7 +157,7 @@
 func (s *search) best(it *PendingJob) (best *Machine) {
 	for i := range s.zones {
 		f := &s.zones[i]
-		if !it.ZoneOpen(f.zone) {
+		if !it.AllowsZone(f.zone) {
 			continue
 		}
 		s.aside = s.aside[:0]
--- a/internal/scheduler/placement/trial.go
+++ b/internal/scheduler/placement/trial.go
@@ -24,16 +24,16 @@
 	return &DryRun{p: pass{machines: machines, roomy: machines, searches: map[shape]*search{}}}
 }
 
-// Best gives the machine on which one more task of an item would be placed; nil: there is none.
-func (t *DryRun) Best(it *PendingJob) *Machine { return t.p.searchFor(it, AnyKind).best(it) }
+// BestMachine gives the machine on which one more task of an item would be placed; nil: there is none.
+func (t *DryRun) BestMachine(it *PendingJob) *Machine { return t.p.searchFor(it, AnyKind).best(it) }
 
-// Fit tells whether all waiting tasks of some items, whose teams have no limits, fit on the
+// TryPlace tells whether all waiting tasks of some items, whose teams have no limits, fit on the
 // machines but one, and takes their room if they do. That one is out of the trial then.
-func (t *DryRun) Fit(now time.Time, items []*PendingJob, not *Machine) bool {
+func (t *DryRun) TryPlace(now time.Time, items []*PendingJob, not *Machine) bool {
 	if not != nil {
 		not.reservedFor = asked
 	}
-	none := Team{CPUsMax: math.Inf(1), GPUsMax: math.Inf(1)}
+	none := Team{QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}
 	teams := map[string]*Team{}
 	for _, it := range items {
 		teams[it.Job.Team] = &none
@@ -47,7 +47,7 @@
 		}
 		s := t.p.searchFor(it, AnyKind)
 		t.used = append(t.used, s)
-		for need := it.Need(); it.Waiting > 0; {
+		for need := it.Request(); it.Waiting > 0; {
 			m := s.best(it)
 			if m == nil {
 				t.giveBack(placed)
@@ -70,7 +70,7 @@
 // room, and have them too far behind: they get a new entry.
 func (t *DryRun) giveBack(placed []Placement) {
 	for _, p := range placed {
-		p.Machine.Free.Sub(p.Item.Need(), -1)
+		p.Machine.Free.Sub(p.Pending.Request(), -1)
 	}
 	for i, p := range placed {
 		if i > 0 && placed[i-1].Machine == p.Machine {
