--- a/cmd/poppypass/graphapi.go
+++ b/cmd/poppypass/graphapi.go
@@ -78,7 +78,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= http.StatusBadRequest {
-		raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxShow))
+		raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.QueryResponseMax))
 		if err != nil {
 			return err
 		}
--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -137,9 +137,9 @@
 	}
 	delete(k.live, ref)
 	if done && t.EstimateS > 0 {
-		seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateTrust), tuning.EstimateTrust)
+		seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMax), tuning.EstimateCorrectionMax)
 		if old, ok := k.ratio[t.Class]; ok {
-			seen = old + tuning.EstimateLearn*(seen-old)
+			seen = old + tuning.EstimateLearningRate*(seen-old)
 		}
 		k.ratio[t.Class] = seen
 	}
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -64,7 +64,7 @@
 		return
 	}
 	defer d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesWait)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesTimeout)
 	defer cancel()
 	page, err := d.Reader.Job(ctx, id, r.URL.Query().Get("after"))
 	if err != nil {
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -401,7 +401,7 @@
 	if !l.read || now.Before(l.nextTell) || !l.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	l.nextTell = now.Add(tuning.TellEvery)
+	l.nextTell = now.Add(tuning.TotalsLogEvery)
 	t := l.totals(Query{By: []string{"team"}}, now)
 	running := 0
 	for p := range l.live {
@@ -447,7 +447,7 @@
 	}
 	w := l.compact(room)
 	if w == nil {
-		l.nextCare = now.Add(tuning.CareEvery)
+		l.nextCare = now.Add(tuning.CompactCheckEvery)
 	}
 	return w
 }
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -292,7 +292,7 @@
 		t.Fatal("the job does not end")
 	}
 	w.submit(array("job-2", 1))
-	for range 3 * tuning.SealCharges {
+	for range 3 * tuning.DetachCharges {
 		p := w.start("job-2")
 		w.clock.Advance(time.Second)
 		w.end(p, wire.ExitError, false)
@@ -530,7 +530,7 @@
 			}
 		}
 	}
-	w.clock.Advance((tuning.FoldAfter + 40) * 24 * time.Hour)
+	w.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
 	w.ledger.nextCare = time.Time{}
 	w.roll()
 	w.lead()
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -74,17 +74,17 @@
 	if most < 1 || len(l.lefts) == 0 {
 		return nil
 	}
-	if room < min(l.txnOps, len(l.lefts)+2, tuning.RollLeast) {
+	if room < min(l.txnOps, len(l.lefts)+2, tuning.RollUpChangesMin) {
 		return nil // the few changes that there is room for are better spent by others
 	}
-	if full := min(l.txnOps-2, len(l.lefts)) == l.txnOps-2; !full && now.Sub(l.leftSince) < tuning.RollAfter {
+	if full := min(l.txnOps-2, len(l.lefts)) == l.txnOps-2; !full && now.Sub(l.leftSince) < tuning.RollUpAfter {
 		return nil
 	}
 	var take []jobs.DetachedCharges
 	size := 0
 	for _, left := range l.lefts {
 		n := len(charge.EncodePack(left.Pack))
-		if len(take) == most || size+n > tuning.RollBytes && len(take) > 0 {
+		if len(take) == most || size+n > tuning.RollUpBytes && len(take) > 0 {
 			break
 		}
 		size += n
@@ -206,7 +206,7 @@
 	if room < 1 {
 		return nil
 	}
-	before := now.In(l.where).AddDate(0, 0, -tuning.FoldAfter).Format("2006-01") // whole months only
+	before := now.In(l.where).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format("2006-01") // whole months only
 	for _, n := range slices.Sorted(maps.Keys(l.closed)) {
 		p := newPage(n)
 		p.version = l.closed[n].version
--- a/internal/api/userapi/show.go
+++ b/internal/api/userapi/show.go
@@ -94,7 +94,7 @@
 	switch {
 	case err != nil:
 		return http.StatusInternalServerError, problem("the answer cannot be written")
-	case len(body) > tuning.MaxShow:
+	case len(body) > tuning.QueryResponseMax:
 		return http.StatusRequestEntityTooLarge, problem("the answer is too long; ask for less")
 	}
 	return status, body
--- a/internal/api/workerapi/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -224,12 +224,12 @@
 	}
 	close(block)
 	// Their memory goes with their leases.
-	for i := range 4 * tuning.RedirectsLeast {
+	for i := range 4 * tuning.RedirectsMin {
 		rep := worker(1, 3)
 		rep.Machine = "m-" + time.Duration(i).String()
 		k.may(t.Context(), rep, now.Add(time.Duration(i)*time.Second))
 	}
-	if len(k.by) > 3*tuning.RedirectsLeast {
+	if len(k.by) > 3*tuning.RedirectsMin {
 		t.Errorf("%d workers are remembered", len(k.by))
 	}
 }
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -252,7 +252,7 @@
 		return
 	}
 	maps.DeleteFunc(by, func(_ string, v V) bool { return old(v) })
-	*next = max(tuning.RedirectsLeast, 2*len(by))
+	*next = max(tuning.RedirectsMin, 2*len(by))
 }
 
 // AnswerPeer answers a report that a follower hands on: with 421 if this member does not lead, 503 if the leader does not
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -70,7 +70,7 @@
 	p := those(4)
 	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
 	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-	for range tuning.ReachMissed {
+	for range tuning.LeaderPingsMissed {
 		if p.LeaderUnreachable("m0") {
 			t.Error("one missed ping is no cut")
 		}
@@ -87,7 +87,7 @@
 		clock.Advance(tuning.LeaderRetryHint)
 	}
 	d.peers = those(1)
-	for range tuning.ReachMissed {
+	for range tuning.LeaderPingsMissed {
 		d.peers.NotePing("m0", true)
 	}
 	if !kept() {
--- a/internal/clients/statestore/pace.go
+++ b/internal/clients/statestore/pace.go
@@ -30,12 +30,12 @@
 func newPace(published, share float64, now time.Time) *pace {
 	top := published * tuning.LimitMargin
 	floor := top * share
-	burst := max(1, int(floor*tuning.PaceBurst))
+	burst := max(1, int(floor*tuning.RateLimitBurst))
 	return &pace{floor: floor, top: top, level: floor, at: now, limiter: rate.NewLimiter(rate.Limit(floor), min(burst, max(1, int(top))))}
 }
 
 func (p *pace) current(now time.Time) float64 {
-	grown := (p.top - p.floor) * now.Sub(p.at).Seconds() / tuning.PaceRecover.Seconds()
+	grown := (p.top - p.floor) * now.Sub(p.at).Seconds() / tuning.RateLimitRecover.Seconds()
 	return min(p.top, p.level+max(0, grown))
 }
 
--- a/internal/clients/statestore/statestore.go
+++ b/internal/clients/statestore/statestore.go
@@ -220,7 +220,7 @@
 func rest(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(tuning.BusyPause/2 + rand.N(tuning.BusyPause)):
+	case <-time.After(tuning.RetryTxnPause/2 + rand.N(tuning.RetryTxnPause)):
 	}
 }
 
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -130,10 +130,10 @@
 		want    float64
 	}{
 		{"the share in any case", false, 0, top / 10},
-		{"grown", false, tuning.PaceRecover, top},
+		{"grown", false, tuning.RateLimitRecover, top},
 		{"not beyond the limit", false, time.Hour, top},
 		{"halved by a refusal", true, 0, top / 2},
-		{"grown a little", false, tuning.PaceRecover / 9, 0.6 * top},
+		{"grown a little", false, tuning.RateLimitRecover / 9, 0.6 * top},
 		{"not under the share", true, 0, 0.3 * top},
 		{"not under the share", true, 0, 0.15 * top},
 		{"not under the share", true, 0, top / 10},
--- a/internal/cluster/election/former_test.go
+++ b/internal/cluster/election/former_test.go
@@ -171,10 +171,10 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	a, _ := live(t, s, clock, 0, false)
-	a.StandAside(tuning.StandAside)
+	a.StandAside(tuning.YieldFor)
 	begun := clock.Now()
 	passUntil(t, s, clock, a, a.tenures)
-	if took := clock.Since(begun); took < tuning.StandAsideVacant || took > tuning.StandAsideVacant+time.Second {
+	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
 		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
 	}
 }
--- a/internal/cluster/election/leadership.go
+++ b/internal/cluster/election/leadership.go
@@ -222,7 +222,7 @@
 		e.voteUntil = time.Time{}
 	}
 	now = e.clock.Now()
-	if now.Before(e.voteUntil) || now.Before(e.aside) && now.Sub(e.vacant) < tuning.StandAsideVacant {
+	if now.Before(e.voteUntil) || now.Before(e.aside) && now.Sub(e.vacant) < tuning.YieldVacantAfter {
 		return false
 	}
 	e.campaigning = true
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -283,7 +283,7 @@
 func (r *reach) cut(leader string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return leader == r.leader && r.missed >= tuning.ReachMissed
+	return leader == r.leader && r.missed >= tuning.LeaderPingsMissed
 }
 
 func (p *Peers) hear() {
@@ -324,7 +324,7 @@
 			})
 		}
 		wg.Wait()
-		clock.Sleep(ctx, p.clock, tuning.ReachEvery)
+		clock.Sleep(ctx, p.clock, tuning.LeaderPingEvery)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,7 +88,7 @@
 	c.env = &leader.Env{
 		Settings: s, Tunables: own.Tunables(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers:      httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
-		CommandSlots: make(chan struct{}, max(tuning.SendLeast, int(float64(fds)*tuning.SendShare))), Teams: teams, FinalStates: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
+		CommandSlots: make(chan struct{}, max(tuning.SendMin, int(float64(fds)*tuning.SendShare))), Teams: teams, FinalStates: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
 		Valid: c.elector.Valid, MayHaveRenewed: c.kept, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
 		MemoryFull: memory.New(s.Cluster.Limits.RAMMB, clock).Full,
 	}
@@ -249,7 +249,7 @@
 	}()
 	go c.catalog.Save(ctx)
 	if errors.Is(l.Run(), leader.ErrUnreachable) {
-		c.elector.StandAside(tuning.StandAside)
+		c.elector.StandAside(tuning.YieldFor)
 	}
 }
 
--- a/internal/controller/sockets.go
+++ b/internal/controller/sockets.go
@@ -33,7 +33,7 @@
 
 // crowded tells whether few are left.
 func (s *sockets) crowded() bool {
-	return s.most > 0 && float64(s.open.Load()) >= tuning.CrowdShare*float64(s.most)
+	return s.most > 0 && float64(s.open.Load()) >= tuning.ConnCloseShare*float64(s.most)
 }
 
 // takeTurns has answers close their connections while few are left.
--- a/internal/platform/tuning/calls.go
+++ b/internal/platform/tuning/calls.go
@@ -23,8 +23,8 @@
 	PeerIdle = 30 * time.Second
 	// PeerFrameBytes is the largest mesh message in bytes: a relayed body of 64 KiB and what is around it.
 	PeerFrameBytes = 72 << 10
-	// MaxShow bounds the answer to an operator's question, in bytes: it must fit that.
-	MaxShow = 64 << 10
+	// QueryResponseMax bounds the answer to an operator's question, in bytes: it must fit that.
+	QueryResponseMax = 64 << 10
 	// MaxResponse is the largest response body read from outside, in bytes:
 	// a watch has no limit of its own, a list page is 512 KiB.
 	MaxResponse = 4 << 20
@@ -33,13 +33,13 @@
 	// for what users ask of them: a submission must not wait behind hundreds of
 	// starts. Each may use more while the service refuses nothing.
 	LeaderShare = 0.6
-	// PaceRecover is how long our own limit takes to grow from its share to the
+	// RateLimitRecover is how long our own limit takes to grow from its share to the
 	// whole of the published limit: the refusals in between tell where the others are.
-	PaceRecover = 4 * time.Second
-	// PaceBurst times a second's share may be used at once.
-	PaceBurst = 2.0
-	// BusyPause is about how long a refused transaction waits before its next turn.
-	BusyPause = 60 * time.Millisecond
+	RateLimitRecover = 4 * time.Second
+	// RateLimitBurst times a second's share may be used at once.
+	RateLimitBurst = 2.0
+	// RetryTxnPause is about how long a refused transaction waits before its next turn.
+	RetryTxnPause = 60 * time.Millisecond
 	// CloudLeaderShare is the same for the cloud, of which followers only ask
 	// the machine types, once a minute.
 	CloudLeaderShare = 0.85
--- a/internal/platform/tuning/election.go
+++ b/internal/platform/tuning/election.go
@@ -31,9 +31,9 @@
 	// YieldAfter is how many more renewals must fail before the leader hands over to
 	// a member that was seen to be served: one may have been on its way.
 	YieldAfter = 2
-	// StandAsideVacant is how long the leader key must be vacant for a member to campaign that stands aside: another's campaign
+	// YieldVacantAfter is how long the leader key must be vacant for a member to campaign that stands aside: another's campaign
 	// takes three calls, and one that was just started waits for VoteFor.
-	StandAsideVacant = 5 * time.Second
+	YieldVacantAfter = 5 * time.Second
 	// VoteEvery is how often the leader asks for promises: several rounds may fail.
 	VoteEvery = 250 * time.Millisecond
 	// ProbeTimeout ends the look at the state service before a promise; it
--- a/internal/platform/tuning/interruption.go
+++ b/internal/platform/tuning/interruption.go
@@ -7,7 +7,7 @@
 	// EstimateSpread is how far run times lie from their owners' estimates, as the standard deviation of the
 	// logarithm: often wrong by half.
 	EstimateSpread = 0.5
-	// LastCall is how long before a machine is taken what still runs there is stopped: for a command and its answer,
+	// InterruptionStopLead is how long before a machine is taken what still runs there is stopped: for a command and its answer,
 	// and what the time of the notice may be off.
-	LastCall = 2500 * time.Millisecond
+	InterruptionStopLead = 2500 * time.Millisecond
 )
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -14,17 +14,17 @@
 	// ends every second or two. Until it is written the workers hold the ends.
 	LazyFlush = 2 * time.Second
 	// LazyMax is how long such a change waits for the limit on changes to have
-	// room to spare; then it may use LazyShare of that limit all the same, at most LazyLeast at a time. They once
+	// room to spare; then it may use LazyShare of that limit all the same, at most LazyMin at a time. They once
 	// had a part of every transaction: two fifths of all changes of a backlog, and starts waited a second.
 	LazyMax   = 20 * time.Second
 	LazyShare = 0.125
-	LazyLeast = 4
-	// WriteLeast is for how many changes there must be room before a transaction is put
+	LazyMin   = 4
+	// WriteBatchMin is for how many changes there must be room before a transaction is put
 	// together: fewer would be many requests, more would be put in order too early.
-	WriteLeast = 4
-	// HeldExits is how many ended tasks a report may list that cannot be forgotten yet, before their records are
+	WriteBatchMin = 4
+	// UnrecordedExits is how many ended tasks a report may list that cannot be forgotten yet, before their records are
 	// hurried: at some 80 bytes each, a fourth of the longest report.
-	HeldExits = 200
+	UnrecordedExits = 200
 	// CommitBytes bounds a transaction's size in bytes, under the protocol's 64 KiB.
 	CommitBytes = 48 << 10
 	// TxnBytes is what a transaction's changes may take with the longest record that it
@@ -36,12 +36,12 @@
 	EntryBytes  = 140
 	ChargeBytes = 44
 	RecordBytes = 1200
-	// SealCharges is how many charges may lie in a progress record before they are
+	// DetachCharges is how many charges may lie in a progress record before they are
 	// moved to one of their own: at about 25 bytes each they take up to 3 KB of it.
-	SealCharges = 96
-	// SealMax is how many are moved to one record at the most, some 7 KB. The turn of a
+	DetachCharges = 96
+	// DetachChargesMax is how many are moved to one record at the most, some 7 KB. The turn of a
 	// day adds one for each task that runs.
-	SealMax = 192
+	DetachChargesMax = 192
 	// EndChunks is how many progress records with new charges go with a job's end;
 	// more are written before it, since a transaction holds 64 KiB.
 	EndChunks = 4
@@ -53,10 +53,10 @@
 	// begin within minutes. A thousand jobs are two calls.
 	ReconcileEvery = 30 * time.Second
 	// SizesRemembered is of how many jobs of a class the sizes are remembered, LargestShare from which share of them on one is
-	// among the largest, and SizesLeast how many there must be to tell.
+	// among the largest, and SizesMin how many there must be to tell.
 	SizesRemembered = 200
 	LargestShare    = 0.9
-	SizesLeast      = 10
+	SizesMin        = 10
 	// JobWatch is how long the leader's watch for new jobs waits.
 	JobWatch = 10 * time.Second
 	// LoadPage is how many keys a new leader reads in one call.
--- a/internal/platform/tuning/users.go
+++ b/internal/platform/tuning/users.go
@@ -40,15 +40,15 @@
 	IdleTimeout = 60 * time.Second
 	// ConnShare is the share of the socket limit that incoming connections may take.
 	ConnShare = 0.75
-	// CrowdShare is the share of those above which each answer closes its connection, so that
+	// ConnCloseShare is the share of those above which each answer closes its connection, so that
 	// more workers than sockets take turns.
-	CrowdShare = 0.92
+	ConnCloseShare = 0.92
 	// IdleShare is the share of the socket limit that idle connections to workers may take, and
-	// SendShare that of commands on their way to them, at least SendLeast: a pass after a cut
+	// SendShare that of commands on their way to them, at least SendMin: a pass after a cut
 	// places on every machine at once.
 	IdleShare = 0.06
 	SendShare = 0.08
-	SendLeast = 16
+	SendMin   = 16
 	// FinalCache is how many final states of jobs are kept in memory at the least, and
 	// FinalsOfMB how many for each MiB that the machine has: at some 200 bytes a hundredth of it.
 	FinalCache = 4096
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -8,9 +8,9 @@
 	// the leader: one that comes back sooner did not find it (4 s for an
 	// answer, 1 s until the next node, twice).
 	RedirectMemory = 15 * time.Second
-	// RedirectsLeast is how many workers that memory holds before it looks for those that it
+	// RedirectsMin is how many workers that memory holds before it looks for those that it
 	// may forget; then as soon as there are twice as many as were left.
-	RedirectsLeast = 1024
+	RedirectsMin = 1024
 	// FollowerLeaseRenew is how often a follower renews the record of the machines that it answers.
 	FollowerLeaseRenew = 1 * time.Second
 	// FollowerLeaseGather is how long the first of several workers waits for the others, to share a write.
@@ -19,12 +19,12 @@
 	FollowerLeaseExtra = 10 * time.Second
 	// FollowerLeaseWait is how long a report may wait for that record: a worker waits 4 s, and the mesh was tried first.
 	FollowerLeaseWait = 2 * time.Second
-	// ReportLate times the workers' interval is the longest pause between their reports. WorkerSearch is how long they
+	// HeartbeatLateFactor times the workers' interval is the longest pause between their reports. WorkerSearch is how long they
 	// may have searched for a node, or nobody was there, before they came; WorkerPatience is the share of what a lease leaves
 	// beyond both for which they are sent on rather than kept.
-	ReportLate     = 1.25
-	WorkerSearch   = 15 * time.Second
-	WorkerPatience = 0.25
+	HeartbeatLateFactor = 1.25
+	WorkerSearch        = 15 * time.Second
+	WorkerPatience      = 0.25
 	// RenewedQueryShare is the share of a worker's lease within which every worker that a follower keeps is asked whether it
 	// is there. The rate of these questions is the number of such workers over that time, RenewedQueryRateLeast a second at
 	// the least: a fixed 40 a second took 100 s for 4,000 workers, longer than their leases. Each costs about as much as
@@ -38,11 +38,11 @@
 	// LeaderRetryHint is after how long a worker kept without commands is sent to
 	// the leader once more; if it does not find it, it loses about 5 s of its lease.
 	LeaderRetryHint = 20 * time.Second
-	// ReachEvery is how often a follower looks whether it reaches the leader, and
-	// ReachMissed how many pings in a row must have no answer for a cut: one may
+	// LeaderPingEvery is how often a follower looks whether it reaches the leader, and
+	// LeaderPingsMissed how many pings in a row must have no answer for a cut: one may
 	// miss a starved process.
-	ReachEvery  = 1 * time.Second
-	ReachMissed = 2
+	LeaderPingEvery   = 1 * time.Second
+	LeaderPingsMissed = 2
 	// IsolatedFor is how long no other member may have answered for this one to count as cut off from all of them; with a
 	// state service that does not answer either it is not healthy. A starved process misses a few pings.
 	IsolatedFor = 6 * time.Second
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -6,14 +6,14 @@
 const (
 	// LeaseMargin is added to a worker's lease before its tasks count as gone.
 	LeaseMargin = 100 * time.Millisecond
-	// AnswerLife is for how long after a report came its answer may still be executed: workers drop answers after 4 s, by
+	// HeartbeatReplyLife is for how long after a report came its answer may still be executed: workers drop answers after 4 s, by
 	// a clock that may run slow.
-	AnswerLife = 4100 * time.Millisecond
-	// SilentReports is after how many report intervals without a report a
+	HeartbeatReplyLife = 4100 * time.Millisecond
+	// SilentHeartbeats is after how many report intervals without a report a
 	// machine gets no new task.
-	SilentReports = 2.5
-	// BadMachineJobs is how many jobs must fail on a machine before it is avoided.
-	BadMachineJobs = 2
+	SilentHeartbeats = 2.5
+	// FaultyMachineJobs is how many jobs must fail on a machine before it is avoided.
+	FaultyMachineJobs = 2
 	// SlowFactor is by how much a machine runs everything slower that is to be found, SlowEvidence the logarithm of how
 	// much likelier that must be than that it is like the others, SlowPeers with how many tasks of the same job a run
 	// is compared at the least, and SlowRuns how many of a job's are remembered.
@@ -29,13 +29,13 @@
 	ErrorPause = 2 * time.Second
 	// ErrorPauseMax bounds it.
 	ErrorPauseMax = 60 * time.Second
-	// BadJobMachines is on how many machines a job must fail so that it avoids none.
-	BadJobMachines = 3
-	// WorksAfter is how long a task must have run so that its job is not to blame
+	// FaultyJobMachines is on how many machines a job must fail so that it avoids none.
+	FaultyJobMachines = 3
+	// HealthyRunAfter is how long a task must have run so that its job is not to blame
 	// for failures: tasks of a job with a mistake fail when they start.
-	WorksAfter = 5 * time.Second
-	// NoRoomPause is how long a machine that refused a task for room gets none.
-	NoRoomPause = 2 * time.Second
+	HealthyRunAfter = 5 * time.Second
+	// RefusalPause is how long a machine that refused a task for room gets none.
+	RefusalPause = 2 * time.Second
 	// ImagesKnown bounds what is remembered of a machine's images, in names: more
 	// than any cache holds.
 	ImagesKnown = 256
--- a/internal/scheduler/autoscale/headroom.go
+++ b/internal/scheduler/autoscale/headroom.go
@@ -35,7 +35,7 @@
 	}
 	// A service that has just begun has seen less than a window; the jobs that
 	// waited for its begin say little of those to come.
-	seen := min(max(now.Sub(first), tuning.ArrivalLeast), tuning.ArrivalWindow)
+	seen := min(max(now.Sub(first), tuning.ArrivalWindowMin), tuning.ArrivalWindow)
 	var items []*placement.PendingJob
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		of := byClass[class]
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -157,8 +157,8 @@
 // seal gives a record to which the first of a chunk's charges are moved, if there are
 // many. The chunk must be written in the same transaction.
 func (c *chunk) seal() (DetachedCharges, json.RawMessage, bool) {
-	n := min(len(c.pack.Charges), tuning.SealMax)
-	if n < tuning.SealCharges {
+	n := min(len(c.pack.Charges), tuning.DetachChargesMax)
+	if n < tuning.DetachCharges {
 		return DetachedCharges{}, nil, false
 	}
 	pack := c.pack
--- a/internal/scheduler/jobs/tries.go
+++ b/internal/scheduler/jobs/tries.go
@@ -38,7 +38,7 @@
 		return true
 	}
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Allocation; p != nil && p.State == wire.TaskRunning && now.Sub(p.RunningSince) >= tuning.WorksAfter {
+		if p := j.Tasks[i].Allocation; p != nil && p.State == wire.TaskRunning && now.Sub(p.RunningSince) >= tuning.HealthyRunAfter {
 			return true
 		}
 	}
--- a/internal/scheduler/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -158,7 +158,7 @@
 		for n := range j.chunks {
 			if c := &j.chunks[n]; c.dirty && len(c.pack.Charges) > 0 {
 				with = append(with, chunkRef{j, n})
-				long = long || len(c.pack.Charges) > tuning.SealMax
+				long = long || len(c.pack.Charges) > tuning.DetachChargesMax
 			}
 		}
 		if !long && (len(with) == 0 || len(with) <= tuning.EndChunks && room(2+len(with)) && holds(with...)) {
@@ -233,7 +233,7 @@
 // ops is how many changes the writing of a chunk takes at the least: its record must
 // not hold more charges than fit it.
 func (r chunkRef) ops(most int) int {
-	return min(most, 1+len(r.job.chunks[r.n].pack.Charges)/(tuning.SealMax+1))
+	return min(most, 1+len(r.job.chunks[r.n].pack.Charges)/(tuning.DetachChargesMax+1))
 }
 
 // bytes is what the writing of a chunk takes at the most, in bytes.
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -22,7 +22,7 @@
 	if now.Before(l.fleet.nextMove) {
 		return
 	}
-	l.fleet.nextMove = now.Add(tuning.MoveEvery)
+	l.fleet.nextMove = now.Add(tuning.ConsolidateEvery)
 	draining := l.draining()
 	short := l.shortOfRoom(now)
 	l.giveBack(short, draining, now)
@@ -92,7 +92,7 @@
 	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(gain(b), gain(a)), cmp.Compare(a.Name, b.Name))
 	})
-	for _, v := range order[:min(len(order), max(tuning.MoveCandidates, len(order)/tuning.MoveCandidateShare))] {
+	for _, v := range order[:min(len(order), max(tuning.ConsolidateCandidates, len(order)/tuning.ConsolidateCandidateShare))] {
 		m := l.machines.Machines[v.Name]
 		if trial.TryPlace(now, itemsOn(m, now), v) {
 			m.Draining = true
@@ -139,24 +139,24 @@
 			replicas += j.Allocated
 		}
 	}
-	grows := float64(replicas) * tuning.MoveEvery.Seconds() * tuning.MoveDownShare
-	l.fleet.moveBudget = min(l.fleet.moveBudget+grows, max(grows, tuning.MoveBudgetMax.Seconds()))
+	grows := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
+	l.fleet.moveBudget = min(l.fleet.moveBudget+grows, max(grows, tuning.MoveDowntimeBudgetMax.Seconds()))
 	var moved []*jobs.Allocation
-	most := max(tuning.MoveAtOnce, replicas/tuning.MoveAtOnceShare)
+	most := max(tuning.MovesInFlight, replicas/tuning.MovesInFlightShare)
 	var trial *placement.DryRun // of the machines in use; most of the time nothing is to be moved
 	for _, m := range draining {
 		if !m.Draining || len(moved) >= most {
 			continue
 		}
 		for _, p := range m.Allocations {
-			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.RunningSince) < tuning.PreemptSettle {
+			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.RunningSince) < tuning.PreemptMinRun {
 				continue
 			}
 			if trial == nil {
 				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 }))
 			}
 			down, ok := downFor(p, trial, now)
-			if down += tuning.MoveDown.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
+			if down += tuning.MoveDowntime.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
 				continue
 			}
 			l.fleet.moveBudget -= down
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -85,7 +85,7 @@
 	if p.Stop != nil {
 		t.Error("a fresh replica is moved: its start would not count")
 	}
-	p.RunningSince = clock.Now().Add(-tuning.PreemptSettle)
+	p.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
 	l.fleet.nextMove = clock.Now()
 	if l.consolidate(clock.Now()); p.Stop == nil {
 		t.Error("the replica is not moved")
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		p := l.runs(t, fmt.Sprintf("job-%d", i), name, 1)
-		p.RunningSince = clock.Now().Add(-tuning.PreemptSettle)
+		p.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
 	}
 	return l, clock
 }
@@ -124,7 +124,7 @@
 func TestALargeFleetShrinksManyMachinesAtATime(t *testing.T) {
 	l, clock := fleetOf(t, 160)
 	l.consolidate(clock.Now())
-	if got := len(l.draining()); got != 160/tuning.MoveCandidateShare {
+	if got := len(l.draining()); got != 160/tuning.ConsolidateCandidateShare {
 		t.Errorf("%d machines are emptied", got)
 	}
 	moving := 0
@@ -136,7 +136,7 @@
 		}
 	}
 	// More at a time would be down together if the leader died.
-	if moving != tuning.MoveAtOnce {
+	if moving != tuning.MovesInFlight {
 		t.Errorf("%d replicas are moved at a time", moving)
 	}
 }
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -22,13 +22,13 @@
 // A machine is bad on which jobs fail that work elsewhere, and none completes.
 func TestAMachineOnWhichSeveralJobsFailIsBad(t *testing.T) {
 	l, clock := leaderWith(t)
-	for i := range tuning.BadMachineJobs {
+	for i := range tuning.FaultyMachineJobs {
 		if l.machines.Machines["n-large"].Unhealthy {
 			t.Fatalf("bad after %d jobs", i)
 		}
 		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
 		again := l.runs(t, fmt.Sprintf("job-%d", i), "n-small", 1)
-		clock.Advance(tuning.WorksAfter)
+		clock.Advance(tuning.HealthyRunAfter)
 		l.pendingJobs(clock.Now())
 		if again.Job.FailedWaves != 0 {
 			t.Error("a job that works is still on trial")
@@ -200,7 +200,7 @@
 		if l.changed || !now.Before(l.nextPass) {
 			l.schedule(now)
 		}
-		if waited := now.Sub(j.BackoffUntil); waited > tuning.PassWaitMax+time.Second {
+		if waited := now.Sub(j.BackoffUntil); waited > tuning.CycleBackoffMax+time.Second {
 			t.Fatalf("waits for %v since it may be placed", waited)
 		}
 	}
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -99,7 +99,7 @@
 
 // silence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) silence() time.Duration {
-	return seconds(tuning.SilentReports * l.env.Settings.Cluster.Workers.ReportS)
+	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.ReportS)
 }
 
 // cutZones are the zones most of whose machines fell silent together: they are cut off
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -202,7 +202,7 @@
 	if _, err := cancel(); err != errOutOfReach {
 		t.Fatalf("told %v while the other may run", err)
 	}
-	pass(tuning.SilentRelease + l.workerLease())
+	pass(tuning.SilentReturnAfter + l.workerLease())
 	l.settled()
 	if j.Allocated != 0 {
 		t.Fatal("the other is not found gone")
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -18,14 +18,14 @@
 	j := p.Job
 	j.AvoidMachines[p.Machine] = now.Add(tuning.AvoidFor)
 	l.jobs.MarkFailed(j, now)
-	if ran := !p.RunningSince.IsZero() && now.Sub(p.RunningSince) >= tuning.WorksAfter; ran {
+	if ran := !p.RunningSince.IsZero() && now.Sub(p.RunningSince) >= tuning.HealthyRunAfter; ran {
 		l.acquit(j, now)
 	} else if l.onTrial(j, now) {
 		return
 	}
 	l.blame(j)
-	if n := len(j.AvoidMachines); n >= tuning.BadJobMachines {
-		j.BackoffUntil = now.Add(min(tuning.ErrorPause<<min(j.Failures-tuning.BadJobMachines, 10), tuning.ErrorPauseMax))
+	if n := len(j.AvoidMachines); n >= tuning.FaultyJobMachines {
+		j.BackoffUntil = now.Add(min(tuning.ErrorPause<<min(j.Failures-tuning.FaultyJobMachines, 10), tuning.ErrorPauseMax))
 	}
 }
 
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -36,7 +36,7 @@
 func newFleetState() fleetState {
 	return fleetState{
 		asked: map[string]autoscale.Purchase{}, refused: map[autoscale.Offering]time.Time{},
-		moveBudget: tuning.MoveBudgetMax.Seconds(), spotLimitS: math.Inf(1),
+		moveBudget: tuning.MoveDowntimeBudgetMax.Seconds(), spotLimitS: math.Inf(1),
 	}
 }
 
@@ -44,10 +44,10 @@
 	if l.env.Types() == nil {
 		return
 	}
-	l.fleet.next = now.Add(tuning.FleetEvery)
+	l.fleet.next = now.Add(tuning.ScaleOutEvery)
 	l.expect(now)
 	l.fleet.spotLimitS = l.spotLimit()
-	if l.tenure.Term == 1 || now.Sub(l.begun) > tuning.RentSettle {
+	if l.tenure.Term == 1 || now.Sub(l.begun) > tuning.RentAfterFailover {
 		l.rent(now)
 	}
 	l.consolidate(now)
@@ -85,9 +85,9 @@
 		switch {
 		case seconds(o.WithinS) >= horizon:
 		case o.Kind == "wait" && o.Class == class:
-			return tuning.PromptWait, true
+			return tuning.ForecastShareLatencySensitive, true
 		case o.Kind == "guarantee":
-			share = tuning.PromptGuarantee
+			share = tuning.ForecastShareGuaranteed
 		}
 	}
 	return share, false
@@ -102,7 +102,7 @@
 	if math.IsInf(boot, 1) {
 		return 0
 	}
-	return seconds(boot) + tuning.FetchExtra
+	return seconds(boot) + tuning.ForecastBootExtra
 }
 
 // expected is the work to keep room for, by what came of late.
@@ -117,7 +117,7 @@
 // promptly: work of lower priority does not get the last room before it, only
 // to be stopped for it.
 func (l *Loop) reserved(now time.Time) []*placement.PendingJob {
-	items := autoscale.Forecast(now, l.arrivals(now), min(tuning.ReserveFor, l.horizon()), func(class string) float64 {
+	items := autoscale.Forecast(now, l.arrivals(now), min(tuning.ForecastReserveHorizon, l.horizon()), func(class string) float64 {
 		share, _ := l.promptness(class)
 		return share
 	})
@@ -133,7 +133,7 @@
 // small requests once waited for that rate, counted as machines that boot, and
 // were older than the need when their turn came.
 func (l *Loop) rent(now time.Time) {
-	if len(l.fleet.asked) >= tuning.RentAtOnce {
+	if len(l.fleet.asked) >= tuning.RentalsInFlight {
 		return
 	}
 	cut := l.cutZones(now)
@@ -146,7 +146,7 @@
 	items, _ := l.pendingJobs(now)
 	for _, it := range items {
 		if !it.OnProbation {
-			it.AwaitSpot = !it.LatencySensitive && now.Sub(it.WaitingSince) < tuning.ThriftyFor
+			it.AwaitSpot = !it.LatencySensitive && now.Sub(it.WaitingSince) < tuning.AwaitSpotFor
 			in.Pending = append(in.Pending, it)
 		}
 	}
@@ -167,7 +167,7 @@
 		busy[w.Offering] = true
 	}
 	// Then room for what is expected, with what is free here and what comes.
-	if len(l.fleet.asked) >= tuning.RentAtOnce {
+	if len(l.fleet.asked) >= tuning.RentalsInFlight {
 		return
 	}
 	in.Pending = l.expected(now)
@@ -201,7 +201,7 @@
 
 // request asks for machines, if not too many requests are on their way.
 func (l *Loop) request(w autoscale.Purchase) {
-	if len(l.fleet.asked) >= tuning.RentAtOnce {
+	if len(l.fleet.asked) >= tuning.RentalsInFlight {
 		return
 	}
 	// The term is in the name: no other controller, nor this one in
@@ -287,7 +287,7 @@
 		}
 	}
 	if len(names) < w.Count {
-		l.fleet.refused[w.Offering] = now.Add(tuning.RefusedFor)
+		l.fleet.refused[w.Offering] = now.Add(tuning.NoCapacityBackoff)
 	}
 	l.changed = true   // one may have reported already
 	l.fleet.next = now // for what is still wanted, of another kind if this one was refused
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -11,7 +11,7 @@
 // Guards against reports that outgrow what a request may be: ends are written late, and a worker of tiny tasks holds
 // each until its record is stored.
 func TestAWorkerThatHoldsManyEndsHasThemWritten(t *testing.T) {
-	for _, held := range []int{tuning.HeldExits, tuning.HeldExits + 1} {
+	for _, held := range []int{tuning.UnrecordedExits, tuning.UnrecordedExits + 1} {
 		l, clock := leaderWith(t)
 		now := clock.Now()
 		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: held + 1, CPUs: 0.1, MemoryGB: 0.1})
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		w := l.jobs.NextBatch(now, jobs.WriteBudget{})
-		if got, want := w != nil, held > tuning.HeldExits; got != want {
+		if got, want := w != nil, held > tuning.UnrecordedExits; got != want {
 			t.Errorf("a worker holds %d ends: written %v", held, got)
 		}
 		if w != nil && len(w.Txn.Then) != (held+tuning.ChunkTasks-1)/tuning.ChunkTasks {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -79,8 +79,8 @@
 	l := &Loop{
 		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
 		jobs: jobs.NewStore(state.TxnOps), machines: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
-		store: env.Store.WithShare(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyLeast),
-		begun: now, passWait: tuning.PassWaitMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
+		store: env.Store.WithShare(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyMin),
+		begun: now, passWait: tuning.CycleBackoffMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
 	for _, join := range env.Subsystems {
 		s, err := join(l.log)
@@ -195,12 +195,12 @@
 		if l.changed && !now.Before(l.rested) || !now.Before(l.nextPass) {
 			l.schedule(now)
 			l.env.observe(func(o Observer) { o.CycleDone(l.env.Clock.Since(now)) })
-			l.rested = l.rest(now, tuning.RestLeast)
+			l.rested = l.rest(now, tuning.CycleRestMin)
 		}
 		if !now.Before(l.fleet.next) && !now.Before(l.fleet.rested) {
 			begun := l.env.Clock.Now()
 			l.stepFleet(begun)
-			l.fleet.rested = l.rest(begun, tuning.PlanRest)
+			l.fleet.rested = l.rest(begun, tuning.ScaleOutRestMin)
 		}
 	}
 	l.stepSubsystems(now)
@@ -218,7 +218,7 @@
 	if took <= 0 {
 		return now
 	}
-	return now.Add(max(least, tuning.RestFactor*took))
+	return now.Add(max(least, tuning.CycleRestFactor*took))
 }
 
 // Status answers a user from memory; ok is false when the job is not known
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -19,7 +19,7 @@
 	l.changed = false
 	items, byID := l.pendingJobs(now)
 	if len(items) == 0 {
-		l.nextPass = now.Add(tuning.PassWaitMax)
+		l.nextPass = now.Add(tuning.CycleBackoffMax)
 		return
 	}
 	wanted, teams := append(slices.Clone(items), l.reserved(now)...), l.teams()
@@ -52,9 +52,9 @@
 	// The design's loop: a pass that places nothing waits 1 s, doubling to
 	// 10 s, unless a change wakes it.
 	if len(placed) > 0 {
-		l.passWait = tuning.PassWaitMin
+		l.passWait = tuning.CycleBackoffMin
 	} else {
-		l.passWait = min(2*l.passWait, tuning.PassWaitMax)
+		l.passWait = min(2*l.passWait, tuning.CycleBackoffMax)
 	}
 	l.nextPass = now.Add(l.passWait)
 }
@@ -66,12 +66,12 @@
 	for _, it := range items {
 		j := byID[it.Job.ID]
 		patience, ok := l.env.patience(it.Job.Class)
-		if ok && it.Waiting > 0 && !it.OnProbation && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptShare) {
+		if ok && it.Waiting > 0 && !it.OnProbation && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptWaitShare) {
 			due = append(due, it)
 		}
 	}
 	// Right after a takeover much waits only because machines have not reported.
-	if len(due) == 0 || l.tenure.Term > 1 && now.Sub(l.begun) < tuning.PreemptAfter {
+	if len(due) == 0 || l.tenure.Term > 1 && now.Sub(l.begun) < tuning.PreemptAfterFailover {
 		return
 	}
 	open = l.allMachines(now, open)
@@ -92,7 +92,7 @@
 	}
 	for _, it := range due {
 		if it.Waiting < before[it] {
-			byID[it.Job.ID].PreemptingUntil = now.Add(tuning.PreemptAgain)
+			byID[it.Job.ID].PreemptingUntil = now.Add(tuning.PreemptBackoff)
 		}
 	}
 	l.direct(stopped)
@@ -107,7 +107,7 @@
 		if p.Stop != nil || !p.Committed || p.Attempt > 1 || p.State != wire.TaskRunning && p.State != wire.TaskFetching {
 			continue
 		}
-		v := placement.Victim{Job: &p.Job.Job, Ref: p, Cost: tuning.PriorityCost * float64(p.Job.Priority.Level())}
+		v := placement.Victim{Job: &p.Job.Job, Ref: p, Cost: tuning.PreemptPriorityCost * float64(p.Job.Priority.Level())}
 		if p.State == wire.TaskRunning {
 			ran := now.Sub(p.RunningSince)
 			lost := ran.Seconds()
@@ -115,8 +115,8 @@
 				lost = min(lost, p.Job.CheckpointS)
 			}
 			v.Cost += lost
-			if ran < tuning.PreemptSettle {
-				v.Cost += tuning.FreshCost
+			if ran < tuning.PreemptMinRun {
+				v.Cost += tuning.PreemptFreshCost
 			}
 		}
 		out = append(out, v)
@@ -157,7 +157,7 @@
 		}
 		// A job that fails everywhere may go anywhere, and so may one that has nothing and waits beside such a machine for long.
 		waits := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidWait
-		if bad := len(j.AvoidMachines); bad > 0 && bad < tuning.BadJobMachines && !waits {
+		if bad := len(j.AvoidMachines); bad > 0 && bad < tuning.FaultyJobMachines && !waits {
 			it.Avoid = func(machine string) bool { return now.Before(j.AvoidMachines[machine]) }
 		}
 		if trials[j] {
@@ -325,7 +325,7 @@
 			continue
 		}
 		if fill == 0 {
-			fill = tuning.FillShare * l.fleetCPUs()
+			fill = tuning.FairShareOfFleet * l.fleetCPUs()
 		}
 		teams[name].FairShareCPUs = fill
 	}
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -37,7 +37,7 @@
 	// Guards against urgent work of a team that borrows being stopped for
 	// patient work within a guarantee, while there is other patient work.
 	job.Priority = wire.PriorityHigh
-	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PriorityCost {
+	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PreemptPriorityCost {
 		t.Errorf("urgent work costs %v", urgent)
 	}
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -73,7 +73,7 @@
 	for i := range 20 {
 		last = l.waits(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
 		p := l.levels.came(last)
-		if large := i >= tuning.SizesLeast-1 && i%10 == 9; p.large != large {
+		if large := i >= tuning.SizesMin-1 && i%10 == 9; p.large != large {
 			t.Errorf("job %d of %d tasks: large %v", i, 1+i%10, p.large)
 		}
 	}
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -95,7 +95,7 @@
 				l.env.observe(func(o Observer) { o.JobArrived(j.Class, j.Team, p.sizeName()) })
 			}
 			l.fleet.next = now // rent at once if it finds no room
-			if l.arrived++; !l.rush(now) || l.arrived%tuning.RushShare == 0 {
+			if l.arrived++; !l.rush(now) || l.arrived%tuning.FirstStartRushShare == 0 {
 				l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: j.WaitingSince, Job: &j.Job})
 			}
 		}
@@ -107,7 +107,7 @@
 // for that say nothing of those to come: 70 services at once had room kept for 49
 // more, a third of the machines for two minutes.
 func (l *Loop) rush(now time.Time) bool {
-	return l.tenure.Term == 1 && now.Sub(l.begun) < tuning.BeginRush
+	return l.tenure.Term == 1 && now.Sub(l.begun) < tuning.FirstStartRush
 }
 
 func (l *Loop) takeProgress(items, lefts []wire.Item) {
@@ -163,7 +163,7 @@
 		return
 	}
 	ready, most := l.store.AvailableWrites()
-	if ready < min(most, tuning.WriteLeast) {
+	if ready < min(most, tuning.WriteBatchMin) {
 		return // the tick looks again
 	}
 	budget := jobs.WriteBudget{Changes: ready, Spare: ready - most/2, Overdue: int(l.overdue.TokensAt(now))}
--- a/internal/scheduler/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -40,7 +40,7 @@
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
 		l.rent(clock.Now()) // no request is answered meanwhile
-		if n := len(l.fleet.asked); n > tuning.RentAtOnce {
+		if n := len(l.fleet.asked); n > tuning.RentalsInFlight {
 			t.Fatalf("%d rentals on their way after %d jobs", n, i+1)
 		}
 	}
@@ -67,7 +67,7 @@
 	for _, c := range []struct {
 		silent int
 		keeps  time.Duration
-	}{{1, tuning.SilentRelease}, {10, tuning.SilentReleaseMany}} {
+	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
 		l, clock := leaderWith(t)
 		var listed []wire.ListedMachine
 		for i := range c.silent {
@@ -113,12 +113,12 @@
 		l.takeJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
 		return len(l.fleet.recent)
 	}
-	for i := range tuning.RushShare {
-		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.RushShare {
+	for i := range tuning.FirstStartRushShare {
+		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
 			t.Errorf("%d arrivals after %d in the rush", n, i+1)
 		}
 	}
-	clock.Advance(tuning.BeginRush)
+	clock.Advance(tuning.FirstStartRush)
 	if n := take("job-2"); n != 2 {
 		t.Errorf("%d arrivals after it", n)
 	}
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -120,9 +120,9 @@
 		}
 	}
 	if silent >= tuning.SilentMany && float64(silent) >= tuning.SilentManyShare*float64(len(l.machines.Machines)) {
-		return tuning.SilentReleaseMany
+		return tuning.SilentReturnAfterCut
 	}
-	return tuning.SilentRelease
+	return tuning.SilentReturnAfter
 }
 
 // deleteMachines deletes one batch at a time: what comes meanwhile waits for
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -90,7 +90,7 @@
 	begun := clock.Now()
 	clock.Advance(3 * time.Millisecond)
 	for _, least := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.rest(begun, least).Sub(clock.Now()), max(least, tuning.RestFactor*3*time.Millisecond); got != want {
+		if got, want := l.rest(begun, least).Sub(clock.Now()), max(least, tuning.CycleRestFactor*3*time.Millisecond); got != want {
 			t.Errorf("rests for %v, want %v", got, want)
 		}
 	}
--- a/internal/scheduler/leader/served.go
+++ b/internal/scheduler/leader/served.go
@@ -47,7 +47,7 @@
 			larger++
 		}
 	}
-	p := &presence{large: len(last) >= tuning.SizesLeast && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
+	p := &presence{large: len(last) >= tuning.SizesMin && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
 	s.live[j.ID] = p
 	return p
 }
--- a/internal/scheduler/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -25,7 +25,7 @@
 		switch {
 		case p.State == wire.TaskRunning && j.CheckpointS > 0:
 			p.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), Reason: charge.Drained}
-		case p.State == wire.TaskRunning && mayEnd(p.Job, now.Sub(p.RunningSince), left-tuning.LastCall):
+		case p.State == wire.TaskRunning && mayEnd(p.Job, now.Sub(p.RunningSince), left-tuning.InterruptionStopLead):
 			continue
 		default:
 			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
@@ -43,7 +43,7 @@
 		switch {
 		case m == nil || !m.InterruptionAt.After(now):
 			delete(l.leaving, name)
-		case m.InterruptionAt.Sub(now) <= tuning.LastCall:
+		case m.InterruptionAt.Sub(now) <= tuning.InterruptionStopLead:
 			delete(l.leaving, name)
 			l.drainSpot(m, now)
 		}
--- a/internal/scheduler/leader/spot_test.go
+++ b/internal/scheduler/leader/spot_test.go
@@ -22,7 +22,7 @@
 	if p.Stop != nil {
 		t.Fatal("stopped at the notice")
 	}
-	clock.Advance(25*time.Second - tuning.LastCall - time.Second)
+	clock.Advance(25*time.Second - tuning.InterruptionStopLead - time.Second)
 	if l.stepLeaving(clock.Now()); p.Stop != nil {
 		t.Fatal("stopped before the last call")
 	}
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -133,7 +133,7 @@
 		l.setAside(rep, err)
 		return nil, err
 	}
-	if len(a.Held) > tuning.HeldExits {
+	if len(a.Held) > tuning.UnrecordedExits {
 		for _, k := range a.Held {
 			if j := l.jobs.Jobs[k.Task.Job]; j != nil {
 				l.jobs.FlushSoon(j, k.Task.Index)
@@ -193,7 +193,7 @@
 		case wire.ExitNoRoom:
 			// Something that we do not see takes room there; ask again later.
 			if m != nil {
-				m.RefusedAt = now.Add(tuning.NoRoomPause)
+				m.RefusedAt = now.Add(tuning.RefusalPause)
 			}
 		case wire.ExitUnknown:
 			// The job's description is not there (yet).
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -34,7 +34,7 @@
 }
 
 func newProbing() probing {
-	return probing{limit: rate.NewLimiter(tuning.ProbeRateLeast, tuning.ProbeLeast), unmet: map[string]bool{}}
+	return probing{limit: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unmet: map[string]bool{}}
 }
 
 func (w *probing) heard(now time.Time) {
@@ -65,7 +65,7 @@
 // askAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
 // another controller.
 func (l *Loop) askAfter() time.Duration {
-	return seconds(tuning.ReportLate*l.env.Settings.Cluster.Workers.ReportS) + tuning.WorkerTry
+	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.ReportS) + tuning.WorkerTry
 }
 
 // doubts tells whether there is reason to ask a machine, the more pressing the lower.
@@ -93,9 +93,9 @@
 		return
 	}
 	l.probing.next = now.Add(tuning.SubsystemTick)
-	perS := max(tuning.ProbeRateLeast, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
+	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
 	l.probing.limit.SetLimitAt(now, rate.Limit(perS))
-	l.probing.limit.SetBurstAt(now, max(tuning.ProbeLeast, int(perS*tuning.SubsystemTick.Seconds())+1))
+	l.probing.limit.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 	type doubt struct {
 		m    *machines.Machine
 		rank int
@@ -135,7 +135,7 @@
 	commands := float64(cap(l.env.CommandSlots))
 	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
 	needed := int(math.Ceil(float64(doubtful) / rounds))
-	return max(tuning.ProbeLeast, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
+	return max(tuning.ProbeMin, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
 }
 
 // probe asks a machine for its report.
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -176,7 +176,7 @@
 	if cut := l.cutZones(now); !cut["b"] || cut["a"] {
 		t.Errorf("cut off: %v", cut)
 	}
-	if got := l.silentRelease(); got != tuning.SilentReleaseMany {
+	if got := l.silentRelease(); got != tuning.SilentReturnAfterCut {
 		t.Errorf("its machines are returned after %v", got)
 	}
 }
@@ -262,7 +262,7 @@
 			}
 			*rep = *first
 			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
-			pass(tuning.AnswerLife)
+			pass(tuning.HeartbeatReplyLife)
 			if _, err := l.take(&wire.Heartbeat{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Incarnation: rep.Incarnation, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("taken before it is known what it is: %v", err)
 			}
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -62,7 +62,7 @@
 	switch {
 	case rep.Newer(mark.Incarnation, mark.Seq):
 		return SameLife
-	case mark.Sent.Sub(m.LastHeartbeat) < tuning.AnswerLife:
+	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyLife:
 		return AskLater
 	case len(m.sent) > 0:
 		return GiveUp
--- a/internal/scheduler/machines/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -166,7 +166,7 @@
 	if a := f.report(report(1, 90, term), 2*time.Second, no); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
 		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
 	}
-	if a := f.report(report(1, 91, term), 2*time.Second+tuning.AnswerLife, no); len(a.Outcomes) != 1 {
+	if a := f.report(report(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, no); len(a.Outcomes) != 1 {
 		t.Errorf("not gone though nothing can arrive any more: %v", a.Commands)
 	}
 }
--- a/internal/scheduler/machines/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -34,10 +34,10 @@
 		token uint64
 		want  Restart
 	}{
-		{"nothing can come", tuning.AnswerLife, false, term, Anew},
-		{"an answer may be on its way", tuning.AnswerLife - time.Millisecond, false, term, AskLater},
-		{"a direct start may", tuning.AnswerLife, true, term, GiveUp},
-		{"an older leader's may", tuning.AnswerLife, false, term - 1, AskAgain},
+		{"nothing can come", tuning.HeartbeatReplyLife, false, term, Anew},
+		{"an answer may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, AskLater},
+		{"a direct start may", tuning.HeartbeatReplyLife, true, term, GiveUp},
+		{"an older leader's may", tuning.HeartbeatReplyLife, false, term - 1, AskAgain},
 	} {
 		f := newFixture(t)
 		f.report(report(1, 5, term), 0, no)
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -202,7 +202,7 @@
 		m.errorsOf = map[string]bool{}
 	}
 	m.errorsOf[job] = true
-	m.Unhealthy = m.Unhealthy || len(m.errorsOf) >= tuning.BadMachineJobs
+	m.Unhealthy = m.Unhealthy || len(m.errorsOf) >= tuning.FaultyMachineJobs
 }
 
 // NoteDone takes in that a task completed on the machine: what failed there
@@ -467,7 +467,7 @@
 				p.StartSentAt = now
 			}
 		case direct || !fenced:
-		case m.sent[k] > 0 || now.Sub(p.StartSentAt) < tuning.AnswerLife || !rep.Newer(m.previous.Incarnation, m.previous.Seq):
+		case m.sent[k] > 0 || now.Sub(p.StartSentAt) < tuning.HeartbeatReplyLife || !rep.Newer(m.previous.Incarnation, m.previous.Seq):
 			// The report may be a copy from a former life that we know of. Or a direct start may still arrive, or the answer that held one: the report may be a copy from a former life of
 			// a machine that was started anew. Started and stopped here, the
 			// attempt becomes known, and the late start has no effect.
@@ -545,7 +545,7 @@
 		}
 	}
 	for name, at := range r.returned {
-		if now.Sub(at) > tuning.ForgetReleased {
+		if now.Sub(at) > tuning.ForgetReturned {
 			delete(r.returned, name)
 		}
 	}
--- a/internal/scheduler/machines/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -152,7 +152,7 @@
 		t.Fatalf("gone while an old start may arrive: %v", a.Outcomes)
 	}
 	// With our token seen, no older start is executed: it is not there.
-	if a := f.report(report(3, 3, term), tuning.AnswerLife, yes); len(a.Outcomes) != 1 {
+	if a := f.report(report(3, 3, term), tuning.HeartbeatReplyLife, yes); len(a.Outcomes) != 1 {
 		t.Fatalf("not gone: %+v", a)
 	}
 }
--- a/internal/scheduler/placement/overdue.go
+++ b/internal/scheduler/placement/overdue.go
@@ -11,7 +11,7 @@
 // The order within a priority favours little work: the longest wait for each CPU second goes first, and what had its fill
 // goes last. A job that is large in any way can so wait for ever: each machine that gets free is too small for its task and
 // taken by small ones, its team's limit is used up by them, or it is behind them in every pass. So the wait to begin is
-// bounded. A job none of whose tasks was placed within tuning.BeginBound is overdue: before anything else of its priority it
+// bounded. A job none of whose tasks was placed within tuning.StarvationBound is overdue: before anything else of its priority it
 // gets one task; if none fits, a machine, and what it needs of its team's limit, is kept from those behind it until one
 // does, as far as what runs ends by itself, and for tuning.ReservationMax at a time (Holds). With that task it has begun, and the order is the
 // usual one again, so that the small lose one task's time to each large job.
@@ -36,7 +36,7 @@
 
 // Starving tells whether an item's job waits for its first task for too long.
 func (it *PendingJob) Starving(now time.Time) bool {
-	return it.Started == 0 && !it.Placeholder && !it.OnProbation && it.Waiting > 0 && now.Sub(it.enqueuedAt()) >= tuning.BeginBound
+	return it.Started == 0 && !it.Placeholder && !it.OnProbation && it.Waiting > 0 && now.Sub(it.enqueuedAt()) >= tuning.StarvationBound
 }
 
 // begin places one task of an overdue item, or keeps for it what it lacks.
@@ -59,7 +59,7 @@
 	if team.reservedFor == "" {
 		team.reservedFor, team.reserved, p.keeps = it.Job.ID, need, true
 	}
-	if team.reservedFor == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.BeginReservationShare) && it.hold(p.machines, need) {
+	if team.reservedFor == it.Job.ID && p.holds < max(1, len(p.machines)/tuning.StarvationReservationShare) && it.hold(p.machines, need) {
 		p.holds++
 	}
 	return placed
--- a/internal/scheduler/placement/overdue_test.go
+++ b/internal/scheduler/placement/overdue_test.go
@@ -232,9 +232,9 @@
 
 // Guards against a bound that lets a large job take everything: it is one task that goes before the others.
 func TestAnOverdueJobGetsOneTask(t *testing.T) {
-	late := item("late", wire.PriorityNormal, tuning.BeginBound, 8, 4)
+	late := item("late", wire.PriorityNormal, tuning.StarvationBound, 8, 4)
 	late.Started = 0
-	begun := item("begun", wire.PriorityNormal, tuning.BeginBound/2, 8, 1)
+	begun := item("begun", wire.PriorityNormal, tuning.StarvationBound/2, 8, 1)
 	begun.Started, begun.Job.EstimateS, late.Job.EstimateS = 1, 1, 1000
 	late.Job.Kind, begun.Job.Kind = wire.KindArray, wire.KindArray
 	got := map[string]int{}
@@ -248,7 +248,7 @@
 
 // Guards against a limit that is kept for the begin of a job for ever, and against one that is kept from other teams.
 func TestWhatIsKeptOfALimit(t *testing.T) {
-	late := item("late", wire.PriorityNormal, tuning.BeginBound, 1, 8)
+	late := item("late", wire.PriorityNormal, tuning.StarvationBound, 1, 8)
 	small := item("small", wire.PriorityNormal, 0, 4, 1)
 	other := item("other", wire.PriorityNormal, 0, 4, 1)
 	other.Job.Team = "u"
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -134,7 +134,7 @@
 // job that had its fill does not age: its tasks are served, others wait.
 func EffectivePriority(it *PendingJob, teams map[string]*Team, now time.Time) int {
 	l := it.Job.Priority.Level()
-	if now.Sub(it.enqueuedAt()) >= tuning.AgeStep && !filled(it, teams) {
+	if now.Sub(it.enqueuedAt()) >= tuning.PriorityAgingStep && !filled(it, teams) {
 		l++
 	}
 	return l
@@ -167,7 +167,7 @@
 			share = max(share, (n*r[0]-slack)/r[1])
 		}
 	}
-	return int(min(share, 1) * tuning.FillSteps)
+	return int(min(share, 1) * tuning.FairShareSteps)
 }
 
 // response is how long ago an array came for each CPU second of the work that it waits for:
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -57,7 +57,7 @@
 			[]*PendingJob{item("a", wire.PriorityNormal, time.Second, 1, 4), item("b", wire.PriorityNormal, 2*time.Second, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"past the wait bound a task rises one step",
-			[]*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4), item("b", wire.PriorityNormal, tuning.AgeStep, 1, 4)},
+			[]*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4), item("b", wire.PriorityNormal, tuning.PriorityAgingStep, 1, 4)},
 			ms{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"most free room wins", []*PendingJob{item("a", wire.PriorityHigh, 0, 1, 4)},
 			ms{machine("m", "a", false, 8), machine("n", "a", false, 12)}, 100, "a:n"},
@@ -203,7 +203,7 @@
 			if team.reservedFor == "" {
 				team.reservedFor, team.reserved = it.Job.ID, need
 			}
-			if team.reservedFor == it.Job.ID && holds < max(1, len(machines)/tuning.BeginReservationShare) && it.hold(machines, need) {
+			if team.reservedFor == it.Job.ID && holds < max(1, len(machines)/tuning.StarvationReservationShare) && it.hold(machines, need) {
 				holds++
 			}
 		}
@@ -254,7 +254,7 @@
 		started int
 		want    string
 	}{{1, "a:m"}, {2, "b:m"}} {
-		huge, tiny := item("a", wire.PriorityLow, tuning.AgeStep, 25000, 4), item("b", wire.PriorityLow, 0, 1, 4)
+		huge, tiny := item("a", wire.PriorityLow, tuning.PriorityAgingStep, 25000, 4), item("b", wire.PriorityLow, 0, 1, 4)
 		huge.Started = c.started
 		placed := Schedule(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), FairShareCPUs: 8}})
 		if got := placed[0].Pending.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
@@ -462,7 +462,7 @@
 func TestALostTaskCountsFromItsJobsComing(t *testing.T) {
 	lost, fresh := item("b", wire.PriorityNormal, time.Second, 1, 4), item("a", wire.PriorityNormal, 100*time.Second, 40, 4)
 	lost.Job.EstimateS, fresh.Job.EstimateS = 60, 60
-	lost.EnqueuedAt = now.Add(-tuning.AgeStep)
+	lost.EnqueuedAt = now.Add(-tuning.PriorityAgingStep)
 	items := []*PendingJob{fresh, lost}
 	if Sort(items, map[string]*Team{}, now); items[0] != lost {
 		t.Error("a task lost a second ago waits behind an array that has not begun")
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -36,7 +36,7 @@
 	for _, it := range items {
 		team, need := teams[it.Job.Team], it.Request()
 		known := false
-		for n := 0; team != nil && it.Waiting > 0 && n < tuning.PreemptAtOnce && team.fits(need) && team.within(need); n++ {
+		for n := 0; team != nil && it.Waiting > 0 && n < tuning.PreemptBatch && team.fits(need) && team.within(need); n++ {
 			if !known {
 				known = true
 				for i, m := range machines {
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -57,7 +57,7 @@
 func plainPreempt(items []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
 	for _, it := range items {
 		team, need := teams[it.Job.Team], it.Request()
-		for n := 0; it.Waiting > 0 && n < tuning.PreemptAtOnce && team.fits(need) && team.within(need); n++ {
+		for n := 0; it.Waiting > 0 && n < tuning.PreemptBatch && team.fits(need) && team.within(need); n++ {
 			var best *Machine
 			var chosen []int
 			var cost float64
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -75,7 +75,7 @@
 			s.down(f, k)
 		}
 	}
-	if len(p.searches) >= tuning.SearchShapes {
+	if len(p.searches) >= tuning.TaskShapesMax {
 		clear(p.searches) // of so many shapes, few come again
 	}
 	p.searches[key] = s
