--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -87,8 +87,8 @@
 		begun = now
 	default:
 		begun = p.PlacedAt
-		if o.Idle.After(begun) {
-			begun = o.Idle
+		if o.NotRunningAt.After(begun) {
+			begun = o.NotRunningAt
 		}
 		c.Flags |= charge.UpperBound
 	}
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -67,7 +67,7 @@
 	}
 	p := l.jobs.Allocate(j, 0, machine, "a", 1, now)
 	p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
-	l.machines.Add(p, now)
+	l.machines.AddAllocation(p, now)
 	return p
 }
 
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -62,7 +62,7 @@
 	for i, zone := range []string{"a", "b"} {
 		p := w.l.jobs.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
 		p.Committed = true
-		w.l.machines.Add(p, w.clock.Now())
+		w.l.machines.AddAllocation(p, w.clock.Now())
 	}
 	w.lead()
 	return w
@@ -107,7 +107,7 @@
 	for _, j := range old.jobs.Jobs {
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
-				w.l.machines.Inherit(p, w.l.begun)
+				w.l.machines.RestoreAllocation(p, w.l.begun)
 			}
 		}
 	}
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -38,9 +38,9 @@
 		t.Error("the faulty machine is not told from the good one")
 	}
 	m := l.machines.Machines["n-small"]
-	m.NoteError("job-8")
+	m.NoteFailure("job-8")
 	l.ends(l.runs(t, "job-9", "n-small", 1), wire.ExitDone)
-	if m.NoteError("job-10"); m.Unhealthy {
+	if m.NoteFailure("job-10"); m.Unhealthy {
 		t.Error("a machine on which tasks complete is held to be faulty")
 	}
 }
@@ -61,7 +61,7 @@
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
 				l.ends(p, wire.ExitError)
 				p = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
-				l.machines.Add(p, clock.Now())
+				l.machines.AddAllocation(p, clock.Now())
 			}
 			l.ends(p, wire.ExitError)
 			next := j.BackoffUntil.Sub(clock.Now())
@@ -74,7 +74,7 @@
 				t.Fatalf("it is tried as %+v", items)
 			}
 			p = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
-			l.machines.Add(p, clock.Now())
+			l.machines.AddAllocation(p, clock.Now())
 		}
 		l.ends(p, wire.ExitError)
 		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -95,7 +95,7 @@
 
 // mayBeCopy tells whether a machine that still counts as heard did not answer a command since:
 // it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func mayBeCopy(m *machines.Machine) bool { return m.Unanswered.After(m.LastHeartbeat) }
+func mayBeCopy(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
 
 // silence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) silence() time.Duration {
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -40,7 +40,7 @@
 		}
 		p := l.jobs.Allocate(j, i, rep.Machine, rep.Zone, 1, clock.Now())
 		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-		l.machines.Add(p, clock.Now())
+		l.machines.AddAllocation(p, clock.Now())
 	}
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -52,7 +52,7 @@
 func (l *Loop) blame(j *jobs.Job) {
 	for name := range j.AvoidMachines {
 		if m := l.machines.Machines[name]; m != nil {
-			m.NoteError(j.ID)
+			m.NoteFailure(j.ID)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	if m == nil {
 		return
 	}
-	m.NoteDone()
+	m.NoteCompletion()
 	if p.Job.Kind != wire.KindArray || p.RunningSince.IsZero() || p.Inherited {
 		return // it is not known for how long it ran
 	}
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -19,7 +19,7 @@
 		for i := range held {
 			p := l.jobs.Allocate(j, i, "n-large", "a", 1, now)
 			p.Committed = true
-			l.machines.Add(p, now)
+			l.machines.AddAllocation(p, now)
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone})
 		}
 		for w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.jobs.NextBatch(now, jobs.WriteBudget{}) {
--- a/internal/scheduler/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -60,7 +60,7 @@
 func (l *Loop) recall(m *machines.Machine) {
 	if held := l.images.told[m.Name]; held != nil {
 		delete(l.images.told, m.Name)
-		m.Recall(held, l.begun)
+		m.RestoreImages(held, l.begun)
 	}
 }
 
--- a/internal/scheduler/leader/images_test.go
+++ b/internal/scheduler/leader/images_test.go
@@ -50,7 +50,7 @@
 	l.images.told = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
 	l.recall(m)
 	l.recall(m)
-	if !m.Holds("img-x", 10) || len(l.images.told) != 0 {
-		t.Errorf("holds img-x: %v, left %v", m.Holds("img-x", 10), l.images.told)
+	if !m.HasImage("img-x", 10) || len(l.images.told) != 0 {
+		t.Errorf("holds img-x: %v, left %v", m.HasImage("img-x", 10), l.images.told)
 	}
 }
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -40,7 +40,7 @@
 		next[j.ID] = i + 1
 		m := l.machines.Machines[d.Machine.Name]
 		p := l.jobs.Allocate(j, i, m.Name, m.Zone, m.Incarnation, now)
-		l.machines.Add(p, now)
+		l.machines.AddAllocation(p, now)
 		for _, s := range l.subsystems {
 			s.Placed(p, m.Spot, l.env.typeOf(m.Type), now)
 		}
@@ -299,7 +299,7 @@
 func fetchTime(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
 	sharing := 0 // counted when it is first asked for: full machines never are
 	return func(image string, gb float64) float64 {
-		if t.FetchGBPerS <= 0 || m.Holds(image, t.CacheGB) {
+		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
 			return 0
 		}
 		if sharing == 0 {
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -128,7 +128,7 @@
 			if p.Job.Cancelled() {
 				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
-			l.machines.Inherit(p, l.begun)
+			l.machines.RestoreAllocation(p, l.begun)
 		}
 	}
 	for _, item := range lefts {
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -224,7 +224,7 @@
 		}
 		if m := l.machines.Machines[lm.Name]; m != nil {
 			l.changed = l.changed || !m.Known // it may be used from now on
-			m.ListedRunning, m.Known, m.Listed = lm.State == wire.MachineRunning, true, lm.Address
+			m.ListedRunning, m.Known, m.ListedAddress = lm.State == wire.MachineRunning, true, lm.Address
 		}
 	}
 	if len(failed) > 0 {
@@ -242,7 +242,7 @@
 		// Its lease ran out, or it never came up, and list after list lacks
 		// it: it was taken.
 		if m.MissedListings++; m.MissedListings >= tuning.UnlistedLists && len(m.Allocations) == 0 && !m.Returning {
-			l.machines.Drop(m.Name)
+			l.machines.Forget(m.Name)
 		}
 	}
 }
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -40,7 +40,7 @@
 			rep := reports[next%400]
 			p := l.jobs.Allocate(j, k, rep.Machine, "a", 1, now)
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
-			l.machines.Add(p, now)
+			l.machines.AddAllocation(p, now)
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
 			next++
 		}
@@ -146,7 +146,7 @@
 	for _, m := range l.machines.Machines {
 		for _, p := range m.Allocations {
 			l.jobs.MarkDone(p, clock.Now())
-			l.machines.Remove(p, clock.Now())
+			l.machines.RemoveAllocation(p, clock.Now())
 		}
 	}
 	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -39,7 +39,7 @@
 	}
 	j := l.jobs.Jobs["job-1"]
 	for i := range 4 {
-		l.machines.Add(l.jobs.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
+		l.machines.AddAllocation(l.jobs.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
 	l.fleet.spotLimitS = l.spotLimit()
 	items := []*placement.PendingJob{short, long, saves}
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -34,9 +34,9 @@
 		ends := func(i int, machine string, ran, late time.Duration) {
 			p := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-			l.machines.Add(p, clock.Now())
+			l.machines.AddAllocation(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, Idle: clock.Now().Add(-late)}}, clock.Now())
+			l.settle([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -63,8 +63,8 @@
 	}
 	l.log.Debug("direct commands unanswered", "machine", name, "err", err)
 	l.post(func() {
-		if m := l.machines.Machines[name]; m != nil && m.Unanswered.Before(begun) {
-			m.Unanswered = begun
+		if m := l.machines.Machines[name]; m != nil && m.UnansweredAt.Before(begun) {
+			m.UnansweredAt = begun
 			m.Reachability.NoteFailed(begun, l.env.Clock.Now())
 		}
 		l.probing.unheard(name)
@@ -133,14 +133,14 @@
 		l.setAside(rep, err)
 		return nil, err
 	}
-	if len(a.Held) > tuning.UnrecordedExits {
-		for _, k := range a.Held {
+	if len(a.RetainedExits) > tuning.UnrecordedExits {
+		for _, k := range a.RetainedExits {
 			if j := l.jobs.Jobs[k.Task.Job]; j != nil {
 				l.jobs.FlushSoon(j, k.Task.Index)
 			}
 		}
 	}
-	for _, p := range a.Began {
+	for _, p := range a.Started {
 		l.jobs.MarkRunning(p, now)
 		if first := l.levels.began(p.Job); first != nil {
 			l.env.observe(func(o Observer) { o.JobBegan(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
@@ -177,13 +177,13 @@
 		for _, s := range l.subsystems {
 			s.Ended(o, now)
 		}
-		l.env.observe(func(b Observer) { b.AttemptEnded(p.Job.Class, o.How()) })
-		l.machines.Remove(p, now)
+		l.env.observe(func(b Observer) { b.AttemptEnded(p.Job.Class, o.Ending()) })
+		l.machines.RemoveAllocation(p, now)
 		l.changed = true
 		m := l.machines.Machines[p.Machine]
 		if o.Reason == wire.ExitDone {
 			l.jobs.MarkDone(p, now)
-			l.completed(p, m, o.Idle, now)
+			l.completed(p, m, o.NotRunningAt, now)
 			continue
 		}
 		l.jobs.MarkLost(p, now)
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -173,23 +173,23 @@
 		return
 	}
 	l.probing.heard(now)
-	switch l.machines.Restarted(m, mark, rep) {
-	case machines.AskLater:
+	switch l.machines.JudgeRestart(m, mark, rep) {
+	case machines.Ambiguous:
 		m.SuspectCopy = true
 		return
-	case machines.AskAgain:
+	case machines.ProbeAgain:
 		l.probe(m, now)
 		return
-	case machines.GiveUp:
+	case machines.DeleteOnly:
 		if !m.Returning {
 			m.Returning = true
 			l.log.Info("returning machine", "machine", name, "why", "started anew with a start on its way")
 			l.deleteMachines([]string{name})
 		}
 		return
-	case machines.Anew:
+	case machines.ProcessRestarted:
 		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Allocations))
-		l.settle(l.machines.Begin(m, rep, now), now)
+		l.settle(l.machines.AcceptRestart(m, rep, now), now)
 		l.changed = true
 		return
 	}
--- a/internal/scheduler/leader/ways_bench_test.go
+++ b/internal/scheduler/leader/ways_bench_test.go
@@ -24,7 +24,7 @@
 		}
 		p := l.jobs.Allocate(j, i, rep.Machine, "a", 1, clock.Now())
 		p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-		l.machines.Add(p, clock.Now())
+		l.machines.AddAllocation(p, clock.Now())
 		rep.Tasks = []wire.TaskStatus{{Task: p.Task().String(), Attempt: 1, State: wire.TaskRunning}}
 		reports[i] = rep
 	}
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -191,11 +191,11 @@
 	l.machines = machines.New(2, 10)
 	j := l.jobs.Jobs["job-1"]
 	p := j.Tasks[0].Allocation
-	l.machines.Inherit(p, l.env.Clock.Now())
+	l.machines.RestoreAllocation(p, l.env.Clock.Now())
 	m := l.machines.Machines["n-0"]
-	m.Listed = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
+	m.ListedAddress = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
 		asked = req
-		return &wire.Heartbeat{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Incarnation: 1, Seq: 7, FencingToken: 2,
+		return &wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 7, FencingToken: 2,
 			Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone}}}
 	})
 	l.asks()
@@ -211,7 +211,7 @@
 		t.Error("the end of its task is not seen")
 	}
 	// A copy of an earlier report is none the newer for that.
-	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: m.Listed, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
+	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
 		t.Errorf("a copy after a direct answer: %v", err)
 	}
 }
@@ -246,11 +246,11 @@
 			p := l.runs(t, "job-9", "n-9", 1)
 			p.Incarnation = 3
 			if c.inherited {
-				l.machines.Remove(p, l.env.Clock.Now())
+				l.machines.RemoveAllocation(p, l.env.Clock.Now())
 				delete(l.machines.Machines, "n-9")
-				l.machines.Inherit(p, l.env.Clock.Now())
+				l.machines.RestoreAllocation(p, l.env.Clock.Now())
 				m = l.machines.Machines["n-9"]
-				m.Listed = first.Address
+				m.ListedAddress = first.Address
 			} else {
 				older := *first
 				older.Incarnation, older.Seq = 3, 50
--- a/internal/scheduler/machines/asked.go
+++ b/internal/scheduler/machines/asked.go
@@ -23,7 +23,7 @@
 	}
 	addr = m.Address
 	if addr == "" {
-		addr = m.Listed
+		addr = m.ListedAddress
 	}
 	if addr == "" || session == 0 || m.Returning {
 		return "", nil, mark, false
@@ -43,41 +43,41 @@
 	}
 }
 
-// Restart is what an answer proves of its machine's worker.
-type Restart int
+// RestartVerdict is what an answer proves of its machine's worker.
+type RestartVerdict int
 
 // What it may prove.
 const (
-	SameLife Restart = iota
-	AskLater         // perhaps started anew; an answer to one of its reports may still be on its way
-	AskAgain         // started anew; that older leaders' commands are refused is not known yet
-	GiveUp           // started anew; a start of ours may still arrive there, so only its deletion proves anything
-	Anew             // started anew: nothing of its former life is there, nor can come
+	NotRestarted     RestartVerdict = iota
+	Ambiguous                       // perhaps started anew; an answer to one of its reports may still be on its way
+	ProbeAgain                      // started anew; that older leaders' commands are refused is not known yet
+	DeleteOnly                      // started anew; a start of ours may still arrive there, so only its deletion proves anything
+	ProcessRestarted                // started anew: nothing of its former life is there, nor can come
 )
 
-// Restarted judges an answer to a question. A worker drops answers after 4 s. Within that of the last report that we took, an
+// JudgeRestart judges an answer to a question. A worker drops answers after 4 s. Within that of the last report that we took, an
 // answer with a start may be on its way to the new life: its first report may have been taken for one of the former
 // life, and a copy of a later one of that for its next.
-func (r *Registry) Restarted(m *Machine, mark MessageMark, rep *wire.Heartbeat) Restart {
+func (r *Registry) JudgeRestart(m *Machine, mark MessageMark, rep *wire.Heartbeat) RestartVerdict {
 	switch {
 	case rep.Newer(mark.Incarnation, mark.Seq):
-		return SameLife
+		return NotRestarted
 	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyLife:
-		return AskLater
+		return Ambiguous
 	case len(m.sent) > 0:
-		return GiveUp
+		return DeleteOnly
 	case rep.FencingToken < r.term:
 		m.life = rep.Incarnation
-		return AskAgain
+		return ProbeAgain
 	}
-	return Anew
+	return ProcessRestarted
 }
 
-// Begin takes in that a machine's worker was started anew, as an answer shows that holds our token: what was placed there in
+// AcceptRestart takes in that a machine's worker was started anew, as an answer shows that holds our token: what was placed there in
 // its former life is gone. The worker lists all that is on its machine; older leaders' commands are refused by their
 // tokens; answers to reports of the former life reach nobody, and none to one of the new life is on its way (Restarted); and no direct start of ours is open. Without this a
 // machine that was back at once was shut out as a copy until its new life had sent as many reports as the former one.
-func (r *Registry) Begin(m *Machine, rep *wire.Heartbeat, now time.Time) []Outcome {
+func (r *Registry) AcceptRestart(m *Machine, rep *wire.Heartbeat, now time.Time) []Outcome {
 	var a HeartbeatResult
 	there := map[AttemptID]bool{}
 	for i := range rep.Tasks {
--- a/internal/scheduler/machines/copies_test.go
+++ b/internal/scheduler/machines/copies_test.go
@@ -18,7 +18,7 @@
 // Guards against the notice of a copy: it drained a healthy machine, or had one that will be taken look safe.
 func TestACopysNoticeDoesNotLast(t *testing.T) {
 	f := newFixture(t)
-	f.Inherit(place(1), t0)
+	f.RestoreAllocation(place(1), t0)
 	f.report(noticed(report(1, 5, term-1), 25), 0, no) // may be a copy
 	if m := f.Machines["n-1"]; m.InterruptionAt.IsZero() {
 		t.Error("a notice is not taken as long as nothing tells against it")
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	p := place(2)
-	f.Add(p, t0.Add(back))
+	f.AddAllocation(p, t0.Add(back))
 	if outs := f.expire(back + 9*time.Second); len(outs) != 0 {
 		t.Fatalf("gone within the lease of its session: %v", outs)
 	}
@@ -107,8 +107,8 @@
 	f := newFixture(t)
 	gone, there := place(1), place(2)
 	there.Index = 1
-	f.Inherit(gone, t0)
-	f.Inherit(there, t0)
+	f.RestoreAllocation(gone, t0)
+	f.RestoreAllocation(there, t0)
 	// Before the worker has our token this may be a copy from a former life, and the task in the life that runs.
 	if a := f.report(report(2, 6, term-1, taskIs("job-1/1", 1, wire.TaskRunning, "")), 0, no); len(a.Outcomes) != 0 {
 		t.Errorf("outcomes %+v of what may be a copy", a.Outcomes)
@@ -126,11 +126,11 @@
 	m := f.Machines["n-1"]
 	_, _, mark, _ := f.Probe(m, t0.Add(5*time.Second))
 	anew := report(1, 2, term)
-	if got := f.Restarted(m, mark, anew); got != Anew {
+	if got := f.JudgeRestart(m, mark, anew); got != ProcessRestarted {
 		t.Fatalf("judged %v", got)
 	}
-	f.Begin(m, anew, t0.Add(5*time.Second))
-	f.Add(place(1), t0.Add(5*time.Second))
+	f.AcceptRestart(m, anew, t0.Add(5*time.Second))
+	f.AddAllocation(place(1), t0.Add(5*time.Second))
 	if a, err := f.Heartbeat(report(3, 39, term), false, t0.Add(6*time.Second), no); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
 		t.Errorf("%v, %v", a.Outcomes, err)
 	}
@@ -142,7 +142,7 @@
 // Guards against a copy that is taken for news of a machine which answered a question and has not reported to this leader yet.
 func TestADirectAnswerTellsTheOrderBeforeTheFirstReport(t *testing.T) {
 	f := newFixture(t)
-	f.Inherit(place(1), t0)
+	f.RestoreAllocation(place(1), t0)
 	if _, err := f.Heartbeat(report(1, 7, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), true, t0.Add(time.Second), no); err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	if a := f.report(report(1, 2, term), time.Second, no); ops(a.Commands) != "start " {
 		t.Fatalf("commands %v", a.Commands)
 	}
@@ -183,7 +183,7 @@
 			f.report(report(1, 1, term), 0, no)
 		}
 		p := place(1)
-		f.Inherit(p, t0)
+		f.RestoreAllocation(p, t0)
 		a, err := f.Heartbeat(report(2, 5, term-1), false, t0.Add(time.Second), no)
 		if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.SuspectCopy {
 			t.Errorf("%s: %v, %v", c.name, a.Outcomes, err)
@@ -203,7 +203,7 @@
 		ends  int
 	}{{wire.ExitStopped, term - 1, 0}, {wire.ExitError, term - 1, 0}, {wire.ExitDone, term - 1, 1}, {wire.ExitStopped, term, 1}} {
 		f := newFixture(t)
-		f.Inherit(place(1), t0)
+		f.RestoreAllocation(place(1), t0)
 		if a := f.report(report(1, 7, c.token, taskIs("job-1/0", 1, wire.TaskExited, c.why)), time.Second, no); len(a.Outcomes) != c.ends {
 			t.Errorf("%s with token %d: %v", c.why, c.token, a.Outcomes)
 		}
@@ -215,10 +215,10 @@
 	f := newFixture(t)
 	f.report(report(1, 40, term), 0, no)
 	m := f.Machines["n-1"]
-	f.Begin(m, report(1, 2, term), t0.Add(5*time.Second))
+	f.AcceptRestart(m, report(1, 2, term), t0.Add(5*time.Second))
 	p := place(1)
 	p.Stop = &jobs.StopRequest{}
-	f.Add(p, t0.Add(5*time.Second))
+	f.AddAllocation(p, t0.Add(5*time.Second))
 	if a := f.report(report(1, 39, term), 30*time.Second, no); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
 		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
 	}
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -33,7 +33,7 @@
 		m := r.Machines[name]
 		at := len(out.Machines)
 		for image, u := range m.images {
-			if !m.Holds(image, cacheGB(m.Type)) {
+			if !m.HasImage(image, cacheGB(m.Type)) {
 				continue
 			}
 			if len(out.Machines) == at {
@@ -72,8 +72,8 @@
 	return out
 }
 
-// Recall takes in what a former leader knew a machine to hold at a time. What its tasks show counts for more.
-func (m *Machine) Recall(held []HeldImage, at time.Time) {
+// RestoreImages takes in what a former leader knew a machine to hold at a time. What its tasks show counts for more.
+func (m *Machine) RestoreImages(held []HeldImage, at time.Time) {
 	for _, h := range held {
 		if m.images[h.Name] == nil {
 			m.images[h.Name] = &imageUse{gb: h.GB, last: at}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -14,8 +14,8 @@
 	cache := func(string) float64 { return 2 }
 	use := func(machine, image string) {
 		p := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
-		r.Add(p, t0)
-		r.Remove(p, t0)
+		r.AddAllocation(p, t0)
+		r.RemoveAllocation(p, t0)
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
@@ -35,8 +35,8 @@
 	told := images.ByMachine()
 	for i := range 20 {
 		m := next.Register(fmt.Sprintf("n-%02d", i), "small", "a", true, t0, t0)
-		m.Recall(told[m.Name], t0)
-		if m.Holds("img-1", 2) != (i%2 == 0) || m.Holds("img-2", 2) != (i%9 == 0) || m.Holds("img-3", 2) {
+		m.RestoreImages(told[m.Name], t0)
+		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
 			t.Errorf("%s holds %v", m.Name, m.images)
 		}
 	}
@@ -44,7 +44,7 @@
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].last = t0.Add(-1)
-	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].Holds("img-1", 2) {
+	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
 		t.Error("an image is told of that its machine no longer holds")
 	}
 }
--- a/internal/scheduler/machines/listed_test.go
+++ b/internal/scheduler/machines/listed_test.go
@@ -100,7 +100,7 @@
 						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, n, now, machines[n].ends)
 					}
 					told[n] = true
-					r.Drop(n)
+					r.Forget(n)
 				}
 				if last == "" {
 					break
--- a/internal/scheduler/machines/proofs_test.go
+++ b/internal/scheduler/machines/proofs_test.go
@@ -15,7 +15,7 @@
 	f := newFixture(t)
 	p := place(1)
 	p.Stop = &jobs.StopRequest{}
-	f.Inherit(p, t0)
+	f.RestoreAllocation(p, t0)
 	if a := f.report(report(1, 1, term-1), time.Second, yes); len(a.Outcomes) != 0 {
 		t.Fatalf("concluded while an older leader's start may arrive: %v", a.Outcomes)
 	}
@@ -32,17 +32,17 @@
 		after time.Duration // from the last report that was taken to the question
 		open  bool          // a direct start is without an answer
 		token uint64
-		want  Restart
+		want  RestartVerdict
 	}{
-		{"nothing can come", tuning.HeartbeatReplyLife, false, term, Anew},
-		{"an answer may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, AskLater},
-		{"a direct start may", tuning.HeartbeatReplyLife, true, term, GiveUp},
-		{"an older leader's may", tuning.HeartbeatReplyLife, false, term - 1, AskAgain},
+		{"nothing can come", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
+		{"an answer may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
+		{"a direct start may", tuning.HeartbeatReplyLife, true, term, DeleteOnly},
+		{"an older leader's may", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
 	} {
 		f := newFixture(t)
 		f.report(report(1, 5, term), 0, no)
 		p := place(1)
-		f.Add(p, t0)
+		f.AddAllocation(p, t0)
 		m := f.Machines["n-1"]
 		if _, req := f.CommandsFor("n-1", []*jobs.Allocation{p}); !c.open {
 			f.CommandsAnswered("n-1", req)
@@ -51,10 +51,10 @@
 		if !ok {
 			t.Fatal("nobody can be asked")
 		}
-		if got := f.Restarted(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
+		if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
-		if got := f.Restarted(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != SameLife {
+		if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != NotRestarted {
 			t.Errorf("%s: a newer answer is of another life: %v", c.name, got)
 		}
 	}
--- a/internal/scheduler/machines/roster.go
+++ b/internal/scheduler/machines/roster.go
@@ -40,7 +40,7 @@
 type Machine struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
-	Listed                    string // its address by the cloud's list; empty: not listed
+	ListedAddress             string // its address by the cloud's list; empty: not listed
 
 	Incarnation      uint64 // the newest session known
 	seq              uint64 // of the newest report of that session
@@ -64,7 +64,7 @@
 	Draining       bool      // it gets no more tasks while the others suffice, and is returned once empty
 	Returning      bool      // it gets no more tasks and is being deleted
 	Unhealthy      bool      // tasks of several jobs failed on it
-	Unanswered     time.Time // when a command to it was sent that had no answer
+	UnansweredAt   time.Time // when a command to it was sent that had no answer
 	RefusedAt      time.Time // it refused a task for room; not asked before
 	ListedRunning  bool      // the cloud lists it as running
 	MissedListings int       // lists in a row that lacked it, since it was last listed or heard
@@ -178,10 +178,10 @@
 	}
 }
 
-// Holds tells whether a machine with a cache of that size has an image, as far
+// HasImage tells whether a machine with a cache of that size has an image, as far
 // as its tasks show: one of them uses it, or what was used since leaves room
 // for it. Without the size every image once used would count for ever.
-func (m *Machine) Holds(image string, cacheGB float64) bool {
+func (m *Machine) HasImage(image string, cacheGB float64) bool {
 	u := m.images[image]
 	if u == nil || u.tasks > 0 || cacheGB <= 0 {
 		return u != nil
@@ -195,9 +195,9 @@
 	return sum <= cacheGB
 }
 
-// NoteError counts a failed task of a job that works elsewhere; several such
+// NoteFailure counts a failed task of a job that works elsewhere; several such
 // jobs failing on a machine make it bad.
-func (m *Machine) NoteError(job string) {
+func (m *Machine) NoteFailure(job string) {
 	if m.errorsOf == nil {
 		m.errorsOf = map[string]bool{}
 	}
@@ -205,9 +205,9 @@
 	m.Unhealthy = m.Unhealthy || len(m.errorsOf) >= tuning.FaultyMachineJobs
 }
 
-// NoteDone takes in that a task completed on the machine: what failed there
+// NoteCompletion takes in that a task completed on the machine: what failed there
 // before does not count against it.
-func (m *Machine) NoteDone() { clear(m.errorsOf) }
+func (m *Machine) NoteCompletion() { clear(m.errorsOf) }
 
 // Registry holds the machines.
 type Registry struct {
@@ -250,9 +250,9 @@
 	return m
 }
 
-// Inherit takes in a place that a former leader recorded. Whoever answered
+// RestoreAllocation takes in a place that a former leader recorded. Whoever answered
 // the machine last did so before our term began, so its lease runs from then at most.
-func (r *Registry) Inherit(p *jobs.Allocation, begun time.Time) {
+func (r *Registry) RestoreAllocation(p *jobs.Allocation, begun time.Time) {
 	m := r.ensure(p.Machine, begun)
 	m.Allocations[attemptOf(p)] = p
 	m.use(p, begun)
@@ -273,15 +273,15 @@
 	return m
 }
 
-// Add puts a new place on its machine.
-func (r *Registry) Add(p *jobs.Allocation, now time.Time) {
+// AddAllocation puts a new place on its machine.
+func (r *Registry) AddAllocation(p *jobs.Allocation, now time.Time) {
 	m := r.ensure(p.Machine, now)
 	m.Allocations[attemptOf(p)] = p
 	m.use(p, now)
 }
 
-// Remove takes a place that is proven gone off its machine.
-func (r *Registry) Remove(p *jobs.Allocation, now time.Time) {
+// RemoveAllocation takes a place that is proven gone off its machine.
+func (r *Registry) RemoveAllocation(p *jobs.Allocation, now time.Time) {
 	if m := r.Machines[p.Machine]; m != nil {
 		if _, there := m.Allocations[attemptOf(p)]; there {
 			delete(m.Allocations, attemptOf(p))
@@ -295,15 +295,15 @@
 
 // Outcome is the proven end of a task in a place.
 type Outcome struct {
-	Allocation *jobs.Allocation
-	Reason     wire.ExitReason // WhyStopped also when its machine's session is over
-	Saved      bool            // it saved its progress when it was stopped
-	Lost       bool            // nobody saw its end: its machine's session is over, or the machine is gone
-	Idle       time.Time       // a time at which it was known not to run yet; zero: none
+	Allocation   *jobs.Allocation
+	Reason       wire.ExitReason // WhyStopped also when its machine's session is over
+	Saved        bool            // it saved its progress when it was stopped
+	Lost         bool            // nobody saw its end: its machine's session is over, or the machine is gone
+	NotRunningAt time.Time       // a time at which it was known not to run yet; zero: none
 }
 
-// How names the end, for people.
-func (o *Outcome) How() string {
+// Ending names the end, for people.
+func (o *Outcome) Ending() string {
 	if o.Lost {
 		return "lost"
 	}
@@ -312,12 +312,12 @@
 
 // HeartbeatResult is what a report leads to.
 type HeartbeatResult struct {
-	Machine  *Machine
-	Outcomes []Outcome
-	Commands []wire.Command
-	Began    []*jobs.Allocation // those that were seen to run for the first time
-	Held     []AttemptID        // exited attempts that may not be forgotten yet
-	Changed  bool               // something that matters to placement changed, outcomes apart
+	Machine       *Machine
+	Outcomes      []Outcome
+	Commands      []wire.Command
+	Started       []*jobs.Allocation // those that were seen to run for the first time
+	RetainedExits []AttemptID        // exited attempts that may not be forgotten yet
+	Changed       bool               // something that matters to placement changed, outcomes apart
 }
 
 // MayForget tells whether an exited attempt that no place holds may be
@@ -417,7 +417,7 @@
 			}
 			switch {
 			case !mayForget(k):
-				a.Held = append(a.Held, k)
+				a.RetainedExits = append(a.RetainedExits, k)
 			case !direct && fenced && m.sent[k] == 0:
 				forgets = append(forgets, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 			}
@@ -429,11 +429,11 @@
 			// Perhaps a copy from a former life, in which the attempt was stopped; a recorded attempt is started again in the
 			// next one. What completed, completed.
 		case t.State == wire.TaskExited:
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: t.Reason, Saved: t.Saved, Idle: before})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: t.Reason, Saved: t.Saved, NotRunningAt: before})
 		default:
 			if t.State == wire.TaskRunning && p.State != wire.TaskRunning {
 				p.RunningSince = now
-				a.Began = append(a.Began, p)
+				a.Started = append(a.Started, p)
 			}
 			p.State = t.State
 			if p.Stop != nil && (t.State != wire.TaskSaving || p.Stop.GraceS == 0) {
@@ -475,7 +475,7 @@
 			p.StartSentAt = now
 		default:
 			// No answer of ours that held its start is still on the way, since workers drop them after 4 s: it is not there.
-			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, Idle: now})
+			a.Outcomes = append(a.Outcomes, Outcome{Allocation: p, Reason: wire.ExitStopped, NotRunningAt: now})
 		}
 	}
 	if !direct {
@@ -582,8 +582,8 @@
 	return outs
 }
 
-// Drop forgets a machine that no longer exists and holds nothing.
-func (r *Registry) Drop(name string) { delete(r.Machines, name) }
+// Forget forgets a machine that no longer exists and holds nothing.
+func (r *Registry) Forget(name string) { delete(r.Machines, name) }
 
 // CommandsFor makes the request that tells a machine at once what was decided for
 // some of its places: starts, or stops where they are wanted. It is nil when
--- a/internal/scheduler/machines/roster_test.go
+++ b/internal/scheduler/machines/roster_test.go
@@ -70,7 +70,7 @@
 	f.report(report(1, 1, 0), 0, no)
 	p := place(1)
 	p.Committed = false
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	if a := f.report(report(1, 2, term), time.Second, no); len(a.Commands) != 0 {
 		t.Fatalf("commands before the place is stored: %v", a.Commands)
 	}
@@ -100,7 +100,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	a := f.report(report(2, 2, term), time.Second, no)
 	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != p || a.Outcomes[0].Reason != wire.ExitStopped {
 		t.Fatalf("outcomes %v", a.Outcomes)
@@ -111,7 +111,7 @@
 func TestSilenceProvesNothingBeforeTheLeaseIsOver(t *testing.T) {
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
-	f.Add(place(1), t0)
+	f.AddAllocation(place(1), t0)
 	f.report(report(1, 2, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), 5*time.Second, no)
 	// A direct answer renews no lease: it must not put the end off, nor does it prove a task gone.
 	if a, err := f.Heartbeat(report(1, 3, term), true, t0.Add(9*time.Second), yes); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
@@ -125,7 +125,7 @@
 	if len(outs) != 1 {
 		t.Fatalf("not gone at the end: %v", outs)
 	}
-	f.Remove(outs[0].Allocation, t0)
+	f.RemoveAllocation(outs[0].Allocation, t0)
 	// A report of that session that comes later was kept by the network.
 	if _, err := f.Heartbeat(report(1, 4, term, taskIs("job-1/0", 1, wire.TaskRunning, "")), false, t0.Add(end), no); !errors.Is(err, ErrStale) {
 		t.Errorf("a report of a session that is over: %v", err)
@@ -138,7 +138,7 @@
 func TestANewLeaderCountsInheritedPlacesUntilProvenGone(t *testing.T) {
 	f := newFixture(t)
 	p := place(3)
-	f.Inherit(p, t0)
+	f.RestoreAllocation(p, t0)
 	if outs := f.expire(9 * time.Second); len(outs) != 0 {
 		t.Fatalf("gone: %v", outs)
 	}
@@ -164,7 +164,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	addr, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
 	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
 		t.Fatalf("direct: %s %+v", addr, req)
@@ -179,7 +179,7 @@
 	if len(a.Outcomes) != 1 {
 		t.Fatalf("outcomes %v", a.Outcomes)
 	}
-	f.Remove(p, t0)
+	f.RemoveAllocation(p, t0)
 	if a = f.report(report(1, 4, term, exited), 3*time.Second, yes); len(a.Commands) != 0 {
 		t.Fatalf("forgotten while a start is open: %v", a.Commands)
 	}
@@ -219,7 +219,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	p.Stop = &jobs.StopRequest{GraceS: 5}
 	if a := f.report(report(1, 2, term, taskIs("job-1/0", 1, wire.TaskSaving, "")), 0, no); len(a.Commands) != 0 {
 		t.Fatalf("a saving task is told again: %v", a.Commands)
@@ -234,7 +234,7 @@
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
 	p := place(1)
-	f.Add(p, t0)
+	f.AddAllocation(p, t0)
 	if outs := f.MarkLost("n-1", t0); len(outs) != 1 || outs[0].Allocation != p {
 		t.Fatalf("outcomes %v", outs)
 	}
@@ -248,7 +248,7 @@
 func TestAKeptMachineIsNotGone(t *testing.T) {
 	f := newFixture(t)
 	f.report(report(1, 1, term), 0, no)
-	f.Add(place(1), t0)
+	f.AddAllocation(place(1), t0)
 	kept := map[string]bool{"n-1": true}
 	// The lease ran out between the question and its answer: nothing is known yet.
 	if outs := f.EndExpired(t0.Add(9*time.Second), nil); len(outs) != 0 {
@@ -269,19 +269,19 @@
 	use := func(image string, at time.Duration) *jobs.Allocation {
 		p := place(1)
 		p.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
-		f.Add(p, t0.Add(at))
+		f.AddAllocation(p, t0.Add(at))
 		return p
 	}
 	f.report(report(1, 1, 0), 0, no)
 	pinned := use("1", 0)
-	f.Remove(use("2", 0), t0.Add(time.Second))
-	f.Remove(use("3", 0), t0.Add(2*time.Second))
+	f.RemoveAllocation(use("2", 0), t0.Add(time.Second))
+	f.RemoveAllocation(use("3", 0), t0.Add(2*time.Second))
 	m := f.Machines["n-1"]
 	holds := func(want string) {
 		t.Helper()
 		got := ""
 		for _, image := range []string{"1", "2", "3", "4"} {
-			if m.Holds(image, 10) { // two of 4 GB
+			if m.HasImage(image, 10) { // two of 4 GB
 				got += image
 			}
 		}
@@ -290,7 +290,7 @@
 		}
 	}
 	holds("13")
-	f.Remove(pinned, t0.Add(3*time.Second))
-	f.Remove(use("2", 4*time.Second), t0.Add(5*time.Second))
+	f.RemoveAllocation(pinned, t0.Add(3*time.Second))
+	f.RemoveAllocation(use("2", 4*time.Second), t0.Add(5*time.Second))
 	holds("12")
 }
--- a/internal/scheduler/machines/world_test.go
+++ b/internal/scheduler/machines/world_test.go
@@ -87,12 +87,12 @@
 			c := *p
 			c.Stop, c.State, c.Removed, c.Committed = nil, "", false, true
 			task.place, task.stored = &c, &c
-			w.r.Inherit(&c, w.now)
+			w.r.RestoreAllocation(&c, w.now)
 		}
 	}
 	for _, k := range w.workers {
 		if !k.dead {
-			w.r.Register(k.rep.Machine, k.rep.Type, k.rep.Zone, k.rep.Spot, w.now, w.now).Listed = k.rep.Address
+			w.r.Register(k.rep.Machine, k.rep.Type, k.rep.Zone, k.rep.Spot, w.now, w.now).ListedAddress = k.rep.Address
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		o.Allocation.Removed = true
 		w.note("settle %v att %d on %s s%d why %s lost %v", o.Allocation.Task(), o.Allocation.Attempt, o.Allocation.Machine, o.Allocation.Incarnation, o.Reason, o.Lost)
 		task.place = nil
-		w.r.Remove(o.Allocation, w.now)
+		w.r.RemoveAllocation(o.Allocation, w.now)
 		if o.Reason == wire.ExitDone {
 			if !task.isDone {
 				w.t.Fatalf("%v counts as done, and is not", task.id)
@@ -326,24 +326,24 @@
 				m.Reachability.NoteFailed(w.now, w.now)
 				break
 			}
-			life := w.r.Restarted(m, mark, rep)
+			life := w.r.JudgeRestart(m, mark, rep)
 			w.note("asked %s %+v: %v s%d q%d", name, mark, life, rep.Incarnation, rep.Seq)
 			switch life {
-			case Anew:
-				w.settle(w.r.Begin(m, rep, w.now))
-			case GiveUp:
+			case ProcessRestarted:
+				w.settle(w.r.AcceptRestart(m, rep, w.now))
+			case DeleteOnly:
 				k.life++
 				k.dead, k.rep.Tasks = true, nil
 				w.settle(w.r.MarkLost(name, w.now))
-			case AskLater:
+			case Ambiguous:
 				m.SuspectCopy = true
-			case SameLife:
+			case NotRestarted:
 				m.SuspectCopy = false
 				if a, err := w.r.Heartbeat(rep, true, w.now, w.mayForget); err == nil {
 					w.settle(a.Outcomes)
 				}
 			}
-			if life != AskAgain {
+			if life != ProbeAgain {
 				break
 			}
 		}
@@ -372,7 +372,7 @@
 		task.attempt++
 		task.place = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Incarnation, Committed: true}
 		task.stored = task.place
-		w.r.Add(task.place, w.now)
+		w.r.AddAllocation(task.place, w.now)
 		w.direct(m.Name, []*jobs.Allocation{task.place})
 	}
 }
