--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -282,7 +282,7 @@
 	return t
 }
 
-// Look lowers the counts of waiting tasks to what the budgets allow together. Otherwise
+// LimitTogether lowers the counts of waiting tasks to what the budgets allow together. Otherwise
 // machines were rented for every job of a team whose budget allows one of them. The rest
 // of a budget goes to the jobs in the order in which they are placed.
 func (l *Ledger) LimitTogether(waiting []*jobs.Job, counts []int, _ time.Time) {
@@ -329,7 +329,7 @@
 	}
 }
 
-// Over is nothing to the ledger: charges are of attempts.
+// Finished does nothing in the ledger: charges are of attempts.
 func (l *Ledger) Finished(jobs.FinishedJob, time.Time) {}
 
 // write has charges written, and counts them.
@@ -431,7 +431,7 @@
 	}
 }
 
-// Next gives the ledger's own next transaction.
+// NextWrite returns the ledger's own next transaction.
 func (l *Ledger) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	if !l.read {
 		return nil
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -187,7 +187,7 @@
 	return out
 }
 
-// Show answers the questions that the ledger has the answers to in memory.
+// Query answers the questions that the ledger has the answers to in memory.
 func (l *Ledger) Query(uri string, now time.Time) (status int, body any, ok bool) {
 	u, err := url.Parse(uri)
 	if err != nil {
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -141,12 +141,12 @@
 		return out["state"] == "success"
 	})
 	// A clear is a new generation under new jobs, though the run was over.
-	clear := map[string]any{"dag_run_id": "one", "task_ids": []string{"flaky"}, "include_downstream": true, "only_failed": false}
-	if out := w.want("POST", "/dags/g/clearTaskInstances", clear, 200); len(out["task_instances"].([]any)) != 2 || w.stateOf("one", "flaky") != "success" {
+	clearing := map[string]any{"dag_run_id": "one", "task_ids": []string{"flaky"}, "include_downstream": true, "only_failed": false}
+	if out := w.want("POST", "/dags/g/clearTaskInstances", clearing, 200); len(out["task_instances"].([]any)) != 2 || w.stateOf("one", "flaky") != "success" {
 		t.Errorf("a dry run of a clear: %v", out)
 	}
-	clear["dry_run"] = false
-	w.want("POST", "/dags/g/clearTaskInstances", clear, 200)
+	clearing["dry_run"] = false
+	w.want("POST", "/dags/g/clearTaskInstances", clearing, 200)
 	w.until("the second step runs again", runs("flaky"))
 	w.want("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
 	w.until("the run has failed", func() bool {
--- a/internal/graphs/dagfile/words.go
+++ b/internal/graphs/dagfile/words.go
@@ -458,11 +458,11 @@
 
 // datetime gives a date as text, which the DAG reads in its own time zone.
 func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	var y, m, d, h, min int
-	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &min); err != nil {
+	var y, m, d, h, minute int
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
 		return nil, err
 	}
-	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, min)), nil
+	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
 }
 
 func date(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -127,7 +127,7 @@
 	return j.Waiting(), ""
 }
 
-// Look lowers the counts of jobs that rest.
+// LimitTogether lowers the counts of jobs that rest.
 func (g *Graphs) LimitTogether(waiting []*jobs.Job, counts []int, now time.Time) {
 	if len(g.byJob) == 0 {
 		return
@@ -157,7 +157,7 @@
 	g.cancel(w.run)
 }
 
-// Over takes in what became of a step's job.
+// Finished records the final state of a step's job.
 func (g *Graphs) Finished(o jobs.FinishedJob, now time.Time) { g.over(o.Job.ID, o.State, now) }
 
 func (g *Graphs) over(id string, state wire.JobState, now time.Time) {
@@ -293,7 +293,7 @@
 	}
 }
 
-// Next gives the next transaction of the graphs: graphs, runs with the jobs of steps that
+// NextWrite returns the next transaction of the graphs: graphs, runs with the jobs of steps that
 // are ready, and records that are to go, as many as it takes.
 func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	b := &batch{most: min(room, g.cfg.TxnOps), value: int(g.cfg.ValueKB * 1024)}
@@ -342,7 +342,7 @@
 // PathPools asks for a team's pools, as PoolViews.
 const PathPools = "/graphs/pools"
 
-// Show answers what only the leader knows; the rest is answered from what is stored (Reader).
+// Query answers what only the leader knows; the rest is answered from what is stored (Reader).
 func (g *Graphs) Query(uri string, _ time.Time) (int, any, bool) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -55,7 +55,7 @@
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Do carries out a command.
+// Command carries out a command.
 func (g *Graphs) Command(c leader.Command, now time.Time, tell func(int, any)) bool {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -99,12 +99,12 @@
 	return time.UnixMilli(ms).UTC()
 }
 
-func (rec *runRecord) info() RunInfo {
+func (r *runRecord) info() RunInfo {
 	i := RunInfo{
-		Graph: rec.Graph, ID: rec.ID, State: rec.State, Type: rec.Type, Note: rec.Note, Def: rec.Def, Logical: timeOf(rec.LogicalMS), Queued: timeOf(rec.QueuedMS),
-		From: timeOf(rec.FromMS), To: timeOf(rec.ToMS), Start: timeOf(rec.StartMS), End: timeOf(rec.EndMS), Conf: rec.Conf,
+		Graph: r.Graph, ID: r.ID, State: r.State, Type: r.Type, Note: r.Note, Def: r.Def, Logical: timeOf(r.LogicalMS), Queued: timeOf(r.QueuedMS),
+		From: timeOf(r.FromMS), To: timeOf(r.ToMS), Start: timeOf(r.StartMS), End: timeOf(r.EndMS), Conf: r.Conf,
 	}
-	if rec.StartMS == 0 && rec.EndMS == 0 {
+	if r.StartMS == 0 && r.EndMS == 0 {
 		i.State = "queued"
 	}
 	return i
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -104,40 +104,40 @@
 	m.Reachability(0, 0)
 }
 
-// TookOver takes in how long it took to load the records.
+// FailoverDone records how long a new leader took to load the records.
 func (m *Metrics) FailoverDone(took time.Duration) { m.takeOver.Observe(took.Seconds()) }
 
-// Passed takes in a pass.
+// CycleDone records the length of a scheduling cycle.
 func (m *Metrics) CycleDone(took time.Duration) { m.pass.Observe(took.Seconds()) }
 
-// HeartbeatTaken takes in how long a report waited.
+// HeartbeatHandled records how long a heartbeat waited to be processed.
 func (m *Metrics) HeartbeatHandled(took time.Duration) { m.report.Observe(took.Seconds()) }
 
-// Started takes in that an attempt was placed.
+// TaskStarted counts an attempt that was placed.
 func (m *Metrics) TaskStarted(class string) { m.started.WithLabelValues(class).Inc() }
 
-// Ended takes in that an attempt is over.
+// AttemptEnded counts an attempt that is over, by how it ended.
 func (m *Metrics) AttemptEnded(class, how string) { m.ended.WithLabelValues(class, how).Inc() }
 
-// Wrote takes in that changes were written.
+// RecordsWritten counts changes written to the state service.
 func (m *Metrics) RecordsWritten(changes int) { m.written.Add(float64(changes)) }
 
-// Arrived takes in a job that came.
+// JobArrived counts an accepted job.
 func (m *Metrics) JobArrived(class, team, size string) {
 	m.came.WithLabelValues(class, team, size).Inc()
 }
 
-// Began takes in a job whose first task runs.
+// JobBegan counts a job whose first task runs, and records how long it waited.
 func (m *Metrics) JobBegan(class, team, size string, waited time.Duration) {
 	m.begun.WithLabelValues(class, team, size).Inc()
 	m.begin.WithLabelValues(class, size).Observe(waited.Seconds())
 }
 
-// Found takes in stored jobs that the leader did not know.
+// MissingJobsFound counts stored jobs that the leader did not know.
 func (m *Metrics) MissingJobsFound(jobs int) { m.found.Add(float64(jobs)) }
 
-// Holds takes in what the leader holds: jobs, machines, and by class the waiting tasks and the seconds for which the
-// oldest job waits to begin.
+// StateSize sets what the leader holds: jobs, machines, and by class the waiting tasks and the seconds for which the
+// oldest job has waited to begin.
 func (m *Metrics) StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64) {
 	m.oldest.Reset()
 	for class, s := range oldest {
@@ -151,10 +151,11 @@
 	}
 }
 
-// SetAside takes in that a report was set aside.
+// HeartbeatRejected counts a heartbeat that was not applied, by reason.
 func (m *Metrics) HeartbeatRejected(why string) { m.aside.WithLabelValues(why).Inc() }
 
-// Reachability takes in how many machines report but do not hear the leader, and how many have not proved yet that they do.
+// Reachability sets how many machines send heartbeats but do not receive the leader's answers, and how many have not yet
+// acknowledged one.
 func (m *Metrics) Reachability(deaf, unproven int) {
 	m.deaf.Set(float64(deaf))
 	m.unproven.Set(float64(unproven))
--- a/internal/scheduler/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -325,7 +325,7 @@
 	}
 }
 
-// Allocation decides that a waiting task goes to a machine. It may be started once
+// Allocate decides that a waiting task goes to a machine. It may be started once
 // the place is committed.
 func (b *Store) Allocate(j *Job, index int, machine, zone string, session uint64, now time.Time) *Allocation {
 	t := &j.Tasks[index]
--- a/internal/sim/fakes/state.go
+++ b/internal/sim/fakes/state.go
@@ -145,9 +145,12 @@
 type Fate int
 
 const (
-	Answered   Fate = iota
-	Unanswered      // it is carried out, and only its answer is lost
-	Delayed         // it gets no answer, and is carried out when Deliver says so
+	// Answered requests are carried out and answered.
+	Answered Fate = iota
+	// Unanswered requests are carried out, and only the answer is lost.
+	Unanswered
+	// Delayed requests get no answer, and are carried out by Deliver.
+	Delayed
 )
 
 // Lose has fn say what becomes of requests other than transactions and watches: reads and what is asked of leases. nil ends that.
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -60,8 +60,8 @@
 
 func (w *world) moment() sent { return sent{w.now(), time.Now()} }
 
-func (w *world) past(s sent, d, real time.Duration) bool {
-	return w.now().Sub(s.at) > d && time.Since(s.real) > real
+func (w *world) past(s sent, d, wall time.Duration) bool {
+	return w.now().Sub(s.at) > d && time.Since(s.real) > wall
 }
 
 // history is what a job's users were told, in real order. Answers only move forward: unknown, accepted, over, and once it is
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -632,10 +632,10 @@
 func (w *world) until(what string, most time.Duration, holds func() bool) time.Duration {
 	w.t.Helper()
 	begun := w.now()
-	real := time.Now()
+	started := time.Now()
 	for !holds() {
 		// Both bounds: what it takes by the clock, and that a starved machine had time to do it.
-		if w.now().Sub(begun) > most && time.Since(real) > patience {
+		if w.now().Sub(begun) > most && time.Since(started) > patience {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.t.Fatalf("never happened: %s\n%s%s", what, w.trace.String(), w.unfinished())
