--- a/internal/scheduler/leader/chain_test.go
+++ b/internal/scheduler/leader/chain_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a subsystem's transaction that had no answer, was repeated, and is carried out once more after newer ones of the same
 // leader: a definition that was dropped and registered again lost its parts, a run that was deleted was there again.
-func TestASubsystemsLateTransactionChangesNothing(t *testing.T) {
+func TestLateDuplicateOfSubsystemTransactionChangesNothing(t *testing.T) {
 	put := func(key, value string) wire.Change { return wire.Change{Put: key, Value: json.RawMessage(value)} }
 	for _, c := range []struct {
 		name         string
@@ -28,7 +28,7 @@
 		{"made, and dropped again", wire.Txn{Then: []wire.Change{put("g/0", "1")}}, wire.Txn{If: []wire.Condition{{Key: "g/2"}}, Then: []wire.Change{put("g/2", "1")}},
 			wire.Txn{Then: []wire.Change{{Delete: "g/2"}}}, "g/2", ""},
 	} {
-		l, clock := leaderWith(t)
+		l, clock := newTestLoop(t)
 		state := fakes.NewState(clock)
 		t.Cleanup(state.Close)
 		l.store = statestore.New(state.Addr(), 1e6, 1e6)
@@ -43,7 +43,7 @@
 		write := func(txn wire.Txn, repeated bool) {
 			t.Helper()
 			done := make(chan error, 1)
-			go func() { _, err := l.chained(txn); done <- err }()
+			go func() { _, err := l.commitChained(txn); done <- err }()
 			if repeated {
 				ctx, stop := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
 				defer stop()
@@ -76,8 +76,8 @@
 
 // Guards against records that a former leader writes once another leads: each transaction is guarded on the leader key as it was when
 // the tenure began.
-func TestAFormerLeaderWritesNothing(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestDeposedLeaderWritesNothing(t *testing.T) {
+	l, clock := newTestLoop(t)
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
@@ -88,7 +88,7 @@
 		}
 		return revision
 	}
-	l.tenure.Guard = wire.Condition{Key: "lead/holder", Version: holder()}
+	l.leadership.Guard = wire.Condition{Key: "lead/holder", Version: holder()}
 	txn := wire.Txn{Then: []wire.Change{{Put: "run/x", Value: json.RawMessage("1")}}}
 	if _, err := l.commit(txn, nil); err != nil {
 		t.Fatal(err)
@@ -104,9 +104,9 @@
 }
 
 // Guards against an answer from memory by a leader whose right ended while it was being given.
-func TestNoAnswerFromMemoryWithoutTheRight(t *testing.T) {
-	l, _ := leaderWith(t)
-	l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
+func TestStatusNeedsTheRightToAct(t *testing.T) {
+	l, _ := newTestLoop(t)
+	l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
 	for _, valid := range []bool{true, false} {
 		l.env.Valid = func(uint64) bool { return valid }
 		got := make(chan bool, 1)
--- a/internal/scheduler/leader/consolidate.go
+++ b/internal/scheduler/leader/consolidate.go
@@ -23,29 +23,29 @@
 		return
 	}
 	l.fleet.nextMove = now.Add(tuning.ConsolidateEvery)
-	draining := l.draining()
-	short := l.shortOfRoom(now)
-	l.giveBack(short, draining, now)
+	draining := l.drainingMachines()
+	short := l.jobsShortOfRoom(now)
+	l.undrainForWaitingJobs(short, draining, now)
 	// What is free on the others, less the room for what is expected.
 	open := l.openMachines(now)
-	expected := l.expected(now)
+	expected := l.expectedJobs(now)
 	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected))
 	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 })
 	trial := placement.NewDryRun(used)
 	for _, m := range draining {
-		if m.Draining && (!m.Alive() || !trial.TryPlace(now, itemsOn(m, now), nil)) {
+		if m.Draining && (!m.Alive() || !trial.TryPlace(now, tasksAsPending(m, now), nil)) {
 			m.Draining = false // its room is wanted after all
 		}
 	}
 	kept := !slices.ContainsFunc(expected, func(it *placement.PendingJob) bool { return it.Waiting > 0 })
 	// In a cut the rest of the fleet stands in for the zone that is out of reach.
-	if len(short) == 0 && kept && len(l.cutZones(now)) == 0 {
+	if len(short) == 0 && kept && len(l.partitionedZones(now)) == 0 {
 		l.drainSurplus(trial, used, now)
 	}
-	l.move(l.draining(), now)
+	l.moveReplicas(l.drainingMachines(), now)
 }
 
-func (l *Loop) draining() []*machines.Machine {
+func (l *Loop) drainingMachines() []*machines.Machine {
 	var out []*machines.Machine
 	for _, m := range l.machines.Machines {
 		if m.Draining {
@@ -56,9 +56,9 @@
 	return out
 }
 
-// shortOfRoom are the jobs that wait for room. Those at their team's limit
+// jobsShortOfRoom are the jobs that wait for room. Those at their team's limit
 // wait for their team's own tasks: more machines would not help them.
-func (l *Loop) shortOfRoom(now time.Time) []*placement.PendingJob {
+func (l *Loop) jobsShortOfRoom(now time.Time) []*placement.PendingJob {
 	items, _ := l.pendingJobs(now)
 	teams := l.teams()
 	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool {
@@ -66,11 +66,11 @@
 	})
 }
 
-// giveBack ends the emptying of machines that have room for what waits.
-func (l *Loop) giveBack(short []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
+// undrainForWaitingJobs ends the emptying of machines that have room for what waits.
+func (l *Loop) undrainForWaitingJobs(short []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
 	var views []*placement.Machine
 	for _, m := range draining {
-		if v, ok := l.view(m); ok && m.Alive() {
+		if v, ok := l.machineView(m); ok && m.Alive() {
 			views = append(views, &v)
 		}
 	}
@@ -87,36 +87,36 @@
 // out of placement.
 func (l *Loop) drainSurplus(trial *placement.DryRun, used []*placement.Machine, now time.Time) {
 	gain := func(v *placement.Machine) float64 {
-		return l.price(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
+		return l.pricePerHour(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
 	}
 	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(gain(b), gain(a)), cmp.Compare(a.Name, b.Name))
 	})
 	for _, v := range order[:min(len(order), max(tuning.ConsolidateCandidates, len(order)/tuning.ConsolidateCandidateShare))] {
 		m := l.machines.Machines[v.Name]
-		if trial.TryPlace(now, itemsOn(m, now), v) {
+		if trial.TryPlace(now, tasksAsPending(m, now), v) {
 			m.Draining = true
 			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
 		}
 	}
 }
 
-// price is what a machine costs an hour.
-func (l *Loop) price(v *placement.Machine) float64 {
+// pricePerHour is what a machine costs an hour.
+func (l *Loop) pricePerHour(v *placement.Machine) float64 {
 	if t := l.env.typeOf(v.Type); t != nil && v.Spot {
 		return t.SpotPrice
 	}
 	return v.Price
 }
 
-// itemsOn are the tasks on a machine as if they waited to be placed.
-func itemsOn(m *machines.Machine, now time.Time) []*placement.PendingJob {
+// tasksAsPending are the tasks on a machine as if they waited to be placed.
+func tasksAsPending(m *machines.Machine, now time.Time) []*placement.PendingJob {
 	byJob := map[*jobs.Job]*placement.PendingJob{}
 	var items []*placement.PendingJob
 	for _, p := range m.Allocations {
 		it := byJob[p.Job]
 		if it == nil {
-			it = &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Zones: zonesOf(p.Job)}
+			it = &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Zones: zoneCounts(p.Job)}
 			byJob[p.Job] = it
 			items = append(items, it)
 		}
@@ -128,11 +128,11 @@
 	return items
 }
 
-// move stops replicas of machines that are being emptied; the next pass places
+// moveReplicas stops replicas of machines that are being emptied; the next pass places
 // them anew. The time for which all moves together may keep replicas down is a
 // share of the time that all replicas run. A start that is stopped within 30 s
 // does not count, so fresh ones stay for now.
-func (l *Loop) move(draining []*machines.Machine, now time.Time) {
+func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
 	replicas := 0
 	for _, j := range l.jobs.Jobs {
 		if j.Kind == wire.KindService {
@@ -155,7 +155,7 @@
 			if trial == nil {
 				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 }))
 			}
-			down, ok := downFor(p, trial, now)
+			down, ok := moveFetchTime(p, trial, now)
 			if down += tuning.MoveDowntime.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
 				continue
 			}
@@ -164,12 +164,12 @@
 			moved = append(moved, p)
 		}
 	}
-	l.direct(moved)
+	l.sendCommands(moved)
 }
 
-// downFor is how long a replica would fetch its image on the machine to which
+// moveFetchTime is how long a replica would fetch its image on the machine to which
 // it would move, in seconds; ok is false when no machine in use has room for it.
-func downFor(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
+func moveFetchTime(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
 	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.AllocationsByZone()), LatencySensitive: true}
 	it.Zones[p.Zone]--
 	m := trial.BestMachine(it)
--- a/internal/scheduler/leader/consolidate_test.go
+++ b/internal/scheduler/leader/consolidate_test.go
@@ -19,9 +19,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// leaderWith makes a leader whose machines have reported: a small one and a
+// newTestLoop makes a leader whose machines have reported: a small one and a
 // dear large one. Nothing is called outside.
-func leaderWith(t testing.TB) (*Loop, *clockwork.FakeClock) {
+func newTestLoop(t testing.TB) (*Loop, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	settings := &config.Settings{
 		Member: "m0", Outside: config.Outside{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
@@ -51,8 +51,8 @@
 	return l, clock
 }
 
-// runs puts a running replica on a machine.
-func (l *Loop) runs(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
+// addRunning puts a running replica on a machine.
+func (l *Loop) addRunning(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
 	t.Helper()
 	now := l.env.Clock.Now()
 	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{
@@ -73,10 +73,10 @@
 
 // Guards against a dear machine that is rented for hours because of one
 // replica that settled there when the cheap ones were full.
-func TestADearMachineIsEmptied(t *testing.T) {
-	l, clock := leaderWith(t)
-	l.runs(t, "job-1", "n-small", 1)
-	p := l.runs(t, "job-2", "n-large", 1)
+func TestExpensiveMachineIsDrained(t *testing.T) {
+	l, clock := newTestLoop(t)
+	l.addRunning(t, "job-1", "n-small", 1)
+	p := l.addRunning(t, "job-2", "n-large", 1)
 	m := l.machines.Machines["n-large"]
 	l.consolidate(clock.Now())
 	if !m.Draining || l.machines.Machines["n-small"].Draining {
@@ -92,19 +92,19 @@
 	}
 }
 
-func TestAMachineWhoseWorkFitsNowhereElseStays(t *testing.T) {
-	l, clock := leaderWith(t)
-	l.runs(t, "job-1", "n-small", 3)
-	l.runs(t, "job-2", "n-large", 2)
+func TestMachineWhoseWorkFitsNowhereElseIsNotDrained(t *testing.T) {
+	l, clock := newTestLoop(t)
+	l.addRunning(t, "job-1", "n-small", 3)
+	l.addRunning(t, "job-2", "n-large", 2)
 	if l.consolidate(clock.Now()); l.machines.Machines["n-large"].Draining {
 		t.Error("emptied though its work fits nowhere else")
 	}
 }
 
-// fleetOf makes small machines that have reported, each with a settled replica
+// newFleetOfSmall makes small machines that have reported, each with a settled replica
 // of a quarter of its size.
-func fleetOf(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
-	l, clock := leaderWith(t)
+func newFleetOfSmall(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
+	l, clock := newTestLoop(t)
 	delete(l.machines.Machines, "n-large")
 	delete(l.machines.Machines, "n-small")
 	for i := range n {
@@ -113,7 +113,7 @@
 			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
-		p := l.runs(t, fmt.Sprintf("job-%d", i), name, 1)
+		p := l.addRunning(t, fmt.Sprintf("job-%d", i), name, 1)
 		p.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
 	}
 	return l, clock
@@ -121,14 +121,14 @@
 
 // Guards against a fleet that shrinks by one machine at a time: with hundreds
 // of machines half of the money was spent on room that nobody used.
-func TestALargeFleetShrinksManyMachinesAtATime(t *testing.T) {
-	l, clock := fleetOf(t, 160)
+func TestLargeFleetDrainsManyMachinesAtATime(t *testing.T) {
+	l, clock := newFleetOfSmall(t, 160)
 	l.consolidate(clock.Now())
-	if got := len(l.draining()); got != 160/tuning.ConsolidateCandidateShare {
+	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateShare {
 		t.Errorf("%d machines are emptied", got)
 	}
 	moving := 0
-	for _, m := range l.draining() {
+	for _, m := range l.drainingMachines() {
 		for _, p := range m.Allocations {
 			if p.Stop != nil {
 				moving++
@@ -144,19 +144,19 @@
 // Guards against a fleet that never shrinks, because some job always waits
 // for its team's limit, and against machines that stay out of use though their
 // room is waited for.
-func TestOnlyWhatWaitsForRoomStopsTheShrinking(t *testing.T) {
-	l, clock := fleetOf(t, 16)
+func TestOnlyJobsShortOfRoomStopDraining(t *testing.T) {
+	l, clock := newFleetOfSmall(t, 16)
 	waiting := wire.Job{ID: "job-900", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 3, MemoryGB: 1, Image: "img"}
 	l.env.Teams["t"] = config.Team{Name: "t", CPUsMax: 16} // all of it in use
-	l.waits(t, waiting)
+	l.addPending(t, waiting)
 	l.consolidate(clock.Now())
-	if len(l.draining()) == 0 {
+	if len(l.drainingMachines()) == 0 {
 		t.Fatal("nothing is emptied while a job waits for its team's limit")
 	}
 	l.env.Teams["t"] = config.Team{Name: "t", CPUsMax: 100}
 	l.fleet.nextMove = clock.Now()
 	l.consolidate(clock.Now())
-	if n := len(l.draining()); n != 0 {
+	if n := len(l.drainingMachines()); n != 0 {
 		t.Errorf("%d machines stay out of use while a job waits for their room", n)
 	}
 }
--- a/internal/scheduler/leader/cut_test.go
+++ b/internal/scheduler/leader/cut_test.go
@@ -15,10 +15,10 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// cutWorld is a leader, a member in each of two zones that has its zone's right, and a
+// partitionCluster is a leader, a member in each of two zones that has its zone's right, and a
 // worker in each zone with a task. Each second the workers report to whom they reach, and
 // the leader concludes what it can.
-type cutWorld struct {
+type partitionCluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	state *fakes.State
@@ -29,10 +29,10 @@
 	lost    map[string]bool // zones whose workers reach their own member alone
 	inside  string          // the zone in which the leader is; it is no zone's member
 	members map[string]*workerlease.ZoneLease
-	workers map[string]*cutWorker
+	workers map[string]*partitionWorker
 }
 
-type cutWorker struct {
+type partitionWorker struct {
 	rep   wire.Heartbeat
 	seen  time.Time // when its last answered report was sent
 	hangs bool
@@ -40,25 +40,25 @@
 	found time.Time // when the leader concluded that it died
 }
 
-const cutLease = 10 * time.Second
+const partitionLease = 10 * time.Second
 
-func newCutWorld(t *testing.T) *cutWorld {
-	w := &cutWorld{
+func newPartitionCluster(t *testing.T) *partitionCluster {
+	w := &partitionCluster{
 		t: t, cut: map[string]bool{}, lost: map[string]bool{}, down: map[string]bool{}, inside: "a",
-		members: map[string]*workerlease.ZoneLease{}, workers: map[string]*cutWorker{},
+		members: map[string]*workerlease.ZoneLease{}, workers: map[string]*partitionWorker{},
 	}
-	w.l, w.clock = leaderWith(t)
+	w.l, w.clock = newTestLoop(t)
 	clear(w.l.machines.Machines)
 	w.state = fakes.NewState(w.clock)
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		w.boot(zone)
-		w.workers[zone] = &cutWorker{seen: w.clock.Now(), rep: wire.Heartbeat{
+		w.workers[zone] = &partitionWorker{seen: w.clock.Now(), rep: wire.Heartbeat{
 			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1,
 			Tasks: []wire.TaskStatus{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
 		}}
 	}
-	j := w.l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
+	j := w.l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
 	for i, zone := range []string{"a", "b"} {
 		p := w.l.jobs.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
 		p.Committed = true
@@ -70,15 +70,15 @@
 
 // boot starts a zone's member; it renews its right through a state service that a cut or
 // an outage takes away.
-func (w *cutWorld) boot(zone string) {
+func (w *partitionCluster) boot(zone string) {
 	w.members[zone] = workerlease.NewZoneLease(&config.Settings{
-		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: cutLease.Seconds()}},
+		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: partitionLease.Seconds()}},
 	}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 	w.down[zone] = false
 }
 
 // lead has the loop see the state service, and ask the members that it reaches.
-func (w *cutWorld) lead() {
+func (w *partitionCluster) lead() {
 	w.l.store = statestore.New(w.state.Addr(), 1e6, 1e6)
 	w.l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
 		zone := member[1:]
@@ -90,38 +90,38 @@
 }
 
 // reaches tells whether the leader reaches a zone.
-func (w *cutWorld) reaches(zone string) bool {
+func (w *partitionCluster) reaches(zone string) bool {
 	return w.inside == zone || !w.cut[zone] && !w.cut[w.inside]
 }
 
 // newLeader begins a tenure in a zone, from the places that are recorded.
-func (w *cutWorld) newLeader(zone string) {
+func (w *partitionCluster) newLeader(zone string) {
 	w.inside = zone
 	old := w.l
-	w.l, _ = leaderWith(w.t)
+	w.l, _ = newTestLoop(w.t)
 	clear(w.l.machines.Machines)
-	w.l.env.Clock, w.l.tenure.Term = w.clock, old.tenure.Term+1
-	w.l.begun = w.clock.Now()
+	w.l.env.Clock, w.l.leadership.Term = w.clock, old.leadership.Term+1
+	w.l.startedAt = w.clock.Now()
 	w.lead()
 	w.l.jobs = old.jobs
 	for _, j := range old.jobs.Jobs {
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
-				w.l.machines.RestoreAllocation(p, w.l.begun)
+				w.l.machines.RestoreAllocation(p, w.l.startedAt)
 			}
 		}
 	}
 }
 
 // second lets one pass. lead tells whether there is a leader with the right to act.
-func (w *cutWorld) second(lead bool) {
+func (w *partitionCluster) second(lead bool) {
 	now := w.clock.Now()
 	for zone, k := range w.workers {
-		if !k.hangs && k.died.IsZero() && now.Sub(k.seen) > cutLease {
+		if !k.hangs && k.died.IsZero() && now.Sub(k.seen) > partitionLease {
 			k.died = now
 		}
 		if k.hangs || !k.died.IsZero() {
-			if k.died.IsZero() && now.Sub(k.seen) > cutLease {
+			if k.died.IsZero() && now.Sub(k.seen) > partitionLease {
 				k.died = now // it will find out
 			}
 			continue
@@ -129,7 +129,7 @@
 		k.rep.Seq++
 		answered := false
 		if lead && w.reaches(zone) && !w.lost[zone] {
-			_, err := w.l.take(&k.rep, false)
+			_, err := w.l.handleHeartbeat(&k.rep, false)
 			answered = err == nil
 		} else if !w.down[zone] {
 			answered = w.members[zone].MayRenew(k.rep.Machine, zone)
@@ -139,7 +139,7 @@
 		}
 	}
 	if lead && !w.cut[w.inside] {
-		w.l.settled()
+		w.l.concludeExpired()
 	}
 	for zone, k := range w.workers {
 		j := w.l.jobs.Jobs["job-1"]
@@ -161,10 +161,12 @@
 
 // Zones are cut off at each phase of a leader's life; workers live through what is
 // shorter than the right, and what is lost is found out in time, never too soon.
-func TestCutsOfZones(t *testing.T) {
+func TestTasksSurviveZonePartitions(t *testing.T) {
 	const short, long = 60, 380 // seconds; the right is 300
-	type events map[int]func(w *cutWorld)
-	cut := func(zone string, on bool) func(w *cutWorld) { return func(w *cutWorld) { w.cut[zone] = on } }
+	type events map[int]func(w *partitionCluster)
+	cut := func(zone string, on bool) func(w *partitionCluster) {
+		return func(w *partitionCluster) { w.cut[zone] = on }
+	}
 	for _, c := range []struct {
 		name    string
 		events  events
@@ -175,22 +177,22 @@
 	}{
 		{"the zone outside the leader's, shorter than the right", events{10: cut("b", true), 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
 		{"longer than the right", events{10: cut("b", true), 10 + long: cut("b", false)}, [2]int{}, "a", 15, 340},
-		{"the leader's zone; another leads in the other", events{10: cut("a", true), 14: func(w *cutWorld) { w.newLeader("b") }, 10 + short: cut("a", false)}, [2]int{10, 14}, "ab", 0, 0},
-		{"a new leader in the cut", events{10: cut("b", true), 20: func(w *cutWorld) { w.newLeader("a") }, 10 + short: cut("b", false)}, [2]int{16, 20}, "ab", 0, 0},
-		{"a new leader just before it", events{8: func(w *cutWorld) { w.newLeader("a") }, 9: cut("b", true), 9 + short: cut("b", false)}, [2]int{4, 8}, "ab", 0, 0},
-		{"a new leader just after it", events{10: cut("b", true), 10 + short: cut("b", false), 14 + short: func(w *cutWorld) { w.newLeader("a") }}, [2]int{10 + short, 14 + short}, "ab", 0, 0},
-		{"both zones, one after the other", events{10: cut("b", true), 20: cut("a", true), 10 + short: cut("b", false), 20 + short: cut("a", false), 21 + short: func(w *cutWorld) { w.newLeader("b") }}, [2]int{20, 21 + short}, "ab", 0, 0},
-		{"an outage of the state service in it", events{10: cut("b", true), 20: func(w *cutWorld) { w.state.Refuse(true) }, 50: func(w *cutWorld) { w.state.Refuse(false) }, 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
-		{"nobody leads in an outage", events{10: func(w *cutWorld) { w.state.Refuse(true) }, 60: func(w *cutWorld) { w.state.Refuse(false) }, 65: func(w *cutWorld) { w.newLeader("b") }}, [2]int{12, 65}, "ab", 0, 0},
-		{"the zone's member ends in it, and cannot know its right", events{10: cut("b", true), 20: func(w *cutWorld) { w.down["b"] = true }, 28: func(w *cutWorld) { w.boot("b") }, 10 + short: cut("b", false)}, [2]int{}, "a", 45, 0},
-		{"workers reach their zone's member alone", events{10: func(w *cutWorld) { w.lost["b"] = true }, 70: func(w *cutWorld) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
-		{"the same, and it is started anew", events{10: func(w *cutWorld) { w.lost["b"] = true }, 40: func(w *cutWorld) { w.down["b"] = true }, 42: func(w *cutWorld) { w.boot("b") }, 70: func(w *cutWorld) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
-		{"a machine dies; its zone's member denies", events{10: func(w *cutWorld) { w.workers["b"].hangs = true }}, [2]int{}, "a", 2, 23},
-		{"a machine dies as its zone's member is started anew", events{10: func(w *cutWorld) { w.workers["b"].hangs, w.down["b"] = true, true }, 18: func(w *cutWorld) { w.boot("b") }}, [2]int{}, "a", 15, 32},
-		{"a machine hangs past its lease in a cut", events{10: cut("b", true), 15: func(w *cutWorld) { w.workers["b"].hangs = true }, 10 + short: cut("b", false)}, [2]int{}, "a", 60, 10 + short + 3},
+		{"the leader's zone; another leads in the other", events{10: cut("a", true), 14: func(w *partitionCluster) { w.newLeader("b") }, 10 + short: cut("a", false)}, [2]int{10, 14}, "ab", 0, 0},
+		{"a new leader in the cut", events{10: cut("b", true), 20: func(w *partitionCluster) { w.newLeader("a") }, 10 + short: cut("b", false)}, [2]int{16, 20}, "ab", 0, 0},
+		{"a new leader just before it", events{8: func(w *partitionCluster) { w.newLeader("a") }, 9: cut("b", true), 9 + short: cut("b", false)}, [2]int{4, 8}, "ab", 0, 0},
+		{"a new leader just after it", events{10: cut("b", true), 10 + short: cut("b", false), 14 + short: func(w *partitionCluster) { w.newLeader("a") }}, [2]int{10 + short, 14 + short}, "ab", 0, 0},
+		{"both zones, one after the other", events{10: cut("b", true), 20: cut("a", true), 10 + short: cut("b", false), 20 + short: cut("a", false), 21 + short: func(w *partitionCluster) { w.newLeader("b") }}, [2]int{20, 21 + short}, "ab", 0, 0},
+		{"an outage of the state service in it", events{10: cut("b", true), 20: func(w *partitionCluster) { w.state.Refuse(true) }, 50: func(w *partitionCluster) { w.state.Refuse(false) }, 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
+		{"nobody leads in an outage", events{10: func(w *partitionCluster) { w.state.Refuse(true) }, 60: func(w *partitionCluster) { w.state.Refuse(false) }, 65: func(w *partitionCluster) { w.newLeader("b") }}, [2]int{12, 65}, "ab", 0, 0},
+		{"the zone's member ends in it, and cannot know its right", events{10: cut("b", true), 20: func(w *partitionCluster) { w.down["b"] = true }, 28: func(w *partitionCluster) { w.boot("b") }, 10 + short: cut("b", false)}, [2]int{}, "a", 45, 0},
+		{"workers reach their zone's member alone", events{10: func(w *partitionCluster) { w.lost["b"] = true }, 70: func(w *partitionCluster) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
+		{"the same, and it is started anew", events{10: func(w *partitionCluster) { w.lost["b"] = true }, 40: func(w *partitionCluster) { w.down["b"] = true }, 42: func(w *partitionCluster) { w.boot("b") }, 70: func(w *partitionCluster) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
+		{"a machine dies; its zone's member denies", events{10: func(w *partitionCluster) { w.workers["b"].hangs = true }}, [2]int{}, "a", 2, 23},
+		{"a machine dies as its zone's member is started anew", events{10: func(w *partitionCluster) { w.workers["b"].hangs, w.down["b"] = true, true }, 18: func(w *partitionCluster) { w.boot("b") }}, [2]int{}, "a", 15, 32},
+		{"a machine hangs past its lease in a cut", events{10: cut("b", true), 15: func(w *partitionCluster) { w.workers["b"].hangs = true }, 10 + short: cut("b", false)}, [2]int{}, "a", 60, 10 + short + 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newCutWorld(t)
+			w := newPartitionCluster(t)
 			for _, m := range w.members {
 				m.Renew(t.Context())
 			}
--- a/internal/scheduler/leader/errors_test.go
+++ b/internal/scheduler/leader/errors_test.go
@@ -14,20 +14,20 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// ends has a replica of a job fail or be refused on a machine.
-func (l *Loop) ends(p *jobs.Allocation, why wire.ExitReason) {
-	l.settle([]machines.Outcome{{Allocation: p, Reason: why}}, l.env.Clock.Now())
+// endAttempt has a replica of a job fail or be refused on a machine.
+func (l *Loop) endAttempt(p *jobs.Allocation, why wire.ExitReason) {
+	l.applyOutcomes([]machines.Outcome{{Allocation: p, Reason: why}}, l.env.Clock.Now())
 }
 
 // A machine is bad on which jobs fail that work elsewhere, and none completes.
-func TestAMachineOnWhichSeveralJobsFailIsBad(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestMachineOnWhichSeveralJobsFailIsUnhealthy(t *testing.T) {
+	l, clock := newTestLoop(t)
 	for i := range tuning.FaultyMachineJobs {
 		if l.machines.Machines["n-large"].Unhealthy {
 			t.Fatalf("bad after %d jobs", i)
 		}
-		l.ends(l.runs(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
-		again := l.runs(t, fmt.Sprintf("job-%d", i), "n-small", 1)
+		l.endAttempt(l.addRunning(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
+		again := l.addRunning(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.HealthyRunAfter)
 		l.pendingJobs(clock.Now())
 		if again.Job.FailedWaves != 0 {
@@ -39,7 +39,7 @@
 	}
 	m := l.machines.Machines["n-small"]
 	m.NoteFailure("job-8")
-	l.ends(l.runs(t, "job-9", "n-small", 1), wire.ExitDone)
+	l.endAttempt(l.addRunning(t, "job-9", "n-small", 1), wire.ExitDone)
 	if m.NoteFailure("job-10"); m.Unhealthy {
 		t.Error("a machine on which tasks complete is held to be faulty")
 	}
@@ -48,22 +48,22 @@
 // Guards against jobs submitted with a mistake, which fail on every machine:
 // they must not make one look faulty, nor have machines rented, tasks stopped
 // or room kept for them, and each is tried with one task at a time, ever more seldom.
-func TestJobsThatFailEverywhereHarmNobody(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestJobFailingEverywhereBlamesNoMachine(t *testing.T) {
+	l, clock := newTestLoop(t)
 	for _, id := range []string{"job-1", "job-2"} {
-		p := l.runs(t, id, "n-large", 1)
+		p := l.addRunning(t, id, "n-large", 1)
 		j := p.Job
-		l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
+		l.fleet.arrivals = append(l.fleet.arrivals, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
 		j.Kind = wire.KindArray
 		j.Tasks = append(j.Tasks, make([]jobs.Task, 3)...)
 		for range 8 {
 			pause := j.BackoffUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
-				l.ends(p, wire.ExitError)
+				l.endAttempt(p, wire.ExitError)
 				p = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
 				l.machines.AddAllocation(p, clock.Now())
 			}
-			l.ends(p, wire.ExitError)
+			l.endAttempt(p, wire.ExitError)
 			next := j.BackoffUntil.Sub(clock.Now())
 			if next < pause || next > tuning.ErrorPauseMax {
 				t.Fatalf("pause %v after %v", next, pause)
@@ -76,7 +76,7 @@
 			p = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
 			l.machines.AddAllocation(p, clock.Now())
 		}
-		l.ends(p, wire.ExitError)
+		l.endAttempt(p, wire.ExitError)
 		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
 			t.Errorf("%d tries, and a pause of %v", j.FailedWaves, j.BackoffUntil.Sub(clock.Now()))
 		}
@@ -87,27 +87,27 @@
 		}
 	}
 	clock.Advance(tuning.ErrorPauseMax)
-	if l.rent(clock.Now()); len(l.fleet.asked) != 0 {
-		t.Errorf("rents for it: %v", l.fleet.asked)
+	if l.scaleOut(clock.Now()); len(l.fleet.pending) != 0 {
+		t.Errorf("rents for it: %v", l.fleet.pending)
 	}
-	if short := l.shortOfRoom(clock.Now()); len(short) != 0 {
+	if short := l.jobsShortOfRoom(clock.Now()); len(short) != 0 {
 		t.Errorf("makes room for it: %+v", short)
 	}
-	if a := l.arrivals(clock.Now()); len(a) != 0 {
+	if a := l.recentArrivals(clock.Now()); len(a) != 0 {
 		t.Errorf("%d such jobs are expected to come", len(a))
 	}
 }
 
-func TestRefusedStartsWaitAgain(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestRefusedStartIsRetriedAfterAPause(t *testing.T) {
+	l, clock := newTestLoop(t)
 	now := clock.Now()
-	full := l.runs(t, "job-1", "n-small", 1)
-	l.ends(full, wire.ExitNoRoom)
+	full := l.addRunning(t, "job-1", "n-small", 1)
+	l.endAttempt(full, wire.ExitNoRoom)
 	if full.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusedAt.After(now) {
 		t.Error("a machine that refused for room is asked again at once")
 	}
-	unknown := l.runs(t, "job-2", "n-large", 1)
-	l.ends(unknown, wire.ExitUnknown)
+	unknown := l.addRunning(t, "job-2", "n-large", 1)
+	l.endAttempt(unknown, wire.ExitUnknown)
 	if unknown.Job.Waiting() != 1 || !unknown.Job.BackoffUntil.After(now) {
 		t.Error("a job whose description is not there yet is started again at once")
 	}
@@ -115,14 +115,14 @@
 
 // A notice drains the machine: what can save does, what would not end in time
 // moves, and what ends soon may.
-func TestANoticeDrainsTheMachine(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
+	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	saves, long, short := l.runs(t, "job-1", m.Name, 1), l.runs(t, "job-2", m.Name, 1), l.runs(t, "job-3", m.Name, 1)
+	saves, long, short := l.addRunning(t, "job-1", m.Name, 1), l.addRunning(t, "job-2", m.Name, 1), l.addRunning(t, "job-3", m.Name, 1)
 	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
 	long.Job.EstimateS, short.Job.EstimateS = 300, 3
 	m.InterruptionAt = clock.Now().Add(15 * time.Second)
-	l.drainSpot(m, clock.Now())
+	l.drainInterrupted(m, clock.Now())
 	if saves.Stop == nil || saves.Stop.GraceS < 4 {
 		t.Errorf("what can save: %+v", saves.Stop)
 	}
@@ -137,10 +137,10 @@
 }
 
 // Guards against a job that waits for minutes beside the only machine with room, since a task of it failed there once.
-func TestAMachineIsNotAvoidedForEver(t *testing.T) {
-	l, clock := leaderWith(t)
-	p := l.runs(t, "job-1", "n-large", 1)
-	l.ends(p, wire.ExitError)
+func TestMachineIsAvoidedForLimitedTime(t *testing.T) {
+	l, clock := newTestLoop(t)
+	p := l.addRunning(t, "job-1", "n-large", 1)
+	l.endAttempt(p, wire.ExitError)
 	avoids := func() bool {
 		l.jobs.Jobs["job-1"].BackoffUntil = time.Time{}
 		items, _ := l.pendingJobs(clock.Now())
@@ -156,18 +156,18 @@
 }
 
 // Guards against a hold that brings nothing: what a machine's replicas take never gets free, and what runs on others does.
-func TestWhenAMachineHasRoom(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestTimeUntilMachineHasRoom(t *testing.T) {
+	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
 	free := func() float64 {
 		lacks := placement.Resources{CPUs: 64}
 		lacks.Sub(freeOn(m, l.env.typeOf(m.Type)), 1)
-		return freeTime(m, clock.Now())(lacks)
+		return freeInS(m, clock.Now())(lacks)
 	}
 	if s := free(); s != 0 {
 		t.Errorf("an empty machine has room in %v s", s)
 	}
-	p := l.runs(t, "job-1", "n-large", 1)
+	p := l.addRunning(t, "job-1", "n-large", 1)
 	if s := free(); !math.IsInf(s, 1) {
 		t.Errorf("beside a replica there is room in %v s", s)
 	}
@@ -187,11 +187,11 @@
 
 // Guards against pauses between passes that grow for ever: what only time makes possible, such as the end of a job's pause after
 // failures, is found within the longest pause.
-func TestPassesGoOn(t *testing.T) {
-	l, clock := leaderWith(t)
-	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
+func TestSchedulingCyclesContinueWhileNothingFits(t *testing.T) {
+	l, clock := newTestLoop(t)
+	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
 	begun := clock.Now()
-	blocked := l.waits(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
+	blocked := l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
 	for j.BackoffUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
 		for _, m := range l.machines.Machines { // it reports all the while
--- a/internal/scheduler/leader/expire.go
+++ b/internal/scheduler/leader/expire.go
@@ -11,10 +11,10 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// expire ends the sessions of machines that nobody has answered for a lease:
+// expireLeases ends the sessions of machines that nobody has answered for a lease:
 // not this leader, nor a follower in its stead, which the state service and the members
 // that may answer their zones tell.
-func (l *Loop) expire(now time.Time) {
+func (l *Loop) expireLeases(now time.Time) {
 	if l.asking || now.Before(l.nextAsk) {
 		return
 	}
@@ -30,7 +30,7 @@
 	}
 	l.asking = true
 	go func() {
-		kept, err := l.keptMachines(l.ended, byZone)
+		kept, err := l.possiblyRenewed(l.ended, byZone)
 		l.post(func() {
 			done := l.env.Clock.Now()
 			l.asking, l.nextAsk = false, done.Add(tuning.RenewedReadEvery)
@@ -41,15 +41,15 @@
 				l.log.Debug("kept machines unreadable", "err", err)
 				return
 			}
-			l.settle(l.machines.EndExpired(now, kept), done)
+			l.applyOutcomes(l.machines.EndExpired(now, kept), done)
 		})
 	}()
 }
 
-// keptMachines finds which machines, by zone, others may have answered within a lease
+// possiblyRenewed finds which machines, by zone, others may have answered within a lease
 // before now: those that a record names, and those of which a member with the right for
 // their zone does not say that it did not. It must not take longer than KeptAsking: all then speak of the lease before it began.
-func (l *Loop) keptMachines(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
+func (l *Loop) possiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
 	kept, rights, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 		}
 		asked[r] = true
 		wg.Go(func() {
-			may := l.mayKeep(ctx, r.Member, names)
+			may := l.askFollower(ctx, r.Member, names)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, n := range may {
@@ -76,9 +76,9 @@
 	return kept, nil
 }
 
-// mayKeep gives those of some machines of which a member does not say that it did not
+// askFollower gives those of some machines of which a member does not say that it did not
 // answer them: all, if it says nothing.
-func (l *Loop) mayKeep(ctx context.Context, member string, names []string) []string {
+func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
 	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer stop()
 	kept, sure := l.env.MayHaveRenewed(ctx, member, names)
@@ -90,21 +90,21 @@
 
 // silent tells whether a machine, nil if it is not known, has neither reported nor answered us for a while.
 func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
-	return m == nil || now.Sub(m.LastSeen()) > l.silence()
+	return m == nil || now.Sub(m.LastSeen()) > l.maxSilence()
 }
 
-// mayBeCopy tells whether a machine that still counts as heard did not answer a command since:
+// leftCommandUnanswered tells whether a machine that still counts as heard did not answer a command since:
 // it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func mayBeCopy(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
+func leftCommandUnanswered(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
 
-// silence is for how long a machine that can be reached is silent at the most.
-func (l *Loop) silence() time.Duration {
+// maxSilence is for how long a machine that can be reached is silent at the most.
+func (l *Loop) maxSilence() time.Duration {
 	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.ReportS)
 }
 
-// cutZones are the zones most of whose machines fell silent together: they are cut off
+// partitionedZones are the zones most of whose machines fell silent together: they are cut off
 // from us, and what is rented there is of no use for now.
-func (l *Loop) cutZones(now time.Time) map[string]bool {
+func (l *Loop) partitionedZones(now time.Time) map[string]bool {
 	type count struct{ silent, all int }
 	zones := map[string]*count{}
 	for _, m := range l.machines.Machines {
@@ -118,7 +118,7 @@
 		}
 		c.all++
 		// One that a new leader has not heard yet may only be on its way to it.
-		if m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.begun) > l.silence() {
+		if m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.startedAt) > l.maxSilence() {
 			c.silent++
 		}
 	}
--- a/internal/scheduler/leader/expire_test.go
+++ b/internal/scheduler/leader/expire_test.go
@@ -19,7 +19,7 @@
 // twoZones is a leader with n machines in each of two zones, each with a task of a
 // spread service, and a state service with rights of members for the zones.
 func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
-	l, clock := leaderWith(t)
+	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 	}
-	j := l.waits(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
+	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
 	for i := range 2 * n {
 		rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
 		if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
@@ -45,10 +45,10 @@
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
 
-// settled has the loop find out what it can conclude now.
-func (l *Loop) settled() {
+// concludeExpired has the loop find out what it can conclude now.
+func (l *Loop) concludeExpired() {
 	l.nextAsk = time.Time{}
-	for l.expire(l.env.Clock.Now()); l.asking; {
+	for l.expireLeases(l.env.Clock.Now()); l.asking; {
 		(<-l.inbox)()
 	}
 }
@@ -56,7 +56,7 @@
 // Guards against tasks of a zone that is cut off which are started elsewhere while
 // the member there keeps their workers' leases; and against machines that stay
 // occupied for ever because some member may have answered them.
-func TestTasksOfACutZoneAreKeptUntilItsMembersSayOtherwise(t *testing.T) {
+func TestTasksOfPartitionedZoneLiveUntilItsMembersDenyRenewal(t *testing.T) {
 	const inA, inB = `{"zone":"a","member":"ma"}`, `{"zone":"b","member":"mb"}`
 	for _, c := range []struct {
 		name   string
@@ -78,7 +78,7 @@
 			return kept, ok
 		}
 		pass(l.workerLease() + time.Second)
-		l.settled()
+		l.concludeExpired()
 		got := []string{}
 		for i := range 4 {
 			if name := fmt.Sprintf("n-%d", i); len(l.machines.Machines[name].Allocations) > 0 {
@@ -92,7 +92,7 @@
 }
 
 // Guards against conclusions from words of different times: what took longer than those who were asked remember counts for nothing.
-func TestAReadingThatTakesLongConcludesNothing(t *testing.T) {
+func TestSlowRenewalQueryConcludesNothing(t *testing.T) {
 	for _, c := range []struct {
 		took time.Duration
 		gone bool
@@ -103,12 +103,12 @@
 			return nil, true
 		}
 		pass(l.workerLease() + time.Second)
-		l.settled()
+		l.concludeExpired()
 		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
 		}
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) { return nil, true }
-		if l.settled(); len(l.machines.Machines["n-0"].Allocations) != 0 {
+		if l.concludeExpired(); len(l.machines.Machines["n-0"].Allocations) != 0 {
 			t.Error("not found gone by the next reading")
 		}
 	}
@@ -116,46 +116,46 @@
 
 // Guards against machines rented in a zone that is cut off, and counted as coming while
 // the work waits.
-func TestNothingIsRentedInAZoneThatIsCutOff(t *testing.T) {
+func TestNoScaleOutInPartitionedZone(t *testing.T) {
 	l, pass := twoZones(t, 10)
 	now := l.env.Clock.Now()
 	l.machines.Register("n-boots", "small", "b", false, now, now)
-	if cut := l.cutZones(now); len(cut) != 0 {
+	if cut := l.partitionedZones(now); len(cut) != 0 {
 		t.Errorf("cut off: %v", cut)
 	}
-	pass(l.silence() + time.Second)
+	pass(l.maxSilence() + time.Second)
 	now = l.env.Clock.Now()
 	for i := range 10 { // zone a, and one of b, go on reporting
 		l.machines.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
 	}
 	l.machines.Machines["n-10"].LastHeartbeat = now
-	cut := l.cutZones(now)
+	cut := l.partitionedZones(now)
 	if len(cut) != 1 || !cut["b"] {
 		t.Fatalf("cut off: %v", cut)
 	}
-	for _, v := range l.comingMachines(cut, now) {
+	for _, v := range l.bootingMachines(cut, now) {
 		if v.Zone == "b" {
 			t.Error("what boots there counts as coming")
 		}
 	}
-	l.waits(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
-	l.rent(now)
+	l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
+	l.scaleOut(now)
 	zones := map[string]int{}
-	for _, w := range l.fleet.asked {
+	for _, w := range l.fleet.pending {
 		zones[w.Zone] += w.Count
 	}
 	if zones["a"] == 0 || zones["b"] != 0 {
 		t.Errorf("rents %v", zones)
 	}
-	l.begun = now // a new leader has heard nobody yet
-	if cut := l.cutZones(now); len(cut) != 0 {
+	l.startedAt = now // a new leader has heard nobody yet
+	if cut := l.partitionedZones(now); len(cut) != 0 {
 		t.Errorf("a new leader finds %v cut off", cut)
 	}
 }
 
 // A cancellation is told once the tasks are gone. While one is out of reach the user is
 // told at once to come back.
-func TestACancellationWaitsForTasksOutOfReach(t *testing.T) {
+func TestCancellationWaitsForUnreachableTasks(t *testing.T) {
 	l, pass := twoZones(t, 1)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -163,7 +163,7 @@
 	t.Cleanup(worker.Close)
 	l.env.Workers = worker.Client()
 	l.loaded = true
-	pass(l.silence() + time.Second)
+	pass(l.maxSilence() + time.Second)
 	now := l.env.Clock.Now()
 	l.machines.Machines["n-0"].LastHeartbeat = now // n-1 is silent
 	cancel := func() (wire.JobState, error) {
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	if _, err := cancel(); err != errOutOfReach {
+	if _, err := cancel(); err != errTaskUnreachable {
 		t.Fatalf("told %v while a task may run", err)
 	}
 	j := l.jobs.Jobs["job-1"]
@@ -191,19 +191,19 @@
 	}
 	rep := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-	stops, err := l.take(&rep, false)
+	stops, err := l.handleHeartbeat(&rep, false)
 	if err != nil || len(stops) != 1 || stops[0].Op != wire.OpStop {
 		t.Fatalf("commands %v, %v", stops, err)
 	}
 	rep.Seq, rep.Tasks[0].State, rep.Tasks[0].Reason = 3, wire.TaskExited, wire.ExitStopped
-	if _, err := l.take(&rep, false); err != nil {
+	if _, err := l.handleHeartbeat(&rep, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cancel(); err != errOutOfReach {
+	if _, err := cancel(); err != errTaskUnreachable {
 		t.Fatalf("told %v while the other may run", err)
 	}
 	pass(tuning.SilentReturnAfter + l.workerLease())
-	l.settled()
+	l.concludeExpired()
 	if j.Allocated != 0 {
 		t.Fatal("the other is not found gone")
 	}
@@ -219,7 +219,7 @@
 
 // Guards against work that is placed on machines that hang or died a moment ago: they count
 // as heard for two and a half reports, and what is started there waits for as long as they hang.
-func TestNothingIsPlacedOnAMachineThatDidNotAnswer(t *testing.T) {
+func TestNothingIsPlacedOnMachineWithUnansweredCommand(t *testing.T) {
 	l, pass := twoZones(t, 1)
 	open := func() string {
 		var names []string
@@ -234,7 +234,7 @@
 	}
 	pass(time.Second)
 	l.env.Valid = func(uint64) bool { return true }
-	l.send("n-0", "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1}) // nobody is there
+	l.sendCommandsTo("n-0", "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1}) // nobody is there
 	for len(l.inbox) > 0 {
 		(<-l.inbox)()
 	}
@@ -242,7 +242,7 @@
 		t.Errorf("open after a command without an answer: %s", got)
 	}
 	pass(time.Second)
-	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}, false); err != nil {
+	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}, false); err != nil {
 		t.Fatal(err)
 	}
 	if got := open(); got != "[n-0 n-1]" {
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -10,20 +10,20 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// failed takes in a task's failure. Mostly the machine is to blame, and the
+// taskFailed takes in a task's failure. Mostly the machine is to blame, and the
 // job avoids it. But as long as no task of the job works, the job itself may
 // be: it is on trial, and its failures count against no machine. Two jobs
 // submitted with a mistake used to have healthy machines emptied.
-func (l *Loop) failed(p *jobs.Allocation, now time.Time) {
+func (l *Loop) taskFailed(p *jobs.Allocation, now time.Time) {
 	j := p.Job
 	j.AvoidMachines[p.Machine] = now.Add(tuning.AvoidFor)
 	l.jobs.MarkFailed(j, now)
 	if ran := !p.RunningSince.IsZero() && now.Sub(p.RunningSince) >= tuning.HealthyRunAfter; ran {
-		l.acquit(j, now)
+		l.endTrial(j, now)
 	} else if l.onTrial(j, now) {
 		return
 	}
-	l.blame(j)
+	l.blameMachines(j)
 	if n := len(j.AvoidMachines); n >= tuning.FaultyJobMachines {
 		j.BackoffUntil = now.Add(min(tuning.ErrorPause<<min(j.Failures-tuning.FaultyJobMachines, 10), tuning.ErrorPauseMax))
 	}
@@ -37,19 +37,19 @@
 		return false
 	}
 	if j.HasWorked(now) {
-		l.acquit(j, now)
+		l.endTrial(j, now)
 		return false
 	}
 	return true
 }
 
-// acquit ends a job's trial: the machines on which it failed are to blame.
-func (l *Loop) acquit(j *jobs.Job, now time.Time) {
+// endTrial ends a job's trial: the machines on which it failed are to blame.
+func (l *Loop) endTrial(j *jobs.Job, now time.Time) {
 	l.jobs.MarkWorking(j, now)
-	l.blame(j)
+	l.blameMachines(j)
 }
 
-func (l *Loop) blame(j *jobs.Job) {
+func (l *Loop) blameMachines(j *jobs.Job) {
 	for name := range j.AvoidMachines {
 		if m := l.machines.Machines[name]; m != nil {
 			m.NoteFailure(j.ID)
@@ -57,11 +57,11 @@
 	}
 }
 
-// completed takes in that a task completed, after the time at which its machine was heard before: its job works,
+// taskCompleted takes in that a task completed, after the time at which its machine was heard before: its job works,
 // and so does its machine. One that runs everything slowly is given up like a faulty one.
-func (l *Loop) completed(p *jobs.Allocation, m *machines.Machine, heard, now time.Time) {
+func (l *Loop) taskCompleted(p *jobs.Allocation, m *machines.Machine, heard, now time.Time) {
 	if p.Job.FailedWaves > 0 {
-		l.acquit(p.Job, now)
+		l.endTrial(p.Job, now)
 	}
 	if m == nil {
 		return
@@ -80,11 +80,11 @@
 	}
 }
 
-// arrivals are the jobs that came of late, as a guide to those to come; one on
+// recentArrivals are the jobs that came of late, as a guide to those to come; one on
 // trial is none.
-func (l *Loop) arrivals(now time.Time) []autoscale.Arrival {
-	out := make([]autoscale.Arrival, 0, len(l.fleet.recent))
-	for _, a := range l.fleet.recent {
+func (l *Loop) recentArrivals(now time.Time) []autoscale.Arrival {
+	out := make([]autoscale.Arrival, 0, len(l.fleet.arrivals))
+	for _, a := range l.fleet.arrivals {
 		if j := l.jobs.Jobs[a.Job.ID]; j == nil || !l.onTrial(j, now) {
 			out = append(out, a)
 		}
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -17,26 +17,26 @@
 
 // fleetState is what the leader's loop keeps for renting and returning.
 type fleetState struct {
-	next     time.Time
-	rested   time.Time // nothing is done before
-	nextList time.Time
-	nextMove time.Time
-	listing  bool
-	deleting bool     // a deletion is on its way
-	doomed   []string // to be deleted after it
+	next        time.Time
+	rested      time.Time // nothing is done before
+	nextList    time.Time
+	nextMove    time.Time
+	listing     bool
+	deleting    bool     // a deletion is on its way
+	deleteQueue []string // to be deleted after it
 
-	moveBudget float64                          // seconds for which replicas may still be down for moves
-	recent     []autoscale.Arrival              // accepted within the last window
-	bookings   int                              // request names used in this term
-	asked      map[string]autoscale.Purchase    // rentals on their way, by request name
-	refused    map[autoscale.Offering]time.Time // not asked before
-	spotLimitS float64                          // arrays that would lose more with a machine are tried on ordinary ones first
+	moveBudget     float64                          // seconds for which replicas may still be down for moves
+	arrivals       []autoscale.Arrival              // accepted within the last window
+	requests       int                              // request names used in this term
+	pending        map[string]autoscale.Purchase    // rentals on their way, by request name
+	refused        map[autoscale.Offering]time.Time // not asked before
+	spotLossLimitS float64                          // arrays that would lose more with a machine are tried on ordinary ones first
 }
 
 func newFleetState() fleetState {
 	return fleetState{
-		asked: map[string]autoscale.Purchase{}, refused: map[autoscale.Offering]time.Time{},
-		moveBudget: tuning.MoveDowntimeBudgetMax.Seconds(), spotLimitS: math.Inf(1),
+		pending: map[string]autoscale.Purchase{}, refused: map[autoscale.Offering]time.Time{},
+		moveBudget: tuning.MoveDowntimeBudgetMax.Seconds(), spotLossLimitS: math.Inf(1),
 	}
 }
 
@@ -45,29 +45,29 @@
 		return
 	}
 	l.fleet.next = now.Add(tuning.ScaleOutEvery)
-	l.expect(now)
-	l.fleet.spotLimitS = l.spotLimit()
-	if l.tenure.Term == 1 || now.Sub(l.begun) > tuning.RentAfterFailover {
-		l.rent(now)
+	l.dropOldArrivals(now)
+	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
+	if l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover {
+		l.scaleOut(now)
 	}
 	l.consolidate(now)
-	l.returnMachines(now)
+	l.scaleIn(now)
 	if !l.fleet.listing && !now.Before(l.fleet.nextList) {
 		l.fleet.listing = true
-		go l.list()
+		go l.listMachines()
 	}
 }
 
-// expect drops the arrivals that are too long ago to tell anything.
-func (l *Loop) expect(now time.Time) {
-	l.fleet.recent = slices.DeleteFunc(l.fleet.recent, func(a autoscale.Arrival) bool {
+// dropOldArrivals drops the arrivals that are too long ago to tell anything.
+func (l *Loop) dropOldArrivals(now time.Time) {
+	l.fleet.arrivals = slices.DeleteFunc(l.fleet.arrivals, func(a autoscale.Arrival) bool {
 		return now.Sub(a.At) > tuning.ArrivalWindow
 	})
 }
 
-// patience is how long work of a class may wait for its start, in seconds, by
+// maxStartWait is how long work of a class may wait for its start, in seconds, by
 // the aims on starting.
-func (e *Env) patience(class string) (within float64, ok bool) {
+func (e *Env) maxStartWait(class string) (within float64, ok bool) {
 	for _, o := range e.Settings.Cluster.Objectives {
 		if (o.Kind == "guarantee" || o.Kind == "wait" && o.Class == class) && (!ok || o.WithinS < within) {
 			within, ok = o.WithinS, true
@@ -76,11 +76,11 @@
 	return within, ok
 }
 
-// promptness is how much of a class's expected work room is kept for: it
+// promptShare is how much of a class's expected work room is kept for: it
 // depends on what the objectives ask for sooner than a machine boots. own is
 // true when the class has an aim of its own on that.
-func (l *Loop) promptness(class string) (share float64, own bool) {
-	horizon := l.horizon()
+func (l *Loop) promptShare(class string) (share float64, own bool) {
+	horizon := l.provisioningTime()
 	for _, o := range l.env.Settings.Cluster.Objectives {
 		switch {
 		case seconds(o.WithinS) >= horizon:
@@ -93,8 +93,8 @@
 	return share, false
 }
 
-// horizon is how long it takes until a machine that is rented now can be used.
-func (l *Loop) horizon() time.Duration {
+// provisioningTime is how long it takes until a machine that is rented now can be used.
+func (l *Loop) provisioningTime() time.Duration {
 	boot := math.Inf(1)
 	for _, t := range l.env.Types() {
 		boot = min(boot, t.BootS)
@@ -105,20 +105,20 @@
 	return seconds(boot) + tuning.ForecastBootExtra
 }
 
-// expected is the work to keep room for, by what came of late.
-func (l *Loop) expected(now time.Time) []*placement.PendingJob {
-	return autoscale.Forecast(now, l.arrivals(now), l.horizon(), func(class string) float64 {
-		share, _ := l.promptness(class)
+// expectedJobs is the work to keep room for, by what came of late.
+func (l *Loop) expectedJobs(now time.Time) []*placement.PendingJob {
+	return autoscale.Forecast(now, l.recentArrivals(now), l.provisioningTime(), func(class string) float64 {
+		share, _ := l.promptShare(class)
 		return share
 	})
 }
 
-// reserved are ghosts of the work that will come within moments and must start
+// placeholders are ghosts of the work that will come within moments and must start
 // promptly: work of lower priority does not get the last room before it, only
 // to be stopped for it.
-func (l *Loop) reserved(now time.Time) []*placement.PendingJob {
-	items := autoscale.Forecast(now, l.arrivals(now), min(tuning.ForecastReserveHorizon, l.horizon()), func(class string) float64 {
-		share, _ := l.promptness(class)
+func (l *Loop) placeholders(now time.Time) []*placement.PendingJob {
+	items := autoscale.Forecast(now, l.recentArrivals(now), min(tuning.ForecastReserveHorizon, l.provisioningTime()), func(class string) float64 {
+		share, _ := l.promptShare(class)
 		return share
 	})
 	for _, it := range items {
@@ -127,21 +127,21 @@
 	return items
 }
 
-// rent asks for the machines that are wanted beyond those there, booting and
+// scaleOut asks for the machines that are wanted beyond those there, booting and
 // asked for. Only a few requests are on their way at a time, under the cloud's
 // rate: what is left is planned anew when one of them is answered. Hundreds of
 // small requests once waited for that rate, counted as machines that boot, and
 // were older than the need when their turn came.
-func (l *Loop) rent(now time.Time) {
-	if len(l.fleet.asked) >= tuning.RentalsInFlight {
+func (l *Loop) scaleOut(now time.Time) {
+	if len(l.fleet.pending) >= tuning.RentalsInFlight {
 		return
 	}
-	cut := l.cutZones(now)
+	cut := l.partitionedZones(now)
 	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.Types(),
 		Unavailable: func(o autoscale.Offering) bool { return cut[o.Zone] || now.Before(l.fleet.refused[o]) },
 		MaxNew:      l.maxMachines() - len(l.machines.Machines), Existing: map[autoscale.Offering]int{},
-		Booting: l.comingMachines(cut, now),
+		Booting: l.bootingMachines(cut, now),
 	}
 	items, _ := l.pendingJobs(now)
 	for _, it := range items {
@@ -151,36 +151,36 @@
 		}
 	}
 	placement.Sort(in.Pending, in.Teams, now)
-	l.countKinds(in.Existing)
-	for _, w := range l.fleet.asked {
+	l.countByOption(in.Existing)
+	for _, w := range l.fleet.pending {
 		in.MaxNew -= w.Count
 		in.Existing[w.Offering] += w.Count
 	}
 	// One request of a kind at a time: if it is refused, so would be the next.
 	busy := map[autoscale.Offering]bool{}
-	for _, w := range l.fleet.asked {
+	for _, w := range l.fleet.pending {
 		busy[w.Offering] = true
 	}
 	in.InFlight, in.MaxPerRequest = func(o autoscale.Offering) bool { return busy[o] }, wire.MaxRent
 	for _, w := range autoscale.Plan(&in) {
-		l.request(w)
+		l.requestMachines(w)
 		busy[w.Offering] = true
 	}
 	// Then room for what is expected, with what is free here and what comes.
-	if len(l.fleet.asked) >= tuning.RentalsInFlight {
+	if len(l.fleet.pending) >= tuning.RentalsInFlight {
 		return
 	}
-	in.Pending = l.expected(now)
-	in.Booting = append(in.Booting, l.roomyMachines(now, in.Pending)...)
+	in.Pending = l.expectedJobs(now)
+	in.Booting = append(in.Booting, l.machinesWithRoomFor(now, in.Pending)...)
 	in.Teams = autoscale.UnlimitedTeams(in.Pending)
 	in.SpotOnly = true
 	for _, w := range autoscale.Plan(&in) {
-		l.request(w)
+		l.requestMachines(w)
 	}
 }
 
-// countKinds adds the machines of each kind. There are few kinds, and thousands of machines.
-func (l *Loop) countKinds(counts map[autoscale.Offering]int) {
+// countByOption adds the machines of each kind. There are few kinds, and thousands of machines.
+func (l *Loop) countByOption(counts map[autoscale.Offering]int) {
 	type kind struct {
 		autoscale.Offering
 		n int
@@ -199,17 +199,17 @@
 	}
 }
 
-// request asks for machines, if not too many requests are on their way.
-func (l *Loop) request(w autoscale.Purchase) {
-	if len(l.fleet.asked) >= tuning.RentalsInFlight {
+// requestMachines asks for machines, if not too many requests are on their way.
+func (l *Loop) requestMachines(w autoscale.Purchase) {
+	if len(l.fleet.pending) >= tuning.RentalsInFlight {
 		return
 	}
 	// The term is in the name: no other controller, nor this one in
 	// another term, ever uses it again.
-	l.fleet.bookings++
-	name := fmt.Sprintf("pp-%d-%d", l.tenure.Term, l.fleet.bookings)
-	l.fleet.asked[name] = w
-	go l.rental(name, w)
+	l.fleet.requests++
+	name := fmt.Sprintf("pp-%d-%d", l.leadership.Term, l.fleet.requests)
+	l.fleet.pending[name] = w
+	go l.rentUntilAnswered(name, w)
 }
 
 // maxMachines is how many machines may be rented: what the operators say and what
@@ -225,20 +225,20 @@
 	return most
 }
 
-// comingMachines are those that boot in good time and those asked for, but for zones that
+// bootingMachines are those that boot in good time and those asked for, but for zones that
 // are cut off: nobody hears when they are up.
-func (l *Loop) comingMachines(cut map[string]bool, now time.Time) []*placement.Machine {
+func (l *Loop) bootingMachines(cut map[string]bool, now time.Time) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
 		if m.LastHeartbeat.IsZero() && !cut[m.Zone] && !m.Returning && m.Incarnation == 0 && now.Sub(m.RentedAt) < l.bootTime(m.Type, tuning.BootFactor) {
-			if v, ok := l.view(m); ok {
+			if v, ok := l.machineView(m); ok {
 				out = append(out, &v)
 			}
 		}
 	}
-	for name, w := range l.fleet.asked {
+	for name, w := range l.fleet.pending {
 		for i := range w.Count {
-			v, ok := l.view(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: w.Type, Zone: w.Zone, Spot: w.Spot})
+			v, ok := l.machineView(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: w.Type, Zone: w.Zone, Spot: w.Spot})
 			if ok {
 				out = append(out, &v)
 			}
@@ -261,26 +261,26 @@
 	return tuning.BootUnknown
 }
 
-// rental asks for machines until it has a definite answer: a request without
+// rentUntilAnswered asks for machines until it has a definite answer: a request without
 // one may have been executed, and the same name gives the same machines.
-func (l *Loop) rental(name string, w autoscale.Purchase) {
+func (l *Loop) rentUntilAnswered(name string, w autoscale.Purchase) {
 	req := wire.RentRequest{Request: name, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Count: w.Count}
-	for l.mayCall() {
+	for l.awaitRightToAct() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			l.log.Debug("rental repeated", "request", name, "err", err)
 			l.env.sleep(l.ended, tuning.CloudRetry)
 			continue
 		}
-		l.post(func() { l.rented(name, w, names) })
+		l.post(func() { l.machinesRented(name, w, names) })
 		return
 	}
 }
 
-// rented takes in which machines a request got.
-func (l *Loop) rented(name string, w autoscale.Purchase, names []string) {
+// machinesRented takes in which machines a request got.
+func (l *Loop) machinesRented(name string, w autoscale.Purchase, names []string) {
 	now := l.env.Clock.Now()
-	delete(l.fleet.asked, name)
+	delete(l.fleet.pending, name)
 	for _, m := range names {
 		if !l.machines.WasReturned(m) {
 			l.machines.Register(m, w.Type, w.Zone, w.Spot, now, now).RentedThisTerm = true
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -21,10 +21,10 @@
 }
 
 func TestStoredImages(t *testing.T) {
-	loop, _ := leaderWith(t)
+	loop, _ := newTestLoop(t)
 	loop.env.Settings.Cluster.State.ValueKB = 16
 	images := machines.Images{Machines: []string{"n-1", "n-2"}, Held: []machines.HeldImage{{Name: "img-07", GB: 6.25, On: []byte{3}}}}
-	value := loop.squeezeImages(images)
+	value := loop.encodeImages(images)
 	golden.Check(t, "images-of-machines", value)
 	var record imagesRecord
 	if err := json.Unmarshal(value, &record); err != nil {
--- a/internal/scheduler/leader/held_test.go
+++ b/internal/scheduler/leader/held_test.go
@@ -10,11 +10,11 @@
 
 // Guards against reports that outgrow what a request may be: ends are written late, and a worker of tiny tasks holds
 // each until its record is stored.
-func TestAWorkerThatHoldsManyEndsHasThemWritten(t *testing.T) {
+func TestManyHeldExitsAreWrittenEarly(t *testing.T) {
 	for _, held := range []int{tuning.UnrecordedExits, tuning.UnrecordedExits + 1} {
-		l, clock := leaderWith(t)
+		l, clock := newTestLoop(t)
 		now := clock.Now()
-		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: held + 1, CPUs: 0.1, MemoryGB: 0.1})
+		j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: held + 1, CPUs: 0.1, MemoryGB: 0.1})
 		rep := &wire.Heartbeat{Machine: "n-large", Address: "127.0.0.1:1", Type: "large", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}
 		for i := range held {
 			p := l.jobs.Allocate(j, i, "n-large", "a", 1, now)
@@ -25,14 +25,14 @@
 		for w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.jobs.NextBatch(now, jobs.WriteBudget{}) {
 			l.jobs.MarkCommitted(w, 1)
 		}
-		if _, err := l.take(rep, false); err != nil { // the ends are taken in
+		if _, err := l.handleHeartbeat(rep, false); err != nil { // the ends are taken in
 			t.Fatal(err)
 		}
 		if w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil {
 			t.Fatalf("%d ends are written at once", held)
 		}
 		rep.Seq++
-		if _, err := l.take(rep, false); err != nil {
+		if _, err := l.handleHeartbeat(rep, false); err != nil {
 			t.Fatal(err)
 		}
 		w := l.jobs.NextBatch(now, jobs.WriteBudget{})
--- a/internal/scheduler/leader/images.go
+++ b/internal/scheduler/leader/images.go
@@ -51,16 +51,16 @@
 	l.post(func() {
 		l.images.told, l.images.codec = told, codec // it takes some MB: the loop goes on with it
 		for _, m := range l.machines.Machines {
-			l.recall(m)
+			l.recallImages(m)
 		}
 	})
 }
 
-// recall takes in what was told of a machine, once.
-func (l *Loop) recall(m *machines.Machine) {
+// recallImages takes in what was told of a machine, once.
+func (l *Loop) recallImages(m *machines.Machine) {
 	if held := l.images.told[m.Name]; held != nil {
 		delete(l.images.told, m.Name)
-		m.RestoreImages(held, l.begun)
+		m.RestoreImages(held, l.startedAt)
 	}
 }
 
@@ -79,7 +79,7 @@
 		}
 		return 0
 	})
-	value := l.squeezeImages(images)
+	value := l.encodeImages(images)
 	if value == nil {
 		return
 	}
@@ -97,8 +97,8 @@
 	}()
 }
 
-// squeezeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to tell.
-func (l *Loop) squeezeImages(images machines.Images) json.RawMessage {
+// encodeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to tell.
+func (l *Loop) encodeImages(images machines.Images) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
 		if err != nil {
--- a/internal/scheduler/leader/images_test.go
+++ b/internal/scheduler/leader/images_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against a record that the state service refuses: what fewest machines hold is left out.
-func TestTheRecordOfImagesFitsAValue(t *testing.T) {
-	l, _ := leaderWith(t)
+func TestImagesRecordFitsAValue(t *testing.T) {
+	l, _ := newTestLoop(t)
 	l.env.Settings.Cluster.State.ValueKB = 2
 	var images machines.Images
 	for i := range 200 {
@@ -22,7 +22,7 @@
 		on := []byte(strings.Repeat(string(rune('A'+i%50)), 25))
 		images.Held = append(images.Held, machines.HeldImage{Name: fmt.Sprintf("img-%d-%x", i, i*i*7919), GB: 1, On: on})
 	}
-	value := l.squeezeImages(images)
+	value := l.encodeImages(images)
 	if value == nil || len(value) > 2048 {
 		t.Fatalf("a record of %d bytes", len(value))
 	}
@@ -38,18 +38,18 @@
 	if err != nil || len(got.Machines) != 200 || len(got.Held) == 0 || got.Held[0].Name != images.Held[0].Name {
 		t.Errorf("%v: %d machines, %d images", err, len(got.Machines), len(got.Held))
 	}
-	if l.squeezeImages(machines.Images{}) != nil {
+	if l.encodeImages(machines.Images{}) != nil {
 		t.Error("a record of nothing")
 	}
 }
 
 // What a former leader told counts once the machine reports, and once only.
-func TestWhatWasToldIsTakenInOnce(t *testing.T) {
-	l, _ := leaderWith(t)
+func TestImageHintsAreRecalledOnce(t *testing.T) {
+	l, _ := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
 	l.images.told = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
-	l.recall(m)
-	l.recall(m)
+	l.recallImages(m)
+	l.recallImages(m)
 	if !m.HasImage("img-x", 10) || len(l.images.told) != 0 {
 		t.Errorf("holds img-x: %v, left %v", m.HasImage("img-x", 10), l.images.told)
 	}
--- a/internal/scheduler/leader/limits_test.go
+++ b/internal/scheduler/leader/limits_test.go
@@ -15,9 +15,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// sizeMost is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
+// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
 // half as many again come with a busy day.
-const sizeMost = 6000
+const maxSizedMachines = 6000
 
 // machineName is the name of the i-th machine of a test, in the order of the cloud's list.
 func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
@@ -45,7 +45,7 @@
 
 // Guards against questions so few at a time that the last of many doubtful machines is asked after its lease: an eighth of
 // 400 commands each half a second were 100 machines a second at the most.
-func TestEveryDoubtfulMachineIsAskedWithinALease(t *testing.T) {
+func TestEverySuspectMachineIsProbedWithinALease(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		machines        int
@@ -54,11 +54,11 @@
 	}{
 		{"400 machines", 400, 700, 18, 3},
 		{"4,000 machines", 4000, 5000, 42, 10},
-		{"6,000 machines", sizeMost, 5000, 42, 10},
-		{"6,000 machines with short leases", sizeMost, 5000, 18, 3},
+		{"6,000 machines", maxSizedMachines, 5000, 42, 10},
+		{"6,000 machines with short leases", maxSizedMachines, 5000, 18, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, clock := leaderWith(t)
+			l, clock := newTestLoop(t)
 			workers := &workersAnswer{asked: map[string]int{}}
 			l.env.Workers = &http.Client{Transport: workers}
 			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
@@ -73,7 +73,7 @@
 				l.machines.Machines[machineName(i)].SuspectCopy = true
 			}
 			for begun := clock.Now(); clock.Since(begun) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
-				if l.asks(); l.probing.onWay > 0 {
+				if l.probeAll(); l.probing.inFlight > 0 {
 					t.Fatal("the leader ended")
 				}
 			}
@@ -85,8 +85,8 @@
 }
 
 // Guards against questions that leave no room for the commands of a pass.
-func TestQuestionsLeaveRoomForCommands(t *testing.T) {
-	l, _ := leaderWith(t)
+func TestProbesLeaveRoomForCommands(t *testing.T) {
+	l, _ := newTestLoop(t)
 	for _, c := range []struct {
 		name           string
 		sending        int
@@ -95,8 +95,8 @@
 		{"few machines", 400, 10, 50},
 		{"as many as an eighth serves", 400, 500, 50},
 		{"more machines", 400, 1500, 150},
-		{"half of the commands at the most", 400, sizeMost, 200},
-		{"few sockets", 16, sizeMost, 8},
+		{"half of the commands at the most", 400, maxSizedMachines, 200},
+		{"few sockets", 16, maxSizedMachines, 8},
 	} {
 		l.env.CommandSlots = make(chan struct{}, c.sending)
 		if got := l.probesAtOnce(c.doubtful); got != c.most {
@@ -106,7 +106,7 @@
 }
 
 // Guards against a large list whose pages take all of the cloud's rate: the pause after it is as long as it took.
-func TestTheListLeavesHalfOfTheCloudsRate(t *testing.T) {
+func TestListingLeavesHalfOfTheCloudsRate(t *testing.T) {
 	for _, c := range []struct{ took, pause time.Duration }{
 		{0, tuning.ListEvery},
 		{tuning.ListEvery / 2, tuning.ListEvery},
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -23,12 +23,12 @@
 // Loop is the leader's loop of one tenure. One goroutine owns all its state; I/O
 // is done by others, which hand their results back as messages.
 type Loop struct {
-	env    *Env
-	tenure election.Leadership
-	log    *slog.Logger
-	inbox  chan func()
-	ended  context.Context
-	end    context.CancelCauseFunc
+	env        *Env
+	leadership election.Leadership
+	log        *slog.Logger
+	inbox      chan func()
+	ended      context.Context
+	end        context.CancelCauseFunc
 
 	store        *statestore.Client // with the leader's share of the limits
 	jobs         *jobs.Store
@@ -37,7 +37,7 @@
 	reservations placement.BackfillReservations
 	leaving      map[string]bool // machines that the cloud will soon take
 	images       imageHints
-	begun        time.Time
+	startedAt    time.Time
 	arrived      int           // jobs that came in this tenure
 	watched      uint64        // the revision up to which new jobs are in
 	loaded       bool          // all stored records are in: before, nothing is placed or concluded
@@ -54,7 +54,7 @@
 	broken           map[Subsystem]bool // those whose records could not be stored
 	subsystemWriting bool               // a slice's transaction is on its way
 	nextSubsystems   time.Time
-	link             link
+	chain            transactionChain
 
 	changed  bool          // a pass could find something new
 	rested   time.Time     // no pass before, whatever changed
@@ -64,8 +64,8 @@
 
 var (
 	// errChanged tells that a record is not as we know it.
-	errChanged    = errors.New("records were changed by another")
-	errTenureOver = errors.New("the tenure is over")
+	errChanged        = errors.New("records were changed by another")
+	errLeadershipOver = errors.New("the tenure is over")
 	// ErrUnreachable tells that this member's answers and commands reach no worker, though another member does.
 	ErrUnreachable = errors.New("no worker hears this member, others they do")
 	// errDeposed tells that the leader key is another's, as after standing still.
@@ -77,10 +77,10 @@
 	now := env.Clock.Now()
 	state := env.Settings.Cluster.State
 	l := &Loop{
-		env: env, tenure: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
+		env: env, leadership: t, log: env.Log.With("term", t.Term), inbox: make(chan func(), tuning.Inbox),
 		jobs: jobs.NewStore(state.TxnOps), machines: machines.New(t.Term, env.Settings.Cluster.Workers.LeaseS),
 		store: env.Store.WithShare(tuning.LeaderShare), overdue: rate.NewLimiter(rate.Limit(tuning.LazyShare*state.WriteRPS), tuning.LazyMin),
-		begun: now, passWait: tuning.CycleBackoffMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
+		startedAt: now, passWait: tuning.CycleBackoffMin, fleet: newFleetState(), probing: newProbing(), levels: newServiceLevels(), broken: map[Subsystem]bool{}, leaving: map[string]bool{}, images: imageHints{next: now.Add(tuning.ImagesEvery)},
 	}
 	for _, join := range env.Subsystems {
 		s, err := join(l.log)
@@ -94,7 +94,7 @@
 }
 
 // Leadership is the leadership that the loop serves.
-func (l *Loop) Leadership() election.Leadership { return l.tenure }
+func (l *Loop) Leadership() election.Leadership { return l.leadership }
 
 // Start makes the loop ready to be asked, until ctx ends; Run does the work.
 func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
@@ -102,7 +102,7 @@
 // Run runs the loop until the tenure is lost. It ends by itself when records
 // cannot be trusted any more; the next leader then begins from what is stored. The error says why; nil: the tenure is over.
 func (l *Loop) Run() error {
-	defer l.end(errTenureOver)
+	defer l.end(errLeadershipOver)
 	go l.load(l.ended)
 	l.run(l.ended)
 	switch cause := context.Cause(l.ended); {
@@ -127,16 +127,16 @@
 			return
 		case fn := <-l.inbox:
 			fn()
-			l.drain()
+			l.handleQueued()
 		case <-tick.Chan():
 		}
 		l.step(l.env.Clock.Now())
 	}
 }
 
-// drain takes what else has come in, so that changes that come together share
+// handleQueued takes what else has come in, so that changes that come together share
 // one pass.
-func (l *Loop) drain() {
+func (l *Loop) handleQueued() {
 	for range len(l.inbox) {
 		select {
 		case fn := <-l.inbox:
@@ -171,7 +171,7 @@
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	case <-l.ended.Done():
-		return zero, errTenureOver
+		return zero, errLeadershipOver
 	}
 	select {
 	case v := <-ch:
@@ -179,7 +179,7 @@
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	case <-l.ended.Done():
-		return zero, errTenureOver
+		return zero, errLeadershipOver
 	}
 }
 
@@ -188,10 +188,10 @@
 	if !l.loaded || l.ended.Err() != nil {
 		return
 	}
-	l.expire(now)
+	l.expireLeases(now)
 	l.stepProbing(now)
-	l.stepLeaving(now)
-	if l.env.Valid(l.tenure.Term) {
+	l.stepInterruptions(now)
+	if l.env.Valid(l.leadership.Term) {
 		if l.changed && !now.Before(l.rested) || !now.Before(l.nextPass) {
 			l.schedule(now)
 			l.env.observe(func(o Observer) { o.CycleDone(l.env.Clock.Since(now)) })
@@ -204,7 +204,7 @@
 		}
 	}
 	l.stepSubsystems(now)
-	l.flush(now)
+	l.writeBatch(now)
 	l.stepImages(now)
 }
 
@@ -237,17 +237,17 @@
 		}
 		answer(result{})
 	})
-	return r.s, err == nil && r.ok && l.env.Valid(l.tenure.Term)
+	return r.s, err == nil && r.ok && l.env.Valid(l.leadership.Term)
 }
 
-// errOutOfReach tells that a task of a cancelled job is where nobody reaches it now.
-var errOutOfReach = errors.New("a task runs out of reach")
+// errTaskUnreachable tells that a task of a cancelled job is where nobody reaches it now.
+var errTaskUnreachable = errors.New("a task runs out of reach")
 
 // Cancel cancels a job and gives its final state once that is stored; known
 // is false when the job is not known here. Nothing more of it is started, its tasks are
 // stopped, and the cancellation is stored once all are proven gone: a task in a zone that is
 // cut off may live on for longer than a user who was told may wait for its end. While one
-// is out of reach the answer is errOutOfReach; its end is then asked for again.
+// is out of reach the answer is errTaskUnreachable; its end is then asked for again.
 func (l *Loop) Cancel(ctx context.Context, id string) (state wire.JobState, known bool, err error) {
 	type result struct {
 		state wire.JobState
@@ -264,9 +264,9 @@
 		}
 		l.jobs.Cancel(j, func(s wire.JobState) { answer(result{state: s, known: true}) })
 		places := j.StopAll(charge.Cancelled)
-		l.direct(places)
-		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Allocation) bool { return l.outOfReach(l.machines.Machines[p.Machine], now) }) {
-			answer(result{known: true, err: errOutOfReach})
+		l.sendCommands(places)
+		if now := l.env.Clock.Now(); slices.ContainsFunc(places, func(p *jobs.Allocation) bool { return l.unreachable(l.machines.Machines[p.Machine], now) }) {
+			answer(result{known: true, err: errTaskUnreachable})
 		}
 	})
 	if err == nil {
--- a/internal/scheduler/leader/place.go
+++ b/internal/scheduler/leader/place.go
@@ -22,8 +22,8 @@
 		l.nextPass = now.Add(tuning.CycleBackoffMax)
 		return
 	}
-	wanted, teams := append(slices.Clone(items), l.reserved(now)...), l.teams()
-	open := l.roomyMachines(now, wanted)
+	wanted, teams := append(slices.Clone(items), l.placeholders(now)...), l.teams()
+	open := l.machinesWithRoomFor(now, wanted)
 	l.preferKinds(items)
 	placed := l.reservations.Schedule(now, wanted, open, teams)
 	next := map[string]int{}
@@ -34,7 +34,7 @@
 			continue
 		}
 		// Jobs share what a slice admits: each placement takes of it.
-		if n, _ := l.admitted(j, now); n <= 0 {
+		if n, _ := l.admissible(j, now); n <= 0 {
 			continue
 		}
 		next[j.ID] = i + 1
@@ -65,16 +65,16 @@
 	var due []*placement.PendingJob
 	for _, it := range items {
 		j := byID[it.Job.ID]
-		patience, ok := l.env.patience(it.Job.Class)
+		patience, ok := l.env.maxStartWait(it.Job.Class)
 		if ok && it.Waiting > 0 && !it.OnProbation && !now.Before(j.PreemptingUntil) && now.Sub(it.WaitingSince) >= seconds(patience*tuning.PreemptWaitShare) {
 			due = append(due, it)
 		}
 	}
 	// Right after a takeover much waits only because machines have not reported.
-	if len(due) == 0 || l.tenure.Term > 1 && now.Sub(l.begun) < tuning.PreemptAfterFailover {
+	if len(due) == 0 || l.leadership.Term > 1 && now.Sub(l.startedAt) < tuning.PreemptAfterFailover {
 		return
 	}
-	open = l.allMachines(now, open)
+	open = l.allOpenMachines(now, open)
 	for _, v := range open {
 		v.Victims = victims(l.machines.Machines[v.Name], now)
 	}
@@ -95,7 +95,7 @@
 			byID[it.Job.ID].PreemptingUntil = now.Add(tuning.PreemptBackoff)
 		}
 	}
-	l.direct(stopped)
+	l.sendCommands(stopped)
 }
 
 // victims are the tasks on a machine that can be stopped now. A task that was
@@ -139,14 +139,14 @@
 	items := make([]*placement.PendingJob, 0, len(waiting))
 	room := make([]placement.PendingJob, 0, len(waiting)) // one allocation for all of them
 	byID := make(map[string]*jobs.Job, len(waiting))
-	for i, n := range l.look(waiting, now) {
+	for i, n := range l.startLimits(waiting, now) {
 		if n <= 0 {
 			continue
 		}
 		j := waiting[i]
-		_, prompt := l.promptness(j.Class)
+		_, prompt := l.promptShare(j.Class)
 		room = append(room, placement.PendingJob{
-			Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zonesOf(j), LatencySensitive: prompt,
+			Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: n, Started: j.Allocated + j.Done, Zones: zoneCounts(j), LatencySensitive: prompt,
 		})
 		it := &room[len(room)-1]
 		it.ExpectedRunS, _ = j.ExpectedRunS()
@@ -172,9 +172,9 @@
 	return items, byID
 }
 
-// zonesOf is a copy of how many tasks of a job may be in each zone, for one
+// zoneCounts is a copy of how many tasks of a job may be in each zone, for one
 // that cares.
-func zonesOf(j *jobs.Job) map[string]int {
+func zoneCounts(j *jobs.Job) map[string]int {
 	if !j.Spread && !j.OneZone {
 		return nil
 	}
@@ -183,20 +183,20 @@
 
 // openMachines are the machines that may get tasks now.
 func (l *Loop) openMachines(now time.Time) []*placement.Machine {
-	return l.machinesWith(now, placement.Resources{})
+	return l.machinesWithFree(now, placement.Resources{})
 }
 
-// roomyMachines are those of them that have room for some of the items: in a large cluster most are
+// machinesWithRoomFor are those of them that have room for some of the items: in a large cluster most are
 // full, and a view of each, for each pass, was most of its cost.
-func (l *Loop) roomyMachines(now time.Time, items []*placement.PendingJob) []*placement.Machine {
+func (l *Loop) machinesWithRoomFor(now time.Time, items []*placement.PendingJob) []*placement.Machine {
 	if len(items) == 0 {
 		return nil
 	}
-	return l.machinesWith(now, placement.MinRequest(items))
+	return l.machinesWithFree(now, placement.MinRequest(items))
 }
 
-// machinesWith are the machines that may get tasks now and have at least so much free.
-func (l *Loop) machinesWith(now time.Time, least placement.Resources) []*placement.Machine {
+// machinesWithFree are the machines that may get tasks now and have at least so much free.
+func (l *Loop) machinesWithFree(now time.Time, least placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
 		t := l.env.typeOf(m.Type)
@@ -204,18 +204,18 @@
 			continue
 		}
 		if !m.Alive() || m.Returning || m.Draining || m.Unhealthy || m.HasOrphans() || !m.InterruptionAt.IsZero() ||
-			l.silent(m, now) || mayBeCopy(m) || !m.Usable(l.tenure.Term, now) || now.Before(m.RefusedAt) {
+			l.silent(m, now) || leftCommandUnanswered(m) || !m.Usable(l.leadership.Term, now) || now.Before(m.RefusedAt) {
 			continue
 		}
-		v := viewOf(m, t)
-		v.FreeInS = freeTime(m, now)
+		v := newMachineView(m, t)
+		v.FreeInS = freeInS(m, now)
 		out = append(out, &v)
 	}
 	return out
 }
 
-// allMachines are the machines that may get tasks now, with those that were looked at already as they are.
-func (l *Loop) allMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
+// allOpenMachines are the machines that may get tasks now, with those that were looked at already as they are.
+func (l *Loop) allOpenMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	known := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
 		known[v.Name] = v
@@ -229,20 +229,20 @@
 	return all
 }
 
-// view is a machine as placement sees it.
-func (l *Loop) view(m *machines.Machine) (placement.Machine, bool) {
+// machineView is a machine as placement sees it.
+func (l *Loop) machineView(m *machines.Machine) (placement.Machine, bool) {
 	t := l.env.typeOf(m.Type)
 	if t == nil {
 		return placement.Machine{}, false
 	}
-	return viewOf(m, t), true
+	return newMachineView(m, t), true
 }
 
-func viewOf(m *machines.Machine, t *wire.MachineType) placement.Machine {
+func newMachineView(m *machines.Machine, t *wire.MachineType) placement.Machine {
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
 		Total: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
-		FetchS: fetchTime(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
+		FetchS: fetchInS(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
 	}
 }
 
@@ -252,9 +252,9 @@
 	return placement.Resources{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
 }
 
-// freeTime estimates how long it takes until what ends by itself on a machine, or was told to, leaves so much more room. The machine's
+// freeInS estimates how long it takes until what ends by itself on a machine, or was told to, leaves so much more room. The machine's
 // tasks are put in order once, when it is first asked for: most machines never are.
-func freeTime(m *machines.Machine, now time.Time) func(lacks placement.Resources) float64 {
+func freeInS(m *machines.Machine, now time.Time) func(lacks placement.Resources) float64 {
 	type end struct {
 		s    float64
 		left placement.Resources // that it and those before leave
@@ -293,10 +293,10 @@
 	}
 }
 
-// fetchTime estimates how long a machine takes to get an image: nothing for
+// fetchInS estimates how long a machine takes to get an image: nothing for
 // one that it holds, as far as its tasks show; images fetched at the same time
 // share its rate.
-func fetchTime(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
+func fetchInS(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
 	sharing := 0 // counted when it is first asked for: full machines never are
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -12,7 +12,7 @@
 
 // Guards against tasks that are stopped over and over in a full cluster: on a
 // drawn day one task was stopped 19 times, and nothing of its job got done.
-func TestATaskIsStoppedForOthersAtMostOnce(t *testing.T) {
+func TestTaskIsPreemptedAtMostOnce(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	job := &jobs.Job{Job: wire.Job{ID: "job-1", Priority: wire.PriorityLow, CheckpointS: 10}}
 	place := func(attempt uint64, state wire.TaskState) *jobs.Allocation {
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -8,9 +8,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// reconcile compares the stored jobs with the book again and again: one that is stored and in no place here would be
+// reconcileStoredJobs compares the stored jobs with the book again and again: one that is stored and in no place here would be
 // known to its user and never run. The watch of new jobs names each once; whatever made it miss one, this finds it.
-func (l *Loop) reconcile(ctx context.Context) {
+func (l *Loop) reconcileStoredJobs(ctx context.Context) {
 	for {
 		l.env.sleep(ctx, tuning.ReconcileEvery)
 		if ctx.Err() != nil {
@@ -24,15 +24,15 @@
 			l.log.Debug("stored jobs unreadable", "err", err)
 			continue
 		}
-		l.post(func() { l.compareJobs(items) })
+		l.post(func() { l.reconcileJobs(items) })
 	}
 }
 
-// compareJobs takes in stored jobs that the book lacks. One that ended since they were read is over by what is known of
+// reconcileJobs takes in stored jobs that the book lacks. One that ended since they were read is over by what is known of
 // final states. One that came behind what the watch has told, and not long ago, is not missing: with a slow state service the
 // listing overtakes the watch, and operators were told of an error. A watch that stands still is one, unless the whole process stood
 // still: then the right to act is over, and the listing may come in before what the watch had brought meanwhile.
-func (l *Loop) compareJobs(items []wire.Item) {
+func (l *Loop) reconcileJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	var lacked []wire.Item
 	for _, item := range items {
@@ -44,13 +44,13 @@
 	if len(lacked) == 0 {
 		return
 	}
-	l.takeJobs(lacked)
+	l.loadJobs(lacked)
 	found, unreadable := 0, 0
 	for _, item := range lacked {
 		switch j := l.jobs.Jobs[item.Key[len(jobs.PrefixJob):]]; {
 		case j == nil:
 			unreadable++
-		case item.Version <= l.watched || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.tenure.Term):
+		case item.Version <= l.watched || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.leadership.Term):
 			found++
 		}
 	}
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -12,9 +12,9 @@
 )
 
 // Guards against a job that is stored, known to its user, and in no place here: it would never run.
-func TestStoredJobsThatTheBookLacksAreFound(t *testing.T) {
-	l, clock := leaderWith(t)
-	known := l.waits(t, wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
+func TestStoredJobsMissingInMemoryAreFound(t *testing.T) {
+	l, clock := newTestLoop(t)
+	known := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
 	item := func(id string) wire.Item {
 		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 2, CPUs: 1}, AtMS: clock.Now().UnixMilli()})
 		if err != nil {
@@ -23,11 +23,11 @@
 		return wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 3}
 	}
 	l.watched = 3
-	counted := &countsFound{}
+	counted := &missingJobsCounter{}
 	l.env.Observer = counted
 	l.env.FinalStates.Add(wire.JobStatus{ID: "job-3", State: wire.StateDone}) // it ended after it was read
 	l.changed = false
-	l.compareJobs([]wire.Item{item("job-1"), item("job-2"), item("job-3"), {Key: jobs.KeyJob("job-4"), Value: []byte("{")}})
+	l.reconcileJobs([]wire.Item{item("job-1"), item("job-2"), item("job-3"), {Key: jobs.KeyJob("job-4"), Value: []byte("{")}})
 	if l.jobs.Jobs["job-2"] == nil || l.jobs.Jobs["job-3"] != nil || l.jobs.Jobs["job-1"] != known || !l.changed {
 		t.Errorf("known: %v, changed %v", len(l.jobs.Jobs), l.changed)
 	}
@@ -37,7 +37,7 @@
 	// The listing overtakes the watch: the job is taken in, and was not missing.
 	early := item("job-5")
 	early.Version = l.watched + 1
-	l.compareJobs([]wire.Item{early})
+	l.reconcileJobs([]wire.Item{early})
 	if l.jobs.Jobs["job-5"] == nil || counted.found != 1 {
 		t.Errorf("%d are counted as missing, with one that the watch has yet to tell", counted.found)
 	}
@@ -45,46 +45,46 @@
 	late, still := item("job-6"), item("job-7")
 	late.Version, still.Version = l.watched+2, l.watched+3
 	clock.Advance(tuning.JobWatch + time.Second)
-	l.compareJobs([]wire.Item{still})
+	l.reconcileJobs([]wire.Item{still})
 	if l.jobs.Jobs["job-7"] == nil || counted.found != 1 {
 		t.Errorf("%d are counted as missing, with one that came as the process stood still", counted.found)
 	}
-	l.env.Valid = func(term uint64) bool { return term == l.tenure.Term }
-	l.compareJobs([]wire.Item{late})
+	l.env.Valid = func(term uint64) bool { return term == l.leadership.Term }
+	l.reconcileJobs([]wire.Item{late})
 	if l.jobs.Jobs["job-6"] == nil || counted.found != 2 {
 		t.Errorf("%d are counted as missing, with one that the watch never told", counted.found)
 	}
 }
 
-// countsFound counts stored jobs that were missing.
-type countsFound struct {
+// missingJobsCounter counts stored jobs that were missing.
+type missingJobsCounter struct {
 	Observer
 	found int
 }
 
-func (c *countsFound) MissingJobsFound(n int) { c.found += n }
+func (c *missingJobsCounter) MissingJobsFound(n int) { c.found += n }
 
-func (c *countsFound) JobArrived(string, string, string) {}
+func (c *missingJobsCounter) JobArrived(string, string, string) {}
 
 // Operators see who is served: the largest tenth of a class beside the others, and for how long the oldest waits to begin.
-func TestTheLargestOfAClassAreTold(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestServiceLevelsTellLargestJobsOfAClass(t *testing.T) {
+	l, clock := newTestLoop(t)
 	var last *jobs.Job
 	for i := range 20 {
-		last = l.waits(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
-		p := l.levels.came(last)
+		last = l.addPending(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
+		p := l.levels.jobArrived(last)
 		if large := i >= tuning.SizesMin-1 && i%10 == 9; p.large != large {
 			t.Errorf("job %d of %d tasks: large %v", i, 1+i%10, p.large)
 		}
 	}
 	clock.Advance(time.Minute)
-	if got := int(l.oldest(clock.Now())["c"]); got != 60 {
+	if got := int(l.oldestWaits(clock.Now())["c"]); got != 60 {
 		t.Errorf("the oldest waits for %v s", got)
 	}
-	if p := l.levels.began(last); p == nil || !p.large || l.levels.began(last) != nil {
+	if p := l.levels.jobBegan(last); p == nil || !p.large || l.levels.jobBegan(last) != nil {
 		t.Error("it does not begin once")
 	}
-	if l.levels.over(last.ID); l.levels.began(last) != nil {
+	if l.levels.jobFinished(last.ID); l.levels.jobBegan(last) != nil {
 		t.Error("remembered though it is over")
 	}
 }
--- a/internal/scheduler/leader/records.go
+++ b/internal/scheduler/leader/records.go
@@ -35,7 +35,7 @@
 		}
 		return false
 	}
-	if !read(jobs.PrefixJob, l.takeJobs) {
+	if !read(jobs.PrefixJob, l.loadJobs) {
 		return
 	}
 	// The progress is gathered first and taken in at once: a repeated reading
@@ -50,9 +50,9 @@
 		return
 	}
 	listed := revision
-	l.post(func() { l.takeProgress(progress, lefts); l.watched = listed })
+	l.post(func() { l.loadProgress(progress, lefts); l.watched = listed })
 	l.loadImages(ctx)
-	go l.reconcile(ctx)
+	go l.reconcileStoredJobs(ctx)
 	for ctx.Err() == nil {
 		r, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatch)
 		switch {
@@ -72,12 +72,12 @@
 			}
 		}
 		if told := revision; len(items) > 0 {
-			l.post(func() { l.takeJobs(items); l.watched = told })
+			l.post(func() { l.loadJobs(items); l.watched = told })
 		}
 	}
 }
 
-func (l *Loop) takeJobs(items []wire.Item) {
+func (l *Loop) loadJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	for _, item := range items {
 		id := item.Key[len(jobs.PrefixJob):]
@@ -91,26 +91,26 @@
 			continue
 		}
 		if !known {
-			if p := l.levels.came(j); l.loaded {
+			if p := l.levels.jobArrived(j); l.loaded {
 				l.env.observe(func(o Observer) { o.JobArrived(j.Class, j.Team, p.sizeName()) })
 			}
 			l.fleet.next = now // rent at once if it finds no room
-			if l.arrived++; !l.rush(now) || l.arrived%tuning.FirstStartRushShare == 0 {
-				l.fleet.recent = append(l.fleet.recent, autoscale.Arrival{At: j.WaitingSince, Job: &j.Job})
+			if l.arrived++; !l.inInitialBacklog(now) || l.arrived%tuning.FirstStartRushShare == 0 {
+				l.fleet.arrivals = append(l.fleet.arrivals, autoscale.Arrival{At: j.WaitingSince, Job: &j.Job})
 			}
 		}
 	}
 	l.changed = true
 }
 
-// rush tells whether the very first leader has just begun. The jobs that waited
+// inInitialBacklog tells whether the very first leader has just begun. The jobs that waited
 // for that say nothing of those to come: 70 services at once had room kept for 49
 // more, a third of the machines for two minutes.
-func (l *Loop) rush(now time.Time) bool {
-	return l.tenure.Term == 1 && now.Sub(l.begun) < tuning.FirstStartRush
+func (l *Loop) inInitialBacklog(now time.Time) bool {
+	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.FirstStartRush
 }
 
-func (l *Loop) takeProgress(items, lefts []wire.Item) {
+func (l *Loop) loadProgress(items, lefts []wire.Item) {
 	now := l.env.Clock.Now()
 	seen := map[string]bool{}
 	for _, item := range items {
@@ -128,7 +128,7 @@
 			if p.Job.Cancelled() {
 				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
-			l.machines.RestoreAllocation(p, l.begun)
+			l.machines.RestoreAllocation(p, l.startedAt)
 		}
 	}
 	for _, item := range lefts {
@@ -150,15 +150,15 @@
 		s.Loaded(l.jobs, now)
 	}
 	l.readSubsystems()
-	l.env.observe(func(o Observer) { o.FailoverDone(now.Sub(l.begun)) })
+	l.env.observe(func(o Observer) { o.FailoverDone(now.Sub(l.startedAt)) })
 	l.log.Info("records loaded", "jobs", len(l.jobs.Jobs), "machines", len(l.machines.Machines),
-		"took_ms", now.Sub(l.begun).Milliseconds())
+		"took_ms", now.Sub(l.startedAt).Milliseconds())
 }
 
-// flush writes the book's changes, one transaction at a time. It is put together once it may be sent: a
+// writeBatch writes the book's changes, one transaction at a time. It is put together once it may be sent: a
 // transaction of 24 changes once waited half a second for the limit, and starts of services that came
 // meanwhile waited behind it.
-func (l *Loop) flush(now time.Time) {
+func (l *Loop) writeBatch(now time.Time) {
 	if l.writing || !l.jobs.WriteDue(now) {
 		return
 	}
@@ -184,7 +184,7 @@
 			l.end(err)
 			return
 		}
-		l.post(func() { l.written(batch, revision, now) })
+		l.post(func() { l.batchWritten(batch, revision, now) })
 	}()
 }
 
@@ -192,7 +192,7 @@
 // until it has one; its guards make sure that only one of the tries is applied. doubt, if it is not nil, tells meanwhile whether
 // it may be carried out already, and after that until it is taken in; not while all tries were refused, as in an outage.
 func (l *Loop) commit(t wire.Txn, doubt *atomic.Bool) (uint64, error) {
-	t.If = append([]wire.Condition{l.tenure.Guard}, t.If...)
+	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
 	unsure := false
 	for pause := tuning.StateRetry; ; pause = min(2*pause, tuning.StateRetryMax) {
 		if err := l.ended.Err(); err != nil {
@@ -208,7 +208,7 @@
 		var conflict *conflictError
 		switch {
 		case errors.As(err, &conflict):
-			if slices.Contains(conflict.Failed, l.tenure.Guard.Key) {
+			if slices.Contains(conflict.Failed, l.leadership.Guard.Key) {
 				return 0, fmt.Errorf("%w: %w", errDeposed, err)
 			}
 			if !unsure {
@@ -216,7 +216,7 @@
 			}
 			// An earlier try without an answer was applied. All its changes
 			// have the same revision, so one of them tells.
-			if revision, err = l.applied(t); err == nil {
+			if revision, err = l.revisionOfApplied(t); err == nil {
 				return revision, nil
 			}
 			if !errors.Is(err, errUnknown) && !errors.Is(err, errNotExecuted) {
@@ -236,8 +236,8 @@
 	}
 }
 
-// applied finds the revision of a transaction that was applied without an answer.
-func (l *Loop) applied(t wire.Txn) (uint64, error) {
+// revisionOfApplied finds the revision of a transaction that was applied without an answer.
+func (l *Loop) revisionOfApplied(t wire.Txn) (uint64, error) {
 	for _, change := range t.Then {
 		if change.Put == "" {
 			continue
@@ -254,14 +254,14 @@
 	return 0, nil // only deletions: nobody needs their revision
 }
 
-func (l *Loop) written(batch *jobs.Batch, revision uint64, begun time.Time) {
+func (l *Loop) batchWritten(batch *jobs.Batch, revision uint64, begun time.Time) {
 	l.writing = false
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
 	l.log.Debug("written", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
 		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(begun).Milliseconds())
 	start, over := l.jobs.MarkCommitted(batch, revision)
 	for _, o := range over {
-		l.levels.over(o.Job.ID)
+		l.levels.jobFinished(o.Job.ID)
 		l.env.FinalStates.Add(wire.JobStatus{ID: o.Job.ID, State: o.State, Done: o.Job.Done})
 		for _, s := range l.subsystems {
 			s.Finished(o, l.env.Clock.Now())
@@ -269,5 +269,5 @@
 		l.log.Debug("job over", "job", o.Job.ID, "state", o.State)
 		l.changed = true
 	}
-	l.direct(start)
+	l.sendCommands(start)
 }
--- a/internal/scheduler/leader/rent_test.go
+++ b/internal/scheduler/leader/rent_test.go
@@ -13,8 +13,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// waits adds an accepted job none of whose tasks is placed.
-func (l *Loop) waits(t testing.TB, j wire.Job) *jobs.Job {
+// addPending adds an accepted job none of whose tasks is placed.
+func (l *Loop) addPending(t testing.TB, j wire.Job) *jobs.Job {
 	t.Helper()
 	now := l.env.Clock.Now()
 	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: now.UnixMilli()})
@@ -32,55 +32,55 @@
 // a large deployment every job that came asked for a machine or two of its own,
 // 390 machines were counted as booting whose requests had not been sent, and
 // for minutes nothing was rented for those that waited.
-func TestRentalsDoNotPileUp(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestRentRequestsDoNotPileUp(t *testing.T) {
+	l, clock := newTestLoop(t)
 	for i := range 40 {
-		l.waits(t, wire.Job{
+		l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%d", i), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh,
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
-		l.rent(clock.Now()) // no request is answered meanwhile
-		if n := len(l.fleet.asked); n > tuning.RentalsInFlight {
+		l.scaleOut(clock.Now()) // no request is answered meanwhile
+		if n := len(l.fleet.pending); n > tuning.RentalsInFlight {
 			t.Fatalf("%d rentals on their way after %d jobs", n, i+1)
 		}
 	}
-	if len(l.fleet.asked) == 0 {
+	if len(l.fleet.pending) == 0 {
 		t.Error("nothing is rented")
 	}
 }
 
 // Guards against deletions that pile up: one is on its way at a time, and
 // what comes meanwhile shares the next.
-func TestDeletionsShareARequest(t *testing.T) {
-	l, _ := leaderWith(t)
+func TestDeletionsAreBatched(t *testing.T) {
+	l, _ := newTestLoop(t)
 	l.deleteMachines([]string{"n-1"})
 	l.deleteMachines([]string{"n-2"})
 	l.deleteMachines([]string{"n-3"})
-	if !l.fleet.deleting || len(l.fleet.doomed) != 2 {
-		t.Errorf("deleting %v, %v wait", l.fleet.deleting, l.fleet.doomed)
+	if !l.fleet.deleting || len(l.fleet.deleteQueue) != 2 {
+		t.Errorf("deleting %v, %v wait", l.fleet.deleting, l.fleet.deleteQueue)
 	}
 }
 
 // Guards against a leader that returns half of the fleet because it is cut
 // off from it: machines that the cloud lists as running are of use again.
-func TestManySilentMachinesAreKeptForACut(t *testing.T) {
+func TestManySilentMachinesAreKeptDuringAPartition(t *testing.T) {
 	for _, c := range []struct {
 		silent int
 		keeps  time.Duration
 	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
-		l, clock := leaderWith(t)
+		l, clock := newTestLoop(t)
 		var listed []wire.ListedMachine
 		for i := range c.silent {
 			listed = append(listed, wire.ListedMachine{Name: fmt.Sprintf("n-%d", i), Type: "small", Zone: "a", State: wire.MachineRunning, AgeS: 600})
 		}
-		l.compare([]cloud.ListPage{{Machines: listed}}, clock.Now())
+		l.reconcileMachines([]cloud.ListPage{{Machines: listed}}, clock.Now())
 		returned := func() int {
 			for name := range l.machines.Machines { // the others report
 				if m := l.machines.Machines[name]; m.Incarnation > 0 {
 					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
 				}
 			}
-			l.returnMachines(clock.Now())
+			l.scaleIn(clock.Now())
 			n := 0
 			for _, m := range l.machines.Machines {
 				if m.Returning {
@@ -102,16 +102,16 @@
 
 // Guards against room kept for jobs like those that waited for the service's
 // very first begin: 70 services at once had a third more machines rented.
-func TestJobsThatWaitedForTheBeginAreNoArrivals(t *testing.T) {
-	l, clock := leaderWith(t)
-	l.begun = clock.Now()
+func TestInitialBacklogIsSampledAsArrivals(t *testing.T) {
+	l, clock := newTestLoop(t)
+	l.startedAt = clock.Now()
 	take := func(id string) int {
 		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.takeJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
-		return len(l.fleet.recent)
+		l.loadJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
+		return len(l.fleet.arrivals)
 	}
 	for i := range tuning.FirstStartRushShare {
 		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
@@ -122,7 +122,7 @@
 	if n := take("job-2"); n != 2 {
 		t.Errorf("%d arrivals after it", n)
 	}
-	l.tenure.Term, l.begun = 2, clock.Now() // a takeover is no rush
+	l.leadership.Term, l.startedAt = 2, clock.Now() // a takeover is no rush
 	if n := take("job-3"); n != 3 {
 		t.Errorf("%d arrivals after a takeover", n)
 	}
@@ -131,11 +131,11 @@
 // Guards against a leader that stood still between a decision and its call: it
 // must not delete machines on which the next one has placed tasks meanwhile.
 func TestNoCloudCallWithoutTheRightToAct(t *testing.T) {
-	l, clock := leaderWith(t) // its elector has no right to act
+	l, clock := newTestLoop(t) // its elector has no right to act
 	ctx, end := context.WithCancel(t.Context())
 	l.ended = ctx
 	may := make(chan bool)
-	go func() { may <- l.mayCall() }()
+	go func() { may <- l.awaitRightToAct() }()
 	for range 3 {
 		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 			t.Fatal(err)
--- a/internal/scheduler/leader/returns.go
+++ b/internal/scheduler/leader/returns.go
@@ -13,11 +13,11 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// needed are the idle machines that what is expected would use, when it takes
+// idleMachinesNeeded are the idle machines that what is expected would use, when it takes
 // the machines in use and the cheap ones first.
-func (l *Loop) needed(now time.Time) map[string]bool {
-	items := l.expected(now)
-	open := l.roomyMachines(now, items)
+func (l *Loop) idleMachinesNeeded(now time.Time) map[string]bool {
+	items := l.expectedJobs(now)
+	open := l.machinesWithRoomFor(now, items)
 	needed := map[string]bool{}
 	type key struct {
 		*placement.Machine
@@ -44,24 +44,24 @@
 	return needed
 }
 
-// mayCall waits until the right to act is there, and tells whether it ever is.
+// awaitRightToAct waits until the right to act is there, and tells whether it ever is.
 // A leader that stood still must not delete machines on which the next one has
 // placed tasks meanwhile.
-func (l *Loop) mayCall() bool {
-	for l.ended.Err() == nil && !l.env.Valid(l.tenure.Term) {
+func (l *Loop) awaitRightToAct() bool {
+	for l.ended.Err() == nil && !l.env.Valid(l.leadership.Term) {
 		l.env.sleep(l.ended, tuning.Tick)
 	}
 	return l.ended.Err() == nil
 }
 
-// returnMachines gives back what is idle, never came up, or fell silent.
-func (l *Loop) returnMachines(now time.Time) {
+// scaleIn gives back what is idle, never came up, or fell silent.
+func (l *Loop) scaleIn(now time.Time) {
 	if l.fleet.deleting {
 		return
 	}
 	var names []string
 	var needed map[string]bool // worked out for the first machine that could go
-	release := l.silentRelease()
+	release := l.silenceUntilReturn()
 	for _, m := range l.machines.Machines {
 		if m.Returning || len(m.Allocations) > 0 {
 			continue
@@ -91,7 +91,7 @@
 			why = "surplus"
 		case now.Sub(m.IdleSince) > l.env.Tunables.IdleKeep:
 			if needed == nil {
-				needed = l.needed(now)
+				needed = l.idleMachinesNeeded(now)
 			}
 			if !needed[m.Name] {
 				why = "idle"
@@ -107,12 +107,12 @@
 	l.deleteMachines(names)
 }
 
-// silentRelease is how long machines may be silent after their leases before
+// silenceUntilReturn is how long machines may be silent after their leases before
 // they are returned. Many silent together are cut off, not dead, and are of
 // use again once the cut ends; the dead among them the cloud lists as failed.
 // After a takeover in a cut 74 machines of the other zone, listed as running,
 // were returned as never having come up.
-func (l *Loop) silentRelease() time.Duration {
+func (l *Loop) silenceUntilReturn() time.Duration {
 	silent := 0
 	for _, m := range l.machines.Machines {
 		if m.Reachability.Unreachable() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
@@ -128,15 +128,15 @@
 // deleteMachines deletes one batch at a time: what comes meanwhile waits for
 // the next, so that deletions take little of the cloud's rate.
 func (l *Loop) deleteMachines(names []string) {
-	l.fleet.doomed = append(l.fleet.doomed, names...)
-	if l.fleet.deleting || len(l.fleet.doomed) == 0 {
+	l.fleet.deleteQueue = append(l.fleet.deleteQueue, names...)
+	if l.fleet.deleting || len(l.fleet.deleteQueue) == 0 {
 		return
 	}
-	part := l.fleet.doomed[:min(len(l.fleet.doomed), wire.MaxDelete)]
-	l.fleet.doomed = slices.Clone(l.fleet.doomed[len(part):])
+	part := l.fleet.deleteQueue[:min(len(l.fleet.deleteQueue), wire.MaxDelete)]
+	l.fleet.deleteQueue = slices.Clone(l.fleet.deleteQueue[len(part):])
 	l.fleet.deleting = true
 	go func() {
-		for l.mayCall() {
+		for l.awaitRightToAct() {
 			if err := l.env.Cloud.Delete(l.ended, part); err != nil {
 				l.log.Debug("deletion repeated", "err", err)
 				l.env.sleep(l.ended, tuning.CloudRetry)
@@ -144,7 +144,7 @@
 			}
 			l.post(func() {
 				l.fleet.deleting = false
-				l.lost(part)
+				l.markMachinesLost(part)
 				l.deleteMachines(nil)
 			})
 			return
@@ -152,16 +152,16 @@
 	}()
 }
 
-// lost takes in that machines are gone with all that was on them.
-func (l *Loop) lost(names []string) {
+// markMachinesLost takes in that machines are gone with all that was on them.
+func (l *Loop) markMachinesLost(names []string) {
 	now := l.env.Clock.Now()
 	for _, name := range names {
-		l.settle(l.machines.MarkLost(name, now), now)
+		l.applyOutcomes(l.machines.MarkLost(name, now), now)
 	}
 }
 
-// list compares the cloud's list with the machines known.
-func (l *Loop) list() {
+// listMachines compares the cloud's list with the machines known.
+func (l *Loop) listMachines() {
 	begun := l.env.Clock.Now()
 	listed, err := l.env.Cloud.List(l.ended)
 	l.post(func() {
@@ -173,18 +173,18 @@
 			return
 		}
 		for _, page := range listed {
-			l.compareGone(page)
+			l.applyProvenGone(page)
 		}
-		l.compare(listed, now)
+		l.reconcileMachines(listed, now)
 	})
 }
 
 // listPause is the pause after a reading of the cloud's list that took a time.
 func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
 
-// compareGone takes in which machines the list proves to be gone, with all that was on them: a quarter of
+// applyProvenGone takes in which machines the list proves to be gone, with all that was on them: a quarter of
 // those that the cloud takes back go without a word, and their tasks waited for their leases.
-func (l *Loop) compareGone(page cloud.ListPage) {
+func (l *Loop) applyProvenGone(page cloud.ListPage) {
 	var gone []string
 	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
 		if m := l.machines.Machines[name]; !m.Returning { // that one's deletion will tell
@@ -193,11 +193,11 @@
 	}
 	if len(gone) > 0 {
 		l.log.Info("machines taken", "machines", gone)
-		l.lost(gone)
+		l.markMachinesLost(gone)
 	}
 }
 
-func (l *Loop) compare(pages []cloud.ListPage, now time.Time) {
+func (l *Loop) reconcileMachines(pages []cloud.ListPage, now time.Time) {
 	var listed []wire.ListedMachine
 	for _, p := range pages {
 		listed = append(listed, p.Machines...)
@@ -230,7 +230,7 @@
 	if len(failed) > 0 {
 		l.log.Info("machines failed", "machines", failed)
 		// A failed machine has stopped by itself, with all that was on it.
-		l.lost(failed)
+		l.markMachinesLost(failed)
 		l.deleteMachines(failed)
 	}
 	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
--- a/internal/scheduler/leader/scale_test.go
+++ b/internal/scheduler/leader/scale_test.go
@@ -12,10 +12,10 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// atScale makes a leader with 400 full machines that run the tasks of 260
+// newLoopAtScale makes a leader with 400 full machines that run the tasks of 260
 // services and arrays, while 40 large arrays wait.
-func atScale(t testing.TB) (*Loop, []*wire.Heartbeat) {
-	l, clock := leaderWith(t)
+func newLoopAtScale(t testing.TB) (*Loop, []*wire.Heartbeat) {
+	l, clock := newTestLoop(t)
 	now := clock.Now()
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
 	l.writing = true // nothing is stored: that is another's work
@@ -32,7 +32,7 @@
 	}
 	next := 0
 	for i := range 300 {
-		j := l.waits(t, wire.Job{
+		j := l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 40,
 			CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1.5, Spot: true,
 		})
@@ -48,15 +48,15 @@
 	return l, reports
 }
 
-// BenchmarkReport is what one report costs the leader at 400 machines, when it
+// BenchmarkHeartbeatAndSchedule is what one report costs the leader at 400 machines, when it
 // changes something and a pass follows.
-func BenchmarkReport(b *testing.B) {
-	l, reports := atScale(b)
+func BenchmarkHeartbeatAndSchedule(b *testing.B) {
+	l, reports := newLoopAtScale(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		rep := reports[i%len(reports)]
 		rep.Seq++
-		if _, err := l.take(rep, false); err != nil {
+		if _, err := l.handleHeartbeat(rep, false); err != nil {
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
@@ -66,14 +66,14 @@
 
 // Guards against a pass whose work grows with machines times jobs: it has a
 // fixed number of allocations for each machine and each job.
-func TestAPassAtScaleTakesFewAllocations(t *testing.T) {
-	l, reports := atScale(t)
+func TestSchedulingCycleAllocationsGrowLinearly(t *testing.T) {
+	l, reports := newLoopAtScale(t)
 	i := 0
 	got := testing.AllocsPerRun(20, func() {
 		rep := reports[i%len(reports)]
 		i++
 		rep.Seq++
-		if _, err := l.take(rep, false); err != nil {
+		if _, err := l.handleHeartbeat(rep, false); err != nil {
 			t.Fatal(err)
 		}
 		l.schedule(l.env.Clock.Now())
@@ -85,8 +85,8 @@
 
 // Guards against hundreds of reports a second that have a pass each: a pass
 // is followed by a rest as many times as long.
-func TestPassesRest(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestPauseAfterSchedulingCycle(t *testing.T) {
+	l, clock := newTestLoop(t)
 	begun := clock.Now()
 	clock.Advance(3 * time.Millisecond)
 	for _, least := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
@@ -99,16 +99,16 @@
 // Guards against limits made for hundreds of machines: the count of rented machines once
 // stopped at 1,000 while a hundred jobs waited. A hundred thousand tasks get their ten
 // thousand machines, each is placed and stored, and all that is rented is returned in the end.
-func TestNothingHoldsTenThousandMachinesBack(t *testing.T) {
+func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
 	const machines, jobsOf, tasks = 10_000, 10, 100_000
-	l, clock := leaderWith(t)
+	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
 	l.env.Settings.Cluster.State.TxnOps = 40
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a", "b", "c"}}}
 	l.env.Types = func() []wire.MachineType { return types }
 	for i := range jobsOf {
-		l.waits(t, wire.Job{
+		l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			Tasks: tasks / jobsOf, CPUs: 0.4, MemoryGB: 1, Image: "img",
 		})
@@ -118,15 +118,15 @@
 		if round > 2*machines/wire.MaxRent {
 			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", stored, tasks, len(l.machines.Machines), requests)
 		}
-		l.rent(clock.Now())
-		for name, w := range l.fleet.asked {
+		l.scaleOut(clock.Now())
+		for name, w := range l.fleet.pending {
 			requests++
 			var names []string
 			for range w.Count {
 				names = append(names, fmt.Sprintf("n-%06d", named))
 				named++
 			}
-			l.rented(name, w, names)
+			l.machinesRented(name, w, names)
 			for _, m := range names {
 				rep := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
 				if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
@@ -155,11 +155,11 @@
 	}
 	deletions := 0
 	for ; len(l.machines.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
-		l.fleet.deleting, l.fleet.doomed = false, nil // the one before is answered
-		l.returnMachines(clock.Now())
+		l.fleet.deleting, l.fleet.deleteQueue = false, nil // the one before is answered
+		l.scaleIn(clock.Now())
 		for _, m := range l.machines.Machines {
 			if m.Returning {
-				l.lost([]string{m.Name})
+				l.markMachinesLost([]string{m.Name})
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 
 // What memory allows is the bound, unless the operators say less.
 func TestMemoryBoundsTheFleet(t *testing.T) {
-	l, _ := leaderWith(t)
+	l, _ := newTestLoop(t)
 	if n := l.maxMachines(); n < 1e9 {
 		t.Errorf("%d without any bound", n)
 	}
@@ -184,14 +184,14 @@
 	}
 }
 
-// BenchmarkReportWithoutNews is what a report costs that changes nothing.
-func BenchmarkReportWithoutNews(b *testing.B) {
-	l, reports := atScale(b)
+// BenchmarkUnchangedHeartbeat is what a report costs that changes nothing.
+func BenchmarkUnchangedHeartbeat(b *testing.B) {
+	l, reports := newLoopAtScale(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		rep := reports[i%len(reports)]
 		rep.Seq++
-		if _, err := l.take(rep, false); err != nil {
+		if _, err := l.handleHeartbeat(rep, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scheduler/leader/served.go
+++ b/internal/scheduler/leader/served.go
@@ -12,26 +12,26 @@
 // it is among the largest tenth of its class's last ones, by the CPUs of all its tasks.
 type serviceLevels struct {
 	sizes map[string][]float64 // of the last jobs of a class, in the order in which they came
-	live  map[string]*presence
+	live  map[string]*liveJob
 }
 
-// presence is a live job.
-type presence struct{ large, begun bool }
+// liveJob is a live job.
+type liveJob struct{ large, begun bool }
 
 func newServiceLevels() serviceLevels {
-	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*presence{}}
+	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*liveJob{}}
 }
 
 // sizeName is how metrics call it.
-func (p *presence) sizeName() string {
+func (p *liveJob) sizeName() string {
 	if p.large {
 		return "largest"
 	}
 	return "other"
 }
 
-// came takes in a job, and tells how it stands.
-func (s *serviceLevels) came(j *jobs.Job) *presence {
+// jobArrived takes in a job, and tells how it stands.
+func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
 	if len(last) > tuning.SizesRemembered {
@@ -47,13 +47,13 @@
 			larger++
 		}
 	}
-	p := &presence{large: len(last) >= tuning.SizesMin && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
+	p := &liveJob{large: len(last) >= tuning.SizesMin && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
 	s.live[j.ID] = p
 	return p
 }
 
-// began takes in that a task of a job runs; first is nil unless it is the job's first.
-func (s *serviceLevels) began(j *jobs.Job) (first *presence) {
+// jobBegan takes in that a task of a job runs; first is nil unless it is the job's first.
+func (s *serviceLevels) jobBegan(j *jobs.Job) (first *liveJob) {
 	if p := s.live[j.ID]; p != nil && !p.begun {
 		p.begun = true
 		return p
@@ -61,10 +61,10 @@
 	return nil
 }
 
-func (s *serviceLevels) over(id string) { delete(s.live, id) }
+func (s *serviceLevels) jobFinished(id string) { delete(s.live, id) }
 
-// oldest gives for each class for how long its oldest job waits to begin, in seconds.
-func (l *Loop) oldest(now time.Time) map[string]float64 {
+// oldestWaits gives for each class for how long its oldest job waits to begin, in seconds.
+func (l *Loop) oldestWaits(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, j := range l.jobs.Jobs {
 		if j.CanStart() && j.Allocated+j.Done == 0 {
--- a/internal/scheduler/leader/sides_test.go
+++ b/internal/scheduler/leader/sides_test.go
@@ -12,8 +12,8 @@
 
 // Guards against jobs that are late since one long task went with its spot machine, while short tasks, which would
 // have ended in time all the same, ran on ordinary ones.
-func TestWhatWouldLoseMostIsTriedOnOrdinaryMachinesFirst(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestArraysThatWouldLoseMostPreferOnDemandMachines(t *testing.T) {
+	l, clock := newTestLoop(t)
 	now := clock.Now()
 	clear(l.machines.Machines)
 	for i := range 4 {
@@ -24,15 +24,15 @@
 		}
 	}
 	array := func(id string, estimate, checkpoint float64) *placement.PendingJob {
-		j := l.waits(t, wire.Job{
+		j := l.addPending(t, wire.Job{
 			ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 10, CPUs: 1, MemoryGB: 1, Spot: true,
 			EstimateS: estimate, CheckpointS: checkpoint,
 		})
 		return &placement.PendingJob{Job: &j.Job, WaitingSince: now, Waiting: 10}
 	}
 	short, long, saves := array("job-1", 40, 0), array("job-2", 150, 0), array("job-3", 150, 10)
-	if l.fleet.spotLimitS = l.spotLimit(); !math.IsInf(l.fleet.spotLimitS, 1) {
-		t.Errorf("nothing runs on ordinary machines, and the limit is %v", l.fleet.spotLimitS)
+	if l.fleet.spotLossLimitS = l.lossLimitOnSpot(); !math.IsInf(l.fleet.spotLossLimitS, 1) {
+		t.Errorf("nothing runs on ordinary machines, and the limit is %v", l.fleet.spotLossLimitS)
 	}
 	if l.preferKinds([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
 		t.Error("sides are taken where spot machines suffice")
@@ -41,16 +41,16 @@
 	for i := range 4 {
 		l.machines.AddAllocation(l.jobs.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
-	l.fleet.spotLimitS = l.spotLimit()
+	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
 	items := []*placement.PendingJob{short, long, saves}
 	l.preferKinds(items)
 	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
-		t.Errorf("sides %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLimitS)
+		t.Errorf("sides %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLossLimitS)
 	}
 	// Two long jobs have more than the share of ordinary machines: the longest is tried there.
 	longest := array("job-4", 160, 0)
-	l.fleet.spotLimitS = l.spotLimit()
+	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
 	if l.preferKinds([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
-		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLimitS)
+		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLossLimitS)
 	}
 }
--- a/internal/scheduler/leader/slices.go
+++ b/internal/scheduler/leader/slices.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// admitted is how many of a job's waiting tasks may start now.
-func (l *Loop) admitted(j *jobs.Job, now time.Time) (n int, why string) {
+// admissible is how many of a job's waiting tasks may start now.
+func (l *Loop) admissible(j *jobs.Job, now time.Time) (n int, why string) {
 	n = j.Waiting()
 	for _, s := range l.subsystems {
 		if may, reason := s.Admit(j, now); may < n {
@@ -98,8 +98,8 @@
 	return n, why
 }
 
-// look is how many waiting tasks of each job a pass or a plan may consider.
-func (l *Loop) look(waiting []*jobs.Job, now time.Time) []int {
+// startLimits is how many waiting tasks of each job a pass or a plan may consider.
+func (l *Loop) startLimits(waiting []*jobs.Job, now time.Time) []int {
 	counts := make([]int, len(waiting))
 	for i, j := range waiting {
 		counts[i] = j.Waiting()
@@ -114,9 +114,9 @@
 func (l *Loop) stepSubsystems(now time.Time) {
 	if !now.Before(l.nextSubsystems) {
 		l.nextSubsystems = now.Add(tuning.SubsystemTick)
-		l.env.observe(l.holds)
+		l.env.observe(l.reportStateSize)
 		for _, s := range l.subsystems {
-			l.direct(s.Tick(now))
+			l.sendCommands(s.Tick(now))
 		}
 	}
 	if l.subsystemWriting {
@@ -129,7 +129,7 @@
 	// Its keys are none of the book's, so the two need not wait for each other.
 	l.subsystemWriting = true
 	go func() {
-		revision, err := l.chained(w.Txn)
+		revision, err := l.commitChained(w.Txn)
 		switch {
 		case errors.Is(err, errDeposed) || l.ended.Err() != nil:
 			l.end(err)
@@ -158,8 +158,8 @@
 // that was registered anew lost its parts. The link of the chain that it was made for is gone by then.
 const keyLink = "aside/link"
 
-// link is what the loop knows of that record; whoever commits owns it.
-type link struct {
+// transactionChain is what the loop knows of that record; whoever commits owns it.
+type transactionChain struct {
 	known   bool   // version is what is stored
 	version uint64 // 0: there is none yet
 	n       uint64 // of transactions in this tenure
@@ -171,24 +171,24 @@
 	N    uint64 `json:"n"`
 }
 
-// chained commits a subsystem's transaction as the next link. One is on its way at a time.
-func (l *Loop) chained(t wire.Txn) (revision uint64, err error) {
-	for pause := tuning.StateRetry; !l.link.known; pause = min(2*pause, tuning.StateRetryMax) {
+// commitChained commits a subsystem's transaction as the next link. One is on its way at a time.
+func (l *Loop) commitChained(t wire.Txn) (revision uint64, err error) {
+	for pause := tuning.StateRetry; !l.chain.known; pause = min(2*pause, tuning.StateRetryMax) {
 		item, _, err := l.store.Get(l.ended, keyLink)
 		if err == nil {
-			l.link.known, l.link.version = true, item.Version
+			l.chain.known, l.chain.version = true, item.Version
 			break
 		}
 		if l.env.sleep(l.ended, pause); l.ended.Err() != nil {
 			return 0, err
 		}
 	}
-	l.link.n++
+	l.chain.n++
 	revision, err = l.commit(wire.Txn{
-		If:   append([]wire.Condition{{Key: keyLink, Version: l.link.version}}, t.If...),
-		Then: append([]wire.Change{{Put: keyLink, Value: wire.Value(linkRecord{l.tenure.Term, l.link.n})}}, t.Then...),
+		If:   append([]wire.Condition{{Key: keyLink, Version: l.chain.version}}, t.If...),
+		Then: append([]wire.Change{{Put: keyLink, Value: wire.Value(linkRecord{l.leadership.Term, l.chain.n})}}, t.Then...),
 	}, nil)
-	l.link.known, l.link.version = err == nil, revision
+	l.chain.known, l.chain.version = err == nil, revision
 	return revision, err
 }
 
@@ -210,32 +210,32 @@
 
 // Query answers a question, or 404. The answer is JSON.
 func (l *Loop) Query(ctx context.Context, uri string) (status int, body any, err error) {
-	r, err := ask(ctx, l, func(answer func(shown)) {
+	r, err := ask(ctx, l, func(answer func(queryResponse)) {
 		now := l.env.Clock.Now()
 		if !l.loaded {
-			answer(shown{http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"}})
+			answer(queryResponse{http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"}})
 			return
 		}
-		if id, ok := jobOf(uri, wire.EndWhy); ok {
+		if id, ok := jobIDFromPath(uri, wire.EndWhy); ok {
 			status, body := l.explain(id, now)
-			answer(shown{status, body})
+			answer(queryResponse{status, body})
 			return
 		}
 		for _, s := range l.subsystems {
 			if status, body, ok := s.Query(uri, now); ok {
-				answer(shown{status, body})
+				answer(queryResponse{status, body})
 				return
 			}
 		}
-		answer(shown{http.StatusNotFound, wire.Error{Error: "nothing is known by that path here"}})
+		answer(queryResponse{http.StatusNotFound, wire.Error{Error: "nothing is known by that path here"}})
 	})
 	return r.status, r.body, err
 }
 
 // Command has a subsystem carry out a command. The answer is JSON.
 func (l *Loop) Command(ctx context.Context, c Command) (status int, body any, err error) {
-	r, err := ask(ctx, l, func(answer func(shown)) {
-		tell := func(status int, body any) { answer(shown{status, body}) }
+	r, err := ask(ctx, l, func(answer func(queryResponse)) {
+		tell := func(status int, body any) { answer(queryResponse{status, body}) }
 		if !l.loaded {
 			tell(http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"})
 			return
@@ -251,19 +251,19 @@
 	return r.status, r.body, err
 }
 
-// shown is an answer of a subsystem.
-type shown struct {
+// queryResponse is an answer of a subsystem.
+type queryResponse struct {
 	status int
 	body   any
 }
 
-// holds tells an observer what the loop holds.
-func (l *Loop) holds(o Observer) {
+// reportStateSize tells an observer what the loop holds.
+func (l *Loop) reportStateSize(o Observer) {
 	waiting := map[string]int{}
 	for _, j := range l.jobs.Jobs {
 		if j.CanStart() {
 			waiting[j.Class] += j.Waiting()
 		}
 	}
-	o.StateSize(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldest(l.env.Clock.Now()))
+	o.StateSize(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldestWaits(l.env.Clock.Now()))
 }
--- a/internal/scheduler/leader/slices_test.go
+++ b/internal/scheduler/leader/slices_test.go
@@ -8,19 +8,19 @@
 	"poppypass/internal/platform/wire"
 )
 
-// busySlice always has something to write, and knows one command.
-type busySlice struct {
+// busySubsystem always has something to write, and knows one command.
+type busySubsystem struct {
 	Subsystem
 	name  string
 	asked int
 }
 
-func (s *busySlice) NextWrite(time.Time, int) *SubsystemWrite {
+func (s *busySubsystem) NextWrite(time.Time, int) *SubsystemWrite {
 	s.asked++
 	return &SubsystemWrite{Txn: wire.Txn{Then: []wire.Change{{Put: s.name}}}}
 }
 
-func (s *busySlice) Command(c Command, _ time.Time, answer func(int, any)) bool {
+func (s *busySubsystem) Command(c Command, _ time.Time, answer func(int, any)) bool {
 	if c.URI != "/"+s.name {
 		return false
 	}
@@ -31,8 +31,8 @@
 // Guards against a subsystem that always has something to write and holds up the others, and
 // against one whose records cannot be stored and stops them all.
 func TestSubsystemsTakeTurns(t *testing.T) {
-	l, clock := leaderWith(t)
-	a, b := &busySlice{name: "a"}, &busySlice{name: "b"}
+	l, clock := newTestLoop(t)
+	a, b := &busySubsystem{name: "a"}, &busySubsystem{name: "b"}
 	l.subsystems = []Subsystem{a, b}
 	for range 10 {
 		if _, w := l.nextWrite(clock.Now(), 10); w == nil {
@@ -51,8 +51,8 @@
 }
 
 func TestCommandsFindTheirSubsystem(t *testing.T) {
-	l, _ := leaderWith(t)
-	l.subsystems = []Subsystem{&busySlice{name: "a"}, &busySlice{name: "b"}}
+	l, _ := newTestLoop(t)
+	l.subsystems = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
 	for uri, want := range map[string]int{"/a": http.StatusOK, "/b": http.StatusOK, "/c": http.StatusNotFound} {
 		got := make(chan int, 1)
 		go func() {
--- a/internal/scheduler/leader/slow_test.go
+++ b/internal/scheduler/leader/slow_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a machine that runs everything three times slower and gets tasks for ever, and against machines
 // that are given up since the ends of their tasks were seen late, as after a cut.
-func TestASlowMachineIsGivenUp(t *testing.T) {
+func TestSlowMachineIsUnhealthy(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		ran   time.Duration
@@ -23,20 +23,20 @@
 		{"seen late", 180 * time.Second, 120 * time.Second, false, false},
 		{"slower than another type", 180 * time.Second, time.Second, true, false},
 	} {
-		l, clock := leaderWith(t)
+		l, clock := newTestLoop(t)
 		for _, m := range l.machines.Machines {
 			m.Type = "large"
 		}
 		if c.other {
 			l.machines.Machines["n-small"].Type = "small"
 		}
-		j := l.waits(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
+		j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
 		ends := func(i int, machine string, ran, late time.Duration) {
 			p := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
 			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
 			l.machines.AddAllocation(p, clock.Now())
 			clock.Advance(ran)
-			l.settle([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
+			l.applyOutcomes([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
 		}
 		for i := range 8 {
 			ends(i, "n-small", 60*time.Second, time.Second)
--- a/internal/scheduler/leader/spot.go
+++ b/internal/scheduler/leader/spot.go
@@ -11,10 +11,10 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// drainSpot empties a machine that the cloud will soon take: tasks that can
+// drainInterrupted empties a machine that the cloud will soon take: tasks that can
 // save do so at once, those that are worth waiting for run on until shortly before the end, and
 // the others move at once.
-func (l *Loop) drainSpot(m *machines.Machine, now time.Time) {
+func (l *Loop) drainInterrupted(m *machines.Machine, now time.Time) {
 	left := m.InterruptionAt.Sub(now)
 	var stopped []*jobs.Allocation
 	for _, p := range m.Allocations {
@@ -25,19 +25,19 @@
 		switch {
 		case p.State == wire.TaskRunning && j.CheckpointS > 0:
 			p.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), Reason: charge.Drained}
-		case p.State == wire.TaskRunning && mayEnd(p.Job, now.Sub(p.RunningSince), left-tuning.InterruptionStopLead):
+		case p.State == wire.TaskRunning && worthRunningOn(p.Job, now.Sub(p.RunningSince), left-tuning.InterruptionStopLead):
 			continue
 		default:
 			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 		}
 		stopped = append(stopped, p)
 	}
-	l.direct(stopped)
+	l.sendCommands(stopped)
 }
 
-// stepLeaving looks after the machines that the cloud will soon take: what did not end by itself is stopped just
+// stepInterruptions looks after the machines that the cloud will soon take: what did not end by itself is stopped just
 // before, so that it can be started elsewhere at once rather than when the machine is known to be gone.
-func (l *Loop) stepLeaving(now time.Time) {
+func (l *Loop) stepInterruptions(now time.Time) {
 	for name := range l.leaving {
 		m := l.machines.Machines[name]
 		switch {
@@ -45,15 +45,15 @@
 			delete(l.leaving, name)
 		case m.InterruptionAt.Sub(now) <= tuning.InterruptionStopLead:
 			delete(l.leaving, name)
-			l.drainSpot(m, now)
+			l.drainInterrupted(m, now)
 		}
 	}
 }
 
-// mayEnd tells whether a task that cannot save is better left to run on for as long as its machine is there: the
+// worthRunningOn tells whether a task that cannot save is better left to run on for as long as its machine is there: the
 // run that would be saved, if it ends in time, against the time that is lost if it does not. Its run time is
 // taken to lie around what is expected of its job, given that it ran for so long already.
-func mayEnd(j *jobs.Job, ran, left time.Duration) bool {
+func worthRunningOn(j *jobs.Job, ran, left time.Duration) bool {
 	expectS, seen := j.ExpectedRunS()
 	if expectS <= 0 || left <= 0 {
 		return false
--- a/internal/scheduler/leader/spot_test.go
+++ b/internal/scheduler/leader/spot_test.go
@@ -11,28 +11,28 @@
 
 // Guards against tasks that were stopped half a minute before their machine was taken, though half of
 // them would have ended by then, and against others that go with it and are missed until its lease ends.
-func TestATaskRunsOnUntilShortlyBeforeItsMachineIsTaken(t *testing.T) {
-	l, clock := leaderWith(t)
+func TestTaskRunsUntilShortlyBeforeInterruption(t *testing.T) {
+	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	p := l.runs(t, "job-1", m.Name, 1)
+	p := l.addRunning(t, "job-1", m.Name, 1)
 	p.Job.EstimateS, p.RunningSince = 60, clock.Now().Add(-50*time.Second)
 	m.InterruptionAt = clock.Now().Add(25 * time.Second)
 	l.leaving[m.Name] = true
-	l.drainSpot(m, clock.Now())
+	l.drainInterrupted(m, clock.Now())
 	if p.Stop != nil {
 		t.Fatal("stopped at the notice")
 	}
 	clock.Advance(25*time.Second - tuning.InterruptionStopLead - time.Second)
-	if l.stepLeaving(clock.Now()); p.Stop != nil {
+	if l.stepInterruptions(clock.Now()); p.Stop != nil {
 		t.Fatal("stopped before the last call")
 	}
 	clock.Advance(time.Second)
-	if l.stepLeaving(clock.Now()); p.Stop == nil || len(l.leaving) != 0 {
+	if l.stepInterruptions(clock.Now()); p.Stop == nil || len(l.leaving) != 0 {
 		t.Error("not stopped before its machine is taken")
 	}
 }
 
-func TestMayEnd(t *testing.T) {
+func TestWorthRunningOn(t *testing.T) {
 	for _, c := range []struct {
 		estimate float64
 		ran      time.Duration
@@ -47,7 +47,7 @@
 		{60, 50 * time.Second, 0, false},
 		{0, 50 * time.Second, 22 * time.Second, false}, // a service
 	} {
-		if got := mayEnd(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.left); got != c.want {
+		if got := worthRunningOn(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.left); got != c.want {
 			t.Errorf("estimate %v s, ran %v, %v left: %v", c.estimate, c.ran, c.left, got)
 		}
 	}
--- a/internal/scheduler/leader/tasks.go
+++ b/internal/scheduler/leader/tasks.go
@@ -15,9 +15,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// direct tells machines at once what was decided for some places, rather than
+// sendCommands tells machines at once what was decided for some places, rather than
 // wait for their next reports. The reports' answers repeat it.
-func (l *Loop) direct(places []*jobs.Allocation) {
+func (l *Loop) sendCommands(places []*jobs.Allocation) {
 	byMachine := map[string][]*jobs.Allocation{}
 	now := l.env.Clock.Now()
 	for _, p := range places {
@@ -31,11 +31,11 @@
 		if req == nil {
 			continue
 		}
-		go l.send(name, addr, req)
+		go l.sendCommandsTo(name, addr, req)
 	}
 }
 
-func (l *Loop) send(name, addr string, req *wire.DirectCommands) {
+func (l *Loop) sendCommandsTo(name, addr string, req *wire.DirectCommands) {
 	begun := l.env.Clock.Now()
 	ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
 	defer cancel()
@@ -46,16 +46,16 @@
 		case <-ctx.Done():
 		}
 	}
-	if ctx.Err() != nil || !l.env.Valid(l.tenure.Term) {
+	if ctx.Err() != nil || !l.env.Valid(l.leadership.Term) {
 		l.post(func() { l.machines.CommandsAnswered(name, req) }) // it was never sent
 		return
 	}
-	rep, err := l.command(ctx, name, addr, req)
+	rep, err := l.callWorker(ctx, name, addr, req)
 	if err == nil {
 		l.post(func() {
 			l.machines.CommandsAnswered(name, req)
-			l.probing.heard(l.env.Clock.Now())
-			if _, err := l.take(rep, true); err != nil {
+			l.probing.commandAnswered(l.env.Clock.Now())
+			if _, err := l.handleHeartbeat(rep, true); err != nil {
 				l.log.Debug("answer to commands not used", "machine", name, "err", err)
 			}
 		})
@@ -67,7 +67,7 @@
 			m.UnansweredAt = begun
 			m.Reachability.NoteFailed(begun, l.env.Clock.Now())
 		}
-		l.probing.unheard(name)
+		l.probing.commandUnanswered(name)
 	})
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -78,8 +78,8 @@
 	l.post(func() { l.machines.CommandsUnanswered(name, begun) })
 }
 
-// command sends a machine commands and gives the report that it answers with, carried out or not.
-func (l *Loop) command(ctx context.Context, name, addr string, req *wire.DirectCommands) (*wire.Heartbeat, error) {
+// callWorker sends a machine commands and gives the report that it answers with, carried out or not.
+func (l *Loop) callWorker(ctx context.Context, name, addr string, req *wire.DirectCommands) (*wire.Heartbeat, error) {
 	var rep wire.Heartbeat
 	answers := func(status int) bool { return status == http.StatusOK || status == http.StatusConflict }
 	status, err := httpjson.Call(ctx, l.env.Workers, http.MethodPost, "http://"+addr+wire.PathCommands, req, func(status int) any {
@@ -108,7 +108,7 @@
 	begun := l.env.Clock.Now()
 	defer func() { l.env.observe(func(o Observer) { o.HeartbeatHandled(l.env.Clock.Since(begun)) }) }()
 	r, err := ask(ctx, l, func(answer func(result)) {
-		commands, err := l.take(rep, false)
+		commands, err := l.handleHeartbeat(rep, false)
 		answer(result{commands, err})
 	})
 	if err != nil {
@@ -117,20 +117,20 @@
 	return r.commands, r.err
 }
 
-func (l *Loop) take(rep *wire.Heartbeat, direct bool) ([]wire.Command, error) {
+func (l *Loop) handleHeartbeat(rep *wire.Heartbeat, direct bool) ([]wire.Command, error) {
 	now := l.env.Clock.Now()
 	if !l.loaded {
 		// Nothing can be concluded yet, but the lease can be kept: what the
 		// machine holds is counted from the records once they are in. The
 		// lease that this answer renews runs at most from now.
 		if !direct {
-			l.begun = now
+			l.startedAt = now
 		}
 		return nil, nil
 	}
 	a, err := l.machines.Heartbeat(rep, direct, now, l.mayForget)
 	if err != nil {
-		l.setAside(rep, err)
+		l.rejectHeartbeat(rep, err)
 		return nil, err
 	}
 	if len(a.RetainedExits) > tuning.UnrecordedExits {
@@ -142,15 +142,15 @@
 	}
 	for _, p := range a.Started {
 		l.jobs.MarkRunning(p, now)
-		if first := l.levels.began(p.Job); first != nil {
+		if first := l.levels.jobBegan(p.Job); first != nil {
 			l.env.observe(func(o Observer) { o.JobBegan(p.Job.Class, p.Job.Team, first.sizeName(), now.Sub(p.Job.EnqueuedAt)) })
 		}
 	}
-	l.settle(a.Outcomes, now)
-	l.recall(a.Machine)
+	l.applyOutcomes(a.Outcomes, now)
+	l.recallImages(a.Machine)
 	if a.Machine.InterruptionAt.After(now) {
 		l.leaving[a.Machine.Name] = true
-		l.drainSpot(a.Machine, now)
+		l.drainInterrupted(a.Machine, now)
 	}
 	l.changed = l.changed || a.Changed
 	return a.Commands, nil
@@ -167,8 +167,8 @@
 	return l.jobs.Persisted(j, k.Task.Index)
 }
 
-// settle takes in how tasks ended in their places.
-func (l *Loop) settle(outs []machines.Outcome, now time.Time) {
+// applyOutcomes takes in how tasks ended in their places.
+func (l *Loop) applyOutcomes(outs []machines.Outcome, now time.Time) {
 	for _, o := range outs {
 		p := o.Allocation
 		if p.Removed {
@@ -183,13 +183,13 @@
 		m := l.machines.Machines[p.Machine]
 		if o.Reason == wire.ExitDone {
 			l.jobs.MarkDone(p, now)
-			l.completed(p, m, o.NotRunningAt, now)
+			l.taskCompleted(p, m, o.NotRunningAt, now)
 			continue
 		}
 		l.jobs.MarkLost(p, now)
 		switch o.Reason {
 		case wire.ExitError:
-			l.failed(p, now)
+			l.taskFailed(p, now)
 		case wire.ExitNoRoom:
 			// Something that we do not see takes room there; ask again later.
 			if m != nil {
--- a/internal/scheduler/leader/ways.go
+++ b/internal/scheduler/leader/ways.go
@@ -23,29 +23,29 @@
 
 // probing is what the loop keeps of that.
 type probing struct {
-	next    time.Time
-	limit   *rate.Limiter // questions
-	onWay   int
-	most    int             // machines that were to be asked at a time, at the most since there were none
-	unmet   map[string]bool // machines that left a command unanswered since any was answered
-	met     time.Time       // when any was answered last; zero: none yet
-	probing bool            // the other members are being asked
-	again   time.Time       // they are not asked before
+	next          time.Time
+	limit         *rate.Limiter // questions
+	inFlight      int
+	mostSuspects  int             // machines that were to be asked at a time, at the most since there were none
+	unanswered    map[string]bool // machines that left a command unanswered since any was answered
+	lastAnswered  time.Time       // when any was answered last; zero: none yet
+	askingPeers   bool            // the other members are being asked
+	nextPeerProbe time.Time       // they are not asked before
 }
 
 func newProbing() probing {
-	return probing{limit: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unmet: map[string]bool{}}
+	return probing{limit: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unanswered: map[string]bool{}}
 }
 
-func (w *probing) heard(now time.Time) {
-	w.met = now
-	clear(w.unmet)
+func (w *probing) commandAnswered(now time.Time) {
+	w.lastAnswered = now
+	clear(w.unanswered)
 }
 
-func (w *probing) unheard(machine string) { w.unmet[machine] = true }
+func (w *probing) commandUnanswered(machine string) { w.unanswered[machine] = true }
 
-// setAside counts a report that changes nothing.
-func (l *Loop) setAside(rep *wire.Heartbeat, err error) {
+// rejectHeartbeat counts a report that changes nothing.
+func (l *Loop) rejectHeartbeat(rep *wire.Heartbeat, err error) {
 	why := "older"
 	switch {
 	case errors.Is(err, machines.ErrReturned):
@@ -57,31 +57,31 @@
 	l.log.Debug("report set aside", "machine", rep.Machine, "why", why, "session", rep.Incarnation, "seq", rep.Seq)
 }
 
-// outOfReach tells whether no command is likely to get to a machine now.
-func (l *Loop) outOfReach(m *machines.Machine, now time.Time) bool {
+// unreachable tells whether no command is likely to get to a machine now.
+func (l *Loop) unreachable(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
-// askAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
+// probeAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
 // another controller.
-func (l *Loop) askAfter() time.Duration {
+func (l *Loop) probeAfter() time.Duration {
 	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.ReportS) + tuning.WorkerTry
 }
 
-// doubts tells whether there is reason to ask a machine, the more pressing the lower.
-func (l *Loop) doubts(m *machines.Machine, now time.Time) (rank int, ok bool) {
+// probeRank tells whether there is reason to ask a machine, the more pressing the lower.
+func (l *Loop) probeRank(m *machines.Machine, now time.Time) (rank int, ok bool) {
 	deaf, heard := m.Reachability.Unreachable(), m.LastHeartbeat
-	if heard.Before(l.begun) {
-		heard = l.begun
+	if heard.Before(l.startedAt) {
+		heard = l.startedAt
 	}
 	switch {
 	case m.Reachability.Suspect() && !deaf:
 		return 0, true
 	case m.SuspectCopy:
 		return 1, true
-	case m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(heard) > l.askAfter():
+	case m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(heard) > l.probeAfter():
 		return 2, true
-	case deaf, m.FencingToken > l.tenure.Term:
+	case deaf, m.FencingToken > l.leadership.Term:
 		return 3, true
 	}
 	return 0, false
@@ -89,7 +89,7 @@
 
 // stepProbing asks the machines of which there is doubt, a few at a time.
 func (l *Loop) stepProbing(now time.Time) {
-	if now.Before(l.probing.next) || !l.env.Valid(l.tenure.Term) {
+	if now.Before(l.probing.next) || !l.env.Valid(l.leadership.Term) {
 		return
 	}
 	l.probing.next = now.Add(tuning.SubsystemTick)
@@ -109,24 +109,24 @@
 		if m.Alive() && !m.Reachability.EverAcknowledged() {
 			unproven++
 		}
-		if rank, ok := l.doubts(m, now); ok && m.Reachability.ProbeDue(now) {
+		if rank, ok := l.probeRank(m, now); ok && m.Reachability.ProbeDue(now) {
 			doubts = append(doubts, doubt{m, rank})
 		}
 	}
 	l.env.observe(func(o Observer) { o.Reachability(deaf, unproven) })
 	slices.SortFunc(doubts, func(a, b doubt) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.m.Name, b.m.Name)) })
 	// Not by those that are left: the last of them would be asked ever more slowly.
-	if l.probing.most = max(l.probing.most, len(doubts)); len(doubts) == 0 {
-		l.probing.most = 0
+	if l.probing.mostSuspects = max(l.probing.mostSuspects, len(doubts)); len(doubts) == 0 {
+		l.probing.mostSuspects = 0
 	}
-	most := l.probesAtOnce(l.probing.most)
+	most := l.probesAtOnce(l.probing.mostSuspects)
 	for _, d := range doubts {
-		if l.probing.onWay >= most || !l.probing.limit.AllowN(now, 1) {
+		if l.probing.inFlight >= most || !l.probing.limit.AllowN(now, 1) {
 			break
 		}
 		l.probe(d.m, now)
 	}
-	l.stepAside(now)
+	l.stepDownIfUnheard(now)
 }
 
 // probesAtOnce gives how many questions may be on their way when so many machines are to be asked: enough to ask them
@@ -145,19 +145,19 @@
 		return
 	}
 	m.Reachability.ProbeSent(now)
-	l.probing.onWay++
+	l.probing.inFlight++
 	name := m.Name
 	go func() {
 		ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
 		defer cancel()
-		rep, err := l.command(ctx, name, addr, req)
+		rep, err := l.callWorker(ctx, name, addr, req)
 		l.post(func() { l.probeAnswered(name, mark, rep, err) })
 	}()
 }
 
 // probeAnswered takes in how a question to a machine ended: its report, or why there is none.
 func (l *Loop) probeAnswered(name string, mark machines.MessageMark, rep *wire.Heartbeat, err error) {
-	l.probing.onWay--
+	l.probing.inFlight--
 	m, now := l.machines.Machines[name], l.env.Clock.Now()
 	if m == nil {
 		return
@@ -166,13 +166,13 @@
 	if err != nil {
 		was := m.Reachability.Unreachable()
 		m.Reachability.NoteFailed(mark.Sent, now)
-		l.probing.unheard(name)
+		l.probing.commandUnanswered(name)
 		if m.Reachability.Unreachable() && !was {
 			l.log.Info("machine reports, but does not hear us", "machine", name, "zone", m.Zone, "tasks", len(m.Allocations))
 		}
 		return
 	}
-	l.probing.heard(now)
+	l.probing.commandAnswered(now)
 	switch l.machines.JudgeRestart(m, mark, rep) {
 	case machines.Ambiguous:
 		m.SuspectCopy = true
@@ -189,48 +189,48 @@
 		return
 	case machines.ProcessRestarted:
 		l.log.Info("machine was started anew", "machine", name, "session", rep.Incarnation, "tasks", len(m.Allocations))
-		l.settle(l.machines.AcceptRestart(m, rep, now), now)
+		l.applyOutcomes(l.machines.AcceptRestart(m, rep, now), now)
 		l.changed = true
 		return
 	}
-	if _, err := l.take(rep, true); err != nil {
+	if _, err := l.handleHeartbeat(rep, true); err != nil {
 		l.log.Debug("answer to a question not used", "machine", name, "err", err)
 	}
 	m.SuspectCopy = false // also if a report overtook the answer
 }
 
-// stepAside leaves the leadership to another member if no worker answers this one, though their reports come, and
+// stepDownIfUnheard leaves the leadership to another member if no worker answers this one, though their reports come, and
 // another member reaches them: then it is this one's own way that is cut.
-func (l *Loop) stepAside(now time.Time) {
+func (l *Loop) stepDownIfUnheard(now time.Time) {
 	w := &l.probing
-	met := w.met
-	if met.Before(l.begun) {
-		met = l.begun
+	met := w.lastAnswered
+	if met.Before(l.startedAt) {
+		met = l.startedAt
 	}
-	if l.env.ProbeWorkers == nil || w.probing || now.Before(w.again) || len(w.unmet) < tuning.UnheardMachines || now.Sub(met) < tuning.UnheardFor {
+	if l.env.ProbeWorkers == nil || w.askingPeers || now.Before(w.nextPeerProbe) || len(w.unanswered) < tuning.UnheardMachines || now.Sub(met) < tuning.UnheardFor {
 		return
 	}
 	var addrs []string
-	for name := range w.unmet {
+	for name := range w.unanswered {
 		m := l.machines.Machines[name]
 		if m == nil {
-			delete(w.unmet, name)
+			delete(w.unanswered, name)
 			continue
 		}
 		// One that is dead reports to nobody, and is no reason.
-		if m.Address != "" && now.Sub(m.LastHeartbeat) <= l.silence() && len(addrs) < tuning.UnheardMachines {
+		if m.Address != "" && now.Sub(m.LastHeartbeat) <= l.maxSilence() && len(addrs) < tuning.UnheardMachines {
 			addrs = append(addrs, m.Address)
 		}
 	}
 	if len(addrs) < tuning.UnheardMachines {
 		return
 	}
-	w.probing, w.again = true, now.Add(tuning.UnheardFor)
+	w.askingPeers, w.nextPeerProbe = true, now.Add(tuning.UnheardFor)
 	go func() {
 		reached := l.env.ProbeWorkers(l.ended, addrs)
 		l.post(func() {
-			w.probing = false
-			if reached && len(w.unmet) >= tuning.UnheardMachines {
+			w.askingPeers = false
+			if reached && len(w.unanswered) >= tuning.UnheardMachines {
 				l.end(ErrUnreachable)
 			}
 		})
--- a/internal/scheduler/leader/ways_test.go
+++ b/internal/scheduler/leader/ways_test.go
@@ -16,8 +16,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// answering has a worker that answers direct commands as fn says; nil: it does not answer.
-func answering(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
+// newAnsweringWorker has a worker that answers direct commands as fn says; nil: it does not answer.
+func newAnsweringWorker(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req wire.DirectCommands
 		if json.NewDecoder(r.Body).Decode(&req) != nil || req.Commands == nil {
@@ -38,10 +38,10 @@
 	return srv.Listener.Addr().String()
 }
 
-// asks has the loop ask whom it doubts, and takes in what comes of it.
-func (l *Loop) asks() {
+// probeAll has the loop ask whom it doubts, and takes in what comes of it.
+func (l *Loop) probeAll() {
 	l.probing.next = time.Time{}
-	for l.stepProbing(l.env.Clock.Now()); l.probing.onWay > 0; {
+	for l.stepProbing(l.env.Clock.Now()); l.probing.inFlight > 0; {
 		select {
 		case fn := <-l.inbox:
 			fn()
@@ -51,26 +51,26 @@
 	}
 }
 
-// heardBy makes a leader in the middle of its tenure and a machine at an address that reported to it.
-func heardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, rep *wire.Heartbeat, pass func(time.Duration)) {
+// newLoopHeardBy makes a leader in the middle of its tenure and a machine at an address that reported to it.
+func newLoopHeardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, rep *wire.Heartbeat, pass func(time.Duration)) {
 	l, pass = twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
 	rep = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-	l.takes(t, rep)
+	l.mustHandle(t, rep)
 	return l, l.machines.Machines["n-9"], rep, pass
 }
 
-func (l *Loop) takes(t *testing.T, rep *wire.Heartbeat) []wire.Command {
+func (l *Loop) mustHandle(t *testing.T, rep *wire.Heartbeat) []wire.Command {
 	t.Helper()
 	c := *rep
-	commands, err := l.take(&c, false)
+	commands, err := l.handleHeartbeat(&c, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return commands
 }
 
-func (l *Loop) opens(name string) bool {
+func (l *Loop) isOpen(name string) bool {
 	for _, v := range l.openMachines(l.env.Clock.Now()) {
 		if v.Name == name {
 			return true
@@ -81,78 +81,78 @@
 
 // Guards against the most attractive machine of all: it reports, looks empty, and whatever is placed there is lost with its
 // session, since no answer or command gets to it.
-func TestAMachineThatDoesNotHearUsGetsNothing(t *testing.T) {
+func TestMachineBehindOneWayPartitionGetsNoWork(t *testing.T) {
 	hears := false
 	var rep *wire.Heartbeat
-	addr := answering(t, func(wire.DirectCommands) *wire.Heartbeat {
+	addr := newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat {
 		if !hears {
 			return nil
 		}
 		rep.Seq++
 		return rep
 	})
-	l, m, r, pass := heardBy(t, addr)
+	l, m, r, pass := newLoopHeardBy(t, addr)
 	rep = r
-	p := l.runs(t, "job-9", "n-9", 1)
+	p := l.addRunning(t, "job-9", "n-9", 1)
 	p.State, p.RunningSince = "", time.Time{}
 	for range 2 { // the answer to the first holds the start, the second does not show it
 		pass(time.Second)
 		rep.Seq++
-		if cmds := l.takes(t, rep); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
+		if cmds := l.mustHandle(t, rep); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 			t.Fatalf("commands %v", cmds)
 		}
 	}
-	if !l.opens("n-9") {
+	if !l.isOpen("n-9") {
 		t.Error("given up for one answer that may have been slow")
 	}
-	l.asks()
-	if l.opens("n-9") || len(m.Allocations) != 1 {
-		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.opens("n-9"))
+	l.probeAll()
+	if l.isOpen("n-9") || len(m.Allocations) != 1 {
+		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.isOpen("n-9"))
 	}
-	if cut := l.cutZones(l.env.Clock.Now()); len(cut) != 0 {
+	if cut := l.partitionedZones(l.env.Clock.Now()); len(cut) != 0 {
 		t.Errorf("one machine is no zone: %v", cut)
 	}
 	tries := p.Job.FailedWaves
 	// Its session ends since no answer reached it: the task is proven gone, and wanted elsewhere.
 	pass(time.Second)
 	rep.Incarnation, rep.Seq = 2, rep.Seq+1
-	l.takes(t, rep)
+	l.mustHandle(t, rep)
 	if !p.Removed || p.Job.FailedWaves != tries {
 		t.Errorf("gone %v, tries %d", p.Removed, p.Job.FailedWaves)
 	}
 	hears = true
 	pass(tuning.ProbePauseMax)
-	l.asks()
-	if l.opens("n-9") {
+	l.probeAll()
+	if l.isOpen("n-9") {
 		t.Error("given work at once")
 	}
 	pass(tuning.UnreachablePause)
 	rep.Seq++
-	l.takes(t, rep)
-	if !l.opens("n-9") {
+	l.mustHandle(t, rep)
+	if !l.isOpen("n-9") {
 		t.Error("not used though it hears us")
 	}
 }
 
 // A slow answer is none that is lost: the machine answers the question.
-func TestAMachineThatAnswersIsNotDeaf(t *testing.T) {
+func TestMachineThatAnswersProbesStaysOpen(t *testing.T) {
 	var rep *wire.Heartbeat
-	l, _, r, pass := heardBy(t, answering(t, func(wire.DirectCommands) *wire.Heartbeat { rep.Seq++; return rep }))
+	l, _, r, pass := newLoopHeardBy(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { rep.Seq++; return rep }))
 	rep = r
-	l.runs(t, "job-9", "n-9", 1).State = ""
+	l.addRunning(t, "job-9", "n-9", 1).State = ""
 	for range 8 {
 		pass(time.Second)
 		rep.Seq++
-		l.takes(t, rep)
-		l.asks()
-		if !l.opens("n-9") {
+		l.mustHandle(t, rep)
+		l.probeAll()
+		if !l.isOpen("n-9") {
 			t.Fatal("a machine that answers each question is given up")
 		}
 	}
 }
 
 // A zone in which nothing hears us is cut off: nothing is rented there, and its machines are not returned at once.
-func TestAZoneThatDoesNotHearUsIsCutOff(t *testing.T) {
+func TestZoneOfUnreachableMachinesIsPartitioned(t *testing.T) {
 	l, pass := twoZones(t, 6)
 	l.env.Valid = func(uint64) bool { return true }
 	seq := uint64(1)
@@ -164,46 +164,46 @@
 			if i < 6 { // zone a shows what it was told
 				rep.Tasks = []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}
 			}
-			l.takes(t, rep)
+			l.mustHandle(t, rep)
 		}
 	}
 	for range 8 {
 		report()
-		l.asks()
+		l.probeAll()
 	}
 	report()
 	now := l.env.Clock.Now()
-	if cut := l.cutZones(now); !cut["b"] || cut["a"] {
+	if cut := l.partitionedZones(now); !cut["b"] || cut["a"] {
 		t.Errorf("cut off: %v", cut)
 	}
-	if got := l.silentRelease(); got != tuning.SilentReturnAfterCut {
+	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterCut {
 		t.Errorf("its machines are returned after %v", got)
 	}
 }
 
 // Guards against the work of machines that another member keeps, cut off from all but its workers: it heard no command and
 // its ends were not seen for as long as that member's right lasted.
-func TestWorkersThatReportElsewhereAreAsked(t *testing.T) {
+func TestWorkersReportingElsewhereAreProbed(t *testing.T) {
 	var asked wire.DirectCommands
 	l, pass := twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
-	l.tenure.Term = 2
+	l.leadership.Term = 2
 	l.machines = machines.New(2, 10)
 	j := l.jobs.Jobs["job-1"]
 	p := j.Tasks[0].Allocation
 	l.machines.RestoreAllocation(p, l.env.Clock.Now())
 	m := l.machines.Machines["n-0"]
-	m.ListedAddress = answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
+	m.ListedAddress = newAnsweringWorker(t, func(req wire.DirectCommands) *wire.Heartbeat {
 		asked = req
 		return &wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 7, FencingToken: 2,
 			Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskExited, Reason: wire.ExitDone}}}
 	})
-	l.asks()
+	l.probeAll()
 	if asked.FencingToken != 0 {
 		t.Fatal("asked before it could have reported")
 	}
-	pass(l.askAfter() + time.Second)
-	l.asks()
+	pass(l.probeAfter() + time.Second)
+	l.probeAll()
 	if asked.FencingToken != 2 || asked.Incarnation != 1 || len(asked.Commands) != 0 {
 		t.Errorf("asked %+v", asked)
 	}
@@ -211,13 +211,13 @@
 		t.Error("the end of its task is not seen")
 	}
 	// A copy of an earlier report is none the newer for that.
-	if _, err := l.take(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
+	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
 		t.Errorf("a copy after a direct answer: %v", err)
 	}
 }
 
 // Guards against machines that are back at once and are shut out as copies, with tasks that wait for ever.
-func TestAMachineThatWasStartedAnew(t *testing.T) {
+func TestRestartedMachineIsRecognized(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		session, seq  uint64 // that its new life reports
@@ -232,7 +232,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rep := &wire.Heartbeat{}
-			l, m, first, pass := heardBy(t, answering(t, func(req wire.DirectCommands) *wire.Heartbeat {
+			l, m, first, pass := newLoopHeardBy(t, newAnsweringWorker(t, func(req wire.DirectCommands) *wire.Heartbeat {
 				rep.Seq++
 				if req.Incarnation == rep.Incarnation {
 					rep.FencingToken = max(rep.FencingToken, req.FencingToken)
@@ -243,7 +243,7 @@
 				delete(l.machines.Machines, "n-9")
 				m = nil
 			}
-			p := l.runs(t, "job-9", "n-9", 1)
+			p := l.addRunning(t, "job-9", "n-9", 1)
 			p.Incarnation = 3
 			if c.inherited {
 				l.machines.RemoveAllocation(p, l.env.Clock.Now())
@@ -255,7 +255,7 @@
 				older := *first
 				older.Incarnation, older.Seq = 3, 50
 				older.Tasks = []wire.TaskStatus{{Task: "job-9/0", Attempt: p.Attempt, State: wire.TaskRunning}}
-				l.takes(t, &older)
+				l.mustHandle(t, &older)
 			}
 			if c.openStart {
 				l.machines.CommandsFor("n-9", []*jobs.Allocation{p})
@@ -263,10 +263,10 @@
 			*rep = *first
 			rep.Incarnation, rep.Seq, rep.FencingToken = c.session, c.seq, 0
 			pass(tuning.HeartbeatReplyLife)
-			if _, err := l.take(&wire.Heartbeat{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Incarnation: rep.Incarnation, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
+			if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-9", Address: rep.Address, Type: "small", Zone: "a", Incarnation: rep.Incarnation, Seq: rep.Seq}, false); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("taken before it is known what it is: %v", err)
 			}
-			l.asks()
+			l.probeAll()
 			if p.Removed != c.gone || m.Returning != c.deleted {
 				t.Fatalf("task gone %v, machine deleted %v", p.Removed, m.Returning)
 			}
@@ -274,7 +274,7 @@
 				return
 			}
 			rep.Seq++
-			if l.takes(t, rep); !l.opens("n-9") {
+			if l.mustHandle(t, rep); !l.isOpen("n-9") {
 				t.Error("it is not used")
 			}
 		})
@@ -282,7 +282,7 @@
 }
 
 // Guards against a leader that hears all and reaches no worker, for as long as its lease holds.
-func TestALeaderThatReachesNoWorkerStandsAside(t *testing.T) {
+func TestLeaderThatReachesNoWorkerStepsDown(t *testing.T) {
 	for _, others := range []bool{true, false} {
 		l, pass := twoZones(t, 4)
 		ctx, end := context.WithCancelCause(t.Context())
@@ -292,16 +292,16 @@
 		for s := range 20 {
 			pass(time.Second)
 			for i := range 8 {
-				l.takes(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(s + 2), FencingToken: 1,
+				l.mustHandle(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(s + 2), FencingToken: 1,
 					Tasks: []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
 				if i < tuning.UnheardMachines {
-					l.send(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
+					l.sendCommandsTo(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
 				}
 			}
 			for len(l.inbox) > 0 {
 				(<-l.inbox)()
 			}
-			if l.asks(); l.probing.probing {
+			if l.probeAll(); l.probing.askingPeers {
 				select {
 				case fn := <-l.inbox:
 					fn()
--- a/internal/scheduler/leader/why.go
+++ b/internal/scheduler/leader/why.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// jobOf reads the job's id from a path of the form /v2/runs/ID/end.
-func jobOf(uri, end string) (id string, ok bool) {
+// jobIDFromPath reads the job's id from a path of the form /v2/runs/ID/end.
+func jobIDFromPath(uri, end string) (id string, ok bool) {
 	u, err := url.Parse(uri)
 	if err != nil {
 		return "", false
@@ -39,7 +39,7 @@
 	if !j.CanStart() || r.Waiting == 0 {
 		return http.StatusOK, r
 	}
-	n, held := l.admitted(j, now)
+	n, held := l.admissible(j, now)
 	if n < r.Waiting {
 		r.Held = r.Waiting - n
 		add("%s", held)
