--- a/internal/cluster/election/fence.go
+++ b/internal/cluster/election/fence.go
@@ -31,18 +31,18 @@
 func (e *Elector) maintainFencing(ctx context.Context, t Leadership) {
 	for ctx.Err() == nil {
 		if e.pause(ctx, tuning.RenewEvery); ctx.Err() == nil {
-			e.renewOrTakeFencing(ctx, t)
+			e.updateFencing(ctx, t)
 		}
 	}
 }
 
-// renewOrTakeFencing fences off the one member that does not answer, as long as the
+// updateFencing fences off the one member that does not answer, as long as the
 // state service serves us: in an outage its promise cannot be had. A member that
 // answers again is let free, but only while our right rests on the lease alone.
-func (e *Elector) renewOrTakeFencing(ctx context.Context, t Leadership) {
+func (e *Elector) updateFencing(ctx context.Context, t Leadership) {
 	silent := e.peers.Silent()
 	e.mu.Lock()
-	if e.failures > 0 || e.term != t.Term {
+	if e.failedRenewals > 0 || e.ownTerm != t.Term {
 		e.mu.Unlock()
 		return
 	}
@@ -57,15 +57,15 @@
 		e.revokeLease(ctx, f.lease)
 	case len(silent) != 1:
 	case f.member == "":
-		e.takeFencing(ctx, t, silent[0])
+		e.acquireFencing(ctx, t, silent[0])
 	case e.clock.Since(f.sent) >= tuning.FencingLeaseRenew:
 		e.renewFencing(ctx, f)
 	}
 }
 
-// takeFencing fences a member off. The transaction is guarded on the key as it was read: an earlier one without an answer, if it
+// acquireFencing fences a member off. The transaction is guarded on the key as it was read: an earlier one without an answer, if it
 // is carried out after this one, would hang the key on a lease that ends before we stop counting on it.
-func (e *Elector) takeFencing(ctx context.Context, t Leadership, member string) {
+func (e *Elector) acquireFencing(ctx context.Context, t Leadership, member string) {
 	key := prefixFencing + member
 	old, _, err := e.store.Get(ctx, key)
 	if err != nil {
@@ -107,7 +107,7 @@
 func (e *Elector) noteFencing(term uint64, f fencingLease) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.term == term {
+	if e.ownTerm == term {
 		e.fencing = f
 	}
 }
@@ -119,8 +119,8 @@
 	until  time.Time        // when it is too late to act on a voucher; zero: never
 }
 
-// eligible gives leave to campaign, the leader key being vacant after a term.
-func (e *Elector) eligible(ctx context.Context, term uint64) (eligibility, bool) {
+// checkEligibility gives leave to campaign, the leader key being vacant after a term.
+func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, bool) {
 	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
 	if err != nil {
--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -22,13 +22,13 @@
 	clock := clockwork.NewFakeClock()
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
-	elector := New(statestore.New(state.Addr(), 1e6, 1e6), alone, "m1", clock, slog.New(slog.DiscardHandler))
-	leave, _ := elector.eligible(t.Context(), 0)
-	tenure, ok := elector.campaign(t.Context(), 0, 0, leave)
+	elector := New(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "m1", clock, slog.New(slog.DiscardHandler))
+	eligible, _ := elector.checkEligibility(t.Context(), 0)
+	leadership, ok := elector.campaign(t.Context(), 0, 0, eligible)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
-	elector.takeFencing(t.Context(), tenure, "m2")
+	elector.acquireFencing(t.Context(), leadership, "m2")
 	var lines []string
 	for _, txn := range state.Applied() {
 		for _, change := range txn.Then {
--- a/internal/cluster/election/former_test.go
+++ b/internal/cluster/election/former_test.go
@@ -16,47 +16,47 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// mortal is a store whose member ends at its n-th call: before the call is executed, or after, without its answer.
-type mortal struct {
+// crashingStore is a store whose member ends at its n-th call: before the call is executed, or after, without its answer.
+type crashingStore struct {
 	Store
-	mu    sync.Mutex
-	left  int
-	after bool
-	end   func()
+	mu          sync.Mutex
+	callsLeft   int
+	executeLast bool
+	crash       func()
 }
 
-var errEnded = errors.New("the process ended")
+var errCrashed = errors.New("the process ended")
 
-// dies tells whether this call is the last; the second result is whether it is still executed.
-func (m *mortal) dies() (last, executed bool) {
+// nextCall tells whether this call is the last; the second result is whether it is still executed.
+func (m *crashingStore) nextCall() (last, executed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.left--
-	if m.left > 0 {
+	m.callsLeft--
+	if m.callsLeft > 0 {
 		return false, true
 	}
-	if m.left < 0 {
+	if m.callsLeft < 0 {
 		return true, false
 	}
-	return true, m.after
+	return true, m.executeLast
 }
 
-func call[T any](m *mortal, fn func() (T, error)) (T, error) {
+func call[T any](m *crashingStore, fn func() (T, error)) (T, error) {
 	var v T
-	last, executed := m.dies()
+	last, executed := m.nextCall()
 	var err error
 	if executed {
 		v, err = fn()
 	}
 	if last {
-		m.end()
+		m.crash()
 		var none T
-		return none, errEnded
+		return none, errCrashed
 	}
 	return v, err
 }
 
-func (m *mortal) Get(ctx context.Context, key string) (wire.Item, bool, error) {
+func (m *crashingStore) Get(ctx context.Context, key string) (wire.Item, bool, error) {
 	type got struct {
 		item wire.Item
 		ok   bool
@@ -65,37 +65,37 @@
 	return g.item, g.ok, err
 }
 
-func (m *mortal) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
+func (m *crashingStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	return call(m, func() (uint64, error) { return m.Store.Commit(ctx, t) })
 }
 
-func (m *mortal) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (m *crashingStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	return call(m, func() (uint64, error) { return m.Store.GrantLease(ctx, ttl) })
 }
 
-func (m *mortal) RenewLease(ctx context.Context, lease uint64) error {
+func (m *crashingStore) RenewLease(ctx context.Context, lease uint64) error {
 	_, err := call(m, func() (bool, error) { return true, m.Store.RenewLease(ctx, lease) })
 	return err
 }
 
-func (m *mortal) RevokeLease(ctx context.Context, lease uint64) error {
+func (m *crashingStore) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := call(m, func() (bool, error) { return true, m.Store.RevokeLease(ctx, lease) })
 	return err
 }
 
-// live starts a life of a member, which ends at its n-th call; 0: it does not.
-func live(t *testing.T, s *fakes.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
+// startProcess starts a life of a member, which ends at its n-th call; 0: it does not.
+func startProcess(t *testing.T, s *fakes.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var store Store = statestore.New(s.Addr(), 1e6, 1e6)
 	if n > 0 {
-		store = &mortal{Store: store, left: n, after: after, end: stop}
+		store = &crashingStore{Store: store, callsLeft: n, executeLast: after, crash: stop}
 	}
-	m = &member{Elector: New(store, alone, "a", clock, slog.New(slog.DiscardHandler)), stop: stop, tenures: make(chan Leadership, 64), over: make(chan Leadership, 64)}
+	m = &member{Elector: New(store, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler)), stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.Run(ctx, func(ctx context.Context, t Leadership) { m.tenures <- t; <-ctx.Done(); m.over <- t })
+		m.Run(ctx, func(ctx context.Context, t Leadership) { m.terms <- t; <-ctx.Done(); m.ended <- t })
 	}()
 	t.Cleanup(func() { stop(); <-done })
 	return m, done
@@ -136,7 +136,7 @@
 func (m *member) leads() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.term != 0
+	return m.ownTerm != 0
 }
 
 // Guards against what a former life of a process leaves behind: it ends at each step of an election and of its reign, with or
@@ -148,14 +148,14 @@
 		for _, after := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
 			s := fakes.NewState(clock)
-			first, ended := live(t, s, clock, n, after)
+			first, ended := startProcess(t, s, clock, n, after)
 			passUntil(t, s, clock, nil, ended)
 			term := uint64(0)
-			if len(first.tenures) > 0 {
-				term = (<-first.tenures).Term
+			if len(first.terms) > 0 {
+				term = (<-first.terms).Term
 			}
-			second, _ := live(t, s, clock, 0, false)
-			tenure, took := passUntil(t, s, clock, second, second.tenures)
+			second, _ := startProcess(t, s, clock, 0, false)
+			tenure, took := passUntil(t, s, clock, second, second.terms)
 			if took > bound || tenure.Term <= term || !second.Valid(tenure.Term) || first.Valid(tenure.Term) {
 				t.Errorf("ended at call %d (executed: %v): leads after %v in term %d, the former one was %d", n, after, took, tenure.Term, term)
 			}
@@ -170,10 +170,10 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	a, _ := live(t, s, clock, 0, false)
+	a, _ := startProcess(t, s, clock, 0, false)
 	a.StandAside(tuning.YieldFor)
 	begun := clock.Now()
-	passUntil(t, s, clock, a, a.tenures)
+	passUntil(t, s, clock, a, a.terms)
 	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
 		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
 	}
--- a/internal/cluster/election/leadership.go
+++ b/internal/cluster/election/leadership.go
@@ -62,26 +62,26 @@
 	log    *slog.Logger
 
 	mu         sync.Mutex
-	term       uint64    // of our own tenure; 0: we do not lead
+	ownTerm    uint64    // of our own tenure; 0: we do not lead
 	validUntil time.Time // our right to act ends here, by the local steady clock
 	lease      uint64
-	yielded    chan struct{} // closed when our own tenure was given up
+	resigned   chan struct{} // closed when our own tenure was given up
 	leader     string        // the member that leads, as far as we know
 	leaderTerm uint64        // its term
-	overTerm   uint64        // this term and the earlier ones are over, as far as we know
-
-	campaigning   bool         // a campaign is on its way on whose success we would act
-	voteUntil     time.Time    // we promised neither to campaign nor to vouch before
-	born          time.Time    // until then, an earlier process of this member may have promised
-	sure          time.Time    // until then, one may have vouched
-	sureTerm      uint64       // the last term that was read as leading since then
-	confirmedTerm uint64       // we vouched that this term is over; no promise for it or an earlier one
-	round         uint64       // of asking the peers for promises; a newer one voids it
-	failures      int          // renewals in a row without success
-	servedAt      int          // how many there were when another member was first seen to be served
-	fencing       fencingLease // that our own tenure has set
-	aside         time.Time    // until then the leadership is left to others, unless none takes it
-	vacant        time.Time    // since when the leader key was found vacant; zero: it was held
+	endedTerm  uint64        // this term and the earlier ones are over, as far as we know
+
+	campaigning               bool         // a campaign is on its way on whose success we would act
+	boundUntil                time.Time    // we promised neither to campaign nor to vouch before
+	earlierVotesUntil         time.Time    // until then, an earlier process of this member may have promised
+	earlierConfirmationsUntil time.Time    // until then, one may have vouched
+	leadingTerm               uint64       // the last term that was read as leading since then
+	confirmedOverTerm         uint64       // we vouched that this term is over; no promise for it or an earlier one
+	voteRound                 uint64       // of asking the peers for promises; a newer one voids it
+	failedRenewals            int          // renewals in a row without success
+	failuresWhenOtherServed   int          // how many there were when another member was first seen to be served
+	fencing                   fencingLease // that our own tenure has set
+	standAsideUntil           time.Time    // until then the leadership is left to others, unless none takes it
+	vacantSince               time.Time    // since when the leader key was found vacant; zero: it was held
 }
 
 // New makes an elector for a member.
@@ -90,9 +90,9 @@
 	// What an earlier process of this member promised or vouched for is not
 	// known. It ended before this one began, so its promises end within
 	// PromiseFor, and what it vouched for is acted on within VoucherFor.
-	e.born = clock.Now().Add(voteKeptFor)
-	e.voteUntil = e.born
-	e.sure = clock.Now().Add(stretch(tuning.ConfirmationFor, tuning.ClockDrift))
+	e.earlierVotesUntil = clock.Now().Add(voteKeptFor)
+	e.boundUntil = e.earlierVotesUntil
+	e.earlierConfirmationsUntil = clock.Now().Add(stretch(tuning.ConfirmationFor, tuning.ClockDrift))
 	return e
 }
 
@@ -104,7 +104,7 @@
 func (e *Elector) Valid(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return term != 0 && e.term == term && e.clock.Now().Before(e.validUntil)
+	return term != 0 && e.ownTerm == term && e.clock.Now().Before(e.validUntil)
 }
 
 // Leader names the leading member, as far as this one knows; "" if unknown.
@@ -121,17 +121,17 @@
 	return e.leader, e.leaderTerm
 }
 
-func (e *Elector) setLeader(name string, term uint64) {
+func (e *Elector) noteHolder(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case name != "":
-		e.vacant = time.Time{}
-	case e.vacant.IsZero():
-		e.vacant = e.clock.Now()
+		e.vacantSince = time.Time{}
+	case e.vacantSince.IsZero():
+		e.vacantSince = e.clock.Now()
 	}
 	if name == "" {
-		e.overTerm = max(e.overTerm, e.leaderTerm)
+		e.endedTerm = max(e.endedTerm, e.leaderTerm)
 	}
 	e.leader, e.leaderTerm = name, term
 }
@@ -141,7 +141,7 @@
 func (e *Elector) StandAside(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.aside = e.clock.Now().Add(d)
+	e.standAsideUntil = e.clock.Now().Add(d)
 }
 
 // NoteLeader takes in who leads by another member's knowledge: the state service may
@@ -150,79 +150,79 @@
 func (e *Elector) NoteLeader(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if name != "" && term > e.leaderTerm && term > e.overTerm {
+	if name != "" && term > e.leaderTerm && term > e.endedTerm {
 		e.leader, e.leaderTerm = name, term
 	}
-	if e.term != 0 && e.laterThan(e.term) {
-		e.resign() // our lease is over, though the state service does not tell us
+	if e.ownTerm != 0 && e.knowsLaterTerm(e.ownTerm) {
+		e.resignLocked() // our lease is over, though the state service does not tell us
 	}
 }
 
-// becomeLeader sets our own right to act, in a tenure that begins. sent is when the
+// beginTerm sets our own right to act, in a tenure that begins. sent is when the
 // request that gained the lease was sent: the lease cannot have begun earlier,
 // and our clock may run fast or slow.
-func (e *Elector) becomeLeader(term, lease uint64, sent time.Time) {
+func (e *Elector) beginTerm(term, lease uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.term, e.lease, e.yielded = term, lease, make(chan struct{})
+	e.ownTerm, e.lease, e.resigned = term, lease, make(chan struct{})
 	e.campaigning, e.fencing = false, fencingLease{}
-	e.renew(sent)
+	e.extendByRenewal(sent)
 }
 
-// renewal takes in that the lease was renewed; false when the tenure was given
+// noteRenewal takes in that the lease was renewed; false when the tenure was given
 // up meanwhile.
-func (e *Elector) renewal(term uint64, sent time.Time) bool {
+func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.term != term {
+	if e.ownTerm != term {
 		return false
 	}
-	e.renew(sent)
+	e.extendByRenewal(sent)
 	return true
 }
 
-// renew counts the lease's time; the caller holds the lock.
-func (e *Elector) renew(sent time.Time) {
-	e.failures, e.servedAt = 0, 0
+// extendByRenewal counts the lease's time; the caller holds the lock.
+func (e *Elector) extendByRenewal(sent time.Time) {
+	e.failedRenewals, e.failuresWhenOtherServed = 0, 0
 	e.validUntil = sent.Add(stretch(tuning.LeaseTTL, -tuning.ClockDrift))
 }
 
-func (e *Elector) forgetLeadership() {
+func (e *Elector) resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.resign()
+	e.resignLocked()
 }
 
-// resign ends our own tenure; the caller holds the lock.
-func (e *Elector) resign() {
-	if e.term == 0 {
+// resignLocked ends our own tenure; the caller holds the lock.
+func (e *Elector) resignLocked() {
+	if e.ownTerm == 0 {
 		return
 	}
-	e.overTerm = max(e.overTerm, e.term)
-	if e.leaderTerm <= e.term {
+	e.endedTerm = max(e.endedTerm, e.ownTerm)
+	if e.leaderTerm <= e.ownTerm {
 		e.leader = "" // unless we heard of a later one
 	}
-	e.term, e.failures, e.servedAt = 0, 0, 0
-	e.round++
-	close(e.yielded)
+	e.ownTerm, e.failedRenewals, e.failuresWhenOtherServed = 0, 0, 0
+	e.voteRound++
+	close(e.resigned)
 }
 
 // mayCampaign tells whether a campaign may begin, and marks that it does.
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	e.mu.Lock()
 	now := e.clock.Now()
-	ask := now.Before(e.voteUntil) && e.voteUntil.Equal(e.born)
+	ask := now.Before(e.boundUntil) && e.boundUntil.Equal(e.earlierVotesUntil)
 	e.mu.Unlock()
 	// Only a leader relies on promises. If nobody leads, those that an
 	// earlier process may have given bind no more.
 	free := ask && e.peers.NobodyLeads(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if free && e.voteUntil.Equal(e.born) {
-		e.voteUntil = time.Time{}
+	if free && e.boundUntil.Equal(e.earlierVotesUntil) {
+		e.boundUntil = time.Time{}
 	}
 	now = e.clock.Now()
-	if now.Before(e.voteUntil) || now.Before(e.aside) && now.Sub(e.vacant) < tuning.YieldVacantAfter {
+	if now.Before(e.boundUntil) || now.Before(e.standAsideUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter {
 		return false
 	}
 	e.campaigning = true
@@ -256,20 +256,20 @@
 		}
 		if held {
 			if h.Member == e.member {
-				e.endPreviousProcess(ctx, h)
+				e.revokePreviousLease(ctx, h)
 				continue
 			}
-			e.setLeader(h.Member, h.Term)
+			e.noteHolder(h.Member, h.Term)
 			e.noteStillLeading(h.Term, sent)
 			e.waitForChange(ctx, revision)
 			continue
 		}
-		e.setLeader("", 0)
+		e.noteHolder("", 0)
 		if !e.mayCampaign(ctx) {
 			e.pause(ctx, tuning.RetryCampaign)
 			continue
 		}
-		leave, ok := e.eligible(ctx, last)
+		leave, ok := e.checkEligibility(ctx, last)
 		if !ok {
 			e.endCampaign()
 			e.pause(ctx, tuning.RetryCampaign)
@@ -317,7 +317,7 @@
 // waitForChange returns when the leader key may have changed.
 func (e *Elector) waitForChange(ctx context.Context, revision uint64) {
 	wait := tuning.LeaderWatch
-	if unsure := e.sure.Sub(e.clock.Now()); unsure >= 0 && unsure < wait {
+	if unsure := e.earlierConfirmationsUntil.Sub(e.clock.Now()); unsure >= 0 && unsure < wait {
 		wait = unsure + time.Millisecond // read again once that tells something
 	}
 	r, err := e.store.Watch(ctx, keyHolder, revision, wait)
@@ -363,15 +363,15 @@
 		e.revokeLease(ctx, lease)
 		return t, false
 	}
-	e.becomeLeader(term, lease, sent)
-	e.setLeader(e.member, term)
+	e.beginTerm(term, lease, sent)
+	e.noteHolder(e.member, term)
 	return Leadership{Term: term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
 }
 
-// endPreviousProcess ends a tenure that the leader key gives to this member, which does not lead: that of an earlier process of it,
+// revokePreviousLease ends a tenure that the leader key gives to this member, which does not lead: that of an earlier process of it,
 // which is gone, since its addresses are ours; or of a campaign that had no answer, on which nobody acts. Both
 // otherwise keep the key until the lease runs out, 4 s more without a leader for a process that is back at once.
-func (e *Elector) endPreviousProcess(ctx context.Context, h holder) {
+func (e *Elector) revokePreviousLease(ctx context.Context, h holder) {
 	e.log.Info("ending the tenure of an earlier process", "term", h.Term)
 	if err := e.store.RevokeLease(ctx, h.Lease); err != nil {
 		e.log.Debug("its lease is not ended", "err", err)
@@ -393,7 +393,7 @@
 func (e *Elector) lead(ctx context.Context, t Leadership, lead func(context.Context, Leadership)) {
 	e.log.Info("leading", "term", t.Term)
 	e.mu.Lock()
-	lease, yielded := e.lease, e.yielded
+	lease, yielded := e.lease, e.resigned
 	e.mu.Unlock()
 	leadCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -402,10 +402,10 @@
 		lead(leadCtx, t)
 	}()
 	var helpers sync.WaitGroup
-	helpers.Go(func() { e.askForVotes(leadCtx, t.Term) })
+	helpers.Go(func() { e.requestVotes(leadCtx, t.Term) })
 	helpers.Go(func() { e.maintainFencing(leadCtx, t) })
 	defer func() {
-		e.forgetLeadership()
+		e.resign()
 		stop()
 		<-done
 		helpers.Wait()
@@ -436,7 +436,7 @@
 			sent := e.clock.Now()
 			err := e.store.RenewLease(ctx, lease)
 			if err == nil {
-				if !e.renewal(t.Term, sent) {
+				if !e.noteRenewal(t.Term, sent) {
 					return
 				}
 				break
@@ -444,7 +444,7 @@
 			if errors.Is(err, statestore.ErrLeaseNotFound) {
 				return
 			}
-			e.failedRenewal()
+			e.noteFailedRenewal()
 			e.log.Debug("lease not renewed", "err", err)
 			if !wait(tuning.RetryLeader) {
 				return
--- a/internal/cluster/election/leadership_test.go
+++ b/internal/cluster/election/leadership_test.go
@@ -17,35 +17,37 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// peers are the other members, as a test wants them to answer.
-type peers struct {
-	promise func() Votes
-	nobody  func() bool
-	vouch   func() bool // nil: they do
-	yield   func(lease uint64)
-	silent  []string
+// fakePeers are the other members, as a test wants them to answer.
+type fakePeers struct {
+	votes       func() Votes
+	nobodyLeads func() bool
+	confirm     func() bool // nil: they do
+	endLease    func(lease uint64)
+	silent      []string
 }
 
-func (p *peers) RequestVotes(context.Context, uint64) Votes   { return p.promise() }
-func (p *peers) NobodyLeads(context.Context) bool             { return p.nobody() }
-func (p *peers) ConfirmTermOver(context.Context, uint64) bool { return p.vouch == nil || p.vouch() }
-func (p *peers) EndLease(_ context.Context, lease uint64)     { p.yield(lease) }
-func (p *peers) Silent() []string                             { return p.silent }
+func (p *fakePeers) RequestVotes(context.Context, uint64) Votes { return p.votes() }
+func (p *fakePeers) NobodyLeads(context.Context) bool           { return p.nobodyLeads() }
+func (p *fakePeers) ConfirmTermOver(context.Context, uint64) bool {
+	return p.confirm == nil || p.confirm()
+}
+func (p *fakePeers) EndLease(_ context.Context, lease uint64) { p.endLease(lease) }
+func (p *fakePeers) Silent() []string                         { return p.silent }
 
 func always(b bool) func() bool { return func() bool { return b } }
 
-func silent(names ...string) func() Votes {
+func votesBut(names ...string) func() Votes {
 	return func() Votes { return Votes{Silent: names} }
 }
 
-// alone is how it is when no peer answers a leader, though none leads.
-var alone = &peers{promise: silent("b", "c"), nobody: always(true)}
+// unreachablePeers is how it is when no peer answers a leader, though none leads.
+var unreachablePeers = &fakePeers{votes: votesBut("b", "c"), nobodyLeads: always(true)}
 
 type member struct {
 	*Elector
-	stop    context.CancelFunc
-	tenures chan Leadership
-	over    chan Leadership
+	stop  context.CancelFunc
+	terms chan Leadership
+	ended chan Leadership
 }
 
 func start(t *testing.T, name string, s *fakes.State, p Peers, clock clockwork.Clock) *member {
@@ -53,15 +55,15 @@
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{
 		Elector: New(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock, slog.New(slog.DiscardHandler)),
-		stop:    stop, tenures: make(chan Leadership, 8), over: make(chan Leadership, 8),
+		stop:    stop, terms: make(chan Leadership, 8), ended: make(chan Leadership, 8),
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		m.Run(ctx, func(ctx context.Context, t Leadership) {
-			m.tenures <- t
+			m.terms <- t
 			<-ctx.Done()
-			m.over <- t
+			m.ended <- t
 		})
 	}()
 	t.Cleanup(func() { stop(); <-done })
@@ -94,17 +96,17 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	a := start(t, "a", s, alone, clock)
-	first := <-a.tenures
+	a := start(t, "a", s, unreachablePeers, clock)
+	first := <-a.terms
 	if !a.Valid(first.Term) || a.Leader() != "a" {
 		t.Fatalf("valid %v, leader %q", a.Valid(first.Term), a.Leader())
 	}
-	b := start(t, "b", s, alone, clock)
+	b := start(t, "b", s, unreachablePeers, clock)
 	a.stop() // killed: it gives nothing back
-	<-a.over
+	<-a.ended
 	clock.Advance(2 * tuning.LeaseTTL)
 	s.Expire()
-	second := <-b.tenures
+	second := <-b.terms
 	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
 		t.Errorf("terms %d, %d", first.Term, second.Term)
 	}
@@ -123,8 +125,8 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	a := start(t, "a", s, alone, clock)
-	tenure := <-a.tenures
+	a := start(t, "a", s, unreachablePeers, clock)
+	tenure := <-a.terms
 	s.Refuse(true)
 	begun := clock.Now()
 	until(t, s, clock, leading, "the end of the right", func() bool { return !a.Valid(tenure.Term) })
@@ -133,7 +135,7 @@
 	}
 	s.Refuse(false)
 	until(t, s, clock, leading, "the right to come back", func() bool { return a.Valid(tenure.Term) })
-	if len(a.tenures) != 0 || len(a.over) != 0 {
+	if len(a.terms) != 0 || len(a.ended) != 0 {
 		t.Error("the tenure was lost in the outage")
 	}
 }
@@ -151,11 +153,11 @@
 		}
 		return muted == 1
 	})
-	a := start(t, "a", s, alone, clock)
+	a := start(t, "a", s, unreachablePeers, clock)
 	var tenure Leadership
 	until(t, s, clock, following, "a tenure", func() bool {
 		select {
-		case tenure = <-a.tenures:
+		case tenure = <-a.terms:
 			return true
 		default:
 			return false
@@ -175,13 +177,13 @@
 	t.Cleanup(s.Close)
 	var given atomic.Bool
 	given.Store(true)
-	a := start(t, "a", s, &peers{nobody: always(true), promise: func() Votes {
+	a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), votes: func() Votes {
 		if given.Load() {
 			return Votes{}
 		}
 		return Votes{Silent: []string{"b", "c"}}
 	}}, clock)
-	tenure := <-a.tenures
+	tenure := <-a.terms
 	s.Refuse(true)
 	begun := clock.Now()
 	until(t, s, clock, leading, "a long outage to pass", func() bool {
@@ -204,7 +206,7 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), &peers{nobody: always(false)}, "a", clock, slog.New(slog.DiscardHandler))
+	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock, slog.New(slog.DiscardHandler))
 	if e.mayCampaign(t.Context()) {
 		t.Error("campaigns at once though a leader may count on its former life's promise")
 	}
@@ -212,7 +214,7 @@
 	if !e.mayCampaign(t.Context()) {
 		t.Error("does not campaign once those promises are over")
 	}
-	e.noteStillLeading(5, e.sure)
+	e.noteStillLeading(5, e.earlierConfirmationsUntil)
 	if e.Vote(t.Context(), 5) != Refused {
 		t.Error("promises while it campaigns")
 	}
@@ -244,7 +246,7 @@
 	t.Cleanup(s.Close)
 	var a *member
 	ready := make(chan struct{})
-	p := &peers{nobody: always(true), promise: func() Votes {
+	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
 		<-ready
 		if a.NotLeading() { // asked in the middle of the round, it says that it leads
 			return Votes{Refused: 1}
@@ -253,7 +255,7 @@
 	}}
 	a = start(t, "a", s, p, clock)
 	close(ready)
-	tenure := <-a.tenures
+	tenure := <-a.terms
 	s.Refuse(true)
 	begun := clock.Now()
 	until(t, s, clock, leading, "the end of the right", func() bool { return !a.Valid(tenure.Term) })
@@ -267,15 +269,15 @@
 // for as long as that lasted, while the third led.
 func TestWhoLeadsIsHeardFromOthers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
+	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 	holds := func(want string, wantTerm uint64) {
 		t.Helper()
 		if name, term := e.Holder(); name != want || term != wantTerm && want != "" {
 			t.Errorf("leader %q of term %d, want %q of %d", name, term, want, wantTerm)
 		}
 	}
-	e.becomeLeader(3, 1, clock.Now())
-	e.setLeader("a", 3)
+	e.beginTerm(3, 1, clock.Now())
+	e.noteHolder("a", 3)
 	e.NoteLeader("b", 2) // by one that lags behind
 	e.NoteLeader("", 9)
 	holds("a", 3)
@@ -285,9 +287,9 @@
 	if e.Valid(4) || e.Valid(3) {
 		t.Error("what is heard gives a right to act")
 	}
-	e.forgetLeadership() // the own tenure's end comes later
+	e.resign() // the own tenure's end comes later
 	holds("b", 4)
-	e.setLeader("", 0) // the state service says that nobody leads
+	e.noteHolder("", 0) // the state service says that nobody leads
 	e.NoteLeader("b", 4)
 	holds("", 0)
 	e.NoteLeader("c", 5)
@@ -313,8 +315,8 @@
 		clock := clockwork.NewFakeClock()
 		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
-		a := start(t, "a", s, &peers{nobody: always(true), silent: c.silent, promise: func() Votes { return c.promises }}, clock)
-		tenure := <-a.tenures
+		a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), silent: c.silent, votes: func() Votes { return c.promises }}, clock)
+		tenure := <-a.terms
 		begun := clock.Now()
 		until(t, s, clock, leading, "a look at who is silent", func() bool { return clock.Since(begun) > 2*tuning.FencingLeaseRenew })
 		s.Refuse(true)
@@ -334,16 +336,16 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), &peers{vouch: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
-	early, ok := e.eligible(t.Context(), 0)
+	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
+	early, ok := e.checkEligibility(t.Context(), 0)
 	if !ok {
 		t.Fatal("a member that is not fenced off needs a voucher")
 	}
-	a := start(t, "a", s, &peers{nobody: always(true), promise: silent("b"), silent: []string{"b"}}, clock)
-	tenure := <-a.tenures
+	a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), votes: votesBut("b"), silent: []string{"b"}}, clock)
+	tenure := <-a.terms
 	until(t, s, clock, leading, "the fence", func() bool { _, ok := s.Value(prefixFencing + "b"); return ok })
 	a.stop()
-	<-a.over
+	<-a.ended
 	clock.Advance(tuning.LeaseTTL + time.Second) // the leader's lease is over, the fence stands
 	s.Expire()
 	_, version, err := e.readTerm(t.Context())
@@ -353,17 +355,17 @@
 	if _, ok := e.campaign(t.Context(), tenure.Term, version, early); ok {
 		t.Error("leads on a leave that is older than the fence")
 	}
-	if _, ok := e.eligible(t.Context(), tenure.Term); ok {
+	if _, ok := e.checkEligibility(t.Context(), tenure.Term); ok {
 		t.Error("campaigns though it is fenced off")
 	}
-	e.peers = &peers{vouch: always(true)}
-	if l, ok := e.eligible(t.Context(), tenure.Term); !ok || l.until.IsZero() {
+	e.peers = &fakePeers{confirm: always(true)}
+	if l, ok := e.checkEligibility(t.Context(), tenure.Term); !ok || l.until.IsZero() {
 		t.Error("a voucher gives no leave for a time")
 	}
-	e.peers = &peers{vouch: always(false)}
+	e.peers = &fakePeers{confirm: always(false)}
 	clock.Advance(tuning.FencingLeaseTTL)
 	s.Expire()
-	if _, ok := e.eligible(t.Context(), tenure.Term); !ok {
+	if _, ok := e.checkEligibility(t.Context(), tenure.Term); !ok {
 		t.Error("waits though the fence is gone")
 	}
 }
@@ -373,24 +375,24 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
-	leave, _ := e.eligible(t.Context(), 0)
+	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	leave, _ := e.checkEligibility(t.Context(), 0)
 	tenure, ok := e.campaign(t.Context(), 0, 0, leave)
 	if !ok {
 		t.Fatal("does not lead")
 	}
-	e.peers = &peers{silent: []string{"b"}}
-	e.renewOrTakeFencing(t.Context(), tenure)
+	e.peers = &fakePeers{silent: []string{"b"}}
+	e.updateFencing(t.Context(), tenure)
 	if _, ok := s.Value(prefixFencing + "b"); !ok || e.fencing.member != "b" {
 		t.Fatal("a silent member is not fenced off")
 	}
-	e.peers = &peers{}
-	e.failedRenewal() // the right may rest on the fence
-	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "b" {
+	e.peers = &fakePeers{}
+	e.noteFailedRenewal() // the right may rest on the fence
+	if e.updateFencing(t.Context(), tenure); e.fencing.member != "b" {
 		t.Error("a fence that may be counted on is taken down")
 	}
-	e.renewal(tenure.Term, clock.Now())
-	e.renewOrTakeFencing(t.Context(), tenure)
+	e.noteRenewal(tenure.Term, clock.Now())
+	e.updateFencing(t.Context(), tenure)
 	if _, ok := s.Value(prefixFencing + "b"); ok || e.fencing.member != "" {
 		t.Error("it stays fenced off")
 	}
@@ -408,15 +410,15 @@
 		t.Fatal(err)
 	}
 	asked := 0
-	p := &peers{nobody: always(true), vouch: func() bool {
+	p := &fakePeers{nobodyLeads: always(true), confirm: func() bool {
 		if asked++; asked == 1 {
 			clock.Advance(tuning.ConfirmationFor)
 		}
 		return true
 	}}
 	a := start(t, "a", s, p, clock)
-	until(t, s, clock, following, "a tenure", func() bool { return len(a.tenures) > 0 })
-	if tenure := <-a.tenures; tenure.Term != 2 || asked != 2 {
+	until(t, s, clock, following, "a tenure", func() bool { return len(a.terms) > 0 })
+	if tenure := <-a.terms; tenure.Term != 2 || asked != 2 {
 		t.Errorf("leads in term %d after asking %d times", tenure.Term, asked)
 	}
 }
@@ -427,7 +429,7 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "a", clock, slog.New(slog.DiscardHandler))
+	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 	s.Refuse(true)
 	if e.ConfirmTermOver(5) {
 		t.Error("vouches though its former life may have promised otherwise")
@@ -464,15 +466,15 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	a := start(t, "a", s, alone, clock)
-	tenure := <-a.tenures
+	a := start(t, "a", s, unreachablePeers, clock)
+	tenure := <-a.terms
 	if a.ConfirmTermOver(tenure.Term-1) || !a.Valid(tenure.Term) {
 		t.Error("gives up for a term before its own")
 	}
 	if !a.ConfirmTermOver(tenure.Term) || a.Valid(tenure.Term) {
 		t.Error("acts on, though its lease was seen to be over")
 	}
-	<-a.over
+	<-a.ended
 }
 
 // Guards against seconds without a leader when the state service refuses the
@@ -484,12 +486,12 @@
 	var a *member
 	var tenure Leadership
 	yielded := make(chan bool, 1)
-	p := &peers{nobody: always(true), promise: func() Votes { return Votes{Refused: 1} }}
-	p.yield = func(uint64) { yielded <- a.Valid(tenure.Term) }
+	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes { return Votes{Refused: 1} }}
+	p.endLease = func(uint64) { yielded <- a.Valid(tenure.Term) }
 	a = start(t, "a", s, p, clock)
-	tenure = <-a.tenures
+	tenure = <-a.terms
 	s.Refuse(true)
-	until(t, s, clock, 1, "the handing over", func() bool { return len(a.over) > 0 })
+	until(t, s, clock, 1, "the handing over", func() bool { return len(a.ended) > 0 })
 	if <-yielded {
 		t.Error("has its lease ended while it acts on it")
 	}
@@ -502,17 +504,17 @@
 // notices a moment before the leader's next renewal.
 func TestTheEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, &peers{yield: func(uint64) { t.Error("has its lease ended") }}, "a", clock, slog.New(slog.DiscardHandler))
-	e.becomeLeader(3, 1, clock.Now())
+	e := New(nil, &fakePeers{endLease: func(uint64) { t.Error("has its lease ended") }}, "a", clock, slog.New(slog.DiscardHandler))
+	e.beginTerm(3, 1, clock.Now())
 	for range 100 {
-		e.failedRenewal() // the outage
-	}
-	e.yield(t.Context(), 3) // a follower says that it is served
-	e.failedRenewal()       // this one was on its way
-	e.yield(t.Context(), 3)
-	e.renewal(3, clock.Now())
-	e.failedRenewal()
-	e.yield(t.Context(), 3)
+		e.noteFailedRenewal() // the outage
+	}
+	e.handOver(t.Context(), 3) // a follower says that it is served
+	e.noteFailedRenewal()      // this one was on its way
+	e.handOver(t.Context(), 3)
+	e.noteRenewal(3, clock.Now())
+	e.noteFailedRenewal()
+	e.handOver(t.Context(), 3)
 	if !e.Valid(3) {
 		t.Error("gives up its right")
 	}
--- a/internal/cluster/election/meetings_test.go
+++ b/internal/cluster/election/meetings_test.go
@@ -24,22 +24,22 @@
 		want Vote
 	}{
 		{"nothing later is known", func(*Elector, time.Time) {}, Granted},
-		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.becomeLeader(6, 1, now); e.setLeader("b", 6); e.forgetLeadership() }, Refused},
+		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.noteHolder("b", 6); e.resign() }, Refused},
 		{"it led itself, and heard that nobody does now", func(e *Elector, now time.Time) {
-			e.becomeLeader(6, 1, now)
-			e.setLeader("b", 6)
-			e.forgetLeadership()
-			e.setLeader("", 0)
+			e.beginTerm(6, 1, now)
+			e.noteHolder("b", 6)
+			e.resign()
+			e.noteHolder("", 0)
 		}, Refused},
-		{"it read of another", func(e *Elector, _ time.Time) { e.setLeader("c", 6) }, Refused},
-		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.setLeader("c", 6); e.setLeader("", 0) }, Refused},
+		{"it read of another", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
+		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteHolder("", 0) }, Refused},
 		{"it heard of another", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
-		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.setLeader("a", 5); e.setLeader("", 0) }, Granted},
+		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteHolder("", 0) }, Granted},
 	} {
 		clock := clockwork.NewFakeClock()
 		s := fakes.NewState(clock)
 		t.Cleanup(s.Close)
-		e := New(statestore.New(s.Addr(), 1e6, 1e6), alone, "b", clock, slog.New(slog.DiscardHandler))
+		e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "b", clock, slog.New(slog.DiscardHandler))
 		clock.Advance(voteKeptFor + tuning.ConfirmationFor)
 		e.noteStillLeading(5, clock.Now())
 		c.past(e, clock.Now())
@@ -65,14 +65,14 @@
 		{"those that remember bring it back", true, Votes{}, true},
 	} {
 		clock := clockwork.NewFakeClock()
-		e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-		e.becomeLeader(5, 1, clock.Now())
+		e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+		e.beginTerm(5, 1, clock.Now())
 		clock.Advance(tuning.LeaseTTL - tuning.VoteFor/2)
 		if c.lapsed {
 			clock.Advance(tuning.VoteFor)
 		}
 		sent := clock.Now()
-		e.extendByVotes(5, e.round, sent, c.p)
+		e.extendByVotes(5, e.voteRound, sent, c.p)
 		clock.Advance(tuning.VoteFor * 3 / 4)
 		if e.Valid(5) != c.valid {
 			t.Errorf("%s: valid %v", c.name, e.Valid(5))
@@ -83,12 +83,12 @@
 // Guards against the same where the right lapses while the members are being asked.
 func TestARightThatLapsesInTheRoundIsNotBroughtBack(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-	e.becomeLeader(5, 1, clock.Now())
+	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	e.beginTerm(5, 1, clock.Now())
 	clock.Advance(tuning.LeaseTTL - tuning.VoteFor/4)
 	sent := clock.Now()
 	clock.Advance(tuning.VoteFor / 2)
-	if e.extendByVotes(5, e.round, sent, Votes{WithoutMemory: 1}); e.Valid(5) {
+	if e.extendByVotes(5, e.voteRound, sent, Votes{WithoutMemory: 1}); e.Valid(5) {
 		t.Error("the right came back")
 	}
 }
@@ -96,9 +96,9 @@
 // A leader that hears of a later one knows that its lease is over, though nothing tells it: it acts no more.
 func TestALeaderThatHearsOfALaterOneGivesUp(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
-	e.becomeLeader(5, 1, clock.Now())
-	e.setLeader("a", 5)
+	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	e.beginTerm(5, 1, clock.Now())
+	e.noteHolder("a", 5)
 	e.NoteLeader("b", 4)
 	e.NoteLeader("a", 5)
 	if !e.Valid(5) {
@@ -108,16 +108,16 @@
 	if name, term := e.Holder(); e.Valid(5) || name != "b" || term != 6 {
 		t.Errorf("valid %v, names %q of term %d", e.Valid(5), name, term)
 	}
-	e.extendByVotes(5, e.round, clock.Now(), Votes{})
+	e.extendByVotes(5, e.voteRound, clock.Now(), Votes{})
 	if e.Valid(5) {
 		t.Error("promises bring the right back")
 	}
 }
 
-// keepsLeases is a store in which no lease can be given back.
-type keepsLeases struct{ Store }
+// unrevokableStore is a store in which no lease can be given back.
+type unrevokableStore struct{ Store }
 
-func (keepsLeases) RevokeLease(context.Context, uint64) error { return statestore.ErrNotExecuted }
+func (unrevokableStore) RevokeLease(context.Context, uint64) error { return statestore.ErrNotExecuted }
 
 // Guards against a fence that ends while the leader counts on it: the first attempt to set it, without an answer and carried
 // out after the second, hung the key on its own lease, which ended earlier.
@@ -125,14 +125,14 @@
 	clock := clockwork.NewFakeClock()
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
-	e := New(keepsLeases{statestore.New(s.Addr(), 1e6, 1e6)}, &peers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
-	leave, _ := e.eligible(t.Context(), 0)
+	e := New(unrevokableStore{statestore.New(s.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
+	leave, _ := e.checkEligibility(t.Context(), 0)
 	tenure, ok := e.campaign(t.Context(), 0, 0, leave)
 	if !ok {
 		t.Fatal("does not lead")
 	}
 	s.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFencing+"b" })
-	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "" || s.Held() != 1 {
+	if e.updateFencing(t.Context(), tenure); e.fencing.member != "" || s.Held() != 1 {
 		t.Fatal("counts on a fence that may not be there")
 	}
 	s.Late(nil)
@@ -145,7 +145,7 @@
 		}
 	}
 	pass(tuning.FencingLeaseTTL / 2)
-	if e.renewOrTakeFencing(t.Context(), tenure); e.fencing.member != "b" {
+	if e.updateFencing(t.Context(), tenure); e.fencing.member != "b" {
 		t.Fatal("the silent member is not fenced off")
 	}
 	if late := s.Deliver(); len(late) != 0 {
@@ -159,13 +159,13 @@
 	}
 }
 
-// inBetween is a store whose reading fails after something has happened.
-type inBetween struct {
+// interruptedStore is a store whose reading fails after something has happened.
+type interruptedStore struct {
 	Store
 	fn func()
 }
 
-func (s inBetween) Get(context.Context, string) (wire.Item, bool, error) {
+func (s interruptedStore) Get(context.Context, string) (wire.Item, bool, error) {
 	s.fn()
 	return wire.Item{}, false, statestore.ErrNotExecuted
 }
@@ -174,11 +174,11 @@
 func TestNoPromiseBesideACampaignThatBeganMeanwhile(t *testing.T) {
 	for name, begin := range map[string]func(e *Elector){
 		"a campaign": func(e *Elector) { e.campaigning = true },
-		"a tenure":   func(e *Elector) { e.term = 4 },
+		"a tenure":   func(e *Elector) { e.ownTerm = 4 },
 	} {
 		clock := clockwork.NewFakeClock()
 		var e *Elector
-		e = New(inBetween{fn: func() { begin(e) }}, alone, "a", clock, slog.New(slog.DiscardHandler))
+		e = New(interruptedStore{fn: func() { begin(e) }}, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 		clock.Advance(voteKeptFor + tuning.ConfirmationFor)
 		e.noteStillLeading(5, clock.Now())
 		if got := e.Vote(t.Context(), 5); got != Refused {
@@ -190,11 +190,11 @@
 // Guards against a right that outlives the lease by the time that a renewal took: it counts from before the request.
 func TestTheRightCountsFromBeforeTheRequest(t *testing.T) {
 	for name, renew := range map[string]func(e *Elector, sent time.Time){
-		"gained":  func(e *Elector, sent time.Time) { e.becomeLeader(5, 1, sent) },
-		"renewed": func(e *Elector, sent time.Time) { e.becomeLeader(5, 1, sent); e.renewal(5, sent) },
+		"gained":  func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
+		"renewed": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent); e.noteRenewal(5, sent) },
 	} {
 		clock := clockwork.NewFakeClock()
-		e := New(nil, alone, "a", clock, slog.New(slog.DiscardHandler))
+		e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 		sent := clock.Now()
 		clock.Advance(tuning.RenewTimeout)
 		renew(e, sent)
--- a/internal/cluster/election/promises.go
+++ b/internal/cluster/election/promises.go
@@ -49,7 +49,7 @@
 // neither to campaign nor to vouch for another for PromiseFor. We promise only if we
 // cannot reach it either: a leader that it refuses alone had better be replaced.
 func (e *Elector) Vote(ctx context.Context, term uint64) Vote {
-	if !e.follows() {
+	if !e.isFollower() {
 		return Refused
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.ProbeTimeout)
@@ -59,26 +59,26 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.term != 0 || e.campaigning || e.confirmedTerm >= term || e.laterThan(term) {
+	if e.ownTerm != 0 || e.campaigning || e.confirmedOverTerm >= term || e.knowsLaterTerm(term) {
 		return Refused
 	}
-	if until := e.clock.Now().Add(voteKeptFor); until.After(e.voteUntil) {
-		e.voteUntil = until
+	if until := e.clock.Now().Add(voteKeptFor); until.After(e.boundUntil) {
+		e.boundUntil = until
 	}
-	if e.sureTerm < term {
+	if e.leadingTerm < term {
 		return GrantedWithoutMemory
 	}
 	return Granted
 }
 
-// laterThan tells whether this member knows of a leader after a term, itself for one: that term's leader must not act
+// knowsLaterTerm tells whether this member knows of a leader after a term, itself for one: that term's leader must not act
 // again, whatever is promised now. The caller holds the lock.
-func (e *Elector) laterThan(term uint64) bool { return max(e.leaderTerm, e.overTerm) > term }
+func (e *Elector) knowsLaterTerm(term uint64) bool { return max(e.leaderTerm, e.endedTerm) > term }
 
-func (e *Elector) follows() bool {
+func (e *Elector) isFollower() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.term == 0 && !e.campaigning
+	return e.ownTerm == 0 && !e.campaigning
 }
 
 // noteStillLeading takes in that a term was read as leading, by a request sent at
@@ -86,8 +86,8 @@
 func (e *Elector) noteStillLeading(term uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !sent.Before(e.sure) {
-		e.sureTerm = max(e.sureTerm, term)
+	if !sent.Before(e.earlierConfirmationsUntil) {
+		e.leadingTerm = max(e.leadingTerm, term)
 	}
 }
 
@@ -97,13 +97,13 @@
 func (e *Elector) ConfirmTermOver(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.term != 0 && e.term <= term {
-		e.resign()
+	if e.ownTerm != 0 && e.ownTerm <= term {
+		e.resignLocked()
 	}
-	if e.term != 0 || e.clock.Now().Before(e.voteUntil) {
+	if e.ownTerm != 0 || e.clock.Now().Before(e.boundUntil) {
 		return false
 	}
-	e.confirmedTerm = max(e.confirmedTerm, term)
+	e.confirmedOverTerm = max(e.confirmedOverTerm, term)
 	return true
 }
 
@@ -113,31 +113,31 @@
 func (e *Elector) NotLeading() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.round++
-	return e.term == 0
+	e.voteRound++
+	return e.ownTerm == 0
 }
 
-// askForVotes keeps the right to act while renewals have no success, as long as
+// requestVotes keeps the right to act while renewals have no success, as long as
 // the other members promise neither to campaign nor to vouch: then nobody can
 // have taken over, whatever became of the lease. One of them may be silent if it
 // was fenced off before: it finds nobody to vouch for it.
 // Workers can be answered; what needs the state service waits. If a member is
 // served by the state service, which refuses us alone, the right is given up and
 // the lease ended through that one.
-func (e *Elector) askForVotes(ctx context.Context, term uint64) {
+func (e *Elector) requestVotes(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		e.pause(ctx, tuning.VoteEvery)
 		e.mu.Lock()
-		needed := e.failures > 0 && e.term == term
-		e.round++
-		round, sent := e.round, e.clock.Now()
+		needed := e.failedRenewals > 0 && e.ownTerm == term
+		e.voteRound++
+		round, sent := e.voteRound, e.clock.Now()
 		e.mu.Unlock()
 		if !needed {
 			continue
 		}
 		p := e.peers.RequestVotes(ctx, term)
 		if p.Refused > 0 {
-			e.yield(ctx, term)
+			e.handOver(ctx, term)
 			continue
 		}
 		e.extendByVotes(term, round, sent, p)
@@ -163,33 +163,33 @@
 			until = last
 		}
 	}
-	if e.round == round && e.term == term && until.After(e.validUntil) {
+	if e.voteRound == round && e.ownTerm == term && until.After(e.validUntil) {
 		e.validUntil = until
 	}
 }
 
-// yield hands the leadership over when renewals fail though another member is
+// handOver hands the leadership over when renewals fail though another member is
 // served: it gives up the right first, then has the lease ended, rather than
 // have all wait until it runs out. Renewals must go on failing after the other was
 // seen to be served: at the end of an outage it hears a moment before us.
-func (e *Elector) yield(ctx context.Context, term uint64) {
+func (e *Elector) handOver(ctx context.Context, term uint64) {
 	e.mu.Lock()
-	if e.servedAt == 0 {
-		e.servedAt = e.failures
+	if e.failuresWhenOtherServed == 0 {
+		e.failuresWhenOtherServed = e.failedRenewals
 	}
-	if e.term != term || e.failures < e.servedAt+tuning.YieldAfter {
+	if e.ownTerm != term || e.failedRenewals < e.failuresWhenOtherServed+tuning.YieldAfter {
 		e.mu.Unlock()
 		return
 	}
 	lease := e.lease
-	e.resign()
+	e.resignLocked()
 	e.mu.Unlock()
 	e.log.Info("handing over: the state service serves others", "term", term)
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
-func (e *Elector) failedRenewal() {
+func (e *Elector) noteFailedRenewal() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failures++
+	e.failedRenewals++
 }
--- a/internal/cluster/peerrpc/mesh.go
+++ b/internal/cluster/peerrpc/mesh.go
@@ -70,7 +70,7 @@
 // Handler answers a request.
 type Handler func(context.Context, Request) Response
 
-var errFrame = errors.New("malformed mesh frame")
+var errMalformed = errors.New("malformed mesh frame")
 
 func readFrame(r io.Reader) ([]byte, error) {
 	var size [4]byte
@@ -79,14 +79,14 @@
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n == 0 || n > tuning.PeerFrameBytes {
-		return nil, errFrame
+		return nil, errMalformed
 	}
 	buf := make([]byte, n)
 	_, err := io.ReadFull(r, buf)
 	return buf, err
 }
 
-func frame(b *flatbuffers.Builder) []byte {
+func frameOf(b *flatbuffers.Builder) []byte {
 	body := b.FinishedBytes()
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body))), body...)
 }
@@ -104,7 +104,7 @@
 	fb.RequestAddNumber(b, r.Number)
 	fb.RequestAddNames(b, names)
 	b.Finish(fb.RequestEnd(b))
-	return frame(b)
+	return frameOf(b)
 }
 
 func encodeResponse(seq uint64, r Response) []byte {
@@ -124,7 +124,7 @@
 	fb.ResponseAddTerm(b, r.Term)
 	fb.ResponseAddNames(b, names)
 	b.Finish(fb.ResponseEnd(b))
-	return frame(b)
+	return frameOf(b)
 }
 
 // stringVector writes names; 0, which is no vector, if there are none.
@@ -152,12 +152,12 @@
 	return out
 }
 
-// guard turns a panic of the FlatBuffers accessors, which do not verify what
+// recoverMalformed turns a panic of the FlatBuffers accessors, which do not verify what
 // they read, into an error: a peer's malformed bytes must not end a controller.
-func guard(fn func()) (err error) {
+func recoverMalformed(fn func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %v", errFrame, p)
+			err = fmt.Errorf("%w: %v", errMalformed, p)
 		}
 	}()
 	fn()
@@ -165,7 +165,7 @@
 }
 
 func decodeRequest(buf []byte) (seq uint64, r Request, err error) {
-	err = guard(func() {
+	err = recoverMalformed(func() {
 		m := fb.GetRootAsRequest(buf, 0)
 		seq, r = m.Seq(), Request{Verb: Verb(m.Verb()), Job: string(m.Job()), Payload: m.PayloadBytes(), Number: m.Number(), Names: namesOf(m.NamesLength(), m.Names)}
 	})
@@ -173,7 +173,7 @@
 }
 
 func decodeResponse(buf []byte) (seq uint64, r Response, err error) {
-	err = guard(func() {
+	err = recoverMalformed(func() {
 		m := fb.GetRootAsResponse(buf, 0)
 		seq = m.Seq()
 		r = Response{Status: int(m.Status()), Job: wire.JobStatus{
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -27,21 +27,21 @@
 
 // Peers are the other members. It is safe for concurrent use.
 type Peers struct {
-	client   *peerrpc.Client
-	endpoint map[string]string // mesh addresses by member
-	member   string
-	members  int
-	lease    time.Duration // a worker's
-	clock    clockwork.Clock
-	log      *slog.Logger
-	elector  *election.Elector
-	reach    reach
-	full     atomic.Bool // the leader has no memory for more jobs
-
-	zoneLease ZoneLease
-	mu        sync.Mutex
-	heard     time.Time         // when any other member answered a ping last, or this one began
-	claims    map[string][]byte // what each other member said last of its zone's right
+	client       *peerrpc.Client
+	endpoints    map[string]string // mesh addresses by member
+	member       string
+	members      int
+	workerLease  time.Duration // a worker's
+	clock        clockwork.Clock
+	log          *slog.Logger
+	elector      *election.Elector
+	leaderHealth leaderHealth
+	leaderFull   atomic.Bool // the leader has no memory for more jobs
+
+	zoneLease  ZoneLease
+	mu         sync.Mutex
+	lastAnswer time.Time         // when any other member answered a ping last, or this one began
+	claims     map[string][]byte // what each other member said last of its zone's right
 }
 
 // ZoneLease is this member's right to answer its zone. Its claim goes with pings, so that others remember it for the next
@@ -57,11 +57,11 @@
 // anything but what an elector asks.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
-		client: peerrpc.NewClient(), endpoint: map[string]string{}, members: len(s.Members),
-		lease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), clock: clock, log: log, claims: map[string][]byte{}, member: s.Member,
+		client: peerrpc.NewClient(), endpoints: map[string]string{}, members: len(s.Members),
+		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), clock: clock, log: log, claims: map[string][]byte{}, member: s.Member,
 	}
 	for _, m := range s.Members {
-		p.endpoint[m.Name] = m.Endpoint
+		p.endpoints[m.Name] = m.Endpoint
 	}
 	return p
 }
@@ -83,15 +83,15 @@
 }
 
 // Alone tells whether there are no other members.
-func (p *Peers) Alone() bool { return len(p.endpoint) == 0 }
+func (p *Peers) Alone() bool { return len(p.endpoints) == 0 }
 
 // Known tells whether a member is among the others.
-func (p *Peers) Known(name string) bool { return p.endpoint[name] != "" }
+func (p *Peers) Known(name string) bool { return p.endpoints[name] != "" }
 
 // Others names the other members, the leader first.
 func (p *Peers) Others() []string {
 	leader := p.elector.Leader()
-	return slices.SortedFunc(maps.Keys(p.endpoint), func(x, y string) int {
+	return slices.SortedFunc(maps.Keys(p.endpoints), func(x, y string) int {
 		if (x == leader) != (y == leader) {
 			if x == leader {
 				return -1
@@ -112,7 +112,7 @@
 
 // Call asks one member.
 func (p *Peers) Call(ctx context.Context, name string, req peerrpc.Request) (peerrpc.Response, error) {
-	return p.client.Call(ctx, p.endpoint[name], req)
+	return p.client.Call(ctx, p.endpoints[name], req)
 }
 
 // Relay asks the leader; ok is false when it gives no usable answer.
@@ -135,10 +135,10 @@
 	status int
 }
 
-// ask asks every other member at once and hands on each answer.
-func (p *Peers) ask(ctx context.Context, req peerrpc.Request) <-chan peerAnswer {
-	answers := make(chan peerAnswer, len(p.endpoint))
-	for name, addr := range p.endpoint {
+// askAll asks every other member at once and hands on each answer.
+func (p *Peers) askAll(ctx context.Context, req peerrpc.Request) <-chan peerAnswer {
+	answers := make(chan peerAnswer, len(p.endpoints))
+	for name, addr := range p.endpoints {
 		go func() {
 			r, err := p.client.Call(ctx, addr, req)
 			if err != nil {
@@ -150,10 +150,10 @@
 	return answers
 }
 
-// anyOf tells whether a member answers 200.
-func (p *Peers) anyOf(ctx context.Context, req peerrpc.Request) bool {
-	answers := p.ask(ctx, req)
-	for range p.endpoint {
+// anyAccepts tells whether a member answers 200.
+func (p *Peers) anyAccepts(ctx context.Context, req peerrpc.Request) bool {
+	answers := p.askAll(ctx, req)
+	for range p.endpoints {
 		if (<-answers).status == http.StatusOK {
 			return true
 		}
@@ -163,8 +163,8 @@
 
 // RequestVotes asks all other members neither to campaign nor to vouch for a while.
 func (p *Peers) RequestVotes(ctx context.Context, term uint64) (got election.Votes) {
-	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
-	for range p.endpoint {
+	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
+	for range p.endpoints {
 		switch a := <-answers; a.status {
 		case http.StatusOK:
 		case http.StatusAccepted:
@@ -180,8 +180,8 @@
 
 // NobodyLeads asks all other members whether they do not lead.
 func (p *Peers) NobodyLeads(ctx context.Context) bool {
-	answers := p.ask(ctx, peerrpc.Request{Verb: peerrpc.NotLeading})
-	for range p.endpoint {
+	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.NotLeading})
+	for range p.endpoints {
 		if (<-answers).status != http.StatusOK {
 			return false
 		}
@@ -191,7 +191,7 @@
 
 // ConfirmTermOver asks all other members whether one vouches that a term is over.
 func (p *Peers) ConfirmTermOver(ctx context.Context, term uint64) bool {
-	return len(p.endpoint) == 0 || p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, Number: term})
+	return len(p.endpoints) == 0 || p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, Number: term})
 }
 
 // MayHaveRenewed asks a member which of some machines it may have answered by its zone's right
@@ -231,18 +231,18 @@
 func (p *Peers) ProbeWorkers(ctx context.Context, addrs []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
-	return p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.ProbeWorkers, Names: addrs})
+	return p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.ProbeWorkers, Names: addrs})
 }
 
 // EndLease has the other members end the lease of this one, which gave up its right.
 func (p *Peers) EndLease(ctx context.Context, lease uint64) {
-	p.anyOf(ctx, peerrpc.Request{Verb: peerrpc.EndLease, Number: lease})
+	p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.EndLease, Number: lease})
 }
 
 // Silent names the members that do not answer of late.
 func (p *Peers) Silent() []string {
 	var names []string
-	for name, addr := range p.endpoint {
+	for name, addr := range p.endpoints {
 		if p.client.Silent(addr) {
 			names = append(names, name)
 		}
@@ -251,75 +251,75 @@
 }
 
 // NotePing takes in how a ping of the leader went: missed tells that nothing came back.
-func (p *Peers) NotePing(leader string, missed bool) { p.reach.note(leader, missed) }
+func (p *Peers) NotePing(leader string, missed bool) { p.leaderHealth.notePing(leader, missed) }
 
 // LeaderFull tells whether the leader said, when it was last asked, that it has no memory for more jobs.
-func (p *Peers) LeaderFull() bool { return p.full.Load() }
+func (p *Peers) LeaderFull() bool { return p.leaderFull.Load() }
 
 // LeaderUnreachable tells whether the leader has not answered for a while: it is cut off.
-func (p *Peers) LeaderUnreachable(leader string) bool { return p.reach.cut(leader) }
+func (p *Peers) LeaderUnreachable(leader string) bool { return p.leaderHealth.unreachable(leader) }
 
-// reach tells whether the leader is cut off from this member: it does not
+// leaderHealth tells whether the leader is cut off from this member: it does not
 // answer at all. A refused connection is no cut: a process that ended refuses,
 // and so may a packet filter between controllers while workers pass.
-type reach struct {
-	mu     sync.Mutex
-	leader string
-	missed int // pings in a row without any answer
+type leaderHealth struct {
+	mu          sync.Mutex
+	leader      string
+	missedPings int // pings in a row without any answer
 }
 
-func (r *reach) note(leader string, missed bool) {
+func (r *leaderHealth) notePing(leader string, missed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if leader != r.leader || !missed {
-		r.leader, r.missed = leader, 0
+		r.leader, r.missedPings = leader, 0
 	}
 	if missed {
-		r.missed++
+		r.missedPings++
 	}
 }
 
-// cut tells whether the leader has not answered for a while.
-func (r *reach) cut(leader string) bool {
+// unreachable tells whether the leader has not answered for a while.
+func (r *leaderHealth) unreachable(leader string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return leader == r.leader && r.missed >= tuning.LeaderPingsMissed
+	return leader == r.leader && r.missedPings >= tuning.LeaderPingsMissed
 }
 
-func (p *Peers) hear() {
+func (p *Peers) noteAnswer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = p.clock.Now()
+	p.lastAnswer = p.clock.Now()
 }
 
 // Isolated tells whether there are other members, and none of them has answered for a while.
 func (p *Peers) Isolated() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.heard.IsZero() && p.clock.Since(p.heard) > tuning.IsolatedFor
+	return !p.lastAnswer.IsZero() && p.clock.Since(p.lastAnswer) > tuning.IsolatedFor
 }
 
 // Run looks again and again whether the leader can be reached, and hears
 // from the others who leads.
 func (p *Peers) Run(ctx context.Context) {
-	p.hear()
+	p.noteAnswer()
 	for ctx.Err() == nil {
 		leader := p.elector.Leader()
 		if !p.Known(leader) {
-			p.full.Store(false)
+			p.leaderFull.Store(false)
 		}
 		var wg sync.WaitGroup
-		for name, addr := range p.endpoint {
+		for name, addr := range p.endpoints {
 			wg.Go(func() {
 				r, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
 				if err == nil {
 					p.zoneLease.Inherit(r.Payload)
 					p.elector.NoteLeader(r.Leader, r.Term)
-					p.hear()
+					p.noteAnswer()
 				}
 				if name == leader {
 					p.NotePing(leader, Unanswered(err))
-					p.full.Store(err == nil && r.Status == http.StatusInsufficientStorage)
+					p.leaderFull.Store(err == nil && r.Status == http.StatusInsufficientStorage)
 				}
 			})
 		}
@@ -334,14 +334,14 @@
 	return errors.Is(err, peerrpc.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
 }
 
-// wayBack is how long a worker takes at most that is sent to the leader, does
+// workerReturnTime is how long a worker takes at most that is sent to the leader, does
 // not reach it nor any other controller, and comes back here.
-func (p *Peers) wayBack() time.Duration {
+func (p *Peers) workerReturnTime() time.Duration {
 	return time.Duration(p.members) * tuning.WorkerTry
 }
 
 // MayTryLeader tells whether a worker whose leader does not answer us may be sent
 // to it: only if it would be back well within its lease.
 func (p *Peers) MayTryLeader() bool {
-	return p.wayBack() < time.Duration(float64(p.lease)*tuning.ProbeLeaseShare)
+	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.ProbeLeaseShare)
 }
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -20,7 +20,7 @@
 	if p.Isolated() {
 		t.Error("lonely before it has asked anybody")
 	}
-	p.hear()
+	p.noteAnswer()
 	clock.Advance(tuning.IsolatedFor)
 	if p.Isolated() {
 		t.Error("lonely too soon")
@@ -29,7 +29,7 @@
 	if !p.Isolated() {
 		t.Error("not lonely")
 	}
-	if p.hear(); p.Isolated() {
+	if p.noteAnswer(); p.Isolated() {
 		t.Error("lonely though a member answered")
 	}
 }
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -19,17 +19,17 @@
 }
 
 func TestStoredRecordOfKeptMachines(t *testing.T) {
-	world := newKeeperWorld(t)
-	if !world.ask("n-1") {
+	harness := newFollowerHarness(t)
+	if !harness.tryAcquire("n-1") {
 		t.Fatal("the machine is not kept")
 	}
-	golden.Lines(t, "kept-machines", written(world.state)...)
+	golden.Lines(t, "kept-machines", written(harness.state)...)
 }
 
 func TestStoredRecordOfAZone(t *testing.T) {
-	world := newZoneWorld(t)
-	world.Renew(t.Context())
-	golden.Lines(t, "zone", written(world.state)...)
+	harness := newZoneHarness(t)
+	harness.Renew(t.Context())
+	golden.Lines(t, "zone", written(harness.state)...)
 }
 
 // written gives the keys and values that were stored.
--- a/internal/cluster/workerlease/keeper.go
+++ b/internal/cluster/workerlease/keeper.go
@@ -46,12 +46,12 @@
 	valueKB     float64
 	requests    chan acquireRequest
 
-	lease uint64
-	sent  time.Time            // when the request was sent that gave the lease its time
-	names map[string]time.Time // the machines that were asked for, and when they were last
-	pages []*page
-	on    map[string]*page // the page that names a machine
-	turn  int              // the index of the page from which on renew looks for one to shorten
+	leaseID     uint64
+	leaseSent   time.Time            // when the request was sent that gave the lease its time
+	lastRenewed map[string]time.Time // the machines that were asked for, and when they were last
+	pages       []*page
+	pageOf      map[string]*page // the page that names a machine
+	turn        int              // the index of the page from which on renew looks for one to shorten
 }
 
 // page is one of the record's values: as many names as one holds. A name stays on its
@@ -79,17 +79,19 @@
 	return &FollowerLeases{
 		store: store, clock: clock, log: log, member: s.Member, valueKB: s.Cluster.State.ValueKB,
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.Inbox),
-		names: map[string]time.Time{}, on: map[string]*page{},
+		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
 }
 
-// life is how long the record outlives its last renewal.
-func (k *FollowerLeases) life() time.Duration { return 2*k.workerLease + tuning.FollowerLeaseExtra }
+// recordTTL is how long the record outlives its last renewal.
+func (k *FollowerLeases) recordTTL() time.Duration {
+	return 2*k.workerLease + tuning.FollowerLeaseExtra
+}
 
-// mayAnswer tells whether the record will outlive a worker's lease that
+// outlivesLeaseFrom tells whether the record will outlive a worker's lease that
 // begins now.
-func (k *FollowerLeases) mayAnswer(now time.Time) bool {
-	return k.lease != 0 && now.Sub(k.sent) < k.life()-k.workerLease-tuning.FollowerLeaseExtra/2
+func (k *FollowerLeases) outlivesLeaseFrom(now time.Time) bool {
+	return k.leaseID != 0 && now.Sub(k.leaseSent) < k.recordTTL()-k.workerLease-tuning.FollowerLeaseExtra/2
 }
 
 // Acquire asks for the right to answer a machine now.
@@ -112,7 +114,7 @@
 func (k *FollowerLeases) Run(ctx context.Context) {
 	for {
 		var wake <-chan time.Time
-		if k.lease != 0 {
+		if k.leaseID != 0 {
 			wake = k.clock.After(tuning.FollowerLeaseRenew)
 		}
 		select {
@@ -120,56 +122,56 @@
 			return
 		case r := <-k.requests:
 			// Workers that lose the leader come together: they share a write.
-			if !k.stored(r.machine) {
+			if !k.isStored(r.machine) {
 				clock.Sleep(ctx, k.clock, tuning.FollowerLeaseGather)
 			}
 			batch := []acquireRequest{r}
 			for len(k.requests) > 0 {
 				batch = append(batch, <-k.requests)
 			}
-			k.serve(ctx, batch)
+			k.grantBatch(ctx, batch)
 		case <-wake:
 		}
-		if k.lease != 0 && k.clock.Since(k.sent) >= tuning.FollowerLeaseRenew {
-			k.renew(ctx)
+		if k.leaseID != 0 && k.clock.Since(k.leaseSent) >= tuning.FollowerLeaseRenew {
+			k.renewRecord(ctx)
 		}
 	}
 }
 
-// stored tells whether the record names a machine.
-func (k *FollowerLeases) stored(machine string) bool {
-	p := k.on[machine]
+// isStored tells whether the record names a machine.
+func (k *FollowerLeases) isStored(machine string) bool {
+	p := k.pageOf[machine]
 	return p != nil && p.names[machine]
 }
 
-func (k *FollowerLeases) serve(ctx context.Context, batch []acquireRequest) {
+func (k *FollowerLeases) grantBatch(ctx context.Context, batch []acquireRequest) {
 	missing := false
 	for _, r := range batch {
-		k.names[r.machine] = k.clock.Now()
-		missing = missing || !k.stored(r.machine)
+		k.lastRenewed[r.machine] = k.clock.Now()
+		missing = missing || !k.isStored(r.machine)
 	}
 	if missing {
-		k.write(ctx)
+		k.writeRecord(ctx)
 	}
 	for _, r := range batch {
-		r.granted <- k.stored(r.machine) && k.mayAnswer(k.clock.Now())
+		r.granted <- k.isStored(r.machine) && k.outlivesLeaseFrom(k.clock.Now())
 	}
 }
 
-// write stores the names. Until that has an answer, no new one counts.
-func (k *FollowerLeases) write(ctx context.Context) bool {
-	if k.lease == 0 {
+// writeRecord stores the names. Until that has an answer, no new one counts.
+func (k *FollowerLeases) writeRecord(ctx context.Context) bool {
+	if k.leaseID == 0 {
 		sent := k.clock.Now()
-		lease, err := k.store.GrantLease(ctx, k.life())
+		lease, err := k.store.GrantLease(ctx, k.recordTTL())
 		if err != nil {
 			return false
 		}
-		k.lease, k.sent = lease, sent
+		k.leaseID, k.leaseSent = lease, sent
 	}
-	begin := len(k.on) == 0
-	for _, name := range slices.Sorted(maps.Keys(k.names)) {
-		if k.on[name] == nil {
-			k.add(name)
+	begin := len(k.pageOf) == 0
+	for _, name := range slices.Sorted(maps.Keys(k.lastRenewed)) {
+		if k.pageOf[name] == nil {
+			k.addName(name)
 		}
 	}
 	for i, p := range k.pages {
@@ -178,15 +180,15 @@
 		}
 	}
 	level := slog.LevelDebug
-	if begin && len(k.names) > 0 {
+	if begin && len(k.lastRenewed) > 0 {
 		level = slog.LevelInfo
 	}
-	k.log.Log(ctx, level, "answering machines in the leader's stead", "machines", len(k.names))
+	k.log.Log(ctx, level, "answering machines in the leader's stead", "machines", len(k.lastRenewed))
 	return true
 }
 
-// add puts a name on the first page that has room for it.
-func (k *FollowerLeases) add(name string) {
+// addName puts a name on the first page that has room for it.
+func (k *FollowerLeases) addName(name string) {
 	size := len(name) + len(`"",`)
 	room := int(k.valueKB*1024) - len(`{"machines":[]}`)
 	i := slices.IndexFunc(k.pages, func(p *page) bool { return p.bytes+size <= room })
@@ -198,14 +200,14 @@
 	p.names[name] = false
 	p.bytes += size
 	p.changed = true
-	k.on[name] = p
+	k.pageOf[name] = p
 }
 
-// remove takes a name off its page.
-func (k *FollowerLeases) remove(name string) {
-	delete(k.names, name)
-	if p := k.on[name]; p != nil {
-		delete(k.on, name)
+// removeName takes a name off its page.
+func (k *FollowerLeases) removeName(name string) {
+	delete(k.lastRenewed, name)
+	if p := k.pageOf[name]; p != nil {
+		delete(k.pageOf, name)
 		delete(p.names, name)
 		p.bytes -= len(name) + len(`"",`)
 		p.changed = true
@@ -217,10 +219,10 @@
 	if err != nil {
 		return false
 	}
-	key := fmt.Sprintf("%s%s/%d/%d", prefixRenewed, k.member, k.lease, i)
+	key := fmt.Sprintf("%s%s/%d/%d", prefixRenewed, k.member, k.leaseID, i)
 	version, err := k.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: p.version}},
-		Then: []wire.Change{{Put: key, Value: value, Lease: k.lease}},
+		Then: []wire.Change{{Put: key, Value: value, Lease: k.leaseID}},
 	})
 	if err != nil {
 		k.log.Debug("machines not kept", "err", err)
@@ -238,21 +240,21 @@
 	return true
 }
 
-// renew keeps the record while there is something to keep, and takes out
+// renewRecord keeps the record while there is something to keep, and takes out
 // machines whose leases have surely run out since their last answer.
-func (k *FollowerLeases) renew(ctx context.Context) {
+func (k *FollowerLeases) renewRecord(ctx context.Context) {
 	sent := k.clock.Now()
-	if err := k.store.RenewLease(ctx, k.lease); err == nil {
-		k.sent = sent
-	} else if !k.mayAnswer(k.clock.Now()) {
+	if err := k.store.RenewLease(ctx, k.leaseID); err == nil {
+		k.leaseSent = sent
+	} else if !k.outlivesLeaseFrom(k.clock.Now()) {
 		k.abandon()
 		return
 	}
 	k.removeExpired()
-	if slices.ContainsFunc(k.pages, func(p *page) bool { return p.changed }) && !k.write(ctx) {
+	if slices.ContainsFunc(k.pages, func(p *page) bool { return p.changed }) && !k.writeRecord(ctx) {
 		return
 	}
-	if len(k.names) == 0 {
+	if len(k.lastRenewed) == 0 {
 		k.abandon()
 	}
 }
@@ -262,11 +264,11 @@
 // was more than that share. A name that stands longer only has the leader conclude later that the machine's tasks
 // are gone.
 func (k *FollowerLeases) removeExpired() {
-	over := claimValidFor(k.workerLease)
+	over := renewalReportedFor(k.workerLease)
 	expired := map[*page][]string{} // nil: not on any page yet
-	for name, at := range k.names {
+	for name, at := range k.lastRenewed {
 		if k.clock.Since(at) > over {
-			p := k.on[name]
+			p := k.pageOf[name]
 			expired[p] = append(expired[p], name)
 		}
 	}
@@ -280,17 +282,19 @@
 		}
 	}
 	for _, name := range remove {
-		k.remove(name)
+		k.removeName(name)
 	}
 }
 
-// runOut is how long after an answer a worker's lease has run out on every clock.
-func runOut(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
+// expiredAfter is how long after an answer a worker's lease has run out on every clock.
+func expiredAfter(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
-// claimValidFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most RenewedQueryTime
+// renewalReportedFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began at most RenewedQueryTime
 // before: each tells of the lease before that beginning. With a lease before each was asked, two that answered a machine one
 // after the other both denied it, and its tasks counted as gone while they ran.
-func claimValidFor(lease time.Duration) time.Duration { return runOut(lease) + tuning.RenewedQueryTime }
+func renewalReportedFor(lease time.Duration) time.Duration {
+	return expiredAfter(lease) + tuning.RenewedQueryTime
+}
 
 // WithDrift is a time that is over on every clock when it is over on ours.
 func WithDrift(d time.Duration) time.Duration {
@@ -300,9 +304,9 @@
 // abandon leaves the record to its lease's end, which is late enough for all
 // that was answered; the next one gets a new key.
 func (k *FollowerLeases) abandon() {
-	k.lease, k.pages = 0, nil
-	clear(k.names)
-	clear(k.on)
+	k.leaseID, k.pages = 0, nil
+	clear(k.lastRenewed)
+	clear(k.pageOf)
 }
 
 // ReadAll reads which machines followers answer, and the rights for zones that stand.
--- a/internal/cluster/workerlease/keeper_test.go
+++ b/internal/cluster/workerlease/keeper_test.go
@@ -15,31 +15,31 @@
 	"poppypass/internal/sim/fakes"
 )
 
-type keeperWorld struct {
+type followerHarness struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	state *fakes.State
 	*FollowerLeases
 }
 
-func newKeeperWorld(t *testing.T) *keeperWorld {
+func newFollowerHarness(t *testing.T) *followerHarness {
 	clock := clockwork.NewFakeClock()
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
 	k := NewFollowerLeases(&config.Settings{
 		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
 	}, statestore.New(state.Addr(), 1e6, 1e6), clock, slog.New(slog.DiscardHandler))
-	return &keeperWorld{t, clock, state, k}
+	return &followerHarness{t, clock, state, k}
 }
 
-func (w *keeperWorld) ask(machine string) bool {
+func (w *followerHarness) tryAcquire(machine string) bool {
 	r := acquireRequest{machine, make(chan bool, 1)}
-	w.serve(w.t.Context(), []acquireRequest{r})
+	w.grantBatch(w.t.Context(), []acquireRequest{r})
 	return <-r.granted
 }
 
 // recorded is what a leader would read.
-func (w *keeperWorld) recorded(machine string) bool {
+func (w *followerHarness) recorded(machine string) bool {
 	w.t.Helper()
 	kept, _, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
@@ -49,15 +49,15 @@
 }
 
 func TestAMachineIsRecordedBeforeItIsAnswered(t *testing.T) {
-	w := newKeeperWorld(t)
-	if !w.ask("n-1") || !w.recorded("n-1") || w.recorded("n-2") {
+	w := newFollowerHarness(t)
+	if !w.tryAcquire("n-1") || !w.recorded("n-1") || w.recorded("n-2") {
 		t.Errorf("recorded: n-1 %v, n-2 %v", w.recorded("n-1"), w.recorded("n-2"))
 	}
 	w.state.Refuse(true)
-	if w.ask("n-2") {
+	if w.tryAcquire("n-2") {
 		t.Error("answers a machine that it could not record")
 	}
-	if !w.ask("n-1") {
+	if !w.tryAcquire("n-1") {
 		t.Error("does not answer the one that is recorded")
 	}
 }
@@ -65,11 +65,11 @@
 // Guards against a record that ends before a lease that was given under it:
 // the leader would place the tasks anew while they still run.
 func TestTheRecordOutlivesEveryAnswer(t *testing.T) {
-	w := newKeeperWorld(t)
-	w.ask("n-1")
+	w := newFollowerHarness(t)
+	w.tryAcquire("n-1")
 	var last time.Time
-	for w.clock.Since(w.sent) < w.life() { // never renewed
-		if w.ask("n-1") {
+	for w.clock.Since(w.leaseSent) < w.recordTTL() { // never renewed
+		if w.tryAcquire("n-1") {
 			last = w.clock.Now()
 		}
 		w.clock.Advance(100 * time.Millisecond)
@@ -78,23 +78,23 @@
 			t.Fatalf("the record ended %v after an answer", w.clock.Since(last))
 		}
 	}
-	if w.ask("n-1") {
+	if w.tryAcquire("n-1") {
 		t.Error("answers after its record's end")
 	}
 }
 
 func TestAMachineLeavesTheRecordALeaseAfterItsLastAnswer(t *testing.T) {
-	w := newKeeperWorld(t)
-	w.ask("n-1")
+	w := newFollowerHarness(t)
+	w.tryAcquire("n-1")
 	w.clock.Advance(w.workerLease)
-	w.renew(t.Context())
+	w.renewRecord(t.Context())
 	w.clock.Advance(tuning.RenewedQueryTime)
-	w.ask("n-2")
-	if w.renew(t.Context()); !w.recorded("n-1") {
+	w.tryAcquire("n-2")
+	if w.renewRecord(t.Context()); !w.recorded("n-1") {
 		t.Error("taken out while a leader that began to read within its lease may read")
 	}
 	w.clock.Advance(time.Second)
-	if w.renew(t.Context()); w.recorded("n-1") || !w.recorded("n-2") {
+	if w.renewRecord(t.Context()); w.recorded("n-1") || !w.recorded("n-2") {
 		t.Errorf("recorded: n-1 %v, n-2 %v", w.recorded("n-1"), w.recorded("n-2"))
 	}
 }
@@ -102,15 +102,15 @@
 // Guards against a write without an answer that is applied later and takes a
 // name out again: nothing more is written under its key.
 func TestAWriteWithoutAnAnswerEndsTheRecord(t *testing.T) {
-	w := newKeeperWorld(t)
-	w.ask("n-1")
-	first := w.lease
+	w := newFollowerHarness(t)
+	w.tryAcquire("n-1")
+	first := w.leaseID
 	w.state.Mute(func(wire.Txn) bool { return true })
-	if w.ask("n-2") {
+	if w.tryAcquire("n-2") {
 		t.Error("answers a machine whose record has no answer")
 	}
 	w.state.Mute(nil)
-	if !w.ask("n-3") || w.lease == first {
+	if !w.tryAcquire("n-3") || w.leaseID == first {
 		t.Error("goes on under the same key")
 	}
 	if !w.recorded("n-1") {
@@ -121,7 +121,7 @@
 // Guards against a record that holds a few hundred machines: the workers of a large fleet
 // come together when a leader dies, and the leases of those that it did not hold ran out.
 func TestManyMachinesTakeSeveralPages(t *testing.T) {
-	w := newKeeperWorld(t)
+	w := newFollowerHarness(t)
 	const n = 5000
 	name := func(i int) string { return fmt.Sprintf("n-%06d", i) }
 	for begin := 0; begin < n; begin += 500 {
@@ -129,7 +129,7 @@
 		for i := begin; i < begin+500; i++ {
 			batch = append(batch, acquireRequest{name(i), make(chan bool, 1)})
 		}
-		w.serve(t.Context(), batch)
+		w.grantBatch(t.Context(), batch)
 		for _, r := range batch {
 			if !<-r.granted {
 				t.Fatalf("%s is not kept", r.machine)
@@ -152,16 +152,16 @@
 		}
 	}
 	w.clock.Advance(w.workerLease)
-	w.renew(t.Context())
+	w.renewRecord(t.Context())
 	w.clock.Advance(tuning.RenewedQueryTime)
 	for i := 0; i < n; i += 2 {
-		w.ask(name(i))
+		w.tryAcquire(name(i))
 	}
 	w.clock.Advance(time.Second)
-	if w.renew(t.Context()); recorded() != n/2 || w.recorded(name(1)) || !w.recorded(name(4998)) {
+	if w.renewRecord(t.Context()); recorded() != n/2 || w.recorded(name(1)) || !w.recorded(name(4998)) {
 		t.Errorf("%d recorded after the leases of half of them", recorded())
 	}
-	if pages := len(w.pages); !w.ask("n-new") || len(w.pages) != pages {
+	if pages := len(w.pages); !w.tryAcquire("n-new") || len(w.pages) != pages {
 		t.Error("room on the pages is not used again")
 	}
 }
@@ -170,25 +170,25 @@
 // the leader one after the other: that was more than the member's share of the changes, and new machines waited behind.
 func TestExpiredMachinesLeaveTheRecordWithinTheShareOfChanges(t *testing.T) {
 	const machines, writeRPS, share = 6000, 50, 0.08
-	w := newKeeperWorld(t)
+	w := newFollowerHarness(t)
 	w.store = statestore.New(w.state.Addr(), 1e6, writeRPS).WithShare(share)
 	var batch []acquireRequest
 	for i := range machines {
 		batch = append(batch, acquireRequest{fmt.Sprintf("n-%06d", i), make(chan bool, 1)})
 	}
-	w.serve(t.Context(), batch)
+	w.grantBatch(t.Context(), batch)
 	pages := len(w.pages)
 	w.clock.Advance(w.workerLease)
-	w.renew(t.Context())
+	w.renewRecord(t.Context())
 	w.clock.Advance(tuning.RenewedQueryTime + time.Second)
-	for renewals := 1; len(w.names) > 0; renewals++ {
+	for renewals := 1; len(w.lastRenewed) > 0; renewals++ {
 		room, before := max(1, w.store.SpareWrites()), len(w.state.Applied())
-		w.renew(t.Context())
+		w.renewRecord(t.Context())
 		if changes := len(w.state.Applied()) - before; changes < 1 || changes > room {
 			t.Fatalf("renewal %d wrote %d of %d pages, where there was room for %d", renewals, changes, pages, room)
 		}
 		if renewals > pages {
-			t.Fatalf("%d machines are left after %d renewals", len(w.names), renewals)
+			t.Fatalf("%d machines are left after %d renewals", len(w.lastRenewed), renewals)
 		}
 	}
 	if w.recorded("n-000000") || w.recorded("n-005999") {
--- a/internal/cluster/workerlease/several_test.go
+++ b/internal/cluster/workerlease/several_test.go
@@ -18,7 +18,7 @@
 	concluded, late, handed := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
-		w := newKeeperWorld(t)
+		w := newFollowerHarness(t)
 		var zones []*ZoneLease
 		for _, name := range []string{"m2", "m3"} {
 			z := NewZoneLease(&config.Settings{
@@ -31,7 +31,7 @@
 			w.clock.Advance(time.Duration(r.Int64N(int64(most))))
 			w.state.Expire()
 			if r.IntN(3) == 0 {
-				w.renew(t.Context())
+				w.renewRecord(t.Context())
 			}
 		}
 		w.clock.Advance(time.Minute) // all are sure of what they answered
@@ -45,7 +45,7 @@
 				session, by = session+1, -1 // the next one began
 			}
 			who := r.IntN(3)
-			if who == 2 && w.ask("n-1") || who < 2 && zones[who].MayRenew("n-1", "a") {
+			if who == 2 && w.tryAcquire("n-1") || who < 2 && zones[who].MayRenew("n-1", "a") {
 				if last = w.clock.Now(); by != who {
 					handed++
 				}
--- a/internal/cluster/workerlease/zone.go
+++ b/internal/cluster/workerlease/zone.go
@@ -39,21 +39,21 @@
 // Terms and fences play no part in that: the right allows no command, no record and
 // no campaign. It is safe for concurrent use.
 type ZoneLease struct {
-	store  *statestore.Client
-	clock  clockwork.Clock
-	log    *slog.Logger
-	member string
-	zone   string
-	lease  time.Duration // a worker's
-	ttl    time.Duration // how long the right lasts; 0: workers' leases are too long for one
-	born   time.Time
-	off    time.Duration // how far a time of day may be from the true one
-
-	mu       sync.Mutex
-	leaseID  uint64               // the lease of our record; 0: none
-	sent     time.Time            // when the request was sent that gave it its time
-	former   time.Time            // by the time of day: when the right of a former life ends; zero: none is known
-	answered map[string]time.Time // machines that we answered by the right, and when
+	store       *statestore.Client
+	clock       clockwork.Clock
+	log         *slog.Logger
+	member      string
+	zone        string
+	workerLease time.Duration // a worker's
+	ttl         time.Duration // how long the right lasts; 0: workers' leases are too long for one
+	startedAt   time.Time
+	clockError  time.Duration // how far a time of day may be from the true one
+
+	mu             sync.Mutex
+	leaseID        uint64               // the lease of our record; 0: none
+	leaseSent      time.Time            // when the request was sent that gave it its time
+	inheritedUntil time.Time            // by the time of day: when the right of a former life ends; zero: none is known
+	lastRenewed    map[string]time.Time // machines that we answered by the right, and when
 }
 
 // ZoneLeaseRecord is a record of such a right.
@@ -66,18 +66,20 @@
 func NewZoneLease(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *ZoneLease {
 	z := &ZoneLease{
 		store: store, clock: clock, log: log, member: s.Member, zone: s.Zone,
-		lease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)),
-		born:  clock.Now(), answered: map[string]time.Time{},
-		off: time.Duration(s.Cluster.ClockErrorMS * float64(time.Millisecond)),
+		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)),
+		startedAt:   clock.Now(), lastRenewed: map[string]time.Time{},
+		clockError: time.Duration(s.Cluster.ClockErrorMS * float64(time.Millisecond)),
 	}
-	z.ttl = max(0, min(tuning.ZoneLeaseTTL, tuning.MaxTTL-z.over()-tuning.FollowerLeaseExtra))
+	z.ttl = max(0, min(tuning.ZoneLeaseTTL, tuning.MaxTTL-z.reportedFor()-tuning.FollowerLeaseExtra))
 	return z
 }
 
-func (z *ZoneLease) over() time.Duration { return claimValidFor(z.lease) }
+func (z *ZoneLease) reportedFor() time.Duration { return renewalReportedFor(z.workerLease) }
 
-// life is how long the record outlives its last renewal.
-func (z *ZoneLease) life() time.Duration { return z.ttl + z.over() + tuning.FollowerLeaseExtra }
+// recordTTL is how long the record outlives its last renewal.
+func (z *ZoneLease) recordTTL() time.Duration {
+	return z.ttl + z.reportedFor() + tuning.FollowerLeaseExtra
+}
 
 // MayRenew asks for the right to answer a machine of a zone now.
 func (z *ZoneLease) MayRenew(machine, zone string) bool {
@@ -87,16 +89,16 @@
 	if zone == "" || zone != z.zone || !z.held(now) && !z.inherited(now) {
 		return false
 	}
-	z.answered[machine] = now
+	z.lastRenewed[machine] = now
 	return true
 }
 
 // held tells whether the right that this process obtained lasts. The lock is held.
-func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.sent) < z.ttl }
+func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.leaseSent) < z.ttl }
 
 // inherited tells whether that of a former life surely lasts. The lock is held.
 func (z *ZoneLease) inherited(now time.Time) bool {
-	return z.ttl > 0 && now.Round(0).Add(2*z.off).Before(z.former)
+	return z.ttl > 0 && now.Round(0).Add(2*z.clockError).Before(z.inheritedUntil)
 }
 
 // claim is what a member tells others of its right, for its next life.
@@ -113,7 +115,7 @@
 	if !z.held(now) {
 		return nil
 	}
-	return wire.Value(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.sent)).UnixMilli()})
+	return wire.Value(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseSent)).UnixMilli()})
 }
 
 // Inherit takes up what another member remembers of this one's right. What cannot be read counts as nothing.
@@ -124,8 +126,8 @@
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if until := time.UnixMilli(c.UntilMS); until.After(z.former) {
-		z.former = until
+	if until := time.UnixMilli(c.UntilMS); until.After(z.inheritedUntil) {
+		z.inheritedUntil = until
 	}
 }
 
@@ -136,17 +138,17 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	for name, at := range z.answered {
-		if now.Sub(at) > z.over() {
-			delete(z.answered, name)
+	for name, at := range z.lastRenewed {
+		if now.Sub(at) > z.reportedFor() {
+			delete(z.lastRenewed, name)
 		}
 	}
 	for _, name := range names {
-		if _, ok := z.answered[name]; ok {
+		if _, ok := z.lastRenewed[name]; ok {
 			kept = append(kept, name)
 		}
 	}
-	return kept, now.Sub(z.born) > z.over()
+	return kept, now.Sub(z.startedAt) > z.reportedFor()
 }
 
 // Isolated tells whether the state service has not answered for a while, so that we may be
@@ -154,9 +156,9 @@
 func (z *ZoneLease) Isolated() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	since := z.sent
+	since := z.leaseSent
 	if z.leaseID == 0 {
-		since = z.born
+		since = z.startedAt
 	}
 	return (z.leaseID != 0 || z.inherited(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
 }
@@ -179,7 +181,7 @@
 	z.mu.Unlock()
 	sent := z.clock.Now()
 	if pass == 0 {
-		z.obtain(ctx)
+		z.acquire(ctx)
 		return
 	}
 	err := z.store.RenewLease(ctx, pass)
@@ -187,18 +189,18 @@
 	defer z.mu.Unlock()
 	switch {
 	case err == nil:
-		z.sent = sent
+		z.leaseSent = sent
 	case errors.Is(err, statestore.ErrLeaseNotFound):
 		z.leaseID = 0 // the right was over long before
 	}
 }
 
-// obtain makes a record under a key of its own. The right counts from before the lease
+// acquire makes a record under a key of its own. The right counts from before the lease
 // was asked for, and only once the record is surely stored; one whose storing had no answer is
 // left to its lease's end.
-func (z *ZoneLease) obtain(ctx context.Context) {
+func (z *ZoneLease) acquire(ctx context.Context) {
 	sent := z.clock.Now()
-	pass, err := z.store.GrantLease(ctx, z.life())
+	pass, err := z.store.GrantLease(ctx, z.recordTTL())
 	if err != nil {
 		return
 	}
@@ -216,5 +218,5 @@
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.leaseID, z.sent = pass, sent
+	z.leaseID, z.leaseSent = pass, sent
 }
--- a/internal/cluster/workerlease/zone_test.go
+++ b/internal/cluster/workerlease/zone_test.go
@@ -14,39 +14,39 @@
 	"poppypass/internal/sim/fakes"
 )
 
-const zoneLease = 10 * time.Second
+const zoneWorkerLease = 10 * time.Second
 
-type zoneWorld struct {
+type zoneHarness struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
 	state *fakes.State
 	*ZoneLease
 }
 
-func newZoneWorld(t *testing.T) *zoneWorld {
+func newZoneHarness(t *testing.T) *zoneHarness {
 	clock := clockwork.NewFakeClock()
-	w := &zoneWorld{t: t, clock: clock, state: fakes.NewState(clock)}
+	w := &zoneHarness{t: t, clock: clock, state: fakes.NewState(clock)}
 	t.Cleanup(w.state.Close)
 	w.restart()
 	return w
 }
 
 // restart begins a new life of the member.
-func (w *zoneWorld) restart() {
+func (w *zoneHarness) restart() {
 	w.ZoneLease = NewZoneLease(&config.Settings{
-		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: zoneLease.Seconds()}},
+		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: zoneWorkerLease.Seconds()}},
 	}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 }
 
-// pass lets time pass at the state service, too.
-func (w *zoneWorld) pass(d time.Duration) {
+// advance lets time pass at the state service, too.
+func (w *zoneHarness) advance(d time.Duration) {
 	w.clock.Advance(d)
 	w.state.Expire()
 }
 
 // concludes tells whether a leader that reads now, after the end of the machine's
 // lease by its own count, concludes that its tasks are gone.
-func (w *zoneWorld) concludes(machine string, reached bool) bool {
+func (w *zoneHarness) concludes(machine string, reached bool) bool {
 	w.t.Helper()
 	_, rights, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
@@ -63,7 +63,7 @@
 }
 
 func TestAZoneIsAnsweredThroughACut(t *testing.T) {
-	w := newZoneWorld(t)
+	w := newZoneHarness(t)
 	if w.MayRenew("n-1", "a") {
 		t.Error("answers before the right is recorded")
 	}
@@ -74,7 +74,7 @@
 	w.state.Refuse(true) // a cut
 	begun := w.clock.Now()
 	for w.MayRenew("n-1", "a") {
-		w.pass(time.Second)
+		w.advance(time.Second)
 		w.Renew(t.Context())
 		if alone := w.clock.Since(begun) > 2*tuning.ZoneLeaseRenew; w.Isolated() != alone {
 			t.Fatalf("alone %v after %v", w.Isolated(), w.clock.Since(begun))
@@ -92,19 +92,19 @@
 // Guards against a member that was started anew and says that it answered nobody: its
 // former life may have, a moment before.
 func TestARestartedMemberGivesNoWordForALease(t *testing.T) {
-	w := newZoneWorld(t)
+	w := newZoneHarness(t)
 	w.Renew(t.Context())
-	w.pass(time.Minute)
+	w.advance(time.Minute)
 	w.MayRenew("n-1", "a")
 	w.restart()
 	if w.concludes("n-1", true) {
 		t.Error("concluded on the word of one that cannot know")
 	}
-	w.pass(zoneLease + time.Second)
+	w.advance(zoneWorkerLease + time.Second)
 	if w.concludes("n-1", true) {
 		t.Error("concluded on a word that may be asked for later than it counts from")
 	}
-	w.pass(tuning.RenewedQueryTime)
+	w.advance(tuning.RenewedQueryTime)
 	if !w.concludes("n-1", true) {
 		t.Error("not concluded though the former life's answers are over")
 	}
@@ -112,7 +112,7 @@
 
 // Workers' leases too long for the state service's leave no right.
 func TestNoRightBesideVeryLongLeases(t *testing.T) {
-	w := newZoneWorld(t)
+	w := newZoneHarness(t)
 	w.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.MaxTTL.Seconds()}},
 	}, w.store, w.clock, w.log)
@@ -128,7 +128,7 @@
 func TestNoConclusionWithinALeaseOfAnAnswer(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 21))
-		w := newZoneWorld(t)
+		w := newZoneHarness(t)
 		var last time.Time                                      // when the machine was last answered
 		refused, cut, concluded, answered := false, false, 0, 0 // cut: from the member alone
 		for range 800 {
@@ -145,7 +145,7 @@
 					w.Renew(t.Context())
 				}
 			case n < 80:
-				if last.IsZero() || w.clock.Since(last) < zoneLease {
+				if last.IsZero() || w.clock.Since(last) < zoneWorkerLease {
 					if w.MayRenew("n-1", "a") {
 						last = w.clock.Now()
 						answered++
@@ -155,13 +155,13 @@
 				// The leader has not answered it for a lease.
 				if w.concludes("n-1", !cut && r.IntN(3) > 0) {
 					concluded++
-					if !last.IsZero() && w.clock.Since(last) < zoneLease {
+					if !last.IsZero() && w.clock.Since(last) < zoneWorkerLease {
 						t.Fatalf("seed %d: concluded %v after an answer", seed, w.clock.Since(last))
 					}
 					last = time.Time{} // its next session
 				}
 			}
-			w.pass(time.Duration(r.IntN(4000)) * time.Millisecond)
+			w.advance(time.Duration(r.IntN(4000)) * time.Millisecond)
 		}
 		if concluded == 0 || answered == 0 {
 			t.Errorf("seed %d: %d conclusions, %d answers", seed, concluded, answered)
@@ -172,15 +172,15 @@
 // Guards against the loss of a zone's tasks as its only member is started anew while the state service is out: another member remembers its right, whose
 // record stands as long, and a leader that reads it later asks the new life.
 func TestARestartedMemberTakesUpItsFormerRight(t *testing.T) {
-	w := newZoneWorld(t)
-	w.off = 250 * time.Millisecond
+	w := newZoneHarness(t)
+	w.clockError = 250 * time.Millisecond
 	w.Renew(t.Context())
-	w.pass(20 * time.Second)
+	w.advance(20 * time.Second)
 	w.state.Refuse(true)
 	claim, ends := w.Claim(), w.clock.Now().Add(tuning.ZoneLeaseTTL-20*time.Second)
-	off := w.off
+	off := w.clockError
 	w.restart()
-	w.off = off
+	w.clockError = off
 	w.Renew(t.Context())
 	if w.MayRenew("n-1", "a") || w.Claim() != nil {
 		t.Error("answers without any right")
@@ -195,7 +195,7 @@
 		t.Error("answers another zone's machine")
 	}
 	for w.MayRenew("n-1", "a") {
-		if w.pass(time.Second); w.clock.Now().After(ends) {
+		if w.advance(time.Second); w.clock.Now().After(ends) {
 			t.Fatal("answers beyond the end of its former life's right")
 		}
 		w.Inherit(claim) // a copy that comes late changes nothing
@@ -207,7 +207,7 @@
 	if w.concludes("n-1", true) || w.concludes("n-1", false) {
 		t.Error("concluded, though it was answered a moment ago")
 	}
-	w.pass(zoneLease + tuning.RenewedQueryTime + time.Second)
+	w.advance(zoneWorkerLease + tuning.RenewedQueryTime + time.Second)
 	if !w.concludes("n-1", true) || w.concludes("n-1", false) {
 		t.Error("not concluded a lease after the last answer, or without the member's word while the record stands")
 	}
