--- /dev/null
+++ b/internal/architecture_test.go
@@ -0,0 +1,203 @@
+// Package internal_test holds what is true of the whole tree: which package
+// may import which, and that the documents' links lead somewhere.
+package internal_test
+
+import (
+	"fmt"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const module = "poppypass/"
+
+// layers are the groups of packages from the bottom up, as docs/architecture.md
+// draws them. A package imports packages of its own group and of lower ones.
+// The groups of one line do not import each other.
+var layers = [][]string{
+	{"internal/platform"},
+	{"internal/clients"},
+	{"internal/cluster"},
+	{"internal/scheduler"},
+	{"internal/accounting", "internal/graphs"},
+	{"internal/api"},
+	{"internal/controller"},
+	{"cmd"},
+}
+
+// leaves are packages that stand with their group but are used further down:
+// everybody may import them, and they import only what is listed and each other.
+var leaves = map[string][]string{
+	"internal/accounting/charge": {},
+	"internal/accounting/budget": {"internal/platform/tuning", "internal/platform/wire"},
+}
+
+// pure are the groups of packages that hold state and decisions, and reach
+// neither the state service nor the cloud nor another controller.
+var pure = []string{
+	"internal/scheduler/autoscale",
+	"internal/scheduler/jobs",
+	"internal/scheduler/machines",
+	"internal/scheduler/placement",
+	"internal/scheduler/reachability",
+	"internal/graphs/dag",
+	"internal/graphs/dagfile",
+	"internal/graphs/dagview",
+}
+
+const simulations = "internal/sim"
+
+// within tells whether a package is the group or lies in it.
+func within(pkg, group string) bool {
+	return pkg == group || strings.HasPrefix(pkg, group+"/")
+}
+
+func layerOf(pkg string) (layer int, group string, ok bool) {
+	for i, groups := range layers {
+		for _, g := range groups {
+			if within(pkg, g) {
+				return i, g, true
+			}
+		}
+	}
+	return 0, "", false
+}
+
+// judge returns why a package may not import another one, or nothing.
+func judge(importer, imported string) error {
+	if within(importer, simulations) {
+		return nil // simulations run whole controllers
+	}
+	if within(imported, simulations) {
+		return fmt.Errorf("%s imports %s: only simulations and tests use simulations", importer, imported)
+	}
+	if may, ok := leaves[importer]; ok {
+		if _, leaf := leaves[imported]; leaf || slices.Contains(may, imported) {
+			return nil
+		}
+		return fmt.Errorf("%s imports %s: it is used by lower packages, and may import only %v", importer, imported, may)
+	}
+	if _, ok := leaves[imported]; ok {
+		return nil
+	}
+	from, fromGroup, ok := layerOf(importer)
+	if !ok {
+		return fmt.Errorf("%s belongs to no layer", importer)
+	}
+	to, toGroup, ok := layerOf(imported)
+	switch {
+	case !ok:
+		return fmt.Errorf("%s imports %s, which belongs to no layer", importer, imported)
+	case to > from:
+		return fmt.Errorf("%s imports %s, which is a higher layer", importer, imported)
+	case to == from && fromGroup != toGroup:
+		return fmt.Errorf("%s imports %s: these groups stand side by side", importer, imported)
+	}
+	for _, p := range pure {
+		if importer == p && (within(imported, "internal/clients") || within(imported, "internal/cluster")) {
+			return fmt.Errorf("%s imports %s: it decides without calling anybody", importer, imported)
+		}
+	}
+	return nil
+}
+
+// TestImportsFollowTheLayers holds the import rules between the groups of
+// packages. Test files may import anything.
+func TestImportsFollowTheLayers(t *testing.T) {
+	seen := map[string]bool{}
+	eachSource(t, func(pkg, file string) {
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen[pkg] = true
+		for _, spec := range parsed.Imports {
+			imported, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			imported, ours := strings.CutPrefix(imported, module)
+			if !ours {
+				continue
+			}
+			if err := judge(pkg, imported); err != nil {
+				t.Errorf("%s: %v", file, err)
+			}
+		}
+	})
+	if len(seen) < 30 {
+		t.Errorf("only %d packages were read", len(seen))
+	}
+	for leaf := range leaves {
+		if !seen[leaf] {
+			t.Errorf("there is no package %s", leaf)
+		}
+	}
+	for _, p := range pure {
+		if !seen[p] {
+			t.Errorf("there is no package %s", p)
+		}
+	}
+}
+
+// eachSource calls visit for each Go file of the program that is no test, with
+// its package's path in the module.
+func eachSource(t *testing.T, visit func(pkg, file string)) {
+	t.Helper()
+	for _, root := range []string{".", "../cmd"} {
+		err := filepath.WalkDir(root, func(file string, d fs.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			if d.IsDir() && d.Name() == "testdata" {
+				return fs.SkipDir
+			}
+			if strings.HasSuffix(file, ".go") && !strings.HasSuffix(file, "_test.go") {
+				visit(path.Join("internal", filepath.ToSlash(filepath.Dir(file))), file)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestImportRules(t *testing.T) {
+	for _, tt := range []struct {
+		name, importer, imported string
+		allowed                  bool
+	}{
+		{"the lowest layer is for all", "cmd/poppypass", "internal/platform/wire", true},
+		{"downwards", "internal/scheduler/leader", "internal/cluster/election", true},
+		{"within a group", "internal/scheduler/leader", "internal/scheduler/jobs", true},
+		{"upwards", "internal/cluster/election", "internal/scheduler/jobs", false},
+		{"upwards from the lowest layer", "internal/platform/config", "internal/clients/cloud", false},
+		{"groups side by side", "internal/graphs/runner", "internal/accounting/ledger", false},
+		{"the commands are the top", "internal/controller", "cmd/poppypass", false},
+		{"a leaf from below", "internal/platform/config", "internal/accounting/budget", true},
+		{"a leaf from a group beside", "internal/graphs/runner", "internal/accounting/charge", true},
+		{"a leaf uses a leaf", "internal/accounting/budget", "internal/accounting/charge", true},
+		{"a leaf uses what it may", "internal/accounting/budget", "internal/platform/wire", true},
+		{"a leaf does not go further", "internal/accounting/budget", "internal/platform/config", false},
+		{"a leaf does not use its group", "internal/accounting/charge", "internal/accounting/ledger", false},
+		{"decisions call nobody", "internal/scheduler/placement", "internal/clients/statestore", false},
+		{"the job store calls nobody", "internal/scheduler/jobs", "internal/cluster/election", false},
+		{"the program does not use simulations", "internal/controller", "internal/sim/fakes", false},
+		{"simulations use everything", "internal/sim/testcluster", "internal/controller", true},
+		{"a package without a layer", "internal/util", "internal/platform/wire", false},
+		{"an import without a layer", "internal/controller", "internal/util", false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			if err := judge(tt.importer, tt.imported); (err == nil) != tt.allowed {
+				t.Errorf("%s imports %s: %v", tt.importer, tt.imported, err)
+			}
+		})
+	}
+}
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Everything that must hold before a change lands: formatting, vet,
-# staticcheck, the tests with the race detector, and the deploy build.
+# Everything that must hold before a change lands: formatting, vet, staticcheck
+# (staticcheck.conf), revive (revive.toml), the tests with the race detector,
+# and the deploy build.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal)
@@ -11,6 +12,7 @@
 fi
 go vet ./...
 go tool staticcheck ./...
+go tool revive -config revive.toml ./...
 go test -race ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)
 sh -c "$build"
