--- a/cmd/poppypass/graphruns_test.go
+++ b/cmd/poppypass/graphruns_test.go
@@ -30,7 +30,7 @@
 	s := &config.Settings{
 		Member: "m0", Bind: fakes.FreeAddr(t), MeshAddr: fakes.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
 		Cluster: config.Cluster{
-			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
--- a/cmd/poppypass/job.go
+++ b/cmd/poppypass/job.go
@@ -58,7 +58,7 @@
 			Short: "Say what a job's tasks wait for",
 			Args:  cobra.ExactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return callService(cmd, http.MethodGet, addr, wire.PathJobs+"/"+args[0]+"/"+wire.EndWhy, nil)
+				return callService(cmd, http.MethodGet, addr, wire.PathJobs+"/"+args[0]+"/"+wire.EndExplain, nil)
 			},
 		},
 		&cobra.Command{
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -81,7 +81,7 @@
 }
 
 func leftValue(p *charge.Pack) []byte {
-	return wire.Value(struct {
+	return wire.EncodeRecord(struct {
 		Charges []byte `json:"c"`
 	}{charge.EncodePack(p)})
 }
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -41,7 +41,7 @@
 // serveTotals answers for one team: a team sees its own charges only.
 func (d *Handler) serveTotals(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("team") == "" {
-		httpjson.Fail(w, http.StatusBadRequest, "the parameter team is missing")
+		httpjson.WriteError(w, http.StatusBadRequest, "the parameter team is missing")
 		return
 	}
 	status, body := d.Ask(r.Context(), r.URL.RequestURI())
@@ -56,11 +56,11 @@
 func (d *Handler) serveCharges(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
-		httpjson.Fail(w, http.StatusNotFound, "no such job")
+		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
 	if !d.mu.TryLock() {
-		httpjson.Unavailable(w, "another question for charges is being answered")
+		httpjson.WriteUnavailable(w, "another question for charges is being answered")
 		return
 	}
 	defer d.mu.Unlock()
@@ -68,7 +68,7 @@
 	defer cancel()
 	page, err := d.Reader.Job(ctx, id, r.URL.Query().Get("after"))
 	if err != nil {
-		httpjson.Unavailable(w, "the charges cannot be read now")
+		httpjson.WriteUnavailable(w, "the charges cannot be read now")
 		return
 	}
 	if r.URL.Query().Get("format") == "csv" {
@@ -77,7 +77,7 @@
 	}
 	raw, err := json.MarshalIndent(page, "", " ")
 	if err != nil {
-		httpjson.Fail(w, http.StatusInternalServerError, "the answer cannot be written")
+		httpjson.WriteError(w, http.StatusInternalServerError, "the answer cannot be written")
 		return
 	}
 	httpjson.WriteRaw(w, http.StatusOK, raw)
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -109,11 +109,11 @@
 	for i := range packs {
 		n += len(packs[i].Charges)
 	}
-	return wire.Value(segmentRecord{Charges: n, Zstd: c.Encode(packs)})
+	return wire.EncodeRecord(segmentRecord{Charges: n, Zstd: c.Encode(packs)})
 }
 
 func pageValue(c *charge.Codec, rows []Row) json.RawMessage {
-	return wire.Value(pageRecord{Zstd: c.Encode(rows)})
+	return wire.EncodeRecord(pageRecord{Zstd: c.Encode(rows)})
 }
 
 // segment is the one that grows.
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -80,7 +80,7 @@
 	}
 	w.revision++
 	w.changes += len(txn.Then)
-	raw := wire.Value(txn)
+	raw := wire.EncodeRecord(txn)
 	if w.longest = max(w.longest, len(raw)); len(raw) > 64<<10 {
 		w.t.Fatalf("a transaction has %d bytes", len(raw))
 	}
--- a/internal/api/userapi/odd_test.go
+++ b/internal/api/userapi/odd_test.go
@@ -158,19 +158,19 @@
 	if after, _ := state.Value(jobs.KeyJob("job-1")); string(after.Value) != string(before.Value) {
 		t.Error("the stored job was changed")
 	}
-	for name, serve := range map[string]http.HandlerFunc{"asked": d.ServeGet, "cancelled": d.ServeCancel} {
+	for name, serve := range map[string]http.HandlerFunc{"asked": d.ServeStatus, "cancelled": d.ServeCancel} {
 		for _, id := range []string{"job-", "job-x", "7", "", "job-1/0", strings.Repeat("1", 300)} {
 			if status, _ := do(serve, id, nil); status != http.StatusNotFound {
 				t.Errorf("%q %s: %d", id, name, status)
 			}
 		}
 	}
-	if status, _ := do(d.ServeGet, "job-99", nil); status != http.StatusNotFound {
+	if status, _ := do(d.ServeStatus, "job-99", nil); status != http.StatusNotFound {
 		t.Errorf("one that nobody submitted: %d", status)
 	}
 	for id, final := range map[string]wire.JobState{"job-5": wire.StateDone, "job-6": wire.StateCancelled} {
 		d.finals.Add(wire.JobStatus{ID: id, State: final, Done: 1})
-		for name, serve := range map[string]http.HandlerFunc{"asked": d.ServeGet, "cancelled": d.ServeCancel, "submitted": d.ServeSubmit} {
+		for name, serve := range map[string]http.HandlerFunc{"asked": d.ServeStatus, "cancelled": d.ServeCancel, "submitted": d.ServeSubmit} {
 			if status, s := do(serve, id, changed(t, id, map[string]any{"seats": 3})); status != http.StatusOK || s.State != final {
 				t.Errorf("%s, %s again: %d %s", id, name, status, s.State)
 			}
--- a/internal/api/userapi/show.go
+++ b/internal/api/userapi/show.go
@@ -12,22 +12,22 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Ask has the leader's subsystems answer a question: a path and query beside the
+// Query has the leader's subsystems answer a question: a path and query beside the
 // protocol's. The answer is a status and JSON.
-func (d *Handler) Ask(ctx context.Context, uri string) (status int, body json.RawMessage) {
+func (d *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
 	defer cancel()
 	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemQuery, Payload: []byte(uri)}, "the leader cannot be asked now",
 		func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
 }
 
-// AnswerShow answers a question that another member hands on to the leader.
-func (d *Handler) AnswerShow(ctx context.Context, uri string) peerrpc.Response {
+// AnswerRelayedQuery answers a question that another member hands on to the leader.
+func (d *Handler) AnswerRelayedQuery(ctx context.Context, uri string) peerrpc.Response {
 	return d.asLeader(func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
 }
 
-// Do has the leader's subsystems carry out a command.
-func (d *Handler) Do(ctx context.Context, c leader.Command) (status int, body json.RawMessage) {
+// Command has the leader's subsystems carry out a command.
+func (d *Handler) Command(ctx context.Context, c leader.Command) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandWait)
 	defer cancel()
 	raw, err := json.Marshal(c)
@@ -38,8 +38,8 @@
 		func(l *leader.Loop) (int, json.RawMessage) { return do(ctx, l, c) })
 }
 
-// AnswerDo carries out a command that another member hands on to the leader.
-func (d *Handler) AnswerDo(ctx context.Context, payload []byte) peerrpc.Response {
+// AnswerRelayedCommand carries out a command that another member hands on to the leader.
+func (d *Handler) AnswerRelayedCommand(ctx context.Context, payload []byte) peerrpc.Response {
 	var c leader.Command
 	if json.Unmarshal(payload, &c) != nil {
 		return notLeading()
@@ -105,18 +105,18 @@
 	return raw
 }
 
-// ServeWhy says what a job waits for.
-func (d *Handler) ServeWhy(w http.ResponseWriter, r *http.Request) {
+// ServeExplanation says what a job waits for.
+func (d *Handler) ServeExplanation(w http.ResponseWriter, r *http.Request) {
 	if id := r.PathValue("id"); !wire.ValidJobID(id) {
 		httpjson.WriteRaw(w, http.StatusNotFound, problem("no such job"))
 		return
 	}
-	status, body := d.Ask(r.Context(), r.URL.Path)
+	status, body := d.Query(r.Context(), r.URL.Path)
 	if status == http.StatusNotFound {
 		// The leader knows live jobs only; one that is over waits for nothing.
 		if code, s := d.status(r.Context(), r.PathValue("id"), d.polls.status); code == http.StatusOK {
 			status = code
-			body, _ = json.MarshalIndent(wire.Reasons{JobStatus: s, Reasons: []string{}}, "", " ") // plain data
+			body, _ = json.MarshalIndent(wire.Explanation{JobStatus: s, Reasons: []string{}}, "", " ") // plain data
 		}
 	}
 	httpjson.WriteRaw(w, status, body)
--- a/internal/api/userapi/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -20,7 +20,7 @@
 func (d *Handler) ServeSubmit(w http.ResponseWriter, r *http.Request) {
 	body, err := httpjson.ReadBody(r, wire.MaxBody)
 	if err != nil {
-		httpjson.Fail(w, http.StatusBadRequest, httpjson.OneLine(err))
+		httpjson.WriteError(w, http.StatusBadRequest, httpjson.OneLine(err))
 		return
 	}
 	if d.leave(w) {
@@ -33,7 +33,7 @@
 	a := d.accept(ctx, body)
 	d.log.Debug("submission answered", "status", a.status, "job", a.job.ID, "took_ms", d.clock.Since(begun).Milliseconds())
 	if a.status >= http.StatusBadRequest {
-		httpjson.Fail(w, a.status, a.text)
+		httpjson.WriteError(w, a.status, a.text)
 		return
 	}
 	httpjson.Write(w, a.status, a.job)
@@ -96,8 +96,8 @@
 
 func refused(status int, text string) submission { return submission{status: status, text: text} }
 
-// AnswerSubmission accepts a job that another member could not store.
-func (d *Handler) AnswerSubmission(ctx context.Context, body []byte) peerrpc.Response {
+// AnswerRelayedSubmission accepts a job that another member could not store.
+func (d *Handler) AnswerRelayedSubmission(ctx context.Context, body []byte) peerrpc.Response {
 	a := d.submit(ctx, body)
 	return peerrpc.Response{Status: a.status, Job: wire.JobStatus{State: a.job.State}, Payload: []byte(a.text)}
 }
@@ -180,9 +180,9 @@
 	return none
 }
 
-// Impossible says why a job can never run, or nothing; while the machine types are not
+// InfeasibleReason says why a job can never run, or nothing; while the machine types are not
 // known, nothing is known against it.
-func (d *Handler) Impossible(j *wire.Job) string {
+func (d *Handler) InfeasibleReason(j *wire.Job) string {
 	if types := d.types(); types != nil {
 		return d.impossible(j, types)
 	}
--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -55,21 +55,21 @@
 // answers either can serve nobody, and its users had better ask another.
 func (d *Handler) ServeHealth(w http.ResponseWriter, _ *http.Request) {
 	if d.alone() {
-		httpjson.Unavailable(w, "neither the state service nor any other controller answers")
+		httpjson.WriteUnavailable(w, "neither the state service nor any other controller answers")
 		return
 	}
 	if d.types() == nil {
-		httpjson.Unavailable(w, "the machine types are not known yet")
+		httpjson.WriteUnavailable(w, "the machine types are not known yet")
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// ServeGet answers a poll.
-func (d *Handler) ServeGet(w http.ResponseWriter, r *http.Request) {
+// ServeStatus answers a poll.
+func (d *Handler) ServeStatus(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
-		httpjson.Fail(w, http.StatusNotFound, "no such job")
+		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
 	if d.leave(w) {
@@ -82,9 +82,9 @@
 	case http.StatusOK:
 		httpjson.Write(w, status, s)
 	case http.StatusNotFound:
-		httpjson.Fail(w, status, "no such job")
+		httpjson.WriteError(w, status, "no such job")
 	default:
-		httpjson.Unavailable(w, "the job's state cannot be read now")
+		httpjson.WriteUnavailable(w, "the job's state cannot be read now")
 	}
 }
 
@@ -95,7 +95,7 @@
 		return false
 	}
 	w.Header().Set("Connection", "close")
-	httpjson.Unavailable(w, "this controller is cut off from all others")
+	httpjson.WriteUnavailable(w, "this controller is cut off from all others")
 	return true
 }
 
@@ -176,7 +176,7 @@
 func (d *Handler) ServeCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
-		httpjson.Fail(w, http.StatusNotFound, "no such job")
+		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
 	if d.leave(w) {
@@ -194,9 +194,9 @@
 		d.learn(s)
 		httpjson.Write(w, status, wire.Accepted{ID: id, State: s.State})
 	case status == http.StatusNotFound:
-		httpjson.Fail(w, status, "no such job")
+		httpjson.WriteError(w, status, "no such job")
 	default:
-		httpjson.Unavailable(w, "the cancellation is not confirmed yet: tasks of the job may still run, or nobody can store it now; ask again")
+		httpjson.WriteUnavailable(w, "the cancellation is not confirmed yet: tasks of the job may still run, or nobody can store it now; ask again")
 	}
 }
 
@@ -225,9 +225,9 @@
 	return status, s
 }
 
-// AnswerPeer answers a query or a cancellation that another member hands on to
+// AnswerRelayed answers a query or a cancellation that another member hands on to
 // the leader.
-func (d *Handler) AnswerPeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
+func (d *Handler) AnswerRelayed(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	if !wire.ValidJobID(req.Job) || d.leader() == nil {
 		return peerrpc.Response{Status: http.StatusServiceUnavailable}
 	}
--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -150,7 +150,7 @@
 	for _, c := range []struct {
 		name  string
 		serve http.HandlerFunc
-	}{{"poll", d.ServeGet}, {"submission", d.ServeSubmit}, {"cancellation", d.ServeCancel}} {
+	}{{"poll", d.ServeStatus}, {"submission", d.ServeSubmit}, {"cancellation", d.ServeCancel}} {
 		if w := status(c.serve, http.MethodPost, "/"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d, connection %q", c.name, w.Code, w.Header().Get("Connection"))
 		}
@@ -162,7 +162,7 @@
 	if w := status(d.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusOK {
 		t.Errorf("not healthy at once: %d", w.Code)
 	}
-	if w := status(d.ServeGet, http.MethodGet, "/"); w.Code != http.StatusNotFound {
+	if w := status(d.ServeStatus, http.MethodGet, "/"); w.Code != http.StatusNotFound {
 		t.Errorf("poll: %d", w.Code)
 	}
 }
--- a/internal/api/workerapi/kept.go
+++ b/internal/api/workerapi/kept.go
@@ -12,8 +12,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Show asks a worker for its report; ok is false when it gives none.
-type Show func(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool)
+// FetchHeartbeat asks a worker for its report; ok is false when it gives none.
+type FetchHeartbeat func(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool)
 
 // kept is what this member knows of the workers that it answers in the leader's stead. Two things are to be found out:
 //
@@ -26,8 +26,8 @@
 //     higher one was given it by a leader meanwhile: it is sent on. If it comes back it found nobody, and is kept.
 type kept struct {
 	lease    time.Duration
-	show     Show // nil: nobody is asked
-	mostAsks int  // how many questions the member's sockets allow at a time
+	show     FetchHeartbeat // nil: nobody is asked
+	mostAsks int            // how many questions the member's sockets allow at a time
 	limit    *rate.Limiter
 
 	mu    sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // newKept makes the memory of a member that may have mostAsks questions on their way at a time.
-func newKept(lease time.Duration, mostAsks int, show Show) *kept {
+func newKept(lease time.Duration, mostAsks int, show FetchHeartbeat) *kept {
 	return &kept{
 		lease: lease, show: show, mostAsks: max(tuning.RenewedQueriesLeast, mostAsks), by: map[string]*keptWorker{},
 		limit: rate.NewLimiter(tuning.RenewedQueryRateLeast, tuning.RenewedQueriesLeast),
--- a/internal/api/workerapi/wanted.go
+++ b/internal/api/workerapi/wanted.go
@@ -22,7 +22,7 @@
 // patience is how long workers may be refused: a share of what a lease leaves beyond the longest pause between reports and
 // the search for a node.
 func patience(w config.Workers) time.Duration {
-	spare := w.LeaseS - tuning.HeartbeatLateFactor*w.ReportS - tuning.WorkerSearch.Seconds()
+	spare := w.LeaseS - tuning.HeartbeatLateFactor*w.HeartbeatS - tuning.WorkerSearch.Seconds()
 	return time.Duration(max(0, spare) * tuning.WorkerPatience * float64(time.Second))
 }
 
--- a/internal/api/workerapi/wanted_test.go
+++ b/internal/api/workerapi/wanted_test.go
@@ -12,7 +12,7 @@
 // and against leases that run out since nobody keeps them.
 func TestWorkersAreKeptAfterAWhileOnly(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	long := wanted{patience: patience(config.Workers{ReportS: 10, LeaseS: 42})}
+	long := wanted{patience: patience(config.Workers{HeartbeatS: 10, LeaseS: 42})}
 	if long.patience < 2*time.Second || long.patience > 5*time.Second {
 		t.Fatalf("with leases of 42 s patience is %v", long.patience)
 	}
@@ -31,7 +31,7 @@
 			t.Errorf("%v later: %v", c.after, got)
 		}
 	}
-	short := wanted{patience: patience(config.Workers{ReportS: 1, LeaseS: 10})}
+	short := wanted{patience: patience(config.Workers{HeartbeatS: 1, LeaseS: 10})}
 	if short.soon(now) {
 		t.Error("with leases of 10 s a worker is refused")
 	}
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -23,13 +23,13 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Keeper gives the right to answer a machine now in the leader's stead.
-type Keeper interface {
+// LeaseAcquirer gives the right to answer a machine now in the leader's stead.
+type LeaseAcquirer interface {
 	Acquire(ctx context.Context, machine string) bool
 }
 
-// ZoneKeeper gives it without the state service, for machines of the own zone.
-type ZoneKeeper interface {
+// ZoneLease gives it without the state service, for machines of the own zone.
+type ZoneLease interface {
 	MayRenew(machine, zone string) bool
 	// Alone tells that the state service does not answer us either.
 	Isolated() bool
@@ -41,8 +41,8 @@
 	clock     clockwork.Clock
 	elector   *election.Elector
 	peers     *peers.Peers
-	keeper    Keeper
-	zone      ZoneKeeper
+	keeper    LeaseAcquirer
+	zone      ZoneLease
 	leader    func() *leader.Loop
 	redirects redirects
 	wanted    wanted
@@ -51,29 +51,29 @@
 
 // New makes the handler of a member. current gives the leader's loop while this
 // member has the right to act, nil otherwise; show asks a worker for its report, at most mostAsks workers at a time.
-func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k Keeper, z ZoneKeeper, current func() *leader.Loop, mostAsks int, show Show) *Handler {
+func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k LeaseAcquirer, z ZoneLease, current func() *leader.Loop, mostAsks int, show FetchHeartbeat) *Handler {
 	return &Handler{
 		member: member, clock: clock, elector: e, peers: p, keeper: k, zone: z, leader: current, redirects: newRedirects(), wanted: wanted{patience: patience(w)},
 		kept: newKept(time.Duration(w.LeaseS*float64(time.Second)), mostAsks, show),
 	}
 }
 
-// ServeReport takes a worker's report. A leader within its right answers it.
+// ServeHeartbeat takes a worker's report. A leader within its right answers it.
 // A follower names the leader; a worker that has evidently lost the leader, or
 // comes while the leader does not answer us either, is helped instead.
-func (d *Handler) ServeReport(w http.ResponseWriter, r *http.Request) {
+func (d *Handler) ServeHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := httpjson.ReadBody(r, tuning.MaxHeartbeat)
 	if err != nil {
-		httpjson.Fail(w, http.StatusBadRequest, httpjson.OneLine(err))
+		httpjson.WriteError(w, http.StatusBadRequest, httpjson.OneLine(err))
 		return
 	}
 	var rep wire.Heartbeat
 	if err := json.Unmarshal(body, &rep); err != nil {
-		httpjson.Fail(w, http.StatusBadRequest, httpjson.OneLine(fmt.Errorf("malformed report: %w", err)))
+		httpjson.WriteError(w, http.StatusBadRequest, httpjson.OneLine(fmt.Errorf("malformed report: %w", err)))
 		return
 	}
 	if err := rep.Check(); err != nil {
-		httpjson.Fail(w, http.StatusBadRequest, err.Error())
+		httpjson.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if d.leader() != nil {
@@ -81,7 +81,7 @@
 			httpjson.Write(w, http.StatusOK, a)
 			return
 		}
-		httpjson.Unavailable(w, "the report cannot be answered now")
+		httpjson.WriteUnavailable(w, "the report cannot be answered now")
 		return
 	}
 	name, term := d.elector.Holder()
@@ -90,7 +90,7 @@
 			httpjson.Write(w, http.StatusOK, a)
 			return
 		}
-		httpjson.Unavailable(w, "nobody leads")
+		httpjson.WriteUnavailable(w, "nobody leads")
 		return
 	}
 	if d.redirects.lost(&rep, term, d.clock.Now()) || d.peers.LeaderUnreachable(name) {
@@ -101,7 +101,7 @@
 			return
 		case !leads:
 			// The worker tries the next controller. Sent to one that does not lead it never came to that of its zone.
-			httpjson.Unavailable(w, "nobody leads")
+			httpjson.WriteUnavailable(w, "nobody leads")
 			return
 		}
 	}
@@ -255,9 +255,9 @@
 	*next = max(tuning.RedirectsMin, 2*len(by))
 }
 
-// AnswerPeer answers a report that a follower hands on: with 421 if this member does not lead, 503 if the leader does not
+// AnswerRelayedHeartbeat answers a report that a follower hands on: with 421 if this member does not lead, 503 if the leader does not
 // answer that report.
-func (d *Handler) AnswerPeer(ctx context.Context, body []byte) peerrpc.Response {
+func (d *Handler) AnswerRelayedHeartbeat(ctx context.Context, body []byte) peerrpc.Response {
 	var rep wire.Heartbeat
 	if json.Unmarshal(body, &rep) != nil || rep.Check() != nil {
 		return peerrpc.Response{Status: http.StatusBadRequest}
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -128,7 +128,7 @@
 		}
 	}
 	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
-	if r := d.AnswerPeer(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
+	if r := d.AnswerRelayedHeartbeat(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
 		t.Errorf("a member that does not lead answers %d", r.Status)
 	}
 }
@@ -147,13 +147,15 @@
 		t.Fatal(err)
 	}
 	d := New("m1", config.Workers{}, clock, nil, nil, never{}, never{}, func() *leader.Loop { return nil }, 0, nil)
-	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response { return d.AnswerPeer(ctx, r.Payload) }, slog.New(slog.DiscardHandler))
+	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response {
+		return d.AnswerRelayedHeartbeat(ctx, r.Payload)
+	}, slog.New(slog.DiscardHandler))
 	d.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
 	d.elector = election.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
 	d.elector.NoteLeader("m0", 3)
 	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
-	d.ServeReport(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
+	d.ServeHeartbeat(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
 	if w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d: %s", w.Code, w.Body)
 	}
--- a/internal/clients/cloud/cloud.go
+++ b/internal/clients/cloud/cloud.go
@@ -53,7 +53,7 @@
 // Types reads the machine types with their current prices.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.MachineTypes
-	status, err := c.call(ctx, http.MethodGet, wire.PathMachineTypes, nil, httpjson.On(&t))
+	status, err := c.call(ctx, http.MethodGet, wire.PathMachineTypes, nil, httpjson.IfOK(&t))
 	if err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 
 // Delete returns machines. When it succeeds, they and all that is on them are gone.
 func (c *Client) Delete(ctx context.Context, names []string) error {
-	status, err := c.call(ctx, http.MethodPost, wire.PathDelete, wire.MachineNames{Machines: names}, httpjson.On(nil))
+	status, err := c.call(ctx, http.MethodPost, wire.PathDelete, wire.MachineNames{Machines: names}, httpjson.IfOK(nil))
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("delete: status %d", status)
 	}
@@ -115,7 +115,7 @@
 			q.Set("after", after)
 		}
 		var p wire.MachinePage
-		status, err := c.call(ctx, http.MethodGet, wire.PathMachines+"?"+q.Encode(), nil, httpjson.On(&p))
+		status, err := c.call(ctx, http.MethodGet, wire.PathMachines+"?"+q.Encode(), nil, httpjson.IfOK(&p))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/clients/statestore/statestore.go
+++ b/internal/clients/statestore/statestore.go
@@ -149,7 +149,7 @@
 	if err := c.wait(ctx); err != nil {
 		return item, false, err
 	}
-	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"/"+key, nil, httpjson.On(&item))
+	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"/"+key, nil, httpjson.IfOK(&item))
 	switch {
 	case err != nil:
 		return item, false, err
@@ -170,7 +170,7 @@
 	if after != "" {
 		q.Set("after", after)
 	}
-	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"?"+q.Encode(), nil, httpjson.On(&p))
+	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"?"+q.Encode(), nil, httpjson.IfOK(&p))
 	if err == nil && status != http.StatusOK {
 		err = unexpected(status)
 	}
@@ -265,7 +265,7 @@
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var g wire.LeaseGrant
 	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, wire.PathLeases,
-		wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, httpjson.On(&g))
+		wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, httpjson.IfOK(&g))
 	if err == nil && status != http.StatusOK {
 		err = unexpected(status)
 	}
@@ -274,7 +274,7 @@
 
 // RenewLease gives a lease its full time again.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
-	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, c.leasePath(lease)+"/"+wire.EndRenew, nil, httpjson.On(nil))
+	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, c.leasePath(lease)+"/"+wire.EndRenew, nil, httpjson.IfOK(nil))
 	switch {
 	case err != nil:
 		return err
@@ -288,7 +288,7 @@
 
 // RevokeLease ends a lease at once.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
-	_, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodDelete, c.leasePath(lease), nil, httpjson.On(nil))
+	_, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodDelete, c.leasePath(lease), nil, httpjson.IfOK(nil))
 	return err
 }
 
@@ -306,7 +306,7 @@
 		"starts": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	status, err := c.call(ctx, c.watches, wait+tuning.WatchGrace, http.MethodGet, wire.PathWatch+"?"+q.Encode(), nil, httpjson.On(&r))
+	status, err := c.call(ctx, c.watches, wait+tuning.WatchGrace, http.MethodGet, wire.PathWatch+"?"+q.Encode(), nil, httpjson.IfOK(&r))
 	switch {
 	case errors.Is(err, httpjson.ErrTooLarge):
 		// It would be too large again: a watch is answered with all changes since.
--- a/internal/cluster/workerlease/zone.go
+++ b/internal/cluster/workerlease/zone.go
@@ -115,7 +115,7 @@
 	if !z.held(now) {
 		return nil
 	}
-	return wire.Value(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseSent)).UnixMilli()})
+	return wire.EncodeRecord(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseSent)).UnixMilli()})
 }
 
 // Inherit takes up what another member remembers of this one's right. What cannot be read counts as nothing.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,7 +42,7 @@
 // Controller is one member of the service.
 type Controller struct {
 	settings *config.Settings
-	own      *config.Watched
+	own      *config.OperatorSettingsWatcher
 	clock    clockwork.Clock
 	log      *slog.Logger
 
@@ -64,7 +64,7 @@
 }
 
 // New makes a controller from its settings.
-func New(s *config.Settings, own *config.Watched, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
+func New(s *config.Settings, own *config.OperatorSettingsWatcher, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
 	c := &Controller{
 		settings: s, own: own, clock: clock, log: log,
 		cloud: cloud.New(s.Outside.Cloud, s.Cluster.Cloud.RPS),
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) }}
+	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Query(ctx, uri) }}
 	c.env.Accounts = true
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
 	return nil
@@ -133,15 +133,15 @@
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
 		Clock: c.clock, TxnOps: cluster.State.TxnOps - 1, ValueKB: cluster.State.ValueKB, Bytes: int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
-		Impossible: func(j *wire.Job) string { return c.users.Impossible(j) }, Jitter: rand.Float64, Pools: c.own.Pool,
+		Impossible: func(j *wire.Job) string { return c.users.InfeasibleReason(j) }, Jitter: rand.Float64, Pools: c.own.PoolSlots,
 	}
 	if descriptions != "" {
 		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
 		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log,
-		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Do(ctx, cmd) },
-		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Ask(ctx, uri) },
+		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Command(ctx, cmd) },
+		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Query(ctx, uri) },
 	}
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
 }
@@ -219,11 +219,11 @@
 func (c *Controller) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathJobs, c.users.ServeSubmit)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.users.ServeGet)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.users.ServeStatus)
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.EndCancel, c.users.ServeCancel)
 	mux.HandleFunc("GET "+wire.PathHealth, c.users.ServeHealth)
-	mux.HandleFunc("POST "+wire.PathHeartbeat, c.reports.ServeReport)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndWhy, c.users.ServeWhy)
+	mux.HandleFunc("POST "+wire.PathHeartbeat, c.reports.ServeHeartbeat)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndExplain, c.users.ServeExplanation)
 	if c.ledger != nil {
 		c.ledger.Routes(mux)
 	}
@@ -240,8 +240,8 @@
 	c.setCloudShare(true)
 	c.leading.Store(l)
 	if c.metrics != nil {
-		c.metrics.Leading(true)
-		defer c.metrics.Leading(false)
+		c.metrics.SetLeading(true)
+		defer c.metrics.SetLeading(false)
 	}
 	defer func() {
 		c.leading.Store(nil)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -63,7 +63,7 @@
 		Member: "m0", Bind: w.addr, MeshAddr: fakes.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
 		Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}},
-			Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
@@ -87,7 +87,7 @@
 }
 
 // own are the operators' settings.
-func (w *world) own() *config.Watched {
+func (w *world) own() *config.OperatorSettingsWatcher {
 	own, err := config.LoadProperties(w.props)
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -35,20 +35,20 @@
 	case peerrpc.ProbeWorkers:
 		return yesOrNo(c.reaches(ctx, req.Names))
 	case peerrpc.Heartbeat:
-		return c.reports.AnswerPeer(ctx, req.Payload)
+		return c.reports.AnswerRelayedHeartbeat(ctx, req.Payload)
 	case peerrpc.SubsystemQuery:
-		return c.users.AnswerShow(ctx, string(req.Payload))
+		return c.users.AnswerRelayedQuery(ctx, string(req.Payload))
 	case peerrpc.SubsystemCommand:
-		return c.users.AnswerDo(ctx, req.Payload)
+		return c.users.AnswerRelayedCommand(ctx, req.Payload)
 	case peerrpc.SubmitJob:
-		return c.users.AnswerSubmission(ctx, req.Payload)
+		return c.users.AnswerRelayedSubmission(ctx, req.Payload)
 	}
-	return c.users.AnswerPeer(ctx, req)
+	return c.users.AnswerRelayed(ctx, req)
 }
 
 // show asks a worker for its report.
 func (c *Controller) show(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool) {
-	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathShow, nil, httpjson.On(&rep))
+	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathWorkerHeartbeat, nil, httpjson.IfOK(&rep))
 	return rep, err == nil && status == http.StatusOK && rep.Check() == nil
 }
 
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -90,7 +90,7 @@
 		},
 		Ask: func(_ context.Context, uri string) (int, json.RawMessage) {
 			w.orders = append(w.orders, uri)
-			return http.StatusOK, wire.Value([]runner.PoolView{{Name: "gpu", Slots: 4, Used: 1, Waits: 2}})
+			return http.StatusOK, wire.EncodeRecord([]runner.PoolView{{Name: "gpu", Slots: 4, Used: 1, Waits: 2}})
 		},
 	}
 	handler.Routes(w.mux)
@@ -111,7 +111,7 @@
 		Start: graph.Start, End: graph.End, Catchup: graph.Catchup, MaxRuns: graph.MaxRuns, MaxTasks: graph.MaxTasks, Tags: graph.Tags, Steps: len(graph.Steps),
 	}
 	for key, value := range map[string]any{formatGraphKey: record, formatRunKey: formatRun(t, graph, hash)} {
-		if _, err := store.Commit(t.Context(), wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Change{{Put: key, Value: wire.Value(value)}}}); err != nil {
+		if _, err := store.Commit(t.Context(), wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Change{{Put: key, Value: wire.EncodeRecord(value)}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -162,7 +162,7 @@
 // Each request of the API, the orders to the leader that it leads to, and its answer.
 func TestRequestFormats(t *testing.T) {
 	world := newFormatWorld(t)
-	definition := wire.Value(formatDefinition())
+	definition := wire.EncodeRecord(formatDefinition())
 	for _, c := range []struct{ name, method, path, body string }{
 		{"list-dags", "GET", "/dags?limit=10&offset=0&order_by=dag_id&paused=false&dag_id_pattern=night&tags=gpu", ""},
 		{"get-dag", "GET", "/dags/nightly", ""},
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -72,9 +72,9 @@
 
 // Workers tells how workers report.
 type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	CancelS    float64 `toml:"cancel_s"`
 }
 
 // State gives the limits of the state service.
@@ -170,7 +170,7 @@
 		name string
 		v    float64
 	}{
-		{"cluster.workers.report_s", s.Cluster.Workers.ReportS},
+		{"cluster.workers.report_s", s.Cluster.Workers.HeartbeatS},
 		{"cluster.workers.lease_s", s.Cluster.Workers.LeaseS},
 		{"cluster.workers.cancel_s", s.Cluster.Workers.CancelS},
 		{"cluster.state.rps", s.Cluster.State.RPS},
--- a/internal/platform/config/watch.go
+++ b/internal/platform/config/watch.go
@@ -12,9 +12,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Watched are the operators' settings, of which budgets take effect while the
+// OperatorSettingsWatcher are the operators' settings, of which budgets take effect while the
 // program runs. It is safe for concurrent use.
-type Watched struct {
+type OperatorSettingsWatcher struct {
 	path     string
 	settings *Settings
 	operator *OperatorSettings
@@ -23,8 +23,8 @@
 }
 
 // Watch begins to look after a properties file that was loaded and checked.
-func Watch(path string, s *Settings, own *OperatorSettings) *Watched {
-	w := &Watched{path: path, settings: s, operator: own}
+func Watch(path string, s *Settings, own *OperatorSettings) *OperatorSettingsWatcher {
+	w := &OperatorSettingsWatcher{path: path, settings: s, operator: own}
 	if path != "" {
 		w.seen, _ = os.Stat(path) // a file that is gone meanwhile has changed
 	}
@@ -33,31 +33,31 @@
 }
 
 // Tunables gives the knobs as the program began with them.
-func (w *Watched) Tunables() tuning.Tunables { return w.operator.Tunables }
+func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operator.Tunables }
 
 // Ledger tells whether charges are kept.
-func (w *Watched) Ledger() bool { return w.operator.Ledger }
+func (w *OperatorSettingsWatcher) Ledger() bool { return w.operator.Ledger }
 
 // Graphs tells whether graphs are served, and where their steps are described, if anywhere.
-func (w *Watched) Graphs() (on bool, descriptions string) {
+func (w *OperatorSettingsWatcher) Graphs() (on bool, descriptions string) {
 	return w.operator.Graphs, w.operator.Descriptions
 }
 
-// Pool gives the slots of a team's pool, as they were when the process started.
-func (w *Watched) Pool(team, name string) (slots int, ok bool) {
+// PoolSlots gives the slots of a team's pool, as they were when the process started.
+func (w *OperatorSettingsWatcher) PoolSlots(team, name string) (slots int, ok bool) {
 	slots, ok = w.operator.Pools[Pool{team, name}]
 	return slots, ok
 }
 
 // MetricsAddr is where metrics are served; empty: nowhere.
-func (w *Watched) MetricsAddr() string { return w.operator.MetricsAddr }
+func (w *OperatorSettingsWatcher) MetricsAddr() string { return w.operator.MetricsAddr }
 
 // Budgets gives the budgets that are in force.
-func (w *Watched) Budgets() *budget.Settings { return w.budgets.Load() }
+func (w *OperatorSettingsWatcher) Budgets() *budget.Settings { return w.budgets.Load() }
 
 // Run looks at the file now and then until ctx ends, and takes in its budgets when
 // it has changed. A file with a mistake changes nothing.
-func (w *Watched) Run(ctx context.Context, clock clockwork.Clock, log *slog.Logger) {
+func (w *OperatorSettingsWatcher) Run(ctx context.Context, clock clockwork.Clock, log *slog.Logger) {
 	if w.path == "" {
 		return
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (w *Watched) look(log *slog.Logger) {
+func (w *OperatorSettingsWatcher) look(log *slog.Logger) {
 	now, err := os.Stat(w.path)
 	if err != nil || w.seen != nil && now.ModTime().Equal(w.seen.ModTime()) && now.Size() == w.seen.Size() {
 		return
@@ -96,8 +96,8 @@
 	log.Info("changed budgets taken in; other properties take effect at the next start")
 }
 
-// Defaults are the operators' settings of one who gave none.
-func Defaults() *Watched {
+// WatchDefaults are the operators' settings of one who gave none.
+func WatchDefaults() *OperatorSettingsWatcher {
 	own, _ := LoadProperties("") // without a file there is nothing to go wrong
 	return Watch("", nil, own)
 }
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -74,8 +74,8 @@
 	return resp.StatusCode, nil
 }
 
-// On decodes into out when the status is 200.
-func On(out any) func(int) any {
+// IfOK decodes into out when the status is 200.
+func IfOK(out any) func(int) any {
 	return func(status int) any {
 		if status == http.StatusOK {
 			return out
@@ -111,17 +111,19 @@
 // OneLine makes an error's text fit one line of an answer.
 func OneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// Fail answers with a status and what is wrong, in one line. With a 503 it says when to
+// WriteError answers with a status and what is wrong, in one line. With a 503 it says when to
 // come back.
-func Fail(w http.ResponseWriter, status int, text string) {
+func WriteError(w http.ResponseWriter, status int, text string) {
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 	}
 	Write(w, status, wire.Error{Error: text})
 }
 
-// Unavailable answers 503.
-func Unavailable(w http.ResponseWriter, text string) { Fail(w, http.StatusServiceUnavailable, text) }
+// WriteUnavailable answers 503.
+func WriteUnavailable(w http.ResponseWriter, text string) {
+	WriteError(w, http.StatusServiceUnavailable, text)
+}
 
 // WriteRaw answers with JSON that is encoded already. With a 503 it says when to
 // come back.
--- a/internal/platform/metrics/formats_test.go
+++ b/internal/platform/metrics/formats_test.go
@@ -12,7 +12,7 @@
 // Operators' dashboards and alarms know metrics by their names and labels.
 func TestNamesAndLabels(t *testing.T) {
 	m := New(60)
-	m.Leading(true)
+	m.SetLeading(true)
 	m.FailoverDone(time.Second)
 	m.CycleDone(time.Second)
 	m.HeartbeatHandled(time.Second)
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -90,8 +90,8 @@
 	return m
 }
 
-// Leading tells whether this controller leads.
-func (m *Metrics) Leading(leads bool) {
+// SetLeading tells whether this controller leads.
+func (m *Metrics) SetLeading(leads bool) {
 	if leads {
 		m.leading.Set(1)
 		return
--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -13,7 +13,7 @@
 	}{
 		{"job-accepted", golden.Fill(new(Accepted))},
 		{"job-status", golden.Fill(new(JobStatus))},
-		{"job-reasons", golden.Fill(new(Reasons))},
+		{"job-reasons", golden.Fill(new(Explanation))},
 		{"error", golden.Fill(new(Error))},
 		{"worker-report", golden.Fill(new(Heartbeat))},
 		{"worker-task-report", golden.Fill(new(TaskStatus))},
@@ -61,8 +61,8 @@
 
 func TestPaths(t *testing.T) {
 	golden.Lines(t, "paths",
-		PathJobs, PathHealth, EndCancel, EndWhy, EndCharges,
-		PathHeartbeat, PathCommands, PathShow,
+		PathJobs, PathHealth, EndCancel, EndExplain, EndCharges,
+		PathHeartbeat, PathCommands, PathWorkerHeartbeat,
 		PathMachineTypes, PathMachines, PathDelete,
 		PathKV, PathTxn, PathLeases, EndRenew, PathWatch,
 	)
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -15,7 +15,7 @@
 	PathJobs   = "/v2/runs"
 	PathHealth = "/up"
 	EndCancel  = "cancel"
-	EndWhy     = "why"     // beside the protocol: what a job waits for
+	EndExplain = "why"     // beside the protocol: what a job waits for
 	EndCharges = "charges" // beside the protocol: what a job's attempts took
 )
 
@@ -271,8 +271,8 @@
 	Error string `json:"error"`
 }
 
-// Reasons tells what a job waits for.
-type Reasons struct {
+// Explanation tells what a job waits for.
+type Explanation struct {
 	JobStatus
 	Waiting int      `json:"waiting"` // tasks that wait to be placed
 	Held    int      `json:"held"`    // of these, tasks that may not start now even if there is room
--- a/internal/platform/wire/state.go
+++ b/internal/platform/wire/state.go
@@ -79,9 +79,9 @@
 	Events   []Event `json:"events"`
 }
 
-// Value encodes a record of ours for the state service. It panics on what cannot be
+// EncodeRecord encodes a record of ours for the state service. It panics on what cannot be
 // encoded, which no record holds.
-func Value(v any) json.RawMessage {
+func EncodeRecord(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("records are always encodable: %v", err))
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -8,9 +8,9 @@
 
 // Paths between workers and controllers.
 const (
-	PathHeartbeat = "/agent/beat"
-	PathCommands  = "/do"
-	PathShow      = "/show"
+	PathHeartbeat       = "/agent/beat"
+	PathCommands        = "/do"
+	PathWorkerHeartbeat = "/show"
 )
 
 // TaskState is the state of a task on its machine.
--- a/internal/scheduler/jobs/book_test.go
+++ b/internal/scheduler/jobs/book_test.go
@@ -30,7 +30,7 @@
 func (s *store) accept(id string, tasks int) {
 	s.revision++
 	rec := JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AtMS: t0.UnixMilli()}
-	s.items[KeyJob(id)] = wire.Item{Key: KeyJob(id), Value: wire.Value(rec), Version: s.revision}
+	s.items[KeyJob(id)] = wire.Item{Key: KeyJob(id), Value: wire.EncodeRecord(rec), Version: s.revision}
 }
 
 func (s *store) apply(txn wire.Txn) uint64 {
@@ -308,9 +308,9 @@
 	b.Allocate(b.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	s.flush(b)
 	item := s.items[KeyJob("job-1")]
-	item.Value = wire.Value(JobRecord{Job: b.Jobs["job-1"].Job, Cancelled: true})
+	item.Value = wire.EncodeRecord(JobRecord{Job: b.Jobs["job-1"].Job, Cancelled: true})
 	s.items[item.Key] = item
-	s.items[KeyFinalState("job-1")] = wire.Item{Key: KeyFinalState("job-1"), Value: wire.Value(FinalState{State: wire.StateCancelled})}
+	s.items[KeyFinalState("job-1")] = wire.Item{Key: KeyFinalState("job-1"), Value: wire.EncodeRecord(FinalState{State: wire.StateCancelled})}
 	b, places := s.load(12)
 	if b.Jobs["job-1"].CanStart() || len(places) != 1 {
 		t.Fatalf("found open %v, places %v", b.Jobs["job-1"].CanStart(), places)
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -164,7 +164,7 @@
 	pack := c.pack
 	pack.Charges = c.pack.Charges[:n:n]
 	left := DetachedCharges{Key: keyLeft(pack.Job, &pack.Charges[0]), Pack: &pack}
-	value := wire.Value(leftRecord{Charges: charge.EncodePack(&pack)})
+	value := wire.EncodeRecord(leftRecord{Charges: charge.EncodePack(&pack)})
 	c.pack.Charges = slices.Clone(c.pack.Charges[n:])
 	c.pack.Kinds = slices.Clone(pack.Kinds)
 	return left, value, true
--- a/internal/scheduler/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -98,7 +98,7 @@
 			if j.Done < len(j.Tasks) {
 				ref.state = wire.StateCancelled
 			}
-			put(KeyFinalState(j.ID), 0, wire.Value(FinalState{State: ref.state, Done: j.Done}))
+			put(KeyFinalState(j.ID), 0, wire.EncodeRecord(FinalState{State: ref.state, Done: j.Done}))
 		}
 		drop(KeyJob(j.ID), j.version)
 		for n := range j.chunks {
@@ -109,7 +109,7 @@
 			case len(c.pack.Charges) > 0:
 				left := DetachedCharges{Key: keyRun(j.ID, n), Pack: &c.pack, Version: c.version}
 				if dirty {
-					put(left.Key, c.version, wire.Value(leftRecord{Charges: charge.EncodePack(&c.pack)}))
+					put(left.Key, c.version, wire.EncodeRecord(leftRecord{Charges: charge.EncodePack(&c.pack)}))
 					left.Version = 0
 				}
 				w.lefts = append(w.lefts, left)
@@ -297,7 +297,7 @@
 	if r.Base = c.base; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
 		r.Charges = charge.EncodePack(&c.pack)
 	}
-	return wire.Value(r), places
+	return wire.EncodeRecord(r), places
 }
 
 // MarkCommitted takes in that a batch is stored at a revision. It returns the places
--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -28,13 +28,13 @@
 // explain says what the waiting tasks of a job wait for.
 func (l *Loop) explain(id string, now time.Time) (status int, body any) {
 	if s, over := l.env.FinalStates.Get(id); over {
-		return http.StatusOK, wire.Reasons{JobStatus: s}
+		return http.StatusOK, wire.Explanation{JobStatus: s}
 	}
 	j := l.jobs.Jobs[id]
 	if j == nil {
 		return http.StatusNotFound, wire.Error{Error: "no such live job"}
 	}
-	r := wire.Reasons{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
+	r := wire.Explanation{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
 	add := func(format string, args ...any) { r.Reasons = append(r.Reasons, fmt.Sprintf(format, args...)) }
 	if !j.CanStart() || r.Waiting == 0 {
 		return http.StatusOK, r
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -108,7 +108,7 @@
 		l.images.codec = codec
 	}
 	for ; len(images.Held) > 0; images.Held = images.Held[:len(images.Held)/2] {
-		value := wire.Value(imagesRecord{l.images.codec.Encode(images)})
+		value := wire.EncodeRecord(imagesRecord{l.images.codec.Encode(images)})
 		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.CommitBytes {
 			return value
 		}
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -99,7 +99,7 @@
 
 // maxSilence is for how long a machine that can be reached is silent at the most.
 func (l *Loop) maxSilence() time.Duration {
-	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.ReportS)
+	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
 // partitionedZones are the zones most of whose machines fell silent together: they are cut off
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -65,7 +65,7 @@
 // probeAfter is how long a machine may not have reported before it is asked: the longest pause between reports, and one try of
 // another controller.
 func (l *Loop) probeAfter() time.Duration {
-	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.ReportS) + tuning.WorkerTry
+	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTry
 }
 
 // probeRank tells whether there is reason to ask a machine, the more pressing the lower.
@@ -93,7 +93,7 @@
 		return
 	}
 	l.probing.next = now.Add(tuning.SubsystemTick)
-	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.ReportS))
+	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(len(l.machines.Machines))/max(1, l.env.Settings.Cluster.Workers.HeartbeatS))
 	l.probing.limit.SetLimitAt(now, rate.Limit(perS))
 	l.probing.limit.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 	type doubt struct {
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -14,7 +14,7 @@
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	l.env.Valid = func(uint64) bool { return true }
-	l.env.Settings.Cluster.Workers.ReportS = 10
+	l.env.Settings.Cluster.Workers.HeartbeatS = 10
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, MemoryGB: 1})
 	reports := make([]*wire.Heartbeat, n)
 	for i := range reports {
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -62,7 +62,7 @@
 			workers := &workersAnswer{asked: map[string]int{}}
 			l.env.Workers = &http.Client{Transport: workers}
 			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
-			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.ReportS = c.leaseS, c.reportS
+			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.HeartbeatS = c.leaseS, c.reportS
 			l.env.Valid = func(uint64) bool { return true }
 			clear(l.machines.Machines)
 			for i := range c.machines {
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -186,7 +186,7 @@
 	l.chain.n++
 	revision, err = l.commit(wire.Txn{
 		If:   append([]wire.Condition{{Key: keyLink, Version: l.chain.version}}, t.If...),
-		Then: append([]wire.Change{{Put: keyLink, Value: wire.Value(linkRecord{l.leadership.Term, l.chain.n})}}, t.Then...),
+		Then: append([]wire.Change{{Put: keyLink, Value: wire.EncodeRecord(linkRecord{l.leadership.Term, l.chain.n})}}, t.Then...),
 	}, nil)
 	l.chain.known, l.chain.version = err == nil, revision
 	return revision, err
@@ -216,7 +216,7 @@
 			answer(queryResponse{http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"}})
 			return
 		}
-		if id, ok := jobIDFromPath(uri, wire.EndWhy); ok {
+		if id, ok := jobIDFromPath(uri, wire.EndExplain); ok {
 			status, body := l.explain(id, now)
 			answer(queryResponse{status, body})
 			return
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -72,7 +72,7 @@
 			k := &worker{w: w, seen: now, next: now.Add(w.bootTime()), due: map[fakes.Attempt]time.Time{}, at: w.r.IntN(len(w.nodes))}
 			mux := http.NewServeMux()
 			mux.HandleFunc("POST "+wire.PathCommands, k.direct)
-			mux.HandleFunc("GET "+wire.PathShow, k.show)
+			mux.HandleFunc("GET "+wire.PathWorkerHeartbeat, k.show)
 			k.srv = httptest.NewServer(mux)
 			k.rep = wire.Heartbeat{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
 			w.workers = append(w.workers, k)
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -288,7 +288,7 @@
 		Member: n.name, Zone: n.zone, Bind: n.bind, MeshAddr: n.mesh, Outside: config.Outside{Cloud: n.toCloud, State: n.toState},
 		Cluster: config.Cluster{
 			Zones:   []string{"a", "b"},
-			Workers: config.Workers{ReportS: n.w.site.report, LeaseS: n.w.site.lease, CancelS: n.w.site.cancelS},
+			Workers: config.Workers{HeartbeatS: n.w.site.report, LeaseS: n.w.site.lease, CancelS: n.w.site.cancelS},
 			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
