--- /dev/null
+++ b/internal/scheduler/machines/commands.go
@@ -0,0 +1,120 @@
+package machines
+
+import (
+	"time"
+
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+func startCommand(p *jobs.Allocation) wire.Command {
+	return wire.Command{Op: wire.OpStart, Task: p.Task().String(), Attempt: p.Attempt}
+}
+
+func stopCommand(p *jobs.Allocation) wire.Command {
+	grace := p.Stop.GraceS
+	return wire.Command{Op: wire.OpStop, Task: p.Task().String(), Attempt: p.Attempt, GraceS: &grace}
+}
+
+// stopOrphanCommand stops a task without grace that no record places where it runs.
+func stopOrphanCommand(t *wire.TaskStatus) wire.Command {
+	grace := 0.0
+	return wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace}
+}
+
+func forgetCommand(t *wire.TaskStatus) wire.Command {
+	return wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt}
+}
+
+// reply is what the reply to a heartbeat said. The next heartbeat shows whether it arrived, since a worker has one heartbeat
+// in flight at a time.
+type reply struct {
+	newToken bool // it brought a fencing token that the worker had not seen
+	commands []wire.Command
+}
+
+// effect compares a heartbeat with the reply to the one before. acknowledged: something shows that the reply was carried
+// out. missed: nothing does, and something shows that it was not. listed are the heartbeat's tasks.
+func (r *reply) effect(hb *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, term uint64) (acknowledged, missed bool) {
+	if r.newToken {
+		acknowledged, missed = hb.FencingToken >= term, hb.FencingToken < term
+	}
+	for i := range r.commands {
+		c := &r.commands[i]
+		id, ok := wire.ParseTaskID(c.Task)
+		if !ok {
+			continue
+		}
+		task := listed[AttemptID{Task: id, Attempt: c.Attempt}]
+		present := task != nil && task.State != wire.TaskExited
+		switch c.Op {
+		case wire.OpStart: // whatever came of it, it is listed until it is forgotten
+			acknowledged, missed = acknowledged || task != nil, missed || task == nil
+		case wire.OpStop:
+			missed = missed || present && task.State != wire.TaskSaving
+		case wire.OpForget:
+			acknowledged, missed = acknowledged || task == nil, missed || task != nil
+		}
+	}
+	return acknowledged, missed && !acknowledged
+}
+
+// CommandsFor makes the direct request that tells a machine at once what was decided for some of its allocations: starts,
+// or stops where these are wanted. req is nil when there is nothing to tell, or the machine cannot be told. The starts
+// count as open until CommandsAnswered.
+func (r *Registry) CommandsFor(name string, allocations []*jobs.Allocation) (addr string, req *wire.DirectCommands) {
+	m := r.Machines[name]
+	if m == nil || m.Address == "" || !m.Alive() || m.Returning {
+		return "", nil
+	}
+	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Incarnation}
+	for _, p := range allocations {
+		switch {
+		case p.Removed || !p.Committed || p.Incarnation != m.Incarnation:
+		case p.Stop == nil:
+			m.openStarts[attemptOf(p)]++
+			req.Commands = append(req.Commands, startCommand(p))
+		case p.State != "":
+			req.Commands = append(req.Commands, stopCommand(p))
+		}
+	}
+	if len(req.Commands) == 0 {
+		return "", nil
+	}
+	return m.Address, req
+}
+
+// CommandsAnswered records that a direct request had a definite answer: it will not be executed again. Without one its
+// starts stay open for the rest of the incarnation.
+func (r *Registry) CommandsAnswered(name string, req *wire.DirectCommands) {
+	m := r.Machines[name]
+	if m == nil || m.Incarnation != req.Incarnation {
+		return
+	}
+	for i := range req.Commands {
+		c := &req.Commands[i]
+		if id, ok := wire.ParseTaskID(c.Task); ok && c.Op == wire.OpStart {
+			m.closeStart(AttemptID{Task: id, Attempt: c.Attempt})
+		}
+	}
+}
+
+// closeStart counts one open start of an attempt less.
+func (m *Machine) closeStart(id AttemptID) {
+	if m.openStarts[id]--; m.openStarts[id] <= 0 {
+		delete(m.openStarts, id)
+	}
+}
+
+// CommandsUnanswered records that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a
+// worker process that was restarted until then and counts its incarnations anew, as long as the lease of that process's
+// first incarnation lasts.
+func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
+	m := r.Machines[name]
+	if m == nil || len(m.openStarts) == 0 || m.LeaseExpiry.IsZero() {
+		return
+	}
+	if end := sent.Add(r.lease); m.LeaseExpiry.Before(end) {
+		m.LeaseExpiry = end
+	}
+}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -43,7 +43,7 @@
 	// What was pushed out of a cache is not told.
 	use("n-00", "img-3")
 	use("n-00", "img-4")
-	r.Machines["n-00"].images["img-1"].last = t0.Add(-1)
+	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
 	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
 		t.Error("an image is told of that its machine no longer holds")
 	}
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -7,24 +7,26 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// RelativeSpeed is how fast a machine runs its tasks against the same work elsewhere: the evidence, as the logarithm of a
-// likelihood ratio, that it is slower by tuning.SlowFactor rather than like the others (Wald's sequential
-// test, begun anew whenever it speaks for the machine). One long task proves nothing: tasks of one job differ.
+// RelativeSpeed is how fast a machine runs tasks, compared with the same work elsewhere. It is the evidence, as the logarithm
+// of a likelihood ratio, that the machine is slower by tuning.SlowFactor rather than like the others (Wald's sequential test,
+// begun anew whenever it speaks for the machine). One long task proves nothing: tasks of one job differ. The zero value
+// is ready for use.
 type RelativeSpeed struct{ evidence float64 }
 
-// Note takes in a completed task that ran for ran seconds, by how long others of its job ran on other machines, and tells
-// whether the machine counts as slow now. With fewer than tuning.SlowPeers others it learns nothing.
-func (p *RelativeSpeed) Note(ran float64, others []float64) bool {
+// Note takes in a completed task that ran for the given seconds. others are the run times of tasks of the same job on other
+// machines, in seconds; with fewer than tuning.SlowPeers of them nothing is learned. It reports whether the machine counts as
+// slow now.
+func (s *RelativeSpeed) Note(ran float64, others []float64) bool {
 	if len(others) < tuning.SlowPeers || ran <= 0 {
 		return false
 	}
 	sorted := slices.Sorted(slices.Values(others))
-	usual := sorted[len(sorted)/2]
-	if usual <= 0 {
+	median := sorted[len(sorted)/2]
+	if median <= 0 {
 		return false
 	}
 	slow := math.Log(tuning.SlowFactor)
-	x := min(math.Log(ran/usual), slow) // one task, however long, counts as one slow one
-	p.evidence = max(0, p.evidence+(x-slow/2)*slow/(tuning.EstimateSpread*tuning.EstimateSpread))
-	return p.evidence >= tuning.SlowEvidence
+	x := min(math.Log(ran/median), slow) // one task, however long, counts as one slow one
+	s.evidence = max(0, s.evidence+(x-slow/2)*slow/(tuning.EstimateSpread*tuning.EstimateSpread))
+	return s.evidence >= tuning.SlowEvidence
 }
