--- a/internal/scheduler/jobs/book.go
+++ b/internal/scheduler/jobs/book.go
@@ -68,15 +68,15 @@
 // Task names the task.
 func (p *Allocation) Task() wire.TaskID { return wire.TaskID{Job: p.Job.ID, Index: p.Index} }
 
-type chunk struct {
-	version uint64
-	dirty   bool
-	since   time.Time // since when it is dirty
-	listed  bool      // it is in the book's slow list
-	urgent  bool      // it holds a place that waits to be stored before its start
-	writing bool
-	pack    charge.Pack // charges of ended attempts, and the kinds of machines that entries name
-	base    int64       // times in the record count from here
+type progressChunk struct {
+	version    uint64
+	dirty      bool
+	dirtySince time.Time // since when it is dirty
+	queued     bool      // it is in the book's slow list
+	urgent     bool      // it holds a place that waits to be stored before its start
+	writing    bool
+	pack       charge.Pack // charges of ended attempts, and the kinds of machines that entries name
+	baseMS     int64       // times in the record count from here
 }
 
 // Job is a live job.
@@ -94,17 +94,17 @@
 	FailedWaves     int                  // in vain, since a task of it last worked
 	AvoidMachines   map[string]time.Time // machines on which a task of it failed, until when
 	runs            []CompletedRun       // of its last completed tasks
-	usualS          float64              // the median of theirs, from SeenRuns on
+	medianRunS      float64              // the median of theirs, from SeenRuns on
 
 	version      uint64 // of the stored job
 	atMS         int64
-	chunks       []chunk
+	chunks       []progressChunk
 	cancelWanted bool
 	cancelled    bool // stored
 	ending       bool // its end is being written, or waits for that
-	sent         bool // a transaction with its end was made
+	endSent      bool // a transaction with its end was made
 	ended        bool // stored as done, or dropped
-	first        int  // no task before this index waits
+	firstWaiting int  // no task before this index waits
 	waiters      []func(wire.JobState)
 	zones        map[string]int
 }
@@ -128,7 +128,7 @@
 	}
 	if len(j.runs) >= tuning.SeenRuns {
 		sorted := slices.SortedFunc(slices.Values(j.runs), func(a, b CompletedRun) int { return cmp.Compare(a.Seconds, b.Seconds) })
-		j.usualS = sorted[len(sorted)/2].Seconds
+		j.medianRunS = sorted[len(sorted)/2].Seconds
 	}
 	return elsewhere
 }
@@ -139,7 +139,7 @@
 	if len(j.runs) < tuning.SeenRuns {
 		return j.EstimateS, false
 	}
-	return j.usualS, true
+	return j.medianRunS, true
 }
 
 // Waiting is how many tasks wait to be placed.
@@ -152,7 +152,7 @@
 func (j *Job) Cancelled() bool { return j.cancelWanted || j.cancelled }
 
 // EndSent tells whether a transaction that ends the job was made: if it is on its way, the end may be stored already.
-func (j *Job) EndSent() bool { return j.sent }
+func (j *Job) EndSent() bool { return j.endSent }
 
 // AllocationsByZone is how many tasks of the job may be in each zone.
 func (j *Job) AllocationsByZone() map[string]int { return j.zones }
@@ -176,12 +176,12 @@
 
 // NextWaiting gives the first waiting task at or behind an index, or -1.
 func (j *Job) NextWaiting(from int) int {
-	for i := max(from, j.first); i < len(j.Tasks); i++ {
+	for i := max(from, j.firstWaiting); i < len(j.Tasks); i++ {
 		if j.Tasks[i].State == Waiting {
 			return i
 		}
-		if i == j.first {
-			j.first++
+		if i == j.firstWaiting {
+			j.firstWaiting++
 		}
 	}
 	return -1
@@ -203,18 +203,18 @@
 type Store struct {
 	Jobs map[string]*Job
 
-	txnOps  int
-	dirty   []chunkRef // urgent ones, in the order in which they became so
-	slow    []chunkRef // the others, in the order in which they became dirty
-	ends    []*Job
-	garbage []wire.Condition // records of jobs that are over
-	lazyAt  time.Time        // when the oldest lazy change wants to be written
-	urgent  bool
+	txnOps       int
+	urgentQueue  []chunkRef // urgent ones, in the order in which they became so
+	lazyQueue    []chunkRef // the others, in the order in which they became dirty
+	endQueue     []*Job
+	staleRecords []wire.Condition // records of jobs that are over
+	flushAt      time.Time        // when the oldest lazy change wants to be written
+	writeNow     bool
 
 	// Metered tells whether what tasks take is charged: times are stored then.
-	Metered bool
-	began   []*Allocation // seen to run, in that order
-	lefts   []DetachedCharges
+	Metered      bool
+	newlyRunning []*Allocation // seen to run, in that order
+	detached     []DetachedCharges
 
 	damaged []error
 }
@@ -246,7 +246,7 @@
 	j := &Job{
 		Job: r.Job, AcceptedAt: at, Tasks: make([]Task, r.Job.Tasks), WaitingSince: now.Add(-waited), EnqueuedAt: now.Add(-waited),
 		version: item.Version, atMS: r.AtMS, cancelled: r.Cancelled,
-		chunks: make([]chunk, (r.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
+		chunks: make([]progressChunk, (r.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
 		zones:  map[string]int{}, AvoidMachines: map[string]time.Time{},
 	}
 	for n := range j.chunks {
@@ -259,11 +259,11 @@
 // LoadProgress takes in a stored progress record of a job loaded before, and
 // returns the places in which tasks of it may be.
 func (b *Store) LoadProgress(item wire.Item, now time.Time) ([]*Allocation, error) {
-	id, n, ok := parseRunKey(item.Key)
+	id, n, ok := parseProgressKey(item.Key)
 	if !ok {
 		return nil, fmt.Errorf("progress record %s: malformed key", item.Key)
 	}
-	var r chunkRecord
+	var r progressRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("progress record %s: %w", item.Key, err)
 	}
@@ -275,8 +275,8 @@
 		}
 		// Left behind by a job that is over: the leader that ended it could
 		// not drop all its records in one transaction.
-		b.garbage = append(b.garbage, wire.Condition{Key: item.Key, Version: item.Version})
-		b.lazy(now)
+		b.staleRecords = append(b.staleRecords, wire.Condition{Key: item.Key, Version: item.Version})
+		b.scheduleFlush(now)
 		return nil, nil
 	}
 	done, err := decodeRanges(r.Done)
@@ -284,13 +284,13 @@
 		return nil, fmt.Errorf("progress record %s is malformed", item.Key)
 	}
 	c := &j.chunks[n]
-	c.version, c.base = item.Version, r.Base
-	if err := c.loadPack(r.Charges); err != nil {
+	c.version, c.baseMS = item.Version, r.Base
+	if err := c.loadCharges(r.Charges); err != nil {
 		b.damaged = append(b.damaged, fmt.Errorf("progress record %s: %w", item.Key, err))
 	}
 	if r.Tries > 0 {
 		j.FailedWaves = r.Tries
-		j.BackoffUntil = now.Add(tryPause(j.FailedWaves))
+		j.BackoffUntil = now.Add(backoff(j.FailedWaves))
 	}
 	for _, i := range done {
 		if i < len(j.Tasks) && j.Tasks[i].State != Done {
@@ -309,7 +309,7 @@
 			continue
 		}
 		p := &Allocation{Job: j, Index: e.Index, Attempt: e.Attempt, Machine: e.Machine, Incarnation: e.Session, Zone: e.Zone, Committed: true, KnownSince: now, PlacedAt: now, Inherited: true}
-		c.metered(&e, p)
+		c.decodeTimes(&e, p)
 		t.State, t.Allocation = Allocated, p
 		j.Allocated++
 		j.zones[e.Zone]++
@@ -334,18 +334,18 @@
 	t.State, t.Allocation = Allocated, p
 	j.Allocated++
 	j.zones[zone]++
-	b.touch(j, index/tuning.ChunkTasks, now)
-	b.hurry(j, index/tuning.ChunkTasks)
+	b.markDirty(j, index/tuning.ChunkTasks, now)
+	b.markUrgent(j, index/tuning.ChunkTasks)
 	return p
 }
 
-func (b *Store) unplace(p *Allocation, now time.Time) *Task {
+func (b *Store) release(p *Allocation, now time.Time) *Task {
 	t := &p.Job.Tasks[p.Index]
 	p.Removed = true
 	p.Job.zones[p.Zone]--
 	t.Allocation = nil
 	p.Job.Allocated--
-	b.touch(p.Job, p.Index/tuning.ChunkTasks, now)
+	b.markDirty(p.Job, p.Index/tuning.ChunkTasks, now)
 	return t
 }
 
@@ -354,9 +354,9 @@
 	if p.Removed {
 		return
 	}
-	b.unplace(p, now).State = Done
+	b.release(p, now).State = Done
 	p.Job.Done++
-	b.lazy(now)
+	b.scheduleFlush(now)
 	b.checkEnd(p.Job)
 }
 
@@ -369,9 +369,9 @@
 	if j.Waiting() == 0 {
 		j.WaitingSince = now
 	}
-	b.unplace(p, now).State = Waiting
-	j.first = min(j.first, p.Index)
-	b.lazy(now)
+	b.release(p, now).State = Waiting
+	j.firstWaiting = min(j.firstWaiting, p.Index)
+	b.scheduleFlush(now)
 	b.checkEnd(j)
 }
 
@@ -403,41 +403,41 @@
 		return
 	}
 	j.ending = true
-	b.ends = append(b.ends, j)
-	b.urgent = true
+	b.endQueue = append(b.endQueue, j)
+	b.writeNow = true
 }
 
-func (b *Store) touch(j *Job, n int, now time.Time) {
+func (b *Store) markDirty(j *Job, n int, now time.Time) {
 	if c := &j.chunks[n]; !c.dirty {
-		c.dirty, c.since = true, now
+		c.dirty, c.dirtySince = true, now
 		if !c.writing {
-			b.list(chunkRef{j, n})
+			b.queueLazily(chunkRef{j, n})
 		}
 	}
 }
 
-// list has a dirty chunk written when there is room to spare.
-func (b *Store) list(ref chunkRef) {
-	if c := &ref.job.chunks[ref.n]; !c.listed {
-		c.listed = true
-		b.slow = append(b.slow, ref)
+// queueLazily has a dirty chunk written when there is room to spare.
+func (b *Store) queueLazily(ref chunkRef) {
+	if c := &ref.job.chunks[ref.n]; !c.queued {
+		c.queued = true
+		b.lazyQueue = append(b.lazyQueue, ref)
 	}
 }
 
-// hurry has a dirty chunk written before those that nobody waits for.
-func (b *Store) hurry(j *Job, n int) {
+// markUrgent has a dirty chunk written before those that nobody waits for.
+func (b *Store) markUrgent(j *Job, n int) {
 	if c := &j.chunks[n]; !c.urgent {
 		c.urgent = true
 		if !c.writing {
-			b.dirty = append(b.dirty, chunkRef{j, n})
-			b.urgent = true
+			b.urgentQueue = append(b.urgentQueue, chunkRef{j, n})
+			b.writeNow = true
 		}
 	}
 }
 
-func (b *Store) lazy(now time.Time) {
-	if b.lazyAt.IsZero() {
-		b.lazyAt = now.Add(tuning.LazyFlush)
+func (b *Store) scheduleFlush(now time.Time) {
+	if b.flushAt.IsZero() {
+		b.flushAt = now.Add(tuning.LazyFlush)
 	}
 }
 
@@ -445,7 +445,7 @@
 // report must not outgrow what a request may be.
 func (b *Store) FlushSoon(j *Job, index int) {
 	if n := index / tuning.ChunkTasks; !j.ending && j.chunks[n].dirty {
-		b.hurry(j, n)
+		b.markUrgent(j, n)
 	}
 }
 
--- a/internal/scheduler/jobs/book_test.go
+++ b/internal/scheduler/jobs/book_test.go
@@ -156,7 +156,7 @@
 		t.Errorf("%d tries and a pause of %v are known", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
 	b.MarkWorking(b.Jobs["job-1"], t0)
-	b.lazy(t0)
+	b.scheduleFlush(t0)
 	s.flush(b)
 	if b, _ = s.load(12); b.Jobs["job-1"].FailedWaves != 0 {
 		t.Error("a job that worked is on trial again")
@@ -187,7 +187,7 @@
 	urgent := place(6)
 	b.Cancel(b.Jobs["job-7"], func(wire.JobState) {})
 	w := b.NextBatch(t0, WriteBudget{Spare: 0})
-	if w.Txn.Then[0].Put != keyRun("job-6", 0) || w.Txn.Then[1].Put != KeyFinalState("job-7") || len(w.Txn.Then) != 4 {
+	if w.Txn.Then[0].Put != keyProgress("job-6", 0) || w.Txn.Then[1].Put != KeyFinalState("job-7") || len(w.Txn.Then) != 4 {
 		t.Errorf("the first transaction writes %+v", w.Txn.Then)
 	}
 	if b.MarkCommitted(w, s.apply(w.Txn)); !urgent.Committed {
@@ -215,7 +215,7 @@
 	b.Cancel(j, func(wire.JobState) {})
 	w := b.NextBatch(t0, WriteBudget{Spare: 0})
 	b.MarkLost(p, t0) // the machine is lost while that is on its way
-	b.hurry(j, 0)
+	b.markUrgent(j, 0)
 	b.MarkCommitted(w, s.apply(w.Txn))
 	s.flush(b)
 	for key := range s.items {
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -25,7 +25,7 @@
 // PrefixDetached holds charges that were moved out of progress records.
 const PrefixDetached = "left/"
 
-func keyLeft(job string, c *charge.Charge) string {
+func keyDetached(job string, c *charge.Charge) string {
 	return fmt.Sprintf("%s%s/%d.%d.%d", PrefixDetached, job, c.Task, c.Attempt, c.Part)
 }
 
@@ -36,8 +36,8 @@
 	Pack    *charge.Pack
 }
 
-// leftRecord is how a Left is stored; progress records have the same field.
-type leftRecord struct {
+// detachedRecord is how a Left is stored; progress records have the same field.
+type detachedRecord struct {
 	Charges []byte `json:"c"`
 }
 
@@ -58,8 +58,8 @@
 		part.Kind = c.pack.KindIndex(p.Kind)
 		c.pack.Charges = append(c.pack.Charges, part)
 	}
-	b.touch(p.Job, n, now)
-	b.lazy(now)
+	b.markDirty(p.Job, n, now)
+	b.scheduleFlush(now)
 }
 
 // MarkRunning takes in that a task was seen to run. Its time is stored with the next
@@ -73,18 +73,18 @@
 			// is known. A start that equals the placing says so.
 			p.BeganAt = p.PlacedAt
 		}
-		b.began = append(b.began, p)
+		b.newlyRunning = append(b.newlyRunning, p)
 	}
 }
 
-// noteBegan has the times of tasks that run on written.
-func (b *Store) noteBegan(now time.Time) {
-	for len(b.began) > 0 && now.Sub(b.began[0].KnownSince) >= tuning.BeganAfter {
-		p := b.began[0]
-		b.began = b.began[1:]
+// flushLongRunning has the times of tasks that run on written.
+func (b *Store) flushLongRunning(now time.Time) {
+	for len(b.newlyRunning) > 0 && now.Sub(b.newlyRunning[0].KnownSince) >= tuning.BeganAfter {
+		p := b.newlyRunning[0]
+		b.newlyRunning = b.newlyRunning[1:]
 		if !p.Removed && !p.beganStored {
-			b.touch(p.Job, p.Index/tuning.ChunkTasks, now)
-			b.lazy(now)
+			b.markDirty(p.Job, p.Index/tuning.ChunkTasks, now)
+			b.scheduleFlush(now)
 		}
 	}
 }
@@ -102,8 +102,8 @@
 
 // TakeDetached gives the records of charges that came to lie apart since it was last asked.
 func (b *Store) TakeDetached() []DetachedCharges {
-	out := b.lefts
-	b.lefts = nil
+	out := b.detached
+	b.detached = nil
 	return out
 }
 
@@ -117,7 +117,7 @@
 
 // DecodeCharges gives the charges in a record, of a live job or apart; nil if it holds none.
 func DecodeCharges(item wire.Item) (*charge.Pack, error) {
-	var r leftRecord
+	var r detachedRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return nil, fmt.Errorf("record %s: %w", item.Key, err)
 	}
@@ -137,12 +137,12 @@
 	case err != nil:
 		b.damaged = append(b.damaged, err)
 	case p != nil:
-		b.lefts = append(b.lefts, DetachedCharges{Key: item.Key, Version: item.Version, Pack: p})
+		b.detached = append(b.detached, DetachedCharges{Key: item.Key, Version: item.Version, Pack: p})
 	}
 }
 
-// loadPack takes in the charges in a progress record of a live job.
-func (c *chunk) loadPack(raw []byte) error {
+// loadCharges takes in the charges in a progress record of a live job.
+func (c *progressChunk) loadCharges(raw []byte) error {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -154,31 +154,31 @@
 	return nil
 }
 
-// seal gives a record to which the first of a chunk's charges are moved, if there are
+// detachOldCharges gives a record to which the first of a chunk's charges are moved, if there are
 // many. The chunk must be written in the same transaction.
-func (c *chunk) seal() (DetachedCharges, json.RawMessage, bool) {
+func (c *progressChunk) detachOldCharges() (DetachedCharges, json.RawMessage, bool) {
 	n := min(len(c.pack.Charges), tuning.DetachChargesMax)
 	if n < tuning.DetachCharges {
 		return DetachedCharges{}, nil, false
 	}
 	pack := c.pack
 	pack.Charges = c.pack.Charges[:n:n]
-	left := DetachedCharges{Key: keyLeft(pack.Job, &pack.Charges[0]), Pack: &pack}
-	value := wire.EncodeRecord(leftRecord{Charges: charge.EncodePack(&pack)})
+	left := DetachedCharges{Key: keyDetached(pack.Job, &pack.Charges[0]), Pack: &pack}
+	value := wire.EncodeRecord(detachedRecord{Charges: charge.EncodePack(&pack)})
 	c.pack.Charges = slices.Clone(c.pack.Charges[n:])
 	c.pack.Kinds = slices.Clone(pack.Kinds)
 	return left, value, true
 }
 
-// meter adds what the charge of an attempt will count from to its stored entry.
+// encodeTimes adds what the charge of an attempt will count from to its stored entry.
 // Times are stored as milliseconds from the record's base, and at least 1.
-func (c *chunk) meter(e *taskEntry, p *Allocation) {
-	if c.base == 0 {
-		c.base = p.PlacedAt.UnixMilli() - 1
+func (c *progressChunk) encodeTimes(e *taskEntry, p *Allocation) {
+	if c.baseMS == 0 {
+		c.baseMS = p.PlacedAt.UnixMilli() - 1
 	}
-	e.Placed = max(1, p.PlacedAt.UnixMilli()-c.base)
+	e.Placed = max(1, p.PlacedAt.UnixMilli()-c.baseMS)
 	if !p.BeganAt.IsZero() {
-		e.Began = max(1, p.BeganAt.UnixMilli()-c.base)
+		e.Began = max(1, p.BeganAt.UnixMilli()-c.baseMS)
 		p.beganStored = true
 	}
 	e.Part = p.ChargedParts
@@ -187,13 +187,13 @@
 	}
 }
 
-// metered is the reverse of meter.
-func (c *chunk) metered(e *taskEntry, p *Allocation) {
+// decodeTimes is the reverse of meter.
+func (c *progressChunk) decodeTimes(e *taskEntry, p *Allocation) {
 	if e.Placed > 0 {
-		p.PlacedAt = time.UnixMilli(c.base + e.Placed)
+		p.PlacedAt = time.UnixMilli(c.baseMS + e.Placed)
 	}
 	if e.Began > 0 {
-		p.BeganAt, p.beganStored = time.UnixMilli(c.base+e.Began), true
+		p.BeganAt, p.beganStored = time.UnixMilli(c.baseMS+e.Began), true
 	}
 	p.ChargedParts = e.Part
 	if e.Kind > 0 && e.Kind <= len(c.pack.Kinds) {
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -16,10 +16,10 @@
 		value any
 	}{
 		{"accepted-job", golden.Fill(new(JobRecord))},
-		{"progress", golden.Fill(new(chunkRecord))},
+		{"progress", golden.Fill(new(progressRecord))},
 		{"task-entry", golden.Fill(new(taskEntry))},
 		{"final-state", golden.Fill(new(FinalState))},
-		{"moved-charges", golden.Fill(new(leftRecord))},
+		{"moved-charges", golden.Fill(new(detachedRecord))},
 	} {
 		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
 	}
@@ -28,10 +28,10 @@
 func TestStoredKeys(t *testing.T) {
 	golden.Lines(t, "keys",
 		PrefixJob, PrefixProgress, PrefixFinalState, PrefixDetached,
-		KeyJob("job-17"), KeyFinalState("job-17"), keyRun("job-17", 3), keyRun("job-17", 12345),
-		keyLeft("job-17", &charge.Charge{Task: 4, Attempt: 5, Part: 6}),
+		KeyJob("job-17"), KeyFinalState("job-17"), keyProgress("job-17", 3), keyProgress("job-17", 12345),
+		keyDetached("job-17", &charge.Charge{Task: 4, Attempt: 5, Part: 6}),
 	)
-	id, chunk, ok := parseRunKey(keyRun("job-17", 3))
+	id, chunk, ok := parseProgressKey(keyProgress("job-17", 3))
 	if id != "job-17" || chunk != 3 || !ok {
 		t.Errorf("the key of a progress record is read as %q, %d, %v", id, chunk, ok)
 	}
@@ -50,8 +50,8 @@
 		name  string
 		value any
 	}{
-		{"progress-with-charges", chunkRecord{Done: "0-3", Charges: encoded}},
-		{"moved-charges-pack", leftRecord{Charges: encoded}},
+		{"progress-with-charges", progressRecord{Done: "0-3", Charges: encoded}},
+		{"moved-charges-pack", detachedRecord{Charges: encoded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			again, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -26,9 +26,11 @@
 // KeyFinalState is the key of a job's final state.
 func KeyFinalState(id string) string { return PrefixFinalState + id }
 
-func keyRun(id string, chunk int) string { return fmt.Sprintf("%s%s/%04d", PrefixProgress, id, chunk) }
+func keyProgress(id string, chunk int) string {
+	return fmt.Sprintf("%s%s/%04d", PrefixProgress, id, chunk)
+}
 
-func parseRunKey(key string) (id string, chunk int, ok bool) {
+func parseProgressKey(key string) (id string, chunk int, ok bool) {
 	id, num, found := strings.Cut(strings.TrimPrefix(key, PrefixProgress), "/")
 	chunk, err := strconv.Atoi(num)
 	return id, chunk, found && err == nil && chunk >= 0 && chunk <= wire.MaxTasks/tuning.ChunkTasks
@@ -52,10 +54,10 @@
 	return wire.JobStatus{ID: id, State: e.State, Done: e.Done}
 }
 
-// chunkRecord is the progress of ChunkTasks tasks of a job. Done tasks are
+// progressRecord is the progress of ChunkTasks tasks of a job. Done tasks are
 // ranges; every other task that was ever placed has an entry, so that no
 // attempt is used twice.
-type chunkRecord struct {
+type progressRecord struct {
 	Done  string      `json:"d,omitempty"`
 	Tasks []taskEntry `json:"t,omitempty"`
 	Tries int         `json:"f,omitempty"` // of the whole job, in vain; in its first chunk
--- a/internal/scheduler/jobs/tries.go
+++ b/internal/scheduler/jobs/tries.go
@@ -17,9 +17,9 @@
 		return
 	}
 	j.FailedWaves++
-	j.BackoffUntil = now.Add(tryPause(j.FailedWaves))
-	b.touch(j, 0, now)
-	b.lazy(now)
+	j.BackoffUntil = now.Add(backoff(j.FailedWaves))
+	b.markDirty(j, 0, now)
+	b.scheduleFlush(now)
 }
 
 // MarkWorking records that a task of the job works: it is not to blame.
@@ -27,7 +27,7 @@
 	if j.FailedWaves > 0 {
 		j.FailedWaves = 0
 		j.BackoffUntil = time.Time{}
-		b.touch(j, 0, now)
+		b.markDirty(j, 0, now)
 	}
 }
 
@@ -45,7 +45,7 @@
 	return false
 }
 
-// tryPause is how long a job waits after some tries in vain.
-func tryPause(tries int) time.Duration {
+// backoff is how long a job waits after some tries in vain.
+func backoff(tries int) time.Duration {
 	return min(tuning.ErrorPause<<min(max(tries-1, 0), 10), tuning.ErrorPauseMax)
 }
--- a/internal/scheduler/jobs/writes.go
+++ b/internal/scheduler/jobs/writes.go
@@ -13,11 +13,11 @@
 
 // Batch is one transaction of the book's changes.
 type Batch struct {
-	Txn    wire.Txn
-	chunks []chunkRef
-	places []*Allocation
-	ends   []endRef
-	lefts  []DetachedCharges // charges that come to lie apart; their version is that of the batch, if 0
+	Txn         wire.Txn
+	chunks      []chunkRef
+	allocations []*Allocation
+	ends        []jobEnd
+	detached    []DetachedCharges // charges that come to lie apart; their version is that of the batch, if 0
 	// BatchCounts is how many of its changes serve what.
 	Counts BatchCounts
 }
@@ -30,7 +30,7 @@
 	Garbage  int // what jobs that are over left behind
 }
 
-type endRef struct {
+type jobEnd struct {
 	job   *Job
 	state wire.JobState // the state that it stores; empty: it was stored before
 }
@@ -43,8 +43,8 @@
 
 // WriteDue tells whether changes should be written now.
 func (b *Store) WriteDue(now time.Time) bool {
-	b.noteBegan(now)
-	return b.urgent || !b.lazyAt.IsZero() && !now.Before(b.lazyAt)
+	b.flushLongRunning(now)
+	return b.writeNow || !b.flushAt.IsZero() && !now.Before(b.flushAt)
 }
 
 // WriteBudget is how much of the limit on changes a transaction may use.
@@ -73,8 +73,8 @@
 	holds := func(refs ...chunkRef) bool {
 		n, bytes := 0, 0
 		for _, r := range refs {
-			n += r.ops(b.txnOps)
-			bytes += r.bytes()
+			n += r.minChanges(b.txnOps)
+			bytes += r.maxBytes()
 		}
 		return room(n) && (len(w.Txn.Then) == 0 || size+bytes <= tuning.TxnBytes)
 	}
@@ -89,10 +89,10 @@
 		size += 2*len(key) + 64
 	}
 	end := func() {
-		j := b.ends[0]
-		b.ends = b.ends[1:]
-		ref := endRef{job: j}
-		j.sent = true
+		j := b.endQueue[0]
+		b.endQueue = b.endQueue[1:]
+		ref := jobEnd{job: j}
+		j.endSent = true
 		if !j.cancelled {
 			ref.state = wire.StateDone
 			if j.Done < len(j.Tasks) {
@@ -107,19 +107,19 @@
 			c.dirty, c.urgent = false, false
 			switch {
 			case len(c.pack.Charges) > 0:
-				left := DetachedCharges{Key: keyRun(j.ID, n), Pack: &c.pack, Version: c.version}
+				left := DetachedCharges{Key: keyProgress(j.ID, n), Pack: &c.pack, Version: c.version}
 				if dirty {
-					put(left.Key, c.version, wire.EncodeRecord(leftRecord{Charges: charge.EncodePack(&c.pack)}))
+					put(left.Key, c.version, wire.EncodeRecord(detachedRecord{Charges: charge.EncodePack(&c.pack)}))
 					left.Version = 0
 				}
-				w.lefts = append(w.lefts, left)
+				w.detached = append(w.detached, left)
 			case c.version == 0:
 			case room(1):
-				drop(keyRun(j.ID, n), c.version)
+				drop(keyProgress(j.ID, n), c.version)
 			default:
-				b.garbage = append(b.garbage, wire.Condition{Key: keyRun(j.ID, n), Version: c.version})
-				if b.lazyAt.IsZero() {
-					b.lazyAt = now
+				b.staleRecords = append(b.staleRecords, wire.Condition{Key: keyProgress(j.ID, n), Version: c.version})
+				if b.flushAt.IsZero() {
+					b.flushAt = now
 				}
 			}
 		}
@@ -131,14 +131,14 @@
 			return
 		}
 		for room(2) {
-			left, value, ok := c.seal()
+			left, value, ok := c.detachOldCharges()
 			if !ok {
 				break
 			}
 			put(left.Key, 0, value)
-			w.lefts = append(w.lefts, left)
+			w.detached = append(w.detached, left)
 		}
-		value, places := ref.job.encodeChunk(ref.n, b.Metered)
+		value, places := ref.job.encodeProgress(ref.n, b.Metered)
 		c.dirty, c.urgent, c.writing = false, false, true
 		// Progress is only written for a job that is still stored as it was
 		// loaded: one that is over can never come back to life.
@@ -146,9 +146,9 @@
 			guarded[ref.job.ID] = true
 			w.Txn.If = append(w.Txn.If, wire.Condition{Key: KeyJob(ref.job.ID), Version: ref.job.version})
 		}
-		put(keyRun(ref.job.ID, ref.n), c.version, value)
+		put(keyProgress(ref.job.ID, ref.n), c.version, value)
 		w.chunks = append(w.chunks, ref)
-		w.places = append(w.places, places...)
+		w.allocations = append(w.allocations, places...)
 	}
 	// settled writes the charges that a job's end would bring along, as far as there is
 	// room, if they are more than have room with it: it then goes with the next batch.
@@ -172,11 +172,11 @@
 		}
 		return false
 	}
-	b.sort()
-	for len(b.ends)+len(b.dirty) > 0 {
+	b.sortQueues()
+	for len(b.endQueue)+len(b.urgentQueue) > 0 {
 		before := len(w.Txn.Then)
-		if b.endFirst() {
-			if !room(3) || !settled(b.ends[0]) {
+		if b.endGoesFirst() {
+			if !room(3) || !settled(b.endQueue[0]) {
 				w.Counts.Ends += len(w.Txn.Then) - before
 				break
 			}
@@ -184,21 +184,21 @@
 			w.Counts.Ends += len(w.Txn.Then) - before
 			continue
 		}
-		if !holds(b.dirty[0]) {
+		if !holds(b.urgentQueue[0]) {
 			break
 		}
-		ref := b.dirty[0]
-		b.dirty = b.dirty[1:]
+		ref := b.urgentQueue[0]
+		b.urgentQueue = b.urgentQueue[1:]
 		write(ref)
 		w.Counts.Starts += len(w.Txn.Then) - before
 	}
-	lazy := !b.lazyAt.IsZero() && !now.Before(b.lazyAt)
+	lazy := !b.flushAt.IsZero() && !now.Before(b.flushAt)
 	sum := len(w.Txn.Then)
-	for n := len(b.slow); lazy && n > 0; n-- {
-		ref := b.slow[0]
+	for n := len(b.lazyQueue); lazy && n > 0; n-- {
+		ref := b.lazyQueue[0]
 		c := &ref.job.chunks[ref.n]
 		if c.dirty && !ref.job.ended {
-			age, limit := now.Sub(c.since), sum+budget.Spare
+			age, limit := now.Sub(c.dirtySince), sum+budget.Spare
 			if age >= tuning.LazyMax {
 				limit = max(limit, sum+budget.Overdue)
 			}
@@ -206,23 +206,23 @@
 				break
 			}
 			if age < tuning.LazyFlush { // it was written for a start meanwhile, and changed again
-				b.slow = append(b.slow[1:], ref)
+				b.lazyQueue = append(b.lazyQueue[1:], ref)
 				continue
 			}
 		}
-		b.slow, c.listed = b.slow[1:], false
+		b.lazyQueue, c.queued = b.lazyQueue[1:], false
 		write(ref)
 	}
 	w.Counts.Progress = len(w.Txn.Then) - sum
-	for limit := len(w.Txn.Then) + budget.Spare; lazy && len(b.garbage) > 0 && room(1) && len(w.Txn.Then) < limit; {
-		g := b.garbage[0]
-		b.garbage = b.garbage[1:]
+	for limit := len(w.Txn.Then) + budget.Spare; lazy && len(b.staleRecords) > 0 && room(1) && len(w.Txn.Then) < limit; {
+		g := b.staleRecords[0]
+		b.staleRecords = b.staleRecords[1:]
 		drop(g.Key, g.Version)
 	}
 	w.Counts.Garbage = len(w.Txn.Then) - sum - w.Counts.Progress
-	b.urgent = len(b.ends)+len(b.dirty) > 0
-	if len(b.slow)+len(b.garbage) == 0 {
-		b.lazyAt = time.Time{}
+	b.writeNow = len(b.endQueue)+len(b.urgentQueue) > 0
+	if len(b.lazyQueue)+len(b.staleRecords) == 0 {
+		b.flushAt = time.Time{}
 	}
 	if len(w.Txn.Then) == 0 {
 		return nil
@@ -230,45 +230,45 @@
 	return w
 }
 
-// ops is how many changes the writing of a chunk takes at the least: its record must
+// minChanges is how many changes the writing of a chunk takes at the least: its record must
 // not hold more charges than fit it.
-func (r chunkRef) ops(most int) int {
+func (r chunkRef) minChanges(most int) int {
 	return min(most, 1+len(r.job.chunks[r.n].pack.Charges)/(tuning.DetachChargesMax+1))
 }
 
-// bytes is what the writing of a chunk takes at the most, in bytes.
-func (r chunkRef) bytes() int {
+// maxBytes is what the writing of a chunk takes at the most, in bytes.
+func (r chunkRef) maxBytes() int {
 	c := &r.job.chunks[r.n]
 	tasks := min(tuning.ChunkTasks, len(r.job.Tasks)-r.n*tuning.ChunkTasks)
 	return tuning.EntryBytes*tasks + tuning.ChargeBytes*len(c.pack.Charges) + tuning.RecordBytes
 }
 
-// sort puts what waits to be written in the order of the jobs' priorities, so
+// sortQueues puts what waits to be written in the order of the jobs' priorities, so
 // that starts of urgent work do not wait behind hundreds of tiny jobs: starts before ends, and
 // cancellations, which users wait for, behind the starts of the highest priority only.
-func (b *Store) sort() {
-	slices.SortStableFunc(b.ends, func(x, y *Job) int { return cmp.Compare(y.endLevel(), x.endLevel()) })
+func (b *Store) sortQueues() {
+	slices.SortStableFunc(b.endQueue, func(x, y *Job) int { return cmp.Compare(y.endPriority(), x.endPriority()) })
 	// What is about to be dropped with its job needs no writing.
-	b.dirty = slices.DeleteFunc(b.dirty, func(r chunkRef) bool { return r.job.ending })
-	slices.SortStableFunc(b.dirty, func(x, y chunkRef) int { return cmp.Compare(y.job.Priority.Level(), x.job.Priority.Level()) })
+	b.urgentQueue = slices.DeleteFunc(b.urgentQueue, func(r chunkRef) bool { return r.job.ending })
+	slices.SortStableFunc(b.urgentQueue, func(x, y chunkRef) int { return cmp.Compare(y.job.Priority.Level(), x.job.Priority.Level()) })
 }
 
-// endLevel is the priority of a job's end. Cancellations that came together used to hold up the starts of
+// endPriority is the priority of a job's end. Cancellations that came together used to hold up the starts of
 // production work: each takes three changes, and its tasks are being stopped already.
-func (j *Job) endLevel() int {
+func (j *Job) endPriority() int {
 	if j.cancelWanted {
 		return wire.PriorityProduction.Level()
 	}
 	return j.Priority.Level()
 }
 
-// endFirst tells whether the first end goes before the first start.
-func (b *Store) endFirst() bool {
-	return len(b.dirty) == 0 || len(b.ends) > 0 && b.ends[0].endLevel() > b.dirty[0].job.Priority.Level()
+// endGoesFirst tells whether the first end goes before the first start.
+func (b *Store) endGoesFirst() bool {
+	return len(b.urgentQueue) == 0 || len(b.endQueue) > 0 && b.endQueue[0].endPriority() > b.urgentQueue[0].job.Priority.Level()
 }
 
-func (j *Job) encodeChunk(n int, meter bool) (json.RawMessage, []*Allocation) {
-	var r chunkRecord
+func (j *Job) encodeProgress(n int, meter bool) (json.RawMessage, []*Allocation) {
+	var r progressRecord
 	c := &j.chunks[n]
 	var done []int
 	var places []*Allocation
@@ -280,7 +280,7 @@
 		case t.Allocation != nil:
 			e := taskEntry{Index: i, Attempt: t.Attempt, Machine: t.Allocation.Machine, Session: t.Allocation.Incarnation, Zone: t.Allocation.Zone}
 			if meter {
-				c.meter(&e, t.Allocation)
+				c.encodeTimes(&e, t.Allocation)
 			}
 			r.Tasks = append(r.Tasks, e)
 			if !t.Allocation.Committed {
@@ -294,7 +294,7 @@
 	if n == 0 {
 		r.Tries = j.FailedWaves
 	}
-	if r.Base = c.base; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
+	if r.Base = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
 		r.Charges = charge.EncodePack(&c.pack)
 	}
 	return wire.EncodeRecord(r), places
@@ -308,19 +308,19 @@
 		c.version, c.writing = revision, false
 		switch {
 		case c.urgent:
-			b.dirty = append(b.dirty, ref)
-			b.urgent = true
+			b.urgentQueue = append(b.urgentQueue, ref)
+			b.writeNow = true
 		case c.dirty:
-			b.list(ref)
+			b.queueLazily(ref)
 		}
 	}
-	for _, left := range w.lefts {
+	for _, left := range w.detached {
 		if left.Version == 0 {
 			left.Version = revision
 		}
-		b.lefts = append(b.lefts, left)
+		b.detached = append(b.detached, left)
 	}
-	for _, p := range w.places {
+	for _, p := range w.allocations {
 		p.Committed = true
 		if !p.Removed {
 			start = append(start, p)
@@ -332,13 +332,13 @@
 		delete(b.Jobs, j.ID)
 		if e.state != "" {
 			over = append(over, FinishedJob{j, e.state})
-			b.notify(j, e.state)
+			b.notifyWaiters(j, e.state)
 		}
 	}
 	return start, over
 }
 
-func (b *Store) notify(j *Job, s wire.JobState) {
+func (b *Store) notifyWaiters(j *Job, s wire.JobState) {
 	for _, fn := range j.waiters {
 		fn(s)
 	}
