--- a/internal/scheduler/jobs/finals.go
+++ b/internal/scheduler/jobs/finalstates.go
@@ -7,7 +7,7 @@
 )
 
 // FinalStates remembers the final states of jobs, which never change. When full it
-// forgets the oldest; the state service still knows them. It is safe for
+// forgets the oldest; the key-value store still knows them. It is safe for
 // concurrent use.
 type FinalStates struct {
 	mu    sync.Mutex
@@ -16,7 +16,7 @@
 	next  int
 }
 
-// NewFinalStates makes one that remembers up to size jobs.
+// NewFinalStates makes a FinalStates that remembers up to size jobs.
 func NewFinalStates(size int) *FinalStates {
 	return &FinalStates{byID: make(map[string]wire.JobStatus), order: make([]string, size)}
 }
@@ -34,7 +34,7 @@
 	f.byID[s.ID] = s
 }
 
-// Get gives the final state of a job, if it is remembered.
+// Get returns the final state of a job, if it is remembered.
 func (f *FinalStates) Get(id string) (wire.JobStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scheduler/jobs/finals_test.go
+++ b/internal/scheduler/jobs/finalstates_test.go
@@ -6,7 +6,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-func TestFinalsForgetTheOldest(t *testing.T) {
+func TestFinalStatesForgetTheOldest(t *testing.T) {
 	f := NewFinalStates(2)
 	for _, id := range []string{"job-1", "job-2", "job-2", "job-3"} {
 		f.Add(wire.JobStatus{ID: id, State: wire.StateDone})
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -5,11 +5,12 @@
 	"strconv"
 	"strings"
 
+	"poppypass/internal/accounting/charge"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 )
 
-// Keys of the state service.
+// Prefixes of keys in the key-value store.
 const (
 	// PrefixJob holds accepted jobs until they are over; any controller may
 	// add one, only the leader changes or drops it.
@@ -18,6 +19,8 @@
 	PrefixProgress = "run/"
 	// PrefixFinalState holds the final states of jobs, for ever.
 	PrefixFinalState = "end/"
+	// PrefixDetached holds charges that were moved out of progress records.
+	PrefixDetached = "left/"
 )
 
 // KeyJob is the key of an accepted job.
@@ -30,6 +33,11 @@
 	return fmt.Sprintf("%s%s/%04d", PrefixProgress, id, chunk)
 }
 
+// keyDetached is the key of detached charges, by the first of them.
+func keyDetached(job string, c *charge.Charge) string {
+	return fmt.Sprintf("%s%s/%d.%d.%d", PrefixDetached, job, c.Task, c.Attempt, c.Part)
+}
+
 func parseProgressKey(key string) (id string, chunk int, ok bool) {
 	id, num, found := strings.Cut(strings.TrimPrefix(key, PrefixProgress), "/")
 	chunk, err := strconv.Atoi(num)
@@ -49,80 +57,38 @@
 	Done  int           `json:"done"`
 }
 
-// Status is the answer to a user that the record gives.
-func (e FinalState) Status(id string) wire.JobStatus {
-	return wire.JobStatus{ID: id, State: e.State, Done: e.Done}
+// Status is what the record tells the user of a job.
+func (f FinalState) Status(id string) wire.JobStatus {
+	return wire.JobStatus{ID: id, State: f.State, Done: f.Done}
 }
 
 // progressRecord is the progress of ChunkTasks tasks of a job. Done tasks are
-// ranges; every other task that was ever placed has an entry, so that no
+// ranges; every other task that was ever allocated has an entry, so that no
 // attempt is used twice.
 type progressRecord struct {
-	Done  string      `json:"d,omitempty"`
-	Tasks []taskEntry `json:"t,omitempty"`
-	Tries int         `json:"f,omitempty"` // of the whole job, in vain; in its first chunk
+	Done        string      `json:"d,omitempty"`
+	Tasks       []taskEntry `json:"t,omitempty"`
+	FailedWaves int         `json:"f,omitempty"` // of the whole job; in its first chunk
 
-	Base    int64  `json:"b,omitempty"` // time of day in ms from which the entries' times count
+	BaseMS  int64  `json:"b,omitempty"` // time of day from which the entries' times count
 	Charges []byte `json:"c,omitempty"` // an encoded charge.Pack
 }
 
+// taskEntry is what a progress record says of a task that is not done.
 type taskEntry struct {
-	Index   int    `json:"i"`
-	Attempt uint64 `json:"a"`
-	Machine string `json:"m,omitempty"` // where it may be; empty: nowhere
-	Session uint64 `json:"s,omitempty"`
-	Zone    string `json:"z,omitempty"`
-
-	Placed int64 `json:"p,omitempty"` // when it was placed, in ms from the record's base
-	Began  int64 `json:"r,omitempty"` // when it was seen to run
-	Part   int   `json:"q,omitempty"` // parts that are charged
-	Kind   int   `json:"k,omitempty"` // one more than the index of its kind in the pack
-}
-
-func encodeRanges(idx []int) string {
-	var b strings.Builder
-	for i := 0; i < len(idx); {
-		j := i
-		for j+1 < len(idx) && idx[j+1] == idx[j]+1 {
-			j++
-		}
-		if b.Len() > 0 {
-			b.WriteByte(',')
-		}
-		b.WriteString(strconv.Itoa(idx[i]))
-		if j > i {
-			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(idx[j]))
-		}
-		i = j + 1
-	}
-	return b.String()
+	Index       int    `json:"i"`
+	Attempt     uint64 `json:"a"`
+	Machine     string `json:"m,omitempty"` // where it may be; empty: nowhere
+	Incarnation uint64 `json:"s,omitempty"`
+	Zone        string `json:"z,omitempty"`
+
+	PlacedMS     int64 `json:"p,omitempty"` // when it was allocated, from the record's base
+	BeganMS      int64 `json:"r,omitempty"` // when it was seen to run, from the record's base
+	ChargedParts int   `json:"q,omitempty"`
+	Kind         int   `json:"k,omitempty"` // one more than the index of its kind in the pack
 }
 
-func decodeRanges(s string) ([]int, error) {
-	var idx []int
-	if s == "" {
-		return nil, nil
-	}
-	for part := range strings.SplitSeq(s, ",") {
-		from, to, isRange := strings.Cut(part, "-")
-		if !isRange {
-			to = from
-		}
-		a, err := strconv.Atoi(from)
-		if err != nil {
-			return nil, err
-		}
-		b, err := strconv.Atoi(to)
-		if err != nil {
-			return nil, err
-		}
-		if a < 0 || b < a || b >= wire.MaxTasks {
-			return nil, fmt.Errorf("range %q", part)
-		}
-		for i := a; i <= b; i++ {
-			idx = append(idx, i)
-		}
-	}
-	return idx, nil
+// detachedRecord is how detached charges are stored. Progress records have the same field.
+type detachedRecord struct {
+	Charges []byte `json:"c"` // an encoded charge.Pack
 }
