--- a/internal/cluster/election/leadership_test.go
+++ b/internal/cluster/election/election_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"strings"
 	"sync/atomic"
@@ -289,7 +290,7 @@
 	}
 	e.resign() // the own tenure's end comes later
 	holds("b", 4)
-	e.noteHolder("", 0) // the state service says that nobody leads
+	e.noteNoHolder() // the state service says that nobody leads
 	e.NoteLeader("b", 4)
 	holds("", 0)
 	e.NoteLeader("c", 5)
@@ -337,8 +338,8 @@
 	s := fakes.NewState(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
-	early, ok := e.checkEligibility(t.Context(), 0)
-	if !ok {
+	early, err := e.checkEligibility(t.Context(), 0)
+	if err != nil {
 		t.Fatal("a member that is not fenced off needs a voucher")
 	}
 	a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), votes: votesBut("b"), silent: []string{"b"}}, clock)
@@ -355,17 +356,17 @@
 	if _, ok := e.campaign(t.Context(), tenure.Term, version, early); ok {
 		t.Error("leads on a leave that is older than the fence")
 	}
-	if _, ok := e.checkEligibility(t.Context(), tenure.Term); ok {
+	if _, err := e.checkEligibility(t.Context(), tenure.Term); !errors.Is(err, errNotConfirmed) {
 		t.Error("campaigns though it is fenced off")
 	}
 	e.peers = &fakePeers{confirm: always(true)}
-	if l, ok := e.checkEligibility(t.Context(), tenure.Term); !ok || l.until.IsZero() {
+	if l, err := e.checkEligibility(t.Context(), tenure.Term); err != nil || l.until.IsZero() {
 		t.Error("a voucher gives no leave for a time")
 	}
 	e.peers = &fakePeers{confirm: always(false)}
 	clock.Advance(tuning.FencingLeaseTTL)
 	s.Expire()
-	if _, ok := e.checkEligibility(t.Context(), tenure.Term); !ok {
+	if _, err := e.checkEligibility(t.Context(), tenure.Term); err != nil {
 		t.Error("waits though the fence is gone")
 	}
 }
--- a/internal/cluster/election/meetings_test.go
+++ b/internal/cluster/election/interleaving_test.go
@@ -29,12 +29,12 @@
 			e.beginTerm(6, 1, now)
 			e.noteHolder("b", 6)
 			e.resign()
-			e.noteHolder("", 0)
+			e.noteNoHolder()
 		}, Refused},
 		{"it read of another", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
-		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteHolder("", 0) }, Refused},
+		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoHolder() }, Refused},
 		{"it heard of another", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
-		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteHolder("", 0) }, Granted},
+		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoHolder() }, Granted},
 	} {
 		clock := clockwork.NewFakeClock()
 		s := fakes.NewState(clock)
