--- /dev/null
+++ b/internal/scheduler/reachability/reachability_test.go
@@ -0,0 +1,100 @@
+package reachability
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"poppypass/internal/platform/tuning"
+)
+
+var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+
+// Guards against a slow reply, a lost probe or a delayed copy that looks like a machine which nothing reaches.
+func TestUnreachableNeedsAMissedReplyAndAFailedProbe(t *testing.T) {
+	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
+	for _, c := range []struct {
+		name        string
+		events      func(s *State)
+		unreachable bool
+	}{
+		{"a slow reply", func(s *State) { s.NoteMissed(at(5)); s.NoteMissed(at(10)) }, false},
+		{"a lost probe", func(s *State) { s.NoteFailed(at(5), at(7)) }, false},
+		{"a missed reply, then a failed probe", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)) }, true},
+		{"a failed probe, then a missed reply", func(s *State) { s.NoteFailed(at(5), at(7)); s.NoteMissed(at(10)) }, true},
+		{"acknowledged in between", func(s *State) { s.NoteMissed(at(5)); s.Acknowledged(at(6)); s.NoteFailed(at(7), at(9)) }, false},
+		{"a probe sent before the acknowledgment", func(s *State) { s.Acknowledged(at(6)); s.NoteMissed(at(8)); s.NoteFailed(at(5), at(9)) }, false},
+		{"acknowledged since", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)); s.Acknowledged(at(9)) }, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := &State{}
+			s.Acknowledged(t0)
+			c.events(s)
+			if got := s.Unreachable(); got != c.unreachable {
+				t.Errorf("unreachable %v", got)
+			}
+		})
+	}
+	if new(State).Usable(t0, false) {
+		t.Error("a machine that acknowledged nothing and is not trusted is given work")
+	}
+}
+
+// Random histories: a machine that is found unreachable again and again gets work ever more seldom, one that goes on
+// acknowledging gets work again within the longest pause, and probes keep their pauses.
+func TestPausesOfWorkAndProbesOverRandomHistories(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, now, probed := &State{}, t0, time.Time{}
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			now = now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond)
+			wasUnreachable, times := s.Unreachable(), s.timesUnreachable
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
+			case 0:
+				s.NoteMissed(now)
+			case 1:
+				s.NoteFailed(now.Add(-time.Second), now)
+			case 2:
+				s.Acknowledged(now)
+				if pause := s.noWorkUntil.Sub(now); wasUnreachable && times > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
+					t.Fatalf("work %v after it was unreachable %d times", pause, times)
+				}
+			case 3:
+				if s.ProbeDue(now) {
+					if !probed.IsZero() && now.Sub(probed) < tuning.ProbePause {
+						t.Fatalf("probed %v after the last probe", now.Sub(probed))
+					}
+					s.ProbeSent(now)
+					if s.ProbeDue(now) {
+						t.Fatal("two probes at a time")
+					}
+					s.ProbeEnded()
+					probed = now
+				}
+			}
+			if s.Unreachable() && s.Usable(now, true) {
+				t.Fatal("an unreachable machine is given work")
+			}
+		}
+		s.Acknowledged(now)
+		if !s.Usable(now.Add(tuning.UnreachablePauseMax), false) {
+			t.Fatal("it gets no work for longer than the longest pause")
+		}
+	})
+}
+
+// Guards against a machine that gets no work long after the path to it is whole again: one that flapped for a quarter of an
+// hour had its machine shut out for five minutes, and a job that fitted nowhere else waited beside its room.
+func TestAMachineGetsWorkSoonAfterAFlappingPathIsWhole(t *testing.T) {
+	s, now := &State{}, t0
+	for range 12 {
+		now = now.Add(20 * time.Second)
+		s.NoteMissed(now)
+		s.NoteFailed(now, now.Add(time.Second))
+		now = now.Add(20 * time.Second)
+		s.Acknowledged(now)
+	}
+	if most := 75 * time.Second; !s.Usable(now.Add(most), true) {
+		t.Errorf("%v after it acknowledged a message it is given no work", most)
+	}
+}
