--- /dev/null
+++ b/internal/cluster/election/helpers_test.go
@@ -0,0 +1,115 @@
+package election
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
+)
+
+// fakePeers are the other members, as a test wants them to answer.
+type fakePeers struct {
+	votes       func() Votes
+	nobodyLeads func() bool
+	confirm     func() bool // nil: they do
+	endLease    func(lease uint64)
+	silent      []string
+}
+
+func (p *fakePeers) RequestVotes(context.Context, uint64) Votes { return p.votes() }
+
+func (p *fakePeers) NobodyLeads(context.Context) bool { return p.nobodyLeads() }
+
+func (p *fakePeers) ConfirmTermOver(context.Context, uint64) bool {
+	return p.confirm == nil || p.confirm()
+}
+
+func (p *fakePeers) EndLease(_ context.Context, lease uint64) { p.endLease(lease) }
+
+func (p *fakePeers) Silent() []string { return p.silent }
+
+func always(b bool) func() bool { return func() bool { return b } }
+
+func votesBut(names ...string) func() Votes {
+	return func() Votes { return Votes{Silent: names} }
+}
+
+// unreachablePeers give a leader no answer when it asks for votes, though none of them leads.
+var unreachablePeers = &fakePeers{votes: votesBut("b", "c"), nobodyLeads: always(true)}
+
+type member struct {
+	*Elector
+	stop  context.CancelFunc
+	terms chan Leadership
+	ended chan Leadership
+}
+
+func start(t *testing.T, name string, s *fakes.State, p Peers, clock clockwork.Clock) *member {
+	t.Helper()
+	ctx, stop := context.WithCancel(t.Context())
+	m := &member{
+		Elector: New(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock, slog.New(slog.DiscardHandler)),
+		stop:    stop, terms: make(chan Leadership, 8), ended: make(chan Leadership, 8),
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		m.Run(ctx, func(ctx context.Context, t Leadership) {
+			m.terms <- t
+			<-ctx.Done()
+			m.ended <- t
+		})
+	}()
+	t.Cleanup(func() { stop(); <-done })
+	return m
+}
+
+func (m *member) leads() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.ownTerm != 0
+}
+
+// How many goroutines of an elector wait for the clock: a follower's one, or
+// of a leader those that renew the lease, request votes and maintain the fencing lease.
+const (
+	following = 1
+	leading   = 3
+)
+
+// until lets time pass in small steps until a condition holds. It moves the
+// clock only while the one elector that runs waits for it, never during a call.
+func until(t *testing.T, s *fakes.State, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
+	defer cancel()
+	for !holds() {
+		if err := clock.BlockUntilContext(ctx, waiting); err != nil {
+			t.Fatalf("never happened: %s", what)
+		}
+		clock.Advance(10 * time.Millisecond)
+		s.Expire()
+	}
+}
+
+// unrevokableStore is a store in which no lease can be given back.
+type unrevokableStore struct{ Store }
+
+func (unrevokableStore) RevokeLease(context.Context, uint64) error { return statestore.ErrNotExecuted }
+
+// interruptedStore is a store whose reading fails after something has happened.
+type interruptedStore struct {
+	Store
+	fn func()
+}
+
+func (s interruptedStore) Get(context.Context, string) (wire.Item, bool, error) {
+	s.fn()
+	return wire.Item{}, false, statestore.ErrNotExecuted
+}
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -11,7 +11,6 @@
 	"github.com/jonboulle/clockwork"
 
 	"poppypass/internal/clients/statestore"
-	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 )
@@ -83,7 +82,7 @@
 	return err
 }
 
-// startProcess starts a life of a member, which ends at its n-th call; 0: it does not.
+// startProcess starts a process of a member, which crashes at its n-th call; 0: it does not.
 func startProcess(t *testing.T, s *fakes.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -133,17 +132,11 @@
 	}
 }
 
-func (m *member) leads() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ownTerm != 0
-}
-
-// Guards against what a former life of a process leaves behind: it ends at each step of an election and of its reign, with or
-// without the step being executed, and is back at once. One of its lives leads within a second or two, rather than when the
-// lease of the former one has run out, and in a higher term.
-func TestAProcessThatIsBackAtOnceLeadsSoon(t *testing.T) {
-	const bound = 1500 * time.Millisecond // what a life without memory waits for before it campaigns, and some pauses
+// Guards against what an earlier process of a member leaves behind: it crashes at each call of an election and of its term, with or
+// without the call being executed, and is restarted at once. The next process leads within a second or two, rather than when the
+// lease of the earlier one has expired, and in a higher term.
+func TestRestartedProcessLeadsSoonInAHigherTerm(t *testing.T) {
+	const bound = 1500 * time.Millisecond // for as long a restarted process waits before it campaigns, and some pauses
 	for n := 1; n <= 10; n++ {
 		for _, after := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
@@ -155,26 +148,12 @@
 				term = (<-first.terms).Term
 			}
 			second, _ := startProcess(t, s, clock, 0, false)
-			tenure, took := passUntil(t, s, clock, second, second.terms)
-			if took > bound || tenure.Term <= term || !second.Valid(tenure.Term) || first.Valid(tenure.Term) {
-				t.Errorf("ended at call %d (executed: %v): leads after %v in term %d, the former one was %d", n, after, took, tenure.Term, term)
+			leadership, took := passUntil(t, s, clock, second, second.terms)
+			if took > bound || leadership.Term <= term || !second.Valid(leadership.Term) || first.Valid(leadership.Term) {
+				t.Errorf("crashed at call %d (executed: %v): leads after %v in term %d, the earlier one was %d", n, after, took, leadership.Term, term)
 			}
 			second.stop()
 			s.Close()
 		}
 	}
 }
-
-// A member that stands aside leaves the leadership to others, and takes it when none does.
-func TestAMemberStandsAside(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
-	t.Cleanup(s.Close)
-	a, _ := startProcess(t, s, clock, 0, false)
-	a.StandAside(tuning.YieldFor)
-	begun := clock.Now()
-	passUntil(t, s, clock, a, a.terms)
-	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
-		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
-	}
-}
--- /dev/null
+++ b/internal/cluster/election/term_test.go
@@ -0,0 +1,99 @@
+package election
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/sim/fakes"
+)
+
+// Guards against acting on a lease that may have ended: during an outage the
+// term's validity ends by the local clock, and the term outlives it.
+func TestTermIsInvalidInAnOutageAndValidAgainAfterIt(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	s := fakes.NewState(clock)
+	t.Cleanup(s.Close)
+	a := start(t, "a", s, unreachablePeers, clock)
+	leadership := <-a.terms
+	s.Refuse(true)
+	begun := clock.Now()
+	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	if clock.Since(begun) > tuning.LeaseTTL {
+		t.Errorf("acted for %v without a renewal", clock.Since(begun))
+	}
+	s.Refuse(false)
+	until(t, s, clock, leading, "the term to be valid again", func() bool { return a.Valid(leadership.Term) })
+	if len(a.terms) != 0 || len(a.ended) != 0 {
+		t.Error("the term was lost in the outage")
+	}
+}
+
+// Guards against a validity that outlives the lease by the time that a renewal took: it counts from before the request.
+func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
+	for name, renew := range map[string]func(e *Elector, sent time.Time){
+		"gained":  func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
+		"renewed": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent); e.noteRenewal(5, sent) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			clock := clockwork.NewFakeClock()
+			e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+			sent := clock.Now()
+			clock.Advance(tuning.RenewTimeout)
+			renew(e, sent)
+			clock.Advance(tuning.LeaseTTL - tuning.RenewTimeout - 100*time.Millisecond)
+			if !e.Valid(5) {
+				t.Errorf("over %v after the request", clock.Since(sent))
+			}
+			if clock.Advance(100 * time.Millisecond); e.Valid(5) {
+				t.Errorf("acts %v after the request", clock.Since(sent))
+			}
+		})
+	}
+}
+
+// Guards against seconds without a leader when the state service refuses the
+// leader alone: it resigns, then another member revokes its lease.
+func TestLeaderRefusedAloneHandsOver(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	s := fakes.NewState(clock)
+	t.Cleanup(s.Close)
+	var a *member
+	var leadership Leadership
+	yielded := make(chan bool, 1)
+	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes { return Votes{Refused: 1} }}
+	p.endLease = func(uint64) { yielded <- a.Valid(leadership.Term) }
+	a = start(t, "a", s, p, clock)
+	leadership = <-a.terms
+	s.Refuse(true)
+	until(t, s, clock, 1, "the handover", func() bool { return len(a.ended) > 0 })
+	if <-yielded {
+		t.Error("has its lease revoked while it acts on it")
+	}
+	if a.Leader() == "a" {
+		t.Error("still names itself")
+	}
+}
+
+// Guards against a change of leaders at the end of an outage, which a follower
+// notices a moment before the leader's next renewal.
+func TestEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	e := New(nil, &fakePeers{endLease: func(uint64) { t.Error("has its lease revoked") }}, "a", clock, slog.New(slog.DiscardHandler))
+	e.beginTerm(3, 1, clock.Now())
+	for range 100 {
+		e.noteFailedRenewal() // the outage
+	}
+	e.handOver(t.Context(), 3) // a follower says that it is served
+	e.noteFailedRenewal()      // this one was on its way
+	e.handOver(t.Context(), 3)
+	e.noteRenewal(3, clock.Now())
+	e.noteFailedRenewal()
+	e.handOver(t.Context(), 3)
+	if !e.Valid(3) {
+		t.Error("resigns")
+	}
+}
