--- a/internal/clients/cloud/cloud.go
+++ b/internal/clients/cloud/cloud.go
@@ -21,30 +21,30 @@
 
 // Client talks to the cloud. It is safe for concurrent use.
 type Client struct {
-	base  string
-	rps   float64
-	http  *http.Client
-	calls *rate.Limiter
+	base           string
+	callsPerSecond float64
+	http           *http.Client
+	limiter        *rate.Limiter
 }
 
 // New makes a client; rps is the limit that all controllers share.
 func New(addr string, rps float64) *Client {
-	c := &Client{base: "http://" + addr, rps: rps, http: httpjson.NewClient(8, 4, 0, tuning.CloudTimeout), calls: rate.NewLimiter(1, 1)}
+	c := &Client{base: "http://" + addr, callsPerSecond: rps, http: httpjson.NewClient(8, 4, 0, tuning.CloudTimeout), limiter: rate.NewLimiter(1, 1)}
 	c.SetShare(1)
 	return c
 }
 
 // SetShare sets which share of the limit this controller may use.
 func (c *Client) SetShare(share float64) {
-	limit := c.rps * share * tuning.LimitMargin
-	c.calls.SetLimit(rate.Limit(limit))
-	c.calls.SetBurst(max(1, int(limit)))
+	limit := c.callsPerSecond * share * tuning.LimitMargin
+	c.limiter.SetLimit(rate.Limit(limit))
+	c.limiter.SetBurst(max(1, int(limit)))
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in any, decode func(int) any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
-	if err := c.calls.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, err
 	}
 	return httpjson.Call(ctx, c.http, method, c.base+path, in, decode)
--- a/internal/clients/statestore/pace.go
+++ b/internal/clients/statestore/pace.go
@@ -10,13 +10,13 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// pace is our own limit on one kind of calls. All controllers share the
+// rateLimit is our own limit on one kind of calls. All controllers share the
 // service's limit; each may use what the others leave. A refusal halves the
 // pace, down to the share that is ours in any case, and it grows back while
 // nothing is refused. Fixed shares left those of idle and dead members unused:
 // of 15 submissions a second, four in ten had to be sent again while the
 // service did a quarter of what it may.
-type pace struct {
+type rateLimit struct {
 	floor, top float64 // a second
 	limiter    *rate.Limiter
 
@@ -25,22 +25,22 @@
 	at    time.Time
 }
 
-// newPace makes the pace of a share of a published limit. It begins with all
+// newRateLimit makes the pace of a share of a published limit. It begins with all
 // that may be used at once.
-func newPace(published, share float64, now time.Time) *pace {
+func newRateLimit(published, share float64, now time.Time) *rateLimit {
 	top := published * tuning.LimitMargin
 	floor := top * share
 	burst := max(1, int(floor*tuning.RateLimitBurst))
-	return &pace{floor: floor, top: top, level: floor, at: now, limiter: rate.NewLimiter(rate.Limit(floor), min(burst, max(1, int(top))))}
+	return &rateLimit{floor: floor, top: top, level: floor, at: now, limiter: rate.NewLimiter(rate.Limit(floor), min(burst, max(1, int(top))))}
 }
 
-func (p *pace) current(now time.Time) float64 {
+func (p *rateLimit) current(now time.Time) float64 {
 	grown := (p.top - p.floor) * now.Sub(p.at).Seconds() / tuning.RateLimitRecover.Seconds()
 	return min(p.top, p.level+max(0, grown))
 }
 
 // refused takes in that the service was asked too much.
-func (p *pace) refused(now time.Time) {
+func (p *rateLimit) refused(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.level, p.at = max(p.floor, p.current(now)/2), now
@@ -48,7 +48,7 @@
 }
 
 // wait waits for the turn of n calls.
-func (p *pace) wait(ctx context.Context, n int) error {
+func (p *rateLimit) wait(ctx context.Context, n int) error {
 	p.mu.Lock()
 	now := time.Now()
 	p.limiter.SetLimitAt(now, rate.Limit(p.current(now)))
@@ -57,4 +57,4 @@
 }
 
 // free is the part of what may be used at once that is free now.
-func (p *pace) free() float64 { return p.limiter.Tokens() / float64(p.limiter.Burst()) }
+func (p *rateLimit) free() float64 { return p.limiter.Tokens() / float64(p.limiter.Burst()) }
--- a/internal/clients/statestore/statestore.go
+++ b/internal/clients/statestore/statestore.go
@@ -39,58 +39,58 @@
 
 // Client talks to the state service. It is safe for concurrent use.
 type Client struct {
-	base    string
-	rps     float64
-	wps     float64
-	http    *http.Client
-	watches *http.Client
-	calls   *pace
-	writes  *pace
-	class   class
-	rest    func(context.Context) // after a refusal
+	base            string
+	callsPerSecond  float64
+	writesPerSecond float64
+	http            *http.Client
+	watches         *http.Client
+	callLimit       *rateLimit
+	writeLimit      *rateLimit
+	priority        priority
+	pauseBusy       func(context.Context) // after a refusal
 }
 
-// class tells how a call stands to our own limits.
-type class int
+// priority tells how a call stands to our own limits.
+type priority int
 
 const (
-	ordinary class = iota // waits for its turn
-	urgent                // goes at once: nothing of ours may hold it up
-	spare                 // goes only while half of the limit's burst is free
+	normalPriority priority = iota // waits for its turn
+	urgentPriority                 // goes at once: nothing of ours may hold it up
+	lowPriority                    // goes only while half of the limit's burst is free
 )
 
 // Urgent gives a view of the client for the few calls that must not wait for
 // our own limits: elections, and what a new leader reads. Once polls that came
 // while nobody led had used up the limit, and the election waited behind them.
-func (c *Client) Urgent() *Client { return c.as(urgent) }
+func (c *Client) Urgent() *Client { return c.withPriority(urgentPriority) }
 
 // LowPriority gives a view of the client for calls that are to leave room for
 // others: they are refused at once when the limit is half used up.
-func (c *Client) LowPriority() *Client { return c.as(spare) }
+func (c *Client) LowPriority() *Client { return c.withPriority(lowPriority) }
 
-func (c *Client) as(k class) *Client {
+func (c *Client) withPriority(k priority) *Client {
 	view := *c
-	view.class = k
+	view.priority = k
 	return &view
 }
 
 // SpareWrites is how many changes could be written now without using up more than
 // half of what may be written at once.
 func (c *Client) SpareWrites() int {
-	return int((c.writes.free() - 0.5) * float64(c.writes.limiter.Burst()))
+	return int((c.writeLimit.free() - 0.5) * float64(c.writeLimit.limiter.Burst()))
 }
 
 // AvailableWrites is how many changes could be written at once now, and most how many at the best of times.
 func (c *Client) AvailableWrites() (now, most int) {
-	return int(c.writes.limiter.Tokens()), c.writes.limiter.Burst()
+	return int(c.writeLimit.limiter.Tokens()), c.writeLimit.limiter.Burst()
 }
 
 // New makes a client; rps and writeRPS are the limits that all controllers share.
 func New(addr string, rps, writeRPS float64) *Client {
 	c := &Client{
-		base: "http://" + addr, rps: rps, wps: writeRPS,
+		base: "http://" + addr, callsPerSecond: rps, writesPerSecond: writeRPS,
 		http:    httpjson.NewClient(16, 8, 0, tuning.StateTimeout),
-		watches: httpjson.NewClient(4, 2, 0, tuning.StateTimeout), rest: rest,
+		watches: httpjson.NewClient(4, 2, 0, tuning.StateTimeout), pauseBusy: pauseBusy,
 	}
 	return c.WithShare(1)
 }
@@ -100,7 +100,7 @@
 func (c *Client) WithShare(share float64) *Client {
 	view := *c
 	now := time.Now()
-	view.calls, view.writes = newPace(c.rps, share, now), newPace(c.wps, share, now)
+	view.callLimit, view.writeLimit = newRateLimit(c.callsPerSecond, share, now), newRateLimit(c.writesPerSecond, share, now)
 	return &view
 }
 
@@ -113,9 +113,9 @@
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	case status == http.StatusTooManyRequests:
 		if path == wire.PathTxn {
-			c.writes.refused(time.Now())
+			c.writeLimit.refused(time.Now())
 		} else {
-			c.calls.refused(time.Now())
+			c.callLimit.refused(time.Now())
 		}
 		return status, ErrBusy
 	case status == http.StatusServiceUnavailable:
@@ -124,21 +124,21 @@
 	return status, nil
 }
 
-func unexpected(status int) error {
+func unexpectedStatus(status int) error {
 	if status == http.StatusBadRequest {
 		return ErrMalformed
 	}
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-func (c *Client) wait(ctx context.Context) error {
-	if c.class == urgent {
+func (c *Client) waitTurn(ctx context.Context) error {
+	if c.priority == urgentPriority {
 		return nil
 	}
-	if c.class == spare && c.calls.free() < 0.5 {
+	if c.priority == lowPriority && c.callLimit.free() < 0.5 {
 		return fmt.Errorf("%w: our own limit is needed for others", ErrNotExecuted)
 	}
-	if err := c.calls.wait(ctx, 1); err != nil {
+	if err := c.callLimit.wait(ctx, 1); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	return nil
@@ -146,7 +146,7 @@
 
 // Get reads a key; ok is false when it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (item wire.Item, ok bool, err error) {
-	if err := c.wait(ctx); err != nil {
+	if err := c.waitTurn(ctx); err != nil {
 		return item, false, err
 	}
 	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"/"+key, nil, httpjson.IfOK(&item))
@@ -158,12 +158,12 @@
 	case status == http.StatusNotFound:
 		return item, false, nil
 	}
-	return item, false, unexpected(status)
+	return item, false, unexpectedStatus(status)
 }
 
 // List reads one page of the keys with a prefix, beginning behind after.
 func (c *Client) List(ctx context.Context, prefix, after string, page int) (p wire.ItemPage, err error) {
-	if err := c.wait(ctx); err != nil {
+	if err := c.waitTurn(ctx); err != nil {
 		return p, err
 	}
 	q := url.Values{"starts": {prefix}, "page": {strconv.Itoa(page)}}
@@ -172,7 +172,7 @@
 	}
 	status, err := c.call(ctx, c.http, tuning.StateTimeout, http.MethodGet, wire.PathKV+"?"+q.Encode(), nil, httpjson.IfOK(&p))
 	if err == nil && status != http.StatusOK {
-		err = unexpected(status)
+		err = unexpectedStatus(status)
 	}
 	return p, err
 }
@@ -206,18 +206,18 @@
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	for {
 		revision, err := c.commitOnce(ctx, t)
-		if !errors.Is(err, ErrBusy) || c.class == urgent {
+		if !errors.Is(err, ErrBusy) || c.priority == urgentPriority {
 			return revision, err
 		}
-		if c.rest(ctx); ctx.Err() != nil {
+		if c.pauseBusy(ctx); ctx.Err() != nil {
 			return 0, err
 		}
 	}
 }
 
-// rest is the pause of a refused transaction, which differs so that several
+// pauseBusy is the pause of a refused transaction, which differs so that several
 // do not come back together.
-func rest(ctx context.Context) {
+func pauseBusy(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(tuning.RetryTxnPause/2 + rand.N(tuning.RetryTxnPause)):
@@ -225,11 +225,11 @@
 }
 
 func (c *Client) commitOnce(ctx context.Context, t wire.Txn) (uint64, error) {
-	if err := c.wait(ctx); err != nil {
+	if err := c.waitTurn(ctx); err != nil {
 		return 0, err
 	}
-	if len(t.Then) > 0 && c.class != urgent {
-		if err := c.writes.wait(ctx, len(t.Then)); err != nil {
+	if len(t.Then) > 0 && c.priority != urgentPriority {
+		if err := c.writeLimit.wait(ctx, len(t.Then)); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 		}
 	}
@@ -257,7 +257,7 @@
 	case status == http.StatusBadRequest && refused.Error == "no such lease":
 		return 0, ErrLeaseNotFound
 	}
-	return 0, unexpected(status)
+	return 0, unexpectedStatus(status)
 }
 
 // GrantLease asks for a lease. Leases are not held up by our own limit: the right
@@ -267,7 +267,7 @@
 	status, err := c.call(ctx, c.http, tuning.RenewTimeout, http.MethodPost, wire.PathLeases,
 		wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, httpjson.IfOK(&g))
 	if err == nil && status != http.StatusOK {
-		err = unexpected(status)
+		err = unexpectedStatus(status)
 	}
 	return g.Lease, err
 }
@@ -281,7 +281,7 @@
 	case status == http.StatusNotFound:
 		return ErrLeaseNotFound
 	case status != http.StatusOK:
-		return unexpected(status)
+		return unexpectedStatus(status)
 	}
 	return nil
 }
@@ -299,7 +299,7 @@
 // Watch waits until a key with the prefix has changed after the revision, or
 // until wait is over.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (r wire.WatchResult, err error) {
-	if err := c.wait(ctx); err != nil {
+	if err := c.waitTurn(ctx); err != nil {
 		return r, err
 	}
 	q := url.Values{
@@ -316,7 +316,7 @@
 	case status == http.StatusGone:
 		return r, ErrCompacted
 	case status != http.StatusOK:
-		return r, unexpected(status)
+		return r, unexpectedStatus(status)
 	}
 	return r, nil
 }
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -91,7 +91,7 @@
 // that came while nobody led: the limit of our own is shared by all of them.
 func TestPollsLeaveRoomAndElectionsDoNotWait(t *testing.T) {
 	c := answering(t, 200, `{"path":"a","data":1,"stamp":1}`)
-	c.calls = &pace{limiter: rate.NewLimiter(rate.Every(time.Hour), 4)}
+	c.callLimit = &rateLimit{limiter: rate.NewLimiter(rate.Every(time.Hour), 4)}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // sooner than the next call is due
 	defer cancel()
 	got := 0
@@ -120,7 +120,7 @@
 // a limit of our own that outgrows the published one.
 func TestPaceTakesWhatOthersLeave(t *testing.T) {
 	begin := time.Unix(0, 0)
-	p := newPace(100, 0.1, begin)
+	p := newRateLimit(100, 0.1, begin)
 	top := 100 * tuning.LimitMargin
 	now := begin
 	for _, step := range []struct {
@@ -162,7 +162,7 @@
 	t.Cleanup(srv.Close)
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6)
 	rests := 0
-	c.rest = func(context.Context) { rests++ }
+	c.pauseBusy = func(context.Context) { rests++ }
 	if revision, err := c.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}}); err != nil || revision != 7 || rests != 2 {
 		t.Errorf("%d, %v after %d pauses", revision, err, rests)
 	}
