--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -17,7 +17,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// answering makes a client of a service that always answers the same.
+// answering makes a client of a service that always answers the same; status 0 is no answer.
 func answering(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 
 // Guards against taking one kind of failure for another: a refusal was surely
 // not executed, anything unexpected may have been.
-func TestCommitErrors(t *testing.T) {
+func TestCommitTellsWhetherItMayHaveBeenExecuted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -48,10 +48,12 @@
 		{"half an answer", 200, `{"ledger":`, ErrOutcomeUnknown},
 		{"server error", 500, `oops`, ErrOutcomeUnknown},
 	} {
-		revision, err := answering(t, c.status, c.body).Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}})
-		if !errors.Is(err, c.want) || c.want == nil && revision != 7 {
-			t.Errorf("%s: %d, %v", c.name, revision, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			revision, err := answering(t, c.status, c.body).Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}})
+			if !errors.Is(err, c.want) || c.want == nil && revision != 7 {
+				t.Errorf("%d, %v", revision, err)
+			}
+		})
 	}
 	var conflict *ConflictError
 	_, err := answering(t, 409, `{"failed":["a/b"],"ledger":3}`).Commit(t.Context(), wire.Txn{})
@@ -60,7 +62,7 @@
 	}
 }
 
-func TestReadErrors(t *testing.T) {
+func TestFailedReadsAreNeverMissingKeys(t *testing.T) {
 	if _, ok, err := answering(t, 404, `{"ledger":3}`).Get(t.Context(), "a"); ok || err != nil {
 		t.Errorf("a key that does not exist: %v, %v", ok, err)
 	}
@@ -89,7 +91,7 @@
 
 // Guards against an election, or a submission, that waits behind the polls
 // that came while nobody led: the limit of our own is shared by all of them.
-func TestPollsLeaveRoomAndElectionsDoNotWait(t *testing.T) {
+func TestLowPriorityCallsLeaveRoomAndUrgentOnesDoNotWait(t *testing.T) {
 	c := answering(t, 200, `{"path":"a","data":1,"stamp":1}`)
 	c.callLimit = &rateLimit{limiter: rate.NewLimiter(rate.Every(time.Hour), 4)}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // sooner than the next call is due
@@ -118,9 +120,9 @@
 
 // Guards against shares that nobody else needs being left unused, and against
 // a limit of our own that outgrows the published one.
-func TestPaceTakesWhatOthersLeave(t *testing.T) {
+func TestRateLimitTakesWhatOthersLeave(t *testing.T) {
 	begin := time.Unix(0, 0)
-	p := newRateLimit(100, 0.1, begin)
+	limit := newRateLimit(100, 0.1, begin)
 	top := 100 * tuning.LimitMargin
 	now := begin
 	for _, step := range []struct {
@@ -140,9 +142,9 @@
 	} {
 		now = now.Add(step.after)
 		if step.refused {
-			p.refused(now)
+			limit.refused(now)
 		}
-		if got := p.current(now); math.Abs(got-step.want) > 1e-6 {
+		if got := limit.current(now); math.Abs(got-step.want) > 1e-6 {
 			t.Errorf("%s: %v a second, not %v", step.name, got, step.want)
 		}
 	}
@@ -150,7 +152,7 @@
 
 // Guards against a submission that is answered 503 because others used the
 // limit for a moment: it waits for another turn.
-func TestBusyTransactionWaitsForAnotherTurn(t *testing.T) {
+func TestRefusedTransactionWaitsForAnotherTurn(t *testing.T) {
 	refusals := 2
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if refusals--; refusals >= 0 {
@@ -161,9 +163,9 @@
 	}))
 	t.Cleanup(srv.Close)
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6)
-	rests := 0
-	c.pauseBusy = func(context.Context) { rests++ }
-	if revision, err := c.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}}); err != nil || revision != 7 || rests != 2 {
-		t.Errorf("%d, %v after %d pauses", revision, err, rests)
+	pauses := 0
+	c.pauseBusy = func(context.Context) { pauses++ }
+	if revision, err := c.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}}); err != nil || revision != 7 || pauses != 2 {
+		t.Errorf("%d, %v after %d pauses", revision, err, pauses)
 	}
 }
