--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -58,9 +58,9 @@
 // may let the world's go on alone.
 type sent struct{ at, real time.Time }
 
-func (w *world) moment() sent { return sent{w.now(), time.Now()} }
+func (w *simulation) moment() sent { return sent{w.now(), time.Now()} }
 
-func (w *world) past(s sent, d, wall time.Duration) bool {
+func (w *simulation) past(s sent, d, wall time.Duration) bool {
 	return w.now().Sub(s.at) > d && time.Since(s.real) > wall
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Guards against a checker that sees nothing.
-func TestAHistoryMovesForward(t *testing.T) {
+func TestAJobsStatesOnlyMoveForward(t *testing.T) {
 	type answer struct {
 		before history
 		status int
@@ -144,8 +144,8 @@
 	}
 }
 
-// submits has a user submit a job, again and again until it is accepted.
-func (w *world) submits(id string, s spec) *job {
+// submit has a user submit a job, again and again until it is accepted.
+func (w *simulation) submit(id string, s spec) *job {
 	or := func(v *string, most string) {
 		if *v == "" {
 			*v = most
@@ -181,17 +181,17 @@
 	return j
 }
 
-func (w *world) jobOf(task string) *job {
+func (w *simulation) jobOf(task string) *job {
 	j := w.byID[fakes.JobOf(task)]
 	if j == nil {
-		w.breaks("invented: task %s of a job that nobody submitted", task)
+		w.violation("invented: task %s of a job that nobody submitted", task)
 		return &job{id: fakes.JobOf(task), completed: map[string]bool{}}
 	}
 	return j
 }
 
-// runs is how long a task runs.
-func (w *world) runs(task string) time.Duration {
+// runTime is how long a task runs.
+func (w *simulation) runTime(task string) time.Duration {
 	j := w.jobOf(task)
 	switch {
 	case j.kind == "service":
@@ -212,7 +212,7 @@
 )
 
 // send sends a request about a job to a controller and takes in its answer. It returns when that is there.
-func (w *world) send(ctx context.Context, j *job, n *node, what request) {
+func (w *simulation) send(ctx context.Context, j *job, n *node, what request) {
 	w.mu.Lock()
 	before := j.history
 	w.mu.Unlock()
@@ -227,17 +227,17 @@
 	status := w.call(ctx, method, url, body, &out)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told(j, n, what, before, status, out.Status, out.Error)
+	w.recordAnswer(j, n, what, before, status, out.Status, out.Error)
 }
 
-// told takes in an answer. The lock is held.
-func (w *world) told(j *job, n *node, what request, before history, status int, state, text string) {
+// recordAnswer takes in an answer. The lock is held.
+func (w *simulation) recordAnswer(j *job, n *node, what request, before history, status int, state, text string) {
 	if what == submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
-		w.breaks("forgotten: %s is refused by %s with %d: %s", j.id, n.name, status, text)
+		w.violation("forgotten: %s is refused by %s with %d: %s", j.id, n.name, status, text)
 		return
 	}
 	if what == cancellation && status == http.StatusOK && state != "done" && state != "withdrawn" {
-		w.breaks("went_back: the cancellation of %s is answered %s by %s", j.id, state, n.name)
+		w.violation("went_back: the cancellation of %s is answered %s by %s", j.id, state, n.name)
 	}
 	_, told := levelOf(status, state)
 	if !told {
@@ -245,13 +245,13 @@
 	}
 	was := j.history
 	if broken := j.history.take(before, status, state); broken != "" {
-		w.breaks("%s: %s by %s", broken, j.id, n.name)
+		w.violation("%s: %s by %s", broken, j.id, n.name)
 	}
 	j.heard = w.moment()
 	if j.history.level == was.level {
 		return
 	}
-	w.note("%s: %s is told %d %s", j.id, n.name, status, state)
+	w.record("%s: %s is told %d %s", j.id, n.name, status, state)
 	if j.history.level >= accepted {
 		j.accepted = true
 	}
@@ -259,31 +259,31 @@
 	case j.history.level != ended:
 	case state == "done":
 		if j.done = true; len(j.completed) < j.tasks {
-			w.breaks("not_done: %s is called done with %d of %d tasks", j.id, len(j.completed), j.tasks)
+			w.violation("not_done: %s is called done with %d of %d tasks", j.id, len(j.completed), j.tasks)
 		}
 	default:
 		if j.confirmed = w.now(); !j.asked {
-			w.breaks("went_back: %s is called cancelled, and nobody cancelled it", j.id)
+			w.violation("went_back: %s is called cancelled, and nobody cancelled it", j.id)
 		}
 	}
-	if w.looks {
-		w.closeLooks(j)
+	if w.polling {
+		w.pollEverywhere(j)
 	}
 }
 
-// looksClosely begins or ends close looks.
-func (w *world) looksClosely(on bool) {
+// pollClosely begins or ends close looks.
+func (w *simulation) pollClosely(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.looks = on
+	w.polling = on
 }
 
-// closeLooks has users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at
+// pollEverywhere has users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at
 // once. The lock is held.
-func (w *world) closeLooks(j *job) {
+func (w *simulation) pollEverywhere(j *job) {
 	if !j.asked && j.history.level == accepted && w.r.IntN(8) == 0 {
 		j.asked = true
-		w.note("%s is to be cancelled at once", j.id)
+		w.record("%s is to be cancelled at once", j.id)
 	}
 	cancels := j.asked
 	for i, n := range w.nodes {
@@ -301,9 +301,9 @@
 	}
 }
 
-// asks has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The world goes on
+// poll has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The world goes on
 // meanwhile; a user waits for 5 s, and for 2 s when it asks.
-func (w *world) asks(j *job) {
+func (w *simulation) poll(j *job) {
 	n := w.anyNode()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -321,7 +321,7 @@
 			j.next = now.Add(w.seconds(15, 25))
 		}
 		j.polled = w.moment()
-		w.goes(j, n, poll, &j.polling)
+		w.sendAsync(j, n, poll, &j.polling)
 	}
 	if j.asking != nil || now.Before(j.cancelAt) || j.accepted && (!j.asked || over) {
 		return
@@ -332,11 +332,11 @@
 	}
 	j.cancelAt = now.Add(time.Second)
 	j.sent = w.moment()
-	w.goes(j, n, what, &j.asking)
+	w.sendAsync(j, n, what, &j.asking)
 }
 
-// goes sends a request while the world goes on; giveUp ends it, and is nil again once it is over. The lock is held.
-func (w *world) goes(j *job, n *node, what request, giveUp *context.CancelFunc) {
+// sendAsync sends a request while the world goes on; giveUp ends it, and is nil again once it is over. The lock is held.
+func (w *simulation) sendAsync(j *job, n *node, what request, giveUp *context.CancelFunc) {
 	ctx, cancel := context.WithCancel(w.t.Context())
 	*giveUp = cancel
 	w.asking.Go(func() {
@@ -348,39 +348,39 @@
 	})
 }
 
-// cancels has a job's user want it cancelled from now on.
-func (w *world) cancels(id string) {
+// cancel has a job's user want it cancelled from now on.
+func (w *simulation) cancel(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, j := range w.jobs {
 		if j.id == id && !j.done {
 			j.asked, j.cancelAt = true, w.now()
-			w.note("%s is to be cancelled", id)
+			w.record("%s is to be cancelled", id)
 		}
 	}
 }
 
-// cancelsServices has the users of all services want them cancelled: they hold their teams' room until then.
-func (w *world) cancelsServices() {
-	for _, id := range w.ids(func(j *job) bool { return j.kind == "service" }) {
-		w.cancels(id)
+// cancelServices has the users of all services want them cancelled: they hold their teams' room until then.
+func (w *simulation) cancelServices() {
+	for _, id := range w.jobIDs(func(j *job) bool { return j.kind == "service" }) {
+		w.cancel(id)
 	}
 }
 
-// completes takes in that a task has completed on its machine. The lock is held.
-func (w *world) completes(j *job, task string) {
+// taskCompleted takes in that a task has completed on its machine. The lock is held.
+func (w *simulation) taskCompleted(j *job, task string) {
 	j.completed[task] = true
-	if !w.atEnd || len(j.completed) < j.tasks {
+	if !w.cancelAtEnd || len(j.completed) < j.tasks {
 		return
 	}
 	if w.r.IntN(2) == 0 {
 		j.asked, j.cancelAt = true, w.now()
 	}
-	w.closeLooks(j)
+	w.pollEverywhere(j)
 }
 
 // running is how many tasks of a job are on machines. The lock is held.
-func (w *world) running(id string) int {
+func (w *simulation) running(id string) int {
 	n := 0
 	for _, k := range w.workers {
 		for _, t := range k.rep.Tasks {
@@ -397,7 +397,7 @@
 
 // onMachines gives the tasks that are on machines whose leases are not over, and those that wait for their image as well if fetching
 // is set. The lock is held.
-func (w *world) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
+func (w *simulation) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
 	return func(yield func(*worker, wire.TaskStatus) bool) {
 		for _, k := range w.workers {
 			if !k.holds() {
@@ -413,7 +413,7 @@
 }
 
 // use is how many CPUs a team's tasks take. The lock is held.
-func (w *world) use(team string, fetching bool) float64 {
+func (w *simulation) use(team string, fetching bool) float64 {
 	sum := 0.0
 	for _, t := range w.onMachines(fetching) {
 		if j := w.jobOf(t.Task); j.team == team {
@@ -423,8 +423,8 @@
 	return sum
 }
 
-// stays is how many CPUs a team's replicas take, which do not end by themselves. The lock is held.
-func (w *world) stays(team string) float64 {
+// permanentUse is how many CPUs a team's replicas take, which do not end by themselves. The lock is held.
+func (w *simulation) permanentUse(team string) float64 {
 	sum := 0.0
 	for _, j := range w.jobs {
 		if j.team == team && j.kind == "service" && !j.asked {
@@ -435,19 +435,19 @@
 }
 
 // unfinished tells of jobs that are not over. The lock is held.
-func (w *world) unfinished() string {
+func (w *simulation) unfinished() string {
 	var out strings.Builder
 	for _, j := range w.jobs {
 		if j.history.level != ended {
 			fmt.Fprintf(&out, "%s: %+v, accepted %v, asked %v, %d completed, %d run, its team uses %g (%g stay) of %g\n",
-				j.id, j.spec, j.accepted, j.asked, len(j.completed), w.running(j.id), w.use(j.team, true), w.stays(j.team), teamLimits[j.team])
+				j.id, j.spec, j.accepted, j.asked, len(j.completed), w.running(j.id), w.use(j.team, true), w.permanentUse(j.team), teamLimits[j.team])
 		}
 	}
 	return out.String()
 }
 
 // siblings is how many other tasks of a job are in each zone. The lock is held.
-func (w *world) siblings(j *job, but string, fetching bool) map[string]int {
+func (w *simulation) siblings(j *job, but string, fetching bool) map[string]int {
 	zones := map[string]int{}
 	for k, t := range w.onMachines(fetching) {
 		if t.Task != but && fakes.JobOf(t.Task) == j.id {
@@ -480,33 +480,33 @@
 	return ""
 }
 
-// begins checks the rules at the start of a task. The lock is held.
-func (w *world) begins(k *worker, t *wire.TaskStatus) {
+// taskBegan checks the rules at the start of a task. The lock is held.
+func (w *simulation) taskBegan(k *worker, t *wire.TaskStatus) {
 	w.starts++
-	w.note("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
+	w.record("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
 	for o, u := range w.onMachines(false) {
 		if o != k && u.Task == t.Task {
-			w.breaks("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
+			w.violation("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
 		}
 	}
 	j := w.jobOf(t.Task)
 	if !j.confirmed.IsZero() {
-		w.breaks("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
+		w.violation("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
 	}
 	if use, most := w.use(j.team, false)+j.cpus, teamLimits[j.team]; use > most {
-		w.breaks("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
+		w.violation("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
 	}
 	if why := j.fits(k, w.siblings(j, t.Task, false)); why != "" {
-		w.breaks("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
+		w.violation("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
 	}
 }
 
 // checkCancelled looks for tasks of cancelled jobs. The lock is held.
-func (w *world) checkCancelled() {
+func (w *simulation) checkCancelled() {
 	limit := seconds(w.site.cancelS)
 	for k, t := range w.onMachines(false) {
 		if j := w.jobOf(t.Task); !j.confirmed.IsZero() && w.now().Sub(j.confirmed) > limit {
-			w.breaks("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
+			w.violation("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
 		}
 	}
 }
@@ -517,8 +517,8 @@
 )
 
 // checkServed looks, once all troubles are over, for jobs that are forgotten or left waiting. The lock is held.
-func (w *world) checkServed() {
-	if w.calm.at.IsZero() {
+func (w *simulation) checkServed() {
+	if w.calmSince.at.IsZero() {
 		return
 	}
 	for _, j := range w.jobs {
@@ -526,26 +526,26 @@
 			continue
 		}
 		heard := j.heard
-		if heard.at.Before(w.calm.at) {
-			heard = w.calm
+		if heard.at.Before(w.calmSince.at) {
+			heard = w.calmSince
 		}
 		if w.past(heard, silence, patience) {
-			w.breaks("forgotten: no question about %s is answered for %v", j.id, w.now().Sub(heard.at))
+			w.violation("forgotten: no question about %s is answered for %v", j.id, w.now().Sub(heard.at))
 		}
-		switch machine := w.room(j); {
+		switch machine := w.roomFor(j); {
 		case machine == "":
 			j.roomy = sent{}
 		case j.roomy.at.IsZero():
 			j.roomy = w.moment()
 		case w.past(j.roomy, waitMax, patience):
-			w.breaks("waits: %s for %v, and %s has room", j.id, w.now().Sub(j.roomy.at), machine)
+			w.violation("waits: %s for %v, and %s has room", j.id, w.now().Sub(j.roomy.at), machine)
 		}
 	}
 }
 
-// room names a machine that could take a waiting task of a job; none if no task waits, there is none, or its team is at its limit.
+// roomFor names a machine that could take a waiting task of a job; none if no task waits, there is none, or its team is at its limit.
 // The lock is held.
-func (w *world) room(j *job) (machine string) {
+func (w *simulation) roomFor(j *job) (machine string) {
 	placed := len(j.completed)
 	others := w.siblings(j, "", true)
 	for _, n := range others {
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -14,7 +14,7 @@
 
 // worker is a worker and its machine.
 type worker struct {
-	w                       *world
+	w                       *simulation
 	rep                     wire.Heartbeat
 	srv                     *httptest.Server
 	gone                    bool
@@ -44,9 +44,9 @@
 	commands wire.DirectCommands
 }
 
-// comesLate has a direct command arrive of which its sender heard nothing. The lock is held.
-func (k *worker) comesLate(q wire.DirectCommands) {
-	k.live()
+// delay has a direct command arrive of which its sender heard nothing. The lock is held.
+func (k *worker) delay(q wire.DirectCommands) {
+	k.run()
 	switch {
 	case k.gone || k.w.now().Before(k.lost) || k.w.now().Before(k.deaf) || k.only != nil && q.FencingToken != k.term: // it is lost
 	case k.away():
@@ -57,12 +57,12 @@
 }
 
 // heldBack tells whether the leader of a term stands still, so that nothing that it sent is on its way. The lock is held.
-func (w *world) heldBack(term uint64) bool {
+func (w *simulation) heldBack(term uint64) bool {
 	return slices.ContainsFunc(w.nodes, func(n *node) bool { return n.still && n.term != 0 && n.term == term })
 }
 
-// join makes the cloud's machines workers, and ends those that it no longer has.
-func (w *world) join() {
+// startWorkers makes the cloud's machines workers, and ends those that it no longer has.
+func (w *simulation) startWorkers() {
 	there := w.cloud.Machines()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,13 +76,13 @@
 			k.srv = httptest.NewServer(mux)
 			k.rep = wire.Heartbeat{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
 			w.workers = append(w.workers, k)
-			w.note("%s in %s", m.Name, m.Zone)
+			w.record("%s in %s", m.Name, m.Zone)
 		}
 	}
 	for _, k := range w.workers {
 		if !k.gone && !slices.ContainsFunc(there, func(m wire.ListedMachine) bool { return m.Name == k.rep.Machine }) {
 			k.gone = true
-			w.note("%s is returned", k.rep.Machine)
+			w.record("%s is returned", k.rep.Machine)
 			k.rep.Tasks = nil
 		}
 	}
@@ -97,8 +97,8 @@
 }
 
 // bootTime is how long a machine takes until it reports: 5 s, or up to 2 s while machines are up at once.
-func (w *world) bootTime() time.Duration {
-	if w.quick {
+func (w *simulation) bootTime() time.Duration {
+	if w.fastBoot {
 		return w.seconds(0, 2)
 	}
 	return 5 * time.Second
@@ -107,14 +107,14 @@
 // present tells whether a task is on its machine: it has its image, and nothing ended it.
 func present(s wire.TaskState) bool { return s == wire.TaskRunning || s == wire.TaskSaving }
 
-// live brings a worker up to now: its lease, images, runs and saves. The lock is held.
-func (k *worker) live() {
+// run brings a worker up to now: its lease, images, runs and saves. The lock is held.
+func (k *worker) run() {
 	now := k.w.now()
 	if k.gone || now.Before(k.hangs) {
 		return
 	}
 	if k.over() {
-		k.w.note("%s: session %d is over with %d tasks", k.rep.Machine, k.rep.Incarnation, len(k.rep.Tasks))
+		k.w.record("%s: session %d is over with %d tasks", k.rep.Machine, k.rep.Incarnation, len(k.rep.Tasks))
 		k.rep.Incarnation, k.seen, k.rep.Tasks, k.held = k.rep.Incarnation+1, now, []wire.TaskStatus{}, nil
 		k.next = now
 		clear(k.due)
@@ -131,13 +131,13 @@
 		key := fakes.Attempt{Task: t.Task, Attempt: t.Attempt}
 		switch {
 		case t.State == wire.TaskFetching && !now.Before(k.due[key]):
-			k.w.begins(k, t)
+			k.w.taskBegan(k, t)
 			t.State = wire.TaskRunning
-			k.due[key] = now.Add(k.w.runs(t.Task))
+			k.due[key] = now.Add(k.w.runTime(t.Task))
 			k.next = now
 		case t.State == wire.TaskRunning && !now.Before(k.due[key]):
 			t.State, t.Reason = wire.TaskExited, wire.ExitDone
-			k.w.completes(k.w.jobOf(t.Task), t.Task)
+			k.w.taskCompleted(k.w.jobOf(t.Task), t.Task)
 			k.next = now
 		case t.State == wire.TaskSaving && !now.Before(k.due[key]):
 			t.State, t.Reason, t.Saved = wire.TaskExited, wire.ExitStopped, true
@@ -160,7 +160,7 @@
 	if q.FencingToken > k.rep.FencingToken {
 		k.rep.FencingToken, k.next = q.FencingToken, k.w.now()
 	}
-	k.obey(q.Commands, when+"direct")
+	k.execute(q.Commands, when+"direct")
 	return true
 }
 
@@ -172,19 +172,19 @@
 	}
 	k.w.mu.Lock()
 	defer k.w.mu.Unlock()
-	if d := k.w.onWay(); d > 0 {
+	if d := k.w.latency(); d > 0 {
 		k.w.mu.Unlock()
-		k.w.waits(k.w.t.Context(), d) // it is executed late, also when its sender has given it up
+		k.w.sleep(k.w.t.Context(), d) // it is executed late, also when its sender has given it up
 		k.w.mu.Lock()
 	}
 	for k.w.heldBack(q.FencingToken) {
 		k.w.mu.Unlock()
-		k.w.waits(k.w.t.Context(), tick)
+		k.w.sleep(k.w.t.Context(), tick)
 		k.w.mu.Lock()
 	}
-	k.live()
-	if k.w.r.IntN(100) < k.w.late {
-		k.w.heldUp = append(k.w.heldUp, lateCommands{k.w.now().Add(k.w.seconds(2, 16)), k, q})
+	k.run()
+	if k.w.r.IntN(100) < k.w.lateCommandPercent {
+		k.w.delayedCommands = append(k.w.delayedCommands, lateCommands{k.w.now().Add(k.w.seconds(2, 16)), k, q})
 		panic(http.ErrAbortHandler)
 	}
 	if now := k.w.now(); k.away() || now.Before(k.deaf) || k.only != nil && q.FencingToken != k.term {
@@ -206,7 +206,7 @@
 func (k *worker) show(rw http.ResponseWriter, _ *http.Request) {
 	k.w.mu.Lock()
 	defer k.w.mu.Unlock()
-	k.live()
+	k.run()
 	// One that reaches a single controller answers whoever asks: who that is cannot be seen here, and the one that keeps it asks.
 	if k.away() || k.w.now().Before(k.deaf) {
 		panic(http.ErrAbortHandler)
@@ -216,8 +216,8 @@
 	_, _ = rw.Write(raw)
 }
 
-// obey executes commands. The lock is held.
-func (k *worker) obey(commands []wire.Command, how string) {
+// execute executes commands. The lock is held.
+func (k *worker) execute(commands []wire.Command, how string) {
 	now := k.w.now()
 	for _, c := range commands {
 		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
@@ -228,13 +228,13 @@
 			if slices.ContainsFunc(k.rep.Tasks, func(o wire.TaskStatus) bool { return o.Task == c.Task && o.State != wire.TaskExited }) {
 				t.State, t.Reason = wire.TaskExited, wire.ExitBusy
 			}
-			k.w.note("%s attempt %d starts on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
+			k.w.record("%s attempt %d starts on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
 			k.due[key] = now.Add(k.w.seconds(0, k.w.site.imageS))
 			k.rep.Tasks = append(k.rep.Tasks, t)
 			k.next = now
 		case c.Op == wire.OpStop && i >= 0 && k.rep.Tasks[i].State != wire.TaskExited:
 			t := &k.rep.Tasks[i]
-			k.w.note("%s attempt %d is stopped on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
+			k.w.record("%s attempt %d is stopped on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
 			if c.GraceS != nil && *c.GraceS >= 4 && t.State == wire.TaskRunning {
 				t.State, k.due[key] = wire.TaskSaving, now.Add(4*time.Second)
 			} else {
@@ -247,12 +247,12 @@
 	}
 }
 
-// reports has a worker report if it is time, and give up a report that had no answer for 4 s.
-func (k *worker) reports() {
+// sendHeartbeats has a worker report if it is time, and give up a report that had no answer for 4 s.
+func (k *worker) sendHeartbeats() {
 	w := k.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k.live()
+	k.run()
 	now := w.now()
 	if k.waits != nil && now.Sub(k.sent) >= 4*time.Second {
 		k.waits()
@@ -264,28 +264,28 @@
 	session := k.rep.Incarnation
 	raw, _ := json.Marshal(k.rep)
 	to := w.nodes[k.at%len(w.nodes)]
-	if w.r.IntN(100) < w.copies {
+	if w.r.IntN(100) < w.copyPercent {
 		w.copied = append(w.copied, message{at: now.Add(w.seconds(2, 2+1.5*w.site.lease)), raw: raw})
 	}
-	if w.r.IntN(100) < w.forNext {
-		w.kept = append(w.kept, raw)
+	if w.r.IntN(100) < w.copiesForNextLeader {
+		w.heldCopies = append(w.heldCopies, raw)
 	}
 	if k.only != nil && k.only != to || now.Before(k.mute) {
-		k.answered(0, nil, to, session)
+		k.handleReply(0, nil, to, session)
 		return
 	}
 	ctx, cancel := context.WithCancel(w.t.Context())
 	k.waits, k.sent = cancel, now
-	there, back := w.onWay(), w.onWay()
+	there, back := w.latency(), w.latency()
 	w.asking.Go(func() {
 		var a answer
 		status := 0
-		if w.waits(ctx, there) {
+		if w.sleep(ctx, there) {
 			status = w.post(ctx, "http://"+to.addr+wire.PathHeartbeat, raw, &a)
 		} else {
-			w.delivers(raw, to) // it arrives, though its worker has given it up
+			w.deliver(raw, to) // it arrives, though its worker has given it up
 		}
-		if !w.waits(ctx, back) {
+		if !w.sleep(ctx, back) {
 			status = 0
 		}
 		w.mu.Lock()
@@ -294,20 +294,20 @@
 			status = 0
 		}
 		k.waits = nil
-		k.answered(status, &a, to, session)
+		k.handleReply(status, &a, to, session)
 	})
 }
 
-// onWay is how long a message is on its way: no time, or up to what slow links take. The lock is held.
-func (w *world) onWay() time.Duration {
+// latency is how long a message is on its way: no time, or up to what slow links take. The lock is held.
+func (w *simulation) latency() time.Duration {
 	if w.links <= 0 || w.r.IntN(2) == 0 {
 		return 0
 	}
 	return w.seconds(0, w.links.Seconds())
 }
 
-// waits lets time pass on the world's clock, and tells whether it did before ctx ended.
-func (w *world) waits(ctx context.Context, d time.Duration) bool {
+// sleep lets time pass on the world's clock, and tells whether it did before ctx ended.
+func (w *simulation) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -325,10 +325,10 @@
 	wire.Redirect
 }
 
-// answered takes in the answer to the report that was sent last. The lock is held.
-func (k *worker) answered(status int, a *answer, by *node, session uint64) {
+// handleReply takes in the answer to the report that was sent last. The lock is held.
+func (k *worker) handleReply(status int, a *answer, by *node, session uint64) {
 	w, now := k.w, k.w.now()
-	k.live()
+	k.run()
 	if k.away() || now.Before(k.deaf) {
 		status = 0 // the answer is lost
 	}
@@ -337,7 +337,7 @@
 	case status == http.StatusOK:
 		if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
 			k.rep.FencingToken, k.seen = a.FencingToken, k.sent
-			k.obey(a.Commands, by.name)
+			k.execute(a.Commands, by.name)
 		}
 		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskExited }) {
 			pause = 500 * time.Millisecond
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -29,54 +29,54 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// world is a whole service: several controllers, workers that report, hang and do not hear, users who submit, ask and cancel, a
+// simulation is a whole service: several controllers, workers that report, hang and do not hear, users who submit, ask and cancel, a
 // state service that refuses, is down or carries transactions out late, and the ways between all of them. The rules are checked from
 // outside, by the workers and the users. Time goes on in steps, whatever is on its way: a call may take no time or, seen
 // from the clock, many seconds, as it may in a slow network. So the rules must hold however the goroutines are scheduled.
-type world struct {
-	t      testing.TB
-	r      *rand.Rand
-	site   site
-	clock  *clockwork.FakeClock
-	state  *fakes.State
-	cloud  *fakes.Cloud
-	nodes  []*node
-	client *http.Client
-	begun  time.Time
-	term   uint64         // the last that was seen to lead
-	asking sync.WaitGroup // requests on their way
-	ends   []ending       // troubles, and when they are over
+type simulation struct {
+	t         testing.TB
+	r         *rand.Rand
+	site      site
+	clock     *clockwork.FakeClock
+	state     *fakes.State
+	cloud     *fakes.Cloud
+	nodes     []*node
+	client    *http.Client
+	startedAt time.Time
+	term      uint64         // the last that was seen to lead
+	asking    sync.WaitGroup // requests on their way
+	faults    []fault        // troubles, and when they are over
 
 	rolling bool      // each leader ends soon
 	turn    time.Time // when the next one does
 
-	mu      sync.Mutex // guards what follows; never held over a call
-	workers []*worker
-	jobs    []*job
-	byID    map[string]*job
-	copied  []message
-	trace   strings.Builder
-	broken  string
-	starts  int
-	copies  int      // percent of reports of which a copy comes late
-	forNext int      // percent of reports of which a copy reaches every controller as the next leader begins
-	kept    [][]byte // those
-	late    int      // percent of direct commands that are held up on their way, unanswered, and carried out once
-	heldUp  []lateCommands
-	quick   bool          // machines are up within 2 s
-	looks   bool          // users ask at all controllers after each answer that tells something new
-	links   time.Duration // how long reports, answers and direct commands are on their way at the most
-	atEnd   bool          // users cancel, ask and submit again as the last task of a job completes
-	calm    sent          // since when all troubles are over
-}
-
-// dice is a source of chance for several goroutines.
-type dice struct {
+	mu                  sync.Mutex // guards what follows; never held over a call
+	workers             []*worker
+	jobs                []*job
+	byID                map[string]*job
+	copied              []message
+	trace               strings.Builder
+	broken              string
+	starts              int
+	copyPercent         int      // percent of reports of which a copy comes late
+	copiesForNextLeader int      // percent of reports of which a copy reaches every controller as the next leader begins
+	heldCopies          [][]byte // those
+	lateCommandPercent  int      // percent of direct commands that are held up on their way, unanswered, and carried out once
+	delayedCommands     []lateCommands
+	fastBoot            bool          // machines are up within 2 s
+	polling             bool          // users ask at all controllers after each answer that tells something new
+	links               time.Duration // how long reports, answers and direct commands are on their way at the most
+	cancelAtEnd         bool          // users cancel, ask and submit again as the last task of a job completes
+	calmSince           sent          // since when all troubles are over
+}
+
+// lockedSource is a source of chance for several goroutines.
+type lockedSource struct {
 	mu  sync.Mutex
 	src rand.Source
 }
 
-func (d *dice) Uint64() uint64 {
+func (d *lockedSource) Uint64() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.src.Uint64()
@@ -91,7 +91,7 @@
 }
 
 type node struct {
-	w        *world
+	w        *simulation
 	name     string
 	addr     string // where users and workers reach it
 	bind     string // where it listens for them
@@ -224,10 +224,10 @@
 	typeCPUs   = map[string]float64{"g8": 16, "m4": 8}
 )
 
-func newWorld(t testing.TB, s site, seed uint64) *world {
+func newSimulation(t testing.TB, s site, seed uint64) *simulation {
 	clock := clockwork.NewFakeClock()
-	w := &world{
-		t: t, r: rand.New(&dice{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewState(clock), begun: clock.Now(),
+	w := &simulation{
+		t: t, r: rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewState(clock), startedAt: clock.Now(),
 		cloud: fakes.NewCloud(s.machines,
 			wire.MachineType{Name: "g8", CPUs: typeCPUs["g8"], MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
 			wire.MachineType{Name: "m4", CPUs: typeCPUs["m4"], MemoryGB: 32, Price: 0.6, SpotPrice: 0.25, BootS: 5, Zones: []string{"b"}}),
@@ -322,7 +322,7 @@
 // wrote must never find them changed and give up.
 type errorLog struct {
 	slog.Handler
-	w    *world
+	w    *simulation
 	name string
 }
 
@@ -337,21 +337,21 @@
 	r.Attrs(func(a slog.Attr) bool { text += fmt.Sprintf(" %s=%v", a.Key, a.Value); return true })
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
-	l.w.breaks("error: %s logs %s", l.name, text)
+	l.w.violation("error: %s logs %s", l.name, text)
 	return nil
 }
 
 // end kills it.
 func (n *node) end() {
-	n.standsStill(false)
+	n.freeze(false)
 	if n.stop != nil {
 		n.stop()
 		n.stop = nil
 	}
 }
 
-// standsStill has the process stand still, or go on.
-func (n *node) standsStill(still bool) {
+// stallController has the process stand still, or go on.
+func (n *node) freeze(still bool) {
 	w := n.w
 	holder, term := w.holder()
 	w.mu.Lock()
@@ -365,7 +365,7 @@
 	}
 	w.mu.Unlock()
 	if !still {
-		n.keepsTime()
+		n.syncClock()
 	}
 	for i, g := range n.ways {
 		if g.hold(still); i == 0 && !still { // what users asked meanwhile is there before any answer of the state service
@@ -384,11 +384,11 @@
 	}
 }
 
-// keepsTime has its clock show what the world's does.
-func (n *node) keepsTime() { n.clock.Advance(n.w.now().Sub(n.clock.Now())) }
+// syncClock has its clock show what the world's does.
+func (n *node) syncClock() { n.clock.Advance(n.w.now().Sub(n.clock.Now())) }
 
-// apart cuts it from the others, or ends that.
-func (n *node) apart(cut bool) {
+// isolate cuts it from the others, or ends that.
+func (n *node) isolate(cut bool) {
 	for _, o := range n.w.nodes {
 		if o != n {
 			n.links[o.name].set(cut)
@@ -398,7 +398,7 @@
 }
 
 // holds has some workers reach one controller alone, which leads; nil: all reach all again.
-func (w *world) holds(n *node, workers []*worker) {
+func (w *simulation) holds(n *node, workers []*worker) {
 	_, term := w.holder()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -408,20 +408,20 @@
 }
 
 // holder gives the controller that the leader key names, and its term.
-func (w *world) holder() (n *node, term uint64) {
+func (w *simulation) holder() (n *node, term uint64) {
 	member, term := w.state.Holder()
 	if i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == member }); i >= 0 {
 		n = w.nodes[i]
 	}
 	if term > w.term {
 		w.term = term
-		w.say("%s leads in term %d", member, term)
+		w.logFault("%s leads in term %d", member, term)
 		w.mu.Lock()
-		kept := w.kept
-		w.kept = nil
-		for i := range w.heldUp { // of those of the leader before, half arrive as the next one acts
+		kept := w.heldCopies
+		w.heldCopies = nil
+		for i := range w.delayedCommands { // of those of the leader before, half arrive as the next one acts
 			if w.r.IntN(2) == 0 {
-				w.heldUp[i].at = w.now().Add(w.seconds(0, 8))
+				w.delayedCommands[i].at = w.now().Add(w.seconds(0, 8))
 			}
 		}
 		w.mu.Unlock()
@@ -431,7 +431,7 @@
 				continue
 			}
 			for _, n := range w.nodes {
-				w.delivers(raw, n)
+				w.deliver(raw, n)
 			}
 		}
 	}
@@ -439,38 +439,38 @@
 }
 
 // leader gives the controller that leads, by the leader key; nil if none does, or it is down.
-func (w *world) leader() *node {
+func (w *simulation) leader() *node {
 	if n, _ := w.holder(); n != nil && n.stop != nil {
 		return n
 	}
 	return nil
 }
 
-func (w *world) now() time.Time { return w.clock.Now() }
+func (w *simulation) now() time.Time { return w.clock.Now() }
 
-// note adds to the trace. The lock is held.
-func (w *world) note(format string, args ...any) {
-	fmt.Fprintf(&w.trace, "%v ", w.now().Sub(w.begun))
+// record adds to the trace. The lock is held.
+func (w *simulation) record(format string, args ...any) {
+	fmt.Fprintf(&w.trace, "%v ", w.now().Sub(w.startedAt))
 	fmt.Fprintf(&w.trace, format, args...)
 	w.trace.WriteByte('\n')
 }
 
-// breaks takes in that a rule is broken. The lock is held.
-func (w *world) breaks(format string, args ...any) {
-	w.note("BROKEN "+format, args...)
+// violation takes in that a rule is broken. The lock is held.
+func (w *simulation) violation(format string, args ...any) {
+	w.record("BROKEN "+format, args...)
 	if w.broken == "" {
 		w.broken = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) say(format string, args ...any) {
+func (w *simulation) logFault(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.note(format, args...)
+	w.record(format, args...)
 }
 
 // call sends a request and reads the JSON that comes back; status 0: nothing did.
-func (w *world) call(ctx context.Context, method, url string, raw []byte, out any) int {
+func (w *simulation) call(ctx context.Context, method, url string, raw []byte, out any) int {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
 	if err != nil {
 		w.t.Error(err)
@@ -488,7 +488,7 @@
 }
 
 // anyNode gives a controller that is up, or one that is not if none is.
-func (w *world) anyNode() *node {
+func (w *simulation) anyNode() *node {
 	n := w.nodes[w.r.IntN(len(w.nodes))]
 	for range 10 {
 		if n.stop != nil {
@@ -499,12 +499,12 @@
 	return n
 }
 
-func (w *world) post(ctx context.Context, url string, raw []byte, out any) int {
+func (w *simulation) post(ctx context.Context, url string, raw []byte, out any) int {
 	return w.call(ctx, http.MethodPost, url, raw, out)
 }
 
 // seconds gives a time between two bounds.
-func (w *world) seconds(least, most float64) time.Duration {
+func (w *simulation) seconds(least, most float64) time.Duration {
 	return seconds(least + w.r.Float64()*(most-least))
 }
 
@@ -514,27 +514,27 @@
 const tick = 250 * time.Millisecond
 
 // step lets everybody do what is due, and time go on.
-func (w *world) step() {
-	w.join()
-	w.over(false)
+func (w *simulation) step() {
+	w.startWorkers()
+	w.endFaults(false)
 	if n := w.leader(); w.rolling && n != nil && !w.now().Before(w.turn) {
-		w.leaves(n, 0.2, 2)
+		w.restart(n, 0.2, 2)
 		w.turn = w.now().Add(w.seconds(3, 12))
 	}
 	for _, n := range w.nodes {
 		if n.stop == nil && !w.now().Before(n.back) {
-			w.say("%s is back", n.name)
+			w.logFault("%s is back", n.name)
 			n.boot()
 		}
 	}
 	w.mu.Lock()
 	workers, jobs := slices.Clone(w.workers), slices.Clone(w.jobs)
 	var due []message
-	w.heldUp = slices.DeleteFunc(w.heldUp, func(l lateCommands) bool {
+	w.delayedCommands = slices.DeleteFunc(w.delayedCommands, func(l lateCommands) bool {
 		if w.now().Before(l.at) {
 			return false
 		}
-		l.to.comesLate(l.commands)
+		l.to.delay(l.commands)
 		return true
 	})
 	w.copied = slices.DeleteFunc(w.copied, func(l message) bool {
@@ -547,18 +547,18 @@
 	w.mu.Unlock()
 	for _, l := range due {
 		if !l.all {
-			w.delivers(l.raw, w.anyNode())
+			w.deliver(l.raw, w.anyNode())
 			continue
 		}
 		for _, n := range w.nodes {
-			w.delivers(l.raw, n)
+			w.deliver(l.raw, n)
 		}
 	}
 	for _, k := range workers {
-		k.reports()
+		k.sendHeartbeats()
 	}
 	for _, j := range jobs {
-		w.asks(j)
+		w.poll(j)
 	}
 	w.check()
 	w.clock.Advance(tick)
@@ -569,7 +569,7 @@
 		still := n.still
 		w.mu.Unlock()
 		if !still {
-			n.keepsTime()
+			n.syncClock()
 		}
 		if n.stop == nil || still {
 			continue
@@ -580,8 +580,8 @@
 	}
 }
 
-// delivers has a copy of a report arrive; its answer reaches nobody.
-func (w *world) delivers(raw []byte, n *node) {
+// deliver has a copy of a report arrive; its answer reaches nobody.
+func (w *simulation) deliver(raw []byte, n *node) {
 	w.asking.Go(func() {
 		var out map[string]any
 		w.post(w.t.Context(), "http://"+n.addr+wire.PathHeartbeat, raw, &out)
@@ -589,7 +589,7 @@
 }
 
 // check looks for broken rules.
-func (w *world) check() {
+func (w *simulation) check() {
 	w.mu.Lock()
 	w.checkCancelled()
 	w.checkServed()
@@ -600,36 +600,36 @@
 	}
 }
 
-// settles ends all troubles.
-func (w *world) settles() {
-	w.over(true)
+// settle ends all troubles.
+func (w *simulation) settle() {
+	w.endFaults(true)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.calm = w.moment()
+	w.calmSince = w.moment()
 	for _, n := range w.nodes {
-		if n.stop == nil && n.back.After(w.calm.at) {
-			w.calm.at = n.back
+		if n.stop == nil && n.back.After(w.calmSince.at) {
+			w.calmSince.at = n.back
 		}
 	}
 	for _, k := range w.workers { // what is wrong with machines ends by itself
 		for _, until := range []time.Time{k.hangs, k.deaf, k.lost, k.mute} {
-			if until.After(w.calm.at) {
-				w.calm.at = until
+			if until.After(w.calmSince.at) {
+				w.calmSince.at = until
 			}
 		}
 	}
-	w.note("all is over from %v on", w.calm.at.Sub(w.begun))
+	w.record("all is over from %v on", w.calmSince.at.Sub(w.startedAt))
 }
 
-// pass lets time pass.
-func (w *world) pass(d time.Duration) {
+// advance lets time pass.
+func (w *simulation) advance(d time.Duration) {
 	for ; d > 0; d -= tick {
 		w.step()
 	}
 }
 
-// until lets time pass until a condition holds, for a time at the most.
-func (w *world) until(what string, most time.Duration, holds func() bool) time.Duration {
+// waitFor lets time pass until a condition holds, for a time at the most.
+func (w *simulation) waitFor(what string, most time.Duration, holds func() bool) time.Duration {
 	w.t.Helper()
 	begun := w.now()
 	started := time.Now()
@@ -646,7 +646,7 @@
 }
 
 // locked tells whether something holds, under the lock.
-func (w *world) locked(fn func() bool) func() bool {
+func (w *simulation) locked(fn func() bool) func() bool {
 	return func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -655,6 +655,6 @@
 }
 
 // all tells whether something holds of all jobs.
-func (w *world) all(fn func(*job) bool) func() bool {
+func (w *simulation) all(fn func(*job) bool) func() bool {
 	return w.locked(func() bool { return !slices.ContainsFunc(w.jobs, func(j *job) bool { return !fn(j) }) })
 }
