--- a/internal/sim/faults/meetings_test.go
+++ b/internal/sim/faults/meetings_test.go
@@ -21,45 +21,45 @@
 	for name, s := range sites {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newSimulation(t, s, 1+*shift)
-			w.waitFor("a leader", time.Minute, func() bool { return w.leader() != nil })
+			sim := newSimulation(t, s, 1+*shift)
+			sim.waitFor("a leader", time.Minute, func() bool { return sim.leader() != nil })
 			submits := func(numbers ...int) {
 				for _, i := range numbers {
-					w.submit(fmt.Sprintf("job-%d", i), spec{kind: []string{"array", "service"}[i%2], tasks: []int{6, 3, 300, 1}[i], stub: float64(40 * (i / 2)), apart: i == 1})
+					sim.submit(fmt.Sprintf("job-%d", i), spec{kind: []string{"array", "service"}[i%2], tasks: []int{6, 3, 300, 1}[i], stub: float64(40 * (i / 2)), apart: i == 1})
 				}
 			}
 			// Those that stay come first: if the leader hears of the 300 tasks before them, all machines may be rented in one zone, and
 			// replicas that must be apart wait until the array is done, as they should.
 			submits(1, 3)
-			w.waitFor("every replica runs", 5*time.Minute, w.locked(func() bool { return w.running("job-1")+w.running("job-3") > 3 }))
+			sim.waitFor("every replica runs", 5*time.Minute, sim.locked(func() bool { return sim.running("job-1")+sim.running("job-3") > 3 }))
 			submits(0, 2)
-			w.waitFor("tasks of both arrays run", 5*time.Minute, w.locked(func() bool { return w.running("job-0") > 0 && w.running("job-2") >= 12 }))
+			sim.waitFor("tasks of both arrays run", 5*time.Minute, sim.locked(func() bool { return sim.running("job-0") > 0 && sim.running("job-2") >= 12 }))
 			for round, now := range []float64{1.2, 1.5} {
-				old := w.leader()
+				old := sim.leader()
 				if old == nil {
-					w.waitFor("a leader again", time.Minute, func() bool { old = w.leader(); return old != nil })
+					sim.waitFor("a leader again", time.Minute, func() bool { old = sim.leader(); return old != nil })
 				}
-				w.logFault("%s of zone %s is refused", old.name, old.zone)
-				w.holds(old, w.workers[:len(w.workers)/2])
+				sim.logFault("%s of zone %s is refused", old.name, old.zone)
+				sim.holds(old, sim.workers[:len(sim.workers)/2])
 				old.endpoint.Refuse(true)
 				old.isolate(round == 1) // from the other controllers as well: it keeps its zone's workers by itself
-				w.waitFor("another leads", time.Minute, func() bool { n := w.leader(); return n != nil && n != old })
+				sim.waitFor("another leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
 				for i := range 2 {
-					w.cancel(fmt.Sprintf("job-%d", 2*round+i))
+					sim.cancel(fmt.Sprintf("job-%d", 2*round+i))
 				}
-				w.advance(time.Duration(6+w.r.IntN(6)) * time.Second) // as long as a refusal of the leader alone may last
-				w.logFault("the state service is down")
-				w.state.Refuse(true)
-				w.advance(seconds(now * s.cancelS))
-				w.logFault("it is back")
-				w.state.Refuse(false)
+				sim.advance(time.Duration(6+sim.r.IntN(6)) * time.Second) // as long as a refusal of the leader alone may last
+				sim.logFault("the state service is down")
+				sim.state.Refuse(true)
+				sim.advance(seconds(now * s.cancelS))
+				sim.logFault("it is back")
+				sim.state.Refuse(false)
 				old.endpoint.Refuse(false)
 				old.isolate(false)
-				w.holds(nil, w.workers)
-				took := w.waitFor("cancellations are confirmed", 2*time.Minute, w.all(func(j *job) bool { return !j.asked || !j.confirmed.IsZero() || j.done }))
+				sim.holds(nil, sim.workers)
+				took := sim.waitFor("cancellations are confirmed", 2*time.Minute, sim.all(func(j *job) bool { return !j.asked || !j.confirmed.IsZero() || j.done }))
 				t.Logf("round %d: confirmed %v after the trouble", round, took)
 			}
-			w.advance(seconds(s.cancelS + s.lease))
+			sim.advance(seconds(s.cancelS + s.lease))
 		})
 	}
 }
@@ -77,28 +77,28 @@
 		for seed := range *histories {
 			t.Run(fmt.Sprintf("%s/%d", name, *firstHistory+seed), func(t *testing.T) {
 				t.Parallel()
-				w := newSimulation(t, s, uint64(*firstHistory+seed))
-				w.waitFor("a leader", time.Minute, func() bool { return w.leader() != nil })
+				sim := newSimulation(t, s, uint64(*firstHistory+seed))
+				sim.waitFor("a leader", time.Minute, func() bool { return sim.leader() != nil })
 				came := 0
-				w.pollClosely(seed%2 == 0)
-				for w.now().Sub(w.startedAt) < 4*time.Minute {
-					if came < 14 && w.r.IntN(20) == 0 || came < 4 {
-						w.submit(fmt.Sprintf("job-%d", came), w.someSpec())
+				sim.pollClosely(seed%2 == 0)
+				for sim.now().Sub(sim.startedAt) < 4*time.Minute {
+					if came < 14 && sim.r.IntN(20) == 0 || came < 4 {
+						sim.submit(fmt.Sprintf("job-%d", came), sim.someSpec())
 						came++
 					}
-					if w.r.IntN(40) == 0 {
-						w.cancel(fmt.Sprintf("job-%d", w.r.IntN(came)))
+					if sim.r.IntN(40) == 0 {
+						sim.cancel(fmt.Sprintf("job-%d", sim.r.IntN(came)))
 					}
-					if w.r.IntN(24) == 0 && w.now().Sub(w.startedAt) > 10*time.Second {
-						w.injectFault()
+					if sim.r.IntN(24) == 0 && sim.now().Sub(sim.startedAt) > 10*time.Second {
+						sim.injectFault()
 					}
-					w.step()
+					sim.step()
 				}
-				w.endFaultsAndCheck()
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				if w.starts < came/2 {
-					t.Errorf("%d starts for %d jobs", w.starts, came)
+				sim.endFaultsAndCheck()
+				sim.mu.Lock()
+				defer sim.mu.Unlock()
+				if sim.starts < came/2 {
+					t.Errorf("%d starts for %d jobs", sim.starts, came)
 				}
 			})
 		}
@@ -106,13 +106,13 @@
 }
 
 // someSpec is any job.
-func (w *simulation) someSpec() spec {
-	s := spec{kind: []string{"array", "service"}[w.r.IntN(2)], team: []string{"t", "t", "small", "tight"}[w.r.IntN(4)], tasks: 1 + w.r.IntN(4), stub: float64(40 * w.r.IntN(2))}
-	switch w.r.IntN(6) {
+func (sim *simulation) someSpec() spec {
+	s := spec{kind: []string{"array", "service"}[sim.r.IntN(2)], team: []string{"t", "t", "small", "tight"}[sim.r.IntN(4)], tasks: 1 + sim.r.IntN(4), stub: float64(40 * sim.r.IntN(2))}
+	switch sim.r.IntN(6) {
 	case 0:
-		s.zone = []string{"a", "b"}[w.r.IntN(2)]
+		s.zone = []string{"a", "b"}[sim.r.IntN(2)]
 	case 1:
-		s.types = []string{[]string{"g8", "m4"}[w.r.IntN(2)]}
+		s.types = []string{[]string{"g8", "m4"}[sim.r.IntN(2)]}
 	case 2:
 		s.oneZone = true
 	case 3:
@@ -125,21 +125,21 @@
 }
 
 // endFaultsAndCheck ends all troubles and lets the world come to rest: every cancellation is confirmed, every other job runs or is done.
-func (w *simulation) endFaultsAndCheck() {
-	w.t.Helper()
-	w.settle()
-	lease := seconds(w.site.lease)
+func (sim *simulation) endFaultsAndCheck() {
+	sim.t.Helper()
+	sim.settle()
+	lease := seconds(sim.site.lease)
 	confirmed := func() {
-		w.waitFor("every cancellation is confirmed", 2*time.Minute+2*lease, w.all(func(j *job) bool { return !j.asked || j.history.level == ended }))
+		sim.waitFor("every cancellation is confirmed", 2*time.Minute+2*lease, sim.all(func(j *job) bool { return !j.asked || j.history.level == ended }))
 	}
 	confirmed()
 	// One whose team's replicas, which run on, leave too little of its limit waits for ever, as it should.
-	w.waitFor("every array is done", 30*time.Minute, w.all(func(j *job) bool {
-		return j.asked || j.done || j.kind == "service" || w.permanentUse(j.team)+j.cpus > teamLimits[j.team]
+	sim.waitFor("every array is done", 30*time.Minute, sim.all(func(j *job) bool {
+		return j.asked || j.done || j.kind == "service" || sim.permanentUse(j.team)+j.cpus > teamLimits[j.team]
 	}))
 	// Services take their teams' rooms for ever: those that wait beside room are looked for all the while.
-	w.waitFor("every other job runs or its team is at its limit", 5*time.Minute, w.all(func(j *job) bool {
-		return j.accepted && (j.asked || j.done || w.running(j.id) > 0 || w.use(j.team, true)+j.cpus > teamLimits[j.team])
+	sim.waitFor("every other job runs or its team is at its limit", 5*time.Minute, sim.all(func(j *job) bool {
+		return j.accepted && (j.asked || j.done || sim.running(j.id) > 0 || sim.use(j.team, true)+j.cpus > teamLimits[j.team])
 	}))
 	confirmed() // some were asked for meanwhile
 }
--- a/internal/sim/faults/troubles_test.go
+++ b/internal/sim/faults/troubles_test.go
@@ -17,32 +17,32 @@
 }
 
 // during begins a trouble and has it end after a time.
-func (w *simulation) during(d time.Duration, begin, end func()) {
+func (sim *simulation) during(d time.Duration, begin, end func()) {
 	begin()
-	w.faults = append(w.faults, fault{w.now().Add(d), end})
+	sim.faults = append(sim.faults, fault{sim.now().Add(d), end})
 }
 
 // endFaults ends the troubles that are due, or all.
-func (w *simulation) endFaults(all bool) {
-	w.faults = slices.DeleteFunc(w.faults, func(e fault) bool {
-		if !all && w.now().Before(e.at) {
+func (sim *simulation) endFaults(all bool) {
+	sim.faults = slices.DeleteFunc(sim.faults, func(e fault) bool {
+		if !all && sim.now().Before(e.at) {
 			return false
 		}
 		e.fn()
 		return true
 	})
-	if w.state.Held() > 0 && (all || w.r.IntN(16) == 0) {
-		late := w.state.Deliver()
-		w.logFault("%d late transactions are carried out", len(late))
+	if sim.state.Held() > 0 && (all || sim.r.IntN(16) == 0) {
+		late := sim.state.Deliver()
+		sim.logFault("%d late transactions are carried out", len(late))
 	}
 }
 
 // someWorkers gives some of the workers.
-func (w *simulation) someWorkers() []*worker {
-	share := w.r.Float64()
+func (sim *simulation) someWorkers() []*worker {
+	share := sim.r.Float64()
 	var out []*worker
-	for _, k := range w.workers {
-		if w.r.Float64() < share {
+	for _, k := range sim.workers {
+		if sim.r.Float64() < share {
 			out = append(out, k)
 		}
 	}
@@ -52,7 +52,7 @@
 // random names the troubles that histories choose from, each as often as it stands here.
 var random = []struct {
 	name  string
-	begin func(w *simulation, n *node) // n: mostly the leader
+	begin func(sim *simulation, n *node) // n: mostly the leader
 }{
 	{"refused", refuseController}, {"refused", refuseController}, {"outage", storeOutage}, {"ends", restartController}, {"ends", restartController}, {"apart", isolateController}, {"apart", isolateController},
 	{"late transactions", delayTransactions}, {"answers lost", loseAnswers}, {"copies", copyHeartbeats}, {"copies for the next leader", copyHeartbeatsForNextLeader},
@@ -62,85 +62,85 @@
 }
 
 // injectFault begins one of the troubles, mostly one that concerns the leader.
-func (w *simulation) injectFault() {
-	n := w.leader()
-	if n == nil || w.r.IntN(4) == 0 {
-		n = w.anyNode()
+func (sim *simulation) injectFault() {
+	n := sim.leader()
+	if n == nil || sim.r.IntN(4) == 0 {
+		n = sim.anyNode()
 	}
-	random[w.r.IntN(len(random))].begin(w, n)
+	random[sim.r.IntN(len(random))].begin(sim, n)
 }
 
-func refuseController(w *simulation, n *node) {
-	w.logFault("%s is refused by the state service", n.name)
-	w.during(w.seconds(1, 20), func() { n.endpoint.Refuse(true) }, func() { n.endpoint.Refuse(false) })
+func refuseController(sim *simulation, n *node) {
+	sim.logFault("%s is refused by the state service", n.name)
+	sim.during(sim.seconds(1, 20), func() { n.endpoint.Refuse(true) }, func() { n.endpoint.Refuse(false) })
 }
 
-func storeOutage(w *simulation, _ *node) {
-	w.logFault("the state service is down")
-	w.during(w.seconds(1, 1.3*w.site.cancelS), func() { w.state.Refuse(true) }, func() { w.logFault("the state service is back"); w.state.Refuse(false) })
+func storeOutage(sim *simulation, _ *node) {
+	sim.logFault("the state service is down")
+	sim.during(sim.seconds(1, 1.3*sim.site.cancelS), func() { sim.state.Refuse(true) }, func() { sim.logFault("the state service is back"); sim.state.Refuse(false) })
 }
 
 // restart has a controller end, and start anew after a while.
-func (w *simulation) restart(n *node, least, most float64) {
+func (sim *simulation) restart(n *node, least, most float64) {
 	if n.stop != nil {
-		w.logFault("%s ends", n.name)
+		sim.logFault("%s ends", n.name)
 		n.end()
-		n.back = w.now().Add(w.seconds(least, most))
+		n.back = sim.now().Add(sim.seconds(least, most))
 	}
 }
 
-func restartController(w *simulation, n *node) {
-	for range 1 + w.r.IntN(len(w.nodes)) {
-		w.restart(n, 0.2, 6)
-		n = w.nodes[w.r.IntN(len(w.nodes))]
+func restartController(sim *simulation, n *node) {
+	for range 1 + sim.r.IntN(len(sim.nodes)) {
+		sim.restart(n, 0.2, 6)
+		n = sim.nodes[sim.r.IntN(len(sim.nodes))]
 	}
 }
 
-func isolateController(w *simulation, n *node) {
-	refused := w.r.IntN(2) == 0
-	w.logFault("%s is cut from the others, and refused: %v", n.name, refused)
-	w.during(w.seconds(2, 1.5*w.site.lease), func() { n.isolate(true); n.endpoint.Refuse(refused) }, func() { n.isolate(false); n.endpoint.Refuse(false) })
+func isolateController(sim *simulation, n *node) {
+	refused := sim.r.IntN(2) == 0
+	sim.logFault("%s is cut from the others, and refused: %v", n.name, refused)
+	sim.during(sim.seconds(2, 1.5*sim.site.lease), func() { n.isolate(true); n.endpoint.Refuse(refused) }, func() { n.isolate(false); n.endpoint.Refuse(false) })
 }
 
-func delayTransactions(w *simulation, _ *node) {
-	w.logFault("transactions come late")
-	w.during(w.seconds(5, 40), func() { w.state.Late(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { w.state.Late(nil) })
+func delayTransactions(sim *simulation, _ *node) {
+	sim.logFault("transactions come late")
+	sim.during(sim.seconds(5, 40), func() { sim.state.Late(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { sim.state.Late(nil) })
 }
 
-func loseAnswers(w *simulation, _ *node) {
-	w.logFault("answers to transactions are lost")
-	w.during(w.seconds(5, 40), func() { w.state.Mute(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { w.state.Mute(nil) })
+func loseAnswers(sim *simulation, _ *node) {
+	sim.logFault("answers to transactions are lost")
+	sim.during(sim.seconds(5, 40), func() { sim.state.Mute(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { sim.state.Mute(nil) })
 }
 
-func copyHeartbeats(w *simulation, _ *node) {
-	w.logFault("copies of reports")
-	w.during(w.seconds(5, 60), func() { w.copyPercent = 30 }, func() { w.copyPercent = 0 })
+func copyHeartbeats(sim *simulation, _ *node) {
+	sim.logFault("copies of reports")
+	sim.during(sim.seconds(5, 60), func() { sim.copyPercent = 30 }, func() { sim.copyPercent = 0 })
 }
 
-func copyHeartbeatsForNextLeader(w *simulation, _ *node) {
-	w.logFault("copies of reports, kept for the next leader")
-	w.during(w.seconds(5, 60), func() { w.copiesForNextLeader = 30 }, func() { w.copiesForNextLeader = 0 })
+func copyHeartbeatsForNextLeader(sim *simulation, _ *node) {
+	sim.logFault("copies of reports, kept for the next leader")
+	sim.during(sim.seconds(5, 60), func() { sim.copiesForNextLeader = 30 }, func() { sim.copiesForNextLeader = 0 })
 }
 
 // delayCommands has direct commands be held up, unanswered, and be carried out seconds later.
-func delayCommands(w *simulation, _ *node) {
-	w.logFault("direct commands come late")
-	w.during(w.seconds(5, 90), func() { w.delayCommands(20 + w.r.IntN(60)) }, func() { w.delayCommands(0) })
+func delayCommands(sim *simulation, _ *node) {
+	sim.logFault("direct commands come late")
+	sim.during(sim.seconds(5, 90), func() { sim.delayCommands(20 + sim.r.IntN(60)) }, func() { sim.delayCommands(0) })
 }
 
 // delayCommands has that many of a hundred direct commands come late.
-func (w *simulation) delayCommands(percent int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lateCommandPercent = percent
+func (sim *simulation) delayCommands(percent int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.lateCommandPercent = percent
 }
 
 // stallController has a controller stand still for up to half a minute.
-func stallController(w *simulation, n *node) {
+func stallController(sim *simulation, n *node) {
 	if n.stop == nil {
 		return
 	}
-	n.stall(w.seconds(1, 30))
+	n.stall(sim.seconds(1, 30))
 }
 
 // stall has a controller stand still for a while.
@@ -150,10 +150,10 @@
 }
 
 // loseRequests has what is asked of leases, and reads, go without an answer; some of the former are carried out late.
-func loseRequests(w *simulation, _ *node) {
-	w.logFault("requests are lost or late")
-	w.during(w.seconds(5, 40), func() {
-		w.state.Lose(func(r *http.Request) fakes.Fate {
+func loseRequests(sim *simulation, _ *node) {
+	sim.logFault("requests are lost or late")
+	sim.during(sim.seconds(5, 40), func() {
+		sim.state.Lose(func(r *http.Request) fakes.Fate {
 			switch rand.IntN(6) {
 			case 0:
 				return fakes.Unanswered
@@ -164,11 +164,11 @@
 			}
 			return fakes.Answered
 		})
-	}, func() { w.state.Lose(nil) })
+	}, func() { sim.state.Lose(nil) })
 }
 
-func impairMachines(w *simulation, _ *node) {
-	w.impair(w.someWorkers(), w.r.IntN(4), w.seconds(1, 1.4*w.site.lease))
+func impairMachines(sim *simulation, _ *node) {
+	sim.impair(sim.someWorkers(), sim.r.IntN(4), sim.seconds(1, 1.4*sim.site.lease))
 }
 
 // What may be wrong with machines.
@@ -180,52 +180,52 @@
 )
 
 // impair has something be wrong with machines for a while.
-func (w *simulation) impair(some []*worker, what int, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	until := w.now().Add(d)
+func (sim *simulation) impair(some []*worker, what int, d time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	until := sim.now().Add(d)
 	for _, k := range some {
-		w.record("%s %s until %v", k.rep.Machine, []string{"hangs", "is deaf", "is lost", "is mute"}[what], until.Sub(w.startedAt))
+		sim.record("%s %s until %v", k.rep.Machine, []string{"hangs", "is deaf", "is lost", "is mute"}[what], until.Sub(sim.startedAt))
 		*[]*time.Time{&k.hangs, &k.deaf, &k.lost, &k.mute}[what] = until
 	}
 }
 
-func isolateWithWorkers(w *simulation, n *node) {
-	if n != w.leader() {
+func isolateWithWorkers(sim *simulation, n *node) {
+	if n != sim.leader() {
 		return
 	}
-	some := w.someWorkers()
-	w.logFault("%d workers reach %s alone", len(some), n.name)
-	w.during(w.seconds(2, 2*w.site.lease), func() { w.holds(n, some) }, func() { w.holds(nil, some) })
+	some := sim.someWorkers()
+	sim.logFault("%d workers reach %s alone", len(some), n.name)
+	sim.during(sim.seconds(2, 2*sim.site.lease), func() { sim.holds(n, some) }, func() { sim.holds(nil, some) })
 }
 
 // cancelManyJobs has users cancel some jobs that run; their machines may hang, and the leader may end at that moment.
-func cancelManyJobs(w *simulation, n *node) {
-	w.mu.Lock()
+func cancelManyJobs(sim *simulation, n *node) {
+	sim.mu.Lock()
 	var ids []string
-	for _, j := range w.jobs {
-		if !j.asked && w.running(j.id) > 0 && len(ids) < 4 && w.r.IntN(2) == 0 {
+	for _, j := range sim.jobs {
+		if !j.asked && sim.running(j.id) > 0 && len(ids) < 4 && sim.r.IntN(2) == 0 {
 			ids = append(ids, j.id)
 		}
 	}
-	w.mu.Unlock()
-	if w.r.IntN(2) == 0 {
-		w.impair(w.machinesOf(ids...), hung, w.seconds(1, 1.2*w.site.lease))
+	sim.mu.Unlock()
+	if sim.r.IntN(2) == 0 {
+		sim.impair(sim.machinesOf(ids...), hung, sim.seconds(1, 1.2*sim.site.lease))
 	}
 	for _, id := range ids {
-		w.cancel(id)
+		sim.cancel(id)
 	}
-	if w.r.IntN(3) == 0 {
-		w.restart(n, 0.2, 3)
+	if sim.r.IntN(3) == 0 {
+		sim.restart(n, 0.2, 3)
 	}
 }
 
 // machinesOf gives the workers on which tasks of some jobs are.
-func (w *simulation) machinesOf(ids ...string) (some []*worker) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, k := range w.workers {
-		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return slices.Contains(ids, w.jobOf(t.Task).id) }) {
+func (sim *simulation) machinesOf(ids ...string) (some []*worker) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, k := range sim.workers {
+		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return slices.Contains(ids, sim.jobOf(t.Task).id) }) {
 			some = append(some, k)
 		}
 	}
@@ -233,43 +233,43 @@
 }
 
 // stopAllControllers has all controllers be away for longer than a lease.
-func stopAllControllers(w *simulation, _ *node) {
-	d := (1.1 + w.r.Float64()) * w.site.lease
-	for _, n := range w.nodes {
-		w.restart(n, d, d+3)
+func stopAllControllers(sim *simulation, _ *node) {
+	d := (1.1 + sim.r.Float64()) * sim.site.lease
+	for _, n := range sim.nodes {
+		sim.restart(n, d, d+3)
 	}
 }
 
 // rollLeaders has each leader end soon after it began, for a while.
-func rollLeaders(w *simulation, _ *node) {
-	w.logFault("leaders end, one after the other")
-	w.during(w.seconds(20, 60), func() { w.rolling = true }, func() { w.rolling = false })
+func rollLeaders(sim *simulation, _ *node) {
+	sim.logFault("leaders end, one after the other")
+	sim.during(sim.seconds(20, 60), func() { sim.rolling = true }, func() { sim.rolling = false })
 }
 
-func slowStore(w *simulation, _ *node) {
-	most := w.seconds(0.1, 4)
-	w.logFault("the state service takes up to %v", most)
-	w.during(w.seconds(5, 30), func() { w.state.Slow(func() time.Duration { return time.Duration(rand.Int64N(int64(most))) }) }, func() { w.state.Slow(nil) })
+func slowStore(sim *simulation, _ *node) {
+	most := sim.seconds(0.1, 4)
+	sim.logFault("the state service takes up to %v", most)
+	sim.during(sim.seconds(5, 30), func() { sim.state.Slow(func() time.Duration { return time.Duration(rand.Int64N(int64(most))) }) }, func() { sim.state.Slow(nil) })
 }
 
 // slowLinks has reports, their answers and direct commands be on their way for seconds.
-func slowLinks(w *simulation, _ *node) {
-	most := w.seconds(0.5, 6)
-	w.logFault("links take up to %v", most)
+func slowLinks(sim *simulation, _ *node) {
+	most := sim.seconds(0.5, 6)
+	sim.logFault("links take up to %v", most)
 	set := func(d time.Duration) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.links = d
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		sim.links = d
 	}
-	w.during(w.seconds(5, 60), func() { set(most) }, func() { set(0) })
+	sim.during(sim.seconds(5, 60), func() { set(most) }, func() { set(0) })
 }
 
-func cutSomeZone(w *simulation, n *node) { w.cutZone(n, w.leases(0.3, 2)) }
+func cutSomeZone(sim *simulation, n *node) { sim.cutZone(n, sim.leases(0.3, 2)) }
 
 // cloudFaults has rentals go without an answer, machines be up at once, and be listed late.
-func cloudFaults(w *simulation, _ *node) {
-	w.logFault("rentals without answers, machines up at once and not listed")
-	w.cloud.Silent(1 + w.r.IntN(3))
-	since := len(w.cloud.Machines())
-	w.during(w.seconds(5, 30), func() { w.fastBoot = true; w.cloud.Unlisted(since) }, func() { w.fastBoot = false; w.cloud.Unlisted(-1) })
+func cloudFaults(sim *simulation, _ *node) {
+	sim.logFault("rentals without answers, machines up at once and not listed")
+	sim.cloud.Silent(1 + sim.r.IntN(3))
+	since := len(sim.cloud.Machines())
+	sim.during(sim.seconds(5, 30), func() { sim.fastBoot = true; sim.cloud.Unlisted(since) }, func() { sim.fastBoot = false; sim.cloud.Unlisted(-1) })
 }
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -58,10 +58,10 @@
 // may let the world's go on alone.
 type sent struct{ at, real time.Time }
 
-func (w *simulation) moment() sent { return sent{w.now(), time.Now()} }
+func (sim *simulation) moment() sent { return sent{sim.now(), time.Now()} }
 
-func (w *simulation) past(s sent, d, wall time.Duration) bool {
-	return w.now().Sub(s.at) > d && time.Since(s.real) > wall
+func (sim *simulation) past(s sent, d, wall time.Duration) bool {
+	return sim.now().Sub(s.at) > d && time.Since(s.real) > wall
 }
 
 // history is what a job's users were told, in real order. Answers only move forward: unknown, accepted, over, and once it is
@@ -145,7 +145,7 @@
 }
 
 // submit has a user submit a job, again and again until it is accepted.
-func (w *simulation) submit(id string, s spec) *job {
+func (sim *simulation) submit(id string, s spec) *job {
 	or := func(v *string, most string) {
 		if *v == "" {
 			*v = most
@@ -171,35 +171,35 @@
 	delete(fields, s.lacks)
 	raw, err := json.Marshal(fields)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	j := &job{spec: s, id: id, raw: raw, completed: map[string]bool{}, next: w.now(), cancelAt: w.now(), heard: w.moment()}
-	w.jobs = append(w.jobs, j)
-	w.byID[id] = j
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	j := &job{spec: s, id: id, raw: raw, completed: map[string]bool{}, next: sim.now(), cancelAt: sim.now(), heard: sim.moment()}
+	sim.jobs = append(sim.jobs, j)
+	sim.byID[id] = j
 	return j
 }
 
-func (w *simulation) jobOf(task string) *job {
-	j := w.byID[fakes.JobOf(task)]
+func (sim *simulation) jobOf(task string) *job {
+	j := sim.byID[fakes.JobOf(task)]
 	if j == nil {
-		w.violation("invented: task %s of a job that nobody submitted", task)
+		sim.violation("invented: task %s of a job that nobody submitted", task)
 		return &job{id: fakes.JobOf(task), completed: map[string]bool{}}
 	}
 	return j
 }
 
 // runTime is how long a task runs.
-func (w *simulation) runTime(task string) time.Duration {
-	j := w.jobOf(task)
+func (sim *simulation) runTime(task string) time.Duration {
+	j := sim.jobOf(task)
 	switch {
 	case j.kind == "service":
 		return 100 * time.Hour
 	case j.runS > 0:
 		return seconds(j.runS)
 	}
-	return time.Duration(20+w.r.IntN(100)) * time.Second
+	return time.Duration(20+sim.r.IntN(100)) * time.Second
 }
 
 // request is one of a user's.
@@ -212,10 +212,10 @@
 )
 
 // send sends a request about a job to a controller and takes in its answer. It returns when that is there.
-func (w *simulation) send(ctx context.Context, j *job, n *node, what request) {
-	w.mu.Lock()
+func (sim *simulation) send(ctx context.Context, j *job, n *node, what request) {
+	sim.mu.Lock()
 	before := j.history
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	url, body, method := "http://"+n.addr+"/v2/runs", j.raw, http.MethodPost
 	switch what {
 	case poll:
@@ -224,20 +224,20 @@
 		url, body = url+"/"+j.id+"/cancel", nil
 	}
 	var out struct{ Status, Error string }
-	status := w.call(ctx, method, url, body, &out)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.recordAnswer(j, n, what, before, status, out.Status, out.Error)
+	status := sim.call(ctx, method, url, body, &out)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.recordAnswer(j, n, what, before, status, out.Status, out.Error)
 }
 
 // recordAnswer takes in an answer. The lock is held.
-func (w *simulation) recordAnswer(j *job, n *node, what request, before history, status int, state, text string) {
+func (sim *simulation) recordAnswer(j *job, n *node, what request, before history, status int, state, text string) {
 	if what == submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
-		w.violation("forgotten: %s is refused by %s with %d: %s", j.id, n.name, status, text)
+		sim.violation("forgotten: %s is refused by %s with %d: %s", j.id, n.name, status, text)
 		return
 	}
 	if what == cancellation && status == http.StatusOK && state != "done" && state != "withdrawn" {
-		w.violation("went_back: the cancellation of %s is answered %s by %s", j.id, state, n.name)
+		sim.violation("went_back: the cancellation of %s is answered %s by %s", j.id, state, n.name)
 	}
 	_, told := levelOf(status, state)
 	if !told {
@@ -245,13 +245,13 @@
 	}
 	was := j.history
 	if broken := j.history.take(before, status, state); broken != "" {
-		w.violation("%s: %s by %s", broken, j.id, n.name)
+		sim.violation("%s: %s by %s", broken, j.id, n.name)
 	}
-	j.heard = w.moment()
+	j.heard = sim.moment()
 	if j.history.level == was.level {
 		return
 	}
-	w.record("%s: %s is told %d %s", j.id, n.name, status, state)
+	sim.record("%s: %s is told %d %s", j.id, n.name, status, state)
 	if j.history.level >= accepted {
 		j.accepted = true
 	}
@@ -259,42 +259,42 @@
 	case j.history.level != ended:
 	case state == "done":
 		if j.done = true; len(j.completed) < j.tasks {
-			w.violation("not_done: %s is called done with %d of %d tasks", j.id, len(j.completed), j.tasks)
+			sim.violation("not_done: %s is called done with %d of %d tasks", j.id, len(j.completed), j.tasks)
 		}
 	default:
-		if j.confirmed = w.now(); !j.asked {
-			w.violation("went_back: %s is called cancelled, and nobody cancelled it", j.id)
+		if j.confirmed = sim.now(); !j.asked {
+			sim.violation("went_back: %s is called cancelled, and nobody cancelled it", j.id)
 		}
 	}
-	if w.polling {
-		w.pollEverywhere(j)
+	if sim.polling {
+		sim.pollEverywhere(j)
 	}
 }
 
 // pollClosely begins or ends close looks.
-func (w *simulation) pollClosely(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.polling = on
+func (sim *simulation) pollClosely(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.polling = on
 }
 
 // pollEverywhere has users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at
 // once. The lock is held.
-func (w *simulation) pollEverywhere(j *job) {
-	if !j.asked && j.history.level == accepted && w.r.IntN(8) == 0 {
+func (sim *simulation) pollEverywhere(j *job) {
+	if !j.asked && j.history.level == accepted && sim.r.IntN(8) == 0 {
 		j.asked = true
-		w.record("%s is to be cancelled at once", j.id)
+		sim.record("%s is to be cancelled at once", j.id)
 	}
 	cancels := j.asked
-	for i, n := range w.nodes {
-		w.asking.Go(func() {
+	for i, n := range sim.nodes {
+		sim.asking.Go(func() {
 			for round := range 3 {
-				w.send(w.t.Context(), j, n, poll)
+				sim.send(sim.t.Context(), j, n, poll)
 				if round == i%3 {
-					w.send(w.t.Context(), j, n, submission)
+					sim.send(sim.t.Context(), j, n, submission)
 				}
 				if cancels && round == 1 {
-					w.send(w.t.Context(), j, n, cancellation)
+					sim.send(sim.t.Context(), j, n, cancellation)
 				}
 			}
 		})
@@ -303,25 +303,25 @@
 
 // poll has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The world goes on
 // meanwhile; a user waits for 5 s, and for 2 s when it asks.
-func (w *simulation) poll(j *job) {
-	n := w.anyNode()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	if j.polling != nil && w.past(j.polled, 2*time.Second, time.Second) {
+func (sim *simulation) poll(j *job) {
+	n := sim.anyNode()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	now := sim.now()
+	if j.polling != nil && sim.past(j.polled, 2*time.Second, time.Second) {
 		j.polling()
 	}
-	if j.asking != nil && w.past(j.sent, 5*time.Second, time.Second) {
+	if j.asking != nil && sim.past(j.sent, 5*time.Second, time.Second) {
 		j.asking()
 	}
 	over := j.history.level == ended
 	if j.accepted && j.polling == nil && !now.Before(j.next) {
-		j.next = now.Add(w.seconds(4, 6))
+		j.next = now.Add(sim.seconds(4, 6))
 		if over {
-			j.next = now.Add(w.seconds(15, 25))
+			j.next = now.Add(sim.seconds(15, 25))
 		}
-		j.polled = w.moment()
-		w.sendAsync(j, n, poll, &j.polling)
+		j.polled = sim.moment()
+		sim.sendAsync(j, n, poll, &j.polling)
 	}
 	if j.asking != nil || now.Before(j.cancelAt) || j.accepted && (!j.asked || over) {
 		return
@@ -331,58 +331,58 @@
 		what = submission
 	}
 	j.cancelAt = now.Add(time.Second)
-	j.sent = w.moment()
-	w.sendAsync(j, n, what, &j.asking)
+	j.sent = sim.moment()
+	sim.sendAsync(j, n, what, &j.asking)
 }
 
 // sendAsync sends a request while the world goes on; giveUp ends it, and is nil again once it is over. The lock is held.
-func (w *simulation) sendAsync(j *job, n *node, what request, giveUp *context.CancelFunc) {
-	ctx, cancel := context.WithCancel(w.t.Context())
+func (sim *simulation) sendAsync(j *job, n *node, what request, giveUp *context.CancelFunc) {
+	ctx, cancel := context.WithCancel(sim.t.Context())
 	*giveUp = cancel
-	w.asking.Go(func() {
+	sim.asking.Go(func() {
 		defer cancel()
-		w.send(ctx, j, n, what)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.send(ctx, j, n, what)
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		*giveUp = nil
 	})
 }
 
 // cancel has a job's user want it cancelled from now on.
-func (w *simulation) cancel(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, j := range w.jobs {
+func (sim *simulation) cancel(id string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, j := range sim.jobs {
 		if j.id == id && !j.done {
-			j.asked, j.cancelAt = true, w.now()
-			w.record("%s is to be cancelled", id)
+			j.asked, j.cancelAt = true, sim.now()
+			sim.record("%s is to be cancelled", id)
 		}
 	}
 }
 
 // cancelServices has the users of all services want them cancelled: they hold their teams' room until then.
-func (w *simulation) cancelServices() {
-	for _, id := range w.jobIDs(func(j *job) bool { return j.kind == "service" }) {
-		w.cancel(id)
+func (sim *simulation) cancelServices() {
+	for _, id := range sim.jobIDs(func(j *job) bool { return j.kind == "service" }) {
+		sim.cancel(id)
 	}
 }
 
 // taskCompleted takes in that a task has completed on its machine. The lock is held.
-func (w *simulation) taskCompleted(j *job, task string) {
+func (sim *simulation) taskCompleted(j *job, task string) {
 	j.completed[task] = true
-	if !w.cancelAtEnd || len(j.completed) < j.tasks {
+	if !sim.cancelAtEnd || len(j.completed) < j.tasks {
 		return
 	}
-	if w.r.IntN(2) == 0 {
-		j.asked, j.cancelAt = true, w.now()
+	if sim.r.IntN(2) == 0 {
+		j.asked, j.cancelAt = true, sim.now()
 	}
-	w.pollEverywhere(j)
+	sim.pollEverywhere(j)
 }
 
 // running is how many tasks of a job are on machines. The lock is held.
-func (w *simulation) running(id string) int {
+func (sim *simulation) running(id string) int {
 	n := 0
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		for _, t := range k.rep.Tasks {
 			if !k.gone && fakes.JobOf(t.Task) == id && present(t.State) {
 				n++
@@ -397,9 +397,9 @@
 
 // onMachines gives the tasks that are on machines whose leases are not over, and those that wait for their image as well if fetching
 // is set. The lock is held.
-func (w *simulation) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
+func (sim *simulation) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
 	return func(yield func(*worker, wire.TaskStatus) bool) {
-		for _, k := range w.workers {
+		for _, k := range sim.workers {
 			if !k.holds() {
 				continue
 			}
@@ -413,10 +413,10 @@
 }
 
 // use is how many CPUs a team's tasks take. The lock is held.
-func (w *simulation) use(team string, fetching bool) float64 {
+func (sim *simulation) use(team string, fetching bool) float64 {
 	sum := 0.0
-	for _, t := range w.onMachines(fetching) {
-		if j := w.jobOf(t.Task); j.team == team {
+	for _, t := range sim.onMachines(fetching) {
+		if j := sim.jobOf(t.Task); j.team == team {
 			sum += j.cpus
 		}
 	}
@@ -424,32 +424,32 @@
 }
 
 // permanentUse is how many CPUs a team's replicas take, which do not end by themselves. The lock is held.
-func (w *simulation) permanentUse(team string) float64 {
+func (sim *simulation) permanentUse(team string) float64 {
 	sum := 0.0
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if j.team == team && j.kind == "service" && !j.asked {
-			sum += float64(w.running(j.id)) * j.cpus
+			sum += float64(sim.running(j.id)) * j.cpus
 		}
 	}
 	return sum
 }
 
 // unfinished tells of jobs that are not over. The lock is held.
-func (w *simulation) unfinished() string {
+func (sim *simulation) unfinished() string {
 	var out strings.Builder
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if j.history.level != ended {
 			fmt.Fprintf(&out, "%s: %+v, accepted %v, asked %v, %d completed, %d run, its team uses %g (%g stay) of %g\n",
-				j.id, j.spec, j.accepted, j.asked, len(j.completed), w.running(j.id), w.use(j.team, true), w.permanentUse(j.team), teamLimits[j.team])
+				j.id, j.spec, j.accepted, j.asked, len(j.completed), sim.running(j.id), sim.use(j.team, true), sim.permanentUse(j.team), teamLimits[j.team])
 		}
 	}
 	return out.String()
 }
 
 // siblings is how many other tasks of a job are in each zone. The lock is held.
-func (w *simulation) siblings(j *job, but string, fetching bool) map[string]int {
+func (sim *simulation) siblings(j *job, but string, fetching bool) map[string]int {
 	zones := map[string]int{}
-	for k, t := range w.onMachines(fetching) {
+	for k, t := range sim.onMachines(fetching) {
 		if t.Task != but && fakes.JobOf(t.Task) == j.id {
 			zones[k.rep.Zone]++
 		}
@@ -481,32 +481,32 @@
 }
 
 // taskBegan checks the rules at the start of a task. The lock is held.
-func (w *simulation) taskBegan(k *worker, t *wire.TaskStatus) {
-	w.starts++
-	w.record("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
-	for o, u := range w.onMachines(false) {
+func (sim *simulation) taskBegan(k *worker, t *wire.TaskStatus) {
+	sim.starts++
+	sim.record("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
+	for o, u := range sim.onMachines(false) {
 		if o != k && u.Task == t.Task {
-			w.violation("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
+			sim.violation("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
 		}
 	}
-	j := w.jobOf(t.Task)
+	j := sim.jobOf(t.Task)
 	if !j.confirmed.IsZero() {
-		w.violation("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
+		sim.violation("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
 	}
-	if use, most := w.use(j.team, false)+j.cpus, teamLimits[j.team]; use > most {
-		w.violation("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
+	if use, most := sim.use(j.team, false)+j.cpus, teamLimits[j.team]; use > most {
+		sim.violation("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
 	}
-	if why := j.fits(k, w.siblings(j, t.Task, false)); why != "" {
-		w.violation("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
+	if why := j.fits(k, sim.siblings(j, t.Task, false)); why != "" {
+		sim.violation("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
 	}
 }
 
 // checkCancelled looks for tasks of cancelled jobs. The lock is held.
-func (w *simulation) checkCancelled() {
-	limit := seconds(w.site.cancelS)
-	for k, t := range w.onMachines(false) {
-		if j := w.jobOf(t.Task); !j.confirmed.IsZero() && w.now().Sub(j.confirmed) > limit {
-			w.violation("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, w.now().Sub(j.confirmed))
+func (sim *simulation) checkCancelled() {
+	limit := seconds(sim.site.cancelS)
+	for k, t := range sim.onMachines(false) {
+		if j := sim.jobOf(t.Task); !j.confirmed.IsZero() && sim.now().Sub(j.confirmed) > limit {
+			sim.violation("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
 		}
 	}
 }
@@ -517,51 +517,51 @@
 )
 
 // checkServed looks, once all troubles are over, for jobs that are forgotten or left waiting. The lock is held.
-func (w *simulation) checkServed() {
-	if w.calmSince.at.IsZero() {
+func (sim *simulation) checkServed() {
+	if sim.calmSince.at.IsZero() {
 		return
 	}
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if !j.accepted || j.history.level == ended {
 			continue
 		}
 		heard := j.heard
-		if heard.at.Before(w.calmSince.at) {
-			heard = w.calmSince
+		if heard.at.Before(sim.calmSince.at) {
+			heard = sim.calmSince
 		}
-		if w.past(heard, silence, patience) {
-			w.violation("forgotten: no question about %s is answered for %v", j.id, w.now().Sub(heard.at))
+		if sim.past(heard, silence, patience) {
+			sim.violation("forgotten: no question about %s is answered for %v", j.id, sim.now().Sub(heard.at))
 		}
-		switch machine := w.roomFor(j); {
+		switch machine := sim.roomFor(j); {
 		case machine == "":
 			j.roomy = sent{}
 		case j.roomy.at.IsZero():
-			j.roomy = w.moment()
-		case w.past(j.roomy, waitMax, patience):
-			w.violation("waits: %s for %v, and %s has room", j.id, w.now().Sub(j.roomy.at), machine)
+			j.roomy = sim.moment()
+		case sim.past(j.roomy, waitMax, patience):
+			sim.violation("waits: %s for %v, and %s has room", j.id, sim.now().Sub(j.roomy.at), machine)
 		}
 	}
 }
 
 // roomFor names a machine that could take a waiting task of a job; none if no task waits, there is none, or its team is at its limit.
 // The lock is held.
-func (w *simulation) roomFor(j *job) (machine string) {
+func (sim *simulation) roomFor(j *job) (machine string) {
 	placed := len(j.completed)
-	others := w.siblings(j, "", true)
+	others := sim.siblings(j, "", true)
 	for _, n := range others {
 		placed += n
 	}
-	if j.asked || placed >= j.tasks || w.use(j.team, true)+j.cpus > teamLimits[j.team] {
+	if j.asked || placed >= j.tasks || sim.use(j.team, true)+j.cpus > teamLimits[j.team] {
 		return ""
 	}
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		if !k.holds() || k.impaired() || j.fits(k, others) != "" {
 			continue
 		}
 		free := typeCPUs[k.rep.Type]
 		for _, t := range k.rep.Tasks {
 			if t.State != wire.TaskExited {
-				free -= w.jobOf(t.Task).cpus
+				free -= sim.jobOf(t.Task).cpus
 			}
 		}
 		if free >= j.cpus {
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -57,32 +57,32 @@
 }
 
 // heldBack tells whether the leader of a term stands still, so that nothing that it sent is on its way. The lock is held.
-func (w *simulation) heldBack(term uint64) bool {
-	return slices.ContainsFunc(w.nodes, func(n *node) bool { return n.still && n.term != 0 && n.term == term })
+func (sim *simulation) heldBack(term uint64) bool {
+	return slices.ContainsFunc(sim.nodes, func(n *node) bool { return n.still && n.term != 0 && n.term == term })
 }
 
 // startWorkers makes the cloud's machines workers, and ends those that it no longer has.
-func (w *simulation) startWorkers() {
-	there := w.cloud.Machines()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) startWorkers() {
+	there := sim.cloud.Machines()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, m := range there {
-		if !slices.ContainsFunc(w.workers, func(k *worker) bool { return k.rep.Machine == m.Name }) {
-			now := w.now()
-			k := &worker{w: w, seen: now, next: now.Add(w.bootTime()), due: map[fakes.Attempt]time.Time{}, at: w.r.IntN(len(w.nodes))}
+		if !slices.ContainsFunc(sim.workers, func(k *worker) bool { return k.rep.Machine == m.Name }) {
+			now := sim.now()
+			k := &worker{w: sim, seen: now, next: now.Add(sim.bootTime()), due: map[fakes.Attempt]time.Time{}, at: sim.r.IntN(len(sim.nodes))}
 			mux := http.NewServeMux()
 			mux.HandleFunc("POST "+wire.PathCommands, k.direct)
 			mux.HandleFunc("GET "+wire.PathWorkerHeartbeat, k.show)
 			k.srv = httptest.NewServer(mux)
 			k.rep = wire.Heartbeat{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
-			w.workers = append(w.workers, k)
-			w.record("%s in %s", m.Name, m.Zone)
+			sim.workers = append(sim.workers, k)
+			sim.record("%s in %s", m.Name, m.Zone)
 		}
 	}
-	for _, k := range w.workers {
+	for _, k := range sim.workers {
 		if !k.gone && !slices.ContainsFunc(there, func(m wire.ListedMachine) bool { return m.Name == k.rep.Machine }) {
 			k.gone = true
-			w.record("%s is returned", k.rep.Machine)
+			sim.record("%s is returned", k.rep.Machine)
 			k.rep.Tasks = nil
 		}
 	}
@@ -97,9 +97,9 @@
 }
 
 // bootTime is how long a machine takes until it reports: 5 s, or up to 2 s while machines are up at once.
-func (w *simulation) bootTime() time.Duration {
-	if w.fastBoot {
-		return w.seconds(0, 2)
+func (sim *simulation) bootTime() time.Duration {
+	if sim.fastBoot {
+		return sim.seconds(0, 2)
 	}
 	return 5 * time.Second
 }
@@ -249,11 +249,11 @@
 
 // sendHeartbeats has a worker report if it is time, and give up a report that had no answer for 4 s.
 func (k *worker) sendHeartbeats() {
-	w := k.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	sim := k.w
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	k.run()
-	now := w.now()
+	now := sim.now()
 	if k.waits != nil && now.Sub(k.sent) >= 4*time.Second {
 		k.waits()
 	}
@@ -263,34 +263,34 @@
 	k.rep.Seq++
 	session := k.rep.Incarnation
 	raw, _ := json.Marshal(k.rep)
-	to := w.nodes[k.at%len(w.nodes)]
-	if w.r.IntN(100) < w.copyPercent {
-		w.copied = append(w.copied, message{at: now.Add(w.seconds(2, 2+1.5*w.site.lease)), raw: raw})
+	to := sim.nodes[k.at%len(sim.nodes)]
+	if sim.r.IntN(100) < sim.copyPercent {
+		sim.copied = append(sim.copied, message{at: now.Add(sim.seconds(2, 2+1.5*sim.site.lease)), raw: raw})
 	}
-	if w.r.IntN(100) < w.copiesForNextLeader {
-		w.heldCopies = append(w.heldCopies, raw)
+	if sim.r.IntN(100) < sim.copiesForNextLeader {
+		sim.heldCopies = append(sim.heldCopies, raw)
 	}
 	if k.only != nil && k.only != to || now.Before(k.mute) {
 		k.handleReply(0, nil, to, session)
 		return
 	}
-	ctx, cancel := context.WithCancel(w.t.Context())
+	ctx, cancel := context.WithCancel(sim.t.Context())
 	k.waits, k.sent = cancel, now
-	there, back := w.latency(), w.latency()
-	w.asking.Go(func() {
+	there, back := sim.latency(), sim.latency()
+	sim.asking.Go(func() {
 		var a answer
 		status := 0
-		if w.sleep(ctx, there) {
-			status = w.post(ctx, "http://"+to.addr+wire.PathHeartbeat, raw, &a)
+		if sim.sleep(ctx, there) {
+			status = sim.post(ctx, "http://"+to.addr+wire.PathHeartbeat, raw, &a)
 		} else {
-			w.deliver(raw, to) // it arrives, though its worker has given it up
+			sim.deliver(raw, to) // it arrives, though its worker has given it up
 		}
-		if !w.sleep(ctx, back) {
+		if !sim.sleep(ctx, back) {
 			status = 0
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if cancel(); w.now().Sub(k.sent) > 4*time.Second {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if cancel(); sim.now().Sub(k.sent) > 4*time.Second {
 			status = 0
 		}
 		k.waits = nil
@@ -299,20 +299,20 @@
 }
 
 // latency is how long a message is on its way: no time, or up to what slow links take. The lock is held.
-func (w *simulation) latency() time.Duration {
-	if w.links <= 0 || w.r.IntN(2) == 0 {
+func (sim *simulation) latency() time.Duration {
+	if sim.links <= 0 || sim.r.IntN(2) == 0 {
 		return 0
 	}
-	return w.seconds(0, w.links.Seconds())
+	return sim.seconds(0, sim.links.Seconds())
 }
 
 // sleep lets time pass on the world's clock, and tells whether it did before ctx ended.
-func (w *simulation) sleep(ctx context.Context, d time.Duration) bool {
+func (sim *simulation) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
 	select {
-	case <-w.clock.After(d):
+	case <-sim.clock.After(d):
 		return true
 	case <-ctx.Done():
 		return false
@@ -327,12 +327,12 @@
 
 // handleReply takes in the answer to the report that was sent last. The lock is held.
 func (k *worker) handleReply(status int, a *answer, by *node, session uint64) {
-	w, now := k.w, k.w.now()
+	sim, now := k.w, k.w.now()
 	k.run()
 	if k.away() || now.Before(k.deaf) {
 		status = 0 // the answer is lost
 	}
-	pause := w.seconds(0.75*w.site.report, 1.25*w.site.report)
+	pause := sim.seconds(0.75*sim.site.report, 1.25*sim.site.report)
 	switch {
 	case status == http.StatusOK:
 		if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
@@ -343,10 +343,10 @@
 			pause = 500 * time.Millisecond
 		}
 	case status == http.StatusMisdirectedRequest && a.ReportTo != "" && a.ReportTo != by.name:
-		k.at = slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == a.ReportTo })
+		k.at = slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == a.ReportTo })
 		pause = 250 * time.Millisecond
 	default:
-		k.at = (k.at + 1) % len(w.nodes)
+		k.at = (k.at + 1) % len(sim.nodes)
 		pause = time.Second
 	}
 	k.next = now.Add(pause)
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/world_test.go
@@ -226,7 +226,7 @@
 
 func newSimulation(t testing.TB, s site, seed uint64) *simulation {
 	clock := clockwork.NewFakeClock()
-	w := &simulation{
+	sim := &simulation{
 		t: t, r: rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewState(clock), startedAt: clock.Now(),
 		cloud: fakes.NewCloud(s.machines,
 			wire.MachineType{Name: "g8", CPUs: typeCPUs["g8"], MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
@@ -238,48 +238,48 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250, 1+n%250)
 	for i := range s.nodes {
 		n := &node{
-			w: w, name: fmt.Sprintf("m%d", i), bind: fmt.Sprintf("%s:%d", host, 20001+i), mesh: fmt.Sprintf("%s:%d", host, 21001+i),
-			zone: string(rune('a' + i%2)), clock: clockwork.NewFakeClockAt(clock.Now()), endpoint: w.state.Endpoint(), links: map[string]*link{},
+			w: sim, name: fmt.Sprintf("m%d", i), bind: fmt.Sprintf("%s:%d", host, 20001+i), mesh: fmt.Sprintf("%s:%d", host, 21001+i),
+			zone: string(rune('a' + i%2)), clock: clockwork.NewFakeClockAt(clock.Now()), endpoint: sim.state.Endpoint(), links: map[string]*link{},
 		}
 		way := func(to string) string {
 			g := newLink(t, to)
 			n.ways = append(n.ways, g)
 			return g.l.Addr().String()
 		}
-		n.addr, n.toState, n.toCloud = way(n.bind), way(n.endpoint.Addr()), way(w.cloud.Addr())
-		w.nodes = append(w.nodes, n)
+		n.addr, n.toState, n.toCloud = way(n.bind), way(n.endpoint.Addr()), way(sim.cloud.Addr())
+		sim.nodes = append(sim.nodes, n)
 	}
-	for _, n := range w.nodes {
-		for _, o := range w.nodes {
+	for _, n := range sim.nodes {
+		for _, o := range sim.nodes {
 			if o != n {
 				n.links[o.name] = newLink(t, o.mesh)
 			}
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		n.boot()
 	}
 	t.Cleanup(func() {
-		w.asking.Wait()
-		w.mu.Lock()
-		if w.broken != "" && !t.Failed() { // since the last step
-			t.Errorf("%s\n%s", w.broken, w.trace.String())
+		sim.asking.Wait()
+		sim.mu.Lock()
+		if sim.broken != "" && !t.Failed() { // since the last step
+			t.Errorf("%s\n%s", sim.broken, sim.trace.String())
 		}
-		w.mu.Unlock()
-		for _, n := range w.nodes {
+		sim.mu.Unlock()
+		for _, n := range sim.nodes {
 			n.end()
 		}
-		w.state.Slow(nil)
-		w.clock.Advance(time.Minute) // what still waits at the state service goes on
-		for _, k := range w.workers {
+		sim.state.Slow(nil)
+		sim.clock.Advance(time.Minute) // what still waits at the state service goes on
+		for _, k := range sim.workers {
 			k.srv.CloseClientConnections()
 			k.srv.Close()
 		}
-		w.client.CloseIdleConnections()
-		w.state.Close()
-		w.cloud.Close()
+		sim.client.CloseIdleConnections()
+		sim.state.Close()
+		sim.cloud.Close()
 	})
-	return w
+	return sim
 }
 
 // boot starts a controller, as a process with no memory of an earlier one.
@@ -352,18 +352,18 @@
 
 // stallController has the process stand still, or go on.
 func (n *node) freeze(still bool) {
-	w := n.w
-	holder, term := w.holder()
-	w.mu.Lock()
+	sim := n.w
+	holder, term := sim.holder()
+	sim.mu.Lock()
 	if n.still == still {
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		return
 	}
 	n.still, n.term = still, 0
 	if still && holder == n {
 		n.term = term
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if !still {
 		n.syncClock()
 	}
@@ -372,13 +372,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	for _, o := range w.nodes {
+	for _, o := range sim.nodes {
 		if o == n {
 			continue
 		}
-		w.mu.Lock()
+		sim.mu.Lock()
 		held := n.still || o.still
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		n.links[o.name].hold(held)
 		o.links[n.name].hold(held)
 	}
@@ -398,40 +398,40 @@
 }
 
 // holds has some workers reach one controller alone, which leads; nil: all reach all again.
-func (w *simulation) holds(n *node, workers []*worker) {
-	_, term := w.holder()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) holds(n *node, workers []*worker) {
+	_, term := sim.holder()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	for _, k := range workers {
 		k.only, k.term = n, term
 	}
 }
 
 // holder gives the controller that the leader key names, and its term.
-func (w *simulation) holder() (n *node, term uint64) {
-	member, term := w.state.Holder()
-	if i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == member }); i >= 0 {
-		n = w.nodes[i]
-	}
-	if term > w.term {
-		w.term = term
-		w.logFault("%s leads in term %d", member, term)
-		w.mu.Lock()
-		kept := w.heldCopies
-		w.heldCopies = nil
-		for i := range w.delayedCommands { // of those of the leader before, half arrive as the next one acts
-			if w.r.IntN(2) == 0 {
-				w.delayedCommands[i].at = w.now().Add(w.seconds(0, 8))
+func (sim *simulation) holder() (n *node, term uint64) {
+	member, term := sim.state.Holder()
+	if i := slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == member }); i >= 0 {
+		n = sim.nodes[i]
+	}
+	if term > sim.term {
+		sim.term = term
+		sim.logFault("%s leads in term %d", member, term)
+		sim.mu.Lock()
+		kept := sim.heldCopies
+		sim.heldCopies = nil
+		for i := range sim.delayedCommands { // of those of the leader before, half arrive as the next one acts
+			if sim.r.IntN(2) == 0 {
+				sim.delayedCommands[i].at = sim.now().Add(sim.seconds(0, 8))
 			}
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		for _, raw := range kept {
-			if w.r.IntN(2) == 0 { // one that is held back until the new leader has acted
-				w.copied = append(w.copied, message{w.now().Add(w.seconds(1, 12)), raw, true})
+			if sim.r.IntN(2) == 0 { // one that is held back until the new leader has acted
+				sim.copied = append(sim.copied, message{sim.now().Add(sim.seconds(1, 12)), raw, true})
 				continue
 			}
-			for _, n := range w.nodes {
-				w.deliver(raw, n)
+			for _, n := range sim.nodes {
+				sim.deliver(raw, n)
 			}
 		}
 	}
@@ -439,44 +439,44 @@
 }
 
 // leader gives the controller that leads, by the leader key; nil if none does, or it is down.
-func (w *simulation) leader() *node {
-	if n, _ := w.holder(); n != nil && n.stop != nil {
+func (sim *simulation) leader() *node {
+	if n, _ := sim.holder(); n != nil && n.stop != nil {
 		return n
 	}
 	return nil
 }
 
-func (w *simulation) now() time.Time { return w.clock.Now() }
+func (sim *simulation) now() time.Time { return sim.clock.Now() }
 
 // record adds to the trace. The lock is held.
-func (w *simulation) record(format string, args ...any) {
-	fmt.Fprintf(&w.trace, "%v ", w.now().Sub(w.startedAt))
-	fmt.Fprintf(&w.trace, format, args...)
-	w.trace.WriteByte('\n')
+func (sim *simulation) record(format string, args ...any) {
+	fmt.Fprintf(&sim.trace, "%v ", sim.now().Sub(sim.startedAt))
+	fmt.Fprintf(&sim.trace, format, args...)
+	sim.trace.WriteByte('\n')
 }
 
 // violation takes in that a rule is broken. The lock is held.
-func (w *simulation) violation(format string, args ...any) {
-	w.record("BROKEN "+format, args...)
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+func (sim *simulation) violation(format string, args ...any) {
+	sim.record("BROKEN "+format, args...)
+	if sim.broken == "" {
+		sim.broken = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *simulation) logFault(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.record(format, args...)
+func (sim *simulation) logFault(format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.record(format, args...)
 }
 
 // call sends a request and reads the JSON that comes back; status 0: nothing did.
-func (w *simulation) call(ctx context.Context, method, url string, raw []byte, out any) int {
+func (sim *simulation) call(ctx context.Context, method, url string, raw []byte, out any) int {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
 	if err != nil {
-		w.t.Error(err)
+		sim.t.Error(err)
 		return 0
 	}
-	resp, err := w.client.Do(req)
+	resp, err := sim.client.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -488,24 +488,24 @@
 }
 
 // anyNode gives a controller that is up, or one that is not if none is.
-func (w *simulation) anyNode() *node {
-	n := w.nodes[w.r.IntN(len(w.nodes))]
+func (sim *simulation) anyNode() *node {
+	n := sim.nodes[sim.r.IntN(len(sim.nodes))]
 	for range 10 {
 		if n.stop != nil {
 			break
 		}
-		n = w.nodes[w.r.IntN(len(w.nodes))]
+		n = sim.nodes[sim.r.IntN(len(sim.nodes))]
 	}
 	return n
 }
 
-func (w *simulation) post(ctx context.Context, url string, raw []byte, out any) int {
-	return w.call(ctx, http.MethodPost, url, raw, out)
+func (sim *simulation) post(ctx context.Context, url string, raw []byte, out any) int {
+	return sim.call(ctx, http.MethodPost, url, raw, out)
 }
 
 // seconds gives a time between two bounds.
-func (w *simulation) seconds(least, most float64) time.Duration {
-	return seconds(least + w.r.Float64()*(most-least))
+func (sim *simulation) seconds(least, most float64) time.Duration {
+	return seconds(least + sim.r.Float64()*(most-least))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -514,147 +514,147 @@
 const tick = 250 * time.Millisecond
 
 // step lets everybody do what is due, and time go on.
-func (w *simulation) step() {
-	w.startWorkers()
-	w.endFaults(false)
-	if n := w.leader(); w.rolling && n != nil && !w.now().Before(w.turn) {
-		w.restart(n, 0.2, 2)
-		w.turn = w.now().Add(w.seconds(3, 12))
-	}
-	for _, n := range w.nodes {
-		if n.stop == nil && !w.now().Before(n.back) {
-			w.logFault("%s is back", n.name)
+func (sim *simulation) step() {
+	sim.startWorkers()
+	sim.endFaults(false)
+	if n := sim.leader(); sim.rolling && n != nil && !sim.now().Before(sim.turn) {
+		sim.restart(n, 0.2, 2)
+		sim.turn = sim.now().Add(sim.seconds(3, 12))
+	}
+	for _, n := range sim.nodes {
+		if n.stop == nil && !sim.now().Before(n.back) {
+			sim.logFault("%s is back", n.name)
 			n.boot()
 		}
 	}
-	w.mu.Lock()
-	workers, jobs := slices.Clone(w.workers), slices.Clone(w.jobs)
+	sim.mu.Lock()
+	workers, jobs := slices.Clone(sim.workers), slices.Clone(sim.jobs)
 	var due []message
-	w.delayedCommands = slices.DeleteFunc(w.delayedCommands, func(l lateCommands) bool {
-		if w.now().Before(l.at) {
+	sim.delayedCommands = slices.DeleteFunc(sim.delayedCommands, func(l lateCommands) bool {
+		if sim.now().Before(l.at) {
 			return false
 		}
 		l.to.delay(l.commands)
 		return true
 	})
-	w.copied = slices.DeleteFunc(w.copied, func(l message) bool {
-		if w.now().Before(l.at) {
+	sim.copied = slices.DeleteFunc(sim.copied, func(l message) bool {
+		if sim.now().Before(l.at) {
 			return false
 		}
 		due = append(due, l)
 		return true
 	})
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	for _, l := range due {
 		if !l.all {
-			w.deliver(l.raw, w.anyNode())
+			sim.deliver(l.raw, sim.anyNode())
 			continue
 		}
-		for _, n := range w.nodes {
-			w.deliver(l.raw, n)
+		for _, n := range sim.nodes {
+			sim.deliver(l.raw, n)
 		}
 	}
 	for _, k := range workers {
 		k.sendHeartbeats()
 	}
 	for _, j := range jobs {
-		w.poll(j)
+		sim.poll(j)
 	}
-	w.check()
-	w.clock.Advance(tick)
-	w.state.Expire()
+	sim.check()
+	sim.clock.Advance(tick)
+	sim.state.Expire()
 	// What was due gets a moment of the machine: a call and its answer from each.
-	for _, n := range w.nodes {
-		w.mu.Lock()
+	for _, n := range sim.nodes {
+		sim.mu.Lock()
 		still := n.still
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if !still {
 			n.syncClock()
 		}
 		if n.stop == nil || still {
 			continue
 		}
-		if resp, err := w.client.Get("http://" + n.addr + wire.PathHealth); err == nil {
+		if resp, err := sim.client.Get("http://" + n.addr + wire.PathHealth); err == nil {
 			resp.Body.Close()
 		}
 	}
 }
 
 // deliver has a copy of a report arrive; its answer reaches nobody.
-func (w *simulation) deliver(raw []byte, n *node) {
-	w.asking.Go(func() {
+func (sim *simulation) deliver(raw []byte, n *node) {
+	sim.asking.Go(func() {
 		var out map[string]any
-		w.post(w.t.Context(), "http://"+n.addr+wire.PathHeartbeat, raw, &out)
+		sim.post(sim.t.Context(), "http://"+n.addr+wire.PathHeartbeat, raw, &out)
 	})
 }
 
 // check looks for broken rules.
-func (w *simulation) check() {
-	w.mu.Lock()
-	w.checkCancelled()
-	w.checkServed()
-	broken, trace := w.broken, w.trace.String()
-	w.mu.Unlock()
+func (sim *simulation) check() {
+	sim.mu.Lock()
+	sim.checkCancelled()
+	sim.checkServed()
+	broken, trace := sim.broken, sim.trace.String()
+	sim.mu.Unlock()
 	if broken != "" {
-		w.t.Fatalf("%s\n%s", broken, trace)
+		sim.t.Fatalf("%s\n%s", broken, trace)
 	}
 }
 
 // settle ends all troubles.
-func (w *simulation) settle() {
-	w.endFaults(true)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calmSince = w.moment()
-	for _, n := range w.nodes {
-		if n.stop == nil && n.back.After(w.calmSince.at) {
-			w.calmSince.at = n.back
+func (sim *simulation) settle() {
+	sim.endFaults(true)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.calmSince = sim.moment()
+	for _, n := range sim.nodes {
+		if n.stop == nil && n.back.After(sim.calmSince.at) {
+			sim.calmSince.at = n.back
 		}
 	}
-	for _, k := range w.workers { // what is wrong with machines ends by itself
+	for _, k := range sim.workers { // what is wrong with machines ends by itself
 		for _, until := range []time.Time{k.hangs, k.deaf, k.lost, k.mute} {
-			if until.After(w.calmSince.at) {
-				w.calmSince.at = until
+			if until.After(sim.calmSince.at) {
+				sim.calmSince.at = until
 			}
 		}
 	}
-	w.record("all is over from %v on", w.calmSince.at.Sub(w.startedAt))
+	sim.record("all is over from %v on", sim.calmSince.at.Sub(sim.startedAt))
 }
 
 // advance lets time pass.
-func (w *simulation) advance(d time.Duration) {
+func (sim *simulation) advance(d time.Duration) {
 	for ; d > 0; d -= tick {
-		w.step()
+		sim.step()
 	}
 }
 
 // waitFor lets time pass until a condition holds, for a time at the most.
-func (w *simulation) waitFor(what string, most time.Duration, holds func() bool) time.Duration {
-	w.t.Helper()
-	begun := w.now()
+func (sim *simulation) waitFor(what string, most time.Duration, holds func() bool) time.Duration {
+	sim.t.Helper()
+	begun := sim.now()
 	started := time.Now()
 	for !holds() {
 		// Both bounds: what it takes by the clock, and that a starved machine had time to do it.
-		if w.now().Sub(begun) > most && time.Since(started) > patience {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.t.Fatalf("never happened: %s\n%s%s", what, w.trace.String(), w.unfinished())
+		if sim.now().Sub(begun) > most && time.Since(started) > patience {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
+			sim.t.Fatalf("never happened: %s\n%s%s", what, sim.trace.String(), sim.unfinished())
 		}
-		w.step()
+		sim.step()
 	}
-	return w.now().Sub(begun)
+	return sim.now().Sub(begun)
 }
 
 // locked tells whether something holds, under the lock.
-func (w *simulation) locked(fn func() bool) func() bool {
+func (sim *simulation) locked(fn func() bool) func() bool {
 	return func() bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
 		return fn()
 	}
 }
 
 // all tells whether something holds of all jobs.
-func (w *simulation) all(fn func(*job) bool) func() bool {
-	return w.locked(func() bool { return !slices.ContainsFunc(w.jobs, func(j *job) bool { return !fn(j) }) })
+func (sim *simulation) all(fn func(*job) bool) func() bool {
+	return sim.locked(func() bool { return !slices.ContainsFunc(sim.jobs, func(j *job) bool { return !fn(j) }) })
 }
