--- a/internal/sim/faults/troubles_test.go
+++ b/internal/sim/faults/injection_test.go
@@ -10,19 +10,19 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// fault is the end of a trouble.
+// fault is the end of a fault.
 type fault struct {
 	at time.Time
 	fn func()
 }
 
-// during begins a trouble and has it end after a time.
+// during begins a fault and has it end after a time.
 func (sim *simulation) during(d time.Duration, begin, end func()) {
 	begin()
 	sim.faults = append(sim.faults, fault{sim.now().Add(d), end})
 }
 
-// endFaults ends the troubles that are due, or all.
+// endFaults ends the faults that are due, or all.
 func (sim *simulation) endFaults(all bool) {
 	sim.faults = slices.DeleteFunc(sim.faults, func(e fault) bool {
 		if !all && sim.now().Before(e.at) {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// random names the troubles that histories choose from, each as often as it stands here.
+// random names the faults that histories choose from, each as often as it stands here.
 var random = []struct {
 	name  string
 	begin func(sim *simulation, n *node) // n: mostly the leader
@@ -61,7 +61,7 @@
 	{"all away", stopAllControllers}, {"leaders in a row", rollLeaders}, {"slow", slowStore}, {"cloud", cloudFaults}, {"links", slowLinks}, {"links", slowLinks}, {"zone", cutSomeZone},
 }
 
-// injectFault begins one of the troubles, mostly one that concerns the leader.
+// injectFault begins one of the faults, mostly one that concerns the leader.
 func (sim *simulation) injectFault() {
 	n := sim.leader()
 	if n == nil || sim.r.IntN(4) == 0 {
--- a/internal/sim/faults/meetings_test.go
+++ b/internal/sim/faults/random_test.go
@@ -15,62 +15,13 @@
 	"lease 26, three": {nodes: 3, lease: 26.5, cancelS: 51.5, report: 5, imageS: 8, machines: 14},
 }
 
-// Guards against the meeting that broke most: the state service refuses the leader alone, another controller confirms
-// cancellations, then the service is down for all for longer than cancel_s while the workers keep reporting to the old leader. Twice in a row.
-func TestLeaderRefusedThenStoreOutage(t *testing.T) {
-	for name, s := range sites {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			sim := newSimulation(t, s, 1+*shift)
-			sim.waitFor("a leader", time.Minute, func() bool { return sim.leader() != nil })
-			submits := func(numbers ...int) {
-				for _, i := range numbers {
-					sim.submit(fmt.Sprintf("job-%d", i), spec{kind: []string{"array", "service"}[i%2], tasks: []int{6, 3, 300, 1}[i], stub: float64(40 * (i / 2)), apart: i == 1})
-				}
-			}
-			// Those that stay come first: if the leader hears of the 300 tasks before them, all machines may be rented in one zone, and
-			// replicas that must be apart wait until the array is done, as they should.
-			submits(1, 3)
-			sim.waitFor("every replica runs", 5*time.Minute, sim.locked(func() bool { return sim.running("job-1")+sim.running("job-3") > 3 }))
-			submits(0, 2)
-			sim.waitFor("tasks of both arrays run", 5*time.Minute, sim.locked(func() bool { return sim.running("job-0") > 0 && sim.running("job-2") >= 12 }))
-			for round, now := range []float64{1.2, 1.5} {
-				old := sim.leader()
-				if old == nil {
-					sim.waitFor("a leader again", time.Minute, func() bool { old = sim.leader(); return old != nil })
-				}
-				sim.logFault("%s of zone %s is refused", old.name, old.zone)
-				sim.holds(old, sim.workers[:len(sim.workers)/2])
-				old.endpoint.Refuse(true)
-				old.isolate(round == 1) // from the other controllers as well: it keeps its zone's workers by itself
-				sim.waitFor("another leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != old })
-				for i := range 2 {
-					sim.cancel(fmt.Sprintf("job-%d", 2*round+i))
-				}
-				sim.advance(time.Duration(6+sim.r.IntN(6)) * time.Second) // as long as a refusal of the leader alone may last
-				sim.logFault("the state service is down")
-				sim.state.Refuse(true)
-				sim.advance(seconds(now * s.cancelS))
-				sim.logFault("it is back")
-				sim.state.Refuse(false)
-				old.endpoint.Refuse(false)
-				old.isolate(false)
-				sim.holds(nil, sim.workers)
-				took := sim.waitFor("cancellations are confirmed", 2*time.Minute, sim.all(func(j *job) bool { return !j.asked || !j.confirmed.IsZero() || j.done }))
-				t.Logf("round %d: confirmed %v after the trouble", round, took)
-			}
-			sim.advance(seconds(s.cancelS + s.lease))
-		})
-	}
-}
-
 var (
 	histories    = flag.Int("meetings", 2, "how many random histories of meetings are played for each site")
 	shift        = flag.Uint64("shift", 0, "what is added to the seeds of the meetings that are set")
 	firstHistory = flag.Int("meeting", 100, "the seed of the first")
 )
 
-// Guards against troubles that meet: whatever comes together, no rule breaks; and once all is over every job that was not cancelled
+// Guards against faults that meet: whatever comes together, no rule breaks; and once all is over every job that was not cancelled
 // runs, and every cancellation is confirmed, in time.
 func TestRandomFaults(t *testing.T) {
 	for name, s := range sites {
@@ -124,7 +75,7 @@
 	return s
 }
 
-// endFaultsAndCheck ends all troubles and lets the world come to rest: every cancellation is confirmed, every other job runs or is done.
+// endFaultsAndCheck ends all faults and lets the simulation come to rest: every cancellation is confirmed, every other job runs or is done.
 func (sim *simulation) endFaultsAndCheck() {
 	sim.t.Helper()
 	sim.settle()
--- a/internal/sim/faults/world_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -1,5 +1,5 @@
-// Package faults_test is a whole service on one machine in which troubles meet: controllers, workers, users, the state service and the
-// cloud, and the ways between them, on a clock that its tests hold.
+// Package faults_test simulates a whole service in one process and injects faults into it: controllers, workers, users, the state
+// store, the cloud, and the network between them, on a clock that the tests control. The rules are checked from outside.
 package faults_test
 
 import (
@@ -7,11 +7,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
-	"maps"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"slices"
@@ -23,8 +19,6 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/controller"
-	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 )
@@ -45,7 +39,7 @@
 	startedAt time.Time
 	term      uint64         // the last that was seen to lead
 	asking    sync.WaitGroup // requests on their way
-	faults    []fault        // troubles, and when they are over
+	faults    []fault        // faults, and when they are over
 
 	rolling bool      // each leader ends soon
 	turn    time.Time // when the next one does
@@ -67,7 +61,7 @@
 	polling             bool          // users ask at all controllers after each answer that tells something new
 	links               time.Duration // how long reports, answers and direct commands are on their way at the most
 	cancelAtEnd         bool          // users cancel, ask and submit again as the last task of a job completes
-	calmSince           sent          // since when all troubles are over
+	calmSince           sent          // since when all faults are over
 }
 
 // lockedSource is a source of chance for several goroutines.
@@ -90,129 +84,7 @@
 	machines       int
 }
 
-type node struct {
-	w        *simulation
-	name     string
-	addr     string // where users and workers reach it
-	bind     string // where it listens for them
-	mesh     string
-	zone     string
-	clock    *clockwork.FakeClock // its own: it goes with the world's unless the process stands still
-	endpoint *fakes.Endpoint
-	links    map[string]*link // ways to the others, by their names
-	ways     []*link          // its ways from users and workers, and to the state service and the cloud
-	toState  string           // the addresses of the last two
-	toCloud  string
-	c        *controller.Controller
-	stop     func() // nil: it is down
-	back     time.Time
-
-	// While it stands still nothing comes in or goes out, and its clock is as it was; then its clock jumps, and all that was held
-	// up goes on. So what it had looked at before, it uses after. Guarded by the world's lock.
-	still bool
-	term  uint64 // the last that it led, if it stood still as a leader
-}
-
-// link is the way from one process to another.
-type link struct {
-	l    net.Listener
-	mu   sync.Mutex
-	shut bool
-	held bool
-	wake chan struct{} // closed when held or shut changes
-	open []net.Conn
-}
-
-func newLink(t testing.TB, to string) *link {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	g := &link{l: l, wake: make(chan struct{})}
-	go func() {
-		for {
-			in, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go g.pass(in, to)
-		}
-	}()
-	t.Cleanup(func() { l.Close(); g.set(true) })
-	return g
-}
-
-func (g *link) pass(in net.Conn, to string) {
-	defer in.Close()
-	out, err := net.Dial("tcp", to)
-	if err != nil {
-		return
-	}
-	defer out.Close()
-	g.mu.Lock()
-	shut := g.shut
-	g.open = append(g.open, in, out)
-	g.mu.Unlock()
-	if shut {
-		return
-	}
-	go func() { g.copy(out, in); out.Close() }()
-	g.copy(in, out)
-}
-
-// copy passes on what comes, as the link lets it.
-func (g *link) copy(to io.Writer, from io.Reader) {
-	buf := make([]byte, 16<<10)
-	for {
-		n, err := from.Read(buf)
-		for {
-			g.mu.Lock()
-			held, wake := g.held && !g.shut, g.wake
-			g.mu.Unlock()
-			if !held {
-				break
-			}
-			<-wake
-		}
-		if n > 0 {
-			if _, err := to.Write(buf[:n]); err != nil {
-				return
-			}
-		}
-		if err != nil {
-			return
-		}
-	}
-}
-
-// hold keeps what passes on its way, or ends that.
-func (g *link) hold(held bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.held = held
-	g.changed()
-}
-
-// changed wakes what waits on the link. The lock is held.
-func (g *link) changed() {
-	close(g.wake)
-	g.wake = make(chan struct{})
-}
-
-// set shuts the link, which ends what passes, or opens it.
-func (g *link) set(shut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.changed()
-	if g.shut = shut; shut {
-		for _, c := range g.open {
-			c.Close()
-		}
-		g.open = nil
-	}
-}
-
-// patience is how long a condition may take by the machine's clock beyond its bound by the world's: what a starved machine needs.
+// patience is how long a condition may take by the machine's clock beyond its bound by the simulation's: what a starved machine needs.
 const patience = 20 * time.Second
 
 // worlds is how many there were.
@@ -233,7 +105,7 @@
 			wire.MachineType{Name: "m4", CPUs: typeCPUs["m4"], MemoryGB: 32, Price: 0.6, SpotPrice: 0.25, BootS: 5, Zones: []string{"b"}}),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
 	}
-	// An address of its own for each world, and ports that no connection is given: they are free when a controller is back.
+	// An address of its own for each simulation, and ports that no connection is given: they are free when a controller is back.
 	n := int(worlds.Add(1))
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250, 1+n%250)
 	for i := range s.nodes {
@@ -282,121 +154,6 @@
 	return sim
 }
 
-// boot starts a controller, as a process with no memory of an earlier one.
-func (n *node) boot() {
-	s := &config.Settings{
-		Member: n.name, Zone: n.zone, Bind: n.bind, MeshAddr: n.mesh, Outside: config.Outside{Cloud: n.toCloud, State: n.toState},
-		Cluster: config.Cluster{
-			Zones:   []string{"a", "b"},
-			Workers: config.Workers{HeartbeatS: n.w.site.report, LeaseS: n.w.site.lease, CancelS: n.w.site.cancelS},
-			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}, Cloud: config.Cloud{RPS: 1e6},
-		},
-	}
-	for _, o := range n.w.nodes {
-		if o != n {
-			s.Members = append(s.Members, config.Member{Name: o.name, Zone: o.zone, Endpoint: n.links[o.name].l.Addr().String()})
-		}
-	}
-	for _, name := range slices.Sorted(maps.Keys(teamLimits)) {
-		s.Cluster.Teams = append(s.Cluster.Teams, config.Team{Name: name, CPUs: teamLimits[name] / 2, CPUsMax: teamLimits[name]})
-	}
-	own, err := config.LoadProperties("")
-	if err != nil {
-		n.w.t.Fatal(err)
-	}
-	if n.c, err = controller.New(s, config.Watch("", nil, own), n.clock, slog.New(&errorLog{w: n.w, name: n.name})); err != nil {
-		n.w.t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- n.c.Run(ctx) }()
-	n.stop = func() {
-		stop()
-		if err := <-done; err != nil {
-			n.w.t.Errorf("controller %s ended: %v", n.name, err)
-		}
-	}
-}
-
-// errorLog is a controller's log, of which errors count: whatever is in doubt, late or lost, a leader whose records nobody else
-// wrote must never find them changed and give up.
-type errorLog struct {
-	slog.Handler
-	w    *simulation
-	name string
-}
-
-func (l *errorLog) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelError }
-
-func (l *errorLog) WithAttrs([]slog.Attr) slog.Handler { return l }
-
-func (l *errorLog) WithGroup(string) slog.Handler { return l }
-
-func (l *errorLog) Handle(_ context.Context, r slog.Record) error {
-	text := r.Message
-	r.Attrs(func(a slog.Attr) bool { text += fmt.Sprintf(" %s=%v", a.Key, a.Value); return true })
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	l.w.violation("error: %s logs %s", l.name, text)
-	return nil
-}
-
-// end kills it.
-func (n *node) end() {
-	n.freeze(false)
-	if n.stop != nil {
-		n.stop()
-		n.stop = nil
-	}
-}
-
-// stallController has the process stand still, or go on.
-func (n *node) freeze(still bool) {
-	sim := n.w
-	holder, term := sim.holder()
-	sim.mu.Lock()
-	if n.still == still {
-		sim.mu.Unlock()
-		return
-	}
-	n.still, n.term = still, 0
-	if still && holder == n {
-		n.term = term
-	}
-	sim.mu.Unlock()
-	if !still {
-		n.syncClock()
-	}
-	for i, g := range n.ways {
-		if g.hold(still); i == 0 && !still { // what users asked meanwhile is there before any answer of the state service
-			time.Sleep(20 * time.Millisecond)
-		}
-	}
-	for _, o := range sim.nodes {
-		if o == n {
-			continue
-		}
-		sim.mu.Lock()
-		held := n.still || o.still
-		sim.mu.Unlock()
-		n.links[o.name].hold(held)
-		o.links[n.name].hold(held)
-	}
-}
-
-// syncClock has its clock show what the world's does.
-func (n *node) syncClock() { n.clock.Advance(n.w.now().Sub(n.clock.Now())) }
-
-// isolate cuts it from the others, or ends that.
-func (n *node) isolate(cut bool) {
-	for _, o := range n.w.nodes {
-		if o != n {
-			n.links[o.name].set(cut)
-			o.links[n.name].set(cut)
-		}
-	}
-}
-
 // holds has some workers reach one controller alone, which leads; nil: all reach all again.
 func (sim *simulation) holds(n *node, workers []*worker) {
 	_, term := sim.holder()
@@ -600,7 +357,7 @@
 	}
 }
 
-// settle ends all troubles.
+// settle ends all faults.
 func (sim *simulation) settle() {
 	sim.endFaults(true)
 	sim.mu.Lock()
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -54,8 +54,8 @@
 	roomy     sent // since when it waits though there is room; zero: it does not
 }
 
-// sent is a moment by the world's clock and by the machine's: a bound holds only once both are past it, since a starved machine
-// may let the world's go on alone.
+// sent is a moment by the simulation's clock and by the machine's: a bound holds only once both are past it, since a starved machine
+// may let the simulation's go on alone.
 type sent struct{ at, real time.Time }
 
 func (sim *simulation) moment() sent { return sent{sim.now(), time.Now()} }
@@ -301,7 +301,7 @@
 	}
 }
 
-// poll has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The world goes on
+// poll has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The simulation goes on
 // meanwhile; a user waits for 5 s, and for 2 s when it asks.
 func (sim *simulation) poll(j *job) {
 	n := sim.anyNode()
@@ -335,7 +335,7 @@
 	sim.sendAsync(j, n, what, &j.asking)
 }
 
-// sendAsync sends a request while the world goes on; giveUp ends it, and is nil again once it is over. The lock is held.
+// sendAsync sends a request while the simulation goes on; giveUp ends it, and is nil again once it is over. The lock is held.
 func (sim *simulation) sendAsync(j *job, n *node, what request, giveUp *context.CancelFunc) {
 	ctx, cancel := context.WithCancel(sim.t.Context())
 	*giveUp = cancel
@@ -516,7 +516,7 @@
 	waitMax = 90 * time.Second // a job that waits for so long beside room breaks a rule
 )
 
-// checkServed looks, once all troubles are over, for jobs that are forgotten or left waiting. The lock is held.
+// checkServed looks, once all faults are over, for jobs that are forgotten or left waiting. The lock is held.
 func (sim *simulation) checkServed() {
 	if sim.calmSince.at.IsZero() {
 		return
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -306,7 +306,7 @@
 	return sim.seconds(0, sim.links.Seconds())
 }
 
-// sleep lets time pass on the world's clock, and tells whether it did before ctx ended.
+// sleep lets time pass on the simulation's clock, and tells whether it did before ctx ended.
 func (sim *simulation) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
