--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -14,37 +14,47 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// consolidate empties machines whose work fits on others that are kept anyway,
+// replicaMoves is what the loop keeps for moving replicas off machines that are drained.
+type replicaMoves struct {
+	next    time.Time
+	budgetS float64 // seconds for which replicas may still be down for moves
+}
+
+// grow adds to the budget what so many replicas earn between two rounds of moves: the time for which all moves together
+// may keep replicas down is a share of the time that all replicas run.
+func (r *replicaMoves) grow(replicas int) {
+	grows := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
+	r.budgetS = min(r.budgetS+grows, max(grows, tuning.MoveDowntimeBudgetMax.Seconds()))
+}
+
+// consolidate drains machines whose tasks fit on others that are kept anyway,
 // so that they can be returned: a single replica would keep one rented for as
 // long as it lives. Tasks of arrays end by themselves; replicas are moved a few
 // at a time.
 func (l *Loop) consolidate(now time.Time) {
-	if now.Before(l.fleet.nextMove) {
+	if now.Before(l.moves.next) {
 		return
 	}
-	l.fleet.nextMove = now.Add(tuning.ConsolidateEvery)
+	l.moves.next = now.Add(tuning.ConsolidateEvery)
 	draining := l.drainingMachines()
 	short := l.jobsShortOfRoom(now)
 	l.undrainForWaitingJobs(short, draining, now)
-	// What is free on the others, less the room for what is expected.
+
 	open := l.openMachines(now)
 	expected := l.expectedJobs(now)
-	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected))
-	used := slices.DeleteFunc(open, func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 })
-	trial := placement.NewDryRun(used)
-	for _, m := range draining {
-		if m.Draining && (!m.Alive() || !trial.TryPlace(now, tasksAsPending(m, now), nil)) {
-			m.Draining = false // its room is wanted after all
-		}
-	}
-	kept := !slices.ContainsFunc(expected, func(it *placement.PendingJob) bool { return it.Waiting > 0 })
-	// In a cut the rest of the fleet stands in for the zone that is out of reach.
-	if len(short) == 0 && kept && len(l.partitionedZones(now)) == 0 {
-		l.drainSurplus(trial, used, now)
+	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected)) // takes the room that is kept for them
+	used := l.onlyInUse(open)
+	dryRun := placement.NewDryRun(used)
+	undrainWhatFitsNowhere(dryRun, draining, now)
+	roomForExpected := !slices.ContainsFunc(expected, func(p *placement.PendingJob) bool { return p.Waiting > 0 })
+	// In a partition the rest of the fleet stands in for the zone that is unreachable.
+	if len(short) == 0 && roomForExpected && len(l.partitionedZones(now)) == 0 {
+		l.drainSurplus(dryRun, used, now)
 	}
 	l.moveReplicas(l.drainingMachines(), now)
 }
 
+// drainingMachines are the machines that are being emptied, by name.
 func (l *Loop) drainingMachines() []*machines.Machine {
 	var out []*machines.Machine
 	for _, m := range l.machines.Machines {
@@ -56,17 +66,22 @@
 	return out
 }
 
-// jobsShortOfRoom are the jobs that wait for room. Those at their team's limit
+// onlyInUse gives those of some machines that have tasks; it changes its argument.
+func (l *Loop) onlyInUse(open []*placement.Machine) []*placement.Machine {
+	return slices.DeleteFunc(open, func(v *placement.Machine) bool { return !l.inUse(v) })
+}
+
+// jobsShortOfRoom are the jobs that wait for room. Those at their team's quota
 // wait for their team's own tasks: more machines would not help them.
 func (l *Loop) jobsShortOfRoom(now time.Time) []*placement.PendingJob {
-	items, _ := l.pendingJobs(now)
+	pending, _ := l.pendingJobs(now)
 	teams := l.teams()
-	return slices.DeleteFunc(items, func(it *placement.PendingJob) bool {
-		return it.OnProbation || placement.TasksWithinQuota(it, teams) == 0
+	return slices.DeleteFunc(pending, func(p *placement.PendingJob) bool {
+		return p.OnProbation || placement.TasksWithinQuota(p, teams) == 0
 	})
 }
 
-// undrainForWaitingJobs ends the emptying of machines that have room for what waits.
+// undrainForWaitingJobs ends the draining of machines that have room for jobs that wait.
 func (l *Loop) undrainForWaitingJobs(short []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
 	var views []*placement.Machine
 	for _, m := range draining {
@@ -82,21 +97,31 @@
 	}
 }
 
-// drainSurplus finds machines whose work fits on the others in use, those
+// undrainWhatFitsNowhere ends the draining of machines that died, or whose tasks fit on no others any more.
+func undrainWhatFitsNowhere(dryRun *placement.DryRun, draining []*machines.Machine, now time.Time) {
+	for _, m := range draining {
+		if m.Draining && (!m.Alive() || !dryRun.TryPlace(now, tasksAsPending(m, now), nil)) {
+			m.Draining = false
+		}
+	}
+}
+
+// drainSurplus finds machines whose tasks fit on the others in use, those
 // first that save the most money for each task that has to go, and takes them
 // out of placement.
-func (l *Loop) drainSurplus(trial *placement.DryRun, used []*placement.Machine, now time.Time) {
-	gain := func(v *placement.Machine) float64 {
+func (l *Loop) drainSurplus(dryRun *placement.DryRun, used []*placement.Machine, now time.Time) {
+	savedPerTask := func(v *placement.Machine) float64 {
 		return l.pricePerHour(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
 	}
 	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
-		return cmp.Or(cmp.Compare(gain(b), gain(a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(savedPerTask(b), savedPerTask(a)), cmp.Compare(a.Name, b.Name))
 	})
-	for _, v := range order[:min(len(order), max(tuning.ConsolidateCandidates, len(order)/tuning.ConsolidateCandidateShare))] {
+	candidates := order[:min(len(order), max(tuning.ConsolidateCandidates, len(order)/tuning.ConsolidateCandidateShare))]
+	for _, v := range candidates {
 		m := l.machines.Machines[v.Name]
-		if trial.TryPlace(now, tasksAsPending(m, now), v) {
+		if dryRun.TryPlace(now, tasksAsPending(m, now), v) {
 			m.Draining = true
-			l.log.Info("emptying machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
+			l.log.Info("draining machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
 		}
 	}
 }
@@ -112,69 +137,78 @@
 // tasksAsPending are the tasks on a machine as if they waited to be placed.
 func tasksAsPending(m *machines.Machine, now time.Time) []*placement.PendingJob {
 	byJob := map[*jobs.Job]*placement.PendingJob{}
-	var items []*placement.PendingJob
-	for _, p := range m.Allocations {
-		it := byJob[p.Job]
-		if it == nil {
-			it = &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Zones: zoneCounts(p.Job)}
-			byJob[p.Job] = it
-			items = append(items, it)
+	var pending []*placement.PendingJob
+	for _, a := range m.Allocations {
+		p := byJob[a.Job]
+		if p == nil {
+			p = &placement.PendingJob{Job: &a.Job.Job, WaitingSince: now, Zones: zoneCounts(a.Job)}
+			byJob[a.Job] = p
+			pending = append(pending, p)
 		}
-		it.Waiting++
-		if it.Zones != nil {
-			it.Zones[p.Zone]--
+		p.Waiting++
+		if p.Zones != nil {
+			p.Zones[a.Zone]--
 		}
 	}
-	return items
+	return pending
 }
 
-// moveReplicas stops replicas of machines that are being emptied; the next pass places
-// them anew. The time for which all moves together may keep replicas down is a
-// share of the time that all replicas run. A start that is stopped within 30 s
-// does not count, so fresh ones stay for now.
+// moveReplicas stops replicas of machines that are drained, as far as the budget goes; the next scheduling cycle places
+// them anew.
 func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
-	replicas := 0
-	for _, j := range l.jobs.Jobs {
-		if j.Kind == wire.KindService {
-			replicas += j.Allocated
-		}
-	}
-	grows := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
-	l.fleet.moveBudget = min(l.fleet.moveBudget+grows, max(grows, tuning.MoveDowntimeBudgetMax.Seconds()))
-	var moved []*jobs.Allocation
+	replicas := l.runningReplicas()
+	l.moves.grow(replicas)
 	most := max(tuning.MovesInFlight, replicas/tuning.MovesInFlightShare)
-	var trial *placement.DryRun // of the machines in use; most of the time nothing is to be moved
+	var moved []*jobs.Allocation
+	var dryRun *placement.DryRun // of the machines in use; most of the time nothing is to be moved
 	for _, m := range draining {
 		if !m.Draining || len(moved) >= most {
 			continue
 		}
-		for _, p := range m.Allocations {
-			if p.Job.Kind != wire.KindService || p.Stop != nil || p.State != wire.TaskRunning || now.Sub(p.RunningSince) < tuning.PreemptMinRun {
+		for _, a := range m.Allocations {
+			if !movable(a, now) {
 				continue
 			}
-			if trial == nil {
-				trial = placement.NewDryRun(slices.DeleteFunc(l.openMachines(now), func(v *placement.Machine) bool { return len(l.machines.Machines[v.Name].Allocations) == 0 }))
+			if dryRun == nil {
+				dryRun = placement.NewDryRun(l.onlyInUse(l.openMachines(now)))
 			}
-			down, ok := moveFetchTime(p, trial, now)
-			if down += tuning.MoveDowntime.Seconds(); !ok || down > l.fleet.moveBudget || len(moved) >= most {
+			downS, ok := moveDowntimeS(a, dryRun, now)
+			if !ok || downS > l.moves.budgetS || len(moved) >= most {
 				continue
 			}
-			l.fleet.moveBudget -= down
-			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
-			moved = append(moved, p)
+			l.moves.budgetS -= downS
+			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
+			moved = append(moved, a)
 		}
 	}
 	l.sendCommands(moved)
 }
 
-// moveFetchTime is how long a replica would fetch its image on the machine to which
-// it would move, in seconds; ok is false when no machine in use has room for it.
-func moveFetchTime(p *jobs.Allocation, trial *placement.DryRun, now time.Time) (fetch float64, ok bool) {
-	it := &placement.PendingJob{Job: &p.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(p.Job.AllocationsByZone()), LatencySensitive: true}
-	it.Zones[p.Zone]--
-	m := trial.BestMachine(it)
+// runningReplicas counts the replicas of all services that have a machine.
+func (l *Loop) runningReplicas() int {
+	n := 0
+	for _, j := range l.jobs.Jobs {
+		if j.Kind == wire.KindService {
+			n += j.Allocated
+		}
+	}
+	return n
+}
+
+// movable reports whether an allocation is a replica that may be moved. A start that is stopped within 30 s
+// does not count, so fresh ones stay for now.
+func movable(a *jobs.Allocation, now time.Time) bool {
+	return a.Job.Kind == wire.KindService && a.Stop == nil && a.State == wire.TaskRunning && now.Sub(a.RunningSince) >= tuning.PreemptMinRun
+}
+
+// moveDowntimeS is for how long a replica would be down for a move, in seconds: with the time in which the machine to which
+// it would move fetches its image. ok is false when no machine in use has room for it.
+func moveDowntimeS(a *jobs.Allocation, dryRun *placement.DryRun, now time.Time) (downS float64, ok bool) {
+	p := &placement.PendingJob{Job: &a.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(a.Job.AllocationsByZone()), LatencySensitive: true}
+	p.Zones[a.Zone]--
+	m := dryRun.BestMachine(p)
 	if m == nil {
 		return 0, false
 	}
-	return m.FetchS(p.Job.Image, p.Job.ImageGB), true
+	return m.FetchS(a.Job.Image, a.Job.ImageGB) + tuning.MoveDowntime.Seconds(), true
 }
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -41,7 +41,7 @@
 		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
 	}, election.Leadership{Term: 1})
 	l.ended = t.Context()
-	l.loaded = true
+	l.loading.done = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
 		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
 			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
@@ -86,7 +86,7 @@
 		t.Error("a fresh replica is moved: its start would not count")
 	}
 	p.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
-	l.fleet.nextMove = clock.Now()
+	l.moves.next = clock.Now()
 	if l.consolidate(clock.Now()); p.Stop == nil {
 		t.Error("the replica is not moved")
 	}
@@ -154,7 +154,7 @@
 		t.Fatal("nothing is emptied while a job waits for its team's limit")
 	}
 	l.env.Teams["t"] = config.Team{Name: "t", CPUsMax: 100}
-	l.fleet.nextMove = clock.Now()
+	l.moves.next = clock.Now()
 	l.consolidate(clock.Now())
 	if n := len(l.drainingMachines()); n != 0 {
 		t.Errorf("%d machines stay out of use while a job waits for their room", n)
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -53,7 +53,7 @@
 	for _, id := range []string{"job-1", "job-2"} {
 		p := l.addRunning(t, id, "n-large", 1)
 		j := p.Job
-		l.fleet.arrivals = append(l.fleet.arrivals, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
+		l.arrivals.recent = append(l.arrivals.recent, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
 		j.Kind = wire.KindArray
 		j.Tasks = append(j.Tasks, make([]jobs.Task, 3)...)
 		for range 8 {
@@ -87,8 +87,8 @@
 		}
 	}
 	clock.Advance(tuning.ErrorPauseMax)
-	if l.scaleOut(clock.Now()); len(l.fleet.pending) != 0 {
-		t.Errorf("rents for it: %v", l.fleet.pending)
+	if l.scaleOut(clock.Now()); len(l.rentals.pending) != 0 {
+		t.Errorf("rents for it: %v", l.rentals.pending)
 	}
 	if short := l.jobsShortOfRoom(clock.Now()); len(short) != 0 {
 		t.Errorf("makes room for it: %+v", short)
@@ -197,7 +197,7 @@
 		for _, m := range l.machines.Machines { // it reports all the while
 			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
 		}
-		if l.changed || !now.Before(l.nextPass) {
+		if l.cycle.changed || !now.Before(l.cycle.next) {
 			l.schedule(now)
 		}
 		if waited := now.Sub(j.BackoffUntil); waited > tuning.CycleBackoffMax+time.Second {
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"time"
 
 	"poppypass/internal/accounting/charge"
@@ -12,97 +13,107 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// keyImages holds which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. Nothing of the rules
-// hangs on it; a leader that finds none, or one that it cannot read, begins without.
+// keyImages holds which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. No safety rule
+// depends on it; a leader that finds none, or one that it cannot read, begins without.
 const keyImages = "hint/images"
 
 type imagesRecord struct {
 	Frame []byte `json:"z"`
 }
 
-// imageHints is what the loop keeps for handing on what machines hold.
+// imageHints is what the loop keeps to hand on what machines hold.
 type imageHints struct {
-	codec   *charge.Codec // nil until it is needed
-	next    time.Time     // nothing is stored before
-	writing bool
-	told    map[string][]machines.HeldImage // by a former leader, of machines that have not reported yet
+	codec     *charge.Codec                   // nil until it is needed
+	nextWrite time.Time                       // nothing is stored before
+	inFlight  bool                            // a write is
+	recalled  map[string][]machines.HeldImage // what a former leader stored of machines that have sent no heartbeat yet
 }
 
-// loadImages reads what the former leader left; it may fail.
+// loadImages reads what the former leader left; it may fail. It runs beside the loop.
 func (l *Loop) loadImages(ctx context.Context) {
 	item, ok, err := l.store.Urgent().Get(ctx, keyImages)
 	if err != nil || !ok {
 		return
 	}
-	var r imagesRecord
-	var images machines.Images
-	codec, err := charge.NewCodec()
-	if err == nil {
-		err = json.Unmarshal(item.Value, &r)
-	}
-	if err == nil {
-		err = codec.Decode(r.Frame, &images)
-	}
+	codec, images, err := decodeImages(item.Value)
 	if err != nil {
-		l.log.Info("what machines hold is not known", "err", err)
+		l.log.Info("image hints unreadable", "err", err)
 		return
 	}
-	told := images.ByMachine()
+	recalled := images.ByMachine()
 	l.post(func() {
-		l.images.told, l.images.codec = told, codec // it takes some MB: the loop goes on with it
+		l.images.recalled, l.images.codec = recalled, codec // the codec takes some MB: the loop goes on with it
 		for _, m := range l.machines.Machines {
 			l.recallImages(m)
 		}
 	})
 }
 
-// recallImages takes in what was told of a machine, once.
+// decodeImages reads a record of images, with a codec that can be used further.
+func decodeImages(value json.RawMessage) (codec *charge.Codec, images machines.Images, err error) {
+	codec, err = charge.NewCodec()
+	if err != nil {
+		return nil, images, fmt.Errorf("making a codec: %w", err)
+	}
+	var r imagesRecord
+	if err := json.Unmarshal(value, &r); err != nil {
+		return nil, images, fmt.Errorf("decoding the record: %w", err)
+	}
+	if err := codec.Decode(r.Frame, &images); err != nil {
+		return nil, images, fmt.Errorf("decoding its frame: %w", err)
+	}
+	return codec, images, nil
+}
+
+// recallImages applies what a former leader stored of a machine, once.
 func (l *Loop) recallImages(m *machines.Machine) {
-	if held := l.images.told[m.Name]; held != nil {
-		delete(l.images.told, m.Name)
+	if held := l.images.recalled[m.Name]; held != nil {
+		delete(l.images.recalled, m.Name)
 		m.RestoreImages(held, l.startedAt)
 	}
 }
 
 // stepImages stores what machines hold, now and then, when changes are to spare.
 func (l *Loop) stepImages(now time.Time) {
-	if l.images.writing || now.Before(l.images.next) {
+	if l.images.inFlight || now.Before(l.images.nextWrite) || l.store.SpareWrites() < tuning.ImagesRoom {
 		return
 	}
-	if l.store.SpareWrites() < tuning.ImagesRoom {
+	l.images.nextWrite = now.Add(tuning.ImagesEvery)
+	value := l.encodeImages(l.machines.Images(l.cacheGB))
+	if value == nil {
 		return
 	}
-	l.images.next = now.Add(tuning.ImagesEvery)
-	images := l.machines.Images(func(typ string) float64 {
-		if t := l.env.typeOf(typ); t != nil {
-			return t.CacheGB
-		}
-		return 0
-	})
-	value := l.encodeImages(images)
-	if value == nil {
+	l.images.inFlight = true
+	go l.writeImages(value)
+}
+
+// cacheGB is how much of images a machine of a type can hold.
+func (l *Loop) cacheGB(typ string) float64 {
+	if t := l.env.typeOf(typ); t != nil {
+		return t.CacheGB
+	}
+	return 0
+}
+
+// writeImages stores the record of images; if that fails, the next one may succeed.
+func (l *Loop) writeImages(value json.RawMessage) {
+	_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
+	if errors.Is(err, errDeposed) {
+		l.end(err)
 		return
 	}
-	l.images.writing = true
-	go func() {
-		_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
-		if errors.Is(err, errDeposed) {
-			l.end(err)
-			return
-		}
-		if err != nil {
-			l.log.Debug("what machines hold is not stored", "err", err)
-		}
-		l.post(func() { l.images.writing = false })
-	}()
+	if err != nil {
+		l.log.Debug("image hints not stored", "err", err)
+	}
+	l.post(func() { l.images.inFlight = false })
 }
 
-// encodeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to tell.
+// encodeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to store.
 func (l *Loop) encodeImages(images machines.Images) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
 		if err != nil {
-			l.log.Error("what machines hold cannot be stored", "err", err)
+			l.log.Error("image hints cannot be encoded", "err", err)
 			return nil
 		}
 		l.images.codec = codec
--- a/internal/scheduler/leader/image_hints_test.go
+++ b/internal/scheduler/leader/image_hints_test.go
@@ -47,10 +47,10 @@
 func TestImageHintsAreRecalledOnce(t *testing.T) {
 	l, _ := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	l.images.told = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
+	l.images.recalled = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
 	l.recallImages(m)
 	l.recallImages(m)
-	if !m.HasImage("img-x", 10) || len(l.images.told) != 0 {
-		t.Errorf("holds img-x: %v, left %v", m.HasImage("img-x", 10), l.images.told)
+	if !m.HasImage("img-x", 10) || len(l.images.recalled) != 0 {
+		t.Errorf("holds img-x: %v, left %v", m.HasImage("img-x", 10), l.images.recalled)
 	}
 }
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -17,7 +17,7 @@
 	p := l.addRunning(t, "job-1", m.Name, 1)
 	p.Job.EstimateS, p.RunningSince = 60, clock.Now().Add(-50*time.Second)
 	m.InterruptionAt = clock.Now().Add(25 * time.Second)
-	l.leaving[m.Name] = true
+	l.interruptions.pending[m.Name] = true
 	l.drainInterrupted(m, clock.Now())
 	if p.Stop != nil {
 		t.Fatal("stopped at the notice")
@@ -27,7 +27,7 @@
 		t.Fatal("stopped before the last call")
 	}
 	clock.Advance(time.Second)
-	if l.stepInterruptions(clock.Now()); p.Stop == nil || len(l.leaving) != 0 {
+	if l.stepInterruptions(clock.Now()); p.Stop == nil || len(l.interruptions.pending) != 0 {
 		t.Error("not stopped before its machine is taken")
 	}
 }
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -18,7 +18,7 @@
 	l, clock := newTestLoop(t)
 	now := clock.Now()
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
-	l.writing = true // nothing is stored: that is another's work
+	l.writer.inFlight = true // nothing is stored: that is another's work
 	l.fleet.next = now.Add(time.Hour)
 	clear(l.machines.Machines)
 	var reports []*wire.Heartbeat
@@ -90,7 +90,7 @@
 	begun := clock.Now()
 	clock.Advance(3 * time.Millisecond)
 	for _, least := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.rest(begun, least).Sub(clock.Now()), max(least, tuning.CycleRestFactor*3*time.Millisecond); got != want {
+		if got, want := l.restAfter(begun, least).Sub(clock.Now()), max(least, tuning.CycleRestFactor*3*time.Millisecond); got != want {
 			t.Errorf("rests for %v, want %v", got, want)
 		}
 	}
@@ -119,7 +119,7 @@
 			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", stored, tasks, len(l.machines.Machines), requests)
 		}
 		l.scaleOut(clock.Now())
-		for name, w := range l.fleet.pending {
+		for name, w := range l.rentals.pending {
 			requests++
 			var names []string
 			for range w.Count {
@@ -155,11 +155,11 @@
 	}
 	deletions := 0
 	for ; len(l.machines.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
-		l.fleet.deleting, l.fleet.deleteQueue = false, nil // the one before is answered
+		l.deletions.inFlight, l.deletions.queue = false, nil // the one before is answered
 		l.scaleIn(clock.Now())
 		for _, m := range l.machines.Machines {
 			if m.Returning {
-				l.markMachinesLost([]string{m.Name})
+				l.machinesLost([]string{m.Name})
 			}
 		}
 	}
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -8,72 +8,87 @@
 
 	"poppypass/internal/cluster/workerlease"
 	"poppypass/internal/platform/tuning"
-	"poppypass/internal/scheduler/machines"
 )
 
-// expireLeases ends the sessions of machines that nobody has answered for a lease:
+// leaseQuery is the question, asked of the state service and of other members, whether machines whose leases ran out
+// here were answered by a follower.
+type leaseQuery struct {
+	inFlight bool
+	next     time.Time
+}
+
+// expireLeases ends the incarnations of machines that nobody has answered for a lease:
 // not this leader, nor a follower in its stead, which the state service and the members
-// that may answer their zones tell.
+// that may hold a lease of their zones tell.
 func (l *Loop) expireLeases(now time.Time) {
-	if l.asking || now.Before(l.nextAsk) {
+	if l.leases.inFlight || now.Before(l.leases.next) {
 		return
 	}
-	l.nextAsk = now.Add(tuning.Tick)
-	due := l.machines.ExpiredLeases(now)
-	if len(due) == 0 {
+	l.leases.next = now.Add(tuning.Tick)
+	byZone := l.expiredByZone(now)
+	if len(byZone) == 0 {
 		return
 	}
+	l.leases.inFlight = true
+	go func() {
+		renewed, err := l.possiblyRenewed(l.ended, byZone)
+		l.post(func() { l.leaseQueryDone(now, renewed, err) })
+	}()
+}
+
+// expiredByZone are the machines whose leases ran out, as far as this leader knows.
+func (l *Loop) expiredByZone(now time.Time) map[string][]string {
 	byZone := map[string][]string{}
-	for _, name := range due {
+	for _, name := range l.machines.ExpiredLeases(now) {
 		zone := l.machines.Machines[name].Zone
 		byZone[zone] = append(byZone[zone], name)
 	}
-	l.asking = true
-	go func() {
-		kept, err := l.possiblyRenewed(l.ended, byZone)
-		l.post(func() {
-			done := l.env.Clock.Now()
-			l.asking, l.nextAsk = false, done.Add(tuning.RenewedReadEvery)
-			if err == nil && done.Sub(now) > tuning.RenewedQueryTime {
-				err = fmt.Errorf("it took %v", done.Sub(now))
-			}
-			if err != nil {
-				l.log.Debug("kept machines unreadable", "err", err)
-				return
-			}
-			l.applyOutcomes(l.machines.EndExpired(now, kept), done)
-		})
-	}()
+	return byZone
+}
+
+// leaseQueryDone ends what ran on machines that nobody may have renewed within a lease before asked. A query that took longer
+// than those who were asked remember concludes nothing.
+func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
+	now := l.env.Clock.Now()
+	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadEvery)
+	if took := now.Sub(asked); err == nil && took > tuning.RenewedQueryTime {
+		err = fmt.Errorf("it took %v", took)
+	}
+	if err != nil {
+		l.log.Debug("renewals by followers unreadable", "err", err)
+		return
+	}
+	l.applyOutcomes(l.machines.EndExpired(asked, renewed), now)
 }
 
 // possiblyRenewed finds which machines, by zone, others may have answered within a lease
-// before now: those that a record names, and those of which a member with the right for
-// their zone does not say that it did not. It must not take longer than KeptAsking: all then speak of the lease before it began.
+// before now: those that a record names, and those of which a member with a lease of
+// their zone does not say that it did not. It must not take longer than RenewedQueryTime: all then speak of the lease before it began.
 func (l *Loop) possiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
-	kept, rights, err := workerlease.ReadAll(ctx, l.store)
+	renewed, zoneLeases, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
 		return nil, err
 	}
 	asked := map[workerlease.ZoneLeaseRecord]bool{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, r := range rights {
-		names := byZone[r.Zone]
-		if len(names) == 0 || asked[r] {
+	for _, z := range zoneLeases {
+		names := byZone[z.Zone]
+		if len(names) == 0 || asked[z] {
 			continue
 		}
-		asked[r] = true
+		asked[z] = true
 		wg.Go(func() {
-			may := l.askFollower(ctx, r.Member, names)
+			may := l.askFollower(ctx, z.Member, names)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, n := range may {
-				kept[n] = true
+				renewed[n] = true
 			}
 		})
 	}
 	wg.Wait()
-	return kept, nil
+	return renewed, nil
 }
 
 // askFollower gives those of some machines of which a member does not say that it did not
@@ -81,52 +96,9 @@
 func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
 	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer stop()
-	kept, sure := l.env.MayHaveRenewed(ctx, member, names)
+	renewed, sure := l.env.MayHaveRenewed(ctx, member, names)
 	if !sure {
 		return names
 	}
-	return kept
-}
-
-// silent tells whether a machine, nil if it is not known, has neither reported nor answered us for a while.
-func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
-	return m == nil || now.Sub(m.LastSeen()) > l.maxSilence()
-}
-
-// leftCommandUnanswered tells whether a machine that still counts as heard did not answer a command since:
-// it may hang, or be cut off, or dead, and what is placed on it would wait for that to end.
-func leftCommandUnanswered(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
-
-// maxSilence is for how long a machine that can be reached is silent at the most.
-func (l *Loop) maxSilence() time.Duration {
-	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.HeartbeatS)
-}
-
-// partitionedZones are the zones most of whose machines fell silent together: they are cut off
-// from us, and what is rented there is of no use for now.
-func (l *Loop) partitionedZones(now time.Time) map[string]bool {
-	type count struct{ silent, all int }
-	zones := map[string]*count{}
-	for _, m := range l.machines.Machines {
-		if m.Incarnation == 0 {
-			continue // it never reported, nor had it a task
-		}
-		c := zones[m.Zone]
-		if c == nil {
-			c = &count{}
-			zones[m.Zone] = c
-		}
-		c.all++
-		// One that a new leader has not heard yet may only be on its way to it.
-		if m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.startedAt) > l.maxSilence() {
-			c.silent++
-		}
-	}
-	cut := map[string]bool{}
-	for z, c := range zones {
-		if c.silent >= tuning.SilentMany && float64(c.silent) >= tuning.CutShare*float64(c.all) {
-			cut[z] = true
-		}
-	}
-	return cut
+	return renewed
 }
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -47,8 +47,8 @@
 
 // concludeExpired has the loop find out what it can conclude now.
 func (l *Loop) concludeExpired() {
-	l.nextAsk = time.Time{}
-	for l.expireLeases(l.env.Clock.Now()); l.asking; {
+	l.leases.next = time.Time{}
+	for l.expireLeases(l.env.Clock.Now()); l.leases.inFlight; {
 		(<-l.inbox)()
 	}
 }
@@ -77,7 +77,7 @@
 			kept, ok := c.says[member]
 			return kept, ok
 		}
-		pass(l.workerLease() + time.Second)
+		pass(l.env.workerLease() + time.Second)
 		l.concludeExpired()
 		got := []string{}
 		for i := range 4 {
@@ -102,7 +102,7 @@
 			pass(c.took)
 			return nil, true
 		}
-		pass(l.workerLease() + time.Second)
+		pass(l.env.workerLease() + time.Second)
 		l.concludeExpired()
 		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
@@ -141,7 +141,7 @@
 	l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
 	l.scaleOut(now)
 	zones := map[string]int{}
-	for _, w := range l.fleet.pending {
+	for _, w := range l.rentals.pending {
 		zones[w.Zone] += w.Count
 	}
 	if zones["a"] == 0 || zones["b"] != 0 {
@@ -162,7 +162,7 @@
 	}))
 	t.Cleanup(worker.Close)
 	l.env.Workers = worker.Client()
-	l.loaded = true
+	l.loading.done = true
 	pass(l.maxSilence() + time.Second)
 	now := l.env.Clock.Now()
 	l.machines.Machines["n-0"].LastHeartbeat = now // n-1 is silent
@@ -202,7 +202,7 @@
 	if _, err := cancel(); err != errTaskUnreachable {
 		t.Fatalf("told %v while the other may run", err)
 	}
-	pass(tuning.SilentReturnAfter + l.workerLease())
+	pass(tuning.SilentReturnAfter + l.env.workerLease())
 	l.concludeExpired()
 	if j.Allocated != 0 {
 		t.Fatal("the other is not found gone")
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -70,7 +70,7 @@
 	return commands
 }
 
-func (l *Loop) isOpen(name string) bool {
+func (l *Loop) getsTasks(name string) bool {
 	for _, v := range l.openMachines(l.env.Clock.Now()) {
 		if v.Name == name {
 			return true
@@ -102,12 +102,12 @@
 			t.Fatalf("commands %v", cmds)
 		}
 	}
-	if !l.isOpen("n-9") {
+	if !l.getsTasks("n-9") {
 		t.Error("given up for one answer that may have been slow")
 	}
 	l.probeAll()
-	if l.isOpen("n-9") || len(m.Allocations) != 1 {
-		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.isOpen("n-9"))
+	if l.getsTasks("n-9") || len(m.Allocations) != 1 {
+		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.getsTasks("n-9"))
 	}
 	if cut := l.partitionedZones(l.env.Clock.Now()); len(cut) != 0 {
 		t.Errorf("one machine is no zone: %v", cut)
@@ -123,13 +123,13 @@
 	hears = true
 	pass(tuning.ProbePauseMax)
 	l.probeAll()
-	if l.isOpen("n-9") {
+	if l.getsTasks("n-9") {
 		t.Error("given work at once")
 	}
 	pass(tuning.UnreachablePause)
 	rep.Seq++
 	l.mustHandle(t, rep)
-	if !l.isOpen("n-9") {
+	if !l.getsTasks("n-9") {
 		t.Error("not used though it hears us")
 	}
 }
@@ -145,7 +145,7 @@
 		rep.Seq++
 		l.mustHandle(t, rep)
 		l.probeAll()
-		if !l.isOpen("n-9") {
+		if !l.getsTasks("n-9") {
 			t.Fatal("a machine that answers each question is given up")
 		}
 	}
@@ -274,7 +274,7 @@
 				return
 			}
 			rep.Seq++
-			if l.mustHandle(t, rep); !l.isOpen("n-9") {
+			if l.mustHandle(t, rep); !l.getsTasks("n-9") {
 				t.Error("it is not used")
 			}
 		})
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -5,112 +5,109 @@
 	"slices"
 	"time"
 
-	"poppypass/internal/clients/cloud"
 	"poppypass/internal/cluster/workerlease"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/autoscale"
+	"poppypass/internal/scheduler/machines"
 	"poppypass/internal/scheduler/placement"
 )
 
-// idleMachinesNeeded are the idle machines that what is expected would use, when it takes
-// the machines in use and the cheap ones first.
-func (l *Loop) idleMachinesNeeded(now time.Time) map[string]bool {
-	items := l.expectedJobs(now)
-	open := l.machinesWithRoomFor(now, items)
-	needed := map[string]bool{}
-	type key struct {
-		*placement.Machine
-		idle bool
-	}
-	order := make([]key, len(open))
-	for i, m := range open {
-		order[i] = key{m, len(l.machines.Machines[m.Name].Allocations) == 0}
-	}
-	slices.SortFunc(order, func(a, b key) int {
-		return cmp.Or(cmp.Compare(btoi(a.idle), btoi(b.idle)), cmp.Compare(btoi(!a.Spot), btoi(!b.Spot)), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
-	})
-	teams := autoscale.UnlimitedTeams(items)
-	placement.Sort(items, teams, now)
-	for _, m := range order {
-		items = slices.DeleteFunc(items, func(it *placement.PendingJob) bool { return it.Waiting == 0 })
-		if len(items) == 0 {
-			break
-		}
-		if len(placement.ScheduleSorted(now, items, []*placement.Machine{m.Machine}, teams)) > 0 && m.idle {
-			needed[m.Name] = true
-		}
-	}
-	return needed
+// deletions is the machines that are given back to the cloud. One request is in flight at a time: what comes meanwhile waits for
+// the next, so that deletions take little of the cloud's rate.
+type deletions struct {
+	inFlight bool
+	queue    []string // the machines of the requests after it
 }
 
-// awaitRightToAct waits until the right to act is there, and tells whether it ever is.
-// A leader that stood still must not delete machines on which the next one has
-// placed tasks meanwhile.
-func (l *Loop) awaitRightToAct() bool {
-	for l.ended.Err() == nil && !l.env.Valid(l.leadership.Term) {
-		l.env.sleep(l.ended, tuning.Tick)
-	}
-	return l.ended.Err() == nil
+// add adds machines to the queue.
+func (d *deletions) add(names []string) { d.queue = append(d.queue, names...) }
+
+// take takes the machines of the next request off the queue; none while one is in flight.
+func (d *deletions) take() []string {
+	if d.inFlight || len(d.queue) == 0 {
+		return nil
+	}
+	n := min(len(d.queue), wire.MaxDelete)
+	next := d.queue[:n]
+	d.queue = slices.Clone(d.queue[n:])
+	d.inFlight = true
+	return next
 }
 
 // scaleIn gives back what is idle, never came up, or fell silent.
 func (l *Loop) scaleIn(now time.Time) {
-	if l.fleet.deleting {
+	if l.deletions.inFlight {
 		return
 	}
+	rule := returnRule{l: l, now: now, silentFor: l.silenceUntilReturn()}
 	var names []string
-	var needed map[string]bool // worked out for the first machine that could go
-	release := l.silenceUntilReturn()
 	for _, m := range l.machines.Machines {
-		if m.Returning || len(m.Allocations) > 0 {
+		if m.Returning || len(m.Allocations) > 0 || len(names) >= wire.MaxDelete {
 			continue
 		}
-		var why string
-		switch {
-		case m.LastHeartbeat.IsZero() && m.ListedRunning:
-			if now.Sub(m.AddedAt) > workerlease.WithDrift(l.workerLease())+release {
-				why = "silent"
-			}
-		case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
-			if now.Sub(m.RentedAt) > l.bootTime(m.Type, tuning.BootGiveUp) && now.Sub(m.AddedAt) > tuning.AdoptWait {
-				why = "never came up"
-			}
-		case !m.Alive():
-			if now.Sub(m.LeaseExpiry) > release {
-				why = "silent"
-			}
-		case m.Reachability.Unreachable():
-			if now.Sub(m.Reachability.UnreachableSince()) > release {
-				why = "deaf"
-			}
-		case m.HasOrphans():
-		case m.Unhealthy:
-			why = "faulty"
-		case m.Draining:
-			why = "surplus"
-		case now.Sub(m.IdleSince) > l.env.Tunables.IdleKeep:
-			if needed == nil {
-				needed = l.idleMachinesNeeded(now)
-			}
-			if !needed[m.Name] {
-				why = "idle"
-			}
-		}
-		if why == "" || len(names) >= wire.MaxDelete {
-			continue
+		if reason := rule.reason(m); reason != "" {
+			m.Returning = true
+			names = append(names, m.Name)
+			l.log.Info("returning machine", "machine", m.Name, "reason", reason)
 		}
-		m.Returning = true
-		names = append(names, m.Name)
-		l.log.Info("returning machine", "machine", m.Name, "why", why)
 	}
 	l.deleteMachines(names)
 }
 
+// returnRule decides which of the machines without tasks are returned at a time.
+type returnRule struct {
+	l         *Loop
+	now       time.Time
+	silentFor time.Duration   // after which a machine counts as dead
+	needed    map[string]bool // idle machines that are kept; worked out for the first that could go
+}
+
+// reason is why a machine is returned; empty: it is kept.
+func (r *returnRule) reason(m *machines.Machine) string {
+	switch {
+	case m.LastHeartbeat.IsZero() && m.ListedRunning:
+		lease := workerlease.WithDrift(r.l.env.workerLease())
+		return reasonIf("silent", r.now.Sub(m.AddedAt) > lease+r.silentFor)
+	case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
+		overdue := r.now.Sub(m.RentedAt) > r.l.bootTime(m.Type, tuning.BootGiveUp)
+		return reasonIf("never came up", overdue && r.now.Sub(m.AddedAt) > tuning.AdoptWait)
+	case !m.Alive():
+		return reasonIf("silent", r.now.Sub(m.LeaseExpiry) > r.silentFor)
+	case m.Reachability.Unreachable():
+		return reasonIf("unreachable", r.now.Sub(m.Reachability.UnreachableSince()) > r.silentFor)
+	case m.HasOrphans():
+		return ""
+	case m.Unhealthy:
+		return "unhealthy"
+	case m.Draining:
+		return "surplus"
+	}
+	return reasonIf("idle", r.idleTooLong(m))
+}
+
+func reasonIf(reason string, holds bool) string {
+	if holds {
+		return reason
+	}
+	return ""
+}
+
+// idleTooLong reports whether a machine has been idle for long, and no expected job would use it.
+func (r *returnRule) idleTooLong(m *machines.Machine) bool {
+	if r.now.Sub(m.IdleSince) <= r.l.env.Tunables.IdleKeep {
+		return false
+	}
+	if r.needed == nil {
+		r.needed = r.l.idleMachinesNeeded(r.now)
+	}
+	return !r.needed[m.Name]
+}
+
 // silenceUntilReturn is how long machines may be silent after their leases before
-// they are returned. Many silent together are cut off, not dead, and are of
-// use again once the cut ends; the dead among them the cloud lists as failed.
-// After a takeover in a cut 74 machines of the other zone, listed as running,
+// they are returned. Many silent together are partitioned, not dead, and are of
+// use again once the partition ends; the dead among them the cloud lists as failed.
+// After a failover in a partition 74 machines of the other zone, listed as running,
 // were returned as never having come up.
 func (l *Loop) silenceUntilReturn() time.Duration {
 	silent := 0
@@ -125,124 +122,85 @@
 	return tuning.SilentReturnAfter
 }
 
-// deleteMachines deletes one batch at a time: what comes meanwhile waits for
-// the next, so that deletions take little of the cloud's rate.
-func (l *Loop) deleteMachines(names []string) {
-	l.fleet.deleteQueue = append(l.fleet.deleteQueue, names...)
-	if l.fleet.deleting || len(l.fleet.deleteQueue) == 0 {
-		return
-	}
-	part := l.fleet.deleteQueue[:min(len(l.fleet.deleteQueue), wire.MaxDelete)]
-	l.fleet.deleteQueue = slices.Clone(l.fleet.deleteQueue[len(part):])
-	l.fleet.deleting = true
-	go func() {
-		for l.awaitRightToAct() {
-			if err := l.env.Cloud.Delete(l.ended, part); err != nil {
-				l.log.Debug("deletion repeated", "err", err)
-				l.env.sleep(l.ended, tuning.CloudRetry)
-				continue
-			}
-			l.post(func() {
-				l.fleet.deleting = false
-				l.markMachinesLost(part)
-				l.deleteMachines(nil)
-			})
-			return
+// idleMachinesNeeded are the idle machines that the expected jobs would use, when they take
+// the machines in use and the cheap ones first.
+func (l *Loop) idleMachinesNeeded(now time.Time) map[string]bool {
+	pending := l.expectedJobs(now)
+	candidates := l.inOrderOfUse(l.machinesWithRoomFor(now, pending))
+	teams := autoscale.UnlimitedTeams(pending)
+	placement.Sort(pending, teams, now)
+	needed := map[string]bool{}
+	for _, c := range candidates {
+		pending = slices.DeleteFunc(pending, func(p *placement.PendingJob) bool { return p.Waiting == 0 })
+		if len(pending) == 0 {
+			break
 		}
-	}()
+		placed := placement.ScheduleSorted(now, pending, []*placement.Machine{c.Machine}, teams)
+		if len(placed) > 0 && !c.inUse {
+			needed[c.Name] = true
+		}
+	}
+	return needed
 }
 
-// markMachinesLost takes in that machines are gone with all that was on them.
-func (l *Loop) markMachinesLost(names []string) {
-	now := l.env.Clock.Now()
-	for _, name := range names {
-		l.applyOutcomes(l.machines.MarkLost(name, now), now)
-	}
+// useCandidate is a machine that expected jobs may use.
+type useCandidate struct {
+	*placement.Machine
+	inUse bool
 }
 
-// listMachines compares the cloud's list with the machines known.
-func (l *Loop) listMachines() {
-	begun := l.env.Clock.Now()
-	listed, err := l.env.Cloud.List(l.ended)
-	l.post(func() {
-		now := l.env.Clock.Now()
-		l.fleet.listing = false
-		l.fleet.nextList = now.Add(listPause(now.Sub(begun)))
-		if err != nil {
-			l.log.Debug("machine list unreadable", "err", err)
-			return
-		}
-		for _, page := range listed {
-			l.applyProvenGone(page)
-		}
-		l.reconcileMachines(listed, now)
+// inOrderOfUse puts machines in the order in which expected jobs take them: those in use first, then spot ones, then cheap ones.
+func (l *Loop) inOrderOfUse(open []*placement.Machine) []useCandidate {
+	out := make([]useCandidate, len(open))
+	for i, v := range open {
+		out[i] = useCandidate{v, l.inUse(v)}
+	}
+	slices.SortFunc(out, func(a, b useCandidate) int {
+		return cmp.Or(trueFirst(a.inUse, b.inUse), trueFirst(a.Spot, b.Spot), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
 	})
+	return out
 }
 
-// listPause is the pause after a reading of the cloud's list that took a time.
-func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
+// trueFirst orders true before false.
+func trueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
 
-// applyProvenGone takes in which machines the list proves to be gone, with all that was on them: a quarter of
-// those that the cloud takes back go without a word, and their tasks waited for their leases.
-func (l *Loop) applyProvenGone(page cloud.ListPage) {
-	var gone []string
-	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
-		if m := l.machines.Machines[name]; !m.Returning { // that one's deletion will tell
-			gone = append(gone, name)
-		}
-	}
-	if len(gone) > 0 {
-		l.log.Info("machines taken", "machines", gone)
-		l.markMachinesLost(gone)
+// deleteMachines has machines deleted, with the next request.
+func (l *Loop) deleteMachines(names []string) {
+	l.deletions.add(names)
+	if next := l.deletions.take(); len(next) > 0 {
+		go l.deleteUntilAnswered(next)
 	}
 }
 
-func (l *Loop) reconcileMachines(pages []cloud.ListPage, now time.Time) {
-	var listed []wire.ListedMachine
-	for _, p := range pages {
-		listed = append(listed, p.Machines...)
-	}
-	there := make(map[string]bool, len(listed))
-	var failed []string
-	for _, lm := range listed {
-		there[lm.Name] = true
-		if l.machines.WasReturned(lm.Name) {
+// deleteUntilAnswered deletes machines, again until that has succeeded: it may be repeated.
+func (l *Loop) deleteUntilAnswered(names []string) {
+	for l.awaitRightToAct() {
+		if err := l.env.Cloud.Delete(l.ended, names); err != nil {
+			l.log.Debug("deletion repeated", "err", err)
+			l.env.sleep(l.ended, tuning.CloudRetry)
 			continue
 		}
-		m := l.machines.Machines[lm.Name]
-		switch {
-		case lm.State == wire.MachineFailed:
-			if m == nil || !m.Returning {
-				failed = append(failed, lm.Name)
-			}
-		case m == nil || m.Type == "":
-			// Not expected, or inherited from records: it is used or returned like any other.
-			l.machines.Register(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
-			if m == nil {
-				l.log.Info("machine found", "machine", lm.Name, "state", lm.State)
-			}
-		}
-		if m := l.machines.Machines[lm.Name]; m != nil {
-			l.changed = l.changed || !m.Known // it may be used from now on
-			m.ListedRunning, m.Known, m.ListedAddress = lm.State == wire.MachineRunning, true, lm.Address
-		}
-	}
-	if len(failed) > 0 {
-		l.log.Info("machines failed", "machines", failed)
-		// A failed machine has stopped by itself, with all that was on it.
-		l.markMachinesLost(failed)
-		l.deleteMachines(failed)
+		l.post(func() {
+			l.deletions.inFlight = false
+			l.machinesLost(names)
+			l.deleteMachines(nil)
+		})
+		return
 	}
-	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
-	for _, m := range l.machines.Machines {
-		if there[m.Name] || m.Alive() || now.Sub(m.AddedAt) < lag {
-			m.MissedListings = 0
-			continue
-		}
-		// Its lease ran out, or it never came up, and list after list lacks
-		// it: it was taken.
-		if m.MissedListings++; m.MissedListings >= tuning.UnlistedLists && len(m.Allocations) == 0 && !m.Returning {
-			l.machines.Forget(m.Name)
-		}
+}
+
+// machinesLost ends all that was on machines that are gone.
+func (l *Loop) machinesLost(names []string) {
+	now := l.env.Clock.Now()
+	for _, name := range names {
+		l.applyOutcomes(l.machines.MarkLost(name, now), now)
 	}
 }
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -40,11 +40,11 @@
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
 		l.scaleOut(clock.Now()) // no request is answered meanwhile
-		if n := len(l.fleet.pending); n > tuning.RentalsInFlight {
+		if n := len(l.rentals.pending); n > tuning.RentalsInFlight {
 			t.Fatalf("%d rentals on their way after %d jobs", n, i+1)
 		}
 	}
-	if len(l.fleet.pending) == 0 {
+	if len(l.rentals.pending) == 0 {
 		t.Error("nothing is rented")
 	}
 }
@@ -56,8 +56,8 @@
 	l.deleteMachines([]string{"n-1"})
 	l.deleteMachines([]string{"n-2"})
 	l.deleteMachines([]string{"n-3"})
-	if !l.fleet.deleting || len(l.fleet.deleteQueue) != 2 {
-		t.Errorf("deleting %v, %v wait", l.fleet.deleting, l.fleet.deleteQueue)
+	if !l.deletions.inFlight || len(l.deletions.queue) != 2 {
+		t.Errorf("deleting %v, %v wait", l.deletions.inFlight, l.deletions.queue)
 	}
 }
 
@@ -89,7 +89,7 @@
 			}
 			return n
 		}
-		clock.Advance(l.workerLease() + c.keeps - time.Second)
+		clock.Advance(l.env.workerLease() + c.keeps - time.Second)
 		if n := returned(); n != 0 {
 			t.Errorf("%d silent: %d returned too soon", c.silent, n)
 		}
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		l.loadJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
-		return len(l.fleet.arrivals)
+		return len(l.arrivals.recent)
 	}
 	for i := range tuning.FirstStartRushShare {
 		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -8,29 +8,29 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// serviceLevels tells operators who is served: jobs that came and jobs that began, by class, team and size. A job is large when
+// serviceLevels tells operators who is served: jobs that arrived and jobs that began, by class, team and size. A job is large when
 // it is among the largest tenth of its class's last ones, by the CPUs of all its tasks.
 type serviceLevels struct {
-	sizes map[string][]float64 // of the last jobs of a class, in the order in which they came
-	live  map[string]*liveJob
+	sizes map[string][]float64 // of the last jobs of a class, in the order in which they arrived
+	live  map[string]*liveJob  // by ID
 }
 
-// liveJob is a live job.
+// liveJob is a job that is not over.
 type liveJob struct{ large, begun bool }
 
 func newServiceLevels() serviceLevels {
 	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*liveJob{}}
 }
 
-// sizeName is how metrics call it.
-func (p *liveJob) sizeName() string {
-	if p.large {
+// sizeName is what metrics call the job's size.
+func (j *liveJob) sizeName() string {
+	if j.large {
 		return "largest"
 	}
 	return "other"
 }
 
-// jobArrived takes in a job, and tells how it stands.
+// jobArrived adds a job.
 func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
@@ -38,29 +38,36 @@
 		last = last[1:]
 	}
 	s.sizes[j.Class] = last
+	live := &liveJob{large: isLargest(size, last)}
+	s.live[j.ID] = live
+	return live
+}
+
+// isLargest reports whether a size is among the largest tenth of some.
+func isLargest(size float64, sizes []float64) bool {
 	smaller, larger := 0, 0
-	for _, o := range last {
+	for _, s := range sizes {
 		switch {
-		case o < size:
+		case s < size:
 			smaller++
-		case o > size:
+		case s > size:
 			larger++
 		}
 	}
-	p := &liveJob{large: len(last) >= tuning.SizesMin && smaller > 0 && float64(len(last)-larger) > math.Ceil(float64(len(last))*tuning.LargestShare)}
-	s.live[j.ID] = p
-	return p
+	return len(sizes) >= tuning.SizesMin && smaller > 0 &&
+		float64(len(sizes)-larger) > math.Ceil(float64(len(sizes))*tuning.LargestShare)
 }
 
-// jobBegan takes in that a task of a job runs; first is nil unless it is the job's first.
+// jobBegan tells that a task of a job runs; first is nil unless it is the job's first.
 func (s *serviceLevels) jobBegan(j *jobs.Job) (first *liveJob) {
-	if p := s.live[j.ID]; p != nil && !p.begun {
-		p.begun = true
-		return p
+	if live := s.live[j.ID]; live != nil && !live.begun {
+		live.begun = true
+		return live
 	}
 	return nil
 }
 
+// jobFinished removes a job.
 func (s *serviceLevels) jobFinished(id string) { delete(s.live, id) }
 
 // oldestWaits gives for each class for how long its oldest job waits to begin, in seconds.
@@ -73,3 +80,14 @@
 	}
 	return out
 }
+
+// reportStateSize tells an observer how much the loop has in memory, and what waits.
+func (l *Loop) reportStateSize(o Observer) {
+	waiting := map[string]int{}
+	for _, j := range l.jobs.Jobs {
+		if j.CanStart() {
+			waiting[j.Class] += j.Waiting()
+		}
+	}
+	o.StateSize(len(l.jobs.Jobs), len(l.machines.Machines), waiting, l.oldestWaits(l.env.Clock.Now()))
+}
--- a/internal/scheduler/leader/size_limits_test.go
+++ b/internal/scheduler/leader/size_limits_test.go
@@ -106,7 +106,7 @@
 	taker.Start(t.Context())
 	taker.store = l.store
 	go taker.load(taker.ended)
-	for !taker.loaded {
+	for !taker.loading.done {
 		(<-taker.inbox)()
 	}
 	for _, rep := range reports {
@@ -153,7 +153,7 @@
 		}
 		return answered, true
 	}
-	pass(l.workerLease() + time.Second)
+	pass(l.env.workerLease() + time.Second)
 	l.concludeExpired()
 	kept := map[string]int{}
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -33,18 +33,18 @@
 func TestSubsystemsTakeTurns(t *testing.T) {
 	l, clock := newTestLoop(t)
 	a, b := &busySubsystem{name: "a"}, &busySubsystem{name: "b"}
-	l.subsystems = []Subsystem{a, b}
+	l.subsystems.joined = []Subsystem{a, b}
 	for range 10 {
-		if _, w := l.nextWrite(clock.Now(), 10); w == nil {
+		if _, w := l.subsystems.nextWrite(clock.Now(), 10); w == nil {
 			t.Fatal("nothing to write")
 		}
 	}
 	if a.asked != 5 || b.asked != 5 {
 		t.Errorf("asked %d and %d times", a.asked, b.asked)
 	}
-	l.broken[a] = true
+	l.subsystems.writes.failed[a] = true
 	for range 4 {
-		if s, _ := l.nextWrite(clock.Now(), 10); s != b {
+		if s, _ := l.subsystems.nextWrite(clock.Now(), 10); s != b {
 			t.Fatal("not the one whose records can be stored")
 		}
 	}
@@ -52,7 +52,7 @@
 
 func TestCommandsFindTheirSubsystem(t *testing.T) {
 	l, _ := newTestLoop(t)
-	l.subsystems = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
+	l.subsystems.joined = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
 	for uri, want := range map[string]int{"/a": http.StatusOK, "/b": http.StatusOK, "/c": http.StatusNotFound} {
 		got := make(chan int, 1)
 		go func() {
