--- /dev/null
+++ b/internal/scheduler/machines/commands_test.go
@@ -0,0 +1,40 @@
+package machines
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// Guards against a direct start without an answer, which may be executed minutes later: the attempt is made known before it
+// counts as gone, and it is not forgotten while the start is open.
+func TestAttemptWithAnOpenDirectStartIsStoppedAndNotForgotten(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+	p := allocation(1)
+	f.AddAllocation(p, t0)
+	addr, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
+	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
+		t.Fatalf("direct: %s %+v", addr, req)
+	}
+	p.Stop = &jobs.StopRequest{}
+	a := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
+	if ops(a.Commands) != "start halt " || len(a.Outcomes) != 0 {
+		t.Fatalf("commands %v, outcomes %v", a.Commands, a.Outcomes)
+	}
+	exited := status("job-1/0", 1, wire.TaskExited, wire.ExitStopped)
+	a = f.receive(heartbeat(1, 3, term, exited), 2*time.Second, mayForget)
+	if len(a.Outcomes) != 1 {
+		t.Fatalf("outcomes %v", a.Outcomes)
+	}
+	f.RemoveAllocation(p, t0)
+	if a = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(a.Commands) != 0 {
+		t.Fatalf("forgotten while a start is open: %v", a.Commands)
+	}
+	f.CommandsAnswered("n-1", req) // now its answer came
+	if a = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(a.Commands) != "forget " {
+		t.Fatalf("commands %v", a.Commands)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -0,0 +1,240 @@
+package machines
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+func withNotice(hb *wire.Heartbeat, s float64) *wire.Heartbeat {
+	hb.NoticeS = &s
+	return hb
+}
+
+// Guards against the spot notice of a delayed copy: it drained a healthy machine, or had one that will be interrupted look safe.
+func TestSpotNoticeOfADelayedCopyDoesNotLast(t *testing.T) {
+	f := newFixture(t)
+	f.RestoreAllocation(allocation(1), t0)
+	f.receive(withNotice(heartbeat(1, 5, term-1), 25), 0, mayNotForget) // may be a copy
+	if m := f.Machines["n-1"]; m.InterruptionAt.IsZero() {
+		t.Error("a notice does not count though nothing speaks against it")
+	}
+	f.receive(heartbeat(1, 9, term), time.Second, mayNotForget)
+	if m := f.Machines["n-1"]; !m.InterruptionAt.IsZero() {
+		t.Error("the notice stays though the machine itself says that it has none")
+	}
+	f.receive(withNotice(heartbeat(1, 10, term), 25), 2*time.Second, mayNotForget)
+	before := f.Machines["n-1"].InterruptionAt
+	for _, stale := range []*wire.Heartbeat{heartbeat(1, 8, term), withNotice(heartbeat(1, 10, term), 3)} {
+		if _, err := f.Heartbeat(stale, false, t0.Add(3*time.Second), mayNotForget); !errors.Is(err, ErrStale) {
+			t.Errorf("a copy: %v", err)
+		}
+	}
+	if m := f.Machines["n-1"]; m.InterruptionAt != before || before.IsZero() || !m.SuspectCopy {
+		t.Errorf("a copy changed the notice (%v, %v), or does not make its machine suspect", before, m.InterruptionAt)
+	}
+}
+
+// Guards against a machine that a former leader returned: a copy of its heartbeat had it look idle and empty.
+func TestMachineNamedOnlyByHeartbeatsGetsNoWorkBeforeItAcknowledges(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 5, term-1), 0, mayNotForget)
+	m := f.Machines["n-1"]
+	if m.Usable(term, t0) {
+		t.Error("usable though nothing but a heartbeat names it")
+	}
+	f.Register("n-1", "g8", "a", false, t0, t0) // the cloud lists it
+	if !m.Usable(term, t0) {
+		t.Error("not usable though it is listed and has the token of the last term")
+	}
+	old := newFixture(t)
+	old.Register("n-1", "g8", "a", false, t0, t0)
+	old.receive(heartbeat(1, 5, term-2), 0, mayNotForget)
+	if old.Machines["n-1"].Usable(term, t0) {
+		t.Error("trusted by a heartbeat from before the last term")
+	}
+	if old.receive(heartbeat(1, 6, term), time.Second, mayNotForget); !old.Machines["n-1"].Usable(term, t0) {
+		t.Error("not usable though it acknowledged the term")
+	}
+}
+
+// Guards against a heartbeat that gives its machine another identity.
+func TestContradictingHeartbeatChangesNothing(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 5, term), 0, mayNotForget)
+	for _, c := range []struct {
+		name   string
+		change func(*wire.Heartbeat)
+	}{
+		{"address", func(hb *wire.Heartbeat) { hb.Address = "10.0.0.1:9" }},
+		{"type", func(hb *wire.Heartbeat) { hb.Type = "g9" }},
+		{"zone", func(hb *wire.Heartbeat) { hb.Zone = "b" }},
+		{"spot", func(hb *wire.Heartbeat) { hb.Spot = true }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			hb := heartbeat(2, 9, term, status("job-1/0", 1, wire.TaskRunning, ""))
+			c.change(hb)
+			before := *f.Machines["n-1"]
+			if _, err := f.Heartbeat(hb, false, t0.Add(time.Second), mayNotForget); !errors.Is(err, ErrContradicts) {
+				t.Errorf("%+v: %v", hb, err)
+			}
+			if m := f.Machines["n-1"]; m.Incarnation != before.Incarnation || m.Address != before.Address || m.LastHeartbeat != before.LastHeartbeat || m.HasOrphans() {
+				t.Errorf("it changed %+v", m)
+			}
+		})
+	}
+}
+
+// Guards against an incarnation that counts as over by the lease of the one before: a machine that was unreachable for longer
+// than its lease answered a probe with its new incarnation, was given work, and a moment later that was started elsewhere.
+func TestNewIncarnationInADirectAnswerHasItsOwnLease(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+	back := 30 * time.Second // long after its lease; nothing was concluded, since followers may have renewed it
+	if _, err := f.Heartbeat(heartbeat(2, 9, term), true, t0.Add(back), mayNotForget); err != nil {
+		t.Fatal(err)
+	}
+	p := allocation(2)
+	f.AddAllocation(p, t0.Add(back))
+	if outcomes := f.expire(back + 9*time.Second); len(outcomes) != 0 {
+		t.Fatalf("lost within the lease of its incarnation: %v", outcomes)
+	}
+	if outcomes := f.expire(back + 11*time.Second); len(outcomes) != 1 {
+		t.Errorf("not lost after it: %v", outcomes)
+	}
+}
+
+// Guards against a task that is never wanted again, and its job forgotten: a former leader had recorded it in an incarnation
+// that was over, knew that it was gone, allocated another there and ended before it had written the first one's end.
+func TestAllocationLeftOverFromAnEarlierIncarnationIsLost(t *testing.T) {
+	f := newFixture(t)
+	gone, there := allocation(1), allocation(2)
+	there.Index = 1
+	f.RestoreAllocation(gone, t0)
+	f.RestoreAllocation(there, t0)
+	// Before the worker has the term's token this may be a copy from before a restart, and the task in the process that runs.
+	if a := f.receive(heartbeat(2, 6, term-1, status("job-1/1", 1, wire.TaskRunning, "")), 0, mayNotForget); len(a.Outcomes) != 0 {
+		t.Errorf("outcomes %+v of what may be a copy", a.Outcomes)
+	}
+	a := f.receive(heartbeat(2, 7, term, status("job-1/1", 1, wire.TaskRunning, "")), time.Second, mayNotForget)
+	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != gone || !a.Outcomes[0].Lost {
+		t.Errorf("outcomes %+v", a.Outcomes)
+	}
+}
+
+// Guards against a copy from before a restart whose incarnation is higher than that of the process that runs.
+func TestCopyFromBeforeARestartEndsNoIncarnation(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(3, 40, term), 0, mayNotForget)
+	m := f.Machines["n-1"]
+	_, _, mark, _ := f.Probe(m, t0.Add(5*time.Second))
+	restarted := heartbeat(1, 2, term)
+	if got := f.JudgeRestart(m, mark, restarted); got != ProcessRestarted {
+		t.Fatalf("verdict %v", got)
+	}
+	f.AcceptRestart(m, restarted, t0.Add(5*time.Second))
+	f.AddAllocation(allocation(1), t0.Add(5*time.Second))
+	if a, err := f.Heartbeat(heartbeat(3, 39, term), false, t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
+		t.Errorf("%v, %v", a.Outcomes, err)
+	}
+	if a := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(a.Outcomes) != 0 {
+		t.Errorf("outcomes %v", a.Outcomes)
+	}
+}
+
+// Guards against a copy that is taken for news of a machine which answered a probe and sent no heartbeat in this term yet.
+func TestDirectAnswerSetsTheOrderBeforeTheFirstHeartbeat(t *testing.T) {
+	f := newFixture(t)
+	f.RestoreAllocation(allocation(1), t0)
+	if _, err := f.Heartbeat(heartbeat(1, 7, term, status("job-1/0", 1, wire.TaskRunning, "")), true, t0.Add(time.Second), mayNotForget); err != nil {
+		t.Fatal(err)
+	}
+	if a, err := f.Heartbeat(heartbeat(1, 6, term), false, t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
+		t.Errorf("a copy from before the answer: %v, %v", a.Commands, err)
+	}
+	f.receive(heartbeat(1, 8, term, status("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, mayNotForget)
+}
+
+// Guards against a task that counts as gone while the reply with its start is on its way: the next heartbeat may be a copy from
+// before a restart of the worker process, with a higher sequence number.
+func TestTaskIsNotGoneWhileAReplyWithItsStartMayArrive(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+	p := allocation(1)
+	f.AddAllocation(p, t0)
+	if a := f.receive(heartbeat(1, 2, term), time.Second, mayNotForget); ops(a.Commands) != "start " {
+		t.Fatalf("commands %v", a.Commands)
+	}
+	p.Stop = &jobs.StopRequest{}
+	if a := f.receive(heartbeat(1, 90, term), 2*time.Second, mayNotForget); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
+		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
+	}
+	if a := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, mayNotForget); len(a.Outcomes) != 1 {
+		t.Errorf("not gone though nothing can arrive any more: %v", a.Commands)
+	}
+}
+
+// Guards against a copy from before a restart that a leader never knew of: the process that runs has the lower incarnation, and
+// its tasks counted as gone. A worker does not lose its token, and a machine that acknowledged nothing yet is probed.
+func TestNewIncarnationThatMayBeACopyEndsNothing(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		acknowledged bool // the machine acknowledged a message of this term
+	}{{"a token that went down", true}, {"a machine that acknowledged nothing", false}} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			if c.acknowledged {
+				f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+			}
+			p := allocation(1)
+			f.RestoreAllocation(p, t0)
+			a, err := f.Heartbeat(heartbeat(2, 5, term-1), false, t0.Add(time.Second), mayNotForget)
+			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.SuspectCopy {
+				t.Errorf("%v, %v", a.Outcomes, err)
+			}
+			// If the incarnation is new, the machine itself says so.
+			if a, err := f.Heartbeat(heartbeat(2, 6, term), true, t0.Add(2*time.Second), mayNotForget); err != nil || len(a.Outcomes) != 1 {
+				t.Errorf("the machine's own answer: %v, %v", a.Outcomes, err)
+			}
+		})
+	}
+}
+
+// Guards against an exit from before a restart: a recorded attempt is started again in the process that runs.
+func TestExitWithoutTheTermsTokenCountsOnlyIfCompleted(t *testing.T) {
+	for _, c := range []struct {
+		reason   wire.ExitReason
+		token    uint64
+		outcomes int
+	}{{wire.ExitStopped, term - 1, 0}, {wire.ExitError, term - 1, 0}, {wire.ExitDone, term - 1, 1}, {wire.ExitStopped, term, 1}} {
+		t.Run(fmt.Sprintf("%s with token %d", c.reason, c.token), func(t *testing.T) {
+			f := newFixture(t)
+			f.RestoreAllocation(allocation(1), t0)
+			if a := f.receive(heartbeat(1, 7, c.token, status("job-1/0", 1, wire.TaskExited, c.reason)), time.Second, mayNotForget); len(a.Outcomes) != c.outcomes {
+				t.Errorf("outcomes %v", a.Outcomes)
+			}
+		})
+	}
+}
+
+// Guards against a copy from before a restart, of the same incarnation: it lacks what runs in the process that is there.
+func TestTaskMissingFromACopyFromBeforeARestartIsNotGone(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 40, term), 0, mayNotForget)
+	m := f.Machines["n-1"]
+	f.AcceptRestart(m, heartbeat(1, 2, term), t0.Add(5*time.Second))
+	p := allocation(1)
+	p.Stop = &jobs.StopRequest{}
+	f.AddAllocation(p, t0.Add(5*time.Second))
+	if a := f.receive(heartbeat(1, 39, term), 30*time.Second, mayNotForget); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
+		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
+	}
+	if a := f.receive(heartbeat(1, 41, term), 60*time.Second, mayNotForget); len(a.Outcomes) != 1 {
+		t.Errorf("not gone though the heartbeat is from after the restart: %v", a.Commands)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/machines/fixture_test.go
@@ -0,0 +1,68 @@
+package machines
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+
+const (
+	term  = 7
+	lease = 10.0
+)
+
+func mayForget(AttemptID) bool    { return true }
+func mayNotForget(AttemptID) bool { return false }
+
+// heartbeat makes one of n-1.
+func heartbeat(incarnation, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "n-1", Address: "10.0.0.9:1", Type: "g8", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: token, Tasks: tasks}
+}
+
+func status(task string, attempt uint64, state wire.TaskState, reason wire.ExitReason) wire.TaskStatus {
+	return wire.TaskStatus{Task: task, Attempt: attempt, State: state, Reason: reason}
+}
+
+// allocation makes a recorded allocation of job-1/0 on n-1 in an incarnation.
+func allocation(incarnation uint64) *jobs.Allocation {
+	return &jobs.Allocation{
+		Job:     &jobs.Job{Job: wire.Job{ID: "job-1", Team: "t", CPUs: 2, Tasks: 1, Image: "img"}},
+		Attempt: 1, Machine: "n-1", Incarnation: incarnation, Zone: "a", Committed: true,
+	}
+}
+
+// fixture is a registry of term 7, with machine n-1 in the heartbeats.
+type fixture struct {
+	t *testing.T
+	*Registry
+}
+
+func newFixture(t *testing.T) *fixture { return &fixture{t, New(term, lease)} }
+
+// receive takes in a heartbeat that must not be refused, a time after t0.
+func (f *fixture) receive(hb *wire.Heartbeat, at time.Duration, forget MayForget) HeartbeatResult {
+	f.t.Helper()
+	a, err := f.Heartbeat(hb, false, t0.Add(at), forget)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return a
+}
+
+// expire is what the leader does when no follower renews any machine's lease.
+func (f *fixture) expire(at time.Duration) []Outcome {
+	return f.EndExpired(t0.Add(at), nil)
+}
+
+// ops returns the operations of commands, by their words of the protocol.
+func ops(cmds []wire.Command) string {
+	s := ""
+	for _, c := range cmds {
+		s += string(c.Op) + " "
+	}
+	return s
+}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -3,13 +3,14 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a new leader that has every image fetched anew.
-func TestWhatMachinesHoldIsHandedOn(t *testing.T) {
+// Guards against a new leader that has every image fetched once more.
+func TestImagesAreRestoredByTheNextLeader(t *testing.T) {
 	r := New(1, 40)
 	cache := func(string) float64 { return 2 }
 	use := func(machine, image string) {
@@ -32,19 +33,52 @@
 		t.Errorf("held are %+v, want first what most hold", images.Held)
 	}
 	next := New(2, 40)
-	told := images.ByMachine()
+	restored := images.ByMachine()
 	for i := range 20 {
 		m := next.Register(fmt.Sprintf("n-%02d", i), "small", "a", true, t0, t0)
-		m.RestoreImages(told[m.Name], t0)
+		m.RestoreImages(restored[m.Name], t0)
 		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
 			t.Errorf("%s holds %v", m.Name, m.images)
 		}
 	}
-	// What was pushed out of a cache is not told.
+	// What was evicted from a cache is not handed on.
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
 	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
-		t.Error("an image is told of that its machine no longer holds")
+		t.Error("an image is handed on that its machine no longer holds")
 	}
 }
+
+// Guards against prompt work that is sent where its image was once, and waits there for a fetch: a cache keeps what was used
+// most recently.
+func TestLeastRecentlyUsedImageLeavesAFullCache(t *testing.T) {
+	f := newFixture(t)
+	use := func(image string, at time.Duration) *jobs.Allocation {
+		p := allocation(1)
+		p.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
+		f.AddAllocation(p, t0.Add(at))
+		return p
+	}
+	f.receive(heartbeat(1, 1, 0), 0, mayNotForget)
+	pinned := use("1", 0)
+	f.RemoveAllocation(use("2", 0), t0.Add(time.Second))
+	f.RemoveAllocation(use("3", 0), t0.Add(2*time.Second))
+	m := f.Machines["n-1"]
+	holds := func(want string) {
+		t.Helper()
+		got := ""
+		for _, image := range []string{"1", "2", "3", "4"} {
+			if m.HasImage(image, 10) { // two of 4 GB
+				got += image
+			}
+		}
+		if got != want {
+			t.Errorf("holds %q, want %q", got, want)
+		}
+	}
+	holds("13")
+	f.RemoveAllocation(pinned, t0.Add(3*time.Second))
+	f.RemoveAllocation(use("2", 4*time.Second), t0.Add(5*time.Second))
+	holds("12")
+}
--- a/internal/scheduler/machines/listed_test.go
+++ b/internal/scheduler/machines/listing_test.go
@@ -20,7 +20,7 @@
 
 // Guards against tasks that wait for the leases of machines that the cloud took without a word, and
 // against concluding that from a list that is too old, or covers other names.
-func TestAMachineThatTheListPassesOverIsGone(t *testing.T) {
+func TestMachineThatTheListPassesOverIsProvenGone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		after, last string
@@ -52,12 +52,12 @@
 // Random clouds whose lists lag, each page on its own and by any time: no machine counts as gone while it is
 // there, and each that goes does before long once a later one is listed. A new leader that knows all of
 // them, and has seen no list before, finds the same.
-func TestNothingThatIsThereCountsAsGone(t *testing.T) {
+func TestExistingMachineIsNeverProvenGoneByLaggingLists(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		type machine struct{ born, ends float64 }
 		machines := map[string]*machine{}
-		r, told := New(1, 40), map[string]bool{}
+		r, found := New(1, 40), map[string]bool{}
 		for now := 0.0; now < 200; now += 1 + 4*rnd.Float64() {
 			for range rnd.IntN(4) {
 				m, name := &machine{born: now, ends: 1e9}, fmt.Sprintf("n-%04d", len(machines))
@@ -67,7 +67,7 @@
 				machines[name] = m
 				r.Register(name, "small", "a", true, t0, t0)
 			}
-			if rnd.IntN(20) == 0 { // another leads
+			if rnd.IntN(20) == 0 { // failover
 				r = New(2, 40)
 				for name := range machines {
 					r.Register(name, "small", "a", true, t0, t0)
@@ -99,7 +99,7 @@
 					if now < machines[n].ends {
 						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, n, now, machines[n].ends)
 					}
-					told[n] = true
+					found[n] = true
 					r.Forget(n)
 				}
 				if last == "" {
@@ -109,7 +109,7 @@
 			}
 		}
 		for n, m := range machines {
-			if m.ends < 120 && !told[n] {
+			if m.ends < 120 && !found[n] {
 				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, n, m.ends)
 			}
 		}
--- /dev/null
+++ b/internal/scheduler/machines/restart_test.go
@@ -0,0 +1,63 @@
+package machines
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// Guards against a start by the leader before that arrives after its task counts as gone, and its job as cancelled: only once
+// the worker has seen the term's token does what its heartbeat lacks prove anything.
+func TestMissingTaskProvesNothingBeforeTheTermsToken(t *testing.T) {
+	f := newFixture(t)
+	p := allocation(1)
+	p.Stop = &jobs.StopRequest{}
+	f.RestoreAllocation(p, t0)
+	if a := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(a.Outcomes) != 0 {
+		t.Fatalf("concluded while an older leader's start may arrive: %v", a.Outcomes)
+	}
+	if a := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(a.Outcomes) != 1 {
+		t.Errorf("outcomes %v with the term's token", a.Outcomes)
+	}
+}
+
+// Guards against a machine whose worker process was restarted and that counts as empty while something may still start there: by
+// a reply to a heartbeat that was taken a moment ago, a direct start without an answer, or one by an older leader.
+func TestRestartIsAcceptedOnlyOnceNoStartMayArrive(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		after time.Duration // from the last heartbeat that was taken to the probe
+		open  bool          // a direct start is without an answer
+		token uint64
+		want  RestartVerdict
+	}{
+		{"nothing can come", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
+		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
+		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeleteOnly},
+		{"an older leader's start may arrive", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.receive(heartbeat(1, 5, term), 0, mayNotForget)
+			p := allocation(1)
+			f.AddAllocation(p, t0)
+			m := f.Machines["n-1"]
+			if _, req := f.CommandsFor("n-1", []*jobs.Allocation{p}); !c.open {
+				f.CommandsAnswered("n-1", req)
+			}
+			_, _, mark, ok := f.Probe(m, t0.Add(c.after))
+			if !ok {
+				t.Fatal("nobody can be probed")
+			}
+			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
+				t.Errorf("verdict %v, want %v", got, c.want)
+			}
+			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != NotRestarted {
+				t.Errorf("a newer answer is of another process: %v", got)
+			}
+		})
+	}
+}
--- a/internal/scheduler/machines/speed_test.go
+++ b/internal/scheduler/machines/speed_test.go
@@ -8,9 +8,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a machine that runs everything three times slower and goes on getting tasks, and against one that
-// is given up since a few of its tasks happened to be long.
-func TestASlowMachineIsFoundAndOthersAreNot(t *testing.T) {
+// Guards against a machine that runs everything three times slower and goes on getting tasks, and against one
+// that is given up since a few of its tasks happened to be long.
+func TestSlowMachinesAreFoundAndOthersAreNot(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	run := func() float64 { return 60 * math.Exp(0.42*r.NormFloat64()) }
 	others := make([]float64, 12)
