--- /dev/null
+++ b/internal/scheduler/placement/dryrun_test.go
@@ -0,0 +1,107 @@
+package placement
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/wire"
+)
+
+// A dry run that keeps its ranking answers as one that begins anew each time,
+// whatever fitted before.
+func TestDryRunMatchesFreshCycles(t *testing.T) {
+	for seed := range uint64(500) {
+		cluster := func(ask func(r *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool) (out string) {
+			r := rand.New(rand.NewPCG(seed, 2))
+			var machines []*Machine
+			for i := range 2 + r.IntN(20) {
+				m := machine(fmt.Sprintf("m-%02d", i), []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, float64(r.IntN(17)))
+				m.Price = float64(r.IntN(3))
+				machines = append(machines, m)
+			}
+			for n := range 20 {
+				var pending []*PendingJob
+				for i := range 1 + r.IntN(3) {
+					pending = append(pending, pendingJob(fmt.Sprint("job-", n, "-", i), wire.PriorityNormal, time.Duration(i)*time.Second, 1+r.IntN(4), float64(1+r.IntN(4)),
+						func(j *wire.Job) { j.Spread, j.Spot = r.IntN(3) == 0, r.IntN(2) == 0 }))
+				}
+				var without *Machine
+				if i := r.IntN(len(machines)); r.IntN(2) == 0 && len(machines) > 1 {
+					without = machines[i]
+				}
+				fits := ask(r, machines, pending, without)
+				if fits && without != nil {
+					machines = slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without })
+				}
+				out += fmt.Sprint(fits, " ")
+			}
+			for _, m := range machines {
+				out += fmt.Sprint(m.Name, m.Free.CPUs, " ")
+			}
+			return out
+		}
+		var dryRun *DryRun
+		got := cluster(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+			if dryRun == nil {
+				dryRun = NewDryRun(machines)
+			}
+			return dryRun.TryPlace(now, pending, without)
+		})
+		want := cluster(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+			waiting, teams := 0, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}}
+			for _, it := range pending {
+				waiting += it.Waiting
+			}
+			placed := Schedule(now, pending, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without }), teams)
+			if len(placed) == waiting {
+				return true
+			}
+			for _, p := range placed {
+				p.Machine.Free.Add(p.Pending.Request())
+			}
+			return false
+		})
+		if got != want {
+			t.Fatalf("seed %d: %s\nwant %s", seed, got, want)
+		}
+	}
+}
+
+// BenchmarkDryRun asks for a sixteenth of the machines whether their work fits on the
+// others: once by a cycle for each, and once by a dry run.
+func BenchmarkDryRun(b *testing.B) {
+	for _, n := range []int{400, 1000, 4000} {
+		cluster := func() (machines []*Machine, ask func(i int) []*PendingJob) {
+			for i := range n {
+				m := machine(fmt.Sprintf("m-%05d", i), []string{"a", "b"}[i%2], i%3 == 0, float64(i%5))
+				m.FetchS = func(string, float64) float64 { return float64(i % 7) }
+				machines = append(machines, m)
+			}
+			return machines, func(i int) []*PendingJob {
+				return []*PendingJob{pendingJob(fmt.Sprint("job-", i), wire.PriorityNormal, 0, 4, 1+float64(i%4))}
+			}
+		}
+		b.Run(fmt.Sprint("cycles/", n), func(b *testing.B) {
+			for b.Loop() {
+				machines, ask := cluster()
+				for i := range n / 16 {
+					others := slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == machines[i] })
+					Schedule(now, ask(i), others, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}})
+				}
+			}
+		})
+		b.Run(fmt.Sprint("dryrun/", n), func(b *testing.B) {
+			for b.Loop() {
+				machines, ask := cluster()
+				t := NewDryRun(machines)
+				for i := range n / 16 {
+					t.TryPlace(now, ask(i), machines[i])
+				}
+			}
+		})
+	}
+}
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -8,94 +8,98 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Victim is a placed task that may have to make room.
+// Victim is a placed task that may be preempted.
 type Victim struct {
 	Job       *wire.Job
-	Cost      float64   // what stopping it costs, in seconds of work
-	Ref       any       // the caller's own name for it
+	Cost      float64   // of preempting it, in seconds of lost work
+	Ref       any       // identifies the task to the caller
 	Preemptor *wire.Job // the job that it makes room for, once it is chosen
 }
 
-// within tells whether a task more keeps the team within its guarantee.
-func (t *Team) within(n Resources) bool {
-	return t.UsedCPUs+n.CPUs <= t.GuaranteedCPUs+slack && t.UsedGPUs+n.GPUs <= t.GuaranteedGPUs+slack
-}
+// request returns the resources that the task holds.
+func (v *Victim) request() Resources { return Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB} }
 
-// beyond tells whether the team uses more than its guarantee.
-func (t *Team) beyond() bool {
-	return t.UsedCPUs > t.GuaranteedCPUs+slack || t.UsedGPUs > t.GuaranteedGPUs+slack
+// Preempt chooses tasks to preempt for jobs that found no room. Only work within
+// its team's guarantee preempts: tasks of a lower priority, and, of any priority,
+// what another team runs beyond its own guarantee. For each task the machine is
+// chosen on which the least work is lost. It changes the jobs, machines and teams
+// as if the victims had ended and the tasks were placed.
+func Preempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
+	p := preemption{machines: machines, teams: teams, offers: make([]offer, len(machines))}
+	for _, job := range pending {
+		p.makeRoomFor(job)
+	}
+	return p.chosen
 }
 
-// Preempt chooses tasks to stop for items that found no room. Only work within
-// its team's guarantee has others stopped: those of a lower priority, and, of
-// any, what another team runs beyond its own guarantee. For each task the
-// machine is taken on which the least work is lost.
-func Preempt(items []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
-	var out []Victim
-	offers := make([]offer, len(machines))
-	for _, it := range items {
-		team, need := teams[it.Job.Team], it.Request()
-		known := false
-		for n := 0; team != nil && it.Waiting > 0 && n < tuning.PreemptBatch && team.fits(need) && team.within(need); n++ {
-			if !known {
-				known = true
-				for i, m := range machines {
-					offers[i] = it.offerOf(m, need, teams)
-				}
-			}
-			// While one item makes room, an offer goes (a zone is full) or stays, but for that of
-			// the machine that was just taken, and unless a team is no longer beyond its
-			// guarantee. So the cheapest that is known is the cheapest if it still holds.
-			i := cheapest(offers)
-			for i >= 0 {
-				now := it.offerOf(machines[i], need, teams)
-				same := now.ok && now.cost == offers[i].cost
-				if offers[i] = now; same {
-					break
-				}
-				i = cheapest(offers)
-			}
-			if i < 0 {
-				break
-			}
-			best, chosen := machines[i], offers[i].victims
-			for _, k := range chosen {
-				v := best.Victims[k]
-				v.Preemptor = it.Job
-				out = append(out, v)
-				best.Free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
-				if t := teams[v.Job.Team]; t != nil {
-					before := t.beyond()
-					t.add(Resources{-v.Job.CPUs, -v.Job.GPUs, 0})
-					known = known && before == t.beyond()
-				}
-			}
-			slices.Sort(chosen)
-			for _, k := range slices.Backward(chosen) {
-				best.Victims = slices.Delete(best.Victims, k, k+1)
-			}
-			it.take(best, need, team)
-			offers[i] = it.offerOf(best, need, teams)
-		}
-	}
-	return out
+// preemption is the state of one choice of victims.
+type preemption struct {
+	machines []*Machine
+	teams    map[string]*Team
+	offers   []offer // of each machine, for a task of the present job
+	current  bool    // the offers are for the present job, and no team's borrowing has changed
+	chosen   []Victim
 }
 
 // offer is what room for one task on a machine costs.
 type offer struct {
 	ok      bool
-	cost    float64
-	victims []int
+	cost    float64 // in seconds of lost work
+	victims []int   // indexes in the machine's victims
+}
+
+// makeRoomFor chooses victims for up to tuning.PreemptBatch tasks of a job.
+func (p *preemption) makeRoomFor(job *PendingJob) {
+	team, request := p.teams[job.Job.Team], job.Request()
+	if team == nil {
+		return
+	}
+	p.current = false
+	for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
+		if !p.current {
+			p.collectOffers(job, request)
+		}
+		i := p.bestOffer(job, request)
+		if i < 0 {
+			return
+		}
+		p.accept(i, job)
+		job.assign(p.machines[i], request, team)
+		p.offers[i] = p.offerOf(p.machines[i], job, request)
+	}
 }
 
-func (it *PendingJob) offerOf(m *Machine, need Resources, teams map[string]*Team) (o offer) {
-	if m.Total.Fits(need) && it.Allows(m.Type, m.Zone, m.Spot) && (it.Avoid == nil || !it.Avoid(m.Name)) {
-		o.victims, o.cost, o.ok = it.victimsOn(m, need, teams)
+// collectOffers asks all machines for an offer.
+func (p *preemption) collectOffers(job *PendingJob, request Resources) {
+	for i, m := range p.machines {
+		p.offers[i] = p.offerOf(m, job, request)
+	}
+	p.current = true
+}
+
+// bestOffer returns the index of the machine with the cheapest offer; -1: there
+// is none.
+//
+// While one job makes room, an offer is withdrawn (a zone is full) or stays, but
+// for that of the machine that was just used, and unless a team stops borrowing.
+// So the cheapest known offer is the cheapest if it still holds.
+func (p *preemption) bestOffer(job *PendingJob, request Resources) int {
+	for {
+		i := cheapest(p.offers)
+		if i < 0 {
+			return -1
+		}
+		now := p.offerOf(p.machines[i], job, request)
+		holds := now.ok && now.cost == p.offers[i].cost
+		p.offers[i] = now
+		if holds {
+			return i
+		}
 	}
-	return o
 }
 
-// cheapest gives the first of the cheapest offers; -1: there is none.
+// cheapest returns the index of the first of the cheapest offers; -1: there is
+// none.
 func cheapest(offers []offer) int {
 	best := -1
 	for i := range offers {
@@ -106,28 +110,74 @@
 	return best
 }
 
-// victimsOn picks the cheapest tasks of a machine whose end makes room for one of the item's.
-func (it *PendingJob) victimsOn(m *Machine, need Resources, teams map[string]*Team) (idx []int, cost float64, ok bool) {
-	var may []int
-	for i, v := range m.Victims {
-		t := teams[v.Job.Team]
-		lower := v.Job.Priority.Level() < it.Job.Priority.Level()
-		// A replica's end is an outage to its users: none for what is lent.
-		borrowed := t != nil && v.Job.Team != it.Job.Team && t.beyond() && v.Job.Kind != wire.KindService
-		if lower || borrowed {
-			may = append(may, i)
+// accept takes the victims of the offer at index i from their machine, for a job.
+func (p *preemption) accept(i int, job *PendingJob) {
+	m, victims := p.machines[i], p.offers[i].victims
+	for _, k := range victims {
+		v := m.Victims[k]
+		v.Preemptor = job.Job
+		p.chosen = append(p.chosen, v)
+		m.Free.Add(v.request())
+		p.release(&v)
+	}
+	slices.Sort(victims)
+	for _, k := range slices.Backward(victims) {
+		m.Victims = slices.Delete(m.Victims, k, k+1)
+	}
+}
+
+// release takes a victim out of its team's use. If the team stops borrowing by
+// that, the offers with its tasks do not hold any more.
+func (p *preemption) release(v *Victim) {
+	t := p.teams[v.Job.Team]
+	if t == nil {
+		return
+	}
+	borrowed := t.borrows()
+	t.release(v.request())
+	p.current = p.current && borrowed == t.borrows()
+}
+
+// offerOf returns a machine's offer for one task of a job.
+func (p *preemption) offerOf(m *Machine, job *PendingJob, request Resources) offer {
+	if !job.couldRunOn(m, request) {
+		return offer{}
+	}
+	victims, cost, ok := job.victimsOn(m, request, p.teams)
+	return offer{ok: ok, cost: cost, victims: victims}
+}
+
+// victimsOn returns the indexes and the cost of the cheapest tasks of a machine
+// whose end makes room for one task of the job.
+func (p *PendingJob) victimsOn(m *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
+	var preemptible []int
+	for i := range m.Victims {
+		if p.mayPreempt(m.Victims[i].Job, teams) {
+			preemptible = append(preemptible, i)
 		}
 	}
-	slices.SortFunc(may, func(a, b int) int { return cmp.Compare(m.Victims[a].Cost, m.Victims[b].Cost) })
+	slices.SortFunc(preemptible, func(a, b int) int { return cmp.Compare(m.Victims[a].Cost, m.Victims[b].Cost) })
 	free := m.Free
-	for _, i := range may {
-		if free.Fits(need) {
+	for _, i := range preemptible {
+		if free.Fits(request) {
 			break
 		}
-		v := m.Victims[i]
-		free.Sub(Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB}, -1)
-		idx = append(idx, i)
+		v := &m.Victims[i]
+		free.Add(v.request())
+		victims = append(victims, i)
 		cost += v.Cost
 	}
-	return idx, cost, free.Fits(need)
+	return victims, cost, free.Fits(request)
+}
+
+// mayPreempt reports whether tasks of another job may be preempted for this one:
+// those of a lower priority, and what another team borrows. A service's replicas
+// are not preempted for a guarantee alone: the end of one is an outage to its
+// users.
+func (p *PendingJob) mayPreempt(victim *wire.Job, teams map[string]*Team) bool {
+	if victim.Priority.Level() < p.Job.Priority.Level() {
+		return true
+	}
+	t := teams[victim.Team]
+	return t != nil && victim.Team != p.Job.Team && t.borrows() && victim.Kind != wire.KindService
 }
--- /dev/null
+++ b/internal/scheduler/placement/ranking_test.go
@@ -0,0 +1,30 @@
+package placement
+
+import (
+	"testing"
+
+	"poppypass/internal/platform/wire"
+)
+
+func TestLatencySensitiveWorkStartsSoonest(t *testing.T) {
+	m, n := machine("m", "a", false, 16), machine("n", "a", false, 4)
+	m.FetchS = func(string, float64) float64 { return 7 }
+	n.FetchS = func(string, float64) float64 { return 2 }
+	n.Price = 3
+	sensitive, patient := pendingJob("a", wire.PriorityHigh, 0, 1, 4), pendingJob("a", wire.PriorityHigh, 0, 1, 4)
+	sensitive.LatencySensitive = true
+	if got := run([]*PendingJob{sensitive}, []*Machine{m, n}, 100); got != "a:n" {
+		t.Errorf("latency-sensitive work placed %q", got)
+	}
+	if got := run([]*PendingJob{patient}, []*Machine{m, n}, 100); got != "a:m" {
+		t.Errorf("patient work placed %q", got)
+	}
+}
+
+func TestSpreadCountsTasksPlacedEarlier(t *testing.T) {
+	it := pendingJob("a", wire.PriorityHigh, 0, 4, 1, func(j *wire.Job) { j.Spread = true })
+	it.Waiting, it.Zones = 2, map[string]int{"a": 2}
+	if got := run([]*PendingJob{it}, []*Machine{machine("m", "a", false, 16)}, 100); got != "" {
+		t.Errorf("placed %q", got)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/placement/resources.go
@@ -0,0 +1,37 @@
+package placement
+
+// Resources is what a machine has, or what a task requests.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
+
+// slack absorbs the rounding of sums of decimal amounts.
+const slack = 1e-9
+
+// Fits reports whether a task that requests t fits into r.
+func (r Resources) Fits(t Resources) bool {
+	return t.CPUs <= r.CPUs+slack && t.GPUs <= r.GPUs+slack && t.MemoryGB <= r.MemoryGB+slack
+}
+
+// Sub subtracts n times t from r.
+func (r *Resources) Sub(t Resources, n float64) {
+	r.CPUs -= n * t.CPUs
+	r.GPUs -= n * t.GPUs
+	r.MemoryGB -= n * t.MemoryGB
+}
+
+// Add adds t to r.
+func (r *Resources) Add(t Resources) {
+	r.CPUs += t.CPUs
+	r.GPUs += t.GPUs
+	r.MemoryGB += t.MemoryGB
+}
+
+// MinRequest returns, for each resource, the least that a task of the jobs
+// requests. There must be at least one job.
+func MinRequest(pending []*PendingJob) Resources {
+	least := pending[0].Request()
+	for _, p := range pending[1:] {
+		r := p.Request()
+		least = Resources{min(least.CPUs, r.CPUs), min(least.GPUs, r.GPUs), min(least.MemoryGB, r.MemoryGB)}
+	}
+	return least
+}
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -1,194 +1,143 @@
 package placement
 
 import (
-	"cmp"
 	"slices"
-	"strings"
 
 	"poppypass/internal/platform/tuning"
 )
 
-// A pass asks for the best machine once for each task, and most tasks are like others. So
-// machines are put in order once for each shape of tasks, and kept in it as they fill up: a
-// heap for each zone, whose entries remember by which free room they stand where they do. In a
-// pass room only goes, so an entry that is out of date stands too far in front, never too far
-// behind: it is put right when it comes to the front, and the front is the best machine.
+// A cycle asks for the best machine once per task, and most tasks are of the same
+// shape as others. So machines are ranked once per task shape and kept in order
+// as they fill up: in a heap per zone, whose entries remember the free resources
+// by which they were ranked. In a cycle free resources only shrink, so an entry
+// that is out of date is too far in front, never too far behind: it is corrected
+// when it comes to the front, and the front is the best machine.
 //
-// What differs between items of one shape (zones that are open, machines that are held or
-// avoided, how tasks are spread) is looked at in front only.
+// What differs between jobs of one shape (which zones are allowed, which machines
+// are reserved or avoided, how tasks are spread) is checked at the front only.
 
-// shape is what the order of machines within a zone hangs on.
-type shape struct {
-	need         Resources
-	image        string
-	imageGB      float64
-	types        string
-	spot, prompt bool
-	side         KindPreference
-}
-
-func shapeOf(it *PendingJob, side KindPreference) shape {
-	s := shape{side: side, need: it.Request(), image: it.Job.Image, imageGB: it.Job.ImageGB, spot: it.Job.Spot, prompt: it.LatencySensitive}
-	if it.Job.Types != nil {
-		s.types = "\x00" + strings.Join(it.Job.Types, "\x00") // none allowed is not the same as all
-	}
-	return s
-}
-
-// candidate is a machine in the order of a shape.
-type candidate struct {
-	m     *Machine
-	fetch float64   // seconds until it has the image, rounded
-	free  Resources // by which it stands where it does
+// search ranks the machines for one task shape.
+type search struct {
+	shape   taskShape
+	types   []string // machine types that are allowed; nil: all
+	zones   []zoneHeap
+	skipped []candidate // buffer of best
 }
 
-// front is the machines of a zone that have room for a shape, the best first.
-type front struct {
-	zone string
-	heap []candidate
+// searches holds the searches of a cycle by shape.
+type searches struct {
+	machines []*Machine
+	byShape  map[taskShape]*search
 }
 
-// search has the machines in the order of one shape.
-type search struct {
-	shape shape
-	types []string // those allowed; nil: any
-	zones []front
-	aside []candidate // passed over for one item
+func newSearches(machines []*Machine) searches {
+	return searches{machines: machines, byShape: map[taskShape]*search{}}
 }
 
-// searchFor gives the search of an item's shape.
-func (p *pass) searchFor(it *PendingJob, side KindPreference) *search {
-	key := shapeOf(it, side)
-	if s := p.searches[key]; s != nil {
+// forJob returns the search for a job's tasks on a kind of machines.
+func (ss *searches) forJob(p *PendingJob, kind KindPreference) *search {
+	shape := shapeOf(p, kind)
+	if s := ss.byShape[shape]; s != nil {
 		return s
 	}
-	s := &search{shape: key, types: it.Job.Types}
-	for _, m := range p.roomy {
-		if s.takes(m) {
-			f := s.front(m.Zone)
-			f.heap = append(f.heap, s.candidate(m))
-		}
+	if len(ss.byShape) >= tuning.TaskShapesMax {
+		clear(ss.byShape) // of so many shapes few come again
 	}
-	for i := range s.zones {
-		f := &s.zones[i]
-		for k := len(f.heap)/2 - 1; k >= 0; k-- {
-			s.down(f, k)
+	s := newSearch(shape, p.Job.Types, ss.machines)
+	ss.byShape[shape] = s
+	return s
+}
+
+func newSearch(shape taskShape, types []string, machines []*Machine) *search {
+	s := &search{shape: shape, types: types}
+	for _, m := range machines {
+		if s.accepts(m) {
+			h := s.heap(m.Zone)
+			h.entries = append(h.entries, s.shape.candidate(m))
 		}
 	}
-	if len(p.searches) >= tuning.TaskShapesMax {
-		clear(p.searches) // of so many shapes, few come again
+	for i := range s.zones {
+		s.zones[i].build()
 	}
-	p.searches[key] = s
 	return s
 }
 
-// takes tells whether a machine has room for the shape, and is of an allowed kind.
-func (s *search) takes(m *Machine) bool {
-	return m.Free.Fits(s.shape.need) && s.shape.side.admits(m.Spot) && (!m.Spot || s.shape.spot) && (s.types == nil || slices.Contains(s.types, m.Type))
-}
-
-func (s *search) candidate(m *Machine) candidate {
-	return candidate{m: m, fetch: m.fetch(s.shape.image, s.shape.imageGB), free: m.Free}
+// accepts reports whether a machine has room for the shape and is of an allowed
+// kind and type.
+func (s *search) accepts(m *Machine) bool {
+	return m.Free.Fits(s.shape.request) && s.shape.kind.admits(m.Spot) && (!m.Spot || s.shape.spot) && (s.types == nil || slices.Contains(s.types, m.Type))
 }
 
-func (s *search) front(zone string) *front {
+// heap returns the heap of a zone. The pointer is valid until the next call.
+func (s *search) heap(zone string) *zoneHeap {
 	for i := range s.zones {
 		if s.zones[i].zone == zone {
 			return &s.zones[i]
 		}
 	}
-	s.zones = append(s.zones, front{zone: zone})
+	s.zones = append(s.zones, zoneHeap{zone: zone, shape: &s.shape})
 	return &s.zones[len(s.zones)-1]
 }
 
-// before orders machines of one zone as Item.better does.
-func (s *search) before(a, b *candidate) bool {
-	if a.m.Spot != b.m.Spot {
-		return a.m.Spot
+// best returns the best machine for one more task of a job; nil: there is none.
+func (s *search) best(p *PendingJob) *Machine {
+	var tasksIn map[string]int
+	if p.Job.Spread {
+		tasksIn = p.Zones
 	}
-	if s.shape.prompt && a.fetch != b.fetch {
-		return a.fetch < b.fetch
-	}
-	if a.m.Price != b.m.Price && (a.m.Spot || !s.shape.spot) {
-		return a.m.Price < b.m.Price
-	}
-	if a.fetch == b.fetch && a.m.Unacknowledged != b.m.Unacknowledged {
-		return b.m.Unacknowledged
-	}
-	return cmp.Or(cmp.Compare(a.fetch, b.fetch), cmp.Compare(b.free.CPUs, a.free.CPUs), cmp.Compare(b.free.MemoryGB, a.free.MemoryGB),
-		cmp.Compare(a.m.Name, b.m.Name)) < 0
-}
-
-// down moves an entry behind those that are better.
-func (s *search) down(f *front, k int) {
-	h := f.heap
-	for {
-		best := k
-		for c := 2*k + 1; c <= 2*k+2 && c < len(h); c++ {
-			if s.before(&h[c], &h[best]) {
-				best = c
-			}
+	var best candidate
+	for i := range s.zones {
+		h := &s.zones[i]
+		if !p.AllowsZone(h.zone) {
+			continue
 		}
-		if best == k {
-			return
+		c, found := s.bestIn(h, p)
+		if found && (best.m == nil || s.shape.ranksBefore(&c, &best, tasksIn)) {
+			best = c
 		}
-		h[k], h[best] = h[best], h[k]
-		k = best
 	}
+	return best.m
 }
 
-// drop takes the front entry out.
-func (s *search) drop(f *front) {
-	last := len(f.heap) - 1
-	f.heap[0] = f.heap[last]
-	f.heap = f.heap[:last]
-	s.down(f, 0)
+// bestIn returns the best machine of a zone for a job. Machines that are reserved
+// for other jobs, or that this one avoids, stay in the heap for other jobs.
+func (s *search) bestIn(h *zoneHeap, p *PendingJob) (c candidate, found bool) {
+	s.skipped = s.skipped[:0]
+	for len(h.entries) > 0 && !found {
+		front := &h.entries[0]
+		switch m := front.m; {
+		case front.free != m.Free:
+			s.refreshFront(h)
+		case m.reservedFor == removedFromDryRun:
+			h.pop()
+		case m.reservedFor != "" && m.reservedFor != p.Job.ID || p.avoids(m.Name):
+			s.skipped = append(s.skipped, *front)
+			h.pop()
+		default:
+			c, found = *front, true
+		}
+	}
+	for _, skipped := range s.skipped {
+		h.push(skipped)
+	}
+	return c, found
 }
 
-// add puts an entry in.
-func (s *search) add(f *front, c candidate) {
-	f.heap = append(f.heap, c)
-	for k := len(f.heap) - 1; k > 0 && s.before(&f.heap[k], &f.heap[(k-1)/2]); k = (k - 1) / 2 {
-		f.heap[k], f.heap[(k-1)/2] = f.heap[(k-1)/2], f.heap[k]
+// refreshFront ranks the front entry by the machine's present free resources, or
+// removes it if the shape does not fit any more.
+func (s *search) refreshFront(h *zoneHeap) {
+	front := &h.entries[0]
+	if !front.m.Free.Fits(s.shape.request) {
+		h.pop()
+		return
 	}
+	front.free = front.m.Free
+	h.siftDown(0)
 }
 
-// best gives the best machine for one more task of an item; nil: there is none.
-func (s *search) best(it *PendingJob) (best *Machine) {
-	for i := range s.zones {
-		f := &s.zones[i]
-		if !it.AllowsZone(f.zone) {
-			continue
-		}
-		s.aside = s.aside[:0]
-		for len(f.heap) > 0 {
-			c := &f.heap[0]
-			if c.free != c.m.Free {
-				if !c.m.Free.Fits(s.shape.need) {
-					s.drop(f)
-				} else {
-					c.free = c.m.Free
-					s.down(f, 0)
-				}
-				continue
-			}
-			if c.m.reservedFor == gone {
-				s.drop(f)
-				continue
-			}
-			if c.m.reservedFor != "" && c.m.reservedFor != it.Job.ID || it.Avoid != nil && it.Avoid(c.m.Name) {
-				s.aside = append(s.aside, *c)
-				s.drop(f)
-				continue
-			}
-			if best == nil || it.better(c.m, best) {
-				best = c.m
-			}
-			break
-		}
-		for _, c := range s.aside {
-			s.add(f, c)
-		}
+// addFreed ranks a machine again whose free resources have grown.
+func (s *search) addFreed(m *Machine) {
+	if s.accepts(m) {
+		s.heap(m.Zone).push(s.shape.candidate(m))
 	}
-	return best
 }
--- /dev/null
+++ b/internal/scheduler/placement/starvation_test.go
@@ -0,0 +1,149 @@
+package placement
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+)
+
+// Guards against jobs that wait for ever beside room that is reserved for one that
+// cannot use it: a task requests a whole machine, or most of its team's quota,
+// where service replicas stay; and against any reservation that lasts.
+func TestNoJobWaitsBesideRoom(t *testing.T) {
+	for seed := range uint64(12) {
+		r := rand.New(rand.NewPCG(seed, 3))
+		sim := newSimulation(map[string]*Team{"hot": {QuotaCPUs: 64}, "t": {QuotaCPUs: 1000}})
+		for i := range 2 + r.IntN(6) {
+			m := machine(fmt.Sprintf("m-%d", i), string(rune('a'+i%2)), false, 16)
+			if r.IntN(3) > 0 { // a service replica stays
+				m.Free.CPUs -= 1
+				sim.teams["hot"].UsedCPUs++
+				sim.teams["hot"].PermanentUse.CPUs++
+			}
+			sim.machines = append(sim.machines, m)
+		}
+		sim.teams["hot"].QuotaCPUs = sim.teams["hot"].UsedCPUs + 8
+		if seed%2 == 1 { // room is reserved for work of higher priority
+			sim.placeholders = func() []*PendingJob {
+				return []*PendingJob{{Job: &wire.Job{ID: "placeholder", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 3, CPUs: 4, EstimateS: 20}, WaitingSince: sim.now, Waiting: 3, Placeholder: true}}
+			}
+		}
+		for s := range 900 {
+			if r.IntN(4) == 0 && s < 600 {
+				sim.submit(fmt.Sprintf("small-%d", s), []string{"hot", "t"}[r.IntN(2)], 1+r.IntN(3), float64(1+r.IntN(4)), float64(20+r.IntN(200)), wire.PriorityNormal)
+			}
+			if s%150 == 20 {
+				sim.submit(fmt.Sprintf("whole-%d", s), "t", 2, 16, 60, []wire.Priority{wire.PriorityNormal, wire.PriorityHigh}[r.IntN(2)])
+				sim.submit(fmt.Sprintf("limit-%d", s), "hot", 1, 12, 60, wire.PriorityNormal)
+				zone := sim.submit(fmt.Sprintf("zone-%d", s), "t", 3, 9, 100, wire.PriorityNormal)
+				zone.Job.Zone = "a"
+			}
+			sim.step()
+		}
+		if sim.longestWait >= 90*time.Second {
+			t.Errorf("seed %d: a job waited for %v beside room", seed, sim.longestWait)
+		}
+	}
+}
+
+// Guards against the largest of a class that never begin while small work goes on:
+// tasks for which each machine that becomes free is too small, jobs as large as
+// their team's quota, arrays behind a stream of little work.
+func TestLargestJobsBeginInTime(t *testing.T) {
+	const bound = 240 * time.Second
+	for seed := range uint64(6) {
+		r := rand.New(rand.NewPCG(seed, 2))
+		sim := newSimulation(map[string]*Team{
+			"hot": {QuotaCPUs: 64, GuaranteedCPUs: 16}, "guest": {QuotaCPUs: 1e9, FairShareCPUs: 40}, "t": {QuotaCPUs: 80, GuaranteedCPUs: 40},
+		})
+		for i := range 10 {
+			sim.machines = append(sim.machines, machine(fmt.Sprintf("m-%d", i), "a", false, 16))
+		}
+		large := map[string]*PendingJob{}
+		n := 0
+		for s := range 600 {
+			// Small work for more than there is, of all teams.
+			for work := 0.0; work < 160*1.3; {
+				cpus, run := float64(1+r.IntN(3)), float64(15+r.IntN(30))
+				tasks := 1 + r.IntN(4)
+				n++
+				sim.submit(fmt.Sprintf("small-%d", n), []string{"hot", "guest", "t"}[r.IntN(3)], tasks, cpus, run, wire.PriorityNormal)
+				work += cpus * run * float64(tasks)
+			}
+			if s%100 == 50 && s < 350 {
+				for id, it := range map[string]*PendingJob{
+					fmt.Sprintf("whole-machine-%d", s): sim.submit(fmt.Sprintf("whole-machine-%d", s), "t", 4, 16, 60, wire.PriorityNormal),
+					fmt.Sprintf("whole-limit-%d", s):   sim.submit(fmt.Sprintf("whole-limit-%d", s), "hot", 200, 16, 60, wire.PriorityNormal),
+					fmt.Sprintf("huge-%d", s):          sim.submit(fmt.Sprintf("huge-%d", s), "guest", 25000, 4, 60, wire.PriorityNormal),
+				} {
+					large[id] = it
+				}
+			}
+			sim.step()
+			for name, team := range sim.teams {
+				if team.UsedCPUs > team.QuotaCPUs+slack {
+					t.Fatalf("seed %d: %s uses %v", seed, name, team.UsedCPUs)
+				}
+			}
+		}
+		for id := range large {
+			if took, ok := sim.began[id]; !ok || took > bound {
+				t.Fatalf("seed %d: %s began after %v (ever: %v)", seed, id, took, ok)
+			}
+		}
+		if sim.longestWait >= 90*time.Second {
+			t.Errorf("seed %d: a job waited for %v beside room", seed, sim.longestWait)
+		}
+		// What is reserved for them costs little of what the machines can do.
+		if used := sim.done / (600 * 160); used < 0.85 {
+			t.Errorf("seed %d: %.2f of the machines' time was of use", seed, used)
+		}
+	}
+}
+
+// Guards against a bound that lets a large job take everything: one task of it goes
+// before the others.
+func TestStarvingJobGetsOneTask(t *testing.T) {
+	late := pendingJob("late", wire.PriorityNormal, tuning.StarvationBound, 8, 4)
+	late.Started = 0
+	begun := pendingJob("begun", wire.PriorityNormal, tuning.StarvationBound/2, 8, 1)
+	begun.Started, begun.Job.EstimateS, late.Job.EstimateS = 1, 1, 1000
+	late.Job.Kind, begun.Job.Kind = wire.KindArray, wire.KindArray
+	got := map[string]int{}
+	for _, p := range Schedule(now, []*PendingJob{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {QuotaCPUs: 100}}) {
+		got[p.Pending.Job.ID]++
+	}
+	if got["late"] != 1 || got["begun"] != 4 {
+		t.Errorf("placed %v", got)
+	}
+}
+
+// Guards against a quota that is reserved for the first task of a job for ever, and
+// against one that is reserved against other teams.
+func TestQuotaReservationForStarvingJob(t *testing.T) {
+	late := pendingJob("late", wire.PriorityNormal, tuning.StarvationBound, 1, 8)
+	small := pendingJob("small", wire.PriorityNormal, 0, 4, 1)
+	other := pendingJob("other", wire.PriorityNormal, 0, 4, 1)
+	other.Job.Team = "u"
+	teams := map[string]*Team{"t": {UsedCPUs: 4, QuotaCPUs: 10}, "u": {QuotaCPUs: 10}}
+	got := map[string]int{}
+	for _, p := range Schedule(now, []*PendingJob{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
+		got[p.Pending.Job.ID]++
+	}
+	if got["late"] != 0 || got["small"] != 0 || got["other"] != 4 {
+		t.Errorf("placed %v while the quota is reserved", got)
+	}
+	teams["t"] = &Team{UsedCPUs: 2, QuotaCPUs: 10}
+	clear(got)
+	small.Waiting, late.Waiting = 4, 1
+	for _, p := range Schedule(now, []*PendingJob{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
+		got[p.Pending.Job.ID]++
+	}
+	if got["late"] != 1 {
+		t.Errorf("placed %v once it fits", got)
+	}
+}
