--- a/cmd/poppypass/commands.go
+++ b/cmd/poppypass/commands.go
@@ -33,9 +33,9 @@
 	return root
 }
 
-type files struct{ config, properties string }
+type settingsFiles struct{ config, properties string }
 
-func (f *files) flags(c *cobra.Command) {
+func (f *settingsFiles) flags(c *cobra.Command) {
 	c.Flags().StringVar(&f.config, "config", "", "path of the settings file (TOML)")
 	c.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties)")
 	if err := c.MarkFlagRequired("config"); err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (f *files) load() (*config.Settings, *config.OperatorSettings, error) {
+func (f *settingsFiles) load() (*config.Settings, *config.OperatorSettings, error) {
 	s, err := config.Load(f.config)
 	if err != nil {
 		return nil, nil, err
@@ -71,7 +71,7 @@
 }
 
 func serveCommand() *cobra.Command {
-	var f files
+	var f settingsFiles
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run a controller until it is killed",
@@ -103,7 +103,7 @@
 }
 
 func checkCommand() *cobra.Command {
-	var f files
+	var f settingsFiles
 	c := &cobra.Command{
 		Use:   "check --config FILE",
 		Short: "Check the settings without serving",
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -222,7 +222,7 @@
 }
 
 func ledgerVerifyCommand() *cobra.Command {
-	var f files
+	var f settingsFiles
 	c := &cobra.Command{
 		Use: "verify --config FILE", Short: "Work out all totals anew from the charges, and name each difference", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/api/userapi/odd_test.go
+++ b/internal/api/userapi/odd_test.go
@@ -169,7 +169,7 @@
 		t.Errorf("one that nobody submitted: %d", status)
 	}
 	for id, final := range map[string]wire.JobState{"job-5": wire.StateDone, "job-6": wire.StateCancelled} {
-		d.finals.Add(wire.JobStatus{ID: id, State: final, Done: 1})
+		d.finalStates.Add(wire.JobStatus{ID: id, State: final, Done: 1})
 		for name, serve := range map[string]http.HandlerFunc{"asked": d.ServeStatus, "cancelled": d.ServeCancel, "submitted": d.ServeSubmit} {
 			if status, s := do(serve, id, changed(t, id, map[string]any{"seats": 3})); status != http.StatusOK || s.State != final {
 				t.Errorf("%s, %s again: %d %s", id, name, status, s.State)
--- a/internal/api/userapi/polls.go
+++ b/internal/api/userapi/polls.go
@@ -11,31 +11,31 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// poller reads the states of jobs that the leader cannot tell: while nobody
+// statusReader reads the states of jobs that the leader cannot tell: while nobody
 // leads, or the leader stands still, all polls end here. One batch is read at a
 // time; what comes meanwhile shares the next, and many share one listing of the
 // live jobs. Two reads for each used up the limit when users asked eight times
 // as often. Each answer was read after its poll came.
-type poller struct {
+type statusReader struct {
 	d *Handler
 
 	mu      sync.Mutex
-	waiting map[string][]chan pollAnswer
+	waiting map[string][]chan statusAnswer
 	running bool
 }
 
-type pollAnswer struct {
+type statusAnswer struct {
 	code   int
 	status wire.JobStatus
 }
 
-func newPoller(d *Handler) *poller {
-	return &poller{d: d, waiting: map[string][]chan pollAnswer{}}
+func newStatusReader(d *Handler) *statusReader {
+	return &statusReader{d: d, waiting: map[string][]chan statusAnswer{}}
 }
 
-// status reads a job's state with the next batch.
-func (p *poller) status(ctx context.Context, id string) (int, wire.JobStatus) {
-	ch := make(chan pollAnswer, 1)
+// read reads a job's state with the next batch.
+func (p *statusReader) read(ctx context.Context, id string) (int, wire.JobStatus) {
+	ch := make(chan statusAnswer, 1)
 	p.mu.Lock()
 	p.waiting[id] = append(p.waiting[id], ch)
 	if !p.running {
@@ -51,22 +51,22 @@
 	}
 }
 
-func (p *poller) run() {
+func (p *statusReader) run() {
 	for {
 		p.mu.Lock()
 		batch := p.waiting
-		p.waiting = map[string][]chan pollAnswer{}
+		p.waiting = map[string][]chan statusAnswer{}
 		p.running = len(batch) > 0
 		p.mu.Unlock()
 		if len(batch) == 0 {
 			return
 		}
-		p.serve(batch)
+		p.answerBatch(batch)
 	}
 }
 
-// serve answers a batch.
-func (p *poller) serve(batch map[string][]chan pollAnswer) {
+// answerBatch answers a batch.
+func (p *statusReader) answerBatch(batch map[string][]chan statusAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollWait)
 	defer cancel()
 	store := p.d.store.LowPriority()
@@ -82,7 +82,7 @@
 		}); err != nil {
 			p.d.log.Debug("live jobs unreadable", "polls", len(batch), "err", err)
 			for id, chs := range batch {
-				answerAll(chs, pollAnswer{http.StatusServiceUnavailable, wire.JobStatus{ID: id}})
+				answerAll(chs, statusAnswer{http.StatusServiceUnavailable, wire.JobStatus{ID: id}})
 			}
 			return
 		}
@@ -90,13 +90,13 @@
 	var wg sync.WaitGroup
 	for id, chs := range batch {
 		if s, ok := live[id]; ok {
-			answerAll(chs, pollAnswer{http.StatusOK, s})
+			answerAll(chs, statusAnswer{http.StatusOK, s})
 			continue
 		}
 		wg.Go(func() {
-			var a pollAnswer
+			var a statusAnswer
 			if listed {
-				a.code, a.status = p.d.endStatus(ctx, id, store)
+				a.code, a.status = p.d.storedFinalStatus(ctx, id, store)
 			} else {
 				a.code, a.status = p.d.storedStatus(ctx, id, store)
 			}
@@ -106,7 +106,7 @@
 	wg.Wait()
 }
 
-func answerAll(chs []chan pollAnswer, a pollAnswer) {
+func answerAll(chs []chan statusAnswer, a statusAnswer) {
 	for _, ch := range chs {
 		ch <- a
 	}
--- a/internal/api/userapi/polls_test.go
+++ b/internal/api/userapi/polls_test.go
@@ -43,11 +43,11 @@
 	}))
 	t.Cleanup(srv.Close)
 	d, _ := handlerWith(t, strings.TrimPrefix(srv.URL, "http://"))
-	p := d.polls
+	p := d.statusReader
 	var wg sync.WaitGroup
 	poll := func(id string, want int, state wire.JobState) {
 		wg.Go(func() {
-			if code, s := p.status(t.Context(), id); code != want || s.State != state || s.ID != id {
+			if code, s := p.read(t.Context(), id); code != want || s.State != state || s.ID != id {
 				t.Errorf("%s: %d %+v", id, code, s)
 			}
 		})
--- a/internal/api/userapi/show.go
+++ b/internal/api/userapi/show.go
@@ -17,13 +17,13 @@
 func (d *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
 	defer cancel()
-	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemQuery, Payload: []byte(uri)}, "the leader cannot be asked now",
-		func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
+	return d.askLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemQuery, Payload: []byte(uri)}, "the leader cannot be asked now",
+		func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
 }
 
 // AnswerRelayedQuery answers a question that another member hands on to the leader.
 func (d *Handler) AnswerRelayedQuery(ctx context.Context, uri string) peerrpc.Response {
-	return d.asLeader(func(l *leader.Loop) (int, json.RawMessage) { return show(ctx, l, uri) })
+	return d.answerAsLeader(func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
 }
 
 // Command has the leader's subsystems carry out a command.
@@ -32,10 +32,10 @@
 	defer cancel()
 	raw, err := json.Marshal(c)
 	if err != nil {
-		return http.StatusBadRequest, problem("the command is not JSON")
+		return http.StatusBadRequest, errorBody("the command is not JSON")
 	}
-	return d.ofLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemCommand, Payload: raw}, "the leader cannot be asked now; ask again",
-		func(l *leader.Loop) (int, json.RawMessage) { return do(ctx, l, c) })
+	return d.askLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemCommand, Payload: raw}, "the leader cannot be asked now; ask again",
+		func(l *leader.Loop) (int, json.RawMessage) { return commandLoop(ctx, l, c) })
 }
 
 // AnswerRelayedCommand carries out a command that another member hands on to the leader.
@@ -44,12 +44,12 @@
 	if json.Unmarshal(payload, &c) != nil {
 		return notLeading()
 	}
-	return d.asLeader(func(l *leader.Loop) (int, json.RawMessage) { return do(ctx, l, c) })
+	return d.answerAsLeader(func(l *leader.Loop) (int, json.RawMessage) { return commandLoop(ctx, l, c) })
 }
 
-// ofLeader has the leader answer: this member, or the one that leads; none is what is said if
+// askLeader has the leader answer: this member, or the one that leads; none is what is said if
 // neither can.
-func (d *Handler) ofLeader(ctx context.Context, req peerrpc.Request, none string, here func(*leader.Loop) (int, json.RawMessage)) (int, json.RawMessage) {
+func (d *Handler) askLeader(ctx context.Context, req peerrpc.Request, none string, here func(*leader.Loop) (int, json.RawMessage)) (int, json.RawMessage) {
 	if l := d.leader(); l != nil {
 		return here(l)
 	}
@@ -58,11 +58,11 @@
 			return r.Status, r.Payload
 		}
 	}
-	return http.StatusServiceUnavailable, problem(none)
+	return http.StatusServiceUnavailable, errorBody(none)
 }
 
-// asLeader answers another member, if this one leads.
-func (d *Handler) asLeader(here func(*leader.Loop) (int, json.RawMessage)) peerrpc.Response {
+// answerAsLeader answers another member, if this one leads.
+func (d *Handler) answerAsLeader(here func(*leader.Loop) (int, json.RawMessage)) peerrpc.Response {
 	l := d.leader()
 	if l == nil {
 		return notLeading()
@@ -72,35 +72,35 @@
 }
 
 func notLeading() peerrpc.Response {
-	return peerrpc.Response{Status: http.StatusServiceUnavailable, Payload: problem("this member does not lead")}
+	return peerrpc.Response{Status: http.StatusServiceUnavailable, Payload: errorBody("this member does not lead")}
 }
 
-func do(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
+func commandLoop(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
 	status, v, err := l.Command(ctx, c)
-	return answerOf(status, v, err)
+	return encodeAnswer(status, v, err)
 }
 
-func show(ctx context.Context, l *leader.Loop, uri string) (int, json.RawMessage) {
+func queryLoop(ctx context.Context, l *leader.Loop, uri string) (int, json.RawMessage) {
 	status, v, err := l.Query(ctx, uri)
-	return answerOf(status, v, err)
+	return encodeAnswer(status, v, err)
 }
 
-// answerOf is what a subsystem answered, as JSON that fits a message.
-func answerOf(status int, v any, err error) (int, json.RawMessage) {
+// encodeAnswer is what a subsystem answered, as JSON that fits a message.
+func encodeAnswer(status int, v any, err error) (int, json.RawMessage) {
 	if err != nil {
-		return http.StatusServiceUnavailable, problem("the leader cannot be asked now")
+		return http.StatusServiceUnavailable, errorBody("the leader cannot be asked now")
 	}
 	body, err := json.MarshalIndent(v, "", " ")
 	switch {
 	case err != nil:
-		return http.StatusInternalServerError, problem("the answer cannot be written")
+		return http.StatusInternalServerError, errorBody("the answer cannot be written")
 	case len(body) > tuning.QueryResponseMax:
-		return http.StatusRequestEntityTooLarge, problem("the answer is too long; ask for less")
+		return http.StatusRequestEntityTooLarge, errorBody("the answer is too long; ask for less")
 	}
 	return status, body
 }
 
-func problem(text string) json.RawMessage {
+func errorBody(text string) json.RawMessage {
 	raw, _ := json.Marshal(wire.Error{Error: text}) // a string is always encodable
 	return raw
 }
@@ -108,13 +108,13 @@
 // ServeExplanation says what a job waits for.
 func (d *Handler) ServeExplanation(w http.ResponseWriter, r *http.Request) {
 	if id := r.PathValue("id"); !wire.ValidJobID(id) {
-		httpjson.WriteRaw(w, http.StatusNotFound, problem("no such job"))
+		httpjson.WriteRaw(w, http.StatusNotFound, errorBody("no such job"))
 		return
 	}
 	status, body := d.Query(r.Context(), r.URL.Path)
 	if status == http.StatusNotFound {
 		// The leader knows live jobs only; one that is over waits for nothing.
-		if code, s := d.status(r.Context(), r.PathValue("id"), d.polls.status); code == http.StatusOK {
+		if code, s := d.status(r.Context(), r.PathValue("id"), d.statusReader.read); code == http.StatusOK {
 			status = code
 			body, _ = json.MarshalIndent(wire.Explanation{JobStatus: s, Reasons: []string{}}, "", " ") // plain data
 		}
--- a/internal/api/userapi/submissions.go
+++ b/internal/api/userapi/submissions.go
@@ -23,7 +23,7 @@
 		httpjson.WriteError(w, http.StatusBadRequest, httpjson.OneLine(err))
 		return
 	}
-	if d.leave(w) {
+	if d.refuseIfIsolated(w) {
 		return
 	}
 	begun := d.clock.Now()
@@ -46,7 +46,7 @@
 	text   string // what is wrong, above 400
 }
 
-func (s submission) decided() bool { return s.status != http.StatusServiceUnavailable }
+func (s submission) conclusive() bool { return s.status != http.StatusServiceUnavailable }
 
 // accept has this member store a submission and, when that fails or takes
 // long, another one: the state service may refuse this member alone or not
@@ -70,7 +70,7 @@
 		ownAnswer = nil
 	case <-hedge.Chan():
 	}
-	if own.status != 0 && own.decided() {
+	if own.status != 0 && own.conclusive() {
 		return own
 	}
 	peerAnswer := make(chan submission, 1)
@@ -83,7 +83,7 @@
 		case got = <-peerAnswer:
 			peerAnswer = nil
 		}
-		if got.decided() {
+		if got.conclusive() {
 			return got
 		}
 	}
@@ -113,15 +113,15 @@
 			return refused(http.StatusBadRequest, httpjson.OneLine(err))
 		}
 	}
-	if s, ok := d.finals.Get(job.ID); ok {
+	if s, ok := d.finalStates.Get(job.ID); ok {
 		return accepted(http.StatusOK, s.ID, s.State)
 	}
 	types := d.types()
 	if types == nil {
 		return refused(http.StatusServiceUnavailable, "the machine types are not known yet")
 	}
-	reason := d.impossible(job, types)
-	if reason == "" && (d.peers.LeaderFull() || d.full != nil && d.full()) {
+	reason := d.infeasible(job, types)
+	if reason == "" && (d.peers.LeaderFull() || d.memoryFull != nil && d.memoryFull()) {
 		return refused(http.StatusServiceUnavailable, "there is no memory for more jobs now; submit it again")
 	}
 	if reason == "" {
@@ -173,7 +173,7 @@
 			continue
 		}
 		a := accepted(r.Status, job.ID, r.Job.State)
-		if a.text = string(r.Payload); a.decided() {
+		if a.text = string(r.Payload); a.conclusive() {
 			return a
 		}
 	}
@@ -184,13 +184,13 @@
 // known, nothing is known against it.
 func (d *Handler) InfeasibleReason(j *wire.Job) string {
 	if types := d.types(); types != nil {
-		return d.impossible(j, types)
+		return d.infeasible(j, types)
 	}
 	return ""
 }
 
-// impossible says why a job can never run, or nothing.
-func (d *Handler) impossible(j *wire.Job, types []wire.MachineType) string {
+// infeasible says why a job can never run, or nothing.
+func (d *Handler) infeasible(j *wire.Job, types []wire.MachineType) string {
 	team, ok := d.teams[j.Team]
 	if !ok {
 		return "the team is unknown"
--- a/internal/api/userapi/users.go
+++ b/internal/api/userapi/users.go
@@ -22,19 +22,19 @@
 
 // Handler answers users. It is safe for concurrent use.
 type Handler struct {
-	settings *config.Settings
-	clock    clockwork.Clock
-	log      *slog.Logger
-	store    *statestore.Client
-	peers    *peers.Peers
-	teams    map[string]config.Team
-	finals   *jobs.FinalStates
-	types    func() []wire.MachineType
-	leader   func() *leader.Loop
-	polls    *poller
-	full     func() bool // this process has no memory for more jobs; nil: it always has
-	accounts bool        // charges are kept: jobs may name an account
-	alone    func() bool // neither the state service nor any other member answers this one
+	settings     *config.Settings
+	clock        clockwork.Clock
+	log          *slog.Logger
+	store        *statestore.Client
+	peers        *peers.Peers
+	teams        map[string]config.Team
+	finalStates  *jobs.FinalStates
+	types        func() []wire.MachineType
+	leader       func() *leader.Loop
+	statusReader *statusReader
+	memoryFull   func() bool // this process has no memory for more jobs; nil: it always has
+	accounts     bool        // charges are kept: jobs may name an account
+	isolated     func() bool // neither the state service nor any other member answers this one
 }
 
 // New makes the handler. current gives the leader's loop while this member has
@@ -43,9 +43,9 @@
 func New(env *leader.Env, p *peers.Peers, current func() *leader.Loop, alone func() bool) *Handler {
 	d := &Handler{
 		settings: env.Settings, clock: env.Clock, log: env.Log, store: env.Store, peers: p,
-		teams: env.Teams, finals: env.FinalStates, types: env.Types, leader: current, full: env.MemoryFull, accounts: env.Accounts, alone: alone,
+		teams: env.Teams, finalStates: env.FinalStates, types: env.Types, leader: current, memoryFull: env.MemoryFull, accounts: env.Accounts, isolated: alone,
 	}
-	d.polls = newPoller(d)
+	d.statusReader = newStatusReader(d)
 	return d
 }
 
@@ -54,7 +54,7 @@
 // since in its outages all nodes would leave the balance for minutes; but one that no other member
 // answers either can serve nobody, and its users had better ask another.
 func (d *Handler) ServeHealth(w http.ResponseWriter, _ *http.Request) {
-	if d.alone() {
+	if d.isolated() {
 		httpjson.WriteUnavailable(w, "neither the state service nor any other controller answers")
 		return
 	}
@@ -72,12 +72,12 @@
 		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if d.leave(w) {
+	if d.refuseIfIsolated(w) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollWait)
 	defer cancel()
-	status, s := d.status(ctx, id, d.polls.status)
+	status, s := d.status(ctx, id, d.statusReader.read)
 	switch status {
 	case http.StatusOK:
 		httpjson.Write(w, status, s)
@@ -88,10 +88,10 @@
 	}
 }
 
-// leave answers a user of a member that can serve nobody at once, and closes the connection: through the load balancer the
+// refuseIfIsolated answers a user of a member that can serve nobody at once, and closes the connection: through the load balancer the
 // user finds another, which an open connection keeps it from. Its polls otherwise failed here for as long as that lasts.
-func (d *Handler) leave(w http.ResponseWriter) bool {
-	if !d.alone() {
+func (d *Handler) refuseIfIsolated(w http.ResponseWriter) bool {
+	if !d.isolated() {
 		return false
 	}
 	w.Header().Set("Connection", "close")
@@ -99,18 +99,18 @@
 	return true
 }
 
-// status finds a job's state: 200, 404, or 503 when it cannot be told now. It
+// read finds a job's state: 200, 404, or 503 when it cannot be told now. It
 // comes from a final state, from the leader's memory within its right, or
 // from a fresh read of the state service.
 func (d *Handler) status(ctx context.Context, id string, read func(context.Context, string) (int, wire.JobStatus)) (int, wire.JobStatus) {
-	if s, ok := d.known(ctx, id); ok {
+	if s, ok := d.statusInMemory(ctx, id); ok {
 		return http.StatusOK, s
 	}
 	if d.leader() == nil {
 		if resp, ok := d.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.JobStatus, Job: id}); ok {
 			resp.Job.ID = id
 			if resp.Status == http.StatusOK {
-				d.learn(resp.Job)
+				d.rememberFinal(resp.Job)
 			}
 			return resp.Status, resp.Job
 		}
@@ -118,10 +118,10 @@
 	return read(ctx, id)
 }
 
-// known gives a job's state if this member may tell it without reading: a final state, which never changes, before what the
+// statusInMemory gives a job's state if this member may tell it without reading: a final state, which never changes, before what the
 // leader's memory says within its right.
-func (d *Handler) known(ctx context.Context, id string) (wire.JobStatus, bool) {
-	if s, ok := d.finals.Get(id); ok {
+func (d *Handler) statusInMemory(ctx context.Context, id string) (wire.JobStatus, bool) {
+	if s, ok := d.finalStates.Get(id); ok {
 		return s, true
 	}
 	if l := d.leader(); l != nil {
@@ -130,9 +130,9 @@
 	return wire.JobStatus{}, false
 }
 
-func (d *Handler) learn(s wire.JobStatus) {
+func (d *Handler) rememberFinal(s wire.JobStatus) {
 	if s.State.Final() {
-		d.finals.Add(s)
+		d.finalStates.Add(s)
 	}
 }
 
@@ -148,11 +148,11 @@
 	if live {
 		return http.StatusOK, liveStatus(item)
 	}
-	return d.endStatus(ctx, id, d.store)
+	return d.storedFinalStatus(ctx, id, d.store)
 }
 
-// endStatus reads the final state of a job that had no record a moment before.
-func (d *Handler) endStatus(ctx context.Context, id string, store *statestore.Client) (int, wire.JobStatus) {
+// storedFinalStatus reads the final state of a job that had no record a moment before.
+func (d *Handler) storedFinalStatus(ctx context.Context, id string, store *statestore.Client) (int, wire.JobStatus) {
 	s := wire.JobStatus{ID: id}
 	end, live, err := store.Get(ctx, jobs.KeyFinalState(id))
 	if err != nil {
@@ -168,7 +168,7 @@
 		return http.StatusServiceUnavailable, s
 	}
 	s = e.Status(id)
-	d.learn(s)
+	d.rememberFinal(s)
 	return http.StatusOK, s
 }
 
@@ -179,7 +179,7 @@
 		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if d.leave(w) {
+	if d.refuseIfIsolated(w) {
 		return
 	}
 	status, s := d.cancel(r.Context(), id)
@@ -191,7 +191,7 @@
 	}
 	switch {
 	case status == http.StatusOK && s.State.Final():
-		d.learn(s)
+		d.rememberFinal(s)
 		httpjson.Write(w, status, wire.Accepted{ID: id, State: s.State})
 	case status == http.StatusNotFound:
 		httpjson.WriteError(w, status, "no such job")
@@ -202,7 +202,7 @@
 
 // cancel cancels a job if this member leads; the status is -1 if it does not.
 func (d *Handler) cancel(ctx context.Context, id string) (int, wire.JobStatus) {
-	if s, ok := d.finals.Get(id); ok {
+	if s, ok := d.finalStates.Get(id); ok {
 		return http.StatusOK, s
 	}
 	l := d.leader()
@@ -235,10 +235,10 @@
 	var s wire.JobStatus
 	switch req.Verb {
 	case peerrpc.JobStatus:
-		if known, ok := d.known(ctx, req.Job); ok {
+		if known, ok := d.statusInMemory(ctx, req.Job); ok {
 			return peerrpc.Response{Status: http.StatusOK, Job: known}
 		}
-		status, s = d.polls.status(ctx, req.Job)
+		status, s = d.statusReader.read(ctx, req.Job)
 	case peerrpc.CancelJob:
 		status, s = d.cancel(ctx, req.Job)
 	default:
--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -73,7 +73,7 @@
 		}()
 	}
 	d, _ := handlerWith(t, "127.0.0.1:1", members...)
-	if d.relaySubmission(ctx, body).decided() {
+	if d.relaySubmission(ctx, body).conclusive() {
 		t.Error("an answer, though no member gave one")
 	}
 	if n := asked.Load(); n != 1 {
@@ -117,7 +117,7 @@
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	full := true
-	d.full = func() bool { return full }
+	d.memoryFull = func() bool { return full }
 	submit := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		d.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, bytes.NewReader(body)))
@@ -139,7 +139,7 @@
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	alone := true
-	d.alone = func() bool { return alone }
+	d.isolated = func() bool { return alone }
 	status := func(serve http.HandlerFunc, method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(body))
--- a/internal/api/workerapi/kept_test.go
+++ b/internal/api/workerapi/kept_test.go
@@ -11,18 +11,18 @@
 	"poppypass/internal/platform/wire"
 )
 
-// keptWorld is a member that keeps workers, each of which says what it is asked, or nothing.
-type keptWorld struct {
-	*kept
+// renewalsFixture is a member that keeps workers, each of which says what it is asked, or nothing.
+type renewalsFixture struct {
+	*renewals
 	t    *testing.T
 	now  time.Time
 	says map[string]*wire.Heartbeat // by address
 	told chan struct{}
 }
 
-func newKeptWorld(t *testing.T) *keptWorld {
-	w := &keptWorld{t: t, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), says: map[string]*wire.Heartbeat{}, told: make(chan struct{}, 64)}
-	w.kept = newKept(10*time.Second, 0, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
+func newRenewalsFixture(t *testing.T) *renewalsFixture {
+	w := &renewalsFixture{t: t, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC), says: map[string]*wire.Heartbeat{}, told: make(chan struct{}, 64)}
+	w.renewals = newRenewals(10*time.Second, 0, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
 		defer func() { w.told <- struct{}{} }()
 		if rep := w.says[addr]; rep != nil {
 			rep.Seq++
@@ -34,12 +34,12 @@
 }
 
 // report tells whether a worker is kept, and lets what it was asked be known.
-func (w *keptWorld) report(rep *wire.Heartbeat) bool {
+func (w *renewalsFixture) report(rep *wire.Heartbeat) bool {
 	w.t.Helper()
-	ok := w.may(w.t.Context(), rep, w.now)
+	ok := w.allow(w.t.Context(), rep, w.now)
 	for {
 		w.mu.Lock()
-		asking := w.by[rep.Machine].asking
+		asking := w.workers[rep.Machine].queried
 		w.mu.Unlock()
 		if !asking {
 			return ok
@@ -47,7 +47,7 @@
 		<-w.told
 		for { // until what it said is taken in
 			w.mu.Lock()
-			done := !w.by[rep.Machine].asking
+			done := !w.workers[rep.Machine].queried
 			w.mu.Unlock()
 			if done {
 				break
@@ -64,7 +64,7 @@
 // Guards against a dead machine that counts as kept for as long as copies of its reports come: its tasks were not started
 // elsewhere. Its first copy cannot be told from a report; the next ones can.
 func TestCopiesKeepNoDeadMachine(t *testing.T) {
-	w := newKeptWorld(t)
+	w := newRenewalsFixture(t)
 	if !w.report(worker(5, 3)) {
 		t.Error("a worker in a cut waits to be asked")
 	}
@@ -74,7 +74,7 @@
 			t.Fatal("kept though it does not answer")
 		}
 	}
-	w = newKeptWorld(t)
+	w = newRenewalsFixture(t)
 	live := worker(5, 3)
 	w.says["a:1"] = live
 	w.report(worker(5, 3))
@@ -93,7 +93,7 @@
 
 // Guards against a worker that is shut out as a copy since its machine was started anew.
 func TestAWorkerThatWasStartedAnewIsKept(t *testing.T) {
-	w := newKeptWorld(t)
+	w := newRenewalsFixture(t)
 	w.says["a:1"] = worker(500, 3)
 	w.report(worker(500, 3))
 	w.now = w.now.Add(time.Second)
@@ -111,7 +111,7 @@
 // command, while a leader reaches them: the higher token that it gave them tells. One that comes back found nobody.
 func TestAWorkerThatALeaderReachesIsSentOn(t *testing.T) {
 	for _, leaseS := range []float64{10, 18, 26.5, 42} {
-		w := newKeptWorld(t)
+		w := newRenewalsFixture(t)
 		w.lease = time.Duration(leaseS * float64(time.Second))
 		live := worker(1, 3)
 		w.says["a:1"] = live
@@ -133,17 +133,17 @@
 		}
 	}
 	// One that comes with a token that this member has not heard of may come from anywhere.
-	w := newKeptWorld(t)
+	w := newRenewalsFixture(t)
 	w.says["a:1"] = worker(1, 9)
 	if !w.report(worker(2, 9)) {
 		t.Error("a worker that was not kept before is sent on")
 	}
 }
 
-func (k *kept) questionsOnWay() int {
+func (k *renewals) questionsOnWay() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.onWay
+	return k.inFlight
 }
 
 // Guards against a fixed rate of questions: at 40 a second 4,000 workers took 100 s, and a copy of a dead one's report
@@ -161,7 +161,7 @@
 		{"6,000 machines with short leases", 6000, 18 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := newKept(c.lease, mostAsks, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
+			k := newRenewals(c.lease, mostAsks, func(_ context.Context, addr string) (wire.Heartbeat, bool) {
 				rep := worker(1<<32, 3)
 				rep.Machine = addr
 				return *rep, true
@@ -172,19 +172,19 @@
 				rep := worker(1<<32+uint64(i/c.machines), 3)
 				rep.Machine = fmt.Sprintf("n-%06d", i%c.machines)
 				rep.Address = rep.Machine
-				k.may(t.Context(), rep, begun.Add(c.lease*time.Duration(i)/time.Duration(reports)))
+				k.allow(t.Context(), rep, begun.Add(c.lease*time.Duration(i)/time.Duration(reports)))
 				for k.questionsOnWay() > 0 { // each answers before the next report
 					runtime.Gosched()
 				}
 			}
 			unasked := 0
-			for _, w := range k.by {
-				if w.proven.IsZero() {
+			for _, w := range k.workers {
+				if w.confirmedAt.IsZero() {
 					unasked++
 				}
 			}
-			if len(k.by) != c.machines || unasked > 0 {
-				t.Errorf("%d of %d workers were not asked within a lease", unasked, len(k.by))
+			if len(k.workers) != c.machines || unasked > 0 {
+				t.Errorf("%d of %d workers were not asked within a lease", unasked, len(k.workers))
 			}
 		})
 	}
@@ -195,12 +195,12 @@
 	const machines, mostAsks = 6000, 56
 	block := make(chan struct{})
 	defer close(block)
-	k := newKept(10*time.Second, mostAsks, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
+	k := newRenewals(10*time.Second, mostAsks, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for i := range machines {
 		rep := worker(1, 3)
 		rep.Machine = fmt.Sprintf("n-%06d", i)
-		k.may(t.Context(), rep, now.Add(time.Duration(i)*time.Millisecond))
+		k.allow(t.Context(), rep, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	if n := k.questionsOnWay(); n != mostAsks {
 		t.Errorf("%d questions are on their way", n)
@@ -210,12 +210,12 @@
 // What is asked is bounded: hundreds of workers come together in a cut.
 func TestKeptWorkersAreAskedAFewAtATime(t *testing.T) {
 	block := make(chan struct{})
-	k := newKept(10*time.Second, 0, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
+	k := newRenewals(10*time.Second, 0, func(context.Context, string) (wire.Heartbeat, bool) { <-block; return wire.Heartbeat{}, false })
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for i := range 500 {
 		rep := worker(1, 3)
 		rep.Machine = "n-" + time.Duration(i).String()
-		if !k.may(t.Context(), rep, now) {
+		if !k.allow(t.Context(), rep, now) {
 			t.Fatal("not kept since there was no room to ask it")
 		}
 	}
@@ -227,9 +227,9 @@
 	for i := range 4 * tuning.RedirectsMin {
 		rep := worker(1, 3)
 		rep.Machine = "m-" + time.Duration(i).String()
-		k.may(t.Context(), rep, now.Add(time.Duration(i)*time.Second))
+		k.allow(t.Context(), rep, now.Add(time.Duration(i)*time.Second))
 	}
-	if len(k.by) > 3*tuning.RedirectsMin {
-		t.Errorf("%d workers are remembered", len(k.by))
+	if len(k.workers) > 3*tuning.RedirectsMin {
+		t.Errorf("%d workers are remembered", len(k.workers))
 	}
 }
--- a/internal/api/workerapi/wanted_test.go
+++ b/internal/api/workerapi/wanted_test.go
@@ -12,27 +12,27 @@
 // and against leases that run out since nobody keeps them.
 func TestWorkersAreKeptAfterAWhileOnly(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	long := wanted{patience: patience(config.Workers{HeartbeatS: 10, LeaseS: 42})}
-	if long.patience < 2*time.Second || long.patience > 5*time.Second {
-		t.Fatalf("with leases of 42 s patience is %v", long.patience)
+	long := electionGrace{length: graceLength(config.Workers{HeartbeatS: 10, LeaseS: 42})}
+	if long.length < 2*time.Second || long.length > 5*time.Second {
+		t.Fatalf("with leases of 42 s patience is %v", long.length)
 	}
 	for _, c := range []struct {
 		after time.Duration // the one before
 		soon  bool
 	}{
 		{0, true},
-		{long.patience - time.Millisecond, true},
+		{long.length - time.Millisecond, true},
 		{time.Millisecond, false},
 		{5 * time.Second, false}, // still the same search
 		{tuning.WorkerSearch + time.Second, true},
 	} {
 		now = now.Add(c.after)
-		if got := long.soon(now); got != c.soon {
+		if got := long.active(now); got != c.soon {
 			t.Errorf("%v later: %v", c.after, got)
 		}
 	}
-	short := wanted{patience: patience(config.Workers{HeartbeatS: 1, LeaseS: 10})}
-	if short.soon(now) {
+	short := electionGrace{length: graceLength(config.Workers{HeartbeatS: 1, LeaseS: 10})}
+	if short.active(now) {
 		t.Error("with leases of 10 s a worker is refused")
 	}
 }
--- a/internal/api/workerapi/workers.go
+++ b/internal/api/workerapi/workers.go
@@ -41,20 +41,20 @@
 	clock     clockwork.Clock
 	elector   *election.Elector
 	peers     *peers.Peers
-	keeper    LeaseAcquirer
+	leases    LeaseAcquirer
 	zone      ZoneLease
 	leader    func() *leader.Loop
 	redirects redirects
-	wanted    wanted
-	kept      *kept
+	grace     electionGrace
+	renewals  *renewals
 }
 
 // New makes the handler of a member. current gives the leader's loop while this
-// member has the right to act, nil otherwise; show asks a worker for its report, at most mostAsks workers at a time.
+// member has the right to act, nil otherwise; show asks a worker for its report, at most maxQueries workers at a time.
 func New(member string, w config.Workers, clock clockwork.Clock, e *election.Elector, p *peers.Peers, k LeaseAcquirer, z ZoneLease, current func() *leader.Loop, mostAsks int, show FetchHeartbeat) *Handler {
 	return &Handler{
-		member: member, clock: clock, elector: e, peers: p, keeper: k, zone: z, leader: current, redirects: newRedirects(), wanted: wanted{patience: patience(w)},
-		kept: newKept(time.Duration(w.LeaseS*float64(time.Second)), mostAsks, show),
+		member: member, clock: clock, elector: e, peers: p, leases: k, zone: z, leader: current, redirects: newRedirects(), grace: electionGrace{length: graceLength(w)},
+		renewals: newRenewals(time.Duration(w.LeaseS*float64(time.Second)), mostAsks, show),
 	}
 }
 
@@ -77,7 +77,7 @@
 		return
 	}
 	if d.leader() != nil {
-		if a, ok := d.answerReport(r.Context(), &rep); ok {
+		if a, ok := d.answerAsLeader(r.Context(), &rep); ok {
 			httpjson.Write(w, http.StatusOK, a)
 			return
 		}
@@ -86,15 +86,15 @@
 	}
 	name, term := d.elector.Holder()
 	if name == "" || name == d.member {
-		if a, ok := d.keep(r.Context(), &rep); ok {
+		if a, ok := d.renew(r.Context(), &rep); ok {
 			httpjson.Write(w, http.StatusOK, a)
 			return
 		}
 		httpjson.WriteUnavailable(w, "nobody leads")
 		return
 	}
-	if d.redirects.lost(&rep, term, d.clock.Now()) || d.peers.LeaderUnreachable(name) {
-		a, ok, leads := d.help(r.Context(), body, &rep, name)
+	if d.redirects.lostLeader(&rep, term, d.clock.Now()) || d.peers.LeaderUnreachable(name) {
+		a, ok, leads := d.answerWithoutLeader(r.Context(), body, &rep, name)
 		switch {
 		case ok:
 			httpjson.Write(w, http.StatusOK, a)
@@ -108,9 +108,9 @@
 	httpjson.Write(w, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: name})
 }
 
-// answerReport has the leader's loop answer a report; ok is false when this
+// answerAsLeader has the leader's loop answer a report; ok is false when this
 // member may not answer it.
-func (d *Handler) answerReport(ctx context.Context, rep *wire.Heartbeat) (wire.HeartbeatReply, bool) {
+func (d *Handler) answerAsLeader(ctx context.Context, rep *wire.Heartbeat) (wire.HeartbeatReply, bool) {
 	l := d.leader()
 	if l == nil {
 		return wire.HeartbeatReply{}, false
@@ -127,10 +127,10 @@
 	return wire.HeartbeatReply{FencingToken: term, Commands: commands}, true
 }
 
-// help answers a worker that cannot reach the leader: by asking the leader
+// answerWithoutLeader answers a worker that cannot reach the leader: by asking the leader
 // through the mesh, or, when that cannot be reached from here either, by
 // keeping the worker's lease without any commands. leads is false if the one that is named said that it does not lead.
-func (d *Handler) help(ctx context.Context, body []byte, rep *wire.Heartbeat, lead string) (a wire.HeartbeatReply, ok, leads bool) {
+func (d *Handler) answerWithoutLeader(ctx context.Context, body []byte, rep *wire.Heartbeat, lead string) (a wire.HeartbeatReply, ok, leads bool) {
 	if !d.peers.Known(lead) {
 		return a, false, true
 	}
@@ -142,7 +142,7 @@
 			case resp.Status == http.StatusMisdirectedRequest:
 				// It does not lead, though nothing better is known: it was started anew, and the leader key, which names its former
 				// life, cannot be read. Members sent the workers to it, and it sent them on, until their leases were over.
-				a, ok = d.keep(ctx, rep)
+				a, ok = d.renew(ctx, rep)
 				return a, ok, false
 			case resp.Status != http.StatusOK || json.Unmarshal(resp.Payload, &a) != nil:
 				return a, false, true
@@ -156,27 +156,27 @@
 	// sent on took 30 s to come back, and its lease of 18 s was over.
 	// If the state service does not answer us either, it is we who are cut off, and our
 	// zone's workers with us.
-	if (!cut || d.peers.MayTryLeader() && !d.zone.Isolated()) && d.redirects.probe(rep.Machine, d.clock.Now()) {
+	if (!cut || d.peers.MayTryLeader() && !d.zone.Isolated()) && d.redirects.retryLeader(rep.Machine, d.clock.Now()) {
 		return a, false, true
 	}
-	a, ok = d.keep(ctx, rep)
+	a, ok = d.renew(ctx, rep)
 	return a, ok, true
 }
 
-// keep answers a worker without commands, so that its lease goes on: while
+// renew answers a worker without commands, so that its lease goes on: while
 // the leader is out of reach, or between two leaders. The answer bears the
 // worker's own token: it claims no right that the worker does not know. A
 // worker without tasks has nothing to lose.
-func (d *Handler) keep(ctx context.Context, rep *wire.Heartbeat) (a wire.HeartbeatReply, ok bool) {
-	if rep.FencingToken == 0 || len(rep.Tasks) == 0 || d.wanted.soon(d.clock.Now()) {
+func (d *Handler) renew(ctx context.Context, rep *wire.Heartbeat) (a wire.HeartbeatReply, ok bool) {
+	if rep.FencingToken == 0 || len(rep.Tasks) == 0 || d.grace.active(d.clock.Now()) {
 		return a, false
 	}
-	if !d.kept.may(ctx, rep, d.clock.Now()) {
+	if !d.renewals.allow(ctx, rep, d.clock.Now()) {
 		return a, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseWait)
 	defer cancel()
-	if !d.zone.MayRenew(rep.Machine, rep.Zone) && !d.keeper.Acquire(ctx, rep.Machine) {
+	if !d.zone.MayRenew(rep.Machine, rep.Zone) && !d.leases.Acquire(ctx, rep.Machine) {
 		return a, false
 	}
 	return wire.HeartbeatReply{FencingToken: rep.FencingToken, Commands: []wire.Command{}}, true
@@ -186,68 +186,68 @@
 // leader's token had found it before, and one that was sent to the leader and
 // comes back did not find it.
 type redirects struct {
-	mu   sync.Mutex
-	sent memory // when a worker was sent to the leader
-	kept memory // since when a worker is kept without commands
+	mu      sync.Mutex
+	sent    recentWorkers // when a worker was sent to the leader
+	renewed recentWorkers // since when a worker is kept without commands
 }
 
 func newRedirects() redirects {
 	return redirects{
-		sent: memory{at: map[string]time.Time{}, lasts: tuning.RedirectMemory},
-		kept: memory{at: map[string]time.Time{}, lasts: tuning.LeaderRetryHint + tuning.RedirectMemory},
+		sent:    recentWorkers{at: map[string]time.Time{}, ttl: tuning.RedirectMemory},
+		renewed: recentWorkers{at: map[string]time.Time{}, ttl: tuning.LeaderRetryHint + tuning.RedirectMemory},
 	}
 }
 
-// probe tells whether a worker that was kept for long shall try the leader
+// retryLeader tells whether a worker that was kept for long shall try the leader
 // again: the cut between us and the leader need not be one between those two.
-func (r *redirects) probe(machine string, now time.Time) bool {
+func (r *redirects) retryLeader(machine string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	since, ok := r.kept.of(machine, now)
+	since, ok := r.renewed.notedAt(machine, now)
 	if !ok {
-		r.kept.note(machine, now)
+		r.renewed.note(machine, now)
 		return false
 	}
 	if now.Sub(since) < tuning.LeaderRetryHint {
 		return false
 	}
-	delete(r.kept.at, machine)
+	delete(r.renewed.at, machine)
 	return true
 }
 
-func (r *redirects) lost(rep *wire.Heartbeat, term uint64, now time.Time) bool {
+func (r *redirects) lostLeader(rep *wire.Heartbeat, term uint64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rep.FencingToken >= term {
 		return true
 	}
-	_, again := r.sent.of(rep.Machine, now)
+	_, again := r.sent.notedAt(rep.Machine, now)
 	if !again {
 		r.sent.note(rep.Machine, now)
 	}
 	return again
 }
 
-// memory is when something was noted of each worker. What is older than it lasts is
+// recentWorkers is when something was noted of each worker. What is older than it lasts is
 // forgotten, so it holds no more than come in that time, however many there are.
-type memory struct {
-	at    map[string]time.Time
-	lasts time.Duration
-	next  int // how many there must be before the old ones are looked for
+type recentWorkers struct {
+	at      map[string]time.Time
+	ttl     time.Duration
+	sweepAt int // how many there must be before the old ones are looked for
 }
 
-func (m *memory) of(machine string, now time.Time) (time.Time, bool) {
+func (m *recentWorkers) notedAt(machine string, now time.Time) (time.Time, bool) {
 	at, ok := m.at[machine]
-	return at, ok && now.Sub(at) <= m.lasts
+	return at, ok && now.Sub(at) <= m.ttl
 }
 
-func (m *memory) note(machine string, now time.Time) {
-	thin(m.at, &m.next, func(at time.Time) bool { return now.Sub(at) > m.lasts })
+func (m *recentWorkers) note(machine string, now time.Time) {
+	sweep(m.at, &m.sweepAt, func(at time.Time) bool { return now.Sub(at) > m.ttl })
 	m.at[machine] = now
 }
 
-// thin drops what is old of a memory of workers, once there are next of them; then there may be twice as many as were left.
-func thin[V any](by map[string]V, next *int, old func(V) bool) {
+// sweep drops what is old of a memory of workers, once there are next of them; then there may be twice as many as were left.
+func sweep[V any](by map[string]V, next *int, old func(V) bool) {
 	if len(by) < *next {
 		return
 	}
@@ -265,7 +265,7 @@
 	if d.leader() == nil {
 		return peerrpc.Response{Status: http.StatusMisdirectedRequest}
 	}
-	a, ok := d.answerReport(ctx, &rep)
+	a, ok := d.answerAsLeader(ctx, &rep)
 	if !ok {
 		return peerrpc.Response{Status: http.StatusServiceUnavailable}
 	}
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/workers_test.go
@@ -22,32 +22,32 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// always keeps every machine.
-type always struct{}
+// leasesAlways keeps every machine.
+type leasesAlways struct{}
 
-func (always) Acquire(context.Context, string) bool { return true }
+func (leasesAlways) Acquire(context.Context, string) bool { return true }
 
-func (always) MayRenew(string, string) bool { return false }
-func (always) Isolated() bool               { return false }
+func (leasesAlways) MayRenew(string, string) bool { return false }
+func (leasesAlways) Isolated() bool               { return false }
 
 func TestLostWorkers(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	r := newRedirects()
 	fresh := &wire.Heartbeat{Machine: "n-1", FencingToken: 3}
-	if r.lost(fresh, 4, now) {
+	if r.lostLeader(fresh, 4, now) {
 		t.Error("a worker that has not met this leader is sent to it first")
 	}
-	if !r.lost(fresh, 4, now.Add(5*time.Second)) {
+	if !r.lostLeader(fresh, 4, now.Add(5*time.Second)) {
 		t.Error("one that comes back did not find it")
 	}
-	if r.lost(&wire.Heartbeat{Machine: "n-1", FencingToken: 3}, 4, now.Add(5*time.Second+2*tuning.RedirectMemory)) {
+	if r.lostLeader(&wire.Heartbeat{Machine: "n-1", FencingToken: 3}, 4, now.Add(5*time.Second+2*tuning.RedirectMemory)) {
 		t.Error("what was long ago tells nothing")
 	}
-	if !r.lost(&wire.Heartbeat{Machine: "n-2", FencingToken: 4}, 4, now) {
+	if !r.lostLeader(&wire.Heartbeat{Machine: "n-2", FencingToken: 4}, 4, now) {
 		t.Error("one that has seen the leader's token has lost it")
 	}
 	// A kept worker tries the leader again now and then.
-	if r.probe("n-2", now) || r.probe("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.probe("n-2", now.Add(tuning.LeaderRetryHint)) {
+	if r.retryLeader("n-2", now) || r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint)) {
 		t.Error("a kept worker tries the leader at the wrong times")
 	}
 }
@@ -68,7 +68,7 @@
 		return peers.New(s, clock, slog.New(slog.DiscardHandler))
 	}
 	p := those(4)
-	d := New("m1", config.Workers{}, clock, nil, p, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
+	d := New("m1", config.Workers{}, clock, nil, p, leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
 	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.LeaderPingsMissed {
 		if p.LeaderUnreachable("m0") {
@@ -79,7 +79,7 @@
 	if p.LeaderUnreachable("m2") {
 		t.Error("another leader was not asked yet")
 	}
-	kept := func() bool { rep.Seq++; _, ok, _ := d.help(t.Context(), nil, rep, "m0"); return ok }
+	kept := func() bool { rep.Seq++; _, ok, _ := d.answerWithoutLeader(t.Context(), nil, rep, "m0"); return ok }
 	for range 2 {
 		if !kept() {
 			t.Error("sent to a leader that does not answer")
@@ -120,23 +120,23 @@
 		}
 		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
-		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
+		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
 		rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-		a, ok, leads := d.help(t.Context(), nil, rep, "m0")
+		a, ok, leads := d.answerWithoutLeader(t.Context(), nil, rep, "m0")
 		if ok != c.kept || leads == c.kept || ok && (a.FencingToken != 3 || len(a.Commands) != 0) {
 			t.Errorf("told %d: kept %v, with %+v; leads %v", c.status, ok, a, leads)
 		}
 	}
-	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, always{}, always{}, func() *leader.Loop { return nil }, 0, nil)
+	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
 	if r := d.AnswerRelayedHeartbeat(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
 		t.Errorf("a member that does not lead answers %d", r.Status)
 	}
 }
 
-// never keeps any machine.
-type never struct{ always }
+// leasesNever keeps any machine.
+type leasesNever struct{ leasesAlways }
 
-func (never) Acquire(context.Context, string) bool { return false }
+func (leasesNever) Acquire(context.Context, string) bool { return false }
 
 // Guards against workers that are sent to one that does not lead, by members that cannot keep them: they never came to the member of
 // their own zone, which may.
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New("m1", config.Workers{}, clock, nil, nil, never{}, never{}, func() *leader.Loop { return nil }, 0, nil)
+	d := New("m1", config.Workers{}, clock, nil, nil, leasesNever{}, leasesNever{}, func() *leader.Loop { return nil }, 0, nil)
 	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response {
 		return d.AnswerRelayedHeartbeat(ctx, r.Payload)
 	}, slog.New(slog.DiscardHandler))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,23 +42,23 @@
 // Controller is one member of the service.
 type Controller struct {
 	settings *config.Settings
-	own      *config.OperatorSettingsWatcher
+	operator *config.OperatorSettingsWatcher
 	clock    clockwork.Clock
 	log      *slog.Logger
 
-	env     *leader.Env
-	store   *statestore.Client
-	cloud   *cloud.Client
-	catalog *instancetypes.Catalog
-	elector *election.Elector
-	peers   *peers.Peers
-	keeper  *workerlease.FollowerLeases
-	zone    *workerlease.ZoneLease
-	users   *userapi.Handler
-	reports *workerapi.Handler
-	ledger  *ledger.Handler  // nil: no charges are kept
-	graphs  *airflow.Handler // nil: no graphs are served
-	metrics *metrics.Metrics // nil: they are served nowhere
+	env            *leader.Env
+	store          *statestore.Client
+	cloud          *cloud.Client
+	catalog        *instancetypes.Catalog
+	elector        *election.Elector
+	peers          *peers.Peers
+	followerLeases *workerlease.FollowerLeases
+	zoneLease      *workerlease.ZoneLease
+	userAPI        *userapi.Handler
+	workerAPI      *workerapi.Handler
+	ledger         *ledger.Handler  // nil: no charges are kept
+	graphs         *airflow.Handler // nil: no graphs are served
+	metrics        *metrics.Metrics // nil: they are served nowhere
 
 	leading atomic.Pointer[leader.Loop] // the leader's loop, while this member leads
 }
@@ -66,7 +66,7 @@
 // New makes a controller from its settings.
 func New(s *config.Settings, own *config.OperatorSettingsWatcher, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
 	c := &Controller{
-		settings: s, own: own, clock: clock, log: log,
+		settings: s, operator: own, clock: clock, log: log,
 		cloud: cloud.New(s.Outside.Cloud, s.Cluster.Cloud.RPS),
 		peers: peers.New(s, clock, log),
 	}
@@ -77,9 +77,9 @@
 	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: clock, Log: log, Guard: c.guard,
 	}
-	c.keeper = workerlease.NewFollowerLeases(s, c.store, clock, log)
-	c.zone = workerlease.NewZoneLease(s, c.store, clock, log)
-	c.peers.ShareZoneLease(c.zone)
+	c.followerLeases = workerlease.NewFollowerLeases(s, c.store, clock, log)
+	c.zoneLease = workerlease.NewZoneLease(s, c.store, clock, log)
+	c.peers.ShareZoneLease(c.zoneLease)
 	teams := map[string]config.Team{}
 	for _, t := range s.Cluster.Teams {
 		teams[t.Name] = t
@@ -89,32 +89,32 @@
 		Settings: s, Tunables: own.Tunables(), Clock: clock, Log: log, Store: c.store, Cloud: c.cloud,
 		Workers:      httpjson.NewClient(2, 1, int(float64(fds)*tuning.IdleShare), tuning.CommandTimeout),
 		CommandSlots: make(chan struct{}, max(tuning.SendMin, int(float64(fds)*tuning.SendShare))), Teams: teams, FinalStates: jobs.NewFinalStates(max(tuning.FinalCache, int(s.Cluster.Limits.RAMMB*tuning.FinalsOfMB))),
-		Valid: c.elector.Valid, MayHaveRenewed: c.kept, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
+		Valid: c.elector.Valid, MayHaveRenewed: c.mayHaveRenewed, ProbeWorkers: c.peers.ProbeWorkers, Types: c.catalog.Types,
 		MemoryFull: memory.New(s.Cluster.Limits.RAMMB, clock).Full, MemoryLive: memory.Live,
 	}
-	if err := c.join(); err != nil {
+	if err := c.addSubsystems(); err != nil {
 		return nil, err
 	}
-	c.users = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zone.Isolated() && c.peers.Isolated() })
-	c.reports = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.keeper, c.zone, c.leader, cap(c.env.CommandSlots), c.show)
+	c.userAPI = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zoneLease.Isolated() && c.peers.Isolated() })
+	c.workerAPI = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.followerLeases, c.zoneLease, c.leader, cap(c.env.CommandSlots), c.fetchHeartbeat)
 	c.setCloudShare(false)
 	return c, nil
 }
 
-// join registers the subsystems that are on.
-func (c *Controller) join() error {
-	if c.own.MetricsAddr() != "" {
+// addSubsystems registers the subsystems that are on.
+func (c *Controller) addSubsystems() error {
+	if c.operator.MetricsAddr() != "" {
 		c.metrics = metrics.New(c.settings.Cluster.State.WriteRPS)
 		c.env.Observer = c.metrics
 	}
-	if on, descriptions := c.own.Graphs(); on {
-		c.joinGraphs(descriptions)
+	if on, descriptions := c.operator.Graphs(); on {
+		c.addGraphs(descriptions)
 	}
-	if !c.own.Ledger() {
+	if !c.operator.Ledger() {
 		return nil
 	}
 	state := c.settings.Cluster.State
-	cfg := ledger.Config{Clock: c.clock, TxnOps: state.TxnOps - 1, ValueKB: state.ValueKB, Types: c.catalog.Types, Budgets: c.own.Budgets}
+	cfg := ledger.Config{Clock: c.clock, TxnOps: state.TxnOps - 1, ValueKB: state.ValueKB, Types: c.catalog.Types, Budgets: c.operator.Budgets}
 	if c.metrics != nil {
 		cfg.Charged = c.metrics.Charged
 	}
@@ -122,26 +122,28 @@
 	if err != nil {
 		return err
 	}
-	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Query(ctx, uri) }}
+	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.userAPI.Query(ctx, uri) }}
 	c.env.Accounts = true
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
 	return nil
 }
 
-// joinGraphs has graphs served.
-func (c *Controller) joinGraphs(descriptions string) {
+// addGraphs has graphs served.
+func (c *Controller) addGraphs(descriptions string) {
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
 		Clock: c.clock, TxnOps: cluster.State.TxnOps - 1, ValueKB: cluster.State.ValueKB, Bytes: int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
-		Impossible: func(j *wire.Job) string { return c.users.InfeasibleReason(j) }, Jitter: rand.Float64, Pools: c.own.PoolSlots,
+		Impossible: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) }, Jitter: rand.Float64, Pools: c.operator.PoolSlots,
 	}
 	if descriptions != "" {
 		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
 		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log,
-		Do:  func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) { return c.users.Command(ctx, cmd) },
-		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.users.Query(ctx, uri) },
+		Do: func(ctx context.Context, cmd leader.Command) (int, json.RawMessage) {
+			return c.userAPI.Command(ctx, cmd)
+		},
+		Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.userAPI.Query(ctx, uri) },
 	}
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
 }
@@ -173,12 +175,12 @@
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
 	defer peers.Close()
-	open := newSockets(c.settings.Cluster.Limits.FDLimit)
-	if open.most > 0 {
-		users = netutil.LimitListener(users, open.most)
+	open := newConnections(c.settings.Cluster.Limits.FDLimit)
+	if open.max > 0 {
+		users = netutil.LimitListener(users, open.max)
 	}
 	srv := &http.Server{
-		Handler: open.takeTurns(c.routes()), ConnState: open.count, ReadHeaderTimeout: tuning.HeaderTimeout, ReadTimeout: tuning.BodyTimeout,
+		Handler: open.closeWhenCrowded(c.routes()), ConnState: open.count, ReadHeaderTimeout: tuning.HeaderTimeout, ReadTimeout: tuning.BodyTimeout,
 		WriteTimeout: tuning.AnswerTimeout, IdleTimeout: tuning.IdleTimeout, MaxHeaderBytes: tuning.MaxHeader,
 		ErrorLog: slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
 	}
@@ -187,9 +189,9 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { peerrpc.Serve(ctx, peers, c.servePeer, c.log) })
 	wg.Go(func() { c.catalog.Run(ctx) })
-	wg.Go(func() { c.own.Run(ctx, c.clock, c.log) })
-	wg.Go(func() { c.keeper.Run(ctx) })
-	wg.Go(func() { c.zone.Run(ctx) })
+	wg.Go(func() { c.operator.Run(ctx, c.clock, c.log) })
+	wg.Go(func() { c.followerLeases.Run(ctx) })
+	wg.Go(func() { c.zoneLease.Run(ctx) })
 	wg.Go(func() { c.elector.Run(ctx, c.lead) })
 	if !c.peers.Alone() {
 		wg.Go(func() { c.peers.Run(ctx) })
@@ -197,7 +199,7 @@
 	if c.metrics != nil {
 		wg.Go(func() {
 			// Its failure is no reason not to schedule.
-			if err := c.metrics.Serve(ctx, c.own.MetricsAddr(), c.log); err != nil {
+			if err := c.metrics.Serve(ctx, c.operator.MetricsAddr(), c.log); err != nil {
 				c.log.Error("metrics are not served", "err", err)
 			}
 		})
@@ -218,12 +220,12 @@
 
 func (c *Controller) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathJobs, c.users.ServeSubmit)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.users.ServeStatus)
-	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.EndCancel, c.users.ServeCancel)
-	mux.HandleFunc("GET "+wire.PathHealth, c.users.ServeHealth)
-	mux.HandleFunc("POST "+wire.PathHeartbeat, c.reports.ServeHeartbeat)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndExplain, c.users.ServeExplanation)
+	mux.HandleFunc("POST "+wire.PathJobs, c.userAPI.ServeSubmit)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.userAPI.ServeStatus)
+	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.EndCancel, c.userAPI.ServeCancel)
+	mux.HandleFunc("GET "+wire.PathHealth, c.userAPI.ServeHealth)
+	mux.HandleFunc("POST "+wire.PathHeartbeat, c.workerAPI.ServeHeartbeat)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndExplain, c.userAPI.ServeExplanation)
 	if c.ledger != nil {
 		c.ledger.Routes(mux)
 	}
@@ -253,10 +255,10 @@
 	}
 }
 
-// kept asks a member, this one or another, which machines it may have answered.
-func (c *Controller) kept(ctx context.Context, member string, names []string) ([]string, bool) {
+// mayHaveRenewed asks a member, this one or another, which machines it may have answered.
+func (c *Controller) mayHaveRenewed(ctx context.Context, member string, names []string) ([]string, bool) {
 	if member == c.settings.Member {
-		return c.zone.MayHaveRenewed(names)
+		return c.zoneLease.MayHaveRenewed(names)
 	}
 	return c.peers.MayHaveRenewed(ctx, member, names)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -23,28 +23,28 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// world is a controller with stand-ins of all that is outside. Its clock
+// harness is a controller with stand-ins of all that is outside. Its clock
 // stands still unless a test moves it, so no lease ends by itself; a test
 // waits by asking again until the answer comes.
-type world struct {
-	t     *testing.T
-	clock *clockwork.FakeClock
-	state *fakes.State
-	cloud *fakes.Cloud
-	addr  string
-	c     *Controller
-	stop  func()
-	props string          // path of the operators' properties
-	hears leader.Observer // nil: nobody
+type harness struct {
+	t          *testing.T
+	clock      *clockwork.FakeClock
+	state      *fakes.State
+	cloud      *fakes.Cloud
+	addr       string
+	c          *Controller
+	stop       func()
+	properties string          // path of the operators' properties
+	observer   leader.Observer // nil: nobody
 }
 
-// patience turns a test that would hang into a failure; what a test waits for
+// waitLimit turns a test that would hang into a failure; what a test waits for
 // takes milliseconds.
-const patience = time.Minute
+const waitLimit = time.Minute
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
-	w := &world{t: t, clock: clock, state: fakes.NewState(clock), cloud: fakes.NewCloud(10, wire.MachineType{
+	w := &harness{t: t, clock: clock, state: fakes.NewState(clock), cloud: fakes.NewCloud(10, wire.MachineType{
 		Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"},
 	})}
 	w.boot()
@@ -57,7 +57,7 @@
 }
 
 // boot starts the controller, as a process with no memory of an earlier one.
-func (w *world) boot() {
+func (w *harness) boot() {
 	w.addr = fakes.FreeAddr(w.t)
 	s := &config.Settings{
 		Member: "m0", Bind: w.addr, MeshAddr: fakes.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
@@ -68,11 +68,11 @@
 		},
 	}
 	var err error
-	if w.c, err = New(s, w.own(), w.clock, slog.New(slog.DiscardHandler)); err != nil {
+	if w.c, err = New(s, w.operatorSettings(), w.clock, slog.New(slog.DiscardHandler)); err != nil {
 		w.t.Fatal(err)
 	}
-	if w.hears != nil {
-		w.c.env.Observer = w.hears
+	if w.observer != nil {
+		w.c.env.Observer = w.observer
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -86,40 +86,40 @@
 	w.until("healthy", func() bool { status, _ := w.call("GET", "/up", nil); return status == 200 })
 }
 
-// own are the operators' settings.
-func (w *world) own() *config.OperatorSettingsWatcher {
-	own, err := config.LoadProperties(w.props)
+// operatorSettings are the operators' settings.
+func (w *harness) operatorSettings() *config.OperatorSettingsWatcher {
+	own, err := config.LoadProperties(w.properties)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return config.Watch(w.props, nil, own)
+	return config.Watch(w.properties, nil, own)
 }
 
 // until waits until a condition holds. On a starved machine a call may time out,
 // and is repeated after a pause of the clock that stands still: that goes on a
 // little then.
-func (w *world) until(what string, holds func() bool) {
+func (w *harness) until(what string, holds func() bool) {
 	w.t.Helper()
 	begun := time.Now()
 	for stalled := 1; !holds(); {
 		waited := time.Since(begun)
-		if waited > patience {
+		if waited > waitLimit {
 			w.t.Fatalf("never happened: %s", what)
 		}
-		if waited > time.Duration(stalled)*patience/12 {
+		if waited > time.Duration(stalled)*waitLimit/12 {
 			stalled++
 			w.clock.Advance(tuning.RetryLeader)
 		}
 	}
 }
 
-// pass lets time pass once a call that is to be repeated waits for that,
+// advanceWhenIdle lets time pass once a call that is to be repeated waits for that,
 // beside the six that always wait: the leader's tick, the renewal of its lease,
 // its next asking for promises, its next look at the fence, the next reading
 // of the machine types and the next comparison with the stored jobs.
-func (w *world) pass(d time.Duration) {
+func (w *harness) advanceWhenIdle(d time.Duration) {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(w.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(w.t.Context(), waitLimit)
 	defer cancel()
 	if err := w.clock.BlockUntilContext(ctx, 7); err != nil {
 		w.t.Fatal("nothing waits to be repeated")
@@ -127,7 +127,7 @@
 	w.clock.Advance(d)
 }
 
-func (w *world) call(method, path string, body any) (int, map[string]any) {
+func (w *harness) call(method, path string, body any) (int, map[string]any) {
 	var in io.Reader
 	switch b := body.(type) {
 	case nil:
@@ -162,7 +162,7 @@
 	}
 }
 
-func (w *world) submit(id string, tasks int) {
+func (w *harness) submit(id string, tasks int) {
 	w.t.Helper()
 	w.until("accepted", func() bool {
 		status, _ := w.call("POST", "/v2/runs", job(id, tasks))
@@ -170,7 +170,7 @@
 	})
 }
 
-func (w *world) jobState(id string) string {
+func (w *harness) jobState(id string) string {
 	status, out := w.call("GET", "/v2/runs/"+id, nil)
 	if status != 200 {
 		return http.StatusText(status)
@@ -180,13 +180,13 @@
 
 // worker is a scripted worker: the test has it report, and it obeys.
 type worker struct {
-	w     *world
+	w     *harness
 	rep   wire.Heartbeat
 	start map[string]int // starts of each task that had an effect
 	saves bool           // its tasks save when they are given time to
 }
 
-func (w *world) worker(name, zone string) *worker {
+func (w *harness) worker(name, zone string) *worker {
 	return &worker{w: w, start: map[string]int{}, rep: wire.Heartbeat{
 		Machine: name, Address: "127.0.0.1:1", Type: "g8", Zone: zone, Incarnation: 1,
 	}}
@@ -253,7 +253,7 @@
 }
 
 func TestAJobFromSubmissionToDone(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.submit("job-1", 4)
 	if s := w.jobState("job-1"); s != "pending" {
 		t.Errorf("state %q", s)
@@ -287,7 +287,7 @@
 }
 
 func TestANewControllerGoesOnWhereTheDeadOneWas(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.submit("job-1", 2)
 	k := w.worker("n-000001", "a")
 	w.until("both run", func() bool { k.beat(); return k.running() == 2 })
@@ -317,7 +317,7 @@
 // Guards against a leader that takes a transaction without an answer for one
 // that failed, or repeats it as another.
 func TestCommitsWithoutAnAnswer(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	var muted atomic.Int32
 	w.state.Mute(func(txn wire.Txn) bool {
 		for _, c := range txn.Then {
@@ -336,7 +336,7 @@
 		k.finish()
 		if passed < muted.Load() {
 			passed++
-			w.pass(tuning.StateRetry) // the pause before a repetition
+			w.advanceWhenIdle(tuning.StateRetry) // the pause before a repetition
 		}
 		return w.jobState("job-1") == "done"
 	})
@@ -348,7 +348,7 @@
 }
 
 func TestCancel(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.submit("job-1", 2)
 	k := w.worker("n-000001", "a")
 	w.until("both run", func() bool { k.beat(); return k.running() == 2 })
@@ -379,7 +379,7 @@
 // Guards against an answer that says less than is known: a failed look-up is
 // no proof that a job does not exist.
 func TestNoGuessingWithoutTheStateService(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	if s := w.jobState("job-9"); s != "Not Found" {
 		t.Errorf("a job that nobody submitted: %q", s)
 	}
@@ -401,7 +401,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	with := func(field string, v any) map[string]any {
 		j := job("job-1", 1)
 		j[field] = v
@@ -443,12 +443,12 @@
 // Guards against renting twice: a rental without an answer is repeated under
 // the same name.
 func TestARentalWithoutAnAnswerIsRepeated(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.cloud.Silent(2)
 	w.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
 		w.until("asked", func() bool { return len(w.cloud.Rents()) >= n })
-		w.pass(tuning.CloudRetry)
+		w.advanceWhenIdle(tuning.CloudRetry)
 	}
 	w.until("answered", func() bool { return len(w.cloud.Rents()) >= 3 })
 	names := map[string]bool{}
@@ -463,7 +463,7 @@
 // Guards against controllers that are useless after a restart in an outage of
 // the cloud: the machines that are there go on being used.
 func TestARestartWhileTheCloudIsDown(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.until("the types are stored", func() bool { _, ok := w.state.Value(instancetypes.Key); return ok })
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -48,11 +48,11 @@
 }
 
 // graphWorld is a world that serves graphs, with a source of descriptions.
-func graphWorld(t *testing.T) (*world, *descriptions) {
+func graphWorld(t *testing.T) (*harness, *descriptions) {
 	d := &descriptions{steps: map[string]runner.Description{}}
 	srv := httptest.NewServer(d)
 	t.Cleanup(srv.Close)
-	return rebooted(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), d
+	return newHarnessWith(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), d
 }
 
 // tick reports, and lets a little time pass.
@@ -62,7 +62,7 @@
 }
 
 // api calls the API for the team t.
-func (w *world) api(method, path string, body any) (int, map[string]any) {
+func (w *harness) api(method, path string, body any) (int, map[string]any) {
 	sep := "?"
 	if strings.Contains(path, "?") {
 		sep = "&"
@@ -71,7 +71,7 @@
 }
 
 // want calls the API until the answer has a status: while nobody leads it is 503.
-func (w *world) want(method, path string, body any, want int) map[string]any {
+func (w *harness) want(method, path string, body any, want int) map[string]any {
 	w.t.Helper()
 	var status int
 	var out map[string]any
@@ -91,7 +91,7 @@
 }
 
 // stateOf gives the state of a step of a run.
-func (w *world) stateOf(run, task string) any {
+func (w *harness) stateOf(run, task string) any {
 	_, out := w.api("GET", "/dags/g/dagRuns/"+run+"/taskInstances/"+task, nil)
 	return out["state"]
 }
@@ -340,7 +340,7 @@
 func TestABudgetRunsOutInTheMiddleOfAGraph(t *testing.T) {
 	srv := httptest.NewServer(&descriptions{steps: map[string]runner.Description{}})
 	defer srv.Close()
-	w := rebooted(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
+	w := newHarnessWith(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
 	w.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
 	w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
 	k := w.worker("n-000001", "a")
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -15,13 +15,13 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// rebooted is a world whose controller has operators' properties.
-func rebooted(t *testing.T, properties string) *world {
-	w := newWorld(t)
+// newHarnessWith is a world whose controller has operators' properties.
+func newHarnessWith(t *testing.T, properties string) *harness {
+	w := newHarness(t)
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
-	w.props = fakes.File(t, "own.properties", properties)
+	w.properties = fakes.File(t, "own.properties", properties)
 	w.boot()
 	return w
 }
@@ -31,7 +31,7 @@
 
 func TestAJobIsChargedToItsTeamAndAccount(t *testing.T) {
 	metrics := fakes.FreeAddr(t)
-	w := rebooted(t, "ledger = on\nmetrics.addr = "+metrics+"\n")
+	w := newHarnessWith(t, "ledger = on\nmetrics.addr = "+metrics+"\n")
 	j := job("job-1", 2)
 	j["account"] = "a coach owner"
 	w.until("accepted", func() bool { status, _ := w.call("POST", "/v2/runs", j); return status < 300 && status > 0 })
@@ -94,7 +94,7 @@
 }
 
 // text reads a page.
-func (w *world) text(url string) string {
+func (w *harness) text(url string) string {
 	resp, err := http.Get(url)
 	if err != nil {
 		return err.Error()
@@ -107,7 +107,7 @@
 // Without a ledger a job's unknown fields are ignored, as the protocol wants, and
 // nothing more is written than before.
 func TestWithoutALedgerNothingIsKept(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	j := job("job-1", 1)
 	j["account"] = 3
 	w.until("accepted", func() bool { status, _ := w.call("POST", "/v2/runs", j); return status == 201 || status == 200 })
@@ -127,7 +127,7 @@
 
 // A job that its team's budget does not allow is accepted and waits, and says why.
 func TestAJobWaitsForItsBudget(t *testing.T) {
-	w := rebooted(t, "ledger = on\nbudget.t.ever.core-hours = 0\n")
+	w := newHarnessWith(t, "ledger = on\nbudget.t.ever.core-hours = 0\n")
 	w.submit("job-1", 1)
 	k := w.worker("n-000001", "a")
 	w.until("the reason is told", func() bool {
@@ -148,7 +148,7 @@
 // and says how: a drain partway that saves, one that does not, a session that ends, and
 // the attempt that at last completes.
 func TestEachAttemptIsChargedOnceAndSaysHow(t *testing.T) {
-	w := rebooted(t, "ledger = on\n")
+	w := newHarnessWith(t, "ledger = on\n")
 	j := job("job-1", 1)
 	j["stub_s"], j["stamp_s"] = 5.0, 2.0
 	w.until("accepted", func() bool { status, _ := w.call("POST", "/v2/runs", j); return status == 201 || status == 200 })
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -18,7 +18,7 @@
 // slow or lost, another member that does not reach the leader reads the end from the state service, and the leader answers from
 // memory. A random history found it, in a moment between the two. In an outage, where nothing is carried out, it does answer.
 func TestALeaderDoesNotAnswerWhileAnEndMayBeStored(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.submit("job-1", 1)
 	w.submit("job-2", 1)
 	k := w.worker("n-000001", "a")
@@ -57,7 +57,7 @@
 
 // Guards against a job that is there again after its end: its first submission had no answer and is carried out once it is over.
 func TestALateSubmissionOfAJobThatIsOver(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.until("there is a leader", func() bool { return w.c.leader() != nil })
 	w.state.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == jobs.KeyJob("job-1") })
 	if status, _ := w.call("POST", "/v2/runs", job("job-1", 1)); status != http.StatusServiceUnavailable || w.state.Held() != 1 {
@@ -78,13 +78,13 @@
 	}
 }
 
-// pausing has something happen as the answer to a report is ready.
-type pausing struct {
+// pausingObserver has something happen as the answer to a report is ready.
+type pausingObserver struct {
 	*metrics.Metrics
 	then atomic.Pointer[func()]
 }
 
-func (p *pausing) HeartbeatHandled(took time.Duration) {
+func (p *pausingObserver) HeartbeatHandled(took time.Duration) {
 	p.Metrics.HeartbeatHandled(took)
 	if fn := p.then.Load(); fn != nil {
 		(*fn)()
@@ -93,10 +93,10 @@
 
 // Guards against an answer of a leader whose right ended as it was made: the process stood still between the look at the right and the answer.
 func TestAnAnswerThatIsReadyAfterTheRightIsOver(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.stop()
-	hears := &pausing{Metrics: metrics.New(1)}
-	w.hears = hears
+	hears := &pausingObserver{Metrics: metrics.New(1)}
+	w.observer = hears
 	w.boot()
 	k := w.worker("n-000001", "a")
 	w.until("reports are answered", func() bool { return k.beat() == http.StatusOK })
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/serve_peers.go
@@ -21,43 +21,43 @@
 	defer cancel()
 	switch req.Verb {
 	case peerrpc.RequestVote:
-		return c.servePromise(ctx, req.Number)
+		return c.serveVote(ctx, req.Number)
 	case peerrpc.ConfirmTermOver:
-		return yesOrNo(c.elector.ConfirmTermOver(req.Number))
+		return okOrConflict(c.elector.ConfirmTermOver(req.Number))
 	case peerrpc.EndLease:
-		return yesOrNo(c.store.Urgent().RevokeLease(ctx, req.Number) == nil)
+		return okOrConflict(c.store.Urgent().RevokeLease(ctx, req.Number) == nil)
 	case peerrpc.Ping:
 		return c.servePing(req)
 	case peerrpc.NotLeading:
-		return yesOrNo(c.elector.NotLeading())
+		return okOrConflict(c.elector.NotLeading())
 	case peerrpc.MayHaveRenewed:
-		return c.serveKept(req.Names)
+		return c.serveMayHaveRenewed(req.Names)
 	case peerrpc.ProbeWorkers:
-		return yesOrNo(c.reaches(ctx, req.Names))
+		return okOrConflict(c.reachesAny(ctx, req.Names))
 	case peerrpc.Heartbeat:
-		return c.reports.AnswerRelayedHeartbeat(ctx, req.Payload)
+		return c.workerAPI.AnswerRelayedHeartbeat(ctx, req.Payload)
 	case peerrpc.SubsystemQuery:
-		return c.users.AnswerRelayedQuery(ctx, string(req.Payload))
+		return c.userAPI.AnswerRelayedQuery(ctx, string(req.Payload))
 	case peerrpc.SubsystemCommand:
-		return c.users.AnswerRelayedCommand(ctx, req.Payload)
+		return c.userAPI.AnswerRelayedCommand(ctx, req.Payload)
 	case peerrpc.SubmitJob:
-		return c.users.AnswerRelayedSubmission(ctx, req.Payload)
+		return c.userAPI.AnswerRelayedSubmission(ctx, req.Payload)
 	}
-	return c.users.AnswerRelayed(ctx, req)
+	return c.userAPI.AnswerRelayed(ctx, req)
 }
 
-// show asks a worker for its report.
-func (c *Controller) show(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool) {
+// fetchHeartbeat asks a worker for its report.
+func (c *Controller) fetchHeartbeat(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool) {
 	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathWorkerHeartbeat, nil, httpjson.IfOK(&rep))
 	return rep, err == nil && status == http.StatusOK && rep.Check() == nil
 }
 
-// reaches tells whether one of some workers, by their addresses, answers this member.
-func (c *Controller) reaches(ctx context.Context, addrs []string) bool {
+// reachesAny tells whether one of some workers, by their addresses, answers this member.
+func (c *Controller) reachesAny(ctx context.Context, addrs []string) bool {
 	answers := make(chan bool, len(addrs))
 	for _, addr := range addrs {
 		go func() {
-			_, ok := c.show(ctx, addr)
+			_, ok := c.fetchHeartbeat(ctx, addr)
 			answers <- ok
 		}()
 	}
@@ -69,8 +69,8 @@
 	return false
 }
 
-// servePromise answers a leader that asks for our promise.
-func (c *Controller) servePromise(ctx context.Context, term uint64) peerrpc.Response {
+// serveVote answers a leader that asks for our promise.
+func (c *Controller) serveVote(ctx context.Context, term uint64) peerrpc.Response {
 	switch c.elector.Vote(ctx, term) {
 	case election.Granted:
 		return peerrpc.Response{Status: http.StatusOK}
@@ -80,10 +80,10 @@
 	return peerrpc.Response{Status: http.StatusConflict}
 }
 
-// serveKept tells a leader which machines this member may have answered by its zone's right.
-func (c *Controller) serveKept(names []string) peerrpc.Response {
-	kept, sure := c.zone.MayHaveRenewed(names)
-	r := yesOrNo(sure)
+// serveMayHaveRenewed tells a leader which machines this member may have answered by its zone's right.
+func (c *Controller) serveMayHaveRenewed(names []string) peerrpc.Response {
+	kept, sure := c.zoneLease.MayHaveRenewed(names)
+	r := okOrConflict(sure)
 	r.Names = kept
 	return r
 }
@@ -99,7 +99,7 @@
 	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.ExchangeClaim(req.Job, req.Payload)}
 }
 
-func yesOrNo(yes bool) peerrpc.Response {
+func okOrConflict(yes bool) peerrpc.Response {
 	if yes {
 		return peerrpc.Response{Status: http.StatusOK}
 	}
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -113,14 +113,14 @@
 	}
 	for i := range s.Cluster.Teams {
 		t := &s.Cluster.Teams[i]
-		t.CPUsMax, t.GPUsMax = endless(t.CPUsMax), endless(t.GPUsMax)
+		t.CPUsMax, t.GPUsMax = unlimitedIfZero(t.CPUsMax), unlimitedIfZero(t.GPUsMax)
 	}
 	return &s, nil
 }
 
-// endless gives a cap that was not set: a guest team that comes with neither
+// unlimitedIfZero gives a cap that was not set: a guest team that comes with neither
 // guarantee nor cap had each of its jobs refused as beyond a cap of nothing.
-func endless(limit float64) float64 {
+func unlimitedIfZero(limit float64) float64 {
 	if limit == 0 {
 		return math.Inf(1)
 	}
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -40,7 +40,7 @@
 		"graphs.pool.vision.gpu = 4",
 		"budget.vision.month.money = 5.5",
 	}
-	golden.Lines(t, "properties-keys", keyIdleKeep, keyMaxMachines, keyLedger, keyLedgerZone, keyMetrics, keyGraphs, keyDescribe, keyPool, budget.Prefix)
+	golden.Lines(t, "properties-keys", keyIdleKeep, keyMaxMachines, keyLedger, keyLedgerZone, keyMetrics, keyGraphs, keyDescriptions, keyPool, budget.Prefix)
 	operator, err := LoadProperties(fakes.File(t, "operator.properties", strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/config/properties.go
+++ b/internal/platform/config/properties.go
@@ -15,14 +15,14 @@
 
 // The keys of the operators' properties.
 const (
-	keyIdleKeep    = "fleet.idle.keep"
-	keyMaxMachines = "fleet.machines.max"
-	keyLedger      = "ledger"
-	keyLedgerZone  = "ledger.zone"
-	keyMetrics     = "metrics.addr"
-	keyGraphs      = "graphs"
-	keyDescribe    = "graphs.descriptions"
-	keyPool        = "graphs.pool."
+	keyIdleKeep     = "fleet.idle.keep"
+	keyMaxMachines  = "fleet.machines.max"
+	keyLedger       = "ledger"
+	keyLedgerZone   = "ledger.zone"
+	keyMetrics      = "metrics.addr"
+	keyGraphs       = "graphs"
+	keyDescriptions = "graphs.descriptions"
+	keyPool         = "graphs.pool."
 )
 
 // OperatorSettings are the operators' own settings.
@@ -106,7 +106,7 @@
 			return fmt.Errorf("%s: %q is neither on nor off", key, value)
 		}
 		o.Graphs = value == "on"
-	case keyDescribe:
+	case keyDescriptions:
 		if u, err := url.Parse(value); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
 			return fmt.Errorf("%s: %q is no URL such as http://10.0.0.7:8000/steps", key, value)
 		}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -23,25 +23,25 @@
 // concurrent use. Names follow the Prometheus conventions: seconds, and totals that
 // only grow while the process lives.
 type Metrics struct {
-	registry *prometheus.Registry
-	leading  prometheus.Gauge
-	takeOver prometheus.Histogram
-	pass     prometheus.Histogram
-	report   prometheus.Histogram
-	queue    *prometheus.GaugeVec
-	started  *prometheus.CounterVec
-	ended    *prometheus.CounterVec
-	written  prometheus.Counter
-	machines prometheus.Gauge
-	jobs     prometheus.Gauge
-	aside    *prometheus.CounterVec
-	deaf     prometheus.Gauge
-	unproven prometheus.Gauge
-	oldest   *prometheus.GaugeVec
-	came     *prometheus.CounterVec
-	begun    *prometheus.CounterVec
-	begin    *prometheus.HistogramVec
-	found    prometheus.Counter
+	registry    *prometheus.Registry
+	leading     prometheus.Gauge
+	takeOver    prometheus.Histogram
+	cycle       prometheus.Histogram
+	heartbeat   prometheus.Histogram
+	queue       *prometheus.GaugeVec
+	started     *prometheus.CounterVec
+	ended       *prometheus.CounterVec
+	written     prometheus.Counter
+	machines    prometheus.Gauge
+	jobs        prometheus.Gauge
+	rejected    *prometheus.CounterVec
+	unreachable prometheus.Gauge
+	unconfirmed prometheus.Gauge
+	oldest      *prometheus.GaugeVec
+	accepted    *prometheus.CounterVec
+	begun       *prometheus.CounterVec
+	waited      *prometheus.HistogramVec
+	found       prometheus.Counter
 
 	charges     *prometheus.CounterVec
 	coreSeconds *prometheus.CounterVec
@@ -57,25 +57,25 @@
 		takeOver: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "poppypass_takeover_seconds", Help: "From the begin of a tenure until the records are loaded.", Buckets: prometheus.ExponentialBuckets(0.01, 2, 12),
 		}),
-		pass: prometheus.NewHistogram(prometheus.HistogramOpts{
+		cycle: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "poppypass_pass_seconds", Help: "How long a pass over the waiting tasks takes.", Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16),
 		}),
-		report: prometheus.NewHistogram(prometheus.HistogramOpts{
+		heartbeat: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "poppypass_report_seconds", Help: "How long a worker's report waits for the leader's answer.", Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16),
 		}),
-		queue:    prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "poppypass_queue_tasks", Help: "Tasks that wait to be placed."}, []string{"class"}),
-		started:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_starts_total", Help: "Attempts that were placed."}, []string{"class"}),
-		ended:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_ends_total", Help: "Attempts that are proven over."}, []string{"class", "how"}),
-		written:  prometheus.NewCounter(prometheus.CounterOpts{Name: "poppypass_state_changes_total", Help: "Changes that the leader wrote to the state service."}),
-		machines: prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines", Help: "Machines that the leader knows."}),
-		jobs:     prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_jobs", Help: "Jobs that are not over."}),
-		aside:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_reports_set_aside_total", Help: "Workers' reports that changed nothing: older than one before, of a returned machine, or contradicting what is known of it."}, []string{"why"}),
-		deaf:     prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines_deaf", Help: "Machines that report but do not hear the leader."}),
-		unproven: prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines_unproven", Help: "Machines that report and have not yet proved to hear this leader."}),
-		oldest:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "poppypass_oldest_unbegun_seconds", Help: "For how long the oldest job waits to begin."}, []string{"class"}),
-		came:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_jobs_accepted_total", Help: "Jobs that came; size is largest for the largest tenth of the class's last ones."}, []string{"class", "team", "size"}),
-		begun:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_jobs_begun_total", Help: "Jobs of which a first task ran."}, []string{"class", "team", "size"}),
-		begin: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		queue:       prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "poppypass_queue_tasks", Help: "Tasks that wait to be placed."}, []string{"class"}),
+		started:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_starts_total", Help: "Attempts that were placed."}, []string{"class"}),
+		ended:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_ends_total", Help: "Attempts that are proven over."}, []string{"class", "how"}),
+		written:     prometheus.NewCounter(prometheus.CounterOpts{Name: "poppypass_state_changes_total", Help: "Changes that the leader wrote to the state service."}),
+		machines:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines", Help: "Machines that the leader knows."}),
+		jobs:        prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_jobs", Help: "Jobs that are not over."}),
+		rejected:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_reports_set_aside_total", Help: "Workers' reports that changed nothing: older than one before, of a returned machine, or contradicting what is known of it."}, []string{"why"}),
+		unreachable: prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines_deaf", Help: "Machines that report but do not hear the leader."}),
+		unconfirmed: prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_machines_unproven", Help: "Machines that report and have not yet proved to hear this leader."}),
+		oldest:      prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "poppypass_oldest_unbegun_seconds", Help: "For how long the oldest job waits to begin."}, []string{"class"}),
+		accepted:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_jobs_accepted_total", Help: "Jobs that came; size is largest for the largest tenth of the class's last ones."}, []string{"class", "team", "size"}),
+		begun:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "poppypass_jobs_begun_total", Help: "Jobs of which a first task ran."}, []string{"class", "team", "size"}),
+		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "poppypass_begin_seconds", Help: "From a job's acceptance until its first task ran.", Buckets: prometheus.ExponentialBuckets(0.5, 2, 11),
 		}, []string{"class", "size"}),
 		found:       prometheus.NewCounter(prometheus.CounterOpts{Name: "poppypass_jobs_found_total", Help: "Stored jobs that the leader did not know."}),
@@ -85,7 +85,7 @@
 	}
 	limit := prometheus.NewGauge(prometheus.GaugeOpts{Name: "poppypass_state_changes_limit", Help: "Changes a second that the state service allows."})
 	limit.Set(writeRPS)
-	m.registry.MustRegister(m.leading, m.takeOver, m.pass, m.report, m.queue, m.started, m.ended, m.written, m.machines, m.jobs, m.aside, m.oldest, m.came, m.begun, m.begin, m.found, m.deaf, m.unproven, limit, m.charges, m.coreSeconds, m.money,
+	m.registry.MustRegister(m.leading, m.takeOver, m.cycle, m.heartbeat, m.queue, m.started, m.ended, m.written, m.machines, m.jobs, m.rejected, m.oldest, m.accepted, m.begun, m.waited, m.found, m.unreachable, m.unconfirmed, limit, m.charges, m.coreSeconds, m.money,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
@@ -108,10 +108,10 @@
 func (m *Metrics) FailoverDone(took time.Duration) { m.takeOver.Observe(took.Seconds()) }
 
 // CycleDone records the length of a scheduling cycle.
-func (m *Metrics) CycleDone(took time.Duration) { m.pass.Observe(took.Seconds()) }
+func (m *Metrics) CycleDone(took time.Duration) { m.cycle.Observe(took.Seconds()) }
 
 // HeartbeatHandled records how long a heartbeat waited to be processed.
-func (m *Metrics) HeartbeatHandled(took time.Duration) { m.report.Observe(took.Seconds()) }
+func (m *Metrics) HeartbeatHandled(took time.Duration) { m.heartbeat.Observe(took.Seconds()) }
 
 // TaskStarted counts an attempt that was placed.
 func (m *Metrics) TaskStarted(class string) { m.started.WithLabelValues(class).Inc() }
@@ -124,13 +124,13 @@
 
 // JobArrived counts an accepted job.
 func (m *Metrics) JobArrived(class, team, size string) {
-	m.came.WithLabelValues(class, team, size).Inc()
+	m.accepted.WithLabelValues(class, team, size).Inc()
 }
 
 // JobBegan counts a job whose first task runs, and records how long it waited.
 func (m *Metrics) JobBegan(class, team, size string, waited time.Duration) {
 	m.begun.WithLabelValues(class, team, size).Inc()
-	m.begin.WithLabelValues(class, size).Observe(waited.Seconds())
+	m.waited.WithLabelValues(class, size).Observe(waited.Seconds())
 }
 
 // MissingJobsFound counts stored jobs that the leader did not know.
@@ -152,13 +152,13 @@
 }
 
 // HeartbeatRejected counts a heartbeat that was not applied, by reason.
-func (m *Metrics) HeartbeatRejected(why string) { m.aside.WithLabelValues(why).Inc() }
+func (m *Metrics) HeartbeatRejected(why string) { m.rejected.WithLabelValues(why).Inc() }
 
 // Reachability sets how many machines send heartbeats but do not receive the leader's answers, and how many have not yet
 // acknowledged one.
 func (m *Metrics) Reachability(deaf, unproven int) {
-	m.deaf.Set(float64(deaf))
-	m.unproven.Set(float64(unproven))
+	m.unreachable.Set(float64(deaf))
+	m.unconfirmed.Set(float64(unproven))
 }
 
 // Charged takes in a charge of the ledger.
