--- a/internal/clients/cloud/cloud_test.go
+++ b/internal/clients/cloud/machines_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against a list that is read in part, or by more calls than its pages take.
-func TestTheWholeListIsReadPageByPage(t *testing.T) {
+func TestListReadsEveryPageOnce(t *testing.T) {
 	for _, machines := range []int{0, 1, 499, 500, 501, 4000, 6000} {
 		t.Run(fmt.Sprintf("%d machines", machines), func(t *testing.T) {
 			calls := 0
--- a/internal/clients/instancetypes/catalog.go
+++ b/internal/clients/instancetypes/catalog.go
@@ -1,4 +1,5 @@
-// Package instancetypes keeps the cloud's machine types and their prices.
+// Package instancetypes holds the cloud's machine types and their prices, as they were last
+// read.
 package instancetypes
 
 import (
@@ -6,6 +7,7 @@
 	"encoding/json"
 	"log/slog"
 	"sync/atomic"
+	"time"
 
 	"github.com/jonboulle/clockwork"
 
@@ -16,7 +18,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Key holds the machine types as a leader last read them.
+// Key is the key of the machine types as a leader last read them. Only the leader writes it.
 const Key = "cloud/types"
 
 // Catalog holds the machine types as they were last read. It is safe for
@@ -27,13 +29,13 @@
 	ValueKB float64 // the longest value of the state service, in KiB
 	Clock   clockwork.Clock
 	Log     *slog.Logger
-	// Guard gives the condition under which this member leads; ok is false when it does not.
+	// Guard returns the condition under which this member leads; ok is false when it does not.
 	Guard func() (guard wire.Condition, ok bool)
 
 	types atomic.Pointer[[]wire.MachineType]
 }
 
-// Types gives the machine types; nil while none are known.
+// Types returns the machine types; nil while none are known. They must not be changed.
 func (c *Catalog) Types() []wire.MachineType {
 	if t := c.types.Load(); t != nil {
 		return *t
@@ -41,32 +43,34 @@
 	return nil
 }
 
-// Set takes in machine types.
+// Set replaces the machine types.
 func (c *Catalog) Set(types []wire.MachineType) { c.types.Store(&types) }
 
-// Run reads the machine types again and again until ctx ends. While the cloud
-// does not answer a member that was just started, it takes those that a leader
-// stored: machines that are there can then be used, and jobs accepted.
+// Run reads the machine types again and again until ctx ends.
 func (c *Catalog) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := tuning.TypesRefresh
-		types, err := c.Cloud.Types(ctx)
-		switch {
-		case err == nil:
-			c.Set(types)
-			c.Save(ctx)
-		default:
-			c.Log.Debug("machine types unreadable", "err", err)
-			rest = tuning.CloudRetry
-			if c.Types() == nil {
-				c.load(ctx)
-			}
+		clock.Sleep(ctx, c.Clock, c.refresh(ctx))
+	}
+}
+
+// refresh reads the machine types and returns the pause until they are to be read again. While
+// the cloud does not answer a member that was just started, those that a leader stored are
+// used: machines that are there can then be used, and jobs accepted.
+func (c *Catalog) refresh(ctx context.Context) (pause time.Duration) {
+	types, err := c.Cloud.Types(ctx)
+	if err != nil {
+		c.Log.Debug("machine types unreadable", "err", err)
+		if c.Types() == nil {
+			c.load(ctx)
 		}
-		clock.Sleep(ctx, c.Clock, rest)
+		return tuning.CloudRetry
 	}
+	c.Set(types)
+	c.Save(ctx)
+	return tuning.TypesRefresh
 }
 
-// Save stores the types that are known if this member leads.
+// Save stores the types that are known if this member leads and they fit one value.
 func (c *Catalog) Save(ctx context.Context) {
 	types := c.Types()
 	guard, leads := c.Guard()
@@ -85,6 +89,7 @@
 	}
 }
 
+// load uses the types that a leader stored, if there are any.
 func (c *Catalog) load(ctx context.Context) {
 	item, ok, err := c.Store.Get(ctx, Key)
 	if err != nil || !ok {
