--- a/internal/cluster/workerlease/zone.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -18,25 +18,25 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ZoneLease is a member's right to answer the workers of its own zone in the leader's
-// stead while it reaches neither the leader nor the state service: a zone that is
+// ZoneLease is a member's lease on the workers of its own zone: it may answer them on behalf of the
+// leader while it reaches neither the leader nor the state service: a zone that is
 // cut off from all else. The answers hold no commands and bear the worker's own
 // token. What makes that safe:
 //
-//   - The right is a record in the state service, on a lease that the member renews
-//     while it is served. It answers for ZoneLeaseRecord after it sent the last renewal that
+//   - The zone lease is a record in the state service, on a lease that the member renews
+//     while it is served. The member answers for tuning.ZoneLeaseTTL after it sent the last renewal that
 //     succeeded, and the record outlives the workers' leases that begin by then.
-//   - A leader concludes nothing from the end of a lease on a machine of that zone
-//     before it has read these records after that end and, of each that stands, has heard
+//   - A leader concludes nothing from the expiry of a lease on a machine of that zone
+//     before it has read these records after that expiry and, of each that stands, has heard
 //     from its member that it did not answer that machine for a whole lease before the leader
-//     began to read (KeptAsking). A member that gives no such word may have, until its record is gone.
-//   - A process that was started anew gives no word for its former life: it has none to give
-//     until a lease after its own start, by when all answers of that life are over.
-//   - It takes up the right of its former life, if another member remembers when that ends: that life's record stands until a worker's lease
-//     after that, whichever process answers. The end is told by the time of day, so a message that was held up on its way
-//     tells nothing wrong; it counts as reached as early as two clocks that differ as far as they may can have it.
+//     began to read (tuning.RenewedQueryTime). A member that gives no such word may have, until its record is gone.
+//   - A process that was restarted gives no word for the process before it: it has none to give
+//     until a lease after its own start, by when all answers of that process are over.
+//   - It takes over the zone lease of the process before it, if another member remembers when that ends: that process's record
+//     stands until a worker's lease after that, whichever process answers. The end is told by the time of day, so a message that was
+//     held up on its way tells nothing wrong; it counts as reached as early as two clocks that differ as far as they may can have it.
 //
-// Terms and fences play no part in that: the right allows no command, no record and
+// Terms and fencing leases play no part in that: a zone lease allows no command, no record and
 // no campaign. It is safe for concurrent use.
 type ZoneLease struct {
 	store       *statestore.Client
@@ -44,25 +44,19 @@
 	log         *slog.Logger
 	member      string
 	zone        string
-	workerLease time.Duration // a worker's
-	ttl         time.Duration // how long the right lasts; 0: workers' leases are too long for one
+	workerLease time.Duration // how long an answer renews a worker's lease
+	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are too long for one
 	startedAt   time.Time
 	clockError  time.Duration // how far a time of day may be from the true one
 
 	mu             sync.Mutex
 	leaseID        uint64               // the lease of our record; 0: none
 	leaseSent      time.Time            // when the request was sent that gave it its time
-	inheritedUntil time.Time            // by the time of day: when the right of a former life ends; zero: none is known
-	lastRenewed    map[string]time.Time // machines that we answered by the right, and when
+	inheritedUntil time.Time            // by the time of day: when the zone lease of an earlier process ends; zero: none is known
+	lastRenewed    map[string]time.Time // machines that we answered by the zone lease, and when
 }
 
-// ZoneLeaseRecord is a record of such a right.
-type ZoneLeaseRecord struct {
-	Zone   string `json:"zone,omitempty"`
-	Member string `json:"member,omitempty"`
-}
-
-// NewZoneLease makes the right of a member; Run obtains it.
+// NewZoneLease makes the zone lease of a member; Run acquires it.
 func NewZoneLease(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *ZoneLease {
 	z := &ZoneLease{
 		store: store, clock: clock, log: log, member: s.Member, zone: s.Zone,
@@ -81,7 +75,7 @@
 	return z.ttl + z.reportedFor() + tuning.FollowerLeaseExtra
 }
 
-// MayRenew asks for the right to answer a machine of a zone now.
+// MayRenew tells whether a machine of a zone may be answered now, and remembers that it was.
 func (z *ZoneLease) MayRenew(machine, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -93,66 +87,36 @@
 	return true
 }
 
-// held tells whether the right that this process obtained lasts. The lock is held.
+// held tells whether the zone lease that this process acquired lasts. The caller holds the lock.
 func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.leaseSent) < z.ttl }
 
-// inherited tells whether that of a former life surely lasts. The lock is held.
-func (z *ZoneLease) inherited(now time.Time) bool {
-	return z.ttl > 0 && now.Round(0).Add(2*z.clockError).Before(z.inheritedUntil)
-}
-
-// claim is what a member tells others of its right, for its next life.
-type claim struct {
-	Zone    string `json:"zone"`
-	UntilMS int64  `json:"until_ms"` // when the right ends, by the time of day
-}
-
-// Claim tells until when the right lasts; nil: there is none.
-func (z *ZoneLease) Claim() []byte {
+// MayHaveRenewed gives those of some machines that this member may have answered by its zone lease
+// within a worker's lease and RenewedQueryTime before now. sure is false while it cannot tell: an earlier
+// process of it may have.
+func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, sure bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	if !z.held(now) {
-		return nil
-	}
-	return wire.EncodeRecord(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseSent)).UnixMilli()})
-}
-
-// Inherit takes up what another member remembers of this one's right. What cannot be read counts as nothing.
-func (z *ZoneLease) Inherit(remembered []byte) {
-	var c claim
-	if json.Unmarshal(remembered, &c) != nil || c.Zone != z.zone {
-		return
-	}
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	if until := time.UnixMilli(c.UntilMS); until.After(z.inheritedUntil) {
-		z.inheritedUntil = until
+	z.forgetExpired(now)
+	for _, name := range names {
+		if _, ok := z.lastRenewed[name]; ok {
+			renewed = append(renewed, name)
+		}
 	}
+	return renewed, now.Sub(z.startedAt) > z.reportedFor()
 }
 
-// MayHaveRenewed gives those of some machines that this member may have answered by its right
-// within a worker's lease and KeptAsking before now. sure is false while it cannot tell: an earlier
-// process of it may have.
-func (z *ZoneLease) MayHaveRenewed(names []string) (kept []string, sure bool) {
-	z.mu.Lock()
-	defer z.mu.Unlock()
-	now := z.clock.Now()
+// forgetExpired drops the answers that need not be told of any more. The caller holds the lock.
+func (z *ZoneLease) forgetExpired(now time.Time) {
 	for name, at := range z.lastRenewed {
 		if now.Sub(at) > z.reportedFor() {
 			delete(z.lastRenewed, name)
 		}
 	}
-	for _, name := range names {
-		if _, ok := z.lastRenewed[name]; ok {
-			kept = append(kept, name)
-		}
-	}
-	return kept, now.Sub(z.startedAt) > z.reportedFor()
 }
 
 // Isolated tells whether the state service has not answered for a while, so that we may be
-// the one that is cut off.
+// the one that is cut off. It is false without a zone lease.
 func (z *ZoneLease) Isolated() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -163,7 +127,7 @@
 	return (z.leaseID != 0 || z.inherited(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
 }
 
-// Run obtains the right and renews it until ctx ends.
+// Run acquires the zone lease and renews it until ctx ends.
 func (z *ZoneLease) Run(ctx context.Context) {
 	if z.zone == "" || z.ttl <= 0 {
 		return
@@ -177,46 +141,48 @@
 // Renew renews the record once, or makes one where there is none.
 func (z *ZoneLease) Renew(ctx context.Context) {
 	z.mu.Lock()
-	pass := z.leaseID
+	lease := z.leaseID
 	z.mu.Unlock()
-	sent := z.clock.Now()
-	if pass == 0 {
-		z.acquire(ctx)
+	if lease == 0 {
+		if err := z.acquire(ctx); err != nil {
+			z.log.Debug("no zone lease", "err", err)
+		}
 		return
 	}
-	err := z.store.RenewLease(ctx, pass)
+	sent := z.clock.Now()
+	err := z.store.RenewLease(ctx, lease)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	switch {
 	case err == nil:
 		z.leaseSent = sent
 	case errors.Is(err, statestore.ErrLeaseNotFound):
-		z.leaseID = 0 // the right was over long before
+		z.leaseID = 0 // the zone lease was over long before
 	}
 }
 
-// acquire makes a record under a key of its own. The right counts from before the lease
-// was asked for, and only once the record is surely stored; one whose storing had no answer is
+// acquire makes a record under a key of its own. The zone lease counts from before the lease of the record
+// was asked for, and only once the record is surely stored; a record whose storing had no answer is
 // left to its lease's end.
-func (z *ZoneLease) acquire(ctx context.Context) {
+func (z *ZoneLease) acquire(ctx context.Context) error {
 	sent := z.clock.Now()
-	pass, err := z.store.GrantLease(ctx, z.recordTTL())
+	lease, err := z.store.GrantLease(ctx, z.recordTTL())
 	if err != nil {
-		return
+		return fmt.Errorf("a lease for the record: %w", err)
 	}
 	value, err := json.Marshal(renewedRecord{ZoneLeaseRecord: ZoneLeaseRecord{Zone: z.zone, Member: z.member}})
 	if err != nil {
-		return
+		return err
 	}
-	key := fmt.Sprintf("%s%s/zone-%d", prefixRenewed, z.member, pass)
+	key := fmt.Sprintf("%s%s/zone-%d", prefixRenewed, z.member, lease)
 	if _, err := z.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: key}},
-		Then: []wire.Change{{Put: key, Value: value, Lease: pass}},
+		Then: []wire.Change{{Put: key, Value: value, Lease: lease}},
 	}); err != nil {
-		z.log.Debug("no right for the zone", "err", err)
-		return
+		return fmt.Errorf("storing %s: %w", key, err)
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.leaseID, z.leaseSent = pass, sent
+	z.leaseID, z.leaseSent = lease, sent
+	return nil
 }
