--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -13,21 +13,21 @@
 
 // Guards against a machine that several members answer one after the other while the leader reads and asks: each said,
 // when it was asked, that it had not answered it for a lease, and so it had not; but the machine's lease had gone over from one
-// to the next. The reading takes its time, with pauses between its steps; it counts only if all of it took KeptAsking at the most.
-func TestNoConclusionFromWordsOfDifferentTimes(t *testing.T) {
+// to the next. The reading takes its time, with pauses between its steps; it counts only if all of it took RenewedQueryTime at the most.
+func TestNoConclusionFromAnswersOfDifferentTimes(t *testing.T) {
 	concluded, late, handed := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
 		w := newFollowerHarness(t)
-		var zones []*ZoneLease
+		var members []*ZoneLease
 		for _, name := range []string{"m2", "m3"} {
 			z := NewZoneLease(&config.Settings{
 				Member: name, Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: w.workerLease.Seconds()}},
 			}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
 			z.Renew(t.Context())
-			zones = append(zones, z)
+			members = append(members, z)
 		}
-		pass := func(most time.Duration) {
+		advance := func(most time.Duration) {
 			w.clock.Advance(time.Duration(r.Int64N(int64(most))))
 			w.state.Expire()
 			if r.IntN(3) == 0 {
@@ -35,7 +35,7 @@
 			}
 		}
 		w.clock.Advance(time.Minute) // all are sure of what they answered
-		for _, z := range zones {
+		for _, z := range members {
 			z.Renew(t.Context())
 		}
 		var last time.Time // when the machine was last answered, in its present session
@@ -45,7 +45,7 @@
 				session, by = session+1, -1 // the next one began
 			}
 			who := r.IntN(3)
-			if who == 2 && w.tryAcquire("n-1") || who < 2 && zones[who].MayRenew("n-1", "a") {
+			if who == 2 && w.tryAcquire("n-1") || who < 2 && members[who].MayRenew("n-1", "a") {
 				if last = w.clock.Now(); by != who {
 					handed++
 				}
@@ -54,30 +54,30 @@
 		}
 		// trouble is what may happen between two steps of the leader.
 		trouble := func() {
-			if pass(600 * time.Millisecond); r.IntN(8) == 0 {
+			if advance(600 * time.Millisecond); r.IntN(8) == 0 {
 				answer()
 			}
-			pass(600 * time.Millisecond)
+			advance(600 * time.Millisecond)
 		}
 		answer()
 		for range 30 {
-			pass(w.workerLease)
+			advance(w.workerLease)
 			if r.IntN(2) == 0 {
 				answer()
 			}
 			begun, of := w.clock.Now(), session
 			trouble()
-			kept, rights, err := ReadAll(t.Context(), w.store)
+			renewed, zones, err := ReadAll(t.Context(), w.store)
 			if err != nil {
 				t.Fatal(err)
 			}
-			gone := !kept["n-1"]
-			for range rights {
+			gone := !renewed["n-1"]
+			for range zones {
 				trouble()
 			}
-			for _, i := range r.Perm(len(zones)) {
+			for _, i := range r.Perm(len(members)) {
 				trouble()
-				names, sure := zones[i].MayHaveRenewed([]string{"n-1"})
+				names, sure := members[i].MayHaveRenewed([]string{"n-1"})
 				gone = gone && sure && len(names) == 0
 			}
 			switch {
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -23,13 +23,14 @@
 }
 
 func newFollowerHarness(t *testing.T) *followerHarness {
+	t.Helper()
 	clock := clockwork.NewFakeClock()
 	state := fakes.NewState(clock)
 	t.Cleanup(state.Close)
-	k := NewFollowerLeases(&config.Settings{
+	f := NewFollowerLeases(&config.Settings{
 		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
 	}, statestore.New(state.Addr(), 1e6, 1e6), clock, slog.New(slog.DiscardHandler))
-	return &followerHarness{t, clock, state, k}
+	return &followerHarness{t, clock, state, f}
 }
 
 func (w *followerHarness) tryAcquire(machine string) bool {
@@ -41,14 +42,14 @@
 // recorded is what a leader would read.
 func (w *followerHarness) recorded(machine string) bool {
 	w.t.Helper()
-	kept, _, err := ReadAll(w.t.Context(), w.store)
+	renewed, _, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return kept[machine]
+	return renewed[machine]
 }
 
-func TestAMachineIsRecordedBeforeItIsAnswered(t *testing.T) {
+func TestMachineIsRecordedBeforeItIsAnswered(t *testing.T) {
 	w := newFollowerHarness(t)
 	if !w.tryAcquire("n-1") || !w.recorded("n-1") || w.recorded("n-2") {
 		t.Errorf("recorded: n-1 %v, n-2 %v", w.recorded("n-1"), w.recorded("n-2"))
@@ -64,7 +65,7 @@
 
 // Guards against a record that ends before a lease that was given under it:
 // the leader would place the tasks anew while they still run.
-func TestTheRecordOutlivesEveryAnswer(t *testing.T) {
+func TestRecordOutlivesEveryAnswer(t *testing.T) {
 	w := newFollowerHarness(t)
 	w.tryAcquire("n-1")
 	var last time.Time
@@ -83,7 +84,7 @@
 	}
 }
 
-func TestAMachineLeavesTheRecordALeaseAfterItsLastAnswer(t *testing.T) {
+func TestMachineLeavesTheRecordALeaseAfterItsLastAnswer(t *testing.T) {
 	w := newFollowerHarness(t)
 	w.tryAcquire("n-1")
 	w.clock.Advance(w.workerLease)
@@ -101,7 +102,7 @@
 
 // Guards against a write without an answer that is applied later and takes a
 // name out again: nothing more is written under its key.
-func TestAWriteWithoutAnAnswerEndsTheRecord(t *testing.T) {
+func TestWriteOfUnknownOutcomeEndsTheRecord(t *testing.T) {
 	w := newFollowerHarness(t)
 	w.tryAcquire("n-1")
 	first := w.leaseID
@@ -114,12 +115,12 @@
 		t.Error("goes on under the same key")
 	}
 	if !w.recorded("n-1") {
-		t.Error("the old record does not live on")
+		t.Error("the old record does not stand any more")
 	}
 }
 
 // Guards against a record that holds a few hundred machines: the workers of a large fleet
-// come together when a leader dies, and the leases of those that it did not hold ran out.
+// come together when a leader dies, and the leases of those that it did not hold expired.
 func TestManyMachinesTakeSeveralPages(t *testing.T) {
 	w := newFollowerHarness(t)
 	const n = 5000
@@ -132,16 +133,16 @@
 		w.grantBatch(t.Context(), batch)
 		for _, r := range batch {
 			if !<-r.granted {
-				t.Fatalf("%s is not kept", r.machine)
+				t.Fatalf("%s is not granted", r.machine)
 			}
 		}
 	}
 	recorded := func() int {
-		kept, _, err := ReadAll(t.Context(), w.store)
+		renewed, _, err := ReadAll(t.Context(), w.store)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(kept)
+		return len(renewed)
 	}
 	if got := recorded(); got != n {
 		t.Errorf("%d recorded", got)
@@ -192,6 +193,6 @@
 		}
 	}
 	if w.recorded("n-000000") || w.recorded("n-005999") {
-		t.Error("a machine whose lease ran out is recorded")
+		t.Error("a machine whose lease expired is recorded")
 	}
 }
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -24,6 +24,7 @@
 }
 
 func newZoneHarness(t *testing.T) *zoneHarness {
+	t.Helper()
 	clock := clockwork.NewFakeClock()
 	w := &zoneHarness{t: t, clock: clock, state: fakes.NewState(clock)}
 	t.Cleanup(w.state.Close)
@@ -31,7 +32,7 @@
 	return w
 }
 
-// restart begins a new life of the member.
+// restart starts a new process of the member.
 func (w *zoneHarness) restart() {
 	w.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: zoneWorkerLease.Seconds()}},
@@ -48,24 +49,24 @@
 // lease by its own count, concludes that its tasks are gone.
 func (w *zoneHarness) concludes(machine string, reached bool) bool {
 	w.t.Helper()
-	_, rights, err := ReadAll(w.t.Context(), w.store)
+	_, zones, err := ReadAll(w.t.Context(), w.store)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if len(rights) == 0 {
+	if len(zones) == 0 {
 		return true
 	}
 	if !reached {
 		return false
 	}
-	kept, sure := w.MayHaveRenewed([]string{machine})
-	return sure && len(kept) == 0
+	renewed, sure := w.MayHaveRenewed([]string{machine})
+	return sure && len(renewed) == 0
 }
 
-func TestAZoneIsAnsweredThroughACut(t *testing.T) {
+func TestZoneLeaseOutlastsAPartition(t *testing.T) {
 	w := newZoneHarness(t)
 	if w.MayRenew("n-1", "a") {
-		t.Error("answers before the right is recorded")
+		t.Error("answers before the zone lease is recorded")
 	}
 	w.Renew(t.Context())
 	if !w.MayRenew("n-1", "a") || w.MayRenew("n-2", "b") {
@@ -76,8 +77,8 @@
 	for w.MayRenew("n-1", "a") {
 		w.advance(time.Second)
 		w.Renew(t.Context())
-		if alone := w.clock.Since(begun) > 2*tuning.ZoneLeaseRenew; w.Isolated() != alone {
-			t.Fatalf("alone %v after %v", w.Isolated(), w.clock.Since(begun))
+		if isolated := w.clock.Since(begun) > 2*tuning.ZoneLeaseRenew; w.Isolated() != isolated {
+			t.Fatalf("isolated %v after %v", w.Isolated(), w.clock.Since(begun))
 		}
 	}
 	if d := w.clock.Since(begun); d != tuning.ZoneLeaseTTL {
@@ -89,36 +90,36 @@
 	}
 }
 
-// Guards against a member that was started anew and says that it answered nobody: its
-// former life may have, a moment before.
-func TestARestartedMemberGivesNoWordForALease(t *testing.T) {
+// Guards against a member that was restarted and says that it answered nobody: its
+// earlier process may have, a moment before.
+func TestRestartedMemberIsUnsureForALease(t *testing.T) {
 	w := newZoneHarness(t)
 	w.Renew(t.Context())
 	w.advance(time.Minute)
 	w.MayRenew("n-1", "a")
 	w.restart()
 	if w.concludes("n-1", true) {
-		t.Error("concluded on the word of one that cannot know")
+		t.Error("concluded on the answer of one that cannot know")
 	}
 	w.advance(zoneWorkerLease + time.Second)
 	if w.concludes("n-1", true) {
-		t.Error("concluded on a word that may be asked for later than it counts from")
+		t.Error("concluded on an answer that may be asked for later than it counts from")
 	}
 	w.advance(tuning.RenewedQueryTime)
 	if !w.concludes("n-1", true) {
-		t.Error("not concluded though the former life's answers are over")
+		t.Error("not concluded though the earlier process's answers are over")
 	}
 }
 
-// Workers' leases too long for the state service's leave no right.
-func TestNoRightBesideVeryLongLeases(t *testing.T) {
+// Workers' leases that are too long beside the state service's longest leave no time for a zone lease.
+func TestNoZoneLeaseBesideVeryLongWorkerLeases(t *testing.T) {
 	w := newZoneHarness(t)
 	w.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.MaxTTL.Seconds()}},
 	}, w.store, w.clock, w.log)
 	w.Run(t.Context()) // which ends at once
 	if w.MayRenew("n-1", "a") {
-		t.Error("answers without a right")
+		t.Error("answers without a zone lease")
 	}
 }
 
@@ -169,9 +170,9 @@
 	}
 }
 
-// Guards against the loss of a zone's tasks as its only member is started anew while the state service is out: another member remembers its right, whose
-// record stands as long, and a leader that reads it later asks the new life.
-func TestARestartedMemberTakesUpItsFormerRight(t *testing.T) {
+// Guards against the loss of a zone's tasks as its only member is restarted while the state service is out: another member remembers its zone lease, whose
+// record stands as long, and a leader that reads it later asks the new process.
+func TestRestartedMemberInheritsItsZoneLease(t *testing.T) {
 	w := newZoneHarness(t)
 	w.clockError = 250 * time.Millisecond
 	w.Renew(t.Context())
@@ -183,7 +184,7 @@
 	w.clockError = off
 	w.Renew(t.Context())
 	if w.MayRenew("n-1", "a") || w.Claim() != nil {
-		t.Error("answers without any right")
+		t.Error("answers without any zone lease")
 	}
 	for _, other := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
 		if w.Inherit([]byte(other)); w.MayRenew("n-1", "a") {
@@ -196,7 +197,7 @@
 	}
 	for w.MayRenew("n-1", "a") {
 		if w.advance(time.Second); w.clock.Now().After(ends) {
-			t.Fatal("answers beyond the end of its former life's right")
+			t.Fatal("answers beyond the end of its earlier process's zone lease")
 		}
 		w.Inherit(claim) // a copy that comes late changes nothing
 	}
@@ -209,9 +210,9 @@
 	}
 	w.advance(zoneWorkerLease + tuning.RenewedQueryTime + time.Second)
 	if !w.concludes("n-1", true) || w.concludes("n-1", false) {
-		t.Error("not concluded a lease after the last answer, or without the member's word while the record stands")
+		t.Error("not concluded a lease after the last answer, or without the member's answer while the record stands")
 	}
 	if w.Renew(t.Context()); !w.MayRenew("n-1", "a") || w.Claim() == nil {
-		t.Error("has no right of its own once it is served")
+		t.Error("has no zone lease of its own once it is served")
 	}
 }
