--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -161,7 +161,7 @@
 	}
 	seen := map[name]bool{} // a charge may come again while it is rolled up
 	for after := ""; ; {
-		var page ledger.Page
+		var page ledger.ChargesPage
 		if err := fetch(cmd, s.addr, wire.PathJobs+"/"+url.PathEscape(job)+"/"+wire.EndCharges+"?after="+url.QueryEscape(after), &page); err != nil {
 			return err
 		}
@@ -178,11 +178,11 @@
 	table := [][]string{{"TASK", "ATTEMPT", "PART", "TYPE", "START", "SECONDS", "CORE-S", "MONEY", "HOW", ""}}
 	for _, c := range all {
 		remark := ""
-		if c.Bound {
+		if c.UpperBound {
 			remark = "upper bound"
 		}
 		table = append(table, []string{c.Task, strconv.FormatUint(c.Attempt, 10), strconv.Itoa(c.Part), c.Type, c.Start.Format(time.RFC3339),
-			fmt.Sprintf("%.1f", c.End.Sub(c.Start).Seconds()), fmt.Sprintf("%.1f", c.CoreS), fmt.Sprintf("%.6f", c.Money), c.How.String(), remark})
+			fmt.Sprintf("%.1f", c.End.Sub(c.Start).Seconds()), fmt.Sprintf("%.1f", c.CoreS), fmt.Sprintf("%.6f", c.Money), c.Outcome.String(), remark})
 	}
 	return s.print(cmd.OutOrStdout(), all, ledger.ChargesCSV(all), table)
 }
@@ -235,16 +235,16 @@
 			if err != nil {
 				return err
 			}
-			found, err := reader.Verify(cmd.Context(), own.Budgets.Where())
+			found, err := reader.Verify(cmd.Context(), own.Budgets.Location())
 			if err != nil {
 				return fmt.Errorf("the ledger cannot be read: %w", err)
 			}
-			for _, fault := range found.Faults {
+			for _, fault := range found.Discrepancies {
 				if _, err := fmt.Fprintln(cmd.OutOrStdout(), fault); err != nil {
 					return err
 				}
 			}
-			if n := len(found.Faults); n > 0 {
+			if n := len(found.Discrepancies); n > 0 {
 				return fmt.Errorf("%d faults in %d charges of %d jobs", n, found.Charges, found.Jobs)
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d segments with %d charges of %d jobs: all totals are right\n", found.Segments, found.Charges, found.Jobs)
--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -12,13 +12,13 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Use is what was or will be used, in the ledger's units.
-type Use struct{ Core, Money int64 }
+// Usage is what was or will be used, in the ledger's units.
+type Usage struct{ Core, Money int64 }
 
 // Add adds another use.
-func (u *Use) Add(v Use) { u.Core += v.Core; u.Money += v.Money }
+func (u *Usage) Add(v Usage) { u.Core += v.Core; u.Money += v.Money }
 
-func (u Use) of(unit Unit) float64 {
+func (u Usage) of(unit Unit) float64 {
 	if unit == CoreHours {
 		return float64(u.Core)
 	}
@@ -27,29 +27,29 @@
 
 // Task is a live attempt, as far as budgets care.
 type Task struct {
-	Scope      Scope
-	Production bool
-	Class      string
-	Cores      int64     // milli-cores
-	Rate       int64     // millionths of money an hour; 0: it is not placed yet
-	Dearest    int64     // the rate on the dearest machine that it may have
-	EstimateS  float64   // the owner's; 0: a service, which ends by itself never
-	Began      time.Time // zero: it does not run yet
+	Scope        Scope
+	Production   bool
+	Class        string
+	MilliCores   int64     // milli-cores
+	Rate         int64     // millionths of money an hour; 0: it is not placed yet
+	MaxRate      int64     // the rate on the dearest machine that it may have
+	EstimateS    float64   // the owner's; 0: a service, which ends by itself never
+	RunningSince time.Time // zero: it does not run yet
 }
 
-// Keeper holds what budgets are judged by. It is not safe for concurrent use.
-type Keeper struct {
+// Tracker holds what budgets are judged by. It is not safe for concurrent use.
+type Tracker struct {
 	settings *Settings
-	days     map[Scope]map[string]Use // charged, by day or, for what is long ago, by month
+	days     map[Scope]map[string]Usage // charged, by day or, for what is long ago, by month
 	live     map[any]*Task
 	ratio    map[string]float64 // by class: what its tasks took of their owners' estimates
 	rates    map[string]int64   // by class: the last rate of a task of it
-	lines    []*Line
-	byScope  map[Scope][]*Line
+	lines    []*Balance
+	byScope  map[Scope][]*Balance
 }
 
-// Line is the state of one budget.
-type Line struct {
+// Balance is the state of one budget.
+type Balance struct {
 	Budget
 	Limit    float64   // with what was carried over, in the ledger's units
 	Used     float64   // charged in the present period
@@ -60,31 +60,31 @@
 	warned   time.Time // the beginning of the period in which it was warned of
 }
 
-// NewKeeper makes a keeper that knows of no use.
-func NewKeeper() *Keeper {
-	return &Keeper{
-		settings: &Settings{}, days: map[Scope]map[string]Use{}, live: map[any]*Task{},
-		ratio: map[string]float64{}, rates: map[string]int64{}, byScope: map[Scope][]*Line{},
+// NewTracker makes a keeper that knows of no use.
+func NewTracker() *Tracker {
+	return &Tracker{
+		settings: &Settings{}, days: map[Scope]map[string]Usage{}, live: map[any]*Task{},
+		ratio: map[string]float64{}, rates: map[string]int64{}, byScope: map[Scope][]*Balance{},
 	}
 }
 
 // Configure takes in settings; what was used stays known.
-func (k *Keeper) Configure(s *Settings, now time.Time) {
+func (k *Tracker) Configure(s *Settings, now time.Time) {
 	warned := map[Budget]time.Time{}
 	for _, l := range k.lines {
 		warned[l.Budget] = l.warned
 	}
-	k.settings, k.lines, k.byScope = s, nil, map[Scope][]*Line{}
+	k.settings, k.lines, k.byScope = s, nil, map[Scope][]*Balance{}
 	for _, b := range s.Budgets {
-		l := &Line{Budget: b, warned: warned[b]}
+		l := &Balance{Budget: b, warned: warned[b]}
 		k.lines = append(k.lines, l)
 		k.byScope[b.Scope] = append(k.byScope[b.Scope], l)
 	}
-	k.Sum(now)
+	k.Recompute(now)
 }
 
-// Any tells whether there are budgets.
-func (k *Keeper) Any() bool { return len(k.lines) > 0 }
+// HasBudgets tells whether there are budgets.
+func (k *Tracker) HasBudgets() bool { return len(k.lines) > 0 }
 
 // scopes are those in which something of a team and account counts.
 func scopes(s Scope) []Scope {
@@ -94,12 +94,12 @@
 	return []Scope{s, {Team: s.Team}}
 }
 
-// Charged takes in a charge, of a day or a month (as in 2026-12).
-func (k *Keeper) Charged(s Scope, day string, u Use) {
+// AddCharge takes in a charge, of a day or a month (as in 2026-12).
+func (k *Tracker) AddCharge(s Scope, day string, u Usage) {
 	for _, sc := range scopes(s) {
 		d := k.days[sc]
 		if d == nil {
-			d = map[string]Use{}
+			d = map[string]Usage{}
 			k.days[sc] = d
 		}
 		v := d[day]
@@ -108,8 +108,8 @@
 	}
 }
 
-// Start takes in a live task. What it is expected to take counts from now on.
-func (k *Keeper) Start(ref any, t *Task) {
+// StartTask takes in a live task. What it is expected to take counts from now on.
+func (k *Tracker) StartTask(ref any, t *Task) {
 	k.live[ref] = t
 	if t.Rate > 0 {
 		k.rates[t.Class] = t.Rate
@@ -120,17 +120,17 @@
 	}
 }
 
-// Began takes in that a live task runs from a time on.
-func (k *Keeper) Began(ref any, at time.Time) {
+// MarkRunning takes in that a live task runs from a time on.
+func (k *Tracker) MarkRunning(ref any, at time.Time) {
 	if t := k.live[ref]; t != nil {
-		t.Began = at
+		t.RunningSince = at
 	}
 }
 
-// End takes in that a live task is over; done tells that it completed after a run.
+// EndTask takes in that a live task is over; done tells that it completed after a run.
 // What it took is charged besides; until the next Sum it also still counts as
 // reserved, which errs on the side of the budget.
-func (k *Keeper) End(ref any, done bool, run time.Duration) {
+func (k *Tracker) EndTask(ref any, done bool, run time.Duration) {
 	t := k.live[ref]
 	if t == nil {
 		return
@@ -145,11 +145,11 @@
 	}
 }
 
-func (k *Keeper) linesOf(t *Task) []*Line {
+func (k *Tracker) linesOf(t *Task) []*Balance {
 	if len(k.lines) == 0 {
 		return nil
 	}
-	var out []*Line
+	var out []*Balance
 	for _, sc := range scopes(t.Scope) {
 		out = append(out, k.byScope[sc]...)
 	}
@@ -158,7 +158,7 @@
 
 // expected is what a task is expected to take in all: its owner's estimate,
 // corrected by what the class was seen to take.
-func (k *Keeper) expected(t *Task) Use {
+func (k *Tracker) expected(t *Task) Usage {
 	run := tuning.ServiceReserve
 	if t.EstimateS > 0 {
 		ratio, ok := k.ratio[t.Class]
@@ -172,9 +172,9 @@
 		rate = k.rates[t.Class]
 	}
 	if rate == 0 {
-		rate = t.Dearest
+		rate = t.MaxRate
 	}
-	return Use{Core: t.Cores * run.Milliseconds(), Money: charge.Cost(rate, run)}
+	return Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(rate, run)}
 }
 
 // window is the period in which a time lies. to is zero for one without end.
@@ -195,7 +195,7 @@
 }
 
 // usedIn is what a scope was charged in a period.
-func (k *Keeper) usedIn(s Scope, from, to time.Time) (u Use) {
+func (k *Tracker) usedIn(s Scope, from, to time.Time) (u Usage) {
 	if to.IsZero() {
 		for _, v := range k.days[s] {
 			u.Add(v)
@@ -209,13 +209,13 @@
 	return u
 }
 
-// Sum works out the state of all budgets anew.
-func (k *Keeper) Sum(now time.Time) {
-	where := k.settings.Where()
+// Recompute works out the state of all budgets anew.
+func (k *Tracker) Recompute(now time.Time) {
+	where := k.settings.Location()
 	for _, l := range k.lines {
 		l.From, l.To = window(l.Period, now, where)
 		l.Limit = l.Amount * l.Unit.scale()
-		if carry := k.settings.policy(l.Team).Carry; carry > 0 && !l.To.IsZero() {
+		if carry := k.settings.policy(l.Team).CarryOver; carry > 0 && !l.To.IsZero() {
 			before, _ := window(l.Period, l.From.Add(-time.Second), where)
 			l.Limit += carry * max(0, l.Limit-k.usedIn(l.Scope, before, l.From).of(l.Unit))
 		}
@@ -229,14 +229,14 @@
 		expected := k.expected(t)
 		for _, l := range k.linesOf(t) {
 			l.tasks++
-			var ran Use
-			if !t.Began.IsZero() {
-				begun := t.Began
+			var ran Usage
+			if !t.RunningSince.IsZero() {
+				begun := t.RunningSince
 				if begun.Before(l.From) {
 					begun = l.From // what it took before counts in the period before
 				}
 				run := max(0, now.Sub(begun))
-				ran = Use{Core: t.Cores * run.Milliseconds(), Money: charge.Cost(t.Rate, run)}
+				ran = Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(t.Rate, run)}
 			}
 			l.Running += ran.of(l.Unit)
 			l.Reserved += max(0, expected.of(l.Unit)-ran.of(l.Unit))
@@ -245,21 +245,21 @@
 }
 
 // stop is the part of its limit from which on a budget lets nothing start.
-func (k *Keeper) stop(l *Line) float64 {
-	if p := k.settings.policy(l.Team); p.Drain {
+func (k *Tracker) stop(l *Balance) float64 {
+	if p := k.settings.policy(l.Team); p.DrainWhenSpent {
 		return p.DrainAt * l.Limit
 	}
 	return l.Limit
 }
 
-func (k *Keeper) spared(t *Task) bool {
-	return t.Production && !k.settings.policy(t.Scope.Team).Production
+func (k *Tracker) spared(t *Task) bool {
+	return t.Production && !k.settings.policy(t.Scope.Team).HoldProduction
 }
 
 // Admit says how many of n waiting tasks alike may start now, and why no more. As
 // long as nothing within a budget runs and it is not used up, one may: otherwise a
 // task that is expected to take more than the whole budget would never run.
-func (k *Keeper) Admit(t *Task, n int) (int, string) {
+func (k *Tracker) Admit(t *Task, n int) (int, string) {
 	if k.spared(t) {
 		return n, ""
 	}
@@ -287,7 +287,7 @@
 
 // why says what a budget holds a job for of whose waiting tasks each is expected to take
 // so much; stop is from where on the budget lets nothing start.
-func (l *Line) why(each, tasks, stop float64) string {
+func (l *Balance) why(each, tasks, stop float64) string {
 	s := l.Unit.scale()
 	text := fmt.Sprintf("the budget of %s (%s, %s) is spent or reserved: %.6g used and %.6g reserved of %.6g",
 		l.Scope, l.Unit, l.Period, (l.Used+l.Running)/s, l.Reserved/s, l.Limit/s)
@@ -305,8 +305,8 @@
 	return text
 }
 
-// Try begins to consider what could start; release takes it all back.
-func (k *Keeper) Try() (release func()) {
+// SaveReservations begins to consider what could start; release takes it all back.
+func (k *Tracker) SaveReservations() (release func()) {
 	type state struct {
 		reserved float64
 		tasks    int
@@ -322,8 +322,8 @@
 	}
 }
 
-// Consider counts n waiting tasks as if they had started.
-func (k *Keeper) Consider(t *Task, n int) {
+// Reserve counts n waiting tasks as if they had started.
+func (k *Tracker) Reserve(t *Task, n int) {
 	if n <= 0 {
 		return
 	}
@@ -334,12 +334,12 @@
 	}
 }
 
-// OverSpent gives the live tasks that are to be stopped now.
-func (k *Keeper) OverSpent() []any {
+// TasksToDrain gives the live tasks that are to be stopped now.
+func (k *Tracker) TasksToDrain() []any {
 	var out []any
-	var over []*Line
+	var over []*Balance
 	for _, l := range k.lines {
-		if k.settings.policy(l.Team).Drain && l.Used+l.Running >= k.stop(l) {
+		if k.settings.policy(l.Team).DrainWhenSpent && l.Used+l.Running >= k.stop(l) {
 			over = append(over, l)
 		}
 	}
@@ -347,7 +347,7 @@
 		return nil
 	}
 	for ref, t := range k.live {
-		if !k.spared(t) && slices.ContainsFunc(k.linesOf(t), func(l *Line) bool { return slices.Contains(over, l) }) {
+		if !k.spared(t) && slices.ContainsFunc(k.linesOf(t), func(l *Balance) bool { return slices.Contains(over, l) }) {
 			out = append(out, ref)
 		}
 	}
@@ -356,14 +356,14 @@
 
 // Warnings gives the budgets that have come to their mark since it was last asked in
 // their present period.
-func (k *Keeper) Warnings() []*Line {
-	var out []*Line
+func (k *Tracker) Warnings() []*Balance {
+	var out []*Balance
 	for _, l := range k.lines {
 		began := l.From
 		if l.Period == Ever {
 			began = time.Unix(1, 0)
 		}
-		if l.Nearly(k.settings) && !l.warned.Equal(began) {
+		if l.NearlySpent(k.settings) && !l.warned.Equal(began) {
 			l.warned = began
 			out = append(out, l)
 		}
@@ -371,9 +371,9 @@
 	return out
 }
 
-// Nearly tells whether a budget has come to its warning mark.
-func (l *Line) Nearly(s *Settings) bool {
-	return l.Used+l.Running >= s.policy(l.Team).Warn*l.Limit
+// NearlySpent tells whether a budget has come to its warning mark.
+func (l *Balance) NearlySpent(s *Settings) bool {
+	return l.Used+l.Running >= s.policy(l.Team).WarnAt*l.Limit
 }
 
 // View is a budget's state for people and programs, in the budget's own unit.
@@ -392,7 +392,7 @@
 }
 
 // Views gives the state of a team's budgets; an empty name: of all.
-func (k *Keeper) Views(team string) []View {
+func (k *Tracker) Views(team string) []View {
 	out := []View{}
 	for _, l := range k.lines {
 		if team != "" && l.Team != team {
@@ -410,7 +410,7 @@
 		switch {
 		case l.Used+l.Running >= k.stop(l):
 			v.State = "spent"
-		case l.Nearly(k.settings):
+		case l.NearlySpent(k.settings):
 			v.State = "nearly-spent"
 		}
 		out = append(out, v)
@@ -425,9 +425,9 @@
 func TaskOf(j *wire.Job) *Task {
 	return &Task{
 		Scope: Scope{j.Team, j.Account}, Production: j.Priority == wire.PriorityProduction, Class: j.Class,
-		Cores: charge.InMilli(j.CPUs), EstimateS: j.EstimateS,
+		MilliCores: charge.InMilli(j.CPUs), EstimateS: j.EstimateS,
 	}
 }
 
-// Used gives what a team was charged, by day or month.
-func (k *Keeper) Used(team string) map[string]Use { return k.days[Scope{Team: team}] }
+// TeamUsage gives what a team was charged, by day or month.
+func (k *Tracker) TeamUsage(team string) map[string]Usage { return k.days[Scope{Team: team}] }
--- a/internal/accounting/budget/budget_test.go
+++ b/internal/accounting/budget/budget_test.go
@@ -63,10 +63,10 @@
 		}
 	}
 	now := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	k := NewKeeper()
+	k := NewTracker()
 	k.Configure(s, now)
 	task := func(account string) *Task {
-		return &Task{Scope: Scope{"t", account}, Class: "c", Cores: 1000, EstimateS: 3600, Dearest: 250_000}
+		return &Task{Scope: Scope{"t", account}, Class: "c", MilliCores: 1000, EstimateS: 3600, MaxRate: 250_000}
 	}
 	for account, want := range map[string]int{"a": 4, "b": 10, "": 10} {
 		if n, _ := k.Admit(task(account), 100); n != want {
@@ -75,12 +75,12 @@
 	}
 	cheap := task("a")
 	cheap.Rate = 125_000
-	k.Start("one", cheap)
+	k.StartTask("one", cheap)
 	if n, _ := k.Admit(task("a"), 100); n != 7 {
 		t.Errorf("with the class's rate known %d may start, want 7", n)
 	}
-	k.Charged(Scope{"t", "b"}, "2026-12-01", Use{Core: 9 * 3600 * 1_000_000})
-	k.Sum(now)
+	k.AddCharge(Scope{"t", "b"}, "2026-12-01", Usage{Core: 9 * 3600 * 1_000_000})
+	k.Recompute(now)
 	if n, why := k.Admit(task("b"), 100); n != 0 || !strings.Contains(why, "budget of t (") || !strings.Contains(why, "more than the whole budget") {
 		t.Errorf("%d may start, since %q", n, why)
 	}
@@ -89,7 +89,7 @@
 	if err := daily.Set("budget.t.day.core-hours", "10"); err != nil {
 		t.Fatal(err)
 	}
-	k.Began("one", now.Add(-5*time.Hour))
+	k.MarkRunning("one", now.Add(-5*time.Hour))
 	k.Configure(daily, now.Add(time.Hour))
 	if v := k.Views("t")[0]; v.Used != 10 { // nine charged, and one hour of the running task
 		t.Errorf("the day has used %v", v.Used)
@@ -104,10 +104,10 @@
 		t.Fatal(err)
 	}
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	k := NewKeeper()
+	k := NewTracker()
 	k.Configure(s, now)
 	v := k.Views("t")[0]
-	k.Sum(now.AddDate(0, 0, 1))
+	k.Recompute(now.AddDate(0, 0, 1))
 	if v.From.Day() != 1 || v.To.Day() != 2 {
 		t.Errorf("the view became one from %v to %v", v.From, v.To)
 	}
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -61,20 +61,20 @@
 
 // Policy is how a team's budgets work.
 type Policy struct {
-	// Carry is the share of what one period left that the next has besides.
-	Carry float64
-	// Warn is the share of a budget from which on it counts as nearly spent.
-	Warn float64
-	// Drain tells that running tasks are stopped, with time to save, once DrainAt of
+	// CarryOver is the share of what one period left that the next has besides.
+	CarryOver float64
+	// WarnAt is the share of a budget from which on it counts as nearly spent.
+	WarnAt float64
+	// DrainWhenSpent tells that running tasks are stopped, with time to save, once DrainAt of
 	// a budget is used; otherwise what runs is let finish.
-	Drain   bool
-	DrainAt float64
-	// Production tells that budgets hold production work too.
-	Production bool
+	DrainWhenSpent bool
+	DrainAt        float64
+	// HoldProduction tells that budgets hold production work too.
+	HoldProduction bool
 }
 
 // DefaultPolicy is that of a team without settings of its own.
-func DefaultPolicy() Policy { return Policy{Warn: 0.8, DrainAt: 1} }
+func DefaultPolicy() Policy { return Policy{WarnAt: 0.8, DrainAt: 1} }
 
 // Settings are the operators' budgets.
 type Settings struct {
@@ -83,8 +83,8 @@
 	Policies map[string]Policy
 }
 
-// Where is the place in which days begin.
-func (s *Settings) Where() *time.Location {
+// Location is the place in which days begin.
+func (s *Settings) Location() *time.Location {
 	if s == nil || s.Zone == nil {
 		return time.UTC
 	}
@@ -132,15 +132,15 @@
 	var err error
 	switch last {
 	case "carry-over":
-		p.Carry, err = share(key, value, 0)
+		p.CarryOver, err = share(key, value, 0)
 	case "warn-at":
-		p.Warn, err = share(key, value, math.SmallestNonzeroFloat64)
+		p.WarnAt, err = share(key, value, math.SmallestNonzeroFloat64)
 	case "drain-at":
 		p.DrainAt, err = share(key, value, math.SmallestNonzeroFloat64)
 	case "when-spent":
-		p.Drain, err = choice(key, value, "finish", "drain")
+		p.DrainWhenSpent, err = choice(key, value, "finish", "drain")
 	case "production":
-		p.Production, err = choice(key, value, "spared", "held")
+		p.HoldProduction, err = choice(key, value, "spared", "held")
 	default:
 		return fmt.Errorf("%s: unknown key", key)
 	}
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -13,8 +13,8 @@
 
 func fullRow() *Row {
 	return &Row{
-		Name: RowName{Day: "2026-12-01", Team: "vision", Account: "grant-7", Class: "train", Type: "large", Spot: true},
-		Sum:  charge.Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [10]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}},
+		Key: RowKey{Day: "2026-12-01", Team: "vision", Account: "grant-7", Class: "train", Type: "large", Spot: true},
+		Sum: charge.Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [10]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}},
 	}
 }
 
@@ -33,7 +33,7 @@
 	golden.JSON(t, "segment", golden.Fill(new(segmentRecord)))
 	golden.JSON(t, "page", golden.Fill(new(pageRecord)))
 	golden.CBOR(t, "row", fullRow())
-	golden.CBOR(t, "row-name", &fullRow().Name)
+	golden.CBOR(t, "row-name", &fullRow().Key)
 }
 
 func TestStoredKeys(t *testing.T) {
@@ -80,7 +80,7 @@
 	golden.JSON(t, "answer-totals", golden.Fill(new(Totals)))
 	golden.JSON(t, "answer-stats", golden.Fill(new(Stats)))
 	golden.Written(t, "answer-charge", golden.Fill(new(ChargeView)))
-	golden.Written(t, "answer-charges", golden.Fill(new(Page)))
+	golden.Written(t, "answer-charges", golden.Fill(new(ChargesPage)))
 }
 
 // What answers say of stored amounts and charges.
@@ -91,12 +91,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tally := NewTally(question)
-	tally.Add(fullRow().Name, fullRow().Sum)
-	totals := tally.Answer(time.UTC)
+	tally := NewAggregation(question)
+	tally.Add(fullRow().Key, fullRow().Sum)
+	totals := tally.Totals(time.UTC)
 	golden.Written(t, "question-totals", totals)
 	pack := fullPack()
-	charges := Views(&pack)
+	charges := ChargeViews(&pack)
 	golden.Written(t, "question-charges", charges)
 	golden.Written(t, "csv-totals", TotalsCSV(totals))
 	golden.Written(t, "csv-charges", ChargesCSV(charges))
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -18,8 +18,8 @@
 // Handler answers users and operators about charges, totals and budgets, as JSON or,
 // with format=csv, as CSV. It is safe for concurrent use.
 type Handler struct {
-	// Ask has the leader answer a path and query.
-	Ask func(ctx context.Context, uri string) (status int, body json.RawMessage)
+	// QueryLeader has the leader answer a path and query.
+	QueryLeader func(ctx context.Context, uri string) (status int, body json.RawMessage)
 
 	mu     sync.Mutex // one question for a job's charges at a time: each reads some hundred KB
 	Reader *Reader
@@ -34,7 +34,7 @@
 }
 
 func (d *Handler) serveLeader(w http.ResponseWriter, r *http.Request) {
-	status, body := d.Ask(r.Context(), r.URL.RequestURI())
+	status, body := d.QueryLeader(r.Context(), r.URL.RequestURI())
 	httpjson.WriteRaw(w, status, body)
 }
 
@@ -44,7 +44,7 @@
 		httpjson.WriteError(w, http.StatusBadRequest, "the parameter team is missing")
 		return
 	}
-	status, body := d.Ask(r.Context(), r.URL.RequestURI())
+	status, body := d.QueryLeader(r.Context(), r.URL.RequestURI())
 	var t Totals
 	if r.URL.Query().Get("format") != "csv" || status != http.StatusOK || json.Unmarshal(body, &t) != nil {
 		httpjson.WriteRaw(w, status, body)
@@ -66,7 +66,7 @@
 	defer d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesTimeout)
 	defer cancel()
-	page, err := d.Reader.Job(ctx, id, r.URL.Query().Get("after"))
+	page, err := d.Reader.JobCharges(ctx, id, r.URL.Query().Get("after"))
 	if err != nil {
 		httpjson.WriteUnavailable(w, "the charges cannot be read now")
 		return
@@ -115,8 +115,8 @@
 	for _, c := range charges {
 		rows = append(rows, []string{
 			c.Task, strconv.FormatUint(c.Attempt, 10), strconv.Itoa(c.Part), c.Team, c.Account, c.Class, c.Type, c.Zone, strconv.FormatBool(c.Spot),
-			c.Start.Format(time.RFC3339Nano), c.End.Format(time.RFC3339Nano), number6(c.CoreS), number6(c.GPUS), number6(c.MemGBS),
-			number6(c.Money), c.How.String(), strconv.FormatBool(c.Bound), strconv.FormatBool(c.Saved),
+			c.Start.Format(time.RFC3339Nano), c.End.Format(time.RFC3339Nano), number6(c.CoreS), number6(c.GPUS), number6(c.MemoryGBS),
+			number6(c.Money), c.Outcome.String(), strconv.FormatBool(c.UpperBound), strconv.FormatBool(c.ProgressSaved),
 		})
 	}
 	return rows
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -27,15 +27,15 @@
 
 // Config is what a ledger finds in its process.
 type Config struct {
-	Clock   clockwork.Clock
-	TxnOps  int     // changes in one transaction
-	ValueKB float64 // the longest value of the state service, in KiB
-	// Types gives the machine types; nil while none are known.
-	Types func() []wire.MachineType
+	Clock      clockwork.Clock
+	MaxTxnOps  int     // changes in one transaction
+	MaxValueKB float64 // the longest value of the state service, in KiB
+	// MachineTypes gives the machine types; nil while none are known.
+	MachineTypes func() []wire.MachineType
 	// Budgets gives the operators' budgets as they are now.
 	Budgets func() *budget.Settings
-	// Charged hears of what is charged, for metrics; nil: nobody does.
-	Charged func(team, how string, sum charge.Amounts)
+	// OnCharge hears of what is charged, for metrics; nil: nobody does.
+	OnCharge func(team, how string, sum charge.Amounts)
 }
 
 // Ledger is the ledger of one tenure. It implements leader.Subsystem.
@@ -59,7 +59,7 @@
 
 	live    map[*jobs.Allocation]bool
 	turn    time.Time // when the present day ends
-	budgets *budget.Keeper
+	budgets *budget.Tracker
 	seen    *budget.Settings // those that are in force
 	stats   Stats
 }
@@ -79,9 +79,9 @@
 		return nil, err
 	}
 	return &Ledger{
-		cfg: cfg, log: log, txnOps: cfg.TxnOps, valueBytes: int(cfg.ValueKB * 1024), codec: codec,
-		where: cfg.Budgets().Where(), open: newPage(0), closed: map[int]*page{},
-		live: map[*jobs.Allocation]bool{}, budgets: budget.NewKeeper(),
+		cfg: cfg, log: log, txnOps: cfg.MaxTxnOps, valueBytes: int(cfg.MaxValueKB * 1024), codec: codec,
+		where: cfg.Budgets().Location(), open: newPage(0), closed: map[int]*page{},
+		live: map[*jobs.Allocation]bool{}, budgets: budget.NewTracker(),
 	}, nil
 }
 
@@ -165,7 +165,7 @@
 		p := newPage(n)
 		p.version = item.Version
 		for _, r := range rows {
-			p.add(r.Name, r.Sum)
+			p.add(r.Key, r.Sum)
 		}
 		closed[n] = p
 		if n >= open.n {
@@ -187,10 +187,10 @@
 	l.open, l.closed, l.read = open, closed, true
 	for _, p := range append(slices.Collect(maps.Values(closed)), open) {
 		for name, sum := range p.rows {
-			l.budgets.Charged(budget.Scope{Team: name.Team, Account: name.Account}, name.Day, budget.Use{Core: sum.Core, Money: sum.Money})
+			l.budgets.AddCharge(budget.Scope{Team: name.Team, Account: name.Account}, name.Day, budget.Usage{Core: sum.Core, Money: sum.Money})
 		}
 	}
-	l.budgets.Sum(l.cfg.Clock.Now())
+	l.budgets.Recompute(l.cfg.Clock.Now())
 	return nil
 }
 
@@ -207,7 +207,7 @@
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
 				l.live[p] = true
-				l.budgets.Start(p, l.task(p))
+				l.budgets.StartTask(p, l.task(p))
 			}
 		}
 	}
@@ -244,7 +244,7 @@
 
 func (l *Ledger) count(b *charge.Brief, c *charge.Charge) {
 	a := b.AmountsOf(c)
-	l.budgets.Charged(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.where), budget.Use{Core: a.Core, Money: a.Money})
+	l.budgets.AddCharge(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.where), budget.Usage{Core: a.Core, Money: a.Money})
 }
 
 func (l *Ledger) brief(p *jobs.Allocation) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
@@ -252,14 +252,14 @@
 // task is a place as budgets see it.
 func (l *Ledger) task(p *jobs.Allocation) *budget.Task {
 	t := budget.TaskOf(&p.Job.Job)
-	t.Rate, t.Began = p.Kind.Rate, p.BeganAt
+	t.Rate, t.RunningSince = p.Kind.Rate, p.BeganAt
 	return t
 }
 
 // Admit says how many of a job's waiting tasks its team's budgets allow to start now.
 func (l *Ledger) Admit(j *jobs.Job, _ time.Time) (int, string) {
 	n := j.Waiting()
-	if !l.budgets.Any() {
+	if !l.budgets.HasBudgets() {
 		return n, ""
 	}
 	return l.admit(l.waiting(j), n)
@@ -275,9 +275,9 @@
 // waiting is a waiting task of a job as budgets see it.
 func (l *Ledger) waiting(j *jobs.Job) *budget.Task {
 	t := budget.TaskOf(&j.Job)
-	types := l.cfg.Types()
+	types := l.cfg.MachineTypes()
 	for i := range types {
-		t.Dearest = max(t.Dearest, Rate(&j.Job, &types[i], false))
+		t.MaxRate = max(t.MaxRate, Rate(&j.Job, &types[i], false))
 	}
 	return t
 }
@@ -286,7 +286,7 @@
 // machines were rented for every job of a team whose budget allows one of them. The rest
 // of a budget goes to the jobs in the order in which they are placed.
 func (l *Ledger) LimitTogether(waiting []*jobs.Job, counts []int, _ time.Time) {
-	if !l.budgets.Any() {
+	if !l.budgets.HasBudgets() {
 		return
 	}
 	order := make([]int, len(waiting))
@@ -297,13 +297,13 @@
 		x, y := waiting[a], waiting[b]
 		return cmp.Or(cmp.Compare(y.Priority.Level(), x.Priority.Level()), x.WaitingSince.Compare(y.WaitingSince), cmp.Compare(x.ID, y.ID))
 	})
-	release := l.budgets.Try()
+	release := l.budgets.SaveReservations()
 	defer release()
 	for _, i := range order {
 		t := l.waiting(waiting[i])
 		n, _ := l.admit(t, waiting[i].Waiting())
 		counts[i] = min(counts[i], n)
-		l.budgets.Consider(t, counts[i])
+		l.budgets.Reserve(t, counts[i])
 	}
 }
 
@@ -315,7 +315,7 @@
 		p.Kind.Type = typ.Name
 	}
 	l.live[p] = true
-	l.budgets.Start(p, l.task(p))
+	l.budgets.StartTask(p, l.task(p))
 }
 
 // Ended charges an attempt that came to its end.
@@ -323,7 +323,7 @@
 	p := o.Allocation
 	delete(l.live, p)
 	c, ok := chargeFor(&o, now, l.rateNow(p))
-	l.budgets.End(p, c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0, time.Duration(c.Run)*time.Millisecond)
+	l.budgets.EndTask(p, c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0, time.Duration(c.Run)*time.Millisecond)
 	if ok {
 		l.write(p, charge.SplitByDay(c, l.where), now)
 	}
@@ -337,8 +337,8 @@
 	brief := l.brief(p)
 	for i := range parts {
 		l.count(&brief, &parts[i])
-		if l.cfg.Charged != nil {
-			l.cfg.Charged(brief.Team, parts[i].Outcome.String(), brief.AmountsOf(&parts[i]))
+		if l.cfg.OnCharge != nil {
+			l.cfg.OnCharge(brief.Team, parts[i].Outcome.String(), brief.AmountsOf(&parts[i]))
 		}
 	}
 	l.stats.Charges += len(parts)
@@ -355,7 +355,7 @@
 
 // rateNow is what an attempt's task would take of its machine's price by now.
 func (l *Ledger) rateNow(p *jobs.Allocation) int64 {
-	return Rate(&p.Job.Job, wire.TypeNamed(l.cfg.Types(), p.Kind.Type), p.Kind.Spot)
+	return Rate(&p.Job.Job, wire.TypeNamed(l.cfg.MachineTypes(), p.Kind.Type), p.Kind.Spot)
 }
 
 // Tick closes days, looks at the budgets and takes what lies apart.
@@ -366,15 +366,15 @@
 	if !now.Before(l.turn) {
 		l.turnDay(now)
 	}
-	if !l.budgets.Any() {
+	if !l.budgets.HasBudgets() {
 		return nil
 	}
 	for p := range l.live {
 		if !p.BeganAt.IsZero() {
-			l.budgets.Began(p, p.BeganAt)
+			l.budgets.MarkRunning(p, p.BeganAt)
 		}
 	}
-	l.budgets.Sum(now)
+	l.budgets.Recompute(now)
 	for _, line := range l.budgets.Warnings() {
 		l.log.Warn("a budget is nearly spent", "budget", line.Scope.String(), "period", line.Period, "unit", line.Unit)
 	}
@@ -382,7 +382,7 @@
 		return nil
 	}
 	var stop []*jobs.Allocation
-	for _, ref := range l.budgets.OverSpent() {
+	for _, ref := range l.budgets.TasksToDrain() {
 		p := ref.(*jobs.Allocation)
 		if p.Stop == nil {
 			p.Stop = &jobs.StopRequest{Reason: charge.OverBudget}
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -519,7 +519,7 @@
 	if after := len(w.with(PrefixPage)); after >= before {
 		t.Errorf("%d pages are %d after compaction", before, after)
 	}
-	names := map[RowName]int{}
+	names := map[RowKey]int{}
 	for _, p := range w.ledger.closed {
 		if len(w.ledger.closed) < tuning.CompactPages {
 			break // so few are left as they are
@@ -563,7 +563,7 @@
 	}
 	w.roll()
 	codec := w.ledger.codec
-	verify := func(items map[string]wire.Item) *Finding {
+	verify := func(items map[string]wire.Item) *Verification {
 		t.Helper()
 		state := fakes.NewState(w.clock)
 		defer state.Close()
@@ -583,7 +583,7 @@
 		}
 		return f
 	}
-	if f := verify(w.items); len(f.Faults) != 0 || f.Jobs != 60 || f.Charges < 60 {
+	if f := verify(w.items); len(f.Discrepancies) != 0 || f.Jobs != 60 || f.Charges < 60 {
 		t.Fatalf("found %+v", f)
 	}
 	segment := w.with(PrefixSegment)[0]
@@ -639,8 +639,8 @@
 	} {
 		items := maps.Clone(w.items)
 		c.change(items)
-		if f := verify(items); len(f.Faults) == 0 || !slices.ContainsFunc(f.Faults, func(s string) bool { return strings.Contains(s, c.want) }) {
-			t.Errorf("%s: found %v", c.name, f.Faults)
+		if f := verify(items); len(f.Discrepancies) == 0 || !slices.ContainsFunc(f.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
+			t.Errorf("%s: found %v", c.name, f.Discrepancies)
 		}
 	}
 }
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -29,8 +29,8 @@
 	return &Reader{store: store, codec: codec}, nil
 }
 
-// Page is a part of a job's charges.
-type Page struct {
+// ChargesPage is a part of a job's charges.
+type ChargesPage struct {
 	Charges []ChargeView `json:"charges"`
 	// Next is where to go on; empty: there are no more. Charges of a job that has
 	// just ended may come again on a later page while they are rolled up; their task,
@@ -38,10 +38,10 @@
 	Next string `json:"next,omitempty"`
 }
 
-// Job reads the charges of a job: first those that lie in its own records, then
+// JobCharges reads the charges of a job: first those that lie in its own records, then
 // those in segments, some segments a page. after is the Next of the page before.
-func (r *Reader) Job(ctx context.Context, id, after string) (Page, error) {
-	page := Page{Charges: []ChargeView{}}
+func (r *Reader) JobCharges(ctx context.Context, id, after string) (ChargesPage, error) {
+	page := ChargesPage{Charges: []ChargeView{}}
 	if after == "" {
 		for _, prefix := range []string{jobs.PrefixProgress + id + "/", jobs.PrefixDetached + id + "/"} {
 			if _, err := r.store.ListAll(ctx, prefix, func(items []wire.Item) error {
@@ -51,7 +51,7 @@
 						return err
 					}
 					if p != nil {
-						page.Charges = append(page.Charges, Views(p)...)
+						page.Charges = append(page.Charges, ChargeViews(p)...)
 					}
 				}
 				return nil
@@ -72,7 +72,7 @@
 		}
 		for i := range packs {
 			if packs[i].Job == id {
-				page.Charges = append(page.Charges, Views(&packs[i])...)
+				page.Charges = append(page.Charges, ChargeViews(&packs[i])...)
 			}
 		}
 		if len(page.Charges) >= tuning.ChargesPage {
@@ -88,7 +88,7 @@
 }
 
 // pages reads the totals, and the versions of their pages.
-func (r *Reader) pages(ctx context.Context, add func(RowName, charge.Amounts)) (map[string]uint64, error) {
+func (r *Reader) pages(ctx context.Context, add func(RowKey, charge.Amounts)) (map[string]uint64, error) {
 	versions := map[string]uint64{}
 	_, err := r.store.ListAll(ctx, PrefixPage, func(items []wire.Item) error {
 		for _, item := range items {
@@ -98,7 +98,7 @@
 				return err
 			}
 			for _, row := range rows {
-				add(row.Name, row.Sum)
+				add(row.Key, row.Sum)
 			}
 		}
 		return nil
@@ -106,17 +106,17 @@
 	return versions, err
 }
 
-// Finding is what a verification found.
-type Finding struct {
+// Verification is what a verification found.
+type Verification struct {
 	Segments, Jobs, Charges int
-	Faults                  []string // what is wrong, a line each
+	Discrepancies           []string // what is wrong, a line each
 }
 
 // Verify reads the whole ledger, works out the totals anew from the charges in the
 // segments and compares them with those that are kept; it looks for charges that
 // are there twice, and for gaps between the parts of an attempt. where is the place in
 // which days begin.
-func (r *Reader) Verify(ctx context.Context, where *time.Location) (*Finding, error) {
+func (r *Reader) Verify(ctx context.Context, where *time.Location) (*Verification, error) {
 	for {
 		f, stable, err := r.verify(ctx, where)
 		if err != nil || stable {
@@ -129,12 +129,14 @@
 	}
 }
 
-func (r *Reader) verify(ctx context.Context, where *time.Location) (f *Finding, stable bool, err error) {
-	f = &Finding{}
-	fault := func(format string, args ...any) { f.Faults = append(f.Faults, fmt.Sprintf(format, args...)) }
-	kept := map[RowName]charge.Amounts{}
+func (r *Reader) verify(ctx context.Context, where *time.Location) (f *Verification, stable bool, err error) {
+	f = &Verification{}
+	fault := func(format string, args ...any) {
+		f.Discrepancies = append(f.Discrepancies, fmt.Sprintf(format, args...))
+	}
+	kept := map[RowKey]charge.Amounts{}
 	months := map[string]bool{} // whose days are folded
-	before, err := r.pages(ctx, func(n RowName, a charge.Amounts) {
+	before, err := r.pages(ctx, func(n RowKey, a charge.Amounts) {
 		sum := kept[n]
 		sum.Add(a)
 		kept[n] = sum
@@ -153,7 +155,7 @@
 	}
 	seen := map[part]charge.Charge{}
 	known := map[string]bool{}
-	again := map[RowName]charge.Amounts{}
+	again := map[RowKey]charge.Amounts{}
 	next := 0
 	if _, err := r.store.ListAll(ctx, PrefixSegment, func(items []wire.Item) error {
 		for _, item := range items {
@@ -180,7 +182,7 @@
 					seen[name] = c
 					f.Charges++
 				}
-				for n, a := range Rows(p, where) {
+				for n, a := range RowsOf(p, where) {
 					if months[n.Day[:7]] {
 						n.Day = n.Day[:7]
 					}
@@ -224,6 +226,6 @@
 			fault("total of %v is kept, and no charge makes it up", n)
 		}
 	}
-	after, err := r.pages(ctx, func(RowName, charge.Amounts) {})
+	after, err := r.pages(ctx, func(RowKey, charge.Amounts) {})
 	return f, maps.Equal(before, after), err
 }
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -31,9 +31,9 @@
 	return n, nil
 }
 
-// RowName is what the totals are kept by. Day is a day (2026-12-01), or a month
+// RowKey is what the totals are kept by. Day is a day (2026-12-01), or a month
 // (2026-12) once its days are long ago.
-type RowName struct {
+type RowKey struct {
 	_       struct{} `cbor:",toarray"`
 	Day     string
 	Team    string
@@ -44,15 +44,15 @@
 }
 
 // size is about how many bytes a row takes before compression.
-func (n RowName) size() int {
+func (n RowKey) size() int {
 	return len(n.Day) + len(n.Team) + len(n.Account) + len(n.Class) + len(n.Type) + 48
 }
 
 // Row is one line of totals.
 type Row struct {
-	_    struct{} `cbor:",toarray"`
-	Name RowName
-	Sum  charge.Amounts
+	_   struct{} `cbor:",toarray"`
+	Key RowKey
+	Sum charge.Amounts
 }
 
 // segmentRecord is how a segment is stored.
@@ -128,13 +128,13 @@
 type page struct {
 	n       int
 	version uint64
-	rows    map[RowName]charge.Amounts
+	rows    map[RowKey]charge.Amounts
 	size    int // before compression, in bytes
 }
 
-func newPage(n int) *page { return &page{n: n, rows: map[RowName]charge.Amounts{}} }
+func newPage(n int) *page { return &page{n: n, rows: map[RowKey]charge.Amounts{}} }
 
-func (p *page) add(name RowName, sum charge.Amounts) {
+func (p *page) add(name RowKey, sum charge.Amounts) {
 	a, known := p.rows[name]
 	if !known {
 		p.size += name.size()
@@ -143,7 +143,7 @@
 	p.rows[name] = a
 }
 
-func (p *page) remove(name RowName) {
+func (p *page) remove(name RowKey) {
 	if _, known := p.rows[name]; known {
 		p.size -= name.size()
 		delete(p.rows, name)
@@ -162,7 +162,7 @@
 func (p *page) list() []Row {
 	rows := make([]Row, 0, len(p.rows))
 	for name, sum := range p.rows {
-		rows = append(rows, Row{Name: name, Sum: sum})
+		rows = append(rows, Row{Key: name, Sum: sum})
 	}
 	sortRows(rows)
 	return rows
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -24,8 +24,8 @@
 
 func sortRows(rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.Name.Day, b.Name.Day), cmp.Compare(a.Name.Team, b.Name.Team), cmp.Compare(a.Name.Account, b.Name.Account),
-			cmp.Compare(a.Name.Class, b.Name.Class), cmp.Compare(a.Name.Type, b.Name.Type), compareBool(a.Name.Spot, b.Name.Spot))
+		return cmp.Or(cmp.Compare(a.Key.Day, b.Key.Day), cmp.Compare(a.Key.Team, b.Key.Team), cmp.Compare(a.Key.Account, b.Key.Account),
+			cmp.Compare(a.Key.Class, b.Key.Class), cmp.Compare(a.Key.Type, b.Key.Type), compareBool(a.Key.Spot, b.Key.Spot))
 	})
 }
 
@@ -39,13 +39,13 @@
 	return 1
 }
 
-// Rows gives the totals of a pack's charges.
-func Rows(p *charge.Pack, where *time.Location) map[RowName]charge.Amounts {
-	rows := map[RowName]charge.Amounts{}
+// RowsOf gives the totals of a pack's charges.
+func RowsOf(p *charge.Pack, where *time.Location) map[RowKey]charge.Amounts {
+	rows := map[RowKey]charge.Amounts{}
 	for i := range p.Charges {
 		c := &p.Charges[i]
 		kind := p.Kinds[c.Kind]
-		name := RowName{
+		name := RowKey{
 			Day: charge.DayOf(c.Start, where), Team: p.Brief.Team, Account: p.Brief.Account, Class: p.Brief.Class,
 			Type: kind.Type, Spot: kind.Spot,
 		}
@@ -102,7 +102,7 @@
 	}
 	for _, left := range take {
 		seg.packs = append(seg.packs, *left.Pack)
-		for name, sum := range Rows(left.Pack, l.where) {
+		for name, sum := range RowsOf(left.Pack, l.where) {
 			pg.add(name, sum)
 		}
 	}
@@ -180,7 +180,7 @@
 // pair finds two closed pages that compaction makes smaller: with rows of the same
 // name, or that fit into one.
 func (l *Ledger) pair() (into, from *page) {
-	seen := map[RowName]*page{}
+	seen := map[RowKey]*page{}
 	var small *page
 	for _, n := range slices.Sorted(maps.Keys(l.closed)) {
 		p := l.closed[n]
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -111,7 +111,7 @@
 
 // in tells whether a row is asked about. A month that is only partly within
 // the bounds is not, since its days can no longer be told apart.
-func (q *Query) in(n RowName) bool {
+func (q *Query) in(n RowKey) bool {
 	first, last := n.Day, n.Day
 	if len(n.Day) < len(time.DateOnly) {
 		first, last = n.Day+"-01", n.Day+"-31"
@@ -121,8 +121,8 @@
 }
 
 // pick keeps of a row's name what the answer is by.
-func (q *Query) pick(n RowName) RowName {
-	var out RowName
+func (q *Query) pick(n RowKey) RowKey {
+	var out RowKey
 	for _, c := range q.By {
 		switch c {
 		case "day":
@@ -142,18 +142,20 @@
 	return out
 }
 
-// Tally sums up rows for a question.
-type Tally struct {
+// Aggregation sums up rows for a question.
+type Aggregation struct {
 	q    Query
-	rows map[RowName]charge.Amounts
+	rows map[RowKey]charge.Amounts
 	sum  charge.Amounts
 }
 
-// NewTally begins to sum up.
-func NewTally(q Query) *Tally { return &Tally{q: q, rows: map[RowName]charge.Amounts{}} }
+// NewAggregation begins to sum up.
+func NewAggregation(q Query) *Aggregation {
+	return &Aggregation{q: q, rows: map[RowKey]charge.Amounts{}}
+}
 
 // Add adds a row, if it is asked about.
-func (t *Tally) Add(n RowName, a charge.Amounts) {
+func (t *Aggregation) Add(n RowKey, a charge.Amounts) {
 	if !t.q.in(n) {
 		return
 	}
@@ -164,12 +166,12 @@
 	t.sum.Add(a)
 }
 
-// Answer gives what was summed up.
-func (t *Tally) Answer(where *time.Location) Totals {
+// Totals gives what was summed up.
+func (t *Aggregation) Totals(where *time.Location) Totals {
 	out := Totals{From: t.q.From, To: t.q.To, Zone: where.String(), By: strings.Join(t.q.By, ","), Rows: []Total{}, Sum: TotalOf(t.sum)}
 	rows := make([]Row, 0, len(t.rows))
 	for n, a := range t.rows {
-		rows = append(rows, Row{Name: n, Sum: a})
+		rows = append(rows, Row{Key: n, Sum: a})
 	}
 	sortRows(rows)
 	rows = rows[min(t.q.Skip, len(rows)):]
@@ -178,9 +180,9 @@
 	}
 	for _, r := range rows {
 		v := TotalOf(r.Sum)
-		v.Day, v.Team, v.Account, v.Class, v.Type = r.Name.Day, r.Name.Team, r.Name.Account, r.Name.Class, r.Name.Type
+		v.Day, v.Team, v.Account, v.Class, v.Type = r.Key.Day, r.Key.Team, r.Key.Account, r.Key.Class, r.Key.Type
 		if slices.Contains(t.q.By, "spot") {
-			v.Spot = &r.Name.Spot
+			v.Spot = &r.Key.Spot
 		}
 		out.Rows = append(out.Rows, v)
 	}
@@ -197,7 +199,7 @@
 	case PathStats:
 		return http.StatusOK, l.stats, true
 	case PathBudgets:
-		l.budgets.Sum(now)
+		l.budgets.Recompute(now)
 		return http.StatusOK, map[string]any{"budgets": l.budgets.Views(u.Query().Get("team"))}, true
 	case PathTotals:
 	default:
@@ -215,14 +217,14 @@
 
 func (l *Ledger) totals(q Query, now time.Time) Totals {
 	l.collect(now) // what lies apart since the last tick counts too
-	t := NewTally(q)
+	t := NewAggregation(q)
 	for _, p := range append(slices.Collect(maps.Values(l.closed)), l.open) {
 		for n, a := range p.rows {
 			t.Add(n, a)
 		}
 	}
 	pack := func(p *charge.Pack) {
-		for n, a := range Rows(p, l.where) {
+		for n, a := range RowsOf(p, l.where) {
 			t.Add(n, a)
 		}
 	}
@@ -230,8 +232,8 @@
 		pack(left.Pack)
 	}
 	l.book.VisitCharges(pack)
-	out := t.Answer(l.where)
-	running := NewTally(q)
+	out := t.Totals(l.where)
+	running := NewAggregation(q)
 	for p := range l.live {
 		if p.BeganAt.IsZero() {
 			continue
@@ -241,7 +243,7 @@
 		brief := l.brief(p)
 		a := brief.AmountsOf(&c)
 		a.ByOutcome = [len(a.ByOutcome)]int64{}
-		running.Add(RowName{Day: charge.DayOf(now.UnixMilli(), l.where), Team: brief.Team, Account: brief.Account, Class: brief.Class}, a)
+		running.Add(RowKey{Day: charge.DayOf(now.UnixMilli(), l.where), Team: brief.Team, Account: brief.Account, Class: brief.Class}, a)
 	}
 	out.Running = TotalOf(running.sum)
 	return out
@@ -249,29 +251,29 @@
 
 // ChargeView is a charge for people and programs.
 type ChargeView struct {
-	Task    string         `json:"task"`
-	Attempt uint64         `json:"attempt"`
-	Part    int            `json:"part"`
-	Team    string         `json:"team"`
-	Account string         `json:"account,omitempty"`
-	Class   string         `json:"class"`
-	Type    string         `json:"type"`
-	Zone    string         `json:"zone"`
-	Spot    bool           `json:"spot"`
-	Start   time.Time      `json:"start"`
-	End     time.Time      `json:"end"`
-	CoreS   float64        `json:"core_s"`
-	GPUS    float64        `json:"gpu_s"`
-	MemGBS  float64        `json:"memory_gb_s"`
-	Money   float64        `json:"money"`
-	How     charge.Outcome `json:"how"`
-	Bound   bool           `json:"upper_bound,omitempty"`
-	Saved   bool           `json:"saved,omitempty"`
-	Blind   bool           `json:"price_unknown,omitempty"`
+	Task          string         `json:"task"`
+	Attempt       uint64         `json:"attempt"`
+	Part          int            `json:"part"`
+	Team          string         `json:"team"`
+	Account       string         `json:"account,omitempty"`
+	Class         string         `json:"class"`
+	Type          string         `json:"type"`
+	Zone          string         `json:"zone"`
+	Spot          bool           `json:"spot"`
+	Start         time.Time      `json:"start"`
+	End           time.Time      `json:"end"`
+	CoreS         float64        `json:"core_s"`
+	GPUS          float64        `json:"gpu_s"`
+	MemoryGBS     float64        `json:"memory_gb_s"`
+	Money         float64        `json:"money"`
+	Outcome       charge.Outcome `json:"how"`
+	UpperBound    bool           `json:"upper_bound,omitempty"`
+	ProgressSaved bool           `json:"saved,omitempty"`
+	PriceUnknown  bool           `json:"price_unknown,omitempty"`
 }
 
-// Views gives the charges of a pack.
-func Views(p *charge.Pack) []ChargeView {
+// ChargeViews gives the charges of a pack.
+func ChargeViews(p *charge.Pack) []ChargeView {
 	out := make([]ChargeView, 0, len(p.Charges))
 	for i := range p.Charges {
 		c := &p.Charges[i]
@@ -280,8 +282,8 @@
 			Task: wire.TaskID{Job: p.Job, Index: c.Task}.String(), Attempt: c.Attempt, Part: c.Part,
 			Team: p.Brief.Team, Account: p.Brief.Account, Class: p.Brief.Class, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot,
 			Start: time.UnixMilli(c.Start).UTC(), End: time.UnixMilli(c.End()).UTC(),
-			CoreS: float64(a.Core) / 1e6, GPUS: float64(a.GPU) / 1e6, MemGBS: float64(a.Memory) / 1e6, Money: float64(c.Money) / 1e6,
-			How: c.Outcome, Bound: c.Flags&charge.UpperBound != 0, Saved: c.Flags&charge.ProgressSaved != 0, Blind: c.Flags&charge.PriceUnknown != 0,
+			CoreS: float64(a.Core) / 1e6, GPUS: float64(a.GPU) / 1e6, MemoryGBS: float64(a.Memory) / 1e6, Money: float64(c.Money) / 1e6,
+			Outcome: c.Outcome, UpperBound: c.Flags&charge.UpperBound != 0, ProgressSaved: c.Flags&charge.ProgressSaved != 0, PriceUnknown: c.Flags&charge.PriceUnknown != 0,
 		})
 	}
 	return out
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -114,7 +114,7 @@
 	w.book, w.places = jobs.NewStore(w.txnOps), map[attempt]*jobs.Allocation{}
 	var err error
 	if w.ledger, err = New(Config{
-		Clock: w.clock, TxnOps: w.txnOps, ValueKB: 16, Types: func() []wire.MachineType { return []wire.MachineType{small} },
+		Clock: w.clock, MaxTxnOps: w.txnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{small} },
 		Budgets: func() *budget.Settings { return w.settings },
 	}, slog.New(slog.DiscardHandler)); err != nil {
 		w.t.Fatal(err)
@@ -417,8 +417,8 @@
 	if totals.Sum.CoreMicroS != sum.Core || totals.Sum.MoneyMicro != sum.Money || totals.Sum.Attempts != sum.Attempts() {
 		w.t.Fatalf("totals %+v, the charges make %+v", totals.Sum, sum)
 	}
-	var used budget.Use
-	for _, b := range w.ledger.budgets.Used("t") {
+	var used budget.Usage
+	for _, b := range w.ledger.budgets.TeamUsage("t") {
 		used.Add(b)
 	}
 	if used.Core != sum.Core || used.Money != sum.Money {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,15 +114,15 @@
 		return nil
 	}
 	state := c.settings.Cluster.State
-	cfg := ledger.Config{Clock: c.clock, TxnOps: state.TxnOps - 1, ValueKB: state.ValueKB, Types: c.catalog.Types, Budgets: c.operator.Budgets}
+	cfg := ledger.Config{Clock: c.clock, MaxTxnOps: state.TxnOps - 1, MaxValueKB: state.ValueKB, MachineTypes: c.catalog.Types, Budgets: c.operator.Budgets}
 	if c.metrics != nil {
-		cfg.Charged = c.metrics.Charged
+		cfg.OnCharge = c.metrics.Charged
 	}
 	reader, err := ledger.NewReader(c.store.LowPriority())
 	if err != nil {
 		return err
 	}
-	c.ledger = &ledger.Handler{Reader: reader, Ask: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.userAPI.Query(ctx, uri) }}
+	c.ledger = &ledger.Handler{Reader: reader, QueryLeader: func(ctx context.Context, uri string) (int, json.RawMessage) { return c.userAPI.Query(ctx, uri) }}
 	c.env.Accounts = true
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
 	return nil
--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -142,7 +142,7 @@
 	parts := map[key]int{}
 	for id := 1; id <= l.submits; id++ {
 		for after := ""; ; {
-			page, err := reader.Job(ctx, fmt.Sprint("job-", id), after)
+			page, err := reader.JobCharges(ctx, fmt.Sprint("job-", id), after)
 			if err != nil {
 				return err
 			}
@@ -152,7 +152,7 @@
 					fmt.Printf("%v is charged twice\n", a)
 				}
 				charged[a] += c.End.Sub(c.Start)
-				bound[a] = bound[a] || c.Bound
+				bound[a] = bound[a] || c.UpperBound
 			}
 			if after = page.Next; after == "" {
 				break
