--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"testing"
 	"time"
 
@@ -10,16 +9,9 @@
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/autoscale"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/scheduler/machines"
-	"poppypass/internal/scheduler/placement"
 )
 
-// endAttempt has a replica of a job fail or be refused on a machine.
-func (l *Loop) endAttempt(p *jobs.Allocation, why wire.ExitReason) {
-	l.applyOutcomes([]machines.Outcome{{Allocation: p, Reason: why}}, l.env.Clock.Now())
-}
-
-// A machine is bad on which jobs fail that work elsewhere, and none completes.
+// A machine is unhealthy on which jobs fail that work elsewhere, and none completes.
 func TestMachineOnWhichSeveralJobsFailIsUnhealthy(t *testing.T) {
 	l, clock := newTestLoop(t)
 	for i := range tuning.FaultyMachineJobs {
@@ -46,24 +38,24 @@
 }
 
 // Guards against jobs submitted with a mistake, which fail on every machine:
-// they must not make one look faulty, nor have machines rented, tasks stopped
+// they must not make one look unhealthy, nor have machines rented, tasks stopped
 // or room kept for them, and each is tried with one task at a time, ever more seldom.
 func TestJobFailingEverywhereBlamesNoMachine(t *testing.T) {
 	l, clock := newTestLoop(t)
 	for _, id := range []string{"job-1", "job-2"} {
-		p := l.addRunning(t, id, "n-large", 1)
-		j := p.Job
+		a := l.addRunning(t, id, "n-large", 1)
+		j := a.Job
 		l.arrivals.recent = append(l.arrivals.recent, autoscale.Arrival{At: clock.Now(), Job: &j.Job})
 		j.Kind = wire.KindArray
 		j.Tasks = append(j.Tasks, make([]jobs.Task, 3)...)
 		for range 8 {
 			pause := j.BackoffUntil.Sub(clock.Now())
 			for _, m := range []string{"n-large", "n-small"} { // a wave is one try
-				l.endAttempt(p, wire.ExitError)
-				p = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
-				l.machines.AddAllocation(p, clock.Now())
+				l.endAttempt(a, wire.ExitError)
+				a = l.jobs.Allocate(j, 0, m, "a", 1, clock.Now())
+				l.machines.AddAllocation(a, clock.Now())
 			}
-			l.endAttempt(p, wire.ExitError)
+			l.endAttempt(a, wire.ExitError)
 			next := j.BackoffUntil.Sub(clock.Now())
 			if next < pause || next > tuning.ErrorPauseMax {
 				t.Fatalf("pause %v after %v", next, pause)
@@ -73,10 +65,10 @@
 			if len(items) == 0 || !items[len(items)-1].OnProbation || items[len(items)-1].Waiting != 1 {
 				t.Fatalf("it is tried as %+v", items)
 			}
-			p = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
-			l.machines.AddAllocation(p, clock.Now())
+			a = l.jobs.Allocate(j, 0, "n-large", "a", 1, clock.Now())
+			l.machines.AddAllocation(a, clock.Now())
 		}
-		l.endAttempt(p, wire.ExitError)
+		l.endAttempt(a, wire.ExitError)
 		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
 			t.Errorf("%d tries, and a pause of %v", j.FailedWaves, j.BackoffUntil.Sub(clock.Now()))
 		}
@@ -93,8 +85,8 @@
 	if short := l.jobsShortOfRoom(clock.Now()); len(short) != 0 {
 		t.Errorf("makes room for it: %+v", short)
 	}
-	if a := l.recentArrivals(clock.Now()); len(a) != 0 {
-		t.Errorf("%d such jobs are expected to come", len(a))
+	if arrivals := l.recentArrivals(clock.Now()); len(arrivals) != 0 {
+		t.Errorf("%d such jobs are expected to come", len(arrivals))
 	}
 }
 
@@ -113,34 +105,11 @@
 	}
 }
 
-// A notice drains the machine: what can save does, what would not end in time
-// moves, and what ends soon may.
-func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
-	l, clock := newTestLoop(t)
-	m := l.machines.Machines["n-large"]
-	saves, long, short := l.addRunning(t, "job-1", m.Name, 1), l.addRunning(t, "job-2", m.Name, 1), l.addRunning(t, "job-3", m.Name, 1)
-	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
-	long.Job.EstimateS, short.Job.EstimateS = 300, 3
-	m.InterruptionAt = clock.Now().Add(15 * time.Second)
-	l.drainInterrupted(m, clock.Now())
-	if saves.Stop == nil || saves.Stop.GraceS < 4 {
-		t.Errorf("what can save: %+v", saves.Stop)
-	}
-	if long.Stop == nil || short.Stop != nil {
-		t.Errorf("long %+v, short %+v", long.Stop, short.Stop)
-	}
-	for _, v := range l.openMachines(clock.Now()) {
-		if v.Name == m.Name {
-			t.Error("it still gets tasks")
-		}
-	}
-}
-
 // Guards against a job that waits for minutes beside the only machine with room, since a task of it failed there once.
 func TestMachineIsAvoidedForLimitedTime(t *testing.T) {
 	l, clock := newTestLoop(t)
-	p := l.addRunning(t, "job-1", "n-large", 1)
-	l.endAttempt(p, wire.ExitError)
+	a := l.addRunning(t, "job-1", "n-large", 1)
+	l.endAttempt(a, wire.ExitError)
 	avoids := func() bool {
 		l.jobs.Jobs["job-1"].BackoffUntil = time.Time{}
 		items, _ := l.pendingJobs(clock.Now())
@@ -154,57 +123,3 @@
 		t.Error("it is avoided though the job has nothing for 75 s")
 	}
 }
-
-// Guards against a hold that brings nothing: what a machine's replicas take never gets free, and what runs on others does.
-func TestTimeUntilMachineHasRoom(t *testing.T) {
-	l, clock := newTestLoop(t)
-	m := l.machines.Machines["n-large"]
-	free := func() float64 {
-		lacks := placement.Resources{CPUs: 64}
-		lacks.Sub(freeOn(m, l.env.typeOf(m.Type)), 1)
-		return freeInS(m, clock.Now())(lacks)
-	}
-	if s := free(); s != 0 {
-		t.Errorf("an empty machine has room in %v s", s)
-	}
-	p := l.addRunning(t, "job-1", "n-large", 1)
-	if s := free(); !math.IsInf(s, 1) {
-		t.Errorf("beside a replica there is room in %v s", s)
-	}
-	p.Job.Kind, p.Job.EstimateS, p.RunningSince = wire.KindArray, 100, clock.Now().Add(-40*time.Second)
-	if s := free(); s != 60 {
-		t.Errorf("room in %v s, 60 are left of its run", s)
-	}
-	p.RunningSince = clock.Now().Add(-200 * time.Second)
-	if s := free(); s != 50 {
-		t.Errorf("room in %v s for a task that runs on beyond what was expected", s)
-	}
-	p.Stop = &jobs.StopRequest{GraceS: 5}
-	if s := free(); s != 5 {
-		t.Errorf("room in %v s for one that was told to stop", s)
-	}
-}
-
-// Guards against pauses between passes that grow for ever: what only time makes possible, such as the end of a job's pause after
-// failures, is found within the longest pause.
-func TestSchedulingCyclesContinueWhileNothingFits(t *testing.T) {
-	l, clock := newTestLoop(t)
-	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
-	begun := clock.Now()
-	blocked := l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
-	for j.BackoffUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
-		now := clock.Now()
-		for _, m := range l.machines.Machines { // it reports all the while
-			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
-		}
-		if l.cycle.changed || !now.Before(l.cycle.next) {
-			l.schedule(now)
-		}
-		if waited := now.Sub(j.BackoffUntil); waited > tuning.CycleBackoffMax+time.Second {
-			t.Fatalf("waits for %v since it may be placed", waited)
-		}
-	}
-	if blocked.Allocated > 0 {
-		t.Error("a task is placed that fits nowhere")
-	}
-}
--- a/internal/scheduler/leader/image_hints_test.go
+++ b/internal/scheduler/leader/image_hints_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// What a former leader told counts once the machine reports, and once only.
+// What a former leader stored counts once the machine sends a heartbeat, and once only.
 func TestImageHintsAreRecalledOnce(t *testing.T) {
 	l, _ := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -9,25 +9,48 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
+// An interruption notice drains the machine: what can save does, what would not end in time
+// moves, and what ends soon may.
+func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
+	l, clock := newTestLoop(t)
+	m := l.machines.Machines["n-large"]
+	saves, long, short := l.addRunning(t, "job-1", m.Name, 1), l.addRunning(t, "job-2", m.Name, 1), l.addRunning(t, "job-3", m.Name, 1)
+	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
+	long.Job.EstimateS, short.Job.EstimateS = 300, 3
+	m.InterruptionAt = clock.Now().Add(15 * time.Second)
+	l.drainInterrupted(m, clock.Now())
+	if saves.Stop == nil || saves.Stop.GraceS < 4 {
+		t.Errorf("what can save: %+v", saves.Stop)
+	}
+	if long.Stop == nil || short.Stop != nil {
+		t.Errorf("long %+v, short %+v", long.Stop, short.Stop)
+	}
+	for _, v := range l.openMachines(clock.Now()) {
+		if v.Name == m.Name {
+			t.Error("it still gets tasks")
+		}
+	}
+}
+
 // Guards against tasks that were stopped half a minute before their machine was taken, though half of
 // them would have ended by then, and against others that go with it and are missed until its lease ends.
 func TestTaskRunsUntilShortlyBeforeInterruption(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	p := l.addRunning(t, "job-1", m.Name, 1)
-	p.Job.EstimateS, p.RunningSince = 60, clock.Now().Add(-50*time.Second)
+	a := l.addRunning(t, "job-1", m.Name, 1)
+	a.Job.EstimateS, a.RunningSince = 60, clock.Now().Add(-50*time.Second)
 	m.InterruptionAt = clock.Now().Add(25 * time.Second)
 	l.interruptions.pending[m.Name] = true
 	l.drainInterrupted(m, clock.Now())
-	if p.Stop != nil {
+	if a.Stop != nil {
 		t.Fatal("stopped at the notice")
 	}
 	clock.Advance(25*time.Second - tuning.InterruptionStopLead - time.Second)
-	if l.stepInterruptions(clock.Now()); p.Stop != nil {
+	if l.stepInterruptions(clock.Now()); a.Stop != nil {
 		t.Fatal("stopped before the last call")
 	}
 	clock.Advance(time.Second)
-	if l.stepInterruptions(clock.Now()); p.Stop == nil || len(l.interruptions.pending) != 0 {
+	if l.stepInterruptions(clock.Now()); a.Stop == nil || len(l.interruptions.pending) != 0 {
 		t.Error("not stopped before its machine is taken")
 	}
 }
--- /dev/null
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -0,0 +1,107 @@
+package leader
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// Guards against an answer from memory by a leader whose right ended while it was being given.
+func TestStatusNeedsTheRightToAct(t *testing.T) {
+	l, _ := newTestLoop(t)
+	l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
+	for _, valid := range []bool{true, false} {
+		l.env.Valid = func(uint64) bool { return valid }
+		got := make(chan bool, 1)
+		go func() { _, ok := l.Status(t.Context(), "job-1"); got <- ok }()
+		(<-l.inbox)()
+		if ok := <-got; ok != valid {
+			t.Errorf("answers %v with a right to act that is %v", ok, valid)
+		}
+	}
+}
+
+// A cancellation is answered once the tasks are gone. While one is unreachable the user is
+// told at once to come back.
+func TestCancellationWaitsForUnreachableTasks(t *testing.T) {
+	l, advance := twoZones(t, 1)
+	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}))
+	t.Cleanup(worker.Close)
+	l.env.Workers = worker.Client()
+	l.loading.done = true
+	advance(l.maxSilence() + time.Second)
+	now := l.env.Clock.Now()
+	l.machines.Machines["n-0"].LastHeartbeat = now // n-1 is silent
+	cancel := func() (wire.JobState, error) {
+		type result struct {
+			state wire.JobState
+			err   error
+		}
+		out := make(chan result, 1)
+		go func() { s, _, err := l.Cancel(t.Context(), "job-1"); out <- result{s, err} }()
+		for {
+			select {
+			case fn := <-l.inbox:
+				fn()
+			case r := <-out:
+				return r.state, r.err
+			}
+		}
+	}
+	if _, err := cancel(); err != errTaskUnreachable {
+		t.Fatalf("told %v while a task may run", err)
+	}
+	j := l.jobs.Jobs["job-1"]
+	if j.CanStart() || j.Tasks[0].Allocation.Stop == nil || j.Tasks[1].Allocation.Stop == nil {
+		t.Error("its tasks are not to stop")
+	}
+	hb := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
+		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+	stops, err := l.handleHeartbeat(&hb, false)
+	if err != nil || len(stops) != 1 || stops[0].Op != wire.OpStop {
+		t.Fatalf("commands %v, %v", stops, err)
+	}
+	hb.Seq, hb.Tasks[0].State, hb.Tasks[0].Reason = 3, wire.TaskExited, wire.ExitStopped
+	if _, err := l.handleHeartbeat(&hb, false); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := cancel(); err != errTaskUnreachable {
+		t.Fatalf("told %v while the other may run", err)
+	}
+	advance(tuning.SilentReturnAfter + l.env.workerLease())
+	l.concludeExpired()
+	if j.Allocated != 0 {
+		t.Fatal("the other is not found gone")
+	}
+	w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
+	if w == nil || w.Txn.Then[0].Put != jobs.KeyFinalState("job-1") {
+		t.Fatalf("stored: %+v", w)
+	}
+	l.jobs.MarkCommitted(w, 9)
+	if l.jobs.Jobs["job-1"] != nil {
+		t.Error("the job is not over")
+	}
+}
+
+// Guards against a job of as many tasks as one may have, whose status requests hold up all others: its state is answered from memory.
+func TestStatusOfLargeJobAllocatesNothing(t *testing.T) {
+	l, clock := newTestLoop(t)
+	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1})
+	for i := range 2000 {
+		a := l.jobs.Allocate(j, i, "n-large", "a", 1, clock.Now())
+		a.State = wire.TaskRunning
+	}
+	if s := j.Status(); s.Running != 2000 || s.State != wire.StateRunning {
+		t.Errorf("%+v", s)
+	}
+	if n := testing.AllocsPerRun(10, func() { _ = j.Status() }); n > 0 {
+		t.Errorf("%v allocations for each poll", n)
+	}
+}
--- a/internal/scheduler/leader/kind_preference_test.go
+++ b/internal/scheduler/leader/kind_preference_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against jobs that are late since one long task went with its spot machine, while short tasks, which would
-// have ended in time all the same, ran on ordinary ones.
+// have ended in time all the same, ran on on-demand ones.
 func TestArraysThatWouldLoseMostPreferOnDemandMachines(t *testing.T) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
@@ -32,10 +32,10 @@
 	}
 	short, long, saves := array("job-1", 40, 0), array("job-2", 150, 0), array("job-3", 150, 10)
 	if l.fleet.spotLossLimitS = l.lossLimitOnSpot(); !math.IsInf(l.fleet.spotLossLimitS, 1) {
-		t.Errorf("nothing runs on ordinary machines, and the limit is %v", l.fleet.spotLossLimitS)
+		t.Errorf("nothing runs on on-demand machines, and the limit is %v", l.fleet.spotLossLimitS)
 	}
 	if l.preferKinds([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
-		t.Error("sides are taken where spot machines suffice")
+		t.Error("kinds are preferred where spot machines suffice")
 	}
 	j := l.jobs.Jobs["job-1"]
 	for i := range 4 {
@@ -45,9 +45,9 @@
 	items := []*placement.PendingJob{short, long, saves}
 	l.preferKinds(items)
 	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
-		t.Errorf("sides %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLossLimitS)
+		t.Errorf("preferences %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLossLimitS)
 	}
-	// Two long jobs have more than the share of ordinary machines: the longest is tried there.
+	// Two long jobs have more than the share of on-demand machines: the longest is tried there.
 	longest := array("job-4", 160, 0)
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
 	if l.preferKinds([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"poppypass/internal/platform/config"
-	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
 	"poppypass/internal/scheduler/machines"
@@ -21,12 +20,12 @@
 	l.writer.inFlight = true // nothing is stored: that is another's work
 	l.fleet.next = now.Add(time.Hour)
 	clear(l.machines.Machines)
-	var reports []*wire.Heartbeat
+	var heartbeats []*wire.Heartbeat
 	for i := range 400 {
-		reports = append(reports, &wire.Heartbeat{
+		heartbeats = append(heartbeats, &wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1, FencingToken: 1,
 		})
-		if _, err := l.machines.Heartbeat(reports[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
+		if _, err := l.machines.Heartbeat(heartbeats[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -37,26 +36,26 @@
 			CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", i%20), ImageGB: 1.5, Spot: true,
 		})
 		for k := 0; i < 260 && k < 6 && next < 1600; k++ {
-			rep := reports[next%400]
-			p := l.jobs.Allocate(j, k, rep.Machine, "a", 1, now)
-			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, now
-			l.machines.AddAllocation(p, now)
-			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
+			hb := heartbeats[next%400]
+			a := l.jobs.Allocate(j, k, hb.Machine, "a", 1, now)
+			a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, now
+			l.machines.AddAllocation(a, now)
+			hb.Tasks = append(hb.Tasks, wire.TaskStatus{Task: a.Task().String(), Attempt: a.Attempt, State: wire.TaskRunning})
 			next++
 		}
 	}
-	return l, reports
+	return l, heartbeats
 }
 
-// BenchmarkHeartbeatAndSchedule is what one report costs the leader at 400 machines, when it
-// changes something and a pass follows.
+// BenchmarkHeartbeatAndSchedule is what one heartbeat costs the leader at 400 machines, when it
+// changes something and a scheduling cycle follows.
 func BenchmarkHeartbeatAndSchedule(b *testing.B) {
-	l, reports := newLoopAtScale(b)
+	l, heartbeats := newLoopAtScale(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		rep := reports[i%len(reports)]
-		rep.Seq++
-		if _, err := l.handleHeartbeat(rep, false); err != nil {
+		hb := heartbeats[i%len(heartbeats)]
+		hb.Seq++
+		if _, err := l.handleHeartbeat(hb, false); err != nil {
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
@@ -64,16 +63,16 @@
 	}
 }
 
-// Guards against a pass whose work grows with machines times jobs: it has a
-// fixed number of allocations for each machine and each job.
+// Guards against a scheduling cycle whose work grows with machines times jobs: it has a
+// fixed number of memory allocations for each machine and each job.
 func TestSchedulingCycleAllocationsGrowLinearly(t *testing.T) {
-	l, reports := newLoopAtScale(t)
+	l, heartbeats := newLoopAtScale(t)
 	i := 0
 	got := testing.AllocsPerRun(20, func() {
-		rep := reports[i%len(reports)]
+		hb := heartbeats[i%len(heartbeats)]
 		i++
-		rep.Seq++
-		if _, err := l.handleHeartbeat(rep, false); err != nil {
+		hb.Seq++
+		if _, err := l.handleHeartbeat(hb, false); err != nil {
 			t.Fatal(err)
 		}
 		l.schedule(l.env.Clock.Now())
@@ -83,19 +82,6 @@
 	}
 }
 
-// Guards against hundreds of reports a second that have a pass each: a pass
-// is followed by a rest as many times as long.
-func TestPauseAfterSchedulingCycle(t *testing.T) {
-	l, clock := newTestLoop(t)
-	begun := clock.Now()
-	clock.Advance(3 * time.Millisecond)
-	for _, least := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.restAfter(begun, least).Sub(clock.Now()), max(least, tuning.CycleRestFactor*3*time.Millisecond); got != want {
-			t.Errorf("rests for %v, want %v", got, want)
-		}
-	}
-}
-
 // Guards against limits made for hundreds of machines: the count of rented machines once
 // stopped at 1,000 while a hundred jobs waited. A hundred thousand tasks get their ten
 // thousand machines, each is placed and stored, and all that is rented is returned in the end.
@@ -128,8 +114,8 @@
 			}
 			l.machinesRented(name, w, names)
 			for _, m := range names {
-				rep := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
-				if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
+				hb := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
+				if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -144,9 +130,9 @@
 		t.Errorf("%d machines for what fits on %d", len(l.machines.Machines), machines)
 	}
 	for _, m := range l.machines.Machines {
-		for _, p := range m.Allocations {
-			l.jobs.MarkDone(p, clock.Now())
-			l.machines.RemoveAllocation(p, clock.Now())
+		for _, a := range m.Allocations {
+			l.jobs.MarkDone(a, clock.Now())
+			l.machines.RemoveAllocation(a, clock.Now())
 		}
 	}
 	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
@@ -168,30 +154,14 @@
 	}
 }
 
-// What memory allows is the bound, unless the operators say less.
-func TestMemoryBoundsTheFleet(t *testing.T) {
-	l, _ := newTestLoop(t)
-	if n := l.maxMachines(); n < 1e9 {
-		t.Errorf("%d without any bound", n)
-	}
-	l.env.Settings.Cluster.Limits.RAMMB = 322
-	if n := l.maxMachines(); n < 2500 || n > 5000 {
-		t.Errorf("%d with 322 MB", n)
-	}
-	l.env.Tunables.MaxMachines = 7
-	if n := l.maxMachines(); n != 7 {
-		t.Errorf("%d where the operators say 7", n)
-	}
-}
-
-// BenchmarkUnchangedHeartbeat is what a report costs that changes nothing.
+// BenchmarkUnchangedHeartbeat is what a heartbeat costs that changes nothing.
 func BenchmarkUnchangedHeartbeat(b *testing.B) {
-	l, reports := newLoopAtScale(b)
+	l, heartbeats := newLoopAtScale(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		rep := reports[i%len(reports)]
-		rep.Seq++
-		if _, err := l.handleHeartbeat(rep, false); err != nil {
+		hb := heartbeats[i%len(heartbeats)]
+		hb.Seq++
+		if _, err := l.handleHeartbeat(hb, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -25,7 +25,7 @@
 	// MissingJobsFound: so many stored jobs were not in memory.
 	MissingJobsFound(jobs int)
 	// HeartbeatRejected: a heartbeat was not applied.
-	HeartbeatRejected(why string)
-	// Reachability: machines behind one-way partitions, and live ones that have not acknowledged anything yet.
-	Reachability(deaf, unproven int)
+	HeartbeatRejected(reason string)
+	// Reachability: machines that no command reaches, and live ones that have not acknowledged anything yet.
+	Reachability(unreachable, unproven int)
 }
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"testing"
 	"time"
@@ -11,12 +12,13 @@
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/cluster/workerlease"
 	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 )
 
-// partitionCluster is a leader, a member in each of two zones that has its zone's right, and a
-// worker in each zone with a task. Each second the workers report to whom they reach, and
+// partitionCluster is a leader, a member in each of two zones that has its zone's lease, and a
+// worker in each zone with a task. Each second the workers send heartbeats to whom they reach, and
 // the leader concludes what it can.
 type partitionCluster struct {
 	t     *testing.T
@@ -33,8 +35,8 @@
 }
 
 type partitionWorker struct {
-	rep   wire.Heartbeat
-	seen  time.Time // when its last answered report was sent
+	hb    wire.Heartbeat
+	seen  time.Time // when its last answered heartbeat was sent
 	hangs bool
 	died  time.Time // when its lease ended; zero: it lives
 	found time.Time // when the leader concluded that it died
@@ -53,22 +55,22 @@
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		w.boot(zone)
-		w.workers[zone] = &partitionWorker{seen: w.clock.Now(), rep: wire.Heartbeat{
+		w.workers[zone] = &partitionWorker{seen: w.clock.Now(), hb: wire.Heartbeat{
 			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1,
 			Tasks: []wire.TaskStatus{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
 		}}
 	}
 	j := w.l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2, CPUs: 1, MemoryGB: 1})
 	for i, zone := range []string{"a", "b"} {
-		p := w.l.jobs.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
-		p.Committed = true
-		w.l.machines.AddAllocation(p, w.clock.Now())
+		a := w.l.jobs.Allocate(j, i, "n-"+zone, zone, 1, w.clock.Now())
+		a.Committed = true
+		w.l.machines.AddAllocation(a, w.clock.Now())
 	}
 	w.lead()
 	return w
 }
 
-// boot starts a zone's member; it renews its right through a state service that a cut or
+// boot starts a zone's member; it renews its zone lease through a state service that a partition or
 // an outage takes away.
 func (w *partitionCluster) boot(zone string) {
 	w.members[zone] = workerlease.NewZoneLease(&config.Settings{
@@ -89,12 +91,12 @@
 	}
 }
 
-// reaches tells whether the leader reaches a zone.
+// reaches reports whether the leader reaches a zone.
 func (w *partitionCluster) reaches(zone string) bool {
 	return w.inside == zone || !w.cut[zone] && !w.cut[w.inside]
 }
 
-// newLeader begins a tenure in a zone, from the places that are recorded.
+// newLeader begins a term in a zone, from the allocations that are recorded.
 func (w *partitionCluster) newLeader(zone string) {
 	w.inside = zone
 	old := w.l
@@ -106,14 +108,14 @@
 	w.l.jobs = old.jobs
 	for _, j := range old.jobs.Jobs {
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Allocation; p != nil {
-				w.l.machines.RestoreAllocation(p, w.l.startedAt)
+			if a := j.Tasks[i].Allocation; a != nil {
+				w.l.machines.RestoreAllocation(a, w.l.startedAt)
 			}
 		}
 	}
 }
 
-// second lets one pass. lead tells whether there is a leader with the right to act.
+// second lets one second pass. lead is true if there is a leader with the right to act.
 func (w *partitionCluster) second(lead bool) {
 	now := w.clock.Now()
 	for zone, k := range w.workers {
@@ -126,13 +128,13 @@
 			}
 			continue
 		}
-		k.rep.Seq++
+		k.hb.Seq++
 		answered := false
 		if lead && w.reaches(zone) && !w.lost[zone] {
-			_, err := w.l.handleHeartbeat(&k.rep, false)
+			_, err := w.l.handleHeartbeat(&k.hb, false)
 			answered = err == nil
 		} else if !w.down[zone] {
-			answered = w.members[zone].MayRenew(k.rep.Machine, zone)
+			answered = w.members[zone].MayRenew(k.hb.Machine, zone)
 		}
 		if answered {
 			k.seen = now
@@ -143,7 +145,7 @@
 	}
 	for zone, k := range w.workers {
 		j := w.l.jobs.Jobs["job-1"]
-		if p := j.Tasks[int(zone[0]-'a')].Allocation; p == nil && k.found.IsZero() {
+		if j.Tasks[int(zone[0]-'a')].Allocation == nil && k.found.IsZero() {
 			k.found = now
 			if k.died.IsZero() {
 				w.t.Fatalf("zone %s: concluded after %v without an answer, while the task may run", zone, now.Sub(k.seen))
@@ -159,10 +161,10 @@
 	w.state.Expire()
 }
 
-// Zones are cut off at each phase of a leader's life; workers live through what is
-// shorter than the right, and what is lost is found out in time, never too soon.
+// Zones are partitioned at each phase of a leader's life; workers live through what is
+// shorter than the zone lease, and what is lost is found out in time, never too soon.
 func TestTasksSurviveZonePartitions(t *testing.T) {
-	const short, long = 60, 380 // seconds; the right is 300
+	const short, long = 60, 380 // seconds; the zone lease is 300
 	type events map[int]func(w *partitionCluster)
 	cut := func(zone string, on bool) func(w *partitionCluster) {
 		return func(w *partitionCluster) { w.cut[zone] = on }
@@ -175,8 +177,8 @@
 		latest  int    // how many seconds after the death of a task it must be known
 		foundBy int    // and no later than this second; 0: any
 	}{
-		{"the zone outside the leader's, shorter than the right", events{10: cut("b", true), 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
-		{"longer than the right", events{10: cut("b", true), 10 + long: cut("b", false)}, [2]int{}, "a", 15, 340},
+		{"the zone outside the leader's, shorter than the zone lease", events{10: cut("b", true), 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
+		{"longer than the zone lease", events{10: cut("b", true), 10 + long: cut("b", false)}, [2]int{}, "a", 15, 340},
 		{"the leader's zone; another leads in the other", events{10: cut("a", true), 14: func(w *partitionCluster) { w.newLeader("b") }, 10 + short: cut("a", false)}, [2]int{10, 14}, "ab", 0, 0},
 		{"a new leader in the cut", events{10: cut("b", true), 20: func(w *partitionCluster) { w.newLeader("a") }, 10 + short: cut("b", false)}, [2]int{16, 20}, "ab", 0, 0},
 		{"a new leader just before it", events{8: func(w *partitionCluster) { w.newLeader("a") }, 9: cut("b", true), 9 + short: cut("b", false)}, [2]int{4, 8}, "ab", 0, 0},
@@ -184,7 +186,7 @@
 		{"both zones, one after the other", events{10: cut("b", true), 20: cut("a", true), 10 + short: cut("b", false), 20 + short: cut("a", false), 21 + short: func(w *partitionCluster) { w.newLeader("b") }}, [2]int{20, 21 + short}, "ab", 0, 0},
 		{"an outage of the state service in it", events{10: cut("b", true), 20: func(w *partitionCluster) { w.state.Refuse(true) }, 50: func(w *partitionCluster) { w.state.Refuse(false) }, 10 + short: cut("b", false)}, [2]int{}, "ab", 0, 0},
 		{"nobody leads in an outage", events{10: func(w *partitionCluster) { w.state.Refuse(true) }, 60: func(w *partitionCluster) { w.state.Refuse(false) }, 65: func(w *partitionCluster) { w.newLeader("b") }}, [2]int{12, 65}, "ab", 0, 0},
-		{"the zone's member ends in it, and cannot know its right", events{10: cut("b", true), 20: func(w *partitionCluster) { w.down["b"] = true }, 28: func(w *partitionCluster) { w.boot("b") }, 10 + short: cut("b", false)}, [2]int{}, "a", 45, 0},
+		{"the zone's member ends in it, and cannot know its zone lease", events{10: cut("b", true), 20: func(w *partitionCluster) { w.down["b"] = true }, 28: func(w *partitionCluster) { w.boot("b") }, 10 + short: cut("b", false)}, [2]int{}, "a", 45, 0},
 		{"workers reach their zone's member alone", events{10: func(w *partitionCluster) { w.lost["b"] = true }, 70: func(w *partitionCluster) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
 		{"the same, and it is started anew", events{10: func(w *partitionCluster) { w.lost["b"] = true }, 40: func(w *partitionCluster) { w.down["b"] = true }, 42: func(w *partitionCluster) { w.boot("b") }, 70: func(w *partitionCluster) { w.lost["b"] = false }}, [2]int{}, "ab", 0, 0},
 		{"a machine dies; its zone's member denies", events{10: func(w *partitionCluster) { w.workers["b"].hangs = true }}, [2]int{}, "a", 2, 23},
@@ -224,3 +226,33 @@
 		})
 	}
 }
+
+// A zone in which nothing hears us is partitioned: nothing is rented there, and its machines are not returned at once.
+func TestZoneOfUnreachableMachinesIsPartitioned(t *testing.T) {
+	l, advance := twoZones(t, 6)
+	l.env.Valid = func(uint64) bool { return true }
+	seq := uint64(1)
+	report := func() {
+		advance(time.Second)
+		seq++
+		for i := range 12 {
+			hb := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/6], Incarnation: 1, Seq: seq, FencingToken: 1}
+			if i < 6 { // zone a shows the commands that it got
+				hb.Tasks = []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}
+			}
+			l.mustHandle(t, hb)
+		}
+	}
+	for range 8 {
+		report()
+		l.probeAll()
+	}
+	report()
+	now := l.env.Clock.Now()
+	if cut := l.partitionedZones(now); !cut["b"] || cut["a"] {
+		t.Errorf("partitioned: %v", cut)
+	}
+	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterCut {
+		t.Errorf("its machines are returned after %v", got)
+	}
+}
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -24,12 +24,12 @@
 	stopped.Stop = &jobs.StopRequest{}
 	m := &machines.Machine{Allocations: map[machines.AttemptID]*jobs.Allocation{}}
 	want := place(1, wire.TaskRunning)
-	for i, p := range []*jobs.Allocation{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
-		m.Allocations[machines.AttemptID{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: p.Attempt}] = p
+	for i, a := range []*jobs.Allocation{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
+		m.Allocations[machines.AttemptID{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: a.Attempt}] = a
 	}
 	got := victims(m, now)
 	if len(got) != 1 || got[0].Ref != any(want) {
-		t.Fatalf("may stop %d places", len(got))
+		t.Fatalf("may stop %d allocations", len(got))
 	}
 	if got[0].Cost != 10 {
 		t.Errorf("costs %v s; it saves every 10 s", got[0].Cost)
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -3,25 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"sync"
 	"testing"
-	"time"
 
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/machines"
 )
 
-// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
-// half as many again come with a busy day.
-const maxSizedMachines = 6000
-
-// machineName is the name of the i-th machine of a test, in the order of the cloud's list.
-func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
-
 // workersAnswer answers direct commands to any number of workers, whose addresses are their machines' names.
 type workersAnswer struct {
 	mu    sync.Mutex
@@ -43,7 +34,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, err
 }
 
-// Guards against questions so few at a time that the last of many doubtful machines is asked after its lease: an eighth of
+// Guards against probes so few at a time that the last of many suspect machines is probed after its lease: an eighth of
 // 400 commands each half a second were 100 machines a second at the most.
 func TestEverySuspectMachineIsProbedWithinALease(t *testing.T) {
 	for _, c := range []struct {
@@ -66,8 +57,8 @@
 			l.env.Valid = func(uint64) bool { return true }
 			clear(l.machines.Machines)
 			for i := range c.machines {
-				rep := wire.Heartbeat{Machine: machineName(i), Address: machineName(i), Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-				if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+				hb := wire.Heartbeat{Machine: machineName(i), Address: machineName(i), Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
+				if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 					t.Fatal(err)
 				}
 				l.machines.Machines[machineName(i)].SuspectCopy = true
@@ -78,13 +69,13 @@
 				}
 			}
 			if len(workers.asked) != c.machines {
-				t.Errorf("%d of %d machines were asked within a lease", len(workers.asked), c.machines)
+				t.Errorf("%d of %d machines were probed within a lease", len(workers.asked), c.machines)
 			}
 		})
 	}
 }
 
-// Guards against questions that leave no room for the commands of a pass.
+// Guards against probes that leave no room for the commands of a scheduling cycle.
 func TestProbesLeaveRoomForCommands(t *testing.T) {
 	l, _ := newTestLoop(t)
 	for _, c := range []struct {
@@ -98,22 +89,11 @@
 		{"half of the commands at the most", 400, maxSizedMachines, 200},
 		{"few sockets", 16, maxSizedMachines, 8},
 	} {
-		l.env.CommandSlots = make(chan struct{}, c.sending)
-		if got := l.probesAtOnce(c.doubtful); got != c.most {
-			t.Errorf("%s: %d questions at a time, want %d", c.name, got, c.most)
-		}
-	}
-}
-
-// Guards against a large list whose pages take all of the cloud's rate: the pause after it is as long as it took.
-func TestListingLeavesHalfOfTheCloudsRate(t *testing.T) {
-	for _, c := range []struct{ took, pause time.Duration }{
-		{0, tuning.ListEvery},
-		{tuning.ListEvery / 2, tuning.ListEvery},
-		{2 * tuning.ListEvery, 2 * tuning.ListEvery},
-	} {
-		if got := listPause(c.took); got != c.pause {
-			t.Errorf("a pause of %v after a list that took %v, want %v", got, c.took, c.pause)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			l.env.CommandSlots = make(chan struct{}, c.sending)
+			if got := l.probesAtOnce(c.doubtful); got != c.most {
+				t.Errorf("%d probes at a time, want %d", got, c.most)
+			}
+		})
 	}
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"testing"
 	"time"
 
@@ -11,7 +10,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a job that is stored, known to its user, and in no place here: it would never run.
+// Guards against a job that is stored, known to its user, and not in memory here: it would never run.
 func TestStoredJobsMissingInMemoryAreFound(t *testing.T) {
 	l, clock := newTestLoop(t)
 	known := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
@@ -34,7 +33,7 @@
 	if counted.found != 1 {
 		t.Errorf("%d are counted as missing", counted.found)
 	}
-	// The listing overtakes the watch: the job is taken in, and was not missing.
+	// The listing overtakes the watch: the job is loaded, and was not missing.
 	early := item("job-5")
 	early.Version = l.loading.jobsRevision + 1
 	l.reconcileJobs([]wire.Item{early})
@@ -65,26 +64,3 @@
 func (c *missingJobsCounter) MissingJobsFound(n int) { c.found += n }
 
 func (c *missingJobsCounter) JobArrived(string, string, string) {}
-
-// Operators see who is served: the largest tenth of a class beside the others, and for how long the oldest waits to begin.
-func TestServiceLevelsTellLargestJobsOfAClass(t *testing.T) {
-	l, clock := newTestLoop(t)
-	var last *jobs.Job
-	for i := range 20 {
-		last = l.addPending(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
-		p := l.levels.jobArrived(last)
-		if large := i >= tuning.SizesMin-1 && i%10 == 9; p.large != large {
-			t.Errorf("job %d of %d tasks: large %v", i, 1+i%10, p.large)
-		}
-	}
-	clock.Advance(time.Minute)
-	if got := int(l.oldestWaits(clock.Now())["c"]); got != 60 {
-		t.Errorf("the oldest waits for %v s", got)
-	}
-	if p := l.levels.jobBegan(last); p == nil || !p.large || l.levels.jobBegan(last) != nil {
-		t.Error("it does not begin once")
-	}
-	if l.levels.jobFinished(last.ID); l.levels.jobBegan(last) != nil {
-		t.Error("remembered though it is over")
-	}
-}
--- /dev/null
+++ b/internal/scheduler/leader/scale_in_test.go
@@ -0,0 +1,62 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+)
+
+// Guards against deletions that pile up: one is in flight at a time, and
+// what comes meanwhile shares the next.
+func TestDeletionsAreBatched(t *testing.T) {
+	l, _ := newTestLoop(t)
+	l.deleteMachines([]string{"n-1"})
+	l.deleteMachines([]string{"n-2"})
+	l.deleteMachines([]string{"n-3"})
+	if !l.deletions.inFlight || len(l.deletions.queue) != 2 {
+		t.Errorf("deleting %v, %v wait", l.deletions.inFlight, l.deletions.queue)
+	}
+}
+
+// Guards against a leader that returns half of the fleet because it is
+// partitioned from it: machines that the cloud lists as running are of use again.
+func TestManySilentMachinesAreKeptDuringAPartition(t *testing.T) {
+	for _, c := range []struct {
+		silent int
+		keeps  time.Duration
+	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
+		l, clock := newTestLoop(t)
+		var listed []wire.ListedMachine
+		for i := range c.silent {
+			listed = append(listed, wire.ListedMachine{Name: fmt.Sprintf("n-%d", i), Type: "small", Zone: "a", State: wire.MachineRunning, AgeS: 600})
+		}
+		l.reconcileMachines([]cloud.ListPage{{Machines: listed}}, clock.Now())
+		returned := func() int {
+			for name := range l.machines.Machines { // the others send heartbeats
+				if m := l.machines.Machines[name]; m.Incarnation > 0 {
+					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
+				}
+			}
+			l.scaleIn(clock.Now())
+			n := 0
+			for _, m := range l.machines.Machines {
+				if m.Returning {
+					n++
+				}
+			}
+			return n
+		}
+		clock.Advance(l.env.workerLease() + c.keeps - time.Second)
+		if n := returned(); n != 0 {
+			t.Errorf("%d silent: %d returned too soon", c.silent, n)
+		}
+		clock.Advance(2 * time.Second)
+		if n := returned(); n != c.silent {
+			t.Errorf("%d silent: %d returned in the end", c.silent, n)
+		}
+	}
+}
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -1,31 +1,51 @@
 package leader
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
-	"poppypass/internal/clients/cloud"
 	"testing"
 	"time"
 
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/scheduler/jobs"
 )
 
-// addPending adds an accepted job none of whose tasks is placed.
-func (l *Loop) addPending(t testing.TB, j wire.Job) *jobs.Job {
-	t.Helper()
+// Guards against machines rented in a partitioned zone, and counted as coming while
+// the work waits.
+func TestNoScaleOutInPartitionedZone(t *testing.T) {
+	l, advance := twoZones(t, 10)
 	now := l.env.Clock.Now()
-	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: now.UnixMilli()})
-	if err != nil {
-		t.Fatal(err)
+	l.machines.Register("n-boots", "small", "b", false, now, now)
+	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
+		t.Errorf("partitioned: %v", partitioned)
 	}
-	out, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
-	if err != nil {
-		t.Fatal(err)
+	advance(l.maxSilence() + time.Second)
+	now = l.env.Clock.Now()
+	for i := range 10 { // zone a, and one of b, go on sending heartbeats
+		l.machines.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
+	}
+	l.machines.Machines["n-10"].LastHeartbeat = now
+	partitioned := l.partitionedZones(now)
+	if len(partitioned) != 1 || !partitioned["b"] {
+		t.Fatalf("partitioned: %v", partitioned)
+	}
+	for _, v := range l.bootingMachines(partitioned, now) {
+		if v.Zone == "b" {
+			t.Error("what boots there counts as coming")
+		}
+	}
+	l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
+	l.scaleOut(now)
+	zones := map[string]int{}
+	for _, w := range l.rentals.pending {
+		zones[w.Zone] += w.Count
+	}
+	if zones["a"] == 0 || zones["b"] != 0 {
+		t.Errorf("rents %v", zones)
+	}
+	l.startedAt = now // a new leader has heard nobody yet
+	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
+		t.Errorf("a new leader finds %v partitioned", partitioned)
 	}
-	return out
 }
 
 // Guards against rentals that pile up behind the cloud's rate: at the start of
@@ -48,107 +68,3 @@
 		t.Error("nothing is rented")
 	}
 }
-
-// Guards against deletions that pile up: one is on its way at a time, and
-// what comes meanwhile shares the next.
-func TestDeletionsAreBatched(t *testing.T) {
-	l, _ := newTestLoop(t)
-	l.deleteMachines([]string{"n-1"})
-	l.deleteMachines([]string{"n-2"})
-	l.deleteMachines([]string{"n-3"})
-	if !l.deletions.inFlight || len(l.deletions.queue) != 2 {
-		t.Errorf("deleting %v, %v wait", l.deletions.inFlight, l.deletions.queue)
-	}
-}
-
-// Guards against a leader that returns half of the fleet because it is cut
-// off from it: machines that the cloud lists as running are of use again.
-func TestManySilentMachinesAreKeptDuringAPartition(t *testing.T) {
-	for _, c := range []struct {
-		silent int
-		keeps  time.Duration
-	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
-		l, clock := newTestLoop(t)
-		var listed []wire.ListedMachine
-		for i := range c.silent {
-			listed = append(listed, wire.ListedMachine{Name: fmt.Sprintf("n-%d", i), Type: "small", Zone: "a", State: wire.MachineRunning, AgeS: 600})
-		}
-		l.reconcileMachines([]cloud.ListPage{{Machines: listed}}, clock.Now())
-		returned := func() int {
-			for name := range l.machines.Machines { // the others report
-				if m := l.machines.Machines[name]; m.Incarnation > 0 {
-					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
-				}
-			}
-			l.scaleIn(clock.Now())
-			n := 0
-			for _, m := range l.machines.Machines {
-				if m.Returning {
-					n++
-				}
-			}
-			return n
-		}
-		clock.Advance(l.env.workerLease() + c.keeps - time.Second)
-		if n := returned(); n != 0 {
-			t.Errorf("%d silent: %d returned too soon", c.silent, n)
-		}
-		clock.Advance(2 * time.Second)
-		if n := returned(); n != c.silent {
-			t.Errorf("%d silent: %d returned in the end", c.silent, n)
-		}
-	}
-}
-
-// Guards against room kept for jobs like those that waited for the service's
-// very first begin: 70 services at once had a third more machines rented.
-func TestInitialBacklogIsSampledAsArrivals(t *testing.T) {
-	l, clock := newTestLoop(t)
-	l.startedAt = clock.Now()
-	take := func(id string) int {
-		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		l.loadJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
-		return len(l.arrivals.recent)
-	}
-	for i := range tuning.FirstStartRushShare {
-		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
-			t.Errorf("%d arrivals after %d in the rush", n, i+1)
-		}
-	}
-	clock.Advance(tuning.FirstStartRush)
-	if n := take("job-2"); n != 2 {
-		t.Errorf("%d arrivals after it", n)
-	}
-	l.leadership.Term, l.startedAt = 2, clock.Now() // a takeover is no rush
-	if n := take("job-3"); n != 3 {
-		t.Errorf("%d arrivals after a takeover", n)
-	}
-}
-
-// Guards against a leader that stood still between a decision and its call: it
-// must not delete machines on which the next one has placed tasks meanwhile.
-func TestNoCloudCallWithoutTheRightToAct(t *testing.T) {
-	l, clock := newTestLoop(t) // its elector has no right to act
-	ctx, end := context.WithCancel(t.Context())
-	l.ended = ctx
-	may := make(chan bool)
-	go func() { may <- l.awaitRightToAct() }()
-	for range 3 {
-		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
-			t.Fatal(err)
-		}
-		select {
-		case <-may:
-			t.Fatal("calls the cloud without the right to act")
-		default:
-		}
-		clock.Advance(tuning.Tick)
-	}
-	end()
-	if <-may {
-		t.Error("calls the cloud though the tenure is over")
-	}
-}
--- a/internal/scheduler/leader/size_limits_test.go
+++ b/internal/scheduler/leader/size_limits_test.go
@@ -21,7 +21,7 @@
 	const ramMB, processMB = 322, 12
 	for _, c := range []struct {
 		name        string
-		kbEach      float64 // in use for each machine that reports
+		kbEach      float64 // in use for each machine that sends heartbeats
 		least, most int
 	}{
 		{"half of what 4,000 were measured to take", 21, maxSizedMachines, 7000},
@@ -38,8 +38,8 @@
 			for most := l.maxMachines(); len(l.machines.Machines) < most; most = l.maxMachines() {
 				for len(l.machines.Machines) < most {
 					i := len(l.machines.Machines)
-					rep := wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-					if _, err := l.machines.Heartbeat(&rep, false, clock.Now(), nil); err != nil {
+					hb := wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
+					if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Guards against a take-over that loses, repeats or forgets what thousands of machines run: a new leader reads the records
-// by as many calls as their pages take, and the machines' reports bring nothing but confirmation.
+// Guards against a failover that loses, repeats or forgets what thousands of machines run: a new leader reads the records
+// by as many calls as their pages take, and the machines' heartbeats bring nothing but confirmation.
 func TestTakeOverByRecordsAndReports(t *testing.T) {
 	const tasksEach, tasksOfJob = 2, 40
 	const all = maxSizedMachines * tasksEach
@@ -93,11 +93,11 @@
 		}
 		l.jobs.MarkCommitted(w, revision)
 	}
-	reports := make([]*wire.Heartbeat, maxSizedMachines)
-	for i := range reports {
-		reports[i] = &wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, FencingToken: 1}
-		for _, p := range l.machines.Machines[machineName(i)].Allocations {
-			reports[i].Tasks = append(reports[i].Tasks, wire.TaskStatus{Task: p.Task().String(), Attempt: p.Attempt, State: wire.TaskRunning})
+	heartbeats := make([]*wire.Heartbeat, maxSizedMachines)
+	for i := range heartbeats {
+		heartbeats[i] = &wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, FencingToken: 1}
+		for _, a := range l.machines.Machines[machineName(i)].Allocations {
+			heartbeats[i].Tasks = append(heartbeats[i].Tasks, wire.TaskStatus{Task: a.Task().String(), Attempt: a.Attempt, State: wire.TaskRunning})
 		}
 	}
 
@@ -109,16 +109,16 @@
 	for !taker.loading.done {
 		(<-taker.inbox)()
 	}
-	for _, rep := range reports {
-		commands, err := taker.handleHeartbeat(rep, false)
+	for _, hb := range heartbeats {
+		commands, err := taker.handleHeartbeat(hb, false)
 		if err != nil || len(commands) != 0 {
-			t.Fatalf("machine %s is answered %v, %v", rep.Machine, commands, err)
+			t.Fatalf("machine %s is answered %v, %v", hb.Machine, commands, err)
 		}
 	}
 	running := 0
 	for _, m := range taker.machines.Machines {
-		for _, p := range m.Allocations {
-			if p.State == wire.TaskRunning && p.Attempt == 1 && p.Machine == m.Name {
+		for _, a := range m.Allocations {
+			if a.State == wire.TaskRunning && a.Attempt == 1 && a.Machine == m.Name {
 				running++
 			}
 		}
@@ -131,11 +131,11 @@
 	}
 }
 
-// Guards against tasks of a cut zone that are started elsewhere since the follower's record of its machines, or the question
+// Guards against tasks of a partitioned zone that are started elsewhere since the follower's record of its machines, or the question
 // on them, does not hold them all.
 func TestAllMachinesOfACutZoneAreKept(t *testing.T) {
 	const each = maxSizedMachines / 2
-	l, pass := twoZones(t, each, `{"zone":"b","member":"mb"}`)
+	l, advance := twoZones(t, each, `{"zone":"b","member":"mb"}`)
 	var names []string
 	for i := each; i < 2*each; i++ {
 		names = append(names, fmt.Sprintf("n-%d", i))
@@ -153,7 +153,7 @@
 		}
 		return answered, true
 	}
-	pass(l.env.workerLease() + time.Second)
+	advance(l.env.workerLease() + time.Second)
 	l.concludeExpired()
 	kept := map[string]int{}
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/slow_machines_test.go
+++ b/internal/scheduler/leader/slow_machines_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a machine that runs everything three times slower and gets tasks for ever, and against machines
-// that are given up since the ends of their tasks were seen late, as after a cut.
+// that are found unhealthy since the ends of their tasks were seen late, as after a partition.
 func TestSlowMachineIsUnhealthy(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -23,32 +23,34 @@
 		{"seen late", 180 * time.Second, 120 * time.Second, false, false},
 		{"slower than another type", 180 * time.Second, time.Second, true, false},
 	} {
-		l, clock := newTestLoop(t)
-		for _, m := range l.machines.Machines {
-			m.Type = "large"
-		}
-		if c.other {
-			l.machines.Machines["n-small"].Type = "small"
-		}
-		j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
-		ends := func(i int, machine string, ran, late time.Duration) {
-			p := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
-			p.Committed, p.State, p.RunningSince = true, wire.TaskRunning, clock.Now()
-			l.machines.AddAllocation(p, clock.Now())
-			clock.Advance(ran)
-			l.applyOutcomes([]machines.Outcome{{Allocation: p, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
-		}
-		for i := range 8 {
-			ends(i, "n-small", 60*time.Second, time.Second)
-		}
-		for i := range 6 {
-			ends(8+i, "n-large", c.ran, c.late)
-		}
-		if got := l.machines.Machines["n-large"].Unhealthy; got != c.bad {
-			t.Errorf("%s: given up %v", c.name, got)
-		}
-		if l.machines.Machines["n-small"].Unhealthy {
-			t.Errorf("%s: the others are given up", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			l, clock := newTestLoop(t)
+			for _, m := range l.machines.Machines {
+				m.Type = "large"
+			}
+			if c.other {
+				l.machines.Machines["n-small"].Type = "small"
+			}
+			j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
+			ends := func(i int, machine string, ran, late time.Duration) {
+				a := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
+				a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, clock.Now()
+				l.machines.AddAllocation(a, clock.Now())
+				clock.Advance(ran)
+				l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
+			}
+			for i := range 8 {
+				ends(i, "n-small", 60*time.Second, time.Second)
+			}
+			for i := range 6 {
+				ends(8+i, "n-large", c.ran, c.late)
+			}
+			if got := l.machines.Machines["n-large"].Unhealthy; got != c.bad {
+				t.Errorf("given up %v", got)
+			}
+			if l.machines.Machines["n-small"].Unhealthy {
+				t.Errorf("the others are given up")
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/scheduler/leader/step_down_test.go
@@ -0,0 +1,49 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+)
+
+// Guards against a leader that hears all and reaches no worker, for as long as its lease holds.
+func TestLeaderThatReachesNoWorkerStepsDown(t *testing.T) {
+	for _, others := range []bool{true, false} {
+		l, advance := twoZones(t, 4)
+		ctx, end := context.WithCancelCause(t.Context())
+		l.ended, l.end = ctx, end
+		l.env.Valid = func(uint64) bool { return true }
+		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
+		for s := range 20 {
+			advance(time.Second)
+			for i := range 8 {
+				l.mustHandle(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(s + 2), FencingToken: 1,
+					Tasks: []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
+				if i < tuning.UnheardMachines {
+					l.sendCommandsTo(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
+				}
+			}
+			for len(l.inbox) > 0 {
+				(<-l.inbox)()
+			}
+			if l.probeAll(); l.probing.askingPeers {
+				select {
+				case fn := <-l.inbox:
+					fn()
+				case <-ctx.Done():
+				}
+			}
+			if ctx.Err() != nil {
+				break
+			}
+		}
+		if got := errors.Is(context.Cause(ctx), ErrUnreachable); got != others {
+			t.Errorf("others reach workers: %v, stood aside: %v", others, got)
+		}
+	}
+}
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -21,18 +21,18 @@
 	// must look up in the job store meanwhile, ask has the loop do.
 	Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (take func(), err error)
 	// Loaded tells that all jobs are in memory.
-	Loaded(book *jobs.Store, now time.Time)
-	// Admit says how many of a job's waiting tasks may start now, and why no more.
-	Admit(j *jobs.Job, now time.Time) (n int, why string)
+	Loaded(store *jobs.Store, now time.Time)
+	// Admit says how many of a job's waiting tasks may start now, and the reason why no more.
+	Admit(j *jobs.Job, now time.Time) (n int, reason string)
 	// LimitTogether lowers counts, of the waiting tasks of each job that a look at all of them may
 	// consider, to what may start together: each is at most what Admit allows.
 	LimitTogether(waiting []*jobs.Job, counts []int, now time.Time)
 	// Placed is told of an allocation, on a machine of a type.
-	Placed(p *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
+	Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended is told of the proven end of an attempt, before the job store is.
 	Ended(o machines.Outcome, now time.Time)
 	// Finished is told that a job came to a final state, which is stored.
-	Finished(o jobs.FinishedJob, now time.Time)
+	Finished(f jobs.FinishedJob, now time.Time)
 	// Tick does what is due, about every SubsystemTick, and names allocations that are to be stopped.
 	Tick(now time.Time) []*jobs.Allocation
 	// NextWrite gives a transaction of the subsystem's own, on keys that the job store does not
@@ -87,7 +87,7 @@
 	return set
 }
 
-// admit is how many of a job's waiting tasks may start now, and why no more.
+// admit is how many of a job's waiting tasks may start now, and the reason why no more.
 func (s *subsystemSet) admit(j *jobs.Job, now time.Time) (n int, reason string) {
 	n = j.Waiting()
 	for _, sub := range s.joined {
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -28,28 +28,6 @@
 	return true
 }
 
-// Guards against a subsystem that always has something to write and holds up the others, and
-// against one whose records cannot be stored and stops them all.
-func TestSubsystemsTakeTurns(t *testing.T) {
-	l, clock := newTestLoop(t)
-	a, b := &busySubsystem{name: "a"}, &busySubsystem{name: "b"}
-	l.subsystems.joined = []Subsystem{a, b}
-	for range 10 {
-		if _, w := l.subsystems.nextWrite(clock.Now(), 10); w == nil {
-			t.Fatal("nothing to write")
-		}
-	}
-	if a.asked != 5 || b.asked != 5 {
-		t.Errorf("asked %d and %d times", a.asked, b.asked)
-	}
-	l.subsystems.writes.failed[a] = true
-	for range 4 {
-		if s, _ := l.subsystems.nextWrite(clock.Now(), 10); s != b {
-			t.Fatal("not the one whose records can be stored")
-		}
-	}
-}
-
 func TestCommandsFindTheirSubsystem(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.subsystems.joined = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
--- /dev/null
+++ b/internal/scheduler/leader/testloop_test.go
@@ -0,0 +1,204 @@
+package leader
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/clients/cloud"
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/machines"
+	"poppypass/internal/sim/fakes"
+)
+
+// newTestLoop makes a loop whose machines have sent heartbeats: a small one and an
+// expensive large one. Nothing is called outside.
+func newTestLoop(t testing.TB) (*Loop, *clockwork.FakeClock) {
+	clock := clockwork.NewFakeClock()
+	settings := &config.Settings{
+		Member: "m0", Outside: config.Outside{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
+		Cluster: config.Cluster{
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 1, WriteRPS: 1, TxnOps: 12}, Cloud: config.Cloud{RPS: 1},
+		},
+	}
+	types := []wire.MachineType{
+		{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a"}},
+		{Name: "large", CPUs: 64, MemoryGB: 512, Price: 3.4, Zones: []string{"a"}},
+	}
+	l := New(&Env{
+		Settings: settings, Tunables: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
+		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
+		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, FinalStates: jobs.NewFinalStates(8),
+		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
+	}, election.Leadership{Term: 1})
+	l.ended = t.Context()
+	l.loading.done = true
+	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
+		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
+			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return l, clock
+}
+
+// addRunning puts a running replica on a machine.
+func (l *Loop) addRunning(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
+	t.Helper()
+	now := l.env.Clock.Now()
+	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{
+		ID: id, Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "img",
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	j, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 1}, now, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := l.jobs.Allocate(j, 0, machine, "a", 1, now)
+	a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, now
+	l.machines.AddAllocation(a, now)
+	return a
+}
+
+// endAttempt has a replica of a job fail or be refused on a machine.
+func (l *Loop) endAttempt(a *jobs.Allocation, why wire.ExitReason) {
+	l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: why}}, l.env.Clock.Now())
+}
+
+// twoZones is a leader with n machines in each of two zones, each with a task of a
+// spread service, and a state service with zone leases of members.
+func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
+	l, clock := newTestLoop(t)
+	clear(l.machines.Machines)
+	state := fakes.NewState(clock)
+	t.Cleanup(state.Close)
+	l.store = statestore.New(state.Addr(), 1e6, 1e6)
+	ctx, end := context.WithCancel(t.Context())
+	t.Cleanup(end)
+	l.ended, l.end = ctx, func(error) { end() }
+	for i, r := range rights {
+		if _, err := l.store.Commit(ctx, wire.Txn{Then: []wire.Change{{Put: fmt.Sprintf("keep/m/%d", i), Value: []byte(r)}}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
+	for i := range 2 * n {
+		hb := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
+		if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
+			t.Fatal(err)
+		}
+		a := l.jobs.Allocate(j, i, hb.Machine, hb.Zone, 1, clock.Now())
+		a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, clock.Now()
+		l.machines.AddAllocation(a, clock.Now())
+	}
+	return l, func(d time.Duration) { clock.Advance(d) }
+}
+
+// concludeExpired has the loop find out what it can conclude now.
+func (l *Loop) concludeExpired() {
+	l.leases.next = time.Time{}
+	for l.expireLeases(l.env.Clock.Now()); l.leases.inFlight; {
+		(<-l.inbox)()
+	}
+}
+
+// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
+// half as many again come with a busy day.
+const maxSizedMachines = 6000
+
+// machineName is the name of the i-th machine of a test, in the order of the cloud's list.
+func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
+
+// newAnsweringWorker starts a worker that answers direct commands as fn says; nil: it does not answer.
+func newAnsweringWorker(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var req wire.DirectCommands
+		if json.NewDecoder(r.Body).Decode(&req) != nil || req.Commands == nil {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		hb := fn(req)
+		if hb == nil {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		if req.Incarnation != hb.Incarnation {
+			w.WriteHeader(http.StatusConflict)
+		}
+		_ = json.NewEncoder(w).Encode(hb)
+	}))
+	t.Cleanup(srv.Close)
+	return srv.Listener.Addr().String()
+}
+
+// probeAll has the loop probe its suspects, and waits for what comes of it.
+func (l *Loop) probeAll() {
+	l.probing.next = time.Time{}
+	for l.stepProbing(l.env.Clock.Now()); l.probing.inFlight > 0; {
+		select {
+		case fn := <-l.inbox:
+			fn()
+		case <-l.ended.Done():
+			return
+		}
+	}
+}
+
+// newLoopHeardBy makes a leader in the middle of its term and a machine at an address that sent it a heartbeat.
+func newLoopHeardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, hb *wire.Heartbeat, advance func(time.Duration)) {
+	l, advance = twoZones(t, 1)
+	l.env.Valid = func(uint64) bool { return true }
+	hb = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
+	l.mustHandle(t, hb)
+	return l, l.machines.Machines["n-9"], hb, advance
+}
+
+func (l *Loop) mustHandle(t *testing.T, hb *wire.Heartbeat) []wire.Command {
+	t.Helper()
+	c := *hb
+	commands, err := l.handleHeartbeat(&c, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return commands
+}
+
+func (l *Loop) getsTasks(name string) bool {
+	for _, v := range l.openMachines(l.env.Clock.Now()) {
+		if v.Name == name {
+			return true
+		}
+	}
+	return false
+}
+
+// addPending adds an accepted job none of whose tasks is placed.
+func (l *Loop) addPending(t testing.TB, j wire.Job) *jobs.Job {
+	t.Helper()
+	now := l.env.Clock.Now()
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: now.UnixMilli()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	out, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
