--- a/internal/api/workerapi/wanted_test.go
+++ b/internal/api/workerapi/election_grace_test.go
@@ -8,17 +8,17 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against workers that are kept a second before the next leader is there and do not report to it for ten more,
-// and against leases that run out since nobody keeps them.
-func TestWorkersAreKeptAfterAWhileOnly(t *testing.T) {
+// Guards against workers whose leases are renewed a second before the next leader is there, so that they do not report to it for
+// ten more, and against leases that expire because nobody renews them.
+func TestLeasesAreRenewedAfterTheElectionGraceOnly(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	long := electionGrace{length: graceLength(config.Workers{HeartbeatS: 10, LeaseS: 42})}
 	if long.length < 2*time.Second || long.length > 5*time.Second {
-		t.Fatalf("with leases of 42 s patience is %v", long.length)
+		t.Fatalf("with leases of 42 s the grace is %v", long.length)
 	}
 	for _, c := range []struct {
-		after time.Duration // the one before
-		soon  bool
+		after  time.Duration // the one before
+		active bool
 	}{
 		{0, true},
 		{long.length - time.Millisecond, true},
@@ -27,7 +27,7 @@
 		{tuning.WorkerSearch + time.Second, true},
 	} {
 		now = now.Add(c.after)
-		if got := long.active(now); got != c.soon {
+		if got := long.active(now); got != c.active {
 			t.Errorf("%v later: %v", c.after, got)
 		}
 	}
--- a/internal/api/workerapi/workers_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -22,7 +23,7 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// leasesAlways keeps every machine.
+// leasesAlways lets every lease be renewed.
 type leasesAlways struct{}
 
 func (leasesAlways) Acquire(context.Context, string) bool { return true }
@@ -30,7 +31,15 @@
 func (leasesAlways) MayRenew(string, string) bool { return false }
 func (leasesAlways) Isolated() bool               { return false }
 
-func TestLostWorkers(t *testing.T) {
+// newFollower makes the handler of a member that does not lead.
+func newFollower(clock clockwork.Clock, p *peers.Peers, leases interface {
+	LeaseAcquirer
+	ZoneLease
+}) *Handler {
+	return New(Options{Member: "m1", Clock: clock, Peers: p, Leases: leases, Zone: leases, Leader: func() *leader.Loop { return nil }})
+}
+
+func TestAWorkerThatComesBackHasLostTheLeader(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	r := newRedirects()
 	fresh := &wire.Heartbeat{Machine: "n-1", FencingToken: 3}
@@ -46,17 +55,17 @@
 	if !r.lostLeader(&wire.Heartbeat{Machine: "n-2", FencingToken: 4}, 4, now) {
 		t.Error("one that has seen the leader's token has lost it")
 	}
-	// A kept worker tries the leader again now and then.
+	// A worker whose lease is renewed here tries the leader again now and then.
 	if r.retryLeader("n-2", now) || r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint)) {
-		t.Error("a kept worker tries the leader at the wrong times")
+		t.Error("a worker whose lease is renewed tries the leader at the wrong times")
 	}
 }
 
-// Guards against workers of a cut zone that lose their leases on the way: of
+// Guards against workers of a zone that is cut off that lose their leases on the way: of
 // five controllers they reached one, which sent them to a leader that they did
 // not reach, and they tried the others for 5 s each before they came back. On
 // a hunted day 400 tasks were lost so.
-func TestAWorkerIsKeptWhileTheLeaderDoesNotAnswer(t *testing.T) {
+func TestALeaseIsRenewedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	// those makes so many others, all of which refuse to be called. Workers try
 	// each controller for 5 s, and their lease is 10 s.
@@ -68,50 +77,54 @@
 		return peers.New(s, clock, slog.New(slog.DiscardHandler))
 	}
 	p := those(4)
-	d := New("m1", config.Workers{}, clock, nil, p, leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
-	rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+	h := newFollower(clock, p, leasesAlways{})
+	hb := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.LeaderPingsMissed {
 		if p.LeaderUnreachable("m0") {
-			t.Error("one missed ping is no cut")
+			t.Error("one missed ping is no partition")
 		}
 		p.NotePing("m0", true)
 	}
 	if p.LeaderUnreachable("m2") {
 		t.Error("another leader was not asked yet")
 	}
-	kept := func() bool { rep.Seq++; _, ok, _ := d.answerWithoutLeader(t.Context(), nil, rep, "m0"); return ok }
+	renewed := func() bool {
+		hb.Seq++
+		_, err := h.answerWithoutLeader(t.Context(), nil, hb, "m0")
+		return err == nil
+	}
 	for range 2 {
-		if !kept() {
+		if !renewed() {
 			t.Error("sent to a leader that does not answer")
 		}
 		clock.Advance(tuning.LeaderRetryHint)
 	}
-	d.peers = those(1)
+	h.peers = those(1)
 	for range tuning.LeaderPingsMissed {
-		d.peers.NotePing("m0", true)
+		h.peers.NotePing("m0", true)
 	}
-	if !kept() {
+	if !renewed() {
 		t.Error("sent to the leader at once")
 	}
 	clock.Advance(tuning.LeaderRetryHint)
-	if kept() {
+	if renewed() {
 		t.Error("never tries the leader again, though it would be back in time")
 	}
 	p.NotePing("m0", false)
 	if p.LeaderUnreachable("m0") {
-		t.Error("an answer does not end the cut")
+		t.Error("an answer does not end the partition")
 	}
 }
 
 // Guards against workers whose leases run out while members send them to a leader that does not lead: it ended and was started anew
 // while nobody could read the leader key, which still names it. On a day of ours 2,809 tasks were lost so.
-func TestAWorkerIsKeptWhileTheOneThatIsNamedDoesNotLead(t *testing.T) {
+func TestALeaseIsRenewedWhileTheNamedLeaderDoesNotLead(t *testing.T) {
 	for _, c := range []struct {
-		status int
-		kept   bool
+		status  int
+		renewed bool // otherwise the worker is redirected to the one that is named
 	}{
 		{http.StatusMisdirectedRequest, true},
-		{http.StatusServiceUnavailable, false}, // it leads, and sets the report aside
+		{http.StatusServiceUnavailable, false}, // it leads, and rejects the heartbeat
 	} {
 		clock := clockwork.NewFakeClock()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,42 +133,43 @@
 		}
 		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
-		d := New("m1", config.Workers{}, clock, nil, peers.New(s, clock, slog.New(slog.DiscardHandler)), leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
-		rep := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-		a, ok, leads := d.answerWithoutLeader(t.Context(), nil, rep, "m0")
-		if ok != c.kept || leads == c.kept || ok && (a.FencingToken != 3 || len(a.Commands) != 0) {
-			t.Errorf("told %d: kept %v, with %+v; leads %v", c.status, ok, a, leads)
+		h := newFollower(clock, peers.New(s, clock, slog.New(slog.DiscardHandler)), leasesAlways{})
+		hb := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
+		a, err := h.answerWithoutLeader(t.Context(), nil, hb, "m0")
+		var redirect *redirectError
+		if c.renewed && (err != nil || a.FencingToken != 3 || len(a.Commands) != 0) || !c.renewed && (!errors.As(err, &redirect) || redirect.leader != "m0") {
+			t.Errorf("told %d: %+v, %v", c.status, a, err)
 		}
 	}
-	d := New("m1", config.Workers{}, clockwork.NewFakeClock(), nil, nil, leasesAlways{}, leasesAlways{}, func() *leader.Loop { return nil }, 0, nil)
-	if r := d.AnswerRelayedHeartbeat(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
+	h := newFollower(clockwork.NewFakeClock(), nil, leasesAlways{})
+	if r := h.AnswerRelayedHeartbeat(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
 		t.Errorf("a member that does not lead answers %d", r.Status)
 	}
 }
 
-// leasesNever keeps any machine.
+// leasesNever lets no lease be renewed.
 type leasesNever struct{ leasesAlways }
 
 func (leasesNever) Acquire(context.Context, string) bool { return false }
 
-// Guards against workers that are sent to one that does not lead, by members that cannot keep them: they never came to the member of
+// Guards against workers that are sent to one that does not lead, by members that may not renew their leases: they never came to the member of
 // their own zone, which may.
-func TestAWorkerIsNotSentToOneThatDoesNotLead(t *testing.T) {
+func TestAWorkerIsNotRedirectedToAMemberThatDoesNotLead(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New("m1", config.Workers{}, clock, nil, nil, leasesNever{}, leasesNever{}, func() *leader.Loop { return nil }, 0, nil)
+	h := newFollower(clock, nil, leasesNever{})
 	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response {
-		return d.AnswerRelayedHeartbeat(ctx, r.Payload)
+		return h.AnswerRelayedHeartbeat(ctx, r.Payload)
 	}, slog.New(slog.DiscardHandler))
-	d.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
-	d.elector = election.New(nil, d.peers, "m1", clock, slog.New(slog.DiscardHandler))
-	d.elector.NoteLeader("m0", 3)
+	h.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
+	h.elector = election.New(nil, h.peers, "m1", clock, slog.New(slog.DiscardHandler))
+	h.elector.NoteLeader("m0", 3)
 	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
-	d.ServeHeartbeat(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
+	h.ServeHeartbeat(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
 	if w.Code != http.StatusServiceUnavailable {
 		t.Errorf("answered %d: %s", w.Code, w.Body)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,7 +96,10 @@
 		return nil, err
 	}
 	c.userAPI = userapi.New(c.env, c.peers, c.leader, func() bool { return c.zoneLease.Isolated() && c.peers.Isolated() })
-	c.workerAPI = workerapi.New(s.Member, s.Cluster.Workers, clock, c.elector, c.peers, c.followerLeases, c.zoneLease, c.leader, cap(c.env.CommandSlots), c.fetchHeartbeat)
+	c.workerAPI = workerapi.New(workerapi.Options{
+		Member: s.Member, Workers: s.Cluster.Workers, Clock: clock, Elector: c.elector, Peers: c.peers, Leases: c.followerLeases, Zone: c.zoneLease,
+		Leader: c.leader, Fetch: c.fetchHeartbeat, MaxQueries: cap(c.env.CommandSlots),
+	})
 	c.setCloudShare(false)
 	return c, nil
 }
