--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -86,7 +86,7 @@
 // TestJobs submits, queries and cancels a job with the client commands, against
 // a controller whose outside systems are stand-ins.
 func TestJobs(t *testing.T) {
-	state := fakes.NewState(clockwork.NewRealClock())
+	state := fakes.NewStore(clockwork.NewRealClock())
 	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
 	bind := fakes.FreeAddr(t)
 	path := settings(t, bind, state.Addr(), cloud.Addr())
--- a/cmd/poppypass/graphruns_test.go
+++ b/cmd/poppypass/graphruns_test.go
@@ -25,7 +25,7 @@
 func serveGraphs(t *testing.T, properties string) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
 	s := &config.Settings{
 		Member: "m0", Bind: fakes.FreeAddr(t), MeshAddr: fakes.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -565,7 +565,7 @@
 	codec := w.ledger.codec
 	verify := func(items map[string]wire.Item) *Verification {
 		t.Helper()
-		state := fakes.NewState(w.clock)
+		state := fakes.NewStore(w.clock)
 		defer state.Close()
 		store := statestore.New(state.Addr(), 1e6, 1e6)
 		for key, item := range items {
--- a/internal/api/userapi/odd_test.go
+++ b/internal/api/userapi/odd_test.go
@@ -42,7 +42,7 @@
 // missing, null, of a wrong type and out of range, what is unknown, and what fits nowhere. The answer is one line that names the
 // field, nothing is stored, and each member says the same.
 func TestOddSubmissions(t *testing.T) {
-	state := fakes.NewState(clockwork.NewFakeClock())
+	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	members := []*Handler{}
 	for range 2 {
@@ -126,7 +126,7 @@
 // Guards against a job that is refused, changed or forgotten once it was accepted: repeated with other content, after the machine
 // types changed, after its end; and against cancelling what is done, and ids that nobody knows.
 func TestOddRequestsForKnownJobs(t *testing.T) {
-	state := fakes.NewState(clockwork.NewFakeClock())
+	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	do := func(serve http.HandlerFunc, id string, raw []byte) (int, wire.JobStatus) {
--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/users_test.go
@@ -113,7 +113,7 @@
 // Guards against a controller that is ended by the kernel with all that it does: what it
 // has no memory for is refused at once, with when to come back.
 func TestWithoutMemoryASubmissionIsRefusedAtOnce(t *testing.T) {
-	state := fakes.NewState(clockwork.NewFakeClock())
+	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	full := true
@@ -135,7 +135,7 @@
 // Guards against users that stay with a controller which has lost the state service and all others: their polls failed for
 // as long as that lasted. It says at once that it serves nobody, and has them ask another.
 func TestAMemberThatIsCutOffFromAllSendsItsUsersOn(t *testing.T) {
-	state := fakes.NewState(clockwork.NewFakeClock())
+	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	d, _ := handlerWith(t, state.Addr())
 	alone := true
--- a/internal/clients/instancetypes/formats_test.go
+++ b/internal/clients/instancetypes/formats_test.go
@@ -14,7 +14,7 @@
 
 func TestStoredCatalog(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	types := golden.Fill(new([]wire.MachineType))
 	store := &Catalog{
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -16,7 +16,7 @@
 
 func TestNextLeaderIsElectedWhenTheLeaseExpires(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, unreachablePeers, clock)
 	first := <-a.terms
@@ -45,10 +45,10 @@
 // on it, and when its lease is over the next campaign has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	muted := 0
-	s.Mute(func(txn wire.Txn) bool {
+	s.LoseAnswers(func(txn wire.Txn) bool {
 		if strings.HasPrefix(txn.Then[0].Put, "lead/") {
 			muted++
 		}
@@ -72,7 +72,7 @@
 // A member that stands aside leaves the leadership to others, and takes it when none does.
 func TestMemberStandsAsideUnlessNobodyElseLeads(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	a, _ := startProcess(t, s, clock, 0, false)
 	a.StandAside(tuning.YieldFor)
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -17,7 +17,7 @@
 // campaign: by then who confirmed may not remember it.
 func TestOldConfirmationIsNotActedOn(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	if _, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		Then: []wire.Change{{Put: prefixFencing + "a", Value: json.RawMessage("true")}},
@@ -42,7 +42,7 @@
 // a member that was restarted and cannot know.
 func TestConfirmationExcludesLaterVotes(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 	s.Refuse(true)
@@ -79,7 +79,7 @@
 // asks has seen its lease's end. It does not resign for an earlier term.
 func TestLeaderAskedToConfirmItsOwnTermResigns(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, unreachablePeers, clock)
 	leadership := <-a.terms
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			s := fakes.NewState(clock)
+			s := fakes.NewStore(clock)
 			t.Cleanup(s.Close)
 			a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), silent: c.silent, votes: func() Votes { return c.votes }}, clock)
 			leadership := <-a.terms
@@ -54,7 +54,7 @@
 // not even if the lease was taken a moment before the member's transaction.
 func TestFencedOffMemberNeedsAConfirmation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
 	early, err := e.checkEligibility(t.Context(), 0)
@@ -93,7 +93,7 @@
 // A member that answers again is released, unless votes may count on the fencing lease.
 func TestMemberThatAnswersAgainIsReleased(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
 	eligible, _ := e.checkEligibility(t.Context(), 0)
@@ -122,7 +122,7 @@
 // out after the second, hung the key on its own lease, which ended earlier.
 func TestLateFencingLeaseDoesNotReplaceANewerOne(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	e := New(unrevokableStore{statestore.New(s.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
 	eligible, _ := e.checkEligibility(t.Context(), 0)
@@ -130,11 +130,11 @@
 	if !ok {
 		t.Fatal("does not lead")
 	}
-	s.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFencing+"b" })
-	if e.updateFencing(t.Context(), leadership); e.fencing.member != "" || s.Held() != 1 {
+	s.DelayTransactions(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFencing+"b" })
+	if e.updateFencing(t.Context(), leadership); e.fencing.member != "" || s.HeldTransactions() != 1 {
 		t.Fatal("counts on a fencing lease that may not be there")
 	}
-	s.Late(nil)
+	s.DelayTransactions(nil)
 	advance := func(d time.Duration) {
 		for ; d > 0; d -= tuning.RenewEvery {
 			clock.Advance(tuning.RenewEvery)
--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -20,7 +20,7 @@
 // What a leader writes that wins a campaign and fences a silent member off.
 func TestStoredRecordsOfALeader(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	elector := New(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "m1", clock, slog.New(slog.DiscardHandler))
 	eligible, _ := elector.checkEligibility(t.Context(), 0)
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -50,7 +50,7 @@
 	ended chan Leadership
 }
 
-func start(t *testing.T, name string, s *fakes.State, p Peers, clock clockwork.Clock) *member {
+func start(t *testing.T, name string, s *fakes.Store, p Peers, clock clockwork.Clock) *member {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{
@@ -85,7 +85,7 @@
 
 // until lets time pass in small steps until a condition holds. It moves the
 // clock only while the one elector that runs waits for it, never during a call.
-func until(t *testing.T, s *fakes.State, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
+func until(t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
 	defer cancel()
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -83,7 +83,7 @@
 }
 
 // startProcess starts a process of a member, which crashes at its n-th call; 0: it does not.
-func startProcess(t *testing.T, s *fakes.State, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
+func startProcess(t *testing.T, s *fakes.Store, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var store Store = statestore.New(s.Addr(), 1e6, 1e6)
@@ -103,7 +103,7 @@
 // passUntil lets time pass in small steps until a channel is ready, and gives how long that took. A follower is one goroutine,
 // so no call of it is on its way while it waits for the clock. Once m leads the clock stands still: a leader's goroutines wait for
 // it all the time, and it once went on for seconds until the test's goroutine was woken.
-func passUntil[T any](t *testing.T, s *fakes.State, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
+func passUntil[T any](t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second) // a hang is a failure
 	defer cancel()
@@ -140,7 +140,7 @@
 	for n := 1; n <= 10; n++ {
 		for _, after := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
-			s := fakes.NewState(clock)
+			s := fakes.NewStore(clock)
 			first, ended := startProcess(t, s, clock, n, after)
 			passUntil(t, s, clock, nil, ended)
 			term := uint64(0)
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -15,7 +15,7 @@
 // term's validity ends by the local clock, and the term outlives it.
 func TestTermIsInvalidInAnOutageAndValidAgainAfterIt(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	a := start(t, "a", s, unreachablePeers, clock)
 	leadership := <-a.terms
@@ -59,7 +59,7 @@
 // leader alone: it resigns, then another member revokes its lease.
 func TestLeaderRefusedAloneHandsOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	var a *member
 	var leadership Leadership
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -18,7 +18,7 @@
 // go on answering them; without, it may not.
 func TestVotesKeepTheTermValidInAnOutage(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	var given atomic.Bool
 	given.Store(true)
@@ -49,7 +49,7 @@
 // that was restarted and whose earlier process may have voted.
 func TestVoteBindsItsGiver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock, slog.New(slog.DiscardHandler))
 	if e.mayCampaign(t.Context()) {
@@ -87,7 +87,7 @@
 // round that asked for it was still open.
 func TestQuestionOfARestartedMemberVoidsTheVoteRound(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewState(clock)
+	s := fakes.NewStore(clock)
 	t.Cleanup(s.Close)
 	var a *member
 	ready := make(chan struct{})
@@ -133,7 +133,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			s := fakes.NewState(clock)
+			s := fakes.NewStore(clock)
 			t.Cleanup(s.Close)
 			e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "b", clock, slog.New(slog.DiscardHandler))
 			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -18,14 +18,14 @@
 type followerHarness struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *fakes.State
+	state *fakes.Store
 	*FollowerLeases
 }
 
 func newFollowerHarness(t *testing.T) *followerHarness {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	f := NewFollowerLeases(&config.Settings{
 		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
@@ -106,11 +106,11 @@
 	w := newFollowerHarness(t)
 	w.tryAcquire("n-1")
 	first := w.leaseID
-	w.state.Mute(func(wire.Txn) bool { return true })
+	w.state.LoseAnswers(func(wire.Txn) bool { return true })
 	if w.tryAcquire("n-2") {
 		t.Error("answers a machine whose record has no answer")
 	}
-	w.state.Mute(nil)
+	w.state.LoseAnswers(nil)
 	if !w.tryAcquire("n-3") || w.leaseID == first {
 		t.Error("goes on under the same key")
 	}
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -33,7 +33,7 @@
 }
 
 // written gives the keys and values that were stored.
-func written(state *fakes.State) []string {
+func written(state *fakes.Store) []string {
 	var lines []string
 	for _, txn := range state.Applied() {
 		for _, change := range txn.Then {
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -19,14 +19,14 @@
 type zoneHarness struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *fakes.State
+	state *fakes.Store
 	*ZoneLease
 }
 
 func newZoneHarness(t *testing.T) *zoneHarness {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	w := &zoneHarness{t: t, clock: clock, state: fakes.NewState(clock)}
+	w := &zoneHarness{t: t, clock: clock, state: fakes.NewStore(clock)}
 	t.Cleanup(w.state.Close)
 	w.restart()
 	return w
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -29,7 +29,7 @@
 type harness struct {
 	t          *testing.T
 	clock      *clockwork.FakeClock
-	state      *fakes.State
+	state      *fakes.Store
 	cloud      *fakes.Cloud
 	addr       string
 	c          *Controller
@@ -44,7 +44,7 @@
 
 func newHarness(t *testing.T) *harness {
 	clock := clockwork.NewFakeClock()
-	w := &harness{t: t, clock: clock, state: fakes.NewState(clock), cloud: fakes.NewCloud(10, wire.MachineType{
+	w := &harness{t: t, clock: clock, state: fakes.NewStore(clock), cloud: fakes.NewCloud(10, wire.MachineType{
 		Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"},
 	})}
 	w.boot()
@@ -319,7 +319,7 @@
 func TestCommitsWithoutAnAnswer(t *testing.T) {
 	w := newHarness(t)
 	var muted atomic.Int32
-	w.state.Mute(func(txn wire.Txn) bool {
+	w.state.LoseAnswers(func(txn wire.Txn) bool {
 		for _, c := range txn.Then {
 			if strings.HasPrefix(c.Put, jobs.PrefixProgress) || strings.HasPrefix(c.Put, jobs.PrefixFinalState) {
 				muted.Add(1)
@@ -444,7 +444,7 @@
 // the same name.
 func TestARentalWithoutAnAnswerIsRepeated(t *testing.T) {
 	w := newHarness(t)
-	w.cloud.Silent(2)
+	w.cloud.LoseRentAnswers(2)
 	w.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
 		w.until("asked", func() bool { return len(w.cloud.Rents()) >= n })
@@ -468,7 +468,7 @@
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
-	w.cloud.Trouble(true)
+	w.cloud.Refuse(true)
 	w.boot()
 	w.submit("job-1", 1)
 	k := w.worker("n-000001", "a")
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -31,7 +31,7 @@
 		}
 		k.beat()
 	}
-	w.state.Mute(func(txn wire.Txn) bool {
+	w.state.LoseAnswers(func(txn wire.Txn) bool {
 		return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return c.Put == jobs.KeyFinalState("job-1") })
 	})
 	finish("job-1")
@@ -39,7 +39,7 @@
 	if s := w.jobState("job-1"); s != "done" {
 		t.Errorf("called %s though it is stored as done", s)
 	}
-	w.state.Mute(nil)
+	w.state.LoseAnswers(nil)
 	w.until("the leader knows it, and has the worker forget the task", func() bool {
 		w.clock.Advance(tuning.StateRetry)
 		k.beat()
@@ -59,11 +59,11 @@
 func TestALateSubmissionOfAJobThatIsOver(t *testing.T) {
 	w := newHarness(t)
 	w.until("there is a leader", func() bool { return w.c.leader() != nil })
-	w.state.Late(func(txn wire.Txn) bool { return txn.Then[0].Put == jobs.KeyJob("job-1") })
-	if status, _ := w.call("POST", "/v2/runs", job("job-1", 1)); status != http.StatusServiceUnavailable || w.state.Held() != 1 {
-		t.Fatalf("told %d, %d held", status, w.state.Held())
+	w.state.DelayTransactions(func(txn wire.Txn) bool { return txn.Then[0].Put == jobs.KeyJob("job-1") })
+	if status, _ := w.call("POST", "/v2/runs", job("job-1", 1)); status != http.StatusServiceUnavailable || w.state.HeldTransactions() != 1 {
+		t.Fatalf("told %d, %d held", status, w.state.HeldTransactions())
 	}
-	w.state.Late(nil)
+	w.state.DelayTransactions(nil)
 	w.submit("job-1", 1)
 	k := w.worker("n-000001", "a")
 	w.until("done", func() bool { k.beat(); k.finish(); return w.jobState("job-1") == "done" })
@@ -100,14 +100,14 @@
 	w.boot()
 	k := w.worker("n-000001", "a")
 	w.until("reports are answered", func() bool { return k.beat() == http.StatusOK })
-	w.state.Slow(func() time.Duration { return time.Hour }) // no renewal is answered
+	w.state.DelayAnswers(func() time.Duration { return time.Hour }) // no renewal is answered
 	stall := func() { w.clock.Advance(tuning.LeaseTTL) }
 	hears.then.Store(&stall)
 	if status := k.beat(); status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d after the end of its right", status)
 	}
 	hears.then.Store(nil)
-	w.state.Slow(nil)
+	w.state.DelayAnswers(nil)
 	w.clock.Advance(time.Hour)
 	w.until("reports are answered again", func() bool { return k.beat() == http.StatusOK })
 }
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -78,7 +78,7 @@
 func newFormatWorld(t *testing.T) *formatWorld {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	store := statestore.New(state.Addr(), 1e6, 1e6)
 	w := &formatWorld{mux: http.NewServeMux()}
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -26,7 +26,7 @@
 type world struct {
 	t      testing.TB
 	clock  *clockwork.FakeClock
-	state  *fakes.State
+	state  *fakes.Store
 	store  *statestore.Client
 	book   *jobs.Store
 	graphs *Graphs
@@ -46,7 +46,7 @@
 // newWorldWith makes a world that nobody leads yet.
 func newWorldWith(t testing.TB, cfg Config) *world {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC))
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	cfg.Clock, cfg.TxnOps, cfg.ValueKB, cfg.Jitter = clock, 12, 16, func() float64 { return 0 }
 	return &world{t: t, clock: clock, state: state, store: statestore.New(state.Addr(), 1e6, 1e6), ends: map[string]int{}, cfg: cfg, stop: func() {}}
 }
--- a/internal/scheduler/leader/commit_test.go
+++ b/internal/scheduler/leader/commit_test.go
@@ -14,7 +14,7 @@
 // the term began.
 func TestDeposedLeaderWritesNothing(t *testing.T) {
 	l, clock := newTestLoop(t)
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	holder := func() uint64 {
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -23,7 +23,7 @@
 type partitionCluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
-	state *fakes.State
+	state *fakes.Store
 	l     *Loop
 
 	cut     map[string]bool // zones that reach nothing outside
@@ -51,7 +51,7 @@
 	}
 	w.l, w.clock = newTestLoop(t)
 	clear(w.l.machines.Machines)
-	w.state = fakes.NewState(w.clock)
+	w.state = fakes.NewStore(w.clock)
 	t.Cleanup(w.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		w.boot(zone)
--- a/internal/scheduler/leader/size_limits_test.go
+++ b/internal/scheduler/leader/size_limits_test.go
@@ -65,7 +65,7 @@
 	const all = maxSizedMachines * tasksEach
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -29,11 +29,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, clock := newTestLoop(t)
-			state := fakes.NewState(clock)
+			state := fakes.NewStore(clock)
 			t.Cleanup(state.Close)
 			l.store = statestore.New(state.Addr(), 1e6, 1e6)
 			lost := 0 // answers
-			state.Late(func(txn wire.Txn) bool {
+			state.DelayTransactions(func(txn wire.Txn) bool {
 				if txn.Then[len(txn.Then)-1].Delete+txn.Then[len(txn.Then)-1].Put != c.key || lost > 0 {
 					return false
 				}
@@ -60,7 +60,7 @@
 			write(c.before, false)
 			lost = 0
 			write(c.late, true)
-			if lost != 1 || state.Held() != 1 {
+			if lost != 1 || state.HeldTransactions() != 1 {
 				t.Fatalf("%d transactions lost their answers", lost)
 			}
 			write(c.after, false)
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -86,7 +86,7 @@
 func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
-	state := fakes.NewState(clock)
+	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -38,13 +38,13 @@
 	rig       *testcluster.Cluster
 
 	mu       sync.Mutex
-	measured map[fakes.Attempt]fakes.Measured
+	measured map[fakes.Attempt]fakes.MeasuredAttempt
 	twice    int
 	submits  int
 }
 
 func main() {
-	l := &lab{measured: map[fakes.Attempt]fakes.Measured{}}
+	l := &lab{measured: map[fakes.Attempt]fakes.MeasuredAttempt{}}
 	cmd := &cobra.Command{
 		Use: "billing", Short: "Compare the ledger with what workers measured", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
@@ -72,7 +72,7 @@
 	return 20*time.Second + time.Duration(r.Int64N(int64(40*time.Second))), why, fmt.Sprintf("team-%d", n%teams)
 }
 
-func (l *lab) saw(m fakes.Measured) {
+func (l *lab) saw(m fakes.MeasuredAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, again := l.measured[m.Attempt]; again {
@@ -85,9 +85,9 @@
 	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
 	defer stop()
 	l.rig = &testcluster.Cluster{
-		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, Report: 2 * time.Second, Lease: 10 * time.Second,
+		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, HeartbeatEvery: 2 * time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, Measured: l.saw,
+		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, OnEnd: l.saw,
 	}
 	defer l.rig.Close()
 	if err := l.rig.Start(ctx); err != nil {
@@ -100,7 +100,7 @@
 			l.rig.Send(ctx, http.MethodPost, fmt.Sprintf("%s/job-%d/%s", wire.PathJobs, id-3, wire.EndCancel), nil)
 		}
 		if l.loses && id%15 == 0 {
-			l.rig.Lose()
+			l.rig.LoseMachine()
 		}
 		if err := l.rig.KillLeader(ctx, l.killEvery); err != nil {
 			return err
@@ -108,7 +108,7 @@
 		time.Sleep(between)
 	}
 	// All that is left runs to its end.
-	for l.rig.Any("job/") && ctx.Err() == nil {
+	for l.rig.HasKeys("job/") && ctx.Err() == nil {
 		time.Sleep(time.Second)
 	}
 	time.Sleep(3 * time.Second) // the last ends are stored
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -24,7 +24,7 @@
 	rents    []wire.RentRequest
 	deleted  []string
 	named    int // machines so far
-	trouble  bool
+	refusing bool
 	silent   int // rentals that are executed without an answer
 	listed   int // how many machines its lists name at the most; negative: all
 }
@@ -36,7 +36,7 @@
 	mux.HandleFunc("GET "+wire.PathMachineTypes, func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.trouble {
+		if c.refusing {
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
 			return
 		}
@@ -66,32 +66,32 @@
 	c.srv.Close()
 }
 
-// Silent makes the next n rentals go without an answer, though executed.
-func (c *Cloud) Silent(n int) {
+// LoseRentAnswers makes the next n rentals go without an answer, though executed.
+func (c *Cloud) LoseRentAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = n
 }
 
-// Unlisted makes its lists lack all but the oldest n machines, as they lack new ones for a while; negative: no more.
-func (c *Cloud) Unlisted(n int) {
+// ListOnly makes its lists lack all but the oldest n machines, as they lack new ones for a while; negative: no more.
+func (c *Cloud) ListOnly(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed = n
 }
 
-// Take takes a machine back without a word.
-func (c *Cloud) Take(name string) {
+// Terminate takes a machine back without a word.
+func (c *Cloud) Terminate(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return m.Name == name })
 }
 
-// Trouble makes it refuse to tell its machine types, or ends that.
-func (c *Cloud) Trouble(trouble bool) {
+// Refuse makes it refuse to tell its machine types, or ends that.
+func (c *Cloud) Refuse(trouble bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.trouble = trouble
+	c.refusing = trouble
 }
 
 // Rents gives the rentals asked for, repetitions included.
--- a/internal/sim/fakes/state.go
+++ b/internal/sim/fakes/state.go
@@ -18,40 +18,40 @@
 	"poppypass/internal/platform/wire"
 )
 
-// State is a state service in memory. Leases run by the test's clock.
-type State struct {
+// Store is a state service in memory. Leases run by the test's clock.
+type Store struct {
 	clock clockwork.Clock
 	srv   *httptest.Server
 	mux   *http.ServeMux
 
-	mu        sync.Mutex
-	revision  uint64
-	keys      map[string]wire.Item
-	leases    map[uint64]*lease
-	nextID    uint64
-	events    []wire.Event
-	wake      chan struct{} // closed at each change
-	refuse    bool
-	refused   int // transactions
-	mute      func(wire.Txn) bool
-	late      func(wire.Txn) bool
-	slow      func() time.Duration
-	lose      func(*http.Request) Fate
-	delayed   []func()   // requests without an answer that are not carried out yet
-	held      []wire.Txn // without an answer, and not carried out yet
-	txns      []wire.Txn // that were applied
-	endpoints []*Endpoint
+	mu          sync.Mutex
+	revision    uint64
+	keys        map[string]wire.Item
+	leases      map[uint64]*lease
+	nextID      uint64
+	events      []wire.Event
+	wake        chan struct{} // closed at each change
+	refuse      bool
+	refused     int // transactions
+	loseAnswer  func(wire.Txn) bool
+	delayTxn    func(wire.Txn) bool
+	answerDelay func() time.Duration
+	fate        func(*http.Request) Fate
+	delayed     []func()   // requests without an answer that are not carried out yet
+	held        []wire.Txn // without an answer, and not carried out yet
+	applied     []wire.Txn // that were applied
+	endpoints   []*Endpoint
 }
 
 // Endpoint is an address of the service of its own, for one caller: it may refuse that one alone.
 type Endpoint struct {
-	s      *State
+	s      *Store
 	srv    *httptest.Server
 	refuse bool // guarded by s.mu
 }
 
 // Endpoint opens one. Close of the service closes it.
-func (s *State) Endpoint() *Endpoint {
+func (s *Store) Endpoint() *Endpoint {
 	d := &Endpoint{s: s}
 	d.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -85,9 +85,9 @@
 	end time.Time
 }
 
-// NewState starts a state service.
-func NewState(clock clockwork.Clock) *State {
-	s := &State{clock: clock, keys: map[string]wire.Item{}, leases: map[uint64]*lease{}, wake: make(chan struct{})}
+// NewStore starts a state service.
+func NewStore(clock clockwork.Clock) *Store {
+	s := &Store{clock: clock, keys: map[string]wire.Item{}, leases: map[uint64]*lease{}, wake: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", s.get)
 	mux.HandleFunc("GET /kv", s.list)
@@ -101,15 +101,15 @@
 }
 
 // serve serves a request that came to an endpoint; nil: to the service's own address.
-func (s *State) serve(w http.ResponseWriter, r *http.Request, d *Endpoint) {
+func (s *Store) serve(w http.ResponseWriter, r *http.Request, d *Endpoint) {
 	s.mu.Lock()
 	refuse := s.refuse
 	if refuse && r.URL.Path == wire.PathTxn {
 		s.refused++
 	}
 	fate := Answered
-	if s.lose != nil && r.URL.Path != wire.PathTxn && r.URL.Path != wire.PathWatch {
-		fate = s.lose(r)
+	if s.fate != nil && r.URL.Path != wire.PathTxn && r.URL.Path != wire.PathWatch {
+		fate = s.fate(r)
 	}
 	s.mu.Unlock()
 	if refuse {
@@ -153,18 +153,18 @@
 	Delayed
 )
 
-// Lose has fn say what becomes of requests other than transactions and watches: reads and what is asked of leases. nil ends that.
-func (s *State) Lose(fn func(*http.Request) Fate) {
+// SetFate has fn say what becomes of requests other than transactions and watches: reads and what is asked of leases. nil ends that.
+func (s *Store) SetFate(fn func(*http.Request) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = fn
+	s.fate = fn
 }
 
 // Addr is its address.
-func (s *State) Addr() string { return strings.TrimPrefix(s.srv.URL, "http://") }
+func (s *Store) Addr() string { return strings.TrimPrefix(s.srv.URL, "http://") }
 
 // Close stops it.
-func (s *State) Close() {
+func (s *Store) Close() {
 	s.mu.Lock()
 	endpoints := s.endpoints
 	s.mu.Unlock()
@@ -178,7 +178,7 @@
 
 // Refuse makes it answer 503 to everything, or ends that; then every lease
 // has its full time again.
-func (s *State) Refuse(refuse bool) {
+func (s *Store) Refuse(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = refuse
@@ -188,25 +188,25 @@
 	}
 }
 
-// Mute makes it apply transactions that fn picks without answering them.
-func (s *State) Mute(fn func(wire.Txn) bool) {
+// LoseAnswers makes it apply transactions that fn picks without answering them.
+func (s *Store) LoseAnswers(fn func(wire.Txn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = fn
+	s.loseAnswer = fn
 }
 
-// Slow makes each request wait, by the test's clock, for as long as fn says before it is carried out, also when its caller has given
+// DelayAnswers makes each request wait, by the test's clock, for as long as fn says before it is carried out, also when its caller has given
 // it up meanwhile; nil ends that. Watches wait as they do anyway.
-func (s *State) Slow(fn func() time.Duration) {
+func (s *Store) DelayAnswers(fn func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = fn
+	s.answerDelay = fn
 }
 
 // hold has a request wait while the service is slow.
-func (s *State) hold(r *http.Request) {
+func (s *Store) hold(r *http.Request) {
 	s.mu.Lock()
-	slow := s.slow
+	slow := s.answerDelay
 	s.mu.Unlock()
 	if slow == nil || r.URL.Path == wire.PathWatch {
 		return
@@ -223,15 +223,15 @@
 	}
 }
 
-// Late makes it keep transactions that fn picks: they get no answer, and are carried out when Deliver says so.
-func (s *State) Late(fn func(wire.Txn) bool) {
+// DelayTransactions makes it keep transactions that fn picks: they get no answer, and are carried out when Deliver says so.
+func (s *Store) DelayTransactions(fn func(wire.Txn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late = fn
+	s.delayTxn = fn
 }
 
 // Deliver carries out the requests that were kept, then the transactions, in their order, and gives those whose conditions still held.
-func (s *State) Deliver() []wire.Txn {
+func (s *Store) Deliver() []wire.Txn {
 	s.mu.Lock()
 	delayed := s.delayed
 	s.delayed = nil
@@ -253,21 +253,21 @@
 }
 
 // Refused is how many transactions were refused in outages.
-func (s *State) Refused() int {
+func (s *Store) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused
 }
 
-// Held is how many transactions and other requests are kept.
-func (s *State) Held() int {
+// HeldTransactions is how many transactions and other requests are kept.
+func (s *Store) HeldTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.held) + len(s.delayed)
 }
 
 // Value reads a key.
-func (s *State) Value(key string) (wire.Item, bool) {
+func (s *Store) Value(key string) (wire.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -276,7 +276,7 @@
 }
 
 // Holder gives the member that the leader key names, and its term; "" if none does.
-func (s *State) Holder() (member string, term uint64) {
+func (s *Store) Holder() (member string, term uint64) {
 	var h struct {
 		Member string
 		Term   uint64
@@ -288,20 +288,20 @@
 }
 
 // Applied gives the transactions that were applied so far.
-func (s *State) Applied() []wire.Txn {
+func (s *Store) Applied() []wire.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]wire.Txn(nil), s.txns...)
+	return append([]wire.Txn(nil), s.applied...)
 }
 
 // Expire ends what the clock has run out, and wakes the watches.
-func (s *State) Expire() {
+func (s *Store) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
 }
 
-func (s *State) expire() {
+func (s *Store) expire() {
 	if s.refuse {
 		return
 	}
@@ -312,7 +312,7 @@
 	}
 }
 
-func (s *State) endLease(id uint64) {
+func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for key, item := range s.keys {
 		if item.Lease == id {
@@ -323,7 +323,7 @@
 	s.changed()
 }
 
-func (s *State) apply(c wire.Change) {
+func (s *Store) apply(c wire.Change) {
 	if c.Delete != "" {
 		delete(s.keys, c.Delete)
 		s.events = append(s.events, wire.Event{Delete: c.Delete, Version: s.revision})
@@ -333,7 +333,7 @@
 	s.events = append(s.events, wire.Event{Put: c.Put, Value: c.Value, Version: s.revision})
 }
 
-func (s *State) changed() {
+func (s *Store) changed() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
@@ -345,7 +345,7 @@
 	}
 }
 
-func (s *State) get(w http.ResponseWriter, r *http.Request) {
+func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	item, ok := s.Value(r.PathValue("key"))
 	if !ok {
 		answer(w, http.StatusNotFound, struct{}{})
@@ -354,7 +354,7 @@
 	answer(w, http.StatusOK, item)
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -373,7 +373,7 @@
 	answer(w, http.StatusOK, out)
 }
 
-func (s *State) commit(w http.ResponseWriter, r *http.Request) {
+func (s *Store) commit(w http.ResponseWriter, r *http.Request) {
 	var t wire.Txn
 	if json.NewDecoder(r.Body).Decode(&t) != nil {
 		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
@@ -382,19 +382,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if s.late != nil && s.late(t) {
+	if s.delayTxn != nil && s.delayTxn(t) {
 		s.held = append(s.held, t)
 		panic(http.ErrAbortHandler) // the connection ends without an answer
 	}
 	status, body := s.execute(t)
-	if status == http.StatusOK && s.mute != nil && s.mute(t) {
+	if status == http.StatusOK && s.loseAnswer != nil && s.loseAnswer(t) {
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, status, body)
 }
 
 // execute carries out a transaction if its conditions hold. The lock is held.
-func (s *State) execute(t wire.Txn) (status int, body any) {
+func (s *Store) execute(t wire.Txn) (status int, body any) {
 	var failed []string
 	for _, c := range t.If {
 		if s.keys[c.Key].Version != c.Version {
@@ -416,11 +416,11 @@
 		}
 		s.changed()
 	}
-	s.txns = append(s.txns, t)
+	s.applied = append(s.applied, t)
 	return http.StatusOK, wire.TxnResult{Revision: s.revision}
 }
 
-func (s *State) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
 	var q wire.LeaseRequest
 	if json.NewDecoder(r.Body).Decode(&q) != nil {
 		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
@@ -434,7 +434,7 @@
 	answer(w, http.StatusOK, wire.LeaseGrant{Lease: s.nextID})
 }
 
-func (s *State) renew(w http.ResponseWriter, r *http.Request) {
+func (s *Store) renew(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -448,7 +448,7 @@
 	answer(w, http.StatusOK, struct{}{})
 }
 
-func (s *State) revoke(w http.ResponseWriter, r *http.Request) {
+func (s *Store) revoke(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -459,7 +459,7 @@
 }
 
 // watch answers a watch. One that is open as its caller is refused waits until that is over.
-func (s *State) watch(w http.ResponseWriter, r *http.Request, d *Endpoint) {
+func (s *Store) watch(w http.ResponseWriter, r *http.Request, d *Endpoint) {
 	prefix := r.FormValue("starts")
 	after, _ := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	for {
--- a/internal/sim/fakes/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -19,8 +19,8 @@
 	Attempt uint64
 }
 
-// Measured is what a worker itself saw of an attempt.
-type Measured struct {
+// MeasuredAttempt is what a worker itself saw of an attempt.
+type MeasuredAttempt struct {
 	Attempt
 	Begin time.Time       // when it began to run
 	Run   time.Duration   // from then to when it ended
@@ -33,18 +33,18 @@
 
 // Worker is a worker in real time: it reports, obeys, and measures each attempt.
 type Worker struct {
-	rep      wire.Heartbeat
-	nodes    map[string]string // addresses of the controllers by member
-	order    []string
-	every    time.Duration
-	lease    time.Duration
-	task     Task
-	measured func(Measured)
-	wake     chan struct{}
-
-	mu      sync.Mutex
-	running map[Attempt]*run
-	seen    time.Time // when the last answered report was sent
+	heartbeatTemplate wire.Heartbeat
+	controllers       map[string]string // addresses of the controllers by member
+	order             []string
+	every             time.Duration
+	lease             time.Duration
+	task              Task
+	measured          func(MeasuredAttempt)
+	wake              chan struct{}
+
+	mu           sync.Mutex
+	running      map[Attempt]*run
+	lastAnswered time.Time // when the last answered report was sent
 }
 
 type run struct {
@@ -55,11 +55,11 @@
 }
 
 // NewWorker makes a worker of a machine. measured is told each attempt that ended.
-func NewWorker(m wire.ListedMachine, nodes map[string]string, order []string, every, lease time.Duration, task Task, measured func(Measured)) *Worker {
+func NewWorker(m wire.ListedMachine, nodes map[string]string, order []string, every, lease time.Duration, task Task, measured func(MeasuredAttempt)) *Worker {
 	return &Worker{
-		rep:   wire.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1},
-		nodes: nodes, order: order, every: every, lease: lease, task: task, measured: measured,
-		wake: make(chan struct{}, 1), running: map[Attempt]*run{}, seen: time.Now(),
+		heartbeatTemplate: wire.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1},
+		controllers:       nodes, order: order, every: every, lease: lease, task: task, measured: measured,
+		wake: make(chan struct{}, 1), running: map[Attempt]*run{}, lastAnswered: time.Now(),
 	}
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	k.rep.Address = l.Addr().String()
+	k.heartbeatTemplate.Address = l.Addr().String()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathCommands, k.direct)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
@@ -81,10 +81,10 @@
 	for ctx.Err() == nil {
 		name := k.order[at%len(k.order)]
 		pause := k.every
-		status, to := k.beat(ctx, client, name)
+		status, to := k.heartbeat(ctx, client, name)
 		switch {
 		case status == http.StatusOK:
-		case status == http.StatusMisdirectedRequest && to != "" && to != name && k.nodes[to] != "":
+		case status == http.StatusMisdirectedRequest && to != "" && to != name && k.controllers[to] != "":
 			for i, n := range k.order {
 				if n == to {
 					at = i
@@ -117,18 +117,18 @@
 	}
 }
 
-// beat reports once.
-func (k *Worker) beat(ctx context.Context, client *http.Client, name string) (status int, to string) {
+// heartbeat reports once.
+func (k *Worker) heartbeat(ctx context.Context, client *http.Client, name string) (status int, to string) {
 	k.mu.Lock()
-	k.rep.Seq++
-	session := k.rep.Incarnation
-	raw, err := json.Marshal(k.rep)
+	k.heartbeatTemplate.Seq++
+	session := k.heartbeatTemplate.Incarnation
+	raw, err := json.Marshal(k.heartbeatTemplate)
 	k.mu.Unlock()
 	if err != nil {
 		return 0, ""
 	}
 	sent := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.nodes[name]+wire.PathHeartbeat, bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.controllers[name]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, ""
 	}
@@ -148,10 +148,10 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
-		k.rep.FencingToken = a.FencingToken
-		k.seen = sent
-		k.obey(a.Commands)
+	if a.FencingToken >= k.heartbeatTemplate.FencingToken && session == k.heartbeatTemplate.Incarnation {
+		k.heartbeatTemplate.FencingToken = a.FencingToken
+		k.lastAnswered = sent
+		k.execute(a.Commands)
 	}
 	return resp.StatusCode, ""
 }
@@ -165,20 +165,20 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	status := http.StatusConflict
-	if q.FencingToken >= k.rep.FencingToken && q.Incarnation == k.rep.Incarnation {
-		k.rep.FencingToken = q.FencingToken
-		k.obey(q.Commands)
+	if q.FencingToken >= k.heartbeatTemplate.FencingToken && q.Incarnation == k.heartbeatTemplate.Incarnation {
+		k.heartbeatTemplate.FencingToken = q.FencingToken
+		k.execute(q.Commands)
 		status = http.StatusOK
 	}
-	k.rep.Seq++
-	answer(w, status, k.rep)
+	k.heartbeatTemplate.Seq++
+	answer(w, status, k.heartbeatTemplate)
 }
 
-// obey executes commands.
-func (k *Worker) obey(commands []wire.Command) {
+// execute executes commands.
+func (k *Worker) execute(commands []wire.Command) {
 	for _, c := range commands {
 		i := -1
-		for n, t := range k.rep.Tasks {
+		for n, t := range k.heartbeatTemplate.Tasks {
 			if t.Task == c.Task && t.Attempt == c.Attempt {
 				i = n
 			}
@@ -187,7 +187,7 @@
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			length, why, team := k.task(c.Task, c.Attempt)
-			k.rep.Tasks = append(k.rep.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			k.heartbeatTemplate.Tasks = append(k.heartbeatTemplate.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 			k.running[id] = &run{begun: time.Now(), team: team, end: time.AfterFunc(length, func() {
 				k.mu.Lock()
 				defer k.mu.Unlock()
@@ -200,8 +200,8 @@
 				r.end.Stop()
 				k.exit(id, wire.ExitStopped)
 			}
-		case c.Op == wire.OpForget && i >= 0 && k.rep.Tasks[i].State == wire.TaskExited:
-			k.rep.Tasks = append(k.rep.Tasks[:i:i], k.rep.Tasks[i+1:]...)
+		case c.Op == wire.OpForget && i >= 0 && k.heartbeatTemplate.Tasks[i].State == wire.TaskExited:
+			k.heartbeatTemplate.Tasks = append(k.heartbeatTemplate.Tasks[:i:i], k.heartbeatTemplate.Tasks[i+1:]...)
 		}
 	}
 }
@@ -213,12 +213,12 @@
 		return
 	}
 	delete(k.running, id)
-	for i := range k.rep.Tasks {
-		if t := &k.rep.Tasks[i]; t.Task == id.Task && t.Attempt == id.Attempt {
+	for i := range k.heartbeatTemplate.Tasks {
+		if t := &k.heartbeatTemplate.Tasks[i]; t.Task == id.Task && t.Attempt == id.Attempt {
 			t.State, t.Reason, t.Saved = wire.TaskExited, why, r.saved
 		}
 	}
-	k.measured(Measured{id, r.begun, time.Since(r.begun), why, r.team})
+	k.measured(MeasuredAttempt{id, r.begun, time.Since(r.begun), why, r.team})
 	k.changed()
 }
 
@@ -226,12 +226,12 @@
 func (k *Worker) expire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if time.Since(k.seen) <= k.lease {
+	if time.Since(k.lastAnswered) <= k.lease {
 		return
 	}
 	k.killAll()
-	k.rep.Incarnation++
-	k.seen = time.Now()
+	k.heartbeatTemplate.Incarnation++
+	k.lastAnswered = time.Now()
 }
 
 func (k *Worker) kill() {
@@ -243,10 +243,10 @@
 func (k *Worker) killAll() {
 	for id, r := range k.running {
 		r.end.Stop()
-		k.measured(Measured{id, r.begun, time.Since(r.begun), "", r.team})
+		k.measured(MeasuredAttempt{id, r.begun, time.Since(r.begun), "", r.team})
 	}
 	clear(k.running)
-	k.rep.Tasks = nil
+	k.heartbeatTemplate.Tasks = nil
 }
 
 // JobOf is the job of a task's name.
--- a/internal/sim/faults/cancellation_test.go
+++ b/internal/sim/faults/cancellation_test.go
@@ -40,7 +40,7 @@
 	simulate(t, 21, func(sim *simulation) {
 		sim.pollClosely(true)
 		for round, most := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second} {
-			sim.state.Slow(func() time.Duration { return time.Duration(sim.r.Int64N(int64(most))) })
+			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.r.Int64N(int64(most))) })
 			for i := range 6 {
 				sim.submit(fmt.Sprintf("job-%d", 6*round+i), spec{tasks: 1 + i%2, runS: sim.seconds(3, 20).Seconds(), kind: []string{"array", "service"}[i/3]})
 				sim.advance(sim.seconds(1, 3))
@@ -54,7 +54,7 @@
 			}
 			sim.advance(sim.seconds(5, 15))
 		}
-		sim.state.Slow(nil)
+		sim.state.DelayAnswers(nil)
 		sim.endFaultsAndCheck()
 	})
 }
--- a/internal/sim/faults/injection_test.go
+++ b/internal/sim/faults/injection_test.go
@@ -31,7 +31,7 @@
 		e.fn()
 		return true
 	})
-	if sim.state.Held() > 0 && (all || sim.r.IntN(16) == 0) {
+	if sim.state.HeldTransactions() > 0 && (all || sim.r.IntN(16) == 0) {
 		late := sim.state.Deliver()
 		sim.logFault("%d late transactions are carried out", len(late))
 	}
@@ -104,12 +104,12 @@
 
 func delayTransactions(sim *simulation, _ *node) {
 	sim.logFault("transactions come late")
-	sim.during(sim.seconds(5, 40), func() { sim.state.Late(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { sim.state.Late(nil) })
+	sim.during(sim.seconds(5, 40), func() { sim.state.DelayTransactions(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { sim.state.DelayTransactions(nil) })
 }
 
 func loseAnswers(sim *simulation, _ *node) {
 	sim.logFault("answers to transactions are lost")
-	sim.during(sim.seconds(5, 40), func() { sim.state.Mute(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { sim.state.Mute(nil) })
+	sim.during(sim.seconds(5, 40), func() { sim.state.LoseAnswers(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { sim.state.LoseAnswers(nil) })
 }
 
 func copyHeartbeats(sim *simulation, _ *node) {
@@ -153,7 +153,7 @@
 func loseRequests(sim *simulation, _ *node) {
 	sim.logFault("requests are lost or late")
 	sim.during(sim.seconds(5, 40), func() {
-		sim.state.Lose(func(r *http.Request) fakes.Fate {
+		sim.state.SetFate(func(r *http.Request) fakes.Fate {
 			switch rand.IntN(6) {
 			case 0:
 				return fakes.Unanswered
@@ -164,7 +164,7 @@
 			}
 			return fakes.Answered
 		})
-	}, func() { sim.state.Lose(nil) })
+	}, func() { sim.state.SetFate(nil) })
 }
 
 func impairMachines(sim *simulation, _ *node) {
@@ -249,7 +249,9 @@
 func slowStore(sim *simulation, _ *node) {
 	most := sim.seconds(0.1, 4)
 	sim.logFault("the state service takes up to %v", most)
-	sim.during(sim.seconds(5, 30), func() { sim.state.Slow(func() time.Duration { return time.Duration(rand.Int64N(int64(most))) }) }, func() { sim.state.Slow(nil) })
+	sim.during(sim.seconds(5, 30), func() {
+		sim.state.DelayAnswers(func() time.Duration { return time.Duration(rand.Int64N(int64(most))) })
+	}, func() { sim.state.DelayAnswers(nil) })
 }
 
 // slowLinks has reports, their answers and direct commands be on their way for seconds.
@@ -269,7 +271,7 @@
 // cloudFaults has rentals go without an answer, machines be up at once, and be listed late.
 func cloudFaults(sim *simulation, _ *node) {
 	sim.logFault("rentals without answers, machines up at once and not listed")
-	sim.cloud.Silent(1 + sim.r.IntN(3))
+	sim.cloud.LoseRentAnswers(1 + sim.r.IntN(3))
 	since := len(sim.cloud.Machines())
-	sim.during(sim.seconds(5, 30), func() { sim.fastBoot = true; sim.cloud.Unlisted(since) }, func() { sim.fastBoot = false; sim.cloud.Unlisted(-1) })
+	sim.during(sim.seconds(5, 30), func() { sim.fastBoot = true; sim.cloud.ListOnly(since) }, func() { sim.fastBoot = false; sim.cloud.ListOnly(-1) })
 }
--- a/internal/sim/faults/load_test.go
+++ b/internal/sim/faults/load_test.go
@@ -13,7 +13,9 @@
 	simulate(t, 16, func(sim *simulation) {
 		most := 1500 * time.Millisecond
 		slowLinks(sim, nil)
-		sim.during(60*time.Second, func() { sim.state.Slow(func() time.Duration { return time.Duration(sim.r.Int64N(int64(most))) }) }, func() { sim.state.Slow(nil) })
+		sim.during(60*time.Second, func() {
+			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.r.Int64N(int64(most))) })
+		}, func() { sim.state.DelayAnswers(nil) })
 		for i := range 60 {
 			sim.submit(fmt.Sprintf("job-%d", i), spec{
 				tasks: 1 + i%5, cpus: []float64{2, 4, 8}[i%3], runS: sim.seconds(5, 25).Seconds(), stub: float64(40 * (i % 2)),
--- a/internal/sim/faults/machines_test.go
+++ b/internal/sim/faults/machines_test.go
@@ -70,7 +70,7 @@
 func (sim *simulation) takeMachines(some []*worker) {
 	for _, k := range some {
 		sim.logFault("%s is taken", k.rep.Machine)
-		sim.cloud.Take(k.rep.Machine)
+		sim.cloud.Terminate(k.rep.Machine)
 	}
 }
 
@@ -167,9 +167,9 @@
 		sim.mu.Unlock()
 		for round := range 8 {
 			sim.fastBoot = true
-			sim.cloud.Unlisted(len(sim.cloud.Machines()))
-			sim.cloud.Silent(2)
-			sim.state.Late(func(txn wire.Txn) bool {
+			sim.cloud.ListOnly(len(sim.cloud.Machines()))
+			sim.cloud.LoseRentAnswers(2)
+			sim.state.DelayTransactions(func(txn wire.Txn) bool {
 				return slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return strings.HasPrefix(c.Put, jobs.PrefixProgress) }) && (round%2 == 0 || rand.IntN(2) == 0)
 			})
 			for i := range 3 {
@@ -179,17 +179,17 @@
 			sim.impair(sim.someWorkers(), disconnected, sim.leases(0.5, 0.9)) // they run on, and the next leader has not heard of them
 			sim.restartLeader()
 			if round%4 < 2 {
-				sim.state.Late(nil) // the next one writes at once
+				sim.state.DelayTransactions(nil) // the next one writes at once
 			}
 			sim.advance(sim.seconds(1, 8))
 			sim.state.Deliver()
 			sim.advance(sim.seconds(0, 4))
 			sim.restartLeader()
-			sim.state.Late(nil)
+			sim.state.DelayTransactions(nil)
 			sim.advance(sim.seconds(5, 15))
 			sim.state.Deliver()
-			sim.cloud.Unlisted(-1)
-			sim.cloud.Silent(0)
+			sim.cloud.ListOnly(-1)
+			sim.cloud.LoseRentAnswers(0)
 			sim.fastBoot = false
 			sim.advance(seconds(sim.site.lease))
 		}
--- a/internal/sim/faults/messages_test.go
+++ b/internal/sim/faults/messages_test.go
@@ -142,12 +142,12 @@
 // Guards against a writer that takes its own earlier write for another's, and others that conclude from what they read meanwhile: a
 // transaction is carried out at once and only its answer is lost. Each kind of them, with a leader that ends in the middle.
 func TestTransactionAnswersAreLost(t *testing.T) {
-	inDoubt(t, func(sim *simulation, picks func(wire.Txn) bool) { sim.state.Mute(picks) })
+	inDoubt(t, func(sim *simulation, picks func(wire.Txn) bool) { sim.state.LoseAnswers(picks) })
 }
 
 // Guards against a transaction without an answer that is carried out late, after newer ones of the same controller.
 func TestTransactionsAreExecutedLate(t *testing.T) {
-	inDoubt(t, func(sim *simulation, picks func(wire.Txn) bool) { sim.state.Late(picks) })
+	inDoubt(t, func(sim *simulation, picks func(wire.Txn) bool) { sim.state.DelayTransactions(picks) })
 }
 
 // inDoubt has transactions of each kind be in doubt: fn has the state service treat those that are picked so; nil ends that.
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -32,7 +32,7 @@
 	r         *rand.Rand
 	site      site
 	clock     *clockwork.FakeClock
-	state     *fakes.State
+	state     *fakes.Store
 	cloud     *fakes.Cloud
 	nodes     []*node
 	client    *http.Client
@@ -99,7 +99,7 @@
 func newSimulation(t testing.TB, s site, seed uint64) *simulation {
 	clock := clockwork.NewFakeClock()
 	sim := &simulation{
-		t: t, r: rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewState(clock), startedAt: clock.Now(),
+		t: t, r: rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewStore(clock), startedAt: clock.Now(),
 		cloud: fakes.NewCloud(s.machines,
 			wire.MachineType{Name: "g8", CPUs: typeCPUs["g8"], MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
 			wire.MachineType{Name: "m4", CPUs: typeCPUs["m4"], MemoryGB: 32, Price: 0.6, SpotPrice: 0.25, BootS: 5, Zones: []string{"b"}}),
@@ -141,7 +141,7 @@
 		for _, n := range sim.nodes {
 			n.end()
 		}
-		sim.state.Slow(nil)
+		sim.state.DelayAnswers(nil)
 		sim.clock.Advance(time.Minute) // what still waits at the state service goes on
 		for _, k := range sim.workers {
 			k.srv.CloseClientConnections()
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -62,7 +62,7 @@
 func (l *lab) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length)
 	defer stop()
-	state := fakes.NewState(clockwork.NewRealClock())
+	state := fakes.NewStore(clockwork.NewRealClock())
 	defer state.Close()
 	cloud := fakes.NewCloud(24, wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, SpotPrice: 0.05, BootS: 20, Zones: []string{"a", "b"}})
 	defer cloud.Close()
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func (l *lab) saw(m fakes.Measured) {
+func (l *lab) saw(m fakes.MeasuredAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := fakes.JobOf(m.Task)
@@ -167,9 +167,9 @@
 	source := httptest.NewServer(http.HandlerFunc(l.describe))
 	defer source.Close()
 	l.rig = &testcluster.Cluster{
-		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, Report: time.Second, Lease: 10 * time.Second,
+		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, HeartbeatEvery: time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", Measured: l.saw,
+		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", OnEnd: l.saw,
 		Task: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
 			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
 				return 15 * time.Second, wire.ExitDone, "team-1" // the replica of a service
@@ -227,7 +227,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 	}
-	for l.rig.Any("job/") && ctx.Err() == nil {
+	for l.rig.HasKeys("job/") && ctx.Err() == nil {
 		time.Sleep(500 * time.Millisecond)
 	}
 	l.tell(states)
--- a/internal/sim/testcluster/rig.go
+++ b/internal/sim/testcluster/rig.go
@@ -24,41 +24,41 @@
 
 // Cluster is a cluster on one machine. Fill in the fields, then Start.
 type Cluster struct {
-	Program    string // the controllers' binary
-	Members    int
-	Teams      int // named team-0, team-1 and so on
-	CPUs       float64
-	Machines   int // that the cloud has
-	Type       wire.MachineType
-	Report     time.Duration
-	Lease      time.Duration
-	Properties string
-	Task       fakes.Task
-	Measured   func(fakes.Measured)
-
-	State *fakes.State
-	Cloud *fakes.Cloud
-	Users []string // the members' addresses
-	Kills int      // of leaders
-
-	dir       string
-	mesh      []string
-	processes []*exec.Cmd
-	killed    time.Time
-	mu        sync.Mutex
-	ended     map[string]context.CancelFunc // workers by machine
+	Program        string // the controllers' binary
+	Members        int
+	Teams          int // named team-0, team-1 and so on
+	CPUs           float64
+	Machines       int // that the cloud has
+	Type           wire.MachineType
+	HeartbeatEvery time.Duration
+	WorkerLease    time.Duration
+	Properties     string
+	Task           fakes.Task
+	OnEnd          func(fakes.MeasuredAttempt)
+
+	State     *fakes.Store
+	Cloud     *fakes.Cloud
+	UserAddrs []string // the members' addresses
+	Kills     int      // of leaders
+
+	dir        string
+	peerAddrs  []string
+	processes  []*exec.Cmd
+	killedAt   time.Time
+	mu         sync.Mutex
+	stopWorker map[string]context.CancelFunc // workers by machine
 }
 
 // Start starts all of it; it ends with the context, and Close clears up.
-func (r *Cluster) Start(ctx context.Context) (err error) {
-	if r.dir, err = os.MkdirTemp("", "rig"); err != nil {
+func (c *Cluster) Start(ctx context.Context) (err error) {
+	if c.dir, err = os.MkdirTemp("", "rig"); err != nil {
 		return err
 	}
-	r.ended, r.killed = map[string]context.CancelFunc{}, time.Now()
-	r.State = fakes.NewState(clockwork.NewRealClock())
-	r.Cloud = fakes.NewCloud(r.Machines, r.Type)
-	for range r.Members {
-		for _, addrs := range []*[]string{&r.Users, &r.mesh} {
+	c.stopWorker, c.killedAt = map[string]context.CancelFunc{}, time.Now()
+	c.State = fakes.NewStore(clockwork.NewRealClock())
+	c.Cloud = fakes.NewCloud(c.Machines, c.Type)
+	for range c.Members {
+		for _, addrs := range []*[]string{&c.UserAddrs, &c.peerAddrs} {
 			addr, err := fakes.Loopback()
 			if err != nil {
 				return err
@@ -66,80 +66,80 @@
 			*addrs = append(*addrs, addr)
 		}
 	}
-	r.processes = make([]*exec.Cmd, r.Members)
-	for i := range r.Members {
-		if err := r.start(ctx, i); err != nil {
+	c.processes = make([]*exec.Cmd, c.Members)
+	for i := range c.Members {
+		if err := c.start(ctx, i); err != nil {
 			return err
 		}
 	}
-	go r.workers(ctx)
+	go c.workers(ctx)
 	return nil
 }
 
 // Close ends the controllers.
-func (r *Cluster) Close() {
-	for _, p := range r.processes {
+func (c *Cluster) Close() {
+	for _, p := range c.processes {
 		if p != nil {
 			_ = p.Process.Kill()
 			_ = p.Wait() // it was killed
 		}
 	}
-	_ = os.RemoveAll(r.dir) // what is left is in the system's temporary files
+	_ = os.RemoveAll(c.dir) // what is left is in the system's temporary files
 }
 
-func (r *Cluster) settings(i int) string {
+func (c *Cluster) settings(i int) string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "member = \"m%d\"\nbind = %q\nmesh_addr = %q\n", i, r.Users[i], r.mesh[i])
-	for k := range r.Members {
+	fmt.Fprintf(&b, "member = \"m%d\"\nbind = %q\nmesh_addr = %q\n", i, c.UserAddrs[i], c.peerAddrs[i])
+	for k := range c.Members {
 		if k != i {
-			fmt.Fprintf(&b, "[[members]]\nmember = \"m%d\"\nendpoint = %q\n", k, r.mesh[k])
+			fmt.Fprintf(&b, "[[members]]\nmember = \"m%d\"\nendpoint = %q\n", k, c.peerAddrs[k])
 		}
 	}
-	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", r.Cloud.Addr(), r.State.Addr())
-	for k := range r.Teams {
-		fmt.Fprintf(&b, "[[cluster.teams]]\nname = \"team-%d\"\ncpus = %g\ncpus_max = %g\n", k, r.CPUs/4, r.CPUs)
+	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.Cloud.Addr(), c.State.Addr())
+	for k := range c.Teams {
+		fmt.Fprintf(&b, "[[cluster.teams]]\nname = \"team-%d\"\ncpus = %g\ncpus_max = %g\n", k, c.CPUs/4, c.CPUs)
 	}
-	fmt.Fprintf(&b, "[cluster.workers]\nreport_s = %g\nlease_s = %g\ncancel_s = 20.0\n", r.Report.Seconds(), r.Lease.Seconds())
+	fmt.Fprintf(&b, "[cluster.workers]\nreport_s = %g\nlease_s = %g\ncancel_s = 20.0\n", c.HeartbeatEvery.Seconds(), c.WorkerLease.Seconds())
 	b.WriteString("[cluster.state]\nrps = 300.0\nwrite_rps = 150.0\nvalue_kb = 16.0\ntxn_ops = 12\n[cluster.cloud]\nrps = 10.0\nlist_lag_s = 1.0\n")
 	return b.String()
 }
 
-func (r *Cluster) start(ctx context.Context, i int) error {
-	props := filepath.Join(r.dir, "own.properties")
-	path := filepath.Join(r.dir, fmt.Sprintf("m%d.toml", i))
-	if err := os.WriteFile(props, []byte(r.Properties), 0o600); err != nil {
+func (c *Cluster) start(ctx context.Context, i int) error {
+	props := filepath.Join(c.dir, "own.properties")
+	path := filepath.Join(c.dir, fmt.Sprintf("m%d.toml", i))
+	if err := os.WriteFile(props, []byte(c.Properties), 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, []byte(r.settings(i)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(c.settings(i)), 0o600); err != nil {
 		return err
 	}
-	p := exec.CommandContext(ctx, r.Program, "serve", "--properties", props, "--config", path)
+	p := exec.CommandContext(ctx, c.Program, "serve", "--properties", props, "--config", path)
 	p.Env = append(os.Environ(), "LOG_LEVEL=error")
 	p.Stderr = os.Stderr
-	r.processes[i] = p
+	c.processes[i] = p
 	return p.Start()
 }
 
 // KillLeader kills the member that leads, if one does, and starts it again, when that was not
 // done for some time; 0: never.
-func (r *Cluster) KillLeader(ctx context.Context, every time.Duration) error {
-	if every <= 0 || time.Since(r.killed) < every {
+func (c *Cluster) KillLeader(ctx context.Context, every time.Duration) error {
+	if every <= 0 || time.Since(c.killedAt) < every {
 		return nil
 	}
-	r.killed = time.Now()
-	i := r.leader()
+	c.killedAt = time.Now()
+	i := c.leader()
 	if i < 0 {
 		return nil
 	}
-	_ = r.processes[i].Process.Kill()
-	_ = r.processes[i].Wait() // it was killed
-	r.Kills++
-	return r.start(ctx, i)
+	_ = c.processes[i].Process.Kill()
+	_ = c.processes[i].Wait() // it was killed
+	c.Kills++
+	return c.start(ctx, i)
 }
 
 // leader finds which member leads.
-func (r *Cluster) leader() int {
-	member, _ := r.State.Holder()
+func (c *Cluster) leader() int {
+	member, _ := c.State.Holder()
 	var i int
 	if _, err := fmt.Sscanf(member, "m%d", &i); err != nil {
 		return -1
@@ -148,8 +148,8 @@
 }
 
 // PeakMB is the most memory that any member has had at once, in MiB, as the system counts it.
-func (r *Cluster) PeakMB() (most float64) {
-	for _, p := range r.processes {
+func (c *Cluster) PeakMB() (most float64) {
+	for _, p := range c.processes {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 		if err != nil {
 			continue
@@ -166,50 +166,50 @@
 
 // workers starts a worker for each machine that is rented, and ends it when its
 // machine is deleted.
-func (r *Cluster) workers(ctx context.Context) {
+func (c *Cluster) workers(ctx context.Context) {
 	nodes, order := map[string]string{}, []string{}
-	for i, addr := range r.Users {
+	for i, addr := range c.UserAddrs {
 		nodes[fmt.Sprint("m", i)] = addr
 		order = append(order, fmt.Sprint("m", i))
 	}
 	known := map[string]bool{}
 	for ctx.Err() == nil {
-		r.State.Expire()
-		for _, m := range r.Cloud.Machines() {
+		c.State.Expire()
+		for _, m := range c.Cloud.Machines() {
 			if known[m.Name] {
 				continue
 			}
 			known[m.Name] = true
-			k := fakes.NewWorker(m, nodes, order, r.Report, r.Lease, r.Task, r.Measured)
+			k := fakes.NewWorker(m, nodes, order, c.HeartbeatEvery, c.WorkerLease, c.Task, c.OnEnd)
 			wctx, end := context.WithCancel(ctx)
-			r.mu.Lock()
-			r.ended[m.Name] = end
-			r.mu.Unlock()
+			c.mu.Lock()
+			c.stopWorker[m.Name] = end
+			c.mu.Unlock()
 			go func() { _ = k.Run(wctx) }() // it ends with its machine
 		}
-		for _, name := range r.Cloud.Deleted() {
-			r.mu.Lock()
-			r.ended[name]()
-			r.mu.Unlock()
+		for _, name := range c.Cloud.Deleted() {
+			c.mu.Lock()
+			c.stopWorker[name]()
+			c.mu.Unlock()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// Lose ends a machine without a word.
-func (r *Cluster) Lose() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, end := range r.ended {
+// LoseMachine ends a machine without a word.
+func (c *Cluster) LoseMachine() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, end := range c.stopWorker {
 		end()
 		return
 	}
 }
 
 // Send repeats a request until a controller decides it, and gives its answer.
-func (r *Cluster) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte) {
+func (c *Cluster) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte) {
 	for i := 0; ctx.Err() == nil; i++ {
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Users[i%r.Members]+path, bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+c.UserAddrs[i%c.Members]+path, bytes.NewReader(body))
 		if err != nil {
 			return 0, nil
 		}
@@ -225,9 +225,9 @@
 	return 0, nil
 }
 
-// Any tells whether the state service has keys with a prefix, or cannot be asked.
-func (r *Cluster) Any(prefix string) bool {
-	resp, err := http.Get("http://" + r.State.Addr() + wire.PathKV + "?starts=" + prefix + "&page=1")
+// HasKeys tells whether the state service has keys with a prefix, or cannot be asked.
+func (c *Cluster) HasKeys(prefix string) bool {
+	resp, err := http.Get("http://" + c.State.Addr() + wire.PathKV + "?starts=" + prefix + "&page=1")
 	if err != nil {
 		return true
 	}
