--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -12,49 +12,49 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a member that counts as cut off since a few pings were missed, and one that never does.
-func TestAMemberIsLonelyAfterAWhile(t *testing.T) {
+// Guards against a member that counts as isolated since a few pings were missed, and one that never does.
+func TestMemberIsIsolatedOnceNobodyAnswersForAWhile(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clock, slog.New(slog.DiscardHandler))
 	clock.Advance(2 * tuning.IsolatedFor)
 	if p.Isolated() {
-		t.Error("lonely before it has asked anybody")
+		t.Error("isolated before it has asked anybody")
 	}
 	p.noteAnswer()
 	clock.Advance(tuning.IsolatedFor)
 	if p.Isolated() {
-		t.Error("lonely too soon")
+		t.Error("isolated too soon")
 	}
 	clock.Advance(tuning.IsolatedFor / 2)
 	if !p.Isolated() {
-		t.Error("not lonely")
+		t.Error("not isolated")
 	}
 	if p.noteAnswer(); p.Isolated() {
-		t.Error("lonely though a member answered")
+		t.Error("isolated though a member answered")
 	}
 }
 
 // Guards against a claim that is gone with the process that made it, and against memory that strangers fill.
-func TestAClaimOutlivesItsProcess(t *testing.T) {
+func TestClaimOutlivesItsProcess(t *testing.T) {
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clockwork.NewFakeClock(), slog.New(slog.DiscardHandler))
 	if got := p.ExchangeClaim("m1", nil); got != nil {
 		t.Errorf("%q is remembered of one that claimed nothing", got)
 	}
 	p.ExchangeClaim("m1", []byte("until five"))
 	if got := p.ExchangeClaim("m1", nil); string(got) != "until five" {
-		t.Errorf("%q is remembered for the next life", got)
+		t.Errorf("%q is remembered for the next process", got)
 	}
 	if got := p.ExchangeClaim("m1", []byte("until six")); string(got) != "until six" {
 		t.Errorf("%q is remembered, not what was said last", got)
 	}
-	if got := p.ExchangeClaim("stranger", []byte("x")); got != nil || len(p.claims) != 1 {
+	if got := p.ExchangeClaim("stranger", []byte("x")); got != nil || len(p.claims.byMember) != 1 {
 		t.Errorf("%q is remembered of a stranger", got)
 	}
 }
 
-// Guards against a cut of a zone whose machines take more questions than there is time for: all of them together have
+// Guards against a partition of a zone whose machines take more questions than there is time for: all of them together have
 // RelayTimeout, and 400 machines in each were 15 for 6,000.
-func TestAZonesMachinesTakeFewQuestions(t *testing.T) {
+func TestMachinesOfAZoneTakeFewQuestions(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		machines, size int
