--- /dev/null
+++ b/internal/cluster/peerrpc/client.go
@@ -0,0 +1,207 @@
+package peerrpc
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+)
+
+// ErrSilent is the error of a call to a peer that did not answer in time, now or the last time it
+// was asked.
+var ErrSilent = errors.New("the peer is silent")
+
+// Client sends requests to peers, over one connection to each. It is safe for concurrent use.
+type Client struct {
+	timeout time.Duration
+
+	mu     sync.Mutex
+	conns  map[string]*clientConn
+	silent map[string]bool // peers that let a whole call's time pass without an answer
+}
+
+// NewClient makes a client whose calls take tuning.RelayTimeout at the most.
+func NewClient() *Client {
+	return &Client{timeout: tuning.RelayTimeout, conns: map[string]*clientConn{}, silent: map[string]bool{}}
+}
+
+// Call sends a request to the peer at addr and waits for its answer. A peer that
+// stands still or is cut off is found silent once; until it answers a ping
+// again, other calls to it fail at once, rather than have every poll and every
+// heartbeat wait out the time limit.
+func (c *Client) Call(ctx context.Context, addr string, r Request) (Response, error) {
+	if r.Verb != Ping && c.Silent(addr) {
+		return Response{}, ErrSilent
+	}
+	own, cancel := context.WithTimeout(ctx, c.timeout)
+	defer cancel()
+	resp, err := c.call(own, addr, r)
+	switch {
+	case err == nil:
+		c.setSilent(addr, false)
+	case own.Err() != nil && ctx.Err() == nil && r.Verb.prompt():
+		c.setSilent(addr, true)
+		err = fmt.Errorf("%w: %w", ErrSilent, err)
+	}
+	return resp, err
+}
+
+// Silent tells whether a peer did not answer of late.
+func (c *Client) Silent(addr string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.silent[addr]
+}
+
+func (c *Client) setSilent(addr string, silent bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent[addr] = silent
+}
+
+// call sends a request and waits for its answer.
+func (c *Client) call(ctx context.Context, addr string, r Request) (Response, error) {
+	cc := c.connection(addr)
+	select {
+	case <-cc.ready:
+	case <-ctx.Done():
+		return Response{}, ctx.Err()
+	}
+	if cc.err != nil {
+		return Response{}, cc.err
+	}
+	answer := make(chan Response, 1)
+	seq, err := cc.send(r, answer)
+	if err != nil {
+		c.drop(addr, cc)
+		return Response{}, err
+	}
+	select {
+	case resp, ok := <-answer:
+		if !ok {
+			return Response{}, io.ErrUnexpectedEOF
+		}
+		return resp, nil
+	case <-ctx.Done():
+		cc.forget(seq)
+		// A connection that does not answer in time may hang for ever: the
+		// next request takes a new one.
+		c.drop(addr, cc)
+		return Response{}, ctx.Err()
+	}
+}
+
+// connection gives the connection to a peer, and dials it if there is none.
+func (c *Client) connection(addr string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cc := c.conns[addr]; cc != nil {
+		return cc
+	}
+	cc := &clientConn{ready: make(chan struct{}), waiting: map[uint64]chan Response{}}
+	c.conns[addr] = cc
+	go func() {
+		cc.conn, cc.err = net.DialTimeout("tcp", addr, tuning.RelayTimeout)
+		close(cc.ready)
+		if cc.err == nil {
+			cc.receive()
+		}
+		c.drop(addr, cc)
+	}()
+	return cc
+}
+
+// drop closes a connection; the next request takes a new one.
+func (c *Client) drop(addr string, cc *clientConn) {
+	c.mu.Lock()
+	if c.conns[addr] == cc {
+		delete(c.conns, addr)
+	}
+	c.mu.Unlock()
+	if cc.conn != nil {
+		cc.conn.Close()
+	}
+}
+
+// clientConn is a connection to a peer, on which several calls may wait for their answers.
+type clientConn struct {
+	ready chan struct{} // closed when dialled; conn and err are set then
+	conn  net.Conn
+	err   error
+
+	mu      sync.Mutex
+	seq     uint64                   // of the last request
+	waiting map[uint64]chan Response // by the request's number
+	dead    bool                     // nothing more is received
+}
+
+// send sends a request and gives its number, under which the answer is awaited.
+func (cc *clientConn) send(r Request, answer chan Response) (uint64, error) {
+	cc.mu.Lock()
+	if cc.dead {
+		cc.mu.Unlock()
+		return 0, io.ErrClosedPipe
+	}
+	cc.seq++
+	seq := cc.seq
+	cc.waiting[seq] = answer
+	cc.mu.Unlock()
+	// One Write call is atomic for a net.Conn, and its deadline keeps it short.
+	_ = cc.conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
+	_, err := cc.conn.Write(encodeRequest(seq, r))
+	return seq, err
+}
+
+// forget has an answer that comes late be dropped.
+func (cc *clientConn) forget(seq uint64) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	delete(cc.waiting, seq)
+}
+
+// receive hands answers to those that wait for them, until the connection ends.
+func (cc *clientConn) receive() {
+	in := bufio.NewReader(cc.conn)
+	for {
+		seq, r, err := readResponse(in)
+		if err != nil {
+			cc.fail()
+			return
+		}
+		cc.deliver(seq, r)
+	}
+}
+
+func readResponse(in io.Reader) (seq uint64, r Response, err error) {
+	frame, err := readFrame(in)
+	if err != nil {
+		return 0, Response{}, err
+	}
+	return decodeResponse(frame)
+}
+
+func (cc *clientConn) deliver(seq uint64, r Response) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if answer := cc.waiting[seq]; answer != nil {
+		delete(cc.waiting, seq)
+		answer <- r // has room for one
+	}
+}
+
+// fail ends all calls that wait for an answer, and refuses later ones.
+func (cc *clientConn) fail() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.dead = true
+	for _, answer := range cc.waiting {
+		close(answer)
+	}
+	clear(cc.waiting)
+}
--- a/internal/cluster/peerrpc/mesh_test.go
+++ b/internal/cluster/peerrpc/peerrpc_test.go
@@ -33,7 +33,7 @@
 	return l.Addr().String()
 }
 
-func TestRequestsAndAnswers(t *testing.T) {
+func TestRequestsAndAnswersArriveUnchanged(t *testing.T) {
 	addr := listen(t, func(_ context.Context, r Request) Response {
 		return Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}, Payload: r.Payload, Leader: r.Job, Term: r.Number}
 	})
@@ -51,7 +51,7 @@
 }
 
 // Guards against bytes that are no message: the connection ends, the service goes on.
-func TestMalformedFrames(t *testing.T) {
+func TestMalformedFrameEndsTheConnectionOnly(t *testing.T) {
 	addr := listen(t, func(context.Context, Request) Response { return Response{Status: 200} })
 	bad := [][]byte{
 		binary.BigEndian.AppendUint32(nil, 0),
@@ -77,15 +77,15 @@
 	}
 }
 
-// Guards against polls and reports that each wait out the time limit for a
+// Guards against polls and heartbeats that each wait out the time limit for a
 // member that stands still: after the first, calls to it fail at once, until
 // it answers a ping again.
-func TestASilentPeerIsNotWaitedForTwice(t *testing.T) {
+func TestSilentPeerIsNotWaitedForTwice(t *testing.T) {
 	answering := make(chan struct{})
-	var reports atomic.Int32
+	var heartbeats atomic.Int32
 	addr := listen(t, func(ctx context.Context, r Request) Response {
 		if r.Verb == Heartbeat {
-			reports.Add(1)
+			heartbeats.Add(1)
 		}
 		select {
 		case <-answering:
@@ -118,8 +118,8 @@
 	if err := call(Heartbeat); err != nil {
 		t.Errorf("after it answered: %v", err)
 	}
-	if n := reports.Load(); n != 1 {
-		t.Errorf("%d reports were sent, all but one to a silent peer", n)
+	if n := heartbeats.Load(); n != 1 {
+		t.Errorf("%d heartbeats were sent, all but one to a silent peer", n)
 	}
 }
 
--- /dev/null
+++ b/internal/cluster/peerrpc/server.go
@@ -0,0 +1,68 @@
+package peerrpc
+
+import (
+	"bufio"
+	"context"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+)
+
+// Serve answers peers on a listener until ctx ends. Handlers and connections may outlast it by a moment.
+func Serve(ctx context.Context, l net.Listener, h Handler, log *slog.Logger) {
+	context.AfterFunc(ctx, func() { l.Close() })
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			if ctx.Err() != nil {
+				return
+			}
+			log.Error("peer connection not accepted", "err", err)
+			select {
+			case <-ctx.Done():
+				return
+			case <-time.After(tuning.RetryLeader):
+			}
+			continue
+		}
+		go serveConn(ctx, conn, h, log)
+	}
+}
+
+// serveConn answers the requests of a connection, each in a goroutine of its own, until it ends.
+func serveConn(ctx context.Context, conn net.Conn, h Handler, log *slog.Logger) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	context.AfterFunc(ctx, func() { conn.Close() })
+	var writing sync.Mutex
+	in := bufio.NewReader(conn)
+	for {
+		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
+		frame, err := readFrame(in)
+		if err != nil {
+			return
+		}
+		seq, req, err := decodeRequest(frame)
+		if err != nil {
+			log.Error("peer request malformed", "err", err)
+			return
+		}
+		go func() {
+			answer := encodeResponse(seq, h(ctx, req))
+			writing.Lock()
+			defer writing.Unlock()
+			writeAnswer(conn, answer)
+		}()
+	}
+}
+
+// writeAnswer writes an answer, or closes the connection if that fails or takes too long.
+func writeAnswer(conn net.Conn, answer []byte) {
+	_ = conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
+	if _, err := conn.Write(answer); err != nil {
+		conn.Close()
+	}
+}
