--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -15,6 +15,7 @@
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 func run(args ...string) (string, error) {
@@ -29,7 +30,7 @@
 
 func settings(t *testing.T, bind, state, cloud string) string {
 	t.Helper()
-	return fakes.File(t, "settings.toml", fmt.Sprintf(`
+	return testutil.File(t, "settings.toml", fmt.Sprintf(`
 member = "m0"
 bind = %q
 mesh_addr = %q
@@ -51,7 +52,7 @@
 txn_ops = 12
 [cluster.cloud]
 rps = 100.0
-`, bind, fakes.FreeAddr(t), cloud, state))
+`, bind, testutil.FreeAddr(t), cloud, state))
 }
 
 func TestCheck(t *testing.T) {
@@ -66,8 +67,8 @@
 	}{
 		{"no file named", nil, "config"},
 		{"no such file", []string{"--config", "none.toml"}, "none.toml"},
-		{"a field is missing", []string{"--config", fakes.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
-		{"bad properties", []string{"--config", good, "--properties", fakes.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
+		{"a field is missing", []string{"--config", testutil.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
+		{"bad properties", []string{"--config", good, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
 	} {
 		for _, verb := range []string{"check", "serve"} {
 			if _, err := run(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -88,14 +89,14 @@
 func TestJobs(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewRealClock())
 	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
-	bind := fakes.FreeAddr(t)
+	bind := testutil.FreeAddr(t)
 	path := settings(t, bind, state.Addr(), cloud.Addr())
 	s, err := config.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	props := fakes.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
+	props := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
 	own, err := config.LoadProperties(props)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +132,7 @@
 	if out, err := run("ledger", "verify", "--config", path, "--properties", props); err != nil || !strings.Contains(out, "all totals are right") {
 		t.Errorf("verify: %q, %v", out, err)
 	}
-	job := fakes.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
+	job := testutil.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
 		"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,
 		"ride_s":1,"stub_s":0,"stamp_s":0}`)
 	until(`"pending"`, "submit", job)
@@ -175,7 +176,7 @@
 		}
 	}
 	state.Refuse(false)
-	if _, err := run("job", "--addr", bind, "submit", fakes.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
+	if _, err := run("job", "--addr", bind, "submit", testutil.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
 		t.Errorf("a bad description: %v", err)
 	}
 }
--- a/cmd/poppypass/graph_test.go
+++ b/cmd/poppypass/graph_test.go
@@ -7,11 +7,11 @@
 	"testing"
 
 	"poppypass/internal/graphs/dag"
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 func TestGraphCheck(t *testing.T) {
-	file := fakes.File(t, "nightly.star", `
+	file := testutil.File(t, "nightly.star", `
 DAG("nightly", schedule = "@daily", start_date = "2026-12-01", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"})
 JobOperator(task_id = "a", estimate_s = 60) >> [JobOperator(task_id = "b", estimate_s = 30), EmptyOperator(task_id = "c")]
 `)
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := run("graph", "check", fakes.File(t, "nightly.json", out), "--output", "json"); err != nil || again != out {
+	if again, err := run("graph", "check", testutil.File(t, "nightly.json", out), "--output", "json"); err != nil || again != out {
 		t.Errorf("its JSON is read as %q, %v", again, err)
 	}
 	for _, c := range []struct{ name, text, want string }{
@@ -36,7 +36,7 @@
 		{"g.json", "{\"dag_id\": 3}", "g.json:1:13: "},
 		{"g.json", "{} {}", "follows"},
 	} {
-		if out, err := run("graph", "check", fakes.File(t, c.name, c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if out, err := run("graph", "check", testutil.File(t, c.name, c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %q, %v", c.text, out, err)
 		}
 	}
--- a/cmd/poppypass/graphruns_test.go
+++ b/cmd/poppypass/graphruns_test.go
@@ -19,6 +19,7 @@
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 // serveGraphs runs a controller over stand-ins, and gives its address.
@@ -28,13 +29,13 @@
 	state := fakes.NewStore(clock)
 	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
 	s := &config.Settings{
-		Member: "m0", Bind: fakes.FreeAddr(t), MeshAddr: fakes.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
+		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
 		Cluster: config.Cluster{
 			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	own, err := config.LoadProperties(fakes.File(t, "own.properties", properties))
+	own, err := config.LoadProperties(testutil.File(t, "own.properties", properties))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +81,7 @@
 	}))
 	defer src.Close()
 	addr := serveGraphs(t, "graphs = on\n")
-	file := fakes.File(t, "g.star", `
+	file := testutil.File(t, "g.star", `
 DAG("g", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"}, tags = ["x"])
 EmptyOperator(task_id = "begin") >> JobOperator(task_id = "work", estimate_s = 60) >> JobOperator(task_id = "end", estimate_s = 30)
 `)
@@ -165,7 +166,7 @@
 		fmt.Fprintf(&b, `{"task_id":"a-step-with-a-name-%d","kind":"job","job":{"class":"c","cpus":1,"memory_gb":1,"image":"i","estimate_s":%d}}`, i*7919%10_000, 1+i*31%977)
 	}
 	b.WriteString("]}")
-	file := fakes.File(t, "large.json", b.String())
+	file := testutil.File(t, "large.json", b.String())
 	if out, err := graph(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
 		t.Fatalf("%q, %v", out, err)
 	}
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -18,9 +18,10 @@
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
 	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
-func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
+func TestMain(m *testing.M) { os.Exit(testutil.FixedSeed(m)) }
 
 func array(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,6 +21,7 @@
 	"poppypass/internal/scheduler/jobs"
 	"poppypass/internal/scheduler/leader"
 	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 // harness is a controller with stand-ins of all that is outside. Its clock
@@ -58,9 +59,9 @@
 
 // boot starts the controller, as a process with no memory of an earlier one.
 func (w *harness) boot() {
-	w.addr = fakes.FreeAddr(w.t)
+	w.addr = testutil.FreeAddr(w.t)
 	s := &config.Settings{
-		Member: "m0", Bind: w.addr, MeshAddr: fakes.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
+		Member: "m0", Bind: w.addr, MeshAddr: testutil.FreeAddr(w.t), Outside: config.Outside{Cloud: w.cloud.Addr(), State: w.state.Addr()},
 		Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}},
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 // newHarnessWith is a world whose controller has operators' properties.
@@ -21,7 +21,7 @@
 	w.stop()
 	w.clock.Advance(2 * tuning.LeaseTTL)
 	w.state.Expire()
-	w.properties = fakes.File(t, "own.properties", properties)
+	w.properties = testutil.File(t, "own.properties", properties)
 	w.boot()
 	return w
 }
@@ -30,7 +30,7 @@
 func ms(v any) int64 { return int64(v.(float64)) }
 
 func TestAJobIsChargedToItsTeamAndAccount(t *testing.T) {
-	metrics := fakes.FreeAddr(t)
+	metrics := testutil.FreeAddr(t)
 	w := newHarnessWith(t, "ledger = on\nmetrics.addr = "+metrics+"\n")
 	j := job("job-1", 2)
 	j["account"] = "a coach owner"
--- a/internal/graphs/dag/main_test.go
+++ b/internal/graphs/dag/main_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
-func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
+func TestMain(m *testing.M) { os.Exit(testutil.FixedSeed(m)) }
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -13,10 +13,10 @@
 	"poppypass/internal/graphs/dag"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
-func TestMain(m *testing.M) { os.Exit(fakes.FixedSeed(m)) }
+func TestMain(m *testing.M) { os.Exit(testutil.FixedSeed(m)) }
 
 func TestAGraphFromItsBeginToItsEnd(t *testing.T) {
 	w := newWorld(t)
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"poppypass/internal/platform/tuning"
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 const good = `
@@ -45,7 +45,7 @@
 `
 
 func TestLoad(t *testing.T) {
-	s, err := Load(fakes.File(t, "s.toml", good))
+	s, err := Load(testutil.File(t, "s.toml", good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 // A guest team comes without amounts: it has no guarantee and no cap, rather
 // than a cap of nothing.
 func TestTeamWithoutAmountsHasNoCap(t *testing.T) {
-	s, err := Load(fakes.File(t, "s.toml", good+"[[cluster.teams]]\nname = \"guest\"\n"))
+	s, err := Load(testutil.File(t, "s.toml", good+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		{`[outside]`, `[outside`, "not valid TOML"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
-		if _, err := Load(fakes.File(t, "s.toml", text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Load(testutil.File(t, "s.toml", text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q instead of %q: %v", c.new, c.old, err)
 		}
 	}
@@ -98,21 +98,21 @@
 }
 
 func TestLoadProperties(t *testing.T) {
-	k, err := LoadProperties(fakes.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
+	k, err := LoadProperties(testutil.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
 	if err != nil || k.Tunables.IdleKeep != 45*time.Second || k.Tunables.MaxMachines != 7 {
 		t.Errorf("read as %+v, %v", k, err)
 	}
 	if k, err = LoadProperties(""); err != nil || k.Tunables != tuning.Defaults() {
 		t.Errorf("without a file: %+v, %v", k, err)
 	}
-	own, err := LoadProperties(fakes.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
+	own, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
 	if err != nil || !own.Ledger || len(own.Budgets.Budgets) != 1 || own.MetricsAddr != "127.0.0.1:9" {
 		t.Errorf("read as %+v, %v", own, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`name = "t"`, `name = "other"`, "unknown"}, {"value_kb = 16.0", "value_kb = 8.0", "value_kb"},
 	} {
-		s, err := Load(fakes.File(t, "s.toml", strings.Replace(good, c.old, c.new, 1)))
+		s, err := Load(testutil.File(t, "s.toml", strings.Replace(good, c.old, c.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,12 +123,12 @@
 	for _, text := range []string{
 		"ledger = yes", "ledger.zone = Nowhere/At-All", "metrics.addr = here", "budget.t.month.money = 5", "ledger = on\nbudget.t.month.money = x",
 	} {
-		if _, err := LoadProperties(fakes.File(t, "p.properties", text)); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := LoadProperties(testutil.File(t, "p.properties", text)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 	for _, text := range []string{"fleet.idle.keep = soon", "fleet.idle.keep = -1s", "fleet.machines.max = 0", "fleet.machine.max = 3"} {
-		if _, err := LoadProperties(fakes.File(t, "p.properties", text)); err == nil {
+		if _, err := LoadProperties(testutil.File(t, "p.properties", text)); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
@@ -136,8 +136,8 @@
 
 // Budgets change while the program runs; a file with a mistake changes nothing.
 func TestChangedBudgetsAreTakenIn(t *testing.T) {
-	path := fakes.File(t, "p.properties", "ledger = on\nbudget.t.month.money = 5\n")
-	s, err := Load(fakes.File(t, "s.toml", good))
+	path := testutil.File(t, "p.properties", "ledger = on\nbudget.t.month.money = 5\n")
+	s, err := Load(testutil.File(t, "s.toml", good))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/accounting/budget"
 	"poppypass/internal/platform/golden"
 	"poppypass/internal/platform/tuning"
-	"poppypass/internal/sim/fakes"
+	"poppypass/internal/sim/testutil"
 )
 
 func TestSettingsFormat(t *testing.T) {
@@ -41,7 +41,7 @@
 		"budget.vision.month.money = 5.5",
 	}
 	golden.Lines(t, "properties-keys", keyIdleKeep, keyMaxMachines, keyLedger, keyLedgerZone, keyMetrics, keyGraphs, keyDescriptions, keyPool, budget.Prefix)
-	operator, err := LoadProperties(fakes.File(t, "operator.properties", strings.Join(lines, "\n")))
+	operator, err := LoadProperties(testutil.File(t, "operator.properties", strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
