--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock sleeps on a clock that tests control.
+// Package clock has what the clockwork clock lacks: a sleep that a context ends.
 package clock
 
 import (
@@ -8,7 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Sleep waits for d, or until ctx ends. It leaves no timer behind on the clock: tests count the waiters.
+// Sleep blocks for d, or until ctx is done. It leaves no timer behind on the clock:
+// tests with a fake clock count its waiters.
 func Sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory tells when a process comes near the memory that its machine has, so
-// that it refuses work rather than be ended by the kernel with all that it does.
+// Package memory reports when a process comes near the memory limit of its machine,
+// so that it refuses work rather than be killed by the kernel with all its work.
 package memory
 
 import (
@@ -12,52 +12,57 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Gauge looks at the process's memory now and then. It is safe for concurrent use.
+// Gauge measures the process's memory, at most once per tuning.MemoryEvery. It is safe
+// for concurrent use.
 type Gauge struct {
 	clock clockwork.Clock
-	most  uint64 // bytes; 0: no limit is known
+	limit uint64 // in bytes; 0: not known
 	read  func() uint64
 
-	mu   sync.Mutex
-	at   time.Time // of the last look
-	full bool
+	mu         sync.Mutex
+	measuredAt time.Time // zero: not yet
+	full       bool
 }
 
-// New makes a gauge of a machine with so many MiB; 0: it is never full.
+// New returns a gauge for a machine with ramMB MiB of memory; 0: the gauge never
+// reports full.
 func New(ramMB float64, clock clockwork.Clock) *Gauge {
-	return &Gauge{clock: clock, most: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), read: held}
+	return &Gauge{clock: clock, limit: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), read: heldBytes}
 }
 
-// Full tells whether more work may not be taken in now.
+// Full reports whether no more work may be accepted now: the process holds
+// tuning.MemoryFull of the memory or more.
 func (g *Gauge) Full() bool {
-	if g.most == 0 {
+	if g.limit == 0 {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now := g.clock.Now(); g.at.IsZero() || now.Sub(g.at) >= tuning.MemoryEvery {
-		g.at, g.full = now, g.read() >= g.most
+	if now := g.clock.Now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= tuning.MemoryEvery {
+		g.measuredAt, g.full = now, g.read() >= g.limit
 	}
 	return g.full
 }
 
-// Live is how many bytes of the machine's memory are in use: what the runtime holds, with as many bytes of objects as the
-// last collection found reachable. Objects made since then are missing, so it lags by one collection.
+// Live returns how many bytes of the machine's memory are in use: what the runtime
+// holds, but of objects only as many bytes as the last garbage collection found
+// reachable. Objects allocated since then are not counted, so it lags by one
+// collection.
 func Live() uint64 {
-	v := read("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
+	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
 		"/memory/classes/heap/unused:bytes", "/memory/classes/heap/objects:bytes", "/gc/heap/live:bytes")
 	total, released, free, unused, objects, reachable := v[0], v[1], v[2], v[3], v[4], v[5]
 	return total - released - free - unused - objects + reachable
 }
 
-// held is what the runtime holds of the machine's memory, in bytes.
-func held() uint64 {
-	v := read("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes")
+// heldBytes returns what the runtime holds of the machine's memory.
+func heldBytes() uint64 {
+	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes")
 	return v[0] - v[1]
 }
 
-// read reads metrics of the runtime at one time.
-func read(names ...string) []uint64 {
+// readMetrics reads metrics of the runtime at one time.
+func readMetrics(names ...string) []uint64 {
 	samples := make([]metrics.Sample, len(names))
 	for i, name := range names {
 		samples[i].Name = name
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-func TestFullNearTheLimit(t *testing.T) {
+func TestGaugeIsFullNearTheLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := New(100, clock)
 	var holds uint64
@@ -25,12 +25,12 @@
 		}
 	}
 	if holds = 99 << 20; g.Full() {
-		t.Error("looks again at once")
+		t.Error("measures again at once")
 	}
 	if New(0, clock).Full() {
 		t.Error("full without a limit")
 	}
-	if n := held(); n < 1<<20 || n > 1<<40 {
+	if n := heldBytes(); n < 1<<20 || n > 1<<40 {
 		t.Errorf("this process holds %d bytes", n)
 	}
 }
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -4,52 +4,54 @@
 
 // Charges, the ledger and budgets.
 const (
-	// ServiceReserve is what a started replica reserves of its team's budget: it ends
-	// by itself never, and an hour is as far as anybody can expect.
+	// ServiceReserve is what a started service replica reserves of its team's budget: it
+	// never ends by itself, and nobody can forecast further than an hour.
 	ServiceReserve = time.Hour
-	// EstimateCorrectionMax bounds the factor by which owners' estimates are corrected: they
-	// are often wrong by half, rarely by more.
+	// EstimateCorrectionMax bounds the factor by which owners' run time estimates are
+	// corrected: they are often wrong by half, rarely by more.
 	EstimateCorrectionMax = 4.0
-	// EstimateLearningRate is how much one more completed task counts in that factor.
+	// EstimateLearningRate is the weight of one more completed task in that factor.
 	EstimateLearningRate = 0.1
-	// LedgerValueKB is the least size of a value, in KiB, that progress records with charges need.
+	// LedgerValueKB is the smallest value size limit, in KiB, with which progress records
+	// with charges can be stored.
 	LedgerValueKB = 14
-	// RollUpAfter is how long charges lie in their jobs' records before they are
-	// rolled up; sooner if there are as many as one transaction can take. Longer lets
-	// more of them share one.
+	// RollUpAfter is how long charges stay in their jobs' records before they are rolled
+	// up; sooner if there are as many as one transaction can take. A longer time lets more
+	// of them share one.
 	RollUpAfter = 60 * time.Second
-	// RollUpChangesMin is for how many changes there must be room before charges are rolled
-	// up, if so many are due: each roll-up also writes a segment and a page. On a day with
-	// 13 jobs a second there were 606 roll-ups of two jobs each.
+	// RollUpChangesMin is for how many changes there must be room before charges are
+	// rolled up, if so many are due: each roll-up also writes a segment and a page. On a
+	// day with 13 jobs per second there were 606 roll-ups of two jobs each.
 	RollUpChangesMin = 12
 	// RollUpBytes bounds, in bytes, what is added to a segment in one transaction.
 	RollUpBytes = 6 << 10
-	// SegmentBytes is the size, in bytes, at which a segment is closed. One that is open is
-	// rewritten with each roll-up.
+	// SegmentBytes is the size, in bytes, at which a segment is closed. An open one is
+	// rewritten by each roll-up.
 	SegmentBytes = 8 << 10
 	// PageBytes bounds a page of totals, in bytes before compression.
 	PageBytes = 8 << 10
-	// CompactPages is how many pages of totals may be closed before rows of the same
-	// name are brought together.
+	// CompactPages is how many pages of totals may be closed before rows of the same name
+	// are merged.
 	CompactPages = 4
-	// CompactCheckEvery is how often the totals are looked at for that: it costs a look at each row.
+	// CompactCheckEvery is how often it is checked whether to compact the totals, which
+	// reads each row.
 	CompactCheckEvery = time.Minute
-	// TotalsLogEvery is how often the totals go to the log, at debug level.
+	// TotalsLogEvery is how often the totals are logged, at debug level.
 	TotalsLogEvery = 10 * time.Second
-	// SegmentPage is how many segments one question for a job's charges reads: some
-	// hundred KB.
+	// SegmentPage is how many segments one query for a job's charges reads: some hundred
+	// KB.
 	SegmentPage = 20
-	// ChargesPage is after how many charges an answer goes on at another question: at
-	// some 350 bytes each it stays under half a MB.
+	// ChargesPage is the number of charges after which an answer continues on another
+	// page: at some 350 bytes each it stays under half a MB.
 	ChargesPage = 500
-	// ChargesTimeout is how long such a question may take.
+	// ChargesTimeout is how long such a query may take.
 	ChargesTimeout = 4 * time.Second
-	// TotalRows is how many rows one answer on totals holds: with names of 200 bytes
+	// TotalRows is how many rows one answer about totals holds: with names of 200 bytes
 	// they still fit QueryResponseMax.
 	TotalRows = 40
-	// MonthlyTotalsAfterDays is after how many days the totals of days are brought together
-	// to months: budgets look back over the month before at most.
+	// MonthlyTotalsAfterDays is after how many days the totals per day are merged into
+	// totals per month: budgets look back over the previous month at most.
 	MonthlyTotalsAfterDays = 93
-	// PropertiesEvery is how often the operators' file is looked at for changes.
+	// PropertiesEvery is how often the operators' properties file is checked for changes.
 	PropertiesEvery = 5 * time.Second
 )
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -4,21 +4,22 @@
 
 // The leader's loop, and the process's memory.
 const (
-	// Tick is the leader's own clock for expiries and timed work.
+	// Tick is the period of the leader's own timer for expiries and timed work.
 	Tick = 100 * time.Millisecond
-	// SubsystemTick is how often the subsystems that joined the leader's loop are asked
-	// what is due: budgets are looked at and charges rolled up that often.
+	// SubsystemTick is how often the subsystems of the leader's loop are asked what is
+	// due: budgets are checked and charges rolled up that often.
 	SubsystemTick = 500 * time.Millisecond
 	// Inbox is how many messages may wait for the leader's loop.
 	Inbox = 1024
 	// MemoryShare is the share of the machine's memory that the Go runtime aims to stay under.
 	MemoryShare = 0.65
-	// MemoryFull is the share above which no more jobs are accepted: the runtime holds more than
-	// it aims at only if what lives needs it. MemoryEvery is how often that is looked at.
+	// MemoryFull is the share above which no more jobs are accepted: the runtime holds
+	// more than its target only if reachable objects need it. MemoryEvery is how often
+	// that is checked.
 	MemoryFull  = 0.85
 	MemoryEvery = 250 * time.Millisecond
-	// ProcessMB is what of that a leader takes beside its machines, in MiB: the program, its
-	// libraries, and a book of some thousand jobs.
+	// ProcessMB is what of that a leader takes beside its machines, in MiB: the program,
+	// its libraries, and a job store of some thousand jobs.
 	ProcessMB = 24
 	// MachineKB is what a machine takes of it at the most, in KiB: its tasks, its place in the
 	// views of a pass, its worker's connection and ours to it. Measured, with as much garbage as the runtime lets grow:
--- a/internal/platform/tuning/interruption.go
+++ b/internal/platform/tuning/interruption.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Spot machines that the cloud takes back.
+// Interruptions of spot machines by the cloud.
 const (
-	// EstimateSpread is how far run times lie from their owners' estimates, as the standard deviation of the
-	// logarithm: often wrong by half.
+	// EstimateSpread is how far run times lie from their owners' estimates, as the
+	// standard deviation of the logarithm: often wrong by half.
 	EstimateSpread = 0.5
-	// InterruptionStopLead is how long before a machine is taken what still runs there is stopped: for a command and its answer,
-	// and what the time of the notice may be off.
+	// InterruptionStopLead is how long before a spot machine is interrupted what still
+	// runs there is stopped: for a command and its answer, and for the error of the
+	// announced time.
 	InterruptionStopLead = 2500 * time.Millisecond
 )
--- a/internal/platform/tuning/tuning.go
+++ b/internal/platform/tuning/tuning.go
@@ -1,6 +1,6 @@
-// Package tuning holds every constant of the service, each with its unit and
-// the reason for its value. What an operator may want to change is also a
-// Knob, which the properties file can set.
+// Package tuning holds the constants of the service, one file per subject, each
+// constant with its unit and the reason for its value. What operators may change is
+// in Tunables instead, which the properties file sets.
 package tuning
 
 import "time"
@@ -9,11 +9,11 @@
 type Tunables struct {
 	// IdleKeep is how long a machine without tasks is kept before it is returned.
 	IdleKeep time.Duration
-	// MaxMachines bounds how many machines are rented at a time; 0: what memory allows.
+	// MaxMachines bounds how many machines are rented at a time; 0: as many as memory allows.
 	MaxMachines int
 }
 
-// Defaults gives the knobs' values when no properties are given.
+// Defaults returns the values that apply when no properties are given.
 func Defaults() Tunables {
 	return Tunables{
 		// A machine costs at least 60 s and boots for 20 s or more; work comes
