--- a/internal/scheduler/jobs/backoff.go
+++ b/internal/scheduler/jobs/backoff.go
@@ -18,8 +18,8 @@
 	}
 	j.FailedWaves++
 	j.BackoffUntil = now.Add(backoff(j.FailedWaves))
-	s.markDirty(wavesChunk(j), now)
-	s.scheduleFlush(now)
+	s.queue.markDirty(wavesChunk(j), now)
+	s.queue.scheduleFlush(now)
 }
 
 // MarkWorking records that a task of the job works: its failures are not the job's fault.
@@ -27,7 +27,7 @@
 	if j.FailedWaves > 0 {
 		j.FailedWaves = 0
 		j.BackoffUntil = time.Time{}
-		s.markDirty(wavesChunk(j), now)
+		s.queue.markDirty(wavesChunk(j), now)
 	}
 }
 
--- a/internal/scheduler/jobs/backoff_test.go
+++ b/internal/scheduler/jobs/backoff_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("%d failed waves and a backoff of %v are known", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
 	s.MarkWorking(s.Jobs["job-1"], t0)
-	s.scheduleFlush(t0)
+	s.queue.scheduleFlush(t0)
 	kv.flush(s)
 	if s, _ = kv.load(12); s.Jobs["job-1"].FailedWaves != 0 {
 		t.Error("a job that worked still has failed waves")
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -52,16 +52,13 @@
 // to wait for the limit anyway is then put in order as late as can be.
 func (s *Store) NextBatch(now time.Time, budget WriteBudget) *Batch {
 	b := newBatchBuilder(s, now, budget)
-	s.sortQueues()
+	s.queue.sort()
 	b.addStartsAndEnds()
-	if s.flushDue(now) {
+	if s.queue.flushDue(now) {
 		b.addProgress()
 		b.dropStaleRecords()
 	}
-	s.writeNow = len(s.endQueue)+len(s.urgentQueue) > 0
-	if len(s.lazyQueue)+len(s.staleRecords) == 0 {
-		s.flushAt = time.Time{}
-	}
+	s.queue.updateDue()
 	if b.changes() == 0 {
 		return nil
 	}
@@ -102,9 +99,9 @@
 	c.version, c.writing = revision, false
 	switch {
 	case c.urgent:
-		s.queueUrgently(ref)
+		s.queue.pushUrgent(ref)
 	case c.dirty:
-		s.queueLazily(ref)
+		s.queue.pushLazy(ref)
 	}
 }
 
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -51,18 +51,13 @@
 // Guards against a start that was undone before it was written, of a job that
 // is dropped in the same transaction.
 func TestProgressOfAnEndedJobIsNotWritten(t *testing.T) {
-	kv := newKVStore(t)
-	kv.accept("job-1", 1)
-	s, _ := kv.load(12)
-	j := s.Jobs["job-1"]
-	first := s.Allocate(j, 0, "n-1", "a", 1, t0)
-	kv.flush(s)
+	kv, s, j, first := newAllocatedJob(t, 1)
 	s.MarkLost(first, t0)
 	a := s.Allocate(j, 0, "n-2", "a", 1, t0)
 	s.Cancel(j, func(wire.JobState) {})
 	batch := s.NextBatch(t0, WriteBudget{Spare: 0})
 	s.MarkLost(a, t0) // the machine is lost while that is on its way
-	s.markUrgent(chunkRef{j, 0})
+	s.queue.markUrgent(chunkRef{j, 0})
 	s.MarkCommitted(batch, kv.apply(batch.Txn))
 	kv.flush(s)
 	for key := range kv.items {
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -44,8 +44,8 @@
 		part.Kind = c.pack.KindIndex(a.Kind)
 		c.pack.Charges = append(c.pack.Charges, part)
 	}
-	s.markDirty(a.chunk(), now)
-	s.scheduleFlush(now)
+	s.queue.markDirty(a.chunk(), now)
+	s.queue.scheduleFlush(now)
 }
 
 // MarkRunning records that a task was seen to run. Its time is stored with the next
@@ -70,8 +70,8 @@
 		a := s.newlyRunning[0]
 		s.newlyRunning = s.newlyRunning[1:]
 		if !a.Removed && !a.beganStored {
-			s.markDirty(a.chunk(), now)
-			s.scheduleFlush(now)
+			s.queue.markDirty(a.chunk(), now)
+			s.queue.scheduleFlush(now)
 		}
 	}
 }
--- a/internal/scheduler/jobs/kvstore_test.go
+++ b/internal/scheduler/jobs/kvstore_test.go
@@ -82,3 +82,15 @@
 	s.FinishLoading()
 	return s, allocations
 }
+
+// newAllocatedJob is job-1 with some tasks, of which the first is allocated, which is stored.
+func newAllocatedJob(t *testing.T, tasks int) (*kvStore, *Store, *Job, *Allocation) {
+	t.Helper()
+	kv := newKVStore(t)
+	kv.accept("job-1", tasks)
+	s, _ := kv.load(12)
+	j := s.Jobs["job-1"]
+	a := s.Allocate(j, 0, "n-1", "a", 1, t0)
+	kv.flush(s)
+	return kv, s, j, a
+}
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -111,8 +111,8 @@
 		s.LoadDetached(item)
 		return
 	}
-	s.staleRecords = append(s.staleRecords, wire.Condition{Key: item.Key, Version: item.Version})
-	s.scheduleFlush(now)
+	s.queue.stale = append(s.queue.stale, wire.Condition{Key: item.Key, Version: item.Version})
+	s.queue.scheduleFlush(now)
 }
 
 func (j *Job) loadDone(done []int) {
--- a/internal/scheduler/jobs/queue.go
+++ b/internal/scheduler/jobs/queue.go
@@ -9,102 +9,103 @@
 	"poppypass/internal/platform/wire"
 )
 
-// WriteDue reports whether changes should be written now.
-func (s *Store) WriteDue(now time.Time) bool {
-	s.flushLongRunning(now)
-	return s.writeNow || s.flushDue(now)
+// writeQueue holds what of the store's changes is to be written. A change is urgent when
+// somebody waits for it: the starts of tasks and the ends of jobs. Any other is lazy: it waits
+// for room to spare, so that changes of one record share a write.
+type writeQueue struct {
+	urgent []chunkRef       // in the order in which they became so
+	lazy   []chunkRef       // the other dirty ones, in the order in which they became so
+	ends   []*Job           // whose end is to be written
+	stale  []wire.Condition // records of jobs that are over, to be dropped
+
+	flushAt  time.Time // when the oldest lazy change is to be written; zero: there is none
+	writeNow bool      // something urgent waits
 }
 
 // flushDue reports whether it is time to write what nobody waits for.
-func (s *Store) flushDue(now time.Time) bool { return !s.flushAt.IsZero() && !now.Before(s.flushAt) }
-
-// scheduleFlush has lazy changes written within LazyFlush.
-func (s *Store) scheduleFlush(now time.Time) {
-	if s.flushAt.IsZero() {
-		s.flushAt = now.Add(tuning.LazyFlush)
-	}
+func (q *writeQueue) flushDue(now time.Time) bool {
+	return !q.flushAt.IsZero() && !now.Before(q.flushAt)
 }
 
-// FlushSoon has a task's record written soon. It is for a worker that holds many ended
-// tasks which it may not forget yet: its heartbeat must not outgrow what a request may be.
-func (s *Store) FlushSoon(j *Job, index int) {
-	if ref := chunkOf(j, index); !j.ending && ref.chunk().dirty {
-		s.markUrgent(ref)
+// scheduleFlush has lazy changes written within LazyFlush.
+func (q *writeQueue) scheduleFlush(now time.Time) {
+	if q.flushAt.IsZero() {
+		q.flushAt = now.Add(tuning.LazyFlush)
 	}
 }
 
-// Persisted reports whether the stored record of a task says what memory says.
-func (s *Store) Persisted(j *Job, index int) bool {
-	c := chunkOf(j, index).chunk()
-	// While the job's end is on its way nothing tells of its last tasks: workers that forgot
-	// them in an outage had the next leader run them again.
-	return !c.dirty && !c.writing && !j.ending
-}
-
 // markDirty notes that a chunk's record is out of date. It is written when there is room
 // to spare, unless it is marked urgent as well.
-func (s *Store) markDirty(ref chunkRef, now time.Time) {
+func (q *writeQueue) markDirty(ref chunkRef, now time.Time) {
 	if c := ref.chunk(); !c.dirty {
 		c.dirty, c.dirtySince = true, now
 		if !c.writing {
-			s.queueLazily(ref)
+			q.pushLazy(ref)
 		}
 	}
 }
 
-func (s *Store) queueLazily(ref chunkRef) {
+func (q *writeQueue) pushLazy(ref chunkRef) {
 	if c := ref.chunk(); !c.queued {
 		c.queued = true
-		s.lazyQueue = append(s.lazyQueue, ref)
+		q.lazy = append(q.lazy, ref)
 	}
 }
 
 // markUrgent has a dirty chunk written before those that nobody waits for.
-func (s *Store) markUrgent(ref chunkRef) {
+func (q *writeQueue) markUrgent(ref chunkRef) {
 	if c := ref.chunk(); !c.urgent {
 		c.urgent = true
 		if !c.writing {
-			s.queueUrgently(ref)
+			q.pushUrgent(ref)
 		}
 	}
 }
 
-func (s *Store) queueUrgently(ref chunkRef) {
-	s.urgentQueue = append(s.urgentQueue, ref)
-	s.writeNow = true
+func (q *writeQueue) pushUrgent(ref chunkRef) {
+	q.urgent = append(q.urgent, ref)
+	q.writeNow = true
 }
 
-// queueEnd has a job's end written.
-func (s *Store) queueEnd(j *Job) {
+// pushEnd has a job's end written.
+func (q *writeQueue) pushEnd(j *Job) {
 	if j.ending || j.ended {
 		return
 	}
 	j.ending = true
-	s.endQueue = append(s.endQueue, j)
-	s.writeNow = true
+	q.ends = append(q.ends, j)
+	q.writeNow = true
 }
 
-// queueStale has a progress record of a job that is over dropped when there is room.
-func (s *Store) queueStale(ref chunkRef, now time.Time) {
-	s.staleRecords = append(s.staleRecords, wire.Condition{Key: ref.key(), Version: ref.chunk().version})
-	if s.flushAt.IsZero() {
-		s.flushAt = now
+// pushStale has a progress record of a job that is over dropped when there is room.
+func (q *writeQueue) pushStale(ref chunkRef, now time.Time) {
+	q.stale = append(q.stale, wire.Condition{Key: ref.key(), Version: ref.chunk().version})
+	if q.flushAt.IsZero() {
+		q.flushAt = now
 	}
 }
 
-// sortQueues puts what waits to be written in the order of the jobs' priorities, so
+// sort puts what waits to be written in the order of the jobs' priorities, so
 // that starts of urgent work do not wait behind hundreds of tiny jobs: starts before ends, and
 // cancellations, which users wait for, behind the starts of the highest priority only.
-func (s *Store) sortQueues() {
-	slices.SortStableFunc(s.endQueue, func(x, y *Job) int { return cmp.Compare(y.endPriority(), x.endPriority()) })
+func (q *writeQueue) sort() {
+	slices.SortStableFunc(q.ends, func(x, y *Job) int { return cmp.Compare(y.endPriority(), x.endPriority()) })
 	// What is about to be dropped with its job needs no writing.
-	s.urgentQueue = slices.DeleteFunc(s.urgentQueue, func(r chunkRef) bool { return r.job.ending })
-	slices.SortStableFunc(s.urgentQueue, func(x, y chunkRef) int { return cmp.Compare(y.job.Priority.Level(), x.job.Priority.Level()) })
+	q.urgent = slices.DeleteFunc(q.urgent, func(r chunkRef) bool { return r.job.ending })
+	slices.SortStableFunc(q.urgent, func(x, y chunkRef) int { return cmp.Compare(y.job.Priority.Level(), x.job.Priority.Level()) })
 }
 
 // endGoesFirst reports whether the first end goes before the first start.
-func (s *Store) endGoesFirst() bool {
-	return len(s.urgentQueue) == 0 || len(s.endQueue) > 0 && s.endQueue[0].endPriority() > s.urgentQueue[0].job.Priority.Level()
+func (q *writeQueue) endGoesFirst() bool {
+	return len(q.urgent) == 0 || len(q.ends) > 0 && q.ends[0].endPriority() > q.urgent[0].job.Priority.Level()
+}
+
+// updateDue notes, once a batch is gathered, what still waits to be written.
+func (q *writeQueue) updateDue() {
+	q.writeNow = len(q.ends)+len(q.urgent) > 0
+	if len(q.lazy)+len(q.stale) == 0 {
+		q.flushAt = time.Time{}
+	}
 }
 
 // endPriority is the priority of the write of a job's end. A cancellation, which its user
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -24,15 +24,7 @@
 	Metered bool
 
 	txnOps int // changes that one transaction may hold
-
-	// What is to be written; see queue.go.
-
-	urgentQueue  []chunkRef // in the order in which they became urgent
-	lazyQueue    []chunkRef // the other dirty ones, in the order in which they became so
-	endQueue     []*Job
-	staleRecords []wire.Condition // of jobs that are over
-	flushAt      time.Time        // when the oldest lazy change is to be written; zero: there is none
-	writeNow     bool             // something urgent waits
+	queue  writeQueue
 
 	newlyRunning []*Allocation // seen to run, in that order
 	detached     []DetachedCharges
@@ -52,8 +44,8 @@
 		KnownSince: now, PlacedAt: now,
 	}
 	j.allocate(a)
-	s.markDirty(a.chunk(), now)
-	s.markUrgent(a.chunk())
+	s.queue.markDirty(a.chunk(), now)
+	s.queue.markUrgent(a.chunk())
 	return a
 }
 
@@ -84,8 +76,8 @@
 
 // markReleased has what follows from the end of an allocation written.
 func (s *Store) markReleased(a *Allocation, now time.Time) {
-	s.markDirty(a.chunk(), now)
-	s.scheduleFlush(now)
+	s.queue.markDirty(a.chunk(), now)
+	s.queue.scheduleFlush(now)
 	s.checkEnd(a.Job)
 }
 
@@ -108,6 +100,28 @@
 // one that is to be cancelled and whose tasks are all gone, or the dropping of one that was.
 func (s *Store) checkEnd(j *Job) {
 	if j.Done == len(j.Tasks) || j.Cancelled() && j.Allocated == 0 {
-		s.queueEnd(j)
+		s.queue.pushEnd(j)
 	}
 }
+
+// WriteDue reports whether changes should be written now.
+func (s *Store) WriteDue(now time.Time) bool {
+	s.flushLongRunning(now)
+	return s.queue.writeNow || s.queue.flushDue(now)
+}
+
+// FlushSoon has a task's record written soon. It is for a worker that holds many ended
+// tasks which it may not forget yet: its heartbeat must not outgrow what a request may be.
+func (s *Store) FlushSoon(j *Job, index int) {
+	if ref := chunkOf(j, index); !j.ending && ref.chunk().dirty {
+		s.queue.markUrgent(ref)
+	}
+}
+
+// Persisted reports whether the stored record of a task says what memory says.
+func (s *Store) Persisted(j *Job, index int) bool {
+	c := chunkOf(j, index).chunk()
+	// While the job's end is on its way nothing tells of its last tasks: workers that forgot
+	// them in an outage had the next leader run them again.
+	return !c.dirty && !c.writing && !j.ending
+}
--- a/internal/scheduler/jobs/store_test.go
+++ b/internal/scheduler/jobs/store_test.go
@@ -29,12 +29,7 @@
 // Guards against workers that forget a job's last task while its end is on its way to the
 // key-value store: after an outage in which the leader changed, it ran again.
 func TestLastTaskIsNotPersistedUntilTheJobsEndIsStored(t *testing.T) {
-	kv := newKVStore(t)
-	kv.accept("job-1", 1)
-	s, _ := kv.load(12)
-	j := s.Jobs["job-1"]
-	a := s.Allocate(j, 0, "n-1", "a", 1, t0)
-	kv.flush(s)
+	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
 	batch := s.NextBatch(later, WriteBudget{Spare: 1000})
 	if s.Persisted(j, 0) {
@@ -80,12 +75,7 @@
 }
 
 func TestDoneIsStoredBeforeItIsReported(t *testing.T) {
-	kv := newKVStore(t)
-	kv.accept("job-1", 1)
-	s, _ := kv.load(12)
-	j := s.Jobs["job-1"]
-	a := s.Allocate(j, 0, "n-1", "a", 1, t0)
-	kv.flush(s)
+	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
 	if st := j.Status(); st.State.Final() {
 		t.Fatalf("reported as %v before it is stored", st)
@@ -105,12 +95,7 @@
 // Guards against a user who is told that a job is cancelled while a task of it runs in a
 // zone that is cut off, and may go on there for longer than users wait for its end.
 func TestCancellationIsStoredOnceAllTasksAreGone(t *testing.T) {
-	kv := newKVStore(t)
-	kv.accept("job-1", 3)
-	s, _ := kv.load(12)
-	j := s.Jobs["job-1"]
-	a := s.Allocate(j, 0, "n-1", "a", 1, t0)
-	kv.flush(s)
+	kv, s, j, a := newAllocatedJob(t, 3)
 	var told []wire.JobState
 	tell := func(st wire.JobState) { told = append(told, st) }
 	s.Cancel(j, tell)
@@ -135,12 +120,7 @@
 // Guards against a cancellation that overtakes the last task's end: whatever
 // is stored first is what everybody is told.
 func TestCancellationOfAJobWhoseEndIsBeingStoredReportsThatEnd(t *testing.T) {
-	kv := newKVStore(t)
-	kv.accept("job-1", 1)
-	s, _ := kv.load(12)
-	j := s.Jobs["job-1"]
-	a := s.Allocate(j, 0, "n-1", "a", 1, t0)
-	kv.flush(s)
+	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
 	batch := s.NextBatch(later, WriteBudget{Spare: 1000})
 	var told wire.JobState
