--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -30,12 +30,12 @@
 	between = 2 * time.Second // submissions
 )
 
-type lab struct {
-	program   string
-	length    time.Duration
-	killEvery time.Duration
-	loses     bool
-	rig       *testcluster.Cluster
+type comparison struct {
+	program      string
+	length       time.Duration
+	killEvery    time.Duration
+	loseMachines bool
+	cluster      *testcluster.Cluster
 
 	mu       sync.Mutex
 	measured map[fakes.Attempt]fakes.MeasuredAttempt
@@ -44,7 +44,7 @@
 }
 
 func main() {
-	l := &lab{measured: map[fakes.Attempt]fakes.MeasuredAttempt{}}
+	l := &comparison{measured: map[fakes.Attempt]fakes.MeasuredAttempt{}}
 	cmd := &cobra.Command{
 		Use: "billing", Short: "Compare the ledger with what workers measured", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
@@ -52,14 +52,14 @@
 	cmd.Flags().StringVar(&l.program, "program", "target/poppypass", "the program to run")
 	cmd.Flags().DurationVar(&l.length, "for", 3*time.Minute, "how long jobs are submitted")
 	cmd.Flags().DurationVar(&l.killEvery, "kill-every", 20*time.Second, "how often the leader is killed")
-	cmd.Flags().BoolVar(&l.loses, "lose", false, "also have machines die without a word")
+	cmd.Flags().BoolVar(&l.loseMachines, "lose", false, "also have machines die without a word")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
 		os.Exit(1)
 	}
 }
 
 // task draws a task's length and end from its name, so that each attempt has its own.
-func (l *lab) task(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
+func (l *comparison) task(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
 	h := fnv.New64a()
 	fmt.Fprint(h, task, attempt)
 	r := rand.New(rand.NewPCG(h.Sum64(), 1))
@@ -72,7 +72,7 @@
 	return 20*time.Second + time.Duration(r.Int64N(int64(40*time.Second))), why, fmt.Sprintf("team-%d", n%teams)
 }
 
-func (l *lab) saw(m fakes.MeasuredAttempt) {
+func (l *comparison) record(m fakes.MeasuredAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, again := l.measured[m.Attempt]; again {
@@ -81,53 +81,53 @@
 	l.measured[m.Attempt] = m
 }
 
-func (l *lab) run(ctx context.Context) error {
+func (l *comparison) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
 	defer stop()
-	l.rig = &testcluster.Cluster{
+	l.cluster = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, HeartbeatEvery: 2 * time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, OnEnd: l.saw,
+		Properties: "ledger = on\nfleet.idle.keep = 20s\n", Task: l.task, OnEnd: l.record,
 	}
-	defer l.rig.Close()
-	if err := l.rig.Start(ctx); err != nil {
+	defer l.cluster.Close()
+	if err := l.cluster.Start(ctx); err != nil {
 		return err
 	}
 	begun := time.Now()
 	for id := 1; time.Since(begun) < l.length; id++ {
 		l.submit(ctx, id)
 		if id%9 == 0 {
-			l.rig.Send(ctx, http.MethodPost, fmt.Sprintf("%s/job-%d/%s", wire.PathJobs, id-3, wire.EndCancel), nil)
+			l.cluster.Send(ctx, http.MethodPost, fmt.Sprintf("%s/job-%d/%s", wire.PathJobs, id-3, wire.EndCancel), nil)
 		}
-		if l.loses && id%15 == 0 {
-			l.rig.LoseMachine()
+		if l.loseMachines && id%15 == 0 {
+			l.cluster.LoseMachine()
 		}
-		if err := l.rig.KillLeader(ctx, l.killEvery); err != nil {
+		if err := l.cluster.KillLeader(ctx, l.killEvery); err != nil {
 			return err
 		}
 		time.Sleep(between)
 	}
 	// All that is left runs to its end.
-	for l.rig.HasKeys("job/") && ctx.Err() == nil {
+	for l.cluster.HasKeys("job/") && ctx.Err() == nil {
 		time.Sleep(time.Second)
 	}
 	time.Sleep(3 * time.Second) // the last ends are stored
 	return l.compare(ctx)
 }
 
-func (l *lab) submit(ctx context.Context, id int) {
+func (l *comparison) submit(ctx context.Context, id int) {
 	l.submits++
 	body := fmt.Appendf(nil, `{"ref":"job-%d","lane":"c%d","desk":"team-%d","shape":"array","urgency":"standard","seats":%d,"cpus":%d,"gpus":0,
 		"mem_gb":4,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":12,"stub_s":5,"stamp_s":0,"account":"owner-%d"}`,
 		id, id%2, id%teams, 1+id%7, 1+id%2, id%5)
-	l.rig.Send(ctx, http.MethodPost, wire.PathJobs, body)
+	l.cluster.Send(ctx, http.MethodPost, wire.PathJobs, body)
 }
 
 // compare sets the charges of each attempt against what its worker measured.
-func (l *lab) compare(ctx context.Context) error {
+func (l *comparison) compare(ctx context.Context) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	reader, err := ledger.NewReader(statestore.New(l.rig.State.Addr(), 1e6, 1e6))
+	reader, err := ledger.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6))
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 		s.seenCharged += c.Seconds()
 	}
 	fmt.Printf("%d jobs, %d attempts measured (%d twice), %d charged, %d measured and not charged; the leader was killed %d times\n",
-		l.submits, len(l.measured), l.twice, len(charged), missing, l.rig.Kills)
+		l.submits, len(l.measured), l.twice, len(charged), missing, l.cluster.Kills)
 	over := func(charged, measured float64) float64 { return 100 * (charged/measured - 1) }
 	var all sums
 	for k := range teams {
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -28,7 +28,7 @@
 	"poppypass/internal/sim/fakes"
 )
 
-type lab struct {
+type loadTest struct {
 	program  string
 	workers  int
 	sockets  int
@@ -43,7 +43,7 @@
 }
 
 func main() {
-	l := &lab{}
+	l := &loadTest{}
 	cmd := &cobra.Command{
 		Use: "intake", Short: "Have a controller answer the reports of many workers", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
@@ -59,7 +59,7 @@
 	}
 }
 
-func (l *lab) run(ctx context.Context) error {
+func (l *loadTest) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length)
 	defer stop()
 	state := fakes.NewStore(clockwork.NewRealClock())
@@ -115,7 +115,7 @@
 }
 
 // work reports as one worker does.
-func (l *lab) work(ctx context.Context, i int) {
+func (l *loadTest) work(ctx context.Context, i int) {
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1}
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -29,13 +29,13 @@
 	"poppypass/internal/sim/testcluster"
 )
 
-type lab struct {
+type loadTest struct {
 	program   string
 	length    time.Duration
 	killEvery time.Duration
 	steps     int
 	crowd     int
-	rig       *testcluster.Cluster
+	cluster   *testcluster.Cluster
 
 	mu    sync.Mutex
 	ready map[string]time.Time // when a job began to wait: a step's when it was described
@@ -46,7 +46,7 @@
 }
 
 func main() {
-	l := &lab{ready: map[string]time.Time{}, kind: map[string]string{}, begun: map[string]time.Time{}, done: map[string]int{}}
+	l := &loadTest{ready: map[string]time.Time{}, kind: map[string]string{}, begun: map[string]time.Time{}, done: map[string]int{}}
 	cmd := &cobra.Command{
 		Use: "pipelines", Short: "Have graphs and plain jobs compete", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
@@ -62,7 +62,7 @@
 }
 
 // describe takes descriptions: a step begins to wait as it comes to be known here.
-func (l *lab) describe(_ http.ResponseWriter, r *http.Request) {
+func (l *loadTest) describe(_ http.ResponseWriter, r *http.Request) {
 	var steps []runner.Description
 	if json.NewDecoder(r.Body).Decode(&steps) != nil {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-func (l *lab) saw(m fakes.MeasuredAttempt) {
+func (l *loadTest) record(m fakes.MeasuredAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := fakes.JobOf(m.Task)
@@ -93,7 +93,7 @@
 }
 
 // graph describes a graph: a first step, two rows behind it, and a last one.
-func (l *lab) graph(id string) map[string]any {
+func (l *loadTest) graph(id string) map[string]any {
 	step := func(name string, up ...string) map[string]any {
 		return map[string]any{"task_id": name, "kind": "job", "upstream": up, "retries": 2, "retry_delay": 2, "job": map[string]any{
 			"class": "c", "cpus": 1, "memory_gb": 1, "image": "i", "image_gb": 1, "estimate_s": 6, "spot": true}}
@@ -108,12 +108,12 @@
 	return map[string]any{"dag_id": id, "tasks": append(tasks, step("last", last...))}
 }
 
-func (l *lab) api(ctx context.Context, method, path string, body any, out any) error {
+func (l *loadTest) api(ctx context.Context, method, path string, body any, out any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	status, answer := l.rig.Send(ctx, method, airflow.PathAPI+path+"?team=team-0", raw)
+	status, answer := l.cluster.Send(ctx, method, airflow.PathAPI+path+"?team=team-0", raw)
 	// A trigger that was stored without an answer is known when it is repeated.
 	if status == 0 || status >= http.StatusBadRequest && status != http.StatusConflict {
 		return fmt.Errorf("%s %s: %d %s", method, path, status, answer)
@@ -125,8 +125,8 @@
 }
 
 // submit submits a plain job of one task. It waits from when it is accepted.
-func (l *lab) submit(ctx context.Context, id, kind, shape, urgency string, team int) {
-	l.rig.Send(ctx, http.MethodPost, wire.PathJobs, fmt.Appendf(nil, `{"ref":%q,"lane":%q,"desk":"team-%d","shape":%q,"urgency":%q,"seats":1,"cpus":1,
+func (l *loadTest) submit(ctx context.Context, id, kind, shape, urgency string, team int) {
+	l.cluster.Send(ctx, http.MethodPost, wire.PathJobs, fmt.Appendf(nil, `{"ref":%q,"lane":%q,"desk":"team-%d","shape":%q,"urgency":%q,"seats":1,"cpus":1,
 		"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":%d,"stub_s":0,"stamp_s":0}`,
 		id, kind, team, shape, urgency, map[bool]int{false: 6}[kind == "service"]))
 	l.mu.Lock()
@@ -135,7 +135,7 @@
 }
 
 // crowded registers a graph whose steps are all ready at once, and begins a run of it.
-func (l *lab) crowded(ctx context.Context) error {
+func (l *loadTest) crowded(ctx context.Context) error {
 	g := l.graph("crowd")
 	one := g["tasks"].([]any)[0].(map[string]any)
 	tasks := make([]any, l.crowd)
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	hash, n, err := runner.NewReader(statestore.New(l.rig.State.Addr(), 1e6, 1e6)).Store(ctx, d)
+	hash, n, err := runner.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6)).Store(ctx, d)
 	if err != nil {
 		return err
 	}
@@ -161,15 +161,15 @@
 	return l.api(ctx, http.MethodPost, "/dags/crowd/dagRuns", map[string]any{"dag_run_id": "one"}, nil)
 }
 
-func (l *lab) run(ctx context.Context) error {
+func (l *loadTest) run(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
 	defer stop()
 	source := httptest.NewServer(http.HandlerFunc(l.describe))
 	defer source.Close()
-	l.rig = &testcluster.Cluster{
+	l.cluster = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, HeartbeatEvery: time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", OnEnd: l.saw,
+		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", OnEnd: l.record,
 		Task: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
 			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
 				return 15 * time.Second, wire.ExitDone, "team-1" // the replica of a service
@@ -177,8 +177,8 @@
 			return 6 * time.Second, wire.ExitDone, "team-0"
 		},
 	}
-	defer l.rig.Close()
-	if err := l.rig.Start(ctx); err != nil {
+	defer l.cluster.Close()
+	if err := l.cluster.Start(ctx); err != nil {
 		return err
 	}
 	if l.crowd > 0 {
@@ -204,7 +204,7 @@
 		if l.crowd > 0 && n%8 == 4 {
 			l.submit(ctx, fmt.Sprintf("job-9%06d", n), "service", "service", "production", 1)
 		}
-		if err := l.rig.KillLeader(ctx, l.killEvery); err != nil {
+		if err := l.cluster.KillLeader(ctx, l.killEvery); err != nil {
 			return err
 		}
 		time.Sleep(750 * time.Millisecond)
@@ -227,7 +227,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 	}
-	for l.rig.HasKeys("job/") && ctx.Err() == nil {
+	for l.cluster.HasKeys("job/") && ctx.Err() == nil {
 		time.Sleep(500 * time.Millisecond)
 	}
 	l.tell(states)
@@ -235,7 +235,7 @@
 }
 
 // tell prints what came of it.
-func (l *lab) tell(states map[string]int) {
+func (l *loadTest) tell(states map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	waits := map[string][]time.Duration{}
@@ -254,7 +254,7 @@
 		waits[l.kind[id]] = append(waits[l.kind[id]], first.Sub(at))
 	}
 	fmt.Printf("runs %v; %d jobs, %d attempts, %d never done, %d done twice; the leader was killed %d times; at most %.0f MB in a controller\n",
-		states, len(l.ready), l.tries, never, twice, l.rig.Kills, l.rig.PeakMB())
+		states, len(l.ready), l.tries, never, twice, l.cluster.Kills, l.cluster.PeakMB())
 	for _, kind := range []string{"plain", "first step", "later step", "service"} {
 		w := waits[kind]
 		slices.SortFunc(w, func(a, b time.Duration) int { return cmp.Compare(a, b) })
