--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -18,7 +18,7 @@
 // Add adds another use.
 func (u *Usage) Add(v Usage) { u.Core += v.Core; u.Money += v.Money }
 
-func (u Usage) of(unit Unit) float64 {
+func (u Usage) in(unit Unit) float64 {
 	if unit == CoreHours {
 		return float64(u.Core)
 	}
@@ -40,54 +40,54 @@
 // Tracker holds what budgets are judged by. It is not safe for concurrent use.
 type Tracker struct {
 	settings *Settings
-	days     map[Scope]map[string]Usage // charged, by day or, for what is long ago, by month
+	usage    map[Scope]map[string]Usage // charged, by day or, for what is long ago, by month
 	live     map[any]*Task
-	ratio    map[string]float64 // by class: what its tasks took of their owners' estimates
-	rates    map[string]int64   // by class: the last rate of a task of it
-	lines    []*Balance
+	runRatio map[string]float64 // by class: what its tasks took of their owners' estimates
+	lastRate map[string]int64   // by class: the last rate of a task of it
+	balances []*Balance
 	byScope  map[Scope][]*Balance
 }
 
 // Balance is the state of one budget.
 type Balance struct {
 	Budget
-	Limit    float64   // with what was carried over, in the ledger's units
-	Used     float64   // charged in the present period
-	Running  float64   // taken by tasks that still run
-	Reserved float64   // expected to be taken by them beyond that
-	From, To time.Time // the period; To is zero for one without end
-	tasks    int       // live ones within it
-	warned   time.Time // the beginning of the period in which it was warned of
+	Limit        float64   // with what was carried over, in the ledger's units
+	Used         float64   // charged in the present period
+	Running      float64   // taken by tasks that still run
+	Reserved     float64   // expected to be taken by them beyond that
+	From, To     time.Time // the period; To is zero for one without end
+	liveTasks    int       // live ones within it
+	warnedPeriod time.Time // the beginning of the period in which it was warned of
 }
 
 // NewTracker makes a keeper that knows of no use.
 func NewTracker() *Tracker {
 	return &Tracker{
-		settings: &Settings{}, days: map[Scope]map[string]Usage{}, live: map[any]*Task{},
-		ratio: map[string]float64{}, rates: map[string]int64{}, byScope: map[Scope][]*Balance{},
+		settings: &Settings{}, usage: map[Scope]map[string]Usage{}, live: map[any]*Task{},
+		runRatio: map[string]float64{}, lastRate: map[string]int64{}, byScope: map[Scope][]*Balance{},
 	}
 }
 
 // Configure takes in settings; what was used stays known.
-func (k *Tracker) Configure(s *Settings, now time.Time) {
+func (tr *Tracker) Configure(s *Settings, now time.Time) {
 	warned := map[Budget]time.Time{}
-	for _, l := range k.lines {
-		warned[l.Budget] = l.warned
+	for _, bal := range tr.balances {
+		warned[bal.Budget] = bal.warnedPeriod
 	}
-	k.settings, k.lines, k.byScope = s, nil, map[Scope][]*Balance{}
+	tr.settings, tr.balances, tr.byScope = s, nil, map[Scope][]*Balance{}
 	for _, b := range s.Budgets {
-		l := &Balance{Budget: b, warned: warned[b]}
-		k.lines = append(k.lines, l)
-		k.byScope[b.Scope] = append(k.byScope[b.Scope], l)
+		bal := &Balance{Budget: b, warnedPeriod: warned[b]}
+		tr.balances = append(tr.balances, bal)
+		tr.byScope[b.Scope] = append(tr.byScope[b.Scope], bal)
 	}
-	k.Recompute(now)
+	tr.Recompute(now)
 }
 
 // HasBudgets tells whether there are budgets.
-func (k *Tracker) HasBudgets() bool { return len(k.lines) > 0 }
+func (tr *Tracker) HasBudgets() bool { return len(tr.balances) > 0 }
 
-// scopes are those in which something of a team and account counts.
-func scopes(s Scope) []Scope {
+// enclosingScopes are those in which something of a team and account counts.
+func enclosingScopes(s Scope) []Scope {
 	if s.Account == "" {
 		return []Scope{s}
 	}
@@ -95,12 +95,12 @@
 }
 
 // AddCharge takes in a charge, of a day or a month (as in 2026-12).
-func (k *Tracker) AddCharge(s Scope, day string, u Usage) {
-	for _, sc := range scopes(s) {
-		d := k.days[sc]
+func (tr *Tracker) AddCharge(s Scope, day string, u Usage) {
+	for _, sc := range enclosingScopes(s) {
+		d := tr.usage[sc]
 		if d == nil {
 			d = map[string]Usage{}
-			k.days[sc] = d
+			tr.usage[sc] = d
 		}
 		v := d[day]
 		v.Add(u)
@@ -109,20 +109,20 @@
 }
 
 // StartTask takes in a live task. What it is expected to take counts from now on.
-func (k *Tracker) StartTask(ref any, t *Task) {
-	k.live[ref] = t
+func (tr *Tracker) StartTask(ref any, t *Task) {
+	tr.live[ref] = t
 	if t.Rate > 0 {
-		k.rates[t.Class] = t.Rate
+		tr.lastRate[t.Class] = t.Rate
 	}
-	for _, l := range k.linesOf(t) {
-		l.tasks++
-		l.Reserved += k.expected(t).of(l.Unit)
+	for _, bal := range tr.balancesOf(t) {
+		bal.liveTasks++
+		bal.Reserved += tr.expected(t).in(bal.Unit)
 	}
 }
 
 // MarkRunning takes in that a live task runs from a time on.
-func (k *Tracker) MarkRunning(ref any, at time.Time) {
-	if t := k.live[ref]; t != nil {
+func (tr *Tracker) MarkRunning(ref any, at time.Time) {
+	if t := tr.live[ref]; t != nil {
 		t.RunningSince = at
 	}
 }
@@ -130,38 +130,38 @@
 // EndTask takes in that a live task is over; done tells that it completed after a run.
 // What it took is charged besides; until the next Sum it also still counts as
 // reserved, which errs on the side of the budget.
-func (k *Tracker) EndTask(ref any, done bool, run time.Duration) {
-	t := k.live[ref]
+func (tr *Tracker) EndTask(ref any, done bool, run time.Duration) {
+	t := tr.live[ref]
 	if t == nil {
 		return
 	}
-	delete(k.live, ref)
+	delete(tr.live, ref)
 	if done && t.EstimateS > 0 {
 		seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMax), tuning.EstimateCorrectionMax)
-		if old, ok := k.ratio[t.Class]; ok {
+		if old, ok := tr.runRatio[t.Class]; ok {
 			seen = old + tuning.EstimateLearningRate*(seen-old)
 		}
-		k.ratio[t.Class] = seen
+		tr.runRatio[t.Class] = seen
 	}
 }
 
-func (k *Tracker) linesOf(t *Task) []*Balance {
-	if len(k.lines) == 0 {
+func (tr *Tracker) balancesOf(t *Task) []*Balance {
+	if len(tr.balances) == 0 {
 		return nil
 	}
 	var out []*Balance
-	for _, sc := range scopes(t.Scope) {
-		out = append(out, k.byScope[sc]...)
+	for _, sc := range enclosingScopes(t.Scope) {
+		out = append(out, tr.byScope[sc]...)
 	}
 	return out
 }
 
 // expected is what a task is expected to take in all: its owner's estimate,
 // corrected by what the class was seen to take.
-func (k *Tracker) expected(t *Task) Usage {
+func (tr *Tracker) expected(t *Task) Usage {
 	run := tuning.ServiceReserve
 	if t.EstimateS > 0 {
-		ratio, ok := k.ratio[t.Class]
+		ratio, ok := tr.runRatio[t.Class]
 		if !ok {
 			ratio = 1
 		}
@@ -169,7 +169,7 @@
 	}
 	rate := t.Rate
 	if rate == 0 {
-		rate = k.rates[t.Class]
+		rate = tr.lastRate[t.Class]
 	}
 	if rate == 0 {
 		rate = t.MaxRate
@@ -177,8 +177,8 @@
 	return Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(rate, run)}
 }
 
-// window is the period in which a time lies. to is zero for one without end.
-func window(p Period, t time.Time, where *time.Location) (from, to time.Time) {
+// periodBounds is the period in which a time lies. to is zero for one without end.
+func periodBounds(p Period, t time.Time, where *time.Location) (from, to time.Time) {
 	t = t.In(where)
 	y, m, d := t.Date()
 	date := func(y int, m time.Month, d int) time.Time { return time.Date(y, m, d, 0, 0, 0, 0, where) }
@@ -194,15 +194,15 @@
 	return time.Time{}, time.Time{}
 }
 
-// usedIn is what a scope was charged in a period.
-func (k *Tracker) usedIn(s Scope, from, to time.Time) (u Usage) {
+// usageBetween is what a scope was charged in a period.
+func (tr *Tracker) usageBetween(s Scope, from, to time.Time) (u Usage) {
 	if to.IsZero() {
-		for _, v := range k.days[s] {
+		for _, v := range tr.usage[s] {
 			u.Add(v)
 		}
 		return u
 	}
-	days := k.days[s]
+	days := tr.usage[s]
 	for day := from; day.Before(to); day = day.AddDate(0, 0, 1) {
 		u.Add(days[day.Format(time.DateOnly)])
 	}
@@ -210,63 +210,63 @@
 }
 
 // Recompute works out the state of all budgets anew.
-func (k *Tracker) Recompute(now time.Time) {
-	where := k.settings.Location()
-	for _, l := range k.lines {
-		l.From, l.To = window(l.Period, now, where)
-		l.Limit = l.Amount * l.Unit.scale()
-		if carry := k.settings.policy(l.Team).CarryOver; carry > 0 && !l.To.IsZero() {
-			before, _ := window(l.Period, l.From.Add(-time.Second), where)
-			l.Limit += carry * max(0, l.Limit-k.usedIn(l.Scope, before, l.From).of(l.Unit))
+func (tr *Tracker) Recompute(now time.Time) {
+	where := tr.settings.Location()
+	for _, bal := range tr.balances {
+		bal.From, bal.To = periodBounds(bal.Period, now, where)
+		bal.Limit = bal.Amount * bal.Unit.scale()
+		if carry := tr.settings.policy(bal.Team).CarryOver; carry > 0 && !bal.To.IsZero() {
+			before, _ := periodBounds(bal.Period, bal.From.Add(-time.Second), where)
+			bal.Limit += carry * max(0, bal.Limit-tr.usageBetween(bal.Scope, before, bal.From).in(bal.Unit))
 		}
-		l.Used = k.usedIn(l.Scope, l.From, l.To).of(l.Unit)
-		l.Running, l.Reserved, l.tasks = 0, 0, 0
+		bal.Used = tr.usageBetween(bal.Scope, bal.From, bal.To).in(bal.Unit)
+		bal.Running, bal.Reserved, bal.liveTasks = 0, 0, 0
 	}
-	if len(k.lines) == 0 {
+	if len(tr.balances) == 0 {
 		return
 	}
-	for _, t := range k.live {
-		expected := k.expected(t)
-		for _, l := range k.linesOf(t) {
-			l.tasks++
+	for _, t := range tr.live {
+		expected := tr.expected(t)
+		for _, bal := range tr.balancesOf(t) {
+			bal.liveTasks++
 			var ran Usage
 			if !t.RunningSince.IsZero() {
 				begun := t.RunningSince
-				if begun.Before(l.From) {
-					begun = l.From // what it took before counts in the period before
+				if begun.Before(bal.From) {
+					begun = bal.From // what it took before counts in the period before
 				}
 				run := max(0, now.Sub(begun))
 				ran = Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(t.Rate, run)}
 			}
-			l.Running += ran.of(l.Unit)
-			l.Reserved += max(0, expected.of(l.Unit)-ran.of(l.Unit))
+			bal.Running += ran.in(bal.Unit)
+			bal.Reserved += max(0, expected.in(bal.Unit)-ran.in(bal.Unit))
 		}
 	}
 }
 
-// stop is the part of its limit from which on a budget lets nothing start.
-func (k *Tracker) stop(l *Balance) float64 {
-	if p := k.settings.policy(l.Team); p.DrainWhenSpent {
-		return p.DrainAt * l.Limit
+// admissionLimit is the part of its limit from which on a budget lets nothing start.
+func (tr *Tracker) admissionLimit(bal *Balance) float64 {
+	if p := tr.settings.policy(bal.Team); p.DrainWhenSpent {
+		return p.DrainAt * bal.Limit
 	}
-	return l.Limit
+	return bal.Limit
 }
 
-func (k *Tracker) spared(t *Task) bool {
-	return t.Production && !k.settings.policy(t.Scope.Team).HoldProduction
+func (tr *Tracker) exempt(t *Task) bool {
+	return t.Production && !tr.settings.policy(t.Scope.Team).HoldProduction
 }
 
 // Admit says how many of n waiting tasks alike may start now, and why no more. As
 // long as nothing within a budget runs and it is not used up, one may: otherwise a
 // task that is expected to take more than the whole budget would never run.
-func (k *Tracker) Admit(t *Task, n int) (int, string) {
-	if k.spared(t) {
+func (tr *Tracker) Admit(t *Task, n int) (int, string) {
+	if tr.exempt(t) {
 		return n, ""
 	}
 	why, all := "", float64(n)
-	for _, l := range k.linesOf(t) {
-		left := k.stop(l) - l.Used - l.Running - l.Reserved
-		each := k.expected(t).of(l.Unit)
+	for _, bal := range tr.balancesOf(t) {
+		left := tr.admissionLimit(bal) - bal.Used - bal.Running - bal.Reserved
+		each := tr.expected(t).in(bal.Unit)
 		may := 0
 		switch {
 		case left <= 0:
@@ -275,26 +275,26 @@
 		default:
 			may = int(min(math.Floor(left/each), math.MaxInt32))
 		}
-		if may == 0 && l.tasks == 0 && l.Used < k.stop(l) {
+		if may == 0 && bal.liveTasks == 0 && bal.Used < tr.admissionLimit(bal) {
 			may = 1
 		}
 		if may < n {
-			n, why = may, l.why(each, all, k.stop(l))
+			n, why = may, bal.explainHold(each, all, tr.admissionLimit(bal))
 		}
 	}
 	return n, why
 }
 
-// why says what a budget holds a job for of whose waiting tasks each is expected to take
+// explainHold says what a budget holds a job for of whose waiting tasks each is expected to take
 // so much; stop is from where on the budget lets nothing start.
-func (l *Balance) why(each, tasks, stop float64) string {
-	s := l.Unit.scale()
+func (bal *Balance) explainHold(each, tasks, stop float64) string {
+	s := bal.Unit.scale()
 	text := fmt.Sprintf("the budget of %s (%s, %s) is spent or reserved: %.6g used and %.6g reserved of %.6g",
-		l.Scope, l.Unit, l.Period, (l.Used+l.Running)/s, l.Reserved/s, l.Limit/s)
-	if l.Period == Ever {
+		bal.Scope, bal.Unit, bal.Period, (bal.Used+bal.Running)/s, bal.Reserved/s, bal.Limit/s)
+	if bal.Period == Ever {
 		text += "; it goes on when the budget is raised"
 	} else {
-		text += "; it goes on from " + l.To.Format("2006-01-02 15:04 MST") + " or when the budget is raised"
+		text += "; it goes on from " + bal.To.Format("2006-01-02 15:04 MST") + " or when the budget is raised"
 	}
 	switch {
 	case each > stop:
@@ -306,48 +306,48 @@
 }
 
 // SaveReservations begins to consider what could start; release takes it all back.
-func (k *Tracker) SaveReservations() (release func()) {
+func (tr *Tracker) SaveReservations() (release func()) {
 	type state struct {
 		reserved float64
 		tasks    int
 	}
-	before := make([]state, len(k.lines))
-	for i, l := range k.lines {
-		before[i] = state{l.Reserved, l.tasks}
+	before := make([]state, len(tr.balances))
+	for i, bal := range tr.balances {
+		before[i] = state{bal.Reserved, bal.liveTasks}
 	}
 	return func() {
-		for i, l := range k.lines {
-			l.Reserved, l.tasks = before[i].reserved, before[i].tasks
+		for i, bal := range tr.balances {
+			bal.Reserved, bal.liveTasks = before[i].reserved, before[i].tasks
 		}
 	}
 }
 
 // Reserve counts n waiting tasks as if they had started.
-func (k *Tracker) Reserve(t *Task, n int) {
+func (tr *Tracker) Reserve(t *Task, n int) {
 	if n <= 0 {
 		return
 	}
-	expected := k.expected(t)
-	for _, l := range k.linesOf(t) {
-		l.tasks += n
-		l.Reserved += float64(n) * expected.of(l.Unit)
+	expected := tr.expected(t)
+	for _, bal := range tr.balancesOf(t) {
+		bal.liveTasks += n
+		bal.Reserved += float64(n) * expected.in(bal.Unit)
 	}
 }
 
 // TasksToDrain gives the live tasks that are to be stopped now.
-func (k *Tracker) TasksToDrain() []any {
+func (tr *Tracker) TasksToDrain() []any {
 	var out []any
 	var over []*Balance
-	for _, l := range k.lines {
-		if k.settings.policy(l.Team).DrainWhenSpent && l.Used+l.Running >= k.stop(l) {
-			over = append(over, l)
+	for _, bal := range tr.balances {
+		if tr.settings.policy(bal.Team).DrainWhenSpent && bal.Used+bal.Running >= tr.admissionLimit(bal) {
+			over = append(over, bal)
 		}
 	}
 	if len(over) == 0 {
 		return nil
 	}
-	for ref, t := range k.live {
-		if !k.spared(t) && slices.ContainsFunc(k.linesOf(t), func(l *Balance) bool { return slices.Contains(over, l) }) {
+	for ref, t := range tr.live {
+		if !tr.exempt(t) && slices.ContainsFunc(tr.balancesOf(t), func(bal *Balance) bool { return slices.Contains(over, bal) }) {
 			out = append(out, ref)
 		}
 	}
@@ -356,24 +356,24 @@
 
 // Warnings gives the budgets that have come to their mark since it was last asked in
 // their present period.
-func (k *Tracker) Warnings() []*Balance {
+func (tr *Tracker) Warnings() []*Balance {
 	var out []*Balance
-	for _, l := range k.lines {
-		began := l.From
-		if l.Period == Ever {
+	for _, bal := range tr.balances {
+		began := bal.From
+		if bal.Period == Ever {
 			began = time.Unix(1, 0)
 		}
-		if l.NearlySpent(k.settings) && !l.warned.Equal(began) {
-			l.warned = began
-			out = append(out, l)
+		if bal.NearlySpent(tr.settings) && !bal.warnedPeriod.Equal(began) {
+			bal.warnedPeriod = began
+			out = append(out, bal)
 		}
 	}
 	return out
 }
 
 // NearlySpent tells whether a budget has come to its warning mark.
-func (l *Balance) NearlySpent(s *Settings) bool {
-	return l.Used+l.Running >= s.policy(l.Team).WarnAt*l.Limit
+func (bal *Balance) NearlySpent(s *Settings) bool {
+	return bal.Used+bal.Running >= s.policy(bal.Team).WarnAt*bal.Limit
 }
 
 // View is a budget's state for people and programs, in the budget's own unit.
@@ -392,25 +392,25 @@
 }
 
 // Views gives the state of a team's budgets; an empty name: of all.
-func (k *Tracker) Views(team string) []View {
+func (tr *Tracker) Views(team string) []View {
 	out := []View{}
-	for _, l := range k.lines {
-		if team != "" && l.Team != team {
+	for _, bal := range tr.balances {
+		if team != "" && bal.Team != team {
 			continue
 		}
-		s := l.Unit.scale()
+		s := bal.Unit.scale()
 		v := View{
-			Team: l.Team, Account: l.Account, Period: l.Period, Unit: l.Unit, Amount: l.Amount,
-			Limit: l.Limit / s, Used: (l.Used + l.Running) / s, Reserved: l.Reserved / s, State: "open",
+			Team: bal.Team, Account: bal.Account, Period: bal.Period, Unit: bal.Unit, Amount: bal.Amount,
+			Limit: bal.Limit / s, Used: (bal.Used + bal.Running) / s, Reserved: bal.Reserved / s, State: "open",
 		}
-		if !l.To.IsZero() {
-			from, to := l.From, l.To // a view outlives the next Sum
+		if !bal.To.IsZero() {
+			from, to := bal.From, bal.To // a view outlives the next Sum
 			v.From, v.To = &from, &to
 		}
 		switch {
-		case l.Used+l.Running >= k.stop(l):
+		case bal.Used+bal.Running >= tr.admissionLimit(bal):
 			v.State = "spent"
-		case l.NearlySpent(k.settings):
+		case bal.NearlySpent(tr.settings):
 			v.State = "nearly-spent"
 		}
 		out = append(out, v)
@@ -430,4 +430,4 @@
 }
 
 // TeamUsage gives what a team was charged, by day or month.
-func (k *Tracker) TeamUsage(team string) map[string]Usage { return k.days[Scope{Team: team}] }
+func (tr *Tracker) TeamUsage(team string) map[string]Usage { return tr.usage[Scope{Team: team}] }
--- a/internal/accounting/budget/budget_test.go
+++ b/internal/accounting/budget/budget_test.go
@@ -43,12 +43,12 @@
 	}{
 		{Day, "2026-11-30", "2026-12-01"}, {Week, "2026-11-30", "2026-12-07"}, {Month, "2026-11-01", "2026-12-01"},
 	} {
-		from, to := window(c.period, at, where)
+		from, to := periodBounds(c.period, at, where)
 		if from.Format(time.DateOnly) != c.from || to.Format(time.DateOnly) != c.to || from.Hour() != 0 {
 			t.Errorf("%s: from %v to %v", c.period, from, to)
 		}
 	}
-	if _, to := window(Ever, at, where); !to.IsZero() {
+	if _, to := periodBounds(Ever, at, where); !to.IsZero() {
 		t.Error("one without end ends")
 	}
 }
@@ -63,25 +63,25 @@
 		}
 	}
 	now := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	k := NewTracker()
-	k.Configure(s, now)
+	tr := NewTracker()
+	tr.Configure(s, now)
 	task := func(account string) *Task {
 		return &Task{Scope: Scope{"t", account}, Class: "c", MilliCores: 1000, EstimateS: 3600, MaxRate: 250_000}
 	}
 	for account, want := range map[string]int{"a": 4, "b": 10, "": 10} {
-		if n, _ := k.Admit(task(account), 100); n != want {
+		if n, _ := tr.Admit(task(account), 100); n != want {
 			t.Errorf("account %q: %d may start, want %d", account, n, want)
 		}
 	}
 	cheap := task("a")
 	cheap.Rate = 125_000
-	k.StartTask("one", cheap)
-	if n, _ := k.Admit(task("a"), 100); n != 7 {
+	tr.StartTask("one", cheap)
+	if n, _ := tr.Admit(task("a"), 100); n != 7 {
 		t.Errorf("with the class's rate known %d may start, want 7", n)
 	}
-	k.AddCharge(Scope{"t", "b"}, "2026-12-01", Usage{Core: 9 * 3600 * 1_000_000})
-	k.Recompute(now)
-	if n, why := k.Admit(task("b"), 100); n != 0 || !strings.Contains(why, "budget of t (") || !strings.Contains(why, "more than the whole budget") {
+	tr.AddCharge(Scope{"t", "b"}, "2026-12-01", Usage{Core: 9 * 3600 * 1_000_000})
+	tr.Recompute(now)
+	if n, why := tr.Admit(task("b"), 100); n != 0 || !strings.Contains(why, "budget of t (") || !strings.Contains(why, "more than the whole budget") {
 		t.Errorf("%d may start, since %q", n, why)
 	}
 	// A task's time before the period counts in the period before.
@@ -89,9 +89,9 @@
 	if err := daily.Set("budget.t.day.core-hours", "10"); err != nil {
 		t.Fatal(err)
 	}
-	k.MarkRunning("one", now.Add(-5*time.Hour))
-	k.Configure(daily, now.Add(time.Hour))
-	if v := k.Views("t")[0]; v.Used != 10 { // nine charged, and one hour of the running task
+	tr.MarkRunning("one", now.Add(-5*time.Hour))
+	tr.Configure(daily, now.Add(time.Hour))
+	if v := tr.Views("t")[0]; v.Used != 10 { // nine charged, and one hour of the running task
 		t.Errorf("the day has used %v", v.Used)
 	}
 }
@@ -104,10 +104,10 @@
 		t.Fatal(err)
 	}
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	k := NewTracker()
-	k.Configure(s, now)
-	v := k.Views("t")[0]
-	k.Recompute(now.AddDate(0, 0, 1))
+	tr := NewTracker()
+	tr.Configure(s, now)
+	v := tr.Views("t")[0]
+	tr.Recompute(now.AddDate(0, 0, 1))
 	if v.From.Day() != 1 || v.To.Day() != 2 {
 		t.Errorf("the view became one from %v to %v", v.From, v.To)
 	}
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -132,15 +132,15 @@
 	var err error
 	switch last {
 	case "carry-over":
-		p.CarryOver, err = share(key, value, 0)
+		p.CarryOver, err = parseShare(key, value, 0)
 	case "warn-at":
-		p.WarnAt, err = share(key, value, math.SmallestNonzeroFloat64)
+		p.WarnAt, err = parseShare(key, value, math.SmallestNonzeroFloat64)
 	case "drain-at":
-		p.DrainAt, err = share(key, value, math.SmallestNonzeroFloat64)
+		p.DrainAt, err = parseShare(key, value, math.SmallestNonzeroFloat64)
 	case "when-spent":
-		p.DrainWhenSpent, err = choice(key, value, "finish", "drain")
+		p.DrainWhenSpent, err = parseChoice(key, value, "finish", "drain")
 	case "production":
-		p.HoldProduction, err = choice(key, value, "spared", "held")
+		p.HoldProduction, err = parseChoice(key, value, "spared", "held")
 	default:
 		return fmt.Errorf("%s: unknown key", key)
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func share(key, value string, least float64) (float64, error) {
+func parseShare(key, value string, least float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(v >= least) || v > 1 {
 		return 0, fmt.Errorf("%s: %q is not a share up to 1", key, value)
@@ -176,7 +176,7 @@
 	return v, nil
 }
 
-func choice(key, value, no, yes string) (bool, error) {
+func parseChoice(key, value, no, yes string) (bool, error) {
 	switch value {
 	case no:
 		return false, nil
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -12,16 +12,16 @@
 // BenchmarkCharge is what one attempt's charge costs the loop, with the bytes that its
 // record grows by.
 func BenchmarkCharge(b *testing.B) {
-	w := newWorld(b)
-	w.submit(array("job-1", 1))
-	p := w.start("job-1")
-	c := charge.Charge{Attempt: 1, Start: begin.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
+	w := newTestLeader(b)
+	w.submit(jobArray("job-1", 1))
+	p := w.allocateAndRun("job-1")
+	c := charge.Charge{Attempt: 1, Start: testStart.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Attempt++ // no two charges have the same name
-		w.ledger.write(p, []charge.Charge{c}, w.now())
-		if len(w.book.Jobs) > 0 && w.ledger.stats.Charges%64 == 0 {
-			w.flush()
+		w.ledger.recordCharges(p, []charge.Charge{c}, w.now())
+		if len(w.store.Jobs) > 0 && w.ledger.stats.Charges%64 == 0 {
+			w.commitAll()
 		}
 	}
 	pack := charge.Pack{Job: "job-000001", Brief: charge.Brief{Team: "fraud-desk-00", Class: "fraud-scoring", Cores: 4000}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "a"}}}
@@ -37,7 +37,7 @@
 func BenchmarkMillion(b *testing.B) {
 	const jobsIn, each = 20_000, 50
 	for b.Loop() {
-		w := newWorld(b)
+		w := newTestLeader(b)
 		begun := time.Now()
 		made := time.Duration(0)
 		for i := range jobsIn {
@@ -49,38 +49,38 @@
 			for k := range each {
 				run := int64(30_000 + (i*7919+k*104729)%40_000)
 				pack.Charges = append(pack.Charges, charge.Charge{
-					Task: k, Attempt: 1, Start: begin.UnixMilli() + int64(i)*4000 + int64(k*37%900), Run: run,
+					Task: k, Attempt: 1, Start: testStart.UnixMilli() + int64(i)*4000 + int64(k*37%900), Run: run,
 					Money: charge.Cost(90_000, time.Duration(run)*time.Millisecond), Outcome: charge.Done,
 				})
 			}
-			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: w.revision + 1, Value: leftValue(pack)}
+			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: w.revision + 1, Value: detachedValue(pack)}
 			w.apply(wire.Txn{Then: []wire.Change{{Put: item.Key, Value: item.Value}}})
-			w.book.LoadDetached(w.items[item.Key])
+			w.store.LoadDetached(w.items[item.Key])
 			made += time.Since(begun)
 			if i%9 == 8 {
 				w.ledger.Tick(w.now())
-				w.ledger.leftSince = time.Time{}
-				w.next(true)
+				w.ledger.detachedSince = time.Time{}
+				w.commitLedgerWrite(true)
 			}
 		}
-		w.ledger.nextCare = time.Time{}
-		w.roll()
+		w.ledger.nextCompactCheck = time.Time{}
+		w.rollUpAll()
 		size, pages := 0, 0
-		for _, item := range w.with(PrefixSegment) {
+		for _, item := range w.itemsWithPrefix(PrefixSegment) {
 			size += len(item.Value)
 		}
-		for _, item := range w.with(PrefixPage) {
+		for _, item := range w.itemsWithPrefix(PrefixPage) {
 			pages += len(item.Value)
 		}
 		b.ReportMetric(float64(size)/(jobsIn*each), "B/charge-stored")
 		b.ReportMetric(float64(pages), "B-of-totals")
-		b.ReportMetric(float64(len(w.with(PrefixSegment))), "segments")
+		b.ReportMetric(float64(len(w.itemsWithPrefix(PrefixSegment))), "segments")
 		b.ReportMetric(float64(w.ledger.stats.Changes)/jobsIn, "changes/job")
 		b.ReportMetric((time.Since(begun) - made).Seconds(), "s-rolling")
 	}
 }
 
-func leftValue(p *charge.Pack) []byte {
+func detachedValue(p *charge.Pack) []byte {
 	return wire.EncodeRecord(struct {
 		Charges []byte `json:"c"`
 	}{charge.EncodePack(p)})
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -39,7 +39,7 @@
 func TestStoredKeys(t *testing.T) {
 	golden.Lines(t, "keys", PrefixSegment, PrefixPage, keySegment(17), keyPage(18))
 	for prefix, key := range map[string]string{PrefixSegment: keySegment(17), PrefixPage: keyPage(17)} {
-		if n, err := number(prefix, key); n != 17 || err != nil {
+		if n, err := recordNumber(prefix, key); n != 17 || err != nil {
 			t.Errorf("%s is read as %d, %v", key, n, err)
 		}
 	}
@@ -86,7 +86,7 @@
 // What answers say of stored amounts and charges.
 func TestAnswersToQuestions(t *testing.T) {
 	question, err := ParseQuery(url.Values{
-		"team": {"vision"}, "account": {"grant-7"}, "class": {"train"}, "from": {"2026-12-01"}, "to": {"2026-12-31"}, "by": {strings.Join(columns, ",")},
+		"team": {"vision"}, "account": {"grant-7"}, "class": {"train"}, "from": {"2026-12-01"}, "to": {"2026-12-31"}, "by": {strings.Join(groupColumns, ",")},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -100,5 +100,5 @@
 	golden.Written(t, "question-charges", charges)
 	golden.Written(t, "csv-totals", TotalsCSV(totals))
 	golden.Written(t, "csv-charges", ChargesCSV(charges))
-	golden.Lines(t, "paths", append([]string{PathTotals, PathStats, PathBudgets}, columns...)...)
+	golden.Lines(t, "paths", append([]string{PathTotals, PathStats, PathBudgets}, groupColumns...)...)
 }
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -26,25 +26,25 @@
 }
 
 // Routes registers the handler's paths.
-func (d *Handler) Routes(mux *http.ServeMux) {
-	mux.HandleFunc("GET "+PathTotals, d.serveTotals)
-	mux.HandleFunc("GET "+PathBudgets, d.serveLeader)
-	mux.HandleFunc("GET "+PathStats, d.serveLeader)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndCharges, d.serveCharges)
+func (h *Handler) Routes(mux *http.ServeMux) {
+	mux.HandleFunc("GET "+PathTotals, h.serveTotals)
+	mux.HandleFunc("GET "+PathBudgets, h.serveLeader)
+	mux.HandleFunc("GET "+PathStats, h.serveLeader)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndCharges, h.serveCharges)
 }
 
-func (d *Handler) serveLeader(w http.ResponseWriter, r *http.Request) {
-	status, body := d.QueryLeader(r.Context(), r.URL.RequestURI())
+func (h *Handler) serveLeader(w http.ResponseWriter, r *http.Request) {
+	status, body := h.QueryLeader(r.Context(), r.URL.RequestURI())
 	httpjson.WriteRaw(w, status, body)
 }
 
 // serveTotals answers for one team: a team sees its own charges only.
-func (d *Handler) serveTotals(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) serveTotals(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("team") == "" {
 		httpjson.WriteError(w, http.StatusBadRequest, "the parameter team is missing")
 		return
 	}
-	status, body := d.QueryLeader(r.Context(), r.URL.RequestURI())
+	status, body := h.QueryLeader(r.Context(), r.URL.RequestURI())
 	var t Totals
 	if r.URL.Query().Get("format") != "csv" || status != http.StatusOK || json.Unmarshal(body, &t) != nil {
 		httpjson.WriteRaw(w, status, body)
@@ -53,20 +53,20 @@
 	writeCSV(w, TotalsCSV(t))
 }
 
-func (d *Handler) serveCharges(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) serveCharges(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
 		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if !d.mu.TryLock() {
+	if !h.mu.TryLock() {
 		httpjson.WriteUnavailable(w, "another question for charges is being answered")
 		return
 	}
-	defer d.mu.Unlock()
+	defer h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesTimeout)
 	defer cancel()
-	page, err := d.Reader.JobCharges(ctx, id, r.URL.Query().Get("after"))
+	page, err := h.Reader.JobCharges(ctx, id, r.URL.Query().Get("after"))
 	if err != nil {
 		httpjson.WriteUnavailable(w, "the charges cannot be read now")
 		return
@@ -91,7 +91,7 @@
 	_, _ = w.Write(b.Bytes()) // a reader that has gone is its own affair
 }
 
-func number6(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
+func formatDecimal(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
 
 // TotalsCSV gives totals as the rows of a CSV file, the first with the names.
 func TotalsCSV(t Totals) [][]string {
@@ -102,8 +102,8 @@
 			spot = strconv.FormatBool(*r.Spot)
 		}
 		rows = append(rows, []string{
-			r.Day, r.Team, r.Account, r.Class, r.Type, spot, strconv.FormatInt(r.Attempts, 10), number6(r.CoreHours), number6(r.GPUHours),
-			number6(r.MemoryGBH), number6(r.Money), strconv.FormatInt(r.CoreMicroS, 10), strconv.FormatInt(r.MoneyMicro, 10),
+			r.Day, r.Team, r.Account, r.Class, r.Type, spot, strconv.FormatInt(r.Attempts, 10), formatDecimal(r.CoreHours), formatDecimal(r.GPUHours),
+			formatDecimal(r.MemoryGBH), formatDecimal(r.Money), strconv.FormatInt(r.CoreMicroS, 10), strconv.FormatInt(r.MoneyMicro, 10),
 		})
 	}
 	return rows
@@ -115,8 +115,8 @@
 	for _, c := range charges {
 		rows = append(rows, []string{
 			c.Task, strconv.FormatUint(c.Attempt, 10), strconv.Itoa(c.Part), c.Team, c.Account, c.Class, c.Type, c.Zone, strconv.FormatBool(c.Spot),
-			c.Start.Format(time.RFC3339Nano), c.End.Format(time.RFC3339Nano), number6(c.CoreS), number6(c.GPUS), number6(c.MemoryGBS),
-			number6(c.Money), c.Outcome.String(), strconv.FormatBool(c.UpperBound), strconv.FormatBool(c.ProgressSaved),
+			c.Start.Format(time.RFC3339Nano), c.End.Format(time.RFC3339Nano), formatDecimal(c.CoreS), formatDecimal(c.GPUS), formatDecimal(c.MemoryGBS),
+			formatDecimal(c.Money), c.Outcome.String(), strconv.FormatBool(c.UpperBound), strconv.FormatBool(c.ProgressSaved),
 		})
 	}
 	return rows
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -40,28 +40,28 @@
 
 // Ledger is the ledger of one tenure. It implements leader.Subsystem.
 type Ledger struct {
-	cfg        Config
-	log        *slog.Logger
-	txnOps     int
-	valueBytes int
-	codec      *charge.Codec
-	where      *time.Location // in which days begin
-	book       *jobs.Store
-
-	read      bool // the segments and totals are in: roll-ups may begin
-	segment   segment
-	open      *page
-	closed    map[int]*page
-	lefts     []jobs.DetachedCharges
-	nextTell  time.Time
-	nextCare  time.Time // the totals are not looked at for compaction before
-	leftSince time.Time // when the oldest of them came
-
-	live    map[*jobs.Allocation]bool
-	turn    time.Time // when the present day ends
-	budgets *budget.Tracker
-	seen    *budget.Settings // those that are in force
-	stats   Stats
+	cfg           Config
+	log           *slog.Logger
+	maxTxnOps     int
+	maxValueBytes int
+	codec         *charge.Codec
+	location      *time.Location // in which days begin
+	store         *jobs.Store
+
+	loaded           bool // the segments and totals are in: roll-ups may begin
+	openSegment      segment
+	openPage         *page
+	closedPages      map[int]*page
+	detached         []jobs.DetachedCharges
+	nextTotalsLog    time.Time
+	nextCompactCheck time.Time // the totals are not looked at for compaction before
+	detachedSince    time.Time // when the oldest of them came
+
+	live           map[*jobs.Allocation]bool
+	dayEnd         time.Time // when the present day ends
+	budgets        *budget.Tracker
+	budgetSettings *budget.Settings // those that are in force
+	stats          Stats
 }
 
 // Stats counts what a ledger did in its tenure.
@@ -79,8 +79,8 @@
 		return nil, err
 	}
 	return &Ledger{
-		cfg: cfg, log: log, txnOps: cfg.MaxTxnOps, valueBytes: int(cfg.MaxValueKB * 1024), codec: codec,
-		where: cfg.Budgets().Location(), open: newPage(0), closed: map[int]*page{},
+		cfg: cfg, log: log, maxTxnOps: cfg.MaxTxnOps, maxValueBytes: int(cfg.MaxValueKB * 1024), codec: codec,
+		location: cfg.Budgets().Location(), openPage: newPage(0), closedPages: map[int]*page{},
 		live: map[*jobs.Allocation]bool{}, budgets: budget.NewTracker(),
 	}, nil
 }
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	return func() {
-		if err := l.take(pages, last); err != nil {
+		if err := l.load(pages, last); err != nil {
 			// Without them nothing can be added; the charges stay where they are.
 			l.log.Error("the ledger's records are unreadable; charges are kept but not rolled up", "err", err)
 		}
@@ -150,11 +150,11 @@
 	return found, nil
 }
 
-// take takes in the records that were read.
-func (l *Ledger) take(pages []wire.Item, last *wire.Item) error {
+// load takes in the records that were read.
+func (l *Ledger) load(pages []wire.Item, last *wire.Item) error {
 	closed, open := map[int]*page{}, newPage(0)
 	for _, item := range pages {
-		n, err := number(PrefixPage, item.Key)
+		n, err := recordNumber(PrefixPage, item.Key)
 		if err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 		}
 	}
 	if last != nil {
-		n, err := number(PrefixSegment, last.Key)
+		n, err := recordNumber(PrefixSegment, last.Key)
 		if err != nil {
 			return err
 		}
@@ -181,10 +181,10 @@
 		if err != nil {
 			return err
 		}
-		l.segment = segment{n: n, version: last.Version, packs: packs, size: len(last.Value)}
+		l.openSegment = segment{n: n, version: last.Version, packs: packs, bytes: len(last.Value)}
 	}
 	delete(closed, open.n)
-	l.open, l.closed, l.read = open, closed, true
+	l.openPage, l.closedPages, l.loaded = open, closed, true
 	for _, p := range append(slices.Collect(maps.Values(closed)), open) {
 		for name, sum := range p.rows {
 			l.budgets.AddCharge(budget.Scope{Team: name.Team, Account: name.Account}, name.Day, budget.Usage{Core: sum.Core, Money: sum.Money})
@@ -196,18 +196,18 @@
 
 // Loaded takes in the book, with the charges and the live tasks of former leaders.
 func (l *Ledger) Loaded(book *jobs.Store, now time.Time) {
-	l.book = book
+	l.store = book
 	book.Metered = true
-	l.turn = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.where))
-	book.VisitCharges(l.charged)
-	for _, left := range l.collect(now) {
-		l.charged(left.Pack)
+	l.dayEnd = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.location))
+	book.VisitCharges(l.countPack)
+	for _, left := range l.collectDetached(now) {
+		l.countPack(left.Pack)
 	}
 	for _, j := range book.Jobs {
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
 				l.live[p] = true
-				l.budgets.StartTask(p, l.task(p))
+				l.budgets.StartTask(p, l.budgetTask(p))
 			}
 		}
 	}
@@ -216,8 +216,8 @@
 
 // configure takes in the operators' budgets if they have changed.
 func (l *Ledger) configure(now time.Time) {
-	if s := l.cfg.Budgets(); s != l.seen {
-		l.seen = s
+	if s := l.cfg.Budgets(); s != l.budgetSettings {
+		l.budgetSettings = s
 		l.budgets.Configure(s, now)
 		if s != nil && len(s.Budgets) > 0 {
 			l.log.Info("budgets in force", "budgets", len(s.Budgets))
@@ -225,32 +225,32 @@
 	}
 }
 
-// collect takes the records of charges that lie apart by now.
-func (l *Ledger) collect(now time.Time) []jobs.DetachedCharges {
-	lefts := l.book.TakeDetached()
-	if len(l.lefts) == 0 {
-		l.leftSince = now
+// collectDetached takes the records of charges that lie apart by now.
+func (l *Ledger) collectDetached(now time.Time) []jobs.DetachedCharges {
+	lefts := l.store.TakeDetached()
+	if len(l.detached) == 0 {
+		l.detachedSince = now
 	}
-	l.lefts = append(l.lefts, lefts...)
+	l.detached = append(l.detached, lefts...)
 	return lefts
 }
 
-// charged has the budgets count the charges of a pack.
-func (l *Ledger) charged(p *charge.Pack) {
+// countPack has the budgets count the charges of a pack.
+func (l *Ledger) countPack(p *charge.Pack) {
 	for i := range p.Charges {
-		l.count(&p.Brief, &p.Charges[i])
+		l.countCharge(&p.Brief, &p.Charges[i])
 	}
 }
 
-func (l *Ledger) count(b *charge.Brief, c *charge.Charge) {
+func (l *Ledger) countCharge(b *charge.Brief, c *charge.Charge) {
 	a := b.AmountsOf(c)
-	l.budgets.AddCharge(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.where), budget.Usage{Core: a.Core, Money: a.Money})
+	l.budgets.AddCharge(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.location), budget.Usage{Core: a.Core, Money: a.Money})
 }
 
-func (l *Ledger) brief(p *jobs.Allocation) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
+func (l *Ledger) briefOf(p *jobs.Allocation) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
 
-// task is a place as budgets see it.
-func (l *Ledger) task(p *jobs.Allocation) *budget.Task {
+// budgetTask is a place as budgets see it.
+func (l *Ledger) budgetTask(p *jobs.Allocation) *budget.Task {
 	t := budget.TaskOf(&p.Job.Job)
 	t.Rate, t.RunningSince = p.Kind.Rate, p.BeganAt
 	return t
@@ -262,18 +262,18 @@
 	if !l.budgets.HasBudgets() {
 		return n, ""
 	}
-	return l.admit(l.waiting(j), n)
+	return l.admit(l.waitingTask(j), n)
 }
 
 func (l *Ledger) admit(t *budget.Task, n int) (int, string) {
-	if !l.read && !t.Production {
+	if !l.loaded && !t.Production {
 		return 0, "what its team has used is being read"
 	}
 	return l.budgets.Admit(t, n)
 }
 
-// waiting is a waiting task of a job as budgets see it.
-func (l *Ledger) waiting(j *jobs.Job) *budget.Task {
+// waitingTask is a waiting task of a job as budgets see it.
+func (l *Ledger) waitingTask(j *jobs.Job) *budget.Task {
 	t := budget.TaskOf(&j.Job)
 	types := l.cfg.MachineTypes()
 	for i := range types {
@@ -300,7 +300,7 @@
 	release := l.budgets.SaveReservations()
 	defer release()
 	for _, i := range order {
-		t := l.waiting(waiting[i])
+		t := l.waitingTask(waiting[i])
 		n, _ := l.admit(t, waiting[i].Waiting())
 		counts[i] = min(counts[i], n)
 		l.budgets.Reserve(t, counts[i])
@@ -315,34 +315,34 @@
 		p.Kind.Type = typ.Name
 	}
 	l.live[p] = true
-	l.budgets.StartTask(p, l.task(p))
+	l.budgets.StartTask(p, l.budgetTask(p))
 }
 
 // Ended charges an attempt that came to its end.
 func (l *Ledger) Ended(o machines.Outcome, now time.Time) {
 	p := o.Allocation
 	delete(l.live, p)
-	c, ok := chargeFor(&o, now, l.rateNow(p))
+	c, ok := chargeFor(&o, now, l.currentRate(p))
 	l.budgets.EndTask(p, c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0, time.Duration(c.Run)*time.Millisecond)
 	if ok {
-		l.write(p, charge.SplitByDay(c, l.where), now)
+		l.recordCharges(p, charge.SplitByDay(c, l.location), now)
 	}
 }
 
 // Finished does nothing in the ledger: charges are of attempts.
 func (l *Ledger) Finished(jobs.FinishedJob, time.Time) {}
 
-// write has charges written, and counts them.
-func (l *Ledger) write(p *jobs.Allocation, parts []charge.Charge, now time.Time) {
-	brief := l.brief(p)
+// recordCharges has charges written, and counts them.
+func (l *Ledger) recordCharges(p *jobs.Allocation, parts []charge.Charge, now time.Time) {
+	brief := l.briefOf(p)
 	for i := range parts {
-		l.count(&brief, &parts[i])
+		l.countCharge(&brief, &parts[i])
 		if l.cfg.OnCharge != nil {
 			l.cfg.OnCharge(brief.Team, parts[i].Outcome.String(), brief.AmountsOf(&parts[i]))
 		}
 	}
 	l.stats.Charges += len(parts)
-	l.book.AddCharges(p, parts, now)
+	l.store.AddCharges(p, parts, now)
 	if l.log.Enabled(context.Background(), slog.LevelDebug) {
 		for i := range parts {
 			c, a := &parts[i], brief.AmountsOf(&parts[i])
@@ -353,18 +353,18 @@
 	}
 }
 
-// rateNow is what an attempt's task would take of its machine's price by now.
-func (l *Ledger) rateNow(p *jobs.Allocation) int64 {
+// currentRate is what an attempt's task would take of its machine's price by now.
+func (l *Ledger) currentRate(p *jobs.Allocation) int64 {
 	return Rate(&p.Job.Job, wire.TypeNamed(l.cfg.MachineTypes(), p.Kind.Type), p.Kind.Spot)
 }
 
 // Tick closes days, looks at the budgets and takes what lies apart.
 func (l *Ledger) Tick(now time.Time) []*jobs.Allocation {
-	l.collect(now)
+	l.collectDetached(now)
 	l.configure(now)
-	l.tell(now)
-	if !now.Before(l.turn) {
-		l.turnDay(now)
+	l.logTotals(now)
+	if !now.Before(l.dayEnd) {
+		l.chargeDayEnd(now)
 	}
 	if !l.budgets.HasBudgets() {
 		return nil
@@ -378,7 +378,7 @@
 	for _, line := range l.budgets.Warnings() {
 		l.log.Warn("a budget is nearly spent", "budget", line.Scope.String(), "period", line.Period, "unit", line.Unit)
 	}
-	if !l.read {
+	if !l.loaded {
 		return nil
 	}
 	var stop []*jobs.Allocation
@@ -396,12 +396,12 @@
 	return stop
 }
 
-// tell logs the totals now and then, for those who look closely.
-func (l *Ledger) tell(now time.Time) {
-	if !l.read || now.Before(l.nextTell) || !l.log.Enabled(context.Background(), slog.LevelDebug) {
+// logTotals logs the totals now and then, for those who look closely.
+func (l *Ledger) logTotals(now time.Time) {
+	if !l.loaded || now.Before(l.nextTotalsLog) || !l.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	l.nextTell = now.Add(tuning.TotalsLogEvery)
+	l.nextTotalsLog = now.Add(tuning.TotalsLogEvery)
 	t := l.totals(Query{By: []string{"team"}}, now)
 	running := 0
 	for p := range l.live {
@@ -411,43 +411,43 @@
 	}
 	l.log.Debug("ledger totals", "attempts", t.Sum.Attempts, "core_us", t.Sum.CoreMicroS, "money_u", t.Sum.MoneyMicro, "done", t.Sum.Ends["done"],
 		"lost", t.Sum.Ends["lost"], "running", running, "running_core_us", t.Running.CoreMicroS, "running_money_u", t.Running.MoneyMicro,
-		"lefts", len(l.lefts), "roll_ups", l.stats.RollUps, "changes", l.stats.Changes)
+		"lefts", len(l.detached), "roll_ups", l.stats.RollUps, "changes", l.stats.Changes)
 }
 
-// turnDay charges what running tasks took up to the end of the day: a bill for a day
+// chargeDayEnd charges what running tasks took up to the end of the day: a bill for a day
 // is whole soon after it, however long a task runs on.
-func (l *Ledger) turnDay(now time.Time) {
-	turn := l.turn
-	l.turn = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.where))
+func (l *Ledger) chargeDayEnd(now time.Time) {
+	turn := l.dayEnd
+	l.dayEnd = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.location))
 	for p := range l.live {
 		if p.BeganAt.IsZero() || !p.BeganAt.Before(turn) {
 			continue
 		}
-		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: charge.Continues, Flags: blindStart(p)}
-		meter(&c, p, p.BeganAt, turn, l.rateNow(p))
-		parts := charge.SplitByDay(c, l.where)
+		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: charge.Continues, Flags: unseenStart(p)}
+		setTimeAndCost(&c, p, p.BeganAt, turn, l.currentRate(p))
+		parts := charge.SplitByDay(c, l.location)
 		p.BeganAt, p.ChargedParts = turn, p.ChargedParts+len(parts)
-		l.write(p, parts, now)
+		l.recordCharges(p, parts, now)
 	}
 }
 
 // NextWrite returns the ledger's own next transaction.
 func (l *Ledger) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
-	if !l.read {
+	if !l.loaded {
 		return nil
 	}
 	if w := l.rollUp(now, room); w != nil {
 		return w
 	}
-	if now.Before(l.nextCare) {
+	if now.Before(l.nextCompactCheck) {
 		return nil
 	}
-	if w := l.fold(now, room); w != nil {
+	if w := l.foldIntoMonths(now, room); w != nil {
 		return w
 	}
 	w := l.compact(room)
 	if w == nil {
-		l.nextCare = now.Add(tuning.CompactCheckEvery)
+		l.nextCompactCheck = now.Add(tuning.CompactCheckEvery)
 	}
 	return w
 }
--- a/internal/accounting/ledger/ledger_test.go
+++ b/internal/accounting/ledger/ledger_test.go
@@ -23,14 +23,14 @@
 
 func TestMain(m *testing.M) { os.Exit(testutil.FixedSeed(m)) }
 
-func array(id string, tasks int) wire.Job {
+func jobArray(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
 }
 
-// only gives the one charge of an attempt.
-func (w *world) only(k attempt) charge.Charge {
+// onlyCharge gives the one charge of an attempt.
+func (w *testLeader) onlyCharge(k attemptID) charge.Charge {
 	w.t.Helper()
-	stored, _ := w.stored()
+	stored, _ := w.storedCharges()
 	if len(stored[k]) != 1 {
 		w.t.Fatalf("%v has the charges %+v", k, stored[k])
 	}
@@ -40,35 +40,35 @@
 func TestHowAttemptsEndAndWhatTheyTake(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(w *world, p *jobs.Allocation)
+		end  func(w *testLeader, p *jobs.Allocation)
 		how  charge.Outcome
 		flag charge.Flag
 	}{
-		{"done", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
-		{"failed", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(w *world, p *jobs.Allocation) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
-		{"drained", func(w *world, p *jobs.Allocation) {
+		{"done", func(w *testLeader, p *jobs.Allocation) { w.end(p, wire.ExitDone, false) }, charge.Done, 0},
+		{"failed", func(w *testLeader, p *jobs.Allocation) { w.end(p, wire.ExitError, false) }, charge.Failed, 0},
+		{"its machine is taken back or its session ends", func(w *testLeader, p *jobs.Allocation) { w.end(p, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
+		{"drained", func(w *testLeader, p *jobs.Allocation) {
 			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			w.end(p, wire.ExitStopped, false)
 		}, charge.Drained, 0},
-		{"stopped for others", func(w *world, p *jobs.Allocation) {
+		{"stopped for others", func(w *testLeader, p *jobs.Allocation) {
 			p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 			w.end(p, wire.ExitStopped, false)
 		}, charge.Preempted, 0},
-		{"its job is cancelled", func(w *world, p *jobs.Allocation) {
-			w.book.Cancel(p.Job, func(wire.JobState) {})
-			w.flush()
+		{"its job is cancelled", func(w *testLeader, p *jobs.Allocation) {
+			w.store.Cancel(p.Job, func(wire.JobState) {})
+			w.commitAll()
 			w.end(p, wire.ExitStopped, false)
 		}, charge.Cancelled, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.submit(array("job-1", 1))
-			p := w.start("job-1")
+			w := newTestLeader(t)
+			w.submit(jobArray("job-1", 1))
+			p := w.allocateAndRun("job-1")
 			w.clock.Advance(30 * time.Second)
 			c.end(w, p)
-			w.check()
-			got := w.only(keyOf(p))
+			w.checkAgainstTruth()
+			got := w.onlyCharge(attemptIDOf(p))
 			if got.Outcome != c.how || got.Flags != c.flag || got.Run != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
@@ -76,8 +76,8 @@
 			if want := int64(3333); got.Money != want { // 0.8 / 2 * 30 / 3600
 				t.Errorf("costs %d, want %d", got.Money, want)
 			}
-			w.roll()
-			w.check()
+			w.rollUpAll()
+			w.checkAgainstTruth()
 		})
 	}
 }
@@ -86,24 +86,24 @@
 // attempt's end and its charge, between the charge and its roll-up, or after a
 // transaction that was applied and never answered.
 func TestALeaderDiesAnywhere(t *testing.T) {
-	steps := []func(*world){
-		func(w *world) { w.commit(true) },
-		func(w *world) { w.commit(false); w.lead() },
-		func(w *world) { w.lead() },
-		func(w *world) { w.ledger.leftSince = time.Time{}; w.next(true) },
-		func(w *world) {
-			w.ledger.leftSince = time.Time{}
-			if w.next(false) {
-				w.lead()
+	steps := []func(*testLeader){
+		func(w *testLeader) { w.commitBatch(true) },
+		func(w *testLeader) { w.commitBatch(false); w.newTerm() },
+		func(w *testLeader) { w.newTerm() },
+		func(w *testLeader) { w.ledger.detachedSince = time.Time{}; w.commitLedgerWrite(true) },
+		func(w *testLeader) {
+			w.ledger.detachedSince = time.Time{}
+			if w.commitLedgerWrite(false) {
+				w.newTerm()
 			}
 		},
 	}
 	// All orders of four of them, after each of which the job has ended.
 	n := len(steps)
 	for order := range n * n * n * n {
-		w := newWorld(t)
-		w.submit(array("job-1", 2))
-		a, b := w.start("job-1"), w.start("job-1")
+		w := newTestLeader(t)
+		w.submit(jobArray("job-1", 2))
+		a, b := w.allocateAndRun("job-1"), w.allocateAndRun("job-1")
 		w.clock.Advance(20 * time.Second)
 		w.end(a, wire.ExitError, false) // and is repeated
 		w.end(b, wire.ExitDone, false)
@@ -111,20 +111,20 @@
 			steps[o%n](w)
 			w.clock.Advance(time.Second)
 		}
-		w.flush()
-		again := w.start("job-1")
+		w.commitAll()
+		again := w.allocateAndRun("job-1")
 		w.clock.Advance(20 * time.Second)
 		w.end(again, wire.ExitDone, false)
 		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
 			steps[n-1-o%n](w)
 		}
-		w.check()
-		w.roll()
-		w.check()
-		if stored, _ := w.stored(); len(stored) != 3 {
+		w.checkAgainstTruth()
+		w.rollUpAll()
+		w.checkAgainstTruth()
+		if stored, _ := w.storedCharges(); len(stored) != 3 {
 			t.Fatalf("order %d: %d attempts are charged, want 3", order, len(stored))
 		}
-		if len(w.with(jobs.PrefixProgress))+len(w.with(jobs.PrefixDetached)) != 0 {
+		if len(w.itemsWithPrefix(jobs.PrefixProgress))+len(w.itemsWithPrefix(jobs.PrefixDetached)) != 0 {
 			t.Fatalf("order %d: records of a job that is over and rolled up are left", order)
 		}
 	}
@@ -134,13 +134,13 @@
 // and the totals are the sum of the charges.
 func TestTheLedgerEqualsWhatRan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(t)
+		w := newTestLeader(t)
 		next := 0
 		pick := func() *jobs.Allocation {
 			var live []*jobs.Allocation
-			for _, k := range w.sorted() {
-				p := w.places[k]
-				if tr := w.attempts[keyOf(p)]; tr != nil && tr.ended.IsZero() && !p.Removed {
+			for _, k := range w.sortedAttempts() {
+				p := w.allocations[k]
+				if tr := w.attempts[attemptIDOf(p)]; tr != nil && tr.ended.IsZero() && !p.Removed {
 					live = append(live, p)
 				}
 			}
@@ -152,14 +152,14 @@
 		actions := map[string]func(*rapid.T){
 			"submit": func(rt *rapid.T) {
 				next++
-				j := array(fmt.Sprintf("job-%d", next), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
+				j := jobArray(fmt.Sprintf("job-%d", next), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
 				j.Account = rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "account")
 				w.submit(j)
 			},
 			"place": func(rt *rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(w.book.Jobs)) {
+				for _, id := range slices.Sorted(maps.Keys(w.store.Jobs)) {
 					for range rapid.IntRange(1, 40).Draw(rt, "count") {
-						w.place(id)
+						w.allocate(id)
 					}
 				}
 			},
@@ -177,7 +177,7 @@
 				}
 			},
 			"refuse": func(*rapid.T) {
-				if p := pick(); p != nil && w.attempts[keyOf(p)].began.IsZero() {
+				if p := pick(); p != nil && w.attempts[attemptIDOf(p)].began.IsZero() {
 					w.end(p, wire.ExitNoRoom, false)
 				}
 			},
@@ -187,18 +187,22 @@
 				}
 			},
 			"cancel": func(*rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(w.book.Jobs)) {
-					w.book.Cancel(w.book.Jobs[id], func(wire.JobState) {})
+				for _, id := range slices.Sorted(maps.Keys(w.store.Jobs)) {
+					w.store.Cancel(w.store.Jobs[id], func(wire.JobState) {})
 					return
 				}
 			},
-			"commit":        func(*rapid.T) { w.commit(true) },
-			"commit unsure": func(*rapid.T) { w.commit(false); w.lead() },
-			"new leader":    func(*rapid.T) { w.lead() },
-			"roll up":       func(*rapid.T) { w.ledger.leftSince = time.Time{}; w.ledger.nextCare = time.Time{}; w.next(true) },
+			"commit":        func(*rapid.T) { w.commitBatch(true) },
+			"commit unsure": func(*rapid.T) { w.commitBatch(false); w.newTerm() },
+			"new leader":    func(*rapid.T) { w.newTerm() },
+			"roll up": func(*rapid.T) {
+				w.ledger.detachedSince = time.Time{}
+				w.ledger.nextCompactCheck = time.Time{}
+				w.commitLedgerWrite(true)
+			},
 			"roll up unsure": func(*rapid.T) {
-				if w.ledger.leftSince = (time.Time{}); w.next(false) {
-					w.lead()
+				if w.ledger.detachedSince = (time.Time{}); w.commitLedgerWrite(false) {
+					w.newTerm()
 				}
 			},
 			"seconds": func(rt *rapid.T) {
@@ -207,28 +211,28 @@
 			"hours": func(rt *rapid.T) {
 				w.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
 				w.ledger.Tick(w.now())
-				w.flush() // the book writes what is due within seconds
+				w.commitAll() // the book writes what is due within seconds
 			},
 			"": func(*rapid.T) {},
 		}
 		rt.Repeat(actions)
-		w.check()
-		w.roll()
-		w.check()
-		w.lead()
-		w.check()
+		w.checkAgainstTruth()
+		w.rollUpAll()
+		w.checkAgainstTruth()
+		w.newTerm()
+		w.checkAgainstTruth()
 	})
 }
 
 // A period that turns over while a task runs: its seconds are split, and the bill
 // of the day before is whole although the task runs on.
 func TestADayTurnsWhileATaskRuns(t *testing.T) {
-	w := newWorld(t)
-	w.submit(array("job-1", 1))
-	p := w.start("job-1")
+	w := newTestLeader(t)
+	w.submit(jobArray("job-1", 1))
+	p := w.allocateAndRun("job-1")
 	w.clock.Advance(13*time.Hour - time.Second) // from noon to one in the night
 	w.ledger.Tick(w.now())
-	w.roll()
+	w.rollUpAll()
 	day := func(day string) int64 {
 		return w.ledger.totals(Query{From: day, To: day, By: []string{"day"}}, w.now()).Sum.RunMS
 	}
@@ -238,10 +242,10 @@
 	if got := day("2026-12-02"); got != 0 {
 		t.Errorf("the second day has %d ms while the task runs", got)
 	}
-	w.lead() // the new leader goes on from the turn
+	w.newTerm() // the new leader goes on from the turn
 	w.clock.Advance(time.Hour)
-	w.end(w.places[keyOf(p)], wire.ExitDone, false)
-	w.check()
+	w.end(w.allocations[attemptIDOf(p)], wire.ExitDone, false)
+	w.checkAgainstTruth()
 	if got := day("2026-12-02"); got != 2*3600_000 {
 		t.Errorf("the second day has %d ms", got)
 	}
@@ -253,20 +257,20 @@
 // A change of leaders loses no seconds: when a task began is stored once it has run
 // for a while.
 func TestTheStartSurvivesALeader(t *testing.T) {
-	w := newWorld(t)
-	w.submit(array("job-1", 1))
-	p := w.place("job-1")
-	w.flush()
+	w := newTestLeader(t)
+	w.submit(jobArray("job-1", 1))
+	p := w.allocate("job-1")
+	w.commitAll()
 	w.clock.Advance(5 * time.Second) // the image is fetched
 	w.run(p)
 	w.clock.Advance(tuning.BeganAfter)
-	w.flush()
-	w.lead()
+	w.commitAll()
+	w.newTerm()
 	w.clock.Advance(10 * time.Second)
-	p = w.places[keyOf(p)]
+	p = w.allocations[attemptIDOf(p)]
 	w.end(p, wire.ExitDone, false)
-	w.check()
-	if c := w.only(keyOf(p)); c.Run != 20_000 || c.Flags != 0 {
+	w.checkAgainstTruth()
+	if c := w.onlyCharge(attemptIDOf(p)); c.Run != 20_000 || c.Flags != 0 {
 		t.Errorf("charged %+v", c)
 	}
 }
@@ -274,34 +278,34 @@
 // A job of very many tasks ends although its charges fit no transaction, and a task
 // that fails again and again does not outgrow its record.
 func TestManyChargesFitTheStore(t *testing.T) {
-	w := newWorld(t)
-	w.submit(array("job-1", 40*tuning.ChunkTasks))
-	for w.place("job-1") != nil {
+	w := newTestLeader(t)
+	w.submit(jobArray("job-1", 40*tuning.ChunkTasks))
+	for w.allocate("job-1") != nil {
 	}
-	w.flush()
-	for _, p := range w.places {
-		w.attempts[keyOf(p)].began = w.now()
+	w.commitAll()
+	for _, p := range w.allocations {
+		w.attempts[attemptIDOf(p)].began = w.now()
 	}
-	w.report()
+	w.heartbeat()
 	w.clock.Advance(time.Minute)
-	for _, p := range w.places {
-		w.attempts[keyOf(p)].ended, w.attempts[keyOf(p)].why = w.now(), wire.ExitDone
+	for _, p := range w.allocations {
+		w.attempts[attemptIDOf(p)].ended, w.attempts[attemptIDOf(p)].reason = w.now(), wire.ExitDone
 	}
-	w.report()
-	w.check()
+	w.heartbeat()
+	w.checkAgainstTruth()
 	if _, over := w.items[jobs.KeyFinalState("job-1")]; !over {
 		t.Fatal("the job does not end")
 	}
-	w.submit(array("job-2", 1))
+	w.submit(jobArray("job-2", 1))
 	for range 3 * tuning.DetachCharges {
-		p := w.start("job-2")
+		p := w.allocateAndRun("job-2")
 		w.clock.Advance(time.Second)
 		w.end(p, wire.ExitError, false)
 	}
-	w.check()
-	w.roll()
-	w.check()
-	if n := len(w.with(jobs.PrefixDetached)); n != 0 {
+	w.checkAgainstTruth()
+	w.rollUpAll()
+	w.checkAgainstTruth()
+	if n := len(w.itemsWithPrefix(jobs.PrefixDetached)); n != 0 {
 		t.Errorf("%d records are left", n)
 	}
 }
@@ -309,59 +313,59 @@
 // A transaction stays within what the service takes when many jobs with long records end
 // at once. A leader whose write is refused as malformed gives up, and so would the next.
 func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	w.txnOps = 40
-	w.lead()
+	w.newTerm()
 	for i := range 30 {
-		j := array(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
+		j := jobArray(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
 		j.Class = strings.Repeat("a long name of a class ", 8)
 		w.submit(j)
 	}
 	for round := range 3 {
 		for i := range 30 {
-			for w.place(fmt.Sprintf("job-%d", i)) != nil {
+			for w.allocate(fmt.Sprintf("job-%d", i)) != nil {
 			}
 		}
-		w.flush()
-		w.report() // what is gone from its place is no longer looked at
+		w.commitAll()
+		w.heartbeat() // what is gone from its place is no longer looked at
 		w.clock.Advance(time.Second)
-		for _, k := range w.sorted() {
+		for _, k := range w.sortedAttempts() {
 			w.attempts[k].began = w.now()
 		}
-		w.report()
+		w.heartbeat()
 		w.clock.Advance(time.Minute)
-		for _, k := range w.sorted() {
-			if w.attempts[k].ended, w.attempts[k].why = w.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
-				w.attempts[k].why = wire.ExitStopped
+		for _, k := range w.sortedAttempts() {
+			if w.attempts[k].ended, w.attempts[k].reason = w.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
+				w.attempts[k].reason = wire.ExitStopped
 			}
 		}
-		w.report()
+		w.heartbeat()
 	}
-	w.check() // whose store refuses what is too long
-	t.Logf("the longest transaction has %d bytes", w.longest)
-	if len(w.book.Jobs) != 0 {
-		t.Errorf("%d jobs do not end", len(w.book.Jobs))
+	w.checkAgainstTruth() // whose store refuses what is too long
+	t.Logf("the longest transaction has %d bytes", w.longestTxnBytes)
+	if len(w.store.Jobs) != 0 {
+		t.Errorf("%d jobs do not end", len(w.store.Jobs))
 	}
 }
 
 // Guards against an array that starts past its budget at once: each start reserves
 // what it is expected to take, also those of the same pass.
 func TestABudgetRunsOutUnderARunningArray(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	w.settings = &budget.Settings{}
 	if err := w.settings.Set("budget.t.day.core-hours", "1"); err != nil { // 3,600 core-seconds: 180 tasks of 2 cores for 10 s
 		t.Fatal(err)
 	}
-	w.lead()
-	w.submit(array("job-1", 10_000))
+	w.newTerm()
+	w.submit(jobArray("job-1", 10_000))
 	var placed []*jobs.Allocation
-	for p := w.place("job-1"); p != nil; p = w.place("job-1") {
+	for p := w.allocate("job-1"); p != nil; p = w.allocate("job-1") {
 		placed = append(placed, p)
 	}
 	if len(placed) != 180 {
 		t.Fatalf("%d tasks start, want 180", len(placed))
 	}
-	w.flush()
+	w.commitAll()
 	w.clock.Advance(time.Second)
 	for _, p := range placed {
 		w.run(p)
@@ -370,12 +374,12 @@
 	for _, p := range placed {
 		w.end(p, wire.ExitDone, false)
 	}
-	w.flush()
+	w.commitAll()
 	w.ledger.Tick(w.now())
-	if p := w.place("job-1"); p != nil {
+	if p := w.allocate("job-1"); p != nil {
 		t.Error("more starts though the budget is spent")
 	}
-	n, why := w.ledger.Admit(w.book.Jobs["job-1"], w.now())
+	n, why := w.ledger.Admit(w.store.Jobs["job-1"], w.now())
 	if n != 0 || why == "" {
 		t.Errorf("%d may start, since %q", n, why)
 	}
@@ -390,33 +394,33 @@
 	}
 	w.ledger.Tick(w.now())
 	n = 0
-	for w.place("job-1") != nil {
+	for w.allocate("job-1") != nil {
 		n++
 	}
 	if n < 90 || n > 100 {
 		t.Errorf("%d more start, want about 90", n)
 	}
 	// A new leader counts the same, and the next day begins anew.
-	w.flush()
-	w.lead()
-	if n, _ := w.ledger.Admit(w.book.Jobs["job-1"], w.now()); n > 90 {
+	w.commitAll()
+	w.newTerm()
+	if n, _ := w.ledger.Admit(w.store.Jobs["job-1"], w.now()); n > 90 {
 		t.Errorf("a new leader lets %d start", n)
 	}
-	w.check()
+	w.checkAgainstTruth()
 }
 
 // Guards against machines that are rented for every job of a team whose budget allows
 // a few tasks only: a look at all jobs shares the rest of the budget, in their order.
 func TestJobsShareTheRestOfABudget(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	w.settings = &budget.Settings{}
 	if err := w.settings.Set("budget.t.day.core-hours", "0.05"); err != nil { // 180 core-seconds: 9 tasks
 		t.Fatal(err)
 	}
-	w.lead()
+	w.newTerm()
 	var waiting []*jobs.Job
 	for i, priority := range []wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction} {
-		j := array(fmt.Sprintf("job-%d", i), 4)
+		j := jobArray(fmt.Sprintf("job-%d", i), 4)
 		j.Priority = priority
 		waiting = append(waiting, w.submit(j))
 	}
@@ -430,51 +434,51 @@
 }
 
 func TestTheNextPeriodGoesOn(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	w.settings = &budget.Settings{}
 	for key, value := range map[string]string{"budget.t.day.core-hours": "0.01", "budget.t.carry-over": "0.5"} { // 36 core-seconds
 		if err := w.settings.Set(key, value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.lead()
-	j := array("job-1", 100)
+	w.newTerm()
+	j := jobArray("job-1", 100)
 	j.EstimateS = 3600 // one alone is beyond the budget
 	w.submit(j)
-	p := w.start("job-1")
-	if w.place("job-1") != nil {
+	p := w.allocateAndRun("job-1")
+	if w.allocate("job-1") != nil {
 		t.Error("a second one starts beside it")
 	}
 	w.clock.Advance(time.Minute)
 	w.end(p, wire.ExitDone, false)
-	w.flush()
+	w.commitAll()
 	w.ledger.Tick(w.now())
-	if w.place("job-1") != nil {
+	if w.allocate("job-1") != nil {
 		t.Error("another one starts though the budget is spent")
 	}
 	w.clock.Advance(24 * time.Hour)
 	w.ledger.Tick(w.now())
-	if w.place("job-1") == nil {
+	if w.allocate("job-1") == nil {
 		t.Error("nothing starts on the next day")
 	}
-	w.check()
+	w.checkAgainstTruth()
 }
 
 func TestWhatRunsIsStoppedAtTheMark(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	w.settings = &budget.Settings{}
 	for key, value := range map[string]string{"budget.t.day.core-hours": "0.1", "budget.t.when-spent": "drain", "budget.t.drain-at": "0.5"} {
 		if err := w.settings.Set(key, value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.lead()
-	batch := array("job-1", 1)
+	w.newTerm()
+	batch := jobArray("job-1", 1)
 	batch.EstimateS, batch.CheckpointS, batch.SaveS = 60, 10, 4
 	w.submit(batch)
 	service := wire.Job{ID: "job-2", Class: "s", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1}
 	w.submit(service)
-	p, replica := w.start("job-1"), w.start("job-2")
+	p, replica := w.allocateAndRun("job-1"), w.allocateAndRun("job-2")
 	if stop := w.ledger.Tick(w.now()); len(stop) != 0 {
 		t.Fatal("something is stopped at once")
 	}
@@ -487,8 +491,8 @@
 		t.Error("what stops already is stopped again")
 	}
 	w.end(p, wire.ExitStopped, false)
-	w.check()
-	if c := w.only(keyOf(p)); c.Outcome != charge.OverBudget {
+	w.checkAgainstTruth()
+	if c := w.onlyCharge(attemptIDOf(p)); c.Outcome != charge.OverBudget {
 		t.Errorf("charged %+v", c)
 	}
 }
@@ -496,33 +500,33 @@
 // Rows of one name are spread over pages as they come, and brought together later;
 // days of long ago become months. The totals are the same all the time.
 func TestTotalsAreCompactedAndFolded(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	for i := range 400 {
-		j := array(fmt.Sprintf("job-%d", i), 1)
+		j := jobArray(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("an account with a long name, number %d", i%150)
 		w.submit(j)
-		p := w.start(j.ID)
+		p := w.allocateAndRun(j.ID)
 		w.clock.Advance(time.Minute)
 		w.end(p, wire.ExitDone, false)
-		w.flush()
+		w.commitAll()
 		if i%8 == 7 {
 			w.ledger.Tick(w.now())
-			w.ledger.leftSince = time.Time{}
-			for len(w.ledger.lefts) > 0 && w.next(true) {
+			w.ledger.detachedSince = time.Time{}
+			for len(w.ledger.detached) > 0 && w.commitLedgerWrite(true) {
 			}
 		}
 	}
-	w.check()
-	before := len(w.with(PrefixPage))
-	w.ledger.nextCare = time.Time{}
-	w.roll()
-	w.check()
-	if after := len(w.with(PrefixPage)); after >= before {
+	w.checkAgainstTruth()
+	before := len(w.itemsWithPrefix(PrefixPage))
+	w.ledger.nextCompactCheck = time.Time{}
+	w.rollUpAll()
+	w.checkAgainstTruth()
+	if after := len(w.itemsWithPrefix(PrefixPage)); after >= before {
 		t.Errorf("%d pages are %d after compaction", before, after)
 	}
 	names := map[RowKey]int{}
-	for _, p := range w.ledger.closed {
-		if len(w.ledger.closed) < tuning.CompactPages {
+	for _, p := range w.ledger.closedPages {
+		if len(w.ledger.closedPages) < tuning.CompactPages {
 			break // so few are left as they are
 		}
 		for n := range p.rows {
@@ -532,11 +536,11 @@
 		}
 	}
 	w.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
-	w.ledger.nextCare = time.Time{}
-	w.roll()
-	w.lead()
-	w.check()
-	for _, p := range w.ledger.closed {
+	w.ledger.nextCompactCheck = time.Time{}
+	w.rollUpAll()
+	w.newTerm()
+	w.checkAgainstTruth()
+	for _, p := range w.ledger.closedPages {
 		for n := range p.rows {
 			if len(n.Day) != len("2026-12") {
 				t.Fatalf("%v is not folded", n)
@@ -548,21 +552,21 @@
 // Verification finds what is wrong, and says so: a total that was changed, a charge that
 // is there twice, a segment that is missing or damaged.
 func TestVerifyNamesEachDifference(t *testing.T) {
-	w := newWorld(t)
+	w := newTestLeader(t)
 	for i := range 60 {
-		j := array(fmt.Sprintf("job-%d", i), 1)
+		j := jobArray(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
 		w.submit(j)
-		p := w.start(j.ID)
+		p := w.allocateAndRun(j.ID)
 		w.clock.Advance(13 * time.Hour) // so that there are parts
 		w.ledger.Tick(w.now())
-		w.end(w.places[keyOf(p)], wire.ExitDone, false)
+		w.end(w.allocations[attemptIDOf(p)], wire.ExitDone, false)
 		if i == 30 {
-			w.roll()
-			w.ledger.segment.size = tuning.SegmentBytes // the next roll-up begins another segment
+			w.rollUpAll()
+			w.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
 		}
 	}
-	w.roll()
+	w.rollUpAll()
 	codec := w.ledger.codec
 	verify := func(items map[string]wire.Item) *Verification {
 		t.Helper()
@@ -587,13 +591,13 @@
 	if f := verify(w.items); len(f.Discrepancies) != 0 || f.Jobs != 60 || f.Charges < 60 {
 		t.Fatalf("found %+v", f)
 	}
-	segment := w.with(PrefixSegment)[0]
+	segment := w.itemsWithPrefix(PrefixSegment)[0]
 	for _, c := range []struct {
 		name, want string
 		change     func(map[string]wire.Item)
 	}{
 		{"a total", "total of", func(items map[string]wire.Item) {
-			item := w.with(PrefixPage)[0]
+			item := w.itemsWithPrefix(PrefixPage)[0]
 			rows, err := ReadPage(codec, item)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -45,8 +45,8 @@
 	return int64(math.Round(price * share * 1e6))
 }
 
-// how tells how an attempt ended, for its charge.
-func how(o *machines.Outcome) charge.Outcome {
+// outcomeOf tells how an attempt ended, for its charge.
+func outcomeOf(o *machines.Outcome) charge.Outcome {
 	p := o.Allocation
 	switch {
 	case o.Reason == wire.ExitDone:
@@ -72,14 +72,14 @@
 	if !p.Committed {
 		return c, false // no record named it, so nothing was started
 	}
-	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: how(o)}
+	c = charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: outcomeOf(o)}
 	if o.Saved {
 		c.Flags |= charge.ProgressSaved
 	}
 	begun := p.BeganAt
 	switch {
 	case !begun.IsZero():
-		c.Flags |= blindStart(p)
+		c.Flags |= unseenStart(p)
 		if c.Outcome == charge.Lost {
 			c.Flags |= charge.UpperBound
 		}
@@ -96,22 +96,22 @@
 		// This leader never saw it run: it may have ended while nobody led.
 		c.Flags |= charge.UpperBound
 	}
-	meter(&c, p, begun, now, rateNow)
+	setTimeAndCost(&c, p, begun, now, rateNow)
 	return c, true
 }
 
-// blindStart marks a charge whose task counts from when it was placed, since nobody
+// unseenStart marks a charge whose task counts from when it was placed, since nobody
 // knows when it began.
-func blindStart(p *jobs.Allocation) charge.Flag {
+func unseenStart(p *jobs.Allocation) charge.Flag {
 	if p.ChargedParts == 0 && !p.BeganAt.After(p.PlacedAt) {
 		return charge.UpperBound
 	}
 	return 0
 }
 
-// meter sets a charge's time and money. The price is the mean of those at the
+// setTimeAndCost sets a charge's time and money. The price is the mean of those at the
 // beginning and the end.
-func meter(c *charge.Charge, p *jobs.Allocation, begun, now time.Time, rateNow int64) {
+func setTimeAndCost(c *charge.Charge, p *jobs.Allocation, begun, now time.Time, rateNow int64) {
 	run := max(0, now.Sub(begun))
 	c.Start, c.Run = begun.UnixMilli(), run.Milliseconds()
 	rate := p.Kind.Rate
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -83,7 +83,7 @@
 			page.Next = item.Key
 		}
 	}
-	sortViews(page.Charges)
+	sortChargeViews(page.Charges)
 	return page, nil
 }
 
@@ -159,7 +159,7 @@
 	next := 0
 	if _, err := r.store.ListAll(ctx, PrefixSegment, func(items []wire.Item) error {
 		for _, item := range items {
-			if n, err := number(PrefixSegment, item.Key); err != nil || n != next {
+			if n, err := recordNumber(PrefixSegment, item.Key); err != nil || n != next {
 				fault("segment %s is not the one that follows", item.Key)
 				next = n
 			}
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -22,8 +22,8 @@
 func keySegment(n int) string { return fmt.Sprintf("%s%010d", PrefixSegment, n) }
 func keyPage(n int) string    { return fmt.Sprintf("%s%010d", PrefixPage, n) }
 
-// number reads the number of a segment or page from its key.
-func number(prefix, key string) (int, error) {
+// recordNumber reads the number of a segment or page from its key.
+func recordNumber(prefix, key string) (int, error) {
 	var n int
 	if _, err := fmt.Sscanf(key, prefix+"%010d", &n); err != nil {
 		return 0, fmt.Errorf("record %s: malformed key: %w", key, err)
@@ -43,8 +43,8 @@
 	Spot    bool
 }
 
-// size is about how many bytes a row takes before compression.
-func (n RowKey) size() int {
+// approxBytes is about how many bytes a row takes before compression.
+func (n RowKey) approxBytes() int {
 	return len(n.Day) + len(n.Team) + len(n.Account) + len(n.Class) + len(n.Type) + 48
 }
 
@@ -121,7 +121,7 @@
 	n       int
 	version uint64
 	packs   []charge.Pack
-	size    int // of its value, in bytes
+	bytes   int // of its value, in bytes
 }
 
 // page is one page of totals in memory.
@@ -129,7 +129,7 @@
 	n       int
 	version uint64
 	rows    map[RowKey]charge.Amounts
-	size    int // before compression, in bytes
+	bytes   int // before compression, in bytes
 }
 
 func newPage(n int) *page { return &page{n: n, rows: map[RowKey]charge.Amounts{}} }
@@ -137,7 +137,7 @@
 func (p *page) add(name RowKey, sum charge.Amounts) {
 	a, known := p.rows[name]
 	if !known {
-		p.size += name.size()
+		p.bytes += name.approxBytes()
 	}
 	a.Add(sum)
 	p.rows[name] = a
@@ -145,21 +145,21 @@
 
 func (p *page) remove(name RowKey) {
 	if _, known := p.rows[name]; known {
-		p.size -= name.size()
+		p.bytes -= name.approxBytes()
 		delete(p.rows, name)
 	}
 }
 
 func (p *page) clone() *page {
 	q := newPage(p.n)
-	q.version, q.size = p.version, p.size
+	q.version, q.bytes = p.version, p.bytes
 	for name, sum := range p.rows {
 		q.rows[name] = sum
 	}
 	return q
 }
 
-func (p *page) list() []Row {
+func (p *page) sortedRows() []Row {
 	rows := make([]Row, 0, len(p.rows))
 	for name, sum := range p.rows {
 		rows = append(rows, Row{Key: name, Sum: sum})
@@ -169,4 +169,4 @@
 }
 
 // full tells whether a page takes no new names.
-func (p *page) full() bool { return p.size >= tuning.PageBytes }
+func (p *page) full() bool { return p.bytes >= tuning.PageBytes }
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -58,31 +58,31 @@
 
 // guard and put add a change of a record to a transaction, under the condition
 // that the record is as we know it.
-func put(t *wire.Txn, key string, version uint64, value []byte) {
+func putIfUnchanged(t *wire.Txn, key string, version uint64, value []byte) {
 	t.If = append(t.If, wire.Condition{Key: key, Version: version})
 	t.Then = append(t.Then, wire.Change{Put: key, Value: value})
 }
 
-func drop(t *wire.Txn, key string, version uint64) {
+func deleteIfUnchanged(t *wire.Txn, key string, version uint64) {
 	t.If = append(t.If, wire.Condition{Key: key, Version: version})
 	t.Then = append(t.Then, wire.Change{Delete: key})
 }
 
 // rollUp makes the next roll-up, or nil if none is due.
 func (l *Ledger) rollUp(now time.Time, room int) *leader.SubsystemWrite {
-	most := min(l.txnOps, room) - 2 // beside the segment and the page
-	if most < 1 || len(l.lefts) == 0 {
+	most := min(l.maxTxnOps, room) - 2 // beside the segment and the page
+	if most < 1 || len(l.detached) == 0 {
 		return nil
 	}
-	if room < min(l.txnOps, len(l.lefts)+2, tuning.RollUpChangesMin) {
+	if room < min(l.maxTxnOps, len(l.detached)+2, tuning.RollUpChangesMin) {
 		return nil // the few changes that there is room for are better spent by others
 	}
-	if full := min(l.txnOps-2, len(l.lefts)) == l.txnOps-2; !full && now.Sub(l.leftSince) < tuning.RollUpAfter {
+	if full := min(l.maxTxnOps-2, len(l.detached)) == l.maxTxnOps-2; !full && now.Sub(l.detachedSince) < tuning.RollUpAfter {
 		return nil
 	}
 	var take []jobs.DetachedCharges
 	size := 0
-	for _, left := range l.lefts {
+	for _, left := range l.detached {
 		n := len(charge.EncodePack(left.Pack))
 		if len(take) == most || size+n > tuning.RollUpBytes && len(take) > 0 {
 			break
@@ -90,44 +90,44 @@
 		size += n
 		take = append(take, left)
 	}
-	seg := l.segment
-	if seg.size >= tuning.SegmentBytes {
+	seg := l.openSegment
+	if seg.bytes >= tuning.SegmentBytes {
 		seg = segment{n: seg.n + 1}
 	}
 	old := len(seg.packs)
 	seg.packs = slices.Clip(seg.packs)
-	pg := l.open.clone()
+	pg := l.openPage.clone()
 	if pg.full() {
-		pg = newPage(l.open.n + 1)
+		pg = newPage(l.openPage.n + 1)
 	}
 	for _, left := range take {
 		seg.packs = append(seg.packs, *left.Pack)
-		for name, sum := range RowsOf(left.Pack, l.where) {
+		for name, sum := range RowsOf(left.Pack, l.location) {
 			pg.add(name, sum)
 		}
 	}
 	value := segmentValue(l.codec, seg.packs)
-	if len(value) > l.valueBytes && old > 0 {
+	if len(value) > l.maxValueBytes && old > 0 {
 		// What was added does not compress well: it begins a segment of its own.
 		seg = segment{n: seg.n + 1, packs: seg.packs[old:]}
 		value = segmentValue(l.codec, seg.packs)
 	}
-	seg.size = len(value)
+	seg.bytes = len(value)
 	var txn wire.Txn
-	put(&txn, keySegment(seg.n), seg.version, value)
-	put(&txn, keyPage(pg.n), pg.version, pageValue(l.codec, pg.list()))
+	putIfUnchanged(&txn, keySegment(seg.n), seg.version, value)
+	putIfUnchanged(&txn, keyPage(pg.n), pg.version, pageValue(l.codec, pg.sortedRows()))
 	for _, left := range take {
-		drop(&txn, left.Key, left.Version)
+		deleteIfUnchanged(&txn, left.Key, left.Version)
 	}
 	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		seg.version, pg.version = revision, revision
-		l.segment = seg
-		if pg.n != l.open.n {
-			l.closed[l.open.n] = l.open
+		l.openSegment = seg
+		if pg.n != l.openPage.n {
+			l.closedPages[l.openPage.n] = l.openPage
 		}
-		l.open = pg
-		l.lefts = slices.Clone(l.lefts[len(take):])
-		l.leftSince = now
+		l.openPage = pg
+		l.detached = slices.Clone(l.detached[len(take):])
+		l.detachedSince = now
 		l.stats.RollUps++
 		l.stats.Changes += len(txn.Then)
 	}}
@@ -137,10 +137,10 @@
 // to another closed page that has rows of the same names. A page that is left
 // without rows is dropped, and two small ones become one.
 func (l *Ledger) compact(room int) *leader.SubsystemWrite {
-	if room < 2 || len(l.closed) < tuning.CompactPages {
+	if room < 2 || len(l.closedPages) < tuning.CompactPages {
 		return nil
 	}
-	into, from := l.pair()
+	into, from := l.pagesToMerge()
 	if into == nil {
 		return nil
 	}
@@ -151,67 +151,67 @@
 			b.remove(name)
 		}
 	}
-	if a.size+b.size <= tuning.PageBytes {
+	if a.bytes+b.bytes <= tuning.PageBytes {
 		for name, sum := range b.rows {
 			a.add(name, sum)
 		}
 		b.rows = nil
 	}
 	var txn wire.Txn
-	put(&txn, keyPage(a.n), a.version, pageValue(l.codec, a.list()))
+	putIfUnchanged(&txn, keyPage(a.n), a.version, pageValue(l.codec, a.sortedRows()))
 	if len(b.rows) == 0 {
-		drop(&txn, keyPage(b.n), b.version)
+		deleteIfUnchanged(&txn, keyPage(b.n), b.version)
 	} else {
-		put(&txn, keyPage(b.n), b.version, pageValue(l.codec, b.list()))
+		putIfUnchanged(&txn, keyPage(b.n), b.version, pageValue(l.codec, b.sortedRows()))
 	}
 	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		a.version, b.version = revision, revision
-		l.closed[a.n] = a
+		l.closedPages[a.n] = a
 		if len(b.rows) == 0 {
-			delete(l.closed, b.n)
+			delete(l.closedPages, b.n)
 		} else {
-			l.closed[b.n] = b
+			l.closedPages[b.n] = b
 		}
 		l.stats.Compactions++
 		l.stats.Changes += len(txn.Then)
 	}}
 }
 
-// pair finds two closed pages that compaction makes smaller: with rows of the same
+// pagesToMerge finds two closed pages that compaction makes smaller: with rows of the same
 // name, or that fit into one.
-func (l *Ledger) pair() (into, from *page) {
+func (l *Ledger) pagesToMerge() (into, from *page) {
 	seen := map[RowKey]*page{}
 	var small *page
-	for _, n := range slices.Sorted(maps.Keys(l.closed)) {
-		p := l.closed[n]
+	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
+		p := l.closedPages[n]
 		for name := range p.rows {
 			if q := seen[name]; q != nil {
 				return q, p
 			}
 			seen[name] = p
 		}
-		if small != nil && small.size+p.size <= tuning.PageBytes {
+		if small != nil && small.bytes+p.bytes <= tuning.PageBytes {
 			return small, p
 		}
-		if p.size < tuning.PageBytes/2 {
+		if p.bytes < tuning.PageBytes/2 {
 			small = p
 		}
 	}
 	return nil, nil
 }
 
-// fold gives the rows of a closed page whose days are long ago the names of their
+// foldIntoMonths gives the rows of a closed page whose days are long ago the names of their
 // months; the page is rewritten, and compaction does the rest.
-func (l *Ledger) fold(now time.Time, room int) *leader.SubsystemWrite {
+func (l *Ledger) foldIntoMonths(now time.Time, room int) *leader.SubsystemWrite {
 	if room < 1 {
 		return nil
 	}
-	before := now.In(l.where).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format("2006-01") // whole months only
-	for _, n := range slices.Sorted(maps.Keys(l.closed)) {
+	before := now.In(l.location).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format("2006-01") // whole months only
+	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
 		p := newPage(n)
-		p.version = l.closed[n].version
+		p.version = l.closedPages[n].version
 		folded := false
-		for name, sum := range l.closed[n].rows {
+		for name, sum := range l.closedPages[n].rows {
 			if len(name.Day) == len(time.DateOnly) && name.Day[:7] < before {
 				name.Day, folded = name.Day[:7], true
 			}
@@ -221,10 +221,10 @@
 			continue
 		}
 		var txn wire.Txn
-		put(&txn, keyPage(n), p.version, pageValue(l.codec, p.list()))
+		putIfUnchanged(&txn, keyPage(n), p.version, pageValue(l.codec, p.sortedRows()))
 		return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 			p.version = revision
-			l.closed[n] = p
+			l.closedPages[n] = p
 			l.stats.Changes += len(txn.Then)
 		}}
 	}
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -78,7 +78,7 @@
 	Skip                 int // rows of the answer that are left out, from its beginning
 }
 
-var columns = []string{"day", "team", "account", "class", "type", "spot"}
+var groupColumns = []string{"day", "team", "account", "class", "type", "spot"}
 
 // ParseQuery reads a question from a URL's values.
 func ParseQuery(v url.Values) (q Query, err error) {
@@ -101,17 +101,17 @@
 		by = "team,account,class,type"
 	}
 	for c := range strings.SplitSeq(by, ",") {
-		if !slices.Contains(columns, c) {
-			return q, fmt.Errorf("%q is not a column; there are %s", c, strings.Join(columns, ", "))
+		if !slices.Contains(groupColumns, c) {
+			return q, fmt.Errorf("%q is not a column; there are %s", c, strings.Join(groupColumns, ", "))
 		}
 		q.By = append(q.By, c)
 	}
 	return q, nil
 }
 
-// in tells whether a row is asked about. A month that is only partly within
+// matches tells whether a row is asked about. A month that is only partly within
 // the bounds is not, since its days can no longer be told apart.
-func (q *Query) in(n RowKey) bool {
+func (q *Query) matches(n RowKey) bool {
 	first, last := n.Day, n.Day
 	if len(n.Day) < len(time.DateOnly) {
 		first, last = n.Day+"-01", n.Day+"-31"
@@ -120,8 +120,8 @@
 		(q.From == "" || first >= q.From) && (q.To == "" || last <= q.To)
 }
 
-// pick keeps of a row's name what the answer is by.
-func (q *Query) pick(n RowKey) RowKey {
+// groupKey keeps of a row's name what the answer is by.
+func (q *Query) groupKey(n RowKey) RowKey {
 	var out RowKey
 	for _, c := range q.By {
 		switch c {
@@ -144,44 +144,44 @@
 
 // Aggregation sums up rows for a question.
 type Aggregation struct {
-	q    Query
-	rows map[RowKey]charge.Amounts
-	sum  charge.Amounts
+	query  Query
+	groups map[RowKey]charge.Amounts
+	sum    charge.Amounts
 }
 
 // NewAggregation begins to sum up.
 func NewAggregation(q Query) *Aggregation {
-	return &Aggregation{q: q, rows: map[RowKey]charge.Amounts{}}
+	return &Aggregation{query: q, groups: map[RowKey]charge.Amounts{}}
 }
 
 // Add adds a row, if it is asked about.
-func (t *Aggregation) Add(n RowKey, a charge.Amounts) {
-	if !t.q.in(n) {
+func (ag *Aggregation) Add(n RowKey, a charge.Amounts) {
+	if !ag.query.matches(n) {
 		return
 	}
-	name := t.q.pick(n)
-	sum := t.rows[name]
+	name := ag.query.groupKey(n)
+	sum := ag.groups[name]
 	sum.Add(a)
-	t.rows[name] = sum
-	t.sum.Add(a)
+	ag.groups[name] = sum
+	ag.sum.Add(a)
 }
 
 // Totals gives what was summed up.
-func (t *Aggregation) Totals(where *time.Location) Totals {
-	out := Totals{From: t.q.From, To: t.q.To, Zone: where.String(), By: strings.Join(t.q.By, ","), Rows: []Total{}, Sum: TotalOf(t.sum)}
-	rows := make([]Row, 0, len(t.rows))
-	for n, a := range t.rows {
+func (ag *Aggregation) Totals(where *time.Location) Totals {
+	out := Totals{From: ag.query.From, To: ag.query.To, Zone: where.String(), By: strings.Join(ag.query.By, ","), Rows: []Total{}, Sum: TotalOf(ag.sum)}
+	rows := make([]Row, 0, len(ag.groups))
+	for n, a := range ag.groups {
 		rows = append(rows, Row{Key: n, Sum: a})
 	}
 	sortRows(rows)
-	rows = rows[min(t.q.Skip, len(rows)):]
+	rows = rows[min(ag.query.Skip, len(rows)):]
 	if len(rows) > tuning.TotalRows {
-		rows, out.Next = rows[:tuning.TotalRows], t.q.Skip+tuning.TotalRows
+		rows, out.Next = rows[:tuning.TotalRows], ag.query.Skip+tuning.TotalRows
 	}
 	for _, r := range rows {
 		v := TotalOf(r.Sum)
 		v.Day, v.Team, v.Account, v.Class, v.Type = r.Key.Day, r.Key.Team, r.Key.Account, r.Key.Class, r.Key.Type
-		if slices.Contains(t.q.By, "spot") {
+		if slices.Contains(ag.query.By, "spot") {
 			v.Spot = &r.Key.Spot
 		}
 		out.Rows = append(out.Rows, v)
@@ -209,41 +209,41 @@
 	if err != nil {
 		return http.StatusBadRequest, wire.Error{Error: err.Error()}, true
 	}
-	if !l.read {
+	if !l.loaded {
 		return http.StatusServiceUnavailable, wire.Error{Error: "the ledger is being read"}, true
 	}
 	return http.StatusOK, l.totals(q, now), true
 }
 
 func (l *Ledger) totals(q Query, now time.Time) Totals {
-	l.collect(now) // what lies apart since the last tick counts too
-	t := NewAggregation(q)
-	for _, p := range append(slices.Collect(maps.Values(l.closed)), l.open) {
+	l.collectDetached(now) // what lies apart since the last tick counts too
+	ag := NewAggregation(q)
+	for _, p := range append(slices.Collect(maps.Values(l.closedPages)), l.openPage) {
 		for n, a := range p.rows {
-			t.Add(n, a)
+			ag.Add(n, a)
 		}
 	}
 	pack := func(p *charge.Pack) {
-		for n, a := range RowsOf(p, l.where) {
-			t.Add(n, a)
+		for n, a := range RowsOf(p, l.location) {
+			ag.Add(n, a)
 		}
 	}
-	for _, left := range l.lefts {
+	for _, left := range l.detached {
 		pack(left.Pack)
 	}
-	l.book.VisitCharges(pack)
-	out := t.Totals(l.where)
+	l.store.VisitCharges(pack)
+	out := ag.Totals(l.location)
 	running := NewAggregation(q)
 	for p := range l.live {
 		if p.BeganAt.IsZero() {
 			continue
 		}
 		var c charge.Charge
-		meter(&c, p, p.BeganAt, now, l.rateNow(p))
-		brief := l.brief(p)
+		setTimeAndCost(&c, p, p.BeganAt, now, l.currentRate(p))
+		brief := l.briefOf(p)
 		a := brief.AmountsOf(&c)
 		a.ByOutcome = [len(a.ByOutcome)]int64{}
-		running.Add(RowKey{Day: charge.DayOf(now.UnixMilli(), l.where), Team: brief.Team, Account: brief.Account, Class: brief.Class}, a)
+		running.Add(RowKey{Day: charge.DayOf(now.UnixMilli(), l.location), Team: brief.Team, Account: brief.Account, Class: brief.Class}, a)
 	}
 	out.Running = TotalOf(running.sum)
 	return out
@@ -289,7 +289,7 @@
 	return out
 }
 
-func sortViews(v []ChargeView) {
+func sortChargeViews(v []ChargeView) {
 	slices.SortFunc(v, func(a, b ChargeView) int {
 		x, _ := wire.ParseTaskID(a.Task)
 		y, _ := wire.ParseTaskID(b.Task)
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -20,9 +20,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// world is a leader's book and ledger over a store in memory, with workers that the
+// testLeader is a leader's book and ledger over a store in memory, with workers that the
 // test drives. It knows when each attempt really ran.
-type world struct {
+type testLeader struct {
 	t        testing.TB
 	clock    *clockwork.FakeClock
 	items    map[string]wire.Item
@@ -30,46 +30,46 @@
 	txnOps   int
 	settings *budget.Settings
 
-	book     *jobs.Store
-	ledger   *Ledger
-	places   map[attempt]*jobs.Allocation // as the present leader knows them
-	attempts map[attempt]*truth
-	changes  int // put and deleted so far
-	longest  int // bytes of a transaction
+	store           *jobs.Store
+	ledger          *Ledger
+	allocations     map[attemptID]*jobs.Allocation // as the present leader knows them
+	attempts        map[attemptID]*attemptTruth
+	writtenChanges  int // put and deleted so far
+	longestTxnBytes int // bytes of a transaction
 }
 
-type attempt struct {
+type attemptID struct {
 	job     string
 	task    int
 	attempt uint64
 }
 
-// truth is what really happened to an attempt that was started.
-type truth struct {
+// attemptTruth is what really happened to an attempt that was started.
+type attemptTruth struct {
 	began, ended time.Time       // zero: not yet
-	why          wire.ExitReason // as its worker reports it
+	reason       wire.ExitReason // as its worker reports it
 	lost         bool            // its machine is gone
 }
 
 var (
-	small = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.8, SpotPrice: 0.4}
-	begin = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	smallType = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.8, SpotPrice: 0.4}
+	testStart = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-func newWorld(t testing.TB) *world {
-	w := &world{
-		t: t, clock: clockwork.NewFakeClockAt(begin), items: map[string]wire.Item{}, txnOps: 12, settings: &budget.Settings{},
-		attempts: map[attempt]*truth{},
+func newTestLeader(t testing.TB) *testLeader {
+	w := &testLeader{
+		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, txnOps: 12, settings: &budget.Settings{},
+		attempts: map[attemptID]*attemptTruth{},
 	}
-	w.lead()
+	w.newTerm()
 	return w
 }
 
-func (w *world) now() time.Time { return w.clock.Now() }
+func (w *testLeader) now() time.Time { return w.clock.Now() }
 
 // apply does what the state service does with a transaction; every condition must
 // hold, since only one leader writes.
-func (w *world) apply(txn wire.Txn) uint64 {
+func (w *testLeader) apply(txn wire.Txn) uint64 {
 	for _, c := range txn.If {
 		if w.items[c.Key].Version != c.Version {
 			w.t.Fatalf("condition on %s: version %d, want %d", c.Key, w.items[c.Key].Version, c.Version)
@@ -79,9 +79,9 @@
 		w.t.Fatalf("a transaction has %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	w.revision++
-	w.changes += len(txn.Then)
+	w.writtenChanges += len(txn.Then)
 	raw := wire.EncodeRecord(txn)
-	if w.longest = max(w.longest, len(raw)); len(raw) > 64<<10 {
+	if w.longestTxnBytes = max(w.longestTxnBytes, len(raw)); len(raw) > 64<<10 {
 		w.t.Fatalf("a transaction has %d bytes", len(raw))
 	}
 	for _, c := range txn.Then {
@@ -97,7 +97,7 @@
 	return w.revision
 }
 
-func (w *world) with(prefix string) []wire.Item {
+func (w *testLeader) itemsWithPrefix(prefix string) []wire.Item {
 	var out []wire.Item
 	for _, key := range slices.Sorted(maps.Keys(w.items)) {
 		if strings.HasPrefix(key, prefix) {
@@ -107,57 +107,57 @@
 	return out
 }
 
-// lead begins with a new leader, which knows what is stored and hears from the workers.
-func (w *world) lead() {
+// newTerm begins with a new leader, which knows what is stored and hears from the workers.
+func (w *testLeader) newTerm() {
 	w.t.Helper()
 	now := w.now()
-	w.book, w.places = jobs.NewStore(w.txnOps), map[attempt]*jobs.Allocation{}
+	w.store, w.allocations = jobs.NewStore(w.txnOps), map[attemptID]*jobs.Allocation{}
 	var err error
 	if w.ledger, err = New(Config{
-		Clock: w.clock, MaxTxnOps: w.txnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{small} },
+		Clock: w.clock, MaxTxnOps: w.txnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
 		Budgets: func() *budget.Settings { return w.settings },
 	}, slog.New(slog.DiscardHandler)); err != nil {
 		w.t.Fatal(err)
 	}
-	for _, item := range w.with(jobs.PrefixJob) {
-		if _, err := w.book.LoadJob(item, now, now); err != nil {
+	for _, item := range w.itemsWithPrefix(jobs.PrefixJob) {
+		if _, err := w.store.LoadJob(item, now, now); err != nil {
 			w.t.Fatal(err)
 		}
 	}
-	for _, item := range w.with(jobs.PrefixProgress) {
-		places, err := w.book.LoadProgress(item, now)
+	for _, item := range w.itemsWithPrefix(jobs.PrefixProgress) {
+		places, err := w.store.LoadProgress(item, now)
 		if err != nil {
 			w.t.Fatal(err)
 		}
 		for _, p := range places {
-			w.places[keyOf(p)] = p
+			w.allocations[attemptIDOf(p)] = p
 			if p.Job.Cancelled() {
 				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
 		}
 	}
-	for _, item := range w.with(jobs.PrefixDetached) {
-		w.book.LoadDetached(item)
+	for _, item := range w.itemsWithPrefix(jobs.PrefixDetached) {
+		w.store.LoadDetached(item)
 	}
-	w.book.FinishLoading()
-	if errs := w.book.TakeDamaged(); len(errs) > 0 {
+	w.store.FinishLoading()
+	if errs := w.store.TakeDamaged(); len(errs) > 0 {
 		w.t.Fatal(errs)
 	}
-	w.ledger.Loaded(w.book, now)
+	w.ledger.Loaded(w.store, now)
 	var last *wire.Item
-	if segments := w.with(PrefixSegment); len(segments) > 0 {
+	if segments := w.itemsWithPrefix(PrefixSegment); len(segments) > 0 {
 		last = &segments[len(segments)-1]
 	}
-	if err := w.ledger.take(w.with(PrefixPage), last); err != nil {
+	if err := w.ledger.load(w.itemsWithPrefix(PrefixPage), last); err != nil {
 		w.t.Fatal(err)
 	}
-	w.report()
+	w.heartbeat()
 }
 
-func keyOf(p *jobs.Allocation) attempt { return attempt{p.Job.ID, p.Index, p.Attempt} }
+func attemptIDOf(p *jobs.Allocation) attemptID { return attemptID{p.Job.ID, p.Index, p.Attempt} }
 
 // submit stores a job.
-func (w *world) submit(j wire.Job) *jobs.Job {
+func (w *testLeader) submit(j wire.Job) *jobs.Job {
 	w.t.Helper()
 	if j.Team == "" {
 		j.Team = "t"
@@ -170,16 +170,16 @@
 		w.t.Fatal(err)
 	}
 	w.apply(wire.Txn{If: []wire.Condition{{Key: jobs.KeyFinalState(j.ID)}}, Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
-	out, err := w.book.LoadJob(w.items[jobs.KeyJob(j.ID)], w.now(), w.now())
+	out, err := w.store.LoadJob(w.items[jobs.KeyJob(j.ID)], w.now(), w.now())
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	return out
 }
 
-// place decides on the next waiting task of a job; nil: none waits.
-func (w *world) place(id string) *jobs.Allocation {
-	j := w.book.Jobs[id]
+// allocate decides on the next waiting task of a job; nil: none waits.
+func (w *testLeader) allocate(id string) *jobs.Allocation {
+	j := w.store.Jobs[id]
 	if j == nil || !j.CanStart() {
 		return nil
 	}
@@ -187,54 +187,54 @@
 	if n, _ := w.ledger.Admit(j, w.now()); i < 0 || n <= 0 {
 		return nil
 	}
-	p := w.book.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, w.now())
-	w.ledger.Placed(p, false, &small, w.now())
+	p := w.store.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, w.now())
+	w.ledger.Placed(p, false, &smallType, w.now())
 	return p
 }
 
-// start places a task, stores that and has it run.
-func (w *world) start(id string) *jobs.Allocation {
+// allocateAndRun places a task, stores that and has it run.
+func (w *testLeader) allocateAndRun(id string) *jobs.Allocation {
 	w.t.Helper()
-	p := w.place(id)
+	p := w.allocate(id)
 	if p == nil {
 		w.t.Fatalf("nothing of %s may start", id)
 	}
-	w.flush()
+	w.commitAll()
 	w.clock.Advance(time.Second) // the image is fetched
 	w.run(p)
 	return p
 }
 
 // run has a started task begin to run.
-func (w *world) run(p *jobs.Allocation) {
-	if tr := w.attempts[keyOf(p)]; tr != nil && tr.began.IsZero() && tr.ended.IsZero() {
+func (w *testLeader) run(p *jobs.Allocation) {
+	if tr := w.attempts[attemptIDOf(p)]; tr != nil && tr.began.IsZero() && tr.ended.IsZero() {
 		tr.began = w.now()
 	}
-	w.report()
+	w.heartbeat()
 }
 
 // end has an attempt end at its worker.
-func (w *world) end(p *jobs.Allocation, why wire.ExitReason, lost bool) {
-	if tr := w.attempts[keyOf(p)]; tr != nil && tr.ended.IsZero() {
-		tr.ended, tr.why, tr.lost = w.now(), why, lost
+func (w *testLeader) end(p *jobs.Allocation, why wire.ExitReason, lost bool) {
+	if tr := w.attempts[attemptIDOf(p)]; tr != nil && tr.ended.IsZero() {
+		tr.ended, tr.reason, tr.lost = w.now(), why, lost
 	}
-	w.report()
+	w.heartbeat()
 }
 
-// sorted gives the places in an order that is the same every time.
-func (w *world) sorted() []attempt {
-	return slices.SortedFunc(maps.Keys(w.places), func(a, b attempt) int {
+// sortedAttempts gives the places in an order that is the same every time.
+func (w *testLeader) sortedAttempts() []attemptID {
+	return slices.SortedFunc(maps.Keys(w.allocations), func(a, b attemptID) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
 
-// report has the leader hear what each worker knows, as the loop would.
-func (w *world) report() {
+// heartbeat has the leader hear what each worker knows, as the loop would.
+func (w *testLeader) heartbeat() {
 	now := w.now()
-	for _, k := range w.sorted() {
-		p, tr := w.places[k], w.attempts[k]
+	for _, k := range w.sortedAttempts() {
+		p, tr := w.allocations[k], w.attempts[k]
 		if p.Removed {
-			delete(w.places, k)
+			delete(w.allocations, k)
 			continue
 		}
 		if tr == nil {
@@ -242,47 +242,47 @@
 		}
 		if !tr.began.IsZero() && tr.ended.IsZero() && p.State == "" {
 			p.State = wire.TaskRunning
-			w.book.MarkRunning(p, now)
+			w.store.MarkRunning(p, now)
 		}
 		if tr.ended.IsZero() {
 			continue
 		}
-		w.ledger.Ended(machines.Outcome{Allocation: p, Reason: tr.why, Lost: tr.lost}, now)
-		if tr.why == wire.ExitDone {
-			w.book.MarkDone(p, now)
+		w.ledger.Ended(machines.Outcome{Allocation: p, Reason: tr.reason, Lost: tr.lost}, now)
+		if tr.reason == wire.ExitDone {
+			w.store.MarkDone(p, now)
 		} else {
-			w.book.MarkLost(p, now)
+			w.store.MarkLost(p, now)
 		}
 	}
 }
 
-// commit stores one of the book's transactions, and tells whether there was one.
-func (w *world) commit(answered bool) bool {
-	w.book.WriteDue(w.now())
-	batch := w.book.NextBatch(w.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
+// commitBatch stores one of the book's transactions, and tells whether there was one.
+func (w *testLeader) commitBatch(answered bool) bool {
+	w.store.WriteDue(w.now())
+	batch := w.store.NextBatch(w.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
 	if batch == nil {
 		return false
 	}
 	revision := w.apply(batch.Txn)
-	for _, j := range w.book.Jobs {
+	for _, j := range w.store.Jobs {
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Allocation; p != nil {
-				w.places[keyOf(p)] = p
+				w.allocations[attemptIDOf(p)] = p
 			}
 		}
 	}
 	// What is stored is started, even if this leader never learns of it.
-	for _, item := range w.with(jobs.PrefixProgress) {
-		w.started(item)
+	for _, item := range w.itemsWithPrefix(jobs.PrefixProgress) {
+		w.noteStarted(item)
 	}
 	if answered {
-		w.book.MarkCommitted(batch, revision)
+		w.store.MarkCommitted(batch, revision)
 	}
 	return true
 }
 
-// started notes the attempts that a progress record names: they are on their machine.
-func (w *world) started(item wire.Item) {
+// noteStarted notes the attempts that a progress record names: they are on their machine.
+func (w *testLeader) noteStarted(item wire.Item) {
 	var r struct {
 		Tasks []struct {
 			I int
@@ -295,20 +295,20 @@
 	}
 	id := strings.Split(item.Key, "/")[1]
 	for _, e := range r.Tasks {
-		if k := (attempt{id, e.I, e.A}); e.M != "" && w.attempts[k] == nil {
-			w.attempts[k] = &truth{}
+		if k := (attemptID{id, e.I, e.A}); e.M != "" && w.attempts[k] == nil {
+			w.attempts[k] = &attemptTruth{}
 		}
 	}
 }
 
-// flush stores all that waits.
-func (w *world) flush() {
-	for w.commit(true) {
+// commitAll stores all that waits.
+func (w *testLeader) commitAll() {
+	for w.commitBatch(true) {
 	}
 }
 
-// next does one of the ledger's own transactions.
-func (w *world) next(answered bool) bool {
+// commitLedgerWrite does one of the ledger's own transactions.
+func (w *testLeader) commitLedgerWrite(answered bool) bool {
 	w.ledger.Tick(w.now())
 	var write *leader.SubsystemWrite
 	if write = w.ledger.NextWrite(w.now(), 1000); write == nil {
@@ -320,32 +320,32 @@
 	return true
 }
 
-// roll rolls up all there is.
-func (w *world) roll() {
-	w.flush()
+// rollUpAll rolls up all there is.
+func (w *testLeader) rollUpAll() {
+	w.commitAll()
 	w.ledger.Tick(w.now())
 	for {
-		w.ledger.leftSince = time.Time{} // what lies apart lies there for long
-		if !w.next(true) {
+		w.ledger.detachedSince = time.Time{} // what lies apart lies there for long
+		if !w.commitLedgerWrite(true) {
 			return
 		}
 	}
 }
 
-// stored gives all charges that are stored, wherever they lie, by attempt.
-func (w *world) stored() (map[attempt][]charge.Charge, charge.Amounts) {
+// storedCharges gives all charges that are stored, wherever they lie, by attempt.
+func (w *testLeader) storedCharges() (map[attemptID][]charge.Charge, charge.Amounts) {
 	w.t.Helper()
-	out := map[attempt][]charge.Charge{}
+	out := map[attemptID][]charge.Charge{}
 	var sum charge.Amounts
 	take := func(p *charge.Pack) {
 		for i := range p.Charges {
 			c := &p.Charges[i]
-			k := attempt{p.Job, c.Task, c.Attempt}
+			k := attemptID{p.Job, c.Task, c.Attempt}
 			out[k] = append(out[k], *c)
 			sum.Add(p.Brief.AmountsOf(c))
 		}
 	}
-	for _, item := range append(w.with(jobs.PrefixProgress), w.with(jobs.PrefixDetached)...) {
+	for _, item := range append(w.itemsWithPrefix(jobs.PrefixProgress), w.itemsWithPrefix(jobs.PrefixDetached)...) {
 		p, err := jobs.DecodeCharges(item)
 		if err != nil {
 			w.t.Fatal(err)
@@ -354,7 +354,7 @@
 			take(p)
 		}
 	}
-	for _, item := range w.with(PrefixSegment) {
+	for _, item := range w.itemsWithPrefix(PrefixSegment) {
 		packs, err := ReadSegment(w.ledger.codec, item)
 		if err != nil {
 			w.t.Fatal(err)
@@ -369,12 +369,12 @@
 	return out, sum
 }
 
-// check compares what is stored with what happened: each attempt whose end is
+// checkAgainstTruth compares what is stored with what happened: each attempt whose end is
 // stored is charged once, to the millisecond or as an upper bound that says so.
-func (w *world) check() {
+func (w *testLeader) checkAgainstTruth() {
 	w.t.Helper()
-	w.flush()
-	stored, sum := w.stored()
+	w.commitAll()
+	stored, sum := w.storedCharges()
 	for k, parts := range stored {
 		tr := w.attempts[k]
 		if tr == nil {
--- a/internal/accounting/statement/statement.go
+++ b/internal/accounting/statement/statement.go
@@ -53,30 +53,30 @@
 		"money": func(v float64) string { return fmt.Sprintf("%.2f", v) },
 		"pad":   func(n int, s string) string { return fmt.Sprintf("%-*s", n, s) },
 		"right": func(n int, s string) string { return fmt.Sprintf("%*s", n, s) },
-		"or1":   func(s, other string) string { return firstOf(s, other) },
+		"or1":   func(s, other string) string { return orElse(s, other) },
 	}
 	if html {
 		t, err := htmltemplate.New(name).Funcs(funcs).Option("missingkey=error").Parse(text)
 		if err != nil {
-			return oneLine(err)
+			return templateError(err)
 		}
-		return oneLine(t.Execute(w, b))
+		return templateError(t.Execute(w, b))
 	}
 	t, err := texttemplate.New(name).Funcs(funcs).Option("missingkey=error").Parse(text)
 	if err != nil {
-		return oneLine(err)
+		return templateError(err)
 	}
-	return oneLine(t.Execute(w, b))
+	return templateError(t.Execute(w, b))
 }
 
-func firstOf(s, other string) string {
+func orElse(s, other string) string {
 	if s == "" {
 		return other
 	}
 	return s
 }
 
-func oneLine(err error) error {
+func templateError(err error) error {
 	if err == nil {
 		return nil
 	}
