--- a/internal/api/userapi/users_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -72,8 +72,8 @@
 			}
 		}()
 	}
-	d, _ := handlerWith(t, "127.0.0.1:1", members...)
-	if d.relaySubmission(ctx, body).conclusive() {
+	h, _ := handlerWith(t, "127.0.0.1:1", members...)
+	if h.relaySubmission(ctx, body).conclusive() {
 		t.Error("an answer, though no member gave one")
 	}
 	if n := asked.Load(); n != 1 {
@@ -98,9 +98,9 @@
 	go peerrpc.Serve(ctx, peer, func(_ context.Context, r peerrpc.Request) peerrpc.Response {
 		return peerrpc.Response{Status: http.StatusCreated, Job: wire.JobStatus{State: wire.StateQueued}}
 	}, slog.New(slog.DiscardHandler))
-	d, clock := handlerWith(t, silent.Addr().String(), config.Member{Name: "m1", Endpoint: peer.Addr().String()})
+	h, clock := handlerWith(t, silent.Addr().String(), config.Member{Name: "m1", Endpoint: peer.Addr().String()})
 	done := make(chan int, 1)
-	go func() { done <- d.accept(ctx, body).status }()
+	go func() { done <- h.submitAnywhere(ctx, body).status }()
 	if err := clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -115,12 +115,12 @@
 func TestWithoutMemoryASubmissionIsRefusedAtOnce(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
-	d, _ := handlerWith(t, state.Addr())
+	h, _ := handlerWith(t, state.Addr())
 	full := true
-	d.memoryFull = func() bool { return full }
+	h.memoryFull = func() bool { return full }
 	submit := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		d.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, bytes.NewReader(body)))
+		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, bytes.NewReader(body)))
 		return w
 	}
 	if w := submit(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" || len(state.Applied()) != 0 {
@@ -134,12 +134,12 @@
 
 // Guards against users that stay with a controller which has lost the state service and all others: their polls failed for
 // as long as that lasted. It says at once that it serves nobody, and has them ask another.
-func TestAMemberThatIsCutOffFromAllSendsItsUsersOn(t *testing.T) {
+func TestAnIsolatedMemberRefusesUsersAndClosesTheirConnections(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
-	d, _ := handlerWith(t, state.Addr())
+	h, _ := handlerWith(t, state.Addr())
 	alone := true
-	d.isolated = func() bool { return alone }
+	h.isolated = func() bool { return alone }
 	status := func(serve http.HandlerFunc, method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(body))
@@ -150,19 +150,19 @@
 	for _, c := range []struct {
 		name  string
 		serve http.HandlerFunc
-	}{{"poll", d.ServeStatus}, {"submission", d.ServeSubmit}, {"cancellation", d.ServeCancel}} {
+	}{{"poll", h.ServeStatus}, {"submission", h.ServeSubmit}, {"cancellation", h.ServeCancel}} {
 		if w := status(c.serve, http.MethodPost, "/"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d, connection %q", c.name, w.Code, w.Header().Get("Connection"))
 		}
 	}
-	if w := status(d.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusServiceUnavailable {
+	if w := status(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("healthy: %d", w.Code)
 	}
 	alone = false
-	if w := status(d.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusOK {
+	if w := status(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusOK {
 		t.Errorf("not healthy at once: %d", w.Code)
 	}
-	if w := status(d.ServeStatus, http.MethodGet, "/"); w.Code != http.StatusNotFound {
+	if w := status(h.ServeStatus, http.MethodGet, "/"); w.Code != http.StatusNotFound {
 		t.Errorf("poll: %d", w.Code)
 	}
 }
--- a/internal/api/userapi/polls_test.go
+++ b/internal/api/userapi/status_reader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -42,13 +43,13 @@
 		write(struct{}{})
 	}))
 	t.Cleanup(srv.Close)
-	d, _ := handlerWith(t, strings.TrimPrefix(srv.URL, "http://"))
-	p := d.statusReader
+	h, _ := handlerWith(t, strings.TrimPrefix(srv.URL, "http://"))
+	p := h.statusReader
 	var wg sync.WaitGroup
-	poll := func(id string, want int, state wire.JobState) {
+	poll := func(id string, want error, state wire.JobState) {
 		wg.Go(func() {
-			if code, s := p.read(t.Context(), id); code != want || s.State != state || s.ID != id {
-				t.Errorf("%s: %d %+v", id, code, s)
+			if s, err := p.read(t.Context(), id); !errors.Is(err, want) || s.State != state || err == nil && s.ID != id {
+				t.Errorf("%s: %v %+v", id, err, s)
 			}
 		})
 	}
@@ -59,7 +60,7 @@
 			p.mu.Unlock()
 		}
 	}
-	poll("job-never", http.StatusNotFound, "")
+	poll("job-never", errNoSuchJob, "")
 	for gets.Load() == 0 { // its reads are on their way: what comes now waits
 	}
 	for i := range 20 {
@@ -67,9 +68,9 @@
 		if i == 3 {
 			state = wire.StateCancelled
 		}
-		poll(fmt.Sprintf("job-%d", i), http.StatusOK, state)
+		poll(fmt.Sprintf("job-%d", i), nil, state)
 	}
-	poll("job-over", http.StatusOK, wire.StateDone)
+	poll("job-over", nil, wire.StateDone)
 	queued(21)
 	close(release)
 	wg.Wait()
--- /dev/null
+++ b/internal/api/userapi/store_job.go
@@ -0,0 +1,104 @@
+package userapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// Why a job is not stored.
+var (
+	errJobKnown   = errors.New("the job is stored already, or over")
+	errMemoryFull = errors.New("there is no memory for more jobs now; submit it again")
+	errTooLong    = errors.New("the job's description is too long")
+	errNotStored  = errors.New("the job could not be stored; submit it again")
+)
+
+// submit accepts a job here, or says why it is not accepted.
+func (h *Handler) submit(ctx context.Context, body []byte) submission {
+	job, err := h.parseSubmission(body)
+	if err != nil {
+		return refused(http.StatusBadRequest, httpjson.OneLine(err))
+	}
+	if s, ok := h.finalStates.Get(job.ID); ok {
+		return accepted(http.StatusOK, s.ID, s.State)
+	}
+	types := h.types()
+	if types == nil {
+		return refused(http.StatusServiceUnavailable, "the machine types are not known yet")
+	}
+	reason := h.infeasible(job, types)
+	if reason != "" {
+		return h.answerKnown(ctx, job.ID, reason)
+	}
+	err = h.storeJob(ctx, job)
+	switch {
+	case err == nil:
+		h.log.Debug("accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
+		return accepted(http.StatusCreated, job.ID, wire.StateQueued)
+	case errors.Is(err, errJobKnown):
+		return h.answerKnown(ctx, job.ID, "")
+	case errors.Is(err, errTooLong):
+		return refused(http.StatusBadRequest, err.Error())
+	}
+	return refused(http.StatusServiceUnavailable, err.Error())
+}
+
+// parseSubmission reads a job, with its account where charges are kept.
+func (h *Handler) parseSubmission(body []byte) (*wire.Job, error) {
+	job, err := wire.ParseJob(body)
+	if err != nil {
+		return nil, err
+	}
+	if h.accounts {
+		if err := job.ReadAccount(body); err != nil {
+			return nil, err
+		}
+	}
+	return job, nil
+}
+
+// storeJob stores a job that is neither stored nor over. The error is one of those above.
+func (h *Handler) storeJob(ctx context.Context, job *wire.Job) error {
+	if h.peers.LeaderFull() || h.memoryFull != nil && h.memoryFull() {
+		return errMemoryFull
+	}
+	value, err := json.Marshal(jobs.JobRecord{Job: *job, AtMS: h.clock.Now().UnixMilli()})
+	if err != nil || float64(len(value)) > h.settings.Cluster.State.ValueKB*1024 {
+		return errTooLong
+	}
+	_, err = h.store.Commit(ctx, wire.Txn{
+		If:   []wire.Condition{{Key: jobs.KeyJob(job.ID)}, {Key: jobs.KeyFinalState(job.ID)}},
+		Then: []wire.Change{{Put: jobs.KeyJob(job.ID), Value: value}},
+	})
+	var conflict *statestore.ConflictError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &conflict):
+		return errJobKnown
+	}
+	h.log.Debug("submission not stored", "job", job.ID, "err", err)
+	return errNotStored
+}
+
+// answerKnown answers a submission of a job that is known, or, if there is a reason, that can never run. A job that was accepted
+// before must never be refused, whatever the machine types are by now.
+func (h *Handler) answerKnown(ctx context.Context, id, reason string) submission {
+	s, err := h.status(ctx, id, func(ctx context.Context, id string) (wire.JobStatus, error) {
+		return h.storedStatus(ctx, id, h.store)
+	})
+	switch {
+	case err == nil:
+		return accepted(http.StatusOK, s.ID, s.State)
+	case errors.Is(err, errNoSuchJob) && reason != "":
+		return refused(http.StatusUnprocessableEntity, reason)
+	}
+	return refused(http.StatusServiceUnavailable, errStatusUnknown.Error())
+}
