--- /dev/null
+++ b/internal/docnames_test.go
@@ -0,0 +1,77 @@
+package internal_test
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var (
+	namedTest    = regexp.MustCompile("`((?:Test|Benchmark)[A-Z]\\w*)`")
+	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark)[A-Z]\w*)\(`)
+)
+
+// TestNamedTestsExist holds that each test which a page names as the guard of
+// an argument or incident is there under that name.
+func TestNamedTestsExist(t *testing.T) {
+	declared := map[string]bool{}
+	for _, root := range []string{".", "../cmd"} {
+		eachFile(t, root, "_test.go", func(file string) {
+			for _, m := range declaredTest.FindAllStringSubmatch(read(t, file), -1) {
+				declared[m[1]] = true
+			}
+		})
+	}
+	named := 0
+	eachFile(t, "../docs", ".md", func(page string) {
+		for _, m := range namedTest.FindAllStringSubmatch(read(t, page), -1) {
+			named++
+			if !declared[m[1]] {
+				t.Errorf("%s names %s, which is nowhere", page, m[1])
+			}
+		}
+	})
+	if named < 50 {
+		t.Errorf("only %d tests are named", named)
+	}
+}
+
+// eachFile calls visit for each file below a folder whose name ends so.
+func eachFile(t *testing.T, root, suffix string, visit func(file string)) {
+	t.Helper()
+	err := filepath.WalkDir(root, func(file string, d fs.DirEntry, err error) error {
+		if err == nil && strings.HasSuffix(file, suffix) {
+			visit(file)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+var namedPath = regexp.MustCompile("`((?:internal|cmd)/[\\w./-]+)`")
+
+// TestNamedFilesExist holds that the files and folders that a page names are
+// there. measurements.md tells of rounds by the names of their time, the road
+// map also of packages to come.
+func TestNamedFilesExist(t *testing.T) {
+	named := 0
+	eachFile(t, "../docs", ".md", func(page string) {
+		if strings.HasSuffix(page, "measurements.md") || strings.HasSuffix(page, "ROADMAP.md") {
+			return
+		}
+		for _, m := range namedPath.FindAllStringSubmatch(read(t, page), -1) {
+			named++
+			if _, err := os.Stat(filepath.Join("..", m[1])); err != nil {
+				t.Errorf("%s names %s, which is nowhere", page, m[1])
+			}
+		}
+	})
+	if named < 10 {
+		t.Errorf("only %d files are named", named)
+	}
+}
