--- a/internal/scheduler/autoscale/forecast_test.go
+++ b/internal/scheduler/autoscale/forecast_test.go
@@ -15,13 +15,13 @@
 	}
 	recent = append(recent, Arrival{At: now, Job: &wire.Job{ID: "job-2", Team: "t", Class: "patient", Tasks: 50}})
 	tasks := func(horizon time.Duration, share float64) (n []int) {
-		for _, it := range Forecast(now, recent, horizon, func(class string) float64 {
+		for _, p := range Forecast(now, recent, horizon, func(class string) float64 {
 			if class == "patient" {
 				return 0
 			}
 			return share
 		}) {
-			n = append(n, it.Waiting)
+			n = append(n, p.Waiting)
 		}
 		return n
 	}
--- a/internal/scheduler/autoscale/plan_test.go
+++ b/internal/scheduler/autoscale/plan_test.go
@@ -42,9 +42,9 @@
 	limited := input(pendingJob(9, 4, true, false))
 	limited.Teams["t"].QuotaCPUs = 8
 	noSpot := func(await bool) Input {
-		it := pendingJob(1, 4, true, false)
-		it.AwaitSpot = await
-		in := input(it)
+		p := pendingJob(1, 4, true, false)
+		p.AwaitSpot = await
+		in := input(p)
 		in.Unavailable = func(o Offering) bool { return o.Spot }
 		return in
 	}
--- a/internal/scheduler/placement/cycle_test.go
+++ b/internal/scheduler/placement/cycle_test.go
@@ -101,9 +101,9 @@
 // slot waits for them.
 func TestKindPreferenceComesFirstAndLeavesNothingFree(t *testing.T) {
 	prefers := func(id string, kind KindPreference, tasks int) *PendingJob {
-		it := pendingJob(id, wire.PriorityNormal, time.Second, tasks, 4)
-		it.Job.Spot, it.Preference = true, kind
-		return it
+		p := pendingJob(id, wire.PriorityNormal, time.Second, tasks, 4)
+		p.Job.Spot, p.Preference = true, kind
+		return p
 	}
 	for _, c := range []struct {
 		name    string
@@ -116,8 +116,10 @@
 		{"also to on-demand machines", []*PendingJob{prefers("a", PreferSpot, 2)}, "a:s a:o"},
 		{"a job without a preference keeps its place", []*PendingJob{prefers("a", AnyKind, 1), prefers("b", PreferSpot, 1)}, "a:s b:o"},
 	} {
-		if got := run(c.pending, []*Machine{machine("s", "a", true, 4), machine("o", "a", false, 4)}, 100); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := run(c.pending, []*Machine{machine("s", "a", true, 4), machine("o", "a", false, 4)}, 100); got != c.want {
+				t.Errorf("placed %q, want %q", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/scheduler/placement/dryrun_test.go
+++ b/internal/scheduler/placement/dryrun_test.go
@@ -53,8 +53,8 @@
 		})
 		want := cluster(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
 			waiting, teams := 0, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}}
-			for _, it := range pending {
-				waiting += it.Waiting
+			for _, p := range pending {
+				waiting += p.Waiting
 			}
 			placed := Schedule(now, pending, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without }), teams)
 			if len(placed) == waiting {
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -55,17 +55,17 @@
 
 // referencePreempt looks at all machines for each task.
 func referencePreempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
-	for _, it := range pending {
-		team, request := teams[it.Job.Team], it.Request()
-		for n := 0; it.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
+	for _, p := range pending {
+		team, request := teams[p.Job.Team], p.Request()
+		for n := 0; p.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
 			var best *Machine
 			var chosen []int
 			var cost float64
 			for _, m := range machines {
-				if !m.Total.Fits(request) || !it.Allows(m.Type, m.Zone, m.Spot) {
+				if !m.Total.Fits(request) || !p.Allows(m.Type, m.Zone, m.Spot) {
 					continue
 				}
-				if idx, c, ok := it.victimsOn(m, request, teams); ok && (best == nil || c < cost) {
+				if idx, c, ok := p.victimsOn(m, request, teams); ok && (best == nil || c < cost) {
 					best, chosen, cost = m, idx, c
 				}
 			}
@@ -74,7 +74,7 @@
 			}
 			for _, i := range chosen {
 				v := best.Victims[i]
-				out = append(out, fmt.Sprint(v.Ref, " for ", it.Job.ID))
+				out = append(out, fmt.Sprint(v.Ref, " for ", p.Job.ID))
 				best.Free.Add(v.request())
 				teams[v.Job.Team].release(v.request())
 			}
@@ -82,7 +82,7 @@
 			for _, i := range slices.Backward(chosen) {
 				best.Victims = slices.Delete(best.Victims, i, i+1)
 			}
-			it.assign(best, request, team)
+			p.assign(best, request, team)
 		}
 	}
 	return out
--- a/internal/scheduler/placement/queue_test.go
+++ b/internal/scheduler/placement/queue_test.go
@@ -34,17 +34,20 @@
 		return func(j *wire.Job) { j.Kind, j.EstimateS = wire.KindArray, run }
 	}
 	for _, c := range []struct {
+		name    string
 		pending []*PendingJob
 		want    string
 	}{
-		{[]*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 3, 4, array(40)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "b:m a:m"},
-		{[]*PendingJob{pendingJob("a", wire.PriorityNormal, 30*time.Second, 3, 4, array(40)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "a:m a:m"},
-		{[]*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(80)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 2, 4, array(40))}, "b:m b:m"},
-		{[]*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(40)), pendingJob("b", wire.PriorityNormal, 0, 1, 4)}, "b:m a:m"},
+		{"of a wait as long the least work", []*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 3, 4, array(40)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "b:m a:m"},
+		{"a wait that is long for its work", []*PendingJob{pendingJob("a", wire.PriorityNormal, 30*time.Second, 3, 4, array(40)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 1, 4, array(40))}, "a:m a:m"},
+		{"a shorter run time is less work", []*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(80)), pendingJob("b", wire.PriorityNormal, 8*time.Second, 2, 4, array(40))}, "b:m b:m"},
+		{"any other kind goes before arrays", []*PendingJob{pendingJob("a", wire.PriorityNormal, 9*time.Second, 2, 4, array(40)), pendingJob("b", wire.PriorityNormal, 0, 1, 4)}, "b:m a:m"},
 	} {
-		if got := run(c.pending, []*Machine{machine("m", "a", false, 8)}, 100); got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := run(c.pending, []*Machine{machine("m", "a", false, 8)}, 100); got != c.want {
+				t.Errorf("placed %q, want %q", got, c.want)
+			}
+		})
 	}
 }
 
@@ -52,15 +55,18 @@
 // array of the same guest: without a quota it never had its fair share, and aged past them.
 func TestHugeArrayWithoutQuotaLetsOthersBegin(t *testing.T) {
 	for _, c := range []struct {
+		name    string
 		started int
 		want    string
-	}{{1, "a:m"}, {2, "b:m"}} {
-		huge, tiny := pendingJob("a", wire.PriorityLow, tuning.PriorityAgingStep, 25000, 4), pendingJob("b", wire.PriorityLow, 0, 1, 4)
-		huge.Started = c.started
-		placed := Schedule(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), FairShareCPUs: 8}})
-		if got := placed[0].Pending.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
-			t.Errorf("after %d tasks: placed %s", c.started, got)
-		}
+	}{{"within its fair share", 1, "a:m"}, {"beyond its fair share", 2, "b:m"}} {
+		t.Run(c.name, func(t *testing.T) {
+			huge, tiny := pendingJob("a", wire.PriorityLow, tuning.PriorityAgingStep, 25000, 4), pendingJob("b", wire.PriorityLow, 0, 1, 4)
+			huge.Started = c.started
+			placed := Schedule(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), FairShareCPUs: 8}})
+			if got := placed[0].Pending.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
+				t.Errorf("after %d tasks: placed %s", c.started, got)
+			}
+		})
 	}
 }
 
--- a/internal/scheduler/placement/ranking_test.go
+++ b/internal/scheduler/placement/ranking_test.go
@@ -22,9 +22,9 @@
 }
 
 func TestSpreadCountsTasksPlacedEarlier(t *testing.T) {
-	it := pendingJob("a", wire.PriorityHigh, 0, 4, 1, func(j *wire.Job) { j.Spread = true })
-	it.Waiting, it.Zones = 2, map[string]int{"a": 2}
-	if got := run([]*PendingJob{it}, []*Machine{machine("m", "a", false, 16)}, 100); got != "" {
+	p := pendingJob("a", wire.PriorityHigh, 0, 4, 1, func(j *wire.Job) { j.Spread = true })
+	p.Waiting, p.Zones = 2, map[string]int{"a": 2}
+	if got := run([]*PendingJob{p}, []*Machine{machine("m", "a", false, 16)}, 100); got != "" {
 		t.Errorf("placed %q", got)
 	}
 }
--- a/internal/scheduler/placement/reference_test.go
+++ b/internal/scheduler/placement/reference_test.go
@@ -18,43 +18,43 @@
 	Sort(pending, teams, now)
 	headReserved, starving, blocked := false, 0, map[*PendingJob]bool{}
 	for level := 4; level >= 0; level-- {
-		of := slices.DeleteFunc(slices.Clone(pending), func(it *PendingJob) bool { return EffectivePriority(it, teams, now) != level })
+		of := slices.DeleteFunc(slices.Clone(pending), func(p *PendingJob) bool { return EffectivePriority(p, teams, now) != level })
 		for _, i := range starvingIn(of, 0, len(of), now) {
-			it := of[i]
-			team, request := teams[it.Job.Team], it.Request()
-			if m := referenceBest(it, machines, request); m != nil && team.admits(it) {
-				it.assign(m, request, team)
-				placed = append(placed, Placement{it, m})
+			p := of[i]
+			team, request := teams[p.Job.Team], p.Request()
+			if m := referenceBest(p, machines, request); m != nil && team.admits(p) {
+				p.assign(m, request, team)
+				placed = append(placed, Placement{p, m})
 				continue
 			}
 			if team.reservedFor == "" {
-				team.reservedFor, team.reserved = it.Job.ID, request
+				team.reservedFor, team.reserved = p.Job.ID, request
 			}
-			if team.reservedFor == it.Job.ID && starving < max(1, len(machines)/tuning.StarvationReservationShare) && it.reserveMachine(machines, request) {
+			if team.reservedFor == p.Job.ID && starving < max(1, len(machines)/tuning.StarvationReservationShare) && p.reserveMachine(machines, request) {
 				starving++
 			}
 		}
 		for _, ph := range phases {
-			for _, it := range pending {
-				for EffectivePriority(it, teams, now) == level && it.Placeholder == (ph == placeholderPhase) && it.Waiting > 0 && !blocked[it] {
-					team, request := teams[it.Job.Team], it.Request()
-					if it.Placeholder {
+			for _, p := range pending {
+				for EffectivePriority(p, teams, now) == level && p.Placeholder == (ph == placeholderPhase) && p.Waiting > 0 && !blocked[p] {
+					team, request := teams[p.Job.Team], p.Request()
+					if p.Placeholder {
 						team = &Team{QuotaCPUs: 1e9}
 					}
-					if !team.admits(it) || ph == guaranteedPhase && !team.withinGuarantee(request) {
+					if !team.admits(p) || ph == guaranteedPhase && !team.withinGuarantee(request) {
 						break
 					}
-					m := referenceBest(it, machines, request)
+					m := referenceBest(p, machines, request)
 					if m == nil {
-						blocked[it] = true
-						if !headReserved && !it.Placeholder && now.Sub(it.WaitingSince) >= tuning.HeadReservationAfter {
-							headReserved = it.reserveMachine(machines, request)
+						blocked[p] = true
+						if !headReserved && !p.Placeholder && now.Sub(p.WaitingSince) >= tuning.HeadReservationAfter {
+							headReserved = p.reserveMachine(machines, request)
 						}
 						break
 					}
-					it.assign(m, request, team)
-					if !it.Placeholder {
-						placed = append(placed, Placement{it, m})
+					p.assign(m, request, team)
+					if !p.Placeholder {
+						placed = append(placed, Placement{p, m})
 					}
 				}
 			}
@@ -64,10 +64,10 @@
 }
 
 // referenceBest looks at all machines.
-func referenceBest(it *PendingJob, machines []*Machine, request Resources) (best *Machine) {
+func referenceBest(p *PendingJob, machines []*Machine, request Resources) (best *Machine) {
 	for _, m := range machines {
-		if m.Free.Fits(request) && (m.reservedFor == "" || m.reservedFor == it.Job.ID) && it.Allows(m.Type, m.Zone, m.Spot) &&
-			(it.Avoid == nil || !it.Avoid(m.Name)) && (best == nil || ranksBefore(it, m, best)) {
+		if m.Free.Fits(request) && (m.reservedFor == "" || m.reservedFor == p.Job.ID) && p.Allows(m.Type, m.Zone, m.Spot) &&
+			(p.Avoid == nil || !p.Avoid(m.Name)) && (best == nil || ranksBefore(p, m, best)) {
 			best = m
 		}
 	}
@@ -76,22 +76,22 @@
 
 // ranksBefore is the ranking of machines as it is described, by the machines as
 // they are.
-func ranksBefore(it *PendingJob, a, b *Machine) bool {
+func ranksBefore(p *PendingJob, a, b *Machine) bool {
 	if a.Spot != b.Spot {
 		return a.Spot
 	}
-	fa, fb := a.fetchS(it.Job.Image, it.Job.ImageGB), b.fetchS(it.Job.Image, it.Job.ImageGB)
-	if it.LatencySensitive && fa != fb {
+	fa, fb := a.fetchS(p.Job.Image, p.Job.ImageGB), b.fetchS(p.Job.Image, p.Job.ImageGB)
+	if p.LatencySensitive && fa != fb {
 		return fa < fb
 	}
-	if a.Price != b.Price && (a.Spot || !it.Job.Spot) {
+	if a.Price != b.Price && (a.Spot || !p.Job.Spot) {
 		return a.Price < b.Price
 	}
 	if fa != fb {
 		return fa < fb
 	}
-	if it.Job.Spread && a.Zone != b.Zone && it.Zones[a.Zone] != it.Zones[b.Zone] {
-		return it.Zones[a.Zone] < it.Zones[b.Zone]
+	if p.Job.Spread && a.Zone != b.Zone && p.Zones[a.Zone] != p.Zones[b.Zone] {
+		return p.Zones[a.Zone] < p.Zones[b.Zone]
 	}
 	if a.Unacknowledged != b.Unacknowledged {
 		return b.Unacknowledged
@@ -122,24 +122,24 @@
 				machines = append(machines, m)
 			}
 			for i := range 1 + r.IntN(15) {
-				it := pendingJob(fmt.Sprintf("job-%02d", i), priorities[r.IntN(4)], time.Duration(r.IntN(200))*time.Second, 1+r.IntN(8), float64(1+r.IntN(6)),
+				p := pendingJob(fmt.Sprintf("job-%02d", i), priorities[r.IntN(4)], time.Duration(r.IntN(200))*time.Second, 1+r.IntN(8), float64(1+r.IntN(6)),
 					func(j *wire.Job) {
 						j.Team, j.MemoryGB = []string{"t", "u"}[r.IntN(2)], float64(r.IntN(6))
 						j.Spread, j.OneZone, j.Spot = r.IntN(4) == 0, r.IntN(4) == 0, r.IntN(2) == 0
 					})
-				it.LatencySensitive, it.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
-				it.Job.Image = []string{"i", "ii"}[r.IntN(2)]
+				p.LatencySensitive, p.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
+				p.Job.Image = []string{"i", "ii"}[r.IntN(2)]
 				if r.IntN(4) == 0 {
-					it.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
+					p.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
 				}
 				if r.IntN(4) == 0 {
 					bad := fmt.Sprintf("m-%02d", r.IntN(40))
-					it.Avoid = func(machine string) bool { return machine <= bad }
+					p.Avoid = func(machine string) bool { return machine <= bad }
 				}
-				if !it.Job.Spread && !it.Job.OneZone {
-					it.Zones = nil
+				if !p.Job.Spread && !p.Job.OneZone {
+					p.Zones = nil
 				}
-				pending = append(pending, it)
+				pending = append(pending, p)
 			}
 			return pending, machines, map[string]*Team{"t": {GuaranteedCPUs: 10, QuotaCPUs: 30}, "u": {GuaranteedCPUs: 40, QuotaCPUs: 60}}
 		}
--- a/internal/scheduler/placement/search_test.go
+++ b/internal/scheduler/placement/search_test.go
@@ -22,9 +22,9 @@
 		}
 		var pending []*PendingJob
 		for i := range 50 { // of five shapes
-			it := pendingJob(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, float64(1+i%5))
-			it.Avoid = func(string) bool { looks++; return false }
-			pending = append(pending, it)
+			p := pendingJob(fmt.Sprint("job-", i), wire.PriorityNormal, time.Duration(i)*time.Second, n/10, float64(1+i%5))
+			p.Avoid = func(string) bool { looks++; return false }
+			pending = append(pending, p)
 		}
 		placed := len(Schedule(now, pending, machines, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}}))
 		if each := float64(looks-5*n) / float64(placed); placed < 4*n || each > 4 {
--- a/internal/scheduler/placement/simulation_test.go
+++ b/internal/scheduler/placement/simulation_test.go
@@ -32,7 +32,7 @@
 	m       *Machine
 	request Resources
 	team    string
-	it      *PendingJob
+	job     *PendingJob
 }
 
 func newSimulation(teams map[string]*Team) *simulation {
@@ -41,35 +41,42 @@
 
 // submit adds an array.
 func (s *simulation) submit(id, team string, tasks int, cpus, runS float64, prio wire.Priority) *PendingJob {
-	it := &PendingJob{
+	p := &PendingJob{
 		Job:          &wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: prio, Tasks: tasks, CPUs: cpus, EstimateS: runS},
 		WaitingSince: s.now, EnqueuedAt: s.now, Waiting: tasks,
 	}
-	s.pending = append(s.pending, it)
-	return it
+	s.pending = append(s.pending, p)
+	return p
 }
 
 // step advances the time by a second: tasks end, and a cycle places others.
 func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
-	rest := s.running[:0]
-	for _, e := range s.running {
+	s.endTasks()
+	s.pending = slices.DeleteFunc(s.pending, func(p *PendingJob) bool { return p.Waiting == 0 })
+	s.forgetReservations()
+	placed := s.schedule()
+	for _, p := range placed {
+		s.start(p)
+	}
+	s.watch()
+}
+
+// endTasks ends the tasks whose time is up, and returns their room.
+func (s *simulation) endTasks() {
+	s.running = slices.DeleteFunc(s.running, func(e runningTask) bool {
 		if e.endsAt.After(s.now) {
-			rest = append(rest, e)
-			continue
+			return false
 		}
 		e.m.Free.Add(e.request)
 		s.teams[e.team].UsedCPUs -= e.request.CPUs
-		s.done += e.request.CPUs * e.it.Job.EstimateS
-	}
-	s.running = rest
-	var waiting []*PendingJob
-	for _, it := range s.pending {
-		if it.Waiting > 0 {
-			waiting = append(waiting, it)
-		}
-	}
-	s.pending = waiting
+		s.done += e.request.CPUs * e.job.Job.EstimateS
+		return true
+	})
+}
+
+// forgetReservations makes views that are new for a cycle.
+func (s *simulation) forgetReservations() {
 	for _, m := range s.machines {
 		m.reservedFor = ""
 		m.FreeInS = func(lacking Resources) float64 {
@@ -80,11 +87,16 @@
 	for _, t := range s.teams {
 		t.reservedFor = ""
 	}
-	wanted := append([]*PendingJob{}, waiting...)
-	free := make([]Resources, len(s.machines)) // placeholders take room for one cycle only
+}
+
+// schedule runs a cycle. What placeholders took of the machines is free again after
+// it, and so is what placed tasks took: start takes that.
+func (s *simulation) schedule() []Placement {
+	wanted := slices.Clone(s.pending)
 	if s.placeholders != nil {
 		wanted = append(wanted, s.placeholders()...)
 	}
+	free := make([]Resources, len(s.machines))
 	for i, m := range s.machines {
 		free[i] = m.Free
 	}
@@ -92,15 +104,18 @@
 	for i, m := range s.machines {
 		m.Free = free[i]
 	}
-	for _, p := range placed {
-		p.Machine.Free.Sub(p.Pending.Request(), 1)
-		if p.Pending.Started++; p.Pending.Started == 1 {
-			s.began[p.Pending.Job.ID] = s.now.Sub(p.Pending.EnqueuedAt)
-		}
-		run := time.Duration(p.Pending.Job.EstimateS * float64(time.Second))
-		s.running = append(s.running, runningTask{s.now.Add(run), p.Machine, p.Pending.Request(), p.Pending.Job.Team, p.Pending})
+	return placed
+}
+
+// start runs a placed task.
+func (s *simulation) start(p Placement) {
+	job, request := p.Pending, p.Pending.Request()
+	p.Machine.Free.Sub(request, 1)
+	if job.Started++; job.Started == 1 {
+		s.began[job.Job.ID] = s.now.Sub(job.EnqueuedAt)
 	}
-	s.watch(waiting)
+	run := time.Duration(job.Job.EstimateS * float64(time.Second))
+	s.running = append(s.running, runningTask{s.now.Add(run), p.Machine, request, job.Job.Team, job})
 }
 
 // freeInS returns after how many seconds a machine has room, by the tasks that run
@@ -129,16 +144,16 @@
 }
 
 // watch notes the jobs that wait beside room.
-func (s *simulation) watch(waiting []*PendingJob) {
-	for _, it := range waiting {
-		team, request := s.teams[it.Job.Team], it.Request()
-		room := it.Waiting > 0 && team.withinQuota(request) && slices.ContainsFunc(s.machines, func(m *Machine) bool {
-			return m.Free.Fits(request) && it.Allows(m.Type, m.Zone, m.Spot)
+func (s *simulation) watch() {
+	for _, p := range s.pending {
+		team, request := s.teams[p.Job.Team], p.Request()
+		room := p.Waiting > 0 && team.withinQuota(request) && slices.ContainsFunc(s.machines, func(m *Machine) bool {
+			return m.Free.Fits(request) && p.Allows(m.Type, m.Zone, m.Spot)
 		})
-		if since, known := s.waitsBesideRoom[it]; !room {
-			delete(s.waitsBesideRoom, it)
+		if since, known := s.waitsBesideRoom[p]; !room {
+			delete(s.waitsBesideRoom, p)
 		} else if !known {
-			s.waitsBesideRoom[it] = s.now
+			s.waitsBesideRoom[p] = s.now
 		} else {
 			s.longestWait = max(s.longestWait, s.now.Sub(since))
 		}
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -75,12 +75,12 @@
 				work += cpus * run * float64(tasks)
 			}
 			if s%100 == 50 && s < 350 {
-				for id, it := range map[string]*PendingJob{
+				for id, p := range map[string]*PendingJob{
 					fmt.Sprintf("whole-machine-%d", s): sim.submit(fmt.Sprintf("whole-machine-%d", s), "t", 4, 16, 60, wire.PriorityNormal),
 					fmt.Sprintf("whole-limit-%d", s):   sim.submit(fmt.Sprintf("whole-limit-%d", s), "hot", 200, 16, 60, wire.PriorityNormal),
 					fmt.Sprintf("huge-%d", s):          sim.submit(fmt.Sprintf("huge-%d", s), "guest", 25000, 4, 60, wire.PriorityNormal),
 				} {
-					large[id] = it
+					large[id] = p
 				}
 			}
 			sim.step()
