--- a/internal/scheduler/leader/doc.go
+++ b/internal/scheduler/leader/doc.go
@@ -18,4 +18,9 @@
 //   - subsystemSet (subsystems.go, subsystem_writes.go): the subsystems that join the loop, and their transactions
 //   - serviceLevels (service_levels.go): who is served, for metrics
 //   - imageHints (image_hints.go): which machines hold which images, for the next leader
+//
+// What has no state but the job store and the machine registry lies in files of its own: what a heartbeat brings
+// (heartbeats.go, outcomes.go, failures.go), the commands for workers (commands.go), what machines and teams look like to
+// placement (machine_views.go, team_usage.go), silent machines and partitioned zones (partitions.go), the size that the fleet may
+// have (fleet_size.go), and the requests of users (job_requests.go, queries.go, explain.go).
 package leader
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -17,6 +17,7 @@
 // depends on it; a leader that finds none, or one that it cannot read, begins without.
 const keyImages = "hint/images"
 
+// imagesRecord is stored at keyImages.
 type imagesRecord struct {
 	Frame []byte `json:"z"`
 }
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -49,15 +49,13 @@
 // readAll lists the records below a prefix, again until it succeeds: handle may be called with an item more than once. ok is
 // false if ctx ended before.
 func (l *Loop) readAll(ctx context.Context, prefix string, handle func([]wire.Item) error) (revision uint64, ok bool) {
-	for pause := tuning.StateRetry; ctx.Err() == nil; pause = min(2*pause, tuning.StateRetryMax) {
-		revision, err := l.store.Urgent().ListAll(ctx, prefix, handle)
-		if err == nil {
-			return revision, true
+	ok = l.retry(ctx, func() (err error) {
+		if revision, err = l.store.Urgent().ListAll(ctx, prefix, handle); err != nil {
+			return fmt.Errorf("reading records below %s: %w", prefix, err)
 		}
-		l.log.Debug("records unreadable", "prefix", prefix, "err", err)
-		l.env.sleep(ctx, pause)
-	}
-	return 0, false
+		return nil
+	})
+	return revision, ok
 }
 
 // gatherAll gives the records below a prefix, some perhaps repeatedly.
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -107,6 +107,7 @@
 	return nil
 }
 
+// run runs messages, and a step after each batch of them and each tick, until ctx ends.
 func (l *Loop) run(ctx context.Context) {
 	tick := l.env.Clock.NewTicker(tuning.Tick)
 	defer tick.Stop()
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -45,7 +45,8 @@
 func (l *Loop) pendingJob(j *jobs.Job, waiting int, now time.Time) placement.PendingJob {
 	_, latencySensitive := l.forecastShare(j.Class)
 	p := placement.PendingJob{
-		Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: waiting, Started: j.Allocated + j.Done, Zones: zoneCounts(j), LatencySensitive: latencySensitive,
+		Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: waiting, Started: j.Allocated + j.Done,
+		Zones: zoneCounts(j), LatencySensitive: latencySensitive,
 	}
 	p.ExpectedRunS, _ = j.ExpectedRunS()
 	// An array whose last tasks were lost does not queue up anew: of a team beyond its guarantee they
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -24,6 +24,7 @@
 	return r.status, r.body, err
 }
 
+// query answers a question from memory.
 func (l *Loop) query(uri string) queryResponse {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -86,6 +86,7 @@
 	return reasonIf("idle", r.idleTooLong(m))
 }
 
+// reasonIf is a reason if it holds, or none.
 func reasonIf(reason string, holds bool) string {
 	if holds {
 		return reason
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -2,9 +2,9 @@
 
 import (
 	"errors"
+	"fmt"
 	"time"
 
-	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 )
 
@@ -108,15 +108,19 @@
 
 // readChain reads the chain's last link, if it is not known. The error is that of a term that ended meanwhile.
 func (l *Loop) readChain(chain *transactionChain) error {
-	for pause := tuning.StateRetry; !chain.known; pause = min(2*pause, tuning.StateRetryMax) {
+	if chain.known {
+		return nil
+	}
+	read := l.retry(l.ended, func() error {
 		item, _, err := l.store.Get(l.ended, keyLink)
-		if err == nil {
-			chain.known, chain.version = true, item.Version
-			return nil
-		}
-		if l.env.sleep(l.ended, pause); l.ended.Err() != nil {
-			return err
+		if err != nil {
+			return fmt.Errorf("reading the chain of subsystems' transactions: %w", err)
 		}
+		chain.known, chain.version = true, item.Version
+		return nil
+	})
+	if !read {
+		return l.ended.Err()
 	}
 	return nil
 }
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -117,17 +118,17 @@
 	}
 }
 
+// readSubsystem has a subsystem read its records, again until that succeeds.
 func (l *Loop) readSubsystem(s Subsystem) {
 	onLoop := func(fn func()) error { return l.do(l.ended, fn) }
-	for pause := tuning.StateRetry; l.ended.Err() == nil; pause = min(2*pause, tuning.StateRetryMax) {
+	l.retry(l.ended, func() error {
 		take, err := s.Read(l.ended, l.store, onLoop)
-		if err == nil {
-			l.post(func() { take(); l.cycle.wake() })
-			return
+		if err != nil {
+			return fmt.Errorf("reading a subsystem's records: %w", err)
 		}
-		l.log.Debug("a subsystem's records are unreadable", "err", err)
-		l.env.sleep(l.ended, pause)
-	}
+		l.post(func() { take(); l.cycle.wake() })
+		return nil
+	})
 }
 
 // stepSubsystems does what the subsystems have due.
