--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -52,14 +52,14 @@
 
 // cycle is the state of one scheduling cycle.
 type cycle struct {
-	now      time.Time
-	pending  []*PendingJob // in order
-	machines []*Machine
-	teams    map[string]*Team
-	searches searches
-	placed   []Placement
-	blocked  []bool // by index in pending: no machine has room
-	reservations
+	now          time.Time
+	pending      []*PendingJob // in order
+	machines     []*Machine
+	teams        map[string]*Team
+	searches     searches
+	placed       []Placement
+	blocked      []bool // by index in pending: no machine has room
+	reservations reservations
 }
 
 // runCycle places the tasks of jobs that are in order. The second result says
