--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -144,7 +144,7 @@
 	e.lead(ctx, leadership, work)
 }
 
-// mayCampaign tells whether a campaign may begin, and marks that it does. It
+// mayCampaign reports whether a campaign may begin, and marks that it does. It
 // may not while a vote binds us, or while we stand aside and another may still take the leadership.
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	// Only a leader relies on votes. If nobody leads, those that an
@@ -162,7 +162,7 @@
 	return true
 }
 
-// boundByEarlierProcessOnly tells whether votes that an earlier process of this member may have given are all
+// boundByEarlierProcessOnly reports whether votes that an earlier process of this member may have given are all
 // that keeps it from campaigning.
 func (e *Elector) boundByEarlierProcessOnly() bool {
 	e.mu.Lock()
@@ -193,14 +193,14 @@
 	e.standAsideUntil = e.clock.Now().Add(d)
 }
 
-// standsAside tells whether the leadership is left to others now. The caller holds the lock.
+// standsAside reports whether the leadership is left to others now. The caller holds the lock.
 func (e *Elector) standsAside(now time.Time) bool {
 	return now.Before(e.standAsideUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter
 }
 
 // campaign tries once to become the leader of the term after the last. When the outcome of its
 // transaction is unknown it revokes the lease and reports failure: a late
-// success then hangs the key on a dead lease, and nobody acts on it. Nor does anybody
+// success then leaves the key on a revoked lease, and nobody acts on it. Nor does anybody
 // once the eligibility is over: who confirmed may not remember it after that.
 func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligible eligibility) (Leadership, bool) {
 	sent := e.clock.Now()
@@ -225,7 +225,7 @@
 }
 
 // takeLeaderKey takes the leader key and raises the term in one transaction, which fails if the key is held, the term has
-// moved on since it was read, or a guard does not hold. It gives the version of the leader key.
+// moved on since it was read, or a guard does not hold. It returns the version of the leader key.
 func (e *Elector) takeLeaderKey(ctx context.Context, own holder, termVersion uint64, guards []wire.Condition) (uint64, error) {
 	termValue, err := json.Marshal(termRecord{Term: own.Term})
 	if err != nil {
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -6,18 +6,13 @@
 	"testing"
 	"time"
 
-	"github.com/jonboulle/clockwork"
-
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/sim/fakes"
 )
 
 func TestNextLeaderIsElectedWhenTheLeaseExpires(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	a := start(t, "a", s, unreachablePeers, clock)
 	first := <-a.terms
 	if !a.Valid(first.Term) || a.Leader() != "a" {
@@ -44,9 +39,7 @@
 // Guards against two leaders after a campaign of unknown outcome: nobody acts
 // on it, and when its lease is over the next campaign has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	muted := 0
 	s.LoseAnswers(func(txn wire.Txn) bool {
 		if strings.HasPrefix(txn.Then[0].Put, "lead/") {
@@ -71,9 +64,7 @@
 
 // A member that stands aside leaves the leadership to others, and takes it when none does.
 func TestMemberStandsAsideUnlessNobodyElseLeads(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	a, _ := startProcess(t, s, clock, 0, false)
 	a.StandAside(tuning.YieldFor)
 	begun := clock.Now()
@@ -82,3 +73,17 @@
 		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
 	}
 }
+
+// Guards against a campaign beside a leader whose key this member cannot read.
+func TestUnreadableLeaderKeyCountsAsHeld(t *testing.T) {
+	clock, s := newState(t)
+	store := statestore.New(s.Addr(), 1e6, 1e6)
+	if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: keyHolder, Value: json.RawMessage("[]")}}}); err != nil {
+		t.Fatal(err)
+	}
+	e := newElector(store, unreachablePeers, "a", clock)
+	seen, err := e.readLeaderKey(t.Context())
+	if err != nil || !seen.held || seen.holder != (holder{}) || seen.revision == 0 {
+		t.Errorf("read as %+v, %v", seen, err)
+	}
+}
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -2,23 +2,17 @@
 
 import (
 	"encoding/json"
-	"log/slog"
 	"testing"
 
-	"github.com/jonboulle/clockwork"
-
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/sim/fakes"
 )
 
 // Guards against a member that stands still between its confirmation and its
 // campaign: by then who confirmed may not remember it.
 func TestOldConfirmationIsNotActedOn(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	if _, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		Then: []wire.Change{{Put: prefixFencing + "a", Value: json.RawMessage("true")}},
 	}); err != nil {
@@ -41,10 +35,8 @@
 // Guards against a vote for a leader whose term we confirmed to be over, also by
 // a member that was restarted and cannot know.
 func TestConfirmationExcludesLaterVotes(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	clock, s := newState(t)
+	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock)
 	s.Refuse(true)
 	if e.ConfirmTermOver(5) {
 		t.Error("confirms though its earlier process may have voted")
@@ -78,9 +70,7 @@
 // A leader that is asked to confirm that its term is over resigns: the one who
 // asks has seen its lease's end. It does not resign for an earlier term.
 func TestLeaderAskedToConfirmItsOwnTermResigns(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	a := start(t, "a", s, unreachablePeers, clock)
 	leadership := <-a.terms
 	if a.ConfirmTermOver(leadership.Term-1) || !a.Valid(leadership.Term) {
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -54,7 +54,7 @@
 	RequestVotes(ctx context.Context, term uint64) Votes
 	// NobodyLeads asks whether none of them leads; each must have said so.
 	NobodyLeads(ctx context.Context) bool
-	// ConfirmTermOver tells whether one of them confirms that no leader of this term or
+	// ConfirmTermOver reports whether one of them confirms that no leader of this term or
 	// an earlier one can count on its vote any more. There may be none to ask; then it is true.
 	ConfirmTermOver(ctx context.Context, term uint64) bool
 	// EndLease has one of them revoke a lease.
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// reviewFencing gives the fencing lease and whether it is to be revoked, because its member is no longer the only silent one. Votes may not
+// reviewFencing returns the fencing lease and whether it is to be revoked, because its member is no longer the only silent one. Votes may not
 // count on it from here on, before it is revoked. ok is false when the term is over or its validity may rest on votes: a fencing lease
 // is only taken or given up while the leader's lease is renewed, and that is looked at in the same step.
 func (e *Elector) reviewFencing(term uint64, silent []string) (f fencingLease, released, ok bool) {
@@ -130,7 +130,7 @@
 	until  time.Time        // when it is too late to act on a confirmation; zero: never
 }
 
-// expired tells whether it is too late to act.
+// expired reports whether it is too late to act.
 func (el eligibility) expired(now time.Time) bool {
 	return !el.until.IsZero() && !now.Before(el.until)
 }
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -2,16 +2,12 @@
 
 import (
 	"errors"
-	"log/slog"
 	"testing"
 	"time"
 
-	"github.com/jonboulle/clockwork"
-
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/sim/fakes"
 )
 
 // Guards against workers that kill their tasks in an outage because one member
@@ -31,9 +27,7 @@
 		{"another may have confirmed", []string{"b"}, Votes{Silent: []string{"b"}, WithoutMemory: 1}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			clock := clockwork.NewFakeClock()
-			s := fakes.NewStore(clock)
-			t.Cleanup(s.Close)
+			clock, s := newState(t)
 			a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), silent: c.silent, votes: func() Votes { return c.votes }}, clock)
 			leadership := <-a.terms
 			begun := clock.Now()
@@ -53,10 +47,8 @@
 // that is fenced off does not campaign without a confirmation while the lease stands,
 // not even if the lease was taken a moment before the member's transaction.
 func TestFencedOffMemberNeedsAConfirmation(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock, slog.New(slog.DiscardHandler))
+	clock, s := newState(t)
+	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock)
 	early, err := e.checkEligibility(t.Context(), 0)
 	if err != nil {
 		t.Fatalf("a member that is not fenced off needs a confirmation: %v", err)
@@ -92,10 +84,8 @@
 
 // A member that answers again is released, unless votes may count on the fencing lease.
 func TestMemberThatAnswersAgainIsReleased(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	clock, s := newState(t)
+	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock)
 	eligible, _ := e.checkEligibility(t.Context(), 0)
 	leadership, ok := e.campaign(t.Context(), 0, 0, eligible)
 	if !ok {
@@ -121,10 +111,8 @@
 // Guards against a fencing lease that ends while the leader counts on it: the first attempt to take it, without an answer and carried
 // out after the second, hung the key on its own lease, which ended earlier.
 func TestLateFencingLeaseDoesNotReplaceANewerOne(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	e := New(unrevokableStore{statestore.New(s.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock, slog.New(slog.DiscardHandler))
+	clock, s := newState(t)
+	e := newElector(unrevokableStore{statestore.New(s.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock)
 	eligible, _ := e.checkEligibility(t.Context(), 0)
 	leadership, ok := e.campaign(t.Context(), 0, 0, eligible)
 	if !ok {
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	m := &member{
-		Elector: New(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock, slog.New(slog.DiscardHandler)),
+		Elector: newElector(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock),
 		stop:    stop, terms: make(chan Leadership, 8), ended: make(chan Leadership, 8),
 	}
 	done := make(chan struct{})
@@ -113,3 +113,17 @@
 	s.fn()
 	return wire.Item{}, false, statestore.ErrNotExecuted
 }
+
+// newState returns a clock that the test moves, and a state service that goes by it.
+func newState(t *testing.T) (*clockwork.FakeClock, *fakes.Store) {
+	t.Helper()
+	clock := clockwork.NewFakeClock()
+	s := fakes.NewStore(clock)
+	t.Cleanup(s.Close)
+	return clock, s
+}
+
+// newElector makes an elector that does not log.
+func newElector(store Store, p Peers, member string, clock clockwork.Clock) *Elector {
+	return New(store, p, member, clock, slog.New(slog.DiscardHandler))
+}
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// knowsLaterTerm tells whether this member knows of a leader after a term, itself for one: that term's leader must not act
+// knowsLaterTerm reports whether this member knows of a leader after a term, itself for one: that term's leader must not act
 // again, whatever votes are given now. The caller holds the lock.
 func (e *Elector) knowsLaterTerm(term uint64) bool {
 	return max(e.leaderTerm, e.endedTerm) > term
--- a/internal/cluster/election/knowledge_test.go
+++ b/internal/cluster/election/knowledge_test.go
@@ -1,7 +1,6 @@
 package election
 
 import (
-	"log/slog"
 	"testing"
 
 	"github.com/jonboulle/clockwork"
@@ -14,7 +13,7 @@
 // for as long as that lasted, while the third led.
 func TestLeaderIsLearntFromOtherMembers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	e := newElector(nil, unreachablePeers, "a", clock)
 	holds := func(want string, wantTerm uint64) {
 		t.Helper()
 		if name, term := e.Holder(); name != want || term != wantTerm && want != "" {
@@ -44,7 +43,7 @@
 // A leader that hears of a later one knows that its lease is over, though nothing tells it: it acts no more.
 func TestLeaderThatLearnsOfALaterTermResigns(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	e := newElector(nil, unreachablePeers, "a", clock)
 	e.beginTerm(5, 1, clock.Now())
 	e.noteHolder("a", 5)
 	e.NoteLeader("b", 4)
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
 	"sync"
 	"testing"
 	"time"
@@ -26,59 +25,59 @@
 
 var errCrashed = errors.New("the process ended")
 
-// nextCall tells whether this call is the last; the second result is whether it is still executed.
-func (m *crashingStore) nextCall() (last, executed bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.callsLeft--
-	if m.callsLeft > 0 {
+// nextCall reports whether this call is the last, and whether it is still executed.
+func (c *crashingStore) nextCall() (last, executed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.callsLeft--
+	if c.callsLeft > 0 {
 		return false, true
 	}
-	if m.callsLeft < 0 {
+	if c.callsLeft < 0 {
 		return true, false
 	}
-	return true, m.executeLast
+	return true, c.executeLast
 }
 
-func call[T any](m *crashingStore, fn func() (T, error)) (T, error) {
+func call[T any](c *crashingStore, fn func() (T, error)) (T, error) {
 	var v T
-	last, executed := m.nextCall()
+	last, executed := c.nextCall()
 	var err error
 	if executed {
 		v, err = fn()
 	}
 	if last {
-		m.crash()
+		c.crash()
 		var none T
 		return none, errCrashed
 	}
 	return v, err
 }
 
-func (m *crashingStore) Get(ctx context.Context, key string) (wire.Item, bool, error) {
+func (c *crashingStore) Get(ctx context.Context, key string) (wire.Item, bool, error) {
 	type got struct {
 		item wire.Item
 		ok   bool
 	}
-	g, err := call(m, func() (got, error) { item, ok, err := m.Store.Get(ctx, key); return got{item, ok}, err })
+	g, err := call(c, func() (got, error) { item, ok, err := c.Store.Get(ctx, key); return got{item, ok}, err })
 	return g.item, g.ok, err
 }
 
-func (m *crashingStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	return call(m, func() (uint64, error) { return m.Store.Commit(ctx, t) })
+func (c *crashingStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
+	return call(c, func() (uint64, error) { return c.Store.Commit(ctx, t) })
 }
 
-func (m *crashingStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	return call(m, func() (uint64, error) { return m.Store.GrantLease(ctx, ttl) })
+func (c *crashingStore) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	return call(c, func() (uint64, error) { return c.Store.GrantLease(ctx, ttl) })
 }
 
-func (m *crashingStore) RenewLease(ctx context.Context, lease uint64) error {
-	_, err := call(m, func() (bool, error) { return true, m.Store.RenewLease(ctx, lease) })
+func (c *crashingStore) RenewLease(ctx context.Context, lease uint64) error {
+	_, err := call(c, func() (bool, error) { return true, c.Store.RenewLease(ctx, lease) })
 	return err
 }
 
-func (m *crashingStore) RevokeLease(ctx context.Context, lease uint64) error {
-	_, err := call(m, func() (bool, error) { return true, m.Store.RevokeLease(ctx, lease) })
+func (c *crashingStore) RevokeLease(ctx context.Context, lease uint64) error {
+	_, err := call(c, func() (bool, error) { return true, c.Store.RevokeLease(ctx, lease) })
 	return err
 }
 
@@ -90,7 +89,7 @@
 	if n > 0 {
 		store = &crashingStore{Store: store, callsLeft: n, executeLast: after, crash: stop}
 	}
-	m = &member{Elector: New(store, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler)), stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
+	m = &member{Elector: newElector(store, unreachablePeers, "a", clock), stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -100,7 +99,7 @@
 	return m, done
 }
 
-// passUntil lets time pass in small steps until a channel is ready, and gives how long that took. A follower is one goroutine,
+// passUntil lets time pass in small steps until a channel is ready, and returns how long that took. A follower is one goroutine,
 // so no call of it is on its way while it waits for the clock. Once m leads the clock stands still: a leader's goroutines wait for
 // it all the time, and it once went on for seconds until the test's goroutine was woken.
 func passUntil[T any](t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Valid tells whether this controller may act as the leader of the term now.
+// Valid reports whether this controller may act as the leader of the term now.
 func (e *Elector) Valid(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,7 +174,7 @@
 }
 
 // resignIfOtherServed counts the failed renewals since another member was first seen to be served and
-// resigns after enough of them. It gives the lease that is to be revoked.
+// resigns after enough of them. It returns the lease that is to be revoked.
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -1,22 +1,18 @@
 package election
 
 import (
-	"log/slog"
 	"testing"
 	"time"
 
 	"github.com/jonboulle/clockwork"
 
 	"poppypass/internal/platform/tuning"
-	"poppypass/internal/sim/fakes"
 )
 
 // Guards against acting on a lease that may have ended: during an outage the
 // term's validity ends by the local clock, and the term outlives it.
 func TestTermIsInvalidInAnOutageAndValidAgainAfterIt(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	a := start(t, "a", s, unreachablePeers, clock)
 	leadership := <-a.terms
 	s.Refuse(true)
@@ -40,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+			e := newElector(nil, unreachablePeers, "a", clock)
 			sent := clock.Now()
 			clock.Advance(tuning.RenewTimeout)
 			renew(e, sent)
@@ -58,9 +54,7 @@
 // Guards against seconds without a leader when the state service refuses the
 // leader alone: it resigns, then another member revokes its lease.
 func TestLeaderRefusedAloneHandsOver(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	var a *member
 	var leadership Leadership
 	yielded := make(chan bool, 1)
@@ -82,7 +76,7 @@
 // notices a moment before the leader's next renewal.
 func TestEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, &fakePeers{endLease: func(uint64) { t.Error("has its lease revoked") }}, "a", clock, slog.New(slog.DiscardHandler))
+	e := newElector(nil, &fakePeers{endLease: func(uint64) { t.Error("has its lease revoked") }}, "a", clock)
 	e.beginTerm(3, 1, clock.Now())
 	for range 100 {
 		e.noteFailedRenewal() // the outage
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -63,7 +63,7 @@
 	return err == nil
 }
 
-// mayVote tells whether a vote for the leader of a term contradicts nothing: we neither lead nor campaign (also since the
+// mayVote reports whether a vote for the leader of a term contradicts nothing: we neither lead nor campaign (also since the
 // state service was asked), have not confirmed that its term is over, and know of no later one. The caller holds the lock.
 func (e *Elector) mayVote(term uint64) bool {
 	return e.ownTerm == 0 && !e.campaigning && e.confirmedOverTerm < term && !e.knowsLaterTerm(term)
@@ -98,7 +98,7 @@
 	}
 }
 
-// beginVoteRound voids an earlier round and tells whether votes are needed: the term goes on, and renewals fail.
+// beginVoteRound voids an earlier round and reports whether votes are needed: the term goes on, and renewals fail.
 func (e *Elector) beginVoteRound(term uint64) (round uint64, sent time.Time, needed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// votesSuffice tells whether votes without a refusal prove that nobody takes over, and until when. The caller holds the lock.
+// votesSuffice reports whether votes without a refusal prove that nobody takes over, and until when. The caller holds the lock.
 func (e *Elector) votesSuffice(sent time.Time, votes Votes) (until time.Time, ok bool) {
 	if e.othersMayHaveLed(votes) {
 		return time.Time{}, false
@@ -136,14 +136,14 @@
 	return until, true
 }
 
-// othersMayHaveLed tells whether another may have led, and be gone again, since the term's validity lapsed: a leader that
+// othersMayHaveLed reports whether another may have led, and be gone again, since the term's validity lapsed: a leader that
 // was cut off from all made its term valid again with the votes of members that knew nothing of the leaders between, since
 // they had been restarted. Those that have run since know whether they led, and refuse. The caller holds the lock.
 func (e *Elector) othersMayHaveLed(votes Votes) bool {
 	return votes.WithoutMemory > 0 && !e.clock.Now().Before(e.validUntil)
 }
 
-// silentMemberIsFencedOff tells whether the only silent member cannot lead: its campaign fails while the fencing lease
+// silentMemberIsFencedOff reports whether the only silent member cannot lead: its campaign fails while the fencing lease
 // stands, and it gets no confirmation. Every other member voted, so it confirms nothing meanwhile; that it confirmed
 // nothing before it must remember. The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -1,7 +1,6 @@
 package election
 
 import (
-	"log/slog"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -10,16 +9,13 @@
 
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/tuning"
-	"poppypass/internal/sim/fakes"
 )
 
 // Guards against workers that kill their tasks in an outage of the state
 // service: with every other member's vote, the leader may
 // go on answering them; without, it may not.
 func TestVotesKeepTheTermValidInAnOutage(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	var given atomic.Bool
 	given.Store(true)
 	a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), votes: func() Votes {
@@ -48,10 +44,8 @@
 // Guards against two leaders: who voted neither campaigns nor confirms, nor does a member
 // that was restarted and whose earlier process may have voted.
 func TestVoteBindsItsGiver(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	e := New(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock, slog.New(slog.DiscardHandler))
+	clock, s := newState(t)
+	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock)
 	if e.mayCampaign(t.Context()) {
 		t.Error("campaigns at once though a leader may count on its earlier process's vote")
 	}
@@ -86,9 +80,7 @@
 // Guards against a vote that its giver forgot by being restarted while the
 // round that asked for it was still open.
 func TestQuestionOfARestartedMemberVoidsTheVoteRound(t *testing.T) {
-	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
+	clock, s := newState(t)
 	var a *member
 	ready := make(chan struct{})
 	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
@@ -132,10 +124,8 @@
 		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoHolder() }, Granted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			clock := clockwork.NewFakeClock()
-			s := fakes.NewStore(clock)
-			t.Cleanup(s.Close)
-			e := New(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "b", clock, slog.New(slog.DiscardHandler))
+			clock, s := newState(t)
+			e := newElector(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "b", clock)
 			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
 			e.noteStillLeading(5, clock.Now())
 			c.past(e, clock.Now())
@@ -163,7 +153,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+			e := newElector(nil, unreachablePeers, "a", clock)
 			e.beginTerm(5, 1, clock.Now())
 			clock.Advance(tuning.LeaseTTL - tuning.VoteFor/2)
 			if c.lapsed {
@@ -182,7 +172,7 @@
 // Guards against the same where the term lapses while the members are being asked.
 func TestTermThatLapsesDuringAVoteRoundIsNotRevalidated(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := New(nil, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+	e := newElector(nil, unreachablePeers, "a", clock)
 	e.beginTerm(5, 1, clock.Now())
 	clock.Advance(tuning.LeaseTTL - tuning.VoteFor/4)
 	sent := clock.Now()
@@ -201,7 +191,7 @@
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			var e *Elector
-			e = New(interruptedStore{fn: func() { begin(e) }}, unreachablePeers, "a", clock, slog.New(slog.DiscardHandler))
+			e = newElector(interruptedStore{fn: func() { begin(e) }}, unreachablePeers, "a", clock)
 			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
 			e.noteStillLeading(5, clock.Now())
 			if got := e.Vote(t.Context(), 5); got != Refused {
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -52,7 +52,7 @@
 	return resp, err
 }
 
-// Silent tells whether a peer did not answer of late.
+// Silent reports whether a peer did not answer of late.
 func (c *Client) Silent(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// connection gives the connection to a peer, and dials it if there is none.
+// connection returns the connection to a peer, and dials it if there is none.
 func (c *Client) connection(addr string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +141,7 @@
 	dead    bool                     // nothing more is received
 }
 
-// send sends a request and gives its number, under which the answer is awaited.
+// send sends a request and returns its number, under which the answer is awaited.
 func (cc *clientConn) send(r Request, answer chan Response) (uint64, error) {
 	cc.mu.Lock()
 	if cc.dead {
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -35,7 +35,7 @@
 	Ping             = Verb(fb.VerbPing)       // whether a member can be reached, and who leads by its knowledge
 )
 
-// prompt tells whether the verb is answered from memory. Others may wait for
+// prompt reports whether the verb is answered from memory. Others may wait for
 // the state service, which says nothing of the peer.
 func (v Verb) prompt() bool { return v == Ping || v == Heartbeat }
 
--- a/internal/cluster/peers/claims.go
+++ b/internal/cluster/peers/claims.go
@@ -20,7 +20,7 @@
 	byMember map[string][]byte
 }
 
-// ExchangeClaim remembers what a member claims, unless it claims nothing or is not among the others, and gives what is
+// ExchangeClaim remembers what a member claims, unless it claims nothing or is not among the others, and returns what is
 // remembered of it.
 func (p *Peers) ExchangeClaim(name string, claim []byte) []byte {
 	p.claims.mu.Lock()
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// LeaderUnreachable tells whether the leader has not answered for a while: it is cut off from this member, since it does
+// LeaderUnreachable reports whether the leader has not answered for a while: it is cut off from this member, since it does
 // not answer at all. A refused connection is no partition: a process that ended refuses,
 // and so may a packet filter between controllers while workers pass.
 func (p *Peers) LeaderUnreachable(leader string) bool {
@@ -89,7 +89,7 @@
 	p.health.leaderFull = full
 }
 
-// LeaderFull tells whether the leader said, when it was last asked, that it has no memory for more jobs.
+// LeaderFull reports whether the leader said, when it was last asked, that it has no memory for more jobs.
 func (p *Peers) LeaderFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
@@ -102,14 +102,14 @@
 	p.health.lastAnswer = p.clock.Now()
 }
 
-// Isolated tells whether there are other members, and none of them has answered for a while.
+// Isolated reports whether there are other members, and none of them has answered for a while.
 func (p *Peers) Isolated() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
 	return !p.health.lastAnswer.IsZero() && p.clock.Since(p.health.lastAnswer) > tuning.IsolatedFor
 }
 
-// Unanswered tells whether a call ended because nothing at all came back.
+// Unanswered reports whether a call ended because nothing at all came back.
 func Unanswered(err error) bool {
 	var ne net.Error
 	return errors.Is(err, peerrpc.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
@@ -121,7 +121,7 @@
 	return time.Duration(p.members) * tuning.WorkerTry
 }
 
-// MayTryLeader tells whether a worker whose leader does not answer us may be sent
+// MayTryLeader reports whether a worker whose leader does not answer us may be sent
 // to it: only if it would be back well within its lease.
 func (p *Peers) MayTryLeader() bool {
 	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.ProbeLeaseShare)
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -52,10 +52,10 @@
 // SetElector has the peers know this member's elector.
 func (p *Peers) SetElector(e *election.Elector) { p.elector = e }
 
-// Alone tells whether there are no other members.
+// Alone reports whether there are no other members.
 func (p *Peers) Alone() bool { return len(p.endpoints) == 0 }
 
-// Known tells whether a member is among the others.
+// Known reports whether a member is among the others.
 func (p *Peers) Known(name string) bool { return p.endpoints[name] != "" }
 
 // Others names the other members, the leader first.
@@ -85,7 +85,7 @@
 	return p.client.Call(ctx, p.endpoints[name], req)
 }
 
-// Relay asks the leader; ok is false when it gives no usable answer.
+// Relay asks the leader; ok is false when there is no usable answer.
 func (p *Peers) Relay(ctx context.Context, req peerrpc.Request) (resp peerrpc.Response, ok bool) {
 	leader := p.Leader()
 	if leader == "" {
@@ -121,7 +121,7 @@
 	return answers
 }
 
-// anyAccepts tells whether a member answers 200. It returns with the first that does.
+// anyAccepts reports whether a member answers 200. It returns with the first that does.
 func (p *Peers) anyAccepts(ctx context.Context, req peerrpc.Request) bool {
 	answers := p.askAll(ctx, req)
 	for range p.endpoints {
--- a/internal/cluster/workerlease/claim.go
+++ b/internal/cluster/workerlease/claim.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// inherited tells whether the zone lease of an earlier process surely lasts: the clock that told its end and ours may be off by
+// inherited reports whether the zone lease of an earlier process surely lasts: the clock that told its end and ours may be off by
 // clockError each, in opposite directions. The caller holds the lock.
 func (z *ZoneLease) inherited(now time.Time) bool {
 	return z.ttl > 0 && now.Round(0).Add(2*z.clockError).Before(z.inheritedUntil)
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -18,35 +18,35 @@
 	concluded, late, handed := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
-		w := newFollowerHarness(t)
+		h := newFollowerHarness(t)
 		var members []*ZoneLease
 		for _, name := range []string{"m2", "m3"} {
 			z := NewZoneLease(&config.Settings{
-				Member: name, Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: w.workerLease.Seconds()}},
-			}, statestore.New(w.state.Addr(), 1e6, 1e6), w.clock, slog.New(slog.DiscardHandler))
+				Member: name, Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: h.workerLease.Seconds()}},
+			}, statestore.New(h.state.Addr(), 1e6, 1e6), h.clock, slog.New(slog.DiscardHandler))
 			z.Renew(t.Context())
 			members = append(members, z)
 		}
 		advance := func(most time.Duration) {
-			w.clock.Advance(time.Duration(r.Int64N(int64(most))))
-			w.state.Expire()
+			h.clock.Advance(time.Duration(r.Int64N(int64(most))))
+			h.state.Expire()
 			if r.IntN(3) == 0 {
-				w.renewRecord(t.Context())
+				h.renewRecord(t.Context())
 			}
 		}
-		w.clock.Advance(time.Minute) // all are sure of what they answered
+		h.clock.Advance(time.Minute) // all are sure of what they answered
 		for _, z := range members {
 			z.Renew(t.Context())
 		}
 		var last time.Time // when the machine was last answered, in its present session
 		session, by := 1, -1
 		answer := func() {
-			if !last.IsZero() && w.clock.Since(last) >= w.workerLease {
+			if !last.IsZero() && h.clock.Since(last) >= h.workerLease {
 				session, by = session+1, -1 // the next one began
 			}
 			who := r.IntN(3)
-			if who == 2 && w.tryAcquire("n-1") || who < 2 && members[who].MayRenew("n-1", "a") {
-				if last = w.clock.Now(); by != who {
+			if who == 2 && h.tryAcquire("n-1") || who < 2 && members[who].MayRenew("n-1", "a") {
+				if last = h.clock.Now(); by != who {
 					handed++
 				}
 				by = who
@@ -61,13 +61,13 @@
 		}
 		answer()
 		for range 30 {
-			advance(w.workerLease)
+			advance(h.workerLease)
 			if r.IntN(2) == 0 {
 				answer()
 			}
-			begun, of := w.clock.Now(), session
+			begun, of := h.clock.Now(), session
 			trouble()
-			renewed, zones, err := ReadAll(t.Context(), w.store)
+			renewed, zones, err := ReadAll(t.Context(), h.store)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -82,11 +82,11 @@
 			}
 			switch {
 			case !gone:
-			case w.clock.Since(begun) > tuning.RenewedQueryTime:
+			case h.clock.Since(begun) > tuning.RenewedQueryTime:
 				late++
 			default:
-				if concluded++; session == of && !last.IsZero() && w.clock.Since(last) < w.workerLease {
-					t.Fatalf("seed %d: concluded %v after an answer", seed, w.clock.Since(last))
+				if concluded++; session == of && !last.IsZero() && h.clock.Since(last) < h.workerLease {
+					t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(last))
 				}
 			}
 		}
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -29,13 +29,13 @@
 	return 2*f.workerLease + tuning.FollowerLeaseExtra
 }
 
-// outlivesLeaseFrom tells whether the record will outlive a worker's lease that
+// outlivesLeaseFrom reports whether the record will outlive a worker's lease that
 // begins now.
 func (f *FollowerLeases) outlivesLeaseFrom(now time.Time) bool {
 	return f.leaseID != 0 && now.Sub(f.leaseSent) < f.recordTTL()-f.workerLease-tuning.FollowerLeaseExtra/2
 }
 
-// isStored tells whether the record names a machine.
+// isStored reports whether the record names a machine.
 func (f *FollowerLeases) isStored(machine string) bool {
 	p := f.pageOf[machine]
 	return p != nil && p.names[machine]
@@ -179,7 +179,7 @@
 	}
 }
 
-// expiredByPage gives the machines of whose last answer the record need not tell any more; under nil those that are on no page yet.
+// expiredByPage returns the machines of whose last answer the record need not tell any more; under nil those that are on no page yet.
 func (f *FollowerLeases) expiredByPage() map[*page][]string {
 	reported := renewalReportedFor(f.workerLease)
 	expired := map[*page][]string{}
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Acquire tells whether a machine may be answered now. It waits until the machine's name is
+// Acquire reports whether a machine may be answered now. It waits until the machine's name is
 // stored, or ctx ends.
 func (f *FollowerLeases) Acquire(ctx context.Context, machine string) bool {
 	r := acquireRequest{machine, make(chan bool, 1)}
@@ -94,7 +94,7 @@
 	}
 }
 
-// gatherBatch gives a request and those that wait behind it. Workers that lose the leader come together: they share a write.
+// gatherBatch returns a request and those that wait behind it. Workers that lose the leader come together: they share a write.
 func (f *FollowerLeases) gatherBatch(ctx context.Context, first acquireRequest) []acquireRequest {
 	if !f.isStored(first.machine) {
 		clock.Sleep(ctx, f.clock, tuning.FollowerLeaseGather)
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -1,6 +1,6 @@
 // Package workerlease lets a member renew workers' leases on behalf of the leader
 // while the workers cannot reach it. Such an answer to a heartbeat holds no commands and bears the
-// worker's own token. There are two grounds for it:
+// worker's own fencing token. There are two grounds for it:
 //
 //   - FollowerLeases: the machine's name is in a record of the state service
 //     before its first answer. It serves two zones that are apart, and the time
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -21,7 +21,7 @@
 // ZoneLease is a member's lease on the workers of its own zone: it may answer them on behalf of the
 // leader while it reaches neither the leader nor the state service: a zone that is
 // cut off from all else. The answers hold no commands and bear the worker's own
-// token. What makes that safe:
+// fencing token. What makes that safe:
 //
 //   - The zone lease is a record in the state service, on a lease that the member renews
 //     while it is served. The member answers for tuning.ZoneLeaseTTL after it sent the last renewal that
@@ -29,8 +29,8 @@
 //   - A leader concludes nothing from the expiry of a lease on a machine of that zone
 //     before it has read these records after that expiry and, of each that stands, has heard
 //     from its member that it did not answer that machine for a whole lease before the leader
-//     began to read (tuning.RenewedQueryTime). A member that gives no such word may have, until its record is gone.
-//   - A process that was restarted gives no word for the process before it: it has none to give
+//     began to read (tuning.RenewedQueryTime). A member that does not say so may have answered it, until its record is gone.
+//   - A process that was restarted does not answer for the process before it: MayHaveRenewed is unsure
 //     until a lease after its own start, by when all answers of that process are over.
 //   - It takes over the zone lease of the process before it, if another member remembers when that ends: that process's record
 //     stands until a worker's lease after that, whichever process answers. The end is told by the time of day, so a message that was
@@ -75,7 +75,7 @@
 	return z.ttl + z.reportedFor() + tuning.FollowerLeaseExtra
 }
 
-// MayRenew tells whether a machine of a zone may be answered now, and remembers that it was.
+// MayRenew reports whether a machine of a zone may be answered now, and remembers that it was.
 func (z *ZoneLease) MayRenew(machine, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -87,10 +87,10 @@
 	return true
 }
 
-// held tells whether the zone lease that this process acquired lasts. The caller holds the lock.
+// held reports whether the zone lease that this process acquired lasts. The caller holds the lock.
 func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.leaseSent) < z.ttl }
 
-// MayHaveRenewed gives those of some machines that this member may have answered by its zone lease
+// MayHaveRenewed returns those of some machines that this member may have answered by its zone lease
 // within a worker's lease and RenewedQueryTime before now. sure is false while it cannot tell: an earlier
 // process of it may have.
 func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, sure bool) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Isolated tells whether the state service has not answered for a while, so that we may be
+// Isolated reports whether the state service has not answered for a while, so that we may be
 // the one that is cut off. It is false without a zone lease.
 func (z *ZoneLease) Isolated() bool {
 	z.mu.Lock()
