--- a/internal/accounting/charge/amounts.go
+++ b/internal/accounting/charge/amounts.go
@@ -17,7 +17,7 @@
 }
 
 // AmountsOf is what a charge of the job amounts to.
-func (b *Brief) AmountsOf(c *Charge) Amounts {
+func (b *JobTraits) AmountsOf(c *Charge) Amounts {
 	a := Amounts{Core: b.Cores * c.Run, GPU: b.GPUs * c.Run, Memory: b.Memory * c.Run, Money: c.Money, Run: c.Run}
 	if c.Outcome < outcomeCount {
 		a.ByOutcome[c.Outcome] = 1
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -22,8 +22,8 @@
 	Rate int64 // the task's share of the machine's price when it was allocated, in millionths an hour
 }
 
-// Brief is what the charges of a job have in common.
-type Brief struct {
+// JobTraits is what the charges of a job have in common.
+type JobTraits struct {
 	_       struct{} `cbor:",toarray"`
 	Team    string
 	Account string // that the team charges for the job; empty: the team itself
@@ -69,7 +69,7 @@
 type Pack struct {
 	_       struct{} `cbor:",toarray"`
 	Job     string
-	Brief   Brief
+	Traits  JobTraits
 	Kinds   []Kind
 	Charges []Charge
 }
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -8,8 +8,8 @@
 
 func fullKind() *Kind { return &Kind{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000} }
 
-func fullBrief() *Brief {
-	return &Brief{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000}
+func fullBrief() *JobTraits {
+	return &JobTraits{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000}
 }
 
 func fullCharge() *Charge {
@@ -20,7 +20,7 @@
 
 func fullPack() *Pack {
 	spare := Kind{Type: "small", Zone: "b", Spot: true, Rate: 200_000}
-	return &Pack{Job: "job-17", Brief: *fullBrief(), Kinds: []Kind{spare, *fullKind()}, Charges: []Charge{*fullCharge()}}
+	return &Pack{Job: "job-17", Traits: *fullBrief(), Kinds: []Kind{spare, *fullKind()}, Charges: []Charge{*fullCharge()}}
 }
 
 func fullAmounts() *Amounts {
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -24,7 +24,7 @@
 			w.commitAll()
 		}
 	}
-	pack := charge.Pack{Job: "job-000001", Brief: charge.Brief{Team: "fraud-desk-00", Class: "fraud-scoring", Cores: 4000}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "a"}}}
+	pack := charge.Pack{Job: "job-000001", Traits: charge.JobTraits{Team: "fraud-desk-00", Class: "fraud-scoring", Cores: 4000}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "a"}}}
 	empty := len(charge.EncodePack(&pack))
 	for i := range 64 {
 		c.Task, c.Start = i, c.Start+int64(i)
@@ -43,7 +43,7 @@
 		for i := range jobsIn {
 			made -= time.Since(begun)
 			id := fmt.Sprintf("job-%06d", i)
-			pack := &charge.Pack{Job: id, Brief: charge.Brief{
+			pack := &charge.Pack{Job: id, Traits: charge.JobTraits{
 				Team: fmt.Sprintf("team-%02d", i%50), Account: fmt.Sprintf("owner-%d", i%7), Class: fmt.Sprintf("class-%d", i%4), Cores: 4000, Memory: 12000,
 			}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "nairobi-west", Spot: i%2 == 0, Rate: 90_000}}}
 			for k := range each {
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -20,7 +20,7 @@
 
 func fullPack() charge.Pack {
 	return charge.Pack{
-		Job: "job-17", Brief: charge.Brief{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000},
+		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000},
 		Kinds: []charge.Kind{{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000}},
 		Charges: []charge.Charge{{
 			Task: 4, Attempt: 5, Part: 6, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: charge.Drained,
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -238,21 +238,21 @@
 // countPack has the budgets count the charges of a pack.
 func (l *Ledger) countPack(p *charge.Pack) {
 	for i := range p.Charges {
-		l.countCharge(&p.Brief, &p.Charges[i])
+		l.countCharge(&p.Traits, &p.Charges[i])
 	}
 }
 
-func (l *Ledger) countCharge(b *charge.Brief, c *charge.Charge) {
+func (l *Ledger) countCharge(b *charge.JobTraits, c *charge.Charge) {
 	a := b.AmountsOf(c)
 	l.budgets.AddCharge(budget.Scope{Team: b.Team, Account: b.Account}, charge.DayOf(c.Start, l.location), budget.Usage{Core: a.Core, Money: a.Money})
 }
 
-func (l *Ledger) briefOf(p *jobs.Allocation) charge.Brief { return jobs.BriefOf(&p.Job.Job) }
+func (l *Ledger) briefOf(p *jobs.Allocation) charge.JobTraits { return jobs.TraitsOf(&p.Job.Job) }
 
 // budgetTask is a place as budgets see it.
 func (l *Ledger) budgetTask(p *jobs.Allocation) *budget.Task {
 	t := budget.TaskOf(&p.Job.Job)
-	t.Rate, t.RunningSince = p.Kind.Rate, p.BeganAt
+	t.Rate, t.RunningSince = p.Kind.Rate, p.ChargedFrom
 	return t
 }
 
@@ -370,8 +370,8 @@
 		return nil
 	}
 	for p := range l.live {
-		if !p.BeganAt.IsZero() {
-			l.budgets.MarkRunning(p, p.BeganAt)
+		if !p.ChargedFrom.IsZero() {
+			l.budgets.MarkRunning(p, p.ChargedFrom)
 		}
 	}
 	l.budgets.Recompute(now)
@@ -405,7 +405,7 @@
 	t := l.totals(Query{By: []string{"team"}}, now)
 	running := 0
 	for p := range l.live {
-		if !p.BeganAt.IsZero() {
+		if !p.ChargedFrom.IsZero() {
 			running++
 		}
 	}
@@ -420,13 +420,13 @@
 	turn := l.dayEnd
 	l.dayEnd = time.UnixMilli(charge.NextDay(now.UnixMilli(), l.location))
 	for p := range l.live {
-		if p.BeganAt.IsZero() || !p.BeganAt.Before(turn) {
+		if p.ChargedFrom.IsZero() || !p.ChargedFrom.Before(turn) {
 			continue
 		}
 		c := charge.Charge{Task: p.Index, Attempt: p.Attempt, Part: p.ChargedParts, Outcome: charge.Continues, Flags: unseenStart(p)}
-		setTimeAndCost(&c, p, p.BeganAt, turn, l.currentRate(p))
+		setTimeAndCost(&c, p, p.ChargedFrom, turn, l.currentRate(p))
 		parts := charge.SplitByDay(c, l.location)
-		p.BeganAt, p.ChargedParts = turn, p.ChargedParts+len(parts)
+		p.ChargedFrom, p.ChargedParts = turn, p.ChargedParts+len(parts)
 		l.recordCharges(p, parts, now)
 	}
 }
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -76,7 +76,7 @@
 	if o.Saved {
 		c.Flags |= charge.ProgressSaved
 	}
-	begun := p.BeganAt
+	begun := p.ChargedFrom
 	switch {
 	case !begun.IsZero():
 		c.Flags |= unseenStart(p)
@@ -86,7 +86,7 @@
 	case c.Outcome == charge.Refused:
 		begun = now
 	default:
-		begun = p.PlacedAt
+		begun = p.AllocatedAt
 		if o.NotRunningAt.After(begun) {
 			begun = o.NotRunningAt
 		}
@@ -103,7 +103,7 @@
 // unseenStart marks a charge whose task counts from when it was placed, since nobody
 // knows when it began.
 func unseenStart(p *jobs.Allocation) charge.Flag {
-	if p.ChargedParts == 0 && !p.BeganAt.After(p.PlacedAt) {
+	if p.ChargedParts == 0 && !p.ChargedFrom.After(p.AllocatedAt) {
 		return charge.UpperBound
 	}
 	return 0
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -46,11 +46,11 @@
 		c := &p.Charges[i]
 		kind := p.Kinds[c.Kind]
 		name := RowKey{
-			Day: charge.DayOf(c.Start, where), Team: p.Brief.Team, Account: p.Brief.Account, Class: p.Brief.Class,
+			Day: charge.DayOf(c.Start, where), Team: p.Traits.Team, Account: p.Traits.Account, Class: p.Traits.Class,
 			Type: kind.Type, Spot: kind.Spot,
 		}
 		sum := rows[name]
-		sum.Add(p.Brief.AmountsOf(c))
+		sum.Add(p.Traits.AmountsOf(c))
 		rows[name] = sum
 	}
 	return rows
--- a/internal/accounting/ledger/show.go
+++ b/internal/accounting/ledger/show.go
@@ -235,11 +235,11 @@
 	out := ag.Totals(l.location)
 	running := NewAggregation(q)
 	for p := range l.live {
-		if p.BeganAt.IsZero() {
+		if p.ChargedFrom.IsZero() {
 			continue
 		}
 		var c charge.Charge
-		setTimeAndCost(&c, p, p.BeganAt, now, l.currentRate(p))
+		setTimeAndCost(&c, p, p.ChargedFrom, now, l.currentRate(p))
 		brief := l.briefOf(p)
 		a := brief.AmountsOf(&c)
 		a.ByOutcome = [len(a.ByOutcome)]int64{}
@@ -277,10 +277,10 @@
 	out := make([]ChargeView, 0, len(p.Charges))
 	for i := range p.Charges {
 		c := &p.Charges[i]
-		kind, a := p.Kinds[c.Kind], p.Brief.AmountsOf(c)
+		kind, a := p.Kinds[c.Kind], p.Traits.AmountsOf(c)
 		out = append(out, ChargeView{
 			Task: wire.TaskID{Job: p.Job, Index: c.Task}.String(), Attempt: c.Attempt, Part: c.Part,
-			Team: p.Brief.Team, Account: p.Brief.Account, Class: p.Brief.Class, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot,
+			Team: p.Traits.Team, Account: p.Traits.Account, Class: p.Traits.Class, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot,
 			Start: time.UnixMilli(c.Start).UTC(), End: time.UnixMilli(c.End()).UTC(),
 			CoreS: float64(a.Core) / 1e6, GPUS: float64(a.GPU) / 1e6, MemoryGBS: float64(a.Memory) / 1e6, Money: float64(c.Money) / 1e6,
 			Outcome: c.Outcome, UpperBound: c.Flags&charge.UpperBound != 0, ProgressSaved: c.Flags&charge.ProgressSaved != 0, PriceUnknown: c.Flags&charge.PriceUnknown != 0,
--- a/internal/accounting/ledger/world_test.go
+++ b/internal/accounting/ledger/world_test.go
@@ -342,7 +342,7 @@
 			c := &p.Charges[i]
 			k := attemptID{p.Job, c.Task, c.Attempt}
 			out[k] = append(out[k], *c)
-			sum.Add(p.Brief.AmountsOf(c))
+			sum.Add(p.Traits.AmountsOf(c))
 		}
 	}
 	for _, item := range append(w.itemsWithPrefix(jobs.PrefixProgress), w.itemsWithPrefix(jobs.PrefixDetached)...) {
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -28,9 +28,9 @@
 	Pack    *charge.Pack
 }
 
-// BriefOf is what the charges of a job have in common.
-func BriefOf(j *wire.Job) charge.Brief {
-	return charge.Brief{
+// TraitsOf is what the charges of a job have in common.
+func TraitsOf(j *wire.Job) charge.JobTraits {
+	return charge.JobTraits{
 		Team: j.Team, Account: j.Account, Class: j.Class,
 		Cores: charge.InMilli(j.CPUs), GPUs: charge.InMilli(j.GPUs), Memory: charge.InMilli(j.MemoryGB),
 	}
@@ -52,14 +52,14 @@
 // write of its record, or by itself if it runs on for BeganAfter: what ends sooner
 // costs no write.
 func (s *Store) MarkRunning(a *Allocation, now time.Time) {
-	if !s.Metered || !a.BeganAt.IsZero() {
+	if !s.Metered || !a.ChargedFrom.IsZero() {
 		return
 	}
-	a.BeganAt = now
+	a.ChargedFrom = now
 	if a.Inherited {
 		// It may have run since before this leader: when it was allocated is all that
 		// is known. That both times are equal says so.
-		a.BeganAt = a.PlacedAt
+		a.ChargedFrom = a.AllocatedAt
 	}
 	s.newlyRunning = append(s.newlyRunning, a)
 }
@@ -69,7 +69,7 @@
 	for len(s.newlyRunning) > 0 && now.Sub(s.newlyRunning[0].KnownSince) >= tuning.BeganAfter {
 		a := s.newlyRunning[0]
 		s.newlyRunning = s.newlyRunning[1:]
-		if !a.Removed && !a.beganStored {
+		if !a.Removed && !a.chargedFromStored {
 			s.queue.markDirty(a.chunk(), now)
 			s.queue.scheduleFlush(now)
 		}
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -41,7 +41,7 @@
 // moved to, under the same field.
 func TestStoredCharges(t *testing.T) {
 	pack := charge.Pack{
-		Job: "job-17", Brief: charge.Brief{Team: "vision", Class: "train", Cores: 8000, Memory: 64_000},
+		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Class: "train", Cores: 8000, Memory: 64_000},
 		Kinds:   []charge.Kind{{Type: "large", Zone: "a", Rate: 3_400_000}},
 		Charges: []charge.Charge{{Task: 4, Attempt: 5, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: charge.Done}},
 	}
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -62,7 +62,7 @@
 		zones:  map[string]int{}, AvoidMachines: map[string]time.Time{},
 	}
 	for n := range j.chunks {
-		j.chunks[n].pack.Job, j.chunks[n].pack.Brief = j.ID, BriefOf(&j.Job)
+		j.chunks[n].pack.Job, j.chunks[n].pack.Traits = j.ID, TraitsOf(&j.Job)
 	}
 	return j
 }
@@ -138,7 +138,7 @@
 		}
 		a := &Allocation{
 			Job: j, Index: e.Index, Attempt: e.Attempt, Machine: e.Machine, Incarnation: e.Incarnation, Zone: e.Zone,
-			Committed: true, KnownSince: now, PlacedAt: now, Inherited: true,
+			Committed: true, KnownSince: now, AllocatedAt: now, Inherited: true,
 		}
 		c.decodeTimes(&e, a)
 		j.allocate(a)
--- a/internal/scheduler/jobs/progress.go
+++ b/internal/scheduler/jobs/progress.go
@@ -86,12 +86,12 @@
 // Times are stored as milliseconds from the record's base, and at least 1.
 func (c *progressChunk) encodeTimes(e *taskEntry, a *Allocation) {
 	if c.baseMS == 0 {
-		c.baseMS = a.PlacedAt.UnixMilli() - 1
+		c.baseMS = a.AllocatedAt.UnixMilli() - 1
 	}
-	e.PlacedMS = max(1, a.PlacedAt.UnixMilli()-c.baseMS)
-	if !a.BeganAt.IsZero() {
-		e.BeganMS = max(1, a.BeganAt.UnixMilli()-c.baseMS)
-		a.beganStored = true
+	e.AllocatedMS = max(1, a.AllocatedAt.UnixMilli()-c.baseMS)
+	if !a.ChargedFrom.IsZero() {
+		e.ChargedFromMS = max(1, a.ChargedFrom.UnixMilli()-c.baseMS)
+		a.chargedFromStored = true
 	}
 	e.ChargedParts = a.ChargedParts
 	if a.Kind.Type != "" {
@@ -101,11 +101,11 @@
 
 // decodeTimes is the reverse of encodeTimes.
 func (c *progressChunk) decodeTimes(e *taskEntry, a *Allocation) {
-	if e.PlacedMS > 0 {
-		a.PlacedAt = time.UnixMilli(c.baseMS + e.PlacedMS)
+	if e.AllocatedMS > 0 {
+		a.AllocatedAt = time.UnixMilli(c.baseMS + e.AllocatedMS)
 	}
-	if e.BeganMS > 0 {
-		a.BeganAt, a.beganStored = time.UnixMilli(c.baseMS+e.BeganMS), true
+	if e.ChargedFromMS > 0 {
+		a.ChargedFrom, a.chargedFromStored = time.UnixMilli(c.baseMS+e.ChargedFromMS), true
 	}
 	a.ChargedParts = e.ChargedParts
 	if e.Kind > 0 && e.Kind <= len(c.pack.Kinds) {
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -82,10 +82,10 @@
 	Incarnation uint64 `json:"s,omitempty"`
 	Zone        string `json:"z,omitempty"`
 
-	PlacedMS     int64 `json:"p,omitempty"` // when it was allocated, from the record's base
-	BeganMS      int64 `json:"r,omitempty"` // when it was seen to run, from the record's base
-	ChargedParts int   `json:"q,omitempty"`
-	Kind         int   `json:"k,omitempty"` // one more than the index of its kind in the pack
+	AllocatedMS   int64 `json:"p,omitempty"` // when it was allocated, from the record's base
+	ChargedFromMS int64 `json:"r,omitempty"` // when it was seen to run, from the record's base
+	ChargedParts  int   `json:"q,omitempty"`
+	Kind          int   `json:"k,omitempty"` // one more than the index of its kind in the pack
 }
 
 // detachedRecord is how detached charges are stored. Progress records have the same field.
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -41,7 +41,7 @@
 	t.Attempt++
 	a := &Allocation{
 		Job: j, Index: index, Attempt: t.Attempt, Machine: machine, Zone: zone, Incarnation: incarnation,
-		KnownSince: now, PlacedAt: now,
+		KnownSince: now, AllocatedAt: now,
 	}
 	j.allocate(a)
 	s.queue.markDirty(a.chunk(), now)
--- a/internal/scheduler/jobs/task.go
+++ b/internal/scheduler/jobs/task.go
@@ -44,12 +44,12 @@
 
 	// What its charge counts from; kept only while Store.Metered is set.
 
-	Kind         charge.Kind
-	PlacedAt     time.Time // when it was decided, by the time of day, whoever led then
-	BeganAt      time.Time // when it was first seen to run, or its day began
-	ChargedParts int       // how many parts of it are charged already
-	beganStored  bool
-	Inherited    bool // an earlier leader decided it
+	Kind              charge.Kind
+	AllocatedAt       time.Time // when it was decided, by the time of day, whoever led then
+	ChargedFrom       time.Time // when it was first seen to run, or its day began
+	ChargedParts      int       // how many parts of it are charged already
+	chargedFromStored bool
+	Inherited         bool // an earlier leader decided it
 }
 
 // Task names the allocated task.
