--- a/internal/accounting/charge/amounts.go
+++ b/internal/accounting/charge/amounts.go
@@ -17,8 +17,8 @@
 }
 
 // AmountsOf is what a charge of the job amounts to.
-func (b *JobTraits) AmountsOf(c *Charge) Amounts {
-	a := Amounts{Core: b.Cores * c.Run, GPU: b.GPUs * c.Run, Memory: b.Memory * c.Run, Money: c.Money, Run: c.Run}
+func (t *JobTraits) AmountsOf(c *Charge) Amounts {
+	a := Amounts{Core: t.Cores * c.Run, GPU: t.GPUs * c.Run, Memory: t.Memory * c.Run, Money: c.Money, Run: c.Run}
 	if c.Outcome < outcomeCount {
 		a.ByOutcome[c.Outcome] = 1
 	}
--- /dev/null
+++ b/internal/accounting/charge/days_test.go
@@ -0,0 +1,56 @@
+package charge
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSplitByDayKeepsTimeAndMoneyExactly(t *testing.T) {
+	berlin, err := time.LoadLocation("Europe/Berlin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := func(loc *time.Location, day, hour int) int64 {
+		return time.Date(2026, 3, day, hour, 0, 0, 0, loc).UnixMilli()
+	}
+	const hour = int64(time.Hour / time.Millisecond)
+	for _, c := range []struct {
+		name  string
+		loc   *time.Location
+		start int64
+		run   int64
+		runs  []int64 // of the parts
+	}{
+		{"within a day", time.UTC, at(time.UTC, 10, 3), 5 * hour, []int64{5 * hour}},
+		{"up to midnight", time.UTC, at(time.UTC, 10, 20), 4 * hour, []int64{4 * hour}},
+		{"over a midnight", time.UTC, at(time.UTC, 10, 20), 5 * hour, []int64{4 * hour, hour}},
+		{"over two midnights", time.UTC, at(time.UTC, 10, 23), 26 * hour, []int64{hour, 24 * hour, hour}},
+		{"a day of 23 hours", berlin, at(berlin, 28, 23), 25 * hour, []int64{hour, 23 * hour, hour}},
+		{"no time at all", time.UTC, at(time.UTC, 10, 0), 0, []int64{0}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			whole := Charge{Task: 1, Attempt: 2, Part: 3, Start: c.start, Run: c.run, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
+			parts := SplitByDay(whole, c.loc)
+			if len(parts) != len(c.runs) {
+				t.Fatalf("%d parts, want %d: %+v", len(parts), len(c.runs), parts)
+			}
+			next, money := c.start, int64(0)
+			for i, p := range parts {
+				last := i == len(parts)-1
+				if p.Start != next || p.Run != c.runs[i] || p.Part != 3+i {
+					t.Errorf("part %d begins at %d and runs %d, want %d and %d: %+v", i, p.Start, p.Run, next, c.runs[i], p)
+				}
+				if (p.Outcome == Done) != last || (p.Flags&ProgressSaved != 0) != last || p.Flags&UpperBound == 0 {
+					t.Errorf("part %d has outcome %v and flags %b", i, p.Outcome, p.Flags)
+				}
+				if !last && p.Outcome != Continues {
+					t.Errorf("part %d ends as %v", i, p.Outcome)
+				}
+				next, money = p.End(), money+p.Money
+			}
+			if next != whole.End() || money != whole.Money {
+				t.Errorf("the parts end at %d and cost %d, want %d and %d", next, money, whole.End(), whole.Money)
+			}
+		})
+	}
+}
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -83,7 +83,7 @@
 	Zone        string `json:"z,omitempty"`
 
 	AllocatedMS   int64 `json:"p,omitempty"` // when it was allocated, from the record's base
-	ChargedFromMS int64 `json:"r,omitempty"` // when it was seen to run, from the record's base
+	ChargedFromMS int64 `json:"r,omitempty"` // when it was seen to run or its day began, from the record's base
 	ChargedParts  int   `json:"q,omitempty"`
 	Kind          int   `json:"k,omitempty"` // one more than the index of its kind in the pack
 }
--- a/internal/scheduler/jobs/task.go
+++ b/internal/scheduler/jobs/task.go
@@ -41,6 +41,7 @@
 	KnownSince   time.Time      // when it was decided, or loaded by a new leader
 	RunningSince time.Time      // when a heartbeat first said that it runs
 	StartSentAt  time.Time      // when an answer to a heartbeat last held its start
+	Inherited    bool           // an earlier leader decided it
 
 	// What its charge counts from; kept only while Store.Metered is set.
 
@@ -49,7 +50,6 @@
 	ChargedFrom       time.Time // when it was first seen to run, or its day began
 	ChargedParts      int       // how many parts of it are charged already
 	chargedFromStored bool
-	Inherited         bool // an earlier leader decided it
 }
 
 // Task names the allocated task.
