--- a/internal/graphs/airflow/dags.go
+++ b/internal/graphs/airflow/dags.go
@@ -119,7 +119,7 @@
 	return map[string]any{"dags": cut(views, p), "total_entries": len(views)}, nil
 }
 
-// wanted tells whether a graph is among those that a list asks for.
+// wanted reports whether a graph is among those that a list asks for.
 func (d *Handler) wanted(r *request, g *runner.GraphRecord) bool {
 	if text := r.query.Get("paused"); text != "" && strconv.FormatBool(g.Paused) != strings.ToLower(text) {
 		return false
@@ -182,7 +182,7 @@
 	return &p.Graph, nil
 }
 
-// getRunDefinition gives the graph as the run has it: it may be registered anew since.
+// getRunDefinition returns the graph as the run has it: it may be registered anew since.
 func (d *Handler) getRunDefinition(r *request) (any, error) {
 	v, err := d.run(r)
 	if err != nil {
@@ -234,7 +234,7 @@
 	return done{status, view}, nil
 }
 
-// putPart takes in a part of a definition.
+// putPart stores a part of a definition.
 func (d *Handler) putPart(r *request) (any, error) {
 	n, err := strconv.Atoi(r.PathValue("part"))
 	of, err2 := strconv.Atoi(r.query.Get("of"))
--- a/internal/graphs/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -248,7 +248,7 @@
 	return p, nil
 }
 
-// cut gives the items of a page.
+// cut returns the items of a page.
 func cut[T any](items []T, p page) []T {
 	from := min(p.offset, len(items))
 	return items[from:min(from+p.limit, len(items))]
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// among tells whether a value is one of those that a parameter allows.
+// among reports whether a value is one of those that a parameter allows.
 func (r *request) among(name, value string) bool {
 	allowed := r.query[name]
 	return len(allowed) == 0 || slices.Contains(allowed, value)
--- a/internal/graphs/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -42,7 +42,7 @@
 	Job       *string        `json:"job"` // beside the API: the job that the step is
 }
 
-// instances gives those of a run's steps, in the plan's order. A step whose instances are not
+// instances returns those of a run's steps, in the plan's order. A step whose instances are not
 // known yet, or that never had any, has one.
 func instances(v *runner.RunView) []instanceView {
 	out := []instanceView{}
@@ -96,7 +96,7 @@
 	return x
 }
 
-// tryTimes gives when a try began and ended; zero: it runs.
+// tryTimes returns when a try began and ended; zero: it runs.
 func tryTimes(v *runner.RunView, t *runner.Try) (begin, end time.Time) {
 	begin = v.Queued.Add(time.Duration(t.BeginMS) * time.Millisecond)
 	if t.EndMS > 0 {
@@ -125,7 +125,7 @@
 	return r.instances(instances(v))
 }
 
-// instances gives the page of instances that a request asks for.
+// instances returns the page of instances that a request asks for.
 func (r *request) instances(all []instanceView) (any, error) {
 	p, err := r.page()
 	if err != nil {
@@ -161,7 +161,7 @@
 	return *s
 }
 
-// step gives the step that a request names.
+// step returns the step that a request names.
 func (d *Handler) step(r *request) (v *runner.RunView, step int, err error) {
 	if v, err = d.run(r); err != nil {
 		return nil, 0, err
@@ -204,7 +204,7 @@
 	return r.instances(slices.DeleteFunc(instances(v), func(x instanceView) bool { return x.Task != name || x.Index < 0 }))
 }
 
-// listTries gives the tries of a step that are kept, oldest first.
+// listTries returns the tries of a step that are kept, oldest first.
 func (d *Handler) listTries(r *request) (any, error) {
 	v, step, err := d.step(r)
 	if err != nil {
@@ -238,7 +238,7 @@
 	State      string  `json:"state"`
 }
 
-// listRunTries gives the tries of all steps of a run that are kept, in the order in which
+// listRunTries returns the tries of all steps of a run that are kept, in the order in which
 // they began.
 func (d *Handler) listRunTries(r *request) (any, error) {
 	p, err := r.page()
@@ -294,7 +294,7 @@
 	return resultOf(v, step), nil
 }
 
-// postResult takes in what a step leaves for those that follow, from its job, in the form
+// postResult records what a step leaves for those that follow, from its job, in the form
 // of Airflow 3.
 func (d *Handler) postResult(r *request) (any, error) {
 	var body struct {
--- a/internal/graphs/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -40,7 +40,7 @@
 	return v
 }
 
-// within tells whether a time is within what the parameters NAME_gte and NAME_lte allow.
+// within reports whether a time is within what the parameters NAME_gte and NAME_lte allow.
 func (r *request) within(name string, t time.Time) (bool, error) {
 	for suffix, wrong := range map[string]func(bound time.Time) bool{
 		"_gte": func(b time.Time) bool { return t.IsZero() || t.Before(b) },
--- a/internal/graphs/dag/dag.go
+++ b/internal/graphs/dag/dag.go
@@ -1,4 +1,4 @@
-// Package dag is the model of graphs: steps that stand for jobs, what they wait for,
+// Package dag is the model of graphs: steps that represent jobs, what they wait for,
 // and the rules by which their states follow from each other, in the terms that users of
 // Airflow know. It does no I/O and keeps no state.
 //
@@ -25,7 +25,7 @@
 	MaxResult = 2 << 10 // bytes of a step's result
 )
 
-// Kind tells what a step does.
+// Kind says what a step does.
 type Kind string
 
 // The kinds of steps.
@@ -58,7 +58,7 @@
 	Account     string   `json:"account,omitempty"`
 }
 
-// Retry tells how often a step is tried and how long it rests before the next try.
+// Retry says how often a step is tried and how long it rests before the next try.
 type Retry struct {
 	Retries     int      `json:"retries,omitempty"`
 	Delay       Duration `json:"retry_delay,omitempty"` // 300 s unless given
@@ -136,7 +136,7 @@
 // Duration is a time that JSON gives in seconds.
 type Duration time.Duration
 
-// MarshalJSON gives the seconds.
+// MarshalJSON returns the seconds.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).Seconds()) }
 
 // UnmarshalJSON reads seconds.
@@ -175,7 +175,7 @@
 	Order []int   // each step behind those that it follows
 }
 
-// Check checks a graph, and gives its plan. The error is an *Error, in one line.
+// Check checks a graph, and returns its plan. The error is an *Error, in one line.
 func Check(g *Graph) (*Plan, error) {
 	fault := func(step, format string, args ...any) error {
 		return &Error{Graph: g.ID, Step: step, Text: fmt.Sprintf(format, args...)}
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// ValidName tells whether a text is a name: 1 to MaxName letters, digits, dashes, dots and underscores.
+// ValidName reports whether a text is a name: 1 to MaxName letters, digits, dashes, dots and underscores.
 func ValidName(s string) bool {
 	if s == "" || len(s) > MaxName {
 		return false
@@ -344,7 +344,7 @@
 	return cycle
 }
 
-// CriticalPath gives the chain of steps that takes longest by their owners'
+// CriticalPath returns the chain of steps that takes longest by their owners'
 // estimates, and how long that is. Waits and fetches are not in it.
 func (p *Plan) CriticalPath() (path []string, length time.Duration) {
 	end := make([]time.Duration, len(p.Steps)) // when each would end at the earliest
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -21,7 +21,7 @@
 
 var stateNames = [states]string{"none", "scheduled", "queued", "running", "up_for_retry", "success", "failed", "skipped", "upstream_failed"}
 
-// String gives the state's name.
+// String returns the state's name.
 func (s State) String() string {
 	if s < states {
 		return stateNames[s]
@@ -29,10 +29,10 @@
 	return "unknown"
 }
 
-// MarshalText gives the state's name.
+// MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Final tells whether a step in this state stays in it, unless it is cleared.
+// Final reports whether a step in this state stays in it, unless it is cleared.
 func (s State) Final() bool { return s >= Success && s < states }
 
 // Rule says which ends of the steps before it let a step begin.
@@ -61,7 +61,7 @@
 // Rules names the trigger rules.
 func Rules() []string { return slices.Clone(rules) }
 
-// Known tells whether it is a rule.
+// Known reports whether it is a rule.
 func (r Rule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
 
 // Ends counts how the steps before a step ended, by instance: a mapped step counts once
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -22,10 +22,10 @@
 
 var runStateNames = [...]string{"running", "success", "failed"}
 
-// String gives the state's name.
+// String returns the state's name.
 func (s RunState) String() string { return runStateNames[s] }
 
-// MarshalText gives the state's name.
+// MarshalText returns the state's name.
 func (s RunState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Instance is one instance of a step: the only one, or that of one element of what it
@@ -102,7 +102,7 @@
 // Result is what a step left for those that follow; nil: nothing yet.
 func (r *Run) Result(step int) json.RawMessage { return r.nodes[step].result }
 
-// Push takes in what a step leaves for those that follow, before its job is done. The
+// Push records what a step leaves for those that follow, before its job is done. The
 // newest counts.
 func (r *Run) Push(step int, result json.RawMessage) error {
 	n, s := &r.nodes[step], &r.Plan.Steps[step]
@@ -120,30 +120,30 @@
 	return nil
 }
 
-// Waits tells whether an instance is ready and not submitted.
+// Waits reports whether an instance is ready and not submitted.
 func (r *Run) Waits(at Ref) bool {
 	x := r.instance(at)
 	return x != nil && x.State == Scheduled && !r.stopped
 }
 
-// Holds tells whether an instance waits, and its job has this id: it was neither
+// Holds reports whether an instance waits, and its job has this id: it was neither
 // cleared nor cancelled since that was worked out.
 func (r *Run) Holds(at Ref, id string) bool { return r.Waits(at) && r.JobID(at) == id }
 
-// Orphans gives the jobs of earlier generations that are not over.
+// Orphans returns the jobs of earlier generations that are not over.
 func (r *Run) Orphans() []string { return r.orphans }
 
-// Parted takes in that a job of an earlier generation is over.
+// Parted records that a job of an earlier generation is over.
 func (r *Run) Parted(id string) {
 	r.orphans = slices.DeleteFunc(r.orphans, func(o string) bool { return o == id })
 }
 
-// State gives a step's state, and its instances.
+// State returns a step's state, and its instances.
 func (r *Run) State(step int) (State, []Instance) {
 	return r.nodes[step].state, r.nodes[step].instances
 }
 
-// RunState gives the run's state: it has failed when one of the steps that none
+// RunState returns the run's state: it has failed when one of the steps that none
 // follows has, and ends when all steps have.
 func (r *Run) RunState() RunState {
 	if r.open > 0 {
@@ -208,7 +208,7 @@
 	}
 }
 
-// elements gives what a mapped step is mapped over; known is false while that is open.
+// elements returns what a mapped step is mapped over; known is false while that is open.
 func (r *Run) elements(i int) (list []json.RawMessage, known bool) {
 	m := r.Plan.Steps[i].Map
 	if m.Over == "" {
@@ -224,7 +224,7 @@
 	return list, true
 }
 
-// Element gives the element that an instance is mapped to; nil for a step that is not
+// Element returns the element that an instance is mapped to; nil for a step that is not
 // mapped.
 func (r *Run) Element(at Ref) json.RawMessage {
 	if r.Plan.Steps[at.Step].Map == nil {
@@ -284,7 +284,7 @@
 	e.All -= n
 }
 
-// Next gives up to n instances that are ready, those of the greatest weight first, then
+// Next returns up to n instances that are ready, those of the greatest weight first, then
 // in the order in which they became ready. Whoever takes them submits their jobs, and says
 // so (Submitted).
 func (r *Run) Next(n int) []Ref {
@@ -301,7 +301,7 @@
 // Ready is how many instances are ready at most.
 func (r *Run) Ready() int { return r.ready.Len() }
 
-// Cancels gives the jobs that are to be cancelled, since it was last asked.
+// Cancels returns the jobs that are to be cancelled, since it was last asked.
 func (r *Run) Cancels() []string {
 	out := r.cancels
 	r.cancels = nil
@@ -315,7 +315,7 @@
 	return &r.nodes[at.Step].instances[at.Index]
 }
 
-// Submitted takes in that an instance's job is accepted.
+// Submitted records that an instance's job is accepted.
 func (r *Run) Submitted(at Ref) {
 	if x := r.instance(at); x != nil && x.State == Scheduled {
 		x.State = Queued
@@ -323,7 +323,7 @@
 	}
 }
 
-// Withdrawn takes in that an instance's job could not be stored.
+// Withdrawn records that an instance's job could not be stored.
 func (r *Run) Withdrawn(at Ref) {
 	if x := r.instance(at); x != nil && x.State == Queued {
 		x.State = Scheduled
@@ -332,7 +332,7 @@
 	}
 }
 
-// Running takes in that a task of an instance's job runs.
+// Running records that a task of an instance's job runs.
 func (r *Run) Running(at Ref, now time.Time) {
 	if x := r.instance(at); x != nil && !x.Ending && (x.State == Queued || x.State == UpForRetry) {
 		x.State, x.Begun, x.Hold = Running, now, time.Time{}
@@ -340,7 +340,7 @@
 	}
 }
 
-// Failure takes in that an attempt of an instance's job failed. Its job rests, or, when
+// Failure records that an attempt of an instance's job failed. Its job rests, or, when
 // its tries are used up, is cancelled and the instance has failed.
 func (r *Run) Failure(at Ref, now time.Time, jitter float64) {
 	x := r.instance(at)
@@ -367,7 +367,7 @@
 	r.cancels = append(r.cancels, r.JobID(at))
 }
 
-// Ending gives the jobs that are being cancelled, for a new leader.
+// Ending returns the jobs that are being cancelled, for a new leader.
 func (r *Run) Ending() (jobs []string) {
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
@@ -380,7 +380,7 @@
 	return jobs
 }
 
-// Late fails an instance whose present try has run for longer than it may, and tells
+// Late fails an instance whose present try has run for longer than it may, and reports
 // whether that is so.
 func (r *Run) Late(at Ref, now time.Time) bool {
 	x, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
@@ -391,7 +391,7 @@
 	return true
 }
 
-// Done takes in that an instance's job is done. An error says that what it left (Push) is
+// Done records that an instance's job is done. An error says that what it left (Push) is
 // not what the step's kind asks for; the instance has failed then.
 func (r *Run) Done(at Ref) error {
 	x := r.instance(at)
@@ -447,7 +447,7 @@
 	return nil
 }
 
-// Gone takes in that an instance's job was cancelled by somebody: it has failed.
+// Gone records that an instance's job was cancelled by somebody: it has failed.
 func (r *Run) Gone(at Ref) { r.over(at, Failed) }
 
 // over ends an instance, and the step with its last one.
@@ -528,7 +528,7 @@
 	r.recount()
 }
 
-// Chosen gives the steps that a clear would have run again: those named, or all if none is,
+// Chosen returns the steps that a clear would have run again: those named, or all if none is,
 // of these only what has failed if that is wanted, and with below all that follow them. They
 // come in the plan's order.
 func (r *Run) Chosen(names []string, below, onlyFailed bool) ([]int, error) {
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// states gives the states of a run's steps by name.
+// states returns the states of a run's steps by name.
 func (r *Run) states() map[string]string {
 	out := map[string]string{}
 	for i := range r.nodes {
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -54,12 +54,12 @@
 	return time.UnixMilli(ms)
 }
 
-// tells tells whether there is more to an instance than its state.
+// tells reports whether there is more to an instance than its state.
 func (x *Instance) tells() bool {
 	return x.Failures > 0 || !x.Hold.IsZero() || !x.Begun.IsZero() || x.Ending
 }
 
-// Encode gives a run's stored form.
+// Encode returns a run's stored form.
 func (r *Run) Encode() []byte {
 	s := storedRun{Format: runFormat, ID: r.ID, Stopped: r.stopped, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -10,7 +10,7 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Schedule tells when the intervals of a graph end: a run is due at the end of each, and
+// Schedule says when the intervals of a graph end: a run is due at the end of each, and
 // bears the begin as its logical date, as in Airflow.
 //
 // Daylight changes: a schedule that names hours fires once a day for each, at the first
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// Next gives the first time after another at which the schedule fires; zero: none
+// Next returns the first time after another at which the schedule fires; zero: none
 // comes within five years.
 func (s *Schedule) Next(after time.Time) time.Time {
 	if s.once {
@@ -120,16 +120,16 @@
 	return high.In(s.where)
 }
 
-// Interval is a time that a scheduled run stands for. The run is due at its end.
+// Interval is a time that a scheduled run represents. The run is due at its end.
 type Interval struct{ Begin, End time.Time }
 
 // MaxBackfill bounds how many runs of the past are begun at one request.
 const MaxBackfill = 1000
 
-// ErrBackfill tells that more runs than that were asked for.
+// ErrBackfill says that more runs than that were asked for.
 var ErrBackfill = errors.New("more than 1000 runs")
 
-// Due gives the intervals that end within (after, now]. last is the end of the last interval
+// Due returns the intervals that end within (after, now]. last is the end of the last interval
 // that has a run; zero: none has. Without catch-up only the newest is given, as in
 // Airflow; with it all are, up to most of them: the rest follow when asked again.
 func (p *Plan) Due(s *Schedule, last, now time.Time, most int) []Interval {
@@ -176,7 +176,7 @@
 	return begin
 }
 
-// NextDue gives the interval that the next run stands for, as Due has it; ok is false if none
+// NextDue returns the interval that the next run represents, as Due has it; ok is false if none
 // comes.
 func (p *Plan) NextDue(s *Schedule, last, now time.Time) (next Interval, ok bool) {
 	if s == nil || p.Start == nil {
@@ -211,7 +211,7 @@
 	return 40*second.Sub(first) + 8*24*time.Hour
 }
 
-// Backfill gives the intervals that begin from one time up to another. It is bounded by
+// Backfill returns the intervals that begin from one time up to another. It is bounded by
 // MaxBackfill: more are an error, and nothing is begun.
 func (p *Plan) Backfill(s *Schedule, from, to time.Time) ([]Interval, error) {
 	if s == nil || s.once {
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// position gives an error with its place, in one line.
+// position returns an error with its place, in one line.
 func position(name string, err error) error {
 	text, pos := err.Error(), ""
 	var evalErr *starlark.EvalError
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// visited tells whether a field can hold nodes: positions, tokens and what the resolver
+// visited reports whether a field can hold nodes: positions, tokens and what the resolver
 // adds cannot.
 func visited(t reflect.Type) bool {
 	if t.Kind() == reflect.Slice {
--- a/internal/graphs/dagfile/words.go
+++ b/internal/graphs/dagfile/words.go
@@ -88,7 +88,7 @@
 func (d *dagValue) Truth() starlark.Bool  { return true }
 func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.g.ID).Hash() }
 
-// graph gives what the file made of it.
+// graph returns what the file made of it.
 func (d *dagValue) graph() *dag.Graph {
 	g := d.g
 	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && g.Team == "" {
@@ -384,7 +384,7 @@
 	return nil, nil
 }
 
-// output stands for a step's result, which another may be mapped over.
+// output represents a step's result, which another may be mapped over.
 type output struct{ of *stepValue }
 
 func (o *output) String() string        { return "output of " + o.of.step.ID }
@@ -393,7 +393,7 @@
 func (o *output) Truth() starlark.Bool  { return true }
 func (o *output) Hash() (uint32, error) { return o.of.Hash() }
 
-// stepsOf gives the steps of a value: a step, or a list or tuple of them.
+// stepsOf returns the steps of a value: a step, or a list or tuple of them.
 func stepsOf(v starlark.Value) ([]*stepValue, error) {
 	if s, ok := v.(*stepValue); ok {
 		return []*stepValue{s}, nil
@@ -447,7 +447,7 @@
 	return starlark.None, nil
 }
 
-// timedelta gives a time in seconds.
+// timedelta returns a time in seconds.
 func timedelta(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var days, hours, minutes, seconds float64
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "days?", &number{&days}, "hours?", &number{&hours}, "minutes?", &number{&minutes}, "seconds?", &number{&seconds}); err != nil {
@@ -456,7 +456,7 @@
 	return starlark.Float(days*86400 + hours*3600 + minutes*60 + seconds), nil
 }
 
-// datetime gives a date as text, which the DAG reads in its own time zone.
+// datetime returns a date as text, which the DAG reads in its own time zone.
 func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var y, m, d, h, minute int
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
@@ -491,7 +491,7 @@
 	return dag.Duration(f * float64(time.Second)), nil
 }
 
-// toJSON gives a plain value as JSON.
+// toJSON returns a plain value as JSON.
 func toJSON(v starlark.Value, depth int) (json.RawMessage, error) {
 	if depth > 8 {
 		return nil, errors.New("it is nested too deeply")
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Text tells what a graph is: its size, its critical path and when it runs next.
+// Text says what a graph is: its size, its critical path and when it runs next.
 func Text(w io.Writer, p *dag.Plan, now time.Time) error {
 	var b strings.Builder
 	edges, jobs, mapped := 0, 0, 0
@@ -46,7 +46,7 @@
 	return err
 }
 
-// short gives a long path's ends.
+// short returns a long path's ends.
 func short(path []string) string {
 	if len(path) > 12 {
 		path = append(append(append([]string{}, path[:6]...), "..."), path[len(path)-5:]...)
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -40,7 +40,7 @@
 	State       string
 }
 
-// RunText tells how a run goes: its state, and each instance that is not done, or all.
+// RunText says how a run goes: its state, and each instance that is not done, or all.
 func RunText(w io.Writer, r *Run, all bool) error {
 	counts := map[string]int{}
 	for _, x := range r.Instances {
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -51,7 +51,7 @@
 	key     string
 	id      string
 	logical int64
-	due     bool // it stands for an interval, which has one run
+	due     bool // it covers an interval, which has one run
 	def     string
 	live    *live           // nil: it is over, and stored
 	failed  map[string]bool // of one that is over: steps that depend on the past and did not end well
@@ -93,7 +93,7 @@
 		if err == nil {
 			err = g.examine(plan)
 		}
-		_ = g.ask(func() { // fails when the tenure is over, and with it whoever waits
+		_ = g.ask(func() { // fails when the leadership is over, and with it whoever waits
 			g.fetch = ""
 			var bad *badGraph
 			switch {
@@ -123,7 +123,7 @@
 	}
 }
 
-// dropping tells whether parts of a definition are about to go: it must not be referred to then.
+// dropping reports whether parts of a definition are about to go: it must not be referred to then.
 func (g *Graphs) dropping(hash string) bool {
 	prefix := PrefixDef + hash + "/"
 	return slices.ContainsFunc(g.drops, func(d drop) bool { return strings.HasPrefix(d.key, prefix) })
@@ -145,7 +145,7 @@
 			g.log.Debug("definitions cannot be listed", "err", err)
 			return
 		}
-		_ = g.ask(func() { // fails when the tenure is over
+		_ = g.ask(func() { // fails when the leadership is over
 			for hash, d := range defs {
 				if g.defs[hash] == nil && !g.dropping(hash) {
 					g.defs[hash] = &def{parts: max(d.parts, have[hash])}
@@ -156,7 +156,7 @@
 }
 
 // spoilt drops a definition that is not what its name says, or no graph that could run:
-// one that cannot be read must not stand in the way of a good one.
+// one that cannot be read must not block a good one.
 func (g *Graphs) spoilt(hash string, parts int) {
 	if d := g.defs[hash]; d != nil && (d.plan != nil || d.refs > 0) {
 		return
@@ -236,7 +236,7 @@
 	return what + ", and the service knows nowhere to have its steps described (graphs.descriptions)"
 }
 
-// slots gives how many slots a team's pool has.
+// slots returns how many slots a team's pool has.
 func (g *Graphs) slots(team, name string) (int, bool) {
 	if g.cfg.Pools != nil {
 		if n, ok := g.cfg.Pools(team, name); ok {
@@ -246,7 +246,7 @@
 	return tuning.GraphPool, name == "" || name == DefaultPool
 }
 
-// pool gives the pool of a step.
+// pool returns the pool of a step.
 func (g *Graphs) pool(p *dag.Plan, step int) *pool {
 	key := poolKey{p.Team, cmp.Or(p.Steps[step].Pool, DefaultPool)}
 	if g.pools[key] == nil {
@@ -292,7 +292,7 @@
 	g.storeGraph(gr, func() { tell(status, struct{}{}) })
 }
 
-// define takes in what a graph says from now on.
+// define records what a graph says from now on.
 func (gr *graph) define(p *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
 		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Zone,
@@ -504,7 +504,7 @@
 	}
 }
 
-// beginDue begins the run of an interval, and tells whether its turn is over.
+// beginDue begins the run of an interval, and reports whether its turn is over.
 func (g *Graphs) beginDue(gr *graph, due dag.Interval, now time.Time) bool {
 	m := meta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
 	stored := func() {
@@ -521,7 +521,7 @@
 		case status == http.StatusServiceUnavailable:
 			ok = false // there is no memory: it is asked again
 		default:
-			g.log.Error("a run that is due cannot begin", "graph", gr.rec.ID, "interval", due.Begin, "why", body)
+			g.log.Error("a run that is due cannot begin", "graph", gr.rec.ID, "interval", due.Begin, "reason", body)
 			stored()
 		}
 	})
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -44,7 +44,7 @@
 	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps that it follows
 }
 
-// Foreseen gives the descriptions of a run's first generation, as far as they can be named
+// Foreseen returns the descriptions of a run's first generation, as far as they can be named
 // before it begins: not those of steps that are mapped over what another step leaves.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
 	r, m := dag.NewRun(p, id), &meta{LogicalMS: logical.UnixMilli(), Conf: conf}
@@ -129,11 +129,11 @@
 			}
 		}
 		refused, err := describeAll(g.ended, g.cfg.Source, texts)
-		_ = g.ask(func() { g.described(batch, refused, err) }) // fails when the tenure is over
+		_ = g.ask(func() { g.described(batch, refused, err) }) // fails when the leadership is over
 	}()
 }
 
-// describeAll describes steps, and gives those that were refused, by index: a batch that
+// describeAll describes steps, and returns those that were refused, by index: a batch that
 // is refused is halved until it is known which.
 func describeAll(ctx context.Context, s Source, texts []Description) (refused map[int]error, err error) {
 	refused = map[int]error{}
@@ -158,7 +158,7 @@
 	return refused, try(0, len(texts))
 }
 
-// described takes in what became of a call.
+// described handles the result of a call.
 func (g *Graphs) described(batch []pick, refused map[int]error, err error) {
 	d := &g.source
 	d.busy = false
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -1,6 +1,6 @@
 // Package runner runs graphs of steps on the same core as every other job: when a step is
 // ready, it is submitted as a job of its graph's team, and what becomes of that job is the
-// step's state. It joins the leader's loop as a slice; package dag decides.
+// step's state. It joins the leader's loop as a subsystem; package dag decides.
 //
 // Exactly once: the write that records a step as submitted is the transaction that
 // stores its job, guarded on both. So a step is submitted or it is ready, whoever leads
@@ -38,15 +38,15 @@
 	Bytes   int     // that graphs and live runs may take in memory; 0: any number
 	// Impossible says why a job can never run, or nothing. It is safe for concurrent use.
 	Impossible func(*wire.Job) string
-	// Jitter gives a share from 0 to 1, by which rests before retries differ.
+	// Jitter returns a share from 0 to 1, by which rests before retries differ.
 	Jitter func() float64
 	// Source makes the descriptions of steps known to workers; nil: only clients do.
 	Source Source
-	// Pools gives the slots of a team's pool. It is safe for concurrent use.
+	// Pools returns the slots of a team's pool. It is safe for concurrent use.
 	Pools func(team, name string) (slots int, ok bool)
 }
 
-// Graphs are the graphs and live runs of one tenure. It implements leader.Subsystem and
+// Graphs are the graphs and live runs of one leadership. It implements leader.Subsystem and
 // leader.CommandHandler.
 type Graphs struct {
 	cfg   Config
@@ -54,7 +54,7 @@
 	codec *charge.Codec
 	book  *jobs.Store
 
-	ended context.Context    // of the tenure
+	ended context.Context    // of the leadership
 	ask   func(func()) error // has the loop do something
 	store *statestore.Client
 	read  bool
@@ -86,7 +86,7 @@
 	generation int
 }
 
-// current tells whether it is the job of the present generation of its step.
+// current reports whether it is the job of the present generation of its step.
 func (w where) current() bool {
 	return w.at.Step >= 0 && w.generation == w.run.run.Generation(w.at.Step)
 }
@@ -96,7 +96,7 @@
 	return &instances[w.at.Index]
 }
 
-// New makes the graphs of a tenure.
+// New makes the graphs of a leadership.
 func New(cfg Config, log *slog.Logger) (*Graphs, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -108,7 +108,7 @@
 	}, nil
 }
 
-// Loaded takes in the book.
+// Loaded receives the job store, once its records are loaded.
 func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.book = book }
 
 // Admit has a step's job rest before its next try.
@@ -215,7 +215,7 @@
 	g.cancelNow()
 }
 
-// cancelNow cancels the jobs that the book knows by now: it hears of one that was just
+// cancelNow cancels the jobs that the job store knows by now: it hears of one that was just
 // stored a moment later.
 func (g *Graphs) cancelNow() {
 	for id := range g.cancels {
@@ -328,7 +328,7 @@
 	undo  []func() // if a condition did not hold
 }
 
-// fits tells whether some more changes of some bytes can go with it.
+// fits reports whether some more changes of some bytes can go with it.
 func (b *batch) fits(changes, bytes int) bool {
 	return len(b.txn.Then)+changes <= b.most && (b.size == 0 || b.size+bytes <= tuning.CommitBytes)
 }
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -245,7 +245,7 @@
 		if err == nil && plan == nil {
 			plan, err = fetch(g.ended, g.store, e.def, parts)
 		}
-		_ = g.ask(func() { // fails when the tenure is over, and with it whoever waits
+		_ = g.ask(func() { // fails when the leadership is over, and with it whoever waits
 			var r *dag.Run
 			if err == nil {
 				r, err = decodeRun(g.codec, &rec, plan)
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -29,7 +29,7 @@
 	if err := l.read(ctx, store); err != nil {
 		return nil, err
 	}
-	// From here on the loop hears what becomes of these jobs. One that is not live any more
+	// From here on the loop is told what becomes of these jobs. One that is not live any more
 	// has ended: its end is stored for ever.
 	var ended []string
 	if err := ask(func() {
@@ -74,7 +74,7 @@
 	}, nil
 }
 
-// install takes in what was read, and gives the jobs of steps that are not live.
+// install records what was read, and returns the jobs of steps that are not live.
 func (g *Graphs) install(l *loader) (ended []string) {
 	g.defs, g.graphs, g.runs, g.bytes = l.defs, l.graphs, map[string]*live{}, 0
 	clear(g.byJob)
@@ -157,7 +157,7 @@
 	return err
 }
 
-// plan gives the plan of a definition.
+// plan returns the plan of a definition.
 func (l *loader) plan(hash string) (*dag.Plan, error) {
 	d := l.defs[hash]
 	if d == nil {
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -23,7 +23,7 @@
 	plan  *dag.Plan
 }
 
-// ErrNone tells that there is no such graph or run of the team.
+// ErrNone says that there is no such graph or run of the team.
 var ErrNone = errors.New("it is not known")
 
 // NewReader makes a reader of a state service.
@@ -60,7 +60,7 @@
 	return json.Unmarshal(item.Value, v)
 }
 
-// Graphs gives a team's graphs, by name.
+// Graphs returns a team's graphs, by name.
 func (r *Reader) Graphs(ctx context.Context, team string) (out []GraphRecord, err error) {
 	_, err = r.store.ListAll(ctx, PrefixGraph+ofTeam(team), func(items []wire.Item) error {
 		for _, item := range items {
@@ -74,7 +74,7 @@
 	return out, err
 }
 
-// Graph gives a team's graph, or ErrNone.
+// Graph returns a team's graph, or ErrNone.
 func (r *Reader) Graph(ctx context.Context, team, id string) (rec GraphRecord, err error) {
 	if !dag.ValidName(id) {
 		return rec, ErrNone
@@ -110,7 +110,7 @@
 	return i
 }
 
-// Runs gives the runs of a team's graph; with an empty name those of all its graphs.
+// Runs returns the runs of a team's graph; with an empty name those of all its graphs.
 func (r *Reader) Runs(ctx context.Context, team, id string) (out []RunInfo, err error) {
 	prefix := PrefixRun + ofTeam(team)
 	if id != "" {
@@ -135,7 +135,7 @@
 	Tries []Try // the newest; times count from Queued
 }
 
-// Run gives a run of a team's graph, or ErrNone.
+// Run returns a run of a team's graph, or ErrNone.
 func (r *Reader) Run(ctx context.Context, team, graph, id string) (*RunView, error) {
 	if !dag.ValidName(graph) || !validRun(id) {
 		return nil, ErrNone
@@ -159,7 +159,7 @@
 	return &RunView{RunInfo: rec.info(), Run: run, Tries: readTries(r.codec, &rec)}, nil
 }
 
-// Plan gives a definition.
+// Plan returns a definition.
 func (r *Reader) Plan(ctx context.Context, hash string) (*dag.Plan, error) {
 	if err := r.enter(ctx); err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	return d.plan, nil
 }
 
-// Store stores a graph's definition, and gives its hash and how many parts it has.
+// Store stores a graph's definition, and returns its hash and how many parts it has.
 func (r *Reader) Store(ctx context.Context, g *dag.Graph) (hash string, n int, err error) {
 	if err := r.enter(ctx); err != nil {
 		return "", 0, err
@@ -204,7 +204,7 @@
 	return hash, len(parts), nil
 }
 
-// ErrPart tells that something is no part of a definition.
+// ErrPart says that something is no part of a definition.
 var ErrPart = errors.New("that is no part of a graph")
 
 // StorePart stores a part of a definition, if it is not there.
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -66,7 +66,7 @@
 	return PrefixRun + ofTeam(team) + graph + "/" + runEscapes.Replace(run)
 }
 
-// validRun tells whether a run's id is one.
+// validRun reports whether a run's id is one.
 func validRun(id string) bool {
 	return dag.ValidName(strings.NewReplacer(":", "", "+", "").Replace(id))
 }
@@ -106,7 +106,7 @@
 	Def   string `json:"def"` // the hash of its definition
 	State string `json:"state"`
 	meta
-	// Open tells that jobs of it are not over, whatever its state.
+	// Open says that jobs of it are not over, whatever its state.
 	Open bool   `json:"open,omitempty"`
 	Zstd []byte `json:"z"` // of dag.Run's stored form
 	// Tries are the newest tries of its steps, compressed.
@@ -115,7 +115,7 @@
 
 func (r *runRecord) over() bool { return r.State != dag.RunRunning.String() && !r.Open }
 
-// Pack gives a definition's stored form: its hash, and its parts.
+// Pack returns a definition's stored form: its hash, and its parts.
 func Pack(c *charge.Codec, g *dag.Graph) (hash string, parts [][]byte, err error) {
 	raw, err := json.Marshal(g)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// validHash tells whether a text is the hash of a definition.
+// validHash reports whether a text is the hash of a definition.
 func validHash(s string) bool {
 	raw, err := hex.DecodeString(s)
 	return err == nil && len(raw) == 16 && s == strings.ToLower(s)
@@ -162,7 +162,7 @@
 	return dag.Check(g)
 }
 
-// gather takes in parts of definitions, by hash, in the order of their keys. One that
+// gather collects parts of definitions, by hash, in the order of their keys. One that
 // lacks a part has none: its client never came back.
 func gather(defs map[string]*def, have map[string]int, items []wire.Item) {
 	for _, item := range items {
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -118,7 +118,7 @@
 	gr.history = slices.Insert(gr.history, i, e)
 }
 
-// may tells whether a run goes on: its graph is not paused, and no more of its runs go
+// may reports whether a run goes on: its graph is not paused, and no more of its runs go
 // on than may.
 func (g *Graphs) may(x *live, now time.Time) bool {
 	gr := x.graph
@@ -198,7 +198,7 @@
 	gr.line.stands(g, x, !free() && (x.run.Ready() > 0 || len(x.held) > 0), took, free())
 }
 
-// unforeseen tells whether nobody can name a step's jobs before those that it follows are done.
+// unforeseen reports whether nobody can name a step's jobs before those that it follows are done.
 func unforeseen(p *dag.Plan, step int) bool {
 	m := p.Steps[step].Map
 	return m != nil && m.Over != ""
@@ -236,7 +236,7 @@
 
 func slotsOf(p *dag.Plan, step int) int { return max(1, p.Steps[step].PoolSlots) }
 
-// fits tells whether a step's slots are free. A step that wants more than there are is alone.
+// fits reports whether a step's slots are free. A step that wants more than there are is alone.
 func (p *pool) fits(x *live, step int) bool {
 	return p.used == 0 || p.used+slotsOf(x.run.Plan, step) <= p.slots
 }
@@ -248,7 +248,7 @@
 	g.pool(x.run.Plan, step).used += slotsOf(x.run.Plan, step)
 }
 
-// release gives a step's slots back, and has whoever waits for them looked at.
+// release frees a step's slots, and has whoever waits for them looked at.
 func (g *Graphs) release(x *live, step int) {
 	p := g.pool(x.run.Plan, step)
 	x.active--
@@ -259,7 +259,7 @@
 	g.touch(x)
 }
 
-// pastDone tells whether the run before, by logical date, has done a step, if it had it.
+// pastDone reports whether the run before, by logical date, has done a step, if it had it.
 func (g *Graphs) pastDone(x *live, step int) bool {
 	i := slices.Index(x.graph.history, x.entry)
 	if i <= 0 {
@@ -296,7 +296,7 @@
 	}
 }
 
-// storeRun puts a run into a transaction, and tells whether it fitted.
+// storeRun puts a run into a transaction, and reports whether it fitted.
 func (g *Graphs) storeRun(x *live, b *batch, now time.Time) bool {
 	if !x.dirty && len(x.picked) == 0 {
 		return true
@@ -486,7 +486,7 @@
 	}
 }
 
-// push takes in what a step leaves for those that follow.
+// push records what a step leaves for those that follow.
 func (g *Graphs) push(x *live, o *Order, tell answer) {
 	i, ok := x.run.Plan.Index[o.Step]
 	if !ok {
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -16,7 +16,7 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// counts gives how many steps of a run are in each state.
+// counts returns how many steps of a run are in each state.
 func counts(r *dag.Run) map[string]int {
 	out := map[string]int{}
 	for i := range r.Plan.Steps {
@@ -369,7 +369,7 @@
 	}
 }
 
-// A definition that is not what its name says must not stand in the way of a good one.
+// A definition that is not what its name says must not block a good one.
 func TestASpoiltDefinition(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -19,14 +19,14 @@
 	State      dag.State
 }
 
-// begun takes in that an instance runs.
+// begun records that an instance runs.
 func (x *live) begun(at dag.Ref, now time.Time) {
 	x.tries = append(x.tries, Try{
 		Step: at.Step, Index: at.Index, Generation: x.run.Generation(at.Step), BeginMS: now.UnixMilli() - x.meta.QueuedMS, State: dag.Running,
 	})
 }
 
-// ended takes in how the newest try of an instance ended, if it was seen to begin.
+// ended records how the newest try of an instance ended, if it was seen to begin.
 func (x *live) ended(at dag.Ref, now time.Time, state dag.State) {
 	for i := len(x.tries) - 1; i >= 0; i-- {
 		if t := &x.tries[i]; t.Step == at.Step && t.Index == at.Index {
@@ -38,7 +38,7 @@
 	}
 }
 
-// readTries gives a stored run's tries; none, if they cannot be read: nothing hangs on them.
+// readTries returns a stored run's tries; none, if they cannot be read: nothing hangs on them.
 func readTries(c *charge.Codec, rec *runRecord) (tries []Try) {
 	if len(rec.Tries) > 0 && c.Decode(rec.Tries, &tries) != nil {
 		return nil
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -31,10 +31,10 @@
 	book   *jobs.Store
 	graphs *Graphs
 	cfg    Config
-	known  map[string]bool // jobs that the book took in
+	known  map[string]bool // jobs that the job store loaded
 	ends   map[string]int  // tasks that completed, by job: it must be once
 	asked  chan func()     // what goroutines have the loop do
-	stop   func()          // ends the tenure
+	stop   func()          // ends the leadership
 }
 
 func newWorld(t testing.TB) *world {
@@ -121,7 +121,7 @@
 	}
 }
 
-// watch has the book take in jobs that were stored.
+// watch has the job store load jobs that were stored.
 func (w *world) watch() {
 	for _, item := range w.list(jobs.PrefixJob) {
 		if !w.known[item.Key] {
@@ -146,7 +146,7 @@
 	return true
 }
 
-// flush stores the book's changes.
+// flush stores the job store's changes.
 func (w *world) flush() {
 	for b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil; b = w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}) {
 		_, over := w.book.MarkCommitted(b, w.commit(b.Txn))
@@ -221,13 +221,13 @@
 	w.settle()
 }
 
-// answers gives what was answered to an order: the status, 0 if nothing was.
+// answers returns what was answered to an order: the status, 0 if nothing was.
 type answers struct {
 	status int
 	text   string
 }
 
-// order gives an order, and does what it takes until it is answered.
+// order sends an order, and does what it takes until it is answered.
 func (w *world) order(verb string, o Order) *answers {
 	w.t.Helper()
 	if o.Team == "" {
@@ -255,7 +255,7 @@
 	return a
 }
 
-// ordered gives an order that needs no goroutine, and settles.
+// ordered sends an order that needs no goroutine, and settles.
 func (w *world) ordered(verb string, o Order, want int) string {
 	w.t.Helper()
 	a := w.order(verb, o)
@@ -299,7 +299,7 @@
 // live names the jobs that wait or run.
 func (w *world) live() []string { return slices.Sorted(maps.Keys(w.book.Jobs)) }
 
-// run gives a run as it is stored.
+// run returns a run as it is stored.
 func (w *world) run(p *dag.Plan, id string) *dag.Run {
 	w.t.Helper()
 	item, ok := w.state.Value(keyRun(p.Team, p.ID, id))
