--- /dev/null
+++ b/internal/accounting/budget/period.go
@@ -0,0 +1,37 @@
+package budget
+
+import "time"
+
+// bounds returns the first instant of the period in which t lies and the first one after
+// it. Both are zero for a period without end. Days begin in the given time zone.
+func (p Period) bounds(t time.Time, zone *time.Location) (from, to time.Time) {
+	t = t.In(zone)
+	y, m, d := t.Date()
+	date := func(y int, m time.Month, d int) time.Time { return time.Date(y, m, d, 0, 0, 0, 0, zone) }
+	switch p {
+	case Day:
+		return date(y, m, d), date(y, m, d+1)
+	case Week:
+		monday := d - (int(t.Weekday())+6)%7
+		return date(y, m, monday), date(y, m, monday+7)
+	case Month:
+		return date(y, m, 1), date(y, m+1, 1)
+	}
+	return time.Time{}, time.Time{}
+}
+
+// usageBetween is what a scope was charged for the days from from until before to. With a
+// zero to it is all that was charged, also what is kept by month.
+func (tr *Tracker) usageBetween(s Scope, from, to time.Time) (u Usage) {
+	days := tr.usage[s]
+	if to.IsZero() {
+		for _, v := range days {
+			u.Add(v)
+		}
+		return u
+	}
+	for day := from; day.Before(to); day = day.AddDate(0, 0, 1) {
+		u.Add(days[day.Format(time.DateOnly)])
+	}
+	return u
+}
--- /dev/null
+++ b/internal/accounting/budget/properties.go
@@ -0,0 +1,129 @@
+package budget
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// Prefix begins the keys of budgets in the operators' properties.
+const Prefix = "budget."
+
+// maxAmount bounds a budget's amount, so that sums in the ledger's units stay finite.
+const maxAmount = 1e9
+
+// PropertyError says why a property of the operators is refused.
+type PropertyError struct {
+	Key     string
+	Problem string // one line
+}
+
+// Error names the key and the problem in one line.
+func (e *PropertyError) Error() string { return e.Key + ": " + e.Problem }
+
+func refuse(key, format string, args ...any) *PropertyError {
+	return &PropertyError{Key: key, Problem: fmt.Sprintf(format, args...)}
+}
+
+// Set adds one property, whose key begins with Prefix, to the settings:
+//
+//	budget.TEAM[/ACCOUNT].PERIOD.UNIT = AMOUNT      budget.fraud-desk.month.core-hours = 500
+//	budget.TEAM.carry-over = SHARE                  0 to 1
+//	budget.TEAM.warn-at = SHARE                     above 0, to 1
+//	budget.TEAM.when-spent = finish | drain
+//	budget.TEAM.drain-at = SHARE                    above 0, to 1
+//	budget.TEAM.production = spared | held
+//
+// The error is a *PropertyError. After an error the settings are not to be used.
+func (s *Settings) Set(key, value string) error {
+	rest, ok := strings.CutPrefix(key, Prefix)
+	if !ok {
+		return refuse(key, "not a budget")
+	}
+	name, setting, ok := cutLast(rest)
+	if !ok {
+		return refuse(key, "it names no team and setting")
+	}
+	switch unit := Unit(setting); unit {
+	case CoreHours, Money:
+		return s.setAmount(key, name, unit, value)
+	}
+	return s.setPolicy(key, name, setting, value)
+}
+
+// cutLast cuts a name, which may contain dots itself, from what follows its last dot.
+func cutLast(s string) (name, last string, ok bool) {
+	dot := strings.LastIndexByte(s, '.')
+	if dot <= 0 {
+		return "", "", false
+	}
+	return s[:dot], s[dot+1:], true
+}
+
+func (s *Settings) setAmount(key, name string, unit Unit, value string) error {
+	scope, last, ok := cutLast(name)
+	if !ok {
+		return refuse(key, "it names no team and period")
+	}
+	period := Period(last)
+	switch period {
+	case Day, Week, Month, Ever:
+	default:
+		return refuse(key, "%q is not a period; it can be day, week, month or ever", period)
+	}
+	amount, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(amount >= 0) || amount > maxAmount {
+		return refuse(key, "%q is not an amount from 0 to 1e9", value)
+	}
+	team, account, _ := strings.Cut(scope, "/")
+	s.Budgets = append(s.Budgets, Budget{Scope: Scope{team, account}, Period: period, Unit: unit, Amount: amount})
+	return nil
+}
+
+func (s *Settings) setPolicy(key, team, setting, value string) error {
+	p := s.policy(team)
+	var err error
+	switch setting {
+	case "carry-over":
+		p.CarryOver, err = parseShare(key, value, 0)
+	case "warn-at":
+		p.WarnAt, err = parseShare(key, value, math.SmallestNonzeroFloat64)
+	case "drain-at":
+		p.DrainAt, err = parseShare(key, value, math.SmallestNonzeroFloat64)
+	case "when-spent":
+		p.DrainWhenSpent, err = parseChoice(key, value, "finish", "drain")
+	case "production":
+		p.HoldProduction, err = parseChoice(key, value, "spared", "held")
+	default:
+		err = refuse(key, "unknown key")
+	}
+	if err != nil {
+		return err
+	}
+	if s.Policies == nil {
+		s.Policies = map[string]Policy{}
+	}
+	s.Policies[team] = p
+	return nil
+}
+
+// parseShare reads a share from least to 1; NaN is none.
+func parseShare(key, value string, least float64) (float64, error) {
+	v, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(v >= least) || v > 1 {
+		return 0, refuse(key, "%q is not a share up to 1", value)
+	}
+	return v, nil
+}
+
+// parseChoice reads one of two words, and tells whether it is the second.
+func parseChoice(key, value, no, yes string) (bool, error) {
+	switch value {
+	case no:
+		return false, nil
+	case yes:
+		return true, nil
+	}
+	return false, refuse(key, "%q is neither %s nor %s", value, no, yes)
+}
--- /dev/null
+++ b/internal/accounting/budget/split_test.go
@@ -0,0 +1,24 @@
+package budget
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/accounting/charge"
+)
+
+func TestSplitByDayKeepsRunTimeMoneyAndOutcome(t *testing.T) {
+	where := time.FixedZone("UTC+3", 3*3600)
+	c := charge.Charge{Start: time.Date(2026, 12, 1, 20, 0, 0, 0, where).UnixMilli(), Run: 50 * 3600_000, Money: 1_000_003, Outcome: charge.Done, Flags: charge.ProgressSaved}
+	parts := charge.SplitByDay(c, where)
+	var run, money int64
+	for i, p := range parts {
+		run, money = run+p.Run, money+p.Money
+		if last := i == len(parts)-1; p.Part != i || (p.Outcome == charge.Done) != last || (p.Flags&charge.ProgressSaved != 0) != last {
+			t.Errorf("part %d: %+v", i, p)
+		}
+	}
+	if len(parts) != 3 || run != c.Run || money != c.Money || parts[0].Run != 4*3600_000 {
+		t.Errorf("parts %+v", parts)
+	}
+}
