--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -209,8 +209,8 @@
 		e.log.Debug("no lease granted", "err", err)
 		return Leadership{}, false
 	}
-	own := holder{Member: e.member, Term: lastTerm + 1, Lease: lease}
-	revision, err := e.takeLeaderKey(ctx, own, termVersion, eligible.guards)
+	next := holder{Member: e.member, Term: lastTerm + 1, Lease: lease}
+	revision, err := e.takeLeaderKey(ctx, next, termVersion, eligible.guards)
 	if err == nil && eligible.expired(e.clock.Now()) {
 		err = errConfirmationTooOld
 	}
@@ -219,26 +219,26 @@
 		e.revokeLease(ctx, lease)
 		return Leadership{}, false
 	}
-	e.beginTerm(own.Term, lease, sent)
-	e.noteHolder(e.member, own.Term)
-	return Leadership{Term: own.Term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
+	e.beginTerm(next.Term, lease, sent)
+	e.noteHolder(e.member, next.Term)
+	return Leadership{Term: next.Term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
 }
 
 // takeLeaderKey takes the leader key and raises the term in one transaction, which fails if the key is held, the term has
 // moved on since it was read, or a guard does not hold. It returns the version of the leader key.
-func (e *Elector) takeLeaderKey(ctx context.Context, own holder, termVersion uint64, guards []wire.Condition) (uint64, error) {
-	termValue, err := json.Marshal(termRecord{Term: own.Term})
+func (e *Elector) takeLeaderKey(ctx context.Context, next holder, termVersion uint64, guards []wire.Condition) (uint64, error) {
+	termValue, err := json.Marshal(termRecord{Term: next.Term})
 	if err != nil {
 		return 0, err
 	}
-	holderValue, err := json.Marshal(own)
+	holderValue, err := json.Marshal(next)
 	if err != nil {
 		return 0, err
 	}
 	return e.store.Commit(ctx, wire.Txn{
 		If: append([]wire.Condition{{Key: keyHolder}, {Key: keyTerm, Version: termVersion}}, guards...),
 		Then: []wire.Change{
-			{Put: keyHolder, Value: holderValue, Lease: own.Lease},
+			{Put: keyHolder, Value: holderValue, Lease: next.Lease},
 			{Put: keyTerm, Value: termValue},
 		},
 	})
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -53,21 +53,25 @@
 func start(t *testing.T, name string, s *fakes.Store, p Peers, clock clockwork.Clock) *member {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	m := &member{
-		Elector: newElector(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock),
-		stop:    stop, terms: make(chan Leadership, 8), ended: make(chan Leadership, 8),
-	}
+	m, _ := run(ctx, t, newElector(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock), stop)
+	return m
+}
+
+// run runs an elector until stop is called, which ends ctx. The channel is closed when it has ended.
+func run(ctx context.Context, t *testing.T, e *Elector, stop context.CancelFunc) (*member, <-chan struct{}) {
+	t.Helper()
+	m := &member{Elector: e, stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.Run(ctx, func(ctx context.Context, t Leadership) {
-			m.terms <- t
+		m.Run(ctx, func(ctx context.Context, l Leadership) {
+			m.terms <- l
 			<-ctx.Done()
-			m.ended <- t
+			m.ended <- l
 		})
 	}()
 	t.Cleanup(func() { stop(); <-done })
-	return m
+	return m, done
 }
 
 func (m *member) leads() bool {
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -89,14 +89,7 @@
 	if n > 0 {
 		store = &crashingStore{Store: store, callsLeft: n, executeLast: after, crash: stop}
 	}
-	m = &member{Elector: newElector(store, unreachablePeers, "a", clock), stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		m.Run(ctx, func(ctx context.Context, t Leadership) { m.terms <- t; <-ctx.Done(); m.ended <- t })
-	}()
-	t.Cleanup(func() { stop(); <-done })
-	return m, done
+	return run(ctx, t, newElector(store, unreachablePeers, "a", clock), stop)
 }
 
 // passUntil lets time pass in small steps until a channel is ready, and returns how long that took. A follower is one goroutine,
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -39,13 +39,13 @@
 	if r.Verb != Ping && c.Silent(addr) {
 		return Response{}, ErrSilent
 	}
-	own, cancel := context.WithTimeout(ctx, c.timeout)
+	callCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.call(own, addr, r)
+	resp, err := c.call(callCtx, addr, r)
 	switch {
 	case err == nil:
 		c.setSilent(addr, false)
-	case own.Err() != nil && ctx.Err() == nil && r.Verb.prompt():
+	case callCtx.Err() != nil && ctx.Err() == nil && r.Verb.prompt():
 		c.setSilent(addr, true)
 		err = fmt.Errorf("%w: %w", ErrSilent, err)
 	}
