--- /dev/null
+++ b/internal/graphs/dag/ready.go
@@ -0,0 +1,69 @@
+package dag
+
+import (
+	"container/heap"
+	_ "time/tzdata"
+)
+
+// Waits reports whether an instance is ready and not submitted.
+func (r *Run) Waits(at Ref) bool {
+	x := r.instance(at)
+	return x != nil && x.State == Scheduled && !r.stopped
+}
+
+// Holds reports whether an instance waits, and its job has this id: it was neither
+// cleared nor cancelled since that was worked out.
+func (r *Run) Holds(at Ref, id string) bool { return r.Waits(at) && r.JobID(at) == id }
+
+// Next returns up to n instances that are ready, those of the greatest weight first, then
+// in the order in which they became ready. Whoever takes them submits their jobs, and says
+// so (Submitted).
+func (r *Run) Next(n int) []Ref {
+	var out []Ref
+	for len(out) < n && r.ready.Len() > 0 {
+		at := heap.Pop(&r.ready).(readyRef).Ref
+		if r.Waits(at) {
+			out = append(out, at)
+		}
+	}
+	return out
+}
+
+// Ready is how many instances are ready at most.
+func (r *Run) Ready() int { return r.ready.Len() }
+
+// readyHeap orders ready instances by weight, then by when they became ready.
+type readyHeap []readyRef
+
+type readyRef struct {
+	Ref
+	weight, seq int
+}
+
+func (r *Run) enqueue(at Ref) {
+	w := max(1, r.Plan.Steps[at.Step].Weight)
+	r.seq++
+	heap.Push(&r.ready, readyRef{at, w, r.seq})
+}
+
+func (h readyHeap) Len() int { return len(h) }
+
+func (h readyHeap) Less(i, j int) bool {
+	if h[i].weight != h[j].weight {
+		return h[i].weight > h[j].weight
+	}
+	return h[i].seq < h[j].seq
+}
+
+func (h readyHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Push implements heap.Interface.
+func (h *readyHeap) Push(x any) { *h = append(*h, x.(readyRef)) }
+
+// Pop implements heap.Interface.
+func (h *readyHeap) Pop() any {
+	old := *h
+	x := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return x
+}
--- /dev/null
+++ b/internal/graphs/dagfile/steps.go
@@ -0,0 +1,139 @@
+package dagfile
+
+import (
+	"fmt"
+
+	"go.starlark.net/starlark"
+	"go.starlark.net/syntax"
+
+	"poppypass/internal/graphs/dag"
+)
+
+// stepValue is a step of a file.
+type stepValue struct {
+	dag  *dagValue
+	step dag.Step
+}
+
+func (s *stepValue) String() string { return "step " + s.step.ID }
+
+func (s *stepValue) Type() string { return "step" }
+
+func (s *stepValue) Freeze() {}
+
+func (s *stepValue) Truth() starlark.Bool { return true }
+
+func (s *stepValue) Hash() (uint32, error) { return starlark.String(s.step.ID).Hash() }
+
+func (s *stepValue) AttrNames() []string {
+	return []string{"output", "set_downstream", "set_upstream", "task_id"}
+}
+
+func (s *stepValue) Attr(name string) (starlark.Value, error) {
+	link := func(up bool) starlark.Value {
+		return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+			var other starlark.Value
+			if err := starlark.UnpackArgs(name, args, kwargs, "other", &other); err != nil {
+				return nil, err
+			}
+			if up {
+				return starlark.None, follow(other, s)
+			}
+			return starlark.None, follow(s, other)
+		})
+	}
+	switch name {
+	case "task_id":
+		return starlark.String(s.step.ID), nil
+	case "output":
+		return &output{of: s}, nil
+	case "set_upstream":
+		return link(true), nil
+	case "set_downstream":
+		return link(false), nil
+	}
+	return nil, nil
+}
+
+// Binary is a >> b and a << b; either side may be a list.
+func (s *stepValue) Binary(op syntax.Token, y starlark.Value, side starlark.Side) (starlark.Value, error) {
+	before, after := starlark.Value(s), y
+	if (op == syntax.LTLT) != (side == starlark.Right) {
+		before, after = after, before
+	}
+	switch op {
+	case syntax.GTGT, syntax.LTLT:
+		if side == starlark.Right {
+			return s, follow(before, after) // the right-hand one, so that a >> b >> c is a chain
+		}
+		return y, follow(before, after)
+	}
+	return nil, nil
+}
+
+// output represents a step's result, which another may be mapped over.
+type output struct{ of *stepValue }
+
+func (o *output) String() string { return "output of " + o.of.step.ID }
+
+func (o *output) Type() string { return "output" }
+
+func (o *output) Freeze() {}
+
+func (o *output) Truth() starlark.Bool { return true }
+
+func (o *output) Hash() (uint32, error) { return o.of.Hash() }
+
+// stepsOf returns the steps of a value: a step, or a list or tuple of them.
+func stepsOf(v starlark.Value) ([]*stepValue, error) {
+	if s, ok := v.(*stepValue); ok {
+		return []*stepValue{s}, nil
+	}
+	list, ok := v.(starlark.Iterable)
+	if !ok {
+		return nil, fmt.Errorf("a %s is no step", v.Type())
+	}
+	var out []*stepValue
+	for e := range starlark.Elements(list) {
+		s, ok := e.(*stepValue)
+		if !ok {
+			return nil, fmt.Errorf("a %s is no step", e.Type())
+		}
+		out = append(out, s)
+	}
+	return out, nil
+}
+
+// follow has all steps of one value follow all of another.
+func follow(before, after starlark.Value) error {
+	up, err := stepsOf(before)
+	if err != nil {
+		return err
+	}
+	down, err := stepsOf(after)
+	if err != nil {
+		return err
+	}
+	for _, d := range down {
+		for _, u := range up {
+			if u.dag != d.dag {
+				return fmt.Errorf("%s and %s are steps of different DAGs", u.step.ID, d.step.ID)
+			}
+			d.step.Upstream = append(d.step.Upstream, u.step.ID)
+		}
+		if len(d.step.Upstream) > dag.MaxEdges {
+			return fmt.Errorf("%s follows more than %d steps", d.step.ID, dag.MaxEdges)
+		}
+	}
+	return nil
+}
+
+// chain has each of its arguments follow the one before.
+func chain(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+	for i := 1; i < len(args); i++ {
+		if err := follow(args[i-1], args[i]); err != nil {
+			return nil, fmt.Errorf("chain: %w", err)
+		}
+	}
+	return starlark.None, nil
+}
--- /dev/null
+++ b/internal/graphs/dagfile/values.go
@@ -0,0 +1,119 @@
+package dagfile
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"time"
+
+	"go.starlark.net/starlark"
+
+	"poppypass/internal/graphs/dag"
+)
+
+// number unpacks an int or float.
+type number struct{ p *float64 }
+
+// Unpack implements starlark.Unpacker.
+func (n *number) Unpack(v starlark.Value) error {
+	f, ok := starlark.AsFloat(v)
+	if !ok || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
+		return fmt.Errorf("got %s, want a number from 0 on", v.Type())
+	}
+	*n.p = f
+	return nil
+}
+
+// timedelta returns a time in seconds.
+func timedelta(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	var days, hours, minutes, seconds float64
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "days?", &number{&days}, "hours?", &number{&hours}, "minutes?", &number{&minutes}, "seconds?", &number{&seconds}); err != nil {
+		return nil, err
+	}
+	return starlark.Float(days*86400 + hours*3600 + minutes*60 + seconds), nil
+}
+
+// datetime returns a date as text, which the DAG reads in its own time zone.
+func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	var y, m, d, h, minute int
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
+		return nil, err
+	}
+	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
+}
+
+func date(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
+	if v == starlark.None {
+		return nil, nil
+	}
+	s, ok := starlark.AsString(v)
+	if ok {
+		for _, layout := range []string{time.RFC3339, "2006-01-02T15:04:05", time.DateOnly} {
+			if t, err := time.ParseInLocation(layout, s, where); err == nil {
+				return &t, nil
+			}
+		}
+	}
+	return nil, fmt.Errorf("DAG: %s is %v; it must be a date such as 2026-12-01 or datetime(2026, 12, 1)", name, v)
+}
+
+func duration(name string, v starlark.Value) (dag.Duration, error) {
+	if v == starlark.None {
+		return 0, nil
+	}
+	f, ok := starlark.AsFloat(v)
+	if !ok || !(f >= 0) || f > 366*86400 {
+		return 0, fmt.Errorf("%s is %v; it must be seconds or timedelta(...)", name, v)
+	}
+	return dag.Duration(f * float64(time.Second)), nil
+}
+
+// toJSON returns a plain value as JSON.
+func toJSON(v starlark.Value, depth int) (json.RawMessage, error) {
+	if depth > 8 {
+		return nil, errors.New("it is nested too deeply")
+	}
+	var out any
+	switch v := v.(type) {
+	case starlark.NoneType:
+	case starlark.Bool:
+		out = bool(v)
+	case starlark.String:
+		out = string(v)
+	case starlark.Int:
+		return json.RawMessage(v.String()), nil
+	case starlark.Float:
+		if math.IsNaN(float64(v)) || math.IsInf(float64(v), 0) {
+			return nil, errors.New("a number is not finite")
+		}
+		out = float64(v)
+	case *starlark.List:
+		list := make([]json.RawMessage, 0, v.Len())
+		for e := range v.Elements() {
+			raw, err := toJSON(e, depth+1)
+			if err != nil {
+				return nil, err
+			}
+			list = append(list, raw)
+		}
+		out = list
+	case *starlark.Dict:
+		m := map[string]json.RawMessage{}
+		for _, item := range v.Items() {
+			key, ok := starlark.AsString(item[0])
+			if !ok {
+				return nil, errors.New("a key is no string")
+			}
+			raw, err := toJSON(item[1], depth+1)
+			if err != nil {
+				return nil, err
+			}
+			m[key] = raw
+		}
+		out = m
+	default:
+		return nil, fmt.Errorf("a %s is no plain value", v.Type())
+	}
+	return json.Marshal(out)
+}
--- /dev/null
+++ b/internal/graphs/runner/submit.go
@@ -0,0 +1,233 @@
+package runner
+
+import (
+	"slices"
+	"time"
+
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// pick is an instance that is to be submitted.
+type pick struct {
+	run *live
+	at  dag.Ref
+	id  string // its job's
+}
+
+// pick takes slots for what is ready of a run, and has it described. What finds no room
+// waits in line.
+func (g *Graphs) pick(x *live, now time.Time) {
+	if !g.may(x, now) {
+		return
+	}
+	took := false
+	take := func(at dag.Ref) {
+		took = true
+		g.take(x, at.Step)
+		p := pick{run: x, at: at, id: x.run.JobID(at)}
+		if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !unforeseen(x.run.Plan, at.Step) {
+			x.picked = append(x.picked, p)
+		} else {
+			g.source.queue = append(g.source.queue, p)
+		}
+	}
+	gr := x.graph
+	free := func() bool { return gr.active < gr.rec.MaxTasks }
+	waits := x.waits
+	x.waits = nil
+	for _, at := range waits {
+		switch {
+		case !x.run.Waits(at):
+		case !g.pastDone(x, at.Step):
+			x.waits = append(x.waits, at)
+		default:
+			g.hold(x, at)
+		}
+	}
+	for p, refs := range x.held {
+		for len(refs) > 0 && free() && (!x.run.Waits(refs[0]) || p.fits(x, refs[0].Step)) {
+			if x.run.Waits(refs[0]) {
+				take(refs[0])
+			}
+			refs = refs[1:]
+		}
+		if x.held[p] = refs; len(refs) == 0 {
+			delete(x.held, p)
+		}
+	}
+	for free() {
+		refs := x.run.Next(1)
+		if len(refs) == 0 {
+			break
+		}
+		at := refs[0]
+		switch p := g.pool(x.run.Plan, at.Step); {
+		case x.run.Plan.Steps[at.Step].DependsOnPast && !g.pastDone(x, at.Step):
+			x.waits = append(x.waits, at)
+		case len(x.held[p]) > 0 || !p.fits(x, at.Step):
+			g.hold(x, at) // behind those that wait for the pool already
+		default:
+			take(at)
+		}
+	}
+	for _, p := range g.pools {
+		p.line.stands(g, x, len(x.held[p]) > 0, took, p.used < p.slots)
+	}
+	gr.line.stands(g, x, !free() && (x.run.Ready() > 0 || len(x.held) > 0), took, free())
+}
+
+// unforeseen reports whether nobody can name a step's jobs before those that it follows are done.
+func unforeseen(p *dag.Plan, step int) bool {
+	m := p.Steps[step].Map
+	return m != nil && m.Over != ""
+}
+
+func (g *Graphs) hold(x *live, at dag.Ref) {
+	p := g.pool(x.run.Plan, at.Step)
+	x.held[p] = append(x.held[p], at)
+}
+
+// pastDone reports whether the run before, by logical date, has done a step, if it had it.
+func (g *Graphs) pastDone(x *live, step int) bool {
+	i := slices.Index(x.graph.history, x.entry)
+	if i <= 0 {
+		return true
+	}
+	before, name := x.graph.history[i-1], x.run.Plan.Steps[step].ID
+	if before.live == nil {
+		return !before.failed[name]
+	}
+	j, ok := before.live.run.Plan.Index[name]
+	if !ok {
+		return true
+	}
+	state, _ := before.live.run.State(j)
+	return state == dag.Success || state == dag.Skipped
+}
+
+// storeRuns puts runs into a transaction, each with the jobs of its steps that are ready.
+func (g *Graphs) storeRuns(b *batch, now time.Time) {
+	for n := len(g.todo); n > 0 && b.fits(2, tuning.RecordBytes); n-- {
+		x := g.todo[0]
+		g.todo = g.todo[1:]
+		x.queued = false
+		g.pick(x, now)
+		if !g.storeRun(x, b, now) {
+			// The next look begins with it; the others' turn comes behind it.
+			x.queued = true
+			g.todo = append([]*live{x}, g.todo...)
+			return
+		}
+		if len(x.picked) > 0 {
+			g.touch(x) // a run of 10,000 ready steps must not hold up the others
+		}
+	}
+}
+
+// storeRun puts a run into a transaction, and reports whether it fitted.
+func (g *Graphs) storeRun(x *live, b *batch, now time.Time) bool {
+	if !x.dirty && len(x.picked) == 0 {
+		return true
+	}
+	if !b.fits(2, x.size+tuning.RecordBytes) || x.suspect && len(b.txn.Then) > 0 {
+		return false
+	}
+	var taken []pick
+	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
+		p := x.picked[0]
+		x.picked = x.picked[1:]
+		if !x.run.Holds(p.at, p.id) {
+			g.release(x, p.at.Step) // cleared or cancelled meanwhile
+			continue
+		}
+		_, value, err := jobOf(x.run, p.at, now.UnixMilli())
+		if err != nil || len(value) > b.value {
+			g.log.Error("a step cannot be submitted", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
+			g.release(x, p.at.Step)
+			x.run.Gone(p.at)
+			continue
+		}
+		x.run.Submitted(p.at)
+		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
+		b.put(jobs.KeyJob(p.id), 0, value)
+		// What hears of the job first, its end or this transaction's, must find it.
+		g.byJob[p.id] = where{x, p.at, x.run.Generation(p.at.Step)}
+		g.young[p.id] = g.byJob[p.id]
+		x.pending[p.id] = ""
+		taken = append(taken, p)
+	}
+	g.cancel(x)
+	if x.suspect && len(x.picked) == 0 && len(taken) == 0 {
+		x.suspect = false
+	}
+	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
+		x.meta.EndMS = now.UnixMilli()
+	} else if x.run.RunState() == dag.RunRunning {
+		x.meta.EndMS = 0
+	}
+	value, err := runValue(g.codec, x, b.value)
+	if err != nil || len(value) > b.value {
+		g.log.Error("a run has become too large and is cancelled", "run", x.key, "bytes", len(value), "err", err)
+		x.run.Cancel()
+		g.cancel(x)
+		value, err = runValue(g.codec, x, b.value)
+		if err != nil || len(value) > b.value {
+			return true // it rests until a leader reads what was stored
+		}
+	}
+	x.size = len(value)
+	told, late := x.told, x.lateAt
+	x.dirty, x.told = false, nil
+	delete(g.late, x)
+	b.put(x.key, x.version, value)
+	b.done = append(b.done, func(revision uint64) {
+		x.version = revision
+		for _, fn := range told {
+			fn()
+		}
+		for _, p := range taken {
+			state := x.pending[p.id]
+			delete(x.pending, p.id)
+			if state != "" {
+				g.over(p.id, state, g.cfg.Clock.Now())
+			}
+		}
+		g.finish(x)
+	})
+	b.undo = append(b.undo, func() {
+		x.lateAt, x.told = late, append(told, x.told...)
+		alone := x.suspect
+		for _, p := range taken {
+			g.withdraw(p, alone)
+		}
+		g.dirty(x)
+	})
+	return true
+}
+
+// withdraw takes back a submission that was not stored, since a job of that id is there
+// that is none of ours: an id is a hash that others can work out. Alone in its
+// transaction, the step has failed; otherwise it is tried alone.
+func (g *Graphs) withdraw(p pick, alone bool) {
+	x := p.run
+	orphan := g.byJob[p.id].at.Step < 0
+	delete(x.pending, p.id)
+	delete(g.byJob, p.id)
+	delete(g.young, p.id)
+	if orphan { // it was cleared meanwhile
+		x.active--
+		x.run.Parted(p.id)
+		return
+	}
+	g.release(x, p.at.Step)
+	if alone {
+		g.log.Error("a step's job cannot be stored: there is one of its id", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
+		x.run.Gone(p.at)
+		return
+	}
+	x.suspect = true
+	x.run.Withdrawn(p.at)
+}
