--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -38,3 +38,31 @@
 		t.Fatalf("commands %v", a.Commands)
 	}
 }
+
+// Guards against a task that counts as gone while a direct start without an answer may reach a worker process that was
+// restarted since and counts its incarnations anew: its lease runs from the start's sending then.
+func TestUnansweredDirectStartPutsTheLeaseExpiryOff(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		answered bool
+		want     int // outcomes at the expiry by the last heartbeat
+	}{{"unanswered", false, 0}, {"answered before", true, 1}} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+			p := allocation(1)
+			f.AddAllocation(p, t0)
+			_, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			if c.answered {
+				f.CommandsAnswered("n-1", req)
+			}
+			f.CommandsUnanswered("n-1", t0.Add(5*time.Second))
+			if outcomes := f.expire(11 * time.Second); len(outcomes) != c.want {
+				t.Fatalf("outcomes %v a lease after the last heartbeat, want %d", outcomes, c.want)
+			}
+			if outcomes := f.expire(16 * time.Second); len(outcomes) != 1-c.want {
+				t.Errorf("outcomes %v a lease after the start was sent, want %d", outcomes, 1-c.want)
+			}
+		})
+	}
+}
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -28,3 +28,20 @@
 		t.Fatalf("outcomes %v", a.Outcomes)
 	}
 }
+
+// Guards against the spot notice of a copy that outlives it: until the machine acknowledged a message of this term, a notice
+// counts for the time being, the lack of one clears nothing, and what the machine itself says afterwards replaces it.
+func TestSpotNoticeBeforeTheFirstAcknowledgmentIsProvisional(t *testing.T) {
+	f := newFixture(t)
+	f.RestoreAllocation(allocation(1), t0)
+	f.receive(withNotice(heartbeat(1, 5, term-1), 25), 0, mayNotForget)
+	m := f.Machines["n-1"]
+	f.receive(heartbeat(1, 6, term-1), time.Second, mayNotForget)
+	if want := t0.Add(25 * time.Second); m.InterruptionAt != want {
+		t.Errorf("what may be a copy changed the notice to %v, want %v", m.InterruptionAt, want)
+	}
+	f.receive(withNotice(heartbeat(1, 7, term), 60), 2*time.Second, mayNotForget)
+	if want := t0.Add(62 * time.Second); m.InterruptionAt != want {
+		t.Errorf("interruption at %v, want %v by the machine's own notice", m.InterruptionAt, want)
+	}
+}
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -92,3 +92,19 @@
 		t.Fatalf("commands %v", a.Commands)
 	}
 }
+
+// Guards against a task that counts as gone by a direct answer: a reply to a heartbeat, with its start, may be on its way.
+func TestDirectAnswerProvesNothingOfTasksThatItLacks(t *testing.T) {
+	f := newFixture(t)
+	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+	p := allocation(1)
+	p.Stop = &jobs.StopRequest{}
+	f.AddAllocation(p, t0)
+	at := tuning.HeartbeatReplyLife
+	if a, err := f.Heartbeat(heartbeat(1, 2, term), true, t0.Add(at), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
+		t.Errorf("direct answer: outcomes %v, commands %v, %v", a.Outcomes, a.Commands, err)
+	}
+	if a := f.receive(heartbeat(1, 3, term), at, mayForget); len(a.Outcomes) != 1 {
+		t.Errorf("not gone though a heartbeat lacks it: %v", a.Commands)
+	}
+}
