--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -45,7 +45,7 @@
 	l.fleet.next = now.Add(tuning.ScaleOutEvery)
 	l.arrivals.dropOld(now)
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
-	if l.machinesAreKnown(now) {
+	if l.mayRent(now) {
 		l.scaleOut(now)
 	}
 	l.consolidate(now)
@@ -53,8 +53,8 @@
 	l.startListing(now)
 }
 
-// machinesAreKnown reports whether the machines that former leaders rented are known by now.
-func (l *Loop) machinesAreKnown(now time.Time) bool {
+// mayRent reports whether machines may be rented: a new leader waits until those that it took over have sent heartbeats.
+func (l *Loop) mayRent(now time.Time) bool {
 	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover
 }
 
