--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 	"time"
-	_ "time/tzdata"
 )
 
 // Cancels returns the jobs that are to be cancelled, since it was last asked.
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	_ "time/tzdata"
 )
 
 // Orphans returns the jobs of earlier generations that are not over.
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	_ "time/tzdata"
 )
 
 // Waits reports whether an instance is ready and not submitted.
--- a/internal/graphs/dag/verdicts.go
+++ b/internal/graphs/dag/verdicts.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	_ "time/tzdata"
 )
 
 // judge looks whether a step that waits may begin or never will.
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"encoding/json"
 	"slices"
 	"time"
 
@@ -135,7 +136,23 @@
 	if !b.fits(2, x.size+tuning.RecordBytes) || x.suspect && len(b.txn.Then) > 0 {
 		return false
 	}
-	var taken []pick
+	taken := g.submitPicked(x, b, now)
+	g.cancel(x)
+	if x.suspect && len(x.picked) == 0 && len(taken) == 0 {
+		x.suspect = false
+	}
+	x.noteEnd(now)
+	value, ok := g.encodeRun(x, b.value)
+	if !ok {
+		return true // it rests until a leader reads what was stored
+	}
+	g.putRun(x, b, value, taken)
+	return true
+}
+
+// submitPicked puts the jobs of as many picked steps as there is room for into a transaction, and returns those. While a
+// run is suspect, one job goes at a time.
+func (g *Graphs) submitPicked(x *live, b *batch, now time.Time) (taken []pick) {
 	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
@@ -159,25 +176,35 @@
 		x.pending[p.id] = ""
 		taken = append(taken, p)
 	}
-	g.cancel(x)
-	if x.suspect && len(x.picked) == 0 && len(taken) == 0 {
-		x.suspect = false
-	}
+	return taken
+}
+
+// noteEnd sets when the run ended, or that it goes on.
+func (x *live) noteEnd(now time.Time) {
 	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
 		x.meta.EndMS = now.UnixMilli()
 	} else if x.run.RunState() == dag.RunRunning {
 		x.meta.EndMS = 0
 	}
-	value, err := runValue(g.codec, x, b.value)
-	if err != nil || len(value) > b.value {
-		g.log.Error("a run has become too large and is cancelled", "run", x.key, "bytes", len(value), "err", err)
-		x.run.Cancel()
-		g.cancel(x)
-		value, err = runValue(g.codec, x, b.value)
-		if err != nil || len(value) > b.value {
-			return true // it rests until a leader reads what was stored
-		}
+}
+
+// encodeRun returns a run's record of at most so many bytes. A run whose record is longer is cancelled; ok is false if it
+// is too long even then.
+func (g *Graphs) encodeRun(x *live, most int) (value json.RawMessage, ok bool) {
+	value, err := runValue(g.codec, x, most)
+	if err == nil && len(value) <= most {
+		return value, true
 	}
+	g.log.Error("a run has become too large and is cancelled", "run", x.key, "bytes", len(value), "err", err)
+	x.run.Cancel()
+	g.cancel(x)
+	value, err = runValue(g.codec, x, most)
+	return value, err == nil && len(value) <= most
+}
+
+// putRun puts a run's record into a transaction that submits some steps, with what follows once the transaction is stored,
+// or if it is not.
+func (g *Graphs) putRun(x *live, b *batch, value json.RawMessage, taken []pick) {
 	x.size = len(value)
 	told, late := x.told, x.lateAt
 	x.dirty, x.told = false, nil
@@ -188,13 +215,7 @@
 		for _, fn := range told {
 			fn()
 		}
-		for _, p := range taken {
-			state := x.pending[p.id]
-			delete(x.pending, p.id)
-			if state != "" {
-				g.over(p.id, state, g.cfg.Clock.Now())
-			}
-		}
+		g.endPending(x, taken)
 		g.finish(x)
 	})
 	b.undo = append(b.undo, func() {
@@ -205,7 +226,18 @@
 		}
 		g.dirty(x)
 	})
-	return true
+}
+
+// endPending ends the submitted steps whose jobs' ends were heard of before the transaction that submitted them had its
+// answer.
+func (g *Graphs) endPending(x *live, taken []pick) {
+	for _, p := range taken {
+		state := x.pending[p.id]
+		delete(x.pending, p.id)
+		if state != "" {
+			g.over(p.id, state, g.cfg.Clock.Now())
+		}
+	}
 }
 
 // withdraw takes back a submission that was not stored, since a job of that id is there
