--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -107,7 +107,7 @@
 }
 
 // CommandsUnanswered records that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a
-// worker process that was restarted until then and counts its incarnations anew, as long as the lease of that process's
+// worker process that was restarted until then and counts its incarnations from 1 again, as long as the lease of that process's
 // first incarnation lasts.
 func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -40,7 +40,7 @@
 }
 
 // Guards against a task that counts as gone while a direct start without an answer may reach a worker process that was
-// restarted since and counts its incarnations anew: its lease runs from the start's sending then.
+// restarted since and counts its incarnations from 1 again: its lease runs from the start's sending then.
 func TestUnansweredDirectStartPutsTheLeaseExpiryOff(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -21,7 +21,7 @@
 // longer names it.
 type MayForget func(AttemptID) bool
 
-// Heartbeat takes in the heartbeat of a worker: first the order of its messages and its incarnation, then its lease and spot
+// Heartbeat processes the heartbeat of a worker: first the order of its messages and its incarnation, then its lease and spot
 // notice, then its tasks. The error is ErrReturned, ErrStale or ErrContradicts; such a heartbeat changes nothing but whether
 // its machine is to be probed.
 //
@@ -33,16 +33,15 @@
 		return HeartbeatResult{}, err
 	}
 	m := r.ensure(hb.Machine, now)
-	wasUsable, lastHeartbeat := m.Usable(r.term, now), m.LastHeartbeat
+	wasUsable := m.Usable(r.term, now)
 	rc := reconciliation{
 		m: m, hb: hb, direct: direct, now: now,
 		fenced:         hb.FencingToken >= r.term,
 		newIncarnation: hb.Incarnation > m.Incarnation,
-		lastHeartbeat:  lastHeartbeat,
+		lastHeartbeat:  m.LastHeartbeat,
 	}
 	rc.result.Machine = m
-	rc.result.Changed = lastHeartbeat.IsZero() || rc.newIncarnation
-
+	rc.result.Changed = m.LastHeartbeat.IsZero() || rc.newIncarnation
 	if rc.newIncarnation {
 		rc.result.Outcomes = r.beginIncarnation(m, hb, direct, now)
 	}
@@ -157,7 +156,7 @@
 	m.MissedListings = 0
 }
 
-// noteInterruption takes in a heartbeat's spot notice, or that it has none, and reports whether there is a new one. The first
+// noteInterruption records a heartbeat's spot notice, or that it has none, and reports whether there is a new one. The first
 // heartbeat that a new leader sees may be a copy, whose notice is as old as the copy is. So until the machine has
 // acknowledged a message of this term a notice counts for the time being, and the lack of one clears nothing.
 func (m *Machine) noteInterruption(hb *wire.Heartbeat, now time.Time) bool {
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -58,7 +58,7 @@
 }
 
 // Images is which machines hold which images, as far as a leader saw. It is stored for the next leader, which cannot learn it
-// from heartbeats: without it each start after a failover fetched anew what some machine with room held. It is a hint
+// from heartbeats: without it each start after a failover fetched again what some machine with room held. It is a hint
 // only: where it is wrong, an image is fetched.
 type Images struct {
 	_        struct{} `cbor:",toarray"`
@@ -130,7 +130,7 @@
 	return out
 }
 
-// RestoreImages takes in which images a former leader knew the machine to hold at a time. What its tasks show counts for more.
+// RestoreImages records which images a former leader knew the machine to hold at a time. What its tasks show counts for more.
 func (m *Machine) RestoreImages(held []HeldImage, at time.Time) {
 	for _, h := range held {
 		if m.images[h.Name] == nil {
--- a/internal/scheduler/machines/listing_test.go
+++ b/internal/scheduler/machines/listing_test.go
@@ -10,15 +10,16 @@
 	"poppypass/internal/platform/wire"
 )
 
-func page(machines ...any) []wire.ListedMachine {
+// page makes a page of the cloud's list, of names and ages in seconds.
+func page(namesAndAges ...any) []wire.ListedMachine {
 	var out []wire.ListedMachine
-	for i := 0; i < len(machines); i += 2 {
-		out = append(out, wire.ListedMachine{Name: machines[i].(string), AgeS: float64(machines[i+1].(int))})
+	for i := 0; i < len(namesAndAges); i += 2 {
+		out = append(out, wire.ListedMachine{Name: namesAndAges[i].(string), AgeS: float64(namesAndAges[i+1].(int))})
 	}
 	return out
 }
 
-// Guards against tasks that wait for the leases of machines that the cloud took without a word, and
+// Guards against tasks that wait for the leases of machines that the cloud took without notice, and
 // against concluding that from a list that is too old, or covers other names.
 func TestMachineThatTheListPassesOverIsProvenGone(t *testing.T) {
 	for _, c := range []struct {
@@ -31,9 +32,9 @@
 		{"all are listed", "", "", page("n-1", 20, "n-2", 18, "n-3", 15), nil},
 		{"no later one is listed: the list may be late", "", "", page("n-1", 20), nil},
 		{"a later one is listed that may be of the same moment", "", "", page("n-1", 20, "n-3", 1), nil},
-		{"an answer that ends before it", "", "n-1", page("n-1", 20), nil},
-		{"an answer that begins behind it", "n-2", "", page("n-3", 15), nil},
-		{"an answer for its part of the list", "n-1", "n-3", page("n-3", 15), []string{"n-2"}},
+		{"a page that ends before it", "", "n-1", page("n-1", 20), nil},
+		{"a page that begins behind it", "n-2", "", page("n-3", 15), nil},
+		{"a page for its part of the list", "n-1", "n-3", page("n-3", 15), []string{"n-2"}},
 		{"names of another length are not in that order", "", "", page("n-10", 20), nil},
 		{"an empty list", "", "", nil, nil},
 	} {
@@ -49,68 +50,88 @@
 	}
 }
 
-// Random clouds whose lists lag, each page on its own and by any time: no machine counts as gone while it is
-// there, and each that goes does before long once a later one is listed. A new leader that knows all of
-// them, and has seen no list before, finds the same.
+// laggingCloud is a cloud whose machines come and go, and whose list tells of some time before. Times are in seconds.
+type laggingCloud struct {
+	rnd      *rand.Rand
+	now      float64
+	machines map[string]*cloudMachine
+}
+
+type cloudMachine struct{ born, ends float64 }
+
+// rent creates up to three machines, half of which end within a minute, and returns their names.
+func (c *laggingCloud) rent() []string {
+	var names []string
+	for range c.rnd.IntN(4) {
+		m, name := &cloudMachine{born: c.now, ends: 1e9}, fmt.Sprintf("n-%04d", len(c.machines))
+		if c.rnd.IntN(2) == 0 {
+			m.ends = c.now + 60*c.rnd.Float64()
+		}
+		c.machines[name] = m
+		names = append(names, name)
+	}
+	return names
+}
+
+// page returns up to five listed machines after a name, as they were up to lag seconds ago, and the name up to which the page
+// reaches; empty: to the list's end.
+func (c *laggingCloud) page(after string, lag float64) (listed []wire.ListedMachine, last string) {
+	at := c.now - lag*c.rnd.Float64()
+	var names []string
+	for name, m := range c.machines {
+		if name > after && m.born <= at && at < m.ends {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	if len(names) > 5 {
+		names = names[:5]
+		last = names[4]
+	}
+	for _, name := range names {
+		age := float64(int(10*(at-c.machines[name].born))) / 10
+		listed = append(listed, wire.ListedMachine{Name: name, AgeS: age})
+	}
+	return listed, last
+}
+
+// Random clouds whose lists lag, each page on its own and by any time: no machine counts as gone while it exists, and each
+// that ends does before long once a later one is listed. A new leader that knows all of them, and has seen no list before,
+// finds the same.
 func TestExistingMachineIsNeverProvenGoneByLaggingLists(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		type machine struct{ born, ends float64 }
-		machines := map[string]*machine{}
+		c := &laggingCloud{rnd: rnd, machines: map[string]*cloudMachine{}}
 		r, found := New(1, 40), map[string]bool{}
-		for now := 0.0; now < 200; now += 1 + 4*rnd.Float64() {
-			for range rnd.IntN(4) {
-				m, name := &machine{born: now, ends: 1e9}, fmt.Sprintf("n-%04d", len(machines))
-				if rnd.IntN(2) == 0 {
-					m.ends = now + 60*rnd.Float64()
-				}
-				machines[name] = m
+		for ; c.now < 200; c.now += 1 + 4*rnd.Float64() {
+			for _, name := range c.rent() {
 				r.Register(name, "small", "a", true, t0, t0)
 			}
 			if rnd.IntN(20) == 0 { // failover
 				r = New(2, 40)
-				for name := range machines {
+				for name := range c.machines {
 					r.Register(name, "small", "a", true, t0, t0)
 				}
 			}
-			late := 20.0
+			lag := 20.0
 			if rnd.IntN(10) == 0 {
-				late = 150
+				lag = 150
 			}
-			for after := ""; ; {
-				at := now - late*rnd.Float64() // what this page describes
-				var names []string
-				for n, m := range machines {
-					if n > after && m.born <= at && at < m.ends {
-						names = append(names, n)
+			for after, last := "", "-"; last != ""; after = last {
+				var listed []wire.ListedMachine
+				listed, last = c.page(after, lag)
+				for _, name := range r.ProvenGone(after, last, listed) {
+					if c.now < c.machines[name].ends {
+						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, name, c.now, c.machines[name].ends)
 					}
+					found[name] = true
+					r.Forget(name)
 				}
-				slices.Sort(names)
-				last := ""
-				if len(names) > 5 {
-					names = names[:5]
-					last = names[4]
-				}
-				var p []wire.ListedMachine
-				for _, n := range names {
-					p = append(p, wire.ListedMachine{Name: n, AgeS: float64(int(10*(at-machines[n].born))) / 10})
-				}
-				for _, n := range r.ProvenGone(after, last, p) {
-					if now < machines[n].ends {
-						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, n, now, machines[n].ends)
-					}
-					found[n] = true
-					r.Forget(n)
-				}
-				if last == "" {
-					break
-				}
-				after = last
 			}
 		}
-		for n, m := range machines {
-			if m.ends < 120 && !found[n] {
-				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, n, m.ends)
+		for name, m := range c.machines {
+			if m.ends < 120 && !found[name] {
+				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, name, m.ends)
 			}
 		}
 	}
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -93,7 +93,7 @@
 	rc.end(Outcome{Allocation: p, Reason: t.Reason, Saved: t.Saved, NotRunningAt: rc.lastHeartbeat})
 }
 
-// allocationPresent takes in the state of a task that is where it belongs, and stops it if that is wanted. One that saves its
+// allocationPresent records the state of a task that is where it belongs, and stops it if that is wanted. One that saves its
 // progress is told again only if it is to have no more time for that.
 func (rc *reconciliation) allocationPresent(p *jobs.Allocation, t *wire.TaskStatus) {
 	if t.State == wire.TaskRunning && p.State != wire.TaskRunning {
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -156,7 +156,7 @@
 	return task.recorded == nil || task.recorded.Attempt != id.Attempt
 }
 
-// deliverHeartbeat has the leader take in a heartbeat, and returns its reply; nil: it refused the heartbeat.
+// deliverHeartbeat has the leader process a heartbeat, and returns its reply; nil: it refused the heartbeat.
 func (s *simulation) deliverHeartbeat(hb *wire.Heartbeat) *wire.HeartbeatReply {
 	a, err := s.r.Heartbeat(clone(hb), false, s.now, s.mayForget)
 	s.tracef("heartbeat of %s incarnation %d seq %d token %d: %v -> %v %v", hb.Machine, hb.Incarnation, hb.Seq, hb.FencingToken, hb.Tasks, a.Commands, err)
@@ -167,7 +167,7 @@
 	return &wire.HeartbeatReply{FencingToken: s.term, Commands: a.Commands}
 }
 
-// deliverReply has a worker take in the reply to a heartbeat that it sent at a time. It ignores one with an older token.
+// deliverReply has a worker process the reply to a heartbeat that it sent at a time. It ignores one with an older token.
 func (s *simulation) deliverReply(w *simWorker, reply *wire.HeartbeatReply, sent time.Time) {
 	if reply == nil || reply.FencingToken < w.state.FencingToken {
 		return
@@ -177,7 +177,7 @@
 	s.execute(w, reply.Commands)
 }
 
-// deliverDirect has a worker take in direct commands, and returns its answer; nil: it gives none.
+// deliverDirect has a worker execute direct commands, and returns its answer; nil: it sends none.
 func (s *simulation) deliverDirect(w *simWorker, req *wire.DirectCommands) *wire.Heartbeat {
 	if w.dead || s.now.Before(w.hangsUntil) {
 		return nil
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -9,11 +9,11 @@
 
 // RelativeSpeed is how fast a machine runs tasks, compared with the same work elsewhere. It is the evidence, as the logarithm
 // of a likelihood ratio, that the machine is slower by tuning.SlowFactor rather than like the others (Wald's sequential test,
-// begun anew whenever it speaks for the machine). One long task proves nothing: tasks of one job differ. The zero value
-// is ready for use.
+// restarted whenever the evidence is that it is like the others). One long task proves nothing: tasks of one job differ. The
+// zero value is ready for use.
 type RelativeSpeed struct{ evidence float64 }
 
-// Note takes in a completed task that ran for the given seconds. others are the run times of tasks of the same job on other
+// Note counts a completed task that ran for the given seconds. others are the run times of tasks of the same job on other
 // machines, in seconds; with fewer than tuning.SlowPeers of them nothing is learned. It reports whether the machine counts as
 // slow now.
 func (s *RelativeSpeed) Note(ran float64, others []float64) bool {
