--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -9,7 +9,6 @@
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/scheduler/machines"
 )
 
 // Guards against an expensive machine that is rented for hours because of one
@@ -50,10 +49,7 @@
 	delete(l.machines.Machines, "n-small")
 	for i := range n {
 		name := fmt.Sprintf("n-%03d", i)
-		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
-			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
-			t.Fatal(err)
-		}
+		l.register(t, newHeartbeat(name, "small", "a"))
 		a := l.addRunning(t, fmt.Sprintf("job-%d", i), name, 1)
 		a.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
 	}
--- a/internal/scheduler/leader/kind_preference_test.go
+++ b/internal/scheduler/leader/kind_preference_test.go
@@ -6,7 +6,6 @@
 	"testing"
 
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/scheduler/machines"
 	"poppypass/internal/scheduler/placement"
 )
 
@@ -17,11 +16,9 @@
 	now := clock.Now()
 	clear(l.machines.Machines)
 	for i := range 4 {
-		if _, err := l.machines.Heartbeat(&wire.Heartbeat{
+		l.register(t, &wire.Heartbeat{
 			Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1,
-		}, false, now, func(machines.AttemptID) bool { return false }); err != nil {
-			t.Fatal(err)
-		}
+		})
 	}
 	array := func(id string, estimate, checkpoint float64) *placement.PendingJob {
 		j := l.addPending(t, wire.Job{
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -8,7 +8,6 @@
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/scheduler/machines"
 )
 
 // newLoopAtScale makes a leader with 400 full machines that run the tasks of 260
@@ -22,12 +21,10 @@
 	clear(l.machines.Machines)
 	var heartbeats []*wire.Heartbeat
 	for i := range 400 {
-		heartbeats = append(heartbeats, &wire.Heartbeat{
-			Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Spot: i%2 == 0, Incarnation: 1, Seq: 1, FencingToken: 1,
-		})
-		if _, err := l.machines.Heartbeat(heartbeats[i], false, now, func(machines.AttemptID) bool { return false }); err != nil {
-			t.Fatal(err)
-		}
+		hb := newHeartbeat(machineName(i), "small", "a")
+		hb.Spot = i%2 == 0
+		l.register(t, hb)
+		heartbeats = append(heartbeats, hb)
 	}
 	next := 0
 	for i := range 300 {
@@ -82,12 +79,67 @@
 	}
 }
 
+// largeWorkload is a loop without machines, and the calls that the cloud and the state service would answer for it.
+type largeWorkload struct {
+	*Loop
+	t                       *testing.T
+	requests, named, stored int
+}
+
+// rentAll answers all pending rentals in full; the machines send their first heartbeats.
+func (w *largeWorkload) rentAll() {
+	for name, p := range w.rentals.pending {
+		w.requests++
+		var names []string
+		for range p.Count {
+			names = append(names, machineName(w.named))
+			w.named++
+		}
+		w.machinesRented(name, p, names)
+		for _, m := range names {
+			w.register(w.t, &wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: p.Type, Zone: p.Zone, Incarnation: 1, Seq: 1})
+		}
+	}
+}
+
+// storeAll commits all records that are due.
+func (w *largeWorkload) storeAll(revision uint64) {
+	next := func() *jobs.Batch { return w.jobs.NextBatch(w.env.Clock.Now(), jobs.WriteBudget{Spare: 1000}) }
+	for batch := next(); batch != nil; batch = next() {
+		start, _ := w.jobs.MarkCommitted(batch, revision)
+		w.stored += len(start)
+	}
+}
+
+// completeAll completes all tasks that have machines.
+func (w *largeWorkload) completeAll() {
+	now := w.env.Clock.Now()
+	for _, m := range w.machines.Machines {
+		for _, a := range m.Allocations {
+			w.jobs.MarkDone(a, now)
+			w.machines.RemoveAllocation(a, now)
+		}
+	}
+}
+
+// returnOnce scales in once; the machines are gone, and the deletion before is answered.
+func (w *largeWorkload) returnOnce() {
+	w.deletions.inFlight, w.deletions.queue = false, nil
+	w.scaleIn(w.env.Clock.Now())
+	for _, m := range w.machines.Machines {
+		if m.Returning {
+			w.machinesLost([]string{m.Name})
+		}
+	}
+}
+
 // Guards against limits made for hundreds of machines: the count of rented machines once
 // stopped at 1,000 while a hundred jobs waited. A hundred thousand tasks get their ten
 // thousand machines, each is placed and stored, and all that is rented is returned in the end.
 func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
 	const machines, jobsOf, tasks = 10_000, 10, 100_000
 	l, clock := newTestLoop(t)
+	w := &largeWorkload{Loop: l, t: t}
 	clear(l.machines.Machines)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
 	l.env.Settings.Cluster.State.TxnOps = 40
@@ -99,55 +151,26 @@
 			Tasks: tasks / jobsOf, CPUs: 0.4, MemoryGB: 1, Image: "img",
 		})
 	}
-	requests, stored, named := 0, 0, 0
-	for round := 0; stored < tasks; round++ {
+	for round := 0; w.stored < tasks; round++ {
 		if round > 2*machines/wire.MaxRent {
-			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", stored, tasks, len(l.machines.Machines), requests)
+			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", w.stored, tasks, len(l.machines.Machines), w.requests)
 		}
 		l.scaleOut(clock.Now())
-		for name, w := range l.rentals.pending {
-			requests++
-			var names []string
-			for range w.Count {
-				names = append(names, fmt.Sprintf("n-%06d", named))
-				named++
-			}
-			l.machinesRented(name, w, names)
-			for _, m := range names {
-				hb := wire.Heartbeat{Machine: m, Address: "127.0.0.1:1", Type: w.Type, Zone: w.Zone, Incarnation: 1, Seq: 1}
-				if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
+		w.rentAll()
 		l.schedule(clock.Now())
-		for w := l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
-			start, _ := l.jobs.MarkCommitted(w, uint64(round+2))
-			stored += len(start)
-		}
+		w.storeAll(uint64(round + 2))
 	}
 	if len(l.machines.Machines) != machines {
 		t.Errorf("%d machines for what fits on %d", len(l.machines.Machines), machines)
 	}
-	for _, m := range l.machines.Machines {
-		for _, a := range m.Allocations {
-			l.jobs.MarkDone(a, clock.Now())
-			l.machines.RemoveAllocation(a, clock.Now())
-		}
-	}
+	w.completeAll()
 	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
 	for _, m := range l.machines.Machines {
 		m.LastHeartbeat = clock.Now()
 	}
 	deletions := 0
 	for ; len(l.machines.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
-		l.deletions.inFlight, l.deletions.queue = false, nil // the one before is answered
-		l.scaleIn(clock.Now())
-		for _, m := range l.machines.Machines {
-			if m.Returning {
-				l.machinesLost([]string{m.Name})
-			}
-		}
+		w.returnOnce()
 	}
 	if deletions != machines/wire.MaxDelete {
 		t.Errorf("%d deletions, %d machines are left", deletions, len(l.machines.Machines))
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -15,10 +15,10 @@
 func TestTasksOfPartitionedZoneLiveUntilItsMembersDenyRenewal(t *testing.T) {
 	const inA, inB = `{"zone":"a","member":"ma"}`, `{"zone":"b","member":"mb"}`
 	for _, c := range []struct {
-		name   string
-		rights []string
-		says   map[string][]string // by member: what it renewed; one that is not there is unreachable
-		kept   string              // machines whose tasks live on: n-0 and n-1 are in a, n-2 and n-3 in b
+		name       string
+		zoneLeases []string
+		says       map[string][]string // by member: what it renewed; one that is not there is unreachable
+		kept       string              // machines whose tasks live on: n-0 and n-1 are in a, n-2 and n-3 in b
 	}{
 		{"there is no zone lease", nil, nil, "[]"},
 		{"both zones are out of reach", []string{inA, inB}, nil, "[n-0 n-1 n-2 n-3]"},
@@ -29,7 +29,7 @@
 		{"a record names a machine", []string{inA, `{"machines":["n-3"]}`}, map[string][]string{"ma": nil}, "[n-3]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, advance := twoZones(t, 2, c.rights...)
+			l, advance := twoZones(t, 2, c.zoneLeases...)
 			l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
 				kept, ok := c.says[member]
 				return kept, ok
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -18,10 +18,8 @@
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, MemoryGB: 1})
 	heartbeats := make([]*wire.Heartbeat, n)
 	for i := range heartbeats {
-		hb := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.machines.Heartbeat(hb, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
-			t.Fatal(err)
-		}
+		hb := newHeartbeat(machineName(i), "small", "a")
+		l.register(t, hb)
 		a := l.jobs.Allocate(j, i, hb.Machine, "a", 1, clock.Now())
 		a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, clock.Now()
 		l.machines.AddAllocation(a, clock.Now())
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -10,7 +10,6 @@
 
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
-	"poppypass/internal/scheduler/machines"
 )
 
 // workersAnswer answers direct commands to any number of workers, whose addresses are their machines' names.
@@ -57,10 +56,9 @@
 			l.env.Valid = func(uint64) bool { return true }
 			clear(l.machines.Machines)
 			for i := range c.machines {
-				hb := wire.Heartbeat{Machine: machineName(i), Address: machineName(i), Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-				if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
-					t.Fatal(err)
-				}
+				hb := newHeartbeat(machineName(i), "small", "a")
+				hb.Address = hb.Machine
+				l.register(t, hb)
 				l.machines.Machines[machineName(i)].SuspectCopy = true
 			}
 			for begun := clock.Now(); clock.Since(begun) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
--- a/internal/scheduler/leader/size_limits_test.go
+++ b/internal/scheduler/leader/size_limits_test.go
@@ -37,11 +37,7 @@
 			l.env.MemoryLive = func() uint64 { return uint64(inUse * (1 << 20)) }
 			for most := l.maxMachines(); len(l.machines.Machines) < most; most = l.maxMachines() {
 				for len(l.machines.Machines) < most {
-					i := len(l.machines.Machines)
-					hb := wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
-					if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
-						t.Fatal(err)
-					}
+					l.register(t, newHeartbeat(machineName(len(l.machines.Machines)), "small", "a"))
 				}
 				inUse = processMB + c.kbEach*float64(len(l.machines.Machines))/1024
 			}
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -27,6 +27,7 @@
 // newTestLoop makes a loop whose machines have sent heartbeats: a small one and an
 // expensive large one. Nothing is called outside.
 func newTestLoop(t testing.TB) (*Loop, *clockwork.FakeClock) {
+	t.Helper()
 	clock := clockwork.NewFakeClock()
 	settings := &config.Settings{
 		Member: "m0", Outside: config.Outside{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
@@ -48,14 +49,24 @@
 	l.ended = t.Context()
 	l.loading.done = true
 	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
-		if _, err := l.machines.Heartbeat(&wire.Heartbeat{Machine: name, Address: "127.0.0.1:1", Type: typ, Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1},
-			false, clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
-			t.Fatal(err)
-		}
+		l.register(t, newHeartbeat(name, typ, "a"))
 	}
 	return l, clock
 }
 
+// newHeartbeat is the first heartbeat of a machine, without tasks.
+func newHeartbeat(machine, typ, zone string) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: machine, Address: "127.0.0.1:1", Type: typ, Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1}
+}
+
+// register has the machine registry apply a machine's first heartbeat.
+func (l *Loop) register(t testing.TB, hb *wire.Heartbeat) {
+	t.Helper()
+	if _, err := l.machines.Heartbeat(hb, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // addRunning puts a running replica on a machine.
 func (l *Loop) addRunning(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
 	t.Helper()
@@ -83,7 +94,8 @@
 
 // twoZones is a leader with n machines in each of two zones, each with a task of a
 // spread service, and a state service with zone leases of members.
-func twoZones(t *testing.T, n int, rights ...string) (*Loop, func(d time.Duration)) {
+func twoZones(t *testing.T, n int, zoneLeases ...string) (*Loop, func(d time.Duration)) {
+	t.Helper()
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	state := fakes.NewStore(clock)
@@ -92,17 +104,15 @@
 	ctx, end := context.WithCancel(t.Context())
 	t.Cleanup(end)
 	l.ended, l.end = ctx, func(error) { end() }
-	for i, r := range rights {
+	for i, r := range zoneLeases {
 		if _, err := l.store.Commit(ctx, wire.Txn{Then: []wire.Change{{Put: fmt.Sprintf("keep/m/%d", i), Value: []byte(r)}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 2 * n, CPUs: 1, MemoryGB: 1, Spread: true})
 	for i := range 2 * n {
-		hb := wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/n], Incarnation: 1, Seq: 1, FencingToken: 1}
-		if _, err := l.machines.Heartbeat(&hb, false, clock.Now(), nil); err != nil {
-			t.Fatal(err)
-		}
+		hb := newHeartbeat(fmt.Sprintf("n-%d", i), "small", []string{"a", "b"}[i/n])
+		l.register(t, hb)
 		a := l.jobs.Allocate(j, i, hb.Machine, hb.Zone, 1, clock.Now())
 		a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, clock.Now()
 		l.machines.AddAllocation(a, clock.Now())
@@ -127,6 +137,7 @@
 
 // newAnsweringWorker starts a worker that answers direct commands as fn says; nil: it does not answer.
 func newAnsweringWorker(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
+	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req wire.DirectCommands
 		if json.NewDecoder(r.Body).Decode(&req) != nil || req.Commands == nil {
@@ -162,6 +173,7 @@
 
 // newLoopHeardBy makes a leader in the middle of its term and a machine at an address that sent it a heartbeat.
 func newLoopHeardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, hb *wire.Heartbeat, advance func(time.Duration)) {
+	t.Helper()
 	l, advance = twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
 	hb = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
@@ -169,6 +181,7 @@
 	return l, l.machines.Machines["n-9"], hb, advance
 }
 
+// mustHandle has the loop handle a copy of a heartbeat, and gives the commands of the answer.
 func (l *Loop) mustHandle(t *testing.T, hb *wire.Heartbeat) []wire.Command {
 	t.Helper()
 	c := *hb
@@ -179,6 +192,7 @@
 	return commands
 }
 
+// getsTasks reports whether a machine may get tasks now.
 func (l *Loop) getsTasks(name string) bool {
 	for _, v := range l.openMachines(l.env.Clock.Now()) {
 		if v.Name == name {
