--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -1,14 +1,10 @@
 package ledger
 
 import (
-	"bytes"
 	"context"
-	"encoding/csv"
 	"encoding/json"
 	"net/http"
-	"strconv"
 	"sync"
-	"time"
 
 	"poppypass/internal/platform/httpjson"
 	"poppypass/internal/platform/tuning"
@@ -20,25 +16,26 @@
 type Handler struct {
 	// QueryLeader has the leader answer a path and query.
 	QueryLeader func(ctx context.Context, uri string) (status int, body json.RawMessage)
-
-	mu     sync.Mutex // one question for a job's charges at a time: each reads some hundred KB
+	// Reader reads the charges of jobs. Only the handler may use it.
 	Reader *Reader
+
+	reading sync.Mutex // held while Reader is used: a question for charges reads some hundred KB, so one at a time
 }
 
 // Routes registers the handler's paths.
 func (h *Handler) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathTotals, h.serveTotals)
-	mux.HandleFunc("GET "+PathBudgets, h.serveLeader)
-	mux.HandleFunc("GET "+PathStats, h.serveLeader)
+	mux.HandleFunc("GET "+PathBudgets, h.relayToLeader)
+	mux.HandleFunc("GET "+PathStats, h.relayToLeader)
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndCharges, h.serveCharges)
 }
 
-func (h *Handler) serveLeader(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) relayToLeader(w http.ResponseWriter, r *http.Request) {
 	status, body := h.QueryLeader(r.Context(), r.URL.RequestURI())
 	httpjson.WriteRaw(w, status, body)
 }
 
-// serveTotals answers for one team: a team sees its own charges only.
+// serveTotals answers for one team: a team's tools see its own charges only.
 func (h *Handler) serveTotals(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("team") == "" {
 		httpjson.WriteError(w, http.StatusBadRequest, "the parameter team is missing")
@@ -53,17 +50,18 @@
 	writeCSV(w, TotalsCSV(t))
 }
 
+// serveCharges answers for one job, from the stored records: no leader is needed.
 func (h *Handler) serveCharges(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
 		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if !h.mu.TryLock() {
+	if !h.reading.TryLock() {
 		httpjson.WriteUnavailable(w, "another question for charges is being answered")
 		return
 	}
-	defer h.mu.Unlock()
+	defer h.reading.Unlock()
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesTimeout)
 	defer cancel()
 	page, err := h.Reader.JobCharges(ctx, id, r.URL.Query().Get("after"))
@@ -82,42 +80,3 @@
 	}
 	httpjson.WriteRaw(w, http.StatusOK, raw)
 }
-
-func writeCSV(w http.ResponseWriter, rows [][]string) {
-	var b bytes.Buffer
-	_ = csv.NewWriter(&b).WriteAll(rows) // a buffer takes everything
-	w.Header().Set("Content-Type", "text/csv; charset=utf-8")
-	w.Header().Set("Content-Length", strconv.Itoa(b.Len()))
-	_, _ = w.Write(b.Bytes()) // a reader that has gone is its own affair
-}
-
-func formatDecimal(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
-
-// TotalsCSV gives totals as the rows of a CSV file, the first with the names.
-func TotalsCSV(t Totals) [][]string {
-	rows := [][]string{{"day", "team", "account", "class", "type", "spot", "attempts", "core_hours", "gpu_hours", "memory_gb_hours", "money", "core_us", "money_u"}}
-	for _, r := range t.Rows {
-		spot := ""
-		if r.Spot != nil {
-			spot = strconv.FormatBool(*r.Spot)
-		}
-		rows = append(rows, []string{
-			r.Day, r.Team, r.Account, r.Class, r.Type, spot, strconv.FormatInt(r.Attempts, 10), formatDecimal(r.CoreHours), formatDecimal(r.GPUHours),
-			formatDecimal(r.MemoryGBH), formatDecimal(r.Money), strconv.FormatInt(r.CoreMicroS, 10), strconv.FormatInt(r.MoneyMicro, 10),
-		})
-	}
-	return rows
-}
-
-// ChargesCSV gives charges as the rows of a CSV file, the first with the names.
-func ChargesCSV(charges []ChargeView) [][]string {
-	rows := [][]string{{"task", "attempt", "part", "team", "account", "class", "type", "zone", "spot", "start", "end", "core_s", "gpu_s", "memory_gb_s", "money", "how", "upper_bound", "saved"}}
-	for _, c := range charges {
-		rows = append(rows, []string{
-			c.Task, strconv.FormatUint(c.Attempt, 10), strconv.Itoa(c.Part), c.Team, c.Account, c.Class, c.Type, c.Zone, strconv.FormatBool(c.Spot),
-			c.Start.Format(time.RFC3339Nano), c.End.Format(time.RFC3339Nano), formatDecimal(c.CoreS), formatDecimal(c.GPUS), formatDecimal(c.MemoryGBS),
-			formatDecimal(c.Money), c.Outcome.String(), strconv.FormatBool(c.UpperBound), strconv.FormatBool(c.ProgressSaved),
-		})
-	}
-	return rows
-}
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -2,59 +2,48 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"poppypass/internal/accounting/charge"
-	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
 )
 
 // Keys of the state service. Only the leader writes them.
 const (
-	// PrefixSegment holds the charges that were rolled up, compressed, in the order
-	// in which that was done. The last one of a leader grows until it is closed.
+	// PrefixSegment holds the charges that were rolled up, compressed, in the order in
+	// which that was done. Segments are numbered from 0 without gaps. The last one grows
+	// until it is full.
 	PrefixSegment = "ledger/seg/"
-	// PrefixPage holds the totals, in pages of rows. A row's name may stand in more
-	// than one page; its amounts are then the sum.
+	// PrefixPage holds the totals, in pages of rows. A row's key may stand in more than
+	// one page; its amounts are then the sum.
 	PrefixPage = "ledger/total/"
 )
 
 func keySegment(n int) string { return fmt.Sprintf("%s%010d", PrefixSegment, n) }
 func keyPage(n int) string    { return fmt.Sprintf("%s%010d", PrefixPage, n) }
 
+// ErrUnknownKind tells that a charge in a segment refers to a kind of machine that its pack
+// does not have.
+var ErrUnknownKind = errors.New("names no kind of machine")
+
+// ChargeCountError tells that a segment does not hold as many charges as it says.
+type ChargeCountError struct{ Held, Stated int }
+
+func (e *ChargeCountError) Error() string {
+	return fmt.Sprintf("it holds %d charges and says %d", e.Held, e.Stated)
+}
+
 // recordNumber reads the number of a segment or page from its key.
 func recordNumber(prefix, key string) (int, error) {
 	var n int
 	if _, err := fmt.Sscanf(key, prefix+"%010d", &n); err != nil {
-		return 0, fmt.Errorf("record %s: malformed key: %w", key, err)
+		return 0, &jobs.RecordError{Key: key, Err: fmt.Errorf("%w: %w", jobs.ErrMalformedKey, err)}
 	}
 	return n, nil
 }
 
-// RowKey is what the totals are kept by. Day is a day (2026-12-01), or a month
-// (2026-12) once its days are long ago.
-type RowKey struct {
-	_       struct{} `cbor:",toarray"`
-	Day     string
-	Team    string
-	Account string
-	Class   string
-	Type    string
-	Spot    bool
-}
-
-// approxBytes is about how many bytes a row takes before compression.
-func (n RowKey) approxBytes() int {
-	return len(n.Day) + len(n.Team) + len(n.Account) + len(n.Class) + len(n.Type) + 48
-}
-
-// Row is one line of totals.
-type Row struct {
-	_   struct{} `cbor:",toarray"`
-	Key RowKey
-	Sum charge.Amounts
-}
-
 // segmentRecord is how a segment is stored.
 type segmentRecord struct {
 	Charges int    `json:"charges"`
@@ -66,107 +55,63 @@
 	Zstd []byte `json:"z"` // of CBOR of []Row
 }
 
-// ReadSegment reads a stored segment.
+// ReadSegment decodes a stored segment. The error is a *jobs.RecordError.
 func ReadSegment(c *charge.Codec, item wire.Item) ([]charge.Pack, error) {
+	packs, err := decodeSegment(c, item.Value)
+	if err != nil {
+		return nil, &jobs.RecordError{Key: item.Key, Err: err}
+	}
+	return packs, nil
+}
+
+func decodeSegment(c *charge.Codec, value []byte) ([]charge.Pack, error) {
 	var r segmentRecord
-	var packs []charge.Pack
-	if err := json.Unmarshal(item.Value, &r); err != nil {
-		return nil, fmt.Errorf("record %s: %w", item.Key, err)
+	if err := json.Unmarshal(value, &r); err != nil {
+		return nil, err
 	}
+	var packs []charge.Pack
 	if err := c.Decode(r.Zstd, &packs); err != nil {
-		return nil, fmt.Errorf("record %s: %w", item.Key, err)
+		return nil, err
 	}
-	n := 0
 	for i := range packs {
-		for k := range packs[i].Charges {
-			if kind := packs[i].Charges[k].Kind; kind < 0 || kind >= len(packs[i].Kinds) {
-				return nil, fmt.Errorf("record %s: a charge of %s names no kind of machine", item.Key, packs[i].Job)
+		p := &packs[i]
+		for k := range p.Charges {
+			if kind := p.Charges[k].Kind; kind < 0 || kind >= len(p.Kinds) {
+				return nil, fmt.Errorf("a charge of %s %w", p.Job, ErrUnknownKind)
 			}
 		}
-		n += len(packs[i].Charges)
 	}
-	if n != r.Charges {
-		return nil, fmt.Errorf("record %s: it holds %d charges and says %d", item.Key, n, r.Charges)
+	if n := countCharges(packs); n != r.Charges {
+		return nil, &ChargeCountError{Held: n, Stated: r.Charges}
 	}
 	return packs, nil
 }
 
-// ReadPage reads a stored page of totals.
+// ReadPage decodes a stored page of totals. The error is a *jobs.RecordError.
 func ReadPage(c *charge.Codec, item wire.Item) ([]Row, error) {
 	var r pageRecord
-	var rows []Row
 	if err := json.Unmarshal(item.Value, &r); err != nil {
-		return nil, fmt.Errorf("record %s: %w", item.Key, err)
+		return nil, &jobs.RecordError{Key: item.Key, Err: err}
 	}
+	var rows []Row
 	if err := c.Decode(r.Zstd, &rows); err != nil {
-		return nil, fmt.Errorf("record %s: %w", item.Key, err)
+		return nil, &jobs.RecordError{Key: item.Key, Err: err}
 	}
 	return rows, nil
 }
 
-func segmentValue(c *charge.Codec, packs []charge.Pack) json.RawMessage {
+func countCharges(packs []charge.Pack) int {
 	n := 0
 	for i := range packs {
 		n += len(packs[i].Charges)
 	}
-	return wire.EncodeRecord(segmentRecord{Charges: n, Zstd: c.Encode(packs)})
+	return n
 }
 
-func pageValue(c *charge.Codec, rows []Row) json.RawMessage {
-	return wire.EncodeRecord(pageRecord{Zstd: c.Encode(rows)})
-}
-
-// segment is the one that grows.
-type segment struct {
-	n       int
-	version uint64
-	packs   []charge.Pack
-	bytes   int // of its value, in bytes
-}
-
-// page is one page of totals in memory.
-type page struct {
-	n       int
-	version uint64
-	rows    map[RowKey]charge.Amounts
-	bytes   int // before compression, in bytes
-}
-
-func newPage(n int) *page { return &page{n: n, rows: map[RowKey]charge.Amounts{}} }
-
-func (p *page) add(name RowKey, sum charge.Amounts) {
-	a, known := p.rows[name]
-	if !known {
-		p.bytes += name.approxBytes()
-	}
-	a.Add(sum)
-	p.rows[name] = a
-}
-
-func (p *page) remove(name RowKey) {
-	if _, known := p.rows[name]; known {
-		p.bytes -= name.approxBytes()
-		delete(p.rows, name)
-	}
-}
-
-func (p *page) clone() *page {
-	q := newPage(p.n)
-	q.version, q.bytes = p.version, p.bytes
-	for name, sum := range p.rows {
-		q.rows[name] = sum
-	}
-	return q
+func segmentValue(c *charge.Codec, packs []charge.Pack) json.RawMessage {
+	return wire.EncodeRecord(segmentRecord{Charges: countCharges(packs), Zstd: c.Encode(packs)})
 }
 
-func (p *page) sortedRows() []Row {
-	rows := make([]Row, 0, len(p.rows))
-	for name, sum := range p.rows {
-		rows = append(rows, Row{Key: name, Sum: sum})
-	}
-	sortRows(rows)
-	return rows
+func pageValue(c *charge.Codec, rows []Row) json.RawMessage {
+	return wire.EncodeRecord(pageRecord{Zstd: c.Encode(rows)})
 }
-
-// full tells whether a page takes no new names.
-func (p *page) full() bool { return p.bytes >= tuning.PageBytes }
--- /dev/null
+++ b/internal/accounting/ledger/records_test.go
@@ -0,0 +1,77 @@
+package ledger
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+func TestUnusableSegmentsAreNamedWithTheReason(t *testing.T) {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	unknownKind := fullPack()
+	unknownKind.Charges[0].Kind = len(unknownKind.Kinds)
+	wrongCount := segmentRecord{Charges: 2, Zstd: codec.Encode([]charge.Pack{fullPack()})}
+	for _, c := range []struct {
+		name, text string
+		value      json.RawMessage
+		is         func(error) bool
+	}{
+		{"an unknown kind", "record ledger/seg/0000000017: a charge of job-17 names no kind of machine",
+			segmentValue(codec, []charge.Pack{unknownKind}), func(err error) bool { return errors.Is(err, ErrUnknownKind) }},
+		{"a wrong count", "record ledger/seg/0000000017: it holds 1 charges and says 2", wire.EncodeRecord(wrongCount), func(err error) bool {
+			var wrong *ChargeCountError
+			return errors.As(err, &wrong) && wrong.Held == 1 && wrong.Stated == 2
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ReadSegment(codec, wire.Item{Key: keySegment(17), Value: c.value})
+			var record *jobs.RecordError
+			if !errors.As(err, &record) || record.Key != keySegment(17) || !c.is(err) || err.Error() != c.text {
+				t.Errorf("got the error %v", err)
+			}
+		})
+	}
+}
+
+func TestRecordNumberRefusesAMalformedKey(t *testing.T) {
+	_, err := recordNumber(PrefixPage, PrefixPage+"last")
+	var record *jobs.RecordError
+	if !errors.As(err, &record) || record.Key != PrefixPage+"last" || !errors.Is(err, jobs.ErrMalformedKey) {
+		t.Errorf("got the error %v", err)
+	}
+}
+
+func TestLastNumberIsFoundWithFewCalls(t *testing.T) {
+	for count := range 70 {
+		calls, lastTrue := 0, -1
+		got, err := lastNumber(func(n int) (bool, error) {
+			calls++
+			if n < count {
+				lastTrue = n
+			}
+			return n < count, nil
+		})
+		if got != count-1 || lastTrue != got || err != nil || calls > 15 {
+			t.Errorf("of %d: got %d after %d calls, the last that was true for %d; %v", count, got, calls, lastTrue, err)
+		}
+	}
+	fails := errors.New("no answer")
+	for failing := range 6 {
+		calls := 0
+		if _, err := lastNumber(func(n int) (bool, error) {
+			if calls++; calls > failing {
+				return false, fails
+			}
+			return n < 10, nil
+		}); !errors.Is(err, fails) {
+			t.Errorf("call %d fails: got the error %v", failing+1, err)
+		}
+	}
+}
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -1,8 +1,6 @@
 package ledger
 
 import (
-	"cmp"
-	"maps"
 	"slices"
 	"time"
 
@@ -13,111 +11,45 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// A roll-up takes some Lefts and, in one transaction, drops them, adds their charges
-// to the open segment and their amounts to the open page of totals. Each record is
-// guarded on its version, so whatever happens between, a charge is either still in
-// its Left and in no total, or in the segment and in the totals, once.
+// A roll-up takes some records of detached charges and, in one transaction, deletes them,
+// adds their charges to the open segment and their amounts to the open page of totals. Each
+// record is guarded on its version, so whatever happens between, a charge is either still
+// in its detached record and in no total, or in the segment and in the totals, once.
 //
-// Only the open segment and the open page are written, whatever the charges are: a
-// row whose name stands in a closed page gets a second one in the open page. Compaction
-// brings such rows together later, two pages at a time.
+// Only the open segment and the open page are written, whatever the charges are: a row
+// whose key stands in a closed page gets a second one in the open page. Compaction brings
+// such rows together later, two pages at a time.
 
-func sortRows(rows []Row) {
-	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.Key.Day, b.Key.Day), cmp.Compare(a.Key.Team, b.Key.Team), cmp.Compare(a.Key.Account, b.Key.Account),
-			cmp.Compare(a.Key.Class, b.Key.Class), cmp.Compare(a.Key.Type, b.Key.Type), compareBool(a.Key.Spot, b.Key.Spot))
-	})
-}
-
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case b:
-		return -1
-	}
-	return 1
-}
-
-// RowsOf gives the totals of a pack's charges.
-func RowsOf(p *charge.Pack, where *time.Location) map[RowKey]charge.Amounts {
-	rows := map[RowKey]charge.Amounts{}
-	for i := range p.Charges {
-		c := &p.Charges[i]
-		kind := p.Kinds[c.Kind]
-		name := RowKey{
-			Day: charge.DayOf(c.Start, where), Team: p.Traits.Team, Account: p.Traits.Account, Class: p.Traits.Class,
-			Type: kind.Type, Spot: kind.Spot,
-		}
-		sum := rows[name]
-		sum.Add(p.Traits.AmountsOf(c))
-		rows[name] = sum
-	}
-	return rows
-}
+// rollUpOverhead is how many changes a roll-up has beside the deleted records: the segment
+// and the page.
+const rollUpOverhead = 2
 
-// guard and put add a change of a record to a transaction, under the condition
-// that the record is as we know it.
+// putIfUnchanged adds a write of a record to a transaction, on the condition that the
+// record still has the version that is known; 0: it does not exist.
 func putIfUnchanged(t *wire.Txn, key string, version uint64, value []byte) {
 	t.If = append(t.If, wire.Condition{Key: key, Version: version})
 	t.Then = append(t.Then, wire.Change{Put: key, Value: value})
 }
 
+// deleteIfUnchanged adds a deletion on the same condition.
 func deleteIfUnchanged(t *wire.Txn, key string, version uint64) {
 	t.If = append(t.If, wire.Condition{Key: key, Version: version})
 	t.Then = append(t.Then, wire.Change{Delete: key})
 }
 
-// rollUp makes the next roll-up, or nil if none is due.
+// rollUp returns the next roll-up, of at most room changes; nil if none is due.
 func (l *Ledger) rollUp(now time.Time, room int) *leader.SubsystemWrite {
-	most := min(l.maxTxnOps, room) - 2 // beside the segment and the page
-	if most < 1 || len(l.detached) == 0 {
+	if !l.rollUpDue(now, room) {
 		return nil
 	}
-	if room < min(l.maxTxnOps, len(l.detached)+2, tuning.RollUpChangesMin) {
-		return nil // the few changes that there is room for are better spent by others
-	}
-	if full := min(l.maxTxnOps-2, len(l.detached)) == l.maxTxnOps-2; !full && now.Sub(l.detachedSince) < tuning.RollUpAfter {
-		return nil
-	}
-	var take []jobs.DetachedCharges
-	size := 0
-	for _, left := range l.detached {
-		n := len(charge.EncodePack(left.Pack))
-		if len(take) == most || size+n > tuning.RollUpBytes && len(take) > 0 {
-			break
-		}
-		size += n
-		take = append(take, left)
-	}
-	seg := l.openSegment
-	if seg.bytes >= tuning.SegmentBytes {
-		seg = segment{n: seg.n + 1}
-	}
-	old := len(seg.packs)
-	seg.packs = slices.Clip(seg.packs)
-	pg := l.openPage.clone()
-	if pg.full() {
-		pg = newPage(l.openPage.n + 1)
-	}
-	for _, left := range take {
-		seg.packs = append(seg.packs, *left.Pack)
-		for name, sum := range RowsOf(left.Pack, l.location) {
-			pg.add(name, sum)
-		}
-	}
-	value := segmentValue(l.codec, seg.packs)
-	if len(value) > l.maxValueBytes && old > 0 {
-		// What was added does not compress well: it begins a segment of its own.
-		seg = segment{n: seg.n + 1, packs: seg.packs[old:]}
-		value = segmentValue(l.codec, seg.packs)
-	}
-	seg.bytes = len(value)
+	batch := l.rollUpBatch(min(l.maxTxnOps, room) - rollUpOverhead)
+	seg, segValue := l.segmentWith(batch)
+	pg := l.pageWith(batch)
 	var txn wire.Txn
-	putIfUnchanged(&txn, keySegment(seg.n), seg.version, value)
+	putIfUnchanged(&txn, keySegment(seg.n), seg.version, segValue)
 	putIfUnchanged(&txn, keyPage(pg.n), pg.version, pageValue(l.codec, pg.sortedRows()))
-	for _, left := range take {
-		deleteIfUnchanged(&txn, left.Key, left.Version)
+	for _, d := range batch {
+		deleteIfUnchanged(&txn, d.Key, d.Version)
 	}
 	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		seg.version, pg.version = revision, revision
@@ -126,107 +58,75 @@
 			l.closedPages[l.openPage.n] = l.openPage
 		}
 		l.openPage = pg
-		l.detached = slices.Clone(l.detached[len(take):])
+		l.detached = slices.Clone(l.detached[len(batch):])
 		l.detachedSince = now
 		l.stats.RollUps++
 		l.stats.Changes += len(txn.Then)
 	}}
 }
 
-// compact brings rows of the same name together: those of one closed page are moved
-// to another closed page that has rows of the same names. A page that is left
-// without rows is dropped, and two small ones become one.
-func (l *Ledger) compact(room int) *leader.SubsystemWrite {
-	if room < 2 || len(l.closedPages) < tuning.CompactPages {
-		return nil
+// rollUpDue tells whether there is enough to roll up, and room for it: a full transaction,
+// or charges that have waited for RollUpAfter.
+func (l *Ledger) rollUpDue(now time.Time, room int) bool {
+	if min(l.maxTxnOps, room) <= rollUpOverhead || len(l.detached) == 0 {
+		return false
 	}
-	into, from := l.pagesToMerge()
-	if into == nil {
-		return nil
-	}
-	a, b := into.clone(), from.clone()
-	for name, sum := range from.rows {
-		if _, same := a.rows[name]; same {
-			a.add(name, sum)
-			b.remove(name)
-		}
-	}
-	if a.bytes+b.bytes <= tuning.PageBytes {
-		for name, sum := range b.rows {
-			a.add(name, sum)
-		}
-		b.rows = nil
-	}
-	var txn wire.Txn
-	putIfUnchanged(&txn, keyPage(a.n), a.version, pageValue(l.codec, a.sortedRows()))
-	if len(b.rows) == 0 {
-		deleteIfUnchanged(&txn, keyPage(b.n), b.version)
-	} else {
-		putIfUnchanged(&txn, keyPage(b.n), b.version, pageValue(l.codec, b.sortedRows()))
+	if room < min(l.maxTxnOps, len(l.detached)+rollUpOverhead, tuning.RollUpChangesMin) {
+		return false // the few changes that there is room for are better spent by others
 	}
-	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
-		a.version, b.version = revision, revision
-		l.closedPages[a.n] = a
-		if len(b.rows) == 0 {
-			delete(l.closedPages, b.n)
-		} else {
-			l.closedPages[b.n] = b
-		}
-		l.stats.Compactions++
-		l.stats.Changes += len(txn.Then)
-	}}
+	full := len(l.detached) >= l.maxTxnOps-rollUpOverhead
+	return full || now.Sub(l.detachedSince) >= tuning.RollUpAfter
 }
 
-// pagesToMerge finds two closed pages that compaction makes smaller: with rows of the same
-// name, or that fit into one.
-func (l *Ledger) pagesToMerge() (into, from *page) {
-	seen := map[RowKey]*page{}
-	var small *page
-	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
-		p := l.closedPages[n]
-		for name := range p.rows {
-			if q := seen[name]; q != nil {
-				return q, p
-			}
-			seen[name] = p
-		}
-		if small != nil && small.bytes+p.bytes <= tuning.PageBytes {
-			return small, p
-		}
-		if p.bytes < tuning.PageBytes/2 {
-			small = p
+// rollUpBatch returns the oldest detached records: at most limit, and of more than one only
+// as many as have RollUpBytes together.
+func (l *Ledger) rollUpBatch(limit int) []jobs.DetachedCharges {
+	var batch []jobs.DetachedCharges
+	size := 0
+	for _, d := range l.detached {
+		n := len(charge.EncodePack(d.Pack))
+		if len(batch) == limit || size+n > tuning.RollUpBytes && len(batch) > 0 {
+			break
 		}
+		size += n
+		batch = append(batch, d)
 	}
-	return nil, nil
+	return batch
 }
 
-// foldIntoMonths gives the rows of a closed page whose days are long ago the names of their
-// months; the page is rewritten, and compaction does the rest.
-func (l *Ledger) foldIntoMonths(now time.Time, room int) *leader.SubsystemWrite {
-	if room < 1 {
-		return nil
+// segmentWith returns the open segment, or a new one if that is full, with the charges of
+// some records added, and its stored form. The ledger's own is not changed.
+func (l *Ledger) segmentWith(batch []jobs.DetachedCharges) (seg segment, value []byte) {
+	seg = l.openSegment
+	if seg.bytes >= tuning.SegmentBytes {
+		seg = segment{n: seg.n + 1}
 	}
-	before := now.In(l.location).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format("2006-01") // whole months only
-	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
-		p := newPage(n)
-		p.version = l.closedPages[n].version
-		folded := false
-		for name, sum := range l.closedPages[n].rows {
-			if len(name.Day) == len(time.DateOnly) && name.Day[:7] < before {
-				name.Day, folded = name.Day[:7], true
-			}
-			p.add(name, sum)
-		}
-		if !folded {
-			continue
+	old := len(seg.packs)
+	seg.packs = slices.Clip(seg.packs) // so that appending copies
+	for _, d := range batch {
+		seg.packs = append(seg.packs, *d.Pack)
+	}
+	value = segmentValue(l.codec, seg.packs)
+	if len(value) > l.maxValueBytes && old > 0 {
+		// What was added does not compress well: it begins a segment of its own.
+		seg = segment{n: seg.n + 1, packs: seg.packs[old:]}
+		value = segmentValue(l.codec, seg.packs)
+	}
+	seg.bytes = len(value)
+	return seg, value
+}
+
+// pageWith returns a copy of the open page, or a new one if that is full, with the amounts
+// of some records added.
+func (l *Ledger) pageWith(batch []jobs.DetachedCharges) *page {
+	p := l.openPage.clone()
+	if p.full() {
+		p = newPage(l.openPage.n + 1)
+	}
+	for _, d := range batch {
+		for key, sum := range RowsOf(d.Pack, l.location) {
+			p.add(key, sum)
 		}
-		var txn wire.Txn
-		putIfUnchanged(&txn, keyPage(n), p.version, pageValue(l.codec, p.sortedRows()))
-		return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
-			p.version = revision
-			l.closedPages[n] = p
-			l.stats.Changes += len(txn.Then)
-		}}
 	}
-	return nil
+	return p
 }
