--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -36,7 +36,7 @@
 	wasUsable := m.Usable(r.term, now)
 	rc := reconciliation{
 		m: m, hb: hb, direct: direct, now: now,
-		fenced:         hb.FencingToken >= r.term,
+		fenced:         r.fenced(hb),
 		newIncarnation: hb.Incarnation > m.Incarnation,
 		lastHeartbeat:  m.LastHeartbeat,
 	}
@@ -115,9 +115,13 @@
 	}
 	// What is recorded there would count as gone, by an incarnation that may be from before a restart of which this leader
 	// never knew. Not if the machine has acknowledged a message of this term.
-	return newIncarnation && len(m.Allocations) > 0 && hb.FencingToken < r.term && !m.Reachability.EverAcknowledged()
+	return newIncarnation && len(m.Allocations) > 0 && !r.fenced(hb) && !m.Reachability.EverAcknowledged()
 }
 
+// fenced reports whether a worker had seen the term's token when it sent a heartbeat. Only a message of this term can have
+// brought it, and from then on the worker refuses what leaders of older terms sent directly.
+func (r *Registry) fenced(hb *wire.Heartbeat) bool { return hb.FencingToken >= r.term }
+
 // contradicts reports whether a heartbeat says of its machine what cannot change while it exists.
 func (m *Machine) contradicts(hb *wire.Heartbeat) bool {
 	return m.Address != "" && (m.Address != hb.Address || m.Type != hb.Type || m.Zone != hb.Zone || m.Spot != hb.Spot)
@@ -137,10 +141,9 @@
 }
 
 // noteAcknowledged records that a message of this term reached the machine, if a heartbeat proves it: it is the answer to a
-// direct request, or the first one that bears the term's token. Only an answer proves that the machine is no copy.
+// direct request, or the first one that bears the term's token. Only a direct answer ends the suspicion of a copy.
 func (r *Registry) noteAcknowledged(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) {
-	fenced := hb.FencingToken >= r.term
-	if direct || fenced && !m.Reachability.EverAcknowledged() {
+	if direct || r.fenced(hb) && !m.Reachability.EverAcknowledged() {
 		m.Reachability.Acknowledged(now)
 		m.SuspectCopy, m.probeIncarnation = m.SuspectCopy && !direct, 0
 	}
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -17,8 +17,8 @@
 	now            time.Time
 	newIncarnation bool      // it is the first message of its incarnation; Registry.beginIncarnation settled the earlier ones
 	lastHeartbeat  time.Time // when the heartbeat before came; zero: none came in this term
-	// fenced: the worker has seen the term's token, so whatever the leader of an older term sent directly can no longer
-	// start there. A heartbeat without it may be a delayed copy from before a restart of the worker process.
+	// fenced: the worker has seen the term's token (Registry.fenced), so no direct start of an older leader may arrive. A
+	// heartbeat without it may be a delayed copy from before a restart of the worker process.
 	fenced bool
 
 	stops, forgets, starts []wire.Command
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -57,7 +57,7 @@
 		return Ambiguous
 	case len(m.openStarts) > 0:
 		return DeleteOnly
-	case hb.FencingToken < r.term:
+	case !r.fenced(hb):
 		m.probeIncarnation = hb.Incarnation
 		return ProbeAgain
 	}
