--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -47,40 +47,40 @@
 	return s.Step
 }
 
-// graphWorld is a world that serves graphs, with a source of descriptions.
-func graphWorld(t *testing.T) (*harness, *descriptions) {
+// newGraphHarness is a harness that serves graphs, with a source of descriptions.
+func newGraphHarness(t *testing.T) (*harness, *descriptions) {
 	d := &descriptions{steps: map[string]runner.Description{}}
 	srv := httptest.NewServer(d)
 	t.Cleanup(srv.Close)
 	return newHarnessWith(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), d
 }
 
-// tick reports, and lets a little time pass.
+// tick sends a heartbeat, and lets a little time pass.
 func (k *worker) tick() {
-	k.beat()
-	k.w.clock.Advance(tuning.Tick / 5)
+	k.heartbeat()
+	k.h.clock.Advance(tuning.Tick / 5)
 }
 
 // api calls the API for the team t.
-func (w *harness) api(method, path string, body any) (int, map[string]any) {
+func (h *harness) api(method, path string, body any) (int, map[string]any) {
 	sep := "?"
 	if strings.Contains(path, "?") {
 		sep = "&"
 	}
-	return w.call(method, airflow.PathAPI+path+sep+"team=t", body)
+	return h.call(method, airflow.PathAPI+path+sep+"team=t", body)
 }
 
 // want calls the API until the answer has a status: while nobody leads it is 503.
-func (w *harness) want(method, path string, body any, want int) map[string]any {
-	w.t.Helper()
+func (h *harness) want(method, path string, body any, want int) map[string]any {
+	h.t.Helper()
 	var status int
 	var out map[string]any
-	w.until(method+" "+path, func() bool {
-		status, out = w.api(method, path, body)
+	h.until(method+" "+path, func() bool {
+		status, out = h.api(method, path, body)
 		return status != http.StatusServiceUnavailable && status != 0
 	})
 	if status != want {
-		w.t.Fatalf("%s %s: %d %v, want %d", method, path, status, out, want)
+		h.t.Fatalf("%s %s: %d %v, want %d", method, path, status, out, want)
 	}
 	return out
 }
@@ -91,87 +91,87 @@
 }
 
 // stateOf gives the state of a step of a run.
-func (w *harness) stateOf(run, task string) any {
-	_, out := w.api("GET", "/dags/g/dagRuns/"+run+"/taskInstances/"+task, nil)
+func (h *harness) stateOf(run, task string) any {
+	_, out := h.api("GET", "/dags/g/dagRuns/"+run+"/taskInstances/"+task, nil)
 	return out["state"]
 }
 
-func TestAGraphThroughTheAPI(t *testing.T) {
-	w, d := graphWorld(t)
+func TestAGraphRunsFromRegistrationToItsEnd(t *testing.T) {
+	h, d := newGraphHarness(t)
 	flaky := jobStep("flaky", "first")
 	flaky["retries"], flaky["pool"] = 1, "db"
 	graph := map[string]any{"dag_id": "g", "description": "a graph", "tags": []string{"x"}, "tasks": []any{jobStep("first"), flaky, jobStep("last", "flaky")}}
-	if out := w.want("PUT", "/dags/g", graph, 201); out["dag_id"] != "g" || out["is_paused"] != false {
+	if out := h.want("PUT", "/dags/g", graph, 201); out["dag_id"] != "g" || out["is_paused"] != false {
 		t.Errorf("registered as %v", out)
 	}
-	w.want("PUT", "/dags/g", graph, 200)
-	out := w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one", "conf": map[string]any{"day": 3}, "note": "by hand"}, 200)
+	h.want("PUT", "/dags/g", graph, 200)
+	out := h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one", "conf": map[string]any{"day": 3}, "note": "by hand"}, 200)
 	if out["dag_run_id"] != "one" || out["run_type"] != "manual" || out["note"] != "by hand" || fmt.Sprint(out["conf"]) != "map[day:3]" {
 		t.Errorf("triggered: %v", out)
 	}
-	w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 409)
-	k := w.worker("n-000001", "a")
+	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 409)
+	k := h.worker("n-000001", "a")
 	runs := func(step string) func() bool {
 		return func() bool {
-			k.beat()
-			return len(k.rep.Tasks) == 1 && d.of(fakes.JobOf(k.rep.Tasks[0].Task)) == step && k.running() == 1
+			k.heartbeat()
+			return len(k.hb.Tasks) == 1 && d.of(fakes.JobOf(k.hb.Tasks[0].Task)) == step && k.running() == 1
 		}
 	}
-	w.until("the first step runs", runs("first"))
-	w.until("that is shown", func() bool {
-		k.beat()
-		w.clock.Advance(tuning.SubsystemTick)
-		return w.stateOf("one", "first") == "running"
+	h.until("the first step runs", runs("first"))
+	h.until("that is shown", func() bool {
+		k.heartbeat()
+		h.clock.Advance(tuning.SubsystemTick)
+		return h.stateOf("one", "first") == "running"
 	})
-	w.want("POST", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries", map[string]any{"key": "return_value", "value": []int{1}}, 201)
-	if out := w.want("GET", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries/return_value", nil, 200); out["value"] != "[1]" {
+	h.want("POST", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries", map[string]any{"key": "return_value", "value": []int{1}}, 201)
+	if out := h.want("GET", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries/return_value", nil, 200); out["value"] != "[1]" {
 		t.Errorf("its result: %v", out)
 	}
 	k.finish()
-	w.until("the second step runs", runs("flaky"))
-	if out := w.want("GET", "/pools/db", nil, 200); out["slots"] != 2.0 || out["occupied_slots"] != 1.0 {
+	h.until("the second step runs", runs("flaky"))
+	if out := h.want("GET", "/pools/db", nil, 200); out["slots"] != 2.0 || out["occupied_slots"] != 1.0 {
 		t.Errorf("the pool: %v", out)
 	}
 	k.finish()
-	w.until("the third step runs", runs("last"))
+	h.until("the third step runs", runs("last"))
 	k.finish()
-	w.until("the run is over", func() bool {
-		k.beat()
-		_, out := w.api("GET", "/dags/g/dagRuns/one", nil)
+	h.until("the run is over", func() bool {
+		k.heartbeat()
+		_, out := h.api("GET", "/dags/g/dagRuns/one", nil)
 		return out["state"] == "success"
 	})
 	// A clear is a new generation under new jobs, though the run was over.
 	clearing := map[string]any{"dag_run_id": "one", "task_ids": []string{"flaky"}, "include_downstream": true, "only_failed": false}
-	if out := w.want("POST", "/dags/g/clearTaskInstances", clearing, 200); len(out["task_instances"].([]any)) != 2 || w.stateOf("one", "flaky") != "success" {
+	if out := h.want("POST", "/dags/g/clearTaskInstances", clearing, 200); len(out["task_instances"].([]any)) != 2 || h.stateOf("one", "flaky") != "success" {
 		t.Errorf("a dry run of a clear: %v", out)
 	}
 	clearing["dry_run"] = false
-	w.want("POST", "/dags/g/clearTaskInstances", clearing, 200)
-	w.until("the second step runs again", runs("flaky"))
-	w.want("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
-	w.until("the run has failed", func() bool {
-		k.beat()
-		w.clock.Advance(tuning.SubsystemTick)
-		_, out := w.api("GET", "/dags/g/dagRuns/one", nil)
+	h.want("POST", "/dags/g/clearTaskInstances", clearing, 200)
+	h.until("the second step runs again", runs("flaky"))
+	h.want("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
+	h.until("the run has failed", func() bool {
+		k.heartbeat()
+		h.clock.Advance(tuning.SubsystemTick)
+		_, out := h.api("GET", "/dags/g/dagRuns/one", nil)
 		return out["state"] == "failed"
 	})
-	if w.stateOf("one", "first") != "success" || w.stateOf("one", "flaky") != "failed" {
+	if h.stateOf("one", "first") != "success" || h.stateOf("one", "flaky") != "failed" {
 		t.Error("the steps of the run that was cancelled")
 	}
-	w.want("DELETE", "/dags/g", nil, 204)
-	w.want("GET", "/dags/g", nil, 404)
+	h.want("DELETE", "/dags/g", nil, 204)
+	h.want("GET", "/dags/g", nil, 404)
 }
 
 // What clients get wrong, and what they may not see, is answered in the API's own form.
-func TestTheAPIsAnswers(t *testing.T) {
-	w, _ := graphWorld(t)
+func TestGraphErrorsHaveTheAPIsForm(t *testing.T) {
+	h, _ := newGraphHarness(t)
 	for i := range 5 {
 		g := map[string]any{"dag_id": fmt.Sprint("g", i), "tasks": []any{map[string]any{"task_id": "a", "kind": "empty"}}}
-		w.want("PUT", fmt.Sprint("/dags/g", i), g, 201)
+		h.want("PUT", fmt.Sprint("/dags/g", i), g, 201)
 	}
-	w.want("PATCH", "/dags/g3", map[string]any{"is_paused": true}, 200)
+	h.want("PATCH", "/dags/g3", map[string]any{"is_paused": true}, 200)
 	ids := func(path string) (out []string) {
-		for _, v := range w.want("GET", path, nil, 200)["dags"].([]any) {
+		for _, v := range h.want("GET", path, nil, 200)["dags"].([]any) {
 			out = append(out, v.(map[string]any)["dag_id"].(string))
 		}
 		return out
@@ -185,13 +185,13 @@
 		}
 	}
 	for i := range 3 {
-		out := w.want("POST", "/dags/g0/dagRuns", map[string]any{"logical_date": fmt.Sprintf("2026-12-0%dT00:00:00Z", i+1)}, 200)
+		out := h.want("POST", "/dags/g0/dagRuns", map[string]any{"logical_date": fmt.Sprintf("2026-12-0%dT00:00:00Z", i+1)}, 200)
 		if out["state"] != "success" || out["dag_run_id"] != fmt.Sprintf("manual__2026-12-0%dT00:00:00+00:00", i+1) {
 			t.Errorf("a run of empty steps: %v", out)
 		}
 	}
 	for path, want := range map[string]float64{"/dags/g0/dagRuns": 3, "/dags/~/dagRuns": 3, "/dags/g0/dagRuns?execution_date_gte=2026-12-02T00:00:00Z": 2, "/dags/g0/dagRuns?state=failed": 0} {
-		if out := w.want("GET", path, nil, 200); out["total_entries"] != want {
+		if out := h.want("GET", path, nil, 200); out["total_entries"] != want {
 			t.Errorf("%s: %v", path, out)
 		}
 	}
@@ -221,49 +221,49 @@
 		{"POST", "/dags/g0/clearTaskInstances", map[string]any{"include_past": true, "dag_run_id": "x"}, 400},
 		{"POST", "/backfills", map[string]any{"dag_id": "g0"}, 400},
 	} {
-		if out := w.want(c.method, c.path, c.body, c.want); out["status"] != float64(c.want) || out["title"] == "" || out["type"] != "about:blank" || strings.Contains(fmt.Sprint(out["detail"]), "\n") {
+		if out := h.want(c.method, c.path, c.body, c.want); out["status"] != float64(c.want) || out["title"] == "" || out["type"] != "about:blank" || strings.Contains(fmt.Sprint(out["detail"]), "\n") {
 			t.Errorf("%s %s: %v", c.method, c.path, out)
 		}
 	}
-	if status, out := w.call("GET", airflow.PathAPI+"/dags", nil); status != 401 || out["title"] != "Unauthorized" {
+	if status, out := h.call("GET", airflow.PathAPI+"/dags", nil); status != 401 || out["title"] != "Unauthorized" {
 		t.Errorf("without a team: %d %v", status, out)
 	}
-	if status, out := w.call("GET", airflow.PathAPI+"/dags/g0?team=u", nil); status != 404 {
+	if status, out := h.call("GET", airflow.PathAPI+"/dags/g0?team=u", nil); status != 404 {
 		t.Errorf("another team: %d %v", status, out)
 	}
-	if status, out := w.call("GET", airflow.PathAPI+"/health", nil); status != 200 || fmt.Sprint(out["scheduler"]) == "" || out["metadatabase"].(map[string]any)["status"] != "healthy" {
+	if status, out := h.call("GET", airflow.PathAPI+"/health", nil); status != 200 || fmt.Sprint(out["scheduler"]) == "" || out["metadatabase"].(map[string]any)["status"] != "healthy" {
 		t.Errorf("health: %d %v", status, out)
 	}
 	for _, path := range []string{"/version", "/schema"} {
-		if status, out := w.call("GET", airflow.PathAPI+path, nil); status != 200 || len(out) == 0 {
+		if status, out := h.call("GET", airflow.PathAPI+path, nil); status != 200 || len(out) == 0 {
 			t.Errorf("%s: %d %v", path, status, out)
 		}
 	}
 }
 
-// Graphs and plain jobs of one class compete for one place at a time: each starts in the
+// Graphs and plain jobs of one class compete for one slot at a time: each starts in the
 // order in which it came to wait, a step from when it was ready, and neither jumps ahead.
-func TestGraphsAndPlainJobsInTheOrderOfTheirWaits(t *testing.T) {
-	w, d := graphWorld(t)
-	w.submit("job-1", 3) // it takes all that the team may have
-	k := w.worker("n-000001", "a")
-	w.until("the team is at its limit", func() bool { k.tick(); return k.running() == 3 })
+func TestGraphStepsAndPlainJobsStartInTheOrderOfTheirWaits(t *testing.T) {
+	h, d := newGraphHarness(t)
+	h.submit("job-1", 3) // it takes all that the team may have
+	k := h.worker("n-000001", "a")
+	h.until("the team is at its limit", func() bool { k.tick(); return k.running() == 3 })
 	long := func(s map[string]any) map[string]any { s["job"].(map[string]any)["cpus"] = 12; return s }
 	var want []string
 	for i := range 4 {
-		w.clock.Advance(tuning.Tick)
+		h.clock.Advance(tuning.Tick)
 		id := fmt.Sprint("job-", 10+i)
 		j := job(id, 1)
 		j["cpus"] = 12.0
-		w.until("accepted", func() bool { status, _ := w.call("POST", "/v2/runs", j); return status == 201 || status == 200 })
+		h.until("accepted", func() bool { status, _ := h.call("POST", "/v2/runs", j); return status == 201 || status == 200 })
 		want = append(want, id)
-		w.clock.Advance(tuning.Tick)
+		h.clock.Advance(tuning.Tick)
 		name := fmt.Sprint("g", i)
-		w.want("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{long(jobStep("s")), long(jobStep("t", "s"))}}, 201)
-		w.want("POST", "/dags/"+name+"/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-		w.until("its step waits", func() bool {
-			k.beat()
-			_, out := w.api("GET", "/dags/"+name+"/dagRuns/one/taskInstances/s", nil)
+		h.want("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{long(jobStep("s")), long(jobStep("t", "s"))}}, 201)
+		h.want("POST", "/dags/"+name+"/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+		h.until("its step waits", func() bool {
+			k.heartbeat()
+			_, out := h.api("GET", "/dags/"+name+"/dagRuns/one/taskInstances/s", nil)
 			return out["state"] == "queued"
 		})
 		want = append(want, name+".s")
@@ -275,18 +275,18 @@
 	var got []string
 	k.finish()
 	for len(got) < len(want) {
-		w.until("the next one runs", func() bool { k.tick(); return k.running() == 1 })
-		id := fakes.JobOf(k.rep.Tasks[len(k.rep.Tasks)-1].Task)
+		h.until("the next one runs", func() bool { k.tick(); return k.running() == 1 })
+		id := fakes.JobOf(k.hb.Tasks[len(k.hb.Tasks)-1].Task)
 		if s, ok := d.get(id); ok {
 			id = s.Graph + "." + s.Step
 		}
 		got = append(got, id)
-		w.clock.Advance(tuning.Tick)
+		h.clock.Advance(tuning.Tick)
 		k.finish()
 		if strings.HasSuffix(id, ".s") {
-			w.until("the step behind it waits", func() bool {
+			h.until("the step behind it waits", func() bool {
 				k.tick()
-				_, out := w.api("GET", "/dags/"+strings.TrimSuffix(id, ".s")+"/dagRuns/one/taskInstances/t", nil)
+				_, out := h.api("GET", "/dags/"+strings.TrimSuffix(id, ".s")+"/dagRuns/one/taskInstances/t", nil)
 				return out["state"] == "queued" || out["state"] == "running"
 			})
 		}
@@ -298,66 +298,66 @@
 
 // The state service refuses everything for a minute while a step ends: nothing is lost, and
 // commands are answered at once with when to come back.
-func TestAGraphAndAStateServiceThatRefuses(t *testing.T) {
-	w, _ := graphWorld(t)
-	w.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
-	w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-	k := w.worker("n-000001", "a")
-	w.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
-	w.state.Refuse(true)
+func TestAGraphSurvivesAnOutageOfTheStateService(t *testing.T) {
+	h, _ := newGraphHarness(t)
+	h.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
+	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+	k := h.worker("n-000001", "a")
+	h.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
+	h.state.Refuse(true)
 	k.finish()
 	for range 3 {
 		k.tick()
 	}
-	if status, out := w.api("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}); status != 503 {
+	if status, out := h.api("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}); status != 503 {
 		t.Errorf("a trigger meanwhile: %d %v", status, out)
 	}
-	if status, out := w.api("GET", "/dags/g", nil); status != 503 {
+	if status, out := h.api("GET", "/dags/g", nil); status != 503 {
 		t.Errorf("a question meanwhile: %d %v", status, out)
 	}
 	for range 60 {
-		w.clock.Advance(time.Second)
-		k.beat()
+		h.clock.Advance(time.Second)
+		k.heartbeat()
 	}
-	w.state.Refuse(false)
+	h.state.Refuse(false)
 	// Its worker was out of reach for longer than its lease, so its machine was returned.
-	again := w.worker("n-000002", "a")
-	w.until("both runs are over", func() bool {
+	again := h.worker("n-000002", "a")
+	h.until("both runs are over", func() bool {
 		again.tick()
 		again.finish()
-		_, one := w.api("GET", "/dags/g/dagRuns/one", nil)
-		_, two := w.api("GET", "/dags/g/dagRuns/two", nil)
+		_, one := h.api("GET", "/dags/g/dagRuns/one", nil)
+		_, two := h.api("GET", "/dags/g/dagRuns/two", nil)
 		return one["state"] == "success" && two["state"] == "success"
 	})
 	// The trigger without an answer has come about, and can be repeated.
-	w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}, 409)
-	if len(k.start) != 1 || len(again.start) != 3 {
-		t.Errorf("started %v and %v", k.start, again.start)
+	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}, 409)
+	if len(k.starts) != 1 || len(again.starts) != 3 {
+		t.Errorf("started %v and %v", k.starts, again.starts)
 	}
 }
 
 // A budget runs out in the middle of a graph: the next step waits, and says for what.
-func TestABudgetRunsOutInTheMiddleOfAGraph(t *testing.T) {
+func TestAStepWaitsWhenItsBudgetRunsOut(t *testing.T) {
 	srv := httptest.NewServer(&descriptions{steps: map[string]runner.Description{}})
 	defer srv.Close()
-	w := newHarnessWith(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
-	w.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
-	w.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-	k := w.worker("n-000001", "a")
-	w.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
+	h := newHarnessWith(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
+	h.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
+	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+	k := h.worker("n-000001", "a")
+	h.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
 	for range 10 { // it takes 0.011 core-hours
-		w.clock.Advance(time.Second)
-		w.until("reported", func() bool { return k.beat() == 200 })
+		h.clock.Advance(time.Second)
+		h.until("reported", func() bool { return k.heartbeat() == 200 })
 	}
 	k.finish()
-	w.until("the second step waits for its budget", func() bool {
+	h.until("the second step waits for its budget", func() bool {
 		k.tick()
-		_, out := w.api("GET", "/dags/g/dagRuns/one/taskInstances/b", nil)
+		_, out := h.api("GET", "/dags/g/dagRuns/one/taskInstances/b", nil)
 		id, _ := out["job"].(string)
 		if out["state"] != "queued" {
 			return false
 		}
-		_, why := w.call("GET", "/v2/runs/"+id+"/why", nil)
+		_, why := h.call("GET", "/v2/runs/"+id+"/why", nil)
 		return strings.Contains(fmt.Sprint(why["reasons"]), "budget")
 	})
 	if k.running() != 0 {
--- a/internal/controller/serve_peers.go
+++ b/internal/controller/peer_requests.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// servePeer answers another member.
+// servePeer answers another member's request.
 func (c *Controller) servePeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	wait := tuning.RelayTimeout
 	if req.Verb == peerrpc.SubsystemCommand {
@@ -46,13 +46,14 @@
 	return c.userAPI.AnswerRelayed(ctx, req)
 }
 
-// fetchHeartbeat asks a worker for its report.
-func (c *Controller) fetchHeartbeat(ctx context.Context, addr string) (rep wire.Heartbeat, ok bool) {
-	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathWorkerHeartbeat, nil, httpjson.IfOK(&rep))
-	return rep, err == nil && status == http.StatusOK && rep.Check() == nil
+// fetchHeartbeat asks a worker for its heartbeat; ok is false when it gives none that is well-formed.
+func (c *Controller) fetchHeartbeat(ctx context.Context, addr string) (hb wire.Heartbeat, ok bool) {
+	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathWorkerHeartbeat, nil, httpjson.IfOK(&hb))
+	return hb, err == nil && status == http.StatusOK && hb.Check() == nil
 }
 
-// reachesAny tells whether one of some workers, by their addresses, answers this member.
+// reachesAny reports whether one of some workers, by their addresses, answers this member. It returns with the first that does;
+// the other calls end with ctx.
 func (c *Controller) reachesAny(ctx context.Context, addrs []string) bool {
 	answers := make(chan bool, len(addrs))
 	for _, addr := range addrs {
@@ -69,7 +70,8 @@
 	return false
 }
 
-// serveVote answers a leader that asks for our promise.
+// serveVote answers a candidate that asks for this member's vote: 200, or 202 if this member has no memory of earlier votes,
+// grants it; 409 refuses it.
 func (c *Controller) serveVote(ctx context.Context, term uint64) peerrpc.Response {
 	switch c.elector.Vote(ctx, term) {
 	case election.Granted:
@@ -80,16 +82,16 @@
 	return peerrpc.Response{Status: http.StatusConflict}
 }
 
-// serveMayHaveRenewed tells a leader which machines this member may have answered by its zone's right.
+// serveMayHaveRenewed tells a leader which machines this member may have answered by its zone lease.
 func (c *Controller) serveMayHaveRenewed(names []string) peerrpc.Response {
-	kept, sure := c.zoneLease.MayHaveRenewed(names)
+	renewed, sure := c.zoneLease.MayHaveRenewed(names)
 	r := okOrConflict(sure)
-	r.Names = kept
+	r.Names = renewed
 	return r
 }
 
-// servePing answers a ping, and tells whether this member has no memory for more jobs and what it remembers of the other's right for
-// its zone. Members from before that send no name.
+// servePing answers a ping, and tells whether this member has no memory for more jobs (507) and what it remembers of the other's
+// claim to its zone lease. Members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.Holder()
 	status := http.StatusOK
@@ -99,8 +101,9 @@
 	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.ExchangeClaim(req.Job, req.Payload)}
 }
 
-func okOrConflict(yes bool) peerrpc.Response {
-	if yes {
+// okOrConflict answers a question of yes or no: 200 or 409.
+func okOrConflict(ok bool) peerrpc.Response {
+	if ok {
 		return peerrpc.Response{Status: http.StatusOK}
 	}
 	return peerrpc.Response{Status: http.StatusConflict}
--- /dev/null
+++ b/internal/controller/subsystems.go
@@ -0,0 +1,86 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+
+	"poppypass/internal/accounting/ledger"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/metrics"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
+)
+
+// addSubsystems adds the subsystems that the operators' settings turn on.
+func (c *Controller) addSubsystems() error {
+	if c.operator.MetricsAddr() != "" {
+		c.metrics = metrics.New(c.settings.Cluster.State.WriteRPS)
+		c.env.Observer = c.metrics
+	}
+	if on, descriptions := c.operator.Graphs(); on {
+		c.addGraphs(descriptions)
+	}
+	if c.operator.Ledger() {
+		return c.addLedger()
+	}
+	return nil
+}
+
+// addLedger has charges kept and served.
+func (c *Controller) addLedger() error {
+	state := c.settings.Cluster.State
+	cfg := ledger.Config{
+		Clock:        c.clock,
+		MaxTxnOps:    state.TxnOps - 1, // the leader's guard is one more
+		MaxValueKB:   state.ValueKB,
+		MachineTypes: c.catalog.Types,
+		Budgets:      c.operator.Budgets,
+	}
+	if c.metrics != nil {
+		cfg.OnCharge = c.metrics.Charged
+	}
+	reader, err := ledger.NewReader(c.store.LowPriority())
+	if err != nil {
+		return err
+	}
+	c.ledger = &ledger.Handler{Reader: reader, QueryLeader: c.queryLeader}
+	c.env.Accounts = true
+	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
+	return nil
+}
+
+// addGraphs has graphs of jobs run and served; descriptions is the URL at which their steps are described, empty if nowhere.
+func (c *Controller) addGraphs(descriptions string) {
+	cluster := c.settings.Cluster
+	cfg := runner.Config{
+		Clock:      c.clock,
+		TxnOps:     cluster.State.TxnOps - 1, // the leader's guard is one more
+		ValueKB:    cluster.State.ValueKB,
+		Bytes:      int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
+		Impossible: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
+		Jitter:     rand.Float64,
+		Pools:      c.operator.PoolSlots,
+	}
+	if descriptions != "" {
+		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
+	}
+	c.graphs = &airflow.Handler{
+		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log, Do: c.commandLeader, Ask: c.queryLeader,
+	}
+	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
+}
+
+// queryLeader has the leader's subsystems answer a query. The user API is made after the subsystems, and so looked up late.
+func (c *Controller) queryLeader(ctx context.Context, uri string) (status int, body json.RawMessage) {
+	return c.userAPI.Query(ctx, uri)
+}
+
+// commandLeader has the leader's subsystems carry out a command.
+func (c *Controller) commandLeader(ctx context.Context, cmd leader.Command) (status int, body json.RawMessage) {
+	return c.userAPI.Command(ctx, cmd)
+}
