--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -1,8 +1,8 @@
 package leader
 
 import (
+	"errors"
 	"fmt"
-	"net/http"
 	"net/url"
 	"strings"
 	"time"
@@ -26,28 +26,31 @@
 	return id, ok && wire.ValidJobID(id)
 }
 
-// explain says what the waiting tasks of a job wait for.
-func (l *Loop) explain(id string, now time.Time) queryResponse {
+// errNoSuchJob tells that a job is neither live nor known to be over.
+var errNoSuchJob = errors.New("no such live job")
+
+// explain says what the waiting tasks of a job wait for. The error is errNoSuchJob.
+func (l *Loop) explain(id string, now time.Time) (wire.Explanation, error) {
 	if s, over := l.env.FinalStates.Get(id); over {
-		return queryResponse{http.StatusOK, wire.Explanation{JobStatus: s}}
+		return wire.Explanation{JobStatus: s}, nil
 	}
 	j := l.jobs.Jobs[id]
 	if j == nil {
-		return queryResponse{http.StatusNotFound, wire.Error{Error: "no such live job"}}
+		return wire.Explanation{}, errNoSuchJob
 	}
-	r := wire.Explanation{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
-	if j.CanStart() && r.Waiting > 0 {
-		l.addReasons(&r, j, now)
+	e := wire.Explanation{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
+	if j.CanStart() && e.Waiting > 0 {
+		l.addReasons(&e, j, now)
 	}
-	return queryResponse{http.StatusOK, r}
+	return e, nil
 }
 
 // addReasons adds why the waiting tasks of a job do not start.
-func (l *Loop) addReasons(r *wire.Explanation, j *jobs.Job, now time.Time) {
-	add := func(format string, args ...any) { r.Reasons = append(r.Reasons, fmt.Sprintf(format, args...)) }
+func (l *Loop) addReasons(e *wire.Explanation, j *jobs.Job, now time.Time) {
+	add := func(format string, args ...any) { e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...)) }
 	admitted, reason := l.subsystems.admit(j, now)
-	if admitted < r.Waiting {
-		r.Held = r.Waiting - admitted
+	if admitted < e.Waiting {
+		e.Held = e.Waiting - admitted
 		add("%s", reason)
 	}
 	if admitted == 0 {
@@ -69,7 +72,7 @@
 	switch {
 	case placement.TasksWithinQuota(p, l.teams()) == 0:
 		add("the team's tasks use as much as the team's limit allows")
-	case p.Starving(now) || len(r.Reasons) > 0:
+	case p.Starving(now) || len(e.Reasons) > 0:
 	case j.Allocated > 0:
 		add("no machine has room for more of its tasks; work of higher priority, or that waited longer, goes first")
 	default:
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -3,10 +3,12 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
 	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 )
 
 // Guards against tasks of a partitioned zone which are started elsewhere while
@@ -71,3 +73,36 @@
 		}
 	}
 }
+
+// Guards against tasks of a partitioned zone that are started elsewhere since the follower's record of its machines, or the question
+// on them, does not hold them all.
+func TestAllMachinesOfACutZoneAreKept(t *testing.T) {
+	const each = maxSizedMachines / 2
+	l, advance := twoZones(t, each, `{"zone":"b","member":"mb"}`)
+	var names []string
+	for i := each; i < 2*each; i++ {
+		names = append(names, fmt.Sprintf("n-%d", i))
+	}
+	recorded, answered := names[:each/2], names[each/2:]
+	for page := range slices.Chunk(recorded, 500) {
+		value := wire.EncodeRecord(map[string][]string{"machines": page})
+		if _, err := l.store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: "keep/mb/1/" + page[0], Value: value}}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	l.env.MayHaveRenewed = func(_ context.Context, member string, asked []string) ([]string, bool) {
+		if member != "mb" || len(asked) != each {
+			t.Errorf("%s is asked about %d machines", member, len(asked))
+		}
+		return answered, true
+	}
+	advance(l.env.workerLease() + time.Second)
+	l.concludeExpired()
+	kept := map[string]int{}
+	for _, m := range l.machines.Machines {
+		kept[m.Zone] += len(m.Allocations)
+	}
+	if kept["a"] != 0 || kept["b"] != each {
+		t.Errorf("%d tasks of the zone that nobody answers count as running, and %d of %d of the one that is cut", kept["a"], kept["b"], each)
+	}
+}
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
+	"time"
 
 	"poppypass/internal/platform/wire"
 )
@@ -31,7 +33,7 @@
 		return stillLoading
 	}
 	if id, ok := jobIDFromPath(uri, wire.EndExplain); ok {
-		return l.explain(id, now)
+		return l.queryExplanation(id, now)
 	}
 	for _, s := range l.subsystems.joined {
 		if status, body, ok := s.Query(uri, now); ok {
@@ -41,6 +43,15 @@
 	return unknownPath
 }
 
+// queryExplanation answers what a job waits for.
+func (l *Loop) queryExplanation(id string, now time.Time) queryResponse {
+	explanation, err := l.explain(id, now)
+	if errors.Is(err, errNoSuchJob) {
+		return queryResponse{http.StatusNotFound, wire.Error{Error: err.Error()}}
+	}
+	return queryResponse{http.StatusOK, explanation}
+}
+
 // Command has a subsystem carry out a command. The answer is JSON.
 func (l *Loop) Command(ctx context.Context, c Command) (status int, body any, err error) {
 	r, err := ask(ctx, l, func(answer func(queryResponse)) { l.command(c, answer) })
