--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -12,16 +12,16 @@
 // BenchmarkCharge is what one attempt's charge costs the loop, with the bytes that its
 // record grows by.
 func BenchmarkCharge(b *testing.B) {
-	w := newTestLeader(b)
-	w.submit(jobArray("job-1", 1))
-	p := w.allocateAndRun("job-1")
+	tl := newTestLeader(b)
+	tl.submit(jobArray("job-1", 1))
+	p := tl.allocateAndRun("job-1")
 	c := charge.Charge{Attempt: 1, Start: testStart.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Attempt++ // no two charges have the same name
-		w.ledger.recordCharges(p, []charge.Charge{c}, w.now())
-		if len(w.store.Jobs) > 0 && w.ledger.stats.Charges%64 == 0 {
-			w.commitAll()
+		tl.ledger.recordCharges(p, []charge.Charge{c}, tl.now())
+		if len(tl.store.Jobs) > 0 && tl.ledger.stats.Charges%64 == 0 {
+			tl.commitAll()
 		}
 	}
 	pack := charge.Pack{Job: "job-000001", Traits: charge.JobTraits{Team: "fraud-desk-00", Class: "fraud-scoring", Cores: 4000}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "a"}}}
@@ -37,7 +37,7 @@
 func BenchmarkMillion(b *testing.B) {
 	const jobsIn, each = 20_000, 50
 	for b.Loop() {
-		w := newTestLeader(b)
+		tl := newTestLeader(b)
 		begun := time.Now()
 		made := time.Duration(0)
 		for i := range jobsIn {
@@ -53,29 +53,29 @@
 					Money: charge.Cost(90_000, time.Duration(run)*time.Millisecond), Outcome: charge.Done,
 				})
 			}
-			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: w.revision + 1, Value: detachedValue(pack)}
-			w.apply(wire.Txn{Then: []wire.Change{{Put: item.Key, Value: item.Value}}})
-			w.store.LoadDetached(w.items[item.Key])
+			item := wire.Item{Key: fmt.Sprintf("left/%s/0.1.0", id), Version: tl.revision + 1, Value: detachedValue(pack)}
+			tl.apply(wire.Txn{Then: []wire.Change{{Put: item.Key, Value: item.Value}}})
+			tl.store.LoadDetached(tl.items[item.Key])
 			made += time.Since(begun)
 			if i%9 == 8 {
-				w.ledger.Tick(w.now())
-				w.ledger.detachedSince = time.Time{}
-				w.commitLedgerWrite(true)
+				tl.ledger.Tick(tl.now())
+				tl.ledger.detachedSince = time.Time{}
+				tl.commitLedgerWrite(true)
 			}
 		}
-		w.ledger.nextCompactCheck = time.Time{}
-		w.rollUpAll()
+		tl.ledger.nextCompactCheck = time.Time{}
+		tl.rollUpAll()
 		size, pages := 0, 0
-		for _, item := range w.itemsWithPrefix(PrefixSegment) {
+		for _, item := range tl.itemsWithPrefix(PrefixSegment) {
 			size += len(item.Value)
 		}
-		for _, item := range w.itemsWithPrefix(PrefixPage) {
+		for _, item := range tl.itemsWithPrefix(PrefixPage) {
 			pages += len(item.Value)
 		}
 		b.ReportMetric(float64(size)/(jobsIn*each), "B/charge-stored")
 		b.ReportMetric(float64(pages), "B-of-totals")
-		b.ReportMetric(float64(len(w.itemsWithPrefix(PrefixSegment))), "segments")
-		b.ReportMetric(float64(w.ledger.stats.Changes)/jobsIn, "changes/job")
+		b.ReportMetric(float64(len(tl.itemsWithPrefix(PrefixSegment))), "segments")
+		b.ReportMetric(float64(tl.ledger.stats.Changes)/jobsIn, "changes/job")
 		b.ReportMetric((time.Since(begun) - made).Seconds(), "s-rolling")
 	}
 }
--- /dev/null
+++ b/internal/accounting/ledger/charging_test.go
@@ -0,0 +1,85 @@
+package ledger
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+func TestEndedAttemptIsChargedForItsRunTimeAndOutcome(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  func(tl *testLeader, p *jobs.Allocation)
+		how  charge.Outcome
+		flag charge.Flag
+	}{
+		{"done", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitDone, false) }, charge.Done, 0},
+		{"failed", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitError, false) }, charge.Failed, 0},
+		{"its machine is taken back or its session ends", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
+		{"drained", func(tl *testLeader, p *jobs.Allocation) {
+			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
+			tl.end(p, wire.ExitStopped, false)
+		}, charge.Drained, 0},
+		{"stopped for others", func(tl *testLeader, p *jobs.Allocation) {
+			p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
+			tl.end(p, wire.ExitStopped, false)
+		}, charge.Preempted, 0},
+		{"its job is cancelled", func(tl *testLeader, p *jobs.Allocation) {
+			tl.store.Cancel(p.Job, func(wire.JobState) {})
+			tl.commitAll()
+			tl.end(p, wire.ExitStopped, false)
+		}, charge.Cancelled, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			tl := newTestLeader(t)
+			tl.submit(jobArray("job-1", 1))
+			p := tl.allocateAndRun("job-1")
+			tl.clock.Advance(30 * time.Second)
+			c.end(tl, p)
+			tl.checkAgainstTruth()
+			got := tl.onlyCharge(attemptIDOf(p))
+			if got.Outcome != c.how || got.Flags != c.flag || got.Run != 30_000 {
+				t.Errorf("charged %+v", got)
+			}
+			// Half of its processors and half of its memory, at 0.8 an hour, for 30 s.
+			if want := int64(3333); got.Money != want { // 0.8 / 2 * 30 / 3600
+				t.Errorf("costs %d, want %d", got.Money, want)
+			}
+			tl.rollUpAll()
+			tl.checkAgainstTruth()
+		})
+	}
+}
+
+// A period that turns over while a task runs: its seconds are split, and the bill
+// of the day before is whole although the task runs on.
+func TestDayEndSplitsTheChargeOfARunningTask(t *testing.T) {
+	tl := newTestLeader(t)
+	tl.submit(jobArray("job-1", 1))
+	p := tl.allocateAndRun("job-1")
+	tl.clock.Advance(13*time.Hour - time.Second) // from noon to one in the night
+	tl.ledger.Tick(tl.now())
+	tl.rollUpAll()
+	day := func(day string) int64 {
+		return tl.ledger.totals(Query{From: day, To: day, By: []string{"day"}}, tl.now()).Sum.RunMS
+	}
+	if got := day("2026-12-01"); got != 12*3600_000-1000 {
+		t.Errorf("the first day has %d ms", got)
+	}
+	if got := day("2026-12-02"); got != 0 {
+		t.Errorf("the second day has %d ms while the task runs", got)
+	}
+	tl.newTerm() // the new leader goes on from the turn
+	tl.clock.Advance(time.Hour)
+	tl.end(tl.allocations[attemptIDOf(p)], wire.ExitDone, false)
+	tl.checkAgainstTruth()
+	if got := day("2026-12-02"); got != 2*3600_000 {
+		t.Errorf("the second day has %d ms", got)
+	}
+	if got := tl.ledger.totals(Query{By: []string{"day"}}, tl.now()).Sum.Attempts; got != 1 {
+		t.Errorf("%d attempts are counted", got)
+	}
+}
--- /dev/null
+++ b/internal/accounting/ledger/failover_test.go
@@ -0,0 +1,79 @@
+package ledger
+
+import (
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// Guards against charges that are lost or doubled when a leader dies between an
+// attempt's end and its charge, between the charge and its roll-up, or after a
+// transaction that was applied and never answered.
+func TestEachAttemptIsChargedOnceWhereverALeaderDies(t *testing.T) {
+	steps := []func(*testLeader){
+		func(tl *testLeader) { tl.commitBatch(true) },
+		func(tl *testLeader) { tl.commitBatch(false); tl.newTerm() },
+		func(tl *testLeader) { tl.newTerm() },
+		func(tl *testLeader) { tl.ledger.detachedSince = time.Time{}; tl.commitLedgerWrite(true) },
+		func(tl *testLeader) {
+			tl.ledger.detachedSince = time.Time{}
+			if tl.commitLedgerWrite(false) {
+				tl.newTerm()
+			}
+		},
+	}
+	// All orders of four of them, after each of which the job has ended.
+	n := len(steps)
+	for order := range n * n * n * n {
+		tl := newTestLeader(t)
+		tl.submit(jobArray("job-1", 2))
+		a, b := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-1")
+		tl.clock.Advance(20 * time.Second)
+		tl.end(a, wire.ExitError, false) // and is repeated
+		tl.end(b, wire.ExitDone, false)
+		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
+			steps[o%n](tl)
+			tl.clock.Advance(time.Second)
+		}
+		tl.commitAll()
+		again := tl.allocateAndRun("job-1")
+		tl.clock.Advance(20 * time.Second)
+		tl.end(again, wire.ExitDone, false)
+		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
+			steps[n-1-o%n](tl)
+		}
+		tl.checkAgainstTruth()
+		tl.rollUpAll()
+		tl.checkAgainstTruth()
+		if stored, _ := tl.storedCharges(); len(stored) != 3 {
+			t.Fatalf("order %d: %d attempts are charged, want 3", order, len(stored))
+		}
+		if len(tl.itemsWithPrefix(jobs.PrefixProgress))+len(tl.itemsWithPrefix(jobs.PrefixDetached)) != 0 {
+			t.Fatalf("order %d: records of a job that is over and rolled up are left", order)
+		}
+	}
+}
+
+// A change of leaders loses no seconds: when a task began is stored once it has run
+// for a while.
+func TestStartTimeSurvivesAFailover(t *testing.T) {
+	tl := newTestLeader(t)
+	tl.submit(jobArray("job-1", 1))
+	p := tl.allocate("job-1")
+	tl.commitAll()
+	tl.clock.Advance(5 * time.Second) // the image is fetched
+	tl.run(p)
+	tl.clock.Advance(tuning.BeganAfter)
+	tl.commitAll()
+	tl.newTerm()
+	tl.clock.Advance(10 * time.Second)
+	p = tl.allocations[attemptIDOf(p)]
+	tl.end(p, wire.ExitDone, false)
+	tl.checkAgainstTruth()
+	if c := tl.onlyCharge(attemptIDOf(p)); c.Run != 20_000 || c.Flags != 0 {
+		t.Errorf("charged %+v", c)
+	}
+}
--- /dev/null
+++ b/internal/accounting/ledger/limits_test.go
@@ -0,0 +1,85 @@
+package ledger
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// A job of very many tasks ends although its charges fit no transaction, and a task
+// that fails again and again does not outgrow its record.
+func TestManyChargesOfAJobFitTheStateService(t *testing.T) {
+	tl := newTestLeader(t)
+	tl.submit(jobArray("job-1", 40*tuning.ChunkTasks))
+	for tl.allocate("job-1") != nil {
+	}
+	tl.commitAll()
+	for _, p := range tl.allocations {
+		tl.attempts[attemptIDOf(p)].began = tl.now()
+	}
+	tl.heartbeat()
+	tl.clock.Advance(time.Minute)
+	for _, p := range tl.allocations {
+		tl.attempts[attemptIDOf(p)].ended, tl.attempts[attemptIDOf(p)].reason = tl.now(), wire.ExitDone
+	}
+	tl.heartbeat()
+	tl.checkAgainstTruth()
+	if _, over := tl.items[jobs.KeyFinalState("job-1")]; !over {
+		t.Fatal("the job does not end")
+	}
+	tl.submit(jobArray("job-2", 1))
+	for range 3 * tuning.DetachCharges {
+		p := tl.allocateAndRun("job-2")
+		tl.clock.Advance(time.Second)
+		tl.end(p, wire.ExitError, false)
+	}
+	tl.checkAgainstTruth()
+	tl.rollUpAll()
+	tl.checkAgainstTruth()
+	if n := len(tl.itemsWithPrefix(jobs.PrefixDetached)); n != 0 {
+		t.Errorf("%d records are left", n)
+	}
+}
+
+// A transaction stays within what the service takes when many jobs with long records end
+// at once. A leader whose write is refused as malformed gives up, and so would the next.
+func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
+	tl := newTestLeader(t)
+	tl.txnOps = 40
+	tl.newTerm()
+	for i := range 30 {
+		j := jobArray(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
+		j.Class = strings.Repeat("a long name of a class ", 8)
+		tl.submit(j)
+	}
+	for round := range 3 {
+		for i := range 30 {
+			for tl.allocate(fmt.Sprintf("job-%d", i)) != nil {
+			}
+		}
+		tl.commitAll()
+		tl.heartbeat() // what is gone from its place is no longer looked at
+		tl.clock.Advance(time.Second)
+		for _, k := range tl.sortedAttempts() {
+			tl.attempts[k].began = tl.now()
+		}
+		tl.heartbeat()
+		tl.clock.Advance(time.Minute)
+		for _, k := range tl.sortedAttempts() {
+			if tl.attempts[k].ended, tl.attempts[k].reason = tl.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
+				tl.attempts[k].reason = wire.ExitStopped
+			}
+		}
+		tl.heartbeat()
+	}
+	tl.checkAgainstTruth() // whose store refuses what is too long
+	t.Logf("the longest transaction has %d bytes", tl.longestTxnBytes)
+	if len(tl.store.Jobs) != 0 {
+		t.Errorf("%d jobs do not end", len(tl.store.Jobs))
+	}
+}
--- /dev/null
+++ b/internal/accounting/ledger/property_test.go
@@ -0,0 +1,108 @@
+package ledger
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+// The property: whatever happens, in whatever order, each attempt is charged once,
+// and the totals are the sum of the charges.
+func TestChargesAndTotalsMatchWhatRanInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		tl := newTestLeader(t)
+		next := 0
+		pick := func() *jobs.Allocation {
+			var live []*jobs.Allocation
+			for _, k := range tl.sortedAttempts() {
+				p := tl.allocations[k]
+				if tr := tl.attempts[attemptIDOf(p)]; tr != nil && tr.ended.IsZero() && !p.Removed {
+					live = append(live, p)
+				}
+			}
+			if len(live) == 0 {
+				return nil
+			}
+			return live[rapid.IntRange(0, len(live)-1).Draw(rt, "place")]
+		}
+		actions := map[string]func(*rapid.T){
+			"submit": func(rt *rapid.T) {
+				next++
+				j := jobArray(fmt.Sprintf("job-%d", next), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
+				j.Account = rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "account")
+				tl.submit(j)
+			},
+			"place": func(rt *rapid.T) {
+				for _, id := range slices.Sorted(maps.Keys(tl.store.Jobs)) {
+					for range rapid.IntRange(1, 40).Draw(rt, "count") {
+						tl.allocate(id)
+					}
+				}
+			},
+			"run": func(*rapid.T) {
+				if p := pick(); p != nil {
+					tl.run(p)
+				}
+			},
+			"finish many": func(rt *rapid.T) {
+				for range rapid.IntRange(1, 30).Draw(rt, "count") {
+					if p := pick(); p != nil {
+						tl.run(p)
+						tl.end(p, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"), false)
+					}
+				}
+			},
+			"refuse": func(*rapid.T) {
+				if p := pick(); p != nil && tl.attempts[attemptIDOf(p)].began.IsZero() {
+					tl.end(p, wire.ExitNoRoom, false)
+				}
+			},
+			"lose": func(*rapid.T) {
+				if p := pick(); p != nil {
+					tl.end(p, wire.ExitStopped, true)
+				}
+			},
+			"cancel": func(*rapid.T) {
+				for _, id := range slices.Sorted(maps.Keys(tl.store.Jobs)) {
+					tl.store.Cancel(tl.store.Jobs[id], func(wire.JobState) {})
+					return
+				}
+			},
+			"commit":        func(*rapid.T) { tl.commitBatch(true) },
+			"commit unsure": func(*rapid.T) { tl.commitBatch(false); tl.newTerm() },
+			"new leader":    func(*rapid.T) { tl.newTerm() },
+			"roll up": func(*rapid.T) {
+				tl.ledger.detachedSince = time.Time{}
+				tl.ledger.nextCompactCheck = time.Time{}
+				tl.commitLedgerWrite(true)
+			},
+			"roll up unsure": func(*rapid.T) {
+				if tl.ledger.detachedSince = (time.Time{}); tl.commitLedgerWrite(false) {
+					tl.newTerm()
+				}
+			},
+			"seconds": func(rt *rapid.T) {
+				tl.clock.Advance(time.Duration(rapid.IntRange(1, 90_000).Draw(rt, "ms")) * time.Millisecond)
+			},
+			"hours": func(rt *rapid.T) {
+				tl.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
+				tl.ledger.Tick(tl.now())
+				tl.commitAll() // the book writes what is due within seconds
+			},
+			"": func(*rapid.T) {},
+		}
+		rt.Repeat(actions)
+		tl.checkAgainstTruth()
+		tl.rollUpAll()
+		tl.checkAgainstTruth()
+		tl.newTerm()
+		tl.checkAgainstTruth()
+	})
+}
--- /dev/null
+++ b/internal/accounting/ledger/testleader_test.go
@@ -0,0 +1,149 @@
+package ledger
+
+import (
+	"encoding/json"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+)
+
+func jobArray(id string, tasks int) wire.Job {
+	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
+}
+
+// testLeader is a leader's book and ledger over a store in memory, with workers that the
+// test drives. It knows when each attempt really ran.
+type testLeader struct {
+	t        testing.TB
+	clock    *clockwork.FakeClock
+	items    map[string]wire.Item
+	revision uint64
+	txnOps   int
+	settings *budget.Settings
+
+	store           *jobs.Store
+	ledger          *Ledger
+	allocations     map[attemptID]*jobs.Allocation // as the present leader knows them
+	attempts        map[attemptID]*attemptTruth
+	writtenChanges  int // put and deleted so far
+	longestTxnBytes int // bytes of a transaction
+}
+
+var (
+	smallType = wire.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.8, SpotPrice: 0.4}
+	testStart = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+)
+
+func newTestLeader(t testing.TB) *testLeader {
+	tl := &testLeader{
+		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, txnOps: 12, settings: &budget.Settings{},
+		attempts: map[attemptID]*attemptTruth{},
+	}
+	tl.newTerm()
+	return tl
+}
+
+func (tl *testLeader) now() time.Time { return tl.clock.Now() }
+
+// newTerm begins with a new leader, which knows what is stored and hears from the workers.
+func (tl *testLeader) newTerm() {
+	tl.t.Helper()
+	now := tl.now()
+	tl.store, tl.allocations = jobs.NewStore(tl.txnOps), map[attemptID]*jobs.Allocation{}
+	var err error
+	if tl.ledger, err = New(Config{
+		Clock: tl.clock, MaxTxnOps: tl.txnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
+		Budgets: func() *budget.Settings { return tl.settings },
+	}, slog.New(slog.DiscardHandler)); err != nil {
+		tl.t.Fatal(err)
+	}
+	for _, item := range tl.itemsWithPrefix(jobs.PrefixJob) {
+		if _, err := tl.store.LoadJob(item, now, now); err != nil {
+			tl.t.Fatal(err)
+		}
+	}
+	for _, item := range tl.itemsWithPrefix(jobs.PrefixProgress) {
+		places, err := tl.store.LoadProgress(item, now)
+		if err != nil {
+			tl.t.Fatal(err)
+		}
+		for _, p := range places {
+			tl.allocations[attemptIDOf(p)] = p
+			if p.Job.Cancelled() {
+				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
+			}
+		}
+	}
+	for _, item := range tl.itemsWithPrefix(jobs.PrefixDetached) {
+		tl.store.LoadDetached(item)
+	}
+	tl.store.FinishLoading()
+	if errs := tl.store.TakeDamaged(); len(errs) > 0 {
+		tl.t.Fatal(errs)
+	}
+	tl.ledger.Loaded(tl.store, now)
+	var last *wire.Item
+	if segments := tl.itemsWithPrefix(PrefixSegment); len(segments) > 0 {
+		last = &segments[len(segments)-1]
+	}
+	if err := tl.ledger.load(tl.itemsWithPrefix(PrefixPage), last); err != nil {
+		tl.t.Fatal(err)
+	}
+	tl.heartbeat()
+}
+
+// submit stores a job.
+func (tl *testLeader) submit(j wire.Job) *jobs.Job {
+	tl.t.Helper()
+	if j.Team == "" {
+		j.Team = "t"
+	}
+	if j.CPUs == 0 {
+		j.CPUs, j.MemoryGB = 2, 8
+	}
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: tl.now().UnixMilli()})
+	if err != nil {
+		tl.t.Fatal(err)
+	}
+	tl.apply(wire.Txn{If: []wire.Condition{{Key: jobs.KeyFinalState(j.ID)}}, Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
+	out, err := tl.store.LoadJob(tl.items[jobs.KeyJob(j.ID)], tl.now(), tl.now())
+	if err != nil {
+		tl.t.Fatal(err)
+	}
+	return out
+}
+
+// allocate decides on the next waiting task of a job; nil: none waits.
+func (tl *testLeader) allocate(id string) *jobs.Allocation {
+	j := tl.store.Jobs[id]
+	if j == nil || !j.CanStart() {
+		return nil
+	}
+	i := j.NextWaiting(0)
+	if n, _ := tl.ledger.Admit(j, tl.now()); i < 0 || n <= 0 {
+		return nil
+	}
+	p := tl.store.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, tl.now())
+	tl.ledger.Placed(p, false, &smallType, tl.now())
+	return p
+}
+
+// allocateAndRun places a task, stores that and has it run.
+func (tl *testLeader) allocateAndRun(id string) *jobs.Allocation {
+	tl.t.Helper()
+	p := tl.allocate(id)
+	if p == nil {
+		tl.t.Fatalf("nothing of %s may start", id)
+	}
+	tl.commitAll()
+	tl.clock.Advance(time.Second) // the image is fetched
+	tl.run(p)
+	return p
+}
--- /dev/null
+++ b/internal/accounting/ledger/teststore_test.go
@@ -0,0 +1,129 @@
+package ledger
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+)
+
+// apply does what the state service does with a transaction; every condition must
+// hold, since only one leader writes.
+func (tl *testLeader) apply(txn wire.Txn) uint64 {
+	for _, c := range txn.If {
+		if tl.items[c.Key].Version != c.Version {
+			tl.t.Fatalf("condition on %s: version %d, want %d", c.Key, tl.items[c.Key].Version, c.Version)
+		}
+	}
+	if len(txn.Then) > tl.txnOps || len(txn.If) >= 4*tl.txnOps {
+		tl.t.Fatalf("a transaction has %d changes and %d conditions", len(txn.Then), len(txn.If))
+	}
+	tl.revision++
+	tl.writtenChanges += len(txn.Then)
+	raw := wire.EncodeRecord(txn)
+	if tl.longestTxnBytes = max(tl.longestTxnBytes, len(raw)); len(raw) > 64<<10 {
+		tl.t.Fatalf("a transaction has %d bytes", len(raw))
+	}
+	for _, c := range txn.Then {
+		if c.Delete != "" {
+			delete(tl.items, c.Delete)
+			continue
+		}
+		if len(c.Value) > 16<<10 {
+			tl.t.Fatalf("%s has %d bytes", c.Put, len(c.Value))
+		}
+		tl.items[c.Put] = wire.Item{Key: c.Put, Value: c.Value, Version: tl.revision}
+	}
+	return tl.revision
+}
+
+func (tl *testLeader) itemsWithPrefix(prefix string) []wire.Item {
+	var out []wire.Item
+	for _, key := range slices.Sorted(maps.Keys(tl.items)) {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, tl.items[key])
+		}
+	}
+	return out
+}
+
+// commitBatch stores one of the book's transactions, and tells whether there was one.
+func (tl *testLeader) commitBatch(answered bool) bool {
+	tl.store.WriteDue(tl.now())
+	batch := tl.store.NextBatch(tl.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
+	if batch == nil {
+		return false
+	}
+	revision := tl.apply(batch.Txn)
+	for _, j := range tl.store.Jobs {
+		for i := range j.Tasks {
+			if p := j.Tasks[i].Allocation; p != nil {
+				tl.allocations[attemptIDOf(p)] = p
+			}
+		}
+	}
+	// What is stored is started, even if this leader never learns of it.
+	for _, item := range tl.itemsWithPrefix(jobs.PrefixProgress) {
+		tl.noteStarted(item)
+	}
+	if answered {
+		tl.store.MarkCommitted(batch, revision)
+	}
+	return true
+}
+
+// noteStarted notes the attempts that a progress record names: they are on their machine.
+func (tl *testLeader) noteStarted(item wire.Item) {
+	var r struct {
+		Tasks []struct {
+			I int
+			A uint64
+			M string
+		} `json:"t"`
+	}
+	if err := json.Unmarshal(item.Value, &r); err != nil {
+		tl.t.Fatal(err)
+	}
+	id := strings.Split(item.Key, "/")[1]
+	for _, e := range r.Tasks {
+		if k := (attemptID{id, e.I, e.A}); e.M != "" && tl.attempts[k] == nil {
+			tl.attempts[k] = &attemptTruth{}
+		}
+	}
+}
+
+// commitAll stores all that waits.
+func (tl *testLeader) commitAll() {
+	for tl.commitBatch(true) {
+	}
+}
+
+// commitLedgerWrite does one of the ledger's own transactions.
+func (tl *testLeader) commitLedgerWrite(answered bool) bool {
+	tl.ledger.Tick(tl.now())
+	var write *leader.SubsystemWrite
+	if write = tl.ledger.NextWrite(tl.now(), 1000); write == nil {
+		return false
+	}
+	if revision := tl.apply(write.Txn); answered {
+		write.Done(revision)
+	}
+	return true
+}
+
+// rollUpAll rolls up all there is.
+func (tl *testLeader) rollUpAll() {
+	tl.commitAll()
+	tl.ledger.Tick(tl.now())
+	for {
+		tl.ledger.detachedSince = time.Time{} // what lies apart lies there for long
+		if !tl.commitLedgerWrite(true) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/accounting/ledger/verify_test.go
@@ -0,0 +1,116 @@
+package ledger
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/sim/fakes"
+)
+
+// Verification finds what is wrong, and says so: a total that was changed, a charge that
+// is there twice, a segment that is missing or damaged.
+func TestVerifyNamesEachDiscrepancy(t *testing.T) {
+	tl := newTestLeader(t)
+	for i := range 60 {
+		j := jobArray(fmt.Sprintf("job-%d", i), 1)
+		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
+		tl.submit(j)
+		p := tl.allocateAndRun(j.ID)
+		tl.clock.Advance(13 * time.Hour) // so that there are parts
+		tl.ledger.Tick(tl.now())
+		tl.end(tl.allocations[attemptIDOf(p)], wire.ExitDone, false)
+		if i == 30 {
+			tl.rollUpAll()
+			tl.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
+		}
+	}
+	tl.rollUpAll()
+	codec := tl.ledger.codec
+	verify := func(items map[string]wire.Item) *Verification {
+		t.Helper()
+		state := fakes.NewStore(tl.clock)
+		defer state.Close()
+		store := statestore.New(state.Addr(), 1e6, 1e6)
+		for key, item := range items {
+			if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: key, Value: item.Value}}}); err != nil {
+				t.Fatal(err)
+			}
+		}
+		r, err := NewReader(store)
+		if err != nil {
+			t.Fatal(err)
+		}
+		f, err := r.Verify(t.Context(), time.UTC)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return f
+	}
+	if f := verify(tl.items); len(f.Discrepancies) != 0 || f.Jobs != 60 || f.Charges < 60 {
+		t.Fatalf("found %+v", f)
+	}
+	segment := tl.itemsWithPrefix(PrefixSegment)[0]
+	for _, c := range []struct {
+		name, want string
+		change     func(map[string]wire.Item)
+	}{
+		{"a total", "total of", func(items map[string]wire.Item) {
+			item := tl.itemsWithPrefix(PrefixPage)[0]
+			rows, err := ReadPage(codec, item)
+			if err != nil {
+				t.Fatal(err)
+			}
+			rows[0].Sum.Money++
+			item.Value = pageValue(codec, rows)
+			items[item.Key] = item
+		}},
+		{"a charge twice", "is charged twice", func(items map[string]wire.Item) {
+			packs, err := ReadSegment(codec, segment)
+			if err != nil {
+				t.Fatal(err)
+			}
+			item := segment
+			item.Value = segmentValue(codec, append(packs, packs[0]))
+			items[item.Key] = item
+		}},
+		{"a part", "do not follow each other", func(items map[string]wire.Item) {
+			packs, err := ReadSegment(codec, segment)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for i := range packs {
+				for k := range packs[i].Charges {
+					if packs[i].Charges[k].Part == 1 {
+						packs[i].Charges[k].Start += 1000
+					}
+				}
+			}
+			item := segment
+			item.Value = segmentValue(codec, packs)
+			items[item.Key] = item
+		}},
+		{"a segment", "is not the one that follows", func(items map[string]wire.Item) { delete(items, segment.Key) }},
+		{"a flipped bit", "damaged", func(items map[string]wire.Item) {
+			item := segment
+			item.Value = slices.Clone(item.Value)
+			at := len(item.Value) / 2
+			if item.Value[at]++; item.Value[at] > 'z' || item.Value[at] < 'A' {
+				item.Value[at] = 'A'
+			}
+			items[item.Key] = item
+		}},
+	} {
+		items := maps.Clone(tl.items)
+		c.change(items)
+		if f := verify(items); len(f.Discrepancies) == 0 || !slices.ContainsFunc(f.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
+			t.Errorf("%s: found %v", c.name, f.Discrepancies)
+		}
+	}
+}
