--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -133,7 +133,7 @@
 	first := dag.Ref{Step: 0, Index: 0}
 	run.Submitted(first)
 	run.Running(first, formatStart)
-	if err := run.Push(0, json.RawMessage(`{"a":1}`)); err != nil {
+	if err := run.SetResult(0, json.RawMessage(`{"a":1}`)); err != nil {
 		t.Fatal(err)
 	}
 	tries := []runner.Try{
--- a/internal/graphs/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -254,7 +254,7 @@
 		return nil, err
 	}
 	onlyFailed := c.OnlyFailed == nil || *c.OnlyFailed
-	chosen, err := v.Run.Chosen(c.Steps, c.Down, onlyFailed)
+	chosen, err := v.Run.StepsToClear(c.Steps, c.Down, onlyFailed)
 	if err != nil {
 		return nil, badRequest("%s", err)
 	}
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Cancels returns the jobs that are to be cancelled, since it was last asked.
-func (r *Run) Cancels() []string {
+// TakeCancellations returns the jobs that are to be cancelled, since it was last asked.
+func (r *Run) TakeCancellations() []string {
 	out := r.cancels
 	r.cancels = nil
 	return out
@@ -27,8 +27,8 @@
 	}
 }
 
-// Withdrawn records that an instance's job could not be stored.
-func (r *Run) Withdrawn(at Ref) {
+// SubmissionFailed records that an instance's job could not be stored.
+func (r *Run) SubmissionFailed(at Ref) {
 	if x := r.instance(at); x != nil && x.State == Queued {
 		x.State = Scheduled
 		r.follow(at.Step)
@@ -71,8 +71,8 @@
 	r.cancels = append(r.cancels, r.JobID(at))
 }
 
-// Ending returns the jobs that are being cancelled, for a new leader.
-func (r *Run) Ending() (jobs []string) {
+// JobsBeingCancelled returns the jobs that are being cancelled, for a new leader.
+func (r *Run) JobsBeingCancelled() (jobs []string) {
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
@@ -84,9 +84,9 @@
 	return jobs
 }
 
-// Late fails an instance whose present try has run for longer than it may, and reports
+// TimeOut fails an instance whose present try has run for longer than it may, and reports
 // whether that is so.
-func (r *Run) Late(at Ref, now time.Time) bool {
+func (r *Run) TimeOut(at Ref, now time.Time) bool {
 	x, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
 	if x == nil || limit == 0 || x.State != Running || x.Ending || now.Before(x.Begun.Add(limit)) {
 		return false
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// Gone records that an instance's job was cancelled by somebody: it has failed.
-func (r *Run) Gone(at Ref) { r.over(at, Failed) }
+// JobCancelled records that an instance's job was cancelled by somebody: it has failed.
+func (r *Run) JobCancelled(at Ref) { r.over(at, Failed) }
 
 // over ends an instance, and the step with its last one.
 func (r *Run) over(at Ref, s State) {
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -8,8 +8,8 @@
 // Orphans returns the jobs of earlier generations that are not over.
 func (r *Run) Orphans() []string { return r.orphans }
 
-// Parted records that a job of an earlier generation is over.
-func (r *Run) Parted(id string) {
+// OrphanFinished records that a job of an earlier generation is over.
+func (r *Run) OrphanFinished(id string) {
 	r.orphans = slices.DeleteFunc(r.orphans, func(o string) bool { return o == id })
 }
 
@@ -48,10 +48,10 @@
 	r.recount()
 }
 
-// Chosen returns the steps that a clear would have run again: those named, or all if none is,
+// StepsToClear returns the steps that a clear would have run again: those named, or all if none is,
 // of these only what has failed if that is wanted, and with below all that follow them. They
 // come in the plan's order.
-func (r *Run) Chosen(names []string, below, onlyFailed bool) ([]int, error) {
+func (r *Run) StepsToClear(names []string, below, onlyFailed bool) ([]int, error) {
 	var queue []int
 	for _, name := range names {
 		i, ok := r.Plan.Index[name]
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -4,15 +4,15 @@
 	"container/heap"
 )
 
-// Waits reports whether an instance is ready and not submitted.
-func (r *Run) Waits(at Ref) bool {
+// IsReady reports whether an instance is ready and not submitted.
+func (r *Run) IsReady(at Ref) bool {
 	x := r.instance(at)
 	return x != nil && x.State == Scheduled && !r.stopped
 }
 
-// Holds reports whether an instance waits, and its job has this id: it was neither
+// IsReadyAs reports whether an instance waits, and its job has this id: it was neither
 // cleared nor cancelled since that was worked out.
-func (r *Run) Holds(at Ref, id string) bool { return r.Waits(at) && r.JobID(at) == id }
+func (r *Run) IsReadyAs(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
 
 // Next returns up to n instances that are ready, those of the greatest weight first, then
 // in the order in which they became ready. Whoever takes them submits their jobs, and says
@@ -21,7 +21,7 @@
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
 		at := heap.Pop(&r.ready).(readyRef).Ref
-		if r.Waits(at) {
+		if r.IsReady(at) {
 			out = append(out, at)
 		}
 	}
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -101,9 +101,9 @@
 // Result is what a step left for those that follow; nil: nothing yet.
 func (r *Run) Result(step int) json.RawMessage { return r.nodes[step].result }
 
-// Push records what a step leaves for those that follow, before its job is done. The
+// SetResult records what a step leaves for those that follow, before its job is done. The
 // newest counts.
-func (r *Run) Push(step int, result json.RawMessage) error {
+func (r *Run) SetResult(step int, result json.RawMessage) error {
 	n, s := &r.nodes[step], &r.Plan.Steps[step]
 	switch {
 	case s.Map != nil || s.Kind == KindEmpty:
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -49,7 +49,7 @@
 // done has a step leave a result and end.
 func (r *Run) done(at Ref, result json.RawMessage) error {
 	if result != nil && r.Plan.Steps[at.Step].Map == nil {
-		if err := r.Push(at.Step, result); err != nil {
+		if err := r.SetResult(at.Step, result); err != nil {
 			return err
 		}
 	}
@@ -58,7 +58,7 @@
 
 // clear has a step and what follows it go again.
 func (r *Run) clear(t interface{ Fatal(...any) }, id string) {
-	steps, err := r.Chosen([]string{id}, true, false)
+	steps, err := r.StepsToClear([]string{id}, true, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,15 +79,15 @@
 	}
 	r.start(noon)
 	r.Failure(r.at("middle"), noon, 0)
-	if s, x := r.State(1); s != UpForRetry || !x[0].Hold.Equal(noon.Add(time.Minute)) || len(r.Next(9)) != 0 || len(r.Cancels()) != 0 {
+	if s, x := r.State(1); s != UpForRetry || !x[0].Hold.Equal(noon.Add(time.Minute)) || len(r.Next(9)) != 0 || len(r.TakeCancellations()) != 0 {
 		t.Fatalf("after the first failure: %v, %+v", s, x)
 	}
 	r.Running(r.at("middle"), noon.Add(time.Minute))
 	r.Failure(r.at("middle"), noon.Add(2*time.Minute), 0)
-	if c := r.Cancels(); len(c) != 1 || c[0] != r.JobID(r.at("middle")) {
+	if c := r.TakeCancellations(); len(c) != 1 || c[0] != r.JobID(r.at("middle")) {
 		t.Errorf("cancels %v", c)
 	}
-	r.Gone(r.at("middle"))
+	r.JobCancelled(r.at("middle"))
 	if got := r.states(); got["middle"] != "failed" || got["last"] != "upstream_failed" || got["cleanup"] != "scheduled" {
 		t.Errorf("states %v", got)
 	}
@@ -140,17 +140,17 @@
 	}
 	_ = r.Done(refs[0]) // it has no result
 	for k, at := range refs {
-		if r.Late(at, noon.Add(time.Minute)) {
+		if r.TimeOut(at, noon.Add(time.Minute)) {
 			t.Error("late after a minute")
 		}
-		if late := r.Late(at, noon.Add(time.Hour)); late != (k > 0) || r.Late(at, noon.Add(time.Hour)) {
+		if late := r.TimeOut(at, noon.Add(time.Hour)); late != (k > 0) || r.TimeOut(at, noon.Add(time.Hour)) {
 			t.Errorf("instance %d after an hour: late is %v", k, late)
 		}
 	}
-	if n := len(r.Cancels()); n != 2 || len(r.Ending()) != 2 {
+	if n := len(r.TakeCancellations()); n != 2 || len(r.JobsBeingCancelled()) != 2 {
 		t.Errorf("%d jobs are cancelled", n)
 	}
-	r.Gone(refs[1])
+	r.JobCancelled(refs[1])
 	_ = r.Done(refs[2]) // it was done before its cancellation was stored
 	if got := r.states(); got["mapped"] != "failed" || got["last"] != "scheduled" {
 		t.Errorf("after the timeout: %v", got)
@@ -173,7 +173,7 @@
 	r := NewRun(plan(t, steps...), "run")
 	r.start(noon)
 	r.Failure(r.at("s0"), noon, 0)
-	r.Gone(r.at("s0"))
+	r.JobCancelled(r.at("s0"))
 	if r.RunState() != RunFailed || r.states()["s9999"] != "upstream_failed" {
 		t.Error("the chain is not passed over")
 	}
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -109,7 +109,7 @@
 	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatch {
 		p := d.queue[0]
 		d.queue = d.queue[1:]
-		if !p.run.run.Holds(p.at, p.id) {
+		if !p.run.run.IsReadyAs(p.at, p.id) {
 			g.release(p.run, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
@@ -174,8 +174,8 @@
 		if why := refused[i]; why != nil {
 			g.log.Error("a step has failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
 			g.release(p.run, p.at.Step)
-			if p.run.run.Holds(p.at, p.id) {
-				p.run.run.Gone(p.at)
+			if p.run.run.IsReadyAs(p.at, p.id) {
+				p.run.run.JobCancelled(p.at)
 				g.dirty(p.run)
 			}
 			continue
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -184,13 +184,13 @@
 	}
 	g.dirty(x)
 	if !w.current() {
-		x.run.Parted(id)
+		x.run.OrphanFinished(id)
 		return
 	}
 	end := dag.Success
 	if state != wire.StateDone {
 		end = dag.Failed
-		x.run.Gone(w.at)
+		x.run.JobCancelled(w.at)
 	} else if err := x.run.Done(w.at); err != nil {
 		end = dag.Failed
 		g.log.Info("a step has failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
@@ -209,7 +209,7 @@
 
 // cancel cancels the jobs that a run has no use for any more.
 func (g *Graphs) cancel(x *live) {
-	for _, id := range x.run.Cancels() {
+	for _, id := range x.run.TakeCancellations() {
 		g.cancels[id] = struct{}{}
 	}
 	g.cancelNow()
@@ -262,7 +262,7 @@
 		}
 	}
 	for _, w := range g.timed {
-		if w.current() && w.run.run.Late(w.at, now) {
+		if w.current() && w.run.run.TimeOut(w.at, now) {
 			g.dirty(w.run)
 			g.cancel(w.run)
 		}
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -60,7 +60,7 @@
 			}
 		}
 		for _, x := range l.runs {
-			for _, id := range x.run.Ending() { // what a former leader was about to cancel
+			for _, id := range x.run.JobsBeingCancelled() { // what a former leader was about to cancel
 				g.cancels[id] = struct{}{}
 			}
 			if x.run.RunState() != dag.RunRunning && x.active == 0 {
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -180,7 +180,7 @@
 
 // clear has steps of a run go again.
 func (g *Graphs) clear(x *live, o *Order, tell answer) {
-	steps, err := x.run.Chosen(o.Steps, o.Below, o.OnlyFailed)
+	steps, err := x.run.StepsToClear(o.Steps, o.Below, o.OnlyFailed)
 	if err != nil {
 		tell.refuse(http.StatusBadRequest, "%s", err)
 		return
@@ -213,7 +213,7 @@
 		tell.refuse(http.StatusNotFound, "no such step")
 		return
 	}
-	if err := x.run.Push(i, o.Result); err != nil {
+	if err := x.run.SetResult(i, o.Result); err != nil {
 		tell.refuse(http.StatusConflict, "%s", err)
 		return
 	}
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -41,7 +41,7 @@
 	x.waits = nil
 	for _, at := range waits {
 		switch {
-		case !x.run.Waits(at):
+		case !x.run.IsReady(at):
 		case !g.pastDone(x, at.Step):
 			x.waits = append(x.waits, at)
 		default:
@@ -49,8 +49,8 @@
 		}
 	}
 	for p, refs := range x.held {
-		for len(refs) > 0 && free() && (!x.run.Waits(refs[0]) || p.fits(x, refs[0].Step)) {
-			if x.run.Waits(refs[0]) {
+		for len(refs) > 0 && free() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
+			if x.run.IsReady(refs[0]) {
 				take(refs[0])
 			}
 			refs = refs[1:]
@@ -156,7 +156,7 @@
 	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
-		if !x.run.Holds(p.at, p.id) {
+		if !x.run.IsReadyAs(p.at, p.id) {
 			g.release(x, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
@@ -164,7 +164,7 @@
 		if err != nil || len(value) > b.value {
 			g.log.Error("a step cannot be submitted", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
 			g.release(x, p.at.Step)
-			x.run.Gone(p.at)
+			x.run.JobCancelled(p.at)
 			continue
 		}
 		x.run.Submitted(p.at)
@@ -251,15 +251,15 @@
 	delete(g.young, p.id)
 	if orphan { // it was cleared meanwhile
 		x.active--
-		x.run.Parted(p.id)
+		x.run.OrphanFinished(p.id)
 		return
 	}
 	g.release(x, p.at.Step)
 	if alone {
 		g.log.Error("a step's job cannot be stored: there is one of its id", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
-		x.run.Gone(p.at)
+		x.run.JobCancelled(p.at)
 		return
 	}
 	x.suspect = true
-	x.run.Withdrawn(p.at)
+	x.run.SubmissionFailed(p.at)
 }
