--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -77,7 +77,7 @@
 			begin()
 		}
 		for id := range w.graphs.byJob {
-			w.graphs.over(id, wire.StateDone, w.clock.Now())
+			w.graphs.jobFinished(id, wire.StateDone, w.clock.Now())
 			break
 		}
 		next()
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -15,44 +15,44 @@
 
 // graph is a graph that a team registered.
 type graph struct {
-	rec     GraphRecord
-	key     string
-	version uint64
-	dirty   bool
-	told    []func() // once it is stored
-	gone    bool     // it is being dropped
+	rec      GraphRecord
+	key      string
+	version  uint64
+	dirty    bool
+	onStored []func() // once it is stored
+	deleting bool     // it is being dropped
 
-	sched   *dag.Schedule
-	last    time.Time // end of the newest interval that has a run
-	dueAt   time.Time // no run is due before
-	past    bool      // it has steps that depend on the run before
-	history []*entry  // its runs, by logical date
-	line    line      // runs that wait until fewer steps are submitted
-	active  int       // instances of steps that are submitted and not over
-	started int       // live runs that go on
+	sched             *dag.Schedule
+	last              time.Time // end of the newest interval that has a run
+	dueAt             time.Time // no run is due before
+	hasPastDependents bool      // it has steps that depend on the run before
+	history           []*entry  // its runs, by logical date
+	line              waitLine  // runs that wait until fewer steps are submitted
+	active            int       // instances of steps that are submitted and not over
+	started           int       // live runs that go on
 }
 
 // entry is a run of a graph, live or over.
 type entry struct {
-	key     string
-	id      string
-	logical int64
-	due     bool // it covers an interval, which has one run
-	def     string
-	live    *live           // nil: it is over, and stored
-	failed  map[string]bool // of one that is over: steps that depend on the past and did not end well
-	doomed  bool            // its records are being dropped
+	key      string
+	id       string
+	logical  int64
+	due      bool // it covers an interval, which has one run
+	def      string
+	live     *liveRun        // nil: it is over, and stored
+	failed   map[string]bool // of one that is over: steps that depend on the past and did not end well
+	deleting bool            // its records are being dropped
 }
 
-// answer tells whoever gave a command. A status of 400 and more comes with a reason.
-type answer func(status int, body any)
+// responder tells whoever gave a command. A status of 400 and more comes with a reason.
+type responder func(status int, body any)
 
-func (a answer) refuse(status int, format string, args ...any) {
+func (a responder) refuse(status int, format string, args ...any) {
 	a(status, wire.Error{Error: fmt.Sprintf(format, args...)})
 }
 
 // register has a graph refer to a definition from now on. Runs that go on keep theirs.
-func (g *Graphs) register(o *Order, p *dag.Plan, tell answer) {
+func (g *Graphs) register(o *Order, p *dag.Plan, tell responder) {
 	if p.Team != o.Team || p.ID != o.Graph {
 		tell.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
 		return
@@ -64,7 +64,7 @@
 	case len(key) > tuning.MaxKey:
 		tell.refuse(http.StatusBadRequest, "the graph's name is too long")
 		return
-	case gr != nil && gr.gone:
+	case gr != nil && gr.deleting:
 		tell.refuse(http.StatusConflict, "the graph is being dropped; ask again")
 		return
 	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
@@ -75,7 +75,7 @@
 		g.graphs[key] = gr
 		status = http.StatusCreated
 	default:
-		g.unrefer(gr.rec.Def)
+		g.releaseDefinition(gr.rec.Def)
 	}
 	paused := gr.rec.Paused
 	if o.Paused != nil {
@@ -96,20 +96,20 @@
 	}
 	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Zone) // it was checked
 	gr.dueAt = time.Time{}
-	gr.past = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
+	gr.hasPastDependents = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
 }
 
 func (g *Graphs) storeGraph(gr *graph, told func()) {
 	gr.dirty = true
 	if told != nil {
-		gr.told = append(gr.told, told)
+		gr.onStored = append(gr.onStored, told)
 	}
 }
 
 // storeGraphs puts graphs that changed into a transaction.
 func (g *Graphs) storeGraphs(b *batch) {
 	for _, gr := range g.graphs {
-		if !gr.dirty || gr.gone {
+		if !gr.dirty || gr.deleting {
 			continue
 		}
 		value, err := json.Marshal(gr.rec)
@@ -121,8 +121,8 @@
 		if !b.fits(1, len(value)) {
 			return
 		}
-		told := gr.told
-		gr.dirty, gr.told = false, nil
+		told := gr.onStored
+		gr.dirty, gr.onStored = false, nil
 		b.put(gr.key, gr.version, value)
 		b.done = append(b.done, func(revision uint64) {
 			gr.version = revision
@@ -130,12 +130,12 @@
 				fn()
 			}
 		})
-		b.undo = append(b.undo, func() { gr.dirty, gr.told = true, append(told, gr.told...) })
+		b.undo = append(b.undo, func() { gr.dirty, gr.onStored = true, append(told, gr.onStored...) })
 	}
 }
 
 // pause stops a graph's steps from being submitted and its schedule, or has both go on.
-func (g *Graphs) pause(gr *graph, paused bool, tell answer) {
+func (g *Graphs) pause(gr *graph, paused bool, tell responder) {
 	if gr.rec.Paused != paused {
 		gr.rec.Paused = paused
 		gr.touchAll(g)
@@ -147,27 +147,27 @@
 func (gr *graph) touchAll(g *Graphs) {
 	for _, e := range gr.history {
 		if e.live != nil {
-			g.touch(e.live)
+			g.enqueueRun(e.live)
 		}
 	}
 }
 
 // remove drops a graph and its runs, if none of them is live.
-func (g *Graphs) remove(gr *graph, tell answer) {
+func (g *Graphs) remove(gr *graph, tell responder) {
 	if slices.ContainsFunc(gr.history, func(e *entry) bool { return e.live != nil }) {
 		tell.refuse(http.StatusConflict, "runs of the graph are not over; cancel them first")
 		return
 	}
-	gr.gone = true
+	gr.deleting = true
 	for _, e := range gr.history {
-		if !e.doomed {
-			g.doom(gr, e, nil)
+		if !e.deleting {
+			g.deleteRun(gr, e, nil)
 		}
 	}
 	// Its own record goes last: whoever leads next would not find its runs otherwise.
-	g.drop(func() {
+	g.enqueueDeletions(func() {
 		delete(g.graphs, gr.key)
-		g.unrefer(gr.rec.Def)
+		g.releaseDefinition(gr.rec.Def)
 		tell(http.StatusNoContent, struct{}{})
 	}, gr.key)
 }
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -17,8 +17,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// def is a definition: a graph as it was uploaded, under the hash of what it says.
-type def struct {
+// definition is a definition: a graph as it was uploaded, under the hash of what it says.
+type definition struct {
 	plan   *dag.Plan // nil: it is stored, and nothing needed it yet
 	packed []byte    // its stored form, while a new leader reads
 	parts  int       // records
@@ -27,7 +27,7 @@
 }
 
 // put registers a graph whose definition is stored, or another definition of it.
-func (g *Graphs) put(o *Order, tell answer) {
+func (g *Graphs) put(o *Order, tell responder) {
 	if d := g.defs[o.Def]; d != nil && d.plan != nil {
 		g.register(o, d.plan, tell)
 		return
@@ -36,22 +36,22 @@
 		tell.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphParts)
 		return
 	}
-	if g.fetch != "" || g.dropping(o.Def) {
+	if g.fetching != "" || g.dropping(o.Def) {
 		tell.refuse(http.StatusServiceUnavailable, "another graph is being read, or this one's old parts go; ask again")
 		return
 	}
-	g.fetch = o.Def
+	g.fetching = o.Def
 	go func() {
 		plan, err := fetch(g.ended, g.store, o.Def, o.Parts)
 		if err == nil {
 			err = g.examine(plan)
 		}
 		_ = g.ask(func() { // fails when the leadership is over, and with it whoever waits
-			g.fetch = ""
+			g.fetching = ""
 			var bad *badGraph
 			switch {
 			case errors.As(err, &bad):
-				g.spoilt(o.Def, o.Parts)
+				g.deleteInvalid(o.Def, o.Parts)
 				tell.refuse(http.StatusBadRequest, "%s", bad.text)
 			case errors.Is(err, errParts):
 				tell.refuse(http.StatusConflict, "a part of the graph is not stored; upload it again")
@@ -68,7 +68,7 @@
 // learn keeps the plan of a definition.
 func (g *Graphs) learn(hash string, parts int, p *dag.Plan) {
 	if g.defs[hash] == nil {
-		g.defs[hash] = &def{parts: parts}
+		g.defs[hash] = &definition{parts: parts}
 	}
 	if d := g.defs[hash]; d.plan == nil {
 		d.plan = p
@@ -79,14 +79,14 @@
 // dropping reports whether parts of a definition are about to go: it must not be referred to then.
 func (g *Graphs) dropping(hash string) bool {
 	prefix := PrefixDef + hash + "/"
-	return slices.ContainsFunc(g.drops, func(d drop) bool { return strings.HasPrefix(d.key, prefix) })
+	return slices.ContainsFunc(g.deletions, func(d deletion) bool { return strings.HasPrefix(d.key, prefix) })
 }
 
 // sweep looks for definitions that were uploaded and never registered: they go like others
 // that nothing refers to.
 func (g *Graphs) sweep() {
 	go func() {
-		defs, have := map[string]*def{}, map[string]int{}
+		defs, have := map[string]*definition{}, map[string]int{}
 		_, err := g.store.ListAll(g.ended, PrefixDef, func(items []wire.Item) error {
 			gather(defs, have, items)
 			for _, d := range defs {
@@ -101,21 +101,21 @@
 		_ = g.ask(func() { // fails when the leadership is over
 			for hash, d := range defs {
 				if g.defs[hash] == nil && !g.dropping(hash) {
-					g.defs[hash] = &def{parts: max(d.parts, have[hash])}
+					g.defs[hash] = &definition{parts: max(d.parts, have[hash])}
 				}
 			}
 		})
 	}()
 }
 
-// spoilt drops a definition that is not what its name says, or no graph that could run:
+// deleteInvalid drops a definition that is not what its name says, or no graph that could run:
 // one that cannot be read must not block a good one.
-func (g *Graphs) spoilt(hash string, parts int) {
+func (g *Graphs) deleteInvalid(hash string, parts int) {
 	if d := g.defs[hash]; d != nil && (d.plan != nil || d.refs > 0) {
 		return
 	}
 	delete(g.defs, hash)
-	g.drop(nil, partKeys(hash, parts)...)
+	g.enqueueDeletions(nil, partKeys(hash, parts)...)
 }
 
 // badGraph is a definition that can never be registered.
@@ -189,7 +189,7 @@
 	return what + ", and the service knows nowhere to have its steps described (graphs.descriptions)"
 }
 
-func (g *Graphs) unrefer(hash string) {
+func (g *Graphs) releaseDefinition(hash string) {
 	if d := g.defs[hash]; d != nil {
 		d.refs--
 	}
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -50,7 +50,7 @@
 	r, m := dag.NewRun(p, id), &meta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		if s.Job == nil || unforeseen(p, i) {
+		if s.Job == nil || mappedAtRunTime(p, i) {
 			continue
 		}
 		n := 1
@@ -93,7 +93,7 @@
 
 // describer has steps described, one call at a time.
 type describer struct {
-	queue []pick
+	queue []pickedStep
 	busy  bool
 	pause time.Duration // after a call that failed
 }
@@ -104,13 +104,13 @@
 	if d.busy || len(d.queue) == 0 {
 		return
 	}
-	var batch []pick
+	var batch []pickedStep
 	var texts []Description
 	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatch {
 		p := d.queue[0]
 		d.queue = d.queue[1:]
 		if !p.run.run.IsReadyAs(p.at, p.id) {
-			g.release(p.run, p.at.Step) // cleared or cancelled meanwhile
+			g.releaseSlots(p.run, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
 		batch, texts = append(batch, p), append(texts, describe(p.run.run, &p.run.meta, p.at))
@@ -159,7 +159,7 @@
 }
 
 // described handles the result of a call.
-func (g *Graphs) described(batch []pick, refused map[int]error, err error) {
+func (g *Graphs) described(batch []pickedStep, refused map[int]error, err error) {
 	d := &g.source
 	d.busy = false
 	if err != nil {
@@ -173,15 +173,15 @@
 	for i, p := range batch {
 		if why := refused[i]; why != nil {
 			g.log.Error("a step has failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
-			g.release(p.run, p.at.Step)
+			g.releaseSlots(p.run, p.at.Step)
 			if p.run.run.IsReadyAs(p.at, p.id) {
 				p.run.run.JobCancelled(p.at)
-				g.dirty(p.run)
+				g.markDirty(p.run)
 			}
 			continue
 		}
 		p.run.picked = append(p.run.picked, p)
-		g.touch(p.run)
+		g.enqueueRun(p.run)
 	}
 	g.describe()
 }
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	plan := formatPlan(t)
-	run := &live{
+	run := &liveRun{
 		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), def: "00112233445566778899aabbccddeeff", active: 1,
 		meta: *golden.Fill(new(meta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
 	}
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -49,49 +49,49 @@
 // Graphs are the graphs and live runs of one leadership. It implements leader.Subsystem and
 // leader.CommandHandler.
 type Graphs struct {
-	cfg   Config
-	log   *slog.Logger
-	codec *charge.Codec
-	book  *jobs.Store
+	cfg      Config
+	log      *slog.Logger
+	codec    *charge.Codec
+	jobStore *jobs.Store
 
 	ended context.Context    // of the leadership
 	ask   func(func()) error // has the loop do something
 	store *statestore.Client
 	read  bool
 
-	defs   map[string]*def    // by hash
-	graphs map[string]*graph  // by key
-	runs   map[string]*live   // those that are not over, by key
-	byJob  map[string]where   // steps whose jobs are not over
-	young  map[string]where   // those of them that were not seen to run
-	timed  map[string]where   // those that run, and may not for ever
-	pools  map[poolKey]*pool  //
-	todo   []*live            // runs with something to store or to submit
-	drops  []drop             // records that are to go
-	bytes  int                // that graphs and runs take
-	care   time.Time          // when definitions are looked at next
-	source describer          //
-	fetch  string             // the definition that is being read; empty: none
-	swept  time.Time          // when definitions were looked for last
-	late   map[*live]struct{} // runs with something that may wait to be stored
+	defs           map[string]*definition // by hash
+	graphs         map[string]*graph      // by key
+	runs           map[string]*liveRun    // those that are not over, by key
+	byJob          map[string]stepJob     // steps whose jobs are not over
+	notSeenRunning map[string]stepJob     // those of them that were not seen to run
+	withTimeout    map[string]stepJob     // those that run, and may not for ever
+	pools          map[poolKey]*pool      //
+	todo           []*liveRun             // runs with something to store or to submit
+	deletions      []deletion             // records that are to go
+	bytes          int                    // that graphs and runs take
+	nextCleanUp    time.Time              // when definitions are looked at next
+	source         describer              //
+	fetching       string                 // the definition that is being read; empty: none
+	lastSweep      time.Time              // when definitions were looked for last
+	storeLater     map[*liveRun]struct{}  // runs with something that may wait to be stored
 
 	cancels map[string]struct{} // jobs that are to be cancelled
 	stops   []*jobs.Allocation  // of those that were, for the loop to stop
 }
 
-// where is a step's job that is not over.
-type where struct {
-	run        *live
+// stepJob is a step's job that is not over.
+type stepJob struct {
+	run        *liveRun
 	at         dag.Ref
 	generation int
 }
 
 // current reports whether it is the job of the present generation of its step.
-func (w where) current() bool {
+func (w stepJob) current() bool {
 	return w.at.Step >= 0 && w.generation == w.run.run.Generation(w.at.Step)
 }
 
-func (w where) instance() *dag.Instance {
+func (w stepJob) instance() *dag.Instance {
 	_, instances := w.run.run.State(w.at.Step)
 	return &instances[w.at.Index]
 }
@@ -103,13 +103,13 @@
 		return nil, err
 	}
 	return &Graphs{
-		cfg: cfg, log: log, codec: codec, defs: map[string]*def{}, graphs: map[string]*graph{}, runs: map[string]*live{},
-		byJob: map[string]where{}, young: map[string]where{}, timed: map[string]where{}, pools: map[poolKey]*pool{}, late: map[*live]struct{}{}, cancels: map[string]struct{}{},
+		cfg: cfg, log: log, codec: codec, defs: map[string]*definition{}, graphs: map[string]*graph{}, runs: map[string]*liveRun{},
+		byJob: map[string]stepJob{}, notSeenRunning: map[string]stepJob{}, withTimeout: map[string]stepJob{}, pools: map[poolKey]*pool{}, storeLater: map[*liveRun]struct{}{}, cancels: map[string]struct{}{},
 	}, nil
 }
 
 // Loaded receives the job store, once its records are loaded.
-func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.book = book }
+func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.jobStore = book }
 
 // Admit has a step's job rest before its next try.
 func (g *Graphs) Admit(j *jobs.Job, now time.Time) (int, string) {
@@ -151,16 +151,16 @@
 	}
 	w.run.ended(w.at, now, dag.Failed)
 	w.run.run.Failure(w.at, now, g.cfg.Jitter())
-	delete(g.timed, id)
-	g.young[id] = w
-	g.dirty(w.run)
-	g.cancel(w.run)
+	delete(g.withTimeout, id)
+	g.notSeenRunning[id] = w
+	g.markDirty(w.run)
+	g.cancelUnneeded(w.run)
 }
 
 // Finished records the final state of a step's job.
-func (g *Graphs) Finished(o jobs.FinishedJob, now time.Time) { g.over(o.Job.ID, o.State, now) }
+func (g *Graphs) Finished(o jobs.FinishedJob, now time.Time) { g.jobFinished(o.Job.ID, o.State, now) }
 
-func (g *Graphs) over(id string, state wire.JobState, now time.Time) {
+func (g *Graphs) jobFinished(id string, state wire.JobState, now time.Time) {
 	w, ok := g.byJob[id]
 	if !ok {
 		return
@@ -175,14 +175,14 @@
 		return
 	}
 	delete(g.byJob, id)
-	delete(g.young, id)
-	delete(g.timed, id)
+	delete(g.notSeenRunning, id)
+	delete(g.withTimeout, id)
 	if w.at.Step >= 0 {
-		g.release(x, w.at.Step)
+		g.releaseSlots(x, w.at.Step)
 	} else {
 		x.active--
 	}
-	g.dirty(x)
+	g.markDirty(x)
 	if !w.current() {
 		x.run.OrphanFinished(id)
 		return
@@ -196,48 +196,48 @@
 		g.log.Info("a step has failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
 	}
 	x.ended(w.at, now, end)
-	g.cancel(x)
-	if x.graph.past {
+	g.cancelUnneeded(x)
+	if x.graph.hasPastDependents {
 		// The same step of the runs behind it may wait for this.
 		for _, e := range x.graph.history {
-			if e.live != nil && len(e.live.waits) > 0 {
-				g.touch(e.live)
+			if e.live != nil && len(e.live.waitingForPast) > 0 {
+				g.enqueueRun(e.live)
 			}
 		}
 	}
 }
 
-// cancel cancels the jobs that a run has no use for any more.
-func (g *Graphs) cancel(x *live) {
+// cancelUnneeded cancels the jobs that a run has no use for any more.
+func (g *Graphs) cancelUnneeded(x *liveRun) {
 	for _, id := range x.run.TakeCancellations() {
 		g.cancels[id] = struct{}{}
 	}
-	g.cancelNow()
+	g.cancelKnownJobs()
 }
 
-// cancelNow cancels the jobs that the job store knows by now: it hears of one that was just
+// cancelKnownJobs cancels the jobs that the job store knows by now: it hears of one that was just
 // stored a moment later.
-func (g *Graphs) cancelNow() {
+func (g *Graphs) cancelKnownJobs() {
 	for id := range g.cancels {
 		if _, ok := g.byJob[id]; !ok {
 			delete(g.cancels, id) // it is over
-		} else if j := g.book.Jobs[id]; j != nil {
+		} else if j := g.jobStore.Jobs[id]; j != nil {
 			delete(g.cancels, id)
-			g.book.Cancel(j, func(wire.JobState) {})
+			g.jobStore.Cancel(j, func(wire.JobState) {})
 			g.stops = append(g.stops, j.StopAll(charge.Cancelled)...)
 		}
 	}
 }
 
-// dirty has a run stored.
-func (g *Graphs) dirty(x *live) {
+// markDirty has a run stored.
+func (g *Graphs) markDirty(x *liveRun) {
 	x.dirty = true
-	g.touch(x)
+	g.enqueueRun(x)
 }
 
-// touch has it looked at what a run can submit.
-func (g *Graphs) touch(x *live) {
-	if !x.queued && !x.gone {
+// enqueueRun has it looked at what a run can submit.
+func (g *Graphs) enqueueRun(x *liveRun) {
+	if !x.queued && !x.finished {
 		x.queued = true
 		g.todo = append(g.todo, x)
 	}
@@ -248,36 +248,36 @@
 	if !g.read {
 		return nil
 	}
-	for id, w := range g.young {
-		j := g.book.Jobs[id]
+	for id, w := range g.notSeenRunning {
+		j := g.jobStore.Jobs[id]
 		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().Hold) || j.Status().Running == 0 {
 			continue
 		}
 		w.run.run.Running(w.at, now)
 		w.run.begun(w.at, now)
-		g.later(w.run, now)
-		delete(g.young, id)
+		g.enqueueStoreLater(w.run, now)
+		delete(g.notSeenRunning, id)
 		if w.run.run.Plan.Steps[w.at.Step].Timeout > 0 {
-			g.timed[id] = w
+			g.withTimeout[id] = w
 		}
 	}
-	for _, w := range g.timed {
+	for _, w := range g.withTimeout {
 		if w.current() && w.run.run.TimeOut(w.at, now) {
-			g.dirty(w.run)
-			g.cancel(w.run)
+			g.markDirty(w.run)
+			g.cancelUnneeded(w.run)
 		}
 	}
-	for x := range g.late {
+	for x := range g.storeLater {
 		if now.Sub(x.lateAt) >= tuning.GraphLag {
-			delete(g.late, x)
-			g.dirty(x)
+			delete(g.storeLater, x)
+			g.markDirty(x)
 		}
 	}
-	g.cancelNow()
+	g.cancelKnownJobs()
 	g.schedule(now)
-	if !now.Before(g.care) {
-		g.care = now.Add(tuning.GraphCare)
-		g.tidy(now)
+	if !now.Before(g.nextCleanUp) {
+		g.nextCleanUp = now.Add(tuning.GraphCare)
+		g.cleanUp(now)
 	}
 	g.describe()
 	stops := g.stops
@@ -285,11 +285,11 @@
 	return stops
 }
 
-// later has a run stored within a while, or with what is stored of it before.
-func (g *Graphs) later(x *live, now time.Time) {
-	if _, ok := g.late[x]; !ok {
+// enqueueStoreLater has a run stored within a while, or with what is stored of it before.
+func (g *Graphs) enqueueStoreLater(x *liveRun, now time.Time) {
+	if _, ok := g.storeLater[x]; !ok {
 		x.lateAt = now
-		g.late[x] = struct{}{}
+		g.storeLater[x] = struct{}{}
 	}
 }
 
@@ -302,7 +302,7 @@
 	}
 	g.storeGraphs(b)
 	g.storeRuns(b, now)
-	g.dropRecords(b)
+	g.putDeletions(b)
 	g.describe()
 	if len(b.txn.Then) == 0 {
 		return nil
@@ -358,7 +358,7 @@
 		}
 		v := PoolView{Name: key.name, Slots: p.slots, Used: p.used}
 		for _, x := range p.line.runs {
-			v.Waits += len(x.held[p])
+			v.Waits += len(x.waitingForPool[p])
 		}
 		out = append(out, v)
 	}
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -62,7 +62,7 @@
 		return false
 	}
 	var o Order
-	say := answer(tell)
+	say := responder(tell)
 	if err := json.Unmarshal(c.Body, &o); err != nil || o.Team == "" {
 		say.refuse(http.StatusBadRequest, "the command is malformed")
 		return true
@@ -71,11 +71,11 @@
 		say.refuse(http.StatusServiceUnavailable, "the graphs are being read; ask again")
 		return true
 	}
-	g.do(verb, &o, now, say)
+	g.execute(verb, &o, now, say)
 	return true
 }
 
-func (g *Graphs) do(verb string, o *Order, now time.Time, tell answer) {
+func (g *Graphs) execute(verb string, o *Order, now time.Time, tell responder) {
 	if verb == DoPut {
 		if !validHash(o.Def) {
 			tell.refuse(http.StatusBadRequest, "the definition is no hash")
@@ -86,7 +86,7 @@
 	}
 	// Whether another team has a graph of that name is nobody's business: both are none.
 	gr := g.graphs[keyGraph(o.Team, o.Graph)]
-	if gr == nil || gr.gone {
+	if gr == nil || gr.deleting {
 		tell.refuse(http.StatusNotFound, "no such graph")
 		return
 	}
@@ -100,13 +100,13 @@
 	case DoBackfill:
 		g.backfill(gr, o, now, tell)
 	case DoCancel, DoClear, DoForget, DoPush:
-		g.doRun(verb, gr, o, now, tell)
+		g.executeOnRun(verb, gr, o, now, tell)
 	default:
 		tell.refuse(http.StatusNotFound, "no such command")
 	}
 }
 
-func (g *Graphs) trigger(gr *graph, o *Order, now time.Time, tell answer) {
+func (g *Graphs) trigger(gr *graph, o *Order, now time.Time, tell responder) {
 	var conf map[string]json.RawMessage
 	if len(o.Conf) > 0 && json.Unmarshal(o.Conf, &conf) != nil {
 		tell.refuse(http.StatusBadRequest, "conf is no JSON object")
@@ -124,7 +124,7 @@
 		o.Run = RunName(Manual, logical)
 	}
 	m := meta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: o.Conf, Note: o.Note, Described: o.Described}
-	g.begin(gr, o.Run, m, now, tell)
+	g.createRun(gr, o.Run, m, now, tell)
 }
 
 // Backfilled answers a backfill.
@@ -134,7 +134,7 @@
 }
 
 // backfill begins the runs of past intervals; those that have one are passed over.
-func (g *Graphs) backfill(gr *graph, o *Order, now time.Time, tell answer) {
+func (g *Graphs) backfill(gr *graph, o *Order, now time.Time, tell responder) {
 	d := g.defs[gr.rec.Def]
 	if d == nil || d.plan == nil {
 		tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
@@ -165,7 +165,7 @@
 	}
 	for _, i := range intervals {
 		m := meta{Type: Backfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
-		g.begin(gr, RunName(Backfill, i.Begin), m, now, func(status int, _ any) {
+		g.createRun(gr, RunName(Backfill, i.Begin), m, now, func(status int, _ any) {
 			if status == http.StatusCreated {
 				out.Begun++
 			} else {
@@ -180,11 +180,11 @@
 	}
 }
 
-// doRun carries out what is about one run.
-func (g *Graphs) doRun(verb string, gr *graph, o *Order, now time.Time, tell answer) {
+// executeOnRun carries out what is about one run.
+func (g *Graphs) executeOnRun(verb string, gr *graph, o *Order, now time.Time, tell responder) {
 	var e *entry
 	for _, x := range gr.history {
-		if x.id == o.Run && !x.doomed {
+		if x.id == o.Run && !x.deleting {
 			e = x
 		}
 	}
@@ -215,14 +215,14 @@
 	case DoPush:
 		tell.refuse(http.StatusConflict, "the run is over")
 	case DoForget:
-		g.doom(gr, e, func() { tell(http.StatusNoContent, struct{}{}) })
+		g.deleteRun(gr, e, func() { tell(http.StatusNoContent, struct{}{}) })
 	case DoClear:
 		g.revive(gr, e, o, tell)
 	}
 }
 
 // revive reads a run that is over, and has steps of it go again.
-func (g *Graphs) revive(gr *graph, e *entry, o *Order, tell answer) {
+func (g *Graphs) revive(gr *graph, e *entry, o *Order, tell responder) {
 	d := g.defs[e.def]
 	switch {
 	case d == nil:
@@ -254,19 +254,19 @@
 			case err != nil:
 				g.log.Warn("a run cannot be read", "run", e.key, "err", err)
 				tell.refuse(http.StatusServiceUnavailable, "the run cannot be read now; ask again")
-			case e.doomed:
+			case e.deleting:
 				tell.refuse(http.StatusNotFound, "no such run")
 			case e.live != nil: // another clear was sooner
 				g.clear(e.live, o, tell)
 			default:
 				g.learn(e.def, d.parts, plan)
-				x := newLive(gr, r, e.key, e.def, rec.meta)
-				g.join(x)
+				x := newLiveRun(gr, r, e.key, e.def, rec.meta)
+				g.addLive(x)
 				x.version, x.entry, x.tries = item.Version, e, readTries(g.codec, &rec)
 				x.meta.StartMS, x.meta.EndMS = 0, 0
 				e.live, e.failed = x, nil
 				g.clear(x, o, tell)
-				g.dirty(x)
+				g.markDirty(x)
 			}
 		})
 	}()
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -13,7 +13,7 @@
 // pool bounds how many steps of a team's graphs are submitted at a time.
 type pool struct {
 	slots, used int
-	line        line
+	line        waitLine
 }
 
 // slots returns how many slots a team's pool has.
@@ -36,12 +36,12 @@
 	return g.pools[key]
 }
 
-// line is where runs wait for room, in the order in which they came.
-type line struct{ runs []*live }
+// waitLine is where runs wait for room, in the order in which they came.
+type waitLine struct{ runs []*liveRun }
 
-// stands says whether a run waits. One that took something goes behind the others; one
+// update says whether a run waits. One that took something goes behind the others; one
 // that waits for nothing any more leaves, and if there is room the next is looked at.
-func (l *line) stands(g *Graphs, x *live, waits, took, room bool) {
+func (l *waitLine) update(g *Graphs, x *liveRun, waits, took, room bool) {
 	i := slices.Index(l.runs, x)
 	if i >= 0 && (took || !waits) {
 		l.runs = slices.Delete(l.runs, i, i+1)
@@ -50,43 +50,43 @@
 		l.runs = append(l.runs, x)
 	}
 	if !waits && room {
-		l.next(g)
+		l.wakeFirst(g)
 	}
 }
 
-// next has the first in line looked at.
-func (l *line) next(g *Graphs) {
+// wakeFirst has the first in line looked at.
+func (l *waitLine) wakeFirst(g *Graphs) {
 	if len(l.runs) > 0 {
-		g.touch(l.runs[0])
+		g.enqueueRun(l.runs[0])
 	}
 }
 
 func slotsOf(p *dag.Plan, step int) int { return max(1, p.Steps[step].PoolSlots) }
 
 // fits reports whether a step's slots are free. A step that wants more than there are is alone.
-func (p *pool) fits(x *live, step int) bool {
+func (p *pool) fits(x *liveRun, step int) bool {
 	return p.used == 0 || p.used+slotsOf(x.run.Plan, step) <= p.slots
 }
 
-// take takes a step's slots.
-func (g *Graphs) take(x *live, step int) {
+// takeSlots takes a step's slots.
+func (g *Graphs) takeSlots(x *liveRun, step int) {
 	x.active++
 	x.graph.active++
 	g.pool(x.run.Plan, step).used += slotsOf(x.run.Plan, step)
 }
 
-// release frees a step's slots, and has whoever waits for them looked at.
-func (g *Graphs) release(x *live, step int) {
+// releaseSlots frees a step's slots, and has whoever waits for them looked at.
+func (g *Graphs) releaseSlots(x *liveRun, step int) {
 	p := g.pool(x.run.Plan, step)
 	x.active--
 	x.graph.active--
 	p.used -= slotsOf(x.run.Plan, step)
-	p.line.next(g)
-	x.graph.line.next(g)
-	g.touch(x)
+	p.line.wakeFirst(g)
+	x.graph.line.wakeFirst(g)
+	g.enqueueRun(x)
 }
 
-func (g *Graphs) lines() (out []*line) {
+func (g *Graphs) lines() (out []*waitLine) {
 	for _, p := range g.pools {
 		out = append(out, &p.line)
 	}
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -18,14 +18,14 @@
 type loader struct {
 	codec  *charge.Codec
 	log    *slog.Logger
-	defs   map[string]*def
+	defs   map[string]*definition
 	graphs map[string]*graph
-	runs   []*live
+	runs   []*liveRun
 }
 
 // Read reads graphs and the runs that are not over, and what became of their jobs meanwhile.
 func (g *Graphs) Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (func(), error) {
-	l := &loader{codec: g.codec, log: g.log, defs: map[string]*def{}, graphs: map[string]*graph{}}
+	l := &loader{codec: g.codec, log: g.log, defs: map[string]*definition{}, graphs: map[string]*graph{}}
 	if err := l.read(ctx, store); err != nil {
 		return nil, err
 	}
@@ -55,8 +55,8 @@
 	return func() {
 		now := g.cfg.Clock.Now()
 		for _, id := range ended {
-			if state, ok := states[id]; ok || g.book.Jobs[id] == nil {
-				g.over(id, state, now)
+			if state, ok := states[id]; ok || g.jobStore.Jobs[id] == nil {
+				g.jobFinished(id, state, now)
 			}
 		}
 		for _, x := range l.runs {
@@ -66,9 +66,9 @@
 			if x.run.RunState() != dag.RunRunning && x.active == 0 {
 				x.dirty = true
 			}
-			g.touch(x)
+			g.enqueueRun(x)
 		}
-		g.cancelNow()
+		g.cancelKnownJobs()
 		g.read = true
 		g.log.Info("graphs loaded", "graphs", len(g.graphs), "runs", len(g.runs), "steps", len(g.byJob))
 	}, nil
@@ -76,10 +76,10 @@
 
 // install records what was read, and returns the jobs of steps that are not live.
 func (g *Graphs) install(l *loader) (ended []string) {
-	g.defs, g.graphs, g.runs, g.bytes = l.defs, l.graphs, map[string]*live{}, 0
+	g.defs, g.graphs, g.runs, g.bytes = l.defs, l.graphs, map[string]*liveRun{}, 0
 	clear(g.byJob)
-	clear(g.young)
-	clear(g.timed)
+	clear(g.notSeenRunning)
+	clear(g.withTimeout)
 	clear(g.pools)
 	for _, d := range g.defs {
 		d.packed = nil
@@ -87,22 +87,22 @@
 			g.bytes += planBytes(d.plan)
 		}
 	}
-	open := func(x *live, id string, at dag.Ref) {
-		w := where{run: x, at: at}
+	open := func(x *liveRun, id string, at dag.Ref) {
+		w := stepJob{run: x, at: at}
 		if at.Step >= 0 {
 			w.generation = x.run.Generation(at.Step)
-			g.take(x, at.Step)
-			g.young[id] = w
+			g.takeSlots(x, at.Step)
+			g.notSeenRunning[id] = w
 		} else {
 			x.active++
 		}
 		g.byJob[id] = w
-		if j := g.book.Jobs[id]; j == nil || j.Cancelled() {
+		if j := g.jobStore.Jobs[id]; j == nil || j.Cancelled() {
 			ended = append(ended, id)
 		}
 	}
 	for _, x := range l.runs {
-		g.join(x)
+		g.addLive(x)
 		if x.meta.StartMS != 0 {
 			x.graph.started++
 		}
@@ -168,7 +168,7 @@
 }
 
 // load makes the plan of a definition, if that was not done.
-func (d *def) load(c *charge.Codec, hash string) error {
+func (d *definition) load(c *charge.Codec, hash string) error {
 	if d.plan != nil {
 		return nil
 	}
@@ -211,7 +211,7 @@
 		return errors.New("its graph is not known")
 	}
 	e := &entry{key: item.Key, id: rec.ID, logical: rec.LogicalMS, due: rec.ToMS != 0, def: rec.Def}
-	if rec.over() && !gr.past {
+	if rec.over() && !gr.hasPastDependents {
 		l.refer(gr, e) // its definition is not read for that
 		return nil
 	}
@@ -224,9 +224,9 @@
 		return err
 	}
 	if rec.over() {
-		e.failed = unhappy(r)
+		e.failed = failedPastDependents(r)
 	} else {
-		x := newLive(gr, r, item.Key, rec.Def, rec.meta)
+		x := newLiveRun(gr, r, item.Key, rec.Def, rec.meta)
 		x.version, x.entry, x.size, x.tries = item.Version, e, len(item.Value), readTries(l.codec, &rec)
 		e.live = x
 		l.runs = append(l.runs, x)
@@ -240,5 +240,5 @@
 	if d := l.defs[e.def]; d != nil {
 		d.refs++
 	}
-	gr.record(e)
+	gr.insertRun(e)
 }
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -168,7 +168,7 @@
 	if r.hash == hash {
 		return r.plan, nil
 	}
-	defs, have := map[string]*def{}, map[string]int{}
+	defs, have := map[string]*definition{}, map[string]int{}
 	if _, err := r.store.ListAll(ctx, PrefixDef+hash+"/", func(items []wire.Item) error {
 		gather(defs, have, items)
 		return nil
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -164,7 +164,7 @@
 
 // gather collects parts of definitions, by hash, in the order of their keys. One that
 // lacks a part has none: its client never came back.
-func gather(defs map[string]*def, have map[string]int, items []wire.Item) {
+func gather(defs map[string]*definition, have map[string]int, items []wire.Item) {
 	for _, item := range items {
 		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDef), "/")
 		var r partRecord
@@ -172,7 +172,7 @@
 			continue // what it is a part of lacks it
 		}
 		if defs[hash] == nil {
-			defs[hash] = &def{}
+			defs[hash] = &definition{}
 		}
 		defs[hash].packed = append(defs[hash].packed, r.Zstd...)
 		defs[hash].parts = r.Parts
@@ -181,7 +181,7 @@
 }
 
 // runValue is a run's record, of up to limit bytes: the oldest tries go before that.
-func runValue(c *charge.Codec, x *live, limit int) (json.RawMessage, error) {
+func runValue(c *charge.Codec, x *liveRun, limit int) (json.RawMessage, error) {
 	rec := runRecord{
 		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.def, State: x.run.RunState().String(), meta: x.meta,
 		Open: x.active > 0, Zstd: c.Encode(x.run.Encode()),
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -12,50 +12,50 @@
 	"poppypass/internal/platform/wire"
 )
 
-// live is a run that is not over.
-type live struct {
-	run     *dag.Run
-	graph   *graph
-	key     string
-	def     string
-	meta    meta
-	version uint64 // 0: it was not stored yet
-	told    []func()
-	entry   *entry
-
-	queued  bool // it is in the list of those to look at
-	dirty   bool // it is not stored as it is
-	lateAt  time.Time
-	gone    bool // it is over, and stored
-	suspect bool // a condition on one of its jobs did not hold: they are stored one by one
-	size    int  // bytes of its newest record
-	active  int  // jobs that are submitted and not over
-
-	held    map[*pool][]dag.Ref      // ready, and their pool is full
-	waits   []dag.Ref                // ready, and the run before has not done the step
-	picked  []pick                   // described, with their slots taken
-	pending map[string]wire.JobState // on their way to the store, with what became of them meanwhile
-	tries   []Try                    // the newest, in the order in which they began
+// liveRun is a run that is not over.
+type liveRun struct {
+	run      *dag.Run
+	graph    *graph
+	key      string
+	def      string
+	meta     meta
+	version  uint64 // 0: it was not stored yet
+	onStored []func()
+	entry    *entry
+
+	queued   bool // it is in the list of those to look at
+	dirty    bool // it is not stored as it is
+	lateAt   time.Time
+	finished bool // it is over, and stored
+	suspect  bool // a condition on one of its jobs did not hold: they are stored one by one
+	size     int  // bytes of its newest record
+	active   int  // jobs that are submitted and not over
+
+	waitingForPool map[*pool][]dag.Ref      // ready, and their pool is full
+	waitingForPast []dag.Ref                // ready, and the run before has not done the step
+	picked         []pickedStep             // described, with their slots taken
+	pending        map[string]wire.JobState // on their way to the store, with what became of them meanwhile
+	tries          []Try                    // the newest, in the order in which they began
 }
 
-func newLive(gr *graph, r *dag.Run, key, def string, m meta) *live {
-	return &live{
-		run: r, graph: gr, key: key, def: def, meta: m, held: map[*pool][]dag.Ref{}, pending: map[string]wire.JobState{},
+func newLiveRun(gr *graph, r *dag.Run, key, def string, m meta) *liveRun {
+	return &liveRun{
+		run: r, graph: gr, key: key, def: def, meta: m, waitingForPool: map[*pool][]dag.Ref{}, pending: map[string]wire.JobState{},
 	}
 }
 
-// join takes a run in among those that are live.
-func (g *Graphs) join(x *live) {
+// addLive takes a run in among those that are live.
+func (g *Graphs) addLive(x *liveRun) {
 	g.bytes += len(x.run.Plan.Steps) * tuning.RunStepBytes
 	g.runs[x.key] = x
 }
 
-// begin begins a run of a graph. tell is told once it is stored, or why it is not.
-func (g *Graphs) begin(gr *graph, id string, m meta, now time.Time, tell answer) {
+// createRun begins a run of a graph. tell is told once it is stored, or why it is not.
+func (g *Graphs) createRun(gr *graph, id string, m meta, now time.Time, tell responder) {
 	d := g.defs[gr.rec.Def]
 	key := keyRun(gr.rec.Team, gr.rec.ID, id)
 	switch {
-	case gr.gone:
+	case gr.deleting:
 		tell.refuse(http.StatusNotFound, "no such graph")
 		return
 	case d == nil || d.plan == nil:
@@ -83,7 +83,7 @@
 			return
 		}
 		for i := range d.plan.Steps {
-			if unforeseen(d.plan, i) {
+			if mappedAtRunTime(d.plan, i) {
 				tell.refuse(http.StatusConflict, "%s", noSource("step "+d.plan.Steps[i].ID+" is mapped over what another step leaves"))
 				return
 			}
@@ -93,26 +93,26 @@
 	if m.LogicalMS == 0 {
 		m.LogicalMS = m.QueuedMS
 	}
-	x := newLive(gr, dag.NewRun(d.plan, id), key, gr.rec.Def, m)
-	g.join(x)
+	x := newLiveRun(gr, dag.NewRun(d.plan, id), key, gr.rec.Def, m)
+	g.addLive(x)
 	d.refs++
 	x.entry = &entry{key: key, id: id, logical: m.LogicalMS, due: m.ToMS != 0, def: x.def, live: x}
-	gr.record(x.entry)
-	x.told = append(x.told, func() { tell(http.StatusCreated, struct{}{}) })
-	g.dirty(x)
+	gr.insertRun(x.entry)
+	x.onStored = append(x.onStored, func() { tell(http.StatusCreated, struct{}{}) })
+	g.markDirty(x)
 }
 
-// record takes a run into a graph's history.
-func (gr *graph) record(e *entry) {
+// insertRun takes a run into a graph's history.
+func (gr *graph) insertRun(e *entry) {
 	i, _ := slices.BinarySearchFunc(gr.history, e, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.logical, b.logical), cmp.Compare(a.id, b.id))
 	})
 	gr.history = slices.Insert(gr.history, i, e)
 }
 
-// may reports whether a run goes on: its graph is not paused, and no more of its runs go
+// mayProceed reports whether a run goes on: its graph is not paused, and no more of its runs go
 // on than may.
-func (g *Graphs) may(x *live, now time.Time) bool {
+func (g *Graphs) mayProceed(x *liveRun, now time.Time) bool {
 	gr := x.graph
 	if gr.rec.Paused {
 		return false
@@ -129,30 +129,30 @@
 }
 
 // finish takes a run out of those that are live once it is over and stored as that.
-func (g *Graphs) finish(x *live) {
-	if x.gone || x.run.RunState() == dag.RunRunning || x.active > 0 || x.dirty || len(x.pending) > 0 {
+func (g *Graphs) finish(x *liveRun) {
+	if x.finished || x.run.RunState() == dag.RunRunning || x.active > 0 || x.dirty || len(x.pending) > 0 {
 		return
 	}
 	gr := x.graph
-	x.gone = true
+	x.finished = true
 	delete(g.runs, x.key)
-	delete(g.late, x)
+	delete(g.storeLater, x)
 	g.bytes -= len(x.run.Plan.Steps) * tuning.RunStepBytes
-	x.entry.live, x.entry.failed = nil, unhappy(x.run)
+	x.entry.live, x.entry.failed = nil, failedPastDependents(x.run)
 	if x.meta.StartMS != 0 {
 		gr.started--
 	}
-	for _, l := range append([]*line{&gr.line}, g.lines()...) {
-		l.runs = slices.DeleteFunc(l.runs, func(y *live) bool { return y == x })
+	for _, l := range append([]*waitLine{&gr.line}, g.lines()...) {
+		l.runs = slices.DeleteFunc(l.runs, func(y *liveRun) bool { return y == x })
 	}
 	if i := slices.IndexFunc(gr.history, func(e *entry) bool { return e.live != nil && e.live.meta.StartMS == 0 }); i >= 0 {
-		g.touch(gr.history[i].live)
+		g.enqueueRun(gr.history[i].live)
 	}
-	g.keep(gr)
+	g.applyRetention(gr)
 }
 
-// unhappy names the steps that depend on the past and did not end well.
-func unhappy(r *dag.Run) map[string]bool {
+// failedPastDependents names the steps that depend on the past and did not end well.
+func failedPastDependents(r *dag.Run) map[string]bool {
 	var out map[string]bool
 	for i := range r.Plan.Steps {
 		state, _ := r.State(i)
@@ -167,47 +167,47 @@
 }
 
 // cancelRun ends a run: nothing more of it begins.
-func (g *Graphs) cancelRun(x *live, now time.Time, tell answer) {
+func (g *Graphs) cancelRun(x *liveRun, now time.Time, tell responder) {
 	x.run.Cancel()
 	if x.meta.StartMS == 0 { // it never went on
 		x.meta.StartMS = now.UnixMilli()
 		x.graph.started++
 	}
-	x.told = append(x.told, func() { tell(http.StatusOK, struct{}{}) })
-	g.cancel(x)
-	g.dirty(x)
+	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	g.cancelUnneeded(x)
+	g.markDirty(x)
 }
 
 // clear has steps of a run go again.
-func (g *Graphs) clear(x *live, o *Order, tell answer) {
+func (g *Graphs) clear(x *liveRun, o *Order, tell responder) {
 	steps, err := x.run.StepsToClear(o.Steps, o.Below, o.OnlyFailed)
 	if err != nil {
 		tell.refuse(http.StatusBadRequest, "%s", err)
 		return
 	}
 	x.run.Clear(steps)
-	x.orphan(g)
-	x.told = append(x.told, func() { tell(http.StatusOK, struct{}{}) })
-	g.cancel(x)
-	g.dirty(x)
+	x.detachOrphans(g)
+	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	g.cancelUnneeded(x)
+	g.markDirty(x)
 }
 
-// orphan has jobs of earlier generations no longer take slots.
-func (x *live) orphan(g *Graphs) {
+// detachOrphans has jobs of earlier generations no longer take slots.
+func (x *liveRun) detachOrphans(g *Graphs) {
 	for _, id := range x.run.Orphans() {
 		if w, ok := g.byJob[id]; ok && w.at.Step >= 0 {
 			x.active++ // until it is over, the run is live
-			g.release(x, w.at.Step)
+			g.releaseSlots(x, w.at.Step)
 			w.at = dag.Ref{Step: -1}
 			g.byJob[id] = w
-			delete(g.young, id)
-			delete(g.timed, id)
+			delete(g.notSeenRunning, id)
+			delete(g.withTimeout, id)
 		}
 	}
 }
 
 // push records what a step leaves for those that follow.
-func (g *Graphs) push(x *live, o *Order, tell answer) {
+func (g *Graphs) push(x *liveRun, o *Order, tell responder) {
 	i, ok := x.run.Plan.Index[o.Step]
 	if !ok {
 		tell.refuse(http.StatusNotFound, "no such step")
@@ -217,8 +217,8 @@
 		tell.refuse(http.StatusConflict, "%s", err)
 		return
 	}
-	x.told = append(x.told, func() { tell(http.StatusOK, struct{}{}) })
-	g.dirty(x)
+	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	g.markDirty(x)
 }
 
 // meta is what is known of a run beside the states of its steps.
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -10,7 +10,7 @@
 // schedule begins the runs that are due.
 func (g *Graphs) schedule(now time.Time) {
 	for _, gr := range g.graphs {
-		if gr.sched == nil || gr.rec.Paused || gr.gone || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.dueAt) {
+		if gr.sched == nil || gr.rec.Paused || gr.deleting || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.dueAt) {
 			continue
 		}
 		d := g.defs[gr.rec.Def]
@@ -41,7 +41,7 @@
 		g.storeGraph(gr, nil)
 	}
 	ok := true
-	g.begin(gr, RunName(Scheduled, due.Begin), m, now, func(status int, body any) {
+	g.createRun(gr, RunName(Scheduled, due.Begin), m, now, func(status int, body any) {
 		switch {
 		case status == http.StatusCreated || status == http.StatusConflict:
 			// The mark moves once the run is stored: a leader that dies in between leaves
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -11,25 +11,25 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// pick is an instance that is to be submitted.
-type pick struct {
-	run *live
+// pickedStep is an instance that is to be submitted.
+type pickedStep struct {
+	run *liveRun
 	at  dag.Ref
 	id  string // its job's
 }
 
-// pick takes slots for what is ready of a run, and has it described. What finds no room
+// pickReady takes slots for what is ready of a run, and has it described. What finds no room
 // waits in line.
-func (g *Graphs) pick(x *live, now time.Time) {
-	if !g.may(x, now) {
+func (g *Graphs) pickReady(x *liveRun, now time.Time) {
+	if !g.mayProceed(x, now) {
 		return
 	}
 	took := false
 	take := func(at dag.Ref) {
 		took = true
-		g.take(x, at.Step)
-		p := pick{run: x, at: at, id: x.run.JobID(at)}
-		if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !unforeseen(x.run.Plan, at.Step) {
+		g.takeSlots(x, at.Step)
+		p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
+		if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
 			x.picked = append(x.picked, p)
 		} else {
 			g.source.queue = append(g.source.queue, p)
@@ -37,26 +37,26 @@
 	}
 	gr := x.graph
 	free := func() bool { return gr.active < gr.rec.MaxTasks }
-	waits := x.waits
-	x.waits = nil
+	waits := x.waitingForPast
+	x.waitingForPast = nil
 	for _, at := range waits {
 		switch {
 		case !x.run.IsReady(at):
-		case !g.pastDone(x, at.Step):
-			x.waits = append(x.waits, at)
+		case !g.previousRunDone(x, at.Step):
+			x.waitingForPast = append(x.waitingForPast, at)
 		default:
-			g.hold(x, at)
+			g.waitForPool(x, at)
 		}
 	}
-	for p, refs := range x.held {
+	for p, refs := range x.waitingForPool {
 		for len(refs) > 0 && free() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
 			if x.run.IsReady(refs[0]) {
 				take(refs[0])
 			}
 			refs = refs[1:]
 		}
-		if x.held[p] = refs; len(refs) == 0 {
-			delete(x.held, p)
+		if x.waitingForPool[p] = refs; len(refs) == 0 {
+			delete(x.waitingForPool, p)
 		}
 	}
 	for free() {
@@ -66,33 +66,33 @@
 		}
 		at := refs[0]
 		switch p := g.pool(x.run.Plan, at.Step); {
-		case x.run.Plan.Steps[at.Step].DependsOnPast && !g.pastDone(x, at.Step):
-			x.waits = append(x.waits, at)
-		case len(x.held[p]) > 0 || !p.fits(x, at.Step):
-			g.hold(x, at) // behind those that wait for the pool already
+		case x.run.Plan.Steps[at.Step].DependsOnPast && !g.previousRunDone(x, at.Step):
+			x.waitingForPast = append(x.waitingForPast, at)
+		case len(x.waitingForPool[p]) > 0 || !p.fits(x, at.Step):
+			g.waitForPool(x, at) // behind those that wait for the pool already
 		default:
 			take(at)
 		}
 	}
 	for _, p := range g.pools {
-		p.line.stands(g, x, len(x.held[p]) > 0, took, p.used < p.slots)
+		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
 	}
-	gr.line.stands(g, x, !free() && (x.run.Ready() > 0 || len(x.held) > 0), took, free())
+	gr.line.update(g, x, !free() && (x.run.Ready() > 0 || len(x.waitingForPool) > 0), took, free())
 }
 
-// unforeseen reports whether nobody can name a step's jobs before those that it follows are done.
-func unforeseen(p *dag.Plan, step int) bool {
+// mappedAtRunTime reports whether nobody can name a step's jobs before those that it follows are done.
+func mappedAtRunTime(p *dag.Plan, step int) bool {
 	m := p.Steps[step].Map
 	return m != nil && m.Over != ""
 }
 
-func (g *Graphs) hold(x *live, at dag.Ref) {
+func (g *Graphs) waitForPool(x *liveRun, at dag.Ref) {
 	p := g.pool(x.run.Plan, at.Step)
-	x.held[p] = append(x.held[p], at)
+	x.waitingForPool[p] = append(x.waitingForPool[p], at)
 }
 
-// pastDone reports whether the run before, by logical date, has done a step, if it had it.
-func (g *Graphs) pastDone(x *live, step int) bool {
+// previousRunDone reports whether the run before, by logical date, has done a step, if it had it.
+func (g *Graphs) previousRunDone(x *liveRun, step int) bool {
 	i := slices.Index(x.graph.history, x.entry)
 	if i <= 0 {
 		return true
@@ -115,21 +115,21 @@
 		x := g.todo[0]
 		g.todo = g.todo[1:]
 		x.queued = false
-		g.pick(x, now)
+		g.pickReady(x, now)
 		if !g.storeRun(x, b, now) {
 			// The next look begins with it; the others' turn comes behind it.
 			x.queued = true
-			g.todo = append([]*live{x}, g.todo...)
+			g.todo = append([]*liveRun{x}, g.todo...)
 			return
 		}
 		if len(x.picked) > 0 {
-			g.touch(x) // a run of 10,000 ready steps must not hold up the others
+			g.enqueueRun(x) // a run of 10,000 ready steps must not hold up the others
 		}
 	}
 }
 
 // storeRun puts a run into a transaction, and reports whether it fitted.
-func (g *Graphs) storeRun(x *live, b *batch, now time.Time) bool {
+func (g *Graphs) storeRun(x *liveRun, b *batch, now time.Time) bool {
 	if !x.dirty && len(x.picked) == 0 {
 		return true
 	}
@@ -137,7 +137,7 @@
 		return false
 	}
 	taken := g.submitPicked(x, b, now)
-	g.cancel(x)
+	g.cancelUnneeded(x)
 	if x.suspect && len(x.picked) == 0 && len(taken) == 0 {
 		x.suspect = false
 	}
@@ -152,18 +152,18 @@
 
 // submitPicked puts the jobs of as many picked steps as there is room for into a transaction, and returns those. While a
 // run is suspect, one job goes at a time.
-func (g *Graphs) submitPicked(x *live, b *batch, now time.Time) (taken []pick) {
+func (g *Graphs) submitPicked(x *liveRun, b *batch, now time.Time) (taken []pickedStep) {
 	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
 		if !x.run.IsReadyAs(p.at, p.id) {
-			g.release(x, p.at.Step) // cleared or cancelled meanwhile
+			g.releaseSlots(x, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
 		_, value, err := jobOf(x.run, p.at, now.UnixMilli())
 		if err != nil || len(value) > b.value {
 			g.log.Error("a step cannot be submitted", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
-			g.release(x, p.at.Step)
+			g.releaseSlots(x, p.at.Step)
 			x.run.JobCancelled(p.at)
 			continue
 		}
@@ -171,8 +171,8 @@
 		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
 		b.put(jobs.KeyJob(p.id), 0, value)
 		// What hears of the job first, its end or this transaction's, must find it.
-		g.byJob[p.id] = where{x, p.at, x.run.Generation(p.at.Step)}
-		g.young[p.id] = g.byJob[p.id]
+		g.byJob[p.id] = stepJob{x, p.at, x.run.Generation(p.at.Step)}
+		g.notSeenRunning[p.id] = g.byJob[p.id]
 		x.pending[p.id] = ""
 		taken = append(taken, p)
 	}
@@ -180,7 +180,7 @@
 }
 
 // noteEnd sets when the run ended, or that it goes on.
-func (x *live) noteEnd(now time.Time) {
+func (x *liveRun) noteEnd(now time.Time) {
 	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
 		x.meta.EndMS = now.UnixMilli()
 	} else if x.run.RunState() == dag.RunRunning {
@@ -190,25 +190,25 @@
 
 // encodeRun returns a run's record of at most so many bytes. A run whose record is longer is cancelled; ok is false if it
 // is too long even then.
-func (g *Graphs) encodeRun(x *live, most int) (value json.RawMessage, ok bool) {
+func (g *Graphs) encodeRun(x *liveRun, most int) (value json.RawMessage, ok bool) {
 	value, err := runValue(g.codec, x, most)
 	if err == nil && len(value) <= most {
 		return value, true
 	}
 	g.log.Error("a run has become too large and is cancelled", "run", x.key, "bytes", len(value), "err", err)
 	x.run.Cancel()
-	g.cancel(x)
+	g.cancelUnneeded(x)
 	value, err = runValue(g.codec, x, most)
 	return value, err == nil && len(value) <= most
 }
 
 // putRun puts a run's record into a transaction that submits some steps, with what follows once the transaction is stored,
 // or if it is not.
-func (g *Graphs) putRun(x *live, b *batch, value json.RawMessage, taken []pick) {
+func (g *Graphs) putRun(x *liveRun, b *batch, value json.RawMessage, taken []pickedStep) {
 	x.size = len(value)
-	told, late := x.told, x.lateAt
-	x.dirty, x.told = false, nil
-	delete(g.late, x)
+	told, late := x.onStored, x.lateAt
+	x.dirty, x.onStored = false, nil
+	delete(g.storeLater, x)
 	b.put(x.key, x.version, value)
 	b.done = append(b.done, func(revision uint64) {
 		x.version = revision
@@ -219,23 +219,23 @@
 		g.finish(x)
 	})
 	b.undo = append(b.undo, func() {
-		x.lateAt, x.told = late, append(told, x.told...)
+		x.lateAt, x.onStored = late, append(told, x.onStored...)
 		alone := x.suspect
 		for _, p := range taken {
 			g.withdraw(p, alone)
 		}
-		g.dirty(x)
+		g.markDirty(x)
 	})
 }
 
 // endPending ends the submitted steps whose jobs' ends were heard of before the transaction that submitted them had its
 // answer.
-func (g *Graphs) endPending(x *live, taken []pick) {
+func (g *Graphs) endPending(x *liveRun, taken []pickedStep) {
 	for _, p := range taken {
 		state := x.pending[p.id]
 		delete(x.pending, p.id)
 		if state != "" {
-			g.over(p.id, state, g.cfg.Clock.Now())
+			g.jobFinished(p.id, state, g.cfg.Clock.Now())
 		}
 	}
 }
@@ -243,18 +243,18 @@
 // withdraw takes back a submission that was not stored, since a job of that id is there
 // that is none of ours: an id is a hash that others can work out. Alone in its
 // transaction, the step has failed; otherwise it is tried alone.
-func (g *Graphs) withdraw(p pick, alone bool) {
+func (g *Graphs) withdraw(p pickedStep, alone bool) {
 	x := p.run
 	orphan := g.byJob[p.id].at.Step < 0
 	delete(x.pending, p.id)
 	delete(g.byJob, p.id)
-	delete(g.young, p.id)
+	delete(g.notSeenRunning, p.id)
 	if orphan { // it was cleared meanwhile
 		x.active--
 		x.run.OrphanFinished(p.id)
 		return
 	}
-	g.release(x, p.at.Step)
+	g.releaseSlots(x, p.at.Step)
 	if alone {
 		g.log.Error("a step's job cannot be stored: there is one of its id", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
 		x.run.JobCancelled(p.at)
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -280,7 +280,7 @@
 func (w *world) register(p *dag.Plan) *answers {
 	w.t.Helper()
 	a := w.order(DoPut, w.upload(p))
-	for w.graphs.fetch != "" {
+	for w.graphs.fetching != "" {
 		w.answered()
 	}
 	w.settle()
