--- a/internal/docnames_test.go
+++ b/internal/docnames_test.go
@@ -75,3 +75,23 @@
 		t.Errorf("only %d files are named", named)
 	}
 }
+
+var storedKey = regexp.MustCompile(`(?m)^\s*(?:const )?(?:[kK]ey|[pP]refix)\w* += "([a-z]+/[a-z/]*)"`)
+
+// TestStoredKeysHaveAnOwner holds that docs/architecture.md says of each key of
+// the state service who owns it.
+func TestStoredKeysHaveAnOwner(t *testing.T) {
+	page := read(t, "../docs/architecture.md")
+	keys := 0
+	eachSource(t, func(_, file string) {
+		for _, m := range storedKey.FindAllStringSubmatch(read(t, file), -1) {
+			keys++
+			if !strings.Contains(page, "`"+m[1]) {
+				t.Errorf("%s: docs/architecture.md does not say who owns %s", file, m[1])
+			}
+		}
+	})
+	if keys < 14 {
+		t.Errorf("only %d keys were found", keys)
+	}
+}
