--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -96,17 +96,32 @@
 		return nil, fmt.Errorf("stored run %s of %s does not fit its graph", s.ID, p.ID)
 	}
 	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), stopped: s.Stopped, orphans: s.Orphans}
-	state := func(b byte) (State, error) {
-		if int(b) >= states {
-			return None, fmt.Errorf("stored run %s of %s has an unknown state", s.ID, p.ID)
+	if err := r.decodeStates(s.States); err != nil {
+		return nil, err
+	}
+	for i := range s.Steps {
+		if err := r.decodeStep(&s.Steps[i]); err != nil {
+			return nil, err
+		}
+	}
+	for i := range r.nodes {
+		for k := range r.nodes[i].instances {
+			if !r.nodes[i].instances[k].State.Final() {
+				r.nodes[i].open++
+			}
 		}
-		return State(b), nil
 	}
+	r.recount()
+	return r, nil
+}
+
+// decodeStates sets the state of each step.
+func (r *Run) decodeStates(stored []byte) error {
 	for i := range r.nodes {
 		n := &r.nodes[i]
 		var err error
-		if n.state, err = state(s.States[i]); err != nil {
-			return nil, err
+		if n.state, err = r.decodeState(stored[i]); err != nil {
+			return err
 		}
 		// What is on its way has an instance; so has what a job has ended, which counts
 		// the same without it.
@@ -117,39 +132,41 @@
 			r.open++
 		}
 	}
-	for _, e := range s.Steps {
-		if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMapped {
-			return nil, fmt.Errorf("stored run %s of %s names an unknown step", s.ID, p.ID)
-		}
-		n := &r.nodes[e.Step]
-		n.generation = e.Generation
-		if len(e.Result) > 0 {
-			n.result = e.Result
-		}
-		if len(e.States) > 0 {
-			n.instances = make([]Instance, len(e.States))
-		}
-		for k, b := range e.States {
-			var err error
-			if n.instances[k].State, err = state(b); err != nil {
-				return nil, err
-			}
-		}
-		for _, x := range e.Notes {
-			if x.Index < 0 || x.Index >= len(n.instances) {
-				return nil, fmt.Errorf("stored run %s of %s names an unknown instance", s.ID, p.ID)
-			}
-			n.instances[x.Index].Failures, n.instances[x.Index].Ending = x.Failures, x.Ending
-			n.instances[x.Index].Hold, n.instances[x.Index].Begun = timeOf(x.HoldMS), timeOf(x.BegunMS)
+	return nil
+}
+
+func (r *Run) decodeState(b byte) (State, error) {
+	if int(b) >= states {
+		return None, fmt.Errorf("stored run %s of %s has an unknown state", r.ID, r.Plan.ID)
+	}
+	return State(b), nil
+}
+
+// decodeStep sets what a step has beside its state.
+func (r *Run) decodeStep(e *storedStep) error {
+	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMapped {
+		return fmt.Errorf("stored run %s of %s names an unknown step", r.ID, r.Plan.ID)
+	}
+	n := &r.nodes[e.Step]
+	n.generation = e.Generation
+	if len(e.Result) > 0 {
+		n.result = e.Result
+	}
+	if len(e.States) > 0 {
+		n.instances = make([]Instance, len(e.States))
+	}
+	for k, b := range e.States {
+		var err error
+		if n.instances[k].State, err = r.decodeState(b); err != nil {
+			return err
 		}
 	}
-	for i := range r.nodes {
-		for k := range r.nodes[i].instances {
-			if !r.nodes[i].instances[k].State.Final() {
-				r.nodes[i].open++
-			}
+	for _, x := range e.Notes {
+		if x.Index < 0 || x.Index >= len(n.instances) {
+			return fmt.Errorf("stored run %s of %s names an unknown instance", r.ID, r.Plan.ID)
 		}
+		n.instances[x.Index].Failures, n.instances[x.Index].Ending = x.Failures, x.Ending
+		n.instances[x.Index].Hold, n.instances[x.Index].Begun = timeOf(x.HoldMS), timeOf(x.BegunMS)
 	}
-	r.recount()
-	return r, nil
+	return nil
 }
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"slices"
 	"time"
@@ -54,40 +55,9 @@
 func (g *Graphs) createRun(gr *graph, id string, m meta, now time.Time, tell responder) {
 	d := g.defs[gr.rec.Def]
 	key := keyRun(gr.rec.Team, gr.rec.ID, id)
-	switch {
-	case gr.deleting:
-		tell.refuse(http.StatusNotFound, "no such graph")
-		return
-	case d == nil || d.plan == nil:
-		tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
-		return
-	case !validRun(id) || len(key) > tuning.MaxKey:
-		tell.refuse(http.StatusBadRequest, "dag_run_id is too long, or no name of letters, digits and _-.:+")
-		return
-	case slices.ContainsFunc(gr.history, func(e *entry) bool { return e.key == key }):
-		tell.refuse(http.StatusConflict, "the run exists already")
+	if status, why := g.refusalOf(gr, d, key, id, &m); status != 0 {
+		tell.refuse(status, "%s", why)
 		return
-	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *entry) bool { return e.due && e.logical == m.LogicalMS }):
-		tell.refuse(http.StatusConflict, "the interval has a run already")
-		return
-	case len(m.Conf) > tuning.GraphConf:
-		tell.refuse(http.StatusBadRequest, "conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConf)
-		return
-	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
-		tell.refuse(http.StatusServiceUnavailable, "there is no memory for more runs now; ask again")
-		return
-	}
-	if g.cfg.Source == nil {
-		if !m.Described {
-			tell.refuse(http.StatusConflict, "%s", noSource("the run's steps were not described by whoever triggers it"))
-			return
-		}
-		for i := range d.plan.Steps {
-			if mappedAtRunTime(d.plan, i) {
-				tell.refuse(http.StatusConflict, "%s", noSource("step "+d.plan.Steps[i].ID+" is mapped over what another step leaves"))
-				return
-			}
-		}
 	}
 	m.QueuedMS = now.UnixMilli()
 	if m.LogicalMS == 0 {
@@ -102,6 +72,36 @@
 	g.markDirty(x)
 }
 
+// refusalOf returns the status and reason with which a new run is refused; 0: it is not.
+func (g *Graphs) refusalOf(gr *graph, d *definition, key, id string, m *meta) (status int, why string) {
+	switch {
+	case gr.deleting:
+		return http.StatusNotFound, "no such graph"
+	case d == nil || d.plan == nil:
+		return http.StatusServiceUnavailable, "the graph cannot be read now; ask again"
+	case !validRun(id) || len(key) > tuning.MaxKey:
+		return http.StatusBadRequest, "dag_run_id is too long, or no name of letters, digits and _-.:+"
+	case slices.ContainsFunc(gr.history, func(e *entry) bool { return e.key == key }):
+		return http.StatusConflict, "the run exists already"
+	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *entry) bool { return e.due && e.logical == m.LogicalMS }):
+		return http.StatusConflict, "the interval has a run already"
+	case len(m.Conf) > tuning.GraphConf:
+		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConf)
+	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
+		return http.StatusServiceUnavailable, "there is no memory for more runs now; ask again"
+	case g.cfg.Source != nil:
+		return 0, ""
+	case !m.Described:
+		return http.StatusConflict, noSource("the run's steps were not described by whoever triggers it")
+	}
+	for i := range d.plan.Steps {
+		if mappedAtRunTime(d.plan, i) {
+			return http.StatusConflict, noSource("step " + d.plan.Steps[i].ID + " is mapped over what another step leaves")
+		}
+	}
+	return 0, ""
+}
+
 // insertRun takes a run into a graph's history.
 func (gr *graph) insertRun(e *entry) {
 	i, _ := slices.BinarySearchFunc(gr.history, e, func(a, b *entry) int {
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -24,19 +24,23 @@
 	if !g.mayProceed(x, now) {
 		return
 	}
-	took := false
-	take := func(at dag.Ref) {
-		took = true
-		g.takeSlots(x, at.Step)
-		p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
-		if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
-			x.picked = append(x.picked, p)
-		} else {
-			g.source.queue = append(g.source.queue, p)
-		}
+	before := x.graph.active
+	g.recheckPast(x)
+	g.pickWaitingForPool(x)
+	g.pickNext(x)
+	took := x.graph.active != before // each pick takes a slot, and nothing here gives one back
+	for _, p := range g.pools {
+		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
 	}
 	gr := x.graph
-	free := func() bool { return gr.active < gr.rec.MaxTasks }
+	gr.line.update(g, x, !gr.hasRoom() && (x.run.Ready() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
+}
+
+// hasRoom reports whether one more step of the graph may be submitted.
+func (gr *graph) hasRoom() bool { return gr.active < gr.rec.MaxTasks }
+
+// recheckPast has the steps that waited for the run before wait for their pools, where that one has done them.
+func (g *Graphs) recheckPast(x *liveRun) {
 	waits := x.waitingForPast
 	x.waitingForPast = nil
 	for _, at := range waits {
@@ -48,10 +52,14 @@
 			g.waitForPool(x, at)
 		}
 	}
+}
+
+// pickWaitingForPool picks the steps that waited for a pool which has room now.
+func (g *Graphs) pickWaitingForPool(x *liveRun) {
 	for p, refs := range x.waitingForPool {
-		for len(refs) > 0 && free() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
+		for len(refs) > 0 && x.graph.hasRoom() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
 			if x.run.IsReady(refs[0]) {
-				take(refs[0])
+				g.pickStep(x, refs[0])
 			}
 			refs = refs[1:]
 		}
@@ -59,10 +67,14 @@
 			delete(x.waitingForPool, p)
 		}
 	}
-	for free() {
+}
+
+// pickNext picks steps that became ready since, or has them wait for what they lack.
+func (g *Graphs) pickNext(x *liveRun) {
+	for x.graph.hasRoom() {
 		refs := x.run.Next(1)
 		if len(refs) == 0 {
-			break
+			return
 		}
 		at := refs[0]
 		switch p := g.pool(x.run.Plan, at.Step); {
@@ -71,13 +83,20 @@
 		case len(x.waitingForPool[p]) > 0 || !p.fits(x, at.Step):
 			g.waitForPool(x, at) // behind those that wait for the pool already
 		default:
-			take(at)
+			g.pickStep(x, at)
 		}
 	}
-	for _, p := range g.pools {
-		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
+}
+
+// pickStep takes a step's slots, and has it described unless that is done already.
+func (g *Graphs) pickStep(x *liveRun, at dag.Ref) {
+	g.takeSlots(x, at.Step)
+	p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
+	if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
+		x.picked = append(x.picked, p)
+	} else {
+		g.source.queue = append(g.source.queue, p)
 	}
-	gr.line.update(g, x, !free() && (x.run.Ready() > 0 || len(x.waitingForPool) > 0), took, free())
 }
 
 // mappedAtRunTime reports whether nobody can name a step's jobs before those that it follows are done.
