--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -9,17 +9,17 @@
 	"poppypass/internal/platform/wire"
 )
 
-// BenchmarkCharge is what one attempt's charge costs the loop, with the bytes that its
+// BenchmarkRecordCharge is what one attempt's charge costs the loop, with the bytes that its
 // record grows by.
-func BenchmarkCharge(b *testing.B) {
+func BenchmarkRecordCharge(b *testing.B) {
 	tl := newTestLeader(b)
 	tl.submit(jobArray("job-1", 1))
-	p := tl.allocateAndRun("job-1")
+	a := tl.allocateAndRun("job-1")
 	c := charge.Charge{Attempt: 1, Start: testStart.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Attempt++ // no two charges have the same name
-		tl.ledger.recordCharges(p, []charge.Charge{c}, tl.now())
+		tl.ledger.recordCharges(a, []charge.Charge{c}, tl.now())
 		if len(tl.store.Jobs) > 0 && tl.ledger.stats.Charges%64 == 0 {
 			tl.commitAll()
 		}
@@ -33,8 +33,8 @@
 	b.ReportMetric(float64(len(charge.EncodePack(&pack))-empty)/64, "B/charge")
 }
 
-// BenchmarkMillion rolls up a million charges of 20,000 jobs of 50 teams, and tells what they take in the store.
-func BenchmarkMillion(b *testing.B) {
+// BenchmarkRollUpOfAMillionCharges rolls up a million charges of 20,000 jobs of 50 teams, and tells what they take in the store.
+func BenchmarkRollUpOfAMillionCharges(b *testing.B) {
 	const jobsIn, each = 20_000, 50
 	for b.Loop() {
 		tl := newTestLeader(b)
--- a/internal/accounting/ledger/budgets_test.go
+++ b/internal/accounting/ledger/budgets_test.go
@@ -23,24 +23,24 @@
 	tl.newTerm()
 	tl.submit(jobArray("job-1", 10_000))
 	var placed []*jobs.Allocation
-	for p := tl.allocate("job-1"); p != nil; p = tl.allocate("job-1") {
-		placed = append(placed, p)
+	for a := tl.allocate("job-1"); a != nil; a = tl.allocate("job-1") {
+		placed = append(placed, a)
 	}
 	if len(placed) != 180 {
 		t.Fatalf("%d tasks start, want 180", len(placed))
 	}
 	tl.commitAll()
 	tl.clock.Advance(time.Second)
-	for _, p := range placed {
-		tl.run(p)
+	for _, a := range placed {
+		tl.run(a)
 	}
 	tl.clock.Advance(20 * time.Second) // twice what was expected
-	for _, p := range placed {
-		tl.end(p, wire.ExitDone, false)
+	for _, a := range placed {
+		tl.end(a, wire.ExitDone, false)
 	}
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
-	if p := tl.allocate("job-1"); p != nil {
+	if a := tl.allocate("job-1"); a != nil {
 		t.Error("more starts though the budget is spent")
 	}
 	n, why := tl.ledger.Admit(tl.store.Jobs["job-1"], tl.now())
@@ -109,12 +109,12 @@
 	j := jobArray("job-1", 100)
 	j.EstimateS = 3600 // one alone is beyond the budget
 	tl.submit(j)
-	p := tl.allocateAndRun("job-1")
+	a := tl.allocateAndRun("job-1")
 	if tl.allocate("job-1") != nil {
 		t.Error("a second one starts beside it")
 	}
 	tl.clock.Advance(time.Minute)
-	tl.end(p, wire.ExitDone, false)
+	tl.end(a, wire.ExitDone, false)
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
 	if tl.allocate("job-1") != nil {
@@ -142,21 +142,21 @@
 	tl.submit(batch)
 	service := wire.Job{ID: "job-2", Class: "s", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1}
 	tl.submit(service)
-	p, replica := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-2")
+	a, replica := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-2")
 	if stop := tl.ledger.Tick(tl.now()); len(stop) != 0 {
 		t.Fatal("something is stopped at once")
 	}
 	tl.clock.Advance(time.Minute) // 240 core-seconds of 180
 	stop := tl.ledger.Tick(tl.now())
-	if len(stop) != 1 || stop[0] != p || p.Stop.Reason != charge.OverBudget || p.Stop.GraceS < 4 || replica.Stop != nil {
+	if len(stop) != 1 || stop[0] != a || a.Stop.Reason != charge.OverBudget || a.Stop.GraceS < 4 || replica.Stop != nil {
 		t.Fatalf("stopped are %v", stop)
 	}
 	if again := tl.ledger.Tick(tl.now()); len(again) != 0 {
 		t.Error("what stops already is stopped again")
 	}
-	tl.end(p, wire.ExitStopped, false)
+	tl.end(a, wire.ExitStopped, false)
 	tl.checkAgainstTruth()
-	if c := tl.onlyCharge(attemptIDOf(p)); c.Outcome != charge.OverBudget {
+	if c := tl.onlyCharge(attemptIDOf(a)); c.Outcome != charge.OverBudget {
 		t.Errorf("charged %+v", c)
 	}
 }
--- a/internal/accounting/ledger/charging_test.go
+++ b/internal/accounting/ledger/charging_test.go
@@ -12,35 +12,35 @@
 func TestEndedAttemptIsChargedForItsRunTimeAndOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(tl *testLeader, p *jobs.Allocation)
+		end  func(tl *testLeader, a *jobs.Allocation)
 		how  charge.Outcome
 		flag charge.Flag
 	}{
-		{"done", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitDone, false) }, charge.Done, 0},
-		{"failed", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(tl *testLeader, p *jobs.Allocation) { tl.end(p, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
-		{"drained", func(tl *testLeader, p *jobs.Allocation) {
-			p.Stop = &jobs.StopRequest{Reason: charge.Drained}
-			tl.end(p, wire.ExitStopped, false)
+		{"done", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitDone, false) }, charge.Done, 0},
+		{"failed", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitError, false) }, charge.Failed, 0},
+		{"its machine is taken back or its session ends", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
+		{"drained", func(tl *testLeader, a *jobs.Allocation) {
+			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
+			tl.end(a, wire.ExitStopped, false)
 		}, charge.Drained, 0},
-		{"stopped for others", func(tl *testLeader, p *jobs.Allocation) {
-			p.Stop = &jobs.StopRequest{Reason: charge.Preempted}
-			tl.end(p, wire.ExitStopped, false)
+		{"stopped for others", func(tl *testLeader, a *jobs.Allocation) {
+			a.Stop = &jobs.StopRequest{Reason: charge.Preempted}
+			tl.end(a, wire.ExitStopped, false)
 		}, charge.Preempted, 0},
-		{"its job is cancelled", func(tl *testLeader, p *jobs.Allocation) {
-			tl.store.Cancel(p.Job, func(wire.JobState) {})
+		{"its job is cancelled", func(tl *testLeader, a *jobs.Allocation) {
+			tl.store.Cancel(a.Job, func(wire.JobState) {})
 			tl.commitAll()
-			tl.end(p, wire.ExitStopped, false)
+			tl.end(a, wire.ExitStopped, false)
 		}, charge.Cancelled, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tl := newTestLeader(t)
 			tl.submit(jobArray("job-1", 1))
-			p := tl.allocateAndRun("job-1")
+			a := tl.allocateAndRun("job-1")
 			tl.clock.Advance(30 * time.Second)
-			c.end(tl, p)
+			c.end(tl, a)
 			tl.checkAgainstTruth()
-			got := tl.onlyCharge(attemptIDOf(p))
+			got := tl.onlyCharge(attemptIDOf(a))
 			if got.Outcome != c.how || got.Flags != c.flag || got.Run != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
@@ -59,7 +59,7 @@
 func TestDayEndSplitsTheChargeOfARunningTask(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
-	p := tl.allocateAndRun("job-1")
+	a := tl.allocateAndRun("job-1")
 	tl.clock.Advance(13*time.Hour - time.Second) // from noon to one in the night
 	tl.ledger.Tick(tl.now())
 	tl.rollUpAll()
@@ -74,7 +74,7 @@
 	}
 	tl.newTerm() // the new leader goes on from the turn
 	tl.clock.Advance(time.Hour)
-	tl.end(tl.allocations[attemptIDOf(p)], wire.ExitDone, false)
+	tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 	tl.checkAgainstTruth()
 	if got := day("2026-12-02"); got != 2*3600_000 {
 		t.Errorf("the second day has %d ms", got)
--- a/internal/accounting/ledger/compact_test.go
+++ b/internal/accounting/ledger/compact_test.go
@@ -17,9 +17,9 @@
 		j := jobArray(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("an account with a long name, number %d", i%150)
 		tl.submit(j)
-		p := tl.allocateAndRun(j.ID)
+		a := tl.allocateAndRun(j.ID)
 		tl.clock.Advance(time.Minute)
-		tl.end(p, wire.ExitDone, false)
+		tl.end(a, wire.ExitDone, false)
 		tl.commitAll()
 		if i%8 == 7 {
 			tl.ledger.Tick(tl.now())
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -62,18 +62,18 @@
 func TestStartTimeSurvivesAFailover(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
-	p := tl.allocate("job-1")
+	a := tl.allocate("job-1")
 	tl.commitAll()
 	tl.clock.Advance(5 * time.Second) // the image is fetched
-	tl.run(p)
+	tl.run(a)
 	tl.clock.Advance(tuning.BeganAfter)
 	tl.commitAll()
 	tl.newTerm()
 	tl.clock.Advance(10 * time.Second)
-	p = tl.allocations[attemptIDOf(p)]
-	tl.end(p, wire.ExitDone, false)
+	a = tl.allocations[attemptIDOf(a)]
+	tl.end(a, wire.ExitDone, false)
 	tl.checkAgainstTruth()
-	if c := tl.onlyCharge(attemptIDOf(p)); c.Run != 20_000 || c.Flags != 0 {
+	if c := tl.onlyCharge(attemptIDOf(a)); c.Run != 20_000 || c.Flags != 0 {
 		t.Errorf("charged %+v", c)
 	}
 }
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -19,13 +19,13 @@
 	for tl.allocate("job-1") != nil {
 	}
 	tl.commitAll()
-	for _, p := range tl.allocations {
-		tl.attempts[attemptIDOf(p)].began = tl.now()
+	for _, a := range tl.allocations {
+		tl.attempts[attemptIDOf(a)].began = tl.now()
 	}
 	tl.heartbeat()
 	tl.clock.Advance(time.Minute)
-	for _, p := range tl.allocations {
-		tl.attempts[attemptIDOf(p)].ended, tl.attempts[attemptIDOf(p)].reason = tl.now(), wire.ExitDone
+	for _, a := range tl.allocations {
+		tl.attempts[attemptIDOf(a)].ended, tl.attempts[attemptIDOf(a)].reason = tl.now(), wire.ExitDone
 	}
 	tl.heartbeat()
 	tl.checkAgainstTruth()
@@ -34,9 +34,9 @@
 	}
 	tl.submit(jobArray("job-2", 1))
 	for range 3 * tuning.DetachCharges {
-		p := tl.allocateAndRun("job-2")
+		a := tl.allocateAndRun("job-2")
 		tl.clock.Advance(time.Second)
-		tl.end(p, wire.ExitError, false)
+		tl.end(a, wire.ExitError, false)
 	}
 	tl.checkAgainstTruth()
 	tl.rollUpAll()
@@ -50,7 +50,7 @@
 // at once. A leader whose write is refused as malformed gives up, and so would the next.
 func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.txnOps = 40
+	tl.maxTxnOps = 40
 	tl.newTerm()
 	for i := range 30 {
 		j := jobArray(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
--- a/internal/accounting/ledger/property_test.go
+++ b/internal/accounting/ledger/property_test.go
@@ -22,9 +22,9 @@
 		pick := func() *jobs.Allocation {
 			var live []*jobs.Allocation
 			for _, k := range tl.sortedAttempts() {
-				p := tl.allocations[k]
-				if tr := tl.attempts[attemptIDOf(p)]; tr != nil && tr.ended.IsZero() && !p.Removed {
-					live = append(live, p)
+				a := tl.allocations[k]
+				if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() && !a.Removed {
+					live = append(live, a)
 				}
 			}
 			if len(live) == 0 {
@@ -47,26 +47,26 @@
 				}
 			},
 			"run": func(*rapid.T) {
-				if p := pick(); p != nil {
-					tl.run(p)
+				if a := pick(); a != nil {
+					tl.run(a)
 				}
 			},
 			"finish many": func(rt *rapid.T) {
 				for range rapid.IntRange(1, 30).Draw(rt, "count") {
-					if p := pick(); p != nil {
-						tl.run(p)
-						tl.end(p, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"), false)
+					if a := pick(); a != nil {
+						tl.run(a)
+						tl.end(a, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"), false)
 					}
 				}
 			},
 			"refuse": func(*rapid.T) {
-				if p := pick(); p != nil && tl.attempts[attemptIDOf(p)].began.IsZero() {
-					tl.end(p, wire.ExitNoRoom, false)
+				if a := pick(); a != nil && tl.attempts[attemptIDOf(a)].began.IsZero() {
+					tl.end(a, wire.ExitNoRoom, false)
 				}
 			},
 			"lose": func(*rapid.T) {
-				if p := pick(); p != nil {
-					tl.end(p, wire.ExitStopped, true)
+				if a := pick(); a != nil {
+					tl.end(a, wire.ExitStopped, true)
 				}
 			},
 			"cancel": func(*rapid.T) {
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -25,7 +25,7 @@
 	clock    *clockwork.FakeClock
 	items    map[string]wire.Item
 	revision uint64
-	txnOps   int
+	maxTxnOps   int
 	settings *budget.Settings
 
 	store           *jobs.Store
@@ -43,7 +43,7 @@
 
 func newTestLeader(t testing.TB) *testLeader {
 	tl := &testLeader{
-		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, txnOps: 12, settings: &budget.Settings{},
+		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, maxTxnOps: 12, settings: &budget.Settings{},
 		attempts: map[attemptID]*attemptTruth{},
 	}
 	tl.newTerm()
@@ -56,10 +56,10 @@
 func (tl *testLeader) newTerm() {
 	tl.t.Helper()
 	now := tl.now()
-	tl.store, tl.allocations = jobs.NewStore(tl.txnOps), map[attemptID]*jobs.Allocation{}
+	tl.store, tl.allocations = jobs.NewStore(tl.maxTxnOps), map[attemptID]*jobs.Allocation{}
 	var err error
 	if tl.ledger, err = New(Config{
-		Clock: tl.clock, MaxTxnOps: tl.txnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
+		Clock: tl.clock, MaxTxnOps: tl.maxTxnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
 		Budgets: func() *budget.Settings { return tl.settings },
 	}, slog.New(slog.DiscardHandler)); err != nil {
 		tl.t.Fatal(err)
@@ -74,10 +74,10 @@
 		if err != nil {
 			tl.t.Fatal(err)
 		}
-		for _, p := range places {
-			tl.allocations[attemptIDOf(p)] = p
-			if p.Job.Cancelled() {
-				p.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
+		for _, a := range places {
+			tl.allocations[attemptIDOf(a)] = a
+			if a.Job.Cancelled() {
+				a.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
 			}
 		}
 	}
@@ -130,20 +130,20 @@
 	if n, _ := tl.ledger.Admit(j, tl.now()); i < 0 || n <= 0 {
 		return nil
 	}
-	p := tl.store.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, tl.now())
-	tl.ledger.Placed(p, false, &smallType, tl.now())
-	return p
+	a := tl.store.Allocate(j, i, "a-machine-000001", "mombasa-port", 1, tl.now())
+	tl.ledger.Placed(a, false, &smallType, tl.now())
+	return a
 }
 
 // allocateAndRun places a task, stores that and has it run.
 func (tl *testLeader) allocateAndRun(id string) *jobs.Allocation {
 	tl.t.Helper()
-	p := tl.allocate(id)
-	if p == nil {
+	a := tl.allocate(id)
+	if a == nil {
 		tl.t.Fatalf("nothing of %s may start", id)
 	}
 	tl.commitAll()
 	tl.clock.Advance(time.Second) // the image is fetched
-	tl.run(p)
-	return p
+	tl.run(a)
+	return a
 }
--- a/internal/accounting/ledger/teststore_test.go
+++ b/internal/accounting/ledger/teststore_test.go
@@ -20,7 +20,7 @@
 			tl.t.Fatalf("condition on %s: version %d, want %d", c.Key, tl.items[c.Key].Version, c.Version)
 		}
 	}
-	if len(txn.Then) > tl.txnOps || len(txn.If) >= 4*tl.txnOps {
+	if len(txn.Then) > tl.maxTxnOps || len(txn.If) >= 4*tl.maxTxnOps {
 		tl.t.Fatalf("a transaction has %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	tl.revision++
@@ -62,8 +62,8 @@
 	revision := tl.apply(batch.Txn)
 	for _, j := range tl.store.Jobs {
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Allocation; p != nil {
-				tl.allocations[attemptIDOf(p)] = p
+			if a := j.Tasks[i].Allocation; a != nil {
+				tl.allocations[attemptIDOf(a)] = a
 			}
 		}
 	}
--- a/internal/accounting/ledger/testworkers_test.go
+++ b/internal/accounting/ledger/testworkers_test.go
@@ -24,20 +24,20 @@
 	lost         bool            // its machine is gone
 }
 
-func attemptIDOf(p *jobs.Allocation) attemptID { return attemptID{p.Job.ID, p.Index, p.Attempt} }
+func attemptIDOf(a *jobs.Allocation) attemptID { return attemptID{a.Job.ID, a.Index, a.Attempt} }
 
 // run has a started task begin to run.
-func (tl *testLeader) run(p *jobs.Allocation) {
-	if tr := tl.attempts[attemptIDOf(p)]; tr != nil && tr.began.IsZero() && tr.ended.IsZero() {
-		tr.began = tl.now()
+func (tl *testLeader) run(a *jobs.Allocation) {
+	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.began.IsZero() && truth.ended.IsZero() {
+		truth.began = tl.now()
 	}
 	tl.heartbeat()
 }
 
 // end has an attempt end at its worker.
-func (tl *testLeader) end(p *jobs.Allocation, why wire.ExitReason, lost bool) {
-	if tr := tl.attempts[attemptIDOf(p)]; tr != nil && tr.ended.IsZero() {
-		tr.ended, tr.reason, tr.lost = tl.now(), why, lost
+func (tl *testLeader) end(a *jobs.Allocation, why wire.ExitReason, lost bool) {
+	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() {
+		truth.ended, truth.reason, truth.lost = tl.now(), why, lost
 	}
 	tl.heartbeat()
 }
@@ -53,26 +53,26 @@
 func (tl *testLeader) heartbeat() {
 	now := tl.now()
 	for _, k := range tl.sortedAttempts() {
-		p, tr := tl.allocations[k], tl.attempts[k]
-		if p.Removed {
+		a, truth := tl.allocations[k], tl.attempts[k]
+		if a.Removed {
 			delete(tl.allocations, k)
 			continue
 		}
-		if tr == nil {
+		if truth == nil {
 			continue
 		}
-		if !tr.began.IsZero() && tr.ended.IsZero() && p.State == "" {
-			p.State = wire.TaskRunning
-			tl.store.MarkRunning(p, now)
+		if !truth.began.IsZero() && truth.ended.IsZero() && a.State == "" {
+			a.State = wire.TaskRunning
+			tl.store.MarkRunning(a, now)
 		}
-		if tr.ended.IsZero() {
+		if truth.ended.IsZero() {
 			continue
 		}
-		tl.ledger.Ended(machines.Outcome{Allocation: p, Reason: tr.reason, Lost: tr.lost}, now)
-		if tr.reason == wire.ExitDone {
-			tl.store.MarkDone(p, now)
+		tl.ledger.Ended(machines.Outcome{Allocation: a, Reason: truth.reason, Lost: truth.lost}, now)
+		if truth.reason == wire.ExitDone {
+			tl.store.MarkDone(a, now)
 		} else {
-			tl.store.MarkLost(p, now)
+			tl.store.MarkLost(a, now)
 		}
 	}
 }
--- a/internal/accounting/ledger/truth_test.go
+++ b/internal/accounting/ledger/truth_test.go
@@ -63,8 +63,8 @@
 	tl.commitAll()
 	stored, sum := tl.storedCharges()
 	for k, parts := range stored {
-		tr := tl.attempts[k]
-		if tr == nil {
+		truth := tl.attempts[k]
+		if truth == nil {
 			tl.t.Fatalf("%v was never started and is charged", k)
 		}
 		run, bound := int64(0), false
@@ -72,7 +72,7 @@
 			if c.Part != i {
 				tl.t.Fatalf("%v: part %d stands where %d is expected", k, c.Part, i)
 			}
-			if last := i == len(parts)-1; last && !tr.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
+			if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
 				tl.t.Fatalf("%v: part %d of %d ended as %v", k, i, len(parts), c.Outcome)
 			}
 			if i > 0 && parts[i-1].End() != c.Start {
@@ -84,19 +84,19 @@
 			run += c.Run
 			bound = bound || c.Flags&charge.UpperBound != 0
 		}
-		if tr.ended.IsZero() {
+		if truth.ended.IsZero() {
 			continue
 		}
 		want := int64(0)
-		if !tr.began.IsZero() {
-			want = tr.ended.Sub(tr.began).Milliseconds()
+		if !truth.began.IsZero() {
+			want = truth.ended.Sub(truth.began).Milliseconds()
 		}
 		if run != want && !bound || run < want {
 			tl.t.Fatalf("%v ran %d ms and is charged for %d (bound %v)", k, want, run, bound)
 		}
 	}
-	for k, tr := range tl.attempts {
-		if !tr.ended.IsZero() && len(stored[k]) == 0 {
+	for k, truth := range tl.attempts {
+		if !truth.ended.IsZero() && len(stored[k]) == 0 {
 			tl.t.Fatalf("%v ended and is not charged", k)
 		}
 	}
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -22,10 +22,10 @@
 		j := jobArray(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
 		tl.submit(j)
-		p := tl.allocateAndRun(j.ID)
+		a := tl.allocateAndRun(j.ID)
 		tl.clock.Advance(13 * time.Hour) // so that there are parts
 		tl.ledger.Tick(tl.now())
-		tl.end(tl.allocations[attemptIDOf(p)], wire.ExitDone, false)
+		tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 		if i == 30 {
 			tl.rollUpAll()
 			tl.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
