--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// BenchmarkRecordCharge is what one attempt's charge costs the loop, with the bytes that its
-// record grows by.
+// BenchmarkRecordCharge measures what one attempt's charge costs the loop, and by how many
+// bytes its record grows.
 func BenchmarkRecordCharge(b *testing.B) {
 	tl := newTestLeader(b)
 	tl.submit(jobArray("job-1", 1))
@@ -33,14 +33,15 @@
 	b.ReportMetric(float64(len(charge.EncodePack(&pack))-empty)/64, "B/charge")
 }
 
-// BenchmarkRollUpOfAMillionCharges rolls up a million charges of 20,000 jobs of 50 teams, and tells what they take in the store.
+// BenchmarkRollUpOfAMillionCharges rolls up a million charges of 20,000 jobs of 50 teams, and
+// measures what they take in the state service.
 func BenchmarkRollUpOfAMillionCharges(b *testing.B) {
-	const jobsIn, each = 20_000, 50
+	const jobCount, each = 20_000, 50
 	for b.Loop() {
 		tl := newTestLeader(b)
 		begun := time.Now()
 		made := time.Duration(0)
-		for i := range jobsIn {
+		for i := range jobCount {
 			made -= time.Since(begun)
 			id := fmt.Sprintf("job-%06d", i)
 			pack := &charge.Pack{Job: id, Traits: charge.JobTraits{
@@ -72,14 +73,15 @@
 		for _, item := range tl.itemsWithPrefix(PrefixPage) {
 			pages += len(item.Value)
 		}
-		b.ReportMetric(float64(size)/(jobsIn*each), "B/charge-stored")
+		b.ReportMetric(float64(size)/(jobCount*each), "B/charge-stored")
 		b.ReportMetric(float64(pages), "B-of-totals")
 		b.ReportMetric(float64(len(tl.itemsWithPrefix(PrefixSegment))), "segments")
-		b.ReportMetric(float64(tl.ledger.stats.Changes)/jobsIn, "changes/job")
+		b.ReportMetric(float64(tl.ledger.stats.Changes)/jobCount, "changes/job")
 		b.ReportMetric((time.Since(begun) - made).Seconds(), "s-rolling")
 	}
 }
 
+// detachedValue is the stored form of detached charges.
 func detachedValue(p *charge.Pack) []byte {
 	return wire.EncodeRecord(struct {
 		Charges []byte `json:"c"`
--- a/internal/accounting/ledger/budgets_test.go
+++ b/internal/accounting/ledger/budgets_test.go
@@ -12,15 +12,30 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against an array that starts past its budget at once: each start reserves
-// what it is expected to take, also those of the same pass.
-func TestStartedTasksOfAnArrayReserveTheirBudget(t *testing.T) {
+// newTestLeaderWithBudgets returns a leader with budgets from properties.
+func newTestLeaderWithBudgets(t *testing.T, properties map[string]string) *testLeader {
+	t.Helper()
 	tl := newTestLeader(t)
+	tl.setBudgets(properties)
+	tl.newTerm()
+	return tl
+}
+
+// setBudgets replaces the operators' budgets.
+func (tl *testLeader) setBudgets(properties map[string]string) {
+	tl.t.Helper()
 	tl.settings = &budget.Settings{}
-	if err := tl.settings.Set("budget.t.day.core-hours", "1"); err != nil { // 3,600 core-seconds: 180 tasks of 2 cores for 10 s
-		t.Fatal(err)
+	for key, value := range properties {
+		if err := tl.settings.Set(key, value); err != nil {
+			tl.t.Fatal(err)
+		}
 	}
-	tl.newTerm()
+}
+
+// Guards against an array that starts past its budget at once: each start reserves what it
+// is expected to use, also those of the same scheduling cycle.
+func TestStartedTasksOfAnArrayReserveTheirBudget(t *testing.T) {
+	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "1"}) // 3,600 core-seconds: 180 tasks of 2 cores for 10 s
 	tl.submit(jobArray("job-1", 10_000))
 	var placed []*jobs.Allocation
 	for a := tl.allocate("job-1"); a != nil; a = tl.allocate("job-1") {
@@ -43,19 +58,16 @@
 	if a := tl.allocate("job-1"); a != nil {
 		t.Error("more starts though the budget is spent")
 	}
-	n, why := tl.ledger.Admit(tl.store.Jobs["job-1"], tl.now())
-	if n != 0 || why == "" {
-		t.Errorf("%d may start, since %q", n, why)
+	n, reason := tl.ledger.Admit(tl.store.Jobs["job-1"], tl.now())
+	if n != 0 || reason == "" {
+		t.Errorf("%d may start, since %q", n, reason)
 	}
 	// The overdraft is what the running tasks took beyond their estimates.
 	if v := tl.ledger.budgets.Views("t")[0]; v.Used != 2 || v.State != "spent" {
 		t.Errorf("the budget is %+v", v)
 	}
 	// It is raised meanwhile; and the tasks are known to take twice their estimate now.
-	tl.settings = &budget.Settings{}
-	if err := tl.settings.Set("budget.t.day.core-hours", "3"); err != nil {
-		t.Fatal(err)
-	}
+	tl.setBudgets(map[string]string{"budget.t.day.core-hours": "3"})
 	tl.ledger.Tick(tl.now())
 	n = 0
 	for tl.allocate("job-1") != nil {
@@ -73,22 +85,17 @@
 	tl.checkAgainstTruth()
 }
 
-// Guards against machines that are rented for every job of a team whose budget allows
-// a few tasks only: a look at all jobs shares the rest of the budget, in their order.
+// Guards against machines that are bought for every job of a team whose budget allows a few
+// tasks only: LimitTogether shares the rest of the budget among the jobs, in their order.
 func TestJobsShareTheRestOfABudget(t *testing.T) {
-	tl := newTestLeader(t)
-	tl.settings = &budget.Settings{}
-	if err := tl.settings.Set("budget.t.day.core-hours", "0.05"); err != nil { // 180 core-seconds: 9 tasks
-		t.Fatal(err)
-	}
-	tl.newTerm()
+	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.05"}) // 180 core-seconds: 9 tasks
 	var waiting []*jobs.Job
 	for i, priority := range []wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction} {
 		j := jobArray(fmt.Sprintf("job-%d", i), 4)
 		j.Priority = priority
 		waiting = append(waiting, tl.submit(j))
 	}
-	for range 2 { // a look leaves no trace
+	for range 2 { // it reserves nothing
 		counts := []int{4, 4, 4, 4}
 		tl.ledger.LimitTogether(waiting, counts, tl.now())
 		if !slices.Equal(counts, []int{0, 1, 4, 4}) {
@@ -98,27 +105,20 @@
 }
 
 func TestSpentBudgetLetsTasksStartInTheNextPeriod(t *testing.T) {
-	tl := newTestLeader(t)
-	tl.settings = &budget.Settings{}
-	for key, value := range map[string]string{"budget.t.day.core-hours": "0.01", "budget.t.carry-over": "0.5"} { // 36 core-seconds
-		if err := tl.settings.Set(key, value); err != nil {
-			t.Fatal(err)
-		}
-	}
-	tl.newTerm()
+	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.01", "budget.t.carry-over": "0.5"}) // 36 core-seconds
 	j := jobArray("job-1", 100)
 	j.EstimateS = 3600 // one alone is beyond the budget
 	tl.submit(j)
 	a := tl.allocateAndRun("job-1")
 	if tl.allocate("job-1") != nil {
-		t.Error("a second one starts beside it")
+		t.Error("a second task starts beside it")
 	}
 	tl.clock.Advance(time.Minute)
 	tl.end(a, wire.ExitDone, false)
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
 	if tl.allocate("job-1") != nil {
-		t.Error("another one starts though the budget is spent")
+		t.Error("another task starts though the budget is spent")
 	}
 	tl.clock.Advance(24 * time.Hour)
 	tl.ledger.Tick(tl.now())
@@ -129,14 +129,7 @@
 }
 
 func TestDrainingBudgetStopsRunningTasksOnceAtItsMark(t *testing.T) {
-	tl := newTestLeader(t)
-	tl.settings = &budget.Settings{}
-	for key, value := range map[string]string{"budget.t.day.core-hours": "0.1", "budget.t.when-spent": "drain", "budget.t.drain-at": "0.5"} {
-		if err := tl.settings.Set(key, value); err != nil {
-			t.Fatal(err)
-		}
-	}
-	tl.newTerm()
+	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.1", "budget.t.when-spent": "drain", "budget.t.drain-at": "0.5"})
 	batch := jobArray("job-1", 1)
 	batch.EstimateS, batch.CheckpointS, batch.SaveS = 60, 10, 4
 	tl.submit(batch)
--- a/internal/accounting/ledger/charging_test.go
+++ b/internal/accounting/ledger/charging_test.go
@@ -11,19 +11,19 @@
 
 func TestEndedAttemptIsChargedForItsRunTimeAndOutcome(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		end  func(tl *testLeader, a *jobs.Allocation)
-		how  charge.Outcome
-		flag charge.Flag
+		name    string
+		end     func(tl *testLeader, a *jobs.Allocation)
+		outcome charge.Outcome
+		flags   charge.Flag
 	}{
 		{"done", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitDone, false) }, charge.Done, 0},
 		{"failed", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitError, false) }, charge.Failed, 0},
-		{"its machine is taken back or its session ends", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
+		{"its machine or its worker's incarnation is gone", func(tl *testLeader, a *jobs.Allocation) { tl.end(a, wire.ExitStopped, true) }, charge.Lost, charge.UpperBound},
 		{"drained", func(tl *testLeader, a *jobs.Allocation) {
 			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			tl.end(a, wire.ExitStopped, false)
 		}, charge.Drained, 0},
-		{"stopped for others", func(tl *testLeader, a *jobs.Allocation) {
+		{"preempted", func(tl *testLeader, a *jobs.Allocation) {
 			a.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 			tl.end(a, wire.ExitStopped, false)
 		}, charge.Preempted, 0},
@@ -41,7 +41,7 @@
 			c.end(tl, a)
 			tl.checkAgainstTruth()
 			got := tl.onlyCharge(attemptIDOf(a))
-			if got.Outcome != c.how || got.Flags != c.flag || got.Run != 30_000 {
+			if got.Outcome != c.outcome || got.Flags != c.flags || got.Run != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
 			// Half of its processors and half of its memory, at 0.8 an hour, for 30 s.
@@ -54,8 +54,8 @@
 	}
 }
 
-// A period that turns over while a task runs: its seconds are split, and the bill
-// of the day before is whole although the task runs on.
+// A day ends while a task runs: the task's run time is split, and the bill of that day is
+// whole although the task runs on.
 func TestDayEndSplitsTheChargeOfARunningTask(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
@@ -72,7 +72,7 @@
 	if got := day("2026-12-02"); got != 0 {
 		t.Errorf("the second day has %d ms while the task runs", got)
 	}
-	tl.newTerm() // the new leader goes on from the turn
+	tl.newTerm() // the new leader goes on from the end of the day
 	tl.clock.Advance(time.Hour)
 	tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 	tl.checkAgainstTruth()
--- a/internal/accounting/ledger/compact_test.go
+++ b/internal/accounting/ledger/compact_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Rows of one name are spread over pages as they come, and brought together later;
-// days of long ago become months. The totals are the same all the time.
+// Rows of one key are spread over pages as charges come, and compaction brings them together
+// later; old days become months. The totals stay the same all the time.
 func TestCompactionAndFoldingKeepTheTotals(t *testing.T) {
 	tl := newTestLeader(t)
 	for i := range 400 {
@@ -36,16 +36,8 @@
 	if after := len(tl.itemsWithPrefix(PrefixPage)); after >= before {
 		t.Errorf("%d pages are %d after compaction", before, after)
 	}
-	names := map[RowKey]int{}
-	for _, p := range tl.ledger.closedPages {
-		if len(tl.ledger.closedPages) < tuning.CompactPages {
-			break // so few are left as they are
-		}
-		for n := range p.rows {
-			if names[n]++; names[n] > 1 {
-				t.Fatalf("%v still stands in two closed pages", n)
-			}
-		}
+	if len(tl.ledger.closedPages) >= tuning.CompactPages { // fewer are not compacted
+		tl.checkRowsAreInOneClosedPage()
 	}
 	tl.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
 	tl.ledger.nextCompactCheck = time.Time{}
@@ -53,9 +45,21 @@
 	tl.newTerm()
 	tl.checkAgainstTruth()
 	for _, p := range tl.ledger.closedPages {
-		for n := range p.rows {
-			if len(n.Day) != len("2026-12") {
-				t.Fatalf("%v is not folded", n)
+		for key := range p.rows {
+			if len(key.Day) != len("2026-12") {
+				t.Fatalf("%v is not folded", key)
+			}
+		}
+	}
+}
+
+func (tl *testLeader) checkRowsAreInOneClosedPage() {
+	tl.t.Helper()
+	pages := map[RowKey]int{}
+	for _, p := range tl.ledger.closedPages {
+		for key := range p.rows {
+			if pages[key]++; pages[key] > 1 {
+				tl.t.Fatalf("%v still stands in two closed pages", key)
 			}
 		}
 	}
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -9,9 +9,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against charges that are lost or doubled when a leader dies between an
-// attempt's end and its charge, between the charge and its roll-up, or after a
-// transaction that was applied and never answered.
+// Guards against charges that are lost or doubled when a leader dies between an attempt's
+// end and its charge, between the charge and its roll-up, or after a transaction that was
+// applied and never answered.
 func TestEachAttemptIsChargedOnceWhereverALeaderDies(t *testing.T) {
 	steps := []func(*testLeader){
 		func(tl *testLeader) { tl.commitBatch(true) },
@@ -57,8 +57,7 @@
 	}
 }
 
-// A change of leaders loses no seconds: when a task began is stored once it has run
-// for a while.
+// A failover loses no run time: when a task began is stored once it has run for BeganAfter.
 func TestStartTimeSurvivesAFailover(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// A job of very many tasks ends although its charges fit no transaction, and a task
-// that fails again and again does not outgrow its record.
+// A job of very many tasks ends although its charges do not fit into one transaction, and a
+// task that fails again and again does not outgrow its record.
 func TestManyChargesOfAJobFitTheStateService(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 40*tuning.ChunkTasks))
@@ -46,8 +46,8 @@
 	}
 }
 
-// A transaction stays within what the service takes when many jobs with long records end
-// at once. A leader whose write is refused as malformed gives up, and so would the next.
+// A transaction stays within the state service's limits when many jobs with long records
+// end at once. A leader whose write is refused as malformed gives up, and so would the next.
 func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.maxTxnOps = 40
@@ -63,7 +63,7 @@
 			}
 		}
 		tl.commitAll()
-		tl.heartbeat() // what is gone from its place is no longer looked at
+		tl.heartbeat() // it forgets the allocations that were removed
 		tl.clock.Advance(time.Second)
 		for _, k := range tl.sortedAttempts() {
 			tl.attempts[k].began = tl.now()
@@ -77,7 +77,7 @@
 		}
 		tl.heartbeat()
 	}
-	tl.checkAgainstTruth() // whose store refuses what is too long
+	tl.checkAgainstTruth() // its store refuses what is too long
 	t.Logf("the longest transaction has %d bytes", tl.longestTxnBytes)
 	if len(tl.store.Jobs) != 0 {
 		t.Errorf("%d jobs do not end", len(tl.store.Jobs))
--- a/internal/accounting/ledger/property_test.go
+++ b/internal/accounting/ledger/property_test.go
@@ -13,8 +13,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// The property: whatever happens, in whatever order, each attempt is charged once,
-// and the totals are the sum of the charges.
+// The property: whatever happens, in whatever order, each attempt is charged once, and the
+// totals are the sum of the charges.
 func TestChargesAndTotalsMatchWhatRanInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tl := newTestLeader(t)
@@ -30,7 +30,7 @@
 			if len(live) == 0 {
 				return nil
 			}
-			return live[rapid.IntRange(0, len(live)-1).Draw(rt, "place")]
+			return live[rapid.IntRange(0, len(live)-1).Draw(rt, "allocation")]
 		}
 		actions := map[string]func(*rapid.T){
 			"submit": func(rt *rapid.T) {
@@ -55,7 +55,7 @@
 				for range rapid.IntRange(1, 30).Draw(rt, "count") {
 					if a := pick(); a != nil {
 						tl.run(a)
-						tl.end(a, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"), false)
+						tl.end(a, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "reason"), false)
 					}
 				}
 			},
@@ -94,7 +94,7 @@
 			"hours": func(rt *rapid.T) {
 				tl.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
 				tl.ledger.Tick(tl.now())
-				tl.commitAll() // the book writes what is due within seconds
+				tl.commitAll() // the job store writes what is due within seconds
 			},
 			"": func(*rapid.T) {},
 		}
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -14,26 +14,27 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
+// jobArray is a job of some tasks, each of which is expected to run for 10 s.
 func jobArray(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
 }
 
-// testLeader is a leader's book and ledger over a store in memory, with workers that the
-// test drives. It knows when each attempt really ran.
+// testLeader is a leader's job store and ledger over a state service in memory, with workers
+// that the test drives. It knows when each attempt really ran.
 type testLeader struct {
-	t        testing.TB
-	clock    *clockwork.FakeClock
-	items    map[string]wire.Item
-	revision uint64
-	maxTxnOps   int
-	settings *budget.Settings
+	t         testing.TB
+	clock     *clockwork.FakeClock
+	items     map[string]wire.Item
+	revision  uint64
+	maxTxnOps int
+	settings  *budget.Settings
 
 	store           *jobs.Store
 	ledger          *Ledger
 	allocations     map[attemptID]*jobs.Allocation // as the present leader knows them
 	attempts        map[attemptID]*attemptTruth
 	writtenChanges  int // put and deleted so far
-	longestTxnBytes int // bytes of a transaction
+	longestTxnBytes int // the longest transaction so far
 }
 
 var (
@@ -52,7 +53,8 @@
 
 func (tl *testLeader) now() time.Time { return tl.clock.Now() }
 
-// newTerm begins with a new leader, which knows what is stored and hears from the workers.
+// newTerm begins the term of a new leader, which loads what is stored and gets heartbeats
+// from the workers.
 func (tl *testLeader) newTerm() {
 	tl.t.Helper()
 	now := tl.now()
@@ -64,17 +66,32 @@
 	}, slog.New(slog.DiscardHandler)); err != nil {
 		tl.t.Fatal(err)
 	}
+	tl.loadJobs(now)
+	tl.ledger.Loaded(tl.store, now)
+	var last *wire.Item
+	if segments := tl.itemsWithPrefix(PrefixSegment); len(segments) > 0 {
+		last = &segments[len(segments)-1]
+	}
+	if err := tl.ledger.load(tl.itemsWithPrefix(PrefixPage), last); err != nil {
+		tl.t.Fatal(err)
+	}
+	tl.heartbeat()
+}
+
+// loadJobs loads the job store from what is stored.
+func (tl *testLeader) loadJobs(now time.Time) {
+	tl.t.Helper()
 	for _, item := range tl.itemsWithPrefix(jobs.PrefixJob) {
 		if _, err := tl.store.LoadJob(item, now, now); err != nil {
 			tl.t.Fatal(err)
 		}
 	}
 	for _, item := range tl.itemsWithPrefix(jobs.PrefixProgress) {
-		places, err := tl.store.LoadProgress(item, now)
+		allocations, err := tl.store.LoadProgress(item, now)
 		if err != nil {
 			tl.t.Fatal(err)
 		}
-		for _, a := range places {
+		for _, a := range allocations {
 			tl.allocations[attemptIDOf(a)] = a
 			if a.Job.Cancelled() {
 				a.Stop = &jobs.StopRequest{Reason: charge.Cancelled}
@@ -88,18 +105,9 @@
 	if errs := tl.store.TakeDamaged(); len(errs) > 0 {
 		tl.t.Fatal(errs)
 	}
-	tl.ledger.Loaded(tl.store, now)
-	var last *wire.Item
-	if segments := tl.itemsWithPrefix(PrefixSegment); len(segments) > 0 {
-		last = &segments[len(segments)-1]
-	}
-	if err := tl.ledger.load(tl.itemsWithPrefix(PrefixPage), last); err != nil {
-		tl.t.Fatal(err)
-	}
-	tl.heartbeat()
 }
 
-// submit stores a job.
+// submit stores a job, of the team t unless it names one.
 func (tl *testLeader) submit(j wire.Job) *jobs.Job {
 	tl.t.Helper()
 	if j.Team == "" {
@@ -120,7 +128,7 @@
 	return out
 }
 
-// allocate decides on the next waiting task of a job; nil: none waits.
+// allocate decides on the next waiting task of a job; nil: none may start.
 func (tl *testLeader) allocate(id string) *jobs.Allocation {
 	j := tl.store.Jobs[id]
 	if j == nil || !j.CanStart() {
@@ -135,7 +143,7 @@
 	return a
 }
 
-// allocateAndRun places a task, stores that and has it run.
+// allocateAndRun allocates a task, stores that and has it run.
 func (tl *testLeader) allocateAndRun(id string) *jobs.Allocation {
 	tl.t.Helper()
 	a := tl.allocate(id)
--- a/internal/accounting/ledger/teststore_test.go
+++ b/internal/accounting/ledger/teststore_test.go
@@ -9,11 +9,10 @@
 
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/scheduler/leader"
 )
 
-// apply does what the state service does with a transaction; every condition must
-// hold, since only one leader writes.
+// apply does what the state service does with a transaction, within limits like its own;
+// every condition must hold, since only one leader writes.
 func (tl *testLeader) apply(txn wire.Txn) uint64 {
 	for _, c := range txn.If {
 		if tl.items[c.Key].Version != c.Version {
@@ -42,6 +41,7 @@
 	return tl.revision
 }
 
+// itemsWithPrefix returns the stored records with a prefix, in the order of their keys.
 func (tl *testLeader) itemsWithPrefix(prefix string) []wire.Item {
 	var out []wire.Item
 	for _, key := range slices.Sorted(maps.Keys(tl.items)) {
@@ -52,7 +52,8 @@
 	return out
 }
 
-// commitBatch stores one of the book's transactions, and tells whether there was one.
+// commitBatch stores one of the job store's transactions, and tells whether there was one.
+// Unless it is answered, the leader does not learn of it.
 func (tl *testLeader) commitBatch(answered bool) bool {
 	tl.store.WriteDue(tl.now())
 	batch := tl.store.NextBatch(tl.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
@@ -97,17 +98,18 @@
 	}
 }
 
-// commitAll stores all that waits.
+// commitAll stores all that waits in the job store.
 func (tl *testLeader) commitAll() {
 	for tl.commitBatch(true) {
 	}
 }
 
-// commitLedgerWrite does one of the ledger's own transactions.
+// commitLedgerWrite stores one of the ledger's own transactions, and tells whether there was
+// one. Unless it is answered, the ledger does not learn of it.
 func (tl *testLeader) commitLedgerWrite(answered bool) bool {
 	tl.ledger.Tick(tl.now())
-	var write *leader.SubsystemWrite
-	if write = tl.ledger.NextWrite(tl.now(), 1000); write == nil {
+	write := tl.ledger.NextWrite(tl.now(), 1000)
+	if write == nil {
 		return false
 	}
 	if revision := tl.apply(write.Txn); answered {
@@ -116,12 +118,12 @@
 	return true
 }
 
-// rollUpAll rolls up all there is.
+// rollUpAll rolls up all charges, and does what else the ledger has to write.
 func (tl *testLeader) rollUpAll() {
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
 	for {
-		tl.ledger.detachedSince = time.Time{} // what lies apart lies there for long
+		tl.ledger.detachedSince = time.Time{} // so that a roll-up is due
 		if !tl.commitLedgerWrite(true) {
 			return
 		}
--- a/internal/accounting/ledger/testworkers_test.go
+++ b/internal/accounting/ledger/testworkers_test.go
@@ -11,6 +11,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
+// attemptID names an attempt.
 type attemptID struct {
 	job     string
 	task    int
@@ -26,7 +27,7 @@
 
 func attemptIDOf(a *jobs.Allocation) attemptID { return attemptID{a.Job.ID, a.Index, a.Attempt} }
 
-// run has a started task begin to run.
+// run has a started task begin to run at its worker.
 func (tl *testLeader) run(a *jobs.Allocation) {
 	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.began.IsZero() && truth.ended.IsZero() {
 		truth.began = tl.now()
@@ -35,21 +36,21 @@
 }
 
 // end has an attempt end at its worker.
-func (tl *testLeader) end(a *jobs.Allocation, why wire.ExitReason, lost bool) {
+func (tl *testLeader) end(a *jobs.Allocation, reason wire.ExitReason, lost bool) {
 	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() {
-		truth.ended, truth.reason, truth.lost = tl.now(), why, lost
+		truth.ended, truth.reason, truth.lost = tl.now(), reason, lost
 	}
 	tl.heartbeat()
 }
 
-// sortedAttempts gives the places in an order that is the same every time.
+// sortedAttempts returns the leader's allocations in an order that is the same every time.
 func (tl *testLeader) sortedAttempts() []attemptID {
 	return slices.SortedFunc(maps.Keys(tl.allocations), func(a, b attemptID) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
 
-// heartbeat has the leader hear what each worker knows, as the loop would.
+// heartbeat reports to the leader what each worker knows, as the loop would.
 func (tl *testLeader) heartbeat() {
 	now := tl.now()
 	for _, k := range tl.sortedAttempts() {
--- a/internal/accounting/ledger/truth_test.go
+++ b/internal/accounting/ledger/truth_test.go
@@ -9,22 +9,23 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// onlyCharge gives the one charge of an attempt.
-func (tl *testLeader) onlyCharge(k attemptID) charge.Charge {
+// onlyCharge returns the one charge of an attempt.
+func (tl *testLeader) onlyCharge(id attemptID) charge.Charge {
 	tl.t.Helper()
 	stored, _ := tl.storedCharges()
-	if len(stored[k]) != 1 {
-		tl.t.Fatalf("%v has the charges %+v", k, stored[k])
+	if len(stored[id]) != 1 {
+		tl.t.Fatalf("%v has the charges %+v", id, stored[id])
 	}
-	return stored[k][0]
+	return stored[id][0]
 }
 
-// storedCharges gives all charges that are stored, wherever they lie, by attempt.
+// storedCharges returns all charges that are stored, wherever they are, by attempt and in
+// the order of their parts, and their sum.
 func (tl *testLeader) storedCharges() (map[attemptID][]charge.Charge, charge.Amounts) {
 	tl.t.Helper()
 	out := map[attemptID][]charge.Charge{}
 	var sum charge.Amounts
-	take := func(p *charge.Pack) {
+	add := func(p *charge.Pack) {
 		for i := range p.Charges {
 			c := &p.Charges[i]
 			k := attemptID{p.Job, c.Task, c.Attempt}
@@ -38,7 +39,7 @@
 			tl.t.Fatal(err)
 		}
 		if p != nil {
-			take(p)
+			add(p)
 		}
 	}
 	for _, item := range tl.itemsWithPrefix(PrefixSegment) {
@@ -47,7 +48,7 @@
 			tl.t.Fatal(err)
 		}
 		for i := range packs {
-			take(&packs[i])
+			add(&packs[i])
 		}
 	}
 	for _, parts := range out {
@@ -57,56 +58,79 @@
 }
 
 // checkAgainstTruth compares what is stored with what happened: each attempt whose end is
-// stored is charged once, to the millisecond or as an upper bound that says so.
+// stored is charged once, to the millisecond or as an upper bound that says so; and the
+// totals and what the budgets count are the sum of the charges.
 func (tl *testLeader) checkAgainstTruth() {
 	tl.t.Helper()
 	tl.commitAll()
 	stored, sum := tl.storedCharges()
-	for k, parts := range stored {
-		truth := tl.attempts[k]
+	for id, parts := range stored {
+		truth := tl.attempts[id]
 		if truth == nil {
-			tl.t.Fatalf("%v was never started and is charged", k)
+			tl.t.Fatalf("%v was never started and is charged", id)
 		}
-		run, bound := int64(0), false
-		for i, c := range parts {
-			if c.Part != i {
-				tl.t.Fatalf("%v: part %d stands where %d is expected", k, c.Part, i)
-			}
-			if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
-				tl.t.Fatalf("%v: part %d of %d ended as %v", k, i, len(parts), c.Outcome)
-			}
-			if i > 0 && parts[i-1].End() != c.Start {
-				tl.t.Fatalf("%v: a gap before part %d", k, i)
-			}
-			if charge.DayOf(c.Start, time.UTC) != charge.DayOf(max(c.Start, c.End()-1), time.UTC) {
-				tl.t.Fatalf("%v: part %d lies in two days", k, i)
-			}
-			run += c.Run
-			bound = bound || c.Flags&charge.UpperBound != 0
+		tl.checkParts(id, parts, truth)
+		tl.checkRunTime(id, parts, truth)
+	}
+	for id, truth := range tl.attempts {
+		if !truth.ended.IsZero() && len(stored[id]) == 0 {
+			tl.t.Fatalf("%v ended and is not charged", id)
+		}
+	}
+	tl.checkSums(sum)
+}
+
+// checkParts checks that an attempt's parts follow each other without a gap, each in one
+// day, and that only the last one of an attempt that ended has an outcome.
+func (tl *testLeader) checkParts(id attemptID, parts []charge.Charge, truth *attemptTruth) {
+	tl.t.Helper()
+	for i, c := range parts {
+		if c.Part != i {
+			tl.t.Fatalf("%v: part %d stands where %d is expected", id, c.Part, i)
 		}
-		if truth.ended.IsZero() {
-			continue
+		if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
+			tl.t.Fatalf("%v: part %d of %d ended as %v", id, i, len(parts), c.Outcome)
 		}
-		want := int64(0)
-		if !truth.began.IsZero() {
-			want = truth.ended.Sub(truth.began).Milliseconds()
+		if i > 0 && parts[i-1].End() != c.Start {
+			tl.t.Fatalf("%v: a gap before part %d", id, i)
 		}
-		if run != want && !bound || run < want {
-			tl.t.Fatalf("%v ran %d ms and is charged for %d (bound %v)", k, want, run, bound)
+		if charge.DayOf(c.Start, time.UTC) != charge.DayOf(max(c.Start, c.End()-1), time.UTC) {
+			tl.t.Fatalf("%v: part %d lies in two days", id, i)
 		}
 	}
-	for k, truth := range tl.attempts {
-		if !truth.ended.IsZero() && len(stored[k]) == 0 {
-			tl.t.Fatalf("%v ended and is not charged", k)
-		}
+}
+
+// checkRunTime checks that an attempt that ended is charged for the time that it ran, or
+// for more if a part says that it is an upper bound.
+func (tl *testLeader) checkRunTime(id attemptID, parts []charge.Charge, truth *attemptTruth) {
+	tl.t.Helper()
+	if truth.ended.IsZero() {
+		return
+	}
+	run, bound := int64(0), false
+	for _, c := range parts {
+		run += c.Run
+		bound = bound || c.Flags&charge.UpperBound != 0
+	}
+	want := int64(0)
+	if !truth.began.IsZero() {
+		want = truth.ended.Sub(truth.began).Milliseconds()
 	}
+	if run != want && !bound || run < want {
+		tl.t.Fatalf("%v ran %d ms and is charged for %d (bound %v)", id, want, run, bound)
+	}
+}
+
+// checkSums checks that the totals and what the budgets count are the sum of all charges.
+func (tl *testLeader) checkSums(sum charge.Amounts) {
+	tl.t.Helper()
 	totals := tl.ledger.totals(Query{By: []string{"team"}}, tl.now())
 	if totals.Sum.CoreMicroS != sum.Core || totals.Sum.MoneyMicro != sum.Money || totals.Sum.Attempts != sum.Attempts() {
 		tl.t.Fatalf("totals %+v, the charges make %+v", totals.Sum, sum)
 	}
 	var used budget.Usage
-	for _, b := range tl.ledger.budgets.TeamUsage("t") {
-		used.Add(b)
+	for _, u := range tl.ledger.budgets.TeamUsage("t") {
+		used.Add(u)
 	}
 	if used.Core != sum.Core || used.Money != sum.Money {
 		tl.t.Fatalf("budgets count %+v, the charges make %+v", used, sum)
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -12,49 +12,18 @@
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
+
+	"github.com/jonboulle/clockwork"
 )
 
-// Verification finds what is wrong, and says so: a total that was changed, a charge that
-// is there twice, a segment that is missing or damaged.
+// Verification names what is wrong: a total that was changed, a charge that is there twice,
+// a gap between parts, a segment that is missing or damaged.
 func TestVerifyNamesEachDiscrepancy(t *testing.T) {
 	tl := newTestLeader(t)
-	for i := range 60 {
-		j := jobArray(fmt.Sprintf("job-%d", i), 1)
-		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
-		tl.submit(j)
-		a := tl.allocateAndRun(j.ID)
-		tl.clock.Advance(13 * time.Hour) // so that there are parts
-		tl.ledger.Tick(tl.now())
-		tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
-		if i == 30 {
-			tl.rollUpAll()
-			tl.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
-		}
-	}
-	tl.rollUpAll()
+	tl.makeTwoSegments()
 	codec := tl.ledger.codec
-	verify := func(items map[string]wire.Item) *Verification {
-		t.Helper()
-		state := fakes.NewStore(tl.clock)
-		defer state.Close()
-		store := statestore.New(state.Addr(), 1e6, 1e6)
-		for key, item := range items {
-			if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: key, Value: item.Value}}}); err != nil {
-				t.Fatal(err)
-			}
-		}
-		r, err := NewReader(store)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f, err := r.Verify(t.Context(), time.UTC)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return f
-	}
-	if f := verify(tl.items); len(f.Discrepancies) != 0 || f.Jobs != 60 || f.Charges < 60 {
-		t.Fatalf("found %+v", f)
+	if v := verifyItems(t, tl.items); len(v.Discrepancies) != 0 || v.Jobs != 60 || v.Charges < 60 {
+		t.Fatalf("found %+v", v)
 	}
 	segment := tl.itemsWithPrefix(PrefixSegment)[0]
 	for _, c := range []struct {
@@ -107,10 +76,55 @@
 			items[item.Key] = item
 		}},
 	} {
-		items := maps.Clone(tl.items)
-		c.change(items)
-		if f := verify(items); len(f.Discrepancies) == 0 || !slices.ContainsFunc(f.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
-			t.Errorf("%s: found %v", c.name, f.Discrepancies)
+		t.Run(c.name, func(t *testing.T) {
+			items := maps.Clone(tl.items)
+			c.change(items)
+			v := verifyItems(t, items)
+			if len(v.Discrepancies) == 0 || !slices.ContainsFunc(v.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
+				t.Errorf("found %v", v.Discrepancies)
+			}
+		})
+	}
+}
+
+// makeTwoSegments runs jobs whose charges have parts, and rolls them up into two segments
+// and some pages of totals.
+func (tl *testLeader) makeTwoSegments() {
+	tl.t.Helper()
+	for i := range 60 {
+		j := jobArray(fmt.Sprintf("job-%d", i), 1)
+		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
+		tl.submit(j)
+		a := tl.allocateAndRun(j.ID)
+		tl.clock.Advance(13 * time.Hour) // so that there are parts
+		tl.ledger.Tick(tl.now())
+		tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
+		if i == 30 {
+			tl.rollUpAll()
+			tl.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
 		}
 	}
+	tl.rollUpAll()
+}
+
+// verifyItems verifies the ledger of a state service with these records.
+func verifyItems(t *testing.T, items map[string]wire.Item) *Verification {
+	t.Helper()
+	state := fakes.NewStore(clockwork.NewFakeClockAt(testStart))
+	t.Cleanup(func() { state.Close() })
+	store := statestore.New(state.Addr(), 1e6, 1e6)
+	for key, item := range items {
+		if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: key, Value: item.Value}}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r, err := NewReader(store)
+	if err != nil {
+		t.Fatal(err)
+	}
+	v, err := r.Verify(t.Context(), time.UTC)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return v
 }
