--- /dev/null
+++ b/cmd/poppypass/budget.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"fmt"
+	"net/url"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/accounting/ledger"
+)
+
+func budgetCommand() *cobra.Command {
+	var a ledgerAPI
+	c := &cobra.Command{Use: "budget", Short: "Show the teams' budgets"}
+	a.flags(c)
+	c.AddCommand(budgetShowCommand(&a))
+	return c
+}
+
+func budgetShowCommand(a *ledgerAPI) *cobra.Command {
+	var team string
+	c := &cobra.Command{
+		Use: "show", Short: "Show the state of each budget", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			var got struct {
+				Budgets []budget.View `json:"budgets"`
+			}
+			if err := a.get(cmd.Context(), ledger.PathBudgets+"?team="+url.QueryEscape(team), &got); err != nil {
+				return err
+			}
+			rows := [][]string{{"team", "account", "period", "unit", "limit", "used", "reserved", "state", "until"}}
+			for _, v := range got.Budgets {
+				until := ""
+				if v.To != nil {
+					until = v.To.Format(time.RFC3339)
+				}
+				rows = append(rows, []string{v.Team, v.Account, string(v.Period), string(v.Unit), fmt.Sprintf("%.3f", v.Limit),
+					fmt.Sprintf("%.3f", v.Used), fmt.Sprintf("%.3f", v.Reserved), v.State, until})
+			}
+			return a.print(cmd.OutOrStdout(), got, rows, rows)
+		},
+	}
+	c.Flags().StringVar(&team, "team", "", "only this team's")
+	return c
+}
--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -1,61 +1,19 @@
 package main
 
 import (
-	"bytes"
-	"context"
-	"fmt"
-	"log/slog"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/controller"
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 	"poppypass/internal/sim/testutil"
 )
 
-func run(args ...string) (string, error) {
-	cmd := rootCommand()
-	var out bytes.Buffer
-	cmd.SetOut(&out)
-	cmd.SetErr(&out)
-	cmd.SetArgs(args)
-	err := cmd.Execute()
-	return out.String(), err
-}
-
-func settings(t *testing.T, bind, state, cloud string) string {
-	t.Helper()
-	return testutil.File(t, "settings.toml", fmt.Sprintf(`
-member = "m0"
-bind = %q
-mesh_addr = %q
-[outside]
-cloud = %q
-state = %q
-[[cluster.teams]]
-name = "t"
-cpus = 4.0
-cpus_max = 8.0
-[cluster.workers]
-report_s = 3.0
-lease_s = 18.0
-cancel_s = 43.0
-[cluster.state]
-rps = 1000.0
-write_rps = 1000.0
-value_kb = 16.0
-txn_ops = 12
-[cluster.cloud]
-rps = 100.0
-`, bind, testutil.FreeAddr(t), cloud, state))
-}
-
-func TestCheck(t *testing.T) {
+func TestBadSettingsAreRefusedInOneLine(t *testing.T) {
 	good := settings(t, "127.0.0.1:8080", "127.0.0.1:1", "127.0.0.1:2")
 	if out, err := run("check", "--config", good); err != nil || !strings.Contains(out, "good settings for member m0") {
 		t.Errorf("good settings: %q, %v", out, err)
@@ -78,15 +36,15 @@
 	}
 }
 
-func TestVersion(t *testing.T) {
+func TestTheVersionIsPrinted(t *testing.T) {
 	if out, err := run("version"); err != nil || out != "poppypass "+version+"\n" {
 		t.Errorf("%q, %v", out, err)
 	}
 }
 
-// TestJobs submits, queries and cancels a job with the client commands, against
-// a controller whose outside systems are stand-ins.
-func TestJobs(t *testing.T) {
+// Submits, queries and cancels a job with the client commands, against
+// a controller whose outside systems are fakes.
+func TestClientCommandsAgainstAController(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewRealClock())
 	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
 	bind := testutil.FreeAddr(t)
@@ -95,26 +53,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(t.Context())
 	props := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
-	own, err := config.LoadProperties(props)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := controller.New(s, config.Watch("", s, own), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		if err := <-done; err != nil {
-			t.Errorf("the controller ended: %v", err)
-		}
-		state.Close()
-		cloud.Close()
-	})
+	startController(t, s, props, state, cloud)
 	// until repeats a command until it gives what is wanted; the wait is short,
 	// and bounded so that a hang is a failure.
 	until := func(want string, args ...string) {
--- a/cmd/poppypass/graph_test.go
+++ b/cmd/poppypass/graph_check_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/sim/testutil"
 )
 
-func TestGraphCheck(t *testing.T) {
+func TestGraphsAreCheckedAndPrinted(t *testing.T) {
 	file := testutil.File(t, "nightly.star", `
 DAG("nightly", schedule = "@daily", start_date = "2026-12-01", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"})
 JobOperator(task_id = "a", estimate_s = 60) >> [JobOperator(task_id = "b", estimate_s = 30), EmptyOperator(task_id = "c")]
@@ -46,7 +46,7 @@
 }
 
 // The worked examples of the operators' page are graphs.
-func TestTheExamplesOfTheOperatorsPage(t *testing.T) {
+func TestTheExamplesOfTheOperatorsPageAreGraphs(t *testing.T) {
 	files, err := filepath.Glob("../../docs/operators/graphs/*.star")
 	if err != nil || len(files) != 3 {
 		t.Fatalf("%v, %v", files, err)
--- /dev/null
+++ b/cmd/poppypass/graph_client.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"poppypass/internal/accounting/charge"
+	"poppypass/internal/graphs/airflow"
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
+)
+
+// graphAPI is how a command reaches the API for graphs.
+type graphAPI struct {
+	client
+	team string
+}
+
+func (a *graphAPI) flags(c *cobra.Command) {
+	a.client.flags(c)
+	c.Flags().StringVar(&a.team, "team", "", "the team whose graphs are meant")
+}
+
+// path is a path of the API, with its parameters.
+func (a *graphAPI) path(q url.Values, parts ...string) (string, error) {
+	if a.team == "" {
+		return "", errors.New("name a team with --team")
+	}
+	escaped := make([]string, len(parts))
+	for i, p := range parts {
+		escaped[i] = url.PathEscape(p)
+	}
+	if q == nil {
+		q = url.Values{}
+	}
+	q.Set("team", a.team)
+	return airflow.PathAPI + "/" + strings.Join(escaped, "/") + "?" + q.Encode(), nil
+}
+
+// request calls the API; out is nil if the answer does not matter.
+func (a *graphAPI) request(ctx context.Context, method string, in, out any, q url.Values, parts ...string) error {
+	path, err := a.path(q, parts...)
+	if err != nil {
+		return err
+	}
+	if method == http.MethodDelete {
+		return a.send(ctx, method, path, nil)
+	}
+	raw, err := a.call(ctx, method, path, in)
+	if err != nil || out == nil {
+		return err
+	}
+	return json.Unmarshal(raw, out)
+}
+
+// read reads what is at a path of the API.
+func (a *graphAPI) read(ctx context.Context, out any, parts ...string) error {
+	return a.request(ctx, http.MethodGet, nil, out, nil, parts...)
+}
+
+// list reads all pages of a list.
+func list[T any](ctx context.Context, a *graphAPI, name string, q url.Values, parts ...string) ([]T, error) {
+	var all []T
+	for {
+		page := url.Values{"offset": {strconv.Itoa(len(all))}}
+		for k, v := range q {
+			page[k] = v
+		}
+		var got map[string]json.RawMessage
+		if err := a.request(ctx, http.MethodGet, nil, &got, page, parts...); err != nil {
+			return nil, err
+		}
+		var items []T
+		var total int
+		if err := errors.Join(json.Unmarshal(got[name], &items), json.Unmarshal(got["total_entries"], &total)); err != nil {
+			return nil, fmt.Errorf("malformed answer: %w", err)
+		}
+		if all = append(all, items...); len(items) == 0 || len(all) >= total {
+			return all, nil
+		}
+	}
+}
+
+// register uploads a graph, in parts if it is longer than a request may be, and registers it. paused is nil where the graph is to
+// stay as it is.
+func (a *graphAPI) register(ctx context.Context, p *dag.Plan, paused *bool) error {
+	codec, err := charge.NewCodec()
+	if err != nil {
+		return err
+	}
+	hash, parts, err := runner.Pack(codec, &p.Graph)
+	if err != nil {
+		return err
+	}
+	body := map[string]any{"definition": hash, "parts": len(parts)}
+	if paused != nil {
+		body["is_paused"] = *paused
+	}
+	// A part that another registration has just found spoilt is uploaded once more.
+	for try := 0; ; try++ {
+		if err := a.upload(ctx, hash, parts); err != nil {
+			return err
+		}
+		err := a.request(ctx, http.MethodPut, body, nil, nil, "dags", p.ID)
+		if err == nil || try == 1 {
+			return err
+		}
+	}
+}
+
+// upload sends the parts of a definition.
+func (a *graphAPI) upload(ctx context.Context, hash string, parts [][]byte) error {
+	for i, part := range parts {
+		path, err := a.path(url.Values{"of": {strconv.Itoa(len(parts))}}, "definitions", hash, strconv.Itoa(i))
+		if err != nil {
+			return err
+		}
+		if err := a.send(ctx, http.MethodPut, path, part); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/cmd/poppypass/graphruns_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -1,10 +1,8 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -14,7 +12,6 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"poppypass/internal/controller"
 	"poppypass/internal/graphs/runner"
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/wire"
@@ -22,7 +19,7 @@
 	"poppypass/internal/sim/testutil"
 )
 
-// serveGraphs runs a controller over stand-ins, and gives its address.
+// serveGraphs runs a controller over fakes, and returns its address.
 func serveGraphs(t *testing.T, properties string) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -35,25 +32,7 @@
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	own, err := config.LoadProperties(testutil.File(t, "own.properties", properties))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := controller.New(s, config.Watch("", s, own), clock, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- c.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-		state.Close()
-		cloud.Close()
-	})
+	startController(t, s, testutil.File(t, "own.properties", properties), state, cloud)
 	return s.Bind
 }
 
@@ -69,7 +48,7 @@
 	}
 }
 
-func TestGraphCommands(t *testing.T) {
+func TestGraphCommandsAgainstAController(t *testing.T) {
 	var described atomic.Int32
 	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var steps []runner.Description
@@ -140,7 +119,7 @@
 }
 
 // A week that is named by its days has seven.
-func TestTheDaysOfABackfill(t *testing.T) {
+func TestADayOfABackfillCountsToItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		end  bool
--- /dev/null
+++ b/cmd/poppypass/output.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"encoding/csv"
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+)
+
+// printer prints what a command got, in the form that --output names.
+type printer struct{ output string }
+
+func (p *printer) flags(c *cobra.Command) {
+	c.PersistentFlags().StringVar(&p.output, "output", "table", "table, json or csv")
+}
+
+// print writes what a command got: a table for people, or what programs read.
+func (p *printer) print(w io.Writer, v any, rows [][]string, table [][]string) error {
+	switch p.output {
+	case "json":
+		return printJSON(w, v)
+	case "csv":
+		return csv.NewWriter(w).WriteAll(rows)
+	case "table":
+		return printTable(w, table)
+	}
+	return fmt.Errorf("--output is %q; it can be table, json or csv", p.output)
+}
+
+func printJSON(w io.Writer, v any) error {
+	enc := json.NewEncoder(w)
+	enc.SetIndent("", " ")
+	return enc.Encode(v)
+}
+
+func printTable(w io.Writer, rows [][]string) error {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, row := range rows {
+		if _, err := fmt.Fprintln(t, strings.Join(row, "\t")); err != nil {
+			return err
+		}
+	}
+	return t.Flush()
+}
--- a/cmd/poppypass/commands.go
+++ b/cmd/poppypass/serve.go
@@ -18,21 +18,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// version is the release that this source becomes.
-const version = "0.1.0"
-
-func rootCommand() *cobra.Command {
-	root := &cobra.Command{
-		Use:           "poppypass",
-		Short:         "A cluster scheduler that rents its machines",
-		Long:          "poppypass takes jobs from users, rents machines from a cloud and runs the jobs'\ntasks on them. A few controllers run this same program; one of them leads.",
-		SilenceUsage:  true,
-		SilenceErrors: true,
-	}
-	root.AddCommand(serveCommand(), checkCommand(), versionCommand(), jobCommand(), ledgerCommand(), budgetCommand(), graphCommand())
-	return root
-}
-
+// settingsFiles are the paths of the two settings files.
 type settingsFiles struct{ config, properties string }
 
 func (f *settingsFiles) flags(c *cobra.Command) {
@@ -43,18 +29,20 @@
 	}
 }
 
+// load reads both files, and checks that they fit each other.
 func (f *settingsFiles) load() (*config.Settings, *config.OperatorSettings, error) {
 	s, err := config.Load(f.config)
 	if err != nil {
 		return nil, nil, err
 	}
-	own, err := config.LoadProperties(f.properties)
+	operator, err := config.LoadProperties(f.properties)
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, own, own.Check(s)
+	return s, operator, operator.Check(s)
 }
 
+// logger writes to standard error, at the level that LOG_LEVEL names.
 func logger() (*slog.Logger, error) {
 	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); strings.ToLower(name) {
@@ -76,32 +64,35 @@
 		Use:   "serve --config FILE",
 		Short: "Run a controller until it is killed",
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			log, err := logger()
-			if err != nil {
-				return err
-			}
-			s, own, err := f.load()
-			if err != nil {
-				return err
-			}
-			if mb := s.Cluster.Limits.RAMMB; mb > 0 {
-				debug.SetMemoryLimit(int64(mb * tuning.MemoryShare * (1 << 20)))
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			c, err := controller.New(s, config.Watch(f.properties, s, own), clockwork.NewRealClock(), log)
-			if err != nil {
-				return err
-			}
-			return c.Run(ctx)
-		},
+		RunE:  func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), &f) },
 	}
 	f.flags(c)
 	c.SetContext(context.Background())
 	return c
 }
 
+// serve runs a controller until ctx ends or the process is told to end.
+func serve(ctx context.Context, f *settingsFiles) error {
+	log, err := logger()
+	if err != nil {
+		return err
+	}
+	s, operator, err := f.load()
+	if err != nil {
+		return err
+	}
+	if mb := s.Cluster.Limits.RAMMB; mb > 0 {
+		debug.SetMemoryLimit(int64(mb * tuning.MemoryShare * (1 << 20)))
+	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	c, err := controller.New(s, config.Watch(f.properties, s, operator), clockwork.NewRealClock(), log)
+	if err != nil {
+		return err
+	}
+	return c.Run(ctx)
+}
+
 func checkCommand() *cobra.Command {
 	var f settingsFiles
 	c := &cobra.Command{
@@ -121,15 +112,3 @@
 	f.flags(c)
 	return c
 }
-
-func versionCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:   "version",
-		Short: "Print the version",
-		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), "poppypass", version)
-			return err
-		},
-	}
-}
