--- a/internal/accounting/statement/statement_test.go
+++ b/internal/accounting/statement/statement_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -10,43 +12,77 @@
 	"poppypass/internal/accounting/ledger"
 )
 
-func TestRender(t *testing.T) {
-	b := &Bill{
+// newBill returns a bill for an account whose name is one that HTML must escape.
+func newBill() *Bill {
+	return &Bill{
 		Team: "payouts", From: "2026-11-01", To: "2026-11-30", Zone: "UTC", Currency: "USD",
 		Rows:     []ledger.Total{{Account: "<owner>", Class: "settlement", Type: "mid-16", Attempts: 3, CoreHours: 1.5, Money: 2.345}},
 		Accounts: []ledger.Total{{Account: "<owner>", Attempts: 3, CoreHours: 1.5, Money: 2.345}},
 		Sum:      ledger.Total{Attempts: 3, CoreHours: 1.5, Money: 2.345},
 	}
-	own := filepath.Join(t.TempDir(), "own.tmpl")
-	write := func(text string) {
-		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	render := func(path string, html bool) (string, error) {
-		var out bytes.Buffer
-		err := Render(&out, b, path, html)
-		return out.String(), err
+}
+
+func render(path string, html bool) (string, error) {
+	var out bytes.Buffer
+	err := Render(&out, newBill(), path, html)
+	return out.String(), err
+}
+
+// ownTemplate writes an operator's own template, and returns its path.
+func ownTemplate(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "own.tmpl")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
 	}
+	return path
+}
+
+func TestDefaultTextShowsAccountsAndRoundedAmounts(t *testing.T) {
 	text, err := render("", false)
 	if err != nil || !strings.Contains(text, "<owner>") || !strings.Contains(text, "1.500") || !strings.Contains(text, "2.35") && !strings.Contains(text, "2.34") {
 		t.Errorf("text: %v\n%s", err, text)
 	}
-	// An account's name is what a job brought: it must not become part of the page.
+}
+
+// A job brings its account's name, which must not become part of the page.
+func TestDefaultPageEscapesAccountsAndNeedsNothingElse(t *testing.T) {
 	page, err := render("", true)
 	if err != nil || strings.Contains(page, "<owner>") || !strings.Contains(page, "&lt;owner&gt;") || strings.Contains(page, "http") {
 		t.Errorf("page: %v\n%s", err, page)
 	}
-	write(`{{.Team}} owes {{money .Sum.Money}} {{.Currency}}`)
-	if text, err = render(own, false); err != nil || !strings.HasPrefix(text, "payouts owes 2.3") {
+}
+
+func TestOwnTemplateTakesTheDefaultsPlace(t *testing.T) {
+	text, err := render(ownTemplate(t, `{{.Team}} owes {{money .Sum.Money}} {{.Currency}}`), false)
+	if err != nil || !strings.HasPrefix(text, "payouts owes 2.3") {
 		t.Errorf("own template: %q, %v", text, err)
 	}
-	for _, bad := range []string{"{{.Nothing}}", "{{", "{{range .Rows}}"} {
-		write(bad)
-		for _, html := range []bool{false, true} {
-			if _, err = render(own, html); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), own) {
-				t.Errorf("%q: %v", bad, err)
-			}
+}
+
+func TestBrokenTemplateIsNamedInOneLine(t *testing.T) {
+	for _, text := range []string{"{{.Nothing}}", "{{", "{{range .Rows}}"} {
+		for name, html := range map[string]bool{"text": false, "page": true} {
+			t.Run(name+" "+text, func(t *testing.T) {
+				own := ownTemplate(t, text)
+				_, err := render(own, html)
+				if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), own) {
+					t.Errorf("got the error %v", err)
+				}
+				var broken *TemplateError
+				if !errors.As(err, &broken) {
+					t.Errorf("the error is a %T", err)
+				}
+			})
 		}
 	}
 }
+
+func TestMissingTemplateIsATemplateError(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "missing.tmpl")
+	_, err := render(path, false)
+	var missing *TemplateError
+	if !errors.As(err, &missing) || !errors.Is(err, fs.ErrNotExist) || err.Error() != "template: open "+path+": no such file or directory" {
+		t.Errorf("got the error %v", err)
+	}
+}
