--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// exempt tells whether budgets do not hold a task back.
+// exempt reports whether budgets do not hold a task back.
 func (tr *Tracker) exempt(t *Task) bool {
 	return t.Production && !tr.settings.policy(t.Scope.Team).HoldProduction
 }
--- a/internal/accounting/budget/balance.go
+++ b/internal/accounting/budget/balance.go
@@ -95,7 +95,7 @@
 	return bal.Limit
 }
 
-// nearlySpent tells whether a budget has reached its warning mark.
+// nearlySpent reports whether a budget has reached its warning mark.
 func (tr *Tracker) nearlySpent(bal *Balance) bool {
 	return bal.spent() >= tr.settings.policy(bal.Team).WarnAt*bal.Limit
 }
--- a/internal/accounting/budget/properties.go
+++ b/internal/accounting/budget/properties.go
@@ -117,7 +117,7 @@
 	return v, nil
 }
 
-// parseChoice reads one of two words, and tells whether it is the second.
+// parseChoice reads one of two words, and reports whether it is the second.
 func parseChoice(key, value, no, yes string) (bool, error) {
 	switch value {
 	case no:
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -51,7 +51,7 @@
 // ErrUnknownTeam is wrapped by Check's error: a setting names a team that does not exist.
 var ErrUnknownTeam = errors.New("the team is unknown")
 
-// Check verifies the budgets as a whole: known tells whether a team exists. The error
+// Check verifies the budgets as a whole: known reports whether a team exists. The error
 // wraps ErrUnknownTeam and says in one line which setting is wrong.
 func (s *Settings) Check(known func(team string) bool) error {
 	for _, b := range s.Budgets {
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -63,7 +63,7 @@
 	tr.Recompute(now)
 }
 
-// HasBudgets tells whether there are budgets.
+// HasBudgets reports whether there are budgets.
 func (tr *Tracker) HasBudgets() bool { return len(tr.balances) > 0 }
 
 // AddCharge counts a charge of a day (as in 2026-12-01) or a month (as in 2026-12).
--- a/internal/accounting/ledger/page.go
+++ b/internal/accounting/ledger/page.go
@@ -45,5 +45,5 @@
 
 func (p *page) sortedRows() []Row { return p.rows.sorted() }
 
-// full tells whether a page takes no more rows.
+// full reports whether a page takes no more rows.
 func (p *page) full() bool { return p.bytes >= tuning.PageBytes }
--- a/internal/accounting/ledger/property_test.go
+++ b/internal/accounting/ledger/property_test.go
@@ -17,92 +17,121 @@
 // totals are the sum of the charges.
 func TestChargesAndTotalsMatchWhatRanInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tl := newTestLeader(t)
-		next := 0
-		pick := func() *jobs.Allocation {
-			var live []*jobs.Allocation
-			for _, k := range tl.sortedAttempts() {
-				a := tl.allocations[k]
-				if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() && !a.Removed {
-					live = append(live, a)
-				}
-			}
-			if len(live) == 0 {
-				return nil
-			}
-			return live[rapid.IntRange(0, len(live)-1).Draw(rt, "allocation")]
+		r := &randomRun{testLeader: newTestLeader(t)}
+		rt.Repeat(map[string]func(*rapid.T){
+			"submit":         r.submitJob,
+			"place":          r.allocateSome,
+			"run":            r.runOne,
+			"finish many":    r.finishMany,
+			"refuse":         r.refuseOne,
+			"lose":           r.loseOne,
+			"cancel":         r.cancelFirst,
+			"commit":         func(*rapid.T) { r.commitBatch(true) },
+			"commit unsure":  func(*rapid.T) { r.commitBatch(false); r.newTerm() },
+			"new leader":     func(*rapid.T) { r.newTerm() },
+			"roll up":        r.rollUpOnce,
+			"roll up unsure": r.rollUpUnanswered,
+			"seconds":        r.letSecondsPass,
+			"hours":          r.letHoursPass,
+			"":               func(*rapid.T) {}, // no invariant is checked after each action
+		})
+		r.checkAgainstTruth()
+		r.rollUpAll()
+		r.checkAgainstTruth()
+		r.newTerm()
+		r.checkAgainstTruth()
+	})
+}
+
+// randomRun is a leader to which random things happen.
+type randomRun struct {
+	*testLeader
+	submitted int
+}
+
+// pick returns one of the live allocations; nil if there is none.
+func (r *randomRun) pick(rt *rapid.T) *jobs.Allocation {
+	var live []*jobs.Allocation
+	for _, id := range r.sortedAttempts() {
+		a := r.allocations[id]
+		if truth := r.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() && !a.Removed {
+			live = append(live, a)
 		}
-		actions := map[string]func(*rapid.T){
-			"submit": func(rt *rapid.T) {
-				next++
-				j := jobArray(fmt.Sprintf("job-%d", next), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
-				j.Account = rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "account")
-				tl.submit(j)
-			},
-			"place": func(rt *rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(tl.store.Jobs)) {
-					for range rapid.IntRange(1, 40).Draw(rt, "count") {
-						tl.allocate(id)
-					}
-				}
-			},
-			"run": func(*rapid.T) {
-				if a := pick(); a != nil {
-					tl.run(a)
-				}
-			},
-			"finish many": func(rt *rapid.T) {
-				for range rapid.IntRange(1, 30).Draw(rt, "count") {
-					if a := pick(); a != nil {
-						tl.run(a)
-						tl.end(a, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "reason"), false)
-					}
-				}
-			},
-			"refuse": func(*rapid.T) {
-				if a := pick(); a != nil && tl.attempts[attemptIDOf(a)].began.IsZero() {
-					tl.end(a, wire.ExitNoRoom, false)
-				}
-			},
-			"lose": func(*rapid.T) {
-				if a := pick(); a != nil {
-					tl.end(a, wire.ExitStopped, true)
-				}
-			},
-			"cancel": func(*rapid.T) {
-				for _, id := range slices.Sorted(maps.Keys(tl.store.Jobs)) {
-					tl.store.Cancel(tl.store.Jobs[id], func(wire.JobState) {})
-					return
-				}
-			},
-			"commit":        func(*rapid.T) { tl.commitBatch(true) },
-			"commit unsure": func(*rapid.T) { tl.commitBatch(false); tl.newTerm() },
-			"new leader":    func(*rapid.T) { tl.newTerm() },
-			"roll up": func(*rapid.T) {
-				tl.ledger.detachedSince = time.Time{}
-				tl.ledger.nextCompactCheck = time.Time{}
-				tl.commitLedgerWrite(true)
-			},
-			"roll up unsure": func(*rapid.T) {
-				if tl.ledger.detachedSince = (time.Time{}); tl.commitLedgerWrite(false) {
-					tl.newTerm()
-				}
-			},
-			"seconds": func(rt *rapid.T) {
-				tl.clock.Advance(time.Duration(rapid.IntRange(1, 90_000).Draw(rt, "ms")) * time.Millisecond)
-			},
-			"hours": func(rt *rapid.T) {
-				tl.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
-				tl.ledger.Tick(tl.now())
-				tl.commitAll() // the job store writes what is due within seconds
-			},
-			"": func(*rapid.T) {},
+	}
+	if len(live) == 0 {
+		return nil
+	}
+	return live[rapid.IntRange(0, len(live)-1).Draw(rt, "allocation")]
+}
+
+func (r *randomRun) submitJob(rt *rapid.T) {
+	r.submitted++
+	j := jobArray(fmt.Sprintf("job-%d", r.submitted), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
+	j.Account = rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "account")
+	r.submit(j)
+}
+
+func (r *randomRun) allocateSome(rt *rapid.T) {
+	for _, id := range slices.Sorted(maps.Keys(r.store.Jobs)) {
+		for range rapid.IntRange(1, 40).Draw(rt, "count") {
+			r.allocate(id)
 		}
-		rt.Repeat(actions)
-		tl.checkAgainstTruth()
-		tl.rollUpAll()
-		tl.checkAgainstTruth()
-		tl.newTerm()
-		tl.checkAgainstTruth()
-	})
+	}
+}
+
+func (r *randomRun) runOne(rt *rapid.T) {
+	if a := r.pick(rt); a != nil {
+		r.run(a)
+	}
+}
+
+func (r *randomRun) finishMany(rt *rapid.T) {
+	for range rapid.IntRange(1, 30).Draw(rt, "count") {
+		if a := r.pick(rt); a != nil {
+			r.run(a)
+			r.end(a, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "reason"), false)
+		}
+	}
+}
+
+func (r *randomRun) refuseOne(rt *rapid.T) {
+	if a := r.pick(rt); a != nil && r.attempts[attemptIDOf(a)].began.IsZero() {
+		r.end(a, wire.ExitNoRoom, false)
+	}
+}
+
+func (r *randomRun) loseOne(rt *rapid.T) {
+	if a := r.pick(rt); a != nil {
+		r.end(a, wire.ExitStopped, true)
+	}
+}
+
+func (r *randomRun) cancelFirst(*rapid.T) {
+	for _, id := range slices.Sorted(maps.Keys(r.store.Jobs)) {
+		r.store.Cancel(r.store.Jobs[id], func(wire.JobState) {})
+		return
+	}
+}
+
+func (r *randomRun) rollUpOnce(*rapid.T) {
+	r.ledger.detachedSince, r.ledger.nextCompactCheck = time.Time{}, time.Time{}
+	r.commitLedgerWrite(true)
+}
+
+// rollUpUnanswered is a roll-up after which the leader dies: the ledger does not learn of it.
+func (r *randomRun) rollUpUnanswered(*rapid.T) {
+	r.ledger.detachedSince = time.Time{}
+	if r.commitLedgerWrite(false) {
+		r.newTerm()
+	}
+}
+
+func (r *randomRun) letSecondsPass(rt *rapid.T) {
+	r.clock.Advance(time.Duration(rapid.IntRange(1, 90_000).Draw(rt, "ms")) * time.Millisecond)
+}
+
+func (r *randomRun) letHoursPass(rt *rapid.T) {
+	r.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
+	r.ledger.Tick(r.now())
+	r.commitAll() // the job store writes what is due within seconds
 }
--- a/internal/accounting/ledger/query.go
+++ b/internal/accounting/ledger/query.go
@@ -64,7 +64,7 @@
 	return q, nil
 }
 
-// matches tells whether a row is asked about. A month that is only partly within the bounds
+// matches reports whether a row is asked about. A month that is only partly within the bounds
 // is not, since its days can no longer be told apart.
 func (q *Query) matches(key RowKey) bool {
 	first, last := key.Day, key.Day
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -65,7 +65,7 @@
 	}}
 }
 
-// rollUpDue tells whether there is enough to roll up, and room for it: a full transaction,
+// rollUpDue reports whether there is enough to roll up, and room for it: a full transaction,
 // or charges that have waited for RollUpAfter.
 func (l *Ledger) rollUpDue(now time.Time, room int) bool {
 	if min(l.maxTxnOps, room) <= rollUpOverhead || len(l.detached) == 0 {
--- a/internal/accounting/ledger/rows.go
+++ b/internal/accounting/ledger/rows.go
@@ -23,7 +23,7 @@
 	Spot    bool
 }
 
-// isMonth tells whether the row is of a month, whose days can no longer be told apart.
+// isMonth reports whether the row is of a month, whose days can no longer be told apart.
 func (k RowKey) isMonth() bool { return len(k.Day) < len(time.DateOnly) }
 
 // month is the month in which the row's days lie.
--- a/internal/accounting/ledger/teststore_test.go
+++ b/internal/accounting/ledger/teststore_test.go
@@ -52,7 +52,7 @@
 	return out
 }
 
-// commitBatch stores one of the job store's transactions, and tells whether there was one.
+// commitBatch stores one of the job store's transactions, and reports whether there was one.
 // Unless it is answered, the leader does not learn of it.
 func (tl *testLeader) commitBatch(answered bool) bool {
 	tl.store.WriteDue(tl.now())
@@ -104,7 +104,7 @@
 	}
 }
 
-// commitLedgerWrite stores one of the ledger's own transactions, and tells whether there was
+// commitLedgerWrite stores one of the ledger's own transactions, and reports whether there was
 // one. Unless it is answered, the ledger does not learn of it.
 func (tl *testLeader) commitLedgerWrite(answered bool) bool {
 	tl.ledger.Tick(tl.now())
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"poppypass/internal/accounting/charge"
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
@@ -26,60 +27,26 @@
 		t.Fatalf("found %+v", v)
 	}
 	segment := tl.itemsWithPrefix(PrefixSegment)[0]
+	// changed returns records whose first segment has other charges.
+	changed := func(change func(packs []charge.Pack) []charge.Pack) map[string]wire.Item {
+		packs, err := ReadSegment(codec, segment)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return withValue(tl.items, segment, segmentValue(codec, change(packs)))
+	}
 	for _, c := range []struct {
 		name, want string
-		change     func(map[string]wire.Item)
+		items      map[string]wire.Item
 	}{
-		{"a total", "total of", func(items map[string]wire.Item) {
-			item := tl.itemsWithPrefix(PrefixPage)[0]
-			rows, err := ReadPage(codec, item)
-			if err != nil {
-				t.Fatal(err)
-			}
-			rows[0].Sum.Money++
-			item.Value = pageValue(codec, rows)
-			items[item.Key] = item
-		}},
-		{"a charge twice", "is charged twice", func(items map[string]wire.Item) {
-			packs, err := ReadSegment(codec, segment)
-			if err != nil {
-				t.Fatal(err)
-			}
-			item := segment
-			item.Value = segmentValue(codec, append(packs, packs[0]))
-			items[item.Key] = item
-		}},
-		{"a part", "do not follow each other", func(items map[string]wire.Item) {
-			packs, err := ReadSegment(codec, segment)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for i := range packs {
-				for k := range packs[i].Charges {
-					if packs[i].Charges[k].Part == 1 {
-						packs[i].Charges[k].Start += 1000
-					}
-				}
-			}
-			item := segment
-			item.Value = segmentValue(codec, packs)
-			items[item.Key] = item
-		}},
-		{"a segment", "is not the one that follows", func(items map[string]wire.Item) { delete(items, segment.Key) }},
-		{"a flipped bit", "damaged", func(items map[string]wire.Item) {
-			item := segment
-			item.Value = slices.Clone(item.Value)
-			at := len(item.Value) / 2
-			if item.Value[at]++; item.Value[at] > 'z' || item.Value[at] < 'A' {
-				item.Value[at] = 'A'
-			}
-			items[item.Key] = item
-		}},
+		{"a total", "total of", tl.withOtherTotal()},
+		{"a charge twice", "is charged twice", changed(func(packs []charge.Pack) []charge.Pack { return append(packs, packs[0]) })},
+		{"a part", "do not follow each other", changed(delaySecondParts)},
+		{"a segment", "is not the one that follows", without(tl.items, segment)},
+		{"a flipped bit", "damaged", withValue(tl.items, segment, flipBit(segment.Value))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			items := maps.Clone(tl.items)
-			c.change(items)
-			v := verifyItems(t, items)
+			v := verifyItems(t, c.items)
 			if len(v.Discrepancies) == 0 || !slices.ContainsFunc(v.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
 				t.Errorf("found %v", v.Discrepancies)
 			}
@@ -87,6 +54,55 @@
 	}
 }
 
+// withValue returns records of which one has another value.
+func withValue(items map[string]wire.Item, item wire.Item, value []byte) map[string]wire.Item {
+	out := maps.Clone(items)
+	item.Value = value
+	out[item.Key] = item
+	return out
+}
+
+// without returns records without one.
+func without(items map[string]wire.Item, item wire.Item) map[string]wire.Item {
+	out := maps.Clone(items)
+	delete(out, item.Key)
+	return out
+}
+
+// withOtherTotal returns the stored records with another sum in one row of the totals.
+func (tl *testLeader) withOtherTotal() map[string]wire.Item {
+	tl.t.Helper()
+	page := tl.itemsWithPrefix(PrefixPage)[0]
+	rows, err := ReadPage(tl.ledger.codec, page)
+	if err != nil {
+		tl.t.Fatal(err)
+	}
+	rows[0].Sum.Money++
+	return withValue(tl.items, page, pageValue(tl.ledger.codec, rows))
+}
+
+// delaySecondParts has the second part of each attempt begin a second too late.
+func delaySecondParts(packs []charge.Pack) []charge.Pack {
+	for i := range packs {
+		for k := range packs[i].Charges {
+			if packs[i].Charges[k].Part == 1 {
+				packs[i].Charges[k].Start += 1000
+			}
+		}
+	}
+	return packs
+}
+
+// flipBit damages a stored value in its middle, within the alphabet of its encoding.
+func flipBit(value []byte) []byte {
+	value = slices.Clone(value)
+	at := len(value) / 2
+	if value[at]++; value[at] > 'z' || value[at] < 'A' {
+		value[at] = 'A'
+	}
+	return value
+}
+
 // makeTwoSegments runs jobs whose charges have parts, and rolls them up into two segments
 // and some pages of totals.
 func (tl *testLeader) makeTwoSegments() {
