--- /dev/null
+++ b/internal/platform/config/operator_settings.go
@@ -0,0 +1,181 @@
+package config
+
+import (
+	"fmt"
+	"net/url"
+	"strings"
+	"time"
+
+	"github.com/magiconair/properties"
+
+	"poppypass/internal/accounting/budget"
+	"poppypass/internal/platform/tuning"
+)
+
+// The keys of the operators' properties.
+const (
+	keyIdleKeep     = "fleet.idle.keep"
+	keyMaxMachines  = "fleet.machines.max"
+	keyLedger       = "ledger"
+	keyLedgerZone   = "ledger.zone"
+	keyMetrics      = "metrics.addr"
+	keyGraphs       = "graphs"
+	keyDescriptions = "graphs.descriptions"
+	keyPool         = "graphs.pool."
+)
+
+// OperatorSettings are what the operators set in properties, as they are read from a file.
+type OperatorSettings struct {
+	Tunables tuning.Tunables
+	// Ledger is true if charges are kept.
+	Ledger bool
+	// Budgets is never nil. Without a ledger it holds none.
+	Budgets *budget.Settings
+	// MetricsAddr is where metrics are served; empty: nowhere.
+	MetricsAddr string
+	// Graphs is true if graphs of jobs are served.
+	Graphs bool
+	// Descriptions is the URL at which steps are described; empty: only clients do that.
+	Descriptions string
+	// Pools is how many slots each team's pools have.
+	Pools map[Pool]int
+}
+
+// Pool names a team's pool.
+type Pool struct{ Team, Name string }
+
+// LoadProperties reads the operators' settings; an empty path gives the defaults. An error says in one line what is wrong.
+func LoadProperties(path string) (*OperatorSettings, error) {
+	o := &OperatorSettings{Tunables: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
+	if path == "" {
+		return o, nil
+	}
+	l := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
+	p, err := l.LoadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("properties: %w", err)
+	}
+	for _, key := range p.Keys() {
+		if err := o.set(key, p); err != nil {
+			return nil, fmt.Errorf("properties %s: %w", path, err)
+		}
+	}
+	if err := o.checkDependencies(); err != nil {
+		return nil, fmt.Errorf("properties %s: %w", path, err)
+	}
+	return o, nil
+}
+
+// checkDependencies says which settings are there without what they need.
+func (o *OperatorSettings) checkDependencies() error {
+	if !o.Graphs && (len(o.Pools) > 0 || o.Descriptions != "") {
+		return fmt.Errorf("there are settings of graphs, but %s is not on", keyGraphs)
+	}
+	if !o.Ledger && len(o.Budgets.Budgets) > 0 {
+		return fmt.Errorf("there are budgets, but %s is not on", keyLedger)
+	}
+	return nil
+}
+
+// set reads one property.
+func (o *OperatorSettings) set(key string, p *properties.Properties) (err error) {
+	value := p.GetString(key, "")
+	switch key {
+	case keyIdleKeep:
+		o.Tunables.IdleKeep, err = parseDuration(key, value)
+	case keyMaxMachines:
+		o.Tunables.MaxMachines, err = parseCount(key, p)
+	case keyLedger:
+		o.Ledger, err = parseSwitch(key, value)
+	case keyLedgerZone:
+		o.Budgets.Zone, err = parseZone(key, value)
+	case keyMetrics:
+		o.MetricsAddr, err = value, checkAddr(key, value)
+	case keyGraphs:
+		o.Graphs, err = parseSwitch(key, value)
+	case keyDescriptions:
+		o.Descriptions, err = value, checkURL(key, value)
+	default:
+		return o.setWithPrefix(key, p)
+	}
+	return err
+}
+
+// setWithPrefix reads a property whose key names a pool or a budget.
+func (o *OperatorSettings) setWithPrefix(key string, p *properties.Properties) error {
+	if rest, ok := strings.CutPrefix(key, keyPool); ok {
+		return o.setPool(key, rest, p)
+	}
+	if strings.HasPrefix(key, budget.Prefix) {
+		return o.Budgets.Set(key, p.GetString(key, ""))
+	}
+	return fmt.Errorf("%s: unknown key", key)
+}
+
+func (o *OperatorSettings) setPool(key, name string, p *properties.Properties) error {
+	team, pool, _ := strings.Cut(name, ".")
+	slots := p.GetInt(key, -1)
+	if team == "" || pool == "" || slots < 1 {
+		return fmt.Errorf("%s: a pool is %sTEAM.NAME, and a count of slots above 0", key, keyPool)
+	}
+	o.Pools[Pool{team, pool}] = slots
+	return nil
+}
+
+func parseDuration(key, value string) (time.Duration, error) {
+	d, err := time.ParseDuration(value)
+	if err != nil || d < 0 {
+		return 0, fmt.Errorf("%s: %q is not a duration such as 45s", key, value)
+	}
+	return d, nil
+}
+
+func parseCount(key string, p *properties.Properties) (int, error) {
+	n := p.GetInt(key, -1)
+	if n < 1 {
+		return 0, fmt.Errorf("%s: %q is not a count above 0", key, p.GetString(key, ""))
+	}
+	return n, nil
+}
+
+func parseSwitch(key, value string) (on bool, err error) {
+	if value != "on" && value != "off" {
+		return false, fmt.Errorf("%s: %q is neither on nor off", key, value)
+	}
+	return value == "on", nil
+}
+
+func parseZone(key, value string) (*time.Location, error) {
+	zone, err := time.LoadLocation(value)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %q is not a time zone known here", key, value)
+	}
+	return zone, nil
+}
+
+func checkURL(key, value string) error {
+	u, err := url.Parse(value)
+	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
+		return fmt.Errorf("%s: %q is no URL such as http://10.0.0.7:8000/steps", key, value)
+	}
+	return nil
+}
+
+// Check says what does not fit the platform's settings, in one line.
+func (o *OperatorSettings) Check(s *Settings) error {
+	for pool := range o.Pools {
+		if !s.hasTeam(pool.Team) {
+			return fmt.Errorf("%s%s.%s: no team has that name", keyPool, pool.Team, pool.Name)
+		}
+	}
+	if o.Graphs && s.Cluster.State.ValueKB < tuning.GraphValueKB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that runs of graphs take", keyGraphs, tuning.GraphValueKB)
+	}
+	if !o.Ledger {
+		return nil
+	}
+	if s.Cluster.State.ValueKB < tuning.LedgerValueKB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that progress records with charges take", keyLedger, tuning.LedgerValueKB)
+	}
+	return o.Budgets.Check(s.hasTeam)
+}
--- /dev/null
+++ b/internal/platform/config/operator_settings_test.go
@@ -0,0 +1,79 @@
+package config
+
+import (
+	"log/slog"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/sim/testutil"
+)
+
+func TestPropertiesAreReadAndChecked(t *testing.T) {
+	k, err := LoadProperties(testutil.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
+	if err != nil || k.Tunables.IdleKeep != 45*time.Second || k.Tunables.MaxMachines != 7 {
+		t.Errorf("read as %+v, %v", k, err)
+	}
+	if k, err = LoadProperties(""); err != nil || k.Tunables != tuning.Defaults() {
+		t.Errorf("without a file: %+v, %v", k, err)
+	}
+	operator, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
+	if err != nil || !operator.Ledger || len(operator.Budgets.Budgets) != 1 || operator.MetricsAddr != "127.0.0.1:9" {
+		t.Errorf("read as %+v, %v", operator, err)
+	}
+	for _, c := range []struct{ old, new, want string }{
+		{`name = "t"`, `name = "other"`, "unknown"}, {"value_kb = 16.0", "value_kb = 8.0", "value_kb"},
+	} {
+		s, err := Load(testutil.File(t, "s.toml", strings.Replace(good, c.old, c.new, 1)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := operator.Check(s); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v", c.new, err)
+		}
+	}
+	for _, text := range []string{
+		"ledger = yes", "ledger.zone = Nowhere/At-All", "metrics.addr = here", "budget.t.month.money = 5", "ledger = on\nbudget.t.month.money = x",
+	} {
+		if _, err := LoadProperties(testutil.File(t, "p.properties", text)); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+	for _, text := range []string{"fleet.idle.keep = soon", "fleet.idle.keep = -1s", "fleet.machines.max = 0", "fleet.machine.max = 3"} {
+		if _, err := LoadProperties(testutil.File(t, "p.properties", text)); err == nil {
+			t.Errorf("%q was taken", text)
+		}
+	}
+}
+
+// Budgets change while the program runs; a file with a mistake changes nothing.
+func TestChangedBudgetsTakeEffect(t *testing.T) {
+	path := testutil.File(t, "p.properties", "ledger = on\nbudget.t.month.money = 5\n")
+	s, err := Load(testutil.File(t, "s.toml", good))
+	if err != nil {
+		t.Fatal(err)
+	}
+	operator, err := LoadProperties(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := Watch(path, s, operator)
+	log := slog.New(slog.DiscardHandler)
+	for _, c := range []struct {
+		text string
+		want float64
+	}{
+		{"ledger = on\nbudget.t.month.money = 60\n", 60}, {"ledger = on\nbudget.t.month.money = much\n", 60},
+		{"ledger = on\nbudget.nobody.month.money = 700\n", 60}, {"ledger = on\nbudget.t.month.money = 80000\n", 80000},
+	} {
+		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		w.reloadIfChanged(log)
+		if got := w.Budgets().Budgets[0].Amount; got != c.want {
+			t.Errorf("after %q: %v", c.text, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/config/settings.go
@@ -0,0 +1,127 @@
+// Package config reads what a controller is told: the platform's settings file (TOML) and the operators' settings (properties).
+package config
+
+import (
+	"fmt"
+	"math"
+	"os"
+	"slices"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Settings is the platform's settings file. Unknown fields are ignored.
+type Settings struct {
+	Member   string   `toml:"member"`
+	Zone     string   `toml:"domain"`
+	Bind     string   `toml:"bind"`
+	MeshAddr string   `toml:"mesh_addr"`
+	Members  []Member `toml:"members"`
+	Outside  Outside  `toml:"outside"`
+	Cluster  Cluster  `toml:"cluster"`
+}
+
+// Member is another controller.
+type Member struct {
+	Name     string `toml:"member"`
+	Zone     string `toml:"domain"`
+	Endpoint string `toml:"endpoint"`
+}
+
+// Outside holds the addresses of the outside systems.
+type Outside struct {
+	Cloud string `toml:"cloud"`
+	State string `toml:"state"`
+}
+
+// Cluster describes the deployment.
+type Cluster struct {
+	InitialSize  int         `toml:"initial_size"`
+	Zones        []string    `toml:"zones"`
+	ClockErrorMS float64     `toml:"clock_error_ms"`
+	Teams        []Team      `toml:"teams"`
+	Objectives   []Objective `toml:"objectives"`
+	Workers      Workers     `toml:"workers"`
+	State        State       `toml:"state"`
+	Cloud        Cloud       `toml:"cloud"`
+	Limits       Limits      `toml:"limits"`
+}
+
+// Team has a quota: a guarantee and a limit. In the file an amount of 0, or none, means that there is none: no guarantee, or no
+// limit. Load turns the latter into an infinite limit, so that nobody else has to know.
+type Team struct {
+	Name    string  `toml:"name"`
+	CPUs    float64 `toml:"cpus"`
+	CPUsMax float64 `toml:"cpus_max"`
+	GPUs    float64 `toml:"gpus"`
+	GPUsMax float64 `toml:"gpus_max"`
+}
+
+// Objective is a service-level objective: the share of a class's jobs that start or finish within a time.
+type Objective struct {
+	Kind    string  `toml:"kind"`
+	Class   string  `toml:"class"`
+	WithinS float64 `toml:"within_s"`
+	Share   float64 `toml:"share"`
+}
+
+// Workers are the times of workers, in seconds: between heartbeats, of a lease, and for a cancellation.
+type Workers struct {
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	CancelS    float64 `toml:"cancel_s"`
+}
+
+// State holds the limits of the state service: calls and changes a second, the size of a value, and operations in a transaction.
+type State struct {
+	RPS      float64 `toml:"rps"`
+	WriteRPS float64 `toml:"write_rps"`
+	ValueKB  float64 `toml:"value_kb"`
+	TxnOps   int     `toml:"txn_ops"`
+}
+
+// Cloud holds the limits of the cloud: calls a second, and how late its list may be.
+type Cloud struct {
+	RPS      float64 `toml:"rps"`
+	ListLagS float64 `toml:"list_lag_s"`
+}
+
+// Limits are those of the controller's own machine: its share of the CPU, memory, and file descriptors.
+type Limits struct {
+	CPUShare float64 `toml:"cpu_share"`
+	RAMMB    float64 `toml:"ram_mb"`
+	FDLimit  int     `toml:"fd_limit"`
+}
+
+// Load reads and checks a settings file. An error says in one line what is wrong.
+func Load(path string) (*Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	var s Settings
+	if err := toml.Unmarshal(raw, &s); err != nil {
+		return nil, fmt.Errorf("settings %s: not valid TOML: %w", path, err)
+	}
+	if err := s.check(); err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	for i := range s.Cluster.Teams {
+		t := &s.Cluster.Teams[i]
+		t.CPUsMax, t.GPUsMax = unlimitedIfZero(t.CPUsMax), unlimitedIfZero(t.GPUsMax)
+	}
+	return &s, nil
+}
+
+// unlimitedIfZero returns a limit, infinite if it was not set: a guest team that comes with neither guarantee nor limit had each
+// of its jobs refused as beyond a limit of nothing.
+func unlimitedIfZero(limit float64) float64 {
+	if limit == 0 {
+		return math.Inf(1)
+	}
+	return limit
+}
+
+func (s *Settings) hasTeam(name string) bool {
+	return slices.ContainsFunc(s.Cluster.Teams, func(t Team) bool { return t.Name == name })
+}
