--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -1,4 +1,4 @@
-// Package httpjson makes single HTTP calls whose bodies are JSON.
+// Package httpjson makes HTTP calls whose bodies are JSON, and answers them.
 package httpjson
 
 import (
@@ -18,11 +18,11 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ErrTooLarge tells that an answer was longer than tuning.MaxResponse.
+// ErrTooLarge means that an answer was longer than tuning.MaxResponse.
 var ErrTooLarge = errors.New("the answer is too large")
 
-// NewClient makes a client that keeps a few connections open to each host, and at the most
-// allIdle that nothing is asked on; 0: any number.
+// NewClient makes a client with at most maxConns connections to a host, of which idleConns are kept open between calls, and at
+// most allIdle idle ones to all hosts; 0: any number. dial is how long a connection may take. It follows no redirects.
 func NewClient(maxConns, idleConns, allIdle int, dial time.Duration) *http.Client {
 	d := &net.Dialer{Timeout: dial}
 	return &http.Client{Transport: &http.Transport{
@@ -35,9 +35,8 @@
 	}, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Call sends in (nil: no body) and decodes an answer whose status decode
-// accepts into out. It returns the status; an error means that no usable
-// answer came.
+// Call sends in as JSON (nil: no body), and decodes the answer into what decode returns for its status (nil: the body is not
+// wanted). It returns the status; an error means that no usable answer came.
 func Call(ctx context.Context, c *http.Client, method, url string, in any, decode func(status int) any) (int, error) {
 	var body io.Reader
 	if in != nil {
@@ -74,7 +73,7 @@
 	return resp.StatusCode, nil
 }
 
-// IfOK decodes into out when the status is 200.
+// IfOK is a decode function for Call: it decodes into out when the status is 200.
 func IfOK(out any) func(int) any {
 	return func(status int) any {
 		if status == http.StatusOK {
@@ -108,7 +107,7 @@
 	return raw, nil
 }
 
-// OneLine makes an error's text fit one line of an answer.
+// OneLine returns an error's text as one line.
 func OneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
 // WriteError answers with a status and what is wrong, in one line. With a 503 it says when to
@@ -133,5 +132,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a reader that has gone is its own affair
+	_, _ = w.Write(body) // the client may be gone; nothing to do about it
 }
--- a/internal/platform/wire/cloud.go
+++ b/internal/platform/wire/cloud.go
@@ -38,7 +38,7 @@
 	Zones       []string `json:"yards"`
 }
 
-// MachineTypes answers a question for the types.
+// MachineTypes answers a request for the types.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
@@ -74,7 +74,7 @@
 	More     bool            `json:"has_next"`
 }
 
-// TypeNamed gives the machine type of a name; nil when there is none.
+// TypeNamed returns the machine type of a name; nil when there is none.
 func TypeNamed(types []MachineType, name string) *MachineType {
 	for i := range types {
 		if types[i].Name == name {
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -25,7 +25,7 @@
 // MaxTasks is the largest number of tasks of one job.
 const MaxTasks = 100_000
 
-// Kind tells how the tasks of a job run.
+// Kind is how the tasks of a job run.
 type Kind string
 
 // The kinds of jobs.
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// ValidJobID tells whether id has the form of a job id: job- and up to 32
-// digits. Every task of every report is looked at, so it takes little time.
+// ValidJobID reports whether id has the form of a job id: job- and up to 32 digits. Every task of every heartbeat is looked at,
+// so it takes little time.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "job-")
 	if !ok || len(digits) < 1 || len(digits) > 32 {
@@ -155,44 +155,82 @@
 	if err := json.Unmarshal(body, &d); err != nil {
 		return nil, fmt.Errorf("malformed JSON: %w", err)
 	}
-	p := &presence{}
+	j, err := d.required()
+	if err != nil {
+		return nil, err
+	}
+	if j.Zone, err = d.zone(); err != nil {
+		return nil, err
+	}
+	if j.Types, err = d.types(); err != nil {
+		return nil, err
+	}
+	j.DeadlineS = d.DeadlineS
+	return j, j.Check()
+}
+
+// required makes a job of the fields that a submission must have.
+func (d *jobDraft) required() (*Job, error) {
+	f := &requiredFields{}
 	j := &Job{
-		ID: need(p, "ref", d.ID), Class: need(p, "lane", d.Class), Team: need(p, "desk", d.Team),
-		Kind: need(p, "shape", d.Kind), Priority: need(p, "urgency", d.Priority),
-		Tasks: need(p, "seats", d.Tasks), CPUs: need(p, "cpus", d.CPUs), GPUs: need(p, "gpus", d.GPUs),
-		MemoryGB: need(p, "mem_gb", d.MemoryGB), Image: need(p, "bundle", d.Image),
-		ImageGB: need(p, "image_gb", d.ImageGB), OneZone: need(p, "same_place", d.OneZone),
-		Spread: need(p, "apart", d.Spread), Spot: need(p, "standby", d.Spot),
-		EstimateS: need(p, "ride_s", d.EstimateS), CheckpointS: need(p, "stub_s", d.CheckpointS),
-		SaveS: need(p, "stamp_s", d.SaveS), DeadlineS: d.DeadlineS,
+		ID:          required(f, "ref", d.ID),
+		Class:       required(f, "lane", d.Class),
+		Team:        required(f, "desk", d.Team),
+		Kind:        required(f, "shape", d.Kind),
+		Priority:    required(f, "urgency", d.Priority),
+		Tasks:       required(f, "seats", d.Tasks),
+		CPUs:        required(f, "cpus", d.CPUs),
+		GPUs:        required(f, "gpus", d.GPUs),
+		MemoryGB:    required(f, "mem_gb", d.MemoryGB),
+		Image:       required(f, "bundle", d.Image),
+		ImageGB:     required(f, "image_gb", d.ImageGB),
+		OneZone:     required(f, "same_place", d.OneZone),
+		Spread:      required(f, "apart", d.Spread),
+		Spot:        required(f, "standby", d.Spot),
+		EstimateS:   required(f, "ride_s", d.EstimateS),
+		CheckpointS: required(f, "stub_s", d.CheckpointS),
+		SaveS:       required(f, "stamp_s", d.SaveS),
 	}
-	if p.missing != "" {
-		return nil, fmt.Errorf("field %q is missing", p.missing)
+	if f.missing != "" {
+		return nil, fmt.Errorf("field %q is missing", f.missing)
 	}
-	if d.Zone != nil {
-		j.Zone = *d.Zone
-		if j.Zone == "" || len(j.Zone) > maxName {
-			return nil, errors.New(`field "yard" is invalid`)
-		}
+	return j, nil
+}
+
+// zone returns the only zone allowed; empty: any.
+func (d *jobDraft) zone() (string, error) {
+	if d.Zone == nil {
+		return "", nil
 	}
-	if d.Types != nil {
-		j.Types = make([]string, 0, len(d.Types))
-		for _, t := range d.Types {
-			if t == nil || len(*t) > maxName {
-				return nil, errors.New(`field "builds" is invalid`)
-			}
-			j.Types = append(j.Types, *t)
+	if *d.Zone == "" || len(*d.Zone) > maxName {
+		return "", errors.New(`field "yard" is invalid`)
+	}
+	return *d.Zone, nil
+}
+
+// types returns the machine types allowed; nil: all.
+func (d *jobDraft) types() ([]string, error) {
+	if d.Types == nil {
+		return nil, nil
+	}
+	names := make([]string, 0, len(d.Types))
+	for _, t := range d.Types {
+		if t == nil || len(*t) > maxName {
+			return nil, errors.New(`field "builds" is invalid`)
 		}
+		names = append(names, *t)
 	}
-	return j, j.Check()
+	return names, nil
 }
 
-type presence struct{ missing string }
+// requiredFields remembers the first field that is missing.
+type requiredFields struct{ missing string }
 
-func need[T any](p *presence, name string, v *T) T {
+// required returns a field's value; the zero value, and a note in f, if it is missing.
+func required[T any](f *requiredFields, name string, v *T) T {
 	if v == nil {
-		if p.missing == "" {
-			p.missing = name
+		if f.missing == "" {
+			f.missing = name
 		}
 		var zero T
 		return zero
@@ -212,29 +250,34 @@
 	case j.Tasks < 1 || j.Tasks > MaxTasks:
 		return fmt.Errorf(`field "seats" is not between 1 and %d`, MaxTasks)
 	}
-	amounts := []struct {
+	if err := j.checkAmounts(); err != nil {
+		return err
+	}
+	for _, n := range []struct{ name, v string }{{"lane", j.Class}, {"desk", j.Team}, {"bundle", j.Image}} {
+		if n.v == "" || len(n.v) > maxName {
+			return fmt.Errorf("field %q is invalid", n.name)
+		}
+	}
+	return nil
+}
+
+// checkAmounts says which amount is negative or not finite.
+func (j *Job) checkAmounts() error {
+	deadlineS := 0.0
+	if j.DeadlineS != nil {
+		deadlineS = *j.DeadlineS
+	}
+	for _, a := range []struct {
 		name string
 		v    float64
 	}{
 		{"cpus", j.CPUs}, {"gpus", j.GPUs}, {"mem_gb", j.MemoryGB}, {"image_gb", j.ImageGB},
-		{"ride_s", j.EstimateS}, {"stub_s", j.CheckpointS}, {"stamp_s", j.SaveS},
-	}
-	if j.DeadlineS != nil {
-		amounts = append(amounts, struct {
-			name string
-			v    float64
-		}{"departure_s", *j.DeadlineS})
-	}
-	for _, a := range amounts {
+		{"ride_s", j.EstimateS}, {"stub_s", j.CheckpointS}, {"stamp_s", j.SaveS}, {"departure_s", deadlineS},
+	} {
 		if a.v < 0 || math.IsNaN(a.v) || math.IsInf(a.v, 0) {
 			return fmt.Errorf("field %q is not a valid amount", a.name)
 		}
 	}
-	for _, n := range []struct{ name, v string }{{"lane", j.Class}, {"desk", j.Team}, {"bundle", j.Image}} {
-		if n.v == "" || len(n.v) > maxName {
-			return fmt.Errorf("field %q is invalid", n.name)
-		}
-	}
 	return nil
 }
 
@@ -249,7 +292,7 @@
 	StateCancelled JobState = "withdrawn"
 )
 
-// Final tells whether a job in this state stays in it.
+// Final reports whether a job in this state stays in it.
 func (s JobState) Final() bool { return s == StateDone || s == StateCancelled }
 
 // JobStatus answers a user about a job.
@@ -271,7 +314,7 @@
 	Error string `json:"error"`
 }
 
-// Explanation tells what a job waits for.
+// Explanation says what a job waits for.
 type Explanation struct {
 	JobStatus
 	Waiting int      `json:"waiting"` // tasks that wait to be placed
--- a/internal/platform/wire/state.go
+++ b/internal/platform/wire/state.go
@@ -29,7 +29,7 @@
 	Revision uint64 `json:"ledger"`
 }
 
-// Condition asks for the version of a key; 0: the key does not exist.
+// Condition requires the version of a key; 0: the key does not exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
@@ -43,7 +43,7 @@
 	Delete string          `json:"drop,omitempty"`
 }
 
-// Txn is an atomic change of the store.
+// Txn is an atomic change of the store by compare-and-swap: if all conditions hold, all changes are made.
 type Txn struct {
 	If   []Condition `json:"guards"`
 	Then []Change    `json:"then,omitempty"`
@@ -79,7 +79,7 @@
 	Events   []Event `json:"events"`
 }
 
-// EncodeRecord encodes a record of ours for the state service. It panics on what cannot be
+// EncodeRecord encodes a stored record for the state service. It panics on what cannot be
 // encoded, which no record holds.
 func EncodeRecord(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -24,7 +24,7 @@
 	TaskExited   TaskState = "exited"
 )
 
-// ExitReason tells how a task came to its end.
+// ExitReason is how a task came to its end.
 type ExitReason string
 
 // The ends of a task.
@@ -37,7 +37,7 @@
 	ExitUnknown ExitReason = "unknown"
 )
 
-// Op is what a command asks of a worker.
+// Op is the operation that a command asks of a worker.
 type Op string
 
 // The commands.
@@ -47,7 +47,8 @@
 	OpForget Op = "forget"
 )
 
-// Heartbeat is what a worker tells about itself.
+// Heartbeat is a worker's status: itself, its spot interruption notice if there is one, and its tasks. Incarnation is the epoch
+// of the worker's process; Seq grows with each heartbeat of an incarnation.
 type Heartbeat struct {
 	Machine      string       `json:"stall"`
 	Address      string       `json:"address"`
@@ -61,20 +62,20 @@
 	Tasks        []TaskStatus `json:"seats"`
 }
 
-// Check says what is malformed in a report.
-func (r *Heartbeat) Check() error {
-	if r.Machine == "" || r.Address == "" || r.Type == "" || r.Zone == "" {
+// Check says what is malformed in a heartbeat, in one line.
+func (h *Heartbeat) Check() error {
+	if h.Machine == "" || h.Address == "" || h.Type == "" || h.Zone == "" {
 		return errors.New("a report lacks its machine, address, type or zone")
 	}
-	if r.Incarnation == 0 {
+	if h.Incarnation == 0 {
 		return errors.New("a report lacks its session")
 	}
 	type attempt struct {
 		task    string
 		attempt uint64
 	}
-	seen := make(map[attempt]bool, len(r.Tasks))
-	for _, t := range r.Tasks {
+	seen := make(map[attempt]bool, len(h.Tasks))
+	for _, t := range h.Tasks {
 		if _, ok := ParseTaskID(t.Task); !ok {
 			return errors.New("a report holds a malformed task")
 		}
@@ -87,12 +88,12 @@
 	return nil
 }
 
-// Newer tells whether the report is newer than a message with a session and seq of the same worker's life.
-func (r *Heartbeat) Newer(session, seq uint64) bool {
-	return r.Incarnation > session || r.Incarnation == session && r.Seq > seq
+// Newer reports whether the heartbeat is newer than a message of an incarnation and sequence number of the same machine.
+func (h *Heartbeat) Newer(incarnation, seq uint64) bool {
+	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Seq > seq
 }
 
-// TaskStatus is one task of a report.
+// TaskStatus is one task of a heartbeat. Saved is true if the attempt left a checkpoint as it was stopped.
 type TaskStatus struct {
 	Task    string     `json:"seat"`
 	Attempt uint64     `json:"boarding"`
@@ -101,7 +102,7 @@
 	Saved   bool       `json:"kept,omitempty"`
 }
 
-// Command is one thing that a worker shall do.
+// Command is one thing that a worker is to do.
 type Command struct {
 	Op      Op       `json:"call"`
 	Task    string   `json:"seat"`
@@ -109,7 +110,7 @@
 	GraceS  *float64 `json:"boarding_s,omitempty"`
 }
 
-// HeartbeatReply answers a report.
+// HeartbeatReply answers a heartbeat.
 type HeartbeatReply struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"calls"`
@@ -120,7 +121,7 @@
 	ReportTo string `json:"conductor,omitempty"`
 }
 
-// DirectCommands is a request to a worker.
+// DirectCommands is a request to a worker beside the replies to its heartbeats.
 type DirectCommands struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
@@ -133,11 +134,11 @@
 	Index int
 }
 
-// String gives the task's name on the wire.
+// String returns the task's name on the wire.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads a task's name.
-func ParseTaskID(s string) (TaskID, bool) {
+// ParseTaskID reads a task's name; ok is false if it is malformed.
+func ParseTaskID(s string) (id TaskID, ok bool) {
 	job, num, ok := strings.Cut(s, "/")
 	if !ok || !ValidJobID(job) {
 		return TaskID{}, false
