--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -30,7 +30,7 @@
 // start: otherwise a task that is expected to use more than the whole budget would never
 // run.
 func (bal *Balance) startable(each, limit float64) int {
-	left := limit - bal.spent() - bal.Reserved
+	left := limit - bal.Used - bal.Running - bal.Reserved
 	n := 0
 	switch {
 	case left <= 0:
