--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -55,7 +55,7 @@
 	}
 	props := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
 	startController(t, s, props, state, cloud)
-	// until repeats a command until it gives what is wanted; the wait is short,
+	// until repeats a command until it prints what is wanted; the wait is short,
 	// and bounded so that a hang is a failure.
 	until := func(want string, args ...string) {
 		t.Helper()
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -16,51 +16,67 @@
 	"poppypass/internal/platform/tuning"
 )
 
+// trigger is what the flags say of a run that is to begin.
+type trigger struct {
+	run, conf, note string
+	descriptions    string // the URL to which the descriptions of the steps are sent first; empty: they are not
+	described       bool   // they are there already
+}
+
 func graphTriggerCommand() *cobra.Command {
 	var a graphAPI
-	var run, conf, note, to string
-	var described bool
+	var t trigger
 	c := &cobra.Command{
 		Use: "trigger DAG", Short: "Begin a run of a graph", Args: cobra.ExactArgs(1),
 		Long: "Begin a run of a graph. Where the service has nowhere to have steps described\n(graphs.descriptions), --descriptions uploads those of all its steps first, or\n--described says that this was done.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			now := time.Now().UTC()
-			if run == "" {
-				run = runner.RunName(runner.Manual, now)
-			}
-			if conf != "" && !json.Valid([]byte(conf)) {
-				return errors.New("--conf is not JSON")
-			}
-			if to != "" {
-				p, err := a.plan(cmd.Context(), "dags", args[0], "definition")
-				if err != nil {
-					return err
-				}
-				if err := describe(cmd.Context(), p, run, to, json.RawMessage(conf), now); err != nil {
-					return err
-				}
-			}
-			body := map[string]any{"dag_run_id": run, "logical_date": now, "note": note, "described": described || to != ""}
-			if conf != "" {
-				body["conf"] = json.RawMessage(conf)
-			}
-			var r runAnswer
-			if err := a.request(cmd.Context(), http.MethodPost, body, &r, nil, "dags", args[0], "dagRuns"); err != nil {
+			r, err := a.trigger(cmd.Context(), args[0], &t)
+			if err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "%s of %s: %s\n", r.ID, r.DAG, r.State)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s of %s: %s\n", r.ID, r.DAG, r.State)
 			return err
 		},
 	}
 	a.flags(c)
-	c.Flags().StringVar(&run, "run", "", "the run's id; it makes a repeated trigger harmless")
-	c.Flags().StringVar(&conf, "conf", "", "a JSON object over the graph's params")
-	c.Flags().StringVar(&note, "note", "", "a note for those who look at the run")
-	c.Flags().StringVar(&to, "descriptions", "", "URL to which the descriptions of the steps are sent first")
-	c.Flags().BoolVar(&described, "described", false, "the descriptions of the steps are uploaded already")
+	c.Flags().StringVar(&t.run, "run", "", "the run's id; it makes a repeated trigger harmless")
+	c.Flags().StringVar(&t.conf, "conf", "", "a JSON object over the graph's params")
+	c.Flags().StringVar(&t.note, "note", "", "a note for those who look at the run")
+	c.Flags().StringVar(&t.descriptions, "descriptions", "", "URL to which the descriptions of the steps are sent first")
+	c.Flags().BoolVar(&t.described, "described", false, "the descriptions of the steps are uploaded already")
 	return c
 }
 
+// trigger begins a run of a graph.
+func (a *graphAPI) trigger(ctx context.Context, id string, t *trigger) (*runAnswer, error) {
+	now := time.Now().UTC()
+	run := t.run
+	if run == "" {
+		run = runner.RunName(runner.Manual, now)
+	}
+	if t.conf != "" && !json.Valid([]byte(t.conf)) {
+		return nil, errors.New("--conf is not JSON")
+	}
+	if t.descriptions != "" {
+		p, err := a.plan(ctx, "dags", id, "definition")
+		if err != nil {
+			return nil, err
+		}
+		if err := describe(ctx, p, run, t.descriptions, json.RawMessage(t.conf), now); err != nil {
+			return nil, err
+		}
+	}
+	body := map[string]any{"dag_run_id": run, "logical_date": now, "note": t.note, "described": t.described || t.descriptions != ""}
+	if t.conf != "" {
+		body["conf"] = json.RawMessage(t.conf)
+	}
+	var r runAnswer
+	if err := a.request(ctx, http.MethodPost, body, &r, nil, "dags", id, "dagRuns"); err != nil {
+		return nil, err
+	}
+	return &r, nil
+}
+
 // describe uploads the descriptions of a run's steps that can be named ahead.
 func describe(ctx context.Context, p *dag.Plan, run, to string, conf json.RawMessage, logical time.Time) error {
 	steps := runner.Foreseen(p, run, conf, logical)
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Guards against workers of a zone that is cut off that lose their leases on the way: of
+// Guards against workers of an isolated zone that lose their leases on the way: of
 // five controllers they reached one, which sent them to a leader that they did
 // not reach, and they tried the others for 5 s each before they came back. On
 // a hunted day 400 tasks were lost so.
--- a/internal/api/workerapi/renewals_test.go
+++ b/internal/api/workerapi/renewals_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against a dead machine that counts as alive for as long as copies of its heartbeats come: its tasks were not started
-// elsewhere. Its first copy cannot be told from a report; the next ones can.
+// elsewhere. Its first copy cannot be told from a heartbeat; the next ones can.
 func TestCopiedHeartbeatsDoNotRenewADeadMachinesLease(t *testing.T) {
 	f := newRenewalsFixture(t)
 	if !f.heartbeat(worker(5, 3)) {
@@ -125,7 +125,7 @@
 		}
 		live.Seq = 20
 		if f.heartbeat(worker(20, 4)) {
-			t.Errorf("lease %v: renewed though a leader gave it a token meanwhile", f.lease)
+			t.Errorf("lease %v: renewed though a leader gave it a fencing token meanwhile", f.lease)
 		}
 		f.now = f.now.Add(f.lease / 3)
 		live.Seq = 30
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -114,7 +114,7 @@
 	cancel := func(id string) (int, map[string]any) { return h.call("POST", "/v2/runs/"+id+"/cancel", nil) }
 	answered := make(chan int, 1)
 	go func() { status, _ := cancel("job-1"); answered <- status }()
-	h.until("the answers to reports stop the tasks", func() bool { k.heartbeat(); return k.running() == 0 })
+	h.until("the replies to heartbeats stop the tasks", func() bool { k.heartbeat(); return k.running() == 0 })
 	h.until("cancelled", func() bool {
 		k.heartbeat()
 		status, out := cancel("job-1")
@@ -155,7 +155,7 @@
 	// Past its lease the leader has no right to answer workers.
 	h.clock.Advance(tuning.LeaseTTL)
 	if status := h.worker("n-000001", "a").heartbeat(); status != 503 && status != 421 {
-		t.Errorf("a report past the lease: %d", status)
+		t.Errorf("a heartbeat past the lease: %d", status)
 	}
 }
 
@@ -182,8 +182,8 @@
 		{"no such path", "GET", "/v3/runs", nil, 404},
 		{"wrong method", "PUT", "/v2/runs", job("job-1", 1), 405},
 		{"not an id", "GET", "/v2/runs/x", nil, 404},
-		{"malformed report", "POST", wire.PathHeartbeat, `{"stall":3}`, 400},
-		{"report without a session", "POST", wire.PathHeartbeat, `{"stall":"n-1","address":"x:1","build":"g8","yard":"a"}`, 400},
+		{"malformed heartbeat", "POST", wire.PathHeartbeat, `{"stall":3}`, 400},
+		{"heartbeat without an incarnation", "POST", wire.PathHeartbeat, `{"stall":"n-1","address":"x:1","build":"g8","yard":"a"}`, 400},
 	} {
 		h.until("there is a leader", func() bool { return h.c.leader() != nil })
 		if status, out := h.call(c.method, c.path, c.body); status != c.want {
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -90,7 +90,7 @@
 		"class": "l", "cpus": 4, "memory_gb": 1, "image": "img", "image_gb": 1, "estimate_s": 10}}
 }
 
-// stateOf gives the state of a step of a run.
+// stateOf returns the state of a step of a run.
 func (h *harness) stateOf(run, task string) any {
 	_, out := h.api("GET", "/dags/g/dagRuns/"+run+"/taskInstances/"+task, nil)
 	return out["state"]
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -4,10 +4,12 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"log/slog"
 	"net/http"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -72,8 +74,24 @@
 	}
 }
 
-// boot starts the controller, as a process with no memory of an earlier one.
+// boot starts the controller, as a process with no memory of an earlier one, and waits until it is healthy. A port that was free
+// may be another process's by the time it is bound; then others are tried.
 func (h *harness) boot() {
+	h.t.Helper()
+	for tries := 1; ; tries++ {
+		err := h.start()
+		if err == nil {
+			return
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) || tries == 5 {
+			h.t.Fatalf("the controller did not start: %v", err)
+		}
+	}
+}
+
+// start starts the controller at addresses of its own. The error is that with which it ended before it was healthy.
+func (h *harness) start() error {
+	h.t.Helper()
 	h.addr = testutil.FreeAddr(h.t)
 	s := &config.Settings{
 		Member: "m0", Bind: h.addr, MeshAddr: testutil.FreeAddr(h.t), Outside: config.Outside{Cloud: h.cloud.Addr(), State: h.state.Addr()},
@@ -85,7 +103,7 @@
 	}
 	var err error
 	if h.c, err = New(s, h.operatorSettings(), h.clock, slog.New(slog.DiscardHandler)); err != nil {
-		h.t.Fatal(err)
+		return err
 	}
 	if h.observer != nil {
 		h.c.env.Observer = h.observer
@@ -99,7 +117,18 @@
 			h.t.Errorf("the controller ended: %v", err)
 		}
 	}
-	h.until("healthy", func() bool { status, _ := h.call("GET", "/up", nil); return status == 200 })
+	var ended error
+	h.until("healthy", func() bool {
+		select {
+		case ended = <-done:
+			done <- nil // it is over, and nobody need hear of it again
+			return true
+		default:
+		}
+		status, _ := h.call("GET", "/up", nil)
+		return status == 200
+	})
+	return ended
 }
 
 // operatorSettings are the operators' settings.
@@ -208,7 +237,7 @@
 	}}
 }
 
-// heartbeat reports once, executes the answer's commands, and gives its status.
+// heartbeat sends one heartbeat, carries out the commands of the reply, and returns its status.
 func (k *worker) heartbeat() int {
 	k.hb.Seq++
 	k.h.t.Helper()
--- a/internal/controller/late_answers_test.go
+++ b/internal/controller/late_answers_test.go
@@ -99,7 +99,7 @@
 	h.observer = hears
 	h.boot()
 	k := h.worker("n-000001", "a")
-	h.until("reports are answered", func() bool { return k.heartbeat() == http.StatusOK })
+	h.until("heartbeats are answered", func() bool { return k.heartbeat() == http.StatusOK })
 	h.state.DelayAnswers(func() time.Duration { return time.Hour }) // no renewal is answered
 	stall := func() { h.clock.Advance(tuning.LeaseTTL) }
 	hears.then.Store(&stall)
@@ -109,5 +109,5 @@
 	hears.then.Store(nil)
 	h.state.DelayAnswers(nil)
 	h.clock.Advance(time.Hour)
-	h.until("reports are answered again", func() bool { return k.heartbeat() == http.StatusOK })
+	h.until("heartbeats are answered again", func() bool { return k.heartbeat() == http.StatusOK })
 }
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -45,7 +45,7 @@
 		status, out := h.call("GET", "/v2/runs/job-2/why", nil)
 		return status == 200 && strings.Contains(fmt.Sprint(out["reasons"]), "team's limit")
 	})
-	for range 4 { // time passes while the worker reports
+	for range 4 { // time passes while the worker sends heartbeats
 		h.clock.Advance(2 * time.Second)
 		h.until("reported", func() bool { return k.heartbeat() == 200 })
 	}
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -90,7 +90,7 @@
 	return r
 }
 
-// servePing answers a ping, and tells whether this member has no memory for more jobs (507) and what it remembers of the other's
+// servePing answers a ping, and says whether this member has no memory for more jobs (507) and what it remembers of the other's
 // claim to its zone lease. Members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.Holder()
--- a/internal/platform/wire/job_test.go
+++ b/internal/platform/wire/job_test.go
@@ -24,7 +24,7 @@
 	return raw
 }
 
-func TestParseJobTakesAGoodOne(t *testing.T) {
+func TestParseJobAcceptsAGoodJob(t *testing.T) {
 	j, err := ParseJob(encode(t, goodJob()))
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestParseJobRefuses(t *testing.T) {
+func TestParseJobRefusesWhatIsMalformed(t *testing.T) {
 	for _, c := range []struct {
 		field string
 		value any
--- a/internal/platform/wire/worker_test.go
+++ b/internal/platform/wire/worker_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against reports that contradict themselves: they get one line, and change nothing.
-func TestReportsThatContradictThemselves(t *testing.T) {
+// Guards against heartbeats that contradict themselves: they get one line, and change nothing.
+func TestHeartbeatsThatContradictThemselvesAreRefused(t *testing.T) {
 	const good = `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":2,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}],"news":7}`
 	for _, c := range []struct {
 		from, to string
