--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -42,6 +42,15 @@
 	}, p, func() *leader.Loop { return nil }, func() bool { return false }), clock
 }
 
+// newHandlerWithStore makes a handler of a member that does not lead and is alone, with a fake state service.
+func newHandlerWithStore(t *testing.T) (*Handler, *fakes.Store) {
+	t.Helper()
+	state := fakes.NewStore(clockwork.NewFakeClock())
+	t.Cleanup(state.Close)
+	h, _ := handlerWith(t, state.Addr())
+	return h, state
+}
+
 var body = []byte(`{"ref":"job-7","lane":"l","desk":"t","shape":"array","urgency":"standard","seats":1,"cpus":4,"gpus":0,"mem_gb":1,
 	"bundle":"img","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":10,"stub_s":0,"stamp_s":0}`)
 
@@ -113,9 +122,7 @@
 // Guards against a controller that is ended by the kernel with all that it does: what it
 // has no memory for is refused at once, with when to come back.
 func TestWithoutMemoryASubmissionIsRefusedAtOnce(t *testing.T) {
-	state := fakes.NewStore(clockwork.NewFakeClock())
-	t.Cleanup(state.Close)
-	h, _ := handlerWith(t, state.Addr())
+	h, state := newHandlerWithStore(t)
 	full := true
 	h.memoryFull = func() bool { return full }
 	submit := func() *httptest.ResponseRecorder {
@@ -135,9 +142,7 @@
 // Guards against users that stay with a controller which has lost the state service and all others: their polls failed for
 // as long as that lasted. It says at once that it serves nobody, and has them ask another.
 func TestAnIsolatedMemberRefusesUsersAndClosesTheirConnections(t *testing.T) {
-	state := fakes.NewStore(clockwork.NewFakeClock())
-	t.Cleanup(state.Close)
-	h, _ := handlerWith(t, state.Addr())
+	h, _ := newHandlerWithStore(t)
 	alone := true
 	h.isolated = func() bool { return alone }
 	status := func(serve http.HandlerFunc, method, path string) *httptest.ResponseRecorder {
--- a/internal/api/userapi/known_jobs_test.go
+++ b/internal/api/userapi/known_jobs_test.go
@@ -7,19 +7,14 @@
 	"strings"
 	"testing"
 
-	"github.com/jonboulle/clockwork"
-
 	"poppypass/internal/platform/wire"
 	"poppypass/internal/scheduler/jobs"
-	"poppypass/internal/sim/fakes"
 )
 
 // Guards against a job that is refused, changed or forgotten once it was accepted: repeated with other content, after the machine
 // types changed, after its end; and against cancelling what is done, and ids that nobody knows.
 func TestAJobThatWasAcceptedIsNeitherRefusedNorChanged(t *testing.T) {
-	state := fakes.NewStore(clockwork.NewFakeClock())
-	t.Cleanup(state.Close)
-	h, _ := handlerWith(t, state.Addr())
+	h, state := newHandlerWithStore(t)
 	do := func(serve http.HandlerFunc, id string, raw []byte) (int, wire.JobStatus) {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, strings.NewReader(string(raw)))
--- a/internal/api/userapi/submit_validation_test.go
+++ b/internal/api/userapi/submit_validation_test.go
@@ -38,30 +38,16 @@
 // null is a field that is there and null.
 var null = json.RawMessage("null")
 
-// Guards against jobs that are accepted though they lack a field or can never run, and against good ones that are refused: every field
-// missing, null, of a wrong type and out of range, what is unknown, and what fits nowhere. The answer is one line that names the
-// field, nothing is stored, and each member says the same.
-func TestSubmissionsAreValidated(t *testing.T) {
-	state := fakes.NewStore(clockwork.NewFakeClock())
-	t.Cleanup(state.Close)
-	members := []*Handler{}
-	for range 2 {
-		h, _ := handlerWith(t, state.Addr())
-		members = append(members, h)
-	}
-	submit := func(h *Handler, raw []byte) (int, string) {
-		w := httptest.NewRecorder()
-		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, strings.NewReader(string(raw))))
-		var out wire.Error
-		_ = json.Unmarshal(w.Body.Bytes(), &out) // an accepted job's answer has no error
-		return w.Code, out.Error
-	}
-	type submissionCase struct {
-		name   string
-		fields map[string]any
-		status int
-		names  string // what the answer names
-	}
+// submissionCase is a good submission with some fields changed, and its answer.
+type submissionCase struct {
+	name   string
+	fields map[string]any
+	status int
+	names  string // what the answer names
+}
+
+// submissionCases are submissions with one field missing, null, of a wrong type, out of range, or that fits nowhere.
+func submissionCases() []submissionCase {
 	var cases []submissionCase
 	wrong := map[string][]any{ // of a wrong type, or out of range
 		"ref": {7, "", "7", "job-", "job-x", "job-1/0", "JOB-1", "job-" + strings.Repeat("1", 33)}, "lane": {1, "", strings.Repeat("x", 201)}, "desk": {1, "", []string{"t"}},
@@ -99,7 +85,28 @@
 		submissionCase{"a field that nobody knows", map[string]any{"colour": "red"}, http.StatusCreated, ""},
 		submissionCase{"numbers as the protocol writes them", map[string]any{"cpus": json.RawMessage("4.0"), "ride_s": json.RawMessage("1e2")}, http.StatusCreated, ""},
 	)
-	for i, c := range cases {
+	return cases
+}
+
+// Guards against jobs that are accepted though they lack a field or can never run, and against good ones that are refused: every field
+// missing, null, of a wrong type and out of range, what is unknown, and what fits nowhere. The answer is one line that names the
+// field, nothing is stored, and each member says the same.
+func TestSubmissionsAreValidated(t *testing.T) {
+	state := fakes.NewStore(clockwork.NewFakeClock())
+	t.Cleanup(state.Close)
+	members := []*Handler{}
+	for range 2 {
+		h, _ := handlerWith(t, state.Addr())
+		members = append(members, h)
+	}
+	submit := func(h *Handler, raw []byte) (int, string) {
+		w := httptest.NewRecorder()
+		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, strings.NewReader(string(raw))))
+		var out wire.Error
+		_ = json.Unmarshal(w.Body.Bytes(), &out) // an accepted job's answer has no error
+		return w.Code, out.Error
+	}
+	for i, c := range submissionCases() {
 		id := fmt.Sprintf("job-%d", 1000+i)
 		raw := changed(t, id, c.fields)
 		for n, h := range members {
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -113,15 +113,21 @@
 		return
 	}
 	reply, err := h.reply(r.Context(), body, hb)
+	if err != nil {
+		writeNoReply(w, err)
+		return
+	}
+	httpjson.Write(w, http.StatusOK, reply)
+}
+
+// writeNoReply answers a worker that gets no reply here: with the name of the leader, or with 503.
+func writeNoReply(w http.ResponseWriter, err error) {
 	var redirect *redirectError
-	switch {
-	case err == nil:
-		httpjson.Write(w, http.StatusOK, reply)
-	case errors.As(err, &redirect):
+	if errors.As(err, &redirect) {
 		httpjson.Write(w, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: redirect.leader})
-	default:
-		httpjson.WriteUnavailable(w, err.Error())
+		return
 	}
+	httpjson.WriteUnavailable(w, err.Error())
 }
 
 // AnswerRelayedHeartbeat answers a heartbeat that a follower relays to the leader: with 421 if this member does not lead, 503
