--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -1,7 +1,6 @@
 package fakes
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -12,7 +11,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Cloud is a cloud that rents what is asked for, up to Capacity machines.
+// Cloud is a cloud that rents what is asked for, up to Capacity machines. It is safe for concurrent use.
 type Cloud struct {
 	srv *httptest.Server
 
@@ -29,7 +28,7 @@
 	listed   int // how many machines its lists name at the most; negative: all
 }
 
-// NewCloud starts a cloud.
+// NewCloud starts a cloud with room for that many machines, of the given types.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
 	c := &Cloud{Types: types, Capacity: capacity, booked: map[string][]string{}, listed: -1}
 	mux := http.NewServeMux()
@@ -57,58 +56,58 @@
 	return c
 }
 
-// Addr is its address.
+// Addr returns its address.
 func (c *Cloud) Addr() string { return strings.TrimPrefix(c.srv.URL, "http://") }
 
-// Close stops it.
+// Close stops it and drops its connections.
 func (c *Cloud) Close() {
 	c.srv.CloseClientConnections()
 	c.srv.Close()
 }
 
-// LoseRentAnswers makes the next n rentals go without an answer, though executed.
+// LoseRentAnswers makes it execute the next n rentals without answering them.
 func (c *Cloud) LoseRentAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = n
 }
 
-// ListOnly makes its lists lack all but the oldest n machines, as they lack new ones for a while; negative: no more.
+// ListOnly limits its lists to the oldest n machines, as a list that lags behind; a negative n ends that.
 func (c *Cloud) ListOnly(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listed = n
 }
 
-// Terminate takes a machine back without a word.
+// Terminate takes a machine back without notice.
 func (c *Cloud) Terminate(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return m.Name == name })
 }
 
-// Refuse makes it refuse to tell its machine types, or ends that.
-func (c *Cloud) Refuse(trouble bool) {
+// Refuse makes it answer 503 to requests for its machine types, or ends that.
+func (c *Cloud) Refuse(refuse bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refusing = trouble
+	c.refusing = refuse
 }
 
-// Rents gives the rentals asked for, repetitions included.
+// Rents returns the rentals requested so far, repeated requests included.
 func (c *Cloud) Rents() []wire.RentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]wire.RentRequest(nil), c.rents...)
 }
 
-// Deleted gives the machines whose deletion was asked for.
+// Deleted returns the names of the machines whose deletion was requested.
 func (c *Cloud) Deleted() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.deleted...)
 }
 
-// Machines gives the machines that are there.
+// Machines returns the machines that exist.
 func (c *Cloud) Machines() []wire.ListedMachine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +116,7 @@
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
 	var q wire.RentRequest
-	if json.NewDecoder(r.Body).Decode(&q) != nil {
-		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+	if !decode(w, r, &q) {
 		return
 	}
 	c.mu.Lock()
@@ -147,8 +145,7 @@
 
 func (c *Cloud) remove(w http.ResponseWriter, r *http.Request) {
 	var q wire.MachineNames
-	if json.NewDecoder(r.Body).Decode(&q) != nil {
-		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+	if !decode(w, r, &q) {
 		return
 	}
 	c.mu.Lock()
--- a/internal/sim/fakes/doc.go
+++ b/internal/sim/fakes/doc.go
@@ -1,3 +1,3 @@
-// Package fakes has scripted stand-ins of the outside systems for tests:
-// a state service, a cloud and workers, each speaking the published protocol.
+// Package fakes has in-memory fakes of the outside systems for tests and load tools: a key-value store, a cloud and
+// workers. Each speaks the published protocol over loopback, and can be told to fail in set ways.
 package fakes
--- a/internal/sim/testcluster/rig.go
+++ b/internal/sim/testcluster/cluster.go
@@ -1,5 +1,5 @@
-// Package testcluster runs real controllers on loopback for the labs, over stand-ins of the state
-// service and the cloud, with a worker for each machine that is rented.
+// Package testcluster runs real controllers as processes on loopback, over fakes of the store and the cloud, with a fake
+// worker for each machine that is rented.
 package testcluster
 
 import (
@@ -51,7 +51,7 @@
 
 // Start starts all of it; it ends with the context, and Close clears up.
 func (c *Cluster) Start(ctx context.Context) (err error) {
-	if c.dir, err = os.MkdirTemp("", "rig"); err != nil {
+	if c.dir, err = os.MkdirTemp("", "testcluster"); err != nil {
 		return err
 	}
 	c.stopWorker, c.killedAt = map[string]context.CancelFunc{}, time.Now()
@@ -105,7 +105,7 @@
 }
 
 func (c *Cluster) start(ctx context.Context, i int) error {
-	props := filepath.Join(c.dir, "own.properties")
+	props := filepath.Join(c.dir, "operator.properties")
 	path := filepath.Join(c.dir, fmt.Sprintf("m%d.toml", i))
 	if err := os.WriteFile(props, []byte(c.Properties), 0o600); err != nil {
 		return err
@@ -180,12 +180,14 @@
 				continue
 			}
 			known[m.Name] = true
-			k := fakes.NewWorker(m, nodes, order, c.HeartbeatEvery, c.WorkerLease, c.Task, c.OnEnd)
+			worker := fakes.NewWorker(m, fakes.WorkerOptions{
+				Controllers: nodes, Order: order, Every: c.HeartbeatEvery, Lease: c.WorkerLease, Task: c.Task, OnEnd: c.OnEnd,
+			})
 			wctx, end := context.WithCancel(ctx)
 			c.mu.Lock()
 			c.stopWorker[m.Name] = end
 			c.mu.Unlock()
-			go func() { _ = k.Run(wctx) }() // it ends with its machine
+			go func() { _ = worker.Run(wctx) }() // it ends with its machine
 		}
 		for _, name := range c.Cloud.Deleted() {
 			c.mu.Lock()
