--- a/internal/sim/faults/failover_test.go
+++ b/internal/sim/faults/failover_test.go
@@ -149,8 +149,10 @@
 // Guards against the loss of a zone's tasks: its only controller leads, ends while the state service is out, and is back within
 // seconds, so that nobody can be elected. The others remember its right for its zone.
 func TestAZonesOnlyMemberRestartsInAnOutage(t *testing.T) {
+	t.Parallel()
 	sim := newSimulation(t, sites["lease 10, three"], 26+*shift)
 	only := sim.nodes[1] // that of zone b
+	sim.paced = true     // that no worker loses its tasks depends on answers within a lease, which a starved machine does not give
 	for i := range 8 {
 		sim.submit(fmt.Sprintf("job-%d", i), spec{tasks: 2, kind: []string{"array", "service"}[i%2], runS: 600, zone: []string{"a", "b"}[i%2]})
 	}
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -57,6 +57,7 @@
 	heldCopies          [][]byte // those
 	lateCommandPercent  int      // percent of direct commands that are held up on their way, unanswered, and carried out once
 	delayedCommands     []lateCommands
+	paced               bool          // no step begins before the machine has done what the one before asked for
 	fastBoot            bool          // machines are up within 2 s
 	polling             bool          // users ask at all controllers after each answer that tells something new
 	links               time.Duration // how long reports, answers and direct commands are on their way at the most
@@ -87,8 +88,16 @@
 // patience is how long a condition may take by the machine's clock beyond its bound by the simulation's: what a starved machine needs.
 const patience = 20 * time.Second
 
-// worlds is how many there were.
-var worlds atomic.Int32
+const (
+	// callPatience is the machine's time for the controllers' calls to each other in a paced step: a call on loopback takes well under a
+	// millisecond on an idle machine.
+	callPatience = 5 * time.Millisecond
+	// answerPatience bounds how long a paced step waits for heartbeats on their way.
+	answerPatience = time.Second
+)
+
+// simulations is how many there were.
+var simulations atomic.Int32
 
 // teamLimits are the teams and how many CPUs each may use; typeCPUs are the machine types' CPUs.
 var (
@@ -106,7 +115,7 @@
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
 	}
 	// An address of its own for each simulation, and ports that no connection is given: they are free when a controller is back.
-	n := int(worlds.Add(1))
+	n := int(simulations.Add(1))
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250, 1+n%250)
 	for i := range s.nodes {
 		n := &node{
@@ -335,6 +344,21 @@
 			resp.Body.Close()
 		}
 	}
+	if sim.paced {
+		sim.keepPace()
+	}
+}
+
+// keepPace has the machine follow the clock: the controllers have a moment for their calls to each other, and heartbeats on their way are
+// answered, or had answerPatience for it. What has to happen within a lease depends on that, where all else is as it should be.
+func (sim *simulation) keepPace() {
+	answered := sim.locked(func() bool {
+		return !slices.ContainsFunc(sim.workers, func(k *worker) bool { return k.waits != nil })
+	})
+	time.Sleep(callPatience)
+	for begun := time.Now(); !answered() && time.Since(begun) < answerPatience; {
+		time.Sleep(time.Millisecond)
+	}
 }
 
 // deliver has a copy of a report arrive; its answer reaches nobody.
