--- a/cmd/poppypass/graph_check.go
+++ b/cmd/poppypass/graph_check.go
@@ -64,7 +64,7 @@
 		if g.Team == "" {
 			g.Team = team
 		}
-		p, err := dag.Check(g)
+		p, err := dag.NewPlan(g)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
--- a/cmd/poppypass/graph_check_test.go
+++ b/cmd/poppypass/graph_check_test.go
@@ -68,7 +68,7 @@
 			}
 			return
 		}
-		p, err := dag.Check(g)
+		p, err := dag.NewPlan(g)
 		if err != nil {
 			return
 		}
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -48,7 +48,7 @@
 	if err := a.read(ctx, &g, path...); err != nil {
 		return nil, err
 	}
-	return dag.Check(&g)
+	return dag.NewPlan(&g)
 }
 
 // instances reads the instances of a run's steps.
--- a/internal/graphs/airflow/dags.go
+++ b/internal/graphs/airflow/dags.go
@@ -214,7 +214,7 @@
 			if g.Team == "" {
 				g.Team = r.team
 			}
-			_, err = dag.Check(g)
+			_, err = dag.NewPlan(g)
 		}
 		if err != nil {
 			return nil, badRequest("%s", httpjson.OneLine(err))
@@ -306,10 +306,10 @@
 		Delay: delta(time.Duration(cmp.Or(s.Delay, dag.DefaultRetryDelay))), Backoff: s.Exponential, Timeout: delta(time.Duration(s.Timeout)),
 		Past: s.DependsOnPast, Pool: cmp.Or(s.Pool, runner.DefaultPool), Slots: max(1, s.PoolSlots), Weight: max(1, s.Weight), Mapped: s.Map != nil,
 	}
-	for _, j := range p.Down[i] {
+	for _, j := range p.Downstream[i] {
 		v.Down = append(v.Down, p.Steps[j].ID)
 	}
-	for _, j := range p.Up[i] {
+	for _, j := range p.Upstream[i] {
 		v.Dependency = append(v.Dependency, p.Steps[j].ID)
 	}
 	if s.Job != nil {
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -62,7 +62,7 @@
 	job := &dag.Job{Class: "train", CPUs: 1.5, MemoryGB: 3.5, Image: "img-07", EstimateS: 60}
 	end := formatStart.AddDate(1, 0, 0)
 	return &dag.Graph{
-		ID: "nightly", Team: formatTeam, Description: "the nightly run", Schedule: "0 2 * * *", Zone: "UTC", Start: &formatStart, End: &end, Catchup: true,
+		ID: "nightly", Team: formatTeam, Description: "the nightly run", Schedule: "0 2 * * *", Timezone: "UTC", Start: &formatStart, End: &end, Catchup: true,
 		MaxRuns: 3, MaxTasks: 4, Params: map[string]json.RawMessage{"level": json.RawMessage("3")}, Tags: []string{"gpu"},
 		Steps: []dag.Step{
 			{
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	record := runner.GraphRecord{
-		Team: graph.Team, ID: graph.ID, Def: hash, LastMS: formatStart.UnixMilli(), Description: graph.Description, Schedule: graph.Schedule, Zone: graph.Zone,
+		Team: graph.Team, ID: graph.ID, Def: hash, LastMS: formatStart.UnixMilli(), Description: graph.Description, Schedule: graph.Schedule, Zone: graph.Timezone,
 		Start: graph.Start, End: graph.End, Catchup: graph.Catchup, MaxRuns: graph.MaxRuns, MaxTasks: graph.MaxTasks, Tags: graph.Tags, Steps: len(graph.Steps),
 	}
 	for key, value := range map[string]any{formatGraphKey: record, formatRunKey: formatRun(t, graph, hash)} {
@@ -121,7 +121,7 @@
 // after a failed try.
 func formatRun(t *testing.T, graph *dag.Graph, hash string) map[string]any {
 	t.Helper()
-	plan, err := dag.Check(graph)
+	plan, err := dag.NewPlan(graph)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,8 +131,8 @@
 	}
 	run := dag.NewRun(plan, "manual__1")
 	first := dag.Ref{Step: 0, Index: 0}
-	run.Submitted(first)
-	run.Running(first, formatStart)
+	run.JobSubmitted(first)
+	run.TaskRunning(first, formatStart)
 	if err := run.SetResult(0, json.RawMessage(`{"a":1}`)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/graphs/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -53,7 +53,7 @@
 	}
 	for _, i := range v.Run.Plan.Order {
 		s := &v.Run.Plan.Steps[i]
-		state, all := v.Run.State(i)
+		state, all := v.Run.StepState(i)
 		if len(all) == 0 {
 			x := viewInstance(v, i, -1, state, 0, nil)
 			out = append(out, x)
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -19,8 +19,8 @@
 	return &r.nodes[at.Step].instances[at.Index]
 }
 
-// Submitted records that an instance's job is accepted.
-func (r *Run) Submitted(at Ref) {
+// JobSubmitted records that an instance's job is accepted.
+func (r *Run) JobSubmitted(at Ref) {
 	if x := r.instance(at); x != nil && x.State == Scheduled {
 		x.State = Queued
 		r.follow(at.Step)
@@ -36,29 +36,29 @@
 	}
 }
 
-// Running records that a task of an instance's job runs.
-func (r *Run) Running(at Ref, now time.Time) {
-	if x := r.instance(at); x != nil && !x.Ending && (x.State == Queued || x.State == UpForRetry) {
-		x.State, x.Begun, x.Hold = Running, now, time.Time{}
+// TaskRunning records that a task of an instance's job runs.
+func (r *Run) TaskRunning(at Ref, now time.Time) {
+	if x := r.instance(at); x != nil && !x.Cancelling && (x.State == Queued || x.State == UpForRetry) {
+		x.State, x.StartedAt, x.RetryAt = Running, now, time.Time{}
 		r.follow(at.Step)
 	}
 }
 
-// Failure records that an attempt of an instance's job failed. Its job rests, or, when
+// AttemptFailed records that an attempt of an instance's job failed. Its job rests, or, when
 // its tries are used up, is cancelled and the instance has failed.
-func (r *Run) Failure(at Ref, now time.Time, jitter float64) {
+func (r *Run) AttemptFailed(at Ref, now time.Time, jitter float64) {
 	x := r.instance(at)
-	if x == nil || x.State.Final() || x.State == Scheduled || x.Ending {
+	if x == nil || x.State.Final() || x.State == Scheduled || x.Cancelling {
 		return
 	}
 	x.Failures++
-	x.Begun = time.Time{}
+	x.StartedAt = time.Time{}
 	s := &r.Plan.Steps[at.Step]
 	if x.Failures > s.Retries {
 		r.fail(at)
 		return
 	}
-	x.State, x.Hold = UpForRetry, now.Add(s.Pause(x.Failures, jitter))
+	x.State, x.RetryAt = UpForRetry, now.Add(s.DelayBefore(x.Failures, jitter))
 	r.follow(at.Step)
 }
 
@@ -67,7 +67,7 @@
 // succeeded. Otherwise a step could be called failed whose job is done.
 func (r *Run) fail(at Ref) {
 	x := r.instance(at)
-	x.Ending, x.Hold, x.Begun = true, time.Time{}, time.Time{}
+	x.Cancelling, x.RetryAt, x.StartedAt = true, time.Time{}, time.Time{}
 	r.cancels = append(r.cancels, r.JobID(at))
 }
 
@@ -76,7 +76,7 @@
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
-			if x := &r.nodes[i].instances[k]; x.Ending && !x.State.Final() {
+			if x := &r.nodes[i].instances[k]; x.Cancelling && !x.State.Final() {
 				jobs = append(jobs, r.JobID(Ref{i, k}))
 			}
 		}
@@ -88,16 +88,16 @@
 // whether that is so.
 func (r *Run) TimeOut(at Ref, now time.Time) bool {
 	x, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
-	if x == nil || limit == 0 || x.State != Running || x.Ending || now.Before(x.Begun.Add(limit)) {
+	if x == nil || limit == 0 || x.State != Running || x.Cancelling || now.Before(x.StartedAt.Add(limit)) {
 		return false
 	}
 	r.fail(at)
 	return true
 }
 
-// Done records that an instance's job is done. An error says that what it left (Push) is
+// JobDone records that an instance's job is done. An error says that what it left (Push) is
 // not what the step's kind asks for; the instance has failed then.
-func (r *Run) Done(at Ref) error {
+func (r *Run) JobDone(at Ref) error {
 	x := r.instance(at)
 	if x == nil || x.State.Final() {
 		return nil
@@ -121,15 +121,15 @@
 	if x == nil || x.State.Final() {
 		return
 	}
-	x.State, x.Hold, x.Begun, x.Ending = s, time.Time{}, time.Time{}, false
+	x.State, x.RetryAt, x.StartedAt, x.Cancelling = s, time.Time{}, time.Time{}, false
 	n := &r.nodes[at.Step]
 	n.open--
-	for _, j := range r.Plan.Down[at.Step] {
+	for _, j := range r.Plan.Downstream[at.Step] {
 		r.nodes[j].before.add(s, 1)
 	}
 	if n.open > 0 {
 		// Those that wait for one end only need not wait for all.
-		for _, j := range r.Plan.Down[at.Step] {
+		for _, j := range r.Plan.Downstream[at.Step] {
 			r.judge(j)
 		}
 		r.follow(at.Step)
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -27,7 +27,7 @@
 		}
 		for k := range n.instances {
 			switch x := &n.instances[k]; {
-			case x.State.Final() || x.Ending:
+			case x.State.Final() || x.Cancelling:
 			case x.State == Scheduled:
 				x.State = Skipped
 				n.open--
@@ -78,7 +78,7 @@
 		}
 		chosen[i] = true
 		if below {
-			queue = append(queue, r.Plan.Down[i]...)
+			queue = append(queue, r.Plan.Downstream[i]...)
 		}
 	}
 	var out []int
@@ -141,8 +141,8 @@
 }
 
 // endsBefore counts how the steps before a step ended.
-func (r *Run) endsBefore(i int) (e Ends) {
-	for _, j := range r.Plan.Up[i] {
+func (r *Run) endsBefore(i int) (e UpstreamCounts) {
+	for _, j := range r.Plan.Upstream[i] {
 		n := &r.nodes[j]
 		if len(n.instances) == 0 {
 			e.Add(n.state, 1)
--- a/internal/graphs/dag/dag.go
+++ b/internal/graphs/dag/dag.go
@@ -18,11 +18,11 @@
 
 // Bounds of a graph.
 const (
-	MaxSteps  = 10_000  // of one graph
-	MaxEdges  = 200_000 // of one graph
-	MaxMapped = 1_000   // instances of one mapped step
-	MaxName   = 200     // bytes of a name
-	MaxResult = 2 << 10 // bytes of a step's result
+	MaxSteps           = 10_000  // of one graph
+	MaxEdges           = 200_000 // of one graph
+	MaxMappedInstances = 1_000   // instances of one mapped step
+	MaxNameBytes       = 200     // bytes of a name
+	MaxResultBytes     = 2 << 10 // bytes of a step's result
 )
 
 // Kind says what a step does.
@@ -49,7 +49,7 @@
 	ImageGB     float64  `json:"image_gb,omitempty"` //
 	Types       []string `json:"types,omitempty"`    // allowed machine types; none: any
 	Zone        string   `json:"zone,omitempty"`
-	OneZone     bool     `json:"same_zone,omitempty"`
+	SameZone    bool     `json:"same_zone,omitempty"`
 	Spread      bool     `json:"spread,omitempty"`
 	Spot        bool     `json:"spot,omitempty"`
 	EstimateS   float64  `json:"estimate_s,omitempty"`
@@ -69,9 +69,9 @@
 // DefaultRetryDelay is the rest before a retry unless a step says otherwise, as in Airflow.
 const DefaultRetryDelay = Duration(5 * time.Minute)
 
-// Pause is the rest before the try with a number, from 1 on. jitter, from 0 to 1,
+// DelayBefore is the rest before the try with a number, from 1 on. jitter, from 0 to 1,
 // spreads those of many steps over the last half of it.
-func (r *Retry) Pause(try int, jitter float64) time.Duration {
+func (r *Retry) DelayBefore(try int, jitter float64) time.Duration {
 	d := time.Duration(r.Delay)
 	if d <= 0 {
 		d = time.Duration(DefaultRetryDelay)
@@ -94,11 +94,11 @@
 
 // Step is one step of a graph.
 type Step struct {
-	ID       string   `json:"task_id"`
-	Kind     Kind     `json:"kind"`
-	Job      *Job     `json:"job,omitempty"`      // of all kinds but empty
-	Upstream []string `json:"upstream,omitempty"` // the steps that it follows
-	Rule     Rule     `json:"trigger_rule,omitempty"`
+	ID       string      `json:"task_id"`
+	Kind     Kind        `json:"kind"`
+	Job      *Job        `json:"job,omitempty"`      // of all kinds but empty
+	Upstream []string    `json:"upstream,omitempty"` // the steps that it follows
+	Rule     TriggerRule `json:"trigger_rule,omitempty"`
 	Retry
 	Timeout       Duration `json:"execution_timeout,omitempty"` // of one try, from its start; 0: none
 	DependsOnPast bool     `json:"depends_on_past,omitempty"`
@@ -122,7 +122,7 @@
 	Team        string                     `json:"team"`
 	Description string                     `json:"description,omitempty"`
 	Schedule    string                     `json:"schedule,omitempty"` // cron, or empty: only when triggered
-	Zone        string                     `json:"timezone,omitempty"` // in which the schedule is read; UTC
+	Timezone    string                     `json:"timezone,omitempty"` // in which the schedule is read; UTC
 	Start       *time.Time                 `json:"start_date,omitempty"`
 	End         *time.Time                 `json:"end_date,omitempty"`
 	Catchup     bool                       `json:"catchup,omitempty"`
@@ -169,21 +169,21 @@
 // Plan is a graph that was checked, with its edges by index. It is not changed any more.
 type Plan struct {
 	Graph
-	Index map[string]int
-	Up    [][]int // the steps that each one follows
-	Down  [][]int // those that follow it
-	Order []int   // each step behind those that it follows
+	Index      map[string]int
+	Upstream   [][]int // the steps that each one follows
+	Downstream [][]int // those that follow it
+	Order      []int   // each step behind those that it follows
 }
 
-// Check checks a graph, and returns its plan. The error is an *Error, in one line.
-func Check(g *Graph) (*Plan, error) {
+// NewPlan checks a graph, and returns its plan. The error is an *Error, in one line.
+func NewPlan(g *Graph) (*Plan, error) {
 	fault := func(step, format string, args ...any) error {
 		return &Error{Graph: g.ID, Step: step, Text: fmt.Sprintf(format, args...)}
 	}
 	if !ValidName(g.ID) {
 		return nil, fault("", "dag_id is not a name of letters, digits, dashes, dots and underscores")
 	}
-	if g.Team == "" || len(g.Team) > MaxName {
+	if g.Team == "" || len(g.Team) > MaxNameBytes {
 		return nil, fault("", "the team is missing")
 	}
 	if len(g.Steps) == 0 || len(g.Steps) > MaxSteps {
@@ -195,10 +195,10 @@
 	if g.Start != nil && g.End != nil && g.End.Before(*g.Start) {
 		return nil, fault("", "it ends before it starts")
 	}
-	if _, err := ParseSchedule(g.Schedule, g.Zone); err != nil {
+	if _, err := ParseSchedule(g.Schedule, g.Timezone); err != nil {
 		return nil, fault("", "%v", err)
 	}
-	p := &Plan{Graph: *g, Index: make(map[string]int, len(g.Steps)), Up: make([][]int, len(g.Steps)), Down: make([][]int, len(g.Steps))}
+	p := &Plan{Graph: *g, Index: make(map[string]int, len(g.Steps)), Upstream: make([][]int, len(g.Steps)), Downstream: make([][]int, len(g.Steps))}
 	for i := range g.Steps {
 		s := &g.Steps[i]
 		if !ValidName(s.ID) {
@@ -220,9 +220,9 @@
 			if !ok {
 				return nil, fault(s.ID, "it follows %q, which is no step of this graph", name)
 			}
-			if !slices.Contains(p.Up[i], j) {
-				p.Up[i] = append(p.Up[i], j)
-				p.Down[j] = append(p.Down[j], i)
+			if !slices.Contains(p.Upstream[i], j) {
+				p.Upstream[i] = append(p.Upstream[i], j)
+				p.Downstream[j] = append(p.Downstream[j], i)
 				edges++
 			}
 		}
@@ -269,22 +269,22 @@
 	case s.Kind == KindBranch && s.Map != nil:
 		return errors.New("a branch is not mapped")
 	case !s.Rule.Known():
-		return fmt.Errorf("trigger_rule %q is unknown; it can be %s", s.Rule, strings.Join(Rules(), ", "))
+		return fmt.Errorf("trigger_rule %q is unknown; it can be %s", s.Rule, strings.Join(TriggerRules(), ", "))
 	case s.Retries < 0 || s.Retries > 100:
 		return fmt.Errorf("retries is %d; 0 to 100 are allowed", s.Retries)
 	case s.PoolSlots < 0 || s.Weight < 0:
 		return errors.New("pool_slots or priority_weight is negative")
 	case s.Map != nil && (s.Map.Over != "") == (s.Map.List != nil):
 		return errors.New("expand takes either a list or a step")
-	case s.Map != nil && len(s.Map.List) > MaxMapped:
-		return fmt.Errorf("it is mapped over %d elements; up to %d are allowed", len(s.Map.List), MaxMapped)
+	case s.Map != nil && len(s.Map.List) > MaxMappedInstances:
+		return fmt.Errorf("it is mapped over %d elements; up to %d are allowed", len(s.Map.List), MaxMappedInstances)
 	}
 	return nil
 }
 
-// ValidName reports whether a text is a name: 1 to MaxName letters, digits, dashes, dots and underscores.
+// ValidName reports whether a text is a name: 1 to MaxNameBytes letters, digits, dashes, dots and underscores.
 func ValidName(s string) bool {
-	if s == "" || len(s) > MaxName {
+	if s == "" || len(s) > MaxNameBytes {
 		return false
 	}
 	for i := range len(s) {
@@ -302,7 +302,7 @@
 	left := make([]int, len(p.Steps)) // steps that are still before it
 	var ready []int
 	for i := range p.Steps {
-		if left[i] = len(p.Up[i]); left[i] == 0 {
+		if left[i] = len(p.Upstream[i]); left[i] == 0 {
 			ready = append(ready, i)
 		}
 	}
@@ -311,7 +311,7 @@
 		i := ready[0]
 		ready = ready[1:]
 		p.Order = append(p.Order, i)
-		for _, j := range p.Down[i] {
+		for _, j := range p.Downstream[i] {
 			if left[j]--; left[j] == 0 {
 				ready = append(ready, j)
 			}
@@ -332,7 +332,7 @@
 		}
 		seen[at] = len(path)
 		path = append(path, at)
-		at = p.Up[at][slices.IndexFunc(p.Up[at], func(j int) bool { return left[j] > 0 })]
+		at = p.Upstream[at][slices.IndexFunc(p.Upstream[at], func(j int) bool { return left[j] > 0 })]
 	}
 	slices.Reverse(path)
 	for _, i := range path[:min(len(path), 12)] {
@@ -353,7 +353,7 @@
 	for _, i := range p.Order {
 		from[i] = -1
 		var begin time.Duration
-		for _, j := range p.Up[i] {
+		for _, j := range p.Upstream[i] {
 			if from[i] < 0 || end[j] > begin {
 				begin, from[i] = end[j], j
 			}
--- a/internal/graphs/dag/dag_test.go
+++ b/internal/graphs/dag/dag_test.go
@@ -17,7 +17,7 @@
 	good := func() *Graph {
 		return &Graph{ID: "g", Team: "t", Steps: []Step{step("a"), step("b", "a"), step("c", "b")}}
 	}
-	if _, err := Check(good()); err != nil {
+	if _, err := NewPlan(good()); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 	} {
 		g := good()
 		c.change(g)
-		if _, err := Check(g); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if _, err := NewPlan(g); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("want %q: %v", c.want, err)
 		}
 	}
@@ -52,7 +52,7 @@
 func TestCriticalPath(t *testing.T) {
 	long := step("long", "a")
 	long.Job.EstimateS = 100
-	p, err := Check(&Graph{ID: "g", Team: "t", Steps: []Step{step("z", "short", "long"), step("short", "a"), long, step("a")}})
+	p, err := NewPlan(&Graph{ID: "g", Team: "t", Steps: []Step{step("z", "short", "long"), step("short", "a"), long, step("a")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,12 +74,12 @@
 		g.Steps = append(g.Steps, s)
 	}
 	g.Steps = append(g.Steps, step("last", all...))
-	p, err := Check(g)
+	p, err := NewPlan(g)
 	if err != nil || p.Order[MaxSteps-1] != MaxSteps-1 {
 		t.Fatal(err)
 	}
 	g.Steps[0].Upstream = []string{"last"}
-	if _, err := Check(g); err == nil || len(err.Error()) > 200 {
+	if _, err := NewPlan(g); err == nil || len(err.Error()) > 200 {
 		t.Errorf("a circle of all: %v", err)
 	}
 }
@@ -87,7 +87,7 @@
 func TestRules(t *testing.T) {
 	S, F, K, U, N := Success, Failed, Skipped, UpstreamFailed, None
 	for _, c := range []struct {
-		rule Rule
+		rule TriggerRule
 		ends []State
 		want State
 	}{
@@ -103,11 +103,11 @@
 		{NoneSkipped, []State{S, F}, Scheduled}, {NoneSkipped, []State{K, N}, Skipped}, {NoneSkipped, []State{S, N}, None},
 		{Always, []State{N, N}, Scheduled},
 	} {
-		var e Ends
+		var e UpstreamCounts
 		for _, s := range c.ends {
 			e.Add(s, 1)
 		}
-		if got := c.rule.Judge(e); got != c.want {
+		if got := c.rule.Evaluate(e); got != c.want {
 			t.Errorf("%q after %v: %v, want %v", c.rule, c.ends, got, c.want)
 		}
 	}
@@ -118,14 +118,14 @@
 // never taken back.
 func TestRulesAreMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := Rule(rapid.SampledFrom(rules).Draw(t, "rule"))
+		rule := TriggerRule(rapid.SampledFrom(rules).Draw(t, "rule"))
 		ends := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
-		e := Ends{All: len(ends)}
-		given := rule.Judge(e)
+		e := UpstreamCounts{Total: len(ends)}
+		given := rule.Evaluate(e)
 		for _, s := range ends {
 			e.Add(s, 1)
-			e.All--
-			got := rule.Judge(e)
+			e.Total--
+			got := rule.Evaluate(e)
 			if given == Scheduled && got != Scheduled || given != None && (got == None || got == Scheduled && given != got) {
 				t.Fatalf("%s says %v, then %v after %v", rule, given, got, e)
 			}
@@ -140,14 +140,14 @@
 func TestPauses(t *testing.T) {
 	r := Retry{Delay: Duration(time.Minute), Exponential: true, MaxDelay: Duration(5 * time.Minute)}
 	for try, want := range map[int]time.Duration{1: time.Minute, 2: 2 * time.Minute, 3: 4 * time.Minute, 4: 5 * time.Minute, 99: 5 * time.Minute} {
-		if got := r.Pause(try, 1); got != want {
+		if got := r.DelayBefore(try, 1); got != want {
 			t.Errorf("before try %d: %v, want %v", try, got, want)
 		}
-		if got := r.Pause(try, 0); got != want/2 {
+		if got := r.DelayBefore(try, 0); got != want/2 {
 			t.Errorf("before try %d, without jitter: %v", try, got)
 		}
 	}
-	if got := (&Retry{}).Pause(3, 0); got != 5*time.Minute {
+	if got := (&Retry{}).DelayBefore(3, 0); got != 5*time.Minute {
 		t.Errorf("unless given: %v", got)
 	}
 }
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -39,7 +39,7 @@
 // A run is written as it is by the state machine, and read back to be written the same.
 func TestStoredRun(t *testing.T) {
 	job := &Job{Class: "train", CPUs: 1, MemoryGB: 1, Image: "img-07"}
-	plan, err := Check(&Graph{ID: "nightly", Team: "vision", Steps: []Step{
+	plan, err := NewPlan(&Graph{ID: "nightly", Team: "vision", Steps: []Step{
 		{ID: "first", Kind: KindJob, Job: job},
 		{ID: "second", Kind: KindJob, Job: job, Upstream: []string{"first"}},
 		{ID: "third", Kind: KindEmpty, Upstream: []string{"second"}},
@@ -51,7 +51,7 @@
 	run.orphans = []string{"job-7"}
 	run.nodes[0].generation = 2
 	run.nodes[0].result = json.RawMessage(`{"a":1}`)
-	run.nodes[0].instances[0] = Instance{State: UpForRetry, Failures: 3, Hold: time.UnixMilli(1_780_000_000_000), Begun: time.UnixMilli(1_780_000_000_001), Ending: true}
+	run.nodes[0].instances[0] = Instance{State: UpForRetry, Failures: 3, RetryAt: time.UnixMilli(1_780_000_000_000), StartedAt: time.UnixMilli(1_780_000_000_001), Cancelling: true}
 	raw := run.Encode()
 	golden.Hex(t, "run", raw)
 	again, err := DecodeRun(plan, raw)
@@ -71,7 +71,7 @@
 	for _, state := range []RunState{RunRunning, RunSuccess, RunFailed} {
 		lines = append(lines, state.String())
 	}
-	lines = append(lines, Rules()...)
+	lines = append(lines, TriggerRules()...)
 	golden.Lines(t, "names", append(lines, string(KindJob), string(KindBranch), string(KindEmpty))...)
 	golden.Hex(t, "states", []byte{
 		byte(None), byte(Scheduled), byte(Queued), byte(Running), byte(UpForRetry), byte(Success), byte(Failed), byte(Skipped), byte(UpstreamFailed),
--- a/internal/graphs/dag/json.go
+++ b/internal/graphs/dag/json.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// MaxJSON is the longest graph that is read as JSON, in bytes.
-const MaxJSON = 8 << 20
+// MaxJSONBytes is the longest graph that is read as JSON, in bytes.
+const MaxJSONBytes = 8 << 20
 
 // ParseJSON reads a graph from JSON. A field that no graph has is an error: a rule that
 // is spelt wrongly must not be passed over. The error is in one line, with the line and
 // column where that is known.
 func ParseJSON(name string, raw []byte) (*Graph, error) {
-	if len(raw) > MaxJSON {
-		return nil, fmt.Errorf("%s: the graph has %d bytes; up to %d are allowed", name, len(raw), MaxJSON)
+	if len(raw) > MaxJSONBytes {
+		return nil, fmt.Errorf("%s: the graph has %d bytes; up to %d are allowed", name, len(raw), MaxJSONBytes)
 	}
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -10,14 +10,14 @@
 	return x != nil && x.State == Scheduled && !r.stopped
 }
 
-// IsReadyAs reports whether an instance waits, and its job has this id: it was neither
+// IsReadyWithJob reports whether an instance waits, and its job has this id: it was neither
 // cleared nor cancelled since that was worked out.
-func (r *Run) IsReadyAs(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
+func (r *Run) IsReadyWithJob(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
 
-// Next returns up to n instances that are ready, those of the greatest weight first, then
+// TakeReady returns up to n instances that are ready, those of the greatest weight first, then
 // in the order in which they became ready. Whoever takes them submits their jobs, and says
 // so (Submitted).
-func (r *Run) Next(n int) []Ref {
+func (r *Run) TakeReady(n int) []Ref {
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
 		at := heap.Pop(&r.ready).(readyRef).Ref
@@ -28,8 +28,8 @@
 	return out
 }
 
-// Ready is how many instances are ready at most.
-func (r *Run) Ready() int { return r.ready.Len() }
+// ReadyCount is how many instances are ready at most.
+func (r *Run) ReadyCount() int { return r.ready.Len() }
 
 // readyHeap orders ready instances by weight, then by when they became ready.
 type readyHeap []readyRef
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -35,22 +35,22 @@
 // Final reports whether a step in this state stays in it, unless it is cleared.
 func (s State) Final() bool { return s >= Success && s < states }
 
-// Rule says which ends of the steps before it let a step begin.
-type Rule string
+// TriggerRule says which ends of the steps before it let a step begin.
+type TriggerRule string
 
 // The trigger rules of Airflow 2. The empty rule is AllSuccess.
 const (
-	AllSuccess              Rule = "all_success"
-	AllFailed               Rule = "all_failed"
-	AllDone                 Rule = "all_done"
-	AllSkipped              Rule = "all_skipped"
-	OneSuccess              Rule = "one_success"
-	OneFailed               Rule = "one_failed"
-	OneDone                 Rule = "one_done"
-	NoneFailed              Rule = "none_failed"
-	NoneFailedMinOneSuccess Rule = "none_failed_min_one_success"
-	NoneSkipped             Rule = "none_skipped"
-	Always                  Rule = "always"
+	AllSuccess              TriggerRule = "all_success"
+	AllFailed               TriggerRule = "all_failed"
+	AllDone                 TriggerRule = "all_done"
+	AllSkipped              TriggerRule = "all_skipped"
+	OneSuccess              TriggerRule = "one_success"
+	OneFailed               TriggerRule = "one_failed"
+	OneDone                 TriggerRule = "one_done"
+	NoneFailed              TriggerRule = "none_failed"
+	NoneFailedMinOneSuccess TriggerRule = "none_failed_min_one_success"
+	NoneSkipped             TriggerRule = "none_skipped"
+	Always                  TriggerRule = "always"
 )
 
 var rules = []string{
@@ -58,16 +58,16 @@
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
 }
 
-// Rules names the trigger rules.
-func Rules() []string { return slices.Clone(rules) }
+// TriggerRules names the trigger rules.
+func TriggerRules() []string { return slices.Clone(rules) }
 
 // Known reports whether it is a rule.
-func (r Rule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
+func (r TriggerRule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
 
-// Ends counts how the steps before a step ended, by instance: a mapped step counts once
+// UpstreamCounts counts how the steps before a step ended, by instance: a mapped step counts once
 // for each element.
-type Ends struct {
-	All            int // there are
+type UpstreamCounts struct {
+	Total          int // there are
 	Success        int
 	Failed         int
 	Skipped        int
@@ -75,8 +75,8 @@
 }
 
 // Add counts one more state.
-func (e *Ends) Add(s State, n int) {
-	e.All += n
+func (e *UpstreamCounts) Add(s State, n int) {
+	e.Total += n
 	switch s {
 	case Success:
 		e.Success += n
@@ -89,16 +89,16 @@
 	}
 }
 
-// Done is how many have ended.
-func (e *Ends) Done() int { return e.Success + e.Failed + e.Skipped + e.UpstreamFailed }
+// Finished is how many have ended.
+func (e *UpstreamCounts) Finished() int { return e.Success + e.Failed + e.Skipped + e.UpstreamFailed }
 
-// Judge says what the ends so far mean for a step that has not begun: Scheduled, it may
+// Evaluate says what the ends so far mean for a step that has not begun: Scheduled, it may
 // begin; Skipped or UpstreamFailed, it never will; None, that is still open. Once it
 // says that a step may begin, or never will, further ends do not change that. Which
 // of the two ways of not beginning it is depends on which end comes first, as in Airflow.
-func (r Rule) Judge(e Ends) State {
+func (r TriggerRule) Evaluate(e UpstreamCounts) State {
 	bad := e.Failed + e.UpstreamFailed
-	over := e.Done() == e.All
+	over := e.Finished() == e.Total
 	verdict := func(ready, failed, skipped bool) State {
 		switch {
 		case failed:
@@ -112,16 +112,16 @@
 	}
 	switch r {
 	case AllFailed:
-		return verdict(bad == e.All, false, e.Success+e.Skipped > 0)
+		return verdict(bad == e.Total, false, e.Success+e.Skipped > 0)
 	case AllDone:
 		return verdict(over, false, false)
 	case AllSkipped:
-		return verdict(e.Skipped == e.All, false, e.Success+bad > 0)
+		return verdict(e.Skipped == e.Total, false, e.Success+bad > 0)
 	case OneSuccess:
 		if e.Success > 0 {
 			return Scheduled
 		}
-		return verdict(e.All == 0, over && e.All > 0 && e.Skipped < e.All, over && e.All > 0)
+		return verdict(e.Total == 0, over && e.Total > 0 && e.Skipped < e.Total, over && e.Total > 0)
 	case OneFailed:
 		if bad > 0 {
 			return Scheduled
@@ -135,7 +135,7 @@
 	case NoneFailed:
 		return verdict(over, bad > 0, false)
 	case NoneFailedMinOneSuccess:
-		return verdict(over, bad > 0, over && e.All > 0 && e.Success == 0)
+		return verdict(over, bad > 0, over && e.Total > 0 && e.Success == 0)
 	case NoneSkipped:
 		return verdict(over, false, e.Skipped > 0)
 	case Always:
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -31,20 +31,20 @@
 // is mapped over. Its tries are attempts of one job, which the core repeats; the run
 // counts those that failed.
 type Instance struct {
-	State    State
-	Failures int       // of its job's attempts, since the last clear
-	Hold     time.Time // until then its job rests; zero: it need not
-	Begun    time.Time // when its present try began to run; zero: it does not run
-	Ending   bool      // its job is being cancelled: how that ends is how the instance ends
+	State      State
+	Failures   int       // of its job's attempts, since the last clear
+	RetryAt    time.Time // until then its job rests; zero: it need not
+	StartedAt  time.Time // when its present try began to run; zero: it does not run
+	Cancelling bool      // its job is being cancelled: how that ends is how the instance ends
 }
 
 // node is the state of a step in a run.
 type node struct {
 	generation int // one more with each clear
 	state      State
-	before     Ends       // how the instances of the steps before it ended
-	instances  []Instance // none until it is known how many there are
-	open       int        // instances that have not ended
+	before     UpstreamCounts // how the instances of the steps before it ended
+	instances  []Instance     // none until it is known how many there are
+	open       int            // instances that have not ended
 	result     json.RawMessage
 }
 
@@ -72,8 +72,8 @@
 func NewRun(p *Plan, id string) *Run {
 	r := &Run{Plan: p, ID: id, nodes: make([]node, len(p.Steps)), open: len(p.Steps)}
 	for i := range r.nodes {
-		for range p.Up[i] {
-			r.nodes[i].before.All++ // each counts for one until it is known how many instances it has
+		for range p.Upstream[i] {
+			r.nodes[i].before.Total++ // each counts for one until it is known how many instances it has
 		}
 	}
 	for _, i := range p.Order {
@@ -110,8 +110,8 @@
 		return fmt.Errorf("step %s is mapped or empty, and leaves no result", s.ID)
 	case n.state.Final() || len(n.instances) == 0 || n.instances[0].State == Scheduled:
 		return fmt.Errorf("step %s does not run", s.ID)
-	case len(result) > MaxResult:
-		return fmt.Errorf("the result of %s has %d bytes; up to %d are allowed", s.ID, len(result), MaxResult)
+	case len(result) > MaxResultBytes:
+		return fmt.Errorf("the result of %s has %d bytes; up to %d are allowed", s.ID, len(result), MaxResultBytes)
 	case !json.Valid(result):
 		return fmt.Errorf("the result of %s is not JSON", s.ID)
 	}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// State returns a step's state, and its instances.
-func (r *Run) State(step int) (State, []Instance) {
+// StepState returns a step's state, and its instances.
+func (r *Run) StepState(step int) (State, []Instance) {
 	return r.nodes[step].state, r.nodes[step].instances
 }
 
@@ -134,7 +134,7 @@
 		return RunFailed
 	}
 	for i := range r.nodes {
-		if s := r.nodes[i].state; len(r.Plan.Down[i]) == 0 && (s == Failed || s == UpstreamFailed) {
+		if s := r.nodes[i].state; len(r.Plan.Downstream[i]) == 0 && (s == Failed || s == UpstreamFailed) {
 			return RunFailed
 		}
 	}
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -15,7 +15,7 @@
 
 func plan(t testing.TB, steps ...Step) *Plan {
 	t.Helper()
-	p, err := Check(&Graph{ID: "g", Team: "t", Steps: steps})
+	p, err := NewPlan(&Graph{ID: "g", Team: "t", Steps: steps})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,10 +38,10 @@
 
 // start submits what is ready, and has it run.
 func (r *Run) start(now time.Time) []Ref {
-	refs := r.Next(1 << 20)
+	refs := r.TakeReady(1 << 20)
 	for _, at := range refs {
-		r.Submitted(at)
-		r.Running(at, now)
+		r.JobSubmitted(at)
+		r.TaskRunning(at, now)
 	}
 	return refs
 }
@@ -53,7 +53,7 @@
 			return err
 		}
 	}
-	return r.Done(at)
+	return r.JobDone(at)
 }
 
 // clear has a step and what follows it go again.
@@ -74,16 +74,16 @@
 	p := plan(t, step("first"), flaky, step("last", "middle"), cleanup)
 	r := NewRun(p, "run")
 	r.start(noon)
-	if err := r.Done(r.at("first")); err != nil {
+	if err := r.JobDone(r.at("first")); err != nil {
 		t.Fatal(err)
 	}
 	r.start(noon)
-	r.Failure(r.at("middle"), noon, 0)
-	if s, x := r.State(1); s != UpForRetry || !x[0].Hold.Equal(noon.Add(time.Minute)) || len(r.Next(9)) != 0 || len(r.TakeCancellations()) != 0 {
+	r.AttemptFailed(r.at("middle"), noon, 0)
+	if s, x := r.StepState(1); s != UpForRetry || !x[0].RetryAt.Equal(noon.Add(time.Minute)) || len(r.TakeReady(9)) != 0 || len(r.TakeCancellations()) != 0 {
 		t.Fatalf("after the first failure: %v, %+v", s, x)
 	}
-	r.Running(r.at("middle"), noon.Add(time.Minute))
-	r.Failure(r.at("middle"), noon.Add(2*time.Minute), 0)
+	r.TaskRunning(r.at("middle"), noon.Add(time.Minute))
+	r.AttemptFailed(r.at("middle"), noon.Add(2*time.Minute), 0)
 	if c := r.TakeCancellations(); len(c) != 1 || c[0] != r.JobID(r.at("middle")) {
 		t.Errorf("cancels %v", c)
 	}
@@ -92,7 +92,7 @@
 		t.Errorf("states %v", got)
 	}
 	r.start(noon)
-	_ = r.Done(r.at("cleanup")) // it has no result
+	_ = r.JobDone(r.at("cleanup")) // it has no result
 	if r.RunState() != RunSuccess {
 		t.Errorf("the run is %v: its only last step is done", r.RunState())
 	}
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	r.start(noon)
-	_ = r.Done(r.at("left")) // it has no result
+	_ = r.JobDone(r.at("left")) // it has no result
 	if got := r.states(); got["right"] != "skipped" || got["join"] != "scheduled" {
 		t.Fatalf("after the branch: %v", got)
 	}
@@ -138,7 +138,7 @@
 	if len(ids) != 3 {
 		t.Error("instances share a job")
 	}
-	_ = r.Done(refs[0]) // it has no result
+	_ = r.JobDone(refs[0]) // it has no result
 	for k, at := range refs {
 		if r.TimeOut(at, noon.Add(time.Minute)) {
 			t.Error("late after a minute")
@@ -151,7 +151,7 @@
 		t.Errorf("%d jobs are cancelled", n)
 	}
 	r.JobCancelled(refs[1])
-	_ = r.Done(refs[2]) // it was done before its cancellation was stored
+	_ = r.JobDone(refs[2]) // it was done before its cancellation was stored
 	if got := r.states(); got["mapped"] != "failed" || got["last"] != "scheduled" {
 		t.Errorf("after the timeout: %v", got)
 	}
@@ -172,7 +172,7 @@
 	}
 	r := NewRun(plan(t, steps...), "run")
 	r.start(noon)
-	r.Failure(r.at("s0"), noon, 0)
+	r.AttemptFailed(r.at("s0"), noon, 0)
 	r.JobCancelled(r.at("s0"))
 	if r.RunState() != RunFailed || r.states()["s9999"] != "upstream_failed" {
 		t.Error("the chain is not passed over")
@@ -184,7 +184,7 @@
 	heavy := with(step("heavy"), func(s *Step) { s.Weight = 5 })
 	r := NewRun(plan(t, step("a"), step("b"), heavy), "run")
 	var got []string
-	for _, at := range append(r.Next(2), r.Next(2)...) {
+	for _, at := range append(r.TakeReady(2), r.TakeReady(2)...) {
 		got = append(got, r.Plan.Steps[at.Step].ID)
 	}
 	if !slices.Equal(got, []string{"heavy", "a", "b"}) {
@@ -200,7 +200,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "steps")
 		g := &Graph{ID: "g", Team: "t"}
 		for i := range n {
-			s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: Rule(rapid.SampledFrom(rules).Draw(t, "rule"))}
+			s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: TriggerRule(rapid.SampledFrom(rules).Draw(t, "rule"))}
 			for j := range i {
 				if rapid.IntRange(0, 2).Draw(t, "edge") == 0 {
 					s.Upstream = append(s.Upstream, fmt.Sprint("s", j))
@@ -222,7 +222,7 @@
 			}
 			g.Steps = append(g.Steps, s)
 		}
-		p, err := Check(g)
+		p, err := NewPlan(g)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -265,14 +265,14 @@
 				}
 				switch rapid.IntRange(0, 3).Draw(t, "end") {
 				case 0:
-					r.Failure(at, now, 0)
+					r.AttemptFailed(at, now, 0)
 				case 1:
-					r.Running(at, now)
+					r.TaskRunning(at, now)
 				default:
 					result := json.RawMessage(`[1,2]`)
 					if p.Steps[at.Step].Kind == KindBranch {
 						var pick []string
-						for _, j := range p.Down[at.Step] {
+						for _, j := range p.Downstream[at.Step] {
 							if rapid.Bool().Draw(t, "picked") {
 								pick = append(pick, p.Steps[j].ID)
 							}
@@ -296,7 +296,7 @@
 				if before[i].Final() && x.state != before[i] && !cleared[i] {
 					t.Fatalf("s%d was %v and is %v", i, before[i], x.state)
 				}
-				if verdict := p.Steps[i].Rule.Judge(x.before); x.state == None && !r.stopped && verdict != None && (verdict != Scheduled || p.Steps[i].Map == nil || p.Steps[i].Map.Over == "") {
+				if verdict := p.Steps[i].Rule.Evaluate(x.before); x.state == None && !r.stopped && verdict != None && (verdict != Scheduled || p.Steps[i].Map == nil || p.Steps[i].Map.Over == "") {
 					t.Fatalf("s%d waits, though it is %v after %+v", i, verdict, x.before)
 				}
 			}
@@ -335,7 +335,7 @@
 		r := NewRun(p, "run")
 		for refs := r.start(noon); len(refs) > 0; refs = r.start(noon) {
 			for _, at := range refs {
-				_ = r.Done(at) // it has no result
+				_ = r.JobDone(at) // it has no result
 			}
 		}
 		if r.RunState() != RunSuccess {
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -56,7 +56,7 @@
 
 // tells reports whether there is more to an instance than its state.
 func (x *Instance) tells() bool {
-	return x.Failures > 0 || !x.Hold.IsZero() || !x.Begun.IsZero() || x.Ending
+	return x.Failures > 0 || !x.RetryAt.IsZero() || !x.StartedAt.IsZero() || x.Cancelling
 }
 
 // Encode returns a run's stored form.
@@ -74,7 +74,7 @@
 		for k, x := range n.instances {
 			e.States = append(e.States, byte(x.State))
 			if x.tells() {
-				e.Notes = append(e.Notes, storedInstance{Index: k, Failures: x.Failures, HoldMS: ms(x.Hold), BegunMS: ms(x.Begun), Ending: x.Ending})
+				e.Notes = append(e.Notes, storedInstance{Index: k, Failures: x.Failures, HoldMS: ms(x.RetryAt), BegunMS: ms(x.StartedAt), Ending: x.Cancelling})
 			}
 		}
 		s.Steps = append(s.Steps, e)
@@ -144,7 +144,7 @@
 
 // decodeStep sets what a step has beside its state.
 func (r *Run) decodeStep(e *storedStep) error {
-	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMapped {
+	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMappedInstances {
 		return fmt.Errorf("stored run %s of %s names an unknown step", r.ID, r.Plan.ID)
 	}
 	n := &r.nodes[e.Step]
@@ -165,8 +165,8 @@
 		if x.Index < 0 || x.Index >= len(n.instances) {
 			return fmt.Errorf("stored run %s of %s names an unknown instance", r.ID, r.Plan.ID)
 		}
-		n.instances[x.Index].Failures, n.instances[x.Index].Ending = x.Failures, x.Ending
-		n.instances[x.Index].Hold, n.instances[x.Index].Begun = timeOf(x.HoldMS), timeOf(x.BegunMS)
+		n.instances[x.Index].Failures, n.instances[x.Index].Cancelling = x.Failures, x.Ending
+		n.instances[x.Index].RetryAt, n.instances[x.Index].StartedAt = timeOf(x.HoldMS), timeOf(x.BegunMS)
 	}
 	return nil
 }
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -49,7 +49,7 @@
 		text = preset
 	}
 	fields := strings.Fields(text)
-	if len(fields) != 5 || len(text) > MaxName {
+	if len(fields) != 5 || len(text) > MaxNameBytes {
 		return nil, fmt.Errorf("schedule %q has %d fields; it takes five, or one of @once, @hourly, @daily, @weekly, @monthly, @quarterly, @yearly", text, len(fields))
 	}
 	spec, err := parser.Parse(text)
@@ -126,8 +126,8 @@
 // MaxBackfill bounds how many runs of the past are begun at one request.
 const MaxBackfill = 1000
 
-// ErrBackfill says that more runs than that were asked for.
-var ErrBackfill = errors.New("more than 1000 runs")
+// ErrTooManyRuns says that more runs than that were asked for.
+var ErrTooManyRuns = errors.New("more than 1000 runs")
 
 // Due returns the intervals that end within (after, now]. last is the end of the last interval
 // that has a run; zero: none has. Without catch-up only the newest is given, as in
@@ -224,7 +224,7 @@
 			break
 		}
 		if len(out) == MaxBackfill {
-			return nil, ErrBackfill
+			return nil, ErrTooManyRuns
 		}
 		out = append(out, Interval{begin, end})
 		begin = end
--- a/internal/graphs/dag/verdicts.go
+++ b/internal/graphs/dag/verdicts.go
@@ -12,7 +12,7 @@
 	if n.state != None || len(n.instances) > 0 {
 		return
 	}
-	switch verdict := r.Plan.Steps[i].Rule.Judge(n.before); verdict {
+	switch verdict := r.Plan.Steps[i].Rule.Evaluate(n.before); verdict {
 	case None:
 	case Scheduled:
 		r.begin(i)
@@ -42,8 +42,8 @@
 			r.end(i, Skipped)
 			return
 		}
-		for _, j := range r.Plan.Down[i] {
-			r.nodes[j].before.All += count - 1
+		for _, j := range r.Plan.Downstream[i] {
+			r.nodes[j].before.Total += count - 1
 		}
 	}
 	n.state, n.open = Scheduled, count
@@ -64,7 +64,7 @@
 	if up.state != Success || up.result == nil {
 		return nil, false
 	}
-	if json.Unmarshal(up.result, &list) != nil || len(list) > MaxMapped {
+	if json.Unmarshal(up.result, &list) != nil || len(list) > MaxMappedInstances {
 		return nil, false
 	}
 	return list, true
@@ -102,16 +102,16 @@
 		r.open--
 		if len(n.instances) == 0 {
 			// It counts as one: its instances were never told apart.
-			for _, j := range r.Plan.Down[e.step] {
+			for _, j := range r.Plan.Downstream[e.step] {
 				r.nodes[j].before.add(e.state, 1)
 			}
 		}
-		for _, j := range r.Plan.Down[e.step] {
+		for _, j := range r.Plan.Downstream[e.step] {
 			f := &r.nodes[j]
 			if f.state != None || len(f.instances) > 0 {
 				continue
 			}
-			switch verdict := r.Plan.Steps[j].Rule.Judge(f.before); {
+			switch verdict := r.Plan.Steps[j].Rule.Evaluate(f.before); {
 			case verdict == None:
 			case verdict == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
 				queue = append(queue, ended{j, Success})
@@ -125,9 +125,9 @@
 }
 
 // add counts an end of one that is counted in All already.
-func (e *Ends) add(s State, n int) {
+func (e *UpstreamCounts) add(s State, n int) {
 	e.Add(s, n)
-	e.All -= n
+	e.Total -= n
 }
 
 // branch passes over the direct followers that a branch did not pick, but for those
@@ -145,7 +145,7 @@
 	var queue []int
 	for _, name := range picked {
 		j, ok := r.Plan.Index[name]
-		if !ok || !slices.Contains(r.Plan.Down[i], j) {
+		if !ok || !slices.Contains(r.Plan.Downstream[i], j) {
 			return fmt.Errorf("the result of %s names %q, which does not follow it", r.Plan.Steps[i].ID, name)
 		}
 		keep[j] = true
@@ -154,14 +154,14 @@
 	for len(queue) > 0 {
 		j := queue[0]
 		queue = queue[1:]
-		for _, k := range r.Plan.Down[j] {
+		for _, k := range r.Plan.Downstream[j] {
 			if !keep[k] {
 				keep[k] = true
 				queue = append(queue, k)
 			}
 		}
 	}
-	for _, j := range r.Plan.Down[i] {
+	for _, j := range r.Plan.Downstream[i] {
 		if !keep[j] && r.nodes[j].state == None && len(r.nodes[j].instances) == 0 {
 			r.end(j, Skipped)
 		}
--- a/internal/graphs/dagfile/dagfile_test.go
+++ b/internal/graphs/dagfile/dagfile_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	g := graphs[0]
-	p, err := dag.Check(g)
+	p, err := dag.NewPlan(g)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	if s.Job.CPUs != 5 || s.Job.Image != "settle" || s.Retries != 0 || s.Delay != dag.Duration(3*time.Minute) || !s.Exponential || g.Steps[p.Index["pay"]].Retries != 2 {
 		t.Errorf("a step is read as %+v", s)
 	}
-	if m := g.Steps[p.Index["pages"]].Map; m == nil || m.Over != "collect" || p.Up[p.Index["pages"]][0] != p.Index["collect"] {
+	if m := g.Steps[p.Index["pages"]].Map; m == nil || m.Over != "collect" || p.Upstream[p.Index["pages"]][0] != p.Index["collect"] {
 		t.Errorf("mapped over a step: %+v", m)
 	}
 	if m := g.Steps[p.Index["marks"]].Map; m == nil || len(m.List) != 2 || string(m.List[1]) != `{"gate":"south"}` {
@@ -142,7 +142,7 @@
 			return
 		}
 		for _, g := range graphs {
-			if p, err := dag.Check(g); err == nil {
+			if p, err := dag.NewPlan(g); err == nil {
 				p.CriticalPath()
 			}
 		}
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -59,8 +59,8 @@
 		m.Over = v.of.step.ID
 	case *starlark.List:
 		m.List = make([]json.RawMessage, 0, v.Len())
-		if v.Len() > dag.MaxMapped {
-			return nil, fmt.Errorf("expand: %d items; up to %d are allowed", v.Len(), dag.MaxMapped)
+		if v.Len() > dag.MaxMappedInstances {
+			return nil, fmt.Errorf("expand: %d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
 		}
 		for e := range v.Elements() {
 			raw, err := toJSON(e, 0)
@@ -108,7 +108,7 @@
 		"priority_weight?", &weight)
 	if o.kind != dag.KindEmpty {
 		pairs = append(pairs, "urgency?", &job.Urgency, "tasks?", &tasks, "gpus?", amount(&job.GPUs), "image_gb?", amount(&job.ImageGB), "types?", &types, "zone?", &job.Zone,
-			"same_zone?", &job.OneZone, "spread?", &job.Spread, "spot?", &job.Spot, "estimate_s?", amount(&job.EstimateS),
+			"same_zone?", &job.SameZone, "spread?", &job.Spread, "spot?", &job.Spot, "estimate_s?", amount(&job.EstimateS),
 			"checkpoint_s?", amount(&job.CheckpointS), "save_s?", amount(&job.SaveS), "account?", &job.Account)
 		s.Job = job
 	}
@@ -122,7 +122,7 @@
 	if err := starlark.UnpackArgs(o.name, args, kwargs, pairs...); err != nil {
 		return nil, err
 	}
-	s.Rule, s.Pool, s.Retries, s.Weight, s.PoolSlots, s.DependsOnPast, s.Exponential = dag.Rule(rule), pool, retries, weight, slots, past, backoff
+	s.Rule, s.Pool, s.Retries, s.Weight, s.PoolSlots, s.DependsOnPast, s.Exponential = dag.TriggerRule(rule), pool, retries, weight, slots, past, backoff
 	job.Tasks = tasks
 	for name, f := range map[string]struct {
 		from starlark.Value
--- a/internal/graphs/dagfile/words.go
+++ b/internal/graphs/dagfile/words.go
@@ -32,7 +32,7 @@
 	builtin("datetime", datetime)
 	builtin("range", boundedRange)
 	rules := starlark.StringDict{}
-	for _, r := range dag.Rules() {
+	for _, r := range dag.TriggerRules() {
 		rules[upper(r)] = starlark.String(r)
 	}
 	words["TriggerRule"] = &namespace{"TriggerRule", rules}
@@ -115,7 +115,7 @@
 		}
 	}
 	d.g = dag.Graph{
-		ID: id, Team: team, Schedule: schedule, Description: description, Zone: zone, Catchup: bool(catchup.Truth()), MaxRuns: runs, MaxTasks: tasks,
+		ID: id, Team: team, Schedule: schedule, Description: description, Timezone: zone, Catchup: bool(catchup.Truth()), MaxRuns: runs, MaxTasks: tasks,
 	}
 	var err error
 	if d.g.Start, err = date("start_date", start, where); err != nil {
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -15,7 +15,7 @@
 	var b strings.Builder
 	edges, jobs, mapped := 0, 0, 0
 	for i := range p.Steps {
-		edges += len(p.Up[i])
+		edges += len(p.Upstream[i])
 		if p.Steps[i].Job != nil {
 			jobs++
 		}
@@ -26,7 +26,7 @@
 	fmt.Fprintf(&b, "%s of %s: %d steps, %d of them jobs and %d mapped, %d edges\n", p.ID, p.Team, len(p.Steps), jobs, mapped, edges)
 	path, length := p.CriticalPath()
 	fmt.Fprintf(&b, "critical path, %v by the owners' estimates: %s\n", length, short(path))
-	s, err := dag.ParseSchedule(p.Schedule, p.Zone)
+	s, err := dag.ParseSchedule(p.Schedule, p.Timezone)
 	switch {
 	case err != nil:
 		return err
@@ -83,7 +83,7 @@
 		b.WriteString(";\n")
 	}
 	for i := range p.Steps {
-		for _, j := range p.Up[i] {
+		for _, j := range p.Upstream[i] {
 			label := ""
 			if r := p.Steps[i].Rule; r != "" && r != dag.AllSuccess {
 				label = fmt.Sprintf(" [label=%q]", r)
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -189,7 +189,7 @@
 	at := make([]box, len(r.Plan.Steps))
 	drawn := make([]bool, len(r.Plan.Steps))
 	for _, i := range r.Plan.Order {
-		for _, j := range r.Plan.Up[i] {
+		for _, j := range r.Plan.Upstream[i] {
 			column[i] = max(column[i], column[j]+1)
 		}
 		if len(boxes) == mostBoxes {
@@ -206,7 +206,7 @@
 		boxes = append(boxes, b)
 		at[i], drawn[i] = b, true
 		width, height = max(width, b.X+boxWidth+10), max(height, b.Y+boxHeight+10)
-		for _, j := range r.Plan.Up[i] {
+		for _, j := range r.Plan.Upstream[i] {
 			if drawn[j] {
 				x1, x2 := at[j].X+boxWidth, b.X
 				edges = append(edges, edge{x1, at[j].Y + boxHeight/2, x2, b.Y + boxHeight/2, (x1 + x2) / 2})
--- a/internal/graphs/dagview/run_test.go
+++ b/internal/graphs/dagview/run_test.go
@@ -16,7 +16,7 @@
 func nightly(t *testing.T) *Run {
 	t.Helper()
 	job := &dag.Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
-	p, err := dag.Check(&dag.Graph{ID: "nightly", Team: "a <team>", Steps: []dag.Step{
+	p, err := dag.NewPlan(&dag.Graph{ID: "nightly", Team: "a <team>", Steps: []dag.Step{
 		{ID: "begin", Kind: dag.KindEmpty}, {ID: "fetch", Kind: dag.KindJob, Job: job, Upstream: []string{"begin"}},
 		{ID: "score", Kind: dag.KindJob, Job: job, Upstream: []string{"fetch"}, Map: &dag.Map{Over: "fetch"}},
 		{ID: "settle", Kind: dag.KindJob, Job: job, Upstream: []string{"score"}}, {ID: "report", Kind: dag.KindJob, Job: job, Upstream: []string{"settle"}, Rule: dag.AllDone},
@@ -96,7 +96,7 @@
 		}
 		g.Steps = append(g.Steps, s)
 	}
-	p, err := dag.Check(g)
+	p, err := dag.NewPlan(g)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -90,11 +90,11 @@
 // define records what a graph says from now on.
 func (gr *graph) define(p *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
-		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Zone,
+		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Timezone,
 		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphTasks),
 		Tags: p.Tags, Steps: len(p.Steps),
 	}
-	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Zone) // it was checked
+	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // it was checked
 	gr.dueAt = time.Time{}
 	gr.hasPastDependents = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
 }
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -83,7 +83,7 @@
 	if len(m.Conf) > 0 && json.Unmarshal(m.Conf, &conf) == nil {
 		maps.Copy(d.Params, conf)
 	}
-	for _, j := range r.Plan.Up[at.Step] {
+	for _, j := range r.Plan.Upstream[at.Step] {
 		if result := r.Result(j); result != nil {
 			d.Results[r.Plan.Steps[j].ID] = result
 		}
@@ -109,7 +109,7 @@
 	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatch {
 		p := d.queue[0]
 		d.queue = d.queue[1:]
-		if !p.run.run.IsReadyAs(p.at, p.id) {
+		if !p.run.run.IsReadyWithJob(p.at, p.id) {
 			g.releaseSlots(p.run, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
@@ -174,7 +174,7 @@
 		if why := refused[i]; why != nil {
 			g.log.Error("a step has failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
 			g.releaseSlots(p.run, p.at.Step)
-			if p.run.run.IsReadyAs(p.at, p.id) {
+			if p.run.run.IsReadyWithJob(p.at, p.id) {
 				p.run.run.JobCancelled(p.at)
 				g.markDirty(p.run)
 			}
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -40,8 +40,8 @@
 
 func formatPlan(t *testing.T) *dag.Plan {
 	t.Helper()
-	job := &dag.Job{Class: "train", Urgency: "urgent", Tasks: 3, CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "img-07", ImageGB: 4.5, Types: []string{"large"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, Account: "grant-7"}
-	plan, err := dag.Check(&dag.Graph{
+	job := &dag.Job{Class: "train", Urgency: "urgent", Tasks: 3, CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "img-07", ImageGB: 4.5, Types: []string{"large"}, Zone: "a", SameZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, Account: "grant-7"}
+	plan, err := dag.NewPlan(&dag.Graph{
 		ID: "nightly", Team: "vision", Params: map[string]json.RawMessage{"level": json.RawMessage("3")},
 		Steps: []dag.Step{
 			{ID: "first", Kind: dag.KindJob, Job: job},
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -92,7 +92,7 @@
 }
 
 func (w stepJob) instance() *dag.Instance {
-	_, instances := w.run.run.State(w.at.Step)
+	_, instances := w.run.run.StepState(w.at.Step)
 	return &instances[w.at.Index]
 }
 
@@ -118,11 +118,11 @@
 		return j.Waiting(), ""
 	}
 	x := w.instance()
-	if x.Ending {
+	if x.Cancelling {
 		return 0, "the step's tries are used up, or its time is over"
 	}
-	if now.Before(x.Hold) {
-		return 0, "the step rests before its next try, until " + x.Hold.UTC().Format(time.RFC3339)
+	if now.Before(x.RetryAt) {
+		return 0, "the step rests before its next try, until " + x.RetryAt.UTC().Format(time.RFC3339)
 	}
 	return j.Waiting(), ""
 }
@@ -150,7 +150,7 @@
 		return
 	}
 	w.run.ended(w.at, now, dag.Failed)
-	w.run.run.Failure(w.at, now, g.cfg.Jitter())
+	w.run.run.AttemptFailed(w.at, now, g.cfg.Jitter())
 	delete(g.withTimeout, id)
 	g.notSeenRunning[id] = w
 	g.markDirty(w.run)
@@ -191,7 +191,7 @@
 	if state != wire.StateDone {
 		end = dag.Failed
 		x.run.JobCancelled(w.at)
-	} else if err := x.run.Done(w.at); err != nil {
+	} else if err := x.run.JobDone(w.at); err != nil {
 		end = dag.Failed
 		g.log.Info("a step has failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
 	}
@@ -250,10 +250,10 @@
 	}
 	for id, w := range g.notSeenRunning {
 		j := g.jobStore.Jobs[id]
-		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().Hold) || j.Status().Running == 0 {
+		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().RetryAt) || j.Status().Running == 0 {
 			continue
 		}
-		w.run.run.Running(w.at, now)
+		w.run.run.TaskRunning(w.at, now)
 		w.run.begun(w.at, now)
 		g.enqueueStoreLater(w.run, now)
 		delete(g.notSeenRunning, id)
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -107,7 +107,7 @@
 			x.graph.started++
 		}
 		for i := range x.run.Plan.Steps {
-			_, instances := x.run.State(i)
+			_, instances := x.run.StepState(i)
 			for k := range instances {
 				if s := instances[k].State; s == dag.Queued || s == dag.Running || s == dag.UpForRetry {
 					open(x, x.run.JobID(dag.Ref{Step: i, Index: k}), dag.Ref{Step: i, Index: k})
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return dag.Check(g)
+	return dag.NewPlan(g)
 }
 
 // gather collects parts of definitions, by hash, in the order of their keys. One that
@@ -215,7 +215,7 @@
 	j := wire.Job{
 		ID: r.JobID(at), Class: d.Class, Team: p.Team, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: max(1, d.Tasks),
 		CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB, Image: d.Image, ImageGB: d.ImageGB, Types: d.Types, Zone: d.Zone,
-		OneZone: d.OneZone, Spread: d.Spread, Spot: d.Spot, EstimateS: d.EstimateS, CheckpointS: d.CheckpointS, SaveS: d.SaveS, Account: d.Account,
+		OneZone: d.SameZone, Spread: d.Spread, Spot: d.Spot, EstimateS: d.EstimateS, CheckpointS: d.CheckpointS, SaveS: d.SaveS, Account: d.Account,
 	}
 	if d.Urgency != "" {
 		j.Priority = wire.Priority(d.Urgency)
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -155,7 +155,7 @@
 func failedPastDependents(r *dag.Run) map[string]bool {
 	var out map[string]bool
 	for i := range r.Plan.Steps {
-		state, _ := r.State(i)
+		state, _ := r.StepState(i)
 		if r.Plan.Steps[i].DependsOnPast && state != dag.Success && state != dag.Skipped {
 			if out == nil {
 				out = map[string]bool{}
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -20,7 +20,7 @@
 func counts(r *dag.Run) map[string]int {
 	out := map[string]int{}
 	for i := range r.Plan.Steps {
-		s, _ := r.State(i)
+		s, _ := r.StepState(i)
 		out[s.String()]++
 	}
 	return out
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -33,7 +33,7 @@
 		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
 	}
 	gr := x.graph
-	gr.line.update(g, x, !gr.hasRoom() && (x.run.Ready() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
+	gr.line.update(g, x, !gr.hasRoom() && (x.run.ReadyCount() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
 }
 
 // hasRoom reports whether one more step of the graph may be submitted.
@@ -72,7 +72,7 @@
 // pickNext picks steps that became ready since, or has them wait for what they lack.
 func (g *Graphs) pickNext(x *liveRun) {
 	for x.graph.hasRoom() {
-		refs := x.run.Next(1)
+		refs := x.run.TakeReady(1)
 		if len(refs) == 0 {
 			return
 		}
@@ -124,7 +124,7 @@
 	if !ok {
 		return true
 	}
-	state, _ := before.live.run.State(j)
+	state, _ := before.live.run.StepState(j)
 	return state == dag.Success || state == dag.Skipped
 }
 
@@ -175,7 +175,7 @@
 	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
-		if !x.run.IsReadyAs(p.at, p.id) {
+		if !x.run.IsReadyWithJob(p.at, p.id) {
 			g.releaseSlots(x, p.at.Step) // cleared or cancelled meanwhile
 			continue
 		}
@@ -186,7 +186,7 @@
 			x.run.JobCancelled(p.at)
 			continue
 		}
-		x.run.Submitted(p.at)
+		x.run.JobSubmitted(p.at)
 		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
 		b.put(jobs.KeyJob(p.id), 0, value)
 		// What hears of the job first, its end or this transaction's, must find it.
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -327,7 +327,7 @@
 	if change != nil {
 		change(d)
 	}
-	p, err := dag.Check(d)
+	p, err := dag.NewPlan(d)
 	if err != nil {
 		t.Fatal(err)
 	}
