--- /dev/null
+++ b/internal/graphs/airflow/branches_test.go
@@ -0,0 +1,287 @@
+package airflow
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/golden"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/sim/fakes"
+)
+
+const formatInstances = formatRunPath + "/taskInstances"
+
+// clientRequest is a request of a client.
+type clientRequest struct{ method, path, body string }
+
+// checkAnswers compares the answers to requests of a team with one golden file.
+func checkAnswers(t *testing.T, name string, mux http.Handler, requests []clientRequest) {
+	t.Helper()
+	var all []string
+	for _, r := range requests {
+		all = append(all, serveHeaders(mux, formatTeam, r))
+	}
+	golden.Check(t, name, []byte(strings.Join(all, "\n\n")))
+}
+
+// serveHeaders returns a request's status, headers and body in one text. Without a team the request has no authentication.
+func serveHeaders(mux http.Handler, team string, r clientRequest) string {
+	request := httptest.NewRequest(r.method, PathAPI+r.path, strings.NewReader(r.body))
+	if team != "" {
+		request.SetBasicAuth(team, "")
+	}
+	answer := httptest.NewRecorder()
+	mux.ServeHTTP(answer, request)
+
+	lines := []string{r.method + " " + r.path}
+	if len(r.body) < 1000 {
+		lines = append(lines, r.body)
+	}
+	lines = append(lines, fmt.Sprint(answer.Code))
+	var headers []string
+	for name, values := range answer.Header() {
+		headers = append(headers, name+": "+strings.Join(values, ", "))
+	}
+	slices.Sort(headers)
+	return strings.Join(append(append(lines, headers...), answer.Body.String()), "\n")
+}
+
+// Pages of lists: bounds, and numbers that are none.
+func TestPagesOfLists(t *testing.T) {
+	checkAnswers(t, "pages", newFormatWorld(t).mux, []clientRequest{
+		{"GET", "/dags?limit=-1", ""},
+		{"GET", "/dags/nightly/dagRuns?limit=x", ""},
+		{"GET", "/pools?offset=-1", ""},
+		{"GET", formatRunPath + "/tries?offset=x", ""},
+		{"GET", formatInstances + "?offset=x", ""},
+		{"GET", "/dags/nightly/tasks?limit=x", ""},
+		{"GET", formatRunPath + "/tries?limit=0", ""},
+		{"GET", formatRunPath + "/tries?limit=1000000", ""},
+		{"GET", formatRunPath + "/tries?offset=9", ""},
+		{"GET", formatRunPath + "/tries?offset=1&limit=1", ""},
+		{"GET", "/dags/nightly/tasks?offset=1&limit=1", ""},
+	})
+}
+
+// Orders of lists, up and down, and orders that are not offered.
+func TestOrdersOfLists(t *testing.T) {
+	checkAnswers(t, "orders", newFormatWorld(t).mux, []clientRequest{
+		{"GET", "/dags?order_by=none", ""},
+		{"GET", "/dags/nightly/dagRuns?order_by=-none", ""},
+		{"GET", formatInstances + "?order_by=none", ""},
+		{"GET", "/pools?order_by=none", ""},
+		{"GET", formatInstances + "?order_by=-task_id", ""},
+		{"GET", formatInstances + "?order_by=-map_index", ""},
+		{"GET", formatInstances + "?order_by=start_date", ""},
+		{"GET", formatInstances + "?order_by=-end_date", ""},
+		{"GET", formatInstances + "?order_by=-state", ""},
+	})
+}
+
+// Filters of lists: what they leave out, and bounds that are no times.
+func TestFiltersOfLists(t *testing.T) {
+	checkAnswers(t, "filters", newFormatWorld(t).mux, []clientRequest{
+		{"GET", "/dags?paused=True", ""},
+		{"GET", "/dags?dag_id_pattern=%25day%25", ""},
+		{"GET", "/dags?tags=cpu", ""},
+		{"GET", "/dags/~/dagRuns?state=failed", ""},
+		{"GET", "/dags/~/dagRuns?run_type=scheduled", ""},
+		{"GET", "/dags/~/dagRuns?logical_date_gte=2026-12-02T00:00:00Z", ""},
+		{"GET", "/dags/~/dagRuns?start_date_lte=2026-12-01T00:00:00Z", ""},
+		{"GET", "/dags/~/dagRuns?end_date_lte=2026-12-01T15:00:00+01:00", ""},
+		{"GET", "/dags/~/dagRuns?end_date_gte=soon", ""},
+		{"GET", "/dags/~/dagRuns?state=failed&execution_date_lte=soon", ""},
+		{"GET", "/dags/none/dagRuns", ""},
+		{"GET", formatInstances + "?state=running", ""},
+		{"GET", formatInstances + "?state=none", ""},
+		{"GET", formatInstances + "?pool=gpu", ""},
+	})
+}
+
+// Requests for graphs that are malformed, or name what is not known.
+func TestRefusedGraphRequests(t *testing.T) {
+	checkAnswers(t, "refused-graphs", newFormatWorld(t).mux, []clientRequest{
+		{"PUT", "/dags/nightly", "{"},
+		{"PUT", "/dags/nightly", ""},
+		{"PUT", "/dags/nightly", `{"steps":[{"id":"a","upstream":["a"]}]}`},
+		{"PUT", "/definitions/00112233445566778899aabbccddeeff/x?of=2", "part"},
+		{"PUT", "/definitions/00112233445566778899aabbccddeeff/0", "part"},
+		{"PUT", "/definitions/00112233445566778899aabbccddeeff/2?of=2", "part"},
+		{"PUT", "/definitions/none/0?of=2", "part"},
+		{"PATCH", "/dags/nightly", ""},
+		{"PATCH", "/dags/nightly", `{"is_paused":3}`},
+		{"PUT", "/dags/nightly", `{"parts":"x"}`},
+		{"PUT", "/dags/nightly", `{"dag_id":"nightly","tasks":[{"task_id":"a","kind":"empty","upstream":["a"]}]}`},
+		{"GET", "/dags/none/details", ""},
+		{"GET", "/dags/none/definition", ""},
+		{"GET", "/dags/none/tasks", ""},
+		{"GET", "/dags/nightly/tasks/none", ""},
+	})
+}
+
+// Requests for runs that are malformed, or name what is not known.
+func TestRefusedRunRequests(t *testing.T) {
+	checkAnswers(t, "refused-runs", newFormatWorld(t).mux, []clientRequest{
+		{"POST", "/dags/nightly/dagRuns", `{"logical_date":"soon"}`},
+		{"POST", "/dags/nightly/dagRuns", `{"note":1}`},
+		{"PATCH", formatRunPath, `{"state":1}`},
+		{"POST", "/backfills", `{"dag_id":1}`},
+		{"POST", "/dags/nightly/dagRuns", `{"conf":null}`},
+		{"GET", "/dags/nightly/dagRuns/none", ""},
+		{"GET", "/dags/nightly/dagRuns/none/definition", ""},
+		{"GET", "/dags/nightly/dagRuns/none/tries", ""},
+		{"PATCH", formatRunPath, `{"state":"success"}`},
+		{"PATCH", formatRunPath, "["},
+		{"POST", formatRunPath + "/clear", "["},
+		{"POST", formatRunPath + "/clear", ""},
+		{"POST", "/dags/nightly/dagRuns/none/clear", `{"dry_run":false}`},
+		{"POST", "/dags/nightly/clearTaskInstances", ""},
+		{"POST", "/dags/nightly/clearTaskInstances", `{"task_ids":1}`},
+		{"POST", "/dags/nightly/clearTaskInstances", `{"dag_run_id":"manual__1","include_upstream":true}`},
+		{"POST", "/dags/nightly/clearTaskInstances", `{"dag_run_id":"manual__1","task_ids":["none"]}`},
+		{"POST", "/dags/nightly/clearTaskInstances", `{"dag_run_id":"manual__1"}`},
+		{"POST", "/backfills", `{"from_date":1}`},
+		{"POST", "/backfills", `{"dag_id":"nightly","to_date":"2026-12-02T00:00:00Z"}`},
+		{"POST", "/backfills", `{"dag_id":"nightly","from_date":"2026-12-02T00:00:00Z","to_date":"2026-12-01T00:00:00Z"}`},
+	})
+}
+
+// Instances, tries, results and pools that are not known, and what is listed when there are none.
+func TestInstanceBranches(t *testing.T) {
+	checkAnswers(t, "instance-branches", newFormatWorld(t).mux, []clientRequest{
+		{"GET", "/dags/nightly/dagRuns/none/taskInstances", ""},
+		{"GET", formatInstances + "/none", ""},
+		{"GET", formatInstances + "/second/x", ""},
+		{"GET", formatInstances + "/first/0", ""},
+		{"GET", formatInstances + "/third", ""},
+		{"GET", formatInstances + "/none/listMapped", ""},
+		{"GET", formatInstances + "/second/listMapped?order_by=none", ""},
+		{"GET", formatInstances + "/none/tries", ""},
+		{"GET", formatInstances + "/second/tries", ""},
+		{"GET", formatInstances + "/none/xcomEntries", ""},
+		{"GET", formatInstances + "/second/xcomEntries", ""},
+		{"GET", formatInstances + "/first/xcomEntries/other", ""},
+		{"GET", formatInstances + "/second/xcomEntries/return_value", ""},
+		{"POST", formatInstances + "/first/xcomEntries", `{"key":"other","value":1}`},
+		{"POST", formatInstances + "/first/xcomEntries", `{"key":"return_value"}`},
+		{"POST", formatInstances + "/first/xcomEntries", "x"},
+		{"POST", formatInstances + "/first/xcomEntries", `{"key":1}`},
+		{"GET", "/pools/none", ""},
+	})
+}
+
+// A request names its team as the user, or else with the parameter, and is refused without one.
+func TestTeamOfRequest(t *testing.T) {
+	mux := newFormatWorld(t).mux
+	for _, c := range []struct{ name, team, path string }{
+		{"none", "", "/dags"},
+		{"parameter", "", "/dags?team=others"},
+		{"user-before-parameter", formatTeam, "/dags?team=others"},
+		{"without-runs-malformed-bound", "others", "/dags/~/dagRuns?end_date_gte=soon"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			golden.Check(t, "team-"+c.name, []byte(serveHeaders(mux, c.team, clientRequest{"GET", c.path, ""})))
+		})
+	}
+}
+
+func TestBodyTooLarge(t *testing.T) {
+	large := strings.Repeat(" ", wire.MaxBody+1)
+	checkAnswers(t, "body-too-large", newFormatWorld(t).mux, []clientRequest{
+		{"PUT", "/dags/nightly", large},
+		{"POST", "/dags/nightly/dagRuns", large},
+	})
+}
+
+func TestSchemaIsServed(t *testing.T) {
+	answer := httptest.NewRecorder()
+	newFormatWorld(t).mux.ServeHTTP(answer, httptest.NewRequest("GET", PathAPI+"/schema", nil))
+	if answer.Code != http.StatusOK || answer.Header().Get("Content-Type") != "application/schema+json" || !bytes.Equal(answer.Body.Bytes(), schema) {
+		t.Errorf("status %d, headers %v, body %q", answer.Code, answer.Header(), answer.Body)
+	}
+}
+
+// leaderAnswering returns the handler's routes with a leader that answers every order and query the same.
+func leaderAnswering(t *testing.T, status int, body string) *http.ServeMux {
+	t.Helper()
+	clock := clockwork.NewFakeClockAt(formatStart)
+	state := fakes.NewStore(clock)
+	t.Cleanup(state.Close)
+	store := statestore.New(state.Addr(), 1e6, 1e6)
+	h := &Handler{
+		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Do:  func(context.Context, leader.Command) (int, json.RawMessage) { return status, json.RawMessage(body) },
+		Ask: func(context.Context, string) (int, json.RawMessage) { return status, json.RawMessage(body) },
+	}
+	mux := http.NewServeMux()
+	h.Routes(mux)
+	storeFormatRecords(t, store, h.Reader)
+	return mux
+}
+
+// What clients are told when the leader refuses, cannot be asked or answers what cannot be read.
+func TestLeaderRefusalAnswers(t *testing.T) {
+	for _, world := range []struct {
+		name   string
+		status int
+		body   string
+	}{
+		{"conflict", http.StatusConflict, `{"error":"it goes on already"}`},
+		{"unavailable", http.StatusServiceUnavailable, `{"error":"no leader"}`},
+		{"no-reason", http.StatusBadGateway, `x`},
+		{"unreadable", http.StatusOK, `x`},
+		{"created", http.StatusCreated, `{}`},
+	} {
+		mux := leaderAnswering(t, world.status, world.body)
+		t.Run(world.name, func(t *testing.T) {
+			checkAnswers(t, "leader-"+world.name, mux, []clientRequest{
+				{"PUT", "/dags/nightly", `{"definition":"00112233445566778899aabbccddeeff","parts":2}`},
+				{"PATCH", "/dags/nightly", `{"is_paused":true}`},
+				{"DELETE", "/dags/nightly", ""},
+				{"POST", "/dags/nightly/dagRuns", `{"dag_run_id":"manual__1"}`},
+				{"PATCH", formatRunPath, `{"state":"failed"}`},
+				{"DELETE", formatRunPath, ""},
+				{"POST", formatRunPath + "/clear", `{"dry_run":false}`},
+				{"POST", "/backfills", `{"dag_id":"nightly","from_date":"2026-12-01T00:00:00Z","to_date":"2026-12-02T00:00:00Z"}`},
+				{"POST", formatRunPath + "/taskInstances/first/xcomEntries", `{"key":"return_value","value":1}`},
+				{"GET", "/pools", ""},
+				{"GET", "/pools/gpu", ""},
+				{"GET", "/health", ""},
+			})
+		})
+	}
+}
+
+// While the state service cannot be read, clients are told to come back, and the health says it.
+func TestStateUnavailableAnswers(t *testing.T) {
+	clock := clockwork.NewFakeClockAt(formatStart)
+	state := fakes.NewStore(clock)
+	store := statestore.New(state.Addr(), 1e6, 1e6)
+	state.Close()
+	h := &Handler{
+		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Ask: func(context.Context, string) (int, json.RawMessage) {
+			return http.StatusServiceUnavailable, nil
+		},
+	}
+	mux := http.NewServeMux()
+	h.Routes(mux)
+	checkAnswers(t, "state-unavailable", mux, []clientRequest{
+		{"GET", "/dags", ""},
+		{"GET", formatRunPath, ""},
+		{"GET", "/health", ""},
+	})
+}
