--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -7,8 +7,8 @@
 
 // TakeCancellations returns the jobs that are to be cancelled, since it was last asked.
 func (r *Run) TakeCancellations() []string {
-	out := r.cancels
-	r.cancels = nil
+	out := r.cancellations
+	r.cancellations = nil
 	return out
 }
 
@@ -21,54 +21,54 @@
 
 // JobSubmitted records that an instance's job is accepted.
 func (r *Run) JobSubmitted(at Ref) {
-	if x := r.instance(at); x != nil && x.State == Scheduled {
-		x.State = Queued
-		r.follow(at.Step)
+	if inst := r.instance(at); inst != nil && inst.State == Scheduled {
+		inst.State = Queued
+		r.updateStepState(at.Step)
 	}
 }
 
 // SubmissionFailed records that an instance's job could not be stored.
 func (r *Run) SubmissionFailed(at Ref) {
-	if x := r.instance(at); x != nil && x.State == Queued {
-		x.State = Scheduled
-		r.follow(at.Step)
+	if inst := r.instance(at); inst != nil && inst.State == Queued {
+		inst.State = Scheduled
+		r.updateStepState(at.Step)
 		r.enqueue(at)
 	}
 }
 
 // TaskRunning records that a task of an instance's job runs.
 func (r *Run) TaskRunning(at Ref, now time.Time) {
-	if x := r.instance(at); x != nil && !x.Cancelling && (x.State == Queued || x.State == UpForRetry) {
-		x.State, x.StartedAt, x.RetryAt = Running, now, time.Time{}
-		r.follow(at.Step)
+	if inst := r.instance(at); inst != nil && !inst.Cancelling && (inst.State == Queued || inst.State == UpForRetry) {
+		inst.State, inst.StartedAt, inst.RetryAt = Running, now, time.Time{}
+		r.updateStepState(at.Step)
 	}
 }
 
 // AttemptFailed records that an attempt of an instance's job failed. Its job rests, or, when
 // its tries are used up, is cancelled and the instance has failed.
 func (r *Run) AttemptFailed(at Ref, now time.Time, jitter float64) {
-	x := r.instance(at)
-	if x == nil || x.State.Final() || x.State == Scheduled || x.Cancelling {
+	inst := r.instance(at)
+	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
 		return
 	}
-	x.Failures++
-	x.StartedAt = time.Time{}
+	inst.Failures++
+	inst.StartedAt = time.Time{}
 	s := &r.Plan.Steps[at.Step]
-	if x.Failures > s.Retries {
-		r.fail(at)
+	if inst.Failures > s.Retries {
+		r.cancelJob(at)
 		return
 	}
-	x.State, x.RetryAt = UpForRetry, now.Add(s.DelayBefore(x.Failures, jitter))
-	r.follow(at.Step)
+	inst.State, inst.RetryAt = UpForRetry, now.Add(s.DelayBefore(inst.Failures, jitter))
+	r.updateStepState(at.Step)
 }
 
-// fail has the job of an instance, which the core would try for ever, cancelled. The
+// cancelJob has the job of an instance, which the core would try for ever, cancelled. The
 // instance ends with its job: one that completes before its cancellation is stored has
 // succeeded. Otherwise a step could be called failed whose job is done.
-func (r *Run) fail(at Ref) {
-	x := r.instance(at)
-	x.Cancelling, x.RetryAt, x.StartedAt = true, time.Time{}, time.Time{}
-	r.cancels = append(r.cancels, r.JobID(at))
+func (r *Run) cancelJob(at Ref) {
+	inst := r.instance(at)
+	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
+	r.cancellations = append(r.cancellations, r.JobID(at))
 }
 
 // JobsBeingCancelled returns the jobs that are being cancelled, for a new leader.
@@ -76,7 +76,7 @@
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
-			if x := &r.nodes[i].instances[k]; x.Cancelling && !x.State.Final() {
+			if inst := &r.nodes[i].instances[k]; inst.Cancelling && !inst.State.Final() {
 				jobs = append(jobs, r.JobID(Ref{i, k}))
 			}
 		}
@@ -87,52 +87,52 @@
 // TimeOut fails an instance whose present try has run for longer than it may, and reports
 // whether that is so.
 func (r *Run) TimeOut(at Ref, now time.Time) bool {
-	x, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
-	if x == nil || limit == 0 || x.State != Running || x.Cancelling || now.Before(x.StartedAt.Add(limit)) {
+	inst, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
+	if inst == nil || limit == 0 || inst.State != Running || inst.Cancelling || now.Before(inst.StartedAt.Add(limit)) {
 		return false
 	}
-	r.fail(at)
+	r.cancelJob(at)
 	return true
 }
 
 // JobDone records that an instance's job is done. An error says that what it left (Push) is
 // not what the step's kind asks for; the instance has failed then.
 func (r *Run) JobDone(at Ref) error {
-	x := r.instance(at)
-	if x == nil || x.State.Final() {
+	inst := r.instance(at)
+	if inst == nil || inst.State.Final() {
 		return nil
 	}
 	if r.Plan.Steps[at.Step].Kind == KindBranch {
-		if err := r.branch(at.Step, r.nodes[at.Step].result); err != nil {
-			r.over(at, Failed)
+		if err := r.skipUnpicked(at.Step, r.nodes[at.Step].result); err != nil {
+			r.finishInstance(at, Failed)
 			return err
 		}
 	}
-	r.over(at, Success)
+	r.finishInstance(at, Success)
 	return nil
 }
 
 // JobCancelled records that an instance's job was cancelled by somebody: it has failed.
-func (r *Run) JobCancelled(at Ref) { r.over(at, Failed) }
+func (r *Run) JobCancelled(at Ref) { r.finishInstance(at, Failed) }
 
-// over ends an instance, and the step with its last one.
-func (r *Run) over(at Ref, s State) {
-	x := r.instance(at)
-	if x == nil || x.State.Final() {
+// finishInstance ends an instance, and the step with its last one.
+func (r *Run) finishInstance(at Ref, s State) {
+	inst := r.instance(at)
+	if inst == nil || inst.State.Final() {
 		return
 	}
-	x.State, x.RetryAt, x.StartedAt, x.Cancelling = s, time.Time{}, time.Time{}, false
+	inst.State, inst.RetryAt, inst.StartedAt, inst.Cancelling = s, time.Time{}, time.Time{}, false
 	n := &r.nodes[at.Step]
-	n.open--
+	n.unfinished--
 	for _, j := range r.Plan.Downstream[at.Step] {
-		r.nodes[j].before.add(s, 1)
+		r.nodes[j].upstream.addCounted(s, 1)
 	}
-	if n.open > 0 {
+	if n.unfinished > 0 {
 		// Those that wait for one end only need not wait for all.
 		for _, j := range r.Plan.Downstream[at.Step] {
-			r.judge(j)
+			r.evaluateStep(j)
 		}
-		r.follow(at.Step)
+		r.updateStepState(at.Step)
 		return
 	}
 	worst := Success
@@ -141,5 +141,5 @@
 			worst = Failed
 		}
 	}
-	r.end(at.Step, worst)
+	r.finishStep(at.Step, worst)
 }
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -16,36 +16,36 @@
 // Cancel ends a run: nothing more begins, and the jobs that are not over are cancelled;
 // the run ends with the last of them.
 func (r *Run) Cancel() {
-	if r.open == 0 {
+	if r.unfinished == 0 {
 		return
 	}
-	r.stopped = true
+	r.cancelled = true
 	for i := range r.nodes {
 		n := &r.nodes[i]
 		if n.state.Final() {
 			continue
 		}
 		for k := range n.instances {
-			switch x := &n.instances[k]; {
-			case x.State.Final() || x.Cancelling:
-			case x.State == Scheduled:
-				x.State = Skipped
-				n.open--
+			switch inst := &n.instances[k]; {
+			case inst.State.Final() || inst.Cancelling:
+			case inst.State == Scheduled:
+				inst.State = Skipped
+				n.unfinished--
 			default:
-				r.fail(Ref{i, k})
+				r.cancelJob(Ref{i, k})
 			}
 		}
-		if n.open == 0 {
+		if n.unfinished == 0 {
 			n.state = Skipped
 			for k := range n.instances {
 				if n.instances[k].State == Failed {
 					n.state = Failed
 				}
 			}
-			r.open--
+			r.unfinished--
 		}
 	}
-	r.recount()
+	r.rebuildDerived()
 }
 
 // StepsToClear returns the steps that a clear would have run again: those named, or all if none is,
@@ -100,7 +100,7 @@
 		for k := range n.instances {
 			if s := n.instances[k].State; !s.Final() && s != Scheduled {
 				id := r.JobID(Ref{i, k})
-				r.cancels, r.orphans = append(r.cancels, id), append(r.orphans, id)
+				r.cancellations, r.orphans = append(r.cancellations, id), append(r.orphans, id)
 			}
 		}
 	}
@@ -112,23 +112,23 @@
 	for i := range chosen {
 		n := &r.nodes[i]
 		if n.state.Final() {
-			r.open++
+			r.unfinished++
 		}
 		r.nodes[i] = node{generation: n.generation + 1}
 	}
-	r.stopped = false
-	r.recount()
+	r.cancelled = false
+	r.rebuildDerived()
 	for _, i := range r.Plan.Order {
 		if chosen[i] {
-			r.judge(i)
+			r.evaluateStep(i)
 		}
 	}
 }
 
-// recount works out anew how the steps before each step ended, and what is ready.
-func (r *Run) recount() {
+// rebuildDerived works out anew how the steps before each step ended, and what is ready.
+func (r *Run) rebuildDerived() {
 	for i := range r.nodes {
-		r.nodes[i].before = r.endsBefore(i)
+		r.nodes[i].upstream = r.countUpstream(i)
 	}
 	r.ready = nil
 	for i := range r.nodes {
@@ -140,8 +140,8 @@
 	}
 }
 
-// endsBefore counts how the steps before a step ended.
-func (r *Run) endsBefore(i int) (e UpstreamCounts) {
+// countUpstream counts how the steps before a step ended.
+func (r *Run) countUpstream(i int) (e UpstreamCounts) {
 	for _, j := range r.Plan.Upstream[i] {
 		n := &r.nodes[j]
 		if len(n.instances) == 0 {
--- a/internal/graphs/dag/dag.go
+++ b/internal/graphs/dag/dag.go
@@ -79,18 +79,18 @@
 	if !r.Exponential {
 		return d
 	}
-	for i := 1; i < try && d < maxPause; i++ {
+	for i := 1; i < try && d < maxRetryDelay; i++ {
 		d *= 2
 	}
 	if most := time.Duration(r.MaxDelay); most > 0 {
 		d = min(d, most)
 	}
-	d = min(d, maxPause)
+	d = min(d, maxRetryDelay)
 	return d/2 + time.Duration(float64(d/2)*jitter)
 }
 
-// maxPause bounds any rest before a retry.
-const maxPause = 24 * time.Hour
+// maxRetryDelay bounds any rest before a retry.
+const maxRetryDelay = 24 * time.Hour
 
 // Step is one step of a graph.
 type Step struct {
@@ -215,7 +215,7 @@
 		if err := s.check(); err != nil {
 			return nil, fault(s.ID, "%v", err)
 		}
-		for _, name := range s.follows() {
+		for _, name := range s.upstreamNames() {
 			j, ok := p.Index[name]
 			if !ok {
 				return nil, fault(s.ID, "it follows %q, which is no step of this graph", name)
@@ -233,14 +233,14 @@
 	if edges > MaxEdges {
 		return nil, fault("", "it has %d edges; up to %d are allowed", edges, MaxEdges)
 	}
-	if cycle := p.sort(); cycle != nil {
+	if cycle := p.sortTopologically(); cycle != nil {
 		return nil, fault("", "its steps follow each other in a circle: %s", strings.Join(cycle, " -> "))
 	}
 	return p, nil
 }
 
-// follows names the steps that a step waits for.
-func (s *Step) follows() []string {
+// upstreamNames names the steps that a step waits for.
+func (s *Step) upstreamNames() []string {
 	if s.Map != nil && s.Map.Over != "" && !slices.Contains(s.Upstream, s.Map.Over) {
 		return append(slices.Clip(s.Upstream), s.Map.Over)
 	}
@@ -296,9 +296,9 @@
 	return true
 }
 
-// sort puts the steps in an order in which each stands behind those that it follows; a
+// sortTopologically puts the steps in an order in which each stands behind those that it follows; a
 // circle is given by name instead.
-func (p *Plan) sort() (cycle []string) {
+func (p *Plan) sortTopologically() (cycle []string) {
 	left := make([]int, len(p.Steps)) // steps that are still before it
 	var ready []int
 	for i := range p.Steps {
--- a/internal/graphs/dag/dag_test.go
+++ b/internal/graphs/dag/dag_test.go
@@ -118,7 +118,7 @@
 // never taken back.
 func TestRulesAreMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := TriggerRule(rapid.SampledFrom(rules).Draw(t, "rule"))
+		rule := TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))
 		ends := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
 		e := UpstreamCounts{Total: len(ends)}
 		given := rule.Evaluate(e)
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -28,8 +28,8 @@
 }
 
 func TestStoredFormats(t *testing.T) {
-	instance := storedInstance{Index: 1, Failures: 2, HoldMS: 3, BegunMS: 4, Ending: true}
-	step := storedStep{Step: 1, Generation: 2, Result: []byte(`{"a":1}`), States: []byte{5, 6}, Notes: []storedInstance{instance}}
+	instance := storedInstance{Index: 1, Failures: 2, RetryAtMS: 3, StartedAtMS: 4, Cancelling: true}
+	step := storedStep{Step: 1, Generation: 2, Result: []byte(`{"a":1}`), States: []byte{5, 6}, Details: []storedInstance{instance}}
 	run := storedRun{Format: runFormat, ID: "manual__1", Stopped: true, States: []byte{5, 6, 7}, Steps: []storedStep{step}, Orphans: []string{"job-1", "job-2"}}
 	golden.CBOR(t, "stored-instance", &instance)
 	golden.CBOR(t, "stored-step", &step)
@@ -65,7 +65,7 @@
 // States are stored as numbers and answered as names.
 func TestNumbersAndNames(t *testing.T) {
 	var lines []string
-	for state := range State(states) {
+	for state := range State(stateCount) {
 		lines = append(lines, state.String())
 	}
 	for _, state := range []RunState{RunRunning, RunSuccess, RunFailed} {
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -6,8 +6,8 @@
 
 // IsReady reports whether an instance is ready and not submitted.
 func (r *Run) IsReady(at Ref) bool {
-	x := r.instance(at)
-	return x != nil && x.State == Scheduled && !r.stopped
+	inst := r.instance(at)
+	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
 // IsReadyWithJob reports whether an instance waits, and its job has this id: it was neither
@@ -41,8 +41,8 @@
 
 func (r *Run) enqueue(at Ref) {
 	w := max(1, r.Plan.Steps[at.Step].Weight)
-	r.seq++
-	heap.Push(&r.ready, readyRef{at, w, r.seq})
+	r.lastReadySeq++
+	heap.Push(&r.ready, readyRef{at, w, r.lastReadySeq})
 }
 
 func (h readyHeap) Len() int { return len(h) }
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -16,14 +16,14 @@
 	Failed                      // its tries are used up
 	Skipped                     // it is not needed
 	UpstreamFailed              // it cannot run, since one that it follows failed
-	states         = iota
+	stateCount     = iota
 )
 
-var stateNames = [states]string{"none", "scheduled", "queued", "running", "up_for_retry", "success", "failed", "skipped", "upstream_failed"}
+var stateNames = [stateCount]string{"none", "scheduled", "queued", "running", "up_for_retry", "success", "failed", "skipped", "upstream_failed"}
 
 // String returns the state's name.
 func (s State) String() string {
-	if s < states {
+	if s < stateCount {
 		return stateNames[s]
 	}
 	return "unknown"
@@ -33,7 +33,7 @@
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // Final reports whether a step in this state stays in it, unless it is cleared.
-func (s State) Final() bool { return s >= Success && s < states }
+func (s State) Final() bool { return s >= Success && s < stateCount }
 
 // TriggerRule says which ends of the steps before it let a step begin.
 type TriggerRule string
@@ -53,16 +53,16 @@
 	Always                  TriggerRule = "always"
 )
 
-var rules = []string{
+var triggerRules = []string{
 	string(AllSuccess), string(AllFailed), string(AllDone), string(AllSkipped), string(OneSuccess), string(OneFailed), string(OneDone),
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
 }
 
 // TriggerRules names the trigger rules.
-func TriggerRules() []string { return slices.Clone(rules) }
+func TriggerRules() []string { return slices.Clone(triggerRules) }
 
 // Known reports whether it is a rule.
-func (r TriggerRule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
+func (r TriggerRule) Known() bool { return r == "" || slices.Contains(triggerRules, string(r)) }
 
 // UpstreamCounts counts how the steps before a step ended, by instance: a mapped step counts once
 // for each element.
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -42,9 +42,9 @@
 type node struct {
 	generation int // one more with each clear
 	state      State
-	before     UpstreamCounts // how the instances of the steps before it ended
+	upstream   UpstreamCounts // how the instances of the steps before it ended
 	instances  []Instance     // none until it is known how many there are
-	open       int            // instances that have not ended
+	unfinished int            // instances that have not ended
 	result     json.RawMessage
 }
 
@@ -59,25 +59,25 @@
 	Plan *Plan
 	ID   string
 
-	nodes   []node
-	open    int // steps that have not ended
-	ready   readyHeap
-	seq     int      // of the newest that became ready
-	cancels []string // jobs that are to be cancelled
-	orphans []string // jobs of earlier generations that are not over
-	stopped bool     // it was cancelled: nothing more begins
+	nodes         []node
+	unfinished    int // steps that have not ended
+	ready         readyHeap
+	lastReadySeq  int      // of the newest that became ready
+	cancellations []string // jobs that are to be cancelled
+	orphans       []string // jobs of earlier generations that are not over
+	cancelled     bool     // it was cancelled: nothing more begins
 }
 
 // NewRun begins a run of a plan. Its first steps are ready at once.
 func NewRun(p *Plan, id string) *Run {
-	r := &Run{Plan: p, ID: id, nodes: make([]node, len(p.Steps)), open: len(p.Steps)}
+	r := &Run{Plan: p, ID: id, nodes: make([]node, len(p.Steps)), unfinished: len(p.Steps)}
 	for i := range r.nodes {
 		for range p.Upstream[i] {
-			r.nodes[i].before.Total++ // each counts for one until it is known how many instances it has
+			r.nodes[i].upstream.Total++ // each counts for one until it is known how many instances it has
 		}
 	}
 	for _, i := range p.Order {
-		r.judge(i)
+		r.evaluateStep(i)
 	}
 	return r
 }
@@ -127,10 +127,10 @@
 // RunState returns the run's state: it has failed when one of the steps that none
 // follows has, and ends when all steps have.
 func (r *Run) RunState() RunState {
-	if r.open > 0 {
+	if r.unfinished > 0 {
 		return RunRunning
 	}
-	if r.stopped {
+	if r.cancelled {
 		return RunFailed
 	}
 	for i := range r.nodes {
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -13,7 +13,7 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func plan(t testing.TB, steps ...Step) *Plan {
+func newTestPlan(t testing.TB, steps ...Step) *Plan {
 	t.Helper()
 	p, err := NewPlan(&Graph{ID: "g", Team: "t", Steps: steps})
 	if err != nil {
@@ -22,13 +22,13 @@
 	return p
 }
 
-func with(s Step, change func(*Step)) Step {
+func changed(s Step, change func(*Step)) Step {
 	change(&s)
 	return s
 }
 
-// states returns the states of a run's steps by name.
-func (r *Run) states() map[string]string {
+// stateNames returns the states of a run's steps by name.
+func (r *Run) stateNames() map[string]string {
 	out := map[string]string{}
 	for i := range r.nodes {
 		out[r.Plan.Steps[i].ID] = r.nodes[i].state.String()
@@ -36,8 +36,8 @@
 	return out
 }
 
-// start submits what is ready, and has it run.
-func (r *Run) start(now time.Time) []Ref {
+// runReady submits what is ready, and has it run.
+func (r *Run) runReady(now time.Time) []Ref {
 	refs := r.TakeReady(1 << 20)
 	for _, at := range refs {
 		r.JobSubmitted(at)
@@ -46,8 +46,8 @@
 	return refs
 }
 
-// done has a step leave a result and end.
-func (r *Run) done(at Ref, result json.RawMessage) error {
+// finishJob has a step leave a result and end.
+func (r *Run) finishJob(at Ref, result json.RawMessage) error {
 	if result != nil && r.Plan.Steps[at.Step].Map == nil {
 		if err := r.SetResult(at.Step, result); err != nil {
 			return err
@@ -56,8 +56,8 @@
 	return r.JobDone(at)
 }
 
-// clear has a step and what follows it go again.
-func (r *Run) clear(t interface{ Fatal(...any) }, id string) {
+// clearFrom has a step and what follows it go again.
+func (r *Run) clearFrom(t interface{ Fatal(...any) }, id string) {
 	steps, err := r.StepsToClear([]string{id}, true, false)
 	if err != nil {
 		t.Fatal(err)
@@ -65,69 +65,69 @@
 	r.Clear(steps)
 }
 
-func (r *Run) at(id string) Ref { return Ref{Step: r.Plan.Index[id]} }
+func (r *Run) ref(id string) Ref { return Ref{Step: r.Plan.Index[id]} }
 
 // A middle step fails and is repeated while later ones wait; then its tries are used up.
 func TestAMiddleStepFails(t *testing.T) {
-	flaky := with(step("middle", "first"), func(s *Step) { s.Retries, s.Delay = 1, Duration(time.Minute) })
-	cleanup := with(step("cleanup", "last"), func(s *Step) { s.Rule = AllDone })
-	p := plan(t, step("first"), flaky, step("last", "middle"), cleanup)
+	flaky := changed(step("middle", "first"), func(s *Step) { s.Retries, s.Delay = 1, Duration(time.Minute) })
+	cleanup := changed(step("cleanup", "last"), func(s *Step) { s.Rule = AllDone })
+	p := newTestPlan(t, step("first"), flaky, step("last", "middle"), cleanup)
 	r := NewRun(p, "run")
-	r.start(noon)
-	if err := r.JobDone(r.at("first")); err != nil {
+	r.runReady(noon)
+	if err := r.JobDone(r.ref("first")); err != nil {
 		t.Fatal(err)
 	}
-	r.start(noon)
-	r.AttemptFailed(r.at("middle"), noon, 0)
+	r.runReady(noon)
+	r.AttemptFailed(r.ref("middle"), noon, 0)
 	if s, x := r.StepState(1); s != UpForRetry || !x[0].RetryAt.Equal(noon.Add(time.Minute)) || len(r.TakeReady(9)) != 0 || len(r.TakeCancellations()) != 0 {
 		t.Fatalf("after the first failure: %v, %+v", s, x)
 	}
-	r.TaskRunning(r.at("middle"), noon.Add(time.Minute))
-	r.AttemptFailed(r.at("middle"), noon.Add(2*time.Minute), 0)
-	if c := r.TakeCancellations(); len(c) != 1 || c[0] != r.JobID(r.at("middle")) {
+	r.TaskRunning(r.ref("middle"), noon.Add(time.Minute))
+	r.AttemptFailed(r.ref("middle"), noon.Add(2*time.Minute), 0)
+	if c := r.TakeCancellations(); len(c) != 1 || c[0] != r.JobID(r.ref("middle")) {
 		t.Errorf("cancels %v", c)
 	}
-	r.JobCancelled(r.at("middle"))
-	if got := r.states(); got["middle"] != "failed" || got["last"] != "upstream_failed" || got["cleanup"] != "scheduled" {
+	r.JobCancelled(r.ref("middle"))
+	if got := r.stateNames(); got["middle"] != "failed" || got["last"] != "upstream_failed" || got["cleanup"] != "scheduled" {
 		t.Errorf("states %v", got)
 	}
-	r.start(noon)
-	_ = r.JobDone(r.at("cleanup")) // it has no result
+	r.runReady(noon)
+	_ = r.JobDone(r.ref("cleanup")) // it has no result
 	if r.RunState() != RunSuccess {
 		t.Errorf("the run is %v: its only last step is done", r.RunState())
 	}
 	// A clear is a new generation, with new jobs, from there on.
-	before := r.JobID(r.at("middle"))
-	r.clear(t, "middle")
-	if got := r.states(); got["first"] != "success" || got["middle"] != "scheduled" || got["last"] != "none" || got["cleanup"] != "none" || r.RunState() != RunRunning {
+	before := r.JobID(r.ref("middle"))
+	r.clearFrom(t, "middle")
+	if got := r.stateNames(); got["first"] != "success" || got["middle"] != "scheduled" || got["last"] != "none" || got["cleanup"] != "none" || r.RunState() != RunRunning {
 		t.Errorf("after the clear: %v", got)
 	}
-	if r.JobID(r.at("middle")) == before {
+	if r.JobID(r.ref("middle")) == before {
 		t.Error("a cleared step has the job that it had")
 	}
 }
 
 func TestBranchesMapsAndTimeouts(t *testing.T) {
-	pick := with(step("pick"), func(s *Step) { s.Kind = KindBranch })
-	join := with(step("join", "left", "right"), func(s *Step) { s.Rule = NoneFailedMinOneSuccess })
-	mapped := with(step("mapped", "join"), func(s *Step) { s.Map = &Map{Over: "join"}; s.Timeout = Duration(time.Hour) })
-	last := with(step("last", "mapped"), func(s *Step) { s.Rule = OneFailed })
-	p := plan(t, pick, step("left", "pick"), step("right", "pick"), join, mapped, last)
+	pick := changed(step("pick"), func(s *Step) { s.Kind = KindBranch })
+	join := changed(step("join", "left", "right"), func(s *Step) { s.Rule = NoneFailedMinOneSuccess })
+	mapped := changed(step("mapped", "join"), func(s *Step) { s.Map = &Map{Over: "join"}; s.Timeout = Duration(time.Hour) })
+	last := changed(step("last", "mapped"), func(s *Step) { s.Rule = OneFailed })
+	p := newTestPlan(t, pick, step("left", "pick"), step("right", "pick"), join, mapped, last)
 	r := NewRun(p, "run")
-	r.start(noon)
-	if err := r.done(r.at("pick"), json.RawMessage(`"left"`)); err != nil {
+	r.runReady(noon)
+	if err := r.finishJob(r.ref("pick"), json.RawMessage(`"left"`)); err != nil {
 		t.Fatal(err)
 	}
-	r.start(noon)
-	_ = r.JobDone(r.at("left")) // it has no result
-	if got := r.states(); got["right"] != "skipped" || got["join"] != "scheduled" {
+	r.runReady(noon)
+	_ = r.JobDone(r.ref("left")) // it has no result
+	if got := r.stateNames(); got["right"] != "skipped" || got["join"] != "scheduled" {
 		t.Fatalf("after the branch: %v", got)
 	}
-	r.start(noon)
-	if err := r.done(r.at("join"), json.RawMessage(`[1,2,{"x":3}]`)); err != nil {
+	r.runReady(noon)
+	if err := r.finishJob(r.ref("join"), json.RawMessage(`[1,2,{"x":3}]`)); err != nil {
 		t.Fatal(err)
 	}
-	refs := r.start(noon)
+	refs := r.runReady(noon)
 	if len(refs) != 3 || string(r.Element(refs[2])) != `{"x":3}` {
 		t.Fatalf("mapped to %v", refs)
 	}
@@ -152,13 +152,13 @@
 	}
 	r.JobCancelled(refs[1])
 	_ = r.JobDone(refs[2]) // it was done before its cancellation was stored
-	if got := r.states(); got["mapped"] != "failed" || got["last"] != "scheduled" {
+	if got := r.stateNames(); got["mapped"] != "failed" || got["last"] != "scheduled" {
 		t.Errorf("after the timeout: %v", got)
 	}
 	// A branch that picks what does not follow it has failed.
 	r = NewRun(p, "other")
-	r.start(noon)
-	if err := r.done(r.at("pick"), json.RawMessage(`["join"]`)); err == nil || r.states()["pick"] != "failed" {
+	r.runReady(noon)
+	if err := r.finishJob(r.ref("pick"), json.RawMessage(`["join"]`)); err == nil || r.stateNames()["pick"] != "failed" {
 		t.Errorf("picked what does not follow: %v", err)
 	}
 }
@@ -170,19 +170,19 @@
 	for i := 1; i < MaxSteps; i++ {
 		steps = append(steps, step(fmt.Sprint("s", i), fmt.Sprint("s", i-1)))
 	}
-	r := NewRun(plan(t, steps...), "run")
-	r.start(noon)
-	r.AttemptFailed(r.at("s0"), noon, 0)
-	r.JobCancelled(r.at("s0"))
-	if r.RunState() != RunFailed || r.states()["s9999"] != "upstream_failed" {
+	r := NewRun(newTestPlan(t, steps...), "run")
+	r.runReady(noon)
+	r.AttemptFailed(r.ref("s0"), noon, 0)
+	r.JobCancelled(r.ref("s0"))
+	if r.RunState() != RunFailed || r.stateNames()["s9999"] != "upstream_failed" {
 		t.Error("the chain is not passed over")
 	}
 }
 
 // Weight orders what is ready; among equals, what became ready first.
 func TestReadyOnesByWeight(t *testing.T) {
-	heavy := with(step("heavy"), func(s *Step) { s.Weight = 5 })
-	r := NewRun(plan(t, step("a"), step("b"), heavy), "run")
+	heavy := changed(step("heavy"), func(s *Step) { s.Weight = 5 })
+	r := NewRun(newTestPlan(t, step("a"), step("b"), heavy), "run")
 	var got []string
 	for _, at := range append(r.TakeReady(2), r.TakeReady(2)...) {
 		got = append(got, r.Plan.Steps[at.Step].ID)
@@ -200,7 +200,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "steps")
 		g := &Graph{ID: "g", Team: "t"}
 		for i := range n {
-			s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: TriggerRule(rapid.SampledFrom(rules).Draw(t, "rule"))}
+			s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))}
 			for j := range i {
 				if rapid.IntRange(0, 2).Draw(t, "edge") == 0 {
 					s.Upstream = append(s.Upstream, fmt.Sprint("s", j))
@@ -239,7 +239,7 @@
 			switch event := rapid.IntRange(0, 9).Draw(t, "event"); {
 			case event == 0:
 				i := rapid.IntRange(0, n-1).Draw(t, "clear")
-				r.clear(t, p.Steps[i].ID)
+				r.clearFrom(t, p.Steps[i].ID)
 				for j := range n {
 					cleared[j] = r.nodes[j].state != before[j]
 				}
@@ -250,16 +250,16 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !reflect.DeepEqual(again.states(), r.states()) || again.open != r.open || again.RunState() != r.RunState() {
-					t.Fatalf("read as %v, was %v", again.states(), r.states())
+				if !reflect.DeepEqual(again.stateNames(), r.stateNames()) || again.unfinished != r.unfinished || again.RunState() != r.RunState() {
+					t.Fatalf("read as %v, was %v", again.stateNames(), r.stateNames())
 				}
 				r = again
 			case event < 5:
-				under = append(under, r.start(now)...)
+				under = append(under, r.runReady(now)...)
 			case len(under) > 0:
 				k := rapid.IntRange(0, len(under)-1).Draw(t, "job")
 				at := under[k]
-				if x := r.instance(at); x == nil || x.State.Final() || x.State == Scheduled {
+				if inst := r.instance(at); inst == nil || inst.State.Final() || inst.State == Scheduled {
 					under = slices.Delete(under, k, k+1)
 					break
 				}
@@ -279,7 +279,7 @@
 						}
 						result, _ = json.Marshal(pick) // names
 					}
-					if err := r.done(at, result); err != nil && p.Steps[at.Step].Kind != KindBranch {
+					if err := r.finishJob(at, result); err != nil && p.Steps[at.Step].Kind != KindBranch {
 						t.Fatal(err)
 					}
 				}
@@ -287,8 +287,8 @@
 			open := 0
 			for i := range r.nodes {
 				x := &r.nodes[i]
-				if want := r.endsBefore(i); x.before != want {
-					t.Fatalf("s%d counts %+v, there are %+v", i, x.before, want)
+				if want := r.countUpstream(i); x.upstream != want {
+					t.Fatalf("s%d counts %+v, there are %+v", i, x.upstream, want)
 				}
 				if !x.state.Final() {
 					open++
@@ -296,18 +296,18 @@
 				if before[i].Final() && x.state != before[i] && !cleared[i] {
 					t.Fatalf("s%d was %v and is %v", i, before[i], x.state)
 				}
-				if verdict := p.Steps[i].Rule.Evaluate(x.before); x.state == None && !r.stopped && verdict != None && (verdict != Scheduled || p.Steps[i].Map == nil || p.Steps[i].Map.Over == "") {
-					t.Fatalf("s%d waits, though it is %v after %+v", i, verdict, x.before)
+				if verdict := p.Steps[i].Rule.Evaluate(x.upstream); x.state == None && !r.cancelled && verdict != None && (verdict != Scheduled || p.Steps[i].Map == nil || p.Steps[i].Map.Over == "") {
+					t.Fatalf("s%d waits, though it is %v after %+v", i, verdict, x.upstream)
 				}
 			}
-			if open != r.open {
-				t.Fatalf("%d steps are open, %d are counted", open, r.open)
+			if open != r.unfinished {
+				t.Fatalf("%d steps are open, %d are counted", open, r.unfinished)
 			}
 		}
 		// Whatever happened, the run comes to its end.
 		for range 4 * n * 4 {
-			for _, at := range append(under, r.start(now)...) {
-				_ = r.done(at, json.RawMessage(`[]`)) // of a branch too: it picks nothing
+			for _, at := range append(under, r.runReady(now)...) {
+				_ = r.finishJob(at, json.RawMessage(`[]`)) // of a branch too: it picks nothing
 			}
 			under = nil
 			for i := range r.nodes {
@@ -319,7 +319,7 @@
 			}
 		}
 		if r.RunState() == RunRunning {
-			t.Fatalf("never ends: %v", r.states())
+			t.Fatalf("never ends: %v", r.stateNames())
 		}
 	})
 }
@@ -329,11 +329,11 @@
 	for i := 1; i < MaxSteps; i++ {
 		steps = append(steps, step(fmt.Sprint("s", i), fmt.Sprint("s", (i-1)/10)))
 	}
-	p := plan(b, steps...)
+	p := newTestPlan(b, steps...)
 	b.ReportAllocs()
 	for b.Loop() {
 		r := NewRun(p, "run")
-		for refs := r.start(noon); len(refs) > 0; refs = r.start(noon) {
+		for refs := r.runReady(noon); len(refs) > 0; refs = r.runReady(noon) {
 			for _, at := range refs {
 				_ = r.JobDone(at) // it has no result
 			}
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -28,53 +28,53 @@
 	Generation int
 	Result     []byte
 	States     []byte // of its instances
-	Notes      []storedInstance
+	Details    []storedInstance
 }
 
 type storedInstance struct {
-	_        struct{} `cbor:",toarray"`
-	Index    int
-	Failures int
-	HoldMS   int64 // time of day; 0: none
-	BegunMS  int64
-	Ending   bool
+	_           struct{} `cbor:",toarray"`
+	Index       int
+	Failures    int
+	RetryAtMS   int64 // time of day; 0: none
+	StartedAtMS int64
+	Cancelling  bool
 }
 
-func ms(t time.Time) int64 {
+func unixMS(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-func timeOf(ms int64) time.Time {
+func fromUnixMS(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(ms)
 }
 
-// tells reports whether there is more to an instance than its state.
-func (x *Instance) tells() bool {
-	return x.Failures > 0 || !x.RetryAt.IsZero() || !x.StartedAt.IsZero() || x.Cancelling
+// hasDetails reports whether there is more to an instance than its state.
+func (inst *Instance) hasDetails() bool {
+	return inst.Failures > 0 || !inst.RetryAt.IsZero() || !inst.StartedAt.IsZero() || inst.Cancelling
 }
 
 // Encode returns a run's stored form.
 func (r *Run) Encode() []byte {
-	s := storedRun{Format: runFormat, ID: r.ID, Stopped: r.stopped, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
+	s := storedRun{Format: runFormat, ID: r.ID, Stopped: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
 		n := &r.nodes[i]
 		s.States[i] = byte(n.state)
 		// A step with one instance that has nothing to tell has its state. Most are so.
-		plain := len(n.instances) == 0 || len(n.instances) == 1 && n.instances[0].State == n.state && !n.instances[0].tells() && r.Plan.Steps[i].Map == nil
+		plain := len(n.instances) == 0 || len(n.instances) == 1 && n.instances[0].State == n.state && !n.instances[0].hasDetails() && r.Plan.Steps[i].Map == nil
 		if plain && n.generation == 0 && len(n.result) == 0 {
 			continue
 		}
 		e := storedStep{Step: i, Generation: n.generation, Result: n.result}
-		for k, x := range n.instances {
-			e.States = append(e.States, byte(x.State))
-			if x.tells() {
-				e.Notes = append(e.Notes, storedInstance{Index: k, Failures: x.Failures, HoldMS: ms(x.RetryAt), BegunMS: ms(x.StartedAt), Ending: x.Cancelling})
+		for k, inst := range n.instances {
+			e.States = append(e.States, byte(inst.State))
+			if inst.hasDetails() {
+				e.Details = append(e.Details, storedInstance{Index: k, Failures: inst.Failures, RetryAtMS: unixMS(inst.RetryAt), StartedAtMS: unixMS(inst.StartedAt), Cancelling: inst.Cancelling})
 			}
 		}
 		s.Steps = append(s.Steps, e)
@@ -95,7 +95,7 @@
 	if s.Format != runFormat || len(s.States) != len(p.Steps) {
 		return nil, fmt.Errorf("stored run %s of %s does not fit its graph", s.ID, p.ID)
 	}
-	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), stopped: s.Stopped, orphans: s.Orphans}
+	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), cancelled: s.Stopped, orphans: s.Orphans}
 	if err := r.decodeStates(s.States); err != nil {
 		return nil, err
 	}
@@ -107,11 +107,11 @@
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
 			if !r.nodes[i].instances[k].State.Final() {
-				r.nodes[i].open++
+				r.nodes[i].unfinished++
 			}
 		}
 	}
-	r.recount()
+	r.rebuildDerived()
 	return r, nil
 }
 
@@ -129,14 +129,14 @@
 			n.instances = []Instance{{State: n.state}}
 		}
 		if !n.state.Final() {
-			r.open++
+			r.unfinished++
 		}
 	}
 	return nil
 }
 
 func (r *Run) decodeState(b byte) (State, error) {
-	if int(b) >= states {
+	if int(b) >= stateCount {
 		return None, fmt.Errorf("stored run %s of %s has an unknown state", r.ID, r.Plan.ID)
 	}
 	return State(b), nil
@@ -161,12 +161,12 @@
 			return err
 		}
 	}
-	for _, x := range e.Notes {
+	for _, x := range e.Details {
 		if x.Index < 0 || x.Index >= len(n.instances) {
 			return fmt.Errorf("stored run %s of %s names an unknown instance", r.ID, r.Plan.ID)
 		}
-		n.instances[x.Index].Failures, n.instances[x.Index].Cancelling = x.Failures, x.Ending
-		n.instances[x.Index].RetryAt, n.instances[x.Index].StartedAt = timeOf(x.HoldMS), timeOf(x.BegunMS)
+		n.instances[x.Index].Failures, n.instances[x.Index].Cancelling = x.Failures, x.Cancelling
+		n.instances[x.Index].RetryAt, n.instances[x.Index].StartedAt = fromUnixMS(x.RetryAtMS), fromUnixMS(x.StartedAtMS)
 	}
 	return nil
 }
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -17,10 +17,10 @@
 // moment after the gap if the clock jumps over its time, and at the first of the two
 // if the time comes twice. One for every hour, or every few, goes by elapsed time.
 type Schedule struct {
-	spec  cron.Schedule
-	where *time.Location
-	naive bool // it names hours
-	once  bool
+	spec       cron.Schedule
+	location   *time.Location
+	namesHours bool // it names hours
+	once       bool
 }
 
 var parser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow)
@@ -43,7 +43,7 @@
 	case "", "None":
 		return nil, nil
 	case "@once":
-		return &Schedule{where: where, once: true}, nil
+		return &Schedule{location: where, once: true}, nil
 	}
 	if preset, ok := presets[text]; ok {
 		text = preset
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("schedule %q: %s", text, strings.Join(strings.Fields(err.Error()), " "))
 	}
-	s := &Schedule{spec: spec, where: where, naive: !strings.HasPrefix(fields[1], "*")}
+	s := &Schedule{spec: spec, location: where, namesHours: !strings.HasPrefix(fields[1], "*")}
 	if s.Next(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)).IsZero() {
 		return nil, fmt.Errorf("schedule %q never comes", text)
 	}
@@ -69,8 +69,8 @@
 	if s.once {
 		return time.Time{}
 	}
-	after = after.In(s.where)
-	if !s.naive {
+	after = after.In(s.location)
+	if !s.namesHours {
 		return s.spec.Next(after)
 	}
 	// The clock on the wall, as if it never jumped.
@@ -80,23 +80,23 @@
 			return time.Time{}
 		}
 		// A time that comes twice was there already when the clock shows it again.
-		if at := s.instant(wall); at.After(after) {
+		if at := s.firstShown(wall); at.After(after) {
 			return at
 		}
 	}
 }
 
-// instant is when the clock on the wall first shows a time, or first shows a later one
+// firstShown is when the clock on the wall first shows a time, or first shows a later one
 // if it jumps over it.
-func (s *Schedule) instant(wall time.Time) time.Time {
+func (s *Schedule) firstShown(wall time.Time) time.Time {
 	shows := func(t time.Time) time.Time {
-		t = t.In(s.where)
+		t = t.In(s.location)
 		return time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), t.Second(), 0, time.UTC)
 	}
 	// Offsets are within a day, and a change of one moves the clock by hours at the most:
 	// the moment is found by halving between a day before and a day after.
 	low, high := wall.Add(-26*time.Hour), wall.Add(26*time.Hour)
-	at := time.Date(wall.Year(), wall.Month(), wall.Day(), wall.Hour(), wall.Minute(), wall.Second(), 0, s.where)
+	at := time.Date(wall.Year(), wall.Month(), wall.Day(), wall.Hour(), wall.Minute(), wall.Second(), 0, s.location)
 	if shows(at).Equal(wall) {
 		// It exists; the clock may have shown it before, if it was set back since.
 		for _, back := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
@@ -117,7 +117,7 @@
 			high = mid
 		}
 	}
-	return high.In(s.where)
+	return high.In(s.location)
 }
 
 // Interval is a time that a scheduled run represents. The run is due at its end.
@@ -169,7 +169,7 @@
 	}
 	if !p.Catchup && !begin.IsZero() {
 		// Go near the present at once: a graph that was paused for a year has half a million minutes behind it.
-		if near := s.Next(now.Add(-s.reach(now))); near.After(begin) {
+		if near := s.Next(now.Add(-s.searchBack(now))); near.After(begin) {
 			begin = near
 		}
 	}
@@ -200,8 +200,8 @@
 	return next, false
 }
 
-// reach is a time back from which the newest whole interval can be found.
-func (s *Schedule) reach(now time.Time) time.Duration {
+// searchBack is a time back from which the newest whole interval can be found.
+func (s *Schedule) searchBack(now time.Time) time.Duration {
 	first := s.Next(now)
 	second := s.Next(first)
 	if first.IsZero() || second.IsZero() {
--- a/internal/graphs/dag/schedule_test.go
+++ b/internal/graphs/dag/schedule_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func fires(t *testing.T, schedule, zone, from string, n int) []string {
+func firings(t *testing.T, schedule, zone, from string, n int) []string {
 	t.Helper()
 	s, err := ParseSchedule(schedule, zone)
 	if err != nil {
@@ -44,7 +44,7 @@
 		{"a change at midnight", "0 0 * * *", "America/Asuncion", "2023-09-30T00:00:00Z", []string{"09-30 04:00", "10-01 04:00", "10-02 03:00"}},
 		{"month", "@monthly", "", "2026-12-01T00:00:00Z", []string{"01-01 00:00", "02-01 00:00"}},
 	} {
-		got := fires(t, c.schedule, c.zone, c.from, len(c.want))
+		got := firings(t, c.schedule, c.zone, c.from, len(c.want))
 		if c.name == "two times in the gap fire once" {
 			got = got[:1]
 		}
@@ -86,7 +86,7 @@
 
 func TestDueIntervals(t *testing.T) {
 	day := func(d int) time.Time { return time.Date(2026, 12, d, 0, 0, 0, 0, time.UTC) }
-	p := plan(t, step("a"))
+	p := newTestPlan(t, step("a"))
 	start := day(1)
 	p.Start = &start
 	s, err := ParseSchedule("@daily", "")
--- a/internal/graphs/dag/verdicts.go
+++ b/internal/graphs/dag/verdicts.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// judge looks whether a step that waits may begin or never will.
-func (r *Run) judge(i int) {
+// evaluateStep looks whether a step that waits may begin or never will.
+func (r *Run) evaluateStep(i int) {
 	n := &r.nodes[i]
 	if n.state != None || len(n.instances) > 0 {
 		return
 	}
-	switch verdict := r.Plan.Steps[i].Rule.Evaluate(n.before); verdict {
+	switch verdict := r.Plan.Steps[i].Rule.Evaluate(n.upstream); verdict {
 	case None:
 	case Scheduled:
-		r.begin(i)
+		r.makeReady(i)
 	default:
-		r.end(i, verdict)
+		r.finishStep(i, verdict)
 	}
 }
 
-// begin makes a step's instances ready, if it is known how many there are.
-func (r *Run) begin(i int) {
+// makeReady makes a step's instances ready, if it is known how many there are.
+func (r *Run) makeReady(i int) {
 	n, s := &r.nodes[i], &r.Plan.Steps[i]
 	if s.Kind == KindEmpty {
-		r.end(i, Success)
+		r.finishStep(i, Success)
 		return
 	}
 	count := 1
 	if s.Map != nil {
-		list, known := r.elements(i)
+		list, known := r.mapElements(i)
 		if !known {
 			// Its rule lets it begin without the list's step having ended well.
 			if up := r.nodes[r.Plan.Index[s.Map.Over]].state; up.Final() {
-				r.end(i, UpstreamFailed)
+				r.finishStep(i, UpstreamFailed)
 			}
 			return
 		}
 		if count = len(list); count == 0 {
-			r.end(i, Skipped)
+			r.finishStep(i, Skipped)
 			return
 		}
 		for _, j := range r.Plan.Downstream[i] {
-			r.nodes[j].before.Total += count - 1
+			r.nodes[j].upstream.Total += count - 1
 		}
 	}
-	n.state, n.open = Scheduled, count
+	n.state, n.unfinished = Scheduled, count
 	n.instances = make([]Instance, count)
 	for k := range n.instances {
 		n.instances[k].State = Scheduled
@@ -54,8 +54,8 @@
 	}
 }
 
-// elements returns what a mapped step is mapped over; known is false while that is open.
-func (r *Run) elements(i int) (list []json.RawMessage, known bool) {
+// mapElements returns what a mapped step is mapped over; known is false while that is open.
+func (r *Run) mapElements(i int) (list []json.RawMessage, known bool) {
 	m := r.Plan.Steps[i].Map
 	if m.Over == "" {
 		return m.List, true
@@ -76,16 +76,16 @@
 	if r.Plan.Steps[at.Step].Map == nil {
 		return nil
 	}
-	list, known := r.elements(at.Step)
+	list, known := r.mapElements(at.Step)
 	if !known || at.Index >= len(list) {
 		return nil
 	}
 	return list[at.Index]
 }
 
-// end ends a step, and tells those that follow it. Ends come in a queue: a chain of
+// finishStep ends a step, and tells those that follow it. Ends come in a queue: a chain of
 // 10,000 steps that are passed over must not take as deep a stack.
-func (r *Run) end(i int, s State) {
+func (r *Run) finishStep(i int, s State) {
 	type ended struct {
 		step  int
 		state State
@@ -99,11 +99,11 @@
 			continue
 		}
 		n.state = e.state
-		r.open--
+		r.unfinished--
 		if len(n.instances) == 0 {
 			// It counts as one: its instances were never told apart.
 			for _, j := range r.Plan.Downstream[e.step] {
-				r.nodes[j].before.add(e.state, 1)
+				r.nodes[j].upstream.addCounted(e.state, 1)
 			}
 		}
 		for _, j := range r.Plan.Downstream[e.step] {
@@ -111,12 +111,12 @@
 			if f.state != None || len(f.instances) > 0 {
 				continue
 			}
-			switch verdict := r.Plan.Steps[j].Rule.Evaluate(f.before); {
+			switch verdict := r.Plan.Steps[j].Rule.Evaluate(f.upstream); {
 			case verdict == None:
 			case verdict == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
 				queue = append(queue, ended{j, Success})
 			case verdict == Scheduled:
-				r.begin(j)
+				r.makeReady(j)
 			default:
 				queue = append(queue, ended{j, verdict})
 			}
@@ -124,15 +124,15 @@
 	}
 }
 
-// add counts an end of one that is counted in All already.
-func (e *UpstreamCounts) add(s State, n int) {
+// addCounted counts an end of one that is counted in All already.
+func (e *UpstreamCounts) addCounted(s State, n int) {
 	e.Add(s, n)
 	e.Total -= n
 }
 
-// branch passes over the direct followers that a branch did not pick, but for those
+// skipUnpicked passes over the direct followers that a branch did not pick, but for those
 // that follow one that it picked.
-func (r *Run) branch(i int, result json.RawMessage) error {
+func (r *Run) skipUnpicked(i int, result json.RawMessage) error {
 	var picked []string
 	if json.Unmarshal(result, &picked) != nil {
 		var one string
@@ -163,14 +163,14 @@
 	}
 	for _, j := range r.Plan.Downstream[i] {
 		if !keep[j] && r.nodes[j].state == None && len(r.nodes[j].instances) == 0 {
-			r.end(j, Skipped)
+			r.finishStep(j, Skipped)
 		}
 	}
 	return nil
 }
 
-// follow sets a step's state by those of its instances: the one that is furthest on.
-func (r *Run) follow(i int) {
+// updateStepState sets a step's state by those of its instances: the one that is furthest on.
+func (r *Run) updateStepState(i int) {
 	n := &r.nodes[i]
 	if n.state.Final() {
 		return
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -48,18 +48,18 @@
 		return nil, fmt.Errorf("%s: the file is not UTF-8", name)
 	}
 	l := &loader{}
-	predeclared := l.words()
+	predeclared := l.predeclared()
 	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	f, err := opts.Parse(name, src, 0)
 	if err != nil {
-		return nil, position(name, err)
+		return nil, withPosition(name, err)
 	}
-	if err := guard(f); err != nil {
-		return nil, position(name, err)
+	if err := guardProducts(f); err != nil {
+		return nil, withPosition(name, err)
 	}
 	prog, err := starlark.FileProgram(f, predeclared.Has)
 	if err != nil {
-		return nil, position(name, err)
+		return nil, withPosition(name, err)
 	}
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(limits.Steps)
@@ -74,7 +74,7 @@
 	close(done)
 	<-watched
 	if err != nil {
-		return nil, position(name, err)
+		return nil, withPosition(name, err)
 	}
 	if len(l.dags) == 0 {
 		return nil, fmt.Errorf("%s: the file describes no DAG", name)
@@ -113,8 +113,8 @@
 	}
 }
 
-// position returns an error with its place, in one line.
-func position(name string, err error) error {
+// withPosition returns an error with its place, in one line.
+func withPosition(name string, err error) error {
 	text, pos := err.Error(), ""
 	var evalErr *starlark.EvalError
 	var syntaxErr syntax.Error
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -11,12 +11,12 @@
 // maxRepeat bounds what s * n may make of a string or list, in bytes or elements.
 const maxRepeat = 1 << 20
 
-const nameMul = "__mul"
+const mulBuiltin = "__mul"
 
-// guard replaces each x * y by a call that looks at the sizes first: a string times a number
+// guardProducts replaces each x * y by a call that looks at the sizes first: a string times a number
 // could make a gigabyte in one step, before anybody can end it. x + y at most
 // doubles what is there, which the look at the heap finds.
-func guard(f *syntax.File) error {
+func guardProducts(f *syntax.File) error {
 	var err error
 	for _, stmt := range f.Stmts {
 		rewrite(reflect.ValueOf(stmt), &err)
@@ -36,7 +36,7 @@
 	case reflect.Slice:
 		for i := range v.Len() {
 			rewrite(v.Index(i), err)
-			replace(v.Index(i))
+			replaceProduct(v.Index(i))
 		}
 	case reflect.Struct:
 		if v.CanAddr() {
@@ -51,26 +51,26 @@
 		}
 		for i := range v.NumField() {
 			field := v.Field(i)
-			if !field.CanSet() || !visited(v.Type().Field(i).Type) {
+			if !field.CanSet() || !holdsNodes(v.Type().Field(i).Type) {
 				continue
 			}
 			rewrite(field, err)
-			replace(field)
+			replaceProduct(field)
 		}
 	}
 }
 
-// visited reports whether a field can hold nodes: positions, tokens and what the resolver
+// holdsNodes reports whether a field can hold nodes: positions, tokens and what the resolver
 // adds cannot.
-func visited(t reflect.Type) bool {
+func holdsNodes(t reflect.Type) bool {
 	if t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
 	return t.Kind() == reflect.Interface && t.NumMethod() > 0 || t.Kind() == reflect.Pointer && t.Elem().Kind() == reflect.Struct
 }
 
-// replace puts the call in place of a product.
-func replace(v reflect.Value) {
+// replaceProduct puts the call in place of a product.
+func replaceProduct(v reflect.Value) {
 	if !v.CanSet() || v.Type() != exprType || v.IsNil() {
 		return
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	v.Set(reflect.ValueOf(&syntax.CallExpr{
-		Fn: &syntax.Ident{NamePos: b.OpPos, Name: nameMul}, Lparen: b.OpPos, Rparen: b.OpPos, Args: []syntax.Expr{b.X, b.Y},
+		Fn: &syntax.Ident{NamePos: b.OpPos, Name: mulBuiltin}, Lparen: b.OpPos, Rparen: b.OpPos, Args: []syntax.Expr{b.X, b.Y},
 	}))
 }
 
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -128,7 +128,7 @@
 		from starlark.Value
 		to   *dag.Duration
 	}{"retry_delay": {delay, &s.Delay}, "max_retry_delay": {most, &s.MaxDelay}, "execution_timeout": {timeout, &s.Timeout}} {
-		if *f.to, err = duration(name, f.from); err != nil {
+		if *f.to, err = durationOf(name, f.from); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -37,9 +37,9 @@
 				return nil, err
 			}
 			if up {
-				return starlark.None, follow(other, s)
+				return starlark.None, addDependencies(other, s)
 			}
-			return starlark.None, follow(s, other)
+			return starlark.None, addDependencies(s, other)
 		})
 	}
 	switch name {
@@ -64,9 +64,9 @@
 	switch op {
 	case syntax.GTGT, syntax.LTLT:
 		if side == starlark.Right {
-			return s, follow(before, after) // the right-hand one, so that a >> b >> c is a chain
+			return s, addDependencies(before, after) // the right-hand one, so that a >> b >> c is a chain
 		}
-		return y, follow(before, after)
+		return y, addDependencies(before, after)
 	}
 	return nil, nil
 }
@@ -104,8 +104,8 @@
 	return out, nil
 }
 
-// follow has all steps of one value follow all of another.
-func follow(before, after starlark.Value) error {
+// addDependencies has all steps of one value follow all of another.
+func addDependencies(before, after starlark.Value) error {
 	up, err := stepsOf(before)
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 // chain has each of its arguments follow the one before.
 func chain(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	for i := 1; i < len(args); i++ {
-		if err := follow(args[i-1], args[i]); err != nil {
+		if err := addDependencies(args[i-1], args[i]); err != nil {
 			return nil, fmt.Errorf("chain: %w", err)
 		}
 	}
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -43,7 +43,7 @@
 	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
 }
 
-func date(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
+func dateOf(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
 	if v == starlark.None {
 		return nil, nil
 	}
@@ -58,7 +58,7 @@
 	return nil, fmt.Errorf("DAG: %s is %v; it must be a date such as 2026-12-01 or datetime(2026, 12, 1)", name, v)
 }
 
-func duration(name string, v starlark.Value) (dag.Duration, error) {
+func durationOf(name string, v starlark.Value) (dag.Duration, error) {
 	if v == starlark.None {
 		return 0, nil
 	}
--- a/internal/graphs/dagfile/words.go
+++ b/internal/graphs/dagfile/words.go
@@ -17,9 +17,9 @@
 	dags []*dagValue
 }
 
-// words are the names that a file knows besides the language's own.
-func (l *loader) words() starlark.StringDict {
-	words := starlark.StringDict{nameMul: starlark.NewBuiltin("*", mul)}
+// predeclared are the names that a file knows besides the language's own.
+func (l *loader) predeclared() starlark.StringDict {
+	words := starlark.StringDict{mulBuiltin: starlark.NewBuiltin("*", mul)}
 	builtin := func(name string, fn func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)) {
 		words[name] = starlark.NewBuiltin(name, fn)
 	}
@@ -33,14 +33,14 @@
 	builtin("range", boundedRange)
 	rules := starlark.StringDict{}
 	for _, r := range dag.TriggerRules() {
-		rules[upper(r)] = starlark.String(r)
+		rules[upperASCII(r)] = starlark.String(r)
 	}
 	words["TriggerRule"] = &namespace{"TriggerRule", rules}
 	words["json"] = starjson.Module
 	return words
 }
 
-func upper(s string) string {
+func upperASCII(s string) string {
 	b := []byte(s)
 	for i := range b {
 		if b[i] >= 'a' && b[i] <= 'z' {
@@ -74,20 +74,20 @@
 
 // dagValue is a DAG of a file.
 type dagValue struct {
-	g        dag.Graph
-	defaults map[string]starlark.Value
-	steps    []*stepValue
+	described dag.Graph
+	defaults  map[string]starlark.Value
+	steps     []*stepValue
 }
 
-func (d *dagValue) String() string        { return "DAG(" + d.g.ID + ")" }
+func (d *dagValue) String() string        { return "DAG(" + d.described.ID + ")" }
 func (d *dagValue) Type() string          { return "DAG" }
 func (d *dagValue) Freeze()               {}
 func (d *dagValue) Truth() starlark.Bool  { return true }
-func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.g.ID).Hash() }
+func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.described.ID).Hash() }
 
 // graph returns what the file made of it.
 func (d *dagValue) graph() *dag.Graph {
-	g := d.g
+	g := d.described
 	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && g.Team == "" {
 		g.Team = owner
 	}
@@ -114,24 +114,24 @@
 			return nil, fmt.Errorf("DAG: timezone %q is not known", zone)
 		}
 	}
-	d.g = dag.Graph{
+	d.described = dag.Graph{
 		ID: id, Team: team, Schedule: schedule, Description: description, Timezone: zone, Catchup: bool(catchup.Truth()), MaxRuns: runs, MaxTasks: tasks,
 	}
 	var err error
-	if d.g.Start, err = date("start_date", start, where); err != nil {
+	if d.described.Start, err = dateOf("start_date", start, where); err != nil {
 		return nil, err
 	}
-	if d.g.End, err = date("end_date", end, where); err != nil {
+	if d.described.End, err = dateOf("end_date", end, where); err != nil {
 		return nil, err
 	}
 	if m, ok := params.(*starlark.Dict); ok {
-		d.g.Params = map[string]json.RawMessage{}
+		d.described.Params = map[string]json.RawMessage{}
 		for _, item := range m.Items() {
 			key, isString := starlark.AsString(item[0])
 			if !isString {
 				return nil, errors.New("DAG: the names of params must be strings")
 			}
-			if d.g.Params[key], err = toJSON(item[1], 0); err != nil {
+			if d.described.Params[key], err = toJSON(item[1], 0); err != nil {
 				return nil, fmt.Errorf("DAG: param %s: %w", key, err)
 			}
 		}
@@ -146,7 +146,7 @@
 	if list, ok := tags.(*starlark.List); ok {
 		for v := range list.Elements() {
 			if s, isString := starlark.AsString(v); isString {
-				d.g.Tags = append(d.g.Tags, s)
+				d.described.Tags = append(d.described.Tags, s)
 			}
 		}
 	}
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -25,7 +25,7 @@
 	}
 	fmt.Fprintf(&b, "%s of %s: %d steps, %d of them jobs and %d mapped, %d edges\n", p.ID, p.Team, len(p.Steps), jobs, mapped, edges)
 	path, length := p.CriticalPath()
-	fmt.Fprintf(&b, "critical path, %v by the owners' estimates: %s\n", length, short(path))
+	fmt.Fprintf(&b, "critical path, %v by the owners' estimates: %s\n", length, abbreviated(path))
 	s, err := dag.ParseSchedule(p.Schedule, p.Timezone)
 	switch {
 	case err != nil:
@@ -46,8 +46,8 @@
 	return err
 }
 
-// short returns a long path's ends.
-func short(path []string) string {
+// abbreviated returns a long path's ends.
+func abbreviated(path []string) string {
 	if len(path) > 12 {
 		path = append(append(append([]string{}, path[:6]...), "..."), path[len(path)-5:]...)
 	}
@@ -56,10 +56,10 @@
 
 // Dot writes a graph in the DOT language. Names of steps hold nothing that it would
 // take for its own.
-func Dot(w io.Writer, p *dag.Plan) error { return dot(w, p, nil) }
+func Dot(w io.Writer, p *dag.Plan) error { return writeDot(w, p, nil) }
 
-// dot writes a graph; more gives attributes beside the shape of each step.
-func dot(w io.Writer, p *dag.Plan, more func(step int) string) error {
+// writeDot writes a graph; more gives attributes beside the shape of each step.
+func writeDot(w io.Writer, p *dag.Plan, more func(step int) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n  node [shape=box, style=rounded];\n", p.ID)
 	for i := range p.Steps {
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -61,7 +61,7 @@
 	}
 	took := map[[2]int]time.Duration{}
 	for _, x := range r.Tries {
-		took[[2]int{x.Step, x.Index}] += x.until(r.Now).Sub(x.Begin)
+		took[[2]int{x.Step, x.Index}] += x.endOr(r.Now).Sub(x.Begin)
 	}
 	for _, x := range r.Instances {
 		if !all && (x.State == dag.Success.String() || x.State == dag.None.String()) {
@@ -74,7 +74,7 @@
 	return t.Flush()
 }
 
-func (t *Try) until(now time.Time) time.Time {
+func (t *Try) endOr(now time.Time) time.Time {
 	if t.End.IsZero() {
 		return now
 	}
@@ -105,8 +105,8 @@
 
 // What a page draws at the most: a browser still moves through as much.
 const (
-	mostBoxes = 600
-	mostBars  = 2000
+	maxBoxes = 600
+	maxBars  = 2000
 )
 
 // Sizes of the drawing, in pixels.
@@ -161,16 +161,16 @@
 		BoxWidth, BoxHeight, Left int
 		Note                      string
 	}{Run: r, States: states, BoxWidth: boxWidth, BoxHeight: boxHeight, Left: labelWidth, ChartWidth: labelWidth + chartWidth + 40}
-	v.Boxes, v.Edges, v.Width, v.Height = r.draw()
+	v.Boxes, v.Edges, v.Width, v.Height = r.layOut()
 	v.Rows, v.Bars, v.Ticks, v.ChartHeight = r.gantt()
-	if n := len(r.Plan.Steps); n > mostBoxes {
-		v.Note = fmt.Sprintf("The first %d of %d steps are drawn.", mostBoxes, n)
+	if n := len(r.Plan.Steps); n > maxBoxes {
+		v.Note = fmt.Sprintf("The first %d of %d steps are drawn.", maxBoxes, n)
 	}
 	return page.Execute(w, v)
 }
 
-// draw lays the steps out in columns, each behind all that it follows.
-func (r *Run) draw() (boxes []box, edges []edge, width, height int) {
+// layOut lays the steps out in columns, each behind all that it follows.
+func (r *Run) layOut() (boxes []box, edges []edge, width, height int) {
 	worst := make([]string, len(r.Plan.Steps))
 	titles := make([][]string, len(r.Plan.Steps))
 	rank := func(name string) int {
@@ -192,14 +192,14 @@
 		for _, j := range r.Plan.Upstream[i] {
 			column[i] = max(column[i], column[j]+1)
 		}
-		if len(boxes) == mostBoxes {
+		if len(boxes) == maxBoxes {
 			continue
 		}
 		for len(rows) <= column[i] {
 			rows = append(rows, 0)
 		}
 		b := box{
-			X: 10 + column[i]*(boxWidth+gapAcross), Y: 10 + rows[column[i]]*(boxHeight+gapDown), Name: shortName(r.Plan.Steps[i].ID, 22),
+			X: 10 + column[i]*(boxWidth+gapAcross), Y: 10 + rows[column[i]]*(boxHeight+gapDown), Name: truncated(r.Plan.Steps[i].ID, 22),
 			Title: strings.Join(titles[i], "\n"), Colour: colourOf(cmp.Or(worst[i], "none")),
 		}
 		rows[column[i]]++
@@ -216,7 +216,7 @@
 	return boxes, edges, width, height
 }
 
-func shortName(s string, n int) string {
+func truncated(s string, n int) string {
 	if len(s) > n {
 		return s[:n-1] + "…"
 	}
@@ -234,21 +234,21 @@
 	slices.SortStableFunc(tries, func(a, b Try) int { return a.Begin.Compare(b.Begin) })
 	from, to := tries[0].Begin, tries[0].Begin.Add(time.Second)
 	for i := range tries {
-		if end := tries[i].until(r.Now); end.After(to) {
+		if end := tries[i].endOr(r.Now); end.After(to) {
 			to = end
 		}
 	}
 	scale := chartWidth / to.Sub(from).Seconds()
 	lines := map[[2]int]int{}
-	for _, t := range tries[:min(len(tries), mostBars)] {
+	for _, t := range tries[:min(len(tries), maxBars)] {
 		key := [2]int{t.Step, t.Index}
 		n, ok := lines[key]
 		if !ok {
 			n = len(rows)
 			lines[key] = n
-			rows = append(rows, row{Y: 30 + n*rowHeight + rowHeight - 6, Name: shortName(r.name(Instance{Step: t.Step, Index: t.Index}), 32)})
+			rows = append(rows, row{Y: 30 + n*rowHeight + rowHeight - 6, Name: truncated(r.name(Instance{Step: t.Step, Index: t.Index}), 32)})
 		}
-		length := t.until(r.Now).Sub(t.Begin)
+		length := t.endOr(r.Now).Sub(t.Begin)
 		bars = append(bars, bar{
 			X: labelWidth + t.Begin.Sub(from).Seconds()*scale, Width: max(2, length.Seconds()*scale), Y: float64(30 + n*rowHeight + 2), Colour: colourOf(t.State),
 			Title: fmt.Sprintf("%s: %s, %v from %s", r.name(Instance{Step: t.Step, Index: t.Index}), t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
@@ -267,7 +267,7 @@
 	for _, x := range r.Instances {
 		colours[x.Step] = colourOf(x.State)
 	}
-	return dot(w, r.Plan, func(i int) string {
+	return writeDot(w, r.Plan, func(i int) string {
 		return fmt.Sprintf("style=\"rounded,filled\", fillcolor=%q", cmp.Or(colours[i], "#eeeeee"))
 	})
 }
