--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -111,6 +111,7 @@
 		want Vote
 	}{
 		{"nothing later is known", func(*Elector, time.Time) {}, Granted},
+		{"it led itself, and resigned before it noted that it leads", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.resign() }, Refused},
 		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.noteHolder("b", 6); e.resign() }, Refused},
 		{"it led itself, and heard that nobody does now", func(e *Elector, now time.Time) {
 			e.beginTerm(6, 1, now)
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -11,6 +11,7 @@
 	"poppypass/internal/clients/statestore"
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 )
 
@@ -216,3 +217,19 @@
 		t.Error("has no zone lease of its own once it is served")
 	}
 }
+
+// Guards against an answer by an inherited zone lease after its end, where the clock that told the end and the one that reads it
+// are both as wrong as they may be, in opposite directions.
+func TestInheritedZoneLeaseEndsEarlyByBothClocksErrors(t *testing.T) {
+	h := newZoneHarness(t)
+	h.clockError = 250 * time.Millisecond
+	const lasts = time.Minute
+	h.Inherit(wire.EncodeRecord(claim{Zone: "a", UntilMS: h.clock.Now().Add(lasts).UnixMilli()}))
+	h.advance(lasts - 2*h.clockError - 10*time.Millisecond)
+	if !h.MayRenew("n-1", "a") {
+		t.Error("ends too early")
+	}
+	if h.advance(10 * time.Millisecond); h.MayRenew("n-1", "a") {
+		t.Error("answers though its time may be over by the clock that told it")
+	}
+}
