--- /dev/null
+++ b/internal/graphs/airflow/answers.go
@@ -0,0 +1,99 @@
+package airflow
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+)
+
+// internalError is the body when an answer cannot be encoded.
+const internalError = `{"status":500,"title":"Internal Server Error","type":"about:blank"}`
+
+// response is an answer with a status of its own.
+type response struct {
+	status int
+	body   any
+}
+
+// writeAnswer answers with what an endpoint returned.
+func writeAnswer(w http.ResponseWriter, body any) {
+	switch v := body.(type) {
+	case nil:
+		w.WriteHeader(http.StatusNoContent)
+	case response:
+		writeJSON(w, v.status, v.body)
+	default:
+		writeJSON(w, http.StatusOK, body)
+	}
+}
+
+// writeJSON answers with JSON in several lines, since the protocol limits the length of a line.
+func writeJSON(w http.ResponseWriter, status int, v any) {
+	raw, err := json.MarshalIndent(v, "", " ")
+	if err != nil {
+		status, raw = http.StatusInternalServerError, []byte(internalError)
+	}
+	httpjson.WriteRaw(w, status, raw)
+}
+
+// problem is an error as Airflow's API has it, for the client to read.
+type problem struct {
+	Status int    `json:"status"`
+	Title  string `json:"title"`
+	Detail string `json:"detail,omitempty"`
+	Type   string `json:"type"`
+}
+
+func (p *problem) Error() string { return p.Title + ": " + p.Detail }
+
+func newProblem(status int, title, format string, args ...any) *problem {
+	return &problem{Status: status, Title: title, Detail: fmt.Sprintf(format, args...), Type: "about:blank"}
+}
+
+func badRequest(format string, args ...any) error {
+	return newProblem(http.StatusBadRequest, "Bad Request", format, args...)
+}
+
+func tooLarge(format string, args ...any) error {
+	return newProblem(http.StatusRequestEntityTooLarge, "Payload Too Large", format, args...)
+}
+
+func unavailable(format string, args ...any) *problem {
+	return newProblem(http.StatusServiceUnavailable, "Service Unavailable", format, args...)
+}
+
+// writeError answers with an error. With a 503 it says when to come back.
+func (h *Handler) writeError(w http.ResponseWriter, err error) {
+	p := h.problemOf(err)
+	if p.Status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+	}
+	raw, err := json.Marshal(p)
+	if err != nil {
+		raw = []byte(internalError)
+	}
+	w.Header().Set("Content-Type", "application/problem+json")
+	w.WriteHeader(p.Status)
+	_, _ = w.Write(raw) // the client may be gone; nothing to do about it
+}
+
+// problemOf returns what a client is told of an error: a problem as it is, 404 for runner.ErrNone, and 503 for all others, which
+// come from reading the state.
+func (h *Handler) problemOf(err error) *problem {
+	var p *problem
+	switch {
+	case errors.As(err, &p):
+		return p
+	case errors.Is(err, runner.ErrNone):
+		return newProblem(http.StatusNotFound, "Not Found", "it is not known")
+	default:
+		h.Log.Debug("graphs are unreadable", "err", err)
+		return unavailable("that cannot be read now; ask again")
+	}
+}
--- /dev/null
+++ b/internal/graphs/airflow/clearing.go
@@ -0,0 +1,97 @@
+package airflow
+
+import (
+	"poppypass/internal/graphs/runner"
+)
+
+// clearing is the body of a clear: which steps of a run go again. Clients meet the type's name in the message about a malformed body.
+type clearing struct {
+	DryRun      *bool    `json:"dry_run"` // missing: true
+	Run         string   `json:"dag_run_id"`
+	Steps       []string `json:"task_ids"`     // none: all
+	OnlyFailed  *bool    `json:"only_failed"`  // missing: true
+	OnlyRunning *bool    `json:"only_running"` // missing: false
+	Downstream  bool     `json:"include_downstream"`
+	Upstream    bool     `json:"include_upstream"`
+	Future      bool     `json:"include_future"`
+	Past        bool     `json:"include_past"`
+}
+
+func (c *clearing) isDryRun() bool      { return c.DryRun == nil || *c.DryRun }
+func (c *clearing) isOnlyFailed() bool  { return c.OnlyFailed == nil || *c.OnlyFailed }
+func (c *clearing) isOnlyRunning() bool { return c.OnlyRunning != nil && *c.OnlyRunning }
+
+// refuseUnoffered refuses what Airflow offers and this API does not.
+func (c *clearing) refuseUnoffered() error {
+	switch {
+	case c.Run == "":
+		return badRequest("dag_run_id is missing: steps are cleared in one run at a time")
+	case c.Upstream || c.Future || c.Past:
+		return badRequest("include_upstream, include_future and include_past are not offered: name the steps, in one run")
+	case c.isOnlyRunning():
+		return badRequest("only_running is not offered: name the steps")
+	}
+	return nil
+}
+
+// clearRun has all steps of a run go again, or with a dry run lists them.
+func (h *Handler) clearRun(r *request) (any, error) {
+	var body clearing
+	if err := r.read(&body); err != nil {
+		return nil, err
+	}
+	onlyFailed := false
+	c := clearing{DryRun: body.DryRun, Run: r.runID(), OnlyFailed: &onlyFailed, Downstream: true}
+	cleared, err := h.clear(r, &c)
+	if err != nil || c.isDryRun() {
+		return cleared, err
+	}
+	return h.getRun(r)
+}
+
+// clearInstances has steps of a run go again, or with a dry run lists those that would.
+func (h *Handler) clearInstances(r *request) (any, error) {
+	var c clearing
+	if err := r.read(&c); err != nil {
+		return nil, err
+	}
+	if err := c.refuseUnoffered(); err != nil {
+		return nil, err
+	}
+	return h.clear(r, &c)
+}
+
+// clear has steps go again unless it is a dry run, and lists them.
+func (h *Handler) clear(r *request, c *clearing) (any, error) {
+	v, err := h.runNamed(r, c.Run)
+	if err != nil {
+		return nil, err
+	}
+	steps, err := v.Run.StepsToClear(c.Steps, c.Downstream, c.isOnlyFailed())
+	if err != nil {
+		return nil, badRequest("%s", err)
+	}
+	if !c.isDryRun() {
+		o := runner.Order{Graph: r.dagID(), Run: c.Run, Steps: c.Steps, Below: c.Downstream, OnlyFailed: c.isOnlyFailed()}
+		if _, err := h.order(r, runner.DoClear, o); err != nil {
+			return nil, err
+		}
+	}
+	return map[string]any{"task_instances": stepReferences(v, steps)}, nil
+}
+
+// stepReference names a step of a run, as the answer to a clear has it.
+type stepReference struct {
+	DAG       string  `json:"dag_id"`
+	Run       string  `json:"dag_run_id"`
+	Execution *string `json:"execution_date"`
+	Task      string  `json:"task_id"`
+}
+
+func stepReferences(v *runner.RunView, steps []int) []stepReference {
+	references := []stepReference{}
+	for _, i := range steps {
+		references = append(references, stepReference{DAG: v.Graph, Run: v.ID, Execution: timestamp(v.Logical), Task: v.Run.Plan.Steps[i].ID})
+	}
+	return references
+}
--- /dev/null
+++ b/internal/graphs/airflow/instancelist.go
@@ -0,0 +1,98 @@
+package airflow
+
+import (
+	"cmp"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"poppypass/internal/graphs/runner"
+)
+
+// step returns the run and the step that a request names.
+func (h *Handler) step(r *request) (v *runner.RunView, step int, err error) {
+	if v, err = h.run(r); err != nil {
+		return nil, 0, err
+	}
+	step, ok := v.Run.Plan.Index[r.taskID()]
+	if !ok {
+		return nil, 0, runner.ErrNone
+	}
+	return v, step, nil
+}
+
+var instanceOrders = orders[instanceView]{
+	"task_id": func(a, b instanceView) int {
+		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.MapIndex, b.MapIndex))
+	},
+	"map_index":  func(a, b instanceView) int { return cmp.Compare(a.MapIndex, b.MapIndex) },
+	"start_date": byTimestamp(func(x *instanceView) *string { return x.Start }),
+	"end_date":   byTimestamp(func(x *instanceView) *string { return x.End }),
+	"state":      byText((*instanceView).stateName),
+}
+
+// listInstances returns the instances of all steps of a run.
+func (h *Handler) listInstances(r *request) (any, error) {
+	v, err := h.run(r)
+	if err != nil {
+		return nil, err
+	}
+	return r.wantedInstances(instancesOf(v))
+}
+
+// listMapped returns the instances of a mapped step.
+func (h *Handler) listMapped(r *request) (any, error) {
+	v, step, err := h.step(r)
+	if err != nil {
+		return nil, err
+	}
+	id := v.Run.Plan.Steps[step].ID
+	others := func(x instanceView) bool { return x.Task != id || x.MapIndex < 0 }
+	return r.wantedInstances(slices.DeleteFunc(instancesOf(v), others))
+}
+
+// wantedInstances returns the page of the instances that pass a list's filters. Unless ordered otherwise they stay as they are.
+func (r *request) wantedInstances(all []instanceView) (any, error) {
+	p, err := r.page()
+	if err != nil {
+		return nil, err
+	}
+	wanted := slices.DeleteFunc(all, func(x instanceView) bool {
+		return !r.allows("state", cmp.Or(x.stateName(), "none")) || !r.allows("pool", x.Pool)
+	})
+	return sortedPage(r, p, "task_instances", wanted, instanceOrders, "")
+}
+
+// getInstance returns the instance of a step that is not mapped, or the one at an index of a mapped step.
+func (h *Handler) getInstance(r *request) (any, error) {
+	v, step, err := h.step(r)
+	if err != nil {
+		return nil, err
+	}
+	index, err := r.mapIndex()
+	if err != nil {
+		return nil, err
+	}
+	for _, x := range instancesOf(v) {
+		if x.Task == v.Run.Plan.Steps[step].ID && x.MapIndex == index {
+			return x, nil
+		}
+	}
+	if index < 0 {
+		return nil, newProblem(http.StatusNotFound, "Task instance is mapped", "the step is mapped; name a map_index")
+	}
+	return nil, runner.ErrNone
+}
+
+// mapIndex returns the index that the path names.
+func (r *request) mapIndex() (int, error) {
+	text := r.PathValue("index")
+	if text == "" {
+		return unmapped, nil
+	}
+	index, err := strconv.Atoi(text)
+	if err != nil {
+		return 0, runner.ErrNone
+	}
+	return index, nil
+}
--- /dev/null
+++ b/internal/graphs/airflow/lists.go
@@ -0,0 +1,93 @@
+package airflow
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Page sizes, as in Airflow.
+const (
+	defaultLimit = 100
+	maxLimit     = 100
+)
+
+// page is the part of a list that a client asks for.
+type page struct{ limit, offset int }
+
+// page reads the query parameters limit and offset.
+func (r *request) page() (page, error) {
+	limit, err := r.count("limit", defaultLimit)
+	if err != nil {
+		return page{}, err
+	}
+	offset, err := r.count("offset", 0)
+	return page{min(limit, maxLimit), offset}, err
+}
+
+// count reads a query parameter that is a number of items.
+func (r *request) count(name string, missing int) (int, error) {
+	text := r.query.Get(name)
+	if text == "" {
+		return missing, nil
+	}
+	n, err := strconv.Atoi(text)
+	if err != nil || n < 0 {
+		return 0, badRequest("%s is %q, which is no count", name, text)
+	}
+	return n, nil
+}
+
+// itemsOf returns the items of a page.
+func itemsOf[T any](p page, items []T) []T {
+	from := min(p.offset, len(items))
+	return items[from:min(from+p.limit, len(items))]
+}
+
+// listBody is the answer with a list: its items, and the size of the whole list of which they are a page.
+func listBody(name string, items any, total int) map[string]any {
+	return map[string]any{name: items, "total_entries": total}
+}
+
+// orders holds how a list can be ordered: a comparison for each name that order_by can have.
+type orders[T any] map[string]func(a, b T) int
+
+// sortAsAsked orders items by the query parameter order_by, or without it by the field missing; if that is empty too, the items stay
+// as they are. A dash before the name reverses the order.
+func sortAsAsked[T any](r *request, items []T, by orders[T], missing string) error {
+	name := cmp.Or(r.query.Get("order_by"), missing)
+	if name == "" {
+		return nil
+	}
+	field, descending := strings.CutPrefix(name, "-")
+	compare := by[field]
+	if compare == nil {
+		return badRequest("Ordering with %q is disallowed or the attribute does not exist on the model", field)
+	}
+	slices.SortStableFunc(items, func(a, b T) int {
+		if descending {
+			a, b = b, a
+		}
+		return compare(a, b)
+	})
+	return nil
+}
+
+// sortedPage is the answer with the page of a list that a request asks for, ordered as it asks.
+func sortedPage[T any](r *request, p page, name string, items []T, by orders[T], missing string) (any, error) {
+	if err := sortAsAsked(r, items, by, missing); err != nil {
+		return nil, err
+	}
+	return listBody(name, itemsOf(p, items), len(items)), nil
+}
+
+// byText orders items by a text.
+func byText[T any](field func(*T) string) func(a, b T) int {
+	return func(a, b T) int { return cmp.Compare(field(&a), field(&b)) }
+}
+
+// byTimestamp orders items by a timestamp; those without one come first.
+func byTimestamp[T any](field func(*T) *string) func(a, b T) int {
+	return func(a, b T) int { return compareTimestamps(field(&a), field(&b)) }
+}
--- /dev/null
+++ b/internal/graphs/airflow/registration.go
@@ -0,0 +1,112 @@
+package airflow
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"strconv"
+
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
+	"poppypass/internal/platform/httpjson"
+	"poppypass/internal/platform/tuning"
+	"poppypass/internal/platform/wire"
+)
+
+// register is the body of a PUT that names a definition which was uploaded in parts. Without Definition the body is the graph itself.
+// Clients meet the type's name in the message about a malformed body.
+type register struct {
+	Definition string `json:"definition"`
+	Parts      int    `json:"parts"`
+	Paused     *bool  `json:"is_paused"`
+}
+
+// putDAG registers a graph. A graph that was known stays paused or not as it was, unless the body says it.
+func (h *Handler) putDAG(r *request) (any, error) {
+	body, err := h.storedDefinition(r)
+	if err != nil {
+		return nil, err
+	}
+	o := runner.Order{Graph: r.dagID(), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}
+	answer, err := h.order(r, runner.DoPut, o)
+	if err != nil {
+		return nil, err
+	}
+	view, err := h.getDAG(r)
+	if err != nil {
+		return nil, err
+	}
+	return response{answer.status, view}, nil
+}
+
+// storedDefinition reads the body of a PUT. If the body is the graph itself, it is stored, and the definition returned is that.
+func (h *Handler) storedDefinition(r *request) (register, error) {
+	var body register
+	raw, err := httpjson.ReadBody(r.Request, wire.MaxBody)
+	if err != nil {
+		return body, tooLarge("%s; upload the graph in parts", httpjson.OneLine(err))
+	}
+	if err := json.Unmarshal(raw, &body); err != nil {
+		return body, badRequest("%s", httpjson.OneLine(err))
+	}
+	if body.Definition != "" {
+		return body, nil
+	}
+	g, err := parseGraph(raw, r.team)
+	if err != nil {
+		return body, badRequest("%s", httpjson.OneLine(err))
+	}
+	body.Definition, body.Parts, err = h.Reader.Store(r.Context(), g)
+	return body, err
+}
+
+// parseGraph reads and checks a graph. One without a team is the given team's.
+func parseGraph(raw []byte, team string) (*dag.Graph, error) {
+	g, err := dag.ParseJSON("graph", raw)
+	if err != nil {
+		return nil, err
+	}
+	if g.Team == "" {
+		g.Team = team
+	}
+	_, err = dag.NewPlan(g)
+	return g, err
+}
+
+// putPart stores a part of a definition.
+func (h *Handler) putPart(r *request) (any, error) {
+	part, errPart := strconv.Atoi(r.PathValue("part"))
+	parts, errParts := strconv.Atoi(r.query.Get("of"))
+	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPart+1)) // StorePart refuses what is over tuning.GraphPart
+	if errors.Join(errPart, errParts, errBody) != nil {
+		return nil, badRequest("%s", runner.ErrPart)
+	}
+	err := h.Reader.StorePart(r.Context(), r.PathValue("hash"), part, parts, raw)
+	if errors.Is(err, runner.ErrPart) {
+		return nil, badRequest("%s", err)
+	}
+	return nil, err
+}
+
+// patchDAG pauses a graph or has it go on.
+func (h *Handler) patchDAG(r *request) (any, error) {
+	var body struct {
+		Paused *bool `json:"is_paused"`
+	}
+	if err := r.read(&body); err != nil {
+		return nil, err
+	}
+	if body.Paused == nil {
+		return nil, badRequest("is_paused is missing: nothing else of a DAG can be changed by this")
+	}
+	if _, err := h.order(r, runner.DoPause, runner.Order{Graph: r.dagID(), Paused: body.Paused}); err != nil {
+		return nil, err
+	}
+	return h.getDAG(r)
+}
+
+// deleteDAG removes a graph and its runs.
+func (h *Handler) deleteDAG(r *request) (any, error) {
+	_, err := h.order(r, runner.DoRemove, runner.Order{Graph: r.dagID()})
+	return nil, err
+}
--- /dev/null
+++ b/internal/graphs/airflow/results.go
@@ -0,0 +1,66 @@
+package airflow
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"poppypass/internal/graphs/runner"
+)
+
+// resultKey is the only key of a result, as Airflow names what a task returns.
+const resultKey = "return_value"
+
+func (h *Handler) listResults(r *request) (any, error) {
+	v, step, err := h.step(r)
+	if err != nil {
+		return nil, err
+	}
+	entries := []map[string]any{}
+	if v.Run.Result(step) != nil {
+		entries = append(entries, viewResult(v, step))
+	}
+	return listBody("xcom_entries", entries, len(entries)), nil
+}
+
+func (h *Handler) getResult(r *request) (any, error) {
+	v, step, err := h.step(r)
+	if err != nil {
+		return nil, err
+	}
+	if r.PathValue("key") != resultKey || v.Run.Result(step) == nil {
+		return nil, runner.ErrNone
+	}
+	return viewResult(v, step), nil
+}
+
+// viewResult returns a step's result as the API has it: the JSON of its value is a string.
+func viewResult(v *runner.RunView, step int) map[string]any {
+	return map[string]any{
+		"key":            resultKey,
+		"timestamp":      timestamp(v.Queued),
+		"execution_date": timestamp(v.Logical),
+		"task_id":        v.Run.Plan.Steps[step].ID,
+		"dag_id":         v.Graph,
+		"map_index":      unmapped,
+		"value":          string(v.Run.Result(step)),
+	}
+}
+
+// postResult records, from a step's job, what the step leaves for those that follow, in the form of Airflow 3.
+func (h *Handler) postResult(r *request) (any, error) {
+	var body struct {
+		Key   string          `json:"key"`
+		Value json.RawMessage `json:"value"`
+	}
+	if err := r.read(&body); err != nil {
+		return nil, err
+	}
+	if body.Key != resultKey || len(body.Value) == 0 {
+		return nil, badRequest("key is %q and has to be %s, and value is what the step leaves", body.Key, resultKey)
+	}
+	o := runner.Order{Graph: r.dagID(), Run: r.runID(), Step: r.taskID(), Result: body.Value}
+	if _, err := h.order(r, runner.DoPush, o); err != nil {
+		return nil, err
+	}
+	return response{http.StatusCreated, map[string]any{"key": resultKey, "value": body.Value}}, nil
+}
--- /dev/null
+++ b/internal/graphs/airflow/runlist.go
@@ -0,0 +1,97 @@
+package airflow
+
+import "poppypass/internal/graphs/runner"
+
+// allDAGs stands for all graphs of a team where a list names its graph.
+const allDAGs = "~"
+
+var compareRunIDs = byText(func(v *runView) string { return v.ID })
+
+var runOrders = orders[runView]{
+	"id":             compareRunIDs,
+	"dag_run_id":     compareRunIDs,
+	"run_id":         compareRunIDs,
+	"dag_id":         byText(func(v *runView) string { return v.DAG }),
+	"state":          byText(func(v *runView) string { return v.State }),
+	"run_type":       byText(func(v *runView) string { return v.Type }),
+	"execution_date": byTimestamp(func(v *runView) *string { return v.Execution }),
+	"logical_date":   byTimestamp(func(v *runView) *string { return v.Logical }),
+	"start_date":     byTimestamp(func(v *runView) *string { return v.Start }),
+	"end_date":       byTimestamp(func(v *runView) *string { return v.End }),
+}
+
+func (h *Handler) listRuns(r *request) (any, error) {
+	p, err := r.page()
+	if err != nil {
+		return nil, err
+	}
+	runs, err := h.listedRuns(r)
+	if err != nil {
+		return nil, err
+	}
+	views, err := r.wantedRuns(runs)
+	if err != nil {
+		return nil, err
+	}
+	return sortedPage(r, p, "dag_runs", views, runOrders, "logical_date")
+}
+
+// listedRuns returns the runs of the graph that a request names, or of all graphs of the team.
+func (h *Handler) listedRuns(r *request) ([]runner.RunInfo, error) {
+	id := r.dagID()
+	if id == allDAGs {
+		return h.Reader.Runs(r.Context(), r.team, "")
+	}
+	if _, err := h.graph(r); err != nil {
+		return nil, err
+	}
+	return h.Reader.Runs(r.Context(), r.team, id)
+}
+
+// wantedRuns returns the runs that pass the filters of a list of runs. Malformed filters are refused only if there are runs.
+func (r *request) wantedRuns(runs []runner.RunInfo) ([]runView, error) {
+	views := []runView{}
+	if len(runs) == 0 {
+		return views, nil
+	}
+	windows, err := r.runWindows()
+	if err != nil {
+		return nil, err
+	}
+	for i := range runs {
+		run := &runs[i]
+		if r.allows("state", run.State) && r.allows("run_type", run.Type) && windows.contain(run) {
+			views = append(views, viewRun(run))
+		}
+	}
+	return views, nil
+}
+
+// runWindows is what a list of runs allows their times to be.
+type runWindows struct{ execution, logical, start, end timeWindow }
+
+// runWindows reads the bounds of the runs' times.
+func (r *request) runWindows() (runWindows, error) {
+	var w runWindows
+	for _, p := range []struct {
+		name   string
+		window *timeWindow
+	}{
+		{"execution_date", &w.execution},
+		{"logical_date", &w.logical},
+		{"start_date", &w.start},
+		{"end_date", &w.end},
+	} {
+		window, err := r.timeWindow(p.name)
+		if err != nil {
+			return runWindows{}, err
+		}
+		*p.window = window
+	}
+	return w, nil
+}
+
+// contain reports whether all times of a run are allowed. execution_date is the older name of logical_date.
+func (w *runWindows) contain(i *runner.RunInfo) bool {
+	return w.execution.contains(i.Logical) && w.logical.contains(i.Logical) && w.start.contains(i.Start) && w.end.contains(i.End)
+}
--- /dev/null
+++ b/internal/graphs/airflow/tasks.go
@@ -0,0 +1,109 @@
+package airflow
+
+import (
+	"cmp"
+	"time"
+
+	"poppypass/internal/graphs/dag"
+	"poppypass/internal/graphs/runner"
+)
+
+// taskView is a step as the API has it.
+type taskView struct {
+	ID                string         `json:"task_id"`
+	DisplayName       string         `json:"task_display_name"`
+	Owner             string         `json:"owner"`
+	Operator          string         `json:"operator_name"`
+	Class             map[string]any `json:"class_ref"`
+	Downstream        []string       `json:"downstream_task_ids"`
+	Rule              string         `json:"trigger_rule"`
+	Retries           int            `json:"retries"`
+	RetryDelay        typedValue     `json:"retry_delay"`
+	Exponential       bool           `json:"retry_exponential_backoff"`
+	Timeout           typedValue     `json:"execution_timeout"`
+	DependsOnPast     bool           `json:"depends_on_past"`
+	Pool              string         `json:"pool"`
+	PoolSlots         int            `json:"pool_slots"`
+	Weight            int            `json:"priority_weight"`
+	Mapped            bool           `json:"is_mapped"`
+	WaitForDownstream bool           `json:"wait_for_downstream"`
+	EstimateS         float64        `json:"estimate_s"` // beside the API: the owner's estimate of the job's length
+	Upstream          []string       `json:"upstream_task_ids"`
+}
+
+// operators names the kinds of steps as Airflow names its operators.
+var operators = map[dag.Kind]string{dag.KindJob: "JobOperator", dag.KindBranch: "BranchJobOperator", dag.KindEmpty: "EmptyOperator"}
+
+func viewTask(p *dag.Plan, step int) taskView {
+	s := &p.Steps[step]
+	pool, slots, weight := poolClaim(s)
+	v := taskView{
+		ID:            s.ID,
+		DisplayName:   s.ID,
+		Owner:         p.Team,
+		Operator:      operators[s.Kind],
+		Class:         map[string]any{"class_name": operators[s.Kind], "module_path": "poppypass"},
+		Downstream:    stepIDs(p, p.Downstream[step]),
+		Rule:          string(cmp.Or(s.Rule, dag.AllSuccess)),
+		Retries:       s.Retries,
+		RetryDelay:    timeDelta(time.Duration(cmp.Or(s.Delay, dag.DefaultRetryDelay))),
+		Exponential:   s.Exponential,
+		Timeout:       timeDelta(time.Duration(s.Timeout)),
+		DependsOnPast: s.DependsOnPast,
+		Pool:          pool,
+		PoolSlots:     slots,
+		Weight:        weight,
+		Mapped:        s.Map != nil,
+		Upstream:      stepIDs(p, p.Upstream[step]),
+	}
+	if s.Job != nil {
+		v.EstimateS = s.Job.EstimateS
+	}
+	return v
+}
+
+// poolClaim returns the pool whose slots a step takes, how many it takes, and its weight among the steps that wait for them.
+func poolClaim(s *dag.Step) (pool string, slots, weight int) {
+	return cmp.Or(s.Pool, runner.DefaultPool), max(1, s.PoolSlots), max(1, s.Weight)
+}
+
+// stepIDs returns the ids of steps of a plan, empty rather than nil.
+func stepIDs(p *dag.Plan, steps []int) []string {
+	ids := []string{}
+	for _, i := range steps {
+		ids = append(ids, p.Steps[i].ID)
+	}
+	return ids
+}
+
+// listTasks returns a graph's steps in the plan's order. Airflow has no pages here: all steps are listed unless a client sets a limit.
+func (h *Handler) listTasks(r *request) (any, error) {
+	_, plan, err := h.plan(r)
+	if err != nil {
+		return nil, err
+	}
+	p, err := r.page()
+	if err != nil {
+		return nil, err
+	}
+	if r.query.Get("limit") == "" {
+		p.limit = len(plan.Steps)
+	}
+	views := []taskView{}
+	for _, i := range itemsOf(p, plan.Order) {
+		views = append(views, viewTask(plan, i))
+	}
+	return listBody("tasks", views, len(plan.Steps)), nil
+}
+
+func (h *Handler) getTask(r *request) (any, error) {
+	_, p, err := h.plan(r)
+	if err != nil {
+		return nil, err
+	}
+	step, ok := p.Index[r.taskID()]
+	if !ok {
+		return nil, runner.ErrNone
+	}
+	return viewTask(p, step), nil
+}
