--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -108,6 +108,36 @@
 	}
 }
 
+// Guards against a member that is released while the term's validity rests on votes that count on its fencing lease: a round of
+// votes that was begun before a renewal's answer was taken in, and ends after it.
+func TestRenewalVoidsTheOpenVoteRound(t *testing.T) {
+	clock, s := newState(t)
+	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{silent: []string{"b"}}, "a", clock)
+	eligible, _ := e.checkEligibility(t.Context(), 0)
+	leadership, ok := e.campaign(t.Context(), 0, 0, eligible)
+	if !ok {
+		t.Fatal("does not lead")
+	}
+	e.updateFencing(t.Context(), leadership)
+	renewalSent := clock.Now()
+	e.noteFailedRenewal()
+	clock.Advance(2 * tuning.LeaseTTL) // the process stands still, and its lease may expire
+	round, sent, needed := e.beginVoteRound(leadership.Term)
+	if !needed {
+		t.Fatal("no votes are needed")
+	}
+	e.noteRenewal(leadership.Term, renewalSent)
+	e.extendByVotes(leadership.Term, round, sent, votesBut("b")())
+	if e.Valid(leadership.Term) {
+		t.Error("the term is valid by votes")
+	}
+	e.peers = &fakePeers{} // b answers again
+	e.updateFencing(t.Context(), leadership)
+	if _, ok := s.Value(prefixFencing + "b"); ok {
+		t.Error("b stays fenced off")
+	}
+}
+
 // Guards against a fencing lease that ends while the leader counts on it: the first attempt to take it, without an answer and carried
 // out after the second, hung the key on its own lease, which ended earlier.
 func TestLateFencingLeaseDoesNotReplaceANewerOne(t *testing.T) {
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -115,14 +115,15 @@
 	e.extendByRenewal(sent)
 }
 
-// noteRenewal notes that the lease was renewed; false when the term was given
-// up meanwhile.
+// noteRenewal notes that the lease was renewed; false when the term was given up meanwhile. From here on the term's validity
+// rests on the lease alone, and the fencing lease can be revoked. So an open round of votes, which may count on that, is void.
 func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ownTerm != term {
 		return false
 	}
+	e.voteRound++
 	e.extendByRenewal(sent)
 	return true
 }
