--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -5,20 +5,6 @@
 	"time"
 )
 
-// TakeCancellations returns the jobs that are to be cancelled, since it was last asked.
-func (r *Run) TakeCancellations() []string {
-	out := r.cancellations
-	r.cancellations = nil
-	return out
-}
-
-func (r *Run) instance(at Ref) *Instance {
-	if at.Step < 0 || at.Step >= len(r.nodes) || at.Index < 0 || at.Index >= len(r.nodes[at.Step].instances) {
-		return nil
-	}
-	return &r.nodes[at.Step].instances[at.Index]
-}
-
 // JobSubmitted records that an instance's job is accepted.
 func (r *Run) JobSubmitted(at Ref) {
 	if inst := r.instance(at); inst != nil && inst.State == Scheduled {
@@ -27,7 +13,8 @@
 	}
 }
 
-// SubmissionFailed records that an instance's job could not be stored.
+// SubmissionFailed records that an instance's job could not be stored. The instance is
+// ready again.
 func (r *Run) SubmissionFailed(at Ref) {
 	if inst := r.instance(at); inst != nil && inst.State == Queued {
 		inst.State = Scheduled
@@ -44,8 +31,9 @@
 	}
 }
 
-// AttemptFailed records that an attempt of an instance's job failed. Its job rests, or, when
-// its tries are used up, is cancelled and the instance has failed.
+// AttemptFailed records that an attempt of an instance's job failed. The job rests before
+// its next try. When its tries are used up it is cancelled, and the instance fails with it.
+// jitter, from 0 to 1, spreads the rests (Retry.DelayBefore).
 func (r *Run) AttemptFailed(at Ref, now time.Time, jitter float64) {
 	inst := r.instance(at)
 	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
@@ -62,30 +50,8 @@
 	r.updateStepState(at.Step)
 }
 
-// cancelJob has the job of an instance, which the core would try for ever, cancelled. The
-// instance ends with its job: one that completes before its cancellation is stored has
-// succeeded. Otherwise a step could be called failed whose job is done.
-func (r *Run) cancelJob(at Ref) {
-	inst := r.instance(at)
-	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
-	r.cancellations = append(r.cancellations, r.JobID(at))
-}
-
-// JobsBeingCancelled returns the jobs that are being cancelled, for a new leader.
-func (r *Run) JobsBeingCancelled() (jobs []string) {
-	jobs = slices.Clone(r.orphans)
-	for i := range r.nodes {
-		for k := range r.nodes[i].instances {
-			if inst := &r.nodes[i].instances[k]; inst.Cancelling && !inst.State.Final() {
-				jobs = append(jobs, r.JobID(Ref{i, k}))
-			}
-		}
-	}
-	return jobs
-}
-
-// TimeOut fails an instance whose present try has run for longer than it may, and reports
-// whether that is so.
+// TimeOut cancels the job of an instance whose present try has run for longer than it may,
+// and reports whether it did.
 func (r *Run) TimeOut(at Ref, now time.Time) bool {
 	inst, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
 	if inst == nil || limit == 0 || inst.State != Running || inst.Cancelling || now.Before(inst.StartedAt.Add(limit)) {
@@ -95,15 +61,16 @@
 	return true
 }
 
-// JobDone records that an instance's job is done. An error says that what it left (Push) is
-// not what the step's kind asks for; the instance has failed then.
+// JobDone records that an instance's job is done. An error, a *ResultError, says that the
+// step's result (SetResult) is not what the step's kind asks for; the instance has failed
+// then.
 func (r *Run) JobDone(at Ref) error {
 	inst := r.instance(at)
 	if inst == nil || inst.State.Final() {
 		return nil
 	}
 	if r.Plan.Steps[at.Step].Kind == KindBranch {
-		if err := r.skipUnpicked(at.Step, r.nodes[at.Step].result); err != nil {
+		if err := r.skipUnpicked(at.Step); err != nil {
 			r.finishInstance(at, Failed)
 			return err
 		}
@@ -112,7 +79,8 @@
 	return nil
 }
 
-// JobCancelled records that an instance's job was cancelled by somebody: it has failed.
+// JobCancelled records that an instance's job was cancelled, by the run or by somebody
+// else: the instance has failed.
 func (r *Run) JobCancelled(at Ref) { r.finishInstance(at, Failed) }
 
 // finishInstance ends an instance, and the step with its last one.
@@ -121,25 +89,64 @@
 	if inst == nil || inst.State.Final() {
 		return
 	}
-	inst.State, inst.RetryAt, inst.StartedAt, inst.Cancelling = s, time.Time{}, time.Time{}, false
+	inst.finish(s)
 	n := &r.nodes[at.Step]
 	n.unfinished--
+	r.countDownstream(at.Step, s)
+	if n.unfinished == 0 {
+		r.finishStep(at.Step, n.outcome(Success))
+		return
+	}
+	// Steps whose rule waits for one end only need not wait for all.
 	for _, j := range r.Plan.Downstream[at.Step] {
-		r.nodes[j].upstream.addCounted(s, 1)
+		r.evaluateStep(j)
 	}
-	if n.unfinished > 0 {
-		// Those that wait for one end only need not wait for all.
-		for _, j := range r.Plan.Downstream[at.Step] {
-			r.evaluateStep(j)
-		}
-		r.updateStepState(at.Step)
+	r.updateStepState(at.Step)
+}
+
+// updateStepState sets a step's state by those of its instances: the one that is furthest
+// on.
+func (r *Run) updateStepState(i int) {
+	n := &r.nodes[i]
+	if n.state.Final() {
 		return
 	}
-	worst := Success
+	n.state = Scheduled
 	for k := range n.instances {
-		if n.instances[k].State == Failed {
-			worst = Failed
+		if s := n.instances[k].State; !s.Final() && s > n.state {
+			n.state = s
 		}
 	}
-	r.finishStep(at.Step, worst)
+}
+
+// cancelJob asks for the cancellation of an instance's job, which the scheduler would
+// otherwise repeat for ever. The instance does not end here but with its job: a job that is
+// done before its cancellation is stored has succeeded, and its step must not be called
+// failed.
+func (r *Run) cancelJob(at Ref) {
+	inst := r.instance(at)
+	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
+	r.cancellations = append(r.cancellations, r.JobID(at))
+}
+
+// TakeCancellations returns the IDs of the jobs to cancel that were added since the last
+// call.
+func (r *Run) TakeCancellations() []string {
+	out := r.cancellations
+	r.cancellations = nil
+	return out
+}
+
+// JobsBeingCancelled returns the IDs of all jobs whose cancellation was asked for and that
+// are not over. A new leader asks for them again.
+func (r *Run) JobsBeingCancelled() (jobs []string) {
+	jobs = slices.Clone(r.orphans)
+	for i := range r.nodes {
+		for k := range r.nodes[i].instances {
+			if inst := &r.nodes[i].instances[k]; inst.Cancelling && !inst.State.Final() {
+				jobs = append(jobs, r.JobID(Ref{i, k}))
+			}
+		}
+	}
+	return jobs
 }
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -1,11 +1,9 @@
 package dag
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
-// Orphans returns the jobs of earlier generations that are not over.
+// Orphans returns the IDs of jobs of earlier generations that are not over. The slice is
+// the run's own and must not be changed.
 func (r *Run) Orphans() []string { return r.orphans }
 
 // OrphanFinished records that a job of an earlier generation is over.
@@ -13,8 +11,8 @@
 	r.orphans = slices.DeleteFunc(r.orphans, func(o string) bool { return o == id })
 }
 
-// Cancel ends a run: nothing more begins, and the jobs that are not over are cancelled;
-// the run ends with the last of them.
+// Cancel ends a run: nothing more is started, and the jobs that are not over are cancelled.
+// The run ends with the last of them.
 func (r *Run) Cancel() {
 	if r.unfinished == 0 {
 		return
@@ -25,61 +23,48 @@
 		if n.state.Final() {
 			continue
 		}
-		for k := range n.instances {
-			switch inst := &n.instances[k]; {
-			case inst.State.Final() || inst.Cancelling:
-			case inst.State == Scheduled:
-				inst.State = Skipped
-				n.unfinished--
-			default:
-				r.cancelJob(Ref{i, k})
-			}
-		}
+		r.cancelInstances(i)
 		if n.unfinished == 0 {
-			n.state = Skipped
-			for k := range n.instances {
-				if n.instances[k].State == Failed {
-					n.state = Failed
-				}
-			}
+			n.state = n.outcome(Skipped)
 			r.unfinished--
 		}
 	}
 	r.rebuildDerived()
 }
 
-// StepsToClear returns the steps that a clear would have run again: those named, or all if none is,
-// of these only what has failed if that is wanted, and with below all that follow them. They
-// come in the plan's order.
-func (r *Run) StepsToClear(names []string, below, onlyFailed bool) ([]int, error) {
-	var queue []int
-	for _, name := range names {
-		i, ok := r.Plan.Index[name]
-		if !ok {
-			return nil, fmt.Errorf("there is no step %q", name)
+// cancelInstances skips the instances of a step whose jobs are not submitted, and asks for
+// the cancellation of the jobs that are.
+func (r *Run) cancelInstances(i int) {
+	n := &r.nodes[i]
+	for k := range n.instances {
+		switch inst := &n.instances[k]; {
+		case inst.State.Final() || inst.Cancelling:
+		case inst.State == Scheduled:
+			inst.State = Skipped
+			n.unfinished--
+		default:
+			r.cancelJob(Ref{i, k})
 		}
-		queue = append(queue, i)
 	}
-	if len(names) == 0 {
-		queue = slices.Clone(r.Plan.Order)
+}
+
+// StepsToClear returns the steps that a clear would run again, in the plan's order: those
+// named, or all if none is; with onlyFailed of these only the failed ones; with downstream
+// also all that follow them. The error is an *UnknownStepError.
+func (r *Run) StepsToClear(names []string, downstream, onlyFailed bool) ([]int, error) {
+	steps, err := r.namedSteps(names)
+	if err != nil {
+		return nil, err
 	}
 	if onlyFailed {
-		queue = slices.DeleteFunc(queue, func(i int) bool {
-			s := r.nodes[i].state
-			return s != Failed && s != UpstreamFailed
-		})
+		steps = slices.DeleteFunc(steps, func(i int) bool { return !r.nodes[i].state.failed() })
 	}
 	chosen := map[int]bool{}
-	for len(queue) > 0 {
-		i := queue[0]
-		queue = queue[1:]
-		if chosen[i] {
-			continue
-		}
+	for _, i := range steps {
 		chosen[i] = true
-		if below {
-			queue = append(queue, r.Plan.Downstream[i]...)
-		}
+	}
+	if downstream {
+		r.Plan.addDownstream(chosen)
 	}
 	var out []int
 	for _, i := range r.Plan.Order {
@@ -90,31 +75,70 @@
 	return out, nil
 }
 
-// Clear has steps run again: each gets a new generation, so its jobs have new ids. Jobs of
-// theirs that are not over are cancelled.
+// namedSteps returns the steps with these names, or all if there are none.
+func (r *Run) namedSteps(names []string) ([]int, error) {
+	if len(names) == 0 {
+		return slices.Clone(r.Plan.Order), nil
+	}
+	steps := make([]int, 0, len(names))
+	for _, name := range names {
+		i, ok := r.Plan.Index[name]
+		if !ok {
+			return nil, &UnknownStepError{Step: name}
+		}
+		steps = append(steps, i)
+	}
+	return steps, nil
+}
+
+// addDownstream adds to a set of steps all that follow them, directly or not.
+func (p *Plan) addDownstream(set map[int]bool) {
+	queue := make([]int, 0, len(set))
+	for i := range set {
+		queue = append(queue, i)
+	}
+	for len(queue) > 0 {
+		i := queue[0]
+		queue = queue[1:]
+		for _, j := range p.Downstream[i] {
+			if !set[j] {
+				set[j] = true
+				queue = append(queue, j)
+			}
+		}
+	}
+}
+
+// Clear makes steps run again: each gets a new generation, so its jobs have new IDs. The
+// jobs of the earlier generation that are not over are cancelled, and are orphans until
+// they are.
 func (r *Run) Clear(steps []int) {
 	chosen := map[int]bool{}
 	for _, i := range steps {
 		chosen[i] = true
-		n := &r.nodes[i]
-		for k := range n.instances {
-			if s := n.instances[k].State; !s.Final() && s != Scheduled {
-				id := r.JobID(Ref{i, k})
-				r.cancellations, r.orphans = append(r.cancellations, id), append(r.orphans, id)
-			}
-		}
+		r.orphanJobs(i)
 	}
 	r.reset(chosen)
 }
 
-// reset begins steps anew.
+// orphanJobs asks for the cancellation of a step's jobs that are submitted and not over.
+func (r *Run) orphanJobs(i int) {
+	for k, inst := range r.nodes[i].instances {
+		if !inst.State.Final() && inst.State != Scheduled {
+			id := r.JobID(Ref{i, k})
+			r.cancellations, r.orphans = append(r.cancellations, id), append(r.orphans, id)
+		}
+	}
+}
+
+// reset puts steps back to their beginning, in a new generation.
 func (r *Run) reset(chosen map[int]bool) {
 	for i := range chosen {
 		n := &r.nodes[i]
 		if n.state.Final() {
 			r.unfinished++
 		}
-		r.nodes[i] = node{generation: n.generation + 1}
+		*n = node{generation: n.generation + 1}
 	}
 	r.cancelled = false
 	r.rebuildDerived()
@@ -125,7 +149,8 @@
 	}
 }
 
-// rebuildDerived works out anew how the steps before each step ended, and what is ready.
+// rebuildDerived works out from the states of all instances what events otherwise update
+// one by one: the counts of upstream states and the queue of what is ready.
 func (r *Run) rebuildDerived() {
 	for i := range r.nodes {
 		r.nodes[i].upstream = r.countUpstream(i)
@@ -140,17 +165,17 @@
 	}
 }
 
-// countUpstream counts how the steps before a step ended.
-func (r *Run) countUpstream(i int) (e UpstreamCounts) {
+// countUpstream counts the states of the instances of the steps that a step follows.
+func (r *Run) countUpstream(i int) (c UpstreamCounts) {
 	for _, j := range r.Plan.Upstream[i] {
 		n := &r.nodes[j]
 		if len(n.instances) == 0 {
-			e.Add(n.state, 1)
+			c.Add(n.state, 1)
 			continue
 		}
 		for k := range n.instances {
-			e.Add(n.instances[k].State, 1)
+			c.Add(n.instances[k].State, 1)
 		}
 	}
-	return e
+	return c
 }
--- /dev/null
+++ b/internal/graphs/dag/plan.go
@@ -0,0 +1,125 @@
+package dag
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+// Plan is a validated graph with its edges by index into Steps. It is immutable, so it may
+// be shared between runs and goroutines.
+type Plan struct {
+	Graph
+	Index      map[string]int // the place of each step, by ID
+	Upstream   [][]int        // the steps that each step follows, without repetition
+	Downstream [][]int        // the steps that follow each step
+	Order      []int          // topological: each step stands behind those that it follows
+}
+
+// NewPlan validates a graph, and returns its plan. The error is an *Error, in one line.
+func NewPlan(g *Graph) (*Plan, error) {
+	if err := g.validate(); err != nil {
+		return nil, err
+	}
+	p := &Plan{
+		Graph: *g, Index: make(map[string]int, len(g.Steps)), Upstream: make([][]int, len(g.Steps)), Downstream: make([][]int, len(g.Steps)),
+	}
+	if err := p.indexSteps(); err != nil {
+		return nil, err
+	}
+	edges := 0
+	for i := range p.Steps {
+		added, err := p.addStep(i)
+		if err != nil {
+			return nil, err
+		}
+		edges += added
+	}
+	if edges > MaxEdges {
+		return nil, p.fault("", "it has %d edges; up to %d are allowed", edges, MaxEdges)
+	}
+	if cycle := p.sortTopologically(); cycle != nil {
+		return nil, p.fault("", "its steps follow each other in a circle: %s", strings.Join(cycle, " -> "))
+	}
+	return p, nil
+}
+
+// indexSteps fills Index. Each step must have a valid name of its own.
+func (p *Plan) indexSteps() error {
+	for i := range p.Steps {
+		id := p.Steps[i].ID
+		if !ValidName(id) {
+			return p.fault(id, "task_id is not a name of letters, digits, dashes, dots and underscores")
+		}
+		if _, twice := p.Index[id]; twice {
+			return p.fault(id, "the name is used twice")
+		}
+		p.Index[id] = i
+	}
+	return nil
+}
+
+// addStep validates a step, and adds the edges from those that it follows. It returns how
+// many edges were added.
+func (p *Plan) addStep(i int) (edges int, err error) {
+	s := &p.Steps[i]
+	if err := s.validate(); err != nil {
+		return 0, p.fault(s.ID, "%v", err)
+	}
+	for _, name := range s.upstreamNames() {
+		j, ok := p.Index[name]
+		if !ok {
+			return 0, p.fault(s.ID, "it follows %q, which is no step of this graph", name)
+		}
+		if !slices.Contains(p.Upstream[i], j) {
+			p.Upstream[i] = append(p.Upstream[i], j)
+			p.Downstream[j] = append(p.Downstream[j], i)
+			edges++
+		}
+	}
+	if s.mappedOverStep() && p.Steps[p.Index[s.Map.Over]].Map != nil {
+		return 0, p.fault(s.ID, "it is mapped over %q, which is mapped itself", s.Map.Over)
+	}
+	return edges, nil
+}
+
+// CriticalPath returns the chain of steps that takes longest by their owners' estimates,
+// and how long that is. Waiting and fetching images are not in it.
+func (p *Plan) CriticalPath() (path []string, length time.Duration) {
+	finish := make([]time.Duration, len(p.Steps)) // the earliest time at which each step could end
+	previous := make([]int, len(p.Steps))         // the step that each one waits for longest; -1: it waits for none
+	last := -1
+	for _, i := range p.Order {
+		var begin time.Duration
+		previous[i], begin = p.lastUpstream(i, finish)
+		finish[i] = begin + p.Steps[i].estimate()
+		if last < 0 || finish[i] > finish[last] {
+			last = i
+		}
+	}
+	for i := last; i >= 0; i = previous[i] {
+		path = append(path, p.Steps[i].ID)
+	}
+	slices.Reverse(path)
+	return path, finish[last]
+}
+
+// lastUpstream returns which of the steps that a step follows ends last, and when; -1: it
+// follows none.
+func (p *Plan) lastUpstream(i int, finish []time.Duration) (last int, at time.Duration) {
+	last = -1
+	for _, j := range p.Upstream[i] {
+		if last < 0 || finish[j] > at {
+			last, at = j, finish[j]
+		}
+	}
+	return last, at
+}
+
+// estimate returns how long a step takes by its owner's estimate.
+func (s *Step) estimate() time.Duration {
+	if s.Job == nil {
+		return 0
+	}
+	return time.Duration(s.Job.EstimateS * float64(time.Second))
+}
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -1,8 +1,6 @@
 package dag
 
-import (
-	"container/heap"
-)
+import "container/heap"
 
 // IsReady reports whether an instance is ready and not submitted.
 func (r *Run) IsReady(at Ref) bool {
@@ -10,13 +8,13 @@
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
-// IsReadyWithJob reports whether an instance waits, and its job has this id: it was neither
-// cleared nor cancelled since that was worked out.
+// IsReadyWithJob reports whether an instance is ready and its job still has this ID: the
+// step was neither cleared nor the run cancelled since the ID was worked out.
 func (r *Run) IsReadyWithJob(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
 
-// TakeReady returns up to n instances that are ready, those of the greatest weight first, then
-// in the order in which they became ready. Whoever takes them submits their jobs, and says
-// so (Submitted).
+// TakeReady returns up to n instances that are ready, those of the greatest weight first,
+// then in the order in which they became ready. Each is returned once: the caller submits
+// its job and reports that (JobSubmitted).
 func (r *Run) TakeReady(n int) []Ref {
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
@@ -28,25 +26,30 @@
 	return out
 }
 
-// ReadyCount is how many instances are ready at most.
+// ReadyCount returns an upper bound of how many instances TakeReady has left: some of them
+// may have been cancelled since.
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
-// readyHeap orders ready instances by weight, then by when they became ready.
-type readyHeap []readyRef
+// enqueue adds an instance to those that are ready.
+func (r *Run) enqueue(at Ref) {
+	weight := max(1, r.Plan.Steps[at.Step].Weight)
+	r.lastReadySeq++
+	heap.Push(&r.ready, readyRef{at, weight, r.lastReadySeq})
+}
 
+// readyRef is an entry of the queue of ready instances.
 type readyRef struct {
 	Ref
 	weight, seq int
 }
 
-func (r *Run) enqueue(at Ref) {
-	w := max(1, r.Plan.Steps[at.Step].Weight)
-	r.lastReadySeq++
-	heap.Push(&r.ready, readyRef{at, w, r.lastReadySeq})
-}
+// readyHeap orders ready instances by weight, then by when they became ready.
+type readyHeap []readyRef
 
+// Len implements heap.Interface.
 func (h readyHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h readyHeap) Less(i, j int) bool {
 	if h[i].weight != h[j].weight {
 		return h[i].weight > h[j].weight
@@ -54,6 +57,7 @@
 	return h[i].seq < h[j].seq
 }
 
+// Swap implements heap.Interface.
 func (h readyHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
--- /dev/null
+++ b/internal/graphs/dag/retry.go
@@ -0,0 +1,39 @@
+package dag
+
+import "time"
+
+// Retry says how often a step is tried again, and how long its job rests before the next
+// try.
+type Retry struct {
+	Retries     int      `json:"retries,omitempty"`
+	Delay       Duration `json:"retry_delay,omitempty"` // 300 s unless given
+	Exponential bool     `json:"retry_exponential_backoff,omitempty"`
+	MaxDelay    Duration `json:"max_retry_delay,omitempty"`
+}
+
+// DefaultRetryDelay is the delay before a retry unless a step says otherwise, as in Airflow.
+const DefaultRetryDelay = Duration(5 * time.Minute)
+
+// maxRetryDelay bounds every exponential delay.
+const maxRetryDelay = 24 * time.Hour
+
+// DelayBefore returns the delay before a retry, which are numbered from 1. An exponential
+// delay doubles with each retry, up to its bounds. jitter, from 0 to 1, spreads the
+// exponential delays of many steps over the last half of them.
+func (r *Retry) DelayBefore(retry int, jitter float64) time.Duration {
+	delay := time.Duration(r.Delay)
+	if delay <= 0 {
+		delay = time.Duration(DefaultRetryDelay)
+	}
+	if !r.Exponential {
+		return delay
+	}
+	for i := 1; i < retry && delay < maxRetryDelay; i++ {
+		delay *= 2
+	}
+	if limit := time.Duration(r.MaxDelay); limit > 0 {
+		delay = min(delay, limit)
+	}
+	delay = min(delay, maxRetryDelay)
+	return delay/2 + time.Duration(float64(delay/2)*jitter)
+}
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -2,40 +2,7 @@
 
 import "slices"
 
-// State is the state of a step, or of one instance of a mapped one, in a run.
-type State uint8
-
-// The states, by Airflow's names.
-const (
-	None           State = iota // it waits for the steps that it follows
-	Scheduled                   // it is ready; what bounds the run lets it wait
-	Queued                      // its job is submitted and no task runs
-	Running                     // its job runs
-	UpForRetry                  // it rests before its next try
-	Success                     // done
-	Failed                      // its tries are used up
-	Skipped                     // it is not needed
-	UpstreamFailed              // it cannot run, since one that it follows failed
-	stateCount     = iota
-)
-
-var stateNames = [stateCount]string{"none", "scheduled", "queued", "running", "up_for_retry", "success", "failed", "skipped", "upstream_failed"}
-
-// String returns the state's name.
-func (s State) String() string {
-	if s < stateCount {
-		return stateNames[s]
-	}
-	return "unknown"
-}
-
-// MarshalText returns the state's name.
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-// Final reports whether a step in this state stays in it, unless it is cleared.
-func (s State) Final() bool { return s >= Success && s < stateCount }
-
-// TriggerRule says which ends of the steps before it let a step begin.
+// TriggerRule says which states of the steps before it let a step start.
 type TriggerRule string
 
 // The trigger rules of Airflow 2. The empty rule is AllSuccess.
@@ -58,88 +25,102 @@
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
 }
 
-// TriggerRules names the trigger rules.
+// TriggerRules returns the names of all trigger rules.
 func TriggerRules() []string { return slices.Clone(triggerRules) }
 
-// Known reports whether it is a rule.
+// Known reports whether a text is a trigger rule; the empty one is.
 func (r TriggerRule) Known() bool { return r == "" || slices.Contains(triggerRules, string(r)) }
 
-// UpstreamCounts counts how the steps before a step ended, by instance: a mapped step counts once
-// for each element.
+// UpstreamCounts counts the instances of the steps that a step follows, by final state. A
+// mapped step counts once for each element.
 type UpstreamCounts struct {
-	Total          int // there are
+	Total          int // with those that have not ended
 	Success        int
 	Failed         int
 	Skipped        int
 	UpstreamFailed int
 }
 
-// Add counts one more state.
-func (e *UpstreamCounts) Add(s State, n int) {
-	e.Total += n
+// Add counts n more instances in a state, final or not.
+func (c *UpstreamCounts) Add(s State, n int) {
+	c.Total += n
 	switch s {
 	case Success:
-		e.Success += n
+		c.Success += n
 	case Failed:
-		e.Failed += n
+		c.Failed += n
 	case Skipped:
-		e.Skipped += n
+		c.Skipped += n
 	case UpstreamFailed:
-		e.UpstreamFailed += n
+		c.UpstreamFailed += n
 	}
 }
 
-// Finished is how many have ended.
-func (e *UpstreamCounts) Finished() int { return e.Success + e.Failed + e.Skipped + e.UpstreamFailed }
+// finish counts the final state of an instance that is in Total already.
+func (c *UpstreamCounts) finish(s State) {
+	c.Add(s, 1)
+	c.Total--
+}
+
+// Finished returns how many instances have ended.
+func (c *UpstreamCounts) Finished() int { return c.Success + c.Failed + c.Skipped + c.UpstreamFailed }
 
-// Evaluate says what the ends so far mean for a step that has not begun: Scheduled, it may
-// begin; Skipped or UpstreamFailed, it never will; None, that is still open. Once it
-// says that a step may begin, or never will, further ends do not change that. Which
-// of the two ways of not beginning it is depends on which end comes first, as in Airflow.
-func (r TriggerRule) Evaluate(e UpstreamCounts) State {
-	bad := e.Failed + e.UpstreamFailed
-	over := e.Finished() == e.Total
-	verdict := func(ready, failed, skipped bool) State {
-		switch {
-		case failed:
-			return UpstreamFailed
-		case skipped:
-			return Skipped
-		case ready:
-			return Scheduled
-		}
-		return None
-	}
+// failures returns how many instances did not run to their end.
+func (c *UpstreamCounts) failures() int { return c.Failed + c.UpstreamFailed }
+
+// Evaluate applies a rule for a step that has not started: Scheduled, it may start; Skipped
+// or UpstreamFailed, it never will; None, that is still open. Once a rule lets a step start,
+// or rules it out, further ends do not change that. Which of the two ways of not starting
+// applies depends on which end comes first, as in Airflow.
+func (r TriggerRule) Evaluate(c UpstreamCounts) State {
+	failures := c.failures()
+	over := c.Finished() == c.Total
 	switch r {
 	case AllFailed:
-		return verdict(bad == e.Total, false, e.Success+e.Skipped > 0)
+		return decide(failures == c.Total, false, c.Success+c.Skipped > 0)
 	case AllDone:
-		return verdict(over, false, false)
+		return decide(over, false, false)
 	case AllSkipped:
-		return verdict(e.Skipped == e.Total, false, e.Success+bad > 0)
-	case OneSuccess:
-		if e.Success > 0 {
-			return Scheduled
-		}
-		return verdict(e.Total == 0, over && e.Total > 0 && e.Skipped < e.Total, over && e.Total > 0)
-	case OneFailed:
-		if bad > 0 {
-			return Scheduled
-		}
-		return verdict(false, false, over)
-	case OneDone:
-		if e.Success+e.Failed > 0 {
-			return Scheduled
-		}
-		return verdict(false, false, over)
+		return decide(c.Skipped == c.Total, false, c.Success+failures > 0)
+	case OneSuccess, OneFailed, OneDone:
+		return r.evaluateOne(c)
 	case NoneFailed:
-		return verdict(over, bad > 0, false)
+		return decide(over, failures > 0, false)
 	case NoneFailedMinOneSuccess:
-		return verdict(over, bad > 0, over && e.Total > 0 && e.Success == 0)
+		return decide(over, failures > 0, over && c.Total > 0 && c.Success == 0)
 	case NoneSkipped:
-		return verdict(over, false, e.Skipped > 0)
+		return decide(over, false, c.Skipped > 0)
 	case Always:
 		return Scheduled
+	default: // AllSuccess
+		return decide(over, failures > 0, c.Skipped > 0)
+	}
+}
+
+// evaluateOne applies the rules that one end satisfies, whatever the others are.
+func (r TriggerRule) evaluateOne(c UpstreamCounts) State {
+	over := c.Finished() == c.Total
+	switch {
+	case r == OneSuccess && c.Success > 0,
+		r == OneFailed && c.failures() > 0,
+		r == OneDone && c.Success+c.Failed > 0:
+		return Scheduled
+	case r == OneSuccess:
+		return decide(c.Total == 0, over && c.Total > 0 && c.Skipped < c.Total, over && c.Total > 0)
+	}
+	return decide(false, false, over)
+}
+
+// decide returns the state for what a rule found. A failure counts before a skip, and both
+// before readiness.
+func decide(ready, failed, skipped bool) State {
+	switch {
+	case failed:
+		return UpstreamFailed
+	case skipped:
+		return Skipped
+	case ready:
+		return Scheduled
 	}
-	return verdict(over, bad > 0, e.Skipped > 0)
+	return None
 }
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -7,21 +7,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A run is stored as CBOR: one byte for the state of each step, in the plan's order of
-// steps, and entries only for what most steps do not have. What follows from these (how
-// the steps before a step ended, what is ready) is worked out anew.
+// storedRun is the stored form of a run, in CBOR: one byte for the state of each step, in
+// the order of the graph's steps, and entries only for what most steps do not have. What
+// follows from these (the counts of upstream states, what is ready) is not stored.
 type storedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Format  int
 	ID      string
 	Stopped bool
 	States  []byte
-	Steps   []storedStep // those with more to tell than their state
+	Steps   []storedStep // those whose state does not suffice
 	Orphans []string
 }
 
+// runFormat is the version of the stored form.
 const runFormat = 1
 
+// storedStep is what a step has beside its state.
 type storedStep struct {
 	_          struct{} `cbor:",toarray"`
 	Step       int
@@ -31,15 +33,17 @@
 	Details    []storedInstance
 }
 
+// storedInstance is what an instance has beside its state.
 type storedInstance struct {
 	_           struct{} `cbor:",toarray"`
 	Index       int
 	Failures    int
-	RetryAtMS   int64 // time of day; 0: none
+	RetryAtMS   int64 // since 1970; 0: none
 	StartedAtMS int64
 	Cancelling  bool
 }
 
+// unixMS returns a time in milliseconds since 1970; 0 for the zero time.
 func unixMS(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -47,6 +51,7 @@
 	return t.UnixMilli()
 }
 
+// fromUnixMS is the inverse of unixMS.
 func fromUnixMS(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -54,7 +59,7 @@
 	return time.UnixMilli(ms)
 }
 
-// hasDetails reports whether there is more to an instance than its state.
+// hasDetails reports whether an instance has more to store than its state.
 func (inst *Instance) hasDetails() bool {
 	return inst.Failures > 0 || !inst.RetryAt.IsZero() || !inst.StartedAt.IsZero() || inst.Cancelling
 }
@@ -63,21 +68,10 @@
 func (r *Run) Encode() []byte {
 	s := storedRun{Format: runFormat, ID: r.ID, Stopped: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
-		n := &r.nodes[i]
-		s.States[i] = byte(n.state)
-		// A step with one instance that has nothing to tell has its state. Most are so.
-		plain := len(n.instances) == 0 || len(n.instances) == 1 && n.instances[0].State == n.state && !n.instances[0].hasDetails() && r.Plan.Steps[i].Map == nil
-		if plain && n.generation == 0 && len(n.result) == 0 {
-			continue
-		}
-		e := storedStep{Step: i, Generation: n.generation, Result: n.result}
-		for k, inst := range n.instances {
-			e.States = append(e.States, byte(inst.State))
-			if inst.hasDetails() {
-				e.Details = append(e.Details, storedInstance{Index: k, Failures: inst.Failures, RetryAtMS: unixMS(inst.RetryAt), StartedAtMS: unixMS(inst.StartedAt), Cancelling: inst.Cancelling})
-			}
+		s.States[i] = byte(r.nodes[i].state)
+		if !r.stateSuffices(i) {
+			s.Steps = append(s.Steps, r.encodeStep(i))
 		}
-		s.Steps = append(s.Steps, e)
 	}
 	raw, err := cbor.Marshal(s)
 	if err != nil {
@@ -86,14 +80,45 @@
 	return raw
 }
 
-// DecodeRun reads a run of a plan from its stored form.
+// stateSuffices reports whether all of a step follows from its state: one instance at the
+// most, in the same state, without details. Most steps are so.
+func (r *Run) stateSuffices(i int) bool {
+	n := &r.nodes[i]
+	if n.generation > 0 || len(n.result) > 0 {
+		return false
+	}
+	switch len(n.instances) {
+	case 0:
+		return true
+	case 1:
+		return n.instances[0].State == n.state && !n.instances[0].hasDetails() && r.Plan.Steps[i].Map == nil
+	}
+	return false
+}
+
+// encodeStep returns the stored form of what a step has beside its state.
+func (r *Run) encodeStep(i int) storedStep {
+	n := &r.nodes[i]
+	e := storedStep{Step: i, Generation: n.generation, Result: n.result}
+	for k, inst := range n.instances {
+		e.States = append(e.States, byte(inst.State))
+		if inst.hasDetails() {
+			e.Details = append(e.Details, storedInstance{
+				Index: k, Failures: inst.Failures, RetryAtMS: unixMS(inst.RetryAt), StartedAtMS: unixMS(inst.StartedAt), Cancelling: inst.Cancelling,
+			})
+		}
+	}
+	return e
+}
+
+// DecodeRun reads a run of a plan from its stored form. Each error wraps ErrStoredRun.
 func DecodeRun(p *Plan, raw []byte) (*Run, error) {
 	var s storedRun
 	if err := cbor.Unmarshal(raw, &s); err != nil {
-		return nil, fmt.Errorf("stored run of %s is malformed: %w", p.ID, err)
+		return nil, fmt.Errorf("%w of %s is malformed: %w", ErrStoredRun, p.ID, err)
 	}
 	if s.Format != runFormat || len(s.States) != len(p.Steps) {
-		return nil, fmt.Errorf("stored run %s of %s does not fit its graph", s.ID, p.ID)
+		return nil, fmt.Errorf("%w %s of %s does not fit its graph", ErrStoredRun, s.ID, p.ID)
 	}
 	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), cancelled: s.Stopped, orphans: s.Orphans}
 	if err := r.decodeStates(s.States); err != nil {
@@ -105,16 +130,22 @@
 		}
 	}
 	for i := range r.nodes {
-		for k := range r.nodes[i].instances {
-			if !r.nodes[i].instances[k].State.Final() {
-				r.nodes[i].unfinished++
-			}
-		}
+		r.nodes[i].unfinished = r.nodes[i].countUnfinished()
 	}
 	r.rebuildDerived()
 	return r, nil
 }
 
+// countUnfinished counts the instances that have not ended.
+func (n *node) countUnfinished() (count int) {
+	for k := range n.instances {
+		if !n.instances[k].State.Final() {
+			count++
+		}
+	}
+	return count
+}
+
 // decodeStates sets the state of each step.
 func (r *Run) decodeStates(stored []byte) error {
 	for i := range r.nodes {
@@ -123,8 +154,8 @@
 		if n.state, err = r.decodeState(stored[i]); err != nil {
 			return err
 		}
-		// What is on its way has an instance; so has what a job has ended, which counts
-		// the same without it.
+		// A step that is ready or runs has one instance unless its entry says otherwise. So
+		// had a step that a job ended, which counts the same without it.
 		if n.state != None && !n.state.Final() {
 			n.instances = []Instance{{State: n.state}}
 		}
@@ -135,9 +166,10 @@
 	return nil
 }
 
+// decodeState reads one state.
 func (r *Run) decodeState(b byte) (State, error) {
 	if int(b) >= stateCount {
-		return None, fmt.Errorf("stored run %s of %s has an unknown state", r.ID, r.Plan.ID)
+		return None, fmt.Errorf("%w %s of %s has an unknown state", ErrStoredRun, r.ID, r.Plan.ID)
 	}
 	return State(b), nil
 }
@@ -145,7 +177,7 @@
 // decodeStep sets what a step has beside its state.
 func (r *Run) decodeStep(e *storedStep) error {
 	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMappedInstances {
-		return fmt.Errorf("stored run %s of %s names an unknown step", r.ID, r.Plan.ID)
+		return fmt.Errorf("%w %s of %s names an unknown step", ErrStoredRun, r.ID, r.Plan.ID)
 	}
 	n := &r.nodes[e.Step]
 	n.generation = e.Generation
@@ -163,7 +195,7 @@
 	}
 	for _, x := range e.Details {
 		if x.Index < 0 || x.Index >= len(n.instances) {
-			return fmt.Errorf("stored run %s of %s names an unknown instance", r.ID, r.Plan.ID)
+			return fmt.Errorf("%w %s of %s names an unknown instance", ErrStoredRun, r.ID, r.Plan.ID)
 		}
 		n.instances[x.Index].Failures, n.instances[x.Index].Cancelling = x.Failures, x.Cancelling
 		n.instances[x.Index].RetryAt, n.instances[x.Index].StartedAt = fromUnixMS(x.RetryAtMS), fromUnixMS(x.StartedAtMS)
