--- a/internal/graphs/airflow/clearing.go
+++ b/internal/graphs/airflow/clearing.go
@@ -1,8 +1,6 @@
 package airflow
 
-import (
-	"poppypass/internal/graphs/runner"
-)
+import "poppypass/internal/graphs/runner"
 
 // clearing is the body of a clear: which steps of a run go again. Clients meet the type's name in the message about a malformed body.
 type clearing struct {
