--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -121,6 +121,9 @@
 	h.until("healthy", func() bool {
 		select {
 		case ended = <-done:
+			if ended == nil {
+				ended = errors.New("the controller ended before it was healthy")
+			}
 			done <- nil // it is over, and nobody need hear of it again
 			return true
 		default:
--- a/internal/scheduler/placement/reference_test.go
+++ b/internal/scheduler/placement/reference_test.go
@@ -34,7 +34,7 @@
 				starving++
 			}
 		}
-		for _, ph := range phases {
+		for _, ph := range []phase{guaranteedPhase, borrowingPhase, placeholderPhase} {
 			for _, p := range pending {
 				for EffectivePriority(p, teams, now) == level && p.Placeholder == (ph == placeholderPhase) && p.Waiting > 0 && !blocked[p] {
 					team, request := teams[p.Job.Team], p.Request()
