--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -30,7 +30,7 @@
 func TestStoredFormats(t *testing.T) {
 	instance := storedInstance{Index: 1, Failures: 2, RetryAtMS: 3, StartedAtMS: 4, Cancelling: true}
 	step := storedStep{Step: 1, Generation: 2, Result: []byte(`{"a":1}`), States: []byte{5, 6}, Details: []storedInstance{instance}}
-	run := storedRun{Format: runFormat, ID: "manual__1", Stopped: true, States: []byte{5, 6, 7}, Steps: []storedStep{step}, Orphans: []string{"job-1", "job-2"}}
+	run := storedRun{Format: runFormat, ID: "manual__1", Cancelled: true, States: []byte{5, 6, 7}, Steps: []storedStep{step}, Orphans: []string{"job-1", "job-2"}}
 	golden.CBOR(t, "stored-instance", &instance)
 	golden.CBOR(t, "stored-step", &step)
 	golden.CBOR(t, "stored-run", &run)
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -11,13 +11,13 @@
 // the order of the graph's steps, and entries only for what most steps do not have. What
 // follows from these (the counts of upstream states, what is ready) is not stored.
 type storedRun struct {
-	_       struct{} `cbor:",toarray"`
-	Format  int
-	ID      string
-	Stopped bool
-	States  []byte
-	Steps   []storedStep // those whose state does not suffice
-	Orphans []string
+	_         struct{} `cbor:",toarray"`
+	Format    int
+	ID        string
+	Cancelled bool
+	States    []byte
+	Steps     []storedStep // those whose state does not suffice
+	Orphans   []string
 }
 
 // runFormat is the version of the stored form.
@@ -66,7 +66,7 @@
 
 // Encode returns a run's stored form.
 func (r *Run) Encode() []byte {
-	s := storedRun{Format: runFormat, ID: r.ID, Stopped: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
+	s := storedRun{Format: runFormat, ID: r.ID, Cancelled: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
 		s.States[i] = byte(r.nodes[i].state)
 		if !r.stateSuffices(i) {
@@ -120,7 +120,7 @@
 	if s.Format != runFormat || len(s.States) != len(p.Steps) {
 		return nil, fmt.Errorf("%w %s of %s does not fit its graph", ErrStoredRun, s.ID, p.ID)
 	}
-	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), cancelled: s.Stopped, orphans: s.Orphans}
+	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), cancelled: s.Cancelled, orphans: s.Orphans}
 	if err := r.decodeStates(s.States); err != nil {
 		return nil, err
 	}
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -22,7 +22,7 @@
 	once       bool // @once: spec is nil
 }
 
-var parser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow)
+var cronParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow)
 
 // presets are Airflow's names for schedules.
 var presets = map[string]string{
@@ -67,7 +67,7 @@
 	if len(fields) != 5 || len(text) > MaxNameBytes {
 		return nil, fmt.Errorf("schedule %q has %d fields; it takes five, or one of @once, @hourly, @daily, @weekly, @monthly, @quarterly, @yearly", text, len(fields))
 	}
-	spec, err := parser.Parse(text)
+	spec, err := cronParser.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("schedule %q: %s", text, strings.Join(strings.Fields(err.Error()), " "))
 	}
