--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -1,9 +1,8 @@
 // Package dagfile reads graphs from files in Starlark, a language like Python, with the
-// words that Airflow's users know: DAG, operators, a >> b, trigger_rule, retries, expand.
+// names that users of Airflow know: DAG, operators, a >> b, trigger_rule, retries, expand.
 //
 // A file cannot read files, reach a network or tell the time. Its steps, time and memory
-// are bounded (Limits). It is run where it is written, by the client; the service is
-// given what comes out, a dag.Graph.
+// are bounded (Limits). The client runs it; the service receives the result, a dag.Graph.
 package dagfile
 
 import (
@@ -21,25 +20,26 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Limits bound what a file may take.
+// Limits bound the resources that running a file takes.
 type Limits struct {
-	Bytes  int           // of the file
-	Steps  uint64        // of the interpreter
-	Time   time.Duration // by the clock
+	Bytes  int           // length of the file
+	Steps  uint64        // computation steps of the interpreter
+	Time   time.Duration // elapsed
 	Memory uint64        // bytes that the process's heap may grow by
 }
 
-// DefaultLimits are enough for a graph of 10,000 steps.
+// DefaultLimits returns limits that are enough for a graph of 10,000 steps.
 func DefaultLimits() Limits {
 	return Limits{Bytes: 1 << 20, Steps: 5_000_000, Time: 5 * time.Second, Memory: 64 << 20}
 }
 
-// maxRange bounds range(): what it gives is turned into lists by built-in functions
-// that count no steps.
+// maxRange bounds the length of range(): built-in functions that count no steps turn its
+// result into lists.
 const maxRange = 100_000
 
-// Load runs a file and gives the graphs that it describes, in their order. An error says
-// in one line what is wrong, with the file, line and column where that is known.
+// Load runs a file and returns the graphs that it describes, in their order. The graphs are
+// not validated (dag.NewPlan). An error says in one line what is wrong, with the file, line
+// and column where that is known.
 func Load(name string, src []byte, limits Limits) ([]*dag.Graph, error) {
 	if len(src) > limits.Bytes {
 		return nil, fmt.Errorf("%s: the file has %d bytes; up to %d are allowed", name, len(src), limits.Bytes)
@@ -49,18 +49,38 @@
 	}
 	l := &loader{}
 	predeclared := l.predeclared()
-	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
-	f, err := opts.Parse(name, src, 0)
+	prog, err := compile(name, src, predeclared)
 	if err != nil {
 		return nil, withPosition(name, err)
 	}
-	if err := guardProducts(f); err != nil {
+	if err := run(name, prog, predeclared, limits); err != nil {
 		return nil, withPosition(name, err)
 	}
-	prog, err := starlark.FileProgram(f, predeclared.Has)
+	if len(l.dags) == 0 {
+		return nil, fmt.Errorf("%s: the file describes no DAG", name)
+	}
+	var out []*dag.Graph
+	for _, d := range l.dags {
+		out = append(out, d.graph())
+	}
+	return out, nil
+}
+
+// compile parses a file, guards its products, and resolves its names.
+func compile(name string, src []byte, predeclared starlark.StringDict) (*starlark.Program, error) {
+	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
+	f, err := opts.Parse(name, src, 0)
 	if err != nil {
-		return nil, withPosition(name, err)
+		return nil, err
+	}
+	if err := guardProducts(f); err != nil {
+		return nil, err
 	}
+	return starlark.FileProgram(f, predeclared.Has)
+}
+
+// run executes a program within the limits. Its output is discarded.
+func run(name string, prog *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(limits.Steps)
 	thread.OnMaxSteps = func(t *starlark.Thread) { t.Cancel(fmt.Sprintf("it takes more than %d steps", limits.Steps)) }
@@ -70,42 +90,33 @@
 		defer close(watched)
 		watch(thread, limits, done)
 	}()
-	_, err = prog.Init(thread, predeclared)
+	_, err := prog.Init(thread, predeclared)
 	close(done)
 	<-watched
-	if err != nil {
-		return nil, withPosition(name, err)
-	}
-	if len(l.dags) == 0 {
-		return nil, fmt.Errorf("%s: the file describes no DAG", name)
-	}
-	var out []*dag.Graph
-	for _, d := range l.dags {
-		out = append(out, d.graph())
-	}
-	return out, nil
+	return err
 }
 
-// watch ends a file that takes too long, or too much memory. Between two looks one
-// operation may overshoot; the largest are bounded one by one (guard, maxRange).
+// watchInterval is how often a running file is checked for its use of memory.
+const watchInterval = time.Millisecond
+
+// watch cancels a file that takes too long, or too much memory, and returns when it did or
+// done is closed. Between two checks one operation may exceed the limit; the largest are
+// bounded one by one (guardProducts, maxRange).
 func watch(t *starlark.Thread, limits Limits, done <-chan struct{}) {
-	heap := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
-	metrics.Read(heap)
-	before := heap[0].Value.Uint64()
-	over := time.NewTimer(limits.Time)
-	defer over.Stop()
-	look := time.NewTicker(time.Millisecond)
-	defer look.Stop()
+	heap := newHeapGrowth()
+	deadline := time.NewTimer(limits.Time)
+	defer deadline.Stop()
+	check := time.NewTicker(watchInterval)
+	defer check.Stop()
 	for {
 		select {
 		case <-done:
 			return
-		case <-over.C:
+		case <-deadline.C:
 			t.Cancel(fmt.Sprintf("it takes longer than %v", limits.Time))
 			return
-		case <-look.C:
-			metrics.Read(heap)
-			if now := heap[0].Value.Uint64(); now > before && now-before > limits.Memory {
+		case <-check.C:
+			if heap.exceeds(limits.Memory) {
 				t.Cancel(fmt.Sprintf("it takes more than %d MB of memory", limits.Memory>>20))
 				return
 			}
@@ -113,30 +124,62 @@
 	}
 }
 
+// heapGrowth measures by how much the process's heap grows.
+type heapGrowth struct {
+	sample []metrics.Sample
+	before uint64 // bytes of the heap at the beginning
+}
+
+func newHeapGrowth() *heapGrowth {
+	h := &heapGrowth{sample: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
+	h.before = h.size()
+	return h
+}
+
+func (h *heapGrowth) size() uint64 {
+	metrics.Read(h.sample)
+	return h.sample[0].Value.Uint64()
+}
+
+// exceeds reports whether the heap has grown by more than a number of bytes.
+func (h *heapGrowth) exceeds(limit uint64) bool {
+	now := h.size()
+	return now > h.before && now-h.before > limit
+}
+
 // withPosition returns an error with its place, in one line.
 func withPosition(name string, err error) error {
-	text, pos := err.Error(), ""
+	place, text := positionOf(name, err)
+	if place == "" {
+		place = name
+	}
+	return fmt.Errorf("%s: %s", place, strings.Join(strings.Fields(text), " "))
+}
+
+// positionOf returns the place and text of an error of parsing, resolving or running a
+// file. The place is empty if it is not known.
+func positionOf(name string, err error) (place, text string) {
 	var evalErr *starlark.EvalError
 	var syntaxErr syntax.Error
 	var resolveErr resolve.ErrorList
 	switch {
 	case errors.As(err, &evalErr):
-		for i := range len(evalErr.CallStack) {
-			// The innermost place that lies in the file.
-			if p := evalErr.CallStack.At(i).Pos; p.Filename() == name && p.Line > 0 {
-				pos = p.String()
-				break
-			}
-		}
-		text = evalErr.Msg
-		text = strings.TrimPrefix(text, "Starlark computation cancelled: ")
+		return innermostPosition(name, evalErr), strings.TrimPrefix(evalErr.Msg, "Starlark computation cancelled: ")
 	case errors.As(err, &syntaxErr):
-		pos, text = syntaxErr.Pos.String(), syntaxErr.Msg
+		return syntaxErr.Pos.String(), syntaxErr.Msg
 	case errors.As(err, &resolveErr) && len(resolveErr) > 0:
-		pos, text = resolveErr[0].Pos.String(), resolveErr[0].Msg
+		return resolveErr[0].Pos.String(), resolveErr[0].Msg
 	}
-	if pos == "" {
-		pos = name
+	return "", err.Error()
+}
+
+// innermostPosition returns the innermost place of a call stack that lies in the file, not
+// in a built-in function; empty if there is none.
+func innermostPosition(name string, err *starlark.EvalError) string {
+	for i := range len(err.CallStack) {
+		if p := err.CallStack.At(i).Pos; p.Filename() == name && p.Line > 0 {
+			return p.String()
+		}
 	}
-	return fmt.Errorf("%s: %s", pos, strings.Join(strings.Fields(text), " "))
+	return ""
 }
--- /dev/null
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -0,0 +1,152 @@
+package dagfile
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"go.starlark.net/starlark"
+
+	"poppypass/internal/graphs/dag"
+)
+
+// dagValue is a DAG of a file.
+type dagValue struct {
+	described dag.Graph // without its steps
+	defaults  map[string]starlark.Value
+	steps     []*stepValue
+}
+
+func (d *dagValue) String() string        { return "DAG(" + d.described.ID + ")" }
+func (d *dagValue) Type() string          { return "DAG" }
+func (d *dagValue) Freeze()               {}
+func (d *dagValue) Truth() starlark.Bool  { return true }
+func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.described.ID).Hash() }
+
+// graph returns the graph that the file made of it. Without a team it belongs to the owner
+// in its default arguments.
+func (d *dagValue) graph() *dag.Graph {
+	g := d.described
+	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && g.Team == "" {
+		g.Team = owner
+	}
+	for _, s := range d.steps {
+		g.Steps = append(g.Steps, s.step)
+	}
+	return &g
+}
+
+// addStep adds a step to a DAG, up to dag.MaxSteps.
+func (d *dagValue) addStep(operator string, s dag.Step) (starlark.Value, error) {
+	if len(d.steps) >= dag.MaxSteps {
+		return nil, fmt.Errorf("%s: the graph has more than %d steps", operator, dag.MaxSteps)
+	}
+	v := &stepValue{dag: d, step: s}
+	d.steps = append(d.steps, v)
+	return v, nil
+}
+
+// addDefaults adds the default arguments that an operator takes and that are not given.
+// params has the form of starlark.UnpackArgs. default_args may hold what other operators
+// take, or what means nothing here, such as owner.
+func (d *dagValue) addDefaults(kwargs []starlark.Tuple, params []any) []starlark.Tuple {
+	given := map[string]bool{}
+	for _, kv := range kwargs {
+		given[string(kv[0].(starlark.String))] = true
+	}
+	for i := 0; i < len(params); i += 2 {
+		name := strings.TrimSuffix(params[i].(string), "?")
+		if v, ok := d.defaults[name]; ok && !given[name] {
+			kwargs = append(kwargs, starlark.Tuple{starlark.String(name), v})
+		}
+	}
+	return kwargs
+}
+
+// dagArgs are those arguments of DAG(...) whose form differs from the field of the graph.
+type dagArgs struct {
+	start, end, params, defaults, catchup, tags starlark.Value
+}
+
+// newDAG is DAG(...). It adds a DAG to the loader.
+func (l *loader) newDAG(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	d := &dagValue{defaults: map[string]starlark.Value{}}
+	g := &d.described
+	a := dagArgs{starlark.None, starlark.None, starlark.None, starlark.None, starlark.False, starlark.None}
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "dag_id", &g.ID, "team?", &g.Team, "schedule?", &g.Schedule, "description?", &g.Description,
+		"timezone?", &g.Timezone, "start_date?", &a.start, "end_date?", &a.end, "catchup?", &a.catchup, "max_active_runs?", &g.MaxRuns,
+		"max_active_tasks?", &g.MaxTasks, "params?", &a.params, "default_args?", &a.defaults, "tags?", &a.tags); err != nil {
+		return nil, err
+	}
+	if err := d.apply(&a); err != nil {
+		return nil, err
+	}
+	l.dags = append(l.dags, d)
+	return d, nil
+}
+
+// apply sets what the arguments describe.
+func (d *dagValue) apply(a *dagArgs) error {
+	g := &d.described
+	g.Catchup = bool(a.catchup.Truth())
+	if err := d.setDates(a); err != nil {
+		return err
+	}
+	if err := d.setParams(a.params); err != nil {
+		return err
+	}
+	if m, ok := a.defaults.(*starlark.Dict); ok {
+		for _, item := range m.Items() {
+			if key, isString := starlark.AsString(item[0]); isString {
+				d.defaults[key] = item[1]
+			}
+		}
+	}
+	if list, ok := a.tags.(*starlark.List); ok {
+		for v := range list.Elements() {
+			if s, isString := starlark.AsString(v); isString {
+				g.Tags = append(g.Tags, s)
+			}
+		}
+	}
+	return nil
+}
+
+// setDates reads the first and last date, in the time zone of the DAG.
+func (d *dagValue) setDates(a *dagArgs) (err error) {
+	g := &d.described
+	location := time.UTC
+	if g.Timezone != "" {
+		if location, err = time.LoadLocation(g.Timezone); err != nil {
+			return fmt.Errorf("DAG: timezone %q is not known", g.Timezone)
+		}
+	}
+	if g.Start, err = dateOf("start_date", a.start, location); err != nil {
+		return err
+	}
+	g.End, err = dateOf("end_date", a.end, location)
+	return err
+}
+
+// setParams reads the parameters of runs, a dict of plain values.
+func (d *dagValue) setParams(params starlark.Value) error {
+	m, ok := params.(*starlark.Dict)
+	if !ok {
+		return nil
+	}
+	d.described.Params = map[string]json.RawMessage{}
+	for _, item := range m.Items() {
+		key, isString := starlark.AsString(item[0])
+		if !isString {
+			return errors.New("DAG: the names of params must be strings")
+		}
+		raw, err := toJSON(item[1], 0)
+		if err != nil {
+			return fmt.Errorf("DAG: param %s: %w", key, err)
+		}
+		d.described.Params[key] = raw
+	}
+	return nil
+}
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -1,6 +1,7 @@
 package dagfile
 
 import (
+	"errors"
 	"fmt"
 	"reflect"
 
@@ -8,14 +9,17 @@
 	"go.starlark.net/syntax"
 )
 
-// maxRepeat bounds what s * n may make of a string or list, in bytes or elements.
-const maxRepeat = 1 << 20
+const (
+	maxRepeat      = 1 << 20 // bytes or elements of a string or list times a number
+	maxProductBits = 1 << 16 // of a product of integers
+)
 
+// mulBuiltin is the name by which rewritten products call mul.
 const mulBuiltin = "__mul"
 
-// guardProducts replaces each x * y by a call that looks at the sizes first: a string times a number
-// could make a gigabyte in one step, before anybody can end it. x + y at most
-// doubles what is there, which the look at the heap finds.
+// guardProducts replaces each x * y by a call that checks the sizes first: a string times a
+// number could allocate a gigabyte in one step, before watch can cancel the file. x + y at
+// most doubles what is there, which watch notices.
 func guardProducts(f *syntax.File) error {
 	var err error
 	for _, stmt := range f.Stmts {
@@ -26,7 +30,8 @@
 
 var exprType = reflect.TypeFor[syntax.Expr]()
 
-// rewrite replaces expressions in all fields of a node, and below.
+// rewrite replaces the products in all fields of a node, and below. It sets err to the last
+// fault that it finds.
 func rewrite(v reflect.Value, err *error) {
 	switch v.Kind() {
 	case reflect.Interface, reflect.Pointer:
@@ -39,15 +44,9 @@
 			replaceProduct(v.Index(i))
 		}
 	case reflect.Struct:
-		if v.CanAddr() {
-			if a, ok := v.Addr().Interface().(*syntax.AssignStmt); ok && a.Op == syntax.STAR_EQ {
-				x, plain := a.LHS.(*syntax.Ident)
-				if !plain {
-					*err = syntax.Error{Pos: a.OpPos, Msg: "x *= y is only allowed for a plain name x"}
-					return
-				}
-				a.Op, a.RHS = syntax.EQ, &syntax.BinaryExpr{X: &syntax.Ident{NamePos: x.NamePos, Name: x.Name}, OpPos: a.OpPos, Op: syntax.STAR, Y: a.RHS}
-			}
+		if e := expandStarAssign(v); e != nil {
+			*err = e
+			return
 		}
 		for i := range v.NumField() {
 			field := v.Field(i)
@@ -60,6 +59,25 @@
 	}
 }
 
+// expandStarAssign changes x *= y to x = x * y, if the node v is that, so that its product is
+// found. For anything but a plain name x would then be evaluated twice, so it is an error.
+func expandStarAssign(v reflect.Value) error {
+	if !v.CanAddr() {
+		return nil
+	}
+	a, ok := v.Addr().Interface().(*syntax.AssignStmt)
+	if !ok || a.Op != syntax.STAR_EQ {
+		return nil
+	}
+	x, plain := a.LHS.(*syntax.Ident)
+	if !plain {
+		return syntax.Error{Pos: a.OpPos, Msg: "x *= y is only allowed for a plain name x"}
+	}
+	product := &syntax.BinaryExpr{X: &syntax.Ident{NamePos: x.NamePos, Name: x.Name}, OpPos: a.OpPos, Op: syntax.STAR, Y: a.RHS}
+	a.Op, a.RHS = syntax.EQ, product
+	return nil
+}
+
 // holdsNodes reports whether a field can hold nodes: positions, tokens and what the resolver
 // adds cannot.
 func holdsNodes(t reflect.Type) bool {
@@ -69,7 +87,7 @@
 	return t.Kind() == reflect.Interface && t.NumMethod() > 0 || t.Kind() == reflect.Pointer && t.Elem().Kind() == reflect.Struct
 }
 
-// replaceProduct puts the call in place of a product.
+// replaceProduct puts a call of mul in the place of an expression that is a product.
 func replaceProduct(v reflect.Value) {
 	if !v.CanSet() || v.Type() != exprType || v.IsNil() {
 		return
@@ -83,24 +101,44 @@
 	}))
 }
 
-// mul is x * y, if what it makes is not too large.
+// mul is x * y, if the result is not too large.
 func mul(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	x, y := args[0], args[1]
+	if err := checkRepeat(x, y); err != nil {
+		return nil, err
+	}
+	if err := checkProduct(x, y); err != nil {
+		return nil, err
+	}
+	return starlark.Binary(syntax.STAR, x, y)
+}
+
+// checkRepeat bounds the length of a sequence times a number, in either order.
+func checkRepeat(x, y starlark.Value) error {
 	n, ok := x.(starlark.Int)
 	seq := y
 	if !ok {
 		n, ok = y.(starlark.Int)
 		seq = x
 	}
-	if size := starlark.Len(seq); ok && size > 0 {
-		if times, fits := n.Int64(); !fits || times > 0 && times > maxRepeat/int64(size) {
-			return nil, fmt.Errorf("%s * %v is too long; up to %d are allowed", seq.Type(), n, maxRepeat)
-		}
+	size := starlark.Len(seq)
+	if !ok || size <= 0 {
+		return nil
 	}
-	if a, ok := x.(starlark.Int); ok {
-		if b, ok := y.(starlark.Int); ok && a.BigInt().BitLen()+b.BigInt().BitLen() > 1<<16 {
-			return nil, fmt.Errorf("the product is too large")
-		}
+	if times, fits := n.Int64(); !fits || times > 0 && times > maxRepeat/int64(size) {
+		return fmt.Errorf("%s * %v is too long; up to %d are allowed", seq.Type(), n, maxRepeat)
 	}
-	return starlark.Binary(syntax.STAR, x, y)
+	return nil
+}
+
+// checkProduct bounds the size of the product of two integers.
+func checkProduct(x, y starlark.Value) error {
+	a, ok := x.(starlark.Int)
+	if !ok {
+		return nil
+	}
+	if b, ok := y.(starlark.Int); ok && a.BigInt().BitLen()+b.BigInt().BitLen() > maxProductBits {
+		return errors.New("the product is too large")
+	}
+	return nil
 }
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -1,22 +1,21 @@
 package dagfile
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
-	"strings"
 
 	"go.starlark.net/starlark"
 
 	"poppypass/internal/graphs/dag"
 )
 
-// operator makes steps of a kind. partial(...).expand(items = ...) makes a mapped one.
+// operator is a callable value that makes steps of a kind. Its partial(...).expand(items =
+// ...) makes a mapped step.
 type operator struct {
 	l       *loader
 	name    string
 	kind    dag.Kind
-	partial []starlark.Tuple // what partial was given
+	partial []starlark.Tuple // the arguments of partial; nil: not called
 }
 
 func (o *operator) String() string { return o.name }
@@ -33,44 +32,34 @@
 
 func (o *operator) AttrNames() []string { return []string{"expand", "partial"} }
 
+// Attr implements starlark.HasAttrs.
 func (o *operator) Attr(name string) (starlark.Value, error) {
 	switch {
 	case name == "partial" && o.partial == nil:
-		return starlark.NewBuiltin("partial", func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-			if len(args) > 0 {
-				return nil, errors.New("partial: name each argument")
-			}
-			return &operator{l: o.l, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
-		}), nil
+		return starlark.NewBuiltin("partial", o.bind), nil
 	case name == "expand" && o.partial != nil:
 		return starlark.NewBuiltin("expand", o.expand), nil
 	}
 	return nil, nil
 }
 
+// bind is partial(...): an operator with arguments, which only expand takes.
+func (o *operator) bind(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	if len(args) > 0 {
+		return nil, errors.New("partial: name each argument")
+	}
+	return &operator{l: o.l, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
+}
+
+// expand is expand(items = ...): a mapped step with the arguments of partial.
 func (o *operator) expand(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var items starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "items", &items); err != nil {
 		return nil, err
 	}
-	m := &dag.Map{}
-	switch v := items.(type) {
-	case *output:
-		m.Over = v.of.step.ID
-	case *starlark.List:
-		m.List = make([]json.RawMessage, 0, v.Len())
-		if v.Len() > dag.MaxMappedInstances {
-			return nil, fmt.Errorf("expand: %d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
-		}
-		for e := range v.Elements() {
-			raw, err := toJSON(e, 0)
-			if err != nil {
-				return nil, fmt.Errorf("expand: %w", err)
-			}
-			m.List = append(m.List, raw)
-		}
-	default:
-		return nil, fmt.Errorf("expand: items is a %s; it must be a list or a step's output", items.Type())
+	m, err := mapOver(items)
+	if err != nil {
+		return nil, fmt.Errorf("expand: %w", err)
 	}
 	made, err := (&operator{l: o.l, name: o.name, kind: o.kind}).CallInternal(t, nil, o.partial)
 	if err != nil {
@@ -80,7 +69,22 @@
 	return made, nil
 }
 
-// CallInternal makes a step.
+// mapOver returns what a step is mapped over: a list of plain values, or a step's output.
+func mapOver(items starlark.Value) (*dag.Map, error) {
+	switch v := items.(type) {
+	case *output:
+		return &dag.Map{Over: v.of.step.ID}, nil
+	case *starlark.List:
+		if v.Len() > dag.MaxMappedInstances {
+			return nil, fmt.Errorf("%d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
+		}
+		list, err := listToJSON(v, 0)
+		return &dag.Map{List: list}, err
+	}
+	return nil, fmt.Errorf("items is a %s; it must be a list or a step's output", items.Type())
+}
+
+// CallInternal makes a step. It implements starlark.Callable.
 func (o *operator) CallInternal(_ *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if o.partial != nil {
 		return nil, errors.New("partial(...) goes with expand(...)")
@@ -89,67 +93,21 @@
 	if err != nil {
 		return nil, err
 	}
-	given := map[string]bool{}
-	for _, kv := range kwargs {
-		given[string(kv[0].(starlark.String))] = true
-	}
-	s := dag.Step{Kind: o.kind}
-	job := &dag.Job{}
-	var rule, pool, retries, weight, slots, past, tasks = "", "", 0, 0, 0, false, 0
-	var delay, most, timeout, types starlark.Value = starlark.None, starlark.None, starlark.None, starlark.None
-	var backoff bool
-	amount := func(p *float64) *number { return &number{p} }
-	pairs := []any{"task_id", &s.ID}
-	if o.kind != dag.KindEmpty { // what must be given stands first
-		pairs = append(pairs, "job_class", &job.Class, "cpus", amount(&job.CPUs), "memory_gb", amount(&job.MemoryGB), "image", &job.Image)
-	}
-	pairs = append(pairs, "trigger_rule?", &rule, "retries?", &retries, "retry_delay?", &delay, "retry_exponential_backoff?", &backoff,
-		"max_retry_delay?", &most, "execution_timeout?", &timeout, "depends_on_past?", &past, "pool?", &pool, "pool_slots?", &slots,
-		"priority_weight?", &weight)
-	if o.kind != dag.KindEmpty {
-		pairs = append(pairs, "urgency?", &job.Urgency, "tasks?", &tasks, "gpus?", amount(&job.GPUs), "image_gb?", amount(&job.ImageGB), "types?", &types, "zone?", &job.Zone,
-			"same_zone?", &job.SameZone, "spread?", &job.Spread, "spot?", &job.Spot, "estimate_s?", amount(&job.EstimateS),
-			"checkpoint_s?", amount(&job.CheckpointS), "save_s?", amount(&job.SaveS), "account?", &job.Account)
-		s.Job = job
-	}
-	// default_args may hold what other operators take; owner and the like say nothing here.
-	for i := 2; i < len(pairs); i += 2 { // all but task_id
-		name := strings.TrimSuffix(pairs[i].(string), "?")
-		if v, ok := d.defaults[name]; ok && !given[name] {
-			kwargs = append(kwargs, starlark.Tuple{starlark.String(name), v})
-		}
-	}
-	if err := starlark.UnpackArgs(o.name, args, kwargs, pairs...); err != nil {
+	a := newStepArgs(o.kind)
+	params := a.params()
+	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, which stands first, has no default
+	if err := starlark.UnpackArgs(o.name, args, kwargs, params...); err != nil {
 		return nil, err
 	}
-	s.Rule, s.Pool, s.Retries, s.Weight, s.PoolSlots, s.DependsOnPast, s.Exponential = dag.TriggerRule(rule), pool, retries, weight, slots, past, backoff
-	job.Tasks = tasks
-	for name, f := range map[string]struct {
-		from starlark.Value
-		to   *dag.Duration
-	}{"retry_delay": {delay, &s.Delay}, "max_retry_delay": {most, &s.MaxDelay}, "execution_timeout": {timeout, &s.Timeout}} {
-		if *f.to, err = durationOf(name, f.from); err != nil {
-			return nil, err
-		}
-	}
-	if list, ok := types.(*starlark.List); ok {
-		for v := range list.Elements() {
-			name, isString := starlark.AsString(v)
-			if !isString {
-				return nil, fmt.Errorf("%s: types must be names", o.name)
-			}
-			job.Types = append(job.Types, name)
-		}
-	}
-	if len(d.steps) >= dag.MaxSteps {
-		return nil, fmt.Errorf("%s: the graph has more than %d steps", o.name, dag.MaxSteps)
+	s, err := a.build(o.name)
+	if err != nil {
+		return nil, err
 	}
-	v := &stepValue{dag: d, step: s}
-	d.steps = append(d.steps, v)
-	return v, nil
+	return d.addStep(o.name, s)
 }
 
-// dagOf finds the DAG of a step: the one that is named, or the file's last.
+// dagOf returns the DAG of a step, the one that is named or the file's last, and the other
+// arguments.
 func (o *operator) dagOf(kwargs []starlark.Tuple) (*dagValue, []starlark.Tuple, error) {
 	var rest []starlark.Tuple
 	var d *dagValue
--- /dev/null
+++ b/internal/graphs/dagfile/stepargs.go
@@ -0,0 +1,88 @@
+package dagfile
+
+import (
+	"fmt"
+
+	"go.starlark.net/starlark"
+
+	"poppypass/internal/graphs/dag"
+)
+
+// stepArgs are the arguments of an operator. Those whose form differs from the field of the
+// step are kept apart until build.
+type stepArgs struct {
+	step                     dag.Step
+	job                      dag.Job
+	rule                     string
+	delay, maxDelay, timeout starlark.Value // seconds or None
+	types                    starlark.Value // a list of names or None
+}
+
+// newStepArgs returns the defaults of an operator's arguments.
+func newStepArgs(kind dag.Kind) *stepArgs {
+	return &stepArgs{step: dag.Step{Kind: kind}, delay: starlark.None, maxDelay: starlark.None, timeout: starlark.None, types: starlark.None}
+}
+
+// params returns names and destinations in the form of starlark.UnpackArgs; task_id stands
+// first, and what must be given before what may be.
+func (a *stepArgs) params() []any {
+	params := []any{"task_id", &a.step.ID}
+	if a.hasJob() {
+		params = append(params, a.requiredJobParams()...)
+	}
+	params = append(params, a.stepParams()...)
+	if a.hasJob() {
+		params = append(params, a.optionalJobParams()...)
+	}
+	return params
+}
+
+func (a *stepArgs) hasJob() bool { return a.step.Kind != dag.KindEmpty }
+
+func (a *stepArgs) requiredJobParams() []any {
+	j := &a.job
+	return []any{"job_class", &j.Class, "cpus", &number{&j.CPUs}, "memory_gb", &number{&j.MemoryGB}, "image", &j.Image}
+}
+
+func (a *stepArgs) stepParams() []any {
+	s := &a.step
+	return []any{
+		"trigger_rule?", &a.rule, "retries?", &s.Retries, "retry_delay?", &a.delay, "retry_exponential_backoff?", &s.Exponential,
+		"max_retry_delay?", &a.maxDelay, "execution_timeout?", &a.timeout, "depends_on_past?", &s.DependsOnPast,
+		"pool?", &s.Pool, "pool_slots?", &s.PoolSlots, "priority_weight?", &s.Weight,
+	}
+}
+
+func (a *stepArgs) optionalJobParams() []any {
+	j := &a.job
+	return []any{
+		"urgency?", &j.Urgency, "tasks?", &j.Tasks, "gpus?", &number{&j.GPUs}, "image_gb?", &number{&j.ImageGB}, "types?", &a.types,
+		"zone?", &j.Zone, "same_zone?", &j.SameZone, "spread?", &j.Spread, "spot?", &j.Spot, "estimate_s?", &number{&j.EstimateS},
+		"checkpoint_s?", &number{&j.CheckpointS}, "save_s?", &number{&j.SaveS}, "account?", &j.Account,
+	}
+}
+
+// build returns the step that the arguments describe; operator names it in errors.
+func (a *stepArgs) build(operator string) (dag.Step, error) {
+	s := a.step
+	s.Rule = dag.TriggerRule(a.rule)
+	for _, d := range []struct {
+		name  string
+		value starlark.Value
+		to    *dag.Duration
+	}{{"retry_delay", a.delay, &s.Delay}, {"max_retry_delay", a.maxDelay, &s.MaxDelay}, {"execution_timeout", a.timeout, &s.Timeout}} {
+		var err error
+		if *d.to, err = durationOf(d.name, d.value); err != nil {
+			return dag.Step{}, err
+		}
+	}
+	types, err := namesOf(a.types)
+	if err != nil {
+		return dag.Step{}, fmt.Errorf("%s: types must be names", operator)
+	}
+	if a.hasJob() {
+		a.job.Types = types
+		s.Job = &a.job
+	}
+	return s, nil
+}
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -29,33 +29,33 @@
 	return []string{"output", "set_downstream", "set_upstream", "task_id"}
 }
 
+// Attr implements starlark.HasAttrs.
 func (s *stepValue) Attr(name string) (starlark.Value, error) {
-	link := func(up bool) starlark.Value {
-		return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-			var other starlark.Value
-			if err := starlark.UnpackArgs(name, args, kwargs, "other", &other); err != nil {
-				return nil, err
-			}
-			if up {
-				return starlark.None, addDependencies(other, s)
-			}
-			return starlark.None, addDependencies(s, other)
-		})
-	}
 	switch name {
 	case "task_id":
 		return starlark.String(s.step.ID), nil
 	case "output":
 		return &output{of: s}, nil
 	case "set_upstream":
-		return link(true), nil
+		return linker(name, func(other starlark.Value) error { return addDependencies(other, s) }), nil
 	case "set_downstream":
-		return link(false), nil
+		return linker(name, func(other starlark.Value) error { return addDependencies(s, other) }), nil
 	}
 	return nil, nil
 }
 
-// Binary is a >> b and a << b; either side may be a list.
+// linker returns a method of a step that links it with its only argument.
+func linker(name string, link func(other starlark.Value) error) starlark.Value {
+	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+		var other starlark.Value
+		if err := starlark.UnpackArgs(name, args, kwargs, "other", &other); err != nil {
+			return nil, err
+		}
+		return starlark.None, link(other)
+	})
+}
+
+// Binary is a >> b and a << b; either side may be a list. It implements starlark.HasBinary.
 func (s *stepValue) Binary(op syntax.Token, y starlark.Value, side starlark.Side) (starlark.Value, error) {
 	before, after := starlark.Value(s), y
 	if (op == syntax.LTLT) != (side == starlark.Right) {
@@ -71,7 +71,7 @@
 	return nil, nil
 }
 
-// output represents a step's result, which another may be mapped over.
+// output is the value that stands for a step's result, which another may be mapped over.
 type output struct{ of *stepValue }
 
 func (o *output) String() string { return "output of " + o.of.step.ID }
@@ -104,7 +104,7 @@
 	return out, nil
 }
 
-// addDependencies has all steps of one value follow all of another.
+// addDependencies makes all steps of one value follow all of another.
 func addDependencies(before, after starlark.Value) error {
 	up, err := stepsOf(before)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// chain has each of its arguments follow the one before.
+// chain is chain(a, b, ...): each argument follows the one before.
 func chain(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	for i := 1; i < len(args); i++ {
 		if err := addDependencies(args[i-1], args[i]); err != nil {
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// number unpacks an int or float.
+// number unpacks an int or float that is finite and not negative.
 type number struct{ p *float64 }
 
 // Unpack implements starlark.Unpacker.
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// timedelta returns a time in seconds.
+// timedelta is timedelta(days, hours, minutes, seconds): a duration in seconds.
 func timedelta(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var days, hours, minutes, seconds float64
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "days?", &number{&days}, "hours?", &number{&hours}, "minutes?", &number{&minutes}, "seconds?", &number{&seconds}); err != nil {
@@ -34,7 +34,8 @@
 	return starlark.Float(days*86400 + hours*3600 + minutes*60 + seconds), nil
 }
 
-// datetime returns a date as text, which the DAG reads in its own time zone.
+// datetime is datetime(year, month, day, hour, minute): a date as text, which the DAG reads
+// in its own time zone.
 func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var y, m, d, h, minute int
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
@@ -43,6 +44,8 @@
 	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
 }
 
+// dateOf reads an argument that is a date, in a time zone unless it has its own; nil for
+// None.
 func dateOf(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
 	if v == starlark.None {
 		return nil, nil
@@ -58,6 +61,7 @@
 	return nil, fmt.Errorf("DAG: %s is %v; it must be a date such as 2026-12-01 or datetime(2026, 12, 1)", name, v)
 }
 
+// durationOf reads an argument that is a duration in seconds; 0 for None.
 func durationOf(name string, v starlark.Value) (dag.Duration, error) {
 	if v == starlark.None {
 		return 0, nil
@@ -69,12 +73,35 @@
 	return dag.Duration(f * float64(time.Second)), nil
 }
 
-// toJSON returns a plain value as JSON.
+// errNotNames says that a list holds something else than strings.
+var errNotNames = errors.New("not a list of names")
+
+// namesOf returns a list of strings; none for a value that is no list.
+func namesOf(v starlark.Value) (names []string, err error) {
+	list, ok := v.(*starlark.List)
+	if !ok {
+		return nil, nil
+	}
+	for e := range list.Elements() {
+		name, ok := starlark.AsString(e)
+		if !ok {
+			return nil, errNotNames
+		}
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+// maxDepth bounds how deeply lists and dicts are nested in a plain value.
+const maxDepth = 8
+
+// toJSON returns a plain value as JSON. depth is how deeply it is nested in others.
 func toJSON(v starlark.Value, depth int) (json.RawMessage, error) {
-	if depth > 8 {
+	if depth > maxDepth {
 		return nil, errors.New("it is nested too deeply")
 	}
 	var out any
+	var err error
 	switch v := v.(type) {
 	case starlark.NoneType:
 	case starlark.Bool:
@@ -89,31 +116,45 @@
 		}
 		out = float64(v)
 	case *starlark.List:
-		list := make([]json.RawMessage, 0, v.Len())
-		for e := range v.Elements() {
-			raw, err := toJSON(e, depth+1)
-			if err != nil {
-				return nil, err
-			}
-			list = append(list, raw)
-		}
-		out = list
+		out, err = listToJSON(v, depth+1)
 	case *starlark.Dict:
-		m := map[string]json.RawMessage{}
-		for _, item := range v.Items() {
-			key, ok := starlark.AsString(item[0])
-			if !ok {
-				return nil, errors.New("a key is no string")
-			}
-			raw, err := toJSON(item[1], depth+1)
-			if err != nil {
-				return nil, err
-			}
-			m[key] = raw
-		}
-		out = m
+		out, err = dictToJSON(v, depth+1)
 	default:
 		return nil, fmt.Errorf("a %s is no plain value", v.Type())
 	}
+	if err != nil {
+		return nil, err
+	}
 	return json.Marshal(out)
 }
+
+// listToJSON returns the elements of a list as JSON; the result is not nil even if there are
+// none. depth is that of the elements.
+func listToJSON(v *starlark.List, depth int) ([]json.RawMessage, error) {
+	list := make([]json.RawMessage, 0, v.Len())
+	for e := range v.Elements() {
+		raw, err := toJSON(e, depth)
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, raw)
+	}
+	return list, nil
+}
+
+// dictToJSON returns the values of a dict as JSON. depth is that of the values.
+func dictToJSON(v *starlark.Dict, depth int) (map[string]json.RawMessage, error) {
+	m := map[string]json.RawMessage{}
+	for _, item := range v.Items() {
+		key, ok := starlark.AsString(item[0])
+		if !ok {
+			return nil, errors.New("a key is no string")
+		}
+		raw, err := toJSON(item[1], depth)
+		if err != nil {
+			return nil, err
+		}
+		m[key] = raw
+	}
+	return m, nil
+}
