--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -369,18 +369,6 @@
 	})
 }
 
-// check looks for broken rules.
-func (sim *simulation) check() {
-	sim.mu.Lock()
-	sim.checkCancelled()
-	sim.checkServed()
-	broken, trace := sim.broken, sim.trace.String()
-	sim.mu.Unlock()
-	if broken != "" {
-		sim.t.Fatalf("%s\n%s", broken, trace)
-	}
-}
-
 // settle ends all faults.
 func (sim *simulation) settle() {
 	sim.endFaults(true)
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -3,15 +3,9 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
-	"iter"
 	"net/http"
-	"slices"
-	"strings"
-	"testing"
 	"time"
 
-	"poppypass/internal/platform/wire"
 	"poppypass/internal/sim/fakes"
 )
 
@@ -64,86 +58,12 @@
 	return sim.now().Sub(s.at) > d && time.Since(s.real) > wall
 }
 
-// history is what a job's users were told, in real order. Answers only move forward: unknown, accepted, over, and once it is
-// over it stays what it is.
-type history struct {
-	level int    // the furthest that any answer told
-	final string // the state that it is over in
-}
-
 const (
 	unknown = iota
 	accepted
 	ended
 )
 
-// levelOf is how far an answer tells a job to be; ok is false if it tells nothing.
-func levelOf(status int, state string) (level int, ok bool) {
-	switch {
-	case status == http.StatusNotFound:
-		return unknown, true
-	case status != http.StatusOK && status != http.StatusCreated:
-		return 0, false
-	case state == "done" || state == "withdrawn":
-		return ended, true
-	}
-	return accepted, true
-}
-
-// take takes in the answer to a request that began when before was known, and says what is wrong with it: a request that begins
-// after any answer arrived must never get an older one.
-func (h *history) take(before history, status int, state string) (broken string) {
-	level, ok := levelOf(status, state)
-	switch {
-	case !ok:
-		return ""
-	case level < before.level && level == unknown:
-		broken = "forgotten: unknown, and was accepted"
-	case level < before.level:
-		broken = fmt.Sprintf("went_back: called %s, and was %s", state, before.final)
-	case level == ended && before.level == ended && state != before.final,
-		level == ended && h.level == ended && state != h.final: // two that are on their way at once differ
-		broken = fmt.Sprintf("went_back: called %s, and was %s", state, h.final)
-	}
-	if level > h.level {
-		h.level = level
-	}
-	if level == ended && h.final == "" {
-		h.final = state
-	}
-	return broken
-}
-
-// Guards against a checker that sees nothing.
-func TestAJobsStatesOnlyMoveForward(t *testing.T) {
-	type answer struct {
-		before history
-		status int
-		state  string
-	}
-	was := func(level int, final string) history { return history{level, final} }
-	for name, c := range map[string]struct {
-		now    history
-		next   answer
-		broken string
-	}{
-		"a question that began before it was accepted": {was(accepted, ""), answer{was(unknown, ""), 404, ""}, ""},
-		"unknown after it was accepted":                {was(accepted, ""), answer{was(accepted, ""), 404, ""}, "forgotten"},
-		"running after it was done":                    {was(ended, "done"), answer{was(ended, "done"), 200, "running"}, "went_back"},
-		"a question that began before its end":         {was(ended, "done"), answer{was(accepted, ""), 200, "running"}, ""},
-		"done after it was cancelled":                  {was(ended, "withdrawn"), answer{was(ended, "withdrawn"), 200, "done"}, "went_back"},
-		"both at once":                                 {was(ended, "withdrawn"), answer{was(accepted, ""), 200, "done"}, "went_back"},
-		"a submission repeated after its end":          {was(ended, "done"), answer{was(ended, "done"), 201, "pending"}, "went_back"},
-		"no answer":                                    {was(ended, "done"), answer{was(ended, "done"), 503, ""}, ""},
-		"the same again":                               {was(ended, "done"), answer{was(ended, "done"), 200, "done"}, ""},
-	} {
-		h := c.now
-		if broken := h.take(c.next.before, c.next.status, c.next.state); !strings.HasPrefix(broken, c.broken) || (broken == "") != (c.broken == "") {
-			t.Errorf("%s: %q", name, broken)
-		}
-	}
-}
-
 // submit has a user submit a job, again and again until it is accepted.
 func (sim *simulation) submit(id string, s spec) *job {
 	or := func(v *string, most string) {
@@ -379,194 +299,7 @@
 	sim.pollEverywhere(j)
 }
 
-// running is how many tasks of a job are on machines. The lock is held.
-func (sim *simulation) running(id string) int {
-	n := 0
-	for _, k := range sim.workers {
-		for _, t := range k.rep.Tasks {
-			if !k.gone && fakes.JobOf(t.Task) == id && present(t.State) {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// holds tells whether a machine may still run what it reports: it is there, and its lease is not over.
-func (k *worker) holds() bool { return !k.gone && !k.over() }
-
-// onMachines gives the tasks that are on machines whose leases are not over, and those that wait for their image as well if fetching
-// is set. The lock is held.
-func (sim *simulation) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
-	return func(yield func(*worker, wire.TaskStatus) bool) {
-		for _, k := range sim.workers {
-			if !k.holds() {
-				continue
-			}
-			for _, t := range k.rep.Tasks {
-				if (present(t.State) || fetching && t.State == wire.TaskFetching) && !yield(k, t) {
-					return
-				}
-			}
-		}
-	}
-}
-
-// use is how many CPUs a team's tasks take. The lock is held.
-func (sim *simulation) use(team string, fetching bool) float64 {
-	sum := 0.0
-	for _, t := range sim.onMachines(fetching) {
-		if j := sim.jobOf(t.Task); j.team == team {
-			sum += j.cpus
-		}
-	}
-	return sum
-}
-
-// permanentUse is how many CPUs a team's replicas take, which do not end by themselves. The lock is held.
-func (sim *simulation) permanentUse(team string) float64 {
-	sum := 0.0
-	for _, j := range sim.jobs {
-		if j.team == team && j.kind == "service" && !j.asked {
-			sum += float64(sim.running(j.id)) * j.cpus
-		}
-	}
-	return sum
-}
-
-// unfinished tells of jobs that are not over. The lock is held.
-func (sim *simulation) unfinished() string {
-	var out strings.Builder
-	for _, j := range sim.jobs {
-		if j.history.level != ended {
-			fmt.Fprintf(&out, "%s: %+v, accepted %v, asked %v, %d completed, %d run, its team uses %g (%g stay) of %g\n",
-				j.id, j.spec, j.accepted, j.asked, len(j.completed), sim.running(j.id), sim.use(j.team, true), sim.permanentUse(j.team), teamLimits[j.team])
-		}
-	}
-	return out.String()
-}
-
-// siblings is how many other tasks of a job are in each zone. The lock is held.
-func (sim *simulation) siblings(j *job, but string, fetching bool) map[string]int {
-	zones := map[string]int{}
-	for k, t := range sim.onMachines(fetching) {
-		if t.Task != but && fakes.JobOf(t.Task) == j.id {
-			zones[k.rep.Zone]++
-		}
-	}
-	return zones
-}
-
-// fits says why a task of a job may not be in a place, given its other tasks.
-func (j *job) fits(k *worker, others map[string]int) (why string) {
-	elsewhere := 0
-	for zone, n := range others {
-		if zone != k.rep.Zone {
-			elsewhere += n
-		}
-	}
-	switch {
-	case j.types != nil && !slices.Contains(j.types, k.rep.Type):
-		return "type " + k.rep.Type
-	case j.zone != "" && j.zone != k.rep.Zone:
-		return "zone " + k.rep.Zone
-	case j.noSpot && k.rep.Spot:
-		return "a spot machine"
-	case j.oneZone && elsewhere > 0:
-		return fmt.Sprintf("zone %s, and %d others are elsewhere", k.rep.Zone, elsewhere)
-	case j.apart && others[k.rep.Zone]+1 > (j.tasks+1)/2:
-		return fmt.Sprintf("zone %s beside %d others", k.rep.Zone, others[k.rep.Zone])
-	}
-	return ""
-}
-
-// taskBegan checks the rules at the start of a task. The lock is held.
-func (sim *simulation) taskBegan(k *worker, t *wire.TaskStatus) {
-	sim.starts++
-	sim.record("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
-	for o, u := range sim.onMachines(false) {
-		if o != k && u.Task == t.Task {
-			sim.violation("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
-		}
-	}
-	j := sim.jobOf(t.Task)
-	if !j.confirmed.IsZero() {
-		sim.violation("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
-	}
-	if use, most := sim.use(j.team, false)+j.cpus, teamLimits[j.team]; use > most {
-		sim.violation("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
-	}
-	if why := j.fits(k, sim.siblings(j, t.Task, false)); why != "" {
-		sim.violation("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
-	}
-}
-
-// checkCancelled looks for tasks of cancelled jobs. The lock is held.
-func (sim *simulation) checkCancelled() {
-	limit := seconds(sim.site.cancelS)
-	for k, t := range sim.onMachines(false) {
-		if j := sim.jobOf(t.Task); !j.confirmed.IsZero() && sim.now().Sub(j.confirmed) > limit {
-			sim.violation("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
-		}
-	}
-}
-
 const (
 	silence = 75 * time.Second // a job about which no question is answered for so long is forgotten
 	waitMax = 90 * time.Second // a job that waits for so long beside room breaks a rule
 )
-
-// checkServed looks, once all faults are over, for jobs that are forgotten or left waiting. The lock is held.
-func (sim *simulation) checkServed() {
-	if sim.calmSince.at.IsZero() {
-		return
-	}
-	for _, j := range sim.jobs {
-		if !j.accepted || j.history.level == ended {
-			continue
-		}
-		heard := j.heard
-		if heard.at.Before(sim.calmSince.at) {
-			heard = sim.calmSince
-		}
-		if sim.past(heard, silence, patience) {
-			sim.violation("forgotten: no question about %s is answered for %v", j.id, sim.now().Sub(heard.at))
-		}
-		switch machine := sim.roomFor(j); {
-		case machine == "":
-			j.roomy = sent{}
-		case j.roomy.at.IsZero():
-			j.roomy = sim.moment()
-		case sim.past(j.roomy, waitMax, patience):
-			sim.violation("waits: %s for %v, and %s has room", j.id, sim.now().Sub(j.roomy.at), machine)
-		}
-	}
-}
-
-// roomFor names a machine that could take a waiting task of a job; none if no task waits, there is none, or its team is at its limit.
-// The lock is held.
-func (sim *simulation) roomFor(j *job) (machine string) {
-	placed := len(j.completed)
-	others := sim.siblings(j, "", true)
-	for _, n := range others {
-		placed += n
-	}
-	if j.asked || placed >= j.tasks || sim.use(j.team, true)+j.cpus > teamLimits[j.team] {
-		return ""
-	}
-	for _, k := range sim.workers {
-		if !k.holds() || k.impaired() || j.fits(k, others) != "" {
-			continue
-		}
-		free := typeCPUs[k.rep.Type]
-		for _, t := range k.rep.Tasks {
-			if t.State != wire.TaskExited {
-				free -= sim.jobOf(t.Task).cpus
-			}
-		}
-		if free >= j.cpus {
-			return k.rep.Machine
-		}
-	}
-	return ""
-}
