--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -1,18 +1,39 @@
-// Package dagview shows graphs to people and to programs that draw.
+// Package dagview shows graphs and their runs: to people as text or as a page of HTML, and
+// to programs that draw in the DOT language.
 package dagview
 
 import (
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"time"
 
 	"poppypass/internal/graphs/dag"
 )
 
-// Text says what a graph is: its size, its critical path and when it runs next.
+const (
+	maxPathSteps = 12 // steps of a critical path that are shown
+	nextFirings  = 3  // of a schedule that are shown
+)
+
+// Text writes what a graph is: its size, its critical path and when it runs next.
 func Text(w io.Writer, p *dag.Plan, now time.Time) error {
+	schedule, err := dag.ParseSchedule(p.Schedule, p.Timezone)
+	if err != nil {
+		return err
+	}
 	var b strings.Builder
+	writeSize(&b, p)
+	path, length := p.CriticalPath()
+	fmt.Fprintf(&b, "critical path, %v by the owners' estimates: %s\n", length, abbreviated(path))
+	writeSchedule(&b, p, schedule, now)
+	_, err = io.WriteString(w, b.String())
+	return err
+}
+
+// writeSize writes how many steps and edges a graph has.
+func writeSize(b *strings.Builder, p *dag.Plan) {
 	edges, jobs, mapped := 0, 0, 0
 	for i := range p.Steps {
 		edges += len(p.Upstream[i])
@@ -23,75 +44,29 @@
 			mapped++
 		}
 	}
-	fmt.Fprintf(&b, "%s of %s: %d steps, %d of them jobs and %d mapped, %d edges\n", p.ID, p.Team, len(p.Steps), jobs, mapped, edges)
-	path, length := p.CriticalPath()
-	fmt.Fprintf(&b, "critical path, %v by the owners' estimates: %s\n", length, abbreviated(path))
-	s, err := dag.ParseSchedule(p.Schedule, p.Timezone)
-	switch {
-	case err != nil:
-		return err
-	case s == nil:
+	fmt.Fprintf(b, "%s of %s: %d steps, %d of them jobs and %d mapped, %d edges\n", p.ID, p.Team, len(p.Steps), jobs, mapped, edges)
+}
+
+// writeSchedule writes when a graph runs next.
+func writeSchedule(b *strings.Builder, p *dag.Plan, s *dag.Schedule, now time.Time) {
+	if s == nil {
 		b.WriteString("no schedule: it runs when it is triggered\n")
-	default:
-		fmt.Fprintf(&b, "schedule %q", p.Schedule)
-		for at, n := s.Next(now), 0; !at.IsZero() && n < 3; at, n = s.Next(at), n+1 {
-			fmt.Fprintf(&b, ", %s", at.Format("2006-01-02 15:04 MST"))
-		}
-		b.WriteString("\n")
-		if p.Start == nil {
-			b.WriteString("without a start_date it runs only when it is triggered\n")
-		}
+		return
+	}
+	fmt.Fprintf(b, "schedule %q", p.Schedule)
+	for at, n := s.Next(now), 0; !at.IsZero() && n < nextFirings; at, n = s.Next(at), n+1 {
+		fmt.Fprintf(b, ", %s", at.Format("2006-01-02 15:04 MST"))
+	}
+	b.WriteString("\n")
+	if p.Start == nil {
+		b.WriteString("without a start_date it runs only when it is triggered\n")
 	}
-	_, err = io.WriteString(w, b.String())
-	return err
 }
 
-// abbreviated returns a long path's ends.
+// abbreviated returns a path, without the middle of a long one.
 func abbreviated(path []string) string {
-	if len(path) > 12 {
-		path = append(append(append([]string{}, path[:6]...), "..."), path[len(path)-5:]...)
+	if n := len(path); n > maxPathSteps {
+		path = slices.Concat(path[:6], []string{"..."}, path[n-5:])
 	}
 	return strings.Join(path, " -> ")
 }
-
-// Dot writes a graph in the DOT language. Names of steps hold nothing that it would
-// take for its own.
-func Dot(w io.Writer, p *dag.Plan) error { return writeDot(w, p, nil) }
-
-// writeDot writes a graph; more gives attributes beside the shape of each step.
-func writeDot(w io.Writer, p *dag.Plan, more func(step int) string) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n  node [shape=box, style=rounded];\n", p.ID)
-	for i := range p.Steps {
-		s := &p.Steps[i]
-		var attrs []string
-		switch {
-		case s.Kind == dag.KindBranch:
-			attrs = append(attrs, "shape=diamond")
-		case s.Kind == dag.KindEmpty:
-			attrs = append(attrs, "shape=circle")
-		case s.Map != nil:
-			attrs = append(attrs, "peripheries=2")
-		}
-		if more != nil {
-			attrs = append(attrs, more(i))
-		}
-		fmt.Fprintf(&b, "  %q", s.ID)
-		if len(attrs) > 0 {
-			fmt.Fprintf(&b, " [%s]", strings.Join(attrs, ", "))
-		}
-		b.WriteString(";\n")
-	}
-	for i := range p.Steps {
-		for _, j := range p.Upstream[i] {
-			label := ""
-			if r := p.Steps[i].Rule; r != "" && r != dag.AllSuccess {
-				label = fmt.Sprintf(" [label=%q]", r)
-			}
-			fmt.Fprintf(&b, "  %q -> %q%s;\n", p.Steps[j].ID, p.Steps[i].ID, label)
-		}
-	}
-	b.WriteString("}\n")
-	_, err := io.WriteString(w, b.String())
-	return err
-}
