--- /dev/null
+++ b/internal/graphs/dag/helpers_test.go
@@ -0,0 +1,72 @@
+package dag
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+)
+
+var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+
+// step returns a step that runs a job.
+func step(id string, up ...string) Step {
+	return Step{ID: id, Kind: KindJob, Job: &Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}, Upstream: up}
+}
+
+// changed returns a step with a change.
+func changed(s Step, change func(*Step)) Step {
+	change(&s)
+	return s
+}
+
+// newTestPlan returns the plan of a graph with these steps.
+func newTestPlan(t testing.TB, steps ...Step) *Plan {
+	t.Helper()
+	p, err := NewPlan(&Graph{ID: "g", Team: "t", Steps: steps})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// stateNames returns the states of a run's steps by name.
+func (r *Run) stateNames() map[string]string {
+	out := map[string]string{}
+	for i := range r.nodes {
+		out[r.Plan.Steps[i].ID] = r.nodes[i].state.String()
+	}
+	return out
+}
+
+// runReady submits all that is ready, and reports it as running.
+func (r *Run) runReady(now time.Time) []Ref {
+	refs := r.TakeReady(1 << 20)
+	for _, at := range refs {
+		r.JobSubmitted(at)
+		r.TaskRunning(at, now)
+	}
+	return refs
+}
+
+// finishJob sets the result of a step that is not mapped, if there is one, and reports its
+// job as done.
+func (r *Run) finishJob(at Ref, result json.RawMessage) error {
+	if result != nil && r.Plan.Steps[at.Step].Map == nil {
+		if err := r.SetResult(at.Step, result); err != nil {
+			return err
+		}
+	}
+	return r.JobDone(at)
+}
+
+// clearFrom clears a step and all that follow it.
+func (r *Run) clearFrom(t interface{ Fatal(...any) }, id string) {
+	steps, err := r.StepsToClear([]string{id}, true, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Clear(steps)
+}
+
+// ref returns the first instance of a step.
+func (r *Run) ref(id string) Ref { return Ref{Step: r.Plan.Index[id]} }
--- /dev/null
+++ b/internal/graphs/dag/random_test.go
@@ -0,0 +1,202 @@
+package dag
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// In random runs of random graphs the counts that events update are those that a recount
+// yields; no step waits whose trigger rule has decided; a final state changes only by a
+// clear; and a run that is stored and read goes on the same. Each run comes to its end.
+func TestRandomRunsStayConsistentAndEnd(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p, err := NewPlan(drawGraph(t))
+		if err != nil {
+			t.Fatal(err)
+		}
+		x := &randomRun{t: t, run: NewRun(p, "run"), now: noon}
+		for range rapid.IntRange(1, 60).Draw(t, "events") {
+			before := x.stepStates()
+			x.now = x.now.Add(time.Second)
+			cleared := x.drawEvent()
+			x.checkSteps(before, cleared)
+		}
+		x.finish()
+	})
+}
+
+// drawGraph returns a graph of up to 12 steps of all kinds.
+func drawGraph(t *rapid.T) *Graph {
+	n := rapid.IntRange(1, 12).Draw(t, "steps")
+	g := &Graph{ID: "g", Team: "t"}
+	for i := range n {
+		s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))}
+		for j := range i {
+			if rapid.IntRange(0, 2).Draw(t, "edge") == 0 {
+				s.Upstream = append(s.Upstream, fmt.Sprint("s", j))
+			}
+		}
+		switch rapid.IntRange(0, 6).Draw(t, "kind") {
+		case 0:
+			s.Kind, s.Job = KindEmpty, nil
+		case 1:
+			s.Map = &Map{List: make([]json.RawMessage, rapid.IntRange(0, 3).Draw(t, "elements"))}
+		case 2:
+			if j := rapid.IntRange(0, n).Draw(t, "over"); j < i && g.Steps[j].Map == nil && g.Steps[j].Kind == KindJob {
+				s.Map = &Map{Over: fmt.Sprint("s", j)}
+			}
+		case 3:
+			s.Kind = KindBranch
+		case 4:
+			s.Retries = 1
+		}
+		g.Steps = append(g.Steps, s)
+	}
+	return g
+}
+
+// randomRun is a run that random events happen to.
+type randomRun struct {
+	t       *rapid.T
+	run     *Run
+	started []Ref // instances whose jobs were started and were not seen to be over
+	now     time.Time
+}
+
+// stepStates returns the states of all steps.
+func (x *randomRun) stepStates() []State {
+	states := make([]State, len(x.run.nodes))
+	for i := range states {
+		states[i] = x.run.nodes[i].state
+	}
+	return states
+}
+
+// drawEvent has something happen to the run, and returns which steps a clear changed.
+func (x *randomRun) drawEvent() (cleared map[int]bool) {
+	switch event := rapid.IntRange(0, 9).Draw(x.t, "event"); {
+	case event == 0:
+		return x.clear()
+	case event == 2 && rapid.IntRange(0, 9).Draw(x.t, "cancel") == 0:
+		x.run.Cancel()
+	case event == 1:
+		x.storeAndRead()
+	case event < 5:
+		x.started = append(x.started, x.run.runReady(x.now)...)
+	case len(x.started) > 0:
+		x.jobEvent()
+	}
+	return nil
+}
+
+// clear clears a step with all that follow it, and returns the steps whose state changed.
+func (x *randomRun) clear() map[int]bool {
+	before := x.stepStates()
+	i := rapid.IntRange(0, len(before)-1).Draw(x.t, "clear")
+	x.run.clearFrom(x.t, x.run.Plan.Steps[i].ID)
+	cleared := map[int]bool{}
+	for j := range before {
+		cleared[j] = x.run.nodes[j].state != before[j]
+	}
+	return cleared
+}
+
+// storeAndRead replaces the run by what is read from its stored form.
+func (x *randomRun) storeAndRead() {
+	r := x.run
+	again, err := DecodeRun(r.Plan, r.Encode())
+	if err != nil {
+		x.t.Fatal(err)
+	}
+	if !reflect.DeepEqual(again.stateNames(), r.stateNames()) || again.unfinished != r.unfinished || again.RunState() != r.RunState() {
+		x.t.Fatalf("read as %v, was %v", again.stateNames(), r.stateNames())
+	}
+	x.run = again
+}
+
+// jobEvent has something happen to one of the jobs that were started.
+func (x *randomRun) jobEvent() {
+	k := rapid.IntRange(0, len(x.started)-1).Draw(x.t, "job")
+	at := x.started[k]
+	if inst := x.run.instance(at); inst == nil || inst.State.Final() || inst.State == Scheduled {
+		x.started = slices.Delete(x.started, k, k+1)
+		return
+	}
+	switch rapid.IntRange(0, 3).Draw(x.t, "end") {
+	case 0:
+		x.run.AttemptFailed(at, x.now, 0)
+	case 1:
+		x.run.TaskRunning(at, x.now)
+	default:
+		if err := x.run.finishJob(at, x.drawResult(at)); err != nil && x.run.Plan.Steps[at.Step].Kind != KindBranch {
+			x.t.Fatal(err)
+		}
+	}
+}
+
+// drawResult returns a result: a list, and of a branch one of its followers' names.
+func (x *randomRun) drawResult(at Ref) json.RawMessage {
+	p := x.run.Plan
+	if p.Steps[at.Step].Kind != KindBranch {
+		return json.RawMessage(`[1,2]`)
+	}
+	var pick []string
+	for _, j := range p.Downstream[at.Step] {
+		if rapid.Bool().Draw(x.t, "picked") {
+			pick = append(pick, p.Steps[j].ID)
+		}
+	}
+	result, _ := json.Marshal(pick) // names
+	return result
+}
+
+// checkSteps compares what the run keeps with a recount, and with the states before.
+func (x *randomRun) checkSteps(before []State, cleared map[int]bool) {
+	r, t := x.run, x.t
+	unfinished := 0
+	for i := range r.nodes {
+		n, s := &r.nodes[i], &r.Plan.Steps[i]
+		if want := r.countUpstream(i); n.upstream != want {
+			t.Fatalf("s%d counts %+v, there are %+v", i, n.upstream, want)
+		}
+		if !n.state.Final() {
+			unfinished++
+		}
+		if before[i].Final() && n.state != before[i] && !cleared[i] {
+			t.Fatalf("s%d was %v and is %v", i, before[i], n.state)
+		}
+		if verdict := s.Rule.Evaluate(n.upstream); n.state == None && !r.cancelled && verdict != None && (verdict != Scheduled || s.Map == nil || s.Map.Over == "") {
+			t.Fatalf("s%d waits, though it is %v after %+v", i, verdict, n.upstream)
+		}
+	}
+	if unfinished != r.unfinished {
+		t.Fatalf("%d steps are not finished, %d are counted", unfinished, r.unfinished)
+	}
+}
+
+// finish completes all jobs until none is left, and checks that the run has ended.
+func (x *randomRun) finish() {
+	r := x.run
+	for range 4 * len(r.nodes) * 4 {
+		for _, at := range append(x.started, r.runReady(x.now)...) {
+			_ = r.finishJob(at, json.RawMessage(`[]`)) // of a branch too: it picks nothing
+		}
+		x.started = nil
+		for i := range r.nodes {
+			for k := range r.nodes[i].instances {
+				if !r.nodes[i].instances[k].State.Final() {
+					x.started = append(x.started, Ref{i, k})
+				}
+			}
+		}
+	}
+	if r.RunState() == RunRunning {
+		x.t.Fatalf("never ends: %v", r.stateNames())
+	}
+}
--- /dev/null
+++ b/internal/graphs/dag/rules_test.go
@@ -0,0 +1,59 @@
+package dag
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+func TestTriggerRulesDecideByUpstreamStates(t *testing.T) {
+	S, F, K, U, N := Success, Failed, Skipped, UpstreamFailed, None
+	for _, c := range []struct {
+		rule TriggerRule
+		ends []State
+		want State
+	}{
+		{"", []State{}, Scheduled}, {"", []State{S, S}, Scheduled}, {"", []State{S, N}, None}, {"", []State{F, N}, UpstreamFailed}, {"", []State{K, N}, Skipped}, {"", []State{U}, UpstreamFailed},
+		{AllFailed, []State{F, U}, Scheduled}, {AllFailed, []State{S, N}, Skipped}, {AllFailed, []State{F, N}, None},
+		{AllDone, []State{F, S, K, U}, Scheduled}, {AllDone, []State{F, N}, None},
+		{AllSkipped, []State{K, K}, Scheduled}, {AllSkipped, []State{K, S}, Skipped},
+		{OneSuccess, []State{S, N}, Scheduled}, {OneSuccess, []State{F, N}, None}, {OneSuccess, []State{F, K}, UpstreamFailed}, {OneSuccess, []State{K, K}, Skipped},
+		{OneFailed, []State{F, N}, Scheduled}, {OneFailed, []State{U, N}, Scheduled}, {OneFailed, []State{S, S}, Skipped}, {OneFailed, []State{S, N}, None},
+		{OneDone, []State{K, N}, None}, {OneDone, []State{F, N}, Scheduled}, {OneDone, []State{K, K}, Skipped},
+		{NoneFailed, []State{S, K}, Scheduled}, {NoneFailed, []State{S, F}, UpstreamFailed}, {NoneFailed, []State{K, K}, Scheduled},
+		{NoneFailedMinOneSuccess, []State{S, K}, Scheduled}, {NoneFailedMinOneSuccess, []State{K, K}, Skipped}, {NoneFailedMinOneSuccess, []State{S, U}, UpstreamFailed}, {NoneFailedMinOneSuccess, []State{S, N}, None},
+		{NoneSkipped, []State{S, F}, Scheduled}, {NoneSkipped, []State{K, N}, Skipped}, {NoneSkipped, []State{S, N}, None},
+		{Always, []State{N, N}, Scheduled},
+	} {
+		var e UpstreamCounts
+		for _, s := range c.ends {
+			e.Add(s, 1)
+		}
+		if got := c.rule.Evaluate(e); got != c.want {
+			t.Errorf("%q after %v: %v, want %v", c.rule, c.ends, got, c.want)
+		}
+	}
+}
+
+// Whatever the order of the ends, a rule decides at the last one at the latest, and does
+// not change its decision: a step that was started or skipped stays so.
+func TestTriggerRulesDecideOnceAndAtTheLatestAtTheEnd(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		rule := TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))
+		ends := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
+		e := UpstreamCounts{Total: len(ends)}
+		given := rule.Evaluate(e)
+		for _, s := range ends {
+			e.Add(s, 1)
+			e.Total--
+			got := rule.Evaluate(e)
+			if given == Scheduled && got != Scheduled || given != None && (got == None || got == Scheduled && given != got) {
+				t.Fatalf("%s says %v, then %v after %v", rule, given, got, e)
+			}
+			given = got
+		}
+		if given == None {
+			t.Fatalf("%s says nothing after all of %v", rule, ends)
+		}
+	})
+}
