--- a/internal/graphs/dag/dag.go
+++ b/internal/graphs/dag/dag.go
@@ -61,11 +61,11 @@
 
 // Step is one step of a graph.
 type Step struct {
-	ID       string      `json:"task_id"`
-	Kind     Kind        `json:"kind"`
-	Job      *Job        `json:"job,omitempty"`      // of all kinds but empty
-	Upstream []string    `json:"upstream,omitempty"` // IDs of the steps that it follows
-	Rule     TriggerRule `json:"trigger_rule,omitempty"`
+	ID       string   `json:"task_id"`
+	Kind     Kind     `json:"kind"`
+	Job      *Job     `json:"job,omitempty"`      // of all kinds but empty
+	Upstream []string `json:"upstream,omitempty"` // IDs of the steps that it follows
+	Rule     Rule     `json:"trigger_rule,omitempty"`
 	Retry
 	Timeout       Duration `json:"execution_timeout,omitempty"` // of one try, from its start; 0: none
 	DependsOnPast bool     `json:"depends_on_past,omitempty"`
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -71,7 +71,7 @@
 	for _, state := range []RunState{RunRunning, RunSuccess, RunFailed} {
 		lines = append(lines, state.String())
 	}
-	lines = append(lines, TriggerRules()...)
+	lines = append(lines, Rules()...)
 	golden.Lines(t, "names", append(lines, string(KindJob), string(KindBranch), string(KindEmpty))...)
 	golden.Hex(t, "states", []byte{
 		byte(None), byte(Scheduled), byte(Queued), byte(Running), byte(UpForRetry), byte(Success), byte(Failed), byte(Skipped), byte(UpstreamFailed),
--- a/internal/graphs/dag/random_test.go
+++ b/internal/graphs/dag/random_test.go
@@ -36,7 +36,7 @@
 	n := rapid.IntRange(1, 12).Draw(t, "steps")
 	g := &Graph{ID: "g", Team: "t"}
 	for i := range n {
-		s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))}
+		s := Step{ID: fmt.Sprint("s", i), Kind: KindJob, Job: &Job{}, Rule: Rule(rapid.SampledFrom(rules).Draw(t, "rule"))}
 		for j := range i {
 			if rapid.IntRange(0, 2).Draw(t, "edge") == 0 {
 				s.Upstream = append(s.Upstream, fmt.Sprint("s", j))
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// TriggerRule says which states of the steps before it let a step start.
-type TriggerRule string
+// Rule says which states of the steps before it let a step start.
+type Rule string
 
 // The trigger rules of Airflow 2. The empty rule is AllSuccess.
 const (
-	AllSuccess              TriggerRule = "all_success"
-	AllFailed               TriggerRule = "all_failed"
-	AllDone                 TriggerRule = "all_done"
-	AllSkipped              TriggerRule = "all_skipped"
-	OneSuccess              TriggerRule = "one_success"
-	OneFailed               TriggerRule = "one_failed"
-	OneDone                 TriggerRule = "one_done"
-	NoneFailed              TriggerRule = "none_failed"
-	NoneFailedMinOneSuccess TriggerRule = "none_failed_min_one_success"
-	NoneSkipped             TriggerRule = "none_skipped"
-	Always                  TriggerRule = "always"
+	AllSuccess              Rule = "all_success"
+	AllFailed               Rule = "all_failed"
+	AllDone                 Rule = "all_done"
+	AllSkipped              Rule = "all_skipped"
+	OneSuccess              Rule = "one_success"
+	OneFailed               Rule = "one_failed"
+	OneDone                 Rule = "one_done"
+	NoneFailed              Rule = "none_failed"
+	NoneFailedMinOneSuccess Rule = "none_failed_min_one_success"
+	NoneSkipped             Rule = "none_skipped"
+	Always                  Rule = "always"
 )
 
-var triggerRules = []string{
+var rules = []string{
 	string(AllSuccess), string(AllFailed), string(AllDone), string(AllSkipped), string(OneSuccess), string(OneFailed), string(OneDone),
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
 }
 
-// TriggerRules returns the names of all trigger rules.
-func TriggerRules() []string { return slices.Clone(triggerRules) }
+// Rules returns the names of all trigger rules.
+func Rules() []string { return slices.Clone(rules) }
 
 // Known reports whether a text is a trigger rule; the empty one is.
-func (r TriggerRule) Known() bool { return r == "" || slices.Contains(triggerRules, string(r)) }
+func (r Rule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
 
 // UpstreamCounts counts the instances of the steps that a step follows, by final state. A
 // mapped step counts once for each element.
@@ -72,7 +72,7 @@
 // or UpstreamFailed, it never will; None, that is still open. Once a rule lets a step start,
 // or rules it out, further ends do not change that. Which of the two ways of not starting
 // applies depends on which end comes first, as in Airflow.
-func (r TriggerRule) Evaluate(c UpstreamCounts) State {
+func (r Rule) Evaluate(c UpstreamCounts) State {
 	failures := c.failures()
 	over := c.Finished() == c.Total
 	switch r {
@@ -98,7 +98,7 @@
 }
 
 // evaluateOne applies the rules that one end satisfies, whatever the others are.
-func (r TriggerRule) evaluateOne(c UpstreamCounts) State {
+func (r Rule) evaluateOne(c UpstreamCounts) State {
 	over := c.Finished() == c.Total
 	switch {
 	case r == OneSuccess && c.Success > 0,
--- a/internal/graphs/dag/rules_test.go
+++ b/internal/graphs/dag/rules_test.go
@@ -9,7 +9,7 @@
 func TestTriggerRulesDecideByUpstreamStates(t *testing.T) {
 	S, F, K, U, N := Success, Failed, Skipped, UpstreamFailed, None
 	for _, c := range []struct {
-		rule TriggerRule
+		rule Rule
 		ends []State
 		want State
 	}{
@@ -39,7 +39,7 @@
 // not change its decision: a step that was started or skipped stays so.
 func TestTriggerRulesDecideOnceAndAtTheLatestAtTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rule := TriggerRule(rapid.SampledFrom(triggerRules).Draw(t, "rule"))
+		rule := Rule(rapid.SampledFrom(rules).Draw(t, "rule"))
 		ends := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
 		e := UpstreamCounts{Total: len(ends)}
 		given := rule.Evaluate(e)
--- a/internal/graphs/dag/validate.go
+++ b/internal/graphs/dag/validate.go
@@ -42,7 +42,7 @@
 	case s.Kind == KindBranch && s.Map != nil:
 		return errors.New("a branch is not mapped")
 	case !s.Rule.Known():
-		return fmt.Errorf("trigger_rule %q is unknown; it can be %s", s.Rule, strings.Join(TriggerRules(), ", "))
+		return fmt.Errorf("trigger_rule %q is unknown; it can be %s", s.Rule, strings.Join(Rules(), ", "))
 	case s.Retries < 0 || s.Retries > maxRetries:
 		return fmt.Errorf("retries is %d; 0 to %d are allowed", s.Retries, maxRetries)
 	case s.PoolSlots < 0 || s.Weight < 0:
--- a/internal/graphs/dagfile/predeclared.go
+++ b/internal/graphs/dagfile/predeclared.go
@@ -31,7 +31,7 @@
 	builtin("datetime", datetime)
 	builtin("range", boundedRange)
 	rules := starlark.StringDict{}
-	for _, r := range dag.TriggerRules() {
+	for _, r := range dag.Rules() {
 		rules[strings.ToUpper(r)] = starlark.String(r)
 	}
 	names["TriggerRule"] = &namespace{"TriggerRule", rules}
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -65,7 +65,7 @@
 // build returns the step that the arguments describe; operator names it in errors.
 func (a *stepArgs) build(operator string) (dag.Step, error) {
 	s := a.step
-	s.Rule = dag.TriggerRule(a.rule)
+	s.Rule = dag.Rule(a.rule)
 	for _, d := range []struct {
 		name  string
 		value starlark.Value
--- a/internal/graphs/dagview/dot.go
+++ b/internal/graphs/dagview/dot.go
@@ -53,7 +53,7 @@
 
 // edgeLabel returns the attributes of the edges to a step: its trigger rule, but for the
 // default.
-func edgeLabel(r dag.TriggerRule) string {
+func edgeLabel(r dag.Rule) string {
 	if r == "" || r == dag.AllSuccess {
 		return ""
 	}
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -122,7 +122,7 @@
 		for i := range n {
 			s := step(fmt.Sprint("s", i))
 			s.Retries, s.Delay = rapid.IntRange(0, 1).Draw(rt, "retries"), dag.Duration(time.Second)
-			s.Rule = dag.TriggerRule(rapid.SampledFrom(dag.TriggerRules()).Draw(rt, "rule"))
+			s.Rule = dag.Rule(rapid.SampledFrom(dag.Rules()).Draw(rt, "rule"))
 			for j := range i {
 				if rapid.Bool().Draw(rt, "edge") {
 					s.Upstream = append(s.Upstream, fmt.Sprint("s", j))
