--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Rule says which states of the steps before it let a step start.
+// Rule is a trigger rule: it says which states of the steps before it let a step start. The
+// name of the type stands in errors of ParseJSON, which users read.
 type Rule string
 
 // The trigger rules of Airflow 2. The empty rule is AllSuccess.
