--- a/internal/graphs/dag/errors.go
+++ b/internal/graphs/dag/errors.go
@@ -11,6 +11,7 @@
 	Graph, Step, Text string
 }
 
+// Error implements error.
 func (e *Error) Error() string {
 	if e.Step == "" {
 		return fmt.Sprintf("graph %s: %s", e.Graph, e.Text)
@@ -24,6 +25,7 @@
 	Step, Text string
 }
 
+// Error implements error.
 func (e *ResultError) Error() string { return e.Text }
 
 // resultError returns a *ResultError.
@@ -36,6 +38,7 @@
 	Step string
 }
 
+// Error implements error.
 func (e *UnknownStepError) Error() string { return fmt.Sprintf("there is no step %q", e.Step) }
 
 // Errors of Backfill.
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -21,6 +21,7 @@
 	Always                  Rule = "always"
 )
 
+// rules are the names of all trigger rules.
 var rules = []string{
 	string(AllSuccess), string(AllFailed), string(AllDone), string(AllSkipped), string(OneSuccess), string(OneFailed), string(OneDone),
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -22,6 +22,7 @@
 	once       bool // @once: spec is nil
 }
 
+// cronParser reads the five classic fields.
 var cronParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow)
 
 // presets are Airflow's names for schedules.
--- a/internal/graphs/dag/state.go
+++ b/internal/graphs/dag/state.go
@@ -17,6 +17,7 @@
 	stateCount     = iota
 )
 
+// stateNames are indexed by State.
 var stateNames = [stateCount]string{"none", "scheduled", "queued", "running", "up_for_retry", "success", "failed", "skipped", "upstream_failed"}
 
 // String returns the state's name.
@@ -46,6 +47,7 @@
 	RunFailed
 )
 
+// runStateNames are indexed by RunState.
 var runStateNames = [...]string{"running", "success", "failed"}
 
 // String returns the state's name.
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -130,12 +130,14 @@
 	before uint64 // bytes of the heap at the beginning
 }
 
+// newHeapGrowth measures from now on.
 func newHeapGrowth() *heapGrowth {
 	h := &heapGrowth{sample: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
 	h.before = h.size()
 	return h
 }
 
+// size returns the bytes of the heap.
 func (h *heapGrowth) size() uint64 {
 	metrics.Read(h.sample)
 	return h.sample[0].Value.Uint64()
--- a/internal/graphs/dagfile/dagvalue.go
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -14,6 +14,7 @@
 
 // dagValue is a DAG of a file.
 type dagValue struct {
+	fixedValue
 	described dag.Graph // without its steps
 	defaults  map[string]starlark.Value
 	steps     []*stepValue
@@ -21,8 +22,6 @@
 
 func (d *dagValue) String() string        { return "DAG(" + d.described.ID + ")" }
 func (d *dagValue) Type() string          { return "DAG" }
-func (d *dagValue) Freeze()               {}
-func (d *dagValue) Truth() starlark.Bool  { return true }
 func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.described.ID).Hash() }
 
 // graph returns the graph that the file made of it. Without a team it belongs to the owner
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -12,6 +12,7 @@
 // operator is a callable value that makes steps of a kind. Its partial(...).expand(items =
 // ...) makes a mapped step.
 type operator struct {
+	fixedValue
 	l       *loader
 	name    string
 	kind    dag.Kind
@@ -24,10 +25,6 @@
 
 func (o *operator) Name() string { return o.name }
 
-func (o *operator) Freeze() {}
-
-func (o *operator) Truth() starlark.Bool { return true }
-
 func (o *operator) Hash() (uint32, error) { return starlark.String(o.name).Hash() }
 
 func (o *operator) AttrNames() []string { return []string{"expand", "partial"} }
--- a/internal/graphs/dagfile/predeclared.go
+++ b/internal/graphs/dagfile/predeclared.go
@@ -34,21 +34,20 @@
 	for _, r := range dag.Rules() {
 		rules[strings.ToUpper(r)] = starlark.String(r)
 	}
-	names["TriggerRule"] = &namespace{"TriggerRule", rules}
+	names["TriggerRule"] = &namespace{name: "TriggerRule", attrs: rules}
 	names["json"] = starjson.Module
 	return names
 }
 
 // namespace is a value whose attributes are constants.
 type namespace struct {
+	fixedValue
 	name  string
 	attrs starlark.StringDict
 }
 
 func (n *namespace) String() string                           { return n.name }
 func (n *namespace) Type() string                             { return n.name }
-func (n *namespace) Freeze()                                  {}
-func (n *namespace) Truth() starlark.Bool                     { return true }
 func (n *namespace) Hash() (uint32, error)                    { return 0, errors.New("unhashable") }
 func (n *namespace) Attr(name string) (starlark.Value, error) { return n.attrs[name], nil }
 func (n *namespace) AttrNames() []string                      { return n.attrs.Keys() }
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -37,13 +37,16 @@
 	return params
 }
 
+// hasJob reports whether steps of this kind have a job.
 func (a *stepArgs) hasJob() bool { return a.step.Kind != dag.KindEmpty }
 
+// requiredJobParams are those of a job that must be given.
 func (a *stepArgs) requiredJobParams() []any {
 	j := &a.job
 	return []any{"job_class", &j.Class, "cpus", &number{&j.CPUs}, "memory_gb", &number{&j.MemoryGB}, "image", &j.Image}
 }
 
+// stepParams are those that all operators take.
 func (a *stepArgs) stepParams() []any {
 	s := &a.step
 	return []any{
@@ -53,6 +56,7 @@
 	}
 }
 
+// optionalJobParams are those of a job that may be given.
 func (a *stepArgs) optionalJobParams() []any {
 	j := &a.job
 	return []any{
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -11,6 +11,7 @@
 
 // stepValue is a step of a file.
 type stepValue struct {
+	fixedValue
 	dag  *dagValue
 	step dag.Step
 }
@@ -19,10 +20,6 @@
 
 func (s *stepValue) Type() string { return "step" }
 
-func (s *stepValue) Freeze() {}
-
-func (s *stepValue) Truth() starlark.Bool { return true }
-
 func (s *stepValue) Hash() (uint32, error) { return starlark.String(s.step.ID).Hash() }
 
 func (s *stepValue) AttrNames() []string {
@@ -72,16 +69,15 @@
 }
 
 // output is the value that stands for a step's result, which another may be mapped over.
-type output struct{ of *stepValue }
+type output struct {
+	fixedValue
+	of *stepValue
+}
 
 func (o *output) String() string { return "output of " + o.of.step.ID }
 
 func (o *output) Type() string { return "output" }
 
-func (o *output) Freeze() {}
-
-func (o *output) Truth() starlark.Bool { return true }
-
 func (o *output) Hash() (uint32, error) { return o.of.Hash() }
 
 // stepsOf returns the steps of a value: a step, or a list or tuple of them.
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -12,6 +12,16 @@
 	"poppypass/internal/graphs/dag"
 )
 
+// fixedValue has those methods of starlark.Value that are the same for all values of this
+// package: they are true, and need not be frozen, since no other thread ever reads them.
+type fixedValue struct{}
+
+// Freeze implements starlark.Value.
+func (fixedValue) Freeze() {}
+
+// Truth implements starlark.Value.
+func (fixedValue) Truth() starlark.Bool { return true }
+
 // number unpacks an int or float that is finite and not negative.
 type number struct{ p *float64 }
 
@@ -28,7 +38,8 @@
 // timedelta is timedelta(days, hours, minutes, seconds): a duration in seconds.
 func timedelta(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var days, hours, minutes, seconds float64
-	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "days?", &number{&days}, "hours?", &number{&hours}, "minutes?", &number{&minutes}, "seconds?", &number{&seconds}); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs,
+		"days?", &number{&days}, "hours?", &number{&hours}, "minutes?", &number{&minutes}, "seconds?", &number{&seconds}); err != nil {
 		return nil, err
 	}
 	return starlark.Float(days*86400 + hours*3600 + minutes*60 + seconds), nil
