--- a/internal/cluster/peers/election.go
+++ b/internal/cluster/peers/election.go
@@ -10,17 +10,48 @@
 
 var _ election.Peers = (*Peers)(nil)
 
+// The statuses of a vote on the wire. Members of different versions exchange them.
+const (
+	statusGranted              = http.StatusOK
+	statusGrantedWithoutMemory = http.StatusAccepted
+	statusRefused              = http.StatusConflict
+)
+
+// VoteResponse is how a vote is answered to the member that asked for it by RequestVotes.
+func VoteResponse(v election.Vote) peerrpc.Response {
+	switch v {
+	case election.Granted:
+		return peerrpc.Response{Status: statusGranted}
+	case election.GrantedWithoutMemory:
+		return peerrpc.Response{Status: statusGrantedWithoutMemory}
+	}
+	return peerrpc.Response{Status: statusRefused}
+}
+
+// voteOf is the vote that a status stands for. One that VoteResponse does not give grants nothing.
+func voteOf(status int) election.Vote {
+	switch status {
+	case statusGranted:
+		return election.Granted
+	case statusGrantedWithoutMemory:
+		return election.GrantedWithoutMemory
+	}
+	return election.Refused
+}
+
 // RequestVotes asks all other members for their votes: neither to campaign nor to confirm that the term is over for a while.
 func (p *Peers) RequestVotes(ctx context.Context, term uint64) (votes election.Votes) {
 	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
 	for range p.endpoints {
-		switch a := <-answers; a.status {
-		case http.StatusOK:
-		case http.StatusAccepted:
-			votes.WithoutMemory++
-		case 0:
+		a := <-answers
+		if a.status == 0 {
 			votes.Silent = append(votes.Silent, a.name)
-		default:
+			continue
+		}
+		switch voteOf(a.status) {
+		case election.GrantedWithoutMemory:
+			votes.WithoutMemory++
+		case election.Refused:
 			votes.Refused++
 		}
 	}
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -4,8 +4,8 @@
 	"context"
 	"net/http"
 
-	"poppypass/internal/cluster/election"
 	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/peers"
 	"poppypass/internal/platform/httpjson"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
@@ -21,7 +21,7 @@
 	defer cancel()
 	switch req.Verb {
 	case peerrpc.RequestVote:
-		return c.serveVote(ctx, req.Number)
+		return peers.VoteResponse(c.elector.Vote(ctx, req.Number))
 	case peerrpc.ConfirmTermOver:
 		return okOrConflict(c.elector.ConfirmTermOver(req.Number))
 	case peerrpc.EndLease:
@@ -70,18 +70,6 @@
 	return false
 }
 
-// serveVote answers a candidate that asks for this member's vote: 200, or 202 if this member has no memory of earlier votes,
-// grants it; 409 refuses it.
-func (c *Controller) serveVote(ctx context.Context, term uint64) peerrpc.Response {
-	switch c.elector.Vote(ctx, term) {
-	case election.Granted:
-		return peerrpc.Response{Status: http.StatusOK}
-	case election.GrantedWithoutMemory:
-		return peerrpc.Response{Status: http.StatusAccepted}
-	}
-	return peerrpc.Response{Status: http.StatusConflict}
-}
-
 // serveMayHaveRenewed tells a leader which machines this member may have answered by its zone lease.
 func (c *Controller) serveMayHaveRenewed(names []string) peerrpc.Response {
 	renewed, sure := c.zoneLease.MayHaveRenewed(names)
