--- a/internal/api/userapi/cancel.go
+++ b/internal/api/userapi/cancel.go
@@ -8,6 +8,7 @@
 	"poppypass/internal/cluster/peerrpc"
 	"poppypass/internal/platform/httpjson"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Why a cancellation has no result.
@@ -61,12 +62,12 @@
 	if l == nil {
 		return wire.JobStatus{}, errNotLeading
 	}
-	state, known, err := l.Cancel(ctx, id)
+	state, err := l.Cancel(ctx, id)
 	switch {
-	case err != nil:
-		return wire.JobStatus{}, errUnconfirmed
-	case known:
+	case err == nil:
 		return wire.JobStatus{ID: id, State: state}, nil
+	case !errors.Is(err, leader.ErrUnknownJob) && !errors.Is(err, leader.ErrLoading):
+		return wire.JobStatus{}, errUnconfirmed
 	}
 	// The leader learns of accepted jobs a moment late: one that is stored but unknown to it is asked for again.
 	s, err := h.storedStatus(ctx, id, h.store)
--- a/internal/api/userapi/relayed.go
+++ b/internal/api/userapi/relayed.go
@@ -30,7 +30,7 @@
 
 // statusOrRead finds a job's state without asking another member.
 func (h *Handler) statusOrRead(ctx context.Context, id string) (wire.JobStatus, error) {
-	if s, ok := h.statusInMemory(ctx, id); ok {
+	if s, err := h.statusInMemory(ctx, id); err == nil {
 		return s, nil
 	}
 	return h.statusReader.read(ctx, id)
--- a/internal/api/userapi/status.go
+++ b/internal/api/userapi/status.go
@@ -58,7 +58,7 @@
 // status finds a job's state. It comes from a final state, from the leader's memory within its right, or from a fresh read of
 // the state service. The error is errNoSuchJob or errStatusUnknown.
 func (h *Handler) status(ctx context.Context, id string, read readStatus) (wire.JobStatus, error) {
-	if s, ok := h.statusInMemory(ctx, id); ok {
+	if s, err := h.statusInMemory(ctx, id); err == nil {
 		return s, nil
 	}
 	if h.leader() == nil {
@@ -81,15 +81,16 @@
 }
 
 // statusInMemory returns a job's state if this member may tell it without reading: a final state, which never changes, before
-// what the leader's memory says within its right.
-func (h *Handler) statusInMemory(ctx context.Context, id string) (wire.JobStatus, bool) {
+// what the leader's memory says within its right. The error is errNotLeading or that of leader.Loop.Status.
+func (h *Handler) statusInMemory(ctx context.Context, id string) (wire.JobStatus, error) {
 	if s, ok := h.finalStates.Get(id); ok {
-		return s, true
+		return s, nil
 	}
-	if l := h.leader(); l != nil {
-		return l.Status(ctx, id)
+	l := h.leader()
+	if l == nil {
+		return wire.JobStatus{}, errNotLeading
 	}
-	return wire.JobStatus{}, false
+	return l.Status(ctx, id)
 }
 
 func (h *Handler) rememberFinal(s wire.JobStatus) {
--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"errors"
 	"fmt"
 	"net/url"
 	"strings"
@@ -26,17 +25,14 @@
 	return id, ok && wire.ValidJobID(id)
 }
 
-// errNoSuchJob tells that a job is neither live nor known to be over.
-var errNoSuchJob = errors.New("no such live job")
-
-// explain says what the waiting tasks of a job wait for. The error is errNoSuchJob.
+// explain says what the waiting tasks of a job wait for. The error is ErrUnknownJob.
 func (l *Loop) explain(id string, now time.Time) (wire.Explanation, error) {
 	if s, over := l.env.FinalStates.Get(id); over {
 		return wire.Explanation{JobStatus: s}, nil
 	}
 	j := l.jobs.Jobs[id]
 	if j == nil {
-		return wire.Explanation{}, errNoSuchJob
+		return wire.Explanation{}, ErrUnknownJob
 	}
 	e := wire.Explanation{JobStatus: j.Status(), Waiting: j.Waiting(), Reasons: []string{}}
 	if j.CanStart() && e.Waiting > 0 {
--- a/internal/scheduler/leader/job_requests_test.go
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -1,6 +1,8 @@
 package leader
 
 import (
+	"context"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -15,17 +17,78 @@
 func TestStatusNeedsTheRightToAct(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
-	for _, valid := range []bool{true, false} {
+	for valid, want := range map[bool]error{true: nil, false: ErrLeadershipOver} {
 		l.env.Valid = func(uint64) bool { return valid }
-		got := make(chan bool, 1)
-		go func() { _, ok := l.Status(t.Context(), "job-1"); got <- ok }()
+		got := make(chan error, 1)
+		go func() { _, err := l.Status(t.Context(), "job-1"); got <- err }()
 		(<-l.inbox)()
-		if ok := <-got; ok != valid {
-			t.Errorf("answers %v with a right to act that is %v", ok, valid)
+		if err := <-got; !errors.Is(err, want) {
+			t.Errorf("answers %v with a right to act that is %v", err, valid)
 		}
 	}
 }
 
+// Guards against an answer from memory that the state service may contradict, and against a cancellation taken for unknown
+// that is only unconfirmed: the user API reads the state service after some of these errors only.
+func TestJobRequestsSayWhyTheyCannotBeAnswered(t *testing.T) {
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	nobodyServes := func(l *Loop) { l.inbox = nil }
+	var inFlight *jobs.Batch // stored, but the loop was not told
+	for _, c := range []struct {
+		name                   string
+		ctx                    context.Context
+		id                     string
+		prepare                func(l *Loop, j *jobs.Job)
+		wantStatus, wantCancel error // nil: it is answered
+	}{
+		{"a live job", t.Context(), "job-1", func(l *Loop, j *jobs.Job) {}, nil, nil},
+		{"a job nobody submitted", t.Context(), "job-2", func(l *Loop, j *jobs.Job) {}, ErrUnknownJob, ErrUnknownJob},
+		{"records that are still read", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { l.loading.done = false }, ErrLoading, ErrLoading},
+		{"an end that may be stored", t.Context(), "job-1", func(l *Loop, j *jobs.Job) {
+			l.jobs.Cancel(j, func(wire.JobState) {})
+			inFlight = l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
+			l.writer.inDoubt.Store(true)
+		}, ErrEndInDoubt, nil},
+		{"a term that is over", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { nobodyServes(l); l.ended = cancelled }, ErrLeadershipOver, ErrLeadershipOver},
+		{"whoever asks is gone", cancelled, "job-1", func(l *Loop, j *jobs.Job) { nobodyServes(l) }, context.Canceled, context.Canceled},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, _ := newTestLoop(t)
+			l.env.Valid = func(uint64) bool { return true }
+			j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
+			c.prepare(l, j)
+			got := make(chan error, 1)
+			answered := func() error {
+				for {
+					select {
+					case fn := <-l.inbox:
+						fn()
+						if w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100}); w != nil {
+							l.jobs.MarkCommitted(w, 9)
+						}
+					case err := <-got:
+						return err
+					}
+				}
+			}
+			go func() { _, err := l.Status(c.ctx, c.id); got <- err }()
+			if err := answered(); !errors.Is(err, c.wantStatus) {
+				t.Errorf("status: %v, want %v", err, c.wantStatus)
+			}
+			go func() { _, err := l.Cancel(c.ctx, c.id); got <- err }()
+			if inFlight != nil {
+				(<-l.inbox)()
+				l.jobs.MarkCommitted(inFlight, 9)
+				inFlight = nil
+			}
+			if err := answered(); !errors.Is(err, c.wantCancel) {
+				t.Errorf("cancel: %v, want %v", err, c.wantCancel)
+			}
+		})
+	}
+}
+
 // A cancellation is answered once the tasks are gone. While one is unreachable the user is
 // told at once to come back.
 func TestCancellationWaitsForUnreachableTasks(t *testing.T) {
@@ -45,7 +108,7 @@
 			err   error
 		}
 		out := make(chan result, 1)
-		go func() { s, _, err := l.Cancel(t.Context(), "job-1"); out <- result{s, err} }()
+		go func() { s, err := l.Cancel(t.Context(), "job-1"); out <- result{s, err} }()
 		for {
 			select {
 			case fn := <-l.inbox:
@@ -55,7 +118,7 @@
 			}
 		}
 	}
-	if _, err := cancel(); err != errTaskUnreachable {
+	if _, err := cancel(); !errors.Is(err, ErrTaskUnreachable) {
 		t.Fatalf("told %v while a task may run", err)
 	}
 	j := l.jobs.Jobs["job-1"]
@@ -72,7 +135,7 @@
 	if _, err := l.handleHeartbeat(&hb, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cancel(); err != errTaskUnreachable {
+	if _, err := cancel(); !errors.Is(err, ErrTaskUnreachable) {
 		t.Fatalf("told %v while the other may run", err)
 	}
 	advance(tuning.SilentReturnAfter + l.env.workerLease())
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -50,8 +50,8 @@
 	ErrUnreachable = errors.New("no worker hears this member, others they do")
 	// errChanged tells that a record is not as we know it.
 	errChanged = errors.New("records were changed by another")
-	// errLeadershipOver tells that the loop's term is over.
-	errLeadershipOver = errors.New("the tenure is over")
+	// ErrLeadershipOver tells that the loop's term, or its right to act, is over.
+	ErrLeadershipOver = errors.New("the tenure is over")
 	// errDeposed tells that the leader key is another's, as after the process stood still.
 	errDeposed = errors.New("the leader key is another's")
 )
@@ -91,7 +91,7 @@
 // Run runs the loop until the leadership is lost. It ends by itself when records
 // cannot be trusted any more; the next leader then begins from what is stored. The error says why; nil: the term is over.
 func (l *Loop) Run() error {
-	defer l.end(errLeadershipOver)
+	defer l.end(ErrLeadershipOver)
 	go l.load(l.ended)
 	l.run(l.ended)
 	switch cause := context.Cause(l.ended); {
--- a/internal/scheduler/leader/messages.go
+++ b/internal/scheduler/leader/messages.go
@@ -23,7 +23,7 @@
 }
 
 // ask has the loop's goroutine run fn, and waits for what fn answers, at once or later. Only the first answer counts. The
-// error is ctx's, or errLeadershipOver.
+// error is ctx's, or ErrLeadershipOver.
 func ask[T any](ctx context.Context, l *Loop, fn func(answer func(T))) (T, error) {
 	ch := make(chan T, 1)
 	var zero T
@@ -39,7 +39,7 @@
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	case <-l.ended.Done():
-		return zero, errLeadershipOver
+		return zero, ErrLeadershipOver
 	}
 	select {
 	case v := <-ch:
@@ -47,7 +47,7 @@
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	case <-l.ended.Done():
-		return zero, errLeadershipOver
+		return zero, ErrLeadershipOver
 	}
 }
 
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -16,7 +16,7 @@
 }
 
 var (
-	stillLoading = queryResponse{http.StatusServiceUnavailable, wire.Error{Error: "the records are being read"}}
+	stillLoading = queryResponse{http.StatusServiceUnavailable, wire.Error{Error: ErrLoading.Error()}}
 	unknownPath  = queryResponse{http.StatusNotFound, wire.Error{Error: "nothing is known by that path here"}}
 )
 
@@ -46,7 +46,7 @@
 // queryExplanation answers what a job waits for.
 func (l *Loop) queryExplanation(id string, now time.Time) queryResponse {
 	explanation, err := l.explain(id, now)
-	if errors.Is(err, errNoSuchJob) {
+	if errors.Is(err, ErrUnknownJob) {
 		return queryResponse{http.StatusNotFound, wire.Error{Error: err.Error()}}
 	}
 	return queryResponse{http.StatusOK, explanation}
