--- a/internal/api/userapi/cancel.go
+++ b/internal/api/userapi/cancel.go
@@ -42,9 +42,9 @@
 
 // relayCancellation has the leader cancel a job. The error is errNoSuchJob, or errNotLeading if no leader answers.
 func (h *Handler) relayCancellation(ctx context.Context, id string) (wire.JobStatus, error) {
-	resp, ok := h.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.CancelJob, Job: id})
+	resp, err := h.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.CancelJob, Job: id})
 	switch {
-	case !ok:
+	case err != nil:
 		return wire.JobStatus{}, errNotLeading
 	case resp.Status != http.StatusOK: // Relay passes 200 and 404 only
 		return wire.JobStatus{}, errNoSuchJob
--- a/internal/api/userapi/status.go
+++ b/internal/api/userapi/status.go
@@ -62,7 +62,7 @@
 		return s, nil
 	}
 	if h.leader() == nil {
-		if resp, ok := h.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.JobStatus, Job: id}); ok {
+		if resp, err := h.peers.Relay(ctx, peerrpc.Request{Verb: peerrpc.JobStatus, Job: id}); err == nil {
 			return h.relayedStatus(id, resp)
 		}
 	}
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -7,6 +7,8 @@
 import (
 	"cmp"
 	"context"
+	"errors"
+	"fmt"
 	"log/slog"
 	"maps"
 	"net/http"
@@ -85,18 +87,29 @@
 	return p.client.Call(ctx, p.endpoints[name], req)
 }
 
-// Relay asks the leader; ok is false when there is no usable answer.
-func (p *Peers) Relay(ctx context.Context, req peerrpc.Request) (resp peerrpc.Response, ok bool) {
+// Why a request that was relayed to the leader has no result. An error of neither kind is that of the call.
+var (
+	// ErrNoLeader means that no other member is known to lead.
+	ErrNoLeader = errors.New("no other member is known to lead")
+	// ErrNotAnswered means that the member that is named as the leader was reached and did not answer the question.
+	ErrNotAnswered = errors.New("the leader did not answer the request")
+)
+
+// Relay asks the leader. Without an error the response's status is 200 or 404.
+func (p *Peers) Relay(ctx context.Context, req peerrpc.Request) (peerrpc.Response, error) {
 	leader := p.Leader()
 	if leader == "" {
-		return peerrpc.Response{}, false
+		return peerrpc.Response{}, ErrNoLeader
 	}
 	resp, err := p.Call(ctx, leader, req)
 	if err != nil {
 		p.log.Debug("request not relayed", "job", req.Job, "err", err)
-		return resp, false
+		return peerrpc.Response{}, fmt.Errorf("asking the leader %s: %w", leader, err)
+	}
+	if resp.Status != http.StatusOK && resp.Status != http.StatusNotFound {
+		return peerrpc.Response{}, fmt.Errorf("asking the leader %s: status %d: %w", leader, resp.Status, ErrNotAnswered)
 	}
-	return resp, resp.Status == http.StatusOK || resp.Status == http.StatusNotFound
+	return resp, nil
 }
 
 // peerAnswer is a member's answer: its status, 0 if it gave none.
