--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -6,6 +6,7 @@
 	"poppypass/internal/clients/cloud"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
 // cloudListing is when the cloud's list of machines is read.
@@ -96,7 +97,8 @@
 		failed = m == nil || !m.Returning
 	case m == nil || m.Type == "":
 		// Not expected, or restored from records: it is used or returned like any other.
-		l.machines.Register(lm.Name, lm.Type, lm.Zone, lm.Spot, now.Add(-seconds(lm.AgeS)), now)
+		rentedAt := now.Add(-seconds(lm.AgeS))
+		l.machines.Register(machines.Rented{Name: lm.Name, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot, RentedAt: rentedAt}, now)
 		if m == nil {
 			l.log.Info("machine found", "machine", lm.Name, "state", lm.State)
 		}
--- a/internal/scheduler/leader/commands.go
+++ b/internal/scheduler/leader/commands.go
@@ -26,7 +26,8 @@
 		}
 	}
 	for name, allocations := range byMachine {
-		if addr, req := l.machines.CommandsFor(name, allocations); req != nil {
+		// An error is no loss: the reply to the next heartbeat brings what there is to tell.
+		if addr, req, err := l.machines.CommandsFor(name, allocations); err == nil {
 			go l.sendCommandsTo(name, addr, req)
 		}
 	}
@@ -61,7 +62,7 @@
 func (l *Loop) commandsAnswered(name string, req *wire.DirectCommands, hb *wire.Heartbeat) {
 	l.machines.CommandsAnswered(name, req)
 	l.probing.commandAnswered(l.env.Clock.Now())
-	if _, err := l.handleHeartbeat(hb, true); err != nil {
+	if err := l.handleDirectAnswer(hb); err != nil {
 		l.log.Debug("answer to commands rejected", "machine", name, "err", err)
 	}
 }
--- a/internal/scheduler/leader/commands_test.go
+++ b/internal/scheduler/leader/commands_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("open after a command without an answer: %s", got)
 	}
 	advance(time.Second)
-	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}, false); err != nil {
+	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if got := open(); got != "[n-0 n-1]" {
--- a/internal/scheduler/leader/fleet_size_test.go
+++ b/internal/scheduler/leader/fleet_size_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"poppypass/internal/scheduler/machines"
 	"testing"
 )
 
@@ -51,7 +52,7 @@
 			}
 			// Machines that boot take their place before they take memory.
 			before := l.maxMachines()
-			l.machines.Register(machineName(len(l.machines.Machines)), "small", "a", false, clock.Now(), clock.Now())
+			l.machines.Register(machines.Rented{Name: machineName(len(l.machines.Machines)), Type: "small", Zone: "a", RentedAt: clock.Now()}, clock.Now())
 			if got := l.maxMachines(); got != before {
 				t.Errorf("%d machines are allowed instead of %d when one boots", got, before)
 			}
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -20,7 +20,7 @@
 	begun := l.env.Clock.Now()
 	defer func() { l.env.observe(func(o Observer) { o.HeartbeatHandled(l.env.Clock.Since(begun)) }) }()
 	r, err := ask(ctx, l, func(answer func(result)) {
-		commands, err := l.handleHeartbeat(hb, false)
+		commands, err := l.handleHeartbeat(hb)
 		answer(result{commands, err})
 	})
 	if err != nil {
@@ -29,23 +29,42 @@
 	return r.commands, r.err
 }
 
-// handleHeartbeat applies a heartbeat, which came by itself or, if direct, as the answer to commands or a probe.
-func (l *Loop) handleHeartbeat(hb *wire.Heartbeat, direct bool) ([]wire.Command, error) {
+// handleHeartbeat applies a heartbeat that a worker sent by itself, and returns the commands for the reply.
+func (l *Loop) handleHeartbeat(hb *wire.Heartbeat) ([]wire.Command, error) {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
 		// Nothing can be concluded yet, but the lease can be renewed: what the
 		// machine holds is counted from the records once they are in. The
 		// lease that this answer renews runs at most from now.
-		if !direct {
-			l.startedAt = now
-		}
+		l.startedAt = now
 		return nil, nil
 	}
-	r, err := l.machines.Heartbeat(hb, direct, now, l.mayForget)
+	r, err := l.machines.Heartbeat(hb, now, l.mayForget)
 	if err != nil {
 		l.heartbeatRejected(hb, err)
 		return nil, err
 	}
+	l.applyHeartbeatResult(&r, now)
+	return r.Commands, nil
+}
+
+// handleDirectAnswer applies the heartbeat with which a worker answered commands or a probe. It renews no lease.
+func (l *Loop) handleDirectAnswer(hb *wire.Heartbeat) error {
+	if !l.loading.done {
+		return nil // nothing can be concluded yet
+	}
+	now := l.env.Clock.Now()
+	r, err := l.machines.DirectAnswer(hb, now, l.mayForget)
+	if err != nil {
+		l.heartbeatRejected(hb, err)
+		return err
+	}
+	l.applyHeartbeatResult(&r, now)
+	return nil
+}
+
+// applyHeartbeatResult applies what a heartbeat leads to, the commands for its reply apart.
+func (l *Loop) applyHeartbeatResult(r *machines.HeartbeatResult, now time.Time) {
 	if len(r.RetainedExits) > tuning.UnrecordedExits {
 		l.recordSoon(r.RetainedExits)
 	}
@@ -58,7 +77,6 @@
 		l.noticeInterruption(r.Machine, now)
 	}
 	l.cycle.wakeIf(r.Changed)
-	return r.Commands, nil
 }
 
 // recordSoon has the ends of attempts written that a worker holds until they are stored: its heartbeats grow with them.
--- a/internal/scheduler/leader/heartbeats_test.go
+++ b/internal/scheduler/leader/heartbeats_test.go
@@ -25,14 +25,14 @@
 		for w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil; w = l.jobs.NextBatch(now, jobs.WriteBudget{}) {
 			l.jobs.MarkCommitted(w, 1)
 		}
-		if _, err := l.handleHeartbeat(hb, false); err != nil { // the ends are applied
+		if _, err := l.handleHeartbeat(hb); err != nil { // the ends are applied
 			t.Fatal(err)
 		}
 		if w := l.jobs.NextBatch(now, jobs.WriteBudget{}); w != nil {
 			t.Fatalf("%d ends are written at once", held)
 		}
 		hb.Seq++
-		if _, err := l.handleHeartbeat(hb, false); err != nil {
+		if _, err := l.handleHeartbeat(hb); err != nil {
 			t.Fatal(err)
 		}
 		w := l.jobs.NextBatch(now, jobs.WriteBudget{})
--- a/internal/scheduler/leader/job_requests_test.go
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -127,12 +127,12 @@
 	}
 	hb := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-	stops, err := l.handleHeartbeat(&hb, false)
+	stops, err := l.handleHeartbeat(&hb)
 	if err != nil || len(stops) != 1 || stops[0].Op != wire.OpStop {
 		t.Fatalf("commands %v, %v", stops, err)
 	}
 	hb.Seq, hb.Tasks[0].State, hb.Tasks[0].Reason = 3, wire.TaskExited, wire.ExitStopped
-	if _, err := l.handleHeartbeat(&hb, false); err != nil {
+	if _, err := l.handleHeartbeat(&hb); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := cancel(); !errors.Is(err, ErrTaskUnreachable) {
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -52,7 +52,7 @@
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
 		hb.Seq++
-		if _, err := l.handleHeartbeat(hb, false); err != nil {
+		if _, err := l.handleHeartbeat(hb); err != nil {
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
@@ -69,7 +69,7 @@
 		hb := heartbeats[i%len(heartbeats)]
 		i++
 		hb.Seq++
-		if _, err := l.handleHeartbeat(hb, false); err != nil {
+		if _, err := l.handleHeartbeat(hb); err != nil {
 			t.Fatal(err)
 		}
 		l.schedule(l.env.Clock.Now())
@@ -184,7 +184,7 @@
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
 		hb.Seq++
-		if _, err := l.handleHeartbeat(hb, false); err != nil {
+		if _, err := l.handleHeartbeat(hb); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scheduler/leader/load_test.go
+++ b/internal/scheduler/leader/load_test.go
@@ -65,7 +65,7 @@
 		(<-taker.inbox)()
 	}
 	for _, hb := range heartbeats {
-		commands, err := taker.handleHeartbeat(hb, false)
+		commands, err := taker.handleHeartbeat(hb)
 		if err != nil || len(commands) != 0 {
 			t.Fatalf("machine %s is answered %v, %v", hb.Machine, commands, err)
 		}
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -131,7 +131,7 @@
 		k.hb.Seq++
 		answered := false
 		if lead && w.reaches(zone) && !w.lost[zone] {
-			_, err := w.l.handleHeartbeat(&k.hb, false)
+			_, err := w.l.handleHeartbeat(&k.hb)
 			answered = err == nil
 		} else if !w.down[zone] {
 			answered = w.members[zone].MayRenew(k.hb.Machine, zone)
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -148,9 +148,9 @@
 
 // probe asks a machine for a heartbeat.
 func (l *Loop) probe(m *machines.Machine, now time.Time) {
-	addr, req, mark, ok := l.machines.Probe(m, now)
-	if !ok {
-		return
+	addr, req, mark, err := l.machines.Probe(m, now)
+	if err != nil {
+		return // nobody can be asked
 	}
 	m.Reachability.ProbeSent(now)
 	l.probing.inFlight++
@@ -186,7 +186,7 @@
 	case machines.ProcessRestarted:
 		l.acceptRestart(m, hb, now)
 	default:
-		if _, err := l.handleHeartbeat(hb, true); err != nil {
+		if err := l.handleDirectAnswer(hb); err != nil {
 			l.log.Debug("answer to a probe rejected", "machine", name, "err", err)
 		}
 		m.SuspectCopy = false // also if a heartbeat overtook the answer
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -49,7 +49,7 @@
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
 		hb.Seq++
-		if _, err := l.machines.Heartbeat(hb, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+		if _, err := l.machines.Heartbeat(hb, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -113,7 +113,7 @@
 		t.Error("the end of its task is not seen")
 	}
 	// A copy of an earlier heartbeat is none the newer for that.
-	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}, false); !errors.Is(err, machines.ErrStale) {
+	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}); !errors.Is(err, machines.ErrStale) {
 		t.Errorf("a copy after a direct answer: %v", err)
 	}
 }
@@ -160,12 +160,14 @@
 				l.mustHandle(t, &older)
 			}
 			if c.openStart {
-				l.machines.CommandsFor("n-9", []*jobs.Allocation{a})
+				if _, _, err := l.machines.CommandsFor("n-9", []*jobs.Allocation{a}); err != nil {
+					t.Fatal(err)
+				}
 			}
 			*hb = *first
 			hb.Incarnation, hb.Seq, hb.FencingToken = c.incarnation, c.seq, 0
 			advance(tuning.HeartbeatReplyLife)
-			if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-9", Address: hb.Address, Type: "small", Zone: "a", Incarnation: hb.Incarnation, Seq: hb.Seq}, false); !errors.Is(err, machines.ErrStale) {
+			if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-9", Address: hb.Address, Type: "small", Zone: "a", Incarnation: hb.Incarnation, Seq: hb.Seq}); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("taken before it is known what it is: %v", err)
 			}
 			l.probeAll()
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -179,7 +179,8 @@
 	delete(l.rentals.pending, name)
 	for _, m := range names {
 		if !l.machines.WasReturned(m) {
-			l.machines.Register(m, p.Type, p.Zone, p.Spot, now, now).RentedThisTerm = true
+			rented := machines.Rented{Name: m, Type: p.Type, Zone: p.Zone, Spot: p.Spot, RentedAt: now}
+			l.machines.Register(rented, now).RentedThisTerm = true
 		}
 	}
 	if len(names) < p.Count {
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -7,6 +7,7 @@
 
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/machines"
 )
 
 // Guards against machines rented in a partitioned zone, and counted as coming while
@@ -14,7 +15,7 @@
 func TestNoScaleOutInPartitionedZone(t *testing.T) {
 	l, advance := twoZones(t, 10)
 	now := l.env.Clock.Now()
-	l.machines.Register("n-boots", "small", "b", false, now, now)
+	l.machines.Register(machines.Rented{Name: "n-boots", Type: "small", Zone: "b", RentedAt: now}, now)
 	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
 		t.Errorf("partitioned: %v", partitioned)
 	}
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -62,7 +62,7 @@
 // register has the machine registry apply a machine's first heartbeat.
 func (l *Loop) register(t testing.TB, hb *wire.Heartbeat) {
 	t.Helper()
-	if _, err := l.machines.Heartbeat(hb, false, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
+	if _, err := l.machines.Heartbeat(hb, l.env.Clock.Now(), func(machines.AttemptID) bool { return false }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -185,7 +185,7 @@
 func (l *Loop) mustHandle(t *testing.T, hb *wire.Heartbeat) []wire.Command {
 	t.Helper()
 	c := *hb
-	commands, err := l.handleHeartbeat(&c, false)
+	commands, err := l.handleHeartbeat(&c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -60,12 +60,15 @@
 }
 
 // CommandsFor makes the direct request that tells a machine at once what was decided for some of its allocations: starts,
-// or stops where these are wanted. req is nil when there is nothing to tell, or the machine cannot be told. The starts
-// count as open until CommandsAnswered.
-func (r *Registry) CommandsFor(name string, allocations []*jobs.Allocation) (addr string, req *wire.DirectCommands) {
+// or stops where these are wanted. The starts count as open until CommandsAnswered. The error is ErrUnknownMachine,
+// ErrUnaddressable or ErrNoCommands; then there is no request, and no start counts as open.
+func (r *Registry) CommandsFor(name string, allocations []*jobs.Allocation) (addr string, req *wire.DirectCommands, err error) {
 	m := r.Machines[name]
-	if m == nil || m.Address == "" || !m.Alive() || m.Returning {
-		return "", nil
+	switch {
+	case m == nil:
+		return "", nil, ErrUnknownMachine
+	case m.Address == "" || !m.Alive() || m.Returning:
+		return "", nil, ErrUnaddressable
 	}
 	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Incarnation}
 	for _, p := range allocations {
@@ -79,9 +82,9 @@
 		}
 	}
 	if len(req.Commands) == 0 {
-		return "", nil
+		return "", nil, ErrNoCommands
 	}
-	return m.Address, req
+	return m.Address, req, nil
 }
 
 // CommandsAnswered records that a direct request had a definite answer: it will not be executed again. Without one its
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -1,6 +1,7 @@
 package machines
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -15,9 +16,9 @@
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 	p := allocation(1)
 	f.AddAllocation(p, t0)
-	addr, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
-	if addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
-		t.Fatalf("direct: %s %+v", addr, req)
+	addr, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+	if err != nil || addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
+		t.Fatalf("direct: %s %+v, %v", addr, req, err)
 	}
 	p.Stop = &jobs.StopRequest{}
 	a := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
@@ -52,7 +53,10 @@
 			f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 			p := allocation(1)
 			f.AddAllocation(p, t0)
-			_, req := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			if err != nil {
+				t.Fatal(err)
+			}
 			if c.answered {
 				f.CommandsAnswered("n-1", req)
 			}
@@ -66,3 +70,43 @@
 		})
 	}
 }
+
+// Guards against a direct request that nobody can get or that says nothing, and against a start that counts as open though it
+// was never sent: it would keep its attempt from being forgotten.
+func TestRefusedDirectRequestsNameTheirReason(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		machine  string
+		prepare  func(*Machine, *jobs.Allocation)
+		commands error
+		probe    error // of n-1
+	}{
+		{"all is well", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
+		{"another machine is named", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
+		{"no address", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Address = "" }, ErrUnaddressable, ErrUnaddressable},
+		{"the cloud's list has its address", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Address, m.ListedAddress = "", "10.0.0.9:1" }, ErrUnaddressable, nil},
+		{"its incarnation is over", "n-1", func(m *Machine, _ *jobs.Allocation) { m.EndedIncarnation = m.Incarnation }, ErrUnaddressable, nil},
+		{"no incarnation is known", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Incarnation = 0 }, ErrUnaddressable, ErrUnaddressable},
+		{"it is being deleted", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Returning = true }, ErrUnaddressable, ErrUnaddressable},
+		{"the allocation is not recorded yet", "n-1", func(_ *Machine, p *jobs.Allocation) { p.Committed = false }, ErrNoCommands, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.receive(heartbeat(1, 1, term), 0, mayNotForget)
+			p, m := allocation(1), f.Machines["n-1"]
+			f.AddAllocation(p, t0)
+			c.prepare(m, p)
+			addr, req, err := f.CommandsFor(c.machine, []*jobs.Allocation{p})
+			if !errors.Is(err, c.commands) || (err == nil) != (addr != "" && req != nil) {
+				t.Errorf("commands for %q: %+v, error %v, want %v", addr, req, err, c.commands)
+			}
+			if open := len(m.openStarts); (open > 0) != (err == nil) {
+				t.Errorf("%d starts are open after error %v", open, err)
+			}
+			addr, req, _, err = f.Probe(m, t0)
+			if !errors.Is(err, c.probe) || (err == nil) != (addr != "" && req != nil) {
+				t.Errorf("probe of %q: %+v, error %v, want %v", addr, req, err, c.probe)
+			}
+		})
+	}
+}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -31,7 +31,7 @@
 	f.receive(withNotice(heartbeat(1, 10, term), 25), 2*time.Second, mayNotForget)
 	before := f.Machines["n-1"].InterruptionAt
 	for _, stale := range []*wire.Heartbeat{heartbeat(1, 8, term), withNotice(heartbeat(1, 10, term), 3)} {
-		if _, err := f.Heartbeat(stale, false, t0.Add(3*time.Second), mayNotForget); !errors.Is(err, ErrStale) {
+		if _, err := f.Heartbeat(stale, t0.Add(3*time.Second), mayNotForget); !errors.Is(err, ErrStale) {
 			t.Errorf("a copy: %v", err)
 		}
 	}
@@ -48,12 +48,12 @@
 	if m.Usable(term, t0) {
 		t.Error("usable though nothing but a heartbeat names it")
 	}
-	f.Register("n-1", "g8", "a", false, t0, t0) // the cloud lists it
+	f.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0) // the cloud lists it
 	if !m.Usable(term, t0) {
 		t.Error("not usable though it is listed and has the token of the last term")
 	}
 	old := newFixture(t)
-	old.Register("n-1", "g8", "a", false, t0, t0)
+	old.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0)
 	old.receive(heartbeat(1, 5, term-2), 0, mayNotForget)
 	if old.Machines["n-1"].Usable(term, t0) {
 		t.Error("trusted by a heartbeat from before the last term")
@@ -80,7 +80,7 @@
 			hb := heartbeat(2, 9, term, status("job-1/0", 1, wire.TaskRunning, ""))
 			c.change(hb)
 			before := *f.Machines["n-1"]
-			if _, err := f.Heartbeat(hb, false, t0.Add(time.Second), mayNotForget); !errors.Is(err, ErrContradicts) {
+			if _, err := f.Heartbeat(hb, t0.Add(time.Second), mayNotForget); !errors.Is(err, ErrContradicts) {
 				t.Errorf("%+v: %v", hb, err)
 			}
 			if m := f.Machines["n-1"]; m.Incarnation != before.Incarnation || m.Address != before.Address || m.LastHeartbeat != before.LastHeartbeat || m.HasOrphans() {
@@ -96,7 +96,7 @@
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 	back := 30 * time.Second // long after its lease; nothing was concluded, since followers may have renewed it
-	if _, err := f.Heartbeat(heartbeat(2, 9, term), true, t0.Add(back), mayNotForget); err != nil {
+	if _, err := f.DirectAnswer(heartbeat(2, 9, term), t0.Add(back), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
 	p := allocation(2)
@@ -132,14 +132,17 @@
 	f := newFixture(t)
 	f.receive(heartbeat(3, 40, term), 0, mayNotForget)
 	m := f.Machines["n-1"]
-	_, _, mark, _ := f.Probe(m, t0.Add(5*time.Second))
+	_, _, mark, err := f.Probe(m, t0.Add(5*time.Second))
+	if err != nil {
+		t.Fatal(err)
+	}
 	restarted := heartbeat(1, 2, term)
 	if got := f.JudgeRestart(m, mark, restarted); got != ProcessRestarted {
 		t.Fatalf("verdict %v", got)
 	}
 	f.AcceptRestart(m, restarted, t0.Add(5*time.Second))
 	f.AddAllocation(allocation(1), t0.Add(5*time.Second))
-	if a, err := f.Heartbeat(heartbeat(3, 39, term), false, t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
+	if a, err := f.Heartbeat(heartbeat(3, 39, term), t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
 		t.Errorf("%v, %v", a.Outcomes, err)
 	}
 	if a := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(a.Outcomes) != 0 {
@@ -151,10 +154,10 @@
 func TestDirectAnswerSetsTheOrderBeforeTheFirstHeartbeat(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(allocation(1), t0)
-	if _, err := f.Heartbeat(heartbeat(1, 7, term, status("job-1/0", 1, wire.TaskRunning, "")), true, t0.Add(time.Second), mayNotForget); err != nil {
+	if _, err := f.DirectAnswer(heartbeat(1, 7, term, status("job-1/0", 1, wire.TaskRunning, "")), t0.Add(time.Second), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
-	if a, err := f.Heartbeat(heartbeat(1, 6, term), false, t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
+	if a, err := f.Heartbeat(heartbeat(1, 6, term), t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
 		t.Errorf("a copy from before the answer: %v, %v", a.Commands, err)
 	}
 	f.receive(heartbeat(1, 8, term, status("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, mayNotForget)
@@ -193,12 +196,12 @@
 			}
 			p := allocation(1)
 			f.RestoreAllocation(p, t0)
-			a, err := f.Heartbeat(heartbeat(2, 5, term-1), false, t0.Add(time.Second), mayNotForget)
+			a, err := f.Heartbeat(heartbeat(2, 5, term-1), t0.Add(time.Second), mayNotForget)
 			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.SuspectCopy {
 				t.Errorf("%v, %v", a.Outcomes, err)
 			}
 			// If the incarnation is new, the machine itself says so.
-			if a, err := f.Heartbeat(heartbeat(2, 6, term), true, t0.Add(2*time.Second), mayNotForget); err != nil || len(a.Outcomes) != 1 {
+			if a, err := f.DirectAnswer(heartbeat(2, 6, term), t0.Add(2*time.Second), mayNotForget); err != nil || len(a.Outcomes) != 1 {
 				t.Errorf("the machine's own answer: %v, %v", a.Outcomes, err)
 			}
 		})
--- a/internal/scheduler/machines/fixture_test.go
+++ b/internal/scheduler/machines/fixture_test.go
@@ -46,7 +46,7 @@
 // receive takes in a heartbeat that must not be refused, a time after t0.
 func (f *fixture) receive(hb *wire.Heartbeat, at time.Duration, forget MayForget) HeartbeatResult {
 	f.t.Helper()
-	a, err := f.Heartbeat(hb, false, t0.Add(at), forget)
+	a, err := f.Heartbeat(hb, t0.Add(at), forget)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -21,14 +21,23 @@
 // longer names it.
 type MayForget func(AttemptID) bool
 
-// Heartbeat processes the heartbeat of a worker: first the order of its messages and its incarnation, then its lease and spot
-// notice, then its tasks. The error is ErrReturned, ErrStale or ErrContradicts; such a heartbeat changes nothing but whether
-// its machine is to be probed.
-//
-// direct: it is the answer to a direct request. Such an answer carries no commands back and renews no lease. It proves nothing
-// of tasks that it lacks, since a reply to a heartbeat may still be on its way to the worker. But it is no delayed copy, and
-// proves that the machine is reached.
-func (r *Registry) Heartbeat(hb *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
+// Heartbeat processes a heartbeat that a worker sent by itself. It renews the lease of its machine, and its reply brings the
+// result's commands. The error is ErrReturned, ErrStale or ErrContradicts; such a heartbeat changes nothing but whether its
+// machine is to be probed.
+func (r *Registry) Heartbeat(hb *wire.Heartbeat, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
+	return r.processHeartbeat(hb, false, now, mayForget)
+}
+
+// DirectAnswer processes the heartbeat with which a worker answered a direct request. Such an answer carries no commands back
+// and renews no lease. It proves nothing of tasks that it lacks, since a reply to a heartbeat may still be on its way to the
+// worker. But it is no delayed copy, and proves that the machine is reached. The errors are those of Heartbeat.
+func (r *Registry) DirectAnswer(hb *wire.Heartbeat, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
+	return r.processHeartbeat(hb, true, now, mayForget)
+}
+
+// processHeartbeat processes a heartbeat: first the order of its machine's messages and its incarnation, then the lease and
+// the spot notice, then its tasks. direct: it is the answer to a direct request.
+func (r *Registry) processHeartbeat(hb *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	if err := r.admit(hb, direct); err != nil {
 		return HeartbeatResult{}, err
 	}
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -12,7 +12,7 @@
 	f := newFixture(t)
 	f.receive(heartbeat(2, 5, term), 0, mayNotForget)
 	for _, hb := range []*wire.Heartbeat{heartbeat(2, 5, term), heartbeat(2, 4, term), heartbeat(1, 9, term)} {
-		if _, err := f.Heartbeat(hb, false, t0, mayNotForget); !errors.Is(err, ErrStale) {
+		if _, err := f.Heartbeat(hb, t0, mayNotForget); !errors.Is(err, ErrStale) {
 			t.Errorf("incarnation %d, seq %d: %v", hb.Incarnation, hb.Seq, err)
 		}
 	}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -20,7 +20,7 @@
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
-		r.Register(name, "small", "a", true, t0, t0)
+		r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		if i%2 == 0 {
 			use(name, "img-1")
 		}
@@ -35,7 +35,7 @@
 	next := New(2, 40)
 	restored := images.ByMachine()
 	for i := range 20 {
-		m := next.Register(fmt.Sprintf("n-%02d", i), "small", "a", true, t0, t0)
+		m := next.Register(Rented{Name: fmt.Sprintf("n-%02d", i), Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		m.RestoreImages(restored[m.Name], t0)
 		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
 			t.Errorf("%s holds %v", m.Name, m.images)
--- a/internal/scheduler/machines/lease_test.go
+++ b/internal/scheduler/machines/lease_test.go
@@ -16,7 +16,7 @@
 	f.AddAllocation(allocation(1), t0)
 	f.receive(heartbeat(1, 2, term, status("job-1/0", 1, wire.TaskRunning, "")), 5*time.Second, mayNotForget)
 	// A direct answer renews no lease: it must not put the end off, nor does it prove a task gone.
-	if a, err := f.Heartbeat(heartbeat(1, 3, term), true, t0.Add(9*time.Second), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
+	if a, err := f.DirectAnswer(heartbeat(1, 3, term), t0.Add(9*time.Second), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
 		t.Fatalf("direct answer: %+v, %v", a, err)
 	}
 	if outcomes := f.expire(15 * time.Second); len(outcomes) != 0 {
@@ -29,7 +29,7 @@
 	}
 	f.RemoveAllocation(outcomes[0].Allocation, t0)
 	// A heartbeat of that incarnation that comes later was delayed by the network.
-	if _, err := f.Heartbeat(heartbeat(1, 4, term, status("job-1/0", 1, wire.TaskRunning, "")), false, t0.Add(end), mayNotForget); !errors.Is(err, ErrStale) {
+	if _, err := f.Heartbeat(heartbeat(1, 4, term, status("job-1/0", 1, wire.TaskRunning, "")), t0.Add(end), mayNotForget); !errors.Is(err, ErrStale) {
 		t.Errorf("a heartbeat of an incarnation that is over: %v", err)
 	}
 	if a := f.receive(heartbeat(2, 5, term), end, mayNotForget); len(a.Outcomes) != 0 {
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -101,7 +101,7 @@
 	p.Stop = &jobs.StopRequest{}
 	f.AddAllocation(p, t0)
 	at := tuning.HeartbeatReplyLife
-	if a, err := f.Heartbeat(heartbeat(1, 2, term), true, t0.Add(at), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
+	if a, err := f.DirectAnswer(heartbeat(1, 2, term), t0.Add(at), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
 		t.Errorf("direct answer: outcomes %v, commands %v, %v", a.Outcomes, a.Commands, err)
 	}
 	if a := f.receive(heartbeat(1, 3, term), at, mayForget); len(a.Outcomes) != 1 {
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -27,6 +27,13 @@
 	// ErrContradicts is returned for a heartbeat with another address, type, zone or kind than its machine has: these cannot
 	// change as long as the machine exists.
 	ErrContradicts = errors.New("the heartbeat contradicts what is known of its machine")
+	// ErrUnknownMachine is returned where a machine is named that the registry does not hold.
+	ErrUnknownMachine = errors.New("the machine is not known")
+	// ErrUnaddressable is returned for a machine to which no direct request can be sent: its address or its incarnation is
+	// not known or its incarnation is over, or the machine is about to be deleted.
+	ErrUnaddressable = errors.New("no direct request can be sent to the machine")
+	// ErrNoCommands is returned if a machine need not be told anything directly.
+	ErrNoCommands = errors.New("there are no commands for the machine")
 )
 
 // Registry holds the machines of one term. It is not safe for concurrent use.
@@ -56,13 +63,19 @@
 	return m
 }
 
-// Register adds a machine that the cloud names, as rented or in its list. rented is when it was rented, as far as known.
-// What the machine itself reported of its type, zone and kind counts for more.
-func (r *Registry) Register(name, typ, zone string, spot bool, rented, now time.Time) *Machine {
-	m := r.ensure(name, now)
-	m.RentedAt, m.Known = rented, true
+// Rented is what the cloud tells of a machine, in its answer to a rent request or in its list.
+type Rented struct {
+	Name, Type, Zone string
+	Spot             bool
+	RentedAt         time.Time // as far as known
+}
+
+// Register adds a machine that the cloud names. What the machine itself reported of its type, zone and kind counts for more.
+func (r *Registry) Register(rented Rented, now time.Time) *Machine {
+	m := r.ensure(rented.Name, now)
+	m.RentedAt, m.Known = rented.RentedAt, true
 	if m.Address == "" {
-		m.Type, m.Zone, m.Spot = typ, zone, spot
+		m.Type, m.Zone, m.Spot = rented.Type, rented.Zone, rented.Spot
 	}
 	return m
 }
--- a/internal/scheduler/machines/registry_test.go
+++ b/internal/scheduler/machines/registry_test.go
@@ -13,7 +13,7 @@
 	if outcomes := f.MarkLost("n-1", t0); len(outcomes) != 1 || outcomes[0].Allocation != p {
 		t.Fatalf("outcomes %v", outcomes)
 	}
-	if _, err := f.Heartbeat(heartbeat(1, 2, term), false, t0, mayNotForget); !errors.Is(err, ErrReturned) {
+	if _, err := f.Heartbeat(heartbeat(1, 2, term), t0, mayNotForget); !errors.Is(err, ErrReturned) {
 		t.Errorf("a late heartbeat of it: %v", err)
 	}
 }
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -15,8 +15,8 @@
 }
 
 // Probe makes the request that asks a machine for its heartbeat: no commands, but the term's token, which the worker keeps.
-// What it answers was so after the request was sent. ok is false where there is nobody to ask.
-func (r *Registry) Probe(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, ok bool) {
+// What it answers was so after the request was sent. The error is ErrUnaddressable: there is nobody to ask.
+func (r *Registry) Probe(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, err error) {
 	incarnation := m.Incarnation
 	if m.probeIncarnation != 0 {
 		incarnation = m.probeIncarnation
@@ -26,10 +26,10 @@
 		addr = m.ListedAddress
 	}
 	if addr == "" || incarnation == 0 || m.Returning {
-		return "", nil, mark, false
+		return "", nil, mark, ErrUnaddressable
 	}
 	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: incarnation, Commands: []wire.Command{}}
-	return addr, req, MessageMark{m.Incarnation, m.seq, now}, true
+	return addr, req, MessageMark{m.Incarnation, m.seq, now}, nil
 }
 
 // RestartVerdict is what the answer to a probe proves of the machine's worker process.
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -45,12 +45,16 @@
 			p := allocation(1)
 			f.AddAllocation(p, t0)
 			m := f.Machines["n-1"]
-			if _, req := f.CommandsFor("n-1", []*jobs.Allocation{p}); !c.open {
+			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !c.open {
 				f.CommandsAnswered("n-1", req)
 			}
-			_, _, mark, ok := f.Probe(m, t0.Add(c.after))
-			if !ok {
-				t.Fatal("nobody can be probed")
+			_, _, mark, err := f.Probe(m, t0.Add(c.after))
+			if err != nil {
+				t.Fatal(err)
 			}
 			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
 				t.Errorf("verdict %v, want %v", got, c.want)
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -94,7 +94,7 @@
 	}
 	for _, w := range s.workers {
 		if !w.dead {
-			s.r.Register(w.state.Machine, w.state.Type, w.state.Zone, w.state.Spot, s.now, s.now).ListedAddress = w.state.Address
+			s.r.Register(Rented{Name: w.state.Machine, Type: w.state.Type, Zone: w.state.Zone, Spot: w.state.Spot, RentedAt: s.now}, s.now).ListedAddress = w.state.Address
 		}
 	}
 }
@@ -158,7 +158,7 @@
 
 // deliverHeartbeat has the leader process a heartbeat, and returns its reply; nil: it refused the heartbeat.
 func (s *simulation) deliverHeartbeat(hb *wire.Heartbeat) *wire.HeartbeatReply {
-	a, err := s.r.Heartbeat(clone(hb), false, s.now, s.mayForget)
+	a, err := s.r.Heartbeat(clone(hb), s.now, s.mayForget)
 	s.tracef("heartbeat of %s incarnation %d seq %d token %d: %v -> %v %v", hb.Machine, hb.Incarnation, hb.Seq, hb.FencingToken, hb.Tasks, a.Commands, err)
 	if err != nil {
 		return nil
@@ -295,8 +295,8 @@
 
 // sendDirect has the leader send commands for allocations of a machine at once.
 func (s *simulation) sendDirect(name string, allocations []*jobs.Allocation) {
-	_, req := s.r.CommandsFor(name, allocations)
-	if req == nil {
+	_, req, err := s.r.CommandsFor(name, allocations)
+	if err != nil {
 		return
 	}
 	w := s.worker(name)
@@ -308,7 +308,7 @@
 	}
 	if answer := s.deliverDirect(w, req); answer != nil {
 		s.r.CommandsAnswered(name, req)
-		if a, err := s.r.Heartbeat(answer, true, s.now, s.mayForget); err == nil {
+		if a, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
 			s.settle(a.Outcomes)
 		}
 	}
@@ -351,8 +351,8 @@
 func (s *simulation) probe(name string) {
 	m, w := s.r.Machines[name], s.worker(name)
 	for range 2 {
-		_, req, mark, ok := s.r.Probe(m, s.now)
-		if !ok {
+		_, req, mark, err := s.r.Probe(m, s.now)
+		if err != nil {
 			return
 		}
 		m.Reachability.ProbeSent(s.now)
@@ -378,7 +378,7 @@
 			m.SuspectCopy = true
 		case NotRestarted:
 			m.SuspectCopy = false
-			if a, err := s.r.Heartbeat(answer, true, s.now, s.mayForget); err == nil {
+			if a, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
 				s.settle(a.Outcomes)
 			}
 		}
