--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -24,8 +24,8 @@
 
 // LeaseAcquirer grants the right to renew a machine's lease on behalf of the leader, by way of the state service.
 type LeaseAcquirer interface {
-	// Acquire reports whether this member may answer the machine now.
-	Acquire(ctx context.Context, machine string) bool
+	// Acquire returns nil if this member may answer the machine now, workerlease.ErrNotRecorded otherwise.
+	Acquire(ctx context.Context, machine string) error
 }
 
 // ZoneLease grants that right without the state service, for machines of this member's own zone.
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -17,6 +17,7 @@
 	"poppypass/internal/cluster/election"
 	"poppypass/internal/cluster/peerrpc"
 	"poppypass/internal/cluster/peers"
+	"poppypass/internal/cluster/workerlease"
 	"poppypass/internal/platform/config"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
@@ -26,7 +27,7 @@
 // leasesAlways lets every lease be renewed.
 type leasesAlways struct{}
 
-func (leasesAlways) Acquire(context.Context, string) bool { return true }
+func (leasesAlways) Acquire(context.Context, string) error { return nil }
 
 func (leasesAlways) MayRenew(string, string) bool { return false }
 func (leasesAlways) Isolated() bool               { return false }
@@ -150,7 +151,7 @@
 // leasesNever lets no lease be renewed.
 type leasesNever struct{ leasesAlways }
 
-func (leasesNever) Acquire(context.Context, string) bool { return false }
+func (leasesNever) Acquire(context.Context, string) error { return workerlease.ErrNotRecorded }
 
 // Guards against workers that are sent to one that does not lead, by members that may not renew their leases: they never came to the member of
 // their own zone, which may.
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -97,8 +97,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseWait)
 	defer cancel()
-	if !h.zone.MayRenew(hb.Machine, hb.Zone) && !h.leases.Acquire(ctx, hb.Machine) {
-		return reply, false
+	if !h.zone.MayRenew(hb.Machine, hb.Zone) {
+		if err := h.leases.Acquire(ctx, hb.Machine); err != nil {
+			return reply, false
+		}
 	}
 	return wire.HeartbeatReply{FencingToken: hb.FencingToken, Commands: []wire.Command{}}, true
 }
--- a/internal/cluster/peers/questions.go
+++ b/internal/cluster/peers/questions.go
@@ -2,24 +2,30 @@
 
 import (
 	"context"
+	"fmt"
 	"iter"
 	"net/http"
 
 	"poppypass/internal/cluster/peerrpc"
+	"poppypass/internal/cluster/workerlease"
 	"poppypass/internal/platform/tuning"
 )
 
 // MayHaveRenewed asks a member which of some machines it may have answered by its zone lease
-// within a worker's lease and tuning.RenewedQueryTime before; sure is false when it cannot tell or does not answer.
-func (p *Peers) MayHaveRenewed(ctx context.Context, name string, names []string) (renewed []string, sure bool) {
+// within a worker's lease and tuning.RenewedQueryTime before. The error is workerlease.ErrUnsure if it answers that it cannot tell, or
+// that of the call if it does not answer.
+func (p *Peers) MayHaveRenewed(ctx context.Context, name string, names []string) (renewed []string, err error) {
 	for part := range questions(names) {
 		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: part})
-		if err != nil || r.Status != http.StatusOK {
-			return nil, false
+		if err != nil {
+			return nil, fmt.Errorf("asking %s for its renewals: %w", name, err)
+		}
+		if r.Status != http.StatusOK {
+			return nil, fmt.Errorf("asking %s for its renewals: status %d: %w", name, r.Status, workerlease.ErrUnsure)
 		}
 		renewed = append(renewed, r.Names...)
 	}
-	return renewed, true
+	return renewed, nil
 }
 
 // questions divides the names of machines into those that one question each can hold.
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -77,8 +77,8 @@
 			}
 			for _, i := range r.Perm(len(members)) {
 				trouble()
-				names, sure := members[i].MayHaveRenewed([]string{"n-1"})
-				gone = gone && sure && len(names) == 0
+				names, err := members[i].MayHaveRenewed([]string{"n-1"})
+				gone = gone && err == nil && len(names) == 0
 			}
 			switch {
 			case !gone:
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -13,6 +15,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
+// ErrNotRecorded means that no record that outlives a worker's lease surely names the machine: it must not be answered now.
+var ErrNotRecorded = errors.New("the machine is in no record that outlives its lease")
+
 // FollowerLeases lets a follower answer workers that cannot reach the leader, when
 // the follower cannot reach it either: two zones that are apart. The answers
 // hold no commands; they only renew the workers' leases. What makes that safe:
@@ -45,7 +50,7 @@
 
 type acquireRequest struct {
 	machine string
-	granted chan bool // holds one
+	result  chan error // holds one: nil grants the request
 }
 
 // NewFollowerLeases makes the follower leases of a member; Run serves them.
@@ -57,20 +62,20 @@
 	}
 }
 
-// Acquire reports whether a machine may be answered now. It waits until the machine's name is
-// stored, or ctx ends.
-func (f *FollowerLeases) Acquire(ctx context.Context, machine string) bool {
-	r := acquireRequest{machine, make(chan bool, 1)}
+// Acquire returns nil if a machine may be answered now. It waits until the machine's name is
+// stored, or ctx ends. The error is ErrNotRecorded, also when ctx ended first: it then wraps both.
+func (f *FollowerLeases) Acquire(ctx context.Context, machine string) error {
+	r := acquireRequest{machine, make(chan error, 1)}
 	select {
 	case f.requests <- r:
 	case <-ctx.Done():
-		return false
+		return fmt.Errorf("asking for a record: %w: %w", ErrNotRecorded, ctx.Err())
 	}
 	select {
-	case ok := <-r.granted:
-		return ok
+	case err := <-r.result:
+		return err
 	case <-ctx.Done():
-		return false
+		return fmt.Errorf("waiting for a record: %w: %w", ErrNotRecorded, ctx.Err())
 	}
 }
 
@@ -119,6 +124,14 @@
 		}
 	}
 	for _, r := range batch {
-		r.granted <- f.isStored(r.machine) && f.outlivesLeaseFrom(f.clock.Now())
+		r.result <- f.checkRecorded(r.machine)
+	}
+}
+
+// checkRecorded returns ErrNotRecorded unless the record names a machine and will outlive a worker's lease that begins now.
+func (f *FollowerLeases) checkRecorded(machine string) error {
+	if !f.isStored(machine) || !f.outlivesLeaseFrom(f.clock.Now()) {
+		return ErrNotRecorded
 	}
+	return nil
 }
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -1,6 +1,8 @@
 package workerlease
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"testing"
@@ -34,9 +36,14 @@
 }
 
 func (h *followerHarness) tryAcquire(machine string) bool {
-	r := acquireRequest{machine, make(chan bool, 1)}
+	h.t.Helper()
+	r := acquireRequest{machine, make(chan error, 1)}
 	h.grantBatch(h.t.Context(), []acquireRequest{r})
-	return <-r.granted
+	err := <-r.result
+	if err != nil && !errors.Is(err, ErrNotRecorded) {
+		h.t.Errorf("error %v, want %v", err, ErrNotRecorded)
+	}
+	return err == nil
 }
 
 // recorded is what a leader would read.
@@ -128,12 +135,12 @@
 	for begin := 0; begin < n; begin += 500 {
 		var batch []acquireRequest
 		for i := begin; i < begin+500; i++ {
-			batch = append(batch, acquireRequest{name(i), make(chan bool, 1)})
+			batch = append(batch, acquireRequest{name(i), make(chan error, 1)})
 		}
 		h.grantBatch(t.Context(), batch)
 		for _, r := range batch {
-			if !<-r.granted {
-				t.Fatalf("%s is not granted", r.machine)
+			if err := <-r.result; err != nil {
+				t.Fatalf("%s is not granted: %v", r.machine, err)
 			}
 		}
 	}
@@ -175,7 +182,7 @@
 	h.store = statestore.New(h.state.Addr(), 1e6, writeRPS).WithShare(share)
 	var batch []acquireRequest
 	for i := range machines {
-		batch = append(batch, acquireRequest{fmt.Sprintf("n-%06d", i), make(chan bool, 1)})
+		batch = append(batch, acquireRequest{fmt.Sprintf("n-%06d", i), make(chan error, 1)})
 	}
 	h.grantBatch(t.Context(), batch)
 	pages := len(h.pages)
@@ -196,3 +203,13 @@
 		t.Error("a machine whose lease expired is recorded")
 	}
 }
+
+// Guards against a machine that is answered though nobody recorded it in time.
+func TestAcquireEndsWithItsContextAndGrantsNothing(t *testing.T) {
+	h := newFollowerHarness(t) // nobody runs it
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := h.Acquire(ctx, "n-1"); !errors.Is(err, ErrNotRecorded) || !errors.Is(err, context.Canceled) {
+		t.Errorf("error %v, want %v and %v", err, ErrNotRecorded, context.Canceled)
+	}
+}
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -18,6 +18,9 @@
 	"poppypass/internal/platform/wire"
 )
 
+// ErrUnsure means that a member cannot tell which machines it may have answered by its zone lease: it may have answered any.
+var ErrUnsure = errors.New("the member cannot tell which machines it has answered")
+
 // ZoneLease is a member's lease on the workers of its own zone: it may answer them on behalf of the
 // leader while it reaches neither the leader nor the state service: a zone that is
 // cut off from all else. The answers hold no commands and bear the worker's own
@@ -91,9 +94,9 @@
 func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.leaseSent) < z.ttl }
 
 // MayHaveRenewed returns those of some machines that this member may have answered by its zone lease
-// within a worker's lease and RenewedQueryTime before now. sure is false while it cannot tell: an earlier
-// process of it may have.
-func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, sure bool) {
+// within a worker's lease and RenewedQueryTime before now. The error is ErrUnsure while it cannot tell, since an earlier
+// process of it may have answered others; renewed then holds those that this process answered.
+func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, err error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
@@ -103,7 +106,10 @@
 			renewed = append(renewed, name)
 		}
 	}
-	return renewed, now.Sub(z.startedAt) > z.reportedFor()
+	if now.Sub(z.startedAt) <= z.reportedFor() {
+		return renewed, ErrUnsure
+	}
+	return renewed, nil
 }
 
 // forgetExpired drops the answers that need not be told of any more. The caller holds the lock.
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -1,6 +1,7 @@
 package workerlease
 
 import (
+	"errors"
 	"log/slog"
 	"math/rand/v2"
 	"testing"
@@ -60,8 +61,11 @@
 	if !reached {
 		return false
 	}
-	renewed, sure := h.MayHaveRenewed([]string{machine})
-	return sure && len(renewed) == 0
+	renewed, err := h.MayHaveRenewed([]string{machine})
+	if err != nil && !errors.Is(err, ErrUnsure) {
+		h.t.Errorf("error %v, want %v", err, ErrUnsure)
+	}
+	return err == nil && len(renewed) == 0
 }
 
 func TestZoneLeaseOutlastsAPartition(t *testing.T) {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// mayHaveRenewed asks a member, this one or another, which of some machines it may have answered by its zone lease; sure is
-// false when it cannot tell, or gives no answer.
-func (c *Controller) mayHaveRenewed(ctx context.Context, member string, names []string) (renewed []string, sure bool) {
+// mayHaveRenewed asks a member, this one or another, which of some machines it may have answered by its zone lease. The
+// error is workerlease.ErrUnsure when it cannot tell, or that of the call when it gives no answer.
+func (c *Controller) mayHaveRenewed(ctx context.Context, member string, names []string) (renewed []string, err error) {
 	if member == c.settings.Member {
 		return c.zoneLease.MayHaveRenewed(names)
 	}
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -72,8 +72,8 @@
 
 // serveMayHaveRenewed tells a leader which machines this member may have answered by its zone lease.
 func (c *Controller) serveMayHaveRenewed(names []string) peerrpc.Response {
-	renewed, sure := c.zoneLease.MayHaveRenewed(names)
-	r := okOrConflict(sure)
+	renewed, err := c.zoneLease.MayHaveRenewed(names)
+	r := okOrConflict(err == nil)
 	r.Names = renewed
 	return r
 }
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -43,8 +43,8 @@
 	// Valid reports whether this member has the right to act in a term now.
 	Valid func(term uint64) bool
 	// MayHaveRenewed asks a member, this one or another, which of some machines it may have answered by
-	// its zone lease within a worker lease; sure is false when it cannot tell, or gives no answer.
-	MayHaveRenewed func(ctx context.Context, member string, names []string) (kept []string, sure bool)
+	// its zone lease within a worker lease. With an error, when it cannot tell or gives no answer, it may have answered any.
+	MayHaveRenewed func(ctx context.Context, member string, names []string) (renewed []string, err error)
 	// ProbeWorkers asks the other members whether one of them gets an answer from one of some workers, by their addresses; nil:
 	// there are no others.
 	ProbeWorkers func(ctx context.Context, addrs []string) bool
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -96,8 +96,8 @@
 func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
 	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer stop()
-	renewed, sure := l.env.MayHaveRenewed(ctx, member, names)
-	if !sure {
+	renewed, err := l.env.MayHaveRenewed(ctx, member, names)
+	if err != nil {
 		return names
 	}
 	return renewed
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -32,9 +33,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, advance := twoZones(t, 2, c.zoneLeases...)
-			l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
+			l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, error) {
 				kept, ok := c.says[member]
-				return kept, ok
+				if !ok {
+					return nil, errors.New("the member cannot be reached")
+				}
+				return kept, nil
 			}
 			advance(l.env.workerLease() + time.Second)
 			l.concludeExpired()
@@ -58,16 +62,16 @@
 		gone bool
 	}{{tuning.RenewedQueryTime, true}, {tuning.RenewedQueryTime + time.Millisecond, false}} {
 		l, advance := twoZones(t, 1, `{"zone":"a","member":"ma"}`)
-		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) {
+		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) {
 			advance(c.took)
-			return nil, true
+			return nil, nil
 		}
 		advance(l.env.workerLease() + time.Second)
 		l.concludeExpired()
 		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
 			t.Errorf("after a reading of %v: gone %v", c.took, gone)
 		}
-		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, bool) { return nil, true }
+		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) { return nil, nil }
 		if l.concludeExpired(); len(l.machines.Machines["n-0"].Allocations) != 0 {
 			t.Error("not found gone by the next reading")
 		}
@@ -90,11 +94,11 @@
 			t.Fatal(err)
 		}
 	}
-	l.env.MayHaveRenewed = func(_ context.Context, member string, asked []string) ([]string, bool) {
+	l.env.MayHaveRenewed = func(_ context.Context, member string, asked []string) ([]string, error) {
 		if member != "mb" || len(asked) != each {
 			t.Errorf("%s is asked about %d machines", member, len(asked))
 		}
-		return answered, true
+		return answered, nil
 	}
 	advance(l.env.workerLease() + time.Second)
 	l.concludeExpired()
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"testing"
@@ -82,10 +83,10 @@
 // lead has the loop see the state service, and ask the members that it reaches.
 func (w *partitionCluster) lead() {
 	w.l.store = statestore.New(w.state.Addr(), 1e6, 1e6)
-	w.l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, bool) {
+	w.l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, error) {
 		zone := member[1:]
 		if w.down[zone] || !w.reaches(zone) {
-			return nil, false
+			return nil, errors.New("the member cannot be reached")
 		}
 		return w.members[zone].MayHaveRenewed(names)
 	}
