--- a/internal/accounting/ledger/query.go
+++ b/internal/accounting/ledger/query.go
@@ -12,6 +12,7 @@
 	"poppypass/internal/accounting/budget"
 	"poppypass/internal/accounting/charge"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // Paths beside the protocol's.
@@ -102,34 +103,33 @@
 	Budgets []budget.View `json:"budgets"`
 }
 
-// Query answers the questions that the ledger has the answers to in memory.
-func (l *Ledger) Query(uri string, now time.Time) (status int, body any, ok bool) {
+// Query answers the questions that the ledger has the answers to in memory. The error is leader.ErrUnknownPath.
+func (l *Ledger) Query(uri string, now time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil {
-		return 0, nil, false
+		return leader.Answer{}, leader.ErrUnknownPath
 	}
 	switch u.Path {
 	case PathStats:
-		return http.StatusOK, l.stats, true
+		return leader.Answer{Status: http.StatusOK, Body: l.stats}, nil
 	case PathBudgets:
 		l.budgets.Recompute(now)
-		return http.StatusOK, budgetsAnswer{l.budgets.Views(u.Query().Get("team"))}, true
+		return leader.Answer{Status: http.StatusOK, Body: budgetsAnswer{l.budgets.Views(u.Query().Get("team"))}}, nil
 	case PathTotals:
-		status, body = l.answerTotals(u.Query(), now)
-		return status, body, true
+		return l.answerTotals(u.Query(), now), nil
 	}
-	return 0, nil, false
+	return leader.Answer{}, leader.ErrUnknownPath
 }
 
-func (l *Ledger) answerTotals(v url.Values, now time.Time) (status int, body any) {
+func (l *Ledger) answerTotals(v url.Values, now time.Time) leader.Answer {
 	q, err := ParseQuery(v)
 	if err != nil {
-		return http.StatusBadRequest, wire.Error{Error: err.Error()}
+		return leader.Answer{Status: http.StatusBadRequest, Body: wire.Error{Error: err.Error()}}
 	}
 	if !l.loaded {
-		return http.StatusServiceUnavailable, wire.Error{Error: "the ledger is being read"}
+		return leader.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "the ledger is being read"}}
 	}
-	return http.StatusOK, l.totals(q, now)
+	return leader.Answer{Status: http.StatusOK, Body: l.totals(q, now)}
 }
 
 // totals answers a query from the pages of totals, the charges that are not rolled up yet,
--- a/internal/api/userapi/subsystems.go
+++ b/internal/api/userapi/subsystems.go
@@ -48,28 +48,26 @@
 }
 
 func commandLoop(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
-	status, v, err := l.Command(ctx, c)
-	return encodeAnswer(status, v, err)
+	return encodeAnswer(l.Command(ctx, c))
 }
 
 func queryLoop(ctx context.Context, l *leader.Loop, uri string) (int, json.RawMessage) {
-	status, v, err := l.Query(ctx, uri)
-	return encodeAnswer(status, v, err)
+	return encodeAnswer(l.Query(ctx, uri))
 }
 
 // encodeAnswer is what a subsystem answered, as JSON that fits a message between members.
-func encodeAnswer(status int, v any, err error) (int, json.RawMessage) {
+func encodeAnswer(a leader.Answer, err error) (int, json.RawMessage) {
 	if err != nil {
 		return http.StatusServiceUnavailable, errorBody("the leader cannot be asked now")
 	}
-	body, err := json.MarshalIndent(v, "", " ")
+	body, err := json.MarshalIndent(a.Body, "", " ")
 	switch {
 	case err != nil:
 		return http.StatusInternalServerError, errorBody("the answer cannot be written")
 	case len(body) > tuning.QueryResponseMax:
 		return http.StatusRequestEntityTooLarge, errorBody("the answer is too long; ask for less")
 	}
-	return status, body
+	return a.Status, body
 }
 
 func errorBody(text string) json.RawMessage {
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -11,6 +11,7 @@
 	"poppypass/internal/graphs/dag"
 	"poppypass/internal/platform/tuning"
 	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/leader"
 )
 
 // graph is a graph that a team registered.
@@ -45,12 +46,15 @@
 }
 
 // responder tells whoever gave a command. A status of 400 and more comes with a reason.
-type responder func(status int, body any)
+type responder func(leader.Answer)
 
 func (a responder) refuse(status int, format string, args ...any) {
-	a(status, wire.Error{Error: fmt.Sprintf(format, args...)})
+	a(leader.Answer{Status: status, Body: wire.Error{Error: fmt.Sprintf(format, args...)}})
 }
 
+// succeed answers with a status below 400, and an empty object.
+func (a responder) succeed(status int) { a(leader.Answer{Status: status, Body: struct{}{}}) }
+
 // register has a graph refer to a definition from now on. Runs that go on keep theirs.
 func (g *Graphs) register(o *Order, p *dag.Plan, tell responder) {
 	if p.Team != o.Team || p.ID != o.Graph {
@@ -84,7 +88,7 @@
 	gr.define(p, o.Def, paused)
 	gr.touchAll(g) // its limits may be others
 	g.defs[o.Def].refs++
-	g.storeGraph(gr, func() { tell(status, struct{}{}) })
+	g.storeGraph(gr, func() { tell.succeed(status) })
 }
 
 // define records what a graph says from now on.
@@ -140,7 +144,7 @@
 		gr.rec.Paused = paused
 		gr.touchAll(g)
 	}
-	g.storeGraph(gr, func() { tell(http.StatusOK, struct{}{}) })
+	g.storeGraph(gr, func() { tell.succeed(http.StatusOK) })
 }
 
 // touchAll has it looked at what each of a graph's runs can submit.
@@ -168,6 +172,6 @@
 	g.enqueueDeletions(func() {
 		delete(g.graphs, gr.key)
 		g.releaseDefinition(gr.rec.Def)
-		tell(http.StatusNoContent, struct{}{})
+		tell.succeed(http.StatusNoContent)
 	}, gr.key)
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -342,14 +342,15 @@
 // PathPools asks for a team's pools, as PoolViews.
 const PathPools = "/graphs/pools"
 
-// Query answers what only the leader knows; the rest is answered from what is stored (Reader).
-func (g *Graphs) Query(uri string, _ time.Time) (int, any, bool) {
+// Query answers what only the leader knows; the rest is answered from what is stored (Reader). The error is
+// leader.ErrUnknownPath.
+func (g *Graphs) Query(uri string, _ time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
-		return 0, nil, false
+		return leader.Answer{}, leader.ErrUnknownPath
 	}
 	if !g.read {
-		return http.StatusServiceUnavailable, wire.Error{Error: "the graphs are being read"}, true
+		return leader.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "the graphs are being read"}}, nil
 	}
 	out := []PoolView{}
 	for key, p := range g.pools {
@@ -362,5 +363,5 @@
 		}
 		out = append(out, v)
 	}
-	return http.StatusOK, out, true
+	return leader.Answer{Status: http.StatusOK, Body: out}, nil
 }
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -55,24 +55,24 @@
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Command carries out a command.
-func (g *Graphs) Command(c leader.Command, now time.Time, tell func(int, any)) bool {
+// Command carries out a command. The error is leader.ErrUnknownPath.
+func (g *Graphs) Command(c leader.Command, now time.Time, tell func(leader.Answer)) error {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
-		return false
+		return leader.ErrUnknownPath
 	}
 	var o Order
 	say := responder(tell)
 	if err := json.Unmarshal(c.Body, &o); err != nil || o.Team == "" {
 		say.refuse(http.StatusBadRequest, "the command is malformed")
-		return true
+		return nil
 	}
 	if !g.read {
 		say.refuse(http.StatusServiceUnavailable, "the graphs are being read; ask again")
-		return true
+		return nil
 	}
 	g.execute(verb, &o, now, say)
-	return true
+	return nil
 }
 
 func (g *Graphs) execute(verb string, o *Order, now time.Time, tell responder) {
@@ -160,13 +160,13 @@
 	open := len(intervals)
 	over := func() {
 		if open == 0 {
-			tell(http.StatusOK, out)
+			tell(leader.Answer{Status: http.StatusOK, Body: out})
 		}
 	}
 	for _, i := range intervals {
 		m := meta{Type: Backfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
-		g.createRun(gr, RunName(Backfill, i.Begin), m, now, func(status int, _ any) {
-			if status == http.StatusCreated {
+		g.createRun(gr, RunName(Backfill, i.Begin), m, now, func(a leader.Answer) {
+			if a.Status == http.StatusCreated {
 				out.Begun++
 			} else {
 				out.Known++
@@ -211,11 +211,11 @@
 	}
 	switch verb {
 	case DoCancel:
-		tell(http.StatusOK, struct{}{}) // it is over: nothing is left to end
+		tell.succeed(http.StatusOK) // it is over: nothing is left to end
 	case DoPush:
 		tell.refuse(http.StatusConflict, "the run is over")
 	case DoForget:
-		g.deleteRun(gr, e, func() { tell(http.StatusNoContent, struct{}{}) })
+		g.deleteRun(gr, e, func() { tell.succeed(http.StatusNoContent) })
 	case DoClear:
 		g.revive(gr, e, o, tell)
 	}
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -68,7 +68,7 @@
 	d.refs++
 	x.entry = &entry{key: key, id: id, logical: m.LogicalMS, due: m.ToMS != 0, def: x.def, live: x}
 	gr.insertRun(x.entry)
-	x.onStored = append(x.onStored, func() { tell(http.StatusCreated, struct{}{}) })
+	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusCreated) })
 	g.markDirty(x)
 }
 
@@ -173,7 +173,7 @@
 		x.meta.StartMS = now.UnixMilli()
 		x.graph.started++
 	}
-	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
 	g.cancelUnneeded(x)
 	g.markDirty(x)
 }
@@ -187,7 +187,7 @@
 	}
 	x.run.Clear(steps)
 	x.detachOrphans(g)
-	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
 	g.cancelUnneeded(x)
 	g.markDirty(x)
 }
@@ -217,7 +217,7 @@
 		tell.refuse(http.StatusConflict, "%s", err)
 		return
 	}
-	x.onStored = append(x.onStored, func() { tell(http.StatusOK, struct{}{}) })
+	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
 	g.markDirty(x)
 }
 
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -410,8 +410,8 @@
 			t.Errorf("%s: %q and %q", verb, theirs, none)
 		}
 	}
-	if w.graphs.Command(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil) {
-		t.Error("it takes orders that are not its own")
+	if err := w.graphs.Command(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil); !errors.Is(err, leader.ErrUnknownPath) {
+		t.Errorf("orders that are not its own: %v", err)
 	}
 	reader := NewReader(w.store)
 	if _, err := reader.Run(t.Context(), "others", "g", "one"); !errors.Is(err, ErrNone) {
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"poppypass/internal/graphs/dag"
+	"poppypass/internal/scheduler/leader"
 )
 
 // schedule begins the runs that are due.
@@ -41,16 +42,16 @@
 		g.storeGraph(gr, nil)
 	}
 	ok := true
-	g.createRun(gr, RunName(Scheduled, due.Begin), m, now, func(status int, body any) {
+	g.createRun(gr, RunName(Scheduled, due.Begin), m, now, func(a leader.Answer) {
 		switch {
-		case status == http.StatusCreated || status == http.StatusConflict:
+		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
 			// The mark moves once the run is stored: a leader that dies in between leaves
 			// the next one to find the run there.
 			stored()
-		case status == http.StatusServiceUnavailable:
+		case a.Status == http.StatusServiceUnavailable:
 			ok = false // there is no memory: it is asked again
 		default:
-			g.log.Error("a run that is due cannot begin", "graph", gr.rec.ID, "interval", due.Begin, "reason", body)
+			g.log.Error("a run that is due cannot begin", "graph", gr.rec.ID, "interval", due.Begin, "reason", a.Body)
 			stored()
 		}
 	})
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -241,16 +241,16 @@
 		w.t.Fatal(err)
 	}
 	a := &answers{}
-	if !w.graphs.Command(leader.Command{URI: PathOrders + verb, Body: raw}, w.clock.Now(), func(status int, body any) {
+	if err := w.graphs.Command(leader.Command{URI: PathOrders + verb, Body: raw}, w.clock.Now(), func(got leader.Answer) {
 		if a.status != 0 {
 			w.t.Errorf("%s is answered twice", verb)
 		}
-		a.status = status
-		if e, ok := body.(wire.Error); ok {
+		a.status = got.Status
+		if e, ok := got.Body.(wire.Error); ok {
 			a.text = e.Error
 		}
-	}) {
-		w.t.Fatal("the order is nobody's")
+	}); err != nil {
+		w.t.Fatal("the order is nobody's:", err)
 	}
 	return a
 }
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -9,25 +9,19 @@
 	"poppypass/internal/platform/wire"
 )
 
-// queryResponse answers a query or command, with an HTTP status and a body that is JSON.
-type queryResponse struct {
-	status int
-	body   any
-}
-
 var (
-	stillLoading = queryResponse{http.StatusServiceUnavailable, wire.Error{Error: ErrLoading.Error()}}
-	unknownPath  = queryResponse{http.StatusNotFound, wire.Error{Error: "nothing is known by that path here"}}
+	stillLoading = Answer{http.StatusServiceUnavailable, wire.Error{Error: ErrLoading.Error()}}
+	unknownPath  = Answer{http.StatusNotFound, wire.Error{Error: ErrUnknownPath.Error()}}
 )
 
-// Query answers a question, or 404. The answer is JSON.
-func (l *Loop) Query(ctx context.Context, uri string) (status int, body any, err error) {
-	r, err := ask(ctx, l, func(answer func(queryResponse)) { answer(l.query(uri)) })
-	return r.status, r.body, err
+// Query answers a question: 404 if no subsystem knows the path, 503 while the records are read. The error is ErrLeadershipOver
+// or ctx's.
+func (l *Loop) Query(ctx context.Context, uri string) (Answer, error) {
+	return ask(ctx, l, func(answer func(Answer)) { answer(l.query(uri)) })
 }
 
 // query answers a question from memory.
-func (l *Loop) query(uri string) queryResponse {
+func (l *Loop) query(uri string) Answer {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
 		return stillLoading
@@ -36,40 +30,41 @@
 		return l.queryExplanation(id, now)
 	}
 	for _, s := range l.subsystems.joined {
-		if status, body, ok := s.Query(uri, now); ok {
-			return queryResponse{status, body}
+		if a, err := s.Query(uri, now); err == nil {
+			return a
 		}
 	}
 	return unknownPath
 }
 
 // queryExplanation answers what a job waits for.
-func (l *Loop) queryExplanation(id string, now time.Time) queryResponse {
+func (l *Loop) queryExplanation(id string, now time.Time) Answer {
 	explanation, err := l.explain(id, now)
 	if errors.Is(err, ErrUnknownJob) {
-		return queryResponse{http.StatusNotFound, wire.Error{Error: err.Error()}}
+		return Answer{http.StatusNotFound, wire.Error{Error: err.Error()}}
 	}
-	return queryResponse{http.StatusOK, explanation}
+	return Answer{http.StatusOK, explanation}
 }
 
-// Command has a subsystem carry out a command. The answer is JSON.
-func (l *Loop) Command(ctx context.Context, c Command) (status int, body any, err error) {
-	r, err := ask(ctx, l, func(answer func(queryResponse)) { l.command(c, answer) })
-	return r.status, r.body, err
+// Command has a subsystem carry out a command: 404 if none knows it, 503 while the records are read. The error is
+// ErrLeadershipOver or ctx's; the command may be carried out all the same.
+func (l *Loop) Command(ctx context.Context, c Command) (Answer, error) {
+	return ask(ctx, l, func(answer func(Answer)) { l.command(c, answer) })
 }
 
 // command hands a command to the subsystem that knows it, which answers at once or later.
-func (l *Loop) command(c Command, answer func(queryResponse)) {
+func (l *Loop) command(c Command, answer func(Answer)) {
 	if !l.loading.done {
 		answer(stillLoading)
 		return
 	}
-	reply := func(status int, body any) { answer(queryResponse{status, body}) }
 	for _, s := range l.subsystems.joined {
-		if h, ok := s.(CommandHandler); ok && h.Command(c, l.env.Clock.Now(), reply) {
-			l.cycle.wake()
-			return
+		h, ok := s.(CommandHandler)
+		if !ok || h.Command(c, l.env.Clock.Now(), answer) != nil {
+			continue
 		}
+		l.cycle.wake()
+		return
 	}
 	answer(unknownPath)
 }
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -40,15 +41,24 @@
 	// touch, of at most room changes; nil: none. One is in flight at a time.
 	NextWrite(now time.Time, room int) *SubsystemWrite
 	// Query answers a question of an operator or user: a path below the subsystem's own, as
-	// in a URL. ok is false when the subsystem knows no such path.
-	Query(uri string, now time.Time) (status int, body any, ok bool)
+	// in a URL. The error is ErrUnknownPath.
+	Query(uri string, now time.Time) (Answer, error)
 }
 
 // CommandHandler is a subsystem that also carries out commands of users.
 type CommandHandler interface {
 	// Command carries out a command. answer is called once, by the loop's goroutine: at once, or
-	// when what was decided is stored. ok is false when the subsystem knows no such command.
-	Command(c Command, now time.Time, answer func(status int, body any)) (ok bool)
+	// when what was decided is stored. The error is ErrUnknownPath; answer is not called then.
+	Command(c Command, now time.Time, answer func(Answer)) error
+}
+
+// ErrUnknownPath means that a subsystem has no such path, which another may have.
+var ErrUnknownPath = errors.New("nothing is known by that path here")
+
+// Answer answers a query or command.
+type Answer struct {
+	Status int // as in HTTP
+	Body   any // is sent as JSON; wire.Error from status 400 on
 }
 
 // Command asks a subsystem to change something. Whoever has no answer may repeat it.
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -20,12 +20,12 @@
 	return &SubsystemWrite{Txn: wire.Txn{Then: []wire.Change{{Put: s.name}}}}
 }
 
-func (s *busySubsystem) Command(c Command, _ time.Time, answer func(int, any)) bool {
+func (s *busySubsystem) Command(c Command, _ time.Time, answer func(Answer)) error {
 	if c.URI != "/"+s.name {
-		return false
+		return ErrUnknownPath
 	}
-	answer(http.StatusOK, s.name)
-	return true
+	answer(Answer{http.StatusOK, s.name})
+	return nil
 }
 
 func TestCommandsFindTheirSubsystem(t *testing.T) {
@@ -34,11 +34,11 @@
 	for uri, want := range map[string]int{"/a": http.StatusOK, "/b": http.StatusOK, "/c": http.StatusNotFound} {
 		got := make(chan int, 1)
 		go func() {
-			status, _, err := l.Command(t.Context(), Command{URI: uri})
+			a, err := l.Command(t.Context(), Command{URI: uri})
 			if err != nil {
-				status = -1
+				a.Status = -1
 			}
-			got <- status
+			got <- a.Status
 		}()
 		(<-l.inbox)()
 		if status := <-got; status != want {
