--- /dev/null
+++ b/internal/api/userapi/cancel_test.go
@@ -0,0 +1,114 @@
+package userapi
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/jonboulle/clockwork"
+
+	"poppypass/internal/clients/statestore"
+	"poppypass/internal/cluster/election"
+	"poppypass/internal/platform/config"
+	"poppypass/internal/platform/wire"
+	"poppypass/internal/scheduler/jobs"
+	"poppypass/internal/scheduler/leader"
+	"poppypass/internal/sim/fakes"
+)
+
+// loopOf makes a leader's loop that reads its records from a state service, until ctx ends.
+func loopOf(ctx context.Context, state string) *leader.Loop {
+	clock := clockwork.NewFakeClock()
+	l := leader.New(&leader.Env{
+		Settings: &config.Settings{Member: "m0", Cluster: config.Cluster{
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16},
+		}},
+		Clock: clock, Log: slog.New(slog.DiscardHandler), Store: statestore.New(state, 1e6, 1e6), FinalStates: jobs.NewFinalStates(8),
+		Types: func() []wire.MachineType { return nil },
+		Valid: func(uint64) bool { return false },
+	}, election.Leadership{Term: 1})
+	l.Start(ctx)
+	return l
+}
+
+// runLoop runs a loop until the test ends.
+func runLoop(t *testing.T, state string) *leader.Loop {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	l := loopOf(ctx, state)
+	done := make(chan struct{})
+	go func() { defer close(done); _ = l.Run() }()
+	t.Cleanup(func() { cancel(); <-done })
+	return l
+}
+
+// Guards against a cancellation that is answered by what is stored though the leader may be about to change it: what is stored
+// counts only for a job that the loop does not know. A poll is answered by what is stored in each case. Stored are job-1, which
+// is live, and the end of job-2.
+func TestCancellationReadsTheStoreOnlyForJobsTheLoopDoesNotKnow(t *testing.T) {
+	unreachable := httptest.NewServer(nil)
+	unreachable.Close()
+	over, cancel := context.WithCancel(t.Context())
+	cancel()
+	for _, c := range []struct {
+		name string
+		loop func(t *testing.T) *leader.Loop
+		why  error // of the loop
+		want map[string]int
+	}{
+		{"a loop that knows no jobs", func(t *testing.T) *leader.Loop {
+			empty := fakes.NewStore(clockwork.NewFakeClock())
+			t.Cleanup(empty.Close)
+			return runLoop(t, empty.Addr())
+		}, leader.ErrUnknownJob, map[string]int{"job-1": 503, "job-2": 200, "job-3": 404}},
+		{"a loop that still reads the records", func(t *testing.T) *leader.Loop {
+			return runLoop(t, unreachable.Listener.Addr().String())
+		}, leader.ErrLoading, map[string]int{"job-1": 503, "job-2": 200, "job-3": 404}},
+		{"a loop whose term is over", func(t *testing.T) *leader.Loop {
+			return loopOf(over, unreachable.Listener.Addr().String())
+		}, leader.ErrLeadershipOver, map[string]int{"job-1": 503, "job-2": 503, "job-3": 503}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h, _ := newHandlerWithStore(t)
+			if _, err := h.store.Commit(t.Context(), wire.Txn{Then: []wire.Change{
+				{Put: jobs.KeyJob("job-1"), Value: []byte(`{}`)}, {Put: jobs.KeyFinalState("job-2"), Value: []byte(`{"state":"done"}`)},
+			}}); err != nil {
+				t.Fatal(err)
+			}
+			l := c.loop(t)
+			for { // until it has read its records, where it can
+				_, err := l.Status(t.Context(), "job-1")
+				if errors.Is(err, c.why) {
+					break
+				}
+				if !errors.Is(err, leader.ErrLoading) {
+					t.Fatalf("the loop says %v, want %v", err, c.why)
+				}
+			}
+			h.leader = func() *leader.Loop { return l }
+			serve := func(fn http.HandlerFunc, id string) int {
+				w := httptest.NewRecorder()
+				r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs+"/"+id, strings.NewReader(""))
+				r.SetPathValue("id", id)
+				fn(w, r)
+				return w.Code
+			}
+			polls := map[string]int{"job-1": 200, "job-2": 200, "job-3": 404}
+			for id, want := range c.want {
+				// Whichever comes first must not answer the other from a remembered final state.
+				h.finalStates = jobs.NewFinalStates(8)
+				if got := serve(h.ServeCancel, id); got != want {
+					t.Errorf("%s cancelled: %d, want %d", id, got, want)
+				}
+				h.finalStates = jobs.NewFinalStates(8)
+				if got := serve(h.ServeStatus, id); got != polls[id] {
+					t.Errorf("%s polled: %d, want %d", id, got, polls[id])
+				}
+			}
+		})
+	}
+}
