--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -13,15 +13,19 @@
 	"poppypass/internal/platform/wire"
 )
 
-// commit brings a transaction to a definite outcome, guarded on the leader key as it was when the term began. It is repeated unchanged
-// until it has one; its guards make sure that only one of the tries is applied. inDoubt, if it is not nil, tells meanwhile whether
-// it may be carried out already; not while all tries were refused, as in an outage. It stays set after a success: the loop has yet to
-// learn of that.
+// commit brings a transaction to a definite outcome, guarded on the leader key as it was when the term began. It
+// repeats the transaction unchanged until the outcome is known; the guards ensure that at most one of the tries is
+// applied.
 //
-// The error is errDeposed when another leads, errChanged when another condition does not hold, or that of the ended term.
+// If inDoubt is not nil, it is set while the transaction may already be applied. It is cleared when the state
+// service has executed none of the tries so far, as in an outage. It stays set after a success, because the loop
+// has yet to learn of that.
+//
+// The error is errDeposed if another member leads, errChanged if another condition does not hold, or that of the
+// ended term.
 func (l *Loop) commit(t wire.Txn, inDoubt *atomic.Bool) (revision uint64, err error) {
 	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
-	mayBeApplied := false // by an earlier try that had no answer
+	mayBeApplied := false // by an earlier try without an answer
 	for pause := tuning.StateRetry; ; pause = min(2*pause, tuning.StateRetryMax) {
 		if err := l.ended.Err(); err != nil {
 			return 0, err
@@ -37,7 +41,7 @@
 		switch {
 		case errors.As(err, &conflict):
 			revision, err = l.resolveConflict(t, conflict, mayBeApplied)
-			if err == nil || !outcomeMissing(err) {
+			if err == nil || !isRetryable(err) {
 				return revision, err
 			}
 		case errors.Is(err, statestore.ErrOutcomeUnknown):
@@ -47,20 +51,21 @@
 				inDoubt.Store(false)
 			}
 		default:
-			return 0, fmt.Errorf("records cannot be stored: %w", err)
+			return 0, fmt.Errorf("the state service rejected the transaction: %w", err)
 		}
-		l.log.Debug("commit repeated", "err", err)
+		l.log.Debug("transaction has no definite outcome yet; retrying", "err", err)
 		l.env.sleep(l.ended, pause)
 	}
 }
 
-// outcomeMissing reports whether a request to the state service may succeed when it is repeated.
-func outcomeMissing(err error) bool {
+// isRetryable reports whether a failed request to the state service may succeed if it is repeated.
+func isRetryable(err error) bool {
 	return errors.Is(err, statestore.ErrOutcomeUnknown) || errors.Is(err, statestore.ErrNotExecuted)
 }
 
-// resolveConflict finds out what a refused condition means: another leads, an earlier try without an answer was applied, or
-// a record was changed by another.
+// resolveConflict finds out why a condition of a transaction failed: another member leads (errDeposed), another
+// writer changed a record (errChanged), or an earlier try, which had no answer, was applied. In the last case it
+// returns the revision of that try.
 func (l *Loop) resolveConflict(t wire.Txn, conflict *statestore.ConflictError, mayBeApplied bool) (revision uint64, err error) {
 	switch {
 	case slices.Contains(conflict.Failed, l.leadership.Guard.Key):
@@ -71,8 +76,9 @@
 	return l.revisionOfApplied(t)
 }
 
-// revisionOfApplied finds the revision of a transaction that was applied without an answer. All its changes
-// have the same revision, so one of them tells.
+// revisionOfApplied returns the revision of a transaction that was applied without an answer. All changes of a
+// transaction have the same revision, so one stored record is enough to find it. The error is errChanged if that
+// record does not have the transaction's value.
 func (l *Loop) revisionOfApplied(t wire.Txn) (uint64, error) {
 	for _, change := range t.Then {
 		if change.Put == "" {
@@ -87,10 +93,10 @@
 		}
 		return item.Version, nil
 	}
-	return 0, nil // only deletions: nobody needs their revision
+	return 0, nil // only deletions: their revision is not needed
 }
 
-// sameJSON reports whether two values are the same, however they are written.
+// sameJSON reports whether two JSON values are equal, however they are formatted.
 func sameJSON(a, b json.RawMessage) bool {
 	var x, y any
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && reflect.DeepEqual(x, y)
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -17,7 +17,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Env is what a leader's loop finds in its process. It outlives the terms.
+// Env holds what the loop uses of its process: settings, clients and callbacks. It is the same for all terms of the
+// process.
 type Env struct {
 	Settings *config.Settings
 	Tunables tuning.Tunables
@@ -29,55 +30,58 @@
 	Teams       map[string]config.Team
 	FinalStates *jobs.FinalStates
 
-	// Workers is the client for direct commands to workers.
+	// Workers is the HTTP client for direct commands to workers.
 	Workers *http.Client
-	// CommandSlots holds one value for each direct command in flight, as many as the sockets allow; nil: any number.
+	// CommandSlots is a semaphore for direct commands: it holds one value for each command in flight. Its capacity
+	// is what the sockets allow; if it is nil, the number is not limited.
 	CommandSlots chan struct{}
 
-	// Observer is told what the loop does; nil: nobody is.
+	// Observer receives the events of the loop; it may be nil.
 	Observer Observer
-	// Accounts is true if charges are kept, by accounts that jobs may name.
+	// Accounts is true if charges are recorded, by account, and jobs may name the account to charge.
 	Accounts bool
-	// Subsystems makes the subsystems that join the loop of each term.
+	// Subsystems are the constructors of the subsystems. They are called once for each term.
 	Subsystems []func(log *slog.Logger) (Subsystem, error)
-	// Valid reports whether this member has the right to act in a term now.
+	// Valid reports whether this member may act as the leader of a term now.
 	Valid func(term uint64) bool
-	// MayHaveRenewed asks a member, this one or another, which of some machines it may have answered by
-	// its zone lease within a worker lease. With an error, when it cannot tell or gives no answer, it may have answered any.
+	// MayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its
+	// zone lease, which renews their worker leases. An error means that the member cannot tell or gave no answer:
+	// it may then have answered any of them.
 	MayHaveRenewed func(ctx context.Context, member string, names []string) (renewed []string, err error)
-	// ProbeWorkers asks the other members whether one of them gets an answer from one of some workers, by their addresses; nil:
-	// there are no others.
+	// ProbeWorkers asks the other members whether any of them gets an answer from any of the workers at some
+	// addresses. It is nil if there are no other members.
 	ProbeWorkers func(ctx context.Context, addrs []string) bool
-	// MemoryFull reports that this process has no memory for more jobs; nil: it always has.
+	// MemoryFull reports whether this process has no memory for more jobs. If it is nil, there is always enough.
 	MemoryFull func() bool
-	// MemoryLive is how many bytes of memory are in use by this process, without garbage; nil: it is not known.
+	// MemoryLive returns how many bytes of memory this process uses, without garbage. It is nil if that is not
+	// known.
 	MemoryLive func() uint64
-	// Types gives the machine types; nil while none are known.
+	// Types returns the machine types; nil while none are known.
 	Types func() []wire.MachineType
 }
 
-// observe calls fn if there is an observer.
+// observe calls fn with the observer, if there is one.
 func (e *Env) observe(fn func(Observer)) {
 	if e.Observer != nil {
 		fn(e.Observer)
 	}
 }
 
-// sleep waits for d on the process's clock, or until ctx ends.
+// sleep waits for d by the process's clock, or until ctx ends.
 func (e *Env) sleep(ctx context.Context, d time.Duration) {
 	clock.Sleep(ctx, e.Clock, d)
 }
 
-// typeOf gives a machine type; nil when it is not known.
+// typeOf returns a machine type by its name; nil if it is not known.
 func (e *Env) typeOf(name string) *wire.MachineType {
 	return wire.TypeNamed(e.Types(), name)
 }
 
-// workerLease is for how long an answered heartbeat lets a worker run its tasks.
+// workerLease is how long a worker may run its tasks after a heartbeat that was answered.
 func (e *Env) workerLease() time.Duration { return seconds(e.Settings.Cluster.Workers.LeaseS) }
 
-// maxStartWaitS is how long jobs of a class may wait for their start by the objectives, in seconds; ok is false if none
-// speaks of it.
+// maxStartWaitS returns how long jobs of a class may wait for their start, in seconds: the shortest time of all
+// service-level objectives that apply to the class. ok is false if none applies.
 func (e *Env) maxStartWaitS(class string) (withinS float64, ok bool) {
 	for _, o := range e.Settings.Cluster.Objectives {
 		if (o.Kind == "guarantee" || o.Kind == "wait" && o.Class == class) && (!ok || o.WithinS < withinS) {
@@ -87,5 +91,5 @@
 	return withinS, ok
 }
 
-// seconds makes a duration of the seconds in settings, records and messages.
+// seconds converts a number of seconds, as settings, records and messages have it, into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// jobIDFromPath reads the job's ID from a path of the form /v2/runs/ID/end.
+// jobIDFromPath returns the job's ID in a path of the form /v2/runs/ID/end.
 func jobIDFromPath(uri, end string) (id string, ok bool) {
 	u, err := url.Parse(uri)
 	if err != nil {
@@ -25,10 +25,10 @@
 	return id, ok && wire.ValidJobID(id)
 }
 
-// explain says what the waiting tasks of a job wait for. The error is ErrUnknownJob.
+// explain returns why the waiting tasks of a job do not start. The error is ErrUnknownJob.
 func (l *Loop) explain(id string, now time.Time) (wire.Explanation, error) {
-	if s, over := l.env.FinalStates.Get(id); over {
-		return wire.Explanation{JobStatus: s}, nil
+	if status, finished := l.env.FinalStates.Get(id); finished {
+		return wire.Explanation{JobStatus: status}, nil
 	}
 	j := l.jobs.Jobs[id]
 	if j == nil {
@@ -41,7 +41,7 @@
 	return e, nil
 }
 
-// addReasons adds why the waiting tasks of a job do not start.
+// addReasons adds the reasons why the waiting tasks of a job do not start.
 func (l *Loop) addReasons(e *wire.Explanation, j *jobs.Job, now time.Time) {
 	add := func(format string, args ...any) { e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...)) }
 	admitted, reason := l.subsystems.admit(j, now)
@@ -58,17 +58,17 @@
 	if now.Before(j.BackoffUntil) {
 		add("after failures, no task starts for %d s", 1+int(j.BackoffUntil.Sub(now).Seconds()))
 	}
-	p := &placement.PendingJob{
+	pending := &placement.PendingJob{
 		Job: &j.Job, WaitingSince: j.WaitingSince, Waiting: admitted, Started: j.Allocated + j.Done, EnqueuedAt: j.EnqueuedAt,
 		OnProbation: l.onProbation(j, now),
 	}
-	if p.Starving(now) {
+	if pending.Starving(now) {
 		add("it has waited %d s to begin: one task of it goes before all else of its priority, and a machine is held for it", int(now.Sub(j.EnqueuedAt).Seconds()))
 	}
 	switch {
-	case placement.TasksWithinQuota(p, l.teams()) == 0:
+	case placement.TasksWithinQuota(pending, l.teams()) == 0:
 		add("the team's tasks use as much as the team's limit allows")
-	case p.Starving(now) || len(e.Reasons) > 0:
+	case pending.Starving(now) || len(e.Reasons) > 0:
 	case j.Allocated > 0:
 		add("no machine has room for more of its tasks; work of higher priority, or that waited longer, goes first")
 	default:
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "link", golden.Fill(new(linkRecord)))
+	golden.JSON(t, "link", golden.Fill(new(chainLinkRecord)))
 	golden.JSON(t, "images", golden.Fill(new(imagesRecord)))
-	golden.Lines(t, "keys", keyLink, keyImages)
+	golden.Lines(t, "keys", keyChainLink, keyImages)
 }
 
 // A member hands a command to the leader as JSON.
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -11,7 +11,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Heartbeat applies a worker's heartbeat and gives the commands for the answer.
+// Heartbeat applies a worker's heartbeat and returns the commands for the reply. If the heartbeat is rejected, the
+// error is that of machines.Registry; otherwise it is ErrLeadershipOver or that of ctx.
 func (l *Loop) Heartbeat(ctx context.Context, hb *wire.Heartbeat) ([]wire.Command, error) {
 	type result struct {
 		commands []wire.Command
@@ -33,9 +34,9 @@
 func (l *Loop) handleHeartbeat(hb *wire.Heartbeat) ([]wire.Command, error) {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
-		// Nothing can be concluded yet, but the lease can be renewed: what the
-		// machine holds is counted from the records once they are in. The
-		// lease that this answer renews runs at most from now.
+		// Nothing can be concluded yet, but the worker's lease can be renewed: the tasks on the machine are restored
+		// from the records once these are loaded. The lease that this reply renews begins no later than now, and
+		// the leases of restored allocations are counted from startedAt. So startedAt moves to now.
 		l.startedAt = now
 		return nil, nil
 	}
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// applyHeartbeatResult applies what a heartbeat leads to, the commands for its reply apart.
+// applyHeartbeatResult applies the effects of a heartbeat, except for the commands of its reply.
 func (l *Loop) applyHeartbeatResult(r *machines.HeartbeatResult, now time.Time) {
 	if len(r.RetainedExits) > tuning.UnrecordedExits {
-		l.recordSoon(r.RetainedExits)
+		l.writeExitsSoon(r.RetainedExits)
 	}
 	for _, a := range r.Started {
 		l.taskStarted(a, now)
@@ -79,8 +80,9 @@
 	l.cycle.wakeIf(r.Changed)
 }
 
-// recordSoon has the ends of attempts written that a worker holds until they are stored: its heartbeats grow with them.
-func (l *Loop) recordSoon(exits []machines.AttemptID) {
+// writeExitsSoon has the ends of some attempts written soon. A worker lists each exit in its heartbeats until the end
+// is stored, so that they grow with the number of exits.
+func (l *Loop) writeExitsSoon(exits []machines.AttemptID) {
 	for _, id := range exits {
 		if j := l.jobs.Jobs[id.Task.Job]; j != nil {
 			l.jobs.FlushSoon(j, id.Task.Index)
@@ -88,15 +90,15 @@
 	}
 }
 
-// taskStarted notes that a task runs.
+// taskStarted records that a task is running.
 func (l *Loop) taskStarted(a *jobs.Allocation, now time.Time) {
 	l.jobs.MarkRunning(a, now)
-	if first := l.levels.jobBegan(a.Job); first != nil {
-		l.env.observe(func(o Observer) { o.JobBegan(a.Job.Class, a.Job.Team, first.sizeName(), now.Sub(a.Job.EnqueuedAt)) })
+	if job := l.levels.jobBegan(a.Job); job != nil {
+		l.env.observe(func(o Observer) { o.JobBegan(a.Job.Class, a.Job.Team, job.sizeName(), now.Sub(a.Job.EnqueuedAt)) })
 	}
 }
 
-// heartbeatRejected counts a heartbeat that changes nothing.
+// heartbeatRejected counts and logs a heartbeat that was not applied.
 func (l *Loop) heartbeatRejected(hb *wire.Heartbeat, err error) {
 	reason := "older"
 	switch {
@@ -106,12 +108,11 @@
 		reason = "contradicts"
 	}
 	l.env.observe(func(o Observer) { o.HeartbeatRejected(reason) })
-	l.log.Debug("heartbeat rejected", "machine", hb.Machine, "reason", reason, "incarnation", hb.Incarnation, "seq", hb.Seq)
+	l.log.Debug("heartbeat rejected; its content is ignored", "machine", hb.Machine, "reason", reason, "incarnation", hb.Incarnation, "seq", hb.Seq)
 }
 
-// mayForget reports whether an exited attempt without an allocation can be
-// forgotten by its worker: its end is stored, so no leader to come starts the
-// same attempt again.
+// mayForget reports whether a worker may forget an exited attempt that has no allocation: its end is stored, so
+// that no later leader starts the same attempt again.
 func (l *Loop) mayForget(id machines.AttemptID) bool {
 	j := l.jobs.Jobs[id.Task.Job]
 	if j == nil || id.Task.Index >= len(j.Tasks) {
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -11,20 +11,22 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Why the loop does not tell a job's state. Besides these, the error of a request is ErrLeadershipOver or that of its context.
+// These errors say why the loop cannot answer a request about a job. The other errors of such requests are
+// ErrLeadershipOver and that of the context.
 var (
-	// ErrUnknownJob means that the job is neither live nor known to be over.
+	// ErrUnknownJob means that the job is neither live nor known to be finished.
 	ErrUnknownJob = errors.New("no such live job")
-	// ErrLoading means that the records are still being read: the job may be among them.
+	// ErrLoading means that the stored records are still being loaded: the job may be among them.
 	ErrLoading = errors.New("the records are being read")
-	// ErrEndInDoubt means that the job's final state may be stored without our knowing.
-	ErrEndInDoubt = errors.New("the job's end may be stored")
-	// ErrTaskUnreachable means that a task of a cancelled job is on a machine that no command reaches now.
-	ErrTaskUnreachable = errors.New("a task runs out of reach")
+	// ErrEndInDoubt means that the job's final state may be stored, but this leader does not know that yet.
+	ErrEndInDoubt = errors.New("the final state of the job may already be stored")
+	// ErrTaskUnreachable means that a task of a cancelled job is on a machine to which commands do not get through
+	// now.
+	ErrTaskUnreachable = errors.New("a task of the job is on an unreachable machine")
 )
 
-// Status answers a user from memory. The error is ErrUnknownJob, ErrLoading, ErrEndInDoubt, ErrLeadershipOver or ctx's; whoever
-// asks has to read the state service then.
+// Status returns the status of a live job from memory. The error is ErrUnknownJob, ErrLoading, ErrEndInDoubt,
+// ErrLeadershipOver or that of ctx; the caller then has to read the state service.
 func (l *Loop) Status(ctx context.Context, id string) (wire.JobStatus, error) {
 	type result struct {
 		status wire.JobStatus
@@ -39,13 +41,14 @@
 		return wire.JobStatus{}, err
 	case r.err != nil:
 		return wire.JobStatus{}, r.err
-	case !l.env.Valid(l.leadership.Term): // the right to act ended meanwhile
+	case !l.env.Valid(l.leadership.Term): // the right to act ended while the loop answered
 		return wire.JobStatus{}, ErrLeadershipOver
 	}
 	return r.status, nil
 }
 
-// statusInMemory is what the user of a live job may be told. The error is ErrUnknownJob, ErrLoading or ErrEndInDoubt.
+// statusInMemory returns the status of a live job, if it is safe to give it to the job's user. The error is
+// ErrUnknownJob, ErrLoading or ErrEndInDoubt.
 func (l *Loop) statusInMemory(id string) (wire.JobStatus, error) {
 	j, err := l.liveJob(id)
 	switch {
@@ -57,7 +60,7 @@
 	return j.Status(), nil
 }
 
-// liveJob returns a job that is not over. The error is ErrUnknownJob or ErrLoading.
+// liveJob returns a job that is not finished. The error is ErrUnknownJob or ErrLoading.
 func (l *Loop) liveJob(id string) (*jobs.Job, error) {
 	if !l.loading.done {
 		return nil, ErrLoading
@@ -69,15 +72,18 @@
 	return j, nil
 }
 
-// finalStateMayBeStored reports whether a job's final state may be stored without our knowing. What is stored has to be read
-// then: another member may have read it and told its user, and what is in memory would be older.
+// finalStateMayBeStored reports whether a job's final state may be stored without this leader knowing it yet. The
+// request then has to be answered from the state service: another member may have read the final state there and
+// reported it to the user, and the status in memory would be older.
 func (l *Loop) finalStateMayBeStored(j *jobs.Job) bool { return j.EndSent() && l.writer.inDoubt.Load() }
 
-// Cancel cancels a job and returns its final state once that is stored. Nothing more of it is started, its tasks are
-// stopped, and the cancellation is stored once all are proven gone: a task in a partitioned zone
-// may live on for longer than a user who was told may wait for its end. While one
-// is unreachable the error is ErrTaskUnreachable; its end is then asked for again. Otherwise it is ErrUnknownJob, ErrLoading,
-// ErrLeadershipOver or ctx's, which also ends after tuning.CancelWait.
+// Cancel cancels a job and returns its final state once that is stored. No further task of the job is started, and
+// its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone: a task in a
+// partitioned zone may run on for longer than a user who knows that the job is cancelled may have to wait for its
+// end.
+//
+// While a task is unreachable, the error is ErrTaskUnreachable, and the user has to ask again. The other errors are
+// ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelWait at the latest.
 func (l *Loop) Cancel(ctx context.Context, id string) (wire.JobState, error) {
 	type result struct {
 		state wire.JobState
@@ -104,7 +110,8 @@
 	return r.state, r.err
 }
 
-// anyUnreachable reports whether one of some allocations is on a machine that no command is likely to reach.
+// anyUnreachable reports whether any of some allocations is on a machine to which commands are unlikely to get
+// through.
 func (l *Loop) anyUnreachable(allocations []*jobs.Allocation) bool {
 	now := l.env.Clock.Now()
 	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.unreachable(l.machines.Machines[a.Machine], now) })
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -13,13 +13,14 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// loadState is which stored records are in memory.
+// loadState records which stored records are in memory.
 type loadState struct {
-	done         bool   // all records are in; before, nothing is placed or concluded
-	jobsRevision uint64 // the revision up to which the watch has told of new jobs
+	done            bool   // all records are loaded; until then nothing is placed, and no attempt counts as ended
+	watchedRevision uint64 // the revision up to which the watch has reported new jobs
 }
 
-// load reads the stored jobs and their progress, then follows new jobs. It runs beside the loop until ctx ends.
+// load reads the stored jobs and their progress, then follows the watch of new jobs. It runs in a goroutine of its
+// own until ctx ends.
 func (l *Loop) load(ctx context.Context) {
 	revision, ok := l.readAll(ctx, jobs.PrefixJob, func(items []wire.Item) error {
 		return l.do(ctx, func() { l.loadJobs(items) })
@@ -27,27 +28,27 @@
 	if !ok {
 		return
 	}
-	// The progress is gathered first and loaded at once: a repeated reading
-	// must not count an allocation twice.
+	// All progress records are read before any is loaded: a listing that is retried returns records repeatedly, and
+	// an allocation must not be counted twice.
 	progress, ok := l.gatherAll(ctx, jobs.PrefixProgress)
 	if !ok {
 		return
 	}
-	// Charges that were detached from their progress matter only where they are kept.
+	// Charges that were detached from their progress records are of use only where charges are recorded.
 	var detached []wire.Item
 	if len(l.subsystems.joined) > 0 {
 		if detached, ok = l.gatherAll(ctx, jobs.PrefixDetached); !ok {
 			return
 		}
 	}
-	l.post(func() { l.loadProgress(progress, detached); l.loading.jobsRevision = revision })
+	l.post(func() { l.loadProgress(progress, detached); l.loading.watchedRevision = revision })
 	l.loadImages(ctx)
 	go l.reconcileStoredJobs(ctx)
 	l.followJobs(ctx, revision)
 }
 
-// readAll lists the records below a prefix, again until it succeeds: handle may be called with an item more than once. ok is
-// false if ctx ended before.
+// readAll lists the records below a prefix, and repeats that until it succeeds: handle may get an item more than
+// once. The revision is that of the listing. ok is false if ctx ended first.
 func (l *Loop) readAll(ctx context.Context, prefix string, handle func([]wire.Item) error) (revision uint64, ok bool) {
 	ok = l.retry(ctx, func() (err error) {
 		if revision, err = l.store.Urgent().ListAll(ctx, prefix, handle); err != nil {
@@ -58,7 +59,7 @@
 	return revision, ok
 }
 
-// gatherAll gives the records below a prefix, some perhaps repeatedly.
+// gatherAll returns the records below a prefix. After a retry, some may occur more than once.
 func (l *Loop) gatherAll(ctx context.Context, prefix string) (items []wire.Item, ok bool) {
 	_, ok = l.readAll(ctx, prefix, func(page []wire.Item) error {
 		items = append(items, page...)
@@ -67,67 +68,69 @@
 	return items, ok
 }
 
-// followJobs loads new jobs from a revision on, as the state service's watch tells of them.
+// followJobs loads the jobs that are stored after a revision, as the state service's watch reports them. If the
+// watch can no longer report all changes, the term ends, and the next leader reads all records.
 func (l *Loop) followJobs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		r, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatch)
+		response, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatch)
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
-			l.end(fmt.Errorf("missed changes of jobs: %w", err))
+			l.end(fmt.Errorf("the watch missed changes of jobs: %w", err))
 			return
 		case err != nil:
 			l.env.sleep(ctx, tuning.StateRetry)
 			continue
 		}
-		revision = max(revision, r.Revision)
+		revision = max(revision, response.Revision)
 		var items []wire.Item
-		for _, e := range r.Events {
+		for _, e := range response.Events {
 			revision = max(revision, e.Version)
 			if e.Put != "" {
 				items = append(items, wire.Item{Key: e.Put, Value: e.Value, Version: e.Version})
 			}
 		}
-		if seen := revision; len(items) > 0 {
-			l.post(func() { l.loadJobs(items); l.loading.jobsRevision = seen })
+		if upTo := revision; len(items) > 0 {
+			l.post(func() { l.loadJobs(items); l.loading.watchedRevision = upTo })
 		}
 	}
 }
 
-// jobIDOf gives the job of a stored job's key.
+// jobIDOf returns the job's ID in the key of a stored job.
 func jobIDOf(key string) string { return key[len(jobs.PrefixJob):] }
 
-// loadJobs loads stored jobs; those that are in memory already, or are over, change nothing.
+// loadJobs loads stored jobs. It skips those that are in memory already or are finished.
 func (l *Loop) loadJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	for _, item := range items {
 		id := jobIDOf(item.Key)
-		if _, over := l.env.FinalStates.Get(id); over && l.loading.done {
-			continue // a late event of a job that is over by now
+		if _, finished := l.env.FinalStates.Get(id); finished && l.loading.done {
+			continue // a late event of a job that has finished since
 		}
-		known := l.jobs.Jobs[id] != nil
+		loaded := l.jobs.Jobs[id] != nil
 		j, err := l.jobs.LoadJob(item, now, now)
 		if err != nil {
-			l.log.Error("stored job unreadable", "err", err)
+			l.log.Error("stored job cannot be decoded; skipping it", "err", err)
 			continue
 		}
-		if !known {
+		if !loaded {
 			l.jobArrived(j, now)
 		}
 	}
 	l.cycle.wake()
 }
 
-// jobArrived tells the other parts of a job that was not in memory before.
+// jobArrived informs the other parts of the loop of a job that was not in memory before.
 func (l *Loop) jobArrived(j *jobs.Job, now time.Time) {
 	size := l.levels.jobArrived(j).sizeName()
 	if l.loading.done {
 		l.env.observe(func(o Observer) { o.JobArrived(j.Class, j.Team, size) })
 	}
-	l.fleet.planSoon(now) // rent at once if it finds no room
+	l.fleet.planSoon(now) // rent machines at once if it fits on none
 	l.arrivals.add(j, l.inInitialBacklog(now))
 }
 
-// loadProgress loads all progress records, with the charges that were detached from them. Then everything is in memory.
+// loadProgress loads all progress records, and the charges that were detached from them. That completes the
+// loading.
 func (l *Loop) loadProgress(progress, detached []wire.Item) {
 	now := l.env.Clock.Now()
 	seen := map[string]bool{}
@@ -137,7 +140,7 @@
 		}
 		seen[item.Key] = true
 		if err := l.restoreAllocations(item, now); err != nil {
-			// Without this record nobody knows where its tasks may be.
+			// Without this record nobody knows where its tasks may be running.
 			l.end(err)
 			return
 		}
@@ -151,7 +154,7 @@
 	l.finishLoading(now)
 }
 
-// restoreAllocations loads a progress record: its tasks may run where it says.
+// restoreAllocations loads a progress record: its tasks may be running on the machines that it names.
 func (l *Loop) restoreAllocations(item wire.Item, now time.Time) error {
 	allocations, err := l.jobs.LoadProgress(item, now)
 	if err != nil {
@@ -166,11 +169,11 @@
 	return nil
 }
 
-// finishLoading begins the work of the term: all records are in memory.
+// finishLoading begins the work of the term, now that all records are in memory.
 func (l *Loop) finishLoading(now time.Time) {
 	l.jobs.FinishLoading()
 	for _, err := range l.jobs.TakeDamaged() {
-		l.log.Error("charges are lost", "err", err)
+		l.log.Error("stored charges cannot be decoded; they are lost", "err", err)
 	}
 	l.loading.done = true
 	l.cycle.wake()
@@ -183,5 +186,5 @@
 	l.readSubsystems()
 	took := now.Sub(l.startedAt)
 	l.env.observe(func(o Observer) { o.FailoverDone(took) })
-	l.log.Info("records loaded", "jobs", len(l.jobs.Jobs), "machines", len(l.machines.Machines), "took_ms", took.Milliseconds())
+	l.log.Info("stored records loaded; scheduling begins", "jobs", len(l.jobs.Jobs), "machines", len(l.machines.Machines), "took_ms", took.Milliseconds())
 }
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -18,13 +18,13 @@
 	env        *Env
 	leadership election.Leadership
 	log        *slog.Logger
-	startedAt  time.Time // as long as records are being read: when the last heartbeat was answered
+	startedAt  time.Time // of the term; while records are being loaded: when the last heartbeat was answered
 
-	inbox chan func()             // messages for the loop's goroutine
-	ended context.Context         // is over with the term
+	inbox chan func()             // messages to run on the loop's goroutine
+	ended context.Context         // is done when the term ends
 	end   context.CancelCauseFunc // ends the term; the cause says why
 
-	store    *statestore.Client // with the leader's share of the state service's limits
+	store    *statestore.Client // limited to the leader's share of the state service's rate limits
 	jobs     *jobs.Store
 	machines *machines.Registry
 
@@ -46,17 +46,17 @@
 }
 
 var (
-	// ErrUnreachable tells that this member's answers and commands reach no worker, though another member's do.
-	ErrUnreachable = errors.New("no worker hears this member, others they do")
-	// errChanged tells that a record is not as we know it.
-	errChanged = errors.New("records were changed by another")
-	// ErrLeadershipOver tells that the loop's term, or its right to act, is over.
-	ErrLeadershipOver = errors.New("the tenure is over")
-	// errDeposed tells that the leader key is another's, as after the process stood still.
-	errDeposed = errors.New("the leader key is another's")
+	// ErrUnreachable means that no worker answers this member, although workers answer another member.
+	ErrUnreachable = errors.New("no worker answers this member, but workers answer another member")
+	// errChanged means that a stored record is not what this leader expects it to be.
+	errChanged = errors.New("records were changed by another writer")
+	// ErrLeadershipOver means that the loop's term is over, or that this member may no longer act in it.
+	ErrLeadershipOver = errors.New("the term is over")
+	// errDeposed means that another member holds the leader key, for example after this process was suspended.
+	errDeposed = errors.New("another member holds the leader key")
 )
 
-// New makes the loop of a term.
+// New returns the loop of a term. Start and Run start it.
 func New(env *Env, leadership election.Leadership) *Loop {
 	now := env.Clock.Now()
 	l := &Loop{
@@ -68,7 +68,7 @@
 		store:         env.Store.WithShare(tuning.LeaderShare),
 		jobs:          jobs.NewStore(env.Settings.Cluster.State.TxnOps),
 		machines:      machines.New(leadership.Term, env.Settings.Cluster.Workers.LeaseS),
-		writer:        recordWriter{overdue: newOverdueLimiter(env.Settings.Cluster.State.WriteRPS)},
+		writer:        recordWriter{overdueLimit: newOverdueLimiter(env.Settings.Cluster.State.WriteRPS)},
 		cycle:         newSchedulingCycle(),
 		probing:       newProbing(),
 		interruptions: interruptionNotices{pending: map[string]bool{}},
@@ -82,32 +82,33 @@
 	return l
 }
 
-// Leadership is the leadership that the loop serves.
+// Leadership returns the leadership that the loop serves.
 func (l *Loop) Leadership() election.Leadership { return l.leadership }
 
-// Start makes the loop ready to be asked, until ctx ends; Run does the work.
+// Start lets the loop accept messages until ctx ends. Run handles them.
 func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
 
-// Run runs the loop until the leadership is lost. It ends by itself when records
-// cannot be trusted any more; the next leader then begins from what is stored. The error says why; nil: the term is over.
+// Run runs the loop until the leadership is lost. Run ends by itself if the records in memory can no longer be
+// trusted; the next leader then starts from the stored records. The error is the reason why this member gave up the
+// leadership; it is nil if the term ended otherwise.
 func (l *Loop) Run() error {
 	defer l.end(ErrLeadershipOver)
 	go l.load(l.ended)
 	l.run(l.ended)
 	switch cause := context.Cause(l.ended); {
 	case errors.Is(cause, errDeposed):
-		l.log.Info("another leads", "err", cause)
+		l.log.Info("leadership lost to another member; ending the term", "err", cause)
 	case errors.Is(cause, ErrUnreachable):
-		l.log.Info("handing over: workers hear others, not this member")
+		l.log.Info("workers answer another member but not this one; stepping down")
 		return cause
 	case cause != nil && !errors.Is(cause, context.Canceled):
-		l.log.Error("leadership given up", "err", cause)
+		l.log.Error("leader loop failed; giving up the leadership", "err", cause)
 		return cause
 	}
 	return nil
 }
 
-// run runs messages, and a step after each batch of them and each tick, until ctx ends.
+// run handles messages until ctx ends, with a step after each batch of messages and after each tick.
 func (l *Loop) run(ctx context.Context) {
 	tick := l.env.Clock.NewTicker(tuning.Tick)
 	defer tick.Stop()
@@ -124,8 +125,9 @@
 	}
 }
 
-// step brings the actual state in line with the desired one, as far as each part is due. Without the right to act nothing is
-// decided, but what was decided is still written: a transaction's guard refuses it once another leads.
+// step runs each part that is due, to bring the actual state in line with the desired one. Without the right to act
+// it decides nothing about tasks or the fleet, but it still writes earlier decisions: every transaction is guarded
+// on the leader key, so the state service refuses it once another member leads.
 func (l *Loop) step(now time.Time) {
 	if !l.loading.done || l.ended.Err() != nil {
 		return
@@ -142,15 +144,15 @@
 	l.stepImages(now)
 }
 
-// restAfter gives when work that began at a time and ends now may be done again: a scheduling cycle
-// over a large cluster takes milliseconds of a share of a processor, and
-// hundreds of heartbeats a second would each have one. Changes that come
-// meanwhile share the next. Work that took any time rests for atLeast.
-func (l *Loop) restAfter(begun time.Time, atLeast time.Duration) time.Time {
+// restAfter returns the time from which work that began at a time, and ends now, may be done again. The pause is
+// CycleRestFactor times as long as the work, and at least minPause; work that took no measurable time needs none. A
+// scheduling cycle over a large cluster takes milliseconds of a share of a processor, and hundreds of heartbeats a
+// second would each trigger one. Changes that arrive during the pause share the next cycle.
+func (l *Loop) restAfter(started time.Time, minPause time.Duration) time.Time {
 	now := l.env.Clock.Now()
-	took := now.Sub(begun)
+	took := now.Sub(started)
 	if took <= 0 {
 		return now
 	}
-	return now.Add(max(atLeast, tuning.CycleRestFactor*took))
+	return now.Add(max(minPause, tuning.CycleRestFactor*took))
 }
--- a/internal/scheduler/leader/messages.go
+++ b/internal/scheduler/leader/messages.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// handleQueued runs the messages that have come in by now, so that changes that come together share one scheduling cycle.
+// handleQueued runs the messages that are in the inbox now, so that changes that arrive together share one
+// scheduling cycle.
 func (l *Loop) handleQueued() {
 	for range len(l.inbox) {
 		select {
@@ -14,7 +15,7 @@
 	}
 }
 
-// post has the loop's goroutine run fn; it is dropped when the term is over.
+// post has the loop's goroutine run fn. If the term ends first, fn is dropped.
 func (l *Loop) post(fn func()) {
 	select {
 	case l.inbox <- fn:
@@ -22,8 +23,8 @@
 	}
 }
 
-// ask has the loop's goroutine run fn, and waits for what fn answers, at once or later. Only the first answer counts. The
-// error is ctx's, or ErrLeadershipOver.
+// ask has the loop's goroutine run fn, and returns what fn passes to answer, at once or later. Only the first
+// answer counts. The error is that of ctx, or ErrLeadershipOver.
 func ask[T any](ctx context.Context, l *Loop, fn func(answer func(T))) (T, error) {
 	ch := make(chan T, 1)
 	var zero T
@@ -32,7 +33,7 @@
 		fn(func(v T) {
 			select {
 			case ch <- v:
-			default: // it was answered before
+			default: // it has been answered already
 			}
 		})
 	}:
@@ -51,7 +52,8 @@
 	}
 }
 
-// do has the loop's goroutine run fn, and waits until it has.
+// do has the loop's goroutine run fn, and waits until fn has returned. The error is that of ctx, or
+// ErrLeadershipOver.
 func (l *Loop) do(ctx context.Context, fn func()) error {
 	_, err := ask(ctx, l, func(answer func(bool)) { fn(); answer(true) })
 	return err
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// Observer is told what a leader's loop does, for metrics. Its methods must not wait.
+// Observer receives the events of the leader's loop, for metrics. Its methods must not block.
 type Observer interface {
-	// FailoverDone: the stored records are in memory, so long after the loop began.
+	// FailoverDone reports that the stored records are in memory, and the time since Loop.startedAt.
 	FailoverDone(took time.Duration)
-	// CycleDone: a scheduling cycle took so long.
+	// CycleDone reports the duration of a scheduling cycle.
 	CycleDone(took time.Duration)
-	// HeartbeatHandled: a heartbeat was answered, so long after it came in.
+	// HeartbeatHandled reports the time from the arrival of a heartbeat until its answer.
 	HeartbeatHandled(took time.Duration)
-	// TaskStarted: a task was allocated to a machine.
+	// TaskStarted reports that a task was allocated to a machine.
 	TaskStarted(class string)
-	// AttemptEnded: an attempt at a task is proven to have ended.
+	// AttemptEnded reports that an attempt at a task is proven to have ended, and how it ended.
 	AttemptEnded(class, how string)
-	// RecordsWritten: a transaction of so many changes was committed.
+	// RecordsWritten reports the number of changes in a committed transaction.
 	RecordsWritten(changes int)
-	// StateSize: the live jobs and machines, waiting tasks by class, and the seconds for which the oldest job of each class waits to begin.
+	// StateSize reports the numbers of live jobs and machines, the number of waiting tasks by class, and for how
+	// many seconds the oldest job of each class has waited for its first task to run.
 	StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64)
-	// JobArrived: a job was accepted in this term.
+	// JobArrived reports that a job was accepted in this term.
 	JobArrived(class, team, size string)
-	// JobBegan: the first task of a job runs, so long after the job was accepted.
+	// JobBegan reports that the first task of a job runs, and the time since the job was accepted.
 	JobBegan(class, team, size string, waited time.Duration)
-	// MissingJobsFound: so many stored jobs were not in memory.
+	// MissingJobsFound reports how many stored jobs were missing in memory.
 	MissingJobsFound(jobs int)
-	// HeartbeatRejected: a heartbeat was not applied.
+	// HeartbeatRejected reports that a heartbeat was not applied, and why.
 	HeartbeatRejected(reason string)
-	// Reachability: machines that no command reaches, and live ones that have not acknowledged anything yet.
+	// Reachability reports how many machines commands do not reach, and how many live ones have not acknowledged
+	// any message of this term yet.
 	Reachability(unreachable, unproven int)
 }
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// applyOutcomes applies the proven ends of attempts.
+// applyOutcomes applies proven ends of attempts.
 func (l *Loop) applyOutcomes(outcomes []machines.Outcome, now time.Time) {
 	for _, o := range outcomes {
 		if !o.Allocation.Removed {
@@ -18,7 +18,8 @@
 	}
 }
 
-// applyOutcome applies the proven end of an attempt: its room is free, and its task is done or waits again.
+// applyOutcome applies the proven end of an attempt: its resources are free again, and its task is done or waits
+// for another attempt.
 func (l *Loop) applyOutcome(o machines.Outcome, now time.Time) {
 	a := o.Allocation
 	for _, s := range l.subsystems.joined {
@@ -36,22 +37,23 @@
 	l.jobs.MarkLost(a, now)
 	l.backOff(a, m, o.Reason, now)
 	if o.Reason != wire.ExitStopped {
-		l.log.Debug("task ended", "task", a.Task().String(), "machine", a.Machine, "reason", o.Reason)
+		l.log.Debug("attempt at a task did not succeed; the task waits again", "task", a.Task().String(), "machine", a.Machine, "reason", o.Reason)
 	}
 }
 
-// backOff puts off the next attempt at a task, by the reason for which the last one ended. m is nil if the machine is gone.
+// backOff delays the next attempt at a task, depending on the reason why the last one ended. m is nil if the
+// machine is gone.
 func (l *Loop) backOff(a *jobs.Allocation, m *machines.Machine, reason wire.ExitReason, now time.Time) {
 	switch reason {
 	case wire.ExitError:
 		l.taskFailed(a, now)
 	case wire.ExitNoRoom:
-		// Something that we do not see takes room there; ask again later.
+		// Something that the leader does not know of uses resources there. Try again after a pause.
 		if m != nil {
 			m.RefusedAt = now.Add(tuning.RefusalPause)
 		}
 	case wire.ExitUnknown:
-		// The job's description is not there (yet).
+		// The worker does not find the job's description, or not yet.
 		a.Job.BackoffUntil = now.Add(tuning.ErrorPause)
 	}
 }
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -10,21 +10,21 @@
 )
 
 var (
-	stillLoading = Answer{http.StatusServiceUnavailable, wire.Error{Error: ErrLoading.Error()}}
-	unknownPath  = Answer{http.StatusNotFound, wire.Error{Error: ErrUnknownPath.Error()}}
+	loadingAnswer     = Answer{http.StatusServiceUnavailable, wire.Error{Error: ErrLoading.Error()}}
+	unknownPathAnswer = Answer{http.StatusNotFound, wire.Error{Error: ErrUnknownPath.Error()}}
 )
 
-// Query answers a question: 404 if no subsystem knows the path, 503 while the records are read. The error is ErrLeadershipOver
-// or ctx's.
+// Query answers a query from memory. The status is 404 if no subsystem serves the path, 503 while the records are
+// being loaded. The error is ErrLeadershipOver or that of ctx.
 func (l *Loop) Query(ctx context.Context, uri string) (Answer, error) {
 	return ask(ctx, l, func(answer func(Answer)) { answer(l.query(uri)) })
 }
 
-// query answers a question from memory.
+// query answers a query from memory.
 func (l *Loop) query(uri string) Answer {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
-		return stillLoading
+		return loadingAnswer
 	}
 	if id, ok := jobIDFromPath(uri, wire.EndExplain); ok {
 		return l.queryExplanation(id, now)
@@ -34,10 +34,10 @@
 			return a
 		}
 	}
-	return unknownPath
+	return unknownPathAnswer
 }
 
-// queryExplanation answers what a job waits for.
+// queryExplanation answers why tasks of a job are waiting.
 func (l *Loop) queryExplanation(id string, now time.Time) Answer {
 	explanation, err := l.explain(id, now)
 	if errors.Is(err, ErrUnknownJob) {
@@ -46,16 +46,16 @@
 	return Answer{http.StatusOK, explanation}
 }
 
-// Command has a subsystem carry out a command: 404 if none knows it, 503 while the records are read. The error is
-// ErrLeadershipOver or ctx's; the command may be carried out all the same.
+// Command has a subsystem execute a command. The status is 404 if none serves its path, 503 while the records are
+// being loaded. The error is ErrLeadershipOver or that of ctx; the command may be executed nevertheless.
 func (l *Loop) Command(ctx context.Context, c Command) (Answer, error) {
 	return ask(ctx, l, func(answer func(Answer)) { l.command(c, answer) })
 }
 
-// command hands a command to the subsystem that knows it, which answers at once or later.
+// command passes a command to the subsystem that serves its path, which answers at once or later.
 func (l *Loop) command(c Command, answer func(Answer)) {
 	if !l.loading.done {
-		answer(stillLoading)
+		answer(loadingAnswer)
 		return
 	}
 	for _, s := range l.subsystems.joined {
@@ -66,5 +66,5 @@
 		l.cycle.wake()
 		return
 	}
-	answer(unknownPath)
+	answer(unknownPathAnswer)
 }
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -9,8 +9,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// reconcileStoredJobs compares the stored jobs with those in memory again and again: one that is stored and not in memory would be
-// known to its user and never run. The watch of new jobs names each once; whatever made it miss one, this finds it.
+// reconcileStoredJobs compares the stored jobs with those in memory, periodically until ctx ends. A job that is
+// stored but not in memory would look accepted to its user and never run. The watch reports each new job only once;
+// if it misses one, for whatever reason, this comparison finds it.
 func (l *Loop) reconcileStoredJobs(ctx context.Context) {
 	for {
 		l.env.sleep(ctx, tuning.ReconcileEvery)
@@ -22,14 +23,14 @@
 			items = append(items, page...)
 			return nil
 		}); err != nil {
-			l.log.Debug("stored jobs unreadable", "err", err)
+			l.log.Debug("listing the stored jobs failed; trying again later", "err", err)
 			continue
 		}
 		l.post(func() { l.reconcileJobs(items) })
 	}
 }
 
-// reconcileJobs loads stored jobs that are not in memory, and tells operators of those that should have been.
+// reconcileJobs loads stored jobs that are not in memory, and reports those that should have been to operators.
 func (l *Loop) reconcileJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	unknown := l.notInMemory(items)
@@ -50,26 +51,27 @@
 		return
 	}
 	l.env.observe(func(o Observer) { o.MissingJobsFound(found) })
-	l.log.Error("stored jobs were missing here", "found", found, "unreadable", unreadable)
+	l.log.Error("stored jobs were missing in memory; loaded those that can be decoded", "found", found, "unreadable", unreadable)
 }
 
-// notInMemory are those of some stored jobs that are not in memory. One that ended since they were read is over by what is known of
-// final states.
+// notInMemory returns the stored jobs of a listing that are not in memory. Jobs that finished after they were
+// listed are left out, if their final states are still remembered.
 func (l *Loop) notInMemory(items []wire.Item) []wire.Item {
 	var unknown []wire.Item
 	for _, item := range items {
 		id := jobIDOf(item.Key)
-		if _, over := l.env.FinalStates.Get(id); !over && l.jobs.Jobs[id] == nil {
+		if _, finished := l.env.FinalStates.Get(id); !finished && l.jobs.Jobs[id] == nil {
 			unknown = append(unknown, item)
 		}
 	}
 	return unknown
 }
 
-// wasMissed reports whether the watch should have told of a job. One that came behind what the watch has told, and not long ago, is not
-// missing: with a slow state service the listing overtakes the watch, and operators were told of an error. A watch that stands still
-// is an error, unless the whole process stood
-// still: then the right to act is over, and the listing may come in before what the watch had brought meanwhile.
+// wasMissed reports whether the watch should already have reported a stored job. If the job is newer than the
+// watch's last revision, and was accepted not long ago, it was not missed: with a slow state service the listing
+// overtakes the watch, and operators used to get an error for such jobs. A watch that stays behind for longer than
+// JobWatch is an error, unless the whole process was suspended. In that case this member may no longer act, and the
+// listing may be handled before the events that the watch received meanwhile.
 func (l *Loop) wasMissed(item wire.Item, j *jobs.Job, now time.Time) bool {
-	return item.Version <= l.loading.jobsRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.leadership.Term)
+	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.leadership.Term)
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -21,7 +21,7 @@
 		}
 		return wire.Item{Key: jobs.KeyJob(id), Value: value, Version: 3}
 	}
-	l.loading.jobsRevision = 3
+	l.loading.watchedRevision = 3
 	counted := &missingJobsCounter{}
 	l.env.Observer = counted
 	l.env.FinalStates.Add(wire.JobStatus{ID: "job-3", State: wire.StateDone}) // it ended after it was read
@@ -35,14 +35,14 @@
 	}
 	// The listing overtakes the watch: the job is loaded, and was not missing.
 	early := item("job-5")
-	early.Version = l.loading.jobsRevision + 1
+	early.Version = l.loading.watchedRevision + 1
 	l.reconcileJobs([]wire.Item{early})
 	if l.jobs.Jobs["job-5"] == nil || counted.found != 1 {
 		t.Errorf("%d are counted as missing, with one that the watch has yet to tell", counted.found)
 	}
 	// One that the watch should have told long ago was missing; but not where the process stood still, and has no right to act any more.
 	late, still := item("job-6"), item("job-7")
-	late.Version, still.Version = l.loading.jobsRevision+2, l.loading.jobsRevision+3
+	late.Version, still.Version = l.loading.watchedRevision+2, l.loading.watchedRevision+3
 	clock.Advance(tuning.JobWatch + time.Second)
 	l.reconcileJobs([]wire.Item{still})
 	if l.jobs.Jobs["job-7"] == nil || counted.found != 1 {
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -6,31 +6,33 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// stepDownIfUnheard leaves the leadership to another member if no worker answers this one, though their heartbeats arrive, and
-// another member reaches them: then it is this one's own way that is cut.
+// stepDownIfUnheard gives the leadership up to another member if no worker answers this one, although workers'
+// heartbeats arrive, and another member reaches workers. In that case it is this member's own connection that is
+// cut.
 func (l *Loop) stepDownIfUnheard(now time.Time) {
-	p := &l.probing
-	if l.env.ProbeWorkers == nil || p.askingPeers || now.Before(p.nextPeerProbe) || !l.mayBeUnheard(now) {
+	probes := &l.probing
+	if l.env.ProbeWorkers == nil || probes.askingPeers || now.Before(probes.nextPeerProbe) || !l.mayBeUnreachable(now) {
 		return
 	}
 	addrs := l.unansweredAddresses(now)
 	if len(addrs) < tuning.UnheardMachines {
 		return
 	}
-	p.askingPeers, p.nextPeerProbe = true, now.Add(tuning.UnheardFor)
+	probes.askingPeers, probes.nextPeerProbe = true, now.Add(tuning.UnheardFor)
 	go func() {
 		reached := l.env.ProbeWorkers(l.ended, addrs)
 		l.post(func() {
-			p.askingPeers = false
-			if reached && len(p.unanswered) >= tuning.UnheardMachines {
+			probes.askingPeers = false
+			if reached && len(probes.unanswered) >= tuning.UnheardMachines {
 				l.end(ErrUnreachable)
 			}
 		})
 	}()
 }
 
-// mayBeUnheard reports whether several machines left commands unanswered, and none has answered one for some time.
-func (l *Loop) mayBeUnheard(now time.Time) bool {
+// mayBeUnreachable reports whether at least tuning.UnheardMachines machines have left commands unanswered, and no
+// machine has answered one for tuning.UnheardFor.
+func (l *Loop) mayBeUnreachable(now time.Time) bool {
 	answered := l.probing.lastAnswered
 	if answered.Before(l.startedAt) {
 		answered = l.startedAt
@@ -38,8 +40,9 @@
 	return len(l.probing.unanswered) >= tuning.UnheardMachines && now.Sub(answered) >= tuning.UnheardFor
 }
 
-// unansweredAddresses are the addresses of machines that left commands unanswered, as many as the other members are asked about.
-// A machine that is dead sends heartbeats to nobody, and is no reason.
+// unansweredAddresses returns the addresses of machines that left commands unanswered: at most
+// tuning.UnheardMachines, which the other members are asked to probe. Machines without recent heartbeats are left
+// out: they may be dead, which is no reason to step down.
 func (l *Loop) unansweredAddresses(now time.Time) []string {
 	var addrs []string
 	for name := range l.probing.unanswered {
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -8,17 +8,17 @@
 	"poppypass/internal/platform/wire"
 )
 
-// subsystemWrites is what the loop keeps for the subsystems' transactions. Their keys are none of the job store's, so they and
-// the recordWriter's need not wait for each other.
+// subsystemWrites is the state of the subsystems' transactions. They and the recordWriter's transactions change
+// different keys, so neither has to wait for the other.
 type subsystemWrites struct {
-	inFlight bool               // a transaction is
-	turn     int                // counts whose turn it is
-	failed   map[Subsystem]bool // those whose records could not be stored
+	inFlight bool               // whether a transaction is in flight
+	turn     int                // turns so far; determines which subsystem is next
+	failed   map[Subsystem]bool // subsystems whose records could not be stored
 	chain    transactionChain
 }
 
-// nextWrite gives the next transaction of the subsystems, which take turns: one that always
-// has something to write must not hold up the others.
+// nextWrite returns the next transaction, and its subsystem; nil if there is nothing to write. The subsystems take
+// turns, because one that always has something to write must not hold up the others.
 func (s *subsystemSet) nextWrite(now time.Time, room int) (Subsystem, *SubsystemWrite) {
 	for range s.joined {
 		sub := s.joined[s.writes.turn%len(s.joined)]
@@ -33,12 +33,12 @@
 	return nil, nil
 }
 
-// writeSubsystems begins the next transaction of the subsystems, if none is in flight.
+// writeSubsystems starts the next transaction of the subsystems, if none is in flight.
 func (l *Loop) writeSubsystems(now time.Time) {
 	if l.subsystems.writes.inFlight {
 		return
 	}
-	s, w := l.subsystems.nextWrite(now, l.store.SpareWrites()-1) // one change is the chain's
+	s, w := l.subsystems.nextWrite(now, l.store.SpareWrites()-1) // one change is the link of the chain
 	if w == nil {
 		return
 	}
@@ -56,15 +56,15 @@
 	}()
 }
 
-// subsystemWritten tells a subsystem what became of its transaction.
+// subsystemWritten informs a subsystem of the outcome of its transaction.
 func (l *Loop) subsystemWritten(s Subsystem, w *SubsystemWrite, revision uint64, err error) {
 	switch {
 	case errors.Is(err, errChanged) && w.Conflict != nil:
 		w.Conflict()
 	case err != nil:
-		// The scheduling and the other subsystems go on; this one writes no more in this
-		// term, and the next leader begins from what is stored.
-		l.log.Error("a subsystem's records cannot be stored", "err", err)
+		// Scheduling and the other subsystems continue. This subsystem writes nothing more in this term, and the
+		// next leader starts from what is stored.
+		l.log.Error("storing the records of a subsystem failed; it writes nothing more in this term", "err", err)
 		l.subsystems.writes.failed[s] = true
 	default:
 		l.env.observe(func(o Observer) { o.RecordsWritten(len(w.Txn.Then)) })
@@ -72,51 +72,54 @@
 	}
 }
 
-// keyLink is changed by every transaction of the subsystems, and each is guarded on it: they form a chain. One that had no answer and
-// was repeated may be carried out once more, seconds later and after newer ones of ours. Guards on the versions of what it
-// changes do not refuse that where it drops records whatever they hold, or adds one that was dropped again since: a graph
-// that was registered anew lost its parts. The link of the chain that it was made for is gone by then.
-const keyLink = "aside/link"
+// keyChainLink is the key of a record that every transaction of the subsystems changes and is guarded on, so that the
+// transactions form a chain. A transaction that was repeated for lack of an answer may be executed once more,
+// seconds later and after newer transactions of this leader. Guards on the versions of the records that it changes
+// do not prevent that if it deletes records whatever their version is, or creates a record that was deleted in the
+// meantime: a graph that was registered again lost its parts that way. The link on which such a late duplicate is
+// guarded has been replaced by then, so the state service refuses it.
+const keyChainLink = "aside/link"
 
-// transactionChain is what the loop knows of that record; the goroutine that commits owns it.
+// transactionChain is what the loop knows of the record at keyChainLink. Only the goroutine that commits uses it.
 type transactionChain struct {
-	known   bool   // version is what is stored
-	version uint64 // 0: there is none yet
-	n       uint64 // of transactions in this term
+	versionKnown bool   // whether version is that of the stored record
+	version      uint64 // 0: the record does not exist yet
+	count        uint64 // number of transactions in this term
 }
 
-// linkRecord is different in each transaction, so that it tells whether one was carried out.
-type linkRecord struct {
-	Term uint64 `json:"term"`
-	N    uint64 `json:"n"`
+// chainLinkRecord is stored at keyChainLink. It is different in each transaction, so it shows whether a given one was
+// applied.
+type chainLinkRecord struct {
+	Term   uint64 `json:"term"`
+	Number uint64 `json:"n"`
 }
 
-// commitChained commits a subsystem's transaction as the next link of the chain. One is in flight at a time.
+// commitChained commits a subsystem's transaction as the next link of the chain. Only one is in flight at a time.
 func (l *Loop) commitChained(t wire.Txn) (revision uint64, err error) {
 	chain := &l.subsystems.writes.chain
 	if err := l.readChain(chain); err != nil {
 		return 0, err
 	}
-	chain.n++
+	chain.count++
 	revision, err = l.commit(wire.Txn{
-		If:   append([]wire.Condition{{Key: keyLink, Version: chain.version}}, t.If...),
-		Then: append([]wire.Change{{Put: keyLink, Value: wire.EncodeRecord(linkRecord{l.leadership.Term, chain.n})}}, t.Then...),
+		If:   append([]wire.Condition{{Key: keyChainLink, Version: chain.version}}, t.If...),
+		Then: append([]wire.Change{{Put: keyChainLink, Value: wire.EncodeRecord(chainLinkRecord{l.leadership.Term, chain.count})}}, t.Then...),
 	}, nil)
-	chain.known, chain.version = err == nil, revision
+	chain.versionKnown, chain.version = err == nil, revision
 	return revision, err
 }
 
-// readChain reads the chain's last link, if it is not known. The error is that of a term that ended meanwhile.
+// readChain reads the version of the chain's last link, if it is not known. The error is that of the ended term.
 func (l *Loop) readChain(chain *transactionChain) error {
-	if chain.known {
+	if chain.versionKnown {
 		return nil
 	}
 	read := l.retry(l.ended, func() error {
-		item, _, err := l.store.Get(l.ended, keyLink)
+		item, _, err := l.store.Get(l.ended, keyChainLink)
 		if err != nil {
 			return fmt.Errorf("reading the chain of subsystems' transactions: %w", err)
 		}
-		chain.known, chain.version = true, item.Version
+		chain.versionKnown, chain.version = true, item.Version
 		return nil
 	})
 	if !read {
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -15,82 +15,84 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Subsystem joins the loop for one term, for example to keep charges or to run graphs of jobs. The loop's goroutine
-// makes all calls but Read, so a subsystem needs no lock, and must not wait for anything.
+// Subsystem is a component that runs inside the loop for one term, for example to record charges or to run graphs
+// of jobs. All methods except Read are called by the loop's goroutine, so a subsystem needs no locks, and these
+// methods must not block.
 type Subsystem interface {
-	// Read reads the subsystem's own records. It runs beside the loop, once the jobs'
-	// records are in memory, and is repeated until it succeeds; the loop then calls take. What it
-	// must look up in the job store meanwhile, ask has the loop do.
-	Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (take func(), err error)
-	// Loaded tells that all jobs are in memory.
+	// Read reads the subsystem's own records. It runs in a goroutine of its own, once the jobs' records are in
+	// memory, and is repeated until it succeeds. The loop's goroutine then calls take. If Read needs data of the
+	// job store, it looks that up in a function that it passes to ask, which has the loop's goroutine run it.
+	Read(ctx context.Context, store *statestore.Client, onLoop func(func()) error) (apply func(), err error)
+	// Loaded is called when all jobs are in memory.
 	Loaded(store *jobs.Store, now time.Time)
-	// Admit says how many of a job's waiting tasks may start now, and the reason why no more.
+	// Admit returns how many of a job's waiting tasks may start now, and the reason why no more may.
 	Admit(j *jobs.Job, now time.Time) (n int, reason string)
-	// LimitTogether lowers counts, of the waiting tasks of each job that a look at all of them may
-	// consider, to what may start together: each is at most what Admit allows.
+	// LimitTogether lowers counts to what may start together. counts[i] is how many waiting tasks of waiting[i] a
+	// scheduling cycle or a fleet plan may consider; afterwards it is at most what Admit allows for that job.
 	LimitTogether(waiting []*jobs.Job, counts []int, now time.Time)
-	// Placed is told of an allocation, on a machine of a type.
+	// Placed is called when a task was allocated to a machine: of type typ, and a spot machine if spot is true.
 	Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
-	// Ended is told of the proven end of an attempt, before the job store is.
+	// Ended is called with the proven end of an attempt, before the job store is updated.
 	Ended(o machines.Outcome, now time.Time)
-	// Finished is told that a job came to a final state, which is stored.
+	// Finished is called when a job's final state is stored.
 	Finished(f jobs.FinishedJob, now time.Time)
-	// Tick does what is due, about every SubsystemTick, and names allocations that are to be stopped.
+	// Tick does the periodic work that is due. It is called about every tuning.SubsystemTick, and returns the
+	// allocations whose tasks are to be stopped.
 	Tick(now time.Time) []*jobs.Allocation
-	// NextWrite gives a transaction of the subsystem's own, on keys that the job store does not
-	// touch, of at most room changes; nil: none. One is in flight at a time.
+	// NextWrite returns the subsystem's next transaction, with at most room changes, on keys that the job store
+	// does not touch; nil if there is nothing to write. Only one is in flight at a time.
 	NextWrite(now time.Time, room int) *SubsystemWrite
-	// Query answers a question of an operator or user: a path below the subsystem's own, as
-	// in a URL. The error is ErrUnknownPath.
+	// Query answers a query of an operator or user. uri is a path below the subsystem's own, perhaps with a query
+	// string. The error is ErrUnknownPath.
 	Query(uri string, now time.Time) (Answer, error)
 }
 
-// CommandHandler is a subsystem that also carries out commands of users.
+// CommandHandler is a subsystem that also executes commands of users.
 type CommandHandler interface {
-	// Command carries out a command. answer is called once, by the loop's goroutine: at once, or
-	// when what was decided is stored. The error is ErrUnknownPath; answer is not called then.
+	// Command executes a command. It calls answer once, on the loop's goroutine: at once, or when the outcome is
+	// stored. The error is ErrUnknownPath; answer is not called then.
 	Command(c Command, now time.Time, answer func(Answer)) error
 }
 
-// ErrUnknownPath means that a subsystem has no such path, which another may have.
+// ErrUnknownPath means that a subsystem does not serve a path. Another subsystem may.
 var ErrUnknownPath = errors.New("nothing is known by that path here")
 
-// Answer answers a query or command.
+// Answer is the answer to a query or command.
 type Answer struct {
-	Status int // as in HTTP
-	Body   any // is sent as JSON; wire.Error from status 400 on
+	Status int // of HTTP
+	Body   any // sent as JSON; a wire.Error if the status is 400 or higher
 }
 
-// Command asks a subsystem to change something. Whoever has no answer may repeat it.
+// Command asks a subsystem to change something. Clients that get no answer may repeat it.
 type Command struct {
-	Method string          `json:"method"` // as in HTTP
+	Method string          `json:"method"` // of HTTP
 	URI    string          `json:"uri"`    // path and query
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// SubsystemWrite is a transaction of a subsystem. Done is called with its revision.
+// SubsystemWrite is a transaction of a subsystem. When it is committed, Done is called with its revision.
 type SubsystemWrite struct {
 	Txn  wire.Txn
 	Done func(revision uint64)
-	// Conflict is called instead if a condition does not hold, which the subsystem expects
-	// of some; nil: it expects it of none.
+	// Conflict is called instead of Done if a condition does not hold. It is nil if the subsystem expects all
+	// conditions to hold; a failed condition is then an error, and the subsystem writes nothing more in this term.
 	Conflict func()
 }
 
-// subsystemSet is the subsystems that joined the loop.
+// subsystemSet is the subsystems that run inside the loop.
 type subsystemSet struct {
 	joined   []Subsystem
 	nextTick time.Time
 	writes   subsystemWrites
 }
 
-// joinSubsystems makes the subsystems of a term. The loop runs without one that cannot join.
-func joinSubsystems(join []func(*slog.Logger) (Subsystem, error), log *slog.Logger) subsystemSet {
+// joinSubsystems constructs the subsystems of a term. The loop runs without those that cannot be constructed.
+func joinSubsystems(constructors []func(*slog.Logger) (Subsystem, error), log *slog.Logger) subsystemSet {
 	set := subsystemSet{writes: subsystemWrites{failed: map[Subsystem]bool{}}}
-	for _, fn := range join {
-		s, err := fn(log)
+	for _, construct := range constructors {
+		s, err := construct(log)
 		if err != nil {
-			log.Error("a subsystem cannot join", "err", err)
+			log.Error("constructing a subsystem failed; the loop runs without it", "err", err)
 			continue
 		}
 		set.joined = append(set.joined, s)
@@ -98,18 +100,19 @@
 	return set
 }
 
-// admit is how many of a job's waiting tasks may start now, and the reason why no more.
+// admit returns how many of a job's waiting tasks all subsystems allow to start now, and the reason why no more
+// may.
 func (s *subsystemSet) admit(j *jobs.Job, now time.Time) (n int, reason string) {
 	n = j.Waiting()
 	for _, sub := range s.joined {
-		if may, why := sub.Admit(j, now); may < n {
-			n, reason = may, why
+		if admitted, refusal := sub.Admit(j, now); admitted < n {
+			n, reason = admitted, refusal
 		}
 	}
 	return n, reason
 }
 
-// startLimits is how many waiting tasks of each job a scheduling cycle or a plan of the fleet may consider.
+// startLimits returns how many waiting tasks of each job a scheduling cycle or a fleet plan may consider.
 func (s *subsystemSet) startLimits(waiting []*jobs.Job, now time.Time) []int {
 	counts := make([]int, len(waiting))
 	for i, j := range waiting {
@@ -121,27 +124,27 @@
 	return counts
 }
 
-// readSubsystems has each subsystem read its records, beside the loop and the others.
+// readSubsystems has each subsystem read its records, in a goroutine of its own.
 func (l *Loop) readSubsystems() {
 	for _, s := range l.subsystems.joined {
 		go l.readSubsystem(s)
 	}
 }
 
-// readSubsystem has a subsystem read its records, again until that succeeds.
+// readSubsystem has a subsystem read its records, and repeats that until it succeeds.
 func (l *Loop) readSubsystem(s Subsystem) {
 	onLoop := func(fn func()) error { return l.do(l.ended, fn) }
 	l.retry(l.ended, func() error {
-		take, err := s.Read(l.ended, l.store, onLoop)
+		apply, err := s.Read(l.ended, l.store, onLoop)
 		if err != nil {
 			return fmt.Errorf("reading a subsystem's records: %w", err)
 		}
-		l.post(func() { take(); l.cycle.wake() })
+		l.post(func() { apply(); l.cycle.wake() })
 		return nil
 	})
 }
 
-// stepSubsystems does what the subsystems have due.
+// stepSubsystems runs the periodic work of the subsystems if it is due, and writes their records.
 func (l *Loop) stepSubsystems(now time.Time) {
 	if !now.Before(l.subsystems.nextTick) {
 		l.subsystems.nextTick = now.Add(tuning.SubsystemTick)
