--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -15,7 +15,7 @@
 	golden.Lines(t, "keys", keyChainLink, keyImages)
 }
 
-// A member hands a command to the leader as JSON.
+// Guards the JSON in which a member relays a command to the leader.
 func TestCommandFormat(t *testing.T) {
 	golden.JSON(t, "command", golden.Fill(new(Command)))
 }
@@ -34,9 +34,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again machines.Images
-	if err := codec.Decode(record.Frame, &again); err != nil {
+	var decoded machines.Images
+	if err := codec.Decode(record.Frame, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "images-of-machines", again, images)
+	golden.Equal(t, "images-of-machines", decoded, images)
 }
--- a/internal/scheduler/leader/job_requests_test.go
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -13,7 +13,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against an answer from memory by a leader whose right ended while it was being given.
+// Guards against a status from the memory of a leader whose right to act ended while it answered.
 func TestStatusNeedsTheRightToAct(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
@@ -23,35 +23,35 @@
 		go func() { _, err := l.Status(t.Context(), "job-1"); got <- err }()
 		(<-l.inbox)()
 		if err := <-got; !errors.Is(err, want) {
-			t.Errorf("answers %v with a right to act that is %v", err, valid)
+			t.Errorf("status while the right to act is %[2]v: got error %[1]v", err, valid)
 		}
 	}
 }
 
-// Guards against an answer from memory that the state service may contradict, and against a cancellation taken for unknown
-// that is only unconfirmed: the user API reads the state service after some of these errors only.
+// Guards against a status from memory that the state service may contradict, and against treating a job as unknown
+// when its cancellation is only unconfirmed. The user API reads the state service after some of these errors only.
 func TestJobRequestsSayWhyTheyCannotBeAnswered(t *testing.T) {
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	nobodyServes := func(l *Loop) { l.inbox = nil }
-	var inFlight *jobs.Batch // stored, but the loop was not told
+	stopServing := func(l *Loop) { l.inbox = nil }
+	var inFlight *jobs.Batch // stored, but the loop does not know that yet
 	for _, c := range []struct {
 		name                   string
 		ctx                    context.Context
 		id                     string
 		prepare                func(l *Loop, j *jobs.Job)
-		wantStatus, wantCancel error // nil: it is answered
+		wantStatus, wantCancel error // nil: the request succeeds
 	}{
 		{"a live job", t.Context(), "job-1", func(l *Loop, j *jobs.Job) {}, nil, nil},
-		{"a job nobody submitted", t.Context(), "job-2", func(l *Loop, j *jobs.Job) {}, ErrUnknownJob, ErrUnknownJob},
-		{"records that are still read", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { l.loading.done = false }, ErrLoading, ErrLoading},
-		{"an end that may be stored", t.Context(), "job-1", func(l *Loop, j *jobs.Job) {
+		{"a job that was never submitted", t.Context(), "job-2", func(l *Loop, j *jobs.Job) {}, ErrUnknownJob, ErrUnknownJob},
+		{"records that are still being loaded", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { l.loading.done = false }, ErrLoading, ErrLoading},
+		{"a final state that may be stored", t.Context(), "job-1", func(l *Loop, j *jobs.Job) {
 			l.jobs.Cancel(j, func(wire.JobState) {})
 			inFlight = l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
 			l.writer.inDoubt.Store(true)
 		}, ErrEndInDoubt, nil},
-		{"a term that is over", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { nobodyServes(l); l.ended = cancelled }, ErrLeadershipOver, ErrLeadershipOver},
-		{"whoever asks is gone", cancelled, "job-1", func(l *Loop, j *jobs.Job) { nobodyServes(l) }, context.Canceled, context.Canceled},
+		{"a term that is over", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { stopServing(l); l.ended = cancelled }, ErrLeadershipOver, ErrLeadershipOver},
+		{"a client that is gone", cancelled, "job-1", func(l *Loop, j *jobs.Job) { stopServing(l) }, context.Canceled, context.Canceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTestLoop(t)
@@ -59,13 +59,13 @@
 			j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
 			c.prepare(l, j)
 			got := make(chan error, 1)
-			answered := func() error {
+			serveUntilAnswered := func() error {
 				for {
 					select {
 					case fn := <-l.inbox:
 						fn()
-						if w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100}); w != nil {
-							l.jobs.MarkCommitted(w, 9)
+						if batch := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100}); batch != nil {
+							l.jobs.MarkCommitted(batch, 9)
 						}
 					case err := <-got:
 						return err
@@ -73,7 +73,7 @@
 				}
 			}
 			go func() { _, err := l.Status(c.ctx, c.id); got <- err }()
-			if err := answered(); !errors.Is(err, c.wantStatus) {
+			if err := serveUntilAnswered(); !errors.Is(err, c.wantStatus) {
 				t.Errorf("status: %v, want %v", err, c.wantStatus)
 			}
 			go func() { _, err := l.Cancel(c.ctx, c.id); got <- err }()
@@ -82,15 +82,15 @@
 				l.jobs.MarkCommitted(inFlight, 9)
 				inFlight = nil
 			}
-			if err := answered(); !errors.Is(err, c.wantCancel) {
+			if err := serveUntilAnswered(); !errors.Is(err, c.wantCancel) {
 				t.Errorf("cancel: %v, want %v", err, c.wantCancel)
 			}
 		})
 	}
 }
 
-// A cancellation is answered once the tasks are gone. While one is unreachable the user is
-// told at once to come back.
+// Guards against a cancellation that is confirmed while a task may still run. It is confirmed once all tasks are
+// gone; while one is unreachable, the user is told at once to ask again.
 func TestCancellationWaitsForUnreachableTasks(t *testing.T) {
 	l, advance := twoZones(t, 1)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,53 +107,54 @@
 			state wire.JobState
 			err   error
 		}
-		out := make(chan result, 1)
-		go func() { s, err := l.Cancel(t.Context(), "job-1"); out <- result{s, err} }()
+		results := make(chan result, 1)
+		go func() { s, err := l.Cancel(t.Context(), "job-1"); results <- result{s, err} }()
 		for {
 			select {
 			case fn := <-l.inbox:
 				fn()
-			case r := <-out:
+			case r := <-results:
 				return r.state, r.err
 			}
 		}
 	}
 	if _, err := cancel(); !errors.Is(err, ErrTaskUnreachable) {
-		t.Fatalf("told %v while a task may run", err)
+		t.Fatalf("cancelling while a task may run: got error %v, want ErrTaskUnreachable", err)
 	}
 	j := l.jobs.Jobs["job-1"]
 	if j.CanStart() || j.Tasks[0].Allocation.Stop == nil || j.Tasks[1].Allocation.Stop == nil {
-		t.Error("its tasks are not to stop")
+		t.Error("the tasks of the cancelled job are not being stopped")
 	}
 	hb := wire.Heartbeat{Machine: "n-0", Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 2, FencingToken: 1,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	stops, err := l.handleHeartbeat(&hb)
 	if err != nil || len(stops) != 1 || stops[0].Op != wire.OpStop {
-		t.Fatalf("commands %v, %v", stops, err)
+		t.Fatalf("heartbeat of a machine with a task to stop: got commands %v and error %v, want one stop", stops, err)
 	}
 	hb.Seq, hb.Tasks[0].State, hb.Tasks[0].Reason = 3, wire.TaskExited, wire.ExitStopped
 	if _, err := l.handleHeartbeat(&hb); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := cancel(); !errors.Is(err, ErrTaskUnreachable) {
-		t.Fatalf("told %v while the other may run", err)
+		t.Fatalf("cancelling while the task on the silent machine may run: got error %v, want ErrTaskUnreachable", err)
 	}
 	advance(tuning.SilentReturnAfter + l.env.workerLease())
 	l.concludeExpired()
 	if j.Allocated != 0 {
-		t.Fatal("the other is not found gone")
+		t.Fatal("the task on the silent machine is not found to be gone")
 	}
-	w := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
-	if w == nil || w.Txn.Then[0].Put != jobs.KeyFinalState("job-1") {
-		t.Fatalf("stored: %+v", w)
+	batch := l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
+	if batch == nil || batch.Txn.Then[0].Put != jobs.KeyFinalState("job-1") {
+		t.Fatalf("next transaction: got %+v, want the final state", batch)
 	}
-	l.jobs.MarkCommitted(w, 9)
+	l.jobs.MarkCommitted(batch, 9)
 	if l.jobs.Jobs["job-1"] != nil {
-		t.Error("the job is not over")
+		t.Error("the cancelled job is still in memory")
 	}
 }
 
-// Guards against a job of as many tasks as one may have, whose status requests hold up all others: its state is answered from memory.
+// Guards against polls of a job of the largest size that delay all other requests: the status is answered from
+// memory, without allocations.
 func TestStatusOfLargeJobAllocatesNothing(t *testing.T) {
 	l, clock := newTestLoop(t)
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1})
@@ -162,9 +163,9 @@
 		a.State = wire.TaskRunning
 	}
 	if s := j.Status(); s.Running != 2000 || s.State != wire.StateRunning {
-		t.Errorf("%+v", s)
+		t.Errorf("status of a job with 2000 running tasks: %+v", s)
 	}
 	if n := testing.AllocsPerRun(10, func() { _ = j.Status() }); n > 0 {
-		t.Errorf("%v allocations for each poll", n)
+		t.Errorf("%v memory allocations for each poll, want none", n)
 	}
 }
--- a/internal/scheduler/leader/load_test.go
+++ b/internal/scheduler/leader/load_test.go
@@ -13,20 +13,21 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// Guards against a failover that loses, repeats or forgets what thousands of machines run: a new leader reads the records
-// by as many calls as their pages take, and the machines' heartbeats bring nothing but confirmation.
-func TestTakeOverByRecordsAndReports(t *testing.T) {
-	const tasksEach, tasksOfJob = 2, 40
-	const all = maxSizedMachines * tasksEach
+// Guards against a failover that loses, repeats or forgets tasks of thousands of machines. A new leader learns of
+// all of them from the stored records, and the machines' heartbeats only confirm what it knows: none is answered
+// with a command.
+func TestFailoverRestoresTasksFromRecords(t *testing.T) {
+	const tasksPerMachine, tasksPerJob = 2, 40
+	const totalTasks = maxSizedMachines * tasksPerMachine
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
-	next := 0
-	for i := range all / tasksOfJob {
-		j := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasksOfJob, CPUs: 1, MemoryGB: 1, Image: "img"}
+	allocated := 0
+	for i := range totalTasks / tasksPerJob {
+		j := wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasksPerJob, CPUs: 1, MemoryGB: 1, Image: "img"}
 		value := wire.EncodeRecord(jobs.JobRecord{Job: j})
 		revision, err := l.store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
 		if err != nil {
@@ -36,17 +37,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for k := range tasksOfJob {
-			l.machines.AddAllocation(l.jobs.Allocate(stored, k, machineName(next%maxSizedMachines), "a", 1, clock.Now()), clock.Now())
-			next++
+		for k := range tasksPerJob {
+			l.machines.AddAllocation(l.jobs.Allocate(stored, k, machineName(allocated%maxSizedMachines), "a", 1, clock.Now()), clock.Now())
+			allocated++
 		}
 	}
-	for w := l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); w != nil; w = l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
-		revision, err := l.store.Commit(t.Context(), w.Txn)
+	for batch := l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}); batch != nil; batch = l.jobs.NextBatch(clock.Now(), jobs.WriteBudget{Spare: 1000}) {
+		revision, err := l.store.Commit(t.Context(), batch.Txn)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.jobs.MarkCommitted(w, revision)
+		l.jobs.MarkCommitted(batch, revision)
 	}
 	heartbeats := make([]*wire.Heartbeat, maxSizedMachines)
 	for i := range heartbeats {
@@ -57,31 +58,31 @@
 	}
 
 	clock.Advance(time.Second)
-	taker := New(l.env, election.Leadership{Term: 2})
-	taker.Start(t.Context())
-	taker.store = l.store
-	go taker.load(taker.ended)
-	for !taker.loading.done {
-		(<-taker.inbox)()
+	newLeader := New(l.env, election.Leadership{Term: 2})
+	newLeader.Start(t.Context())
+	newLeader.store = l.store
+	go newLeader.load(newLeader.ended)
+	for !newLeader.loading.done {
+		(<-newLeader.inbox)()
 	}
 	for _, hb := range heartbeats {
-		commands, err := taker.handleHeartbeat(hb)
+		commands, err := newLeader.handleHeartbeat(hb)
 		if err != nil || len(commands) != 0 {
-			t.Fatalf("machine %s is answered %v, %v", hb.Machine, commands, err)
+			t.Fatalf("heartbeat of machine %s: got commands %v and error %v, want none", hb.Machine, commands, err)
 		}
 	}
 	running := 0
-	for _, m := range taker.machines.Machines {
+	for _, m := range newLeader.machines.Machines {
 		for _, a := range m.Allocations {
 			if a.State == wire.TaskRunning && a.Attempt == 1 && a.Machine == m.Name {
 				running++
 			}
 		}
 	}
-	if len(taker.machines.Machines) != maxSizedMachines || running != all {
-		t.Errorf("%d machines run %d tasks, want %d and %d", len(taker.machines.Machines), running, maxSizedMachines, all)
+	if len(newLeader.machines.Machines) != maxSizedMachines || running != totalTasks {
+		t.Errorf("after the failover %d machines run %d tasks, want %d and %d", len(newLeader.machines.Machines), running, maxSizedMachines, totalTasks)
 	}
-	if taker.jobs.WriteDue(clock.Now()) && taker.jobs.NextBatch(clock.Now(), jobs.WriteBudget{}) != nil {
-		t.Error("a task is written anew though nothing happened")
+	if newLeader.jobs.WriteDue(clock.Now()) && newLeader.jobs.NextBatch(clock.Now(), jobs.WriteBudget{}) != nil {
+		t.Error("the new leader writes a progress record although nothing changed")
 	}
 }
--- a/internal/scheduler/leader/step_down_test.go
+++ b/internal/scheduler/leader/step_down_test.go
@@ -11,7 +11,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against a leader that hears all and reaches no worker, for as long as its lease holds.
+// Guards against a leader that receives heartbeats but reaches no worker, and keeps the leadership for as long as it can
+// renew its lease. It steps down if another member reaches workers, and only then.
 func TestLeaderThatReachesNoWorkerStepsDown(t *testing.T) {
 	for _, others := range []bool{true, false} {
 		l, advance := twoZones(t, 4)
@@ -19,10 +20,10 @@
 		l.ended, l.end = ctx, end
 		l.env.Valid = func(uint64) bool { return true }
 		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
-		for s := range 20 {
+		for second := range 20 {
 			advance(time.Second)
 			for i := range 8 {
-				l.mustHandle(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(s + 2), FencingToken: 1,
+				l.mustHandle(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(second + 2), FencingToken: 1,
 					Tasks: []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
 				if i < tuning.UnheardMachines {
 					l.sendCommandsTo(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
@@ -43,7 +44,7 @@
 			}
 		}
 		if got := errors.Is(context.Cause(ctx), ErrUnreachable); got != others {
-			t.Errorf("others reach workers: %v, stood aside: %v", others, got)
+			t.Errorf("another member reaches workers: %v; the leader stepped down: %v", others, got)
 		}
 	}
 }
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -12,19 +12,20 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// Guards against a subsystem's transaction that had no answer, was repeated, and is carried out once more after newer ones of the same
-// leader: a definition that was dropped and registered again lost its parts, a run that was deleted was there again.
+// Guards against a transaction of a subsystem that had no answer, was repeated, and is then executed once more
+// after newer transactions of the same leader: a definition that was deleted and registered again lost its parts,
+// and a run that was deleted existed again.
 func TestLateDuplicateOfSubsystemTransactionChangesNothing(t *testing.T) {
 	put := func(key, value string) wire.Change { return wire.Change{Put: key, Value: json.RawMessage(value)} }
 	for _, c := range []struct {
 		name         string
 		before, late wire.Txn // late has no answer at first
 		after        wire.Txn
-		key, want    string // empty: it is not there
+		key, want    string // want is empty if the record must not exist
 	}{
-		{"dropped whatever it holds, and made again", wire.Txn{Then: []wire.Change{put("g/1", "1")}}, wire.Txn{Then: []wire.Change{{Delete: "g/1"}}},
+		{"deleted without a condition, and created again", wire.Txn{Then: []wire.Change{put("g/1", "1")}}, wire.Txn{Then: []wire.Change{{Delete: "g/1"}}},
 			wire.Txn{Then: []wire.Change{put("g/1", "2")}}, "g/1", "2"},
-		{"made, and dropped again", wire.Txn{Then: []wire.Change{put("g/0", "1")}}, wire.Txn{If: []wire.Condition{{Key: "g/2"}}, Then: []wire.Change{put("g/2", "1")}},
+		{"created, and deleted again", wire.Txn{Then: []wire.Change{put("g/0", "1")}}, wire.Txn{If: []wire.Condition{{Key: "g/2"}}, Then: []wire.Change{put("g/2", "1")}},
 			wire.Txn{Then: []wire.Change{{Delete: "g/2"}}}, "g/2", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -32,12 +33,12 @@
 			state := fakes.NewStore(clock)
 			t.Cleanup(state.Close)
 			l.store = statestore.New(state.Addr(), 1e6, 1e6)
-			lost := 0 // answers
+			lostAnswers := 0 // transactions whose first answer was lost
 			state.DelayTransactions(func(txn wire.Txn) bool {
-				if txn.Then[len(txn.Then)-1].Delete+txn.Then[len(txn.Then)-1].Put != c.key || lost > 0 {
+				if txn.Then[len(txn.Then)-1].Delete+txn.Then[len(txn.Then)-1].Put != c.key || lostAnswers > 0 {
 					return false
 				}
-				lost++
+				lostAnswers++
 				return true
 			})
 			write := func(txn wire.Txn, repeated bool) {
@@ -53,30 +54,30 @@
 					clock.Advance(tuning.StateRetry)
 				}
 				if err := <-done; err != nil {
-					t.Fatalf("%v", err)
+					t.Fatalf("committing a chained transaction: %v", err)
 				}
 			}
-			lost = 1
+			lostAnswers = 1
 			write(c.before, false)
-			lost = 0
+			lostAnswers = 0
 			write(c.late, true)
-			if lost != 1 || state.HeldTransactions() != 1 {
-				t.Fatalf("%d transactions lost their answers", lost)
+			if lostAnswers != 1 || state.HeldTransactions() != 1 {
+				t.Fatalf("%d transactions lost their answers, want one that the state service holds", lostAnswers)
 			}
 			write(c.after, false)
 			if late := state.Deliver(); len(late) != 0 {
-				t.Errorf("carried out late: %v", late)
+				t.Errorf("late duplicates were executed: %v", late)
 			}
 			item, ok := state.Value(c.key)
 			if ok != (c.want != "") || string(item.Value) != c.want {
-				t.Errorf("%s is %q", c.key, item.Value)
+				t.Errorf("the value of %s is %q", c.key, item.Value)
 			}
 		})
 	}
 }
 
-// Guards against a subsystem that always has something to write and holds up the others, and
-// against one whose records cannot be stored and stops them all.
+// Guards against a subsystem that always has something to write and blocks the others, and against one whose
+// records cannot be stored and stops them all.
 func TestSubsystemsTakeTurns(t *testing.T) {
 	l, clock := newTestLoop(t)
 	a, b := &busySubsystem{name: "a"}, &busySubsystem{name: "b"}
@@ -87,12 +88,12 @@
 		}
 	}
 	if a.asked != 5 || b.asked != 5 {
-		t.Errorf("asked %d and %d times", a.asked, b.asked)
+		t.Errorf("the subsystems were asked %d and %d times, want 5 each", a.asked, b.asked)
 	}
 	l.subsystems.writes.failed[a] = true
 	for range 4 {
 		if s, _ := l.subsystems.nextWrite(clock.Now(), 10); s != b {
-			t.Fatal("not the one whose records can be stored")
+			t.Fatal("the turn is not that of the subsystem whose records can be stored")
 		}
 	}
 }
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// busySubsystem always has something to write, and knows one command.
+// busySubsystem always has something to write, and serves one command.
 type busySubsystem struct {
 	Subsystem
 	name  string
@@ -42,7 +42,7 @@
 		}()
 		(<-l.inbox)()
 		if status := <-got; status != want {
-			t.Errorf("%s: %d, want %d", uri, status, want)
+			t.Errorf("command %s: status %d, want %d", uri, status, want)
 		}
 	}
 }
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -24,8 +24,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// newTestLoop makes a loop whose machines have sent heartbeats: a small one and an
-// expensive large one. Nothing is called outside.
+// newTestLoop returns a loop and its clock. Two machines have sent heartbeats: a small one, and an expensive large
+// one. The loop is not running, and calls no other system.
 func newTestLoop(t testing.TB) (*Loop, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
@@ -48,13 +48,13 @@
 	}, election.Leadership{Term: 1})
 	l.ended = t.Context()
 	l.loading.done = true
-	for name, typ := range map[string]string{"n-small": "small", "n-large": "large"} {
-		l.register(t, newHeartbeat(name, typ, "a"))
+	for name, machineType := range map[string]string{"n-small": "small", "n-large": "large"} {
+		l.register(t, newHeartbeat(name, machineType, "a"))
 	}
 	return l, clock
 }
 
-// newHeartbeat is the first heartbeat of a machine, without tasks.
+// newHeartbeat returns the first heartbeat of a machine without tasks.
 func newHeartbeat(machine, typ, zone string) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: machine, Address: "127.0.0.1:1", Type: typ, Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1}
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// addRunning puts a running replica on a machine.
+// addRunning adds a service of one replica, which runs on a machine.
 func (l *Loop) addRunning(t *testing.T, id, machine string, cpus float64) *jobs.Allocation {
 	t.Helper()
 	now := l.env.Clock.Now()
@@ -87,13 +87,13 @@
 	return a
 }
 
-// endAttempt has a replica of a job fail or be refused on a machine.
-func (l *Loop) endAttempt(a *jobs.Allocation, why wire.ExitReason) {
-	l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: why}}, l.env.Clock.Now())
+// endAttempt ends the attempt of an allocation for a reason, as a heartbeat of its machine would.
+func (l *Loop) endAttempt(a *jobs.Allocation, reason wire.ExitReason) {
+	l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: reason}}, l.env.Clock.Now())
 }
 
-// twoZones is a leader with n machines in each of two zones, each with a task of a
-// spread service, and a state service with zone leases of members.
+// twoZones returns a leader with n machines in each of two zones, each with a running task of a spread service, and
+// a state service with the zone leases of members. The function advances the clock.
 func twoZones(t *testing.T, n int, zoneLeases ...string) (*Loop, func(d time.Duration)) {
 	t.Helper()
 	l, clock := newTestLoop(t)
@@ -104,8 +104,8 @@
 	ctx, end := context.WithCancel(t.Context())
 	t.Cleanup(end)
 	l.ended, l.end = ctx, func(error) { end() }
-	for i, r := range zoneLeases {
-		if _, err := l.store.Commit(ctx, wire.Txn{Then: []wire.Change{{Put: fmt.Sprintf("keep/m/%d", i), Value: []byte(r)}}}); err != nil {
+	for i, record := range zoneLeases {
+		if _, err := l.store.Commit(ctx, wire.Txn{Then: []wire.Change{{Put: fmt.Sprintf("keep/m/%d", i), Value: []byte(record)}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -120,7 +120,7 @@
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
 
-// concludeExpired has the loop find out what it can conclude now.
+// concludeExpired has the loop query the machines whose leases expired, and end what ran there if that is proven.
 func (l *Loop) concludeExpired() {
 	l.leases.next = time.Time{}
 	for l.expireLeases(l.env.Clock.Now()); l.leases.inFlight; {
@@ -128,14 +128,15 @@
 	}
 }
 
-// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has about 4,000, and
-// half as many again come with a busy day.
+// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has
+// about 4,000, and half as many more on a busy day.
 const maxSizedMachines = 6000
 
-// machineName is the name of the i-th machine of a test, in the order of the cloud's list.
+// machineName returns the name of the i-th machine of a test, in the order of the cloud's listing.
 func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
 
-// newAnsweringWorker starts a worker that answers direct commands as fn says; nil: it does not answer.
+// newAnsweringWorker starts a worker that answers direct commands with the heartbeat that fn returns, or with
+// status 503 if it returns nil. It returns the address.
 func newAnsweringWorker(t *testing.T, fn func(wire.DirectCommands) *wire.Heartbeat) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -158,7 +159,7 @@
 	return srv.Listener.Addr().String()
 }
 
-// probeAll has the loop probe its suspects, and waits for what comes of it.
+// probeAll has the loop probe its suspects, and waits until all probes have ended.
 func (l *Loop) probeAll() {
 	l.probing.next = time.Time{}
 	for l.stepProbing(l.env.Clock.Now()); l.probing.inFlight > 0; {
@@ -171,7 +172,8 @@
 	}
 }
 
-// newLoopHeardBy makes a leader in the middle of its term and a machine at an address that sent it a heartbeat.
+// newLoopHeardBy returns a leader in the middle of its term, with a machine that has sent it a heartbeat from an
+// address.
 func newLoopHeardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, hb *wire.Heartbeat, advance func(time.Duration)) {
 	t.Helper()
 	l, advance = twoZones(t, 1)
@@ -181,7 +183,7 @@
 	return l, l.machines.Machines["n-9"], hb, advance
 }
 
-// mustHandle has the loop handle a copy of a heartbeat, and gives the commands of the answer.
+// mustHandle has the loop handle a copy of a heartbeat, and returns the commands of the reply.
 func (l *Loop) mustHandle(t *testing.T, hb *wire.Heartbeat) []wire.Command {
 	t.Helper()
 	c := *hb
@@ -192,7 +194,7 @@
 	return commands
 }
 
-// getsTasks reports whether a machine may get tasks now.
+// getsTasks reports whether tasks may be placed on a machine now.
 func (l *Loop) getsTasks(name string) bool {
 	for _, v := range l.openMachines(l.env.Clock.Now()) {
 		if v.Name == name {
@@ -202,7 +204,7 @@
 	return false
 }
 
-// addPending adds an accepted job none of whose tasks is placed.
+// addPending adds an accepted job, none of whose tasks is placed.
 func (l *Loop) addPending(t testing.TB, j wire.Job) *jobs.Job {
 	t.Helper()
 	now := l.env.Clock.Now()
@@ -210,9 +212,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
+	loaded, err := l.jobs.LoadJob(wire.Item{Key: jobs.KeyJob(j.ID), Value: value, Version: 1}, now, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return loaded
 }
