--- a/internal/scheduler/leader/commands.go
+++ b/internal/scheduler/leader/commands.go
@@ -33,8 +33,7 @@
 	}
 }
 
-// sendCommandsTo sends a machine direct commands, once a command slot is free and if this member may still act by
-// then.
+// sendCommandsTo sends a machine direct commands, once a command slot is free and if this member may still act by then.
 func (l *Loop) sendCommandsTo(name, addr string, req *wire.DirectCommands) {
 	started := l.env.Clock.Now()
 	ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
@@ -68,8 +67,8 @@
 	}
 }
 
-// commandsUnanswered records that a machine did not answer commands. If a connection was made, they may still
-// arrive.
+// commandsUnanswered records that a machine did not answer commands. If a connection was made, they may still arrive.
+// started is when sending them began.
 func (l *Loop) commandsUnanswered(name string, req *wire.DirectCommands, started time.Time, err error) {
 	if m := l.machines.Machines[name]; m != nil && m.UnansweredAt.Before(started) {
 		m.UnansweredAt = started
@@ -83,8 +82,7 @@
 	l.machines.CommandsUnanswered(name, started)
 }
 
-// neverSent reports whether a request failed before it had a connection. Nothing was sent then that could arrive
-// later.
+// neverSent reports whether a request failed before it had a connection. Nothing was sent then that could arrive later.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -53,8 +53,7 @@
 	ProbeWorkers func(ctx context.Context, addrs []string) bool
 	// MemoryFull reports whether this process has no memory for more jobs. If it is nil, there is always enough.
 	MemoryFull func() bool
-	// MemoryLive returns how many bytes of memory this process uses, without garbage. It is nil if that is not
-	// known.
+	// MemoryLive returns how many bytes of memory this process uses, without garbage. It is nil if that is not known.
 	MemoryLive func() uint64
 	// Types returns the machine types; nil while none are known.
 	Types func() []wire.MachineType
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -18,8 +18,8 @@
 		commands []wire.Command
 		err      error
 	}
-	begun := l.env.Clock.Now()
-	defer func() { l.env.observe(func(o Observer) { o.HeartbeatHandled(l.env.Clock.Since(begun)) }) }()
+	received := l.env.Clock.Now()
+	defer func() { l.env.observe(func(o Observer) { o.HeartbeatHandled(l.env.Clock.Since(received)) }) }()
 	r, err := ask(ctx, l, func(answer func(result)) {
 		commands, err := l.handleHeartbeat(hb)
 		answer(result{commands, err})
@@ -80,8 +80,8 @@
 	l.cycle.wakeIf(r.Changed)
 }
 
-// writeExitsSoon has the ends of some attempts written soon. A worker lists each exit in its heartbeats until the end
-// is stored, so that they grow with the number of exits.
+// writeExitsSoon has the ends of exited attempts written soon. A worker lists each exit in its heartbeats until the end
+// is stored, so its heartbeats grow with the number of unwritten ends.
 func (l *Loop) writeExitsSoon(exits []machines.AttemptID) {
 	for _, id := range exits {
 		if j := l.jobs.Jobs[id.Task.Job]; j != nil {
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -20,8 +20,7 @@
 	ErrLoading = errors.New("the records are being read")
 	// ErrEndInDoubt means that the job's final state may be stored, but this leader does not know that yet.
 	ErrEndInDoubt = errors.New("the final state of the job may already be stored")
-	// ErrTaskUnreachable means that a task of a cancelled job is on a machine to which commands do not get through
-	// now.
+	// ErrTaskUnreachable means that a task of a cancelled job is on a machine to which commands do not get through now.
 	ErrTaskUnreachable = errors.New("a task of the job is on an unreachable machine")
 )
 
@@ -79,8 +78,7 @@
 
 // Cancel cancels a job and returns its final state once that is stored. No further task of the job is started, and
 // its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone: a task in a
-// partitioned zone may run on for longer than a user who knows that the job is cancelled may have to wait for its
-// end.
+// partitioned zone may run on for longer than a user who knows that the job is cancelled may have to wait for its end.
 //
 // While a task is unreachable, the error is ErrTaskUnreachable, and the user has to ask again. The other errors are
 // ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelWait at the latest.
@@ -110,8 +108,7 @@
 	return r.state, r.err
 }
 
-// anyUnreachable reports whether any of some allocations is on a machine to which commands are unlikely to get
-// through.
+// anyUnreachable reports whether any of some allocations is on a machine to which commands are unlikely to get through.
 func (l *Loop) anyUnreachable(allocations []*jobs.Allocation) bool {
 	now := l.env.Clock.Now()
 	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.unreachable(l.machines.Machines[a.Machine], now) })
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -13,14 +13,14 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// loadState records which stored records are in memory.
+// loadState tracks which stored records are in memory.
 type loadState struct {
 	done            bool   // all records are loaded; until then nothing is placed, and no attempt counts as ended
 	watchedRevision uint64 // the revision up to which the watch has reported new jobs
 }
 
-// load reads the stored jobs and their progress, then follows the watch of new jobs. It runs in a goroutine of its
-// own until ctx ends.
+// load reads the stored jobs and their progress, then loads new jobs as the watch reports them. It runs in a
+// goroutine of its own until ctx ends.
 func (l *Loop) load(ctx context.Context) {
 	revision, ok := l.readAll(ctx, jobs.PrefixJob, func(items []wire.Item) error {
 		return l.do(ctx, func() { l.loadJobs(items) })
@@ -129,8 +129,7 @@
 	l.arrivals.add(j, l.inInitialBacklog(now))
 }
 
-// loadProgress loads all progress records, and the charges that were detached from them. That completes the
-// loading.
+// loadProgress loads all progress records, and the charges that were detached from them. That completes the loading.
 func (l *Loop) loadProgress(progress, detached []wire.Item) {
 	now := l.env.Clock.Now()
 	seen := map[string]bool{}
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -18,7 +18,9 @@
 	env        *Env
 	leadership election.Leadership
 	log        *slog.Logger
-	startedAt  time.Time // of the term; while records are being loaded: when the last heartbeat was answered
+	// startedAt is the time from which the silence of machines and the leases of restored allocations are counted: the
+	// start of the term or, if later, when the last heartbeat was answered while the records were being loaded.
+	startedAt time.Time
 
 	inbox chan func()             // messages to run on the loop's goroutine
 	ended context.Context         // is done when the term ends
@@ -78,7 +80,7 @@
 		levels:        newServiceLevels(),
 		images:        imageHints{nextWrite: now.Add(tuning.ImagesEvery)},
 	}
-	l.subsystems = joinSubsystems(env.Subsystems, l.log)
+	l.subsystems = newSubsystemSet(env.Subsystems, l.log)
 	return l
 }
 
@@ -144,10 +146,11 @@
 	l.stepImages(now)
 }
 
-// restAfter returns the time from which work that began at a time, and ends now, may be done again. The pause is
-// CycleRestFactor times as long as the work, and at least minPause; work that took no measurable time needs none. A
-// scheduling cycle over a large cluster takes milliseconds of a share of a processor, and hundreds of heartbeats a
-// second would each trigger one. Changes that arrive during the pause share the next cycle.
+// restAfter returns the earliest time at which work that began at started, and ends now, may be done again. The pause
+// is tuning.CycleRestFactor times as long as the work, and at least minPause; work that took no measurable time needs
+// none. A scheduling cycle over a large cluster takes milliseconds of a share of a processor, and without the pause
+// each of hundreds of heartbeats per second would trigger one. Changes that arrive during the pause share the next
+// cycle.
 func (l *Loop) restAfter(started time.Time, minPause time.Duration) time.Time {
 	now := l.env.Clock.Now()
 	took := now.Sub(started)
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -13,12 +13,12 @@
 	// TaskStarted reports that a task was allocated to a machine.
 	TaskStarted(class string)
 	// AttemptEnded reports that an attempt at a task is proven to have ended, and how it ended.
-	AttemptEnded(class, how string)
+	AttemptEnded(class, ending string)
 	// RecordsWritten reports the number of changes in a committed transaction.
 	RecordsWritten(changes int)
 	// StateSize reports the numbers of live jobs and machines, the number of waiting tasks by class, and for how
 	// many seconds the oldest job of each class has waited for its first task to run.
-	StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64)
+	StateSize(jobs, machines int, waiting map[string]int, oldestWaitS map[string]float64)
 	// JobArrived reports that a job was accepted in this term.
 	JobArrived(class, team, size string)
 	// JobBegan reports that the first task of a job runs, and the time since the job was accepted.
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -37,7 +37,7 @@
 	l.jobs.MarkLost(a, now)
 	l.backOff(a, m, o.Reason, now)
 	if o.Reason != wire.ExitStopped {
-		l.log.Debug("attempt at a task did not succeed; the task waits again", "task", a.Task().String(), "machine", a.Machine, "reason", o.Reason)
+		l.log.Debug("task attempt ended without success; the task waits for another attempt", "task", a.Task().String(), "machine", a.Machine, "reason", o.Reason)
 	}
 }
 
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// reconcileJobs loads stored jobs that are not in memory, and reports those that should have been to operators.
+// reconcileJobs loads the stored jobs that are not in memory. It reports those that should have been in memory to
+// operators.
 func (l *Loop) reconcileJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	unknown := l.notInMemory(items)
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -18,8 +18,7 @@
 	overdueLimit *rate.Limiter // limits the changes that nobody waits for, once they have waited for tuning.LazyMax
 }
 
-// newOverdueLimiter returns the limiter of overdue changes, for a state service that allows writeRPS changes per
-// second.
+// newOverdueLimiter returns the limiter of overdue changes, for a state service that allows writeRPS changes per second.
 func newOverdueLimiter(writeRPS float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(tuning.LazyShare*writeRPS), tuning.LazyMin)
 }
@@ -67,8 +66,8 @@
 	}()
 }
 
-// batchWritten handles the success of a transaction that was begun at a time: its starts are sent to the machines,
-// and its final states of jobs are announced.
+// batchWritten handles the commit of a batch, whose transaction was begun at started: it sends the machines the starts
+// of tasks that are now stored, and announces the final states of jobs.
 func (l *Loop) batchWritten(batch *jobs.Batch, revision uint64, started time.Time) {
 	l.writer.inFlight = false
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -7,8 +7,7 @@
 )
 
 // stepDownIfUnheard gives the leadership up to another member if no worker answers this one, although workers'
-// heartbeats arrive, and another member reaches workers. In that case it is this member's own connection that is
-// cut.
+// heartbeats arrive, and another member reaches workers. In that case it is this member's own connection that is cut.
 func (l *Loop) stepDownIfUnheard(now time.Time) {
 	probes := &l.probing
 	if l.env.ProbeWorkers == nil || probes.askingPeers || now.Before(probes.nextPeerProbe) || !l.mayBeUnreachable(now) {
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -20,8 +20,8 @@
 // methods must not block.
 type Subsystem interface {
 	// Read reads the subsystem's own records. It runs in a goroutine of its own, once the jobs' records are in
-	// memory, and is repeated until it succeeds. The loop's goroutine then calls take. If Read needs data of the
-	// job store, it looks that up in a function that it passes to ask, which has the loop's goroutine run it.
+	// memory, and is repeated until it succeeds. The loop's goroutine then calls apply. If Read needs data of the
+	// job store, it passes a function that looks it up to onLoop, which has the loop's goroutine run the function.
 	Read(ctx context.Context, store *statestore.Client, onLoop func(func()) error) (apply func(), err error)
 	// Loaded is called when all jobs are in memory.
 	Loaded(store *jobs.Store, now time.Time)
@@ -79,15 +79,15 @@
 	Conflict func()
 }
 
-// subsystemSet is the subsystems that run inside the loop.
+// subsystemSet holds the subsystems that run inside the loop.
 type subsystemSet struct {
 	joined   []Subsystem
 	nextTick time.Time
 	writes   subsystemWrites
 }
 
-// joinSubsystems constructs the subsystems of a term. The loop runs without those that cannot be constructed.
-func joinSubsystems(constructors []func(*slog.Logger) (Subsystem, error), log *slog.Logger) subsystemSet {
+// newSubsystemSet constructs the subsystems of a term. The loop runs without those that cannot be constructed.
+func newSubsystemSet(constructors []func(*slog.Logger) (Subsystem, error), log *slog.Logger) subsystemSet {
 	set := subsystemSet{writes: subsystemWrites{failed: map[Subsystem]bool{}}}
 	for _, construct := range constructors {
 		s, err := construct(log)
@@ -100,8 +100,7 @@
 	return set
 }
 
-// admit returns how many of a job's waiting tasks all subsystems allow to start now, and the reason why no more
-// may.
+// admit returns how many of a job's waiting tasks all subsystems allow to start now, and the reason why no more may.
 func (s *subsystemSet) admit(j *jobs.Job, now time.Time) (n int, reason string) {
 	n = j.Waiting()
 	for _, sub := range s.joined {
