--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -9,13 +9,13 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// cloudListing is when the cloud's list of machines is read.
+// cloudListing is the state of reading the cloud's list of machines.
 type cloudListing struct {
-	inFlight bool
-	next     time.Time
+	inFlight bool      // the list is being read
+	next     time.Time // the list is not read before this time
 }
 
-// startListing begins to read the cloud's list, if that is due.
+// startListing begins to read the cloud's list of machines if that is due.
 func (l *Loop) startListing(now time.Time) {
 	if l.listing.inFlight || now.Before(l.listing.next) {
 		return
@@ -24,7 +24,7 @@
 	go l.listMachines()
 }
 
-// listMachines reconciles the machine registry with the cloud's list.
+// listMachines reads the cloud's list and reconciles the machine registry with it. It runs outside the loop's goroutine.
 func (l *Loop) listMachines() {
 	begun := l.env.Clock.Now()
 	pages, err := l.env.Cloud.List(l.ended)
@@ -33,7 +33,7 @@
 		l.listing.inFlight = false
 		l.listing.next = now.Add(listPause(now.Sub(begun)))
 		if err != nil {
-			l.log.Debug("machine list unreadable", "err", err)
+			l.log.Debug("reading the cloud's list of machines failed; retrying at the next listing", "err", err)
 			return
 		}
 		for _, page := range pages {
@@ -43,25 +43,25 @@
 	})
 }
 
-// listPause is the pause after a reading of the cloud's list that took a time.
+// listPause returns the pause after a reading of the cloud's list that took this long.
 func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
 
-// endProvenGone ends all that was on the machines that a page of the list proves to be gone: a quarter of
-// those that the cloud takes back go without a word, and their tasks waited for their leases.
+// endProvenGone ends the attempts on machines that a page of the list proves to be gone. The cloud interrupts a quarter of the
+// machines that it takes back without notice. Without this, their tasks waited until the machines' leases expired.
 func (l *Loop) endProvenGone(page cloud.ListPage) {
 	var gone []string
 	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
-		if m := l.machines.Machines[name]; !m.Returning { // that one's deletion will tell
+		if m := l.machines.Machines[name]; !m.Returning { // the answer to its deletion ends its attempts
 			gone = append(gone, name)
 		}
 	}
 	if len(gone) > 0 {
-		l.log.Info("machines taken", "machines", gone)
+		l.log.Info("machines gone from the cloud's list; ending their attempts", "machines", gone)
 		l.machinesLost(gone)
 	}
 }
 
-// reconcileMachines brings the registry in line with a list of machines.
+// reconcileMachines brings the registry in line with the cloud's list of machines.
 func (l *Loop) reconcileMachines(pages []cloud.ListPage, now time.Time) {
 	size := 0
 	for _, page := range pages {
@@ -78,15 +78,16 @@
 		}
 	}
 	if len(failed) > 0 {
-		l.log.Info("machines failed", "machines", failed)
-		// A failed machine has stopped by itself, with all that was on it.
+		l.log.Info("cloud lists machines as failed; ending their attempts and deleting them", "machines", failed)
+		// A failed machine has stopped, together with all tasks on it.
 		l.machinesLost(failed)
 		l.deleteMachines(failed)
 	}
 	l.forgetUnlisted(listed, now)
 }
 
-// reconcileListed brings a machine of the registry in line with the list. failed is true if it is to be deleted.
+// reconcileListed brings the registry in line with one machine of the list. failed is true if the machine failed and is not
+// being deleted yet.
 func (l *Loop) reconcileListed(lm wire.ListedMachine, now time.Time) (failed bool) {
 	if l.machines.WasReturned(lm.Name) {
 		return false
@@ -96,21 +97,22 @@
 	case lm.State == wire.MachineFailed:
 		failed = m == nil || !m.Returning
 	case m == nil || m.Type == "":
-		// Not expected, or restored from records: it is used or returned like any other.
+		// The machine is unknown, or is known from records only. It is used or returned like any other.
 		rentedAt := now.Add(-seconds(lm.AgeS))
 		l.machines.Register(machines.Rented{Name: lm.Name, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot, RentedAt: rentedAt}, now)
 		if m == nil {
-			l.log.Info("machine found", "machine", lm.Name, "state", lm.State)
+			l.log.Info("unknown machine in the cloud's list; added to the registry", "machine", lm.Name, "state", lm.State)
 		}
 	}
 	if m := l.machines.Machines[lm.Name]; m != nil {
-		l.cycle.wakeIf(!m.Known) // it may be used from now on
+		l.cycle.wakeIf(!m.Known) // it may be used from now on, as its heartbeats are known not to be delayed copies
 		m.ListedRunning, m.Known, m.ListedAddress = lm.State == wire.MachineRunning, true, lm.Address
 	}
 	return failed
 }
 
-// forgetUnlisted forgets machines whose lease ran out, or that never came up, and that list after list lacks: they were taken.
+// forgetUnlisted forgets machines that are not alive, because their lease expired or they never came up, and that several lists
+// in a row lack: the cloud took them back.
 func (l *Loop) forgetUnlisted(listed map[string]bool, now time.Time) {
 	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -7,19 +7,19 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// fleetPlanning decides when the fleet is planned: which machines are rented, emptied and returned.
+// fleetPlanning decides when the fleet is planned, that is, which machines are rented, drained and returned.
 type fleetPlanning struct {
-	next      time.Time
-	notBefore time.Time // it is not planned before, whatever changed
+	next      time.Time // when the fleet is next planned
+	notBefore time.Time // the fleet is not planned before this time, whatever changed
 
-	// spotLossLimitS parts the arrays by what a task of theirs may lose with a spot machine, in seconds: those
-	// that would lose more are tried on on-demand machines first. See kind_preference.go.
+	// spotLossLimitS divides the arrays by the work that a task of theirs may lose with its spot machine, in seconds.
+	// Arrays whose tasks may lose more are tried on on-demand machines first. See kind_preference.go.
 	spotLossLimitS float64
 }
 
 func newFleetPlanning() fleetPlanning { return fleetPlanning{spotLossLimitS: math.Inf(1)} }
 
-// planSoon has the fleet planned at the next step, unless it was just now.
+// planSoon makes the fleet be planned at the next step, but not before notBefore.
 func (f *fleetPlanning) planSoon(now time.Time) { f.next = now }
 
 // due reports whether the fleet is to be planned now.
@@ -37,7 +37,7 @@
 	l.fleet.notBefore = l.restAfter(begun, tuning.ScaleOutRestMin)
 }
 
-// planFleet rents what is wanted, and returns what is not.
+// planFleet rents the machines that are needed and returns those that are not.
 func (l *Loop) planFleet(now time.Time) {
 	if l.env.Types() == nil {
 		return
@@ -53,12 +53,13 @@
 	l.startListing(now)
 }
 
-// mayRent reports whether machines may be rented: a new leader waits until those that it took over have sent heartbeats.
+// mayRent reports whether machines may be rented. A new leader waits until the machines that it took over have had time to send
+// heartbeats.
 func (l *Loop) mayRent(now time.Time) bool {
 	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover
 }
 
-// bootTime is how long a machine of a type may take until its first heartbeat, as a multiple of its usual time.
+// bootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time, plus BootExtra.
 func (l *Loop) bootTime(typ string, factor float64) time.Duration {
 	if t := l.env.typeOf(typ); t != nil {
 		return time.Duration(t.BootS*factor*float64(time.Second)) + tuning.BootExtra
@@ -66,9 +67,9 @@
 	return tuning.BootUnknown
 }
 
-// awaitRightToAct waits until the right to act is there; it is false if the term ended before.
-// A leader that stood still must not delete machines on which the next one has
-// placed tasks meanwhile.
+// awaitRightToAct waits until this member may act as the leader of the term (Env.Valid). It returns false if the term ends
+// first. Without it, a leader whose process was suspended could delete machines on which the next leader has placed tasks
+// since.
 func (l *Loop) awaitRightToAct() bool {
 	for l.ended.Err() == nil && !l.env.Valid(l.leadership.Term) {
 		l.env.sleep(l.ended, tuning.Tick)
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -6,9 +6,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// maxMachines is how many machines may be rented: what the operators say and what
-// this process's memory holds. The cloud's refusals say the rest. Memory holds one for each MachineKB that the runtime aims
-// at, whatever they take, and more as long as it is seen that those there take less.
+// maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by this
+// process's memory. The cloud's own limits show by its refusals. Memory allows one machine per MachineKB of the runtime's
+// memory target in any case, and more as long as the present machines are seen to need less than that.
 func (l *Loop) maxMachines() int {
 	most := math.MaxInt
 	if n := l.env.Tunables.MaxMachines; n > 0 {
@@ -21,11 +21,12 @@
 	return most
 }
 
-// machinesIn is how many machines so many MiB hold at the least.
+// machinesIn is how many machines fit into an amount of memory, in MiB, if each needs MachineKB.
 func machinesIn(mb float64) int { return int(mb * 1024 / tuning.MachineKB) }
 
-// machinesByUse is how many machines there may be by what the memory in use leaves of LiveShare of the MiB that the runtime
-// aims at. Machines that have sent no heartbeat are not in use yet: they and those to come count MachineKB each.
+// machinesByUse is how many machines there may be by the memory that is in use. aimMB is the runtime's memory target in MiB, of
+// which the share LiveShare may be in use. Machines that have sent no heartbeat do not count as using memory yet: for each of
+// them, and of the machines still to be rented, MachineKB is set aside from what is left.
 func (l *Loop) machinesByUse(aimMB float64) int {
 	if l.env.MemoryLive == nil {
 		return 0
--- a/internal/scheduler/leader/fleet_test.go
+++ b/internal/scheduler/leader/fleet_test.go
@@ -7,10 +7,10 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a leader that stood still between a decision and its call: it
-// must not delete machines on which the next one has placed tasks meanwhile.
+// Guards against a leader whose process was suspended between a decision and its cloud call: it must not delete machines on which
+// the next leader has placed tasks since.
 func TestNoCloudCallWithoutTheRightToAct(t *testing.T) {
-	l, clock := newTestLoop(t) // its elector has no right to act
+	l, clock := newTestLoop(t) // Env.Valid reports that it may not act
 	ctx, end := context.WithCancel(t.Context())
 	l.ended = ctx
 	may := make(chan bool)
@@ -21,13 +21,13 @@
 		}
 		select {
 		case <-may:
-			t.Fatal("calls the cloud without the right to act")
+			t.Fatal("the wait ends though the leader may not act")
 		default:
 		}
 		clock.Advance(tuning.Tick)
 	}
 	end()
 	if <-may {
-		t.Error("calls the cloud though the tenure is over")
+		t.Error("the leader is allowed to act though its term is over")
 	}
 }
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -13,8 +13,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// keyImages holds which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. No safety rule
-// depends on it; a leader that finds none, or one that it cannot read, begins without.
+// keyImages is the key of the record of which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. No
+// safety rule depends on it. A leader that finds no record, or one that it cannot read, starts without it.
 const keyImages = "hint/images"
 
 // imagesRecord is stored at keyImages.
@@ -22,15 +22,15 @@
 	Frame []byte `json:"z"`
 }
 
-// imageHints is what the loop keeps to hand on what machines hold.
+// imageHints is the state for handing over to the next leader which machines hold which images.
 type imageHints struct {
 	codec     *charge.Codec                   // nil until it is needed
-	nextWrite time.Time                       // nothing is stored before
-	inFlight  bool                            // a write is
-	recalled  map[string][]machines.HeldImage // what a former leader stored of machines that have sent no heartbeat yet
+	nextWrite time.Time                       // the record is not written before this time
+	inFlight  bool                            // a write of the record is in flight
+	recalled  map[string][]machines.HeldImage // by machine that has sent no heartbeat yet: the images that a former leader stored for it
 }
 
-// loadImages reads what the former leader left; it may fail. It runs beside the loop.
+// loadImages reads the record of the former leader. It may fail. It runs outside the loop's goroutine.
 func (l *Loop) loadImages(ctx context.Context) {
 	item, ok, err := l.store.Urgent().Get(ctx, keyImages)
 	if err != nil || !ok {
@@ -38,35 +38,35 @@
 	}
 	codec, images, err := decodeImages(item.Value)
 	if err != nil {
-		l.log.Info("image hints unreadable", "err", err)
+		l.log.Info("stored image hints unreadable; starting without them", "err", err)
 		return
 	}
 	recalled := images.ByMachine()
 	l.post(func() {
-		l.images.recalled, l.images.codec = recalled, codec // the codec takes some MB: the loop goes on with it
+		l.images.recalled, l.images.codec = recalled, codec // the loop reuses the codec, which needs some MB of memory
 		for _, m := range l.machines.Machines {
 			l.recallImages(m)
 		}
 	})
 }
 
-// decodeImages reads a record of images, with a codec that can be used further.
+// decodeImages decodes a record of images. It also returns the codec that it made, for reuse.
 func decodeImages(value json.RawMessage) (codec *charge.Codec, images machines.Images, err error) {
 	codec, err = charge.NewCodec()
 	if err != nil {
-		return nil, images, fmt.Errorf("making a codec: %w", err)
+		return nil, images, fmt.Errorf("create codec: %w", err)
 	}
 	var r imagesRecord
 	if err := json.Unmarshal(value, &r); err != nil {
-		return nil, images, fmt.Errorf("decoding the record: %w", err)
+		return nil, images, fmt.Errorf("decode record of images: %w", err)
 	}
 	if err := codec.Decode(r.Frame, &images); err != nil {
-		return nil, images, fmt.Errorf("decoding its frame: %w", err)
+		return nil, images, fmt.Errorf("decode compressed frame of the record of images: %w", err)
 	}
 	return codec, images, nil
 }
 
-// recallImages applies what a former leader stored of a machine, once.
+// recallImages applies, once, the images that a former leader stored for a machine.
 func (l *Loop) recallImages(m *machines.Machine) {
 	if held := l.images.recalled[m.Name]; held != nil {
 		delete(l.images.recalled, m.Name)
@@ -74,7 +74,8 @@
 	}
 }
 
-// stepImages stores what machines hold, now and then, when changes are to spare.
+// stepImages stores which machines hold which images, every ImagesEvery, if the write limit of the key-value store has room
+// to spare.
 func (l *Loop) stepImages(now time.Time) {
 	if l.images.inFlight || now.Before(l.images.nextWrite) || l.store.SpareWrites() < tuning.ImagesRoom {
 		return
@@ -88,7 +89,7 @@
 	go l.writeImages(value)
 }
 
-// cacheGB is how much of images a machine of a type can hold.
+// cacheGB is the size of the image cache of a machine type, in gigabytes; 0 if the type is not known.
 func (l *Loop) cacheGB(typ string) float64 {
 	if t := l.env.typeOf(typ); t != nil {
 		return t.CacheGB
@@ -96,7 +97,7 @@
 	return 0
 }
 
-// writeImages stores the record of images; if that fails, the next one may succeed.
+// writeImages stores the record of images. If that fails, the next write may succeed.
 func (l *Loop) writeImages(value json.RawMessage) {
 	_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
 	if errors.Is(err, errDeposed) {
@@ -104,17 +105,18 @@
 		return
 	}
 	if err != nil {
-		l.log.Debug("image hints not stored", "err", err)
+		l.log.Debug("storing image hints failed; retrying at the next interval", "err", err)
 	}
 	l.post(func() { l.images.inFlight = false })
 }
 
-// encodeImages gives the record, without the images that fewest hold if it were too long; nil: there is nothing to store.
+// encodeImages encodes the record of images. If it would be too long, the images that the fewest machines hold are left out.
+// It returns nil if there is nothing to store.
 func (l *Loop) encodeImages(images machines.Images) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
 		if err != nil {
-			l.log.Error("image hints cannot be encoded", "err", err)
+			l.log.Error("creating the codec for image hints failed; not storing them", "err", err)
 			return nil
 		}
 		l.images.codec = codec
--- a/internal/scheduler/leader/image_hints_test.go
+++ b/internal/scheduler/leader/image_hints_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against a record that the state service refuses: what fewest machines hold is left out.
+// Guards against a record that is too long for the key-value store: the images that the fewest machines hold are left out.
 func TestImagesRecordFitsAValue(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.env.Settings.Cluster.State.ValueKB = 2
@@ -24,7 +24,7 @@
 	}
 	value := l.encodeImages(images)
 	if value == nil || len(value) > 2048 {
-		t.Fatalf("a record of %d bytes", len(value))
+		t.Fatalf("the record has %d bytes, want 1 to 2048", len(value))
 	}
 	var r imagesRecord
 	var got machines.Images
@@ -36,14 +36,14 @@
 		err = codec.Decode(r.Frame, &got)
 	}
 	if err != nil || len(got.Machines) != 200 || len(got.Held) == 0 || got.Held[0].Name != images.Held[0].Name {
-		t.Errorf("%v: %d machines, %d images", err, len(got.Machines), len(got.Held))
+		t.Errorf("decoding the record: error %v, %d machines, %d images", err, len(got.Machines), len(got.Held))
 	}
 	if l.encodeImages(machines.Images{}) != nil {
-		t.Error("a record of nothing")
+		t.Error("a record is made though there are no images")
 	}
 }
 
-// What a former leader stored counts once the machine sends a heartbeat, and once only.
+// The images that a former leader stored for a machine are applied once the machine sends a heartbeat, and only once.
 func TestImageHintsAreRecalledOnce(t *testing.T) {
 	l, _ := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -51,6 +51,6 @@
 	l.recallImages(m)
 	l.recallImages(m)
 	if !m.HasImage("img-x", 10) || len(l.images.recalled) != 0 {
-		t.Errorf("holds img-x: %v, left %v", m.HasImage("img-x", 10), l.images.recalled)
+		t.Errorf("machine holds img-x: %v, stored images not applied yet: %v", m.HasImage("img-x", 10), l.images.recalled)
 	}
 }
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -11,20 +11,20 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// interruptionNotices is the spot machines that the cloud takes soon, as their heartbeats say.
+// interruptionNotices is the state of the spot machines whose heartbeats announce that the cloud will interrupt them.
 type interruptionNotices struct {
-	pending map[string]bool // by machine: tasks may still be stopped just before the interruption
+	pending map[string]bool // by machine name: remaining tasks are still to be stopped shortly before the interruption
 }
 
-// noticeInterruption drains a machine whose heartbeat says that the cloud takes it soon.
+// noticeInterruption drains a machine whose heartbeat announces an interruption by the cloud.
 func (l *Loop) noticeInterruption(m *machines.Machine, now time.Time) {
 	l.interruptions.pending[m.Name] = true
 	l.drainInterrupted(m, now)
 }
 
-// drainInterrupted empties a machine that the cloud takes soon: tasks that can
-// save a checkpoint do so at once, those that are worth waiting for run on until shortly before the interruption, and
-// the others move at once.
+// drainInterrupted drains a machine that the cloud is about to interrupt. Tasks that can save a checkpoint are stopped with the
+// time to do so. Tasks that will probably end in time run on until shortly before the interruption. The others are stopped at
+// once, so that they can start elsewhere.
 func (l *Loop) drainInterrupted(m *machines.Machine, now time.Time) {
 	left := m.InterruptionAt.Sub(now) - tuning.InterruptionStopLead
 	var stopped []*jobs.Allocation
@@ -46,8 +46,8 @@
 	l.sendCommands(stopped)
 }
 
-// stepInterruptions looks after the machines that the cloud takes soon: what did not end by itself is stopped just
-// before, so that it can be started elsewhere at once rather than when the machine is known to be gone.
+// stepInterruptions stops the tasks that are left on a machine shortly before the cloud interrupts it. They can then be started
+// elsewhere at once, rather than when the machine is known to be gone.
 func (l *Loop) stepInterruptions(now time.Time) {
 	pending := l.interruptions.pending
 	for name := range pending {
@@ -62,9 +62,10 @@
 	}
 }
 
-// worthRunningOn reports whether a task that cannot save is better left to run on for as long as its machine is there: the
-// run that would be saved, if it ends in time, against the time that is lost if it does not. Its run time is
-// taken to be distributed log-normally around what is expected of its job, given that it ran for so long already.
+// worthRunningOn reports whether a task that cannot save a checkpoint should run on until its machine is interrupted, in the
+// time left. It weighs the run that is saved if the task ends in time against the time that is lost if it does not. The run
+// time is assumed to be log-normally distributed around the expected run time of the job, given that the task has already
+// run for ran.
 func worthRunningOn(j *jobs.Job, ran, left time.Duration) bool {
 	expectedS, seen := j.ExpectedRunS()
 	if expectedS <= 0 || left <= 0 {
@@ -74,13 +75,13 @@
 	if seen {
 		spread = tuning.SeenSpread
 	}
-	runsLonger := func(s float64) float64 { // the share of tasks that run longer than s
+	runsLonger := func(s float64) float64 { // the share of tasks that run longer than s seconds
 		return 0.5 * math.Erfc(math.Log(s/expectedS)/(spread*math.Sqrt2))
 	}
 	ranS := max(ran.Seconds(), 1)
 	alive := runsLonger(ranS)
 	if alive < 1e-9 {
-		return true // far beyond its estimate: it may end any moment
+		return true // it has run far longer than estimated and may end at any moment
 	}
 	endsInTime := 1 - runsLonger(ranS+left.Seconds())/alive
 	return endsInTime*max(expectedS, ran.Seconds()) > (1-endsInTime)*left.Seconds()
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// An interruption notice drains the machine: what can save does, what would not end in time
-// moves, and what ends soon may.
+// An interruption notice drains the machine. A task that can save a checkpoint is stopped with time to do so, a task that would not
+// end in time is stopped at once, and a task that ends soon runs on.
 func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -20,20 +20,20 @@
 	m.InterruptionAt = clock.Now().Add(15 * time.Second)
 	l.drainInterrupted(m, clock.Now())
 	if saves.Stop == nil || saves.Stop.GraceS < 4 {
-		t.Errorf("what can save: %+v", saves.Stop)
+		t.Errorf("stop request of the task that can save a checkpoint: %+v", saves.Stop)
 	}
 	if long.Stop == nil || short.Stop != nil {
-		t.Errorf("long %+v, short %+v", long.Stop, short.Stop)
+		t.Errorf("stop request of the long task %+v (want one), of the short task %+v (want none)", long.Stop, short.Stop)
 	}
 	for _, v := range l.openMachines(clock.Now()) {
 		if v.Name == m.Name {
-			t.Error("it still gets tasks")
+			t.Error("the machine still gets tasks")
 		}
 	}
 }
 
-// Guards against tasks that were stopped half a minute before their machine was taken, though half of
-// them would have ended by then, and against others that go with it and are missed until its lease ends.
+// Guards against stopping tasks half a minute before their machine is interrupted, though half of them would have ended by then.
+// Also guards against tasks that are lost with the machine, which is noticed only when its lease expires.
 func TestTaskRunsUntilShortlyBeforeInterruption(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -43,15 +43,15 @@
 	l.interruptions.pending[m.Name] = true
 	l.drainInterrupted(m, clock.Now())
 	if a.Stop != nil {
-		t.Fatal("stopped at the notice")
+		t.Fatal("the task is stopped as soon as the notice arrives")
 	}
 	clock.Advance(25*time.Second - tuning.InterruptionStopLead - time.Second)
 	if l.stepInterruptions(clock.Now()); a.Stop != nil {
-		t.Fatal("stopped before the last call")
+		t.Fatal("the task is stopped earlier than InterruptionStopLead before the interruption")
 	}
 	clock.Advance(time.Second)
 	if l.stepInterruptions(clock.Now()); a.Stop == nil || len(l.interruptions.pending) != 0 {
-		t.Error("not stopped before its machine is taken")
+		t.Error("the task is not stopped shortly before the interruption")
 	}
 }
 
@@ -71,7 +71,7 @@
 		{0, 50 * time.Second, 22 * time.Second, false}, // a service
 	} {
 		if got := worthRunningOn(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.left); got != c.want {
-			t.Errorf("estimate %v s, ran %v, %v left: %v", c.estimate, c.ran, c.left, got)
+			t.Errorf("estimate %v s, ran %v, %v left: worth running on is %v", c.estimate, c.ran, c.left, got)
 		}
 	}
 }
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -10,13 +10,13 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// newLoopAtScale makes a leader with 400 full machines that run the tasks of 260
-// services and arrays, while 40 large arrays wait.
+// newLoopAtScale makes a leader with 400 full machines. They run tasks of 260 arrays, while the other tasks of these and 40 more
+// arrays wait.
 func newLoopAtScale(t testing.TB) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
-	l.writer.inFlight = true // nothing is stored: that is another's work
+	l.writer.inFlight = true // no records are written, as the cost of writing is not part of this measurement
 	l.fleet.next = now.Add(time.Hour)
 	clear(l.machines.Machines)
 	var heartbeats []*wire.Heartbeat
@@ -44,8 +44,8 @@
 	return l, heartbeats
 }
 
-// BenchmarkHeartbeatAndSchedule is what one heartbeat costs the leader at 400 machines, when it
-// changes something and a scheduling cycle follows.
+// BenchmarkHeartbeatAndSchedule measures the work of the leader for one heartbeat at 400 machines, if the heartbeat changes
+// something and a scheduling cycle follows.
 func BenchmarkHeartbeatAndSchedule(b *testing.B) {
 	l, heartbeats := newLoopAtScale(b)
 	b.ReportAllocs()
@@ -56,12 +56,12 @@
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
-		l.schedule(l.env.Clock.Now()) // which a step leaves to the one with the right to act
+		l.schedule(l.env.Clock.Now()) // not part of the step, as Env.Valid reports that this leader may not act
 	}
 }
 
-// Guards against a scheduling cycle whose work grows with machines times jobs: it has a
-// fixed number of memory allocations for each machine and each job.
+// Guards against a scheduling cycle whose work grows with the product of machines and jobs: the number of memory allocations per
+// machine and per job is bounded.
 func TestSchedulingCycleAllocationsGrowLinearly(t *testing.T) {
 	l, heartbeats := newLoopAtScale(t)
 	i := 0
@@ -79,14 +79,15 @@
 	}
 }
 
-// largeWorkload is a loop without machines, and the calls that the cloud and the state service would answer for it.
+// largeWorkload is a loop that starts without machines. Its methods apply the answers that the cloud and the key-value store would
+// give.
 type largeWorkload struct {
 	*Loop
 	t                       *testing.T
 	requests, named, stored int
 }
 
-// rentAll answers all pending rentals in full; the machines send their first heartbeats.
+// rentAll answers all pending rentals in full and lets the machines send their first heartbeats.
 func (w *largeWorkload) rentAll() {
 	for name, p := range w.rentals.pending {
 		w.requests++
@@ -111,7 +112,7 @@
 	}
 }
 
-// completeAll completes all tasks that have machines.
+// completeAll completes all tasks that are placed on machines.
 func (w *largeWorkload) completeAll() {
 	now := w.env.Clock.Now()
 	for _, m := range w.machines.Machines {
@@ -122,7 +123,7 @@
 	}
 }
 
-// returnOnce scales in once; the machines are gone, and the deletion before is answered.
+// returnOnce answers the previous deletion, scales in once, and removes the machines that are being returned.
 func (w *largeWorkload) returnOnce() {
 	w.deletions.inFlight, w.deletions.queue = false, nil
 	w.scaleIn(w.env.Clock.Now())
@@ -133,9 +134,9 @@
 	}
 }
 
-// Guards against limits made for hundreds of machines: the count of rented machines once
-// stopped at 1,000 while a hundred jobs waited. A hundred thousand tasks get their ten
-// thousand machines, each is placed and stored, and all that is rented is returned in the end.
+// Guards against limits that were made for hundreds of machines: the number of rented machines once stopped at 1,000 while a
+// hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and all machines are returned in
+// the end.
 func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
 	const machines, jobsOf, tasks = 10_000, 10, 100_000
 	l, clock := newTestLoop(t)
@@ -153,7 +154,7 @@
 	}
 	for round := 0; w.stored < tasks; round++ {
 		if round > 2*machines/wire.MaxRent {
-			t.Fatalf("%d of %d tasks are stored on %d machines after %d requests", w.stored, tasks, len(l.machines.Machines), w.requests)
+			t.Fatalf("only %d of %d tasks are placed and stored, on %d machines, after %d rental requests", w.stored, tasks, len(l.machines.Machines), w.requests)
 		}
 		l.scaleOut(clock.Now())
 		w.rentAll()
@@ -161,7 +162,7 @@
 		w.storeAll(uint64(round + 2))
 	}
 	if len(l.machines.Machines) != machines {
-		t.Errorf("%d machines for what fits on %d", len(l.machines.Machines), machines)
+		t.Errorf("%d machines are rented, want %d", len(l.machines.Machines), machines)
 	}
 	w.completeAll()
 	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
@@ -173,11 +174,11 @@
 		w.returnOnce()
 	}
 	if deletions != machines/wire.MaxDelete {
-		t.Errorf("%d deletions, %d machines are left", deletions, len(l.machines.Machines))
+		t.Errorf("%d deletion requests, %d machines are left", deletions, len(l.machines.Machines))
 	}
 }
 
-// BenchmarkUnchangedHeartbeat is what a heartbeat costs that changes nothing.
+// BenchmarkUnchangedHeartbeat measures the work of the leader for a heartbeat that changes nothing.
 func BenchmarkUnchangedHeartbeat(b *testing.B) {
 	l, heartbeats := newLoopAtScale(b)
 	b.ReportAllocs()
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -10,16 +10,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// leaseQuery is the question, asked of the state service and of other members, whether machines whose leases ran out
-// here were answered by a follower.
+// leaseQuery is the state of the query whether followers renewed the leases of machines whose leases expired by the leader's
+// own replies. It reads the records in the key-value store and asks the members that hold zone leases.
 type leaseQuery struct {
 	inFlight bool
-	next     time.Time
+	next     time.Time // no query begins before this time
 }
 
-// expireLeases ends the incarnations of machines that nobody has answered for a lease:
-// not this leader, nor a follower in its stead, which the state service and the members
-// that may hold a lease of their zones tell.
+// expireLeases ends the incarnations of machines whose heartbeats nobody has answered for a whole lease: neither this leader
+// nor a follower in its place. Whether a follower did is reported by the records in the key-value store and by the members
+// that may hold zone leases of the machines' zones.
 func (l *Loop) expireLeases(now time.Time) {
 	if l.leases.inFlight || now.Before(l.leases.next) {
 		return
@@ -36,7 +36,7 @@
 	}()
 }
 
-// expiredByZone are the machines whose leases ran out, as far as this leader knows.
+// expiredByZone returns the names of the machines whose leases expired by this leader's own replies, by zone.
 func (l *Loop) expiredByZone(now time.Time) map[string][]string {
 	byZone := map[string][]string{}
 	for _, name := range l.machines.ExpiredLeases(now) {
@@ -46,24 +46,26 @@
 	return byZone
 }
 
-// leaseQueryDone ends what ran on machines that nobody may have renewed within a lease before asked. A query that took longer
-// than those who were asked remember concludes nothing.
+// leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before asked, the
+// time at which the query began. A query that took longer than RenewedQueryTime has no effect: the records and the members
+// report renewals only that much further back than a lease.
 func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
 	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadEvery)
 	if took := now.Sub(asked); err == nil && took > tuning.RenewedQueryTime {
-		err = fmt.Errorf("it took %v", took)
+		err = fmt.Errorf("query took too long to be conclusive: %v", took)
 	}
 	if err != nil {
-		l.log.Debug("renewals by followers unreadable", "err", err)
+		l.log.Debug("query for leases renewed by followers failed; retrying, no leases are ended", "err", err)
 		return
 	}
 	l.applyOutcomes(l.machines.EndExpired(asked, renewed), now)
 }
 
-// possiblyRenewed finds which machines, by zone, others may have answered within a lease
-// before now: those that a record names, and those of which a member with a lease of
-// their zone does not say that it did not. It must not take longer than RenewedQueryTime: all then speak of the lease before it began.
+// possiblyRenewed returns the machines whose leases other members may have renewed within one lease before now. byZone are the
+// names of the machines in question, by zone. The result holds all machines that a record in the key-value store names, and
+// those for which a member with a lease of their zone does not deny a renewal. The query must not take longer than
+// RenewedQueryTime. Then the answers of all sources cover the whole lease before it began.
 func (l *Loop) possiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
 	renewed, zoneLeases, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
@@ -91,8 +93,8 @@
 	return renewed, nil
 }
 
-// askFollower gives those of some machines of which a member does not say that it did not
-// answer them: all, if it says nothing.
+// askFollower asks a member about some machines and returns those whose leases it does not deny to have renewed. Without an
+// answer these are all of them.
 func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
 	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer stop()
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -12,24 +12,23 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against tasks of a partitioned zone which are started elsewhere while
-// the member there renews their workers' leases; and against machines that stay
-// occupied for ever because some member may have answered them.
+// Guards against starting tasks of a partitioned zone elsewhere while the member there renews their workers' leases. Also guards
+// against machines that stay occupied for ever because some member may have answered their heartbeats.
 func TestTasksOfPartitionedZoneLiveUntilItsMembersDenyRenewal(t *testing.T) {
 	const inA, inB = `{"zone":"a","member":"ma"}`, `{"zone":"b","member":"mb"}`
 	for _, c := range []struct {
 		name       string
 		zoneLeases []string
-		says       map[string][]string // by member: what it renewed; one that is not there is unreachable
-		kept       string              // machines whose tasks live on: n-0 and n-1 are in a, n-2 and n-3 in b
+		says       map[string][]string // by member: the machines whose leases it renewed; a member without an entry is unreachable
+		kept       string              // machines whose tasks still count as running: n-0 and n-1 are in zone a, n-2 and n-3 in zone b
 	}{
 		{"there is no zone lease", nil, nil, "[]"},
-		{"both zones are out of reach", []string{inA, inB}, nil, "[n-0 n-1 n-2 n-3]"},
-		{"one zone is out of reach", []string{inA, inB}, map[string][]string{"ma": nil}, "[n-2 n-3]"},
-		{"all members deny", []string{inA, inB}, map[string][]string{"ma": nil, "mb": nil}, "[]"},
-		{"one machine was answered", []string{inA, inB}, map[string][]string{"ma": {"n-1"}, "mb": nil}, "[n-1]"},
-		{"of two members of a zone one is out of reach", []string{inB, `{"zone":"b","member":"mc"}`}, map[string][]string{"mb": nil}, "[n-2 n-3]"},
-		{"a record names a machine", []string{inA, `{"machines":["n-3"]}`}, map[string][]string{"ma": nil}, "[n-3]"},
+		{"the members of both zones are unreachable", []string{inA, inB}, nil, "[n-0 n-1 n-2 n-3]"},
+		{"the member of one zone is unreachable", []string{inA, inB}, map[string][]string{"ma": nil}, "[n-2 n-3]"},
+		{"all members deny renewals", []string{inA, inB}, map[string][]string{"ma": nil, "mb": nil}, "[]"},
+		{"one member renewed the lease of one machine", []string{inA, inB}, map[string][]string{"ma": {"n-1"}, "mb": nil}, "[n-1]"},
+		{"one of two members of a zone is unreachable", []string{inB, `{"zone":"b","member":"mc"}`}, map[string][]string{"mb": nil}, "[n-2 n-3]"},
+		{"a record in the key-value store names a machine", []string{inA, `{"machines":["n-3"]}`}, map[string][]string{"ma": nil}, "[n-3]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, advance := twoZones(t, 2, c.zoneLeases...)
@@ -49,13 +48,14 @@
 				}
 			}
 			if fmt.Sprint(got) != c.kept {
-				t.Errorf("tasks live on on %v, want %s", got, c.kept)
+				t.Errorf("tasks count as running on %v, want %s", got, c.kept)
 			}
 		})
 	}
 }
 
-// Guards against conclusions from answers of different times: a query that took longer than those who were asked remember counts for nothing.
+// Guards against ending leases by answers that cover different times: a query that took longer than RenewedQueryTime has no
+// effect, since the sources report renewals only that much further back than a lease.
 func TestSlowRenewalQueryConcludesNothing(t *testing.T) {
 	for _, c := range []struct {
 		took time.Duration
@@ -69,17 +69,17 @@
 		advance(l.env.workerLease() + time.Second)
 		l.concludeExpired()
 		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
-			t.Errorf("after a reading of %v: gone %v", c.took, gone)
+			t.Errorf("after a query that took %v, the task counts as ended: %v", c.took, gone)
 		}
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) { return nil, nil }
 		if l.concludeExpired(); len(l.machines.Machines["n-0"].Allocations) != 0 {
-			t.Error("not found gone by the next reading")
+			t.Error("the next query does not end the task")
 		}
 	}
 }
 
-// Guards against tasks of a partitioned zone that are started elsewhere since the follower's record of its machines, or the question
-// on them, does not hold them all.
+// Guards against starting tasks of a partitioned zone elsewhere because the follower's records of the machines whose leases it
+// renewed, or the query about them, do not cover all machines of the zone.
 func TestAllMachinesOfACutZoneAreKept(t *testing.T) {
 	const each = maxSizedMachines / 2
 	l, advance := twoZones(t, each, `{"zone":"b","member":"mb"}`)
@@ -96,7 +96,7 @@
 	}
 	l.env.MayHaveRenewed = func(_ context.Context, member string, asked []string) ([]string, error) {
 		if member != "mb" || len(asked) != each {
-			t.Errorf("%s is asked about %d machines", member, len(asked))
+			t.Errorf("member %s is asked about %d machines, want mb and all machines of its zone", member, len(asked))
 		}
 		return answered, nil
 	}
@@ -107,6 +107,6 @@
 		kept[m.Zone] += len(m.Allocations)
 	}
 	if kept["a"] != 0 || kept["b"] != each {
-		t.Errorf("%d tasks of the zone that nobody answers count as running, and %d of %d of the one that is cut", kept["a"], kept["b"], each)
+		t.Errorf("%d tasks count as running in the zone whose workers nobody answers, and %d of %d in the partitioned zone", kept["a"], kept["b"], each)
 	}
 }
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -12,13 +12,13 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// openMachines are the machines that may get tasks now.
+// openMachines returns the open machines, those on which tasks may be placed now (isOpen).
 func (l *Loop) openMachines(now time.Time) []*placement.Machine {
 	return l.openMachinesWithFree(now, placement.Resources{})
 }
 
-// machinesWithRoomFor are those of the open machines that have room for some of the jobs: in a large cluster most are
-// full, and a view of each, for each scheduling cycle, was most of its cost.
+// machinesWithRoomFor returns the open machines that have room for a task of at least one of the jobs. In a large cluster most
+// machines are full, and making a view of each of them was most of the cost of a scheduling cycle.
 func (l *Loop) machinesWithRoomFor(now time.Time, pending []*placement.PendingJob) []*placement.Machine {
 	if len(pending) == 0 {
 		return nil
@@ -26,7 +26,7 @@
 	return l.openMachinesWithFree(now, placement.MinRequest(pending))
 }
 
-// openMachinesWithFree are the machines that may get tasks now and have at least so much free.
+// openMachinesWithFree returns the open machines that have at least these resources free.
 func (l *Loop) openMachinesWithFree(now time.Time, free placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
@@ -41,14 +41,16 @@
 	return out
 }
 
-// isOpen reports whether a machine may get tasks now: it is alive and reachable, stays, and is in order.
+// isOpen reports whether tasks may be placed on a machine now. It must be alive, healthy and reachable, must not be leaving the
+// fleet, must run no task that the leader does not know, and must not have refused a task for lack of room just before.
 func (l *Loop) isOpen(m *machines.Machine, now time.Time) bool {
 	stays := !m.Returning && !m.Draining && m.InterruptionAt.IsZero()
 	return m.Alive() && stays && !m.Unhealthy && !m.HasOrphans() &&
 		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusedAt)
 }
 
-// allOpenMachines are the machines that may get tasks now, with those of seen as they are: placements took of them.
+// allOpenMachines returns the open machines. For a machine that is in seen, it returns that view, which already accounts for the
+// tasks placed in this cycle.
 func (l *Loop) allOpenMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	known := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
@@ -63,12 +65,12 @@
 	return all
 }
 
-// inUse reports whether a machine has tasks, as far as the leader knows.
+// inUse reports whether a machine has tasks that the leader knows of.
 func (l *Loop) inUse(v *placement.Machine) bool {
 	return len(l.machines.Machines[v.Name].Allocations) > 0
 }
 
-// machineView is a machine as placement sees it; ok is false if its type is not known.
+// machineView returns placement's view of a machine. ok is false if the machine's type is not known.
 func (l *Loop) machineView(m *machines.Machine) (v placement.Machine, ok bool) {
 	t := l.env.typeOf(m.Type)
 	if t == nil {
@@ -77,7 +79,7 @@
 	return newMachineView(m, t), true
 }
 
-// newMachineView is a machine of a type as placement sees it, but for FreeInS.
+// newMachineView returns placement's view of a machine of a type, without FreeInS.
 func newMachineView(m *machines.Machine, t *wire.MachineType) placement.Machine {
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
@@ -86,20 +88,21 @@
 	}
 }
 
-// freeOn is what the tasks that may be on a machine leave of it.
+// freeOn returns the resources of a machine that are not used by the tasks that may be on it.
 func freeOn(m *machines.Machine, t *wire.MachineType) placement.Resources {
 	used := m.Used()
 	return placement.Resources{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
 }
 
-// expectedEnd is when tasks of a machine are expected to have ended.
+// expectedEnd is the time at which a task on a machine is expected to end.
 type expectedEnd struct {
-	inS   float64
-	freed placement.Resources // by this end and those before it
+	inS   float64             // seconds from now
+	freed placement.Resources // resources freed by this end and all earlier ones
 }
 
-// freeInS estimates in how many seconds the tasks that end by themselves on a machine, or were told to, leave so much more
-// room. The ends are put in order once, when it is first asked for: of most machines it never is.
+// freeInS returns a function that estimates in how many seconds a machine has freed the resources that are lacking, as its
+// tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough. The ends are computed
+// at the first call, since for most machines there is none.
 func freeInS(m *machines.Machine, now time.Time) func(lacks placement.Resources) float64 {
 	var ends []expectedEnd
 	return func(lacks placement.Resources) float64 {
@@ -115,7 +118,8 @@
 	}
 }
 
-// expectedEnds are the expected ends of a machine's tasks in order, after a first one at which nothing has ended yet.
+// expectedEnds returns the expected ends of a machine's tasks in the order of time. The first entry is the present, with nothing
+// freed.
 func expectedEnds(m *machines.Machine, now time.Time) []expectedEnd {
 	ends := append(make([]expectedEnd, 0, len(m.Allocations)+1), expectedEnd{})
 	for _, a := range m.Allocations {
@@ -130,7 +134,8 @@
 	return ends
 }
 
-// endsInS estimates in how many seconds a task ends; ok is false for a replica that was not told to stop.
+// endsInS estimates in how many seconds a task ends. ok is false for a service replica that is not being stopped, which has no
+// end.
 func endsInS(a *jobs.Allocation, now time.Time) (inS float64, ok bool) {
 	switch {
 	case a.Stop != nil:
@@ -141,16 +146,16 @@
 	inS, _ = a.Job.ExpectedRunS()
 	if !a.RunningSince.IsZero() {
 		ran := now.Sub(a.RunningSince).Seconds()
-		inS = max(inS-ran, ran/4) // one that takes longer than expected goes on for a while
+		inS = max(inS-ran, ran/4) // a task that overruns its estimate continues for a while
 	}
 	return inS, true
 }
 
-// fetchInS estimates in how many seconds a machine fetches an image: none for
-// one that it holds, as far as its tasks show. Images that are fetched at the same time
-// share its rate.
+// fetchInS returns a function that estimates how many seconds a machine needs to fetch an image of a size in gigabytes. It
+// returns 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at the same time share the
+// machine's fetch rate.
 func fetchInS(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
-	sharing := 0 // counted when it is first asked for: of full machines it never is
+	sharing := 0 // counted at the first call; for full machines there is none
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
 			return 0
@@ -162,7 +167,7 @@
 	}
 }
 
-// imagesInFetch counts the images that a machine fetches now, or may.
+// imagesInFetch counts the images that a machine fetches, or may be fetching, now.
 func imagesInFetch(m *machines.Machine) int {
 	fetching := map[string]bool{}
 	for _, a := range m.Allocations {
--- a/internal/scheduler/leader/machine_views_test.go
+++ b/internal/scheduler/leader/machine_views_test.go
@@ -10,7 +10,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Guards against a reservation that brings nothing: what a machine's replicas take never gets free, and what runs on others does.
+// Guards against reserving room that never becomes free: the resources of a machine's service replicas are not freed, those of
+// its array tasks are when the tasks end.
 func TestTimeUntilMachineHasRoom(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -20,22 +21,22 @@
 		return freeInS(m, clock.Now())(lacks)
 	}
 	if s := free(); s != 0 {
-		t.Errorf("an empty machine has room in %v s", s)
+		t.Errorf("an empty machine has room in %v s, want 0", s)
 	}
 	a := l.addRunning(t, "job-1", "n-large", 1)
 	if s := free(); !math.IsInf(s, 1) {
-		t.Errorf("beside a replica there is room in %v s", s)
+		t.Errorf("a machine with a service replica has room in %v s, want never", s)
 	}
 	a.Job.Kind, a.Job.EstimateS, a.RunningSince = wire.KindArray, 100, clock.Now().Add(-40*time.Second)
 	if s := free(); s != 60 {
-		t.Errorf("room in %v s, 60 are left of its run", s)
+		t.Errorf("room in %v s, want 60, the rest of the expected run time", s)
 	}
 	a.RunningSince = clock.Now().Add(-200 * time.Second)
 	if s := free(); s != 50 {
-		t.Errorf("room in %v s for a task that runs on beyond what was expected", s)
+		t.Errorf("room in %v s beside a task that overruns its estimate, want 50", s)
 	}
 	a.Stop = &jobs.StopRequest{GraceS: 5}
 	if s := free(); s != 5 {
-		t.Errorf("room in %v s for one that was told to stop", s)
+		t.Errorf("room in %v s beside a task that is being stopped, want 5", s)
 	}
 }
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -7,33 +7,34 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// silent reports whether a machine, nil if it is not known, has neither sent a heartbeat nor answered us for a while.
+// silent reports whether a machine has neither sent a heartbeat nor answered the leader for longer than maxSilence. A machine
+// that is not known (nil) is silent.
 func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
 	return m == nil || now.Sub(m.LastSeen()) > l.maxSilence()
 }
 
-// maxSilence is for how long a machine that can be reached is silent at the most.
+// maxSilence is the longest time that may pass between messages of a machine that is connected to the leader.
 func (l *Loop) maxSilence() time.Duration {
 	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
-// unreachable reports whether no command is likely to get to a machine now.
+// unreachable reports whether a command sent to a machine now is unlikely to reach it.
 func (l *Loop) unreachable(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
-// leftCommandUnanswered reports whether a machine that still counts as heard did not answer a command since:
-// it may hang, or be partitioned, or dead, and what is placed on it would wait for that to end.
+// leftCommandUnanswered reports whether a machine has left a command unanswered that was sent after its last heartbeat. The
+// machine may hang, be partitioned or be dead, even if it is not silent yet. A task placed on it would wait until that ends.
 func leftCommandUnanswered(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
 
-// partitionedZones are the zones most of whose machines fell silent together: they are partitioned
-// from us, and what is rented there is of no use for now.
+// partitionedZones returns the zones in which a share of at least CutShare of the machines, and at least SilentMany of them,
+// have lost contact with the leader. These zones are partitioned from the leader, which cannot use machines rented there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
 	type count struct{ silent, all int }
 	zones := map[string]*count{}
 	for _, m := range l.machines.Machines {
 		if m.Incarnation == 0 {
-			continue // it never sent a heartbeat, nor had it a task
+			continue // it never sent a heartbeat and never had a task
 		}
 		c := zones[m.Zone]
 		if c == nil {
@@ -54,7 +55,8 @@
 	return partitioned
 }
 
-// lostContact reports whether a machine is unreachable, or silent. One that a new leader has not heard yet may only be on its way to it.
+// lostContact reports whether a machine is unreachable or silent. For the first maxSilence of a term no machine counts as
+// silent, since its worker may still be searching for the new leader.
 func (l *Loop) lostContact(m *machines.Machine, now time.Time) bool {
 	return m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.startedAt) > l.maxSilence()
 }
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -14,47 +14,55 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Heartbeats that arrive prove only one direction of the way to a machine. The leader probes those machines of which it doubts that they hear
-// it: whose heartbeats show no effect of its answers, that sent a heartbeat that looks older than one before (a copy that
-// the network kept, or a machine that was restarted), that were found unreachable, and whose heartbeats go to somebody else: a
-// controller that is partitioned from all but its workers keeps these with answers that bear no command. The probe holds
-// our fencing token, which the worker keeps, so the member that answers it can see that a leader reaches it, and sends it on.
-
-// probing is what the loop keeps of probes, and of how commands are answered.
+// A heartbeat that arrives proves only that messages from the machine reach the leader, not that the leader's messages reach
+// the machine. The leader probes the machines that may not receive its messages:
+//   - machines whose heartbeats show no effect of the leader's replies;
+//   - machines that sent a heartbeat that looks older than an earlier one: it is a copy that the network delayed, or the
+//     worker process was restarted;
+//   - machines that were found unreachable;
+//   - machines whose heartbeats may go to another controller: one that is partitioned from everything but its workers renews
+//     their leases with replies that contain no commands.
+//
+// A probe carries the leader's fencing token, which the worker stores. The controller that answers the worker's heartbeats can
+// therefore see that a leader reaches the worker, and redirects the worker to that leader.
+
+// probing is the loop's state of probes in flight and of answered and unanswered commands.
 type probing struct {
-	next         time.Time
-	limit        *rate.Limiter // of probes
-	inFlight     int           // probes
-	mostSuspects int           // machines that were to be probed at a time, at the most since there were none
+	next         time.Time     // when suspects are next looked for and probed
+	limit        *rate.Limiter // limits the rate of probes
+	inFlight     int           // number of probes in flight
+	mostSuspects int           // largest number of suspects since there were last none
 
-	unanswered    map[string]bool // machines that left a command unanswered since any was answered
-	lastAnswered  time.Time       // when any was answered last; zero: none yet
-	askingPeers   bool            // the other members are being asked
-	nextPeerProbe time.Time       // they are not asked before
+	unanswered    map[string]bool // machines that left a command or probe unanswered since any machine last answered one
+	lastAnswered  time.Time       // when any machine last answered a command or probe; zero: never in this term
+	askingPeers   bool            // the other members are being asked whether they reach the unanswered machines
+	nextPeerProbe time.Time       // the other members are not asked before this time
 }
 
 func newProbing() probing {
 	return probing{limit: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unanswered: map[string]bool{}}
 }
 
-// commandAnswered tells that a machine answered a command or probe.
+// commandAnswered records that a machine answered a command or probe.
 func (p *probing) commandAnswered(now time.Time) {
 	p.lastAnswered = now
 	clear(p.unanswered)
 }
 
-// commandUnanswered tells that a machine left a command or probe unanswered.
+// commandUnanswered records that a machine left a command or probe unanswered.
 func (p *probing) commandUnanswered(machine string) { p.unanswered[machine] = true }
 
-// setRate allows probes in proportion to the heartbeats of so many machines.
+// setRate limits the rate of probes in proportion to the rate at which this many machines send heartbeats, one every heartbeatS
+// seconds each.
 func (p *probing) setRate(machines int, heartbeatS float64, now time.Time) {
 	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(machines)/max(1, heartbeatS))
 	p.limit.SetLimitAt(now, rate.Limit(perS))
 	p.limit.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 }
 
-// noteSuspects counts the machines that are to be probed, and gives the number for which probes in flight are allowed. That is not the
-// number of those that are left: the last of them would be probed ever more slowly.
+// noteSuspects records the current number of suspects and returns the number by which the probes in flight are limited. This
+// is the largest number since there were last no suspects. With the current number, fewer and fewer probes would be allowed as
+// suspects are cleared, and the last suspects would be probed ever more slowly.
 func (p *probing) noteSuspects(n int) int {
 	if p.mostSuspects = max(p.mostSuspects, n); n == 0 {
 		p.mostSuspects = 0
@@ -62,13 +70,13 @@
 	return p.mostSuspects
 }
 
-// suspect is a machine that is to be probed, the more pressing the lower its rank.
+// suspect is a machine that is to be probed. Suspects of a lower rank are probed first.
 type suspect struct {
 	m    *machines.Machine
 	rank int
 }
 
-// stepProbing probes the suspect machines, a few at a time.
+// stepProbing probes the suspects, as many as the limits on probes in flight and on their rate allow.
 func (l *Loop) stepProbing(now time.Time) {
 	if now.Before(l.probing.next) || !l.env.Valid(l.leadership.Term) {
 		return
@@ -86,7 +94,8 @@
 	l.stepDownIfUnheard(now)
 }
 
-// suspects are the machines that are to be probed, the most pressing first. The observer is told of the reachability of all.
+// suspects returns the machines that are to be probed now, ordered by rank. It also reports to the observer how many machines
+// are unreachable and how many live machines have not acknowledged anything.
 func (l *Loop) suspects(now time.Time) []suspect {
 	var suspects []suspect
 	unreachable, unproven := 0, 0
@@ -106,7 +115,7 @@
 	return suspects
 }
 
-// probeRank tells whether there is reason to probe a machine, the more pressing the lower the rank.
+// probeRank reports whether there is a reason to probe a machine, and the rank of that reason. Lower ranks are probed first.
 func (l *Loop) probeRank(m *machines.Machine, now time.Time) (rank int, ok bool) {
 	unreachable := m.Reachability.Unreachable()
 	switch {
@@ -122,7 +131,8 @@
 	return 0, false
 }
 
-// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent us no heartbeat for longer than its pauses explain.
+// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent the leader no heartbeat for longer than the usual
+// pauses between heartbeats explain.
 func (l *Loop) heartbeatsMayGoElsewhere(m *machines.Machine, now time.Time) bool {
 	heard := m.LastHeartbeat
 	if heard.Before(l.startedAt) {
@@ -131,14 +141,15 @@
 	return m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(heard) > l.probeAfter()
 }
 
-// probeAfter is for how long a machine may send no heartbeat before it is probed: the longest pause between heartbeats, and one try of
-// another controller.
+// probeAfter is how long a machine may send no heartbeat before it is probed: the longest pause between heartbeats, plus one
+// attempt of its worker to reach another controller.
 func (l *Loop) probeAfter() time.Duration {
 	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTry
 }
 
-// probesAtOnce gives how many probes may be in flight when so many machines are to be probed: enough to probe them
-// all within ProbeWithinLease of a lease, at one round each SubsystemTick, but no more than ProbeShareMost of the commands.
+// probesAtOnce returns how many probes may be in flight for a number of suspects. They suffice to probe all suspects within the
+// share ProbeWithinLease of a worker's lease, at one round per SubsystemTick, but never exceed the share ProbeShareMost of the
+// command slots.
 func (l *Loop) probesAtOnce(suspects int) int {
 	commands := float64(cap(l.env.CommandSlots))
 	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
@@ -146,11 +157,11 @@
 	return max(tuning.ProbeMin, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
 }
 
-// probe asks a machine for a heartbeat.
+// probe asks a machine for a heartbeat, without blocking the loop.
 func (l *Loop) probe(m *machines.Machine, now time.Time) {
 	addr, req, mark, err := l.machines.Probe(m, now)
 	if err != nil {
-		return // nobody can be asked
+		return // the machine has no known address or incarnation, or is being returned
 	}
 	m.Reachability.ProbeSent(now)
 	l.probing.inFlight++
@@ -163,7 +174,8 @@
 	}()
 }
 
-// probeAnswered draws the conclusions of a probe, which was answered by a heartbeat or failed.
+// probeAnswered applies the result of a probe: the heartbeat with which the machine answered, or an error. mark is the newest
+// message of the machine that was known when the probe was sent.
 func (l *Loop) probeAnswered(name string, mark machines.MessageMark, hb *wire.Heartbeat, err error) {
 	l.probing.inFlight--
 	m, now := l.machines.Machines[name], l.env.Clock.Now()
@@ -189,33 +201,34 @@
 		if err := l.handleDirectAnswer(hb); err != nil {
 			l.log.Debug("answer to a probe rejected", "machine", name, "err", err)
 		}
-		m.SuspectCopy = false // also if a heartbeat overtook the answer
+		m.SuspectCopy = false // even if the answer is rejected because a newer heartbeat arrived before it
 	}
 }
 
-// probeFailed notes that a machine did not answer a probe.
+// probeFailed records that a machine did not answer a probe.
 func (l *Loop) probeFailed(m *machines.Machine, mark machines.MessageMark, now time.Time) {
 	wasUnreachable := m.Reachability.Unreachable()
 	m.Reachability.NoteFailed(mark.Sent, now)
 	l.probing.commandUnanswered(m.Name)
 	if m.Reachability.Unreachable() && !wasUnreachable {
-		l.log.Info("machine reports, but does not hear us", "machine", m.Name, "zone", m.Zone, "tasks", len(m.Allocations))
+		l.log.Info("machine unreachable: heartbeats arrive but it answers no commands; placing no tasks there", "machine", m.Name, "zone", m.Zone, "tasks", len(m.Allocations))
 	}
 }
 
-// deleteRestarted returns a machine that was restarted while a start may still get to it: nothing else proves that its tasks are gone.
+// deleteRestarted deletes a machine whose worker process was restarted while a start command may still reach it. Only the
+// deletion proves that no task runs there.
 func (l *Loop) deleteRestarted(m *machines.Machine) {
 	if m.Returning {
 		return
 	}
 	m.Returning = true
-	l.log.Info("returning machine", "machine", m.Name, "reason", "restarted with a start in flight")
+	l.log.Info("worker process restarted while a start command may still arrive; deleting machine", "machine", m.Name, "reason", "restarted with a start in flight")
 	l.deleteMachines([]string{m.Name})
 }
 
-// acceptRestart ends what ran on a machine before it was restarted.
+// acceptRestart ends the attempts that ran on a machine before its worker process was restarted.
 func (l *Loop) acceptRestart(m *machines.Machine, hb *wire.Heartbeat, now time.Time) {
-	l.log.Info("machine was restarted", "machine", m.Name, "incarnation", hb.Incarnation, "tasks", len(m.Allocations))
+	l.log.Info("worker process restarted; ending the attempts that it does not list", "machine", m.Name, "incarnation", hb.Incarnation, "tasks", len(m.Allocations))
 	l.applyOutcomes(l.machines.AcceptRestart(m, hb, now), now)
 	l.cycle.wake()
 }
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// newLoopHeardByMany makes a leader with n machines that hear it, each with a task.
+// newLoopHeardByMany makes a leader with n reachable machines that run one task each.
 func newLoopHeardByMany(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
@@ -29,7 +29,7 @@
 	return l, heartbeats
 }
 
-// BenchmarkStepProbing is what looking at all machines for suspects costs, twice a second.
+// BenchmarkStepProbing measures the search for suspects among all machines, which happens twice a second.
 func BenchmarkStepProbing(b *testing.B) {
 	for _, n := range []int{400, 3300, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// BenchmarkRegistryHeartbeat is what a heartbeat costs the machine registry, its age and the effect of the answer before it included.
+// BenchmarkRegistryHeartbeat measures how the machine registry handles a heartbeat, including the checks of its age and of the
+// effect of the previous reply.
 func BenchmarkRegistryHeartbeat(b *testing.B) {
 	l, heartbeats := newLoopHeardByMany(b, 3300)
 	b.ReportAllocs()
@@ -55,8 +56,8 @@
 	}
 }
 
-// Guards against probes that come in the thousands when half of a large fleet is unreachable: they keep to their share
-// of the commands in flight, and to their rate.
+// Guards against thousands of probes at once when half of a large fleet is unreachable: probes are limited to their share of the
+// command slots and to their rate.
 func TestProbesInFlightAreBounded(t *testing.T) {
 	l, _ := newLoopHeardByMany(t, 2000)
 	l.env.CommandSlots = make(chan struct{}, 400)
@@ -65,6 +66,6 @@
 	}
 	l.stepProbing(l.env.Clock.Now())
 	if most := 400 / 8; l.probing.inFlight == 0 || l.probing.inFlight > most {
-		t.Errorf("%d probes at a time, at most %d", l.probing.inFlight, most)
+		t.Errorf("%d probes in flight, want 1 to %d", l.probing.inFlight, most)
 	}
 }
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -12,7 +12,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// workersAnswer answers direct commands to any number of workers, whose addresses are their machines' names.
+// workersAnswer is an HTTP transport that answers direct commands for any number of workers. A worker's address is the name of
+// its machine.
 type workersAnswer struct {
 	mu    sync.Mutex
 	asked map[string]int
@@ -33,8 +34,8 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, err
 }
 
-// Guards against probes so few at a time that the last of many suspect machines is probed after its lease: an eighth of
-// 400 commands each half a second were 100 machines a second at the most.
+// Guards against a limit on probes in flight that is so low that the last of many suspects is probed only after its lease: one
+// eighth of 400 command slots, every half second, was at most 100 machines per second.
 func TestEverySuspectMachineIsProbedWithinALease(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -63,17 +64,17 @@
 			}
 			for begun := clock.Now(); clock.Since(begun) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
 				if l.probeAll(); l.probing.inFlight > 0 {
-					t.Fatal("the leader ended")
+					t.Fatal("the loop ended with probes in flight")
 				}
 			}
 			if len(workers.asked) != c.machines {
-				t.Errorf("%d of %d machines were probed within a lease", len(workers.asked), c.machines)
+				t.Errorf("only %d of %d machines were probed within a lease", len(workers.asked), c.machines)
 			}
 		})
 	}
 }
 
-// Guards against probes that leave no room for the commands of a scheduling cycle.
+// Guards against probes that leave no command slots for the commands of a scheduling cycle.
 func TestProbesLeaveRoomForCommands(t *testing.T) {
 	l, _ := newTestLoop(t)
 	for _, c := range []struct {
@@ -82,15 +83,15 @@
 		doubtful, most int
 	}{
 		{"few machines", 400, 10, 50},
-		{"as many as an eighth serves", 400, 500, 50},
+		{"as many as an eighth of the slots can probe", 400, 500, 50},
 		{"more machines", 400, 1500, 150},
-		{"half of the commands at the most", 400, maxSizedMachines, 200},
+		{"at most half of the command slots", 400, maxSizedMachines, 200},
 		{"few sockets", 16, maxSizedMachines, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l.env.CommandSlots = make(chan struct{}, c.sending)
 			if got := l.probesAtOnce(c.doubtful); got != c.most {
-				t.Errorf("%d probes at a time, want %d", got, c.most)
+				t.Errorf("%d probes may be in flight, want %d", got, c.most)
 			}
 		})
 	}
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against the most attractive machine of all: it sends heartbeats, looks empty, and whatever is placed there is lost with its
-// incarnation, since no answer or command gets to it.
+// Guards against placing tasks on a machine behind a one-way partition. Its heartbeats arrive and it looks empty, but no reply or
+// command reaches it, so every task placed there is lost when its incarnation ends.
 func TestMachineBehindOneWayPartitionGetsNoWork(t *testing.T) {
 	hears := false
 	var hb *wire.Heartbeat
@@ -27,7 +27,7 @@
 	hb = r
 	a := l.addRunning(t, "job-9", "n-9", 1)
 	a.State, a.RunningSince = "", time.Time{}
-	for range 2 { // the answer to the first holds the start, the second does not show it
+	for range 2 { // the reply to the first heartbeat contains the start, the second heartbeat shows no effect of it
 		advance(time.Second)
 		hb.Seq++
 		if cmds := l.mustHandle(t, hb); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
@@ -35,38 +35,38 @@
 		}
 	}
 	if !l.getsTasks("n-9") {
-		t.Error("given up for one answer that may have been slow")
+		t.Error("a machine gets no tasks after one missed reply, which may have been slow")
 	}
 	l.probeAll()
 	if l.getsTasks("n-9") || len(m.Allocations) != 1 {
-		t.Errorf("given work though it hears nothing (%v), or its task counts as gone", l.getsTasks("n-9"))
+		t.Errorf("an unreachable machine gets tasks (%v), or its task counts as gone", l.getsTasks("n-9"))
 	}
 	if cut := l.partitionedZones(l.env.Clock.Now()); len(cut) != 0 {
-		t.Errorf("one machine is no zone: %v", cut)
+		t.Errorf("zones count as partitioned because of one unreachable machine: %v", cut)
 	}
 	tries := a.Job.FailedWaves
-	// Its incarnation ends since no answer reached it: the task is proven gone, and wanted elsewhere.
+	// No reply reached the machine, so its incarnation ended: the task is proven gone and is to start elsewhere.
 	advance(time.Second)
 	hb.Incarnation, hb.Seq = 2, hb.Seq+1
 	l.mustHandle(t, hb)
 	if !a.Removed || a.Job.FailedWaves != tries {
-		t.Errorf("gone %v, tries %d", a.Removed, a.Job.FailedWaves)
+		t.Errorf("allocation removed: %v, failed waves of the job: %d", a.Removed, a.Job.FailedWaves)
 	}
 	hears = true
 	advance(tuning.ProbePauseMax)
 	l.probeAll()
 	if l.getsTasks("n-9") {
-		t.Error("given work at once")
+		t.Error("gets tasks at once after it was unreachable")
 	}
 	advance(tuning.UnreachablePause)
 	hb.Seq++
 	l.mustHandle(t, hb)
 	if !l.getsTasks("n-9") {
-		t.Error("not used though it hears us")
+		t.Error("gets no tasks though it acknowledged messages and the pause is over")
 	}
 }
 
-// A slow answer is not a lost one: the machine answers the probe.
+// Guards against treating slow replies as lost ones: a machine that answers probes stays in use.
 func TestMachineThatAnswersProbesStaysOpen(t *testing.T) {
 	var hb *wire.Heartbeat
 	l, _, r, advance := newLoopHeardBy(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { hb.Seq++; return hb }))
@@ -78,13 +78,14 @@
 		l.mustHandle(t, hb)
 		l.probeAll()
 		if !l.getsTasks("n-9") {
-			t.Fatal("a machine that answers each probe is given up")
+			t.Fatal("a machine that answers each probe gets no tasks")
 		}
 	}
 }
 
-// Guards against the work of machines whose leases another member renews, partitioned from all but its workers: it heard no command and
-// its ends were not seen for as long as that member's zone lease lasted.
+// Guards against losing sight of machines whose leases are renewed by another member that is partitioned from everything but its
+// workers. Such machines got no command, and the ends of their tasks were not seen, for as long as that member's zone lease
+// lasted.
 func TestWorkersReportingElsewhereAreProbed(t *testing.T) {
 	var probed wire.DirectCommands
 	l, advance := twoZones(t, 1)
@@ -102,35 +103,36 @@
 	})
 	l.probeAll()
 	if probed.FencingToken != 0 {
-		t.Fatal("probed before it could have sent a heartbeat")
+		t.Fatal("the machine is probed before it had time to send a heartbeat")
 	}
 	advance(l.probeAfter() + time.Second)
 	l.probeAll()
 	if probed.FencingToken != 2 || probed.Incarnation != 1 || len(probed.Commands) != 0 {
-		t.Errorf("probed with %+v", probed)
+		t.Errorf("probe is %+v", probed)
 	}
 	if !a.Removed || j.Done != 1 {
-		t.Error("the end of its task is not seen")
+		t.Error("the end of its task in the answer to the probe is not applied")
 	}
-	// A copy of an earlier heartbeat is none the newer for that.
+	// A delayed copy of an earlier heartbeat is still rejected after the answer to the probe.
 	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}); !errors.Is(err, machines.ErrStale) {
-		t.Errorf("a copy after a direct answer: %v", err)
+		t.Errorf("a copy of an earlier heartbeat after a direct answer gives %v, want ErrStale", err)
 	}
 }
 
-// Guards against machines that are back at once and are shut out as copies, with tasks that wait for ever.
+// Guards against rejecting all heartbeats of a machine as delayed copies after its worker process restarted quickly. Its tasks
+// then waited for ever.
 func TestRestartedMachineIsRecognized(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		incarnation, seq uint64 // that its new life sends
-		inherited        bool   // known from a record only
-		openStart        bool   // a direct start had no answer
+		incarnation, seq uint64 // of the heartbeats of the restarted process
+		inherited        bool   // the new leader knows the machine from a record only
+		openStart        bool   // a direct start command got no answer
 		gone, deleted    bool
 	}{
 		{"with a lower sequence number", 1, 2, false, false, true, false},
 		{"with an incarnation that looks old", 1, 900, false, false, true, false},
-		{"a new leader knows it from records", 1, 900, true, false, true, false},
-		{"a start may still arrive", 1, 2, false, true, false, true},
+		{"a new leader knows the machine from records", 1, 900, true, false, true, false},
+		{"a start command may still arrive", 1, 2, false, true, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			hb := &wire.Heartbeat{}
@@ -168,18 +170,18 @@
 			hb.Incarnation, hb.Seq, hb.FencingToken = c.incarnation, c.seq, 0
 			advance(tuning.HeartbeatReplyLife)
 			if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-9", Address: hb.Address, Type: "small", Zone: "a", Incarnation: hb.Incarnation, Seq: hb.Seq}); !errors.Is(err, machines.ErrStale) {
-				t.Fatalf("taken before it is known what it is: %v", err)
+				t.Fatalf("a heartbeat that may be a copy gives %v before a probe was answered, want ErrStale", err)
 			}
 			l.probeAll()
 			if a.Removed != c.gone || m.Returning != c.deleted {
-				t.Fatalf("task gone %v, machine deleted %v", a.Removed, m.Returning)
+				t.Fatalf("allocation removed: %v, machine being deleted: %v", a.Removed, m.Returning)
 			}
 			if c.deleted {
 				return
 			}
 			hb.Seq++
 			if l.mustHandle(t, hb); !l.getsTasks("n-9") {
-				t.Error("it is not used")
+				t.Error("the restarted machine gets no tasks")
 			}
 		})
 	}
--- a/internal/scheduler/leader/slow_machines_test.go
+++ b/internal/scheduler/leader/slow_machines_test.go
@@ -8,14 +8,14 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against a machine that runs everything three times slower and gets tasks for ever, and against machines
-// that are found unhealthy since the ends of their tasks were seen late, as after a partition.
+// Guards against a machine that runs everything three times slower and still gets tasks. Also guards against machines that count
+// as slow because the ends of their tasks became known late, as after a partition.
 func TestSlowMachineIsUnhealthy(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		ran   time.Duration
-		late  time.Duration // for so long the machine was not heard when the end came
-		other bool          // the others ran on another type
+		late  time.Duration // how long the machine had not been heard from when the end became known
+		other bool          // the other tasks ran on another machine type
 		bad   bool
 	}{
 		{"as elsewhere", 60 * time.Second, time.Second, false, false},
@@ -46,10 +46,10 @@
 				ends(8+i, "n-large", c.ran, c.late)
 			}
 			if got := l.machines.Machines["n-large"].Unhealthy; got != c.bad {
-				t.Errorf("given up %v", got)
+				t.Errorf("the machine is unhealthy: %v", got)
 			}
 			if l.machines.Machines["n-small"].Unhealthy {
-				t.Errorf("the others are given up")
+				t.Errorf("the other machine is unhealthy")
 			}
 		})
 	}
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -1,10 +1,10 @@
-// Package reachability detects one-way partitions: machines whose heartbeats arrive while nothing that the leader sends gets
-// to them. A heartbeat proves only that the machine sends. Replies and commands to it may be lost, its heartbeats may be
-// copies that the network kept for minutes, and its worker process may have been restarted. What proves that a machine
-// is there now and is reached is its answer to a probe, or a heartbeat that shows what only a reply of the leader can have
-// brought about.
+// Package reachability detects one-way partitions: machines whose heartbeats arrive while nothing that the leader sends
+// reaches them. A heartbeat proves only that the machine sent it at some time. Replies and commands to the machine may be lost,
+// its heartbeats may be copies that the network delayed by minutes, and its worker process may have been restarted. Two things
+// prove that a machine exists now and is reached: its answer to a probe, and a heartbeat that shows an effect that only a
+// reply of the leader can have had.
 //
-// The argument is in docs/design/reach.md. The package does no I/O.
+// The reasoning is in docs/design/reach.md. The package does no I/O.
 package reachability
 
 import (
@@ -13,24 +13,25 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// State is what is known of the path to one machine in this term. It belongs to the leader's loop and is not safe for
-// concurrent use. The zero value is a machine that has acknowledged nothing yet.
+// State is what the leader knows in this term about the network path to one machine. It belongs to the leader's loop and is not
+// safe for concurrent use. The zero value is the state of a machine that has not acknowledged any message yet.
 type State struct {
 	acknowledgedAt time.Time // when it last acknowledged a message; zero: not yet in this term
-	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last one had, or was to have none
-	failedAt       time.Time // when a probe or command was sent that had no answer; zero: none since acknowledgedAt
+	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had its effect, or could have none
+	failedAt       time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
 
 	unreachableSince time.Time // zero: it does not count as unreachable
-	timesUnreachable int       // how often it was found unreachable, within tuning.UnreachableForget of the time before
-	noWorkUntil      time.Time // it gets no work before, since it was unreachable
+	timesUnreachable int       // how often it was found unreachable, each time within tuning.UnreachableForget of the last
+	noWorkUntil      time.Time // it gets no work before this time because it was unreachable
 
-	nextProbe  time.Time // it is not probed before
-	probePause time.Duration
-	probing    bool // a probe is on its way
+	nextProbe  time.Time     // it is not probed before this time
+	probePause time.Duration // the pause after the last probe; doubles until a message is acknowledged
+	probing    bool          // a probe is in flight
 }
 
-// Acknowledged records that a message reached the machine: it answered a probe, or its heartbeat shows the effect of a reply.
-// One that was unreachable gets work again after a pause, which doubles each time up to tuning.UnreachablePauseMax.
+// Acknowledged records that a message reached the machine: it answered a probe or command, or its heartbeat shows the effect of
+// a reply. A machine that was unreachable gets work again after a pause, which doubles each time up to
+// tuning.UnreachablePauseMax.
 func (s *State) Acknowledged(now time.Time) {
 	if s.Unreachable() {
 		pause := tuning.UnreachablePause << min(s.timesUnreachable-1, 16)
@@ -44,8 +45,8 @@
 	}
 }
 
-// NoteMissed records a heartbeat that shows no effect of the reply to the one before: that reply did not arrive, or came too
-// late. By itself this proves nothing of the path; it makes the machine Suspect.
+// NoteMissed records a heartbeat that shows no effect of the reply to the heartbeat before it: that reply did not arrive, or
+// arrived too late. By itself this proves nothing about the path, but it makes the machine a suspect (Suspect).
 func (s *State) NoteMissed(now time.Time) {
 	if s.missedSince.IsZero() {
 		s.missedSince = now
@@ -53,8 +54,8 @@
 	s.judge(now)
 }
 
-// NoteFailed records that a probe or command, sent at a time, had no answer. It counts for nothing if the machine has
-// acknowledged a message since it was sent.
+// NoteFailed records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the machine has
+// acknowledged a message since then.
 func (s *State) NoteFailed(sent, now time.Time) {
 	if sent.Before(s.acknowledgedAt) {
 		return
@@ -65,8 +66,8 @@
 	s.judge(now)
 }
 
-// judge finds a machine unreachable that goes on sending heartbeats, shows no effect of a reply and did not answer a probe or
-// command. A slow reply alone, a lost probe or a delayed copy are not enough.
+// judge marks a machine as unreachable if its heartbeats arrive without the effect of a reply and it also left a probe or command
+// unanswered. A slow reply, a lost probe or a delayed copy of a heartbeat alone is not enough.
 func (s *State) judge(now time.Time) {
 	if s.Unreachable() || s.missedSince.IsZero() || s.failedAt.IsZero() {
 		return
@@ -78,7 +79,7 @@
 	s.timesUnreachable++
 }
 
-// Unreachable reports whether heartbeats of the machine arrive while nothing reaches it.
+// Unreachable reports whether the machine was found to send heartbeats while nothing reaches it.
 func (s *State) Unreachable() bool { return !s.unreachableSince.IsZero() }
 
 // UnreachableSince returns since when the machine is unreachable; zero: it is not.
@@ -90,20 +91,20 @@
 // AcknowledgedAt returns when the machine last acknowledged a message; zero: never in this term.
 func (s *State) AcknowledgedAt() time.Time { return s.acknowledgedAt }
 
-// Usable reports whether the machine may be given work now, as far as reaching it goes: it has acknowledged a message, or is
-// trusted until something speaks against it.
+// Usable reports whether the path to the machine allows that it gets work now: it has acknowledged a message or is trusted, is
+// not unreachable, and the pause after it was unreachable is over. A trusted machine needs no acknowledgment.
 func (s *State) Usable(now time.Time, trusted bool) bool {
 	return (trusted || s.EverAcknowledged()) && !s.Unreachable() && !now.Before(s.noWorkUntil)
 }
 
-// Suspect reports whether a reply has had no effect so far, so that the machine is to be probed.
+// Suspect reports whether a reply to the machine has had no effect so far, so that the machine is to be probed.
 func (s *State) Suspect() bool { return !s.missedSince.IsZero() }
 
-// ProbeDue reports whether the machine may be probed now, if there is reason to: one probe at a time, with pauses.
+// ProbeDue reports whether the machine may be probed now: no probe is in flight and the pause after the last one is over.
 func (s *State) ProbeDue(now time.Time) bool { return !s.probing && !now.Before(s.nextProbe) }
 
-// ProbeSent records that a probe is on its way. The next one is due after a pause, which doubles from tuning.ProbePause to
-// tuning.ProbePauseMax until one is answered.
+// ProbeSent records that a probe was sent. The next one is due after a pause, which doubles from tuning.ProbePause up to
+// tuning.ProbePauseMax until the machine acknowledges a message.
 func (s *State) ProbeSent(now time.Time) {
 	s.probing = true
 	s.probePause = min(max(tuning.ProbePause, 2*s.probePause), tuning.ProbePauseMax)
--- a/internal/scheduler/reachability/reachability_test.go
+++ b/internal/scheduler/reachability/reachability_test.go
@@ -11,7 +11,8 @@
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// Guards against a slow reply, a lost probe or a delayed copy that looks like a machine which nothing reaches.
+// Guards against marking a machine as unreachable because of a slow reply, a lost probe or a delayed copy of a heartbeat
+// alone.
 func TestUnreachableNeedsAMissedReplyAndAFailedProbe(t *testing.T) {
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	for _, c := range []struct {
@@ -32,17 +33,17 @@
 			s.Acknowledged(t0)
 			c.events(s)
 			if got := s.Unreachable(); got != c.unreachable {
-				t.Errorf("unreachable %v", got)
+				t.Errorf("machine is unreachable: %v", got)
 			}
 		})
 	}
 	if new(State).Usable(t0, false) {
-		t.Error("a machine that acknowledged nothing and is not trusted is given work")
+		t.Error("a machine that acknowledged nothing and is not trusted gets work")
 	}
 }
 
-// Random histories: a machine that is found unreachable again and again gets work ever more seldom, one that goes on
-// acknowledging gets work again within the longest pause, and probes keep their pauses.
+// Checks three properties over random histories: a machine that is found unreachable repeatedly waits longer for work, a machine
+// that acknowledges messages gets work again within the longest pause, and the pauses between probes are respected.
 func TestPausesOfWorkAndProbesOverRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, probed := &State{}, t0, time.Time{}
@@ -57,34 +58,34 @@
 			case 2:
 				s.Acknowledged(now)
 				if pause := s.noWorkUntil.Sub(now); wasUnreachable && times > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
-					t.Fatalf("work %v after it was unreachable %d times", pause, times)
+					t.Fatalf("work after a pause of only %v though the machine was unreachable %d times", pause, times)
 				}
 			case 3:
 				if s.ProbeDue(now) {
 					if !probed.IsZero() && now.Sub(probed) < tuning.ProbePause {
-						t.Fatalf("probed %v after the last probe", now.Sub(probed))
+						t.Fatalf("probed only %v after the last probe", now.Sub(probed))
 					}
 					s.ProbeSent(now)
 					if s.ProbeDue(now) {
-						t.Fatal("two probes at a time")
+						t.Fatal("a probe is due while another is in flight")
 					}
 					s.ProbeEnded()
 					probed = now
 				}
 			}
 			if s.Unreachable() && s.Usable(now, true) {
-				t.Fatal("an unreachable machine is given work")
+				t.Fatal("an unreachable machine gets work")
 			}
 		}
 		s.Acknowledged(now)
 		if !s.Usable(now.Add(tuning.UnreachablePauseMax), false) {
-			t.Fatal("it gets no work for longer than the longest pause")
+			t.Fatal("the machine gets no work though the longest pause is over")
 		}
 	})
 }
 
-// Guards against a machine that gets no work long after the path to it is whole again: one that flapped for a quarter of an
-// hour had its machine shut out for five minutes, and a job that fitted nowhere else waited beside its room.
+// Guards against a machine that gets no work long after the path to it works again. A path that flapped for a quarter of an hour
+// had its machine excluded for five minutes, while a job that fitted nowhere else waited.
 func TestAMachineGetsWorkSoonAfterAFlappingPathIsWhole(t *testing.T) {
 	s, now := &State{}, t0
 	for range 12 {
@@ -95,6 +96,6 @@
 		s.Acknowledged(now)
 	}
 	if most := 75 * time.Second; !s.Usable(now.Add(most), true) {
-		t.Errorf("%v after it acknowledged a message it is given no work", most)
+		t.Errorf("the machine gets no work %v after it acknowledged a message", most)
 	}
 }
