--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -24,7 +24,8 @@
 	go l.listMachines()
 }
 
-// listMachines reads the cloud's list and reconciles the machine registry with it. It runs outside the loop's goroutine.
+// listMachines reads the cloud's list and reconciles the machine registry with it. It runs outside the loop's
+// goroutine.
 func (l *Loop) listMachines() {
 	begun := l.env.Clock.Now()
 	pages, err := l.env.Cloud.List(l.ended)
@@ -46,8 +47,9 @@
 // listPause returns the pause after a reading of the cloud's list that took this long.
 func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
 
-// endProvenGone ends the attempts on machines that a page of the list proves to be gone. The cloud interrupts a quarter of the
-// machines that it takes back without notice. Without this, their tasks waited until the machines' leases expired.
+// endProvenGone ends the attempts on machines that a page of the list proves to be gone. The cloud interrupts a
+// quarter of the machines that it takes back without notice. Without this, their tasks waited until the machines'
+// leases expired.
 func (l *Loop) endProvenGone(page cloud.ListPage) {
 	var gone []string
 	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
@@ -70,10 +72,10 @@
 	listed := make(map[string]bool, size)
 	var failed []string
 	for _, page := range pages {
-		for _, lm := range page.Machines {
-			listed[lm.Name] = true
-			if l.reconcileListed(lm, now) {
-				failed = append(failed, lm.Name)
+		for _, machine := range page.Machines {
+			listed[machine.Name] = true
+			if l.reconcileListed(machine, now) {
+				failed = append(failed, machine.Name)
 			}
 		}
 	}
@@ -86,37 +88,37 @@
 	l.forgetUnlisted(listed, now)
 }
 
-// reconcileListed brings the registry in line with one machine of the list. failed is true if the machine failed and is not
-// being deleted yet.
-func (l *Loop) reconcileListed(lm wire.ListedMachine, now time.Time) (failed bool) {
-	if l.machines.WasReturned(lm.Name) {
+// reconcileListed brings the registry in line with one machine of the list. failed is true if the machine failed
+// and is not being deleted yet.
+func (l *Loop) reconcileListed(listed wire.ListedMachine, now time.Time) (failed bool) {
+	if l.machines.WasReturned(listed.Name) {
 		return false
 	}
-	m := l.machines.Machines[lm.Name]
+	m := l.machines.Machines[listed.Name]
 	switch {
-	case lm.State == wire.MachineFailed:
+	case listed.State == wire.MachineFailed:
 		failed = m == nil || !m.Returning
 	case m == nil || m.Type == "":
 		// The machine is unknown, or is known from records only. It is used or returned like any other.
-		rentedAt := now.Add(-seconds(lm.AgeS))
-		l.machines.Register(machines.Rented{Name: lm.Name, Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot, RentedAt: rentedAt}, now)
+		rentedAt := now.Add(-seconds(listed.AgeS))
+		l.machines.Register(machines.Rented{Name: listed.Name, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, RentedAt: rentedAt}, now)
 		if m == nil {
-			l.log.Info("unknown machine in the cloud's list; added to the registry", "machine", lm.Name, "state", lm.State)
+			l.log.Info("unknown machine in the cloud's list; added to the registry", "machine", listed.Name, "state", listed.State)
 		}
 	}
-	if m := l.machines.Machines[lm.Name]; m != nil {
+	if m := l.machines.Machines[listed.Name]; m != nil {
 		l.cycle.wakeIf(!m.Known) // it may be used from now on, as its heartbeats are known not to be delayed copies
-		m.ListedRunning, m.Known, m.ListedAddress = lm.State == wire.MachineRunning, true, lm.Address
+		m.ListedRunning, m.Known, m.ListedAddress = listed.State == wire.MachineRunning, true, listed.Address
 	}
 	return failed
 }
 
-// forgetUnlisted forgets machines that are not alive, because their lease expired or they never came up, and that several lists
-// in a row lack: the cloud took them back.
+// forgetUnlisted forgets machines that are not alive, because their lease expired or they never came up, and that
+// several lists in a row lack: the cloud took them back.
 func (l *Loop) forgetUnlisted(listed map[string]bool, now time.Time) {
-	lag := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
+	minAge := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
 	for _, m := range l.machines.Machines {
-		if listed[m.Name] || m.Alive() || now.Sub(m.AddedAt) < lag {
+		if listed[m.Name] || m.Alive() || now.Sub(m.AddedAt) < minAge {
 			m.MissedListings = 0
 			continue
 		}
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -9,10 +9,10 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// taskFailed decides whether a task's failure counts against its machine or its job. Usually the machine is at fault, and the
-// job avoids it. But as long as no task of the job has worked, the job itself may be faulty. It is then on probation, and its
-// failures count against no machine. Without this rule, two jobs that were submitted with a mistake had healthy machines
-// drained.
+// taskFailed decides whether a task's failure counts against its machine or its job. Usually the machine is at
+// fault, and the job avoids it. But as long as no task of the job has worked, the job itself may be faulty. It is
+// then on probation, and its failures count against no machine. Without this rule, two jobs that were submitted
+// with a mistake had healthy machines drained.
 func (l *Loop) taskFailed(a *jobs.Allocation, now time.Time) {
 	j := a.Job
 	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidFor)
@@ -29,9 +29,10 @@
 	}
 }
 
-// onProbation reports whether all attempts of a job have failed so far. Such a job is tried with one task at a time, after
-// growing pauses. No room is made for it: no machine is rented, no task is stopped, no room is reserved, and it does not hold
-// a machine as the head of the queue. If the job has worked by now, onProbation ends its probation.
+// onProbation reports whether all attempts of a job have failed so far. Such a job is tried with one task at a
+// time, after growing pauses. No room is made for it: no machine is rented, no task is stopped, no room is
+// reserved, and it does not hold a machine as the head of the queue. If the job has worked by now, onProbation ends
+// its probation.
 func (l *Loop) onProbation(j *jobs.Job, now time.Time) bool {
 	if j.FailedWaves == 0 {
 		return false
@@ -58,9 +59,9 @@
 	}
 }
 
-// taskCompleted records that a task succeeded: its job works, and so does its machine m, which is nil if it is gone. A machine
-// that runs everything slowly becomes unhealthy like one on which jobs fail. The task may have ended at any time since
-// notRunningAt, when the machine was last heard from before the end became known.
+// taskCompleted records that a task succeeded: its job works, and so does its machine m, which is nil if it is
+// gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. The task may have
+// ended at any time since notRunningAt, when the machine was last heard from before the end became known.
 func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
 	if a.Job.FailedWaves > 0 {
 		l.endProbation(a.Job, now)
@@ -75,9 +76,9 @@
 	l.compareSpeed(a, m, notRunningAt, now)
 }
 
-// compareSpeed compares a task's run time with those of its job on other machines. After a partition, or a time without a
-// leader, the ends of many tasks of a machine become known late and together. So only the shortest possible run time, up to
-// notRunningAt, counts against the machine.
+// compareSpeed compares a task's run time with those of its job on other machines. After a partition, or a time
+// without a leader, the ends of many tasks of a machine become known late and together. So only the shortest
+// possible run time, up to notRunningAt, counts against the machine.
 func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
 	atLeastS := notRunningAt.Sub(a.RunningSince).Seconds()
 	elsewhere := a.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(a.RunningSince).Seconds()})
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -19,10 +19,10 @@
 			t.Fatalf("the machine is unhealthy after only %d failed jobs", i)
 		}
 		l.endAttempt(l.addRunning(t, fmt.Sprintf("job-%d", i), "n-large", 1), wire.ExitError)
-		again := l.addRunning(t, fmt.Sprintf("job-%d", i), "n-small", 1)
+		retry := l.addRunning(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.HealthyRunAfter)
 		l.pendingJobs(clock.Now())
-		if again.Job.FailedWaves != 0 {
+		if retry.Job.FailedWaves != 0 {
 			t.Error("a job that works is still on probation")
 		}
 	}
@@ -37,10 +37,10 @@
 	}
 }
 
-// Guards against side effects of jobs that were submitted with a mistake and fail on every machine. They must not make a machine
-// unhealthy, and no machine is rented, no task stopped and no room reserved for them. Each is tried with one task at a time,
-// after growing pauses.
-func TestJobFailingEverywhereBlamesNoMachine(t *testing.T) {
+// Guards against side effects of jobs that were submitted with a mistake and fail on every machine. They must not
+// make a machine unhealthy, and no machine is rented, no task stopped and no room reserved for them. Each is tried
+// with one task at a time, after growing pauses.
+func TestJobFailingEverywhereMakesNoMachineUnhealthy(t *testing.T) {
 	l, clock := newTestLoop(t)
 	for _, id := range []string{"job-1", "job-2"} {
 		a := l.addRunning(t, id, "n-large", 1)
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -53,13 +53,14 @@
 	l.startListing(now)
 }
 
-// mayRent reports whether machines may be rented. A new leader waits until the machines that it took over have had time to send
-// heartbeats.
+// mayRent reports whether machines may be rented. A new leader waits until the machines that it took over have had
+// time to send heartbeats.
 func (l *Loop) mayRent(now time.Time) bool {
 	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover
 }
 
-// bootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time, plus BootExtra.
+// bootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time,
+// plus BootExtra.
 func (l *Loop) bootTime(typ string, factor float64) time.Duration {
 	if t := l.env.typeOf(typ); t != nil {
 		return time.Duration(t.BootS*factor*float64(time.Second)) + tuning.BootExtra
@@ -67,9 +68,9 @@
 	return tuning.BootUnknown
 }
 
-// awaitRightToAct waits until this member may act as the leader of the term (Env.Valid). It returns false if the term ends
-// first. Without it, a leader whose process was suspended could delete machines on which the next leader has placed tasks
-// since.
+// awaitRightToAct waits until this member may act as the leader of the term (Env.Valid). It returns false if the
+// term ends first. Without it, a leader whose process was suspended could delete machines on which the next leader
+// has placed tasks since.
 func (l *Loop) awaitRightToAct() bool {
 	for l.ended.Err() == nil && !l.env.Valid(l.leadership.Term) {
 		l.env.sleep(l.ended, tuning.Tick)
--- a/internal/scheduler/leader/fleet_size_test.go
+++ b/internal/scheduler/leader/fleet_size_test.go
@@ -21,14 +21,15 @@
 	}
 }
 
-// Guards against a fixed memory size per machine. With 64 KiB each, a fleet stopped at 2,965 machines with 322 MB, though each
-// needed 42 KiB, with as much garbage as memory in use. The fleet grows as long as the memory in use leaves room, and no further.
+// Guards against a fixed memory size per machine. With 64 KiB each, a fleet stopped at 2,965 machines with 322 MB,
+// though each needed 42 KiB, with as much garbage as memory in use. The fleet grows as long as the memory in use
+// leaves room, and no further.
 func TestMachinesAreRentedByTheMemoryInUse(t *testing.T) {
 	const ramMB, processMB = 322, 12
 	for _, c := range []struct {
-		name        string
-		kbEach      float64 // KiB in use for each machine that sends heartbeats
-		least, most int
+		name         string
+		kbPerMachine float64 // KiB in use for each machine that sends heartbeats
+		least, most  int
 	}{
 		{"half of what each of 4,000 machines was measured to need", 21, maxSizedMachines, 7000},
 		{"what each of 4,000 machines was measured to need, with garbage", 42, 3000, 3400},
@@ -41,11 +42,11 @@
 			l.env.Settings.Cluster.Limits.RAMMB = ramMB
 			inUse := 0.0
 			l.env.MemoryLive = func() uint64 { return uint64(inUse * (1 << 20)) }
-			for most := l.maxMachines(); len(l.machines.Machines) < most; most = l.maxMachines() {
-				for len(l.machines.Machines) < most {
+			for limit := l.maxMachines(); len(l.machines.Machines) < limit; limit = l.maxMachines() {
+				for len(l.machines.Machines) < limit {
 					l.register(t, newHeartbeat(machineName(len(l.machines.Machines)), "small", "a"))
 				}
-				inUse = processMB + c.kbEach*float64(len(l.machines.Machines))/1024
+				inUse = processMB + c.kbPerMachine*float64(len(l.machines.Machines))/1024
 			}
 			if n := len(l.machines.Machines); n < c.least || n > c.most {
 				t.Errorf("%d machines with %d MB, want %d to %d", n, ramMB, c.least, c.most)
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -13,8 +13,9 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// keyImages is the key of the record of which machines hold which images: {"z": a zstd frame of CBOR, machines.Images}. No
-// safety rule depends on it. A leader that finds no record, or one that it cannot read, starts without it.
+// keyImages is the key of the record of which machines hold which images: {"z": a zstd frame of CBOR,
+// machines.Images}. No safety rule depends on it. A leader that finds no record, or one that it cannot read, starts
+// without it.
 const keyImages = "hint/images"
 
 // imagesRecord is stored at keyImages.
@@ -24,10 +25,10 @@
 
 // imageHints is the state for handing over to the next leader which machines hold which images.
 type imageHints struct {
-	codec     *charge.Codec                   // nil until it is needed
-	nextWrite time.Time                       // the record is not written before this time
-	inFlight  bool                            // a write of the record is in flight
-	recalled  map[string][]machines.HeldImage // by machine that has sent no heartbeat yet: the images that a former leader stored for it
+	codec          *charge.Codec                   // nil until it is needed
+	nextWrite      time.Time                       // the record is not written before this time
+	inFlight       bool                            // a write of the record is in flight
+	notYetRestored map[string][]machines.HeldImage // by machine that has sent no heartbeat yet: the images that a former leader stored for it
 }
 
 // loadImages reads the record of the former leader. It may fail. It runs outside the loop's goroutine.
@@ -41,9 +42,9 @@
 		l.log.Info("stored image hints unreadable; starting without them", "err", err)
 		return
 	}
-	recalled := images.ByMachine()
+	byMachine := images.ByMachine()
 	l.post(func() {
-		l.images.recalled, l.images.codec = recalled, codec // the loop reuses the codec, which needs some MB of memory
+		l.images.notYetRestored, l.images.codec = byMachine, codec // the loop reuses the codec, which needs some MB of memory
 		for _, m := range l.machines.Machines {
 			l.recallImages(m)
 		}
@@ -68,14 +69,14 @@
 
 // recallImages applies, once, the images that a former leader stored for a machine.
 func (l *Loop) recallImages(m *machines.Machine) {
-	if held := l.images.recalled[m.Name]; held != nil {
-		delete(l.images.recalled, m.Name)
+	if held := l.images.notYetRestored[m.Name]; held != nil {
+		delete(l.images.notYetRestored, m.Name)
 		m.RestoreImages(held, l.startedAt)
 	}
 }
 
-// stepImages stores which machines hold which images, every ImagesEvery, if the write limit of the key-value store has room
-// to spare.
+// stepImages stores which machines hold which images, every ImagesEvery, if the write limit of the key-value store
+// has room to spare.
 func (l *Loop) stepImages(now time.Time) {
 	if l.images.inFlight || now.Before(l.images.nextWrite) || l.store.SpareWrites() < tuning.ImagesRoom {
 		return
@@ -110,8 +111,8 @@
 	l.post(func() { l.images.inFlight = false })
 }
 
-// encodeImages encodes the record of images. If it would be too long, the images that the fewest machines hold are left out.
-// It returns nil if there is nothing to store.
+// encodeImages encodes the record of images. If it would be too long, the images that the fewest machines hold are
+// left out. It returns nil if there is nothing to store.
 func (l *Loop) encodeImages(images machines.Images) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
--- a/internal/scheduler/leader/image_hints_test.go
+++ b/internal/scheduler/leader/image_hints_test.go
@@ -10,7 +10,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against a record that is too long for the key-value store: the images that the fewest machines hold are left out.
+// Guards against a record that is too long for the key-value store: the images that the fewest machines hold are
+// left out.
 func TestImagesRecordFitsAValue(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.env.Settings.Cluster.State.ValueKB = 2
@@ -19,8 +20,8 @@
 		images.Machines = append(images.Machines, fmt.Sprintf("n-%06d", i))
 	}
 	for i := range 300 {
-		on := []byte(strings.Repeat(string(rune('A'+i%50)), 25))
-		images.Held = append(images.Held, machines.HeldImage{Name: fmt.Sprintf("img-%d-%x", i, i*i*7919), GB: 1, On: on})
+		holders := []byte(strings.Repeat(string(rune('A'+i%50)), 25))
+		images.Held = append(images.Held, machines.HeldImage{Name: fmt.Sprintf("img-%d-%x", i, i*i*7919), GB: 1, On: holders})
 	}
 	value := l.encodeImages(images)
 	if value == nil || len(value) > 2048 {
@@ -44,13 +45,13 @@
 }
 
 // The images that a former leader stored for a machine are applied once the machine sends a heartbeat, and only once.
-func TestImageHintsAreRecalledOnce(t *testing.T) {
+func TestImageHintsAreRestoredOnce(t *testing.T) {
 	l, _ := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	l.images.recalled = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
+	l.images.notYetRestored = map[string][]machines.HeldImage{m.Name: {{Name: "img-x", GB: 1}}}
 	l.recallImages(m)
 	l.recallImages(m)
-	if !m.HasImage("img-x", 10) || len(l.images.recalled) != 0 {
-		t.Errorf("machine holds img-x: %v, stored images not applied yet: %v", m.HasImage("img-x", 10), l.images.recalled)
+	if !m.HasImage("img-x", 10) || len(l.images.notYetRestored) != 0 {
+		t.Errorf("machine holds img-x: %v, stored images not applied yet: %v", m.HasImage("img-x", 10), l.images.notYetRestored)
 	}
 }
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -22,21 +22,21 @@
 	l.drainInterrupted(m, now)
 }
 
-// drainInterrupted drains a machine that the cloud is about to interrupt. Tasks that can save a checkpoint are stopped with the
-// time to do so. Tasks that will probably end in time run on until shortly before the interruption. The others are stopped at
-// once, so that they can start elsewhere.
+// drainInterrupted drains a machine that the cloud is about to interrupt. Tasks that can save a checkpoint are
+// stopped with the time to do so. Tasks that will probably end in time run on until shortly before the
+// interruption. The others are stopped at once, so that they can start elsewhere.
 func (l *Loop) drainInterrupted(m *machines.Machine, now time.Time) {
-	left := m.InterruptionAt.Sub(now) - tuning.InterruptionStopLead
+	timeLeft := m.InterruptionAt.Sub(now) - tuning.InterruptionStopLead
 	var stopped []*jobs.Allocation
 	for _, a := range m.Allocations {
 		if a.Stop != nil {
 			continue
 		}
-		j, runs := &a.Job.Job, a.State == wire.TaskRunning
+		j, running := &a.Job.Job, a.State == wire.TaskRunning
 		switch {
-		case runs && j.CheckpointS > 0:
+		case running && j.CheckpointS > 0:
 			a.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), Reason: charge.Drained}
-		case runs && worthRunningOn(a.Job, now.Sub(a.RunningSince), left):
+		case running && worthRunningOn(a.Job, now.Sub(a.RunningSince), timeLeft):
 			continue
 		default:
 			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
@@ -46,8 +46,8 @@
 	l.sendCommands(stopped)
 }
 
-// stepInterruptions stops the tasks that are left on a machine shortly before the cloud interrupts it. They can then be started
-// elsewhere at once, rather than when the machine is known to be gone.
+// stepInterruptions stops the tasks that are left on a machine shortly before the cloud interrupts it. They can
+// then be started elsewhere at once, rather than when the machine is known to be gone.
 func (l *Loop) stepInterruptions(now time.Time) {
 	pending := l.interruptions.pending
 	for name := range pending {
@@ -62,27 +62,27 @@
 	}
 }
 
-// worthRunningOn reports whether a task that cannot save a checkpoint should run on until its machine is interrupted, in the
-// time left. It weighs the run that is saved if the task ends in time against the time that is lost if it does not. The run
-// time is assumed to be log-normally distributed around the expected run time of the job, given that the task has already
-// run for ran.
-func worthRunningOn(j *jobs.Job, ran, left time.Duration) bool {
-	expectedS, seen := j.ExpectedRunS()
-	if expectedS <= 0 || left <= 0 {
+// worthRunningOn reports whether a task that cannot save a checkpoint should run on until its machine is
+// interrupted, in the time left. It weighs the run that is saved if the task ends in time against the time that is
+// lost if it does not. The run time is assumed to be log-normally distributed around the expected run time of the
+// job, given that the task has already run for ran.
+func worthRunningOn(j *jobs.Job, ran, timeLeft time.Duration) bool {
+	expectedS, fromRuns := j.ExpectedRunS()
+	if expectedS <= 0 || timeLeft <= 0 {
 		return false
 	}
-	spread := tuning.EstimateSpread
-	if seen {
-		spread = tuning.SeenSpread
+	sigma := tuning.EstimateSpread
+	if fromRuns {
+		sigma = tuning.SeenSpread
 	}
 	runsLonger := func(s float64) float64 { // the share of tasks that run longer than s seconds
-		return 0.5 * math.Erfc(math.Log(s/expectedS)/(spread*math.Sqrt2))
+		return 0.5 * math.Erfc(math.Log(s/expectedS)/(sigma*math.Sqrt2))
 	}
 	ranS := max(ran.Seconds(), 1)
-	alive := runsLonger(ranS)
-	if alive < 1e-9 {
+	stillRunning := runsLonger(ranS) // the probability of a run at least as long as this one so far
+	if stillRunning < 1e-9 {
 		return true // it has run far longer than estimated and may end at any moment
 	}
-	endsInTime := 1 - runsLonger(ranS+left.Seconds())/alive
-	return endsInTime*max(expectedS, ran.Seconds()) > (1-endsInTime)*left.Seconds()
+	endsInTime := 1 - runsLonger(ranS+timeLeft.Seconds())/stillRunning
+	return endsInTime*max(expectedS, ran.Seconds()) > (1-endsInTime)*timeLeft.Seconds()
 }
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -9,18 +9,18 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// An interruption notice drains the machine. A task that can save a checkpoint is stopped with time to do so, a task that would not
-// end in time is stopped at once, and a task that ends soon runs on.
+// An interruption notice drains the machine. A task that can save a checkpoint is stopped with time to do so, a
+// task that would not end in time is stopped at once, and a task that ends soon runs on.
 func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
-	saves, long, short := l.addRunning(t, "job-1", m.Name, 1), l.addRunning(t, "job-2", m.Name, 1), l.addRunning(t, "job-3", m.Name, 1)
-	saves.Job.CheckpointS, saves.Job.SaveS = 10, 4
+	canSave, long, short := l.addRunning(t, "job-1", m.Name, 1), l.addRunning(t, "job-2", m.Name, 1), l.addRunning(t, "job-3", m.Name, 1)
+	canSave.Job.CheckpointS, canSave.Job.SaveS = 10, 4
 	long.Job.EstimateS, short.Job.EstimateS = 300, 3
 	m.InterruptionAt = clock.Now().Add(15 * time.Second)
 	l.drainInterrupted(m, clock.Now())
-	if saves.Stop == nil || saves.Stop.GraceS < 4 {
-		t.Errorf("stop request of the task that can save a checkpoint: %+v", saves.Stop)
+	if canSave.Stop == nil || canSave.Stop.GraceS < 4 {
+		t.Errorf("stop request of the task that can save a checkpoint: %+v", canSave.Stop)
 	}
 	if long.Stop == nil || short.Stop != nil {
 		t.Errorf("stop request of the long task %+v (want one), of the short task %+v (want none)", long.Stop, short.Stop)
@@ -32,8 +32,9 @@
 	}
 }
 
-// Guards against stopping tasks half a minute before their machine is interrupted, though half of them would have ended by then.
-// Also guards against tasks that are lost with the machine, which is noticed only when its lease expires.
+// Guards against stopping tasks half a minute before their machine is interrupted, though half of them would have
+// ended by then. Also guards against tasks that are lost with the machine, which is noticed only when its lease
+// expires.
 func TestTaskRunsUntilShortlyBeforeInterruption(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -10,9 +10,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// newLoopAtScale makes a leader with 400 full machines. They run tasks of 260 arrays, while the other tasks of these and 40 more
-// arrays wait.
-func newLoopAtScale(t testing.TB) (*Loop, []*wire.Heartbeat) {
+// newLoopWith400Machines makes a leader with 400 full machines. They run tasks of 260 arrays, while the other tasks
+// of these arrays and 40 more arrays wait.
+func newLoopWith400Machines(t testing.TB) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 500, CPUsMax: 1e6}
@@ -44,10 +44,10 @@
 	return l, heartbeats
 }
 
-// BenchmarkHeartbeatAndSchedule measures the work of the leader for one heartbeat at 400 machines, if the heartbeat changes
-// something and a scheduling cycle follows.
+// BenchmarkHeartbeatAndSchedule measures the work of the leader for one heartbeat at 400 machines, if the heartbeat
+// changes something and a scheduling cycle follows.
 func BenchmarkHeartbeatAndSchedule(b *testing.B) {
-	l, heartbeats := newLoopAtScale(b)
+	l, heartbeats := newLoopWith400Machines(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
@@ -60,10 +60,10 @@
 	}
 }
 
-// Guards against a scheduling cycle whose work grows with the product of machines and jobs: the number of memory allocations per
-// machine and per job is bounded.
+// Guards against a scheduling cycle whose work grows with the product of machines and jobs: the number of memory
+// allocations per machine and per job is bounded.
 func TestSchedulingCycleAllocationsGrowLinearly(t *testing.T) {
-	l, heartbeats := newLoopAtScale(t)
+	l, heartbeats := newLoopWith400Machines(t)
 	i := 0
 	got := testing.AllocsPerRun(20, func() {
 		hb := heartbeats[i%len(heartbeats)]
@@ -74,17 +74,17 @@
 		}
 		l.schedule(l.env.Clock.Now())
 	})
-	if most := 4.0 * float64(len(l.machines.Machines)+len(l.jobs.Jobs)); got > most {
-		t.Errorf("%v allocations, want at most %v", got, most)
+	if limit := 4.0 * float64(len(l.machines.Machines)+len(l.jobs.Jobs)); got > limit {
+		t.Errorf("%v allocations, want at most %v", got, limit)
 	}
 }
 
-// largeWorkload is a loop that starts without machines. Its methods apply the answers that the cloud and the key-value store would
-// give.
+// largeWorkload is a loop that starts without machines. Its methods apply the answers that the cloud and the
+// key-value store would give.
 type largeWorkload struct {
 	*Loop
-	t                       *testing.T
-	requests, named, stored int
+	t                        *testing.T
+	requests, rented, stored int
 }
 
 // rentAll answers all pending rentals in full and lets the machines send their first heartbeats.
@@ -93,8 +93,8 @@
 		w.requests++
 		var names []string
 		for range p.Count {
-			names = append(names, machineName(w.named))
-			w.named++
+			names = append(names, machineName(w.rented))
+			w.rented++
 		}
 		w.machinesRented(name, p, names)
 		for _, m := range names {
@@ -134,9 +134,9 @@
 	}
 }
 
-// Guards against limits that were made for hundreds of machines: the number of rented machines once stopped at 1,000 while a
-// hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and all machines are returned in
-// the end.
+// Guards against limits that were made for hundreds of machines: the number of rented machines once stopped at
+// 1,000 while a hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and
+// all machines are returned in the end.
 func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
 	const machines, jobsOf, tasks = 10_000, 10, 100_000
 	l, clock := newTestLoop(t)
@@ -180,7 +180,7 @@
 
 // BenchmarkUnchangedHeartbeat measures the work of the leader for a heartbeat that changes nothing.
 func BenchmarkUnchangedHeartbeat(b *testing.B) {
-	l, heartbeats := newLoopAtScale(b)
+	l, heartbeats := newLoopWith400Machines(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -10,16 +10,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// leaseQuery is the state of the query whether followers renewed the leases of machines whose leases expired by the leader's
-// own replies. It reads the records in the key-value store and asks the members that hold zone leases.
+// leaseQuery is the state of the query whether followers renewed the leases of machines whose leases expired by the
+// leader's own replies. It reads the records in the key-value store and asks the members that hold zone leases.
 type leaseQuery struct {
 	inFlight bool
 	next     time.Time // no query begins before this time
 }
 
-// expireLeases ends the incarnations of machines whose heartbeats nobody has answered for a whole lease: neither this leader
-// nor a follower in its place. Whether a follower did is reported by the records in the key-value store and by the members
-// that may hold zone leases of the machines' zones.
+// expireLeases ends the incarnations of machines whose heartbeats nobody has answered for a whole lease: neither
+// this leader nor a follower in its place. Whether a follower did is reported by the records in the key-value store
+// and by the members that may hold zone leases of the machines' zones.
 func (l *Loop) expireLeases(now time.Time) {
 	if l.leases.inFlight || now.Before(l.leases.next) {
 		return
@@ -31,7 +31,7 @@
 	}
 	l.leases.inFlight = true
 	go func() {
-		renewed, err := l.possiblyRenewed(l.ended, byZone)
+		renewed, err := l.findPossiblyRenewed(l.ended, byZone)
 		l.post(func() { l.leaseQueryDone(now, renewed, err) })
 	}()
 }
@@ -46,9 +46,9 @@
 	return byZone
 }
 
-// leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before asked, the
-// time at which the query began. A query that took longer than RenewedQueryTime has no effect: the records and the members
-// report renewals only that much further back than a lease.
+// leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before
+// asked, the time at which the query began. A query that took longer than RenewedQueryTime has no effect: the
+// records and the members report renewals only that much further back than a lease.
 func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
 	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadEvery)
@@ -62,11 +62,12 @@
 	l.applyOutcomes(l.machines.EndExpired(asked, renewed), now)
 }
 
-// possiblyRenewed returns the machines whose leases other members may have renewed within one lease before now. byZone are the
-// names of the machines in question, by zone. The result holds all machines that a record in the key-value store names, and
-// those for which a member with a lease of their zone does not deny a renewal. The query must not take longer than
-// RenewedQueryTime. Then the answers of all sources cover the whole lease before it began.
-func (l *Loop) possiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
+// findPossiblyRenewed returns the machines whose leases other members may have renewed within one lease before now.
+// byZone holds the names of the machines in question, by zone. The result holds all machines that a record in the
+// key-value store names, and those for which a member with a lease of their zone does not deny a renewal. The query
+// must not take longer than RenewedQueryTime: only then do the answers of all sources cover the whole lease before
+// it began.
+func (l *Loop) findPossiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
 	renewed, zoneLeases, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
 		return nil, err
@@ -74,17 +75,17 @@
 	asked := map[workerlease.ZoneLeaseRecord]bool{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, z := range zoneLeases {
-		names := byZone[z.Zone]
-		if len(names) == 0 || asked[z] {
+	for _, zoneLease := range zoneLeases {
+		names := byZone[zoneLease.Zone]
+		if len(names) == 0 || asked[zoneLease] {
 			continue
 		}
-		asked[z] = true
+		asked[zoneLease] = true
 		wg.Go(func() {
-			may := l.askFollower(ctx, z.Member, names)
+			fromMember := l.askFollower(ctx, zoneLease.Member, names)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, n := range may {
+			for _, n := range fromMember {
 				renewed[n] = true
 			}
 		})
@@ -93,11 +94,11 @@
 	return renewed, nil
 }
 
-// askFollower asks a member about some machines and returns those whose leases it does not deny to have renewed. Without an
-// answer these are all of them.
+// askFollower asks a member about some machines and returns those whose leases the member may have renewed. If the
+// member does not answer, these are all of them.
 func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
-	ctx, stop := context.WithTimeout(ctx, tuning.RelayTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, tuning.RelayTimeout)
+	defer cancel()
 	renewed, err := l.env.MayHaveRenewed(ctx, member, names)
 	if err != nil {
 		return names
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -12,15 +12,16 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against starting tasks of a partitioned zone elsewhere while the member there renews their workers' leases. Also guards
-// against machines that stay occupied for ever because some member may have answered their heartbeats.
+// Guards against starting tasks of a partitioned zone elsewhere while the member there renews their workers'
+// leases. Also guards against machines that stay occupied for ever because some member may have answered their
+// heartbeats.
 func TestTasksOfPartitionedZoneLiveUntilItsMembersDenyRenewal(t *testing.T) {
 	const inA, inB = `{"zone":"a","member":"ma"}`, `{"zone":"b","member":"mb"}`
 	for _, c := range []struct {
-		name       string
-		zoneLeases []string
-		says       map[string][]string // by member: the machines whose leases it renewed; a member without an entry is unreachable
-		kept       string              // machines whose tasks still count as running: n-0 and n-1 are in zone a, n-2 and n-3 in zone b
+		name         string
+		zoneLeases   []string
+		renewedBy    map[string][]string // by member: the machines whose leases it renewed; a member without an entry is unreachable
+		wantOccupied string              // machines whose tasks still count as running: n-0 and n-1 are in zone a, n-2 and n-3 in zone b
 	}{
 		{"there is no zone lease", nil, nil, "[]"},
 		{"the members of both zones are unreachable", []string{inA, inB}, nil, "[n-0 n-1 n-2 n-3]"},
@@ -33,11 +34,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, advance := twoZones(t, 2, c.zoneLeases...)
 			l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, error) {
-				kept, ok := c.says[member]
+				renewed, ok := c.renewedBy[member]
 				if !ok {
 					return nil, errors.New("the member cannot be reached")
 				}
-				return kept, nil
+				return renewed, nil
 			}
 			advance(l.env.workerLease() + time.Second)
 			l.concludeExpired()
@@ -47,19 +48,19 @@
 					got = append(got, name)
 				}
 			}
-			if fmt.Sprint(got) != c.kept {
-				t.Errorf("tasks count as running on %v, want %s", got, c.kept)
+			if fmt.Sprint(got) != c.wantOccupied {
+				t.Errorf("tasks count as running on %v, want %s", got, c.wantOccupied)
 			}
 		})
 	}
 }
 
-// Guards against ending leases by answers that cover different times: a query that took longer than RenewedQueryTime has no
-// effect, since the sources report renewals only that much further back than a lease.
-func TestSlowRenewalQueryConcludesNothing(t *testing.T) {
+// Guards against ending leases by answers that cover different times: a query that took longer than
+// RenewedQueryTime has no effect, since the sources report renewals only that much further back than a lease.
+func TestSlowRenewalQueryEndsNoLease(t *testing.T) {
 	for _, c := range []struct {
-		took time.Duration
-		gone bool
+		took  time.Duration
+		ended bool
 	}{{tuning.RenewedQueryTime, true}, {tuning.RenewedQueryTime + time.Millisecond, false}} {
 		l, advance := twoZones(t, 1, `{"zone":"a","member":"ma"}`)
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) {
@@ -68,8 +69,8 @@
 		}
 		advance(l.env.workerLease() + time.Second)
 		l.concludeExpired()
-		if gone := len(l.machines.Machines["n-0"].Allocations) == 0; gone != c.gone {
-			t.Errorf("after a query that took %v, the task counts as ended: %v", c.took, gone)
+		if ended := len(l.machines.Machines["n-0"].Allocations) == 0; ended != c.ended {
+			t.Errorf("after a query that took %v, the task counts as ended: %v", c.took, ended)
 		}
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) { return nil, nil }
 		if l.concludeExpired(); len(l.machines.Machines["n-0"].Allocations) != 0 {
@@ -78,16 +79,16 @@
 	}
 }
 
-// Guards against starting tasks of a partitioned zone elsewhere because the follower's records of the machines whose leases it
-// renewed, or the query about them, do not cover all machines of the zone.
-func TestAllMachinesOfACutZoneAreKept(t *testing.T) {
-	const each = maxSizedMachines / 2
-	l, advance := twoZones(t, each, `{"zone":"b","member":"mb"}`)
+// Guards against starting tasks of a partitioned zone elsewhere because the follower's records of the machines
+// whose leases it renewed, or the query about them, do not cover all machines of the zone.
+func TestAllMachinesOfPartitionedZoneStayOccupied(t *testing.T) {
+	const perZone = maxSizedMachines / 2
+	l, advance := twoZones(t, perZone, `{"zone":"b","member":"mb"}`)
 	var names []string
-	for i := each; i < 2*each; i++ {
+	for i := perZone; i < 2*perZone; i++ {
 		names = append(names, fmt.Sprintf("n-%d", i))
 	}
-	recorded, answered := names[:each/2], names[each/2:]
+	recorded, renewed := names[:perZone/2], names[perZone/2:]
 	for page := range slices.Chunk(recorded, 500) {
 		value := wire.EncodeRecord(map[string][]string{"machines": page})
 		if _, err := l.store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: "keep/mb/1/" + page[0], Value: value}}}); err != nil {
@@ -95,18 +96,18 @@
 		}
 	}
 	l.env.MayHaveRenewed = func(_ context.Context, member string, asked []string) ([]string, error) {
-		if member != "mb" || len(asked) != each {
+		if member != "mb" || len(asked) != perZone {
 			t.Errorf("member %s is asked about %d machines, want mb and all machines of its zone", member, len(asked))
 		}
-		return answered, nil
+		return renewed, nil
 	}
 	advance(l.env.workerLease() + time.Second)
 	l.concludeExpired()
-	kept := map[string]int{}
+	occupied := map[string]int{}
 	for _, m := range l.machines.Machines {
-		kept[m.Zone] += len(m.Allocations)
+		occupied[m.Zone] += len(m.Allocations)
 	}
-	if kept["a"] != 0 || kept["b"] != each {
-		t.Errorf("%d tasks count as running in the zone whose workers nobody answers, and %d of %d in the partitioned zone", kept["a"], kept["b"], each)
+	if occupied["a"] != 0 || occupied["b"] != perZone {
+		t.Errorf("%d tasks count as running in the zone whose workers nobody answers, and %d of %d in the partitioned zone", occupied["a"], occupied["b"], perZone)
 	}
 }
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -12,26 +12,27 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// openMachines returns the open machines, those on which tasks may be placed now (isOpen).
+// openMachines returns the schedulable machines, those on which tasks may be placed now (isSchedulable).
 func (l *Loop) openMachines(now time.Time) []*placement.Machine {
-	return l.openMachinesWithFree(now, placement.Resources{})
+	return l.schedulableMachinesWithFree(now, placement.Resources{})
 }
 
-// machinesWithRoomFor returns the open machines that have room for a task of at least one of the jobs. In a large cluster most
-// machines are full, and making a view of each of them was most of the cost of a scheduling cycle.
+// machinesWithRoomFor returns the schedulable machines that have room for the smallest request of the jobs. In a
+// large cluster most machines are full, and making a view of each of them was most of the cost of a scheduling
+// cycle.
 func (l *Loop) machinesWithRoomFor(now time.Time, pending []*placement.PendingJob) []*placement.Machine {
 	if len(pending) == 0 {
 		return nil
 	}
-	return l.openMachinesWithFree(now, placement.MinRequest(pending))
+	return l.schedulableMachinesWithFree(now, placement.MinRequest(pending))
 }
 
-// openMachinesWithFree returns the open machines that have at least these resources free.
-func (l *Loop) openMachinesWithFree(now time.Time, free placement.Resources) []*placement.Machine {
+// schedulableMachinesWithFree returns the schedulable machines that have at least these resources free.
+func (l *Loop) schedulableMachinesWithFree(now time.Time, free placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
 		t := l.env.typeOf(m.Type)
-		if t == nil || !freeOn(m, t).Fits(free) || !l.isOpen(m, now) {
+		if t == nil || !freeResources(m, t).Fits(free) || !l.isSchedulable(m, now) {
 			continue
 		}
 		v := newMachineView(m, t)
@@ -41,16 +42,17 @@
 	return out
 }
 
-// isOpen reports whether tasks may be placed on a machine now. It must be alive, healthy and reachable, must not be leaving the
-// fleet, must run no task that the leader does not know, and must not have refused a task for lack of room just before.
-func (l *Loop) isOpen(m *machines.Machine, now time.Time) bool {
+// isSchedulable reports whether tasks may be placed on a machine now. It must be alive, healthy and reachable, and
+// must not be leaving the fleet. It must run no task that the leader does not know, and must not have refused a
+// task for lack of room just before.
+func (l *Loop) isSchedulable(m *machines.Machine, now time.Time) bool {
 	stays := !m.Returning && !m.Draining && m.InterruptionAt.IsZero()
 	return m.Alive() && stays && !m.Unhealthy && !m.HasOrphans() &&
 		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusedAt)
 }
 
-// allOpenMachines returns the open machines. For a machine that is in seen, it returns that view, which already accounts for the
-// tasks placed in this cycle.
+// allOpenMachines returns the schedulable machines. For a machine that is in seen it returns that view, which
+// already accounts for the tasks placed in this cycle.
 func (l *Loop) allOpenMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	known := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
@@ -83,92 +85,92 @@
 func newMachineView(m *machines.Machine, t *wire.MachineType) placement.Machine {
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
-		Total: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeOn(m, t),
+		Total: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeResources(m, t),
 		FetchS: fetchInS(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
 	}
 }
 
-// freeOn returns the resources of a machine that are not used by the tasks that may be on it.
-func freeOn(m *machines.Machine, t *wire.MachineType) placement.Resources {
+// freeResources returns the resources of a machine that are not used by the tasks that may be on it.
+func freeResources(m *machines.Machine, t *wire.MachineType) placement.Resources {
 	used := m.Used()
 	return placement.Resources{CPUs: t.CPUs - used.CPUs, GPUs: t.GPUs - used.GPUs, MemoryGB: t.MemoryGB - used.MemoryGB}
 }
 
 // expectedEnd is the time at which a task on a machine is expected to end.
 type expectedEnd struct {
-	inS   float64             // seconds from now
-	freed placement.Resources // resources freed by this end and all earlier ones
+	afterS float64             // seconds from now
+	freed  placement.Resources // resources freed by this end and all earlier ones
 }
 
-// freeInS returns a function that estimates in how many seconds a machine has freed the resources that are lacking, as its
-// tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough. The ends are computed
-// at the first call, since for most machines there is none.
-func freeInS(m *machines.Machine, now time.Time) func(lacks placement.Resources) float64 {
+// freeInS returns a function that estimates in how many seconds a machine has freed the resources that are lacking,
+// as its tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough. The
+// ends are computed at the first call, since for most machines there is none.
+func freeInS(m *machines.Machine, now time.Time) func(lacking placement.Resources) float64 {
 	var ends []expectedEnd
-	return func(lacks placement.Resources) float64 {
+	return func(lacking placement.Resources) float64 {
 		if ends == nil {
 			ends = expectedEnds(m, now)
 		}
 		for _, e := range ends {
-			if e.freed.Fits(lacks) {
-				return e.inS
+			if e.freed.Fits(lacking) {
+				return e.afterS
 			}
 		}
 		return math.Inf(1)
 	}
 }
 
-// expectedEnds returns the expected ends of a machine's tasks in the order of time. The first entry is the present, with nothing
-// freed.
+// expectedEnds returns the expected ends of a machine's tasks in the order of time. The first entry is the present,
+// with nothing freed.
 func expectedEnds(m *machines.Machine, now time.Time) []expectedEnd {
 	ends := append(make([]expectedEnd, 0, len(m.Allocations)+1), expectedEnd{})
 	for _, a := range m.Allocations {
-		if inS, ok := endsInS(a, now); ok {
-			ends = append(ends, expectedEnd{inS, placement.Resources{CPUs: a.Job.CPUs, GPUs: a.Job.GPUs, MemoryGB: a.Job.MemoryGB}})
+		if afterS, ok := expectedEndS(a, now); ok {
+			ends = append(ends, expectedEnd{afterS, placement.Resources{CPUs: a.Job.CPUs, GPUs: a.Job.GPUs, MemoryGB: a.Job.MemoryGB}})
 		}
 	}
-	slices.SortFunc(ends, func(a, b expectedEnd) int { return cmp.Compare(a.inS, b.inS) })
+	slices.SortFunc(ends, func(a, b expectedEnd) int { return cmp.Compare(a.afterS, b.afterS) })
 	for i := range ends[1:] {
 		ends[i+1].freed.Sub(ends[i].freed, -1)
 	}
 	return ends
 }
 
-// endsInS estimates in how many seconds a task ends. ok is false for a service replica that is not being stopped, which has no
-// end.
-func endsInS(a *jobs.Allocation, now time.Time) (inS float64, ok bool) {
+// expectedEndS estimates in how many seconds a task ends. ok is false for a service replica that is not being
+// stopped, which has no end.
+func expectedEndS(a *jobs.Allocation, now time.Time) (afterS float64, ok bool) {
 	switch {
 	case a.Stop != nil:
 		return a.Stop.GraceS, true
 	case a.Job.Kind == wire.KindService:
 		return 0, false
 	}
-	inS, _ = a.Job.ExpectedRunS()
+	afterS, _ = a.Job.ExpectedRunS()
 	if !a.RunningSince.IsZero() {
 		ran := now.Sub(a.RunningSince).Seconds()
-		inS = max(inS-ran, ran/4) // a task that overruns its estimate continues for a while
+		afterS = max(afterS-ran, ran/4) // a task that overruns its estimate continues for a while
 	}
-	return inS, true
+	return afterS, true
 }
 
-// fetchInS returns a function that estimates how many seconds a machine needs to fetch an image of a size in gigabytes. It
-// returns 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at the same time share the
-// machine's fetch rate.
+// fetchInS returns a function that estimates how many seconds a machine needs to fetch an image of a size in
+// gigabytes. It returns 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at
+// the same time share the machine's fetch rate.
 func fetchInS(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
-	sharing := 0 // counted at the first call; for full machines there is none
+	concurrentFetches := 0 // counted at the first call; for full machines there is none
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
 			return 0
 		}
-		if sharing == 0 {
-			sharing = 1 + imagesInFetch(m)
+		if concurrentFetches == 0 {
+			concurrentFetches = 1 + countImagesInFetch(m)
 		}
-		return gb / t.FetchGBPerS * float64(sharing)
+		return gb / t.FetchGBPerS * float64(concurrentFetches)
 	}
 }
 
-// imagesInFetch counts the images that a machine fetches, or may be fetching, now.
-func imagesInFetch(m *machines.Machine) int {
+// countImagesInFetch counts the images that a machine fetches, or may be fetching, now.
+func countImagesInFetch(m *machines.Machine) int {
 	fetching := map[string]bool{}
 	for _, a := range m.Allocations {
 		if a.State == "" || a.State == wire.TaskFetching {
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -7,8 +7,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// silent reports whether a machine has neither sent a heartbeat nor answered the leader for longer than maxSilence. A machine
-// that is not known (nil) is silent.
+// silent reports whether a machine has neither sent a heartbeat nor answered the leader for longer than maxSilence.
+// A machine that is not known (nil) is silent.
 func (l *Loop) silent(m *machines.Machine, now time.Time) bool {
 	return m == nil || now.Sub(m.LastSeen()) > l.maxSilence()
 }
@@ -23,23 +23,25 @@
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
-// leftCommandUnanswered reports whether a machine has left a command unanswered that was sent after its last heartbeat. The
-// machine may hang, be partitioned or be dead, even if it is not silent yet. A task placed on it would wait until that ends.
+// leftCommandUnanswered reports whether a machine has left a command unanswered that was sent after its last
+// heartbeat. The machine may hang, be partitioned or be dead, even if it is not silent yet. A task placed on it
+// would wait until that ends.
 func leftCommandUnanswered(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
 
-// partitionedZones returns the zones in which a share of at least CutShare of the machines, and at least SilentMany of them,
-// have lost contact with the leader. These zones are partitioned from the leader, which cannot use machines rented there.
+// partitionedZones returns the zones in which a share of at least CutShare of the machines, and at least SilentMany
+// of them, have lost contact with the leader. These zones are partitioned from the leader, which cannot use
+// machines rented there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
 	type count struct{ silent, all int }
-	zones := map[string]*count{}
+	counts := map[string]*count{}
 	for _, m := range l.machines.Machines {
 		if m.Incarnation == 0 {
 			continue // it never sent a heartbeat and never had a task
 		}
-		c := zones[m.Zone]
+		c := counts[m.Zone]
 		if c == nil {
 			c = &count{}
-			zones[m.Zone] = c
+			counts[m.Zone] = c
 		}
 		c.all++
 		if l.lostContact(m, now) {
@@ -47,7 +49,7 @@
 		}
 	}
 	partitioned := map[string]bool{}
-	for zone, c := range zones {
+	for zone, c := range counts {
 		if c.silent >= tuning.SilentMany && float64(c.silent) >= tuning.CutShare*float64(c.all) {
 			partitioned[zone] = true
 		}
@@ -55,8 +57,8 @@
 	return partitioned
 }
 
-// lostContact reports whether a machine is unreachable or silent. For the first maxSilence of a term no machine counts as
-// silent, since its worker may still be searching for the new leader.
+// lostContact reports whether a machine is unreachable or silent. For the first maxSilence of a term no machine
+// counts as silent, since its worker may still be searching for the new leader.
 func (l *Loop) lostContact(m *machines.Machine, now time.Time) bool {
 	return m.Reachability.Unreachable() || l.silent(m, now) && now.Sub(l.startedAt) > l.maxSilence()
 }
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -14,24 +14,24 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// A heartbeat that arrives proves only that messages from the machine reach the leader, not that the leader's messages reach
-// the machine. The leader probes the machines that may not receive its messages:
+// A heartbeat that arrives proves only that messages from the machine reach the leader, not that the leader's
+// messages reach the machine. The leader probes the machines that may not receive its messages:
 //   - machines whose heartbeats show no effect of the leader's replies;
-//   - machines that sent a heartbeat that looks older than an earlier one: it is a copy that the network delayed, or the
-//     worker process was restarted;
+//   - machines that sent a heartbeat that looks older than an earlier one: it is a copy that the network delayed,
+//     or the worker process was restarted;
 //   - machines that were found unreachable;
-//   - machines whose heartbeats may go to another controller: one that is partitioned from everything but its workers renews
-//     their leases with replies that contain no commands.
+//   - machines whose heartbeats may go to another controller: one that is partitioned from everything but its
+//     workers renews their leases with replies that contain no commands.
 //
-// A probe carries the leader's fencing token, which the worker stores. The controller that answers the worker's heartbeats can
-// therefore see that a leader reaches the worker, and redirects the worker to that leader.
+// A probe carries the leader's fencing token, which the worker stores. The controller that answers the worker's
+// heartbeats can therefore see that a leader reaches the worker, and redirects the worker to that leader.
 
 // probing is the loop's state of probes in flight and of answered and unanswered commands.
 type probing struct {
 	next         time.Time     // when suspects are next looked for and probed
-	limit        *rate.Limiter // limits the rate of probes
+	limiter      *rate.Limiter // limits the rate of probes
 	inFlight     int           // number of probes in flight
-	mostSuspects int           // largest number of suspects since there were last none
+	peakSuspects int           // largest number of suspects since there were last none
 
 	unanswered    map[string]bool // machines that left a command or probe unanswered since any machine last answered one
 	lastAnswered  time.Time       // when any machine last answered a command or probe; zero: never in this term
@@ -40,7 +40,7 @@
 }
 
 func newProbing() probing {
-	return probing{limit: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unanswered: map[string]bool{}}
+	return probing{limiter: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unanswered: map[string]bool{}}
 }
 
 // commandAnswered records that a machine answered a command or probe.
@@ -52,22 +52,22 @@
 // commandUnanswered records that a machine left a command or probe unanswered.
 func (p *probing) commandUnanswered(machine string) { p.unanswered[machine] = true }
 
-// setRate limits the rate of probes in proportion to the rate at which this many machines send heartbeats, one every heartbeatS
-// seconds each.
+// setRate limits the rate of probes in proportion to the rate at which this many machines send heartbeats, one
+// every heartbeatS seconds each.
 func (p *probing) setRate(machines int, heartbeatS float64, now time.Time) {
 	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(machines)/max(1, heartbeatS))
-	p.limit.SetLimitAt(now, rate.Limit(perS))
-	p.limit.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
+	p.limiter.SetLimitAt(now, rate.Limit(perS))
+	p.limiter.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 }
 
-// noteSuspects records the current number of suspects and returns the number by which the probes in flight are limited. This
-// is the largest number since there were last no suspects. With the current number, fewer and fewer probes would be allowed as
-// suspects are cleared, and the last suspects would be probed ever more slowly.
-func (p *probing) noteSuspects(n int) int {
-	if p.mostSuspects = max(p.mostSuspects, n); n == 0 {
-		p.mostSuspects = 0
+// notePeakSuspects records the current number of suspects and returns the largest number since there were last
+// none. The limit on probes in flight follows from this peak. By the current number, ever fewer probes would be
+// allowed as suspects are cleared, and the last suspects would be probed ever more slowly.
+func (p *probing) notePeakSuspects(n int) int {
+	if p.peakSuspects = max(p.peakSuspects, n); n == 0 {
+		p.peakSuspects = 0
 	}
-	return p.mostSuspects
+	return p.peakSuspects
 }
 
 // suspect is a machine that is to be probed. Suspects of a lower rank are probed first.
@@ -84,9 +84,9 @@
 	l.probing.next = now.Add(tuning.SubsystemTick)
 	l.probing.setRate(len(l.machines.Machines), l.env.Settings.Cluster.Workers.HeartbeatS, now)
 	suspects := l.suspects(now)
-	most := l.probesAtOnce(l.probing.noteSuspects(len(suspects)))
+	maxInFlight := l.maxProbesInFlight(l.probing.notePeakSuspects(len(suspects)))
 	for _, s := range suspects {
-		if l.probing.inFlight >= most || !l.probing.limit.AllowN(now, 1) {
+		if l.probing.inFlight >= maxInFlight || !l.probing.limiter.AllowN(now, 1) {
 			break
 		}
 		l.probe(s.m, now)
@@ -94,8 +94,8 @@
 	l.stepDownIfUnheard(now)
 }
 
-// suspects returns the machines that are to be probed now, ordered by rank. It also reports to the observer how many machines
-// are unreachable and how many live machines have not acknowledged anything.
+// suspects returns the machines that are to be probed now, ordered by rank. It also reports to the observer how
+// many machines are unreachable and how many live machines have not acknowledged anything.
 func (l *Loop) suspects(now time.Time) []suspect {
 	var suspects []suspect
 	unreachable, unproven := 0, 0
@@ -115,7 +115,8 @@
 	return suspects
 }
 
-// probeRank reports whether there is a reason to probe a machine, and the rank of that reason. Lower ranks are probed first.
+// probeRank reports whether there is a reason to probe a machine, and the rank of that reason. Lower ranks are
+// probed first.
 func (l *Loop) probeRank(m *machines.Machine, now time.Time) (rank int, ok bool) {
 	unreachable := m.Reachability.Unreachable()
 	switch {
@@ -131,30 +132,30 @@
 	return 0, false
 }
 
-// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent the leader no heartbeat for longer than the usual
-// pauses between heartbeats explain.
+// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent the leader no heartbeat for longer
+// than the usual pauses between heartbeats explain.
 func (l *Loop) heartbeatsMayGoElsewhere(m *machines.Machine, now time.Time) bool {
-	heard := m.LastHeartbeat
-	if heard.Before(l.startedAt) {
-		heard = l.startedAt
+	lastHeard := m.LastHeartbeat
+	if lastHeard.Before(l.startedAt) {
+		lastHeard = l.startedAt
 	}
-	return m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(heard) > l.probeAfter()
+	return m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && now.Sub(lastHeard) > l.probeAfter()
 }
 
-// probeAfter is how long a machine may send no heartbeat before it is probed: the longest pause between heartbeats, plus one
-// attempt of its worker to reach another controller.
+// probeAfter is how long a machine may send no heartbeat before it is probed: the longest pause between heartbeats,
+// plus one attempt of its worker to reach another controller.
 func (l *Loop) probeAfter() time.Duration {
 	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTry
 }
 
-// probesAtOnce returns how many probes may be in flight for a number of suspects. They suffice to probe all suspects within the
-// share ProbeWithinLease of a worker's lease, at one round per SubsystemTick, but never exceed the share ProbeShareMost of the
-// command slots.
-func (l *Loop) probesAtOnce(suspects int) int {
+// maxProbesInFlight returns how many probes may be in flight for a number of suspects. They suffice to probe all
+// suspects within the share ProbeWithinLease of a worker's lease, at one round per SubsystemTick, but never exceed
+// the share ProbeShareMost of the command slots.
+func (l *Loop) maxProbesInFlight(suspects int) int {
 	commands := float64(cap(l.env.CommandSlots))
 	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
-	needed := int(math.Ceil(float64(suspects) / rounds))
-	return max(tuning.ProbeMin, int(tuning.ProbeShare*commands), min(needed, int(tuning.ProbeShareMost*commands)))
+	perRound := int(math.Ceil(float64(suspects) / rounds))
+	return max(tuning.ProbeMin, int(tuning.ProbeShare*commands), min(perRound, int(tuning.ProbeShareMost*commands)))
 }
 
 // probe asks a machine for a heartbeat, without blocking the loop.
@@ -174,8 +175,8 @@
 	}()
 }
 
-// probeAnswered applies the result of a probe: the heartbeat with which the machine answered, or an error. mark is the newest
-// message of the machine that was known when the probe was sent.
+// probeAnswered applies the result of a probe: the heartbeat with which the machine answered, or an error. mark is
+// the newest message of the machine that was known when the probe was sent.
 func (l *Loop) probeAnswered(name string, mark machines.MessageMark, hb *wire.Heartbeat, err error) {
 	l.probing.inFlight--
 	m, now := l.machines.Machines[name], l.env.Clock.Now()
@@ -215,8 +216,8 @@
 	}
 }
 
-// deleteRestarted deletes a machine whose worker process was restarted while a start command may still reach it. Only the
-// deletion proves that no task runs there.
+// deleteRestarted deletes a machine whose worker process was restarted while a start command may still reach it.
+// Only the deletion proves that no task runs there.
 func (l *Loop) deleteRestarted(m *machines.Machine) {
 	if m.Returning {
 		return
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// newLoopHeardByMany makes a leader with n reachable machines that run one task each.
-func newLoopHeardByMany(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
+// newLoopWithReachableMachines makes a leader with n reachable machines that run one task each.
+func newLoopWithReachableMachines(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	l.env.Valid = func(uint64) bool { return true }
@@ -33,7 +33,7 @@
 func BenchmarkStepProbing(b *testing.B) {
 	for _, n := range []int{400, 3300, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, _ := newLoopHeardByMany(b, n)
+			l, _ := newLoopWithReachableMachines(b, n)
 			for b.Loop() {
 				l.probing.next = time.Time{}
 				l.stepProbing(l.env.Clock.Now())
@@ -42,10 +42,10 @@
 	}
 }
 
-// BenchmarkRegistryHeartbeat measures how the machine registry handles a heartbeat, including the checks of its age and of the
-// effect of the previous reply.
+// BenchmarkRegistryHeartbeat measures how the machine registry handles a heartbeat, including the checks of its age
+// and of the effect of the previous reply.
 func BenchmarkRegistryHeartbeat(b *testing.B) {
-	l, heartbeats := newLoopHeardByMany(b, 3300)
+	l, heartbeats := newLoopWithReachableMachines(b, 3300)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		hb := heartbeats[i%len(heartbeats)]
@@ -56,10 +56,10 @@
 	}
 }
 
-// Guards against thousands of probes at once when half of a large fleet is unreachable: probes are limited to their share of the
-// command slots and to their rate.
+// Guards against thousands of probes at once when half of a large fleet is unreachable: probes are limited to their
+// share of the command slots and to their rate.
 func TestProbesInFlightAreBounded(t *testing.T) {
-	l, _ := newLoopHeardByMany(t, 2000)
+	l, _ := newLoopWithReachableMachines(t, 2000)
 	l.env.CommandSlots = make(chan struct{}, 400)
 	for _, m := range l.machines.Machines {
 		m.SuspectCopy = true
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -12,14 +12,14 @@
 	"poppypass/internal/platform/wire"
 )
 
-// workersAnswer is an HTTP transport that answers direct commands for any number of workers. A worker's address is the name of
-// its machine.
-type workersAnswer struct {
-	mu    sync.Mutex
-	asked map[string]int
+// workersTransport is an HTTP transport that answers direct commands for any number of workers. A worker's address
+// is the name of its machine.
+type workersTransport struct {
+	mu       sync.Mutex
+	requests map[string]int
 }
 
-func (a *workersAnswer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *workersTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	var req wire.DirectCommands
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		return nil, err
@@ -27,21 +27,21 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	name := r.URL.Host
-	a.asked[name]++
+	a.requests[name]++
 	body, err := json.Marshal(&wire.Heartbeat{
-		Machine: name, Address: name, Type: "small", Zone: "a", Incarnation: 1, Seq: 100 + uint64(a.asked[name]), FencingToken: 1, Tasks: []wire.TaskStatus{},
+		Machine: name, Address: name, Type: "small", Zone: "a", Incarnation: 1, Seq: 100 + uint64(a.requests[name]), FencingToken: 1, Tasks: []wire.TaskStatus{},
 	})
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, err
 }
 
-// Guards against a limit on probes in flight that is so low that the last of many suspects is probed only after its lease: one
-// eighth of 400 command slots, every half second, was at most 100 machines per second.
+// Guards against a limit on probes in flight that is so low that the last of many suspects is probed only after its
+// lease: one eighth of 400 command slots, every half second, was at most 100 machines per second.
 func TestEverySuspectMachineIsProbedWithinALease(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		machines        int
-		fdLimit         float64
-		leaseS, reportS float64
+		name               string
+		machines           int
+		fdLimit            float64
+		leaseS, heartbeatS float64
 	}{
 		{"400 machines", 400, 700, 18, 3},
 		{"4,000 machines", 4000, 5000, 42, 10},
@@ -50,10 +50,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, clock := newTestLoop(t)
-			workers := &workersAnswer{asked: map[string]int{}}
+			workers := &workersTransport{requests: map[string]int{}}
 			l.env.Workers = &http.Client{Transport: workers}
 			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
-			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.HeartbeatS = c.leaseS, c.reportS
+			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.HeartbeatS = c.leaseS, c.heartbeatS
 			l.env.Valid = func(uint64) bool { return true }
 			clear(l.machines.Machines)
 			for i := range c.machines {
@@ -67,8 +67,8 @@
 					t.Fatal("the loop ended with probes in flight")
 				}
 			}
-			if len(workers.asked) != c.machines {
-				t.Errorf("only %d of %d machines were probed within a lease", len(workers.asked), c.machines)
+			if len(workers.requests) != c.machines {
+				t.Errorf("only %d of %d machines were probed within a lease", len(workers.requests), c.machines)
 			}
 		})
 	}
@@ -79,8 +79,8 @@
 	l, _ := newTestLoop(t)
 	for _, c := range []struct {
 		name           string
-		sending        int
-		doubtful, most int
+		commandSlots   int
+		suspects, want int
 	}{
 		{"few machines", 400, 10, 50},
 		{"as many as an eighth of the slots can probe", 400, 500, 50},
@@ -89,9 +89,9 @@
 		{"few sockets", 16, maxSizedMachines, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l.env.CommandSlots = make(chan struct{}, c.sending)
-			if got := l.probesAtOnce(c.doubtful); got != c.most {
-				t.Errorf("%d probes may be in flight, want %d", got, c.most)
+			l.env.CommandSlots = make(chan struct{}, c.commandSlots)
+			if got := l.maxProbesInFlight(c.suspects); got != c.want {
+				t.Errorf("%d probes may be in flight, want %d", got, c.want)
 			}
 		})
 	}
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -11,20 +11,20 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against placing tasks on a machine behind a one-way partition. Its heartbeats arrive and it looks empty, but no reply or
-// command reaches it, so every task placed there is lost when its incarnation ends.
-func TestMachineBehindOneWayPartitionGetsNoWork(t *testing.T) {
-	hears := false
+// Guards against placing tasks on a machine behind a one-way partition. Its heartbeats arrive and it looks empty,
+// but no reply or command reaches it, so every task placed there is lost when its incarnation ends.
+func TestMachineBehindOneWayPartitionGetsNoTasks(t *testing.T) {
+	answers := false
 	var hb *wire.Heartbeat
 	addr := newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat {
-		if !hears {
+		if !answers {
 			return nil
 		}
 		hb.Seq++
 		return hb
 	})
-	l, m, r, advance := newLoopHeardBy(t, addr)
-	hb = r
+	l, m, first, advance := newLoopHeardBy(t, addr)
+	hb = first
 	a := l.addRunning(t, "job-9", "n-9", 1)
 	a.State, a.RunningSince = "", time.Time{}
 	for range 2 { // the reply to the first heartbeat contains the start, the second heartbeat shows no effect of it
@@ -41,18 +41,18 @@
 	if l.getsTasks("n-9") || len(m.Allocations) != 1 {
 		t.Errorf("an unreachable machine gets tasks (%v), or its task counts as gone", l.getsTasks("n-9"))
 	}
-	if cut := l.partitionedZones(l.env.Clock.Now()); len(cut) != 0 {
-		t.Errorf("zones count as partitioned because of one unreachable machine: %v", cut)
+	if partitioned := l.partitionedZones(l.env.Clock.Now()); len(partitioned) != 0 {
+		t.Errorf("zones count as partitioned because of one unreachable machine: %v", partitioned)
 	}
-	tries := a.Job.FailedWaves
+	failedWaves := a.Job.FailedWaves
 	// No reply reached the machine, so its incarnation ended: the task is proven gone and is to start elsewhere.
 	advance(time.Second)
 	hb.Incarnation, hb.Seq = 2, hb.Seq+1
 	l.mustHandle(t, hb)
-	if !a.Removed || a.Job.FailedWaves != tries {
+	if !a.Removed || a.Job.FailedWaves != failedWaves {
 		t.Errorf("allocation removed: %v, failed waves of the job: %d", a.Removed, a.Job.FailedWaves)
 	}
-	hears = true
+	answers = true
 	advance(tuning.ProbePauseMax)
 	l.probeAll()
 	if l.getsTasks("n-9") {
@@ -67,10 +67,10 @@
 }
 
 // Guards against treating slow replies as lost ones: a machine that answers probes stays in use.
-func TestMachineThatAnswersProbesStaysOpen(t *testing.T) {
+func TestMachineThatAnswersProbesStaysSchedulable(t *testing.T) {
 	var hb *wire.Heartbeat
-	l, _, r, advance := newLoopHeardBy(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { hb.Seq++; return hb }))
-	hb = r
+	l, _, first, advance := newLoopHeardBy(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { hb.Seq++; return hb }))
+	hb = first
 	l.addRunning(t, "job-9", "n-9", 1).State = ""
 	for range 8 {
 		advance(time.Second)
@@ -83,10 +83,10 @@
 	}
 }
 
-// Guards against losing sight of machines whose leases are renewed by another member that is partitioned from everything but its
-// workers. Such machines got no command, and the ends of their tasks were not seen, for as long as that member's zone lease
-// lasted.
-func TestWorkersReportingElsewhereAreProbed(t *testing.T) {
+// Guards against losing sight of machines whose leases are renewed by another member that is partitioned from
+// everything but its workers. Such machines got no command, and the ends of their tasks were not seen, for as long
+// as that member's zone lease lasted.
+func TestMachinesWithHeartbeatsToOtherMembersAreProbed(t *testing.T) {
 	var probed wire.DirectCommands
 	l, advance := twoZones(t, 1)
 	l.env.Valid = func(uint64) bool { return true }
@@ -119,15 +119,15 @@
 	}
 }
 
-// Guards against rejecting all heartbeats of a machine as delayed copies after its worker process restarted quickly. Its tasks
-// then waited for ever.
+// Guards against rejecting all heartbeats of a machine as delayed copies after its worker process restarted
+// quickly. Its tasks then waited for ever.
 func TestRestartedMachineIsRecognized(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		incarnation, seq uint64 // of the heartbeats of the restarted process
-		inherited        bool   // the new leader knows the machine from a record only
-		openStart        bool   // a direct start command got no answer
-		gone, deleted    bool
+		name                        string
+		incarnation, seq            uint64 // of the heartbeats of the restarted process
+		inherited                   bool   // the new leader knows the machine from a record only
+		unansweredStart             bool   // a direct start command got no answer
+		taskRemoved, machineDeleted bool
 	}{
 		{"with a lower sequence number", 1, 2, false, false, true, false},
 		{"with an incarnation that looks old", 1, 900, false, false, true, false},
@@ -161,7 +161,7 @@
 				older.Tasks = []wire.TaskStatus{{Task: "job-9/0", Attempt: a.Attempt, State: wire.TaskRunning}}
 				l.mustHandle(t, &older)
 			}
-			if c.openStart {
+			if c.unansweredStart {
 				if _, _, err := l.machines.CommandsFor("n-9", []*jobs.Allocation{a}); err != nil {
 					t.Fatal(err)
 				}
@@ -173,10 +173,10 @@
 				t.Fatalf("a heartbeat that may be a copy gives %v before a probe was answered, want ErrStale", err)
 			}
 			l.probeAll()
-			if a.Removed != c.gone || m.Returning != c.deleted {
+			if a.Removed != c.taskRemoved || m.Returning != c.machineDeleted {
 				t.Fatalf("allocation removed: %v, machine being deleted: %v", a.Removed, m.Returning)
 			}
-			if c.deleted {
+			if c.machineDeleted {
 				return
 			}
 			hb.Seq++
--- a/internal/scheduler/leader/slow_machines_test.go
+++ b/internal/scheduler/leader/slow_machines_test.go
@@ -8,15 +8,15 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against a machine that runs everything three times slower and still gets tasks. Also guards against machines that count
-// as slow because the ends of their tasks became known late, as after a partition.
+// Guards against a machine that runs everything three times slower and still gets tasks. Also guards against
+// machines that count as slow because the ends of their tasks became known late, as after a partition.
 func TestSlowMachineIsUnhealthy(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		ran   time.Duration
-		late  time.Duration // how long the machine had not been heard from when the end became known
-		other bool          // the other tasks ran on another machine type
-		bad   bool
+		name       string
+		ran        time.Duration
+		unheardFor time.Duration // how long the machine had not been heard from when the end became known
+		otherType  bool          // the other tasks ran on another machine type
+		unhealthy  bool
 	}{
 		{"as elsewhere", 60 * time.Second, time.Second, false, false},
 		{"three times slower", 180 * time.Second, time.Second, false, true},
@@ -28,24 +28,24 @@
 			for _, m := range l.machines.Machines {
 				m.Type = "large"
 			}
-			if c.other {
+			if c.otherType {
 				l.machines.Machines["n-small"].Type = "small"
 			}
 			j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 100, CPUs: 1, MemoryGB: 1})
-			ends := func(i int, machine string, ran, late time.Duration) {
+			completeTask := func(i int, machine string, ran, unheardFor time.Duration) {
 				a := l.jobs.Allocate(j, i, machine, "a", 1, clock.Now())
 				a.Committed, a.State, a.RunningSince = true, wire.TaskRunning, clock.Now()
 				l.machines.AddAllocation(a, clock.Now())
 				clock.Advance(ran)
-				l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-late)}}, clock.Now())
+				l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: wire.ExitDone, NotRunningAt: clock.Now().Add(-unheardFor)}}, clock.Now())
 			}
 			for i := range 8 {
-				ends(i, "n-small", 60*time.Second, time.Second)
+				completeTask(i, "n-small", 60*time.Second, time.Second)
 			}
 			for i := range 6 {
-				ends(8+i, "n-large", c.ran, c.late)
+				completeTask(8+i, "n-large", c.ran, c.unheardFor)
 			}
-			if got := l.machines.Machines["n-large"].Unhealthy; got != c.bad {
+			if got := l.machines.Machines["n-large"].Unhealthy; got != c.unhealthy {
 				t.Errorf("the machine is unhealthy: %v", got)
 			}
 			if l.machines.Machines["n-small"].Unhealthy {
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -1,8 +1,8 @@
-// Package reachability detects one-way partitions: machines whose heartbeats arrive while nothing that the leader sends
-// reaches them. A heartbeat proves only that the machine sent it at some time. Replies and commands to the machine may be lost,
-// its heartbeats may be copies that the network delayed by minutes, and its worker process may have been restarted. Two things
-// prove that a machine exists now and is reached: its answer to a probe, and a heartbeat that shows an effect that only a
-// reply of the leader can have had.
+// Package reachability detects one-way partitions: machines whose heartbeats arrive while nothing that the leader
+// sends reaches them. A heartbeat proves only that the machine sent it at some time. Replies and commands to the
+// machine may be lost, its heartbeats may be copies that the network delayed by minutes, and its worker process may
+// have been restarted. Two things prove that a machine exists now and is reached: its answer to a probe, and a
+// heartbeat that shows an effect that only a reply of the leader can have had.
 //
 // The reasoning is in docs/design/reach.md. The package does no I/O.
 package reachability
@@ -13,8 +13,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// State is what the leader knows in this term about the network path to one machine. It belongs to the leader's loop and is not
-// safe for concurrent use. The zero value is the state of a machine that has not acknowledged any message yet.
+// State is what the leader knows in this term about the network path to one machine. It belongs to the leader's
+// loop and is not safe for concurrent use. The zero value is the state of a machine that has not acknowledged any
+// message yet.
 type State struct {
 	acknowledgedAt time.Time // when it last acknowledged a message; zero: not yet in this term
 	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had its effect, or could have none
@@ -24,14 +25,14 @@
 	timesUnreachable int       // how often it was found unreachable, each time within tuning.UnreachableForget of the last
 	noWorkUntil      time.Time // it gets no work before this time because it was unreachable
 
-	nextProbe  time.Time     // it is not probed before this time
-	probePause time.Duration // the pause after the last probe; doubles until a message is acknowledged
-	probing    bool          // a probe is in flight
+	nextProbe     time.Time     // it is not probed before this time
+	probePause    time.Duration // the pause after the last probe; doubles until a message is acknowledged
+	probeInFlight bool          // a probe is in flight
 }
 
-// Acknowledged records that a message reached the machine: it answered a probe or command, or its heartbeat shows the effect of
-// a reply. A machine that was unreachable gets work again after a pause, which doubles each time up to
-// tuning.UnreachablePauseMax.
+// Acknowledged records that a message reached the machine: it answered a probe or command, or its heartbeat shows
+// the effect of a reply. A machine that was unreachable gets work again after a pause, which doubles each time up
+// to tuning.UnreachablePauseMax.
 func (s *State) Acknowledged(now time.Time) {
 	if s.Unreachable() {
 		pause := tuning.UnreachablePause << min(s.timesUnreachable-1, 16)
@@ -45,17 +46,18 @@
 	}
 }
 
-// NoteMissed records a heartbeat that shows no effect of the reply to the heartbeat before it: that reply did not arrive, or
-// arrived too late. By itself this proves nothing about the path, but it makes the machine a suspect (Suspect).
+// NoteMissed records a heartbeat that shows no effect of the reply to the heartbeat before it: that reply did not
+// arrive, or arrived too late. By itself this proves nothing about the path, but it makes the machine a suspect
+// (Suspect).
 func (s *State) NoteMissed(now time.Time) {
 	if s.missedSince.IsZero() {
 		s.missedSince = now
 	}
-	s.judge(now)
+	s.updateUnreachable(now)
 }
 
-// NoteFailed records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the machine has
-// acknowledged a message since then.
+// NoteFailed records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the
+// machine has acknowledged a message since then.
 func (s *State) NoteFailed(sent, now time.Time) {
 	if sent.Before(s.acknowledgedAt) {
 		return
@@ -63,12 +65,12 @@
 	if s.failedAt.Before(sent) {
 		s.failedAt = sent
 	}
-	s.judge(now)
+	s.updateUnreachable(now)
 }
 
-// judge marks a machine as unreachable if its heartbeats arrive without the effect of a reply and it also left a probe or command
-// unanswered. A slow reply, a lost probe or a delayed copy of a heartbeat alone is not enough.
-func (s *State) judge(now time.Time) {
+// updateUnreachable marks a machine as unreachable if its heartbeats show no effect of a reply and it also left a
+// probe or command unanswered. A slow reply, a lost probe or a delayed copy of a heartbeat alone is not enough.
+func (s *State) updateUnreachable(now time.Time) {
 	if s.Unreachable() || s.missedSince.IsZero() || s.failedAt.IsZero() {
 		return
 	}
@@ -91,8 +93,9 @@
 // AcknowledgedAt returns when the machine last acknowledged a message; zero: never in this term.
 func (s *State) AcknowledgedAt() time.Time { return s.acknowledgedAt }
 
-// Usable reports whether the path to the machine allows that it gets work now: it has acknowledged a message or is trusted, is
-// not unreachable, and the pause after it was unreachable is over. A trusted machine needs no acknowledgment.
+// Usable reports whether the path to the machine allows that it gets work now: it has acknowledged a message or is
+// trusted, is not unreachable, and the pause after it was unreachable is over. A trusted machine needs no
+// acknowledgment.
 func (s *State) Usable(now time.Time, trusted bool) bool {
 	return (trusted || s.EverAcknowledged()) && !s.Unreachable() && !now.Before(s.noWorkUntil)
 }
@@ -100,16 +103,17 @@
 // Suspect reports whether a reply to the machine has had no effect so far, so that the machine is to be probed.
 func (s *State) Suspect() bool { return !s.missedSince.IsZero() }
 
-// ProbeDue reports whether the machine may be probed now: no probe is in flight and the pause after the last one is over.
-func (s *State) ProbeDue(now time.Time) bool { return !s.probing && !now.Before(s.nextProbe) }
+// ProbeDue reports whether the machine may be probed now: no probe is in flight and the pause after the last one is
+// over.
+func (s *State) ProbeDue(now time.Time) bool { return !s.probeInFlight && !now.Before(s.nextProbe) }
 
-// ProbeSent records that a probe was sent. The next one is due after a pause, which doubles from tuning.ProbePause up to
-// tuning.ProbePauseMax until the machine acknowledges a message.
+// ProbeSent records that a probe was sent. The next one is due after a pause, which doubles from tuning.ProbePause
+// up to tuning.ProbePauseMax until the machine acknowledges a message.
 func (s *State) ProbeSent(now time.Time) {
-	s.probing = true
+	s.probeInFlight = true
 	s.probePause = min(max(tuning.ProbePause, 2*s.probePause), tuning.ProbePauseMax)
 	s.nextProbe = now.Add(s.probePause)
 }
 
 // ProbeEnded records that the probe ended, answered or not.
-func (s *State) ProbeEnded() { s.probing = false }
+func (s *State) ProbeEnded() { s.probeInFlight = false }
--- a/internal/scheduler/reachability/reachability_test.go
+++ b/internal/scheduler/reachability/reachability_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// Guards against marking a machine as unreachable because of a slow reply, a lost probe or a delayed copy of a heartbeat
-// alone.
+// Guards against marking a machine as unreachable because of a slow reply, a lost probe or a delayed copy of a
+// heartbeat alone.
 func TestUnreachableNeedsAMissedReplyAndAFailedProbe(t *testing.T) {
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	for _, c := range []struct {
@@ -42,9 +42,10 @@
 	}
 }
 
-// Checks three properties over random histories: a machine that is found unreachable repeatedly waits longer for work, a machine
-// that acknowledges messages gets work again within the longest pause, and the pauses between probes are respected.
-func TestPausesOfWorkAndProbesOverRandomHistories(t *testing.T) {
+// Checks three properties over random histories: a machine that is found unreachable repeatedly waits longer for
+// work, a machine that acknowledges messages gets work again within the longest pause, and the pauses between
+// probes are respected.
+func TestPausesBeforeWorkAndProbesOverRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, probed := &State{}, t0, time.Time{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -84,9 +85,9 @@
 	})
 }
 
-// Guards against a machine that gets no work long after the path to it works again. A path that flapped for a quarter of an hour
-// had its machine excluded for five minutes, while a job that fitted nowhere else waited.
-func TestAMachineGetsWorkSoonAfterAFlappingPathIsWhole(t *testing.T) {
+// Guards against a machine that gets no work long after the path to it works again. A path that flapped for a
+// quarter of an hour had its machine excluded for five minutes, while a job that fitted nowhere else waited.
+func TestMachineGetsWorkSoonAfterFlappingPathRecovers(t *testing.T) {
 	s, now := &State{}, t0
 	for range 12 {
 		now = now.Add(20 * time.Second)
@@ -95,7 +96,7 @@
 		now = now.Add(20 * time.Second)
 		s.Acknowledged(now)
 	}
-	if most := 75 * time.Second; !s.Usable(now.Add(most), true) {
-		t.Errorf("the machine gets no work %v after it acknowledged a message", most)
+	if maxWait := 75 * time.Second; !s.Usable(now.Add(maxWait), true) {
+		t.Errorf("the machine gets no work %v after it acknowledged a message", maxWait)
 	}
 }
