--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -47,9 +47,8 @@
 // listPause returns the pause after a reading of the cloud's list that took this long.
 func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
 
-// endProvenGone ends the attempts on machines that a page of the list proves to be gone. The cloud interrupts a
-// quarter of the machines that it takes back without notice. Without this, their tasks waited until the machines'
-// leases expired.
+// endProvenGone ends the attempts on machines that a page of the list proves to be gone. A quarter of the machines
+// that the cloud interrupts get no notice. Without this, their tasks waited until the machines' leases expired.
 func (l *Loop) endProvenGone(page cloud.ListPage) {
 	var gone []string
 	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
@@ -107,7 +106,7 @@
 		}
 	}
 	if m := l.machines.Machines[listed.Name]; m != nil {
-		l.cycle.wakeIf(!m.Known) // it may be used from now on, as its heartbeats are known not to be delayed copies
+		l.cycle.wakeIf(!m.Known) // it may be used from now on, as the list proves that it exists
 		m.ListedRunning, m.Known, m.ListedAddress = listed.State == wire.MachineRunning, true, listed.Address
 	}
 	return failed
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -19,7 +19,7 @@
 
 func newFleetPlanning() fleetPlanning { return fleetPlanning{spotLossLimitS: math.Inf(1)} }
 
-// planSoon makes the fleet be planned at the next step, but not before notBefore.
+// planSoon schedules planning of the fleet for the next step, but not before notBefore.
 func (f *fleetPlanning) planSoon(now time.Time) { f.next = now }
 
 // due reports whether the fleet is to be planned now.
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -7,9 +7,9 @@
 )
 
 // maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by
-// this process's memory. The cloud's own limits show by its refusals. Memory allows one machine per MachineKB of
-// the runtime's memory target in any case, and more as long as the present machines are seen to need less than
-// that.
+// this process's memory. The cloud enforces its own limits by refusing rentals. Memory allows one machine per
+// MachineKB of the runtime's memory target in any case, and more as long as the present machines are seen to need
+// less than that.
 func (l *Loop) maxMachines() int {
 	limit := math.MaxInt
 	if n := l.env.Tunables.MaxMachines; n > 0 {
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -28,10 +28,11 @@
 	codec          *charge.Codec                   // nil until it is needed
 	nextWrite      time.Time                       // the record is not written before this time
 	inFlight       bool                            // a write of the record is in flight
-	notYetRestored map[string][]machines.HeldImage // by machine that has sent no heartbeat yet: the images that a former leader stored for it
+	notYetRestored map[string][]machines.HeldImage // stored by a former leader, by machine; removed at its first heartbeat
 }
 
-// loadImages reads the record of the former leader. It may fail. It runs outside the loop's goroutine.
+// loadImages reads the record of the former leader. If that fails, the loop starts without it. It runs outside the
+// loop's goroutine.
 func (l *Loop) loadImages(ctx context.Context) {
 	item, ok, err := l.store.Urgent().Get(ctx, keyImages)
 	if err != nil || !ok {
@@ -42,9 +43,9 @@
 		l.log.Info("stored image hints unreadable; starting without them", "err", err)
 		return
 	}
-	byMachine := images.ByMachine()
+	notYetRestored := images.ByMachine()
 	l.post(func() {
-		l.images.notYetRestored, l.images.codec = byMachine, codec // the loop reuses the codec, which needs some MB of memory
+		l.images.notYetRestored, l.images.codec = notYetRestored, codec // reused, since a codec needs some MB
 		for _, m := range l.machines.Machines {
 			l.recallImages(m)
 		}
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// worthRunningOn reports whether a task that cannot save a checkpoint should run on until its machine is
-// interrupted, in the time left. It weighs the run that is saved if the task ends in time against the time that is
-// lost if it does not. The run time is assumed to be log-normally distributed around the expected run time of the
-// job, given that the task has already run for ran.
+// worthRunningOn reports whether a task that cannot save a checkpoint should run on until shortly before its machine
+// is interrupted. ran is how long it has run, timeLeft how long it can still run. It weighs the run that is saved if
+// the task ends in time against the time that is lost if it does not. The run time is assumed to be log-normally
+// distributed around the expected run time of the job, given that it is at least ran.
 func worthRunningOn(j *jobs.Job, ran, timeLeft time.Duration) bool {
 	expectedS, fromRuns := j.ExpectedRunS()
 	if expectedS <= 0 || timeLeft <= 0 {
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -138,7 +138,7 @@
 // 1,000 while a hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and
 // all machines are returned in the end.
 func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
-	const machines, jobsOf, tasks = 10_000, 10, 100_000
+	const machines, jobCount, tasks = 10_000, 10, 100_000
 	l, clock := newTestLoop(t)
 	w := &largeWorkload{Loop: l, t: t}
 	clear(l.machines.Machines)
@@ -146,10 +146,10 @@
 	l.env.Settings.Cluster.State.TxnOps = 40
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a", "b", "c"}}}
 	l.env.Types = func() []wire.MachineType { return types }
-	for i := range jobsOf {
+	for i := range jobCount {
 		l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: tasks / jobsOf, CPUs: 0.4, MemoryGB: 1, Image: "img",
+			Tasks: tasks / jobCount, CPUs: 0.4, MemoryGB: 1, Image: "img",
 		})
 	}
 	for round := 0; w.stored < tasks; round++ {
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -17,9 +17,9 @@
 	return l.schedulableMachinesWithFree(now, placement.Resources{})
 }
 
-// machinesWithRoomFor returns the schedulable machines that have room for the smallest request of the jobs. In a
-// large cluster most machines are full, and making a view of each of them was most of the cost of a scheduling
-// cycle.
+// machinesWithRoomFor returns the schedulable machines that may have room for a task of the jobs: of each resource, at
+// least the smallest amount that any of them requests is free. In a large cluster most machines are full, and making a
+// view of each of them was most of the cost of a scheduling cycle.
 func (l *Loop) machinesWithRoomFor(now time.Time, pending []*placement.PendingJob) []*placement.Machine {
 	if len(pending) == 0 {
 		return nil
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -162,8 +162,8 @@
 	c.state.Expire()
 }
 
-// Partitions zones at each phase of a leader's term. Tasks survive every partition that is shorter than the zone
-// lease. Lost tasks are detected in time, and never while they may still run.
+// Partitions zones at each phase of a leader's term. Tasks survive partitions that are shorter than the zone lease,
+// unless the zone's member restarts meanwhile. Lost tasks are detected in time, and never while they may still run.
 func TestTasksSurviveZonePartitions(t *testing.T) {
 	const short, long = 60, 380 // seconds; the zone lease is 300
 	type events map[int]func(w *partitionCluster)
