--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -6,27 +6,30 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// maxMachines is how many machines may be rented: what the operators say and what
-// this process's memory holds. The cloud's refusals say the rest. Memory holds one for each MachineKB that the runtime aims
-// at, whatever they take, and more as long as it is seen that those there take less.
+// maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by
+// this process's memory. The cloud enforces its own limits by refusing rentals. Memory allows one machine per
+// MachineKB of the runtime's memory target in any case, and more as long as the present machines are seen to need
+// less than that.
 func (l *Loop) maxMachines() int {
-	most := math.MaxInt
+	limit := math.MaxInt
 	if n := l.env.Tunables.MaxMachines; n > 0 {
-		most = n
+		limit = n
 	}
 	if mb := l.env.Settings.Cluster.Limits.RAMMB; mb > 0 {
-		aimMB := mb * tuning.MemoryShare
-		most = min(most, max(1, machinesIn(aimMB-tuning.ProcessMB), l.machinesByUse(aimMB)))
+		targetMB := mb * tuning.MemoryShare
+		limit = min(limit, max(1, machinesFittingIn(targetMB-tuning.ProcessMB), l.maxMachinesByMemoryInUse(targetMB)))
 	}
-	return most
+	return limit
 }
 
-// machinesIn is how many machines so many MiB hold at the least.
-func machinesIn(mb float64) int { return int(mb * 1024 / tuning.MachineKB) }
+// machinesFittingIn is how many machines fit into an amount of memory, in MiB, if each needs MachineKB.
+func machinesFittingIn(mb float64) int { return int(mb * 1024 / tuning.MachineKB) }
 
-// machinesByUse is how many machines there may be by what the memory in use leaves of LiveShare of the MiB that the runtime
-// aims at. Machines that have sent no heartbeat are not in use yet: they and those to come count MachineKB each.
-func (l *Loop) machinesByUse(aimMB float64) int {
+// maxMachinesByMemoryInUse is how many machines there may be by the memory that is in use. targetMB is the
+// runtime's memory target in MiB. The share LiveShare of it may be in use. Machines that have sent no heartbeat do
+// not count as using memory yet: for each of them, and for each machine that is still to be rented, MachineKB of
+// the remaining memory is set aside. The result is 0 if the memory in use is not known.
+func (l *Loop) maxMachinesByMemoryInUse(targetMB float64) int {
 	if l.env.MemoryLive == nil {
 		return 0
 	}
@@ -36,5 +39,5 @@
 			inUse++
 		}
 	}
-	return inUse + machinesIn(tuning.LiveShare*aimMB-float64(l.env.MemoryLive())/(1<<20))
+	return inUse + machinesFittingIn(tuning.LiveShare*targetMB-float64(l.env.MemoryLive())/(1<<20))
 }
--- a/internal/scheduler/leader/fleet_test.go
+++ b/internal/scheduler/leader/fleet_test.go
@@ -7,27 +7,27 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a leader that stood still between a decision and its call: it
-// must not delete machines on which the next one has placed tasks meanwhile.
-func TestNoCloudCallWithoutTheRightToAct(t *testing.T) {
-	l, clock := newTestLoop(t) // its elector has no right to act
-	ctx, end := context.WithCancel(t.Context())
+// Guards against a leader whose process was suspended between a decision and its cloud call: it must not delete
+// machines on which the next leader has placed tasks since.
+func TestNoCloudCallWithoutValidLeadership(t *testing.T) {
+	l, clock := newTestLoop(t) // Env.Valid reports that it may not act
+	ctx, endTerm := context.WithCancel(t.Context())
 	l.ended = ctx
-	may := make(chan bool)
-	go func() { may <- l.awaitRightToAct() }()
+	mayAct := make(chan bool)
+	go func() { mayAct <- l.awaitRightToAct() }()
 	for range 3 {
 		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 			t.Fatal(err)
 		}
 		select {
-		case <-may:
-			t.Fatal("calls the cloud without the right to act")
+		case <-mayAct:
+			t.Fatal("the wait ends though the leader may not act")
 		default:
 		}
 		clock.Advance(tuning.Tick)
 	}
-	end()
-	if <-may {
-		t.Error("calls the cloud though the tenure is over")
+	endTerm()
+	if <-mayAct {
+		t.Error("the leader is allowed to act though its term is over")
 	}
 }
