--- a/internal/scheduler/autoscale/forecast.go
+++ b/internal/scheduler/autoscale/forecast.go
@@ -11,25 +11,24 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Arrival is a job that was accepted not long ago.
+// Arrival is a job that was accepted recently, and when.
 type Arrival struct {
 	At  time.Time
 	Job *wire.Job
 }
 
-// Forecast returns the jobs to reserve room for: those that are expected, by the
-// recent ones, before a machine that is rented now would be up (horizon). Each
-// class is expected to go on as it did, in rate and in shape. reserveShare returns
-// the share of a class's expected jobs that room is reserved for; 0: none.
+// Forecast returns the jobs to reserve room for: those that are expected to arrive within the horizon, which is the time
+// until a machine that is rented now can be used. Jobs of each class are expected at the rate and with the resources of
+// its recent arrivals. reserveShare returns the share of a class's expected jobs for which room is reserved; 0: none.
 func Forecast(now time.Time, recent []Arrival, horizon time.Duration, reserveShare func(class string) float64) []*placement.PendingJob {
 	byClass, observed := arrivalsByClass(now, recent)
 	var pending []*placement.PendingJob
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		arrivals := byClass[class]
 		expected := float64(len(arrivals)) * horizon.Seconds() / observed.Seconds() * reserveShare(class)
-		// Of many arrays that are expected, most find the room of those that end in
-		// the meantime. Room is reserved for how many more may come than end: that
-		// grows as the square root. Service replicas stay.
+		// If many arrays are expected, most of them find the room of arrays that end in the meantime. So room is
+		// reserved only for the number by which arrivals may exceed ends, which grows as the square root of the
+		// arrivals. Service replicas do not end, so all expected ones count.
 		if arrivals[0].Job.Kind == wire.KindArray {
 			expected = min(expected, math.Sqrt(expected))
 		}
@@ -41,10 +40,9 @@
 	return pending
 }
 
-// arrivalsByClass groups the arrivals within tuning.ArrivalWindow, and returns the
-// time over which they are counted as a rate. A scheduler that has just started has
-// observed less than a window; the jobs that waited for its start say little of
-// those to come, so the time is at least tuning.ArrivalWindowMin.
+// arrivalsByClass groups the arrivals within tuning.ArrivalWindow by class, and returns the time over which their rate
+// is computed. A scheduler that has just started has observed less than a window. The time is at least
+// tuning.ArrivalWindowMin, because jobs that waited for the start say little about future jobs.
 func arrivalsByClass(now time.Time, recent []Arrival) (byClass map[string][]Arrival, observed time.Duration) {
 	byClass = map[string][]Arrival{}
 	var first time.Time
@@ -60,8 +58,7 @@
 	return byClass, min(max(now.Sub(first), tuning.ArrivalWindowMin), tuning.ArrivalWindow)
 }
 
-// UnlimitedTeams returns the jobs' teams without quotas, for work that has not
-// come yet.
+// UnlimitedTeams returns the jobs' teams without quotas, for planning work that has not arrived yet.
 func UnlimitedTeams(pending []*placement.PendingJob) map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, p := range pending {
--- a/internal/scheduler/autoscale/plan.go
+++ b/internal/scheduler/autoscale/plan.go
@@ -1,7 +1,6 @@
-// Package autoscale decides about scale-out: which machines to rent for the tasks
-// that found no room (Plan), and which work is expected soon and has room reserved
-// for it (Forecast). It does no I/O and keeps no state. Nothing here is safe for
-// concurrent use with the same input.
+// Package autoscale decides about scale-out: which machines to rent for the tasks that found no room (Plan), and for
+// which expected work room is reserved (Forecast). It does no I/O and has no state. Nothing here is safe for concurrent
+// use with the same input.
 package autoscale
 
 import (
@@ -18,113 +17,109 @@
 	Spot       bool
 }
 
-// Purchase is a number of machines to rent of an offering.
-type Purchase struct {
+// Rental is an offering and the number of machines to rent of it.
+type Rental struct {
 	Offering
 	Count int
 }
 
-// Input is what a plan is made from. Plan changes it, so that a further plan made
-// from it comes on top.
+// Input is the input of a plan. Plan updates it, so that a further plan made from it adds to the first one.
 type Input struct {
 	Now     time.Time
-	Pending []*placement.PendingJob // with the tasks that found no room
-	Booting []*placement.Machine    // machines that will be there soon
+	Pending []*placement.PendingJob // jobs with tasks that found no room
+	Booting []*placement.Machine    // machines that will be usable soon
 	Teams   map[string]*placement.Team
 	Types   []wire.MachineType
-	// Unavailable reports whether an offering is not to be asked for now.
+	// Unavailable reports whether an offering must not be requested now.
 	Unavailable func(Offering) bool
-	// InFlight reports whether a request for an offering is waiting for its answer:
-	// more of it is asked for afterwards; nil: none is.
+	// InFlight reports whether a request for an offering is in flight. More machines of it are requested only
+	// after the answer. nil: no request is in flight.
 	InFlight      func(Offering) bool
-	MaxPerRequest int              // machines that one request may ask for; 0: any number
-	MaxNew        int              // machines that may be rented in addition
-	Existing      map[Offering]int // machines that are there or booting
-	SpotOnly      bool             // work that may run on spot machines gets no on-demand ones
-}
-
-// Plan returns the machines to rent for the tasks that fit neither on the machines
-// that are there (the caller has placed what fits) nor on those that boot. It goes
-// no further than can be asked for now: a job whose next machine would be one more
-// of an offering that has a request in flight, or that fills a request, waits for
-// the next plan. Planned to its end, a backlog that wanted a thousand machines took
-// 92 ms for the first fifty of them.
-func Plan(in *Input) []Purchase {
+	MaxPerRequest int              // number of machines that one request may ask for; 0: any number
+	MaxNew        int              // number of machines that may be rented in addition
+	Existing      map[Offering]int // number of machines that are up, booting or requested
+	SpotOnly      bool             // no on-demand machines are rented for work that may run on spot machines
+}
+
+// Plan returns the machines to rent for the tasks that fit neither on the existing machines (the caller has placed what
+// fits) nor on booting ones. It plans no more than can be requested now. A job waits for the next plan if its next
+// machine would be of an offering that has a request in flight or whose request is full. When a backlog that needed a
+// thousand machines was planned to its end, this took 92 ms although only the first fifty machines could be requested.
+func Plan(in *Input) []Rental {
 	placement.Schedule(in.Now, in.Pending, in.Booting, in.Teams)
-	o := order{counts: map[Offering]int{}}
+	plan := rentalPlan{counts: map[Offering]int{}}
 	for _, p := range in.Pending {
-		in.planFor(p, &o)
+		in.planFor(p, &plan)
 	}
-	return o.purchases()
+	return plan.rentals()
 }
 
-// planFor orders machines for the tasks of a job: each round one, which is filled
-// with them and with those of the jobs behind it.
-func (in *Input) planFor(p *placement.PendingJob, o *order) {
+// planFor adds machines for the tasks of a job to the plan, one in each round. Each new machine is filled with tasks of
+// this job and of the jobs behind it in the queue.
+func (in *Input) planFor(p *placement.PendingJob, plan *rentalPlan) {
 	for in.MaxNew > 0 && placement.TasksWithinQuota(p, in.Teams) > 0 {
 		best, found := in.cheapest(p)
-		if !found || in.mustWait(best.Offering, o.counts[best.Offering]) {
+		if !found || in.mustWait(best.Offering, plan.counts[best.Offering]) {
 			return
 		}
 		m := best.machine()
 		if len(placement.ScheduleSorted(in.Now, in.Pending, []*placement.Machine{m}, in.Teams)) == 0 {
 			return
 		}
-		o.add(best.Offering)
+		plan.add(best.Offering)
 		in.Existing[best.Offering]++
 		in.MaxNew--
 	}
 }
 
-// mustWait reports whether one more machine of an offering, of which some are
-// ordered already, has to wait for the next plan.
+// mustWait reports whether one more machine of an offering, of which some are planned already, has to wait for the next
+// plan.
 func (in *Input) mustWait(o Offering, ordered int) bool {
 	return in.InFlight != nil && in.InFlight(o) || in.MaxPerRequest > 0 && ordered >= in.MaxPerRequest
 }
 
-// order is the machines that a plan rents, in the order in which their offerings
-// were first wanted.
-type order struct {
+// rentalPlan holds the machines that a plan rents, with their offerings in the order in which they were first needed.
+type rentalPlan struct {
 	offerings []Offering
 	counts    map[Offering]int
 }
 
-func (o *order) add(of Offering) {
-	if o.counts[of] == 0 {
-		o.offerings = append(o.offerings, of)
+func (p *rentalPlan) add(offering Offering) {
+	if p.counts[offering] == 0 {
+		p.offerings = append(p.offerings, offering)
 	}
-	o.counts[of]++
+	p.counts[offering]++
 }
 
-func (o *order) purchases() []Purchase {
-	out := make([]Purchase, 0, len(o.offerings))
-	for _, of := range o.offerings {
-		out = append(out, Purchase{of, o.counts[of]})
+func (p *rentalPlan) rentals() []Rental {
+	out := make([]Rental, 0, len(p.offerings))
+	for _, offering := range p.offerings {
+		out = append(out, Rental{offering, p.counts[offering]})
 	}
 	return out
 }
 
-// option is an offering as it suits a job.
+// option is an offering that could be rented for a job, with what decides between offerings.
 type option struct {
 	Offering
-	typ      *wire.MachineType
-	taskCost float64 // price per hour for each task that the machine would hold
-	inZone   int     // machines in the zone, or the job's tasks if it is to be spread
+	machineType *wire.MachineType
+	taskCost    float64 // price per hour for each task that the machine would hold
+	inZone      int     // number of machines in the zone, or of the job's tasks there if it is spread over zones
 }
 
-// cheaperThan compares by the cost per task; among equals the zone with the fewest
-// machines or tasks goes first.
-func (o *option) cheaperThan(than *option) bool {
-	return o.taskCost < than.taskCost || o.taskCost == than.taskCost && o.inZone < than.inZone
+// cheaperThan compares options by the cost per task. At equal cost, the zone with the fewest machines or tasks is
+// preferred.
+func (o *option) cheaperThan(other *option) bool {
+	return o.taskCost < other.taskCost || o.taskCost == other.taskCost && o.inZone < other.inZone
 }
 
 // machine returns an empty machine of the option.
 func (o *option) machine() *placement.Machine {
-	total := placement.Resources{CPUs: o.typ.CPUs, GPUs: o.typ.GPUs, MemoryGB: o.typ.MemoryGB}
+	total := placement.Resources{CPUs: o.machineType.CPUs, GPUs: o.machineType.GPUs, MemoryGB: o.machineType.MemoryGB}
 	return &placement.Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: total, Free: total}
 }
 
-// cheapest returns the cheapest of the options for a job.
+// cheapest returns the cheapest option for a job; found is false if no offering suits it.
 func (in *Input) cheapest(p *placement.PendingJob) (best option, found bool) {
 	tasks, request := float64(placement.TasksWithinQuota(p, in.Teams)), p.Request()
 	for i := range in.Types {
@@ -149,14 +144,13 @@
 	return best, found
 }
 
-// suits reports whether an offering may be asked for now, for a job.
+// suits reports whether an offering may be requested for a job now.
 func (in *Input) suits(p *placement.PendingJob, o Offering) bool {
 	awaitsSpot := (in.SpotOnly || p.AwaitSpot) && p.Job.Spot
 	return p.Allows(o.Type, o.Zone, o.Spot) && !in.Unavailable(o) && (o.Spot || !awaitsSpot)
 }
 
-// inZone counts the machines in a zone, or the tasks there of a job that is to be
-// spread.
+// inZone counts the machines in a zone, or the job's tasks there if the job is spread over zones.
 func (in *Input) inZone(p *placement.PendingJob, zone string) int {
 	if p.Job.Spread {
 		return p.Zones[zone]
@@ -178,7 +172,7 @@
 	return t.Price
 }
 
-// tasksPerMachine returns how many tasks a machine of a type holds.
+// tasksPerMachine returns how many tasks a machine of a type can hold.
 func tasksPerMachine(t *wire.MachineType, request placement.Resources) float64 {
 	const slack = 1e-9 // absorbs rounding
 	n := float64(wire.MaxTasks)
@@ -192,8 +186,7 @@
 	return n
 }
 
-// FitsSomeType reports whether a task of the job fits a machine of some type that
-// the job allows.
+// FitsSomeType reports whether a task of the job fits on a machine of some type that the job allows.
 func FitsSomeType(j *wire.Job, types []wire.MachineType) bool {
 	request := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	return slices.ContainsFunc(types, func(t wire.MachineType) bool {
--- a/internal/scheduler/autoscale/plan_test.go
+++ b/internal/scheduler/autoscale/plan_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestPlan(t *testing.T) {
-	small := func(zone string, spot bool, n int) Purchase { return Purchase{Offering{"small", zone, spot}, n} }
+	small := func(zone string, spot bool, n int) Rental { return Rental{Offering{"small", zone, spot}, n} }
 	unavailable := func(in Input, o Offering) Input {
 		in.Unavailable = func(x Offering) bool { return x == o }
 		return in
@@ -51,18 +51,18 @@
 	for _, c := range []struct {
 		name string
 		in   Input
-		want []Purchase
+		want []Rental
 	}{
-		{"an on-demand machine when spot is unavailable", noSpot(false), []Purchase{small("a", false, 1)}},
-		{"but not for a job that awaits spot", noSpot(true), []Purchase{}},
-		{"the cheapest kind", input(pendingJob(1, 4, true, false)), []Purchase{small("a", true, 1)}},
-		{"no spot for a job that does not allow it", input(pendingJob(1, 4, false, false)), []Purchase{small("a", false, 1)}},
-		{"a large task takes the type that fits", input(pendingJob(1, 32, true, false)), []Purchase{{Offering{"big", "a", true}, 1}}},
-		{"another zone when unavailable", unavailable(input(pendingJob(1, 4, true, false)), Offering{"small", "a", true}), []Purchase{small("b", true, 1)}},
-		{"spread over the zones", input(pendingJob(2, 4, false, true)), []Purchase{small("a", false, 1), small("b", false, 1)}},
-		{"booting machines are counted", booting, []Purchase{}},
-		{"never more than may be rented", full, []Purchase{}},
-		{"never more than the team's quota allows", limited, []Purchase{small("a", true, 1), small("b", true, 1)}},
+		{"an on-demand machine when spot is unavailable", noSpot(false), []Rental{small("a", false, 1)}},
+		{"but not for a job that awaits spot", noSpot(true), []Rental{}},
+		{"the cheapest kind", input(pendingJob(1, 4, true, false)), []Rental{small("a", true, 1)}},
+		{"no spot for a job that does not allow it", input(pendingJob(1, 4, false, false)), []Rental{small("a", false, 1)}},
+		{"a large task takes the type that fits", input(pendingJob(1, 32, true, false)), []Rental{{Offering{"big", "a", true}, 1}}},
+		{"another zone when unavailable", unavailable(input(pendingJob(1, 4, true, false)), Offering{"small", "a", true}), []Rental{small("b", true, 1)}},
+		{"spread over the zones", input(pendingJob(2, 4, false, true)), []Rental{small("a", false, 1), small("b", false, 1)}},
+		{"booting machines are counted", booting, []Rental{}},
+		{"never more than may be rented", full, []Rental{}},
+		{"never more than the team's quota allows", limited, []Rental{small("a", true, 1), small("b", true, 1)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Plan(&c.in); !reflect.DeepEqual(got, c.want) {
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -14,47 +14,46 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// replicaMoves is what the loop keeps for moving replicas off machines that are drained.
+// replicaMoves is the state for moving service replicas off machines that are being drained.
 type replicaMoves struct {
-	next    time.Time
-	budgetS float64 // seconds for which replicas may still be down for moves
+	next    time.Time // when the next round of consolidation is due
+	budgetS float64   // downtime that moves may still cause, in seconds
 }
 
-// grow adds to the budget what so many replicas earn between two rounds of moves: the time for which all moves together
-// may keep replicas down is a share of the time that all replicas run.
-func (r *replicaMoves) grow(replicas int) {
-	grows := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
-	r.budgetS = min(r.budgetS+grows, max(grows, tuning.MoveDowntimeBudgetMax.Seconds()))
+// addBudget adds to the downtime budget what the given number of running replicas allows between two rounds of moves: the
+// downtime that all moves together may cause is a share of the time that all replicas run.
+func (r *replicaMoves) addBudget(replicas int) {
+	allowedS := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
+	r.budgetS = min(r.budgetS+allowedS, max(allowedS, tuning.MoveDowntimeBudgetMax.Seconds()))
 }
 
-// consolidate drains machines whose tasks fit on others that are kept anyway,
-// so that they can be returned: a single replica would keep one rented for as
-// long as it lives. Tasks of arrays end by themselves; replicas are moved a few
-// at a time.
+// consolidate drains machines whose tasks fit on others that stay rented anyway, so that the drained machines can be
+// returned. Otherwise a single service replica would keep a machine rented for as long as the replica runs. Tasks of
+// arrays end by themselves; replicas are moved a few at a time.
 func (l *Loop) consolidate(now time.Time) {
 	if now.Before(l.moves.next) {
 		return
 	}
 	l.moves.next = now.Add(tuning.ConsolidateEvery)
 	draining := l.drainingMachines()
-	short := l.jobsShortOfRoom(now)
-	l.undrainForWaitingJobs(short, draining, now)
+	shortOfRoom := l.jobsShortOfRoom(now)
+	l.undrainForWaitingJobs(shortOfRoom, draining, now)
 
 	open := l.openMachines(now)
 	expected := l.expectedJobs(now)
-	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected)) // takes the room that is kept for them
-	used := l.onlyInUse(open)
+	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected)) // occupies the room reserved for them
+	used := l.filterInUse(open)
 	dryRun := placement.NewDryRun(used)
-	undrainWhatFitsNowhere(dryRun, draining, now)
+	undrainIfTasksFitNowhere(dryRun, draining, now)
 	roomForExpected := !slices.ContainsFunc(expected, func(p *placement.PendingJob) bool { return p.Waiting > 0 })
-	// In a partition the rest of the fleet stands in for the zone that is unreachable.
-	if len(short) == 0 && roomForExpected && len(l.partitionedZones(now)) == 0 {
+	// During a partition nothing is drained: the rest of the fleet has to replace the unreachable zone.
+	if len(shortOfRoom) == 0 && roomForExpected && len(l.partitionedZones(now)) == 0 {
 		l.drainSurplus(dryRun, used, now)
 	}
 	l.moveReplicas(l.drainingMachines(), now)
 }
 
-// drainingMachines are the machines that are being emptied, by name.
+// drainingMachines returns the machines that are being drained, sorted by name.
 func (l *Loop) drainingMachines() []*machines.Machine {
 	var out []*machines.Machine
 	for _, m := range l.machines.Machines {
@@ -66,13 +65,13 @@
 	return out
 }
 
-// onlyInUse gives those of some machines that have tasks; it changes its argument.
-func (l *Loop) onlyInUse(open []*placement.Machine) []*placement.Machine {
+// filterInUse returns those of the machines that have tasks. It changes the slice open, which must not be used afterwards.
+func (l *Loop) filterInUse(open []*placement.Machine) []*placement.Machine {
 	return slices.DeleteFunc(open, func(v *placement.Machine) bool { return !l.inUse(v) })
 }
 
-// jobsShortOfRoom are the jobs that wait for room. Those at their team's quota
-// wait for their team's own tasks: more machines would not help them.
+// jobsShortOfRoom returns the jobs that wait for room on machines. Jobs whose team has reached its quota are excluded:
+// they wait for the team's own tasks to end, so more machines would not help them.
 func (l *Loop) jobsShortOfRoom(now time.Time) []*placement.PendingJob {
 	pending, _ := l.pendingJobs(now)
 	teams := l.teams()
@@ -81,24 +80,24 @@
 	})
 }
 
-// undrainForWaitingJobs ends the draining of machines that have room for jobs that wait.
-func (l *Loop) undrainForWaitingJobs(short []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
+// undrainForWaitingJobs ends the draining of machines on which waiting jobs fit.
+func (l *Loop) undrainForWaitingJobs(shortOfRoom []*placement.PendingJob, draining []*machines.Machine, now time.Time) {
 	var views []*placement.Machine
 	for _, m := range draining {
 		if v, ok := l.machineView(m); ok && m.Alive() {
 			views = append(views, &v)
 		}
 	}
-	if len(short) == 0 || len(views) == 0 {
+	if len(shortOfRoom) == 0 || len(views) == 0 {
 		return
 	}
-	for _, p := range placement.Schedule(now, short, views, l.teams()) {
+	for _, p := range placement.Schedule(now, shortOfRoom, views, l.teams()) {
 		l.machines.Machines[p.Machine.Name].Draining = false
 	}
 }
 
-// undrainWhatFitsNowhere ends the draining of machines that died, or whose tasks fit on no others any more.
-func undrainWhatFitsNowhere(dryRun *placement.DryRun, draining []*machines.Machine, now time.Time) {
+// undrainIfTasksFitNowhere ends the draining of machines that died, or whose tasks no longer fit on the other machines.
+func undrainIfTasksFitNowhere(dryRun *placement.DryRun, draining []*machines.Machine, now time.Time) {
 	for _, m := range draining {
 		if m.Draining && (!m.Alive() || !dryRun.TryPlace(now, tasksAsPending(m, now), nil)) {
 			m.Draining = false
@@ -106,17 +105,16 @@
 	}
 }
 
-// drainSurplus finds machines whose tasks fit on the others in use, those
-// first that save the most money for each task that has to go, and takes them
-// out of placement.
+// drainSurplus starts to drain machines whose tasks fit on the others in use. It first tries those that save the most
+// money for each task that has to move.
 func (l *Loop) drainSurplus(dryRun *placement.DryRun, used []*placement.Machine, now time.Time) {
 	savedPerTask := func(v *placement.Machine) float64 {
 		return l.pricePerHour(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
 	}
-	order := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
+	bySavings := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(savedPerTask(b), savedPerTask(a)), cmp.Compare(a.Name, b.Name))
 	})
-	candidates := order[:min(len(order), max(tuning.ConsolidateCandidates, len(order)/tuning.ConsolidateCandidateShare))]
+	candidates := bySavings[:min(len(bySavings), max(tuning.ConsolidateCandidates, len(bySavings)/tuning.ConsolidateCandidateShare))]
 	for _, v := range candidates {
 		m := l.machines.Machines[v.Name]
 		if dryRun.TryPlace(now, tasksAsPending(m, now), v) {
@@ -126,7 +124,7 @@
 	}
 }
 
-// pricePerHour is what a machine costs an hour.
+// pricePerHour returns the price of a machine per hour, which is the spot price for a spot machine.
 func (l *Loop) pricePerHour(v *placement.Machine) float64 {
 	if t := l.env.typeOf(v.Type); t != nil && v.Spot {
 		return t.SpotPrice
@@ -134,7 +132,7 @@
 	return v.Price
 }
 
-// tasksAsPending are the tasks on a machine as if they waited to be placed.
+// tasksAsPending returns the tasks on a machine as pending jobs, as if they had to be placed anew.
 func tasksAsPending(m *machines.Machine, now time.Time) []*placement.PendingJob {
 	byJob := map[*jobs.Job]*placement.PendingJob{}
 	var pending []*placement.PendingJob
@@ -153,16 +151,16 @@
 	return pending
 }
 
-// moveReplicas stops replicas of machines that are drained, as far as the budget goes; the next scheduling cycle places
-// them anew.
+// moveReplicas stops replicas on machines that are being drained, as far as the downtime budget allows. The next
+// scheduling cycle places them on other machines.
 func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
 	replicas := l.runningReplicas()
-	l.moves.grow(replicas)
-	most := max(tuning.MovesInFlight, replicas/tuning.MovesInFlightShare)
+	l.moves.addBudget(replicas)
+	maxMoves := max(tuning.MovesInFlight, replicas/tuning.MovesInFlightShare)
 	var moved []*jobs.Allocation
-	var dryRun *placement.DryRun // of the machines in use; most of the time nothing is to be moved
+	var dryRun *placement.DryRun // on the machines in use; created only if a replica can be moved, as mostly none can
 	for _, m := range draining {
-		if !m.Draining || len(moved) >= most {
+		if !m.Draining || len(moved) >= maxMoves {
 			continue
 		}
 		for _, a := range m.Allocations {
@@ -170,13 +168,13 @@
 				continue
 			}
 			if dryRun == nil {
-				dryRun = placement.NewDryRun(l.onlyInUse(l.openMachines(now)))
+				dryRun = placement.NewDryRun(l.filterInUse(l.openMachines(now)))
 			}
-			downS, ok := moveDowntimeS(a, dryRun, now)
-			if !ok || downS > l.moves.budgetS || len(moved) >= most {
+			downtimeS, ok := moveDowntimeS(a, dryRun, now)
+			if !ok || downtimeS > l.moves.budgetS || len(moved) >= maxMoves {
 				continue
 			}
-			l.moves.budgetS -= downS
+			l.moves.budgetS -= downtimeS
 			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
 			moved = append(moved, a)
 		}
@@ -184,7 +182,7 @@
 	l.sendCommands(moved)
 }
 
-// runningReplicas counts the replicas of all services that have a machine.
+// runningReplicas counts the replicas of all services that are allocated to a machine.
 func (l *Loop) runningReplicas() int {
 	n := 0
 	for _, j := range l.jobs.Jobs {
@@ -195,15 +193,15 @@
 	return n
 }
 
-// movable reports whether an allocation is a replica that may be moved. A start that is stopped within 30 s
-// does not count, so fresh ones stay for now.
+// movable reports whether an allocation is a service replica that may be moved. Replicas that started recently are not
+// moved yet, because a start that is stopped within 30 s does not count as a start.
 func movable(a *jobs.Allocation, now time.Time) bool {
 	return a.Job.Kind == wire.KindService && a.Stop == nil && a.State == wire.TaskRunning && now.Sub(a.RunningSince) >= tuning.PreemptMinRun
 }
 
-// moveDowntimeS is for how long a replica would be down for a move, in seconds: with the time in which the machine to which
-// it would move fetches its image. ok is false when no machine in use has room for it.
-func moveDowntimeS(a *jobs.Allocation, dryRun *placement.DryRun, now time.Time) (downS float64, ok bool) {
+// moveDowntimeS returns for how long a replica would be down if it were moved, in seconds. It includes the time in
+// which the new machine fetches the replica's image. ok is false if no machine in use has room for the replica.
+func moveDowntimeS(a *jobs.Allocation, dryRun *placement.DryRun, now time.Time) (downtimeS float64, ok bool) {
 	p := &placement.PendingJob{Job: &a.Job.Job, WaitingSince: now, Waiting: 1, Zones: cloneCounts(a.Job.AllocationsByZone()), LatencySensitive: true}
 	p.Zones[a.Zone]--
 	m := dryRun.BestMachine(p)
--- a/internal/scheduler/leader/cycle.go
+++ b/internal/scheduler/leader/cycle.go
@@ -7,37 +7,38 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// schedulingCycle decides when the next scheduling cycle runs: soon after a change, and after a growing pause without one,
-// since some jobs may be placed only because time passed.
+// schedulingCycle decides when the next scheduling cycle runs: soon after a change, otherwise after a growing pause.
+// Cycles also run without a change, because some jobs become placeable only as time passes.
 type schedulingCycle struct {
-	changed   bool          // a cycle could find something new
-	notBefore time.Time     // no cycle runs before, whatever changed
-	next      time.Time     // of a cycle that no change triggers
-	backoff   time.Duration // the pause until then
+	changed   bool          // something changed since the last cycle, so a new one may place more tasks
+	notBefore time.Time     // the earliest time of the next cycle, even after a change
+	next      time.Time     // when the next cycle runs if nothing changes
+	backoff   time.Duration // the pause before a cycle that no change triggers
 
-	reservations placement.BackfillReservations // of the cycles so far
+	reservations placement.BackfillReservations // carried from one cycle to the next
 }
 
 func newSchedulingCycle() schedulingCycle {
 	return schedulingCycle{backoff: tuning.CycleBackoffMin}
 }
 
-// wake tells that a cycle could find something new.
+// wake requests a cycle, because a new one may place more tasks.
 func (c *schedulingCycle) wake() { c.changed = true }
 
-// wakeIf does so if changed is true.
+// wakeIf requests a cycle if changed is true.
 func (c *schedulingCycle) wakeIf(changed bool) { c.changed = c.changed || changed }
 
-// due reports whether a cycle is to run now.
+// due reports whether a cycle should run now.
 func (c *schedulingCycle) due(now time.Time) bool {
 	return c.changed && !now.Before(c.notBefore) || !now.Before(c.next)
 }
 
-// nothingPending ends a cycle in which no job had tasks to place.
+// nothingPending ends a cycle in which no job had tasks to place. Without a change, the next one follows after the
+// longest pause.
 func (c *schedulingCycle) nothingPending(now time.Time) { c.next = now.Add(tuning.CycleBackoffMax) }
 
-// finish ends a cycle. One that placed nothing is repeated after 1 s, doubling to
-// 10 s, unless a change wakes the next one.
+// finish ends a cycle. After a cycle that placed tasks, the pause before the next one is 1 s. Each cycle that placed
+// nothing doubles the pause, up to 10 s. A change triggers the next cycle earlier.
 func (c *schedulingCycle) finish(now time.Time, placedAny bool) {
 	if placedAny {
 		c.backoff = tuning.CycleBackoffMin
--- a/internal/scheduler/leader/forecast.go
+++ b/internal/scheduler/leader/forecast.go
@@ -11,13 +11,13 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// arrivalLog is the jobs that arrived of late, as a guide to those to come.
+// arrivalLog records the jobs that arrived recently. The forecast of future jobs is made from them.
 type arrivalLog struct {
-	recent []autoscale.Arrival // within tuning.ArrivalWindow
-	count  int                 // of all jobs that came into memory in this term
+	recent []autoscale.Arrival // arrivals within tuning.ArrivalWindow
+	count  int                 // number of all jobs added in this term
 }
 
-// add adds a job. Of those of an initial backlog only a share counts.
+// add adds a job. Of the jobs of an initial backlog only one in tuning.FirstStartRushShare counts as an arrival.
 func (a *arrivalLog) add(j *jobs.Job, initialBacklog bool) {
 	a.count++
 	if !initialBacklog || a.count%tuning.FirstStartRushShare == 0 {
@@ -25,19 +25,19 @@
 	}
 }
 
-// dropOld drops the arrivals that are too long ago to tell anything.
+// dropOld drops the arrivals that are too old for the forecast.
 func (a *arrivalLog) dropOld(now time.Time) {
 	a.recent = slices.DeleteFunc(a.recent, func(a autoscale.Arrival) bool { return now.Sub(a.At) > tuning.ArrivalWindow })
 }
 
-// inInitialBacklog reports whether the very first leader has just begun. The jobs that waited
-// for that say nothing of those to come: 70 services at once had room kept for 49
-// more, a third of the machines for two minutes.
+// inInitialBacklog reports whether the very first leader started only moments ago. The jobs that waited for its start
+// say nothing about future jobs: when 70 services arrived at once, room was reserved for 49 more, which was a third of
+// the machines for two minutes.
 func (l *Loop) inInitialBacklog(now time.Time) bool {
 	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.FirstStartRush
 }
 
-// recentArrivals are the jobs that arrived of late, but for those on probation.
+// recentArrivals returns the jobs that arrived recently, without those on probation.
 func (l *Loop) recentArrivals(now time.Time) []autoscale.Arrival {
 	out := make([]autoscale.Arrival, 0, len(l.arrivals.recent))
 	for _, a := range l.arrivals.recent {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// forecast is the jobs that are expected within a time, as far as room is kept for their class.
+// forecast returns the jobs that are expected to arrive within the horizon and for which room is reserved.
 func (l *Loop) forecast(now time.Time, horizon time.Duration) []*placement.PendingJob {
 	return autoscale.Forecast(now, l.recentArrivals(now), horizon, func(class string) float64 {
 		share, _ := l.forecastShare(class)
@@ -56,14 +56,14 @@
 	})
 }
 
-// expectedJobs are the jobs to keep room for: those that come before a machine that is rented now can be used.
+// expectedJobs returns the jobs to reserve room for: those expected to arrive before a machine that is rented now can
+// be used.
 func (l *Loop) expectedJobs(now time.Time) []*placement.PendingJob {
 	return l.forecast(now, l.provisioningTime())
 }
 
-// placeholders stand in for the jobs that come within moments and must start
-// promptly: jobs of lower priority do not get the last room before them, only
-// to be stopped for them.
+// placeholders returns placeholders for jobs that are expected within moments and must start promptly. They reserve
+// room against jobs of lower priority, which would otherwise get the last room and soon be preempted.
 func (l *Loop) placeholders(now time.Time) []*placement.PendingJob {
 	pending := l.forecast(now, min(tuning.ForecastReserveHorizon, l.provisioningTime()))
 	for _, p := range pending {
@@ -72,9 +72,9 @@
 	return pending
 }
 
-// forecastShare is the share of a class's expected jobs that room is kept for: it
-// depends on what the objectives ask for sooner than a machine boots. latencySensitive is
-// true when the class has an objective of its own on that.
+// forecastShare returns the share of a class's expected jobs for which room is reserved. It depends on the objectives
+// that demand a start sooner than a machine boots. latencySensitive is true if the class has such an objective of its
+// own.
 func (l *Loop) forecastShare(class string) (share float64, latencySensitive bool) {
 	provisioning := l.provisioningTime()
 	for _, o := range l.env.Settings.Cluster.Objectives {
@@ -89,7 +89,8 @@
 	return share, false
 }
 
-// provisioningTime is how long it takes until a machine that is rented now can be used.
+// provisioningTime returns how long it takes until a machine that is rented now can be used, for the type that boots
+// fastest. It is 0 while no machine types are known.
 func (l *Loop) provisioningTime() time.Duration {
 	bootS := math.Inf(1)
 	for _, t := range l.env.Types() {
--- a/internal/scheduler/leader/kind_preference.go
+++ b/internal/scheduler/leader/kind_preference.go
@@ -10,12 +10,13 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Where spot machines are short, arrays run on on-demand ones too. Which of them is not the same: spot machines go, and
-// what a task loses with one is up to its whole run. A short task that is lost still lets its job end in
-// time, a long one does not. So the arrays that would lose most are tried on on-demand machines first and the others
-// on spot ones, in the shares in which those kinds are in use by them; what is left goes anywhere, so no room waits.
+// Where spot machines are scarce, arrays run on on-demand machines too. It matters which arrays do. The cloud may take a
+// spot machine back, and a task on it then loses up to its whole run. A job can still end in time if it loses a short
+// task, but not if it loses a long one. So the arrays that would lose the most are tried on on-demand machines first,
+// and the others on spot machines first. The split follows the shares in which arrays use the two kinds now. Tasks that
+// find no room on the preferred kind may go to any machine, so that no room stays unused.
 
-// lostWorkS is what a task of an array loses at the most when its machine goes, in seconds.
+// lostWorkS returns how much work a task of an array loses at most if its machine is lost, in seconds.
 func lostWorkS(j *jobs.Job) float64 {
 	s, _ := j.ExpectedRunS()
 	if j.CheckpointS > 0 {
@@ -24,11 +25,12 @@
 	return s
 }
 
-// usesBothKinds reports whether a job's tasks may run on machines of both kinds.
+// usesBothKinds reports whether a job is an array whose tasks may run on spot and on on-demand machines.
 func usesBothKinds(j *wire.Job) bool { return j.Kind == wire.KindArray && j.Spot }
 
-// lossLimitOnSpot is what a task may lose, in seconds, so that those of all live arrays that lose more have the share of the
-// work that runs on on-demand machines now. It is infinite while nothing of it does.
+// lossLimitOnSpot returns the loss per task, in seconds, above which an array prefers on-demand machines. The limit is
+// set so that the live arrays above it have about the share of all their work that runs on on-demand machines now. It is
+// infinite while none of their tasks run on on-demand machines.
 func (l *Loop) lossLimitOnSpot() float64 {
 	onSpot, onDemand := l.arrayTasksByKind()
 	switch {
@@ -37,17 +39,17 @@
 	case onSpot == 0:
 		return 0
 	}
-	arrays, work := l.arraysByLoss()
-	share := work * float64(onDemand) / float64(onSpot+onDemand)
+	arrays, totalWorkS := l.arraysByLoss()
+	onDemandWorkS := totalWorkS * float64(onDemand) / float64(onSpot+onDemand)
 	for _, j := range arrays {
-		if share -= workS(j); share <= 0 {
+		if onDemandWorkS -= remainingWorkS(j); onDemandWorkS <= 0 {
 			return lostWorkS(j)
 		}
 	}
 	return math.Inf(1)
 }
 
-// arrayTasksByKind counts the tasks that may run on both kinds of machine, by the kind on which they are.
+// arrayTasksByKind counts the tasks that may run on both kinds of machine, by the kind on which they run.
 func (l *Loop) arrayTasksByKind() (onSpot, onDemand int) {
 	for _, m := range l.machines.Machines {
 		for _, a := range m.Allocations {
@@ -63,29 +65,29 @@
 	return onSpot, onDemand
 }
 
-// arraysByLoss are the live arrays that may run on both kinds of machine, those first whose tasks would lose most, with the
-// work of all of them.
-func (l *Loop) arraysByLoss() (arrays []*jobs.Job, work float64) {
+// arraysByLoss returns the live arrays that may run on both kinds of machine, those first whose tasks would lose the
+// most, and the remaining work of all of them in CPU seconds.
+func (l *Loop) arraysByLoss() (arrays []*jobs.Job, totalWorkS float64) {
 	for _, j := range l.jobs.Jobs {
 		if usesBothKinds(&j.Job) && j.CanStart() {
 			arrays = append(arrays, j)
-			work += workS(j)
+			totalWorkS += remainingWorkS(j)
 		}
 	}
 	slices.SortFunc(arrays, func(a, b *jobs.Job) int {
 		return cmp.Or(cmp.Compare(lostWorkS(b), lostWorkS(a)), cmp.Compare(a.ID, b.ID))
 	})
-	return arrays, work
+	return arrays, totalWorkS
 }
 
-// workS is the work of an array that is not done, in seconds of a CPU.
-func workS(j *jobs.Job) float64 {
+// remainingWorkS returns the remaining work of an array, in CPU seconds.
+func remainingWorkS(j *jobs.Job) float64 {
 	s, _ := j.ExpectedRunS()
 	return float64(j.Allocated+j.Waiting()) * j.CPUs * s
 }
 
-// preferKinds says which of the jobs are tried on which kind of machine first.
-func (l *Loop) preferKinds(pending []*placement.PendingJob) {
+// setKindPreferences sets, for each of the jobs that may run on both kinds of machine, the kind that is tried first.
+func (l *Loop) setKindPreferences(pending []*placement.PendingJob) {
 	if math.IsInf(l.fleet.spotLossLimitS, 1) {
 		return
 	}
--- a/internal/scheduler/leader/kind_preference_test.go
+++ b/internal/scheduler/leader/kind_preference_test.go
@@ -31,7 +31,7 @@
 	if l.fleet.spotLossLimitS = l.lossLimitOnSpot(); !math.IsInf(l.fleet.spotLossLimitS, 1) {
 		t.Errorf("nothing runs on on-demand machines, and the limit is %v", l.fleet.spotLossLimitS)
 	}
-	if l.preferKinds([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
+	if l.setKindPreferences([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
 		t.Error("kinds are preferred where spot machines suffice")
 	}
 	j := l.jobs.Jobs["job-1"]
@@ -40,14 +40,14 @@
 	}
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
 	items := []*placement.PendingJob{short, long, saves}
-	l.preferKinds(items)
+	l.setKindPreferences(items)
 	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
 		t.Errorf("preferences %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLossLimitS)
 	}
 	// Two long jobs have more than the share of on-demand machines: the longest is tried there.
 	longest := array("job-4", 160, 0)
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
-	if l.preferKinds([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
+	if l.setKindPreferences([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
 		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLossLimitS)
 	}
 }
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -10,12 +10,13 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// pendingJobs are the jobs with tasks that may be placed now.
+// pendingJobs returns the jobs with tasks that may be placed now, as placement sees them and, by ID, as the job store
+// holds them.
 func (l *Loop) pendingJobs(now time.Time) (pending []*placement.PendingJob, byID map[string]*jobs.Job) {
 	var waiting []*jobs.Job
 	probation := map[*jobs.Job]bool{}
 	for _, j := range l.jobs.Jobs {
-		if l.onProbation(j, now) { // asked of all jobs, since it may end a probation
+		if l.onProbation(j, now) { // called for every job, because the call may end a probation
 			probation[j] = true
 		}
 		if j.CanStart() && j.Waiting() > 0 && !now.Before(j.BackoffUntil) {
@@ -23,17 +24,17 @@
 		}
 	}
 	pending = make([]*placement.PendingJob, 0, len(waiting))
-	room := make([]placement.PendingJob, 0, len(waiting)) // one memory allocation for all of them
+	views := make([]placement.PendingJob, 0, len(waiting)) // one memory allocation for all pending jobs
 	byID = make(map[string]*jobs.Job, len(waiting))
 	for i, n := range l.subsystems.startLimits(waiting, now) {
 		j := waiting[i]
 		if n <= 0 || probation[j] && j.Allocated > 0 {
 			continue
 		}
-		room = append(room, l.pendingJob(j, n, now))
-		p := &room[len(room)-1]
+		views = append(views, l.pendingJob(j, n, now))
+		p := &views[len(views)-1]
 		if probation[j] {
-			tryOneTask(p, now)
+			limitToOneTask(p, now)
 		}
 		byID[j.ID] = j
 		pending = append(pending, p)
@@ -41,7 +42,7 @@
 	return pending, byID
 }
 
-// pendingJob is a job as placement sees it, with so many tasks that may start.
+// pendingJob returns a job as placement sees it. waiting is the number of its tasks that may start.
 func (l *Loop) pendingJob(j *jobs.Job, waiting int, now time.Time) placement.PendingJob {
 	_, latencySensitive := l.forecastShare(j.Class)
 	p := placement.PendingJob{
@@ -49,8 +50,8 @@
 		Zones: zoneCounts(j), LatencySensitive: latencySensitive,
 	}
 	p.ExpectedRunS, _ = j.ExpectedRunS()
-	// An array whose last tasks were lost does not queue up anew: of a team beyond its guarantee they
-	// waited 120 s until they aged, and their jobs, nearly done, were late.
+	// An array whose last tasks were lost does not go to the end of the queue. When it did, such tasks of a team
+	// beyond its guarantee waited 120 s until aging raised their priority, and their nearly finished jobs were late.
 	if j.Kind == wire.KindArray {
 		p.EnqueuedAt = j.EnqueuedAt
 	}
@@ -60,20 +61,22 @@
 	return p
 }
 
-// avoidsMachines reports whether a job avoids the machines on which it failed. One that fails everywhere may go anywhere, and so may
-// one that has nothing and has waited beside such a machine for long.
+// avoidsMachines reports whether a job avoids the machines on which its tasks failed. A job that failed on
+// tuning.FaultyJobMachines machines avoids none. Nor does a job without any allocated task that has waited for
+// tuning.AvoidWait, possibly while such a machine had room.
 func avoidsMachines(j *jobs.Job, now time.Time) bool {
 	waitedLong := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidWait
 	failedOn := len(j.AvoidMachines)
 	return failedOn > 0 && failedOn < tuning.FaultyJobMachines && !waitedLong
 }
 
-// tryOneTask limits a job on probation to one task, which goes behind all others.
-func tryOneTask(p *placement.PendingJob, now time.Time) {
+// limitToOneTask limits a job on probation to one task, which is queued behind all others.
+func limitToOneTask(p *placement.PendingJob, now time.Time) {
 	p.OnProbation, p.Waiting, p.WaitingSince, p.EnqueuedAt = true, 1, now, now
 }
 
-// zoneCounts is a copy of how many tasks of a job may be in each zone; nil for a job to which that does not matter.
+// zoneCounts returns a copy of the number of a job's tasks that may be running in each zone. It is nil for a job whose
+// placement does not depend on zones.
 func zoneCounts(j *jobs.Job) map[string]int {
 	if !j.Spread && !j.OneZone {
 		return nil
@@ -81,7 +84,7 @@
 	return cloneCounts(j.AllocationsByZone())
 }
 
-// cloneCounts copies a map; the copy can be written to also if the map is nil.
+// cloneCounts copies a map. The copy is never nil, so it can be written to even if m is nil.
 func cloneCounts(m map[string]int) map[string]int {
 	out := make(map[string]int, len(m))
 	maps.Copy(out, m)
--- a/internal/scheduler/leader/preempt.go
+++ b/internal/scheduler/leader/preempt.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// preempt stops tasks for jobs within a guarantee that found no room and have
-// used up half of the wait that their objective allows.
+// preempt stops tasks to make room for jobs within their team's guarantee that found none and have used up half of
+// the wait that their objective allows.
 func (l *Loop) preempt(now time.Time, pending []*placement.PendingJob, open []*placement.Machine, teams map[string]*placement.Team, byID map[string]*jobs.Job) {
 	preemptors := l.duePreemptors(pending, byID, now)
 	if len(preemptors) == 0 || l.heartbeatsMayBeMissing(now) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// duePreemptors are the pending jobs for which tasks may be stopped now.
+// duePreemptors returns the pending jobs for which tasks may be preempted now.
 func (l *Loop) duePreemptors(pending []*placement.PendingJob, byID map[string]*jobs.Job, now time.Time) []*placement.PendingJob {
 	var due []*placement.PendingJob
 	for _, p := range pending {
@@ -49,7 +49,8 @@
 	return due
 }
 
-// heartbeatsMayBeMissing reports whether a failover was so recent that much waits only because machines have not sent their heartbeats.
+// heartbeatsMayBeMissing reports whether a failover was so recent that many jobs may wait only because machines have
+// not yet sent the new leader a heartbeat.
 func (l *Loop) heartbeatsMayBeMissing(now time.Time) bool {
 	return l.leadership.Term > 1 && now.Sub(l.startedAt) < tuning.PreemptAfterFailover
 }
@@ -67,9 +68,8 @@
 	l.sendCommands(stopped)
 }
 
-// victims are the tasks on a machine that can be stopped now. A task that was
-// lost or stopped before is spared: in a full cluster the same ones would be
-// stopped over and over, and nothing would ever be done.
+// victims returns the tasks on a machine that may be preempted now. A task that was lost or stopped before is
+// excluded: otherwise, in a full cluster, the same tasks would be stopped over and over and never finish.
 func victims(m *machines.Machine, now time.Time) []placement.Victim {
 	var out []placement.Victim
 	for _, a := range m.Allocations {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// preemptionCostS is what stopping a task costs, in seconds: the work that is lost, and more for a high priority or a task
-// that has just begun.
+// preemptionCostS returns the cost of preempting a task, in seconds: the work that would be lost, and more for a high
+// priority or for a task that has only just started.
 func preemptionCostS(a *jobs.Allocation, now time.Time) float64 {
 	cost := tuning.PreemptPriorityCost * float64(a.Job.Priority.Level())
 	if a.State != wire.TaskRunning {
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -13,34 +13,36 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// deletions is the machines that are given back to the cloud. One request is in flight at a time: what comes meanwhile waits for
-// the next, so that deletions take little of the cloud's rate.
+// deletions holds the machines that are returned to the cloud. One request is in flight at a time, and machines added
+// meanwhile wait for the next one, so that deletions use little of the cloud's rate limit.
 type deletions struct {
 	inFlight bool
-	queue    []string // the machines of the requests after it
+	queue    []string // names of the machines for the following requests
 }
 
 // add adds machines to the queue.
 func (d *deletions) add(names []string) { d.queue = append(d.queue, names...) }
 
-// take takes the machines of the next request off the queue; none while one is in flight.
-func (d *deletions) take() []string {
+// nextBatch removes the machines of the next request from the queue and marks that request as in flight. It returns nil
+// while another request is in flight.
+func (d *deletions) nextBatch() []string {
 	if d.inFlight || len(d.queue) == 0 {
 		return nil
 	}
 	n := min(len(d.queue), wire.MaxDelete)
-	next := d.queue[:n]
+	batch := d.queue[:n]
 	d.queue = slices.Clone(d.queue[n:])
 	d.inFlight = true
-	return next
+	return batch
 }
 
-// scaleIn gives back what is idle, never came up, or fell silent.
+// scaleIn returns machines to the cloud that are idle, surplus or unhealthy, that never sent a heartbeat, or that have
+// become silent or unreachable.
 func (l *Loop) scaleIn(now time.Time) {
 	if l.deletions.inFlight {
 		return
 	}
-	rule := returnRule{l: l, now: now, silentFor: l.silenceUntilReturn()}
+	rule := returnRule{l: l, now: now, silenceLimit: l.silenceUntilReturn()}
 	var names []string
 	for _, m := range l.machines.Machines {
 		if m.Returning || len(m.Allocations) > 0 || len(names) >= wire.MaxDelete {
@@ -49,33 +51,33 @@
 		if reason := rule.reason(m); reason != "" {
 			m.Returning = true
 			names = append(names, m.Name)
-			l.log.Info("returning machine", "machine", m.Name, "reason", reason)
+			l.log.Info("returning machine without tasks to the cloud", "machine", m.Name, "reason", reason)
 		}
 	}
 	l.deleteMachines(names)
 }
 
-// returnRule decides which of the machines without tasks are returned at a time.
+// returnRule decides which machines without tasks are returned at time now.
 type returnRule struct {
-	l         *Loop
-	now       time.Time
-	silentFor time.Duration   // after which a machine counts as dead
-	needed    map[string]bool // idle machines that are kept; worked out for the first that could go
+	l            *Loop
+	now          time.Time
+	silenceLimit time.Duration   // how long a machine is silent before it counts as dead
+	needed       map[string]bool // names of idle machines that expected jobs would use; computed on first use
 }
 
-// reason is why a machine is returned; empty: it is kept.
+// reason returns why a machine is returned to the cloud; empty: it stays rented.
 func (r *returnRule) reason(m *machines.Machine) string {
 	switch {
 	case m.LastHeartbeat.IsZero() && m.ListedRunning:
 		lease := workerlease.WithDrift(r.l.env.workerLease())
-		return reasonIf("silent", r.now.Sub(m.AddedAt) > lease+r.silentFor)
+		return reasonIf("silent", r.now.Sub(m.AddedAt) > lease+r.silenceLimit)
 	case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
 		overdue := r.now.Sub(m.RentedAt) > r.l.bootTime(m.Type, tuning.BootGiveUp)
 		return reasonIf("never came up", overdue && r.now.Sub(m.AddedAt) > tuning.AdoptWait)
 	case !m.Alive():
-		return reasonIf("silent", r.now.Sub(m.LeaseExpiry) > r.silentFor)
+		return reasonIf("silent", r.now.Sub(m.LeaseExpiry) > r.silenceLimit)
 	case m.Reachability.Unreachable():
-		return reasonIf("unreachable", r.now.Sub(m.Reachability.UnreachableSince()) > r.silentFor)
+		return reasonIf("unreachable", r.now.Sub(m.Reachability.UnreachableSince()) > r.silenceLimit)
 	case m.HasOrphans():
 		return ""
 	case m.Unhealthy:
@@ -86,7 +88,7 @@
 	return reasonIf("idle", r.idleTooLong(m))
 }
 
-// reasonIf is a reason if it holds, or none.
+// reasonIf returns reason if holds is true, and an empty string otherwise.
 func reasonIf(reason string, holds bool) string {
 	if holds {
 		return reason
@@ -94,7 +96,7 @@
 	return ""
 }
 
-// idleTooLong reports whether a machine has been idle for long, and no expected job would use it.
+// idleTooLong reports whether a machine has been idle for longer than Tunables.IdleKeep and no expected job would use it.
 func (r *returnRule) idleTooLong(m *machines.Machine) bool {
 	if r.now.Sub(m.IdleSince) <= r.l.env.Tunables.IdleKeep {
 		return false
@@ -105,11 +107,11 @@
 	return !r.needed[m.Name]
 }
 
-// silenceUntilReturn is how long machines may be silent after their leases before
-// they are returned. Many silent together are partitioned, not dead, and are of
-// use again once the partition ends; the dead among them the cloud lists as failed.
-// After a failover in a partition 74 machines of the other zone, listed as running,
-// were returned as never having come up.
+// silenceUntilReturn returns how long machines may be silent after their lease expiry before they are returned. If many
+// are silent together, they are partitioned rather than dead, and become usable again when the partition ends; the
+// cloud lists the dead ones among them as failed. Machines that have sent no heartbeat but are listed as running count
+// as silent too: after a failover during a partition, 74 such machines of the other zone were returned as never having
+// come up.
 func (l *Loop) silenceUntilReturn() time.Duration {
 	silent := 0
 	for _, m := range l.machines.Machines {
@@ -123,8 +125,8 @@
 	return tuning.SilentReturnAfter
 }
 
-// idleMachinesNeeded are the idle machines that the expected jobs would use, when they take
-// the machines in use and the cheap ones first.
+// idleMachinesNeeded returns the names of the idle machines that the expected jobs would use, if they first fill the
+// machines in use and then prefer spot and cheap ones.
 func (l *Loop) idleMachinesNeeded(now time.Time) map[string]bool {
 	pending := l.expectedJobs(now)
 	candidates := l.inOrderOfUse(l.machinesWithRoomFor(now, pending))
@@ -147,10 +149,11 @@
 // useCandidate is a machine that expected jobs may use.
 type useCandidate struct {
 	*placement.Machine
-	inUse bool
+	inUse bool // it has tasks
 }
 
-// inOrderOfUse puts machines in the order in which expected jobs take them: those in use first, then spot ones, then cheap ones.
+// inOrderOfUse returns machines in the order in which expected jobs use them: those with tasks first, then spot
+// machines, then cheap ones.
 func (l *Loop) inOrderOfUse(open []*placement.Machine) []useCandidate {
 	out := make([]useCandidate, len(open))
 	for i, v := range open {
@@ -173,19 +176,20 @@
 	return 1
 }
 
-// deleteMachines has machines deleted, with the next request.
+// deleteMachines queues machines for deletion, and sends the next request if none is in flight.
 func (l *Loop) deleteMachines(names []string) {
 	l.deletions.add(names)
-	if next := l.deletions.take(); len(next) > 0 {
-		go l.deleteUntilAnswered(next)
+	if batch := l.deletions.nextBatch(); len(batch) > 0 {
+		go l.deleteUntilAnswered(batch)
 	}
 }
 
-// deleteUntilAnswered deletes machines, again until that has succeeded: it may be repeated.
+// deleteUntilAnswered asks the cloud to delete machines, and retries until the request succeeds. Deletions may safely be
+// repeated.
 func (l *Loop) deleteUntilAnswered(names []string) {
 	for l.awaitRightToAct() {
 		if err := l.env.Cloud.Delete(l.ended, names); err != nil {
-			l.log.Debug("deletion repeated", "err", err)
+			l.log.Debug("machine deletion failed; retrying", "err", err)
 			l.env.sleep(l.ended, tuning.CloudRetry)
 			continue
 		}
@@ -198,7 +202,7 @@
 	}
 }
 
-// machinesLost ends all that was on machines that are gone.
+// machinesLost ends all attempts that were on machines that no longer exist.
 func (l *Loop) machinesLost(names []string) {
 	now := l.env.Clock.Now()
 	for _, name := range names {
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -14,25 +14,25 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// rentals is the requests for machines. Only a few are in flight at a time, under the cloud's
-// rate: what is left is planned anew when one of them is answered. Hundreds of
-// small requests once waited for that rate, counted as machines that boot, and
-// were older than the need when their turn came.
+// rentals holds the requests to rent machines. Only a few are in flight at a time, to stay within the cloud's rate
+// limit; what else is needed is planned anew when one of them is answered. Without this bound, hundreds of small
+// requests once queued behind the rate limit. Their machines counted as booting, and when the requests were finally
+// sent, they no longer matched the need.
 type rentals struct {
-	pending  map[string]autoscale.Purchase    // in flight, by request name
-	refused  map[autoscale.Offering]time.Time // not asked for before
-	requests int                              // request names used in this term
+	pending      map[string]autoscale.Rental      // requests in flight, by request name
+	refusedUntil map[autoscale.Offering]time.Time // until when an offering is not requested again for lack of capacity
+	requestCount int                              // number of requests made in this term, which is part of their names
 }
 
 func newRentals() rentals {
-	return rentals{pending: map[string]autoscale.Purchase{}, refused: map[autoscale.Offering]time.Time{}}
+	return rentals{pending: map[string]autoscale.Rental{}, refusedUntil: map[autoscale.Offering]time.Time{}}
 }
 
-// full reports whether no more requests may be sent now.
+// full reports whether as many requests are in flight as are allowed.
 func (r *rentals) full() bool { return len(r.pending) >= tuning.RentalsInFlight }
 
-// offerings are those that are being asked for.
-func (r *rentals) offerings() map[autoscale.Offering]bool {
+// offeringsInFlight returns the offerings of the requests in flight.
+func (r *rentals) offeringsInFlight() map[autoscale.Offering]bool {
 	out := map[autoscale.Offering]bool{}
 	for _, p := range r.pending {
 		out[p.Offering] = true
@@ -40,19 +40,19 @@
 	return out
 }
 
-// scaleOut asks for the machines that are wanted beyond those there, booting and
-// asked for: first for jobs that wait, then for those that are expected.
+// scaleOut requests the machines that are needed in addition to those that exist, boot or have been requested: first for
+// jobs that wait, then for jobs that are expected.
 func (l *Loop) scaleOut(now time.Time) {
 	if l.rentals.full() {
 		return
 	}
 	in := l.scaleOutInput(now)
-	// One request for an offering at a time: if it is refused, so would be the next.
-	asked := l.rentals.offerings()
-	in.InFlight, in.MaxPerRequest = func(o autoscale.Offering) bool { return asked[o] }, wire.MaxRent
+	// There is one request for an offering at a time: if it is refused, the next one would be too.
+	inFlight := l.rentals.offeringsInFlight()
+	in.InFlight, in.MaxPerRequest = func(o autoscale.Offering) bool { return inFlight[o] }, wire.MaxRent
 	for _, p := range autoscale.Plan(&in) {
 		l.requestMachines(p)
-		asked[p.Offering] = true
+		inFlight[p.Offering] = true
 	}
 	if l.rentals.full() {
 		return
@@ -60,12 +60,12 @@
 	l.scaleOutForExpected(&in, now)
 }
 
-// scaleOutInput is what the jobs that wait are planned by.
+// scaleOutInput returns the input of the plan for the jobs that wait.
 func (l *Loop) scaleOutInput(now time.Time) autoscale.Input {
 	partitioned := l.partitionedZones(now)
 	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.Types(),
-		Unavailable: func(o autoscale.Offering) bool { return partitioned[o.Zone] || now.Before(l.rentals.refused[o]) },
+		Unavailable: func(o autoscale.Offering) bool { return partitioned[o.Zone] || now.Before(l.rentals.refusedUntil[o]) },
 		MaxNew:      l.maxMachines() - len(l.machines.Machines), Existing: map[autoscale.Offering]int{},
 		Booting: l.bootingMachines(partitioned, now),
 	}
@@ -85,7 +85,7 @@
 	return in
 }
 
-// scaleOutForExpected asks for room for the jobs that are expected, with what is free here and what boots.
+// scaleOutForExpected requests machines for the expected jobs that fit neither on machines with room nor on booting ones.
 func (l *Loop) scaleOutForExpected(in *autoscale.Input, now time.Time) {
 	in.Pending = l.expectedJobs(now)
 	in.Booting = append(in.Booting, l.machinesWithRoomFor(now, in.Pending)...)
@@ -96,7 +96,8 @@
 	}
 }
 
-// countByOffering adds the machines of each offering. There are few offerings, and thousands of machines.
+// countByOffering adds the number of machines of each offering to counts. It sums them up in a slice first, which is
+// short: there are few offerings, but thousands of machines.
 func (l *Loop) countByOffering(counts map[autoscale.Offering]int) {
 	type count struct {
 		autoscale.Offering
@@ -116,12 +117,12 @@
 	}
 }
 
-// bootingMachines are those that boot in good time and those asked for, but for partitioned zones:
-// nobody hears when they are up.
+// bootingMachines returns the machines that boot and are not overdue, and the machines of the rent requests in flight.
+// Machines that boot in partitioned zones are excluded, because their first heartbeat cannot arrive.
 func (l *Loop) bootingMachines(partitioned map[string]bool, now time.Time) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
-		if !l.boots(m, now) || partitioned[m.Zone] {
+		if !l.isBooting(m, now) || partitioned[m.Zone] {
 			continue
 		}
 		if v, ok := l.machineView(m); ok {
@@ -139,32 +140,32 @@
 	return out
 }
 
-// boots reports whether a machine has not sent a heartbeat yet, nor had a task, and is not overdue.
-func (l *Loop) boots(m *machines.Machine, now time.Time) bool {
+// isBooting reports whether a machine has neither sent a heartbeat nor had a task yet, is not being returned and is not
+// overdue.
+func (l *Loop) isBooting(m *machines.Machine, now time.Time) bool {
 	return m.LastHeartbeat.IsZero() && m.Incarnation == 0 && !m.Returning && now.Sub(m.RentedAt) < l.bootTime(m.Type, tuning.BootFactor)
 }
 
-// requestMachines asks for machines, if not too many requests are in flight.
-func (l *Loop) requestMachines(p autoscale.Purchase) {
+// requestMachines sends a rent request, unless too many are in flight.
+func (l *Loop) requestMachines(p autoscale.Rental) {
 	if l.rentals.full() {
 		return
 	}
-	// The term is in the name: no other controller, nor this one in
-	// another term, ever uses it again.
-	l.rentals.requests++
-	name := fmt.Sprintf("pp-%d-%d", l.leadership.Term, l.rentals.requests)
+	// The name contains the term, so that neither another controller nor this one in another term ever uses it again.
+	l.rentals.requestCount++
+	name := fmt.Sprintf("pp-%d-%d", l.leadership.Term, l.rentals.requestCount)
 	l.rentals.pending[name] = p
 	go l.rentUntilAnswered(name, p)
 }
 
-// rentUntilAnswered asks for machines until it has a definite answer: a request without
-// one may have been executed, and the same name gives the same machines.
-func (l *Loop) rentUntilAnswered(name string, p autoscale.Purchase) {
+// rentUntilAnswered sends a rent request, and retries it until the cloud gives a definite answer. A request without an
+// answer may have been executed. A retry is safe, because the same request name yields the same machines.
+func (l *Loop) rentUntilAnswered(name string, p autoscale.Rental) {
 	req := wire.RentRequest{Request: name, Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
 	for l.awaitRightToAct() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-			l.log.Debug("rent request repeated", "request", name, "err", err)
+			l.log.Debug("rent request failed; retrying", "request", name, "err", err)
 			l.env.sleep(l.ended, tuning.CloudRetry)
 			continue
 		}
@@ -173,8 +174,8 @@
 	}
 }
 
-// machinesRented registers the machines that a request got.
-func (l *Loop) machinesRented(name string, p autoscale.Purchase, names []string) {
+// machinesRented registers the machines that a rent request yielded, and has the fleet planned again.
+func (l *Loop) machinesRented(name string, p autoscale.Rental, names []string) {
 	now := l.env.Clock.Now()
 	delete(l.rentals.pending, name)
 	for _, m := range names {
@@ -184,9 +185,9 @@
 		}
 	}
 	if len(names) < p.Count {
-		l.rentals.refused[p.Offering] = now.Add(tuning.NoCapacityBackoff)
+		l.rentals.refusedUntil[p.Offering] = now.Add(tuning.NoCapacityBackoff)
 	}
-	l.cycle.wake()        // one may have sent a heartbeat already
-	l.fleet.planSoon(now) // for what is still wanted, of another offering if this one was refused
-	l.log.Info("machines rented", "type", p.Type, "zone", p.Zone, "spot", p.Spot, "asked", p.Count, "got", len(names))
+	l.cycle.wake()        // one of them may have sent a heartbeat already
+	l.fleet.planSoon(now) // for what is still needed, from another offering if this one was refused
+	l.log.Info("rent request answered", "type", p.Type, "zone", p.Zone, "spot", p.Spot, "asked", p.Count, "got", len(names))
 }
--- a/internal/scheduler/leader/schedule.go
+++ b/internal/scheduler/leader/schedule.go
@@ -8,7 +8,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// schedule is a scheduling cycle: it places pending tasks on machines with room, and stops tasks for those that must not wait.
+// schedule runs a scheduling cycle: it places pending tasks on machines with room, and preempts tasks for jobs that
+// must not wait any longer.
 func (l *Loop) schedule(now time.Time) {
 	l.cycle.changed = false
 	pending, byID := l.pendingJobs(now)
@@ -16,35 +17,36 @@
 		l.cycle.nothingPending(now)
 		return
 	}
-	wanted := append(slices.Clone(pending), l.placeholders(now)...)
+	candidates := append(slices.Clone(pending), l.placeholders(now)...)
 	teams := l.teams()
-	open := l.machinesWithRoomFor(now, wanted)
-	l.preferKinds(pending)
-	placed := l.cycle.reservations.Schedule(now, wanted, open, teams)
+	open := l.machinesWithRoomFor(now, candidates)
+	l.setKindPreferences(pending)
+	placed := l.cycle.reservations.Schedule(now, candidates, open, teams)
 	l.allocate(placed, byID, now)
 	l.preempt(now, pending, open, teams, byID)
 	l.cycle.finish(now, len(placed) > 0)
 }
 
-// allocate carries out placements, as far as the subsystems admit them.
+// allocate carries out placement decisions, as far as the subsystems admit the tasks.
 func (l *Loop) allocate(placed []placement.Placement, byID map[string]*jobs.Job, now time.Time) {
-	next := map[string]int{} // by job: the task from which the next waiting one is looked for
+	nextIndex := map[string]int{} // by job ID: the index from which the next waiting task is searched
 	for _, p := range placed {
 		j := byID[p.Pending.Job.ID]
-		i := j.NextWaiting(next[j.ID])
+		i := j.NextWaiting(nextIndex[j.ID])
 		if i < 0 {
 			continue
 		}
-		// Jobs share what a subsystem admits: each allocation takes of it.
+		// Jobs share the limits of a subsystem, and each allocation uses up a part of them, so they are checked
+		// before every allocation.
 		if n, _ := l.subsystems.admit(j, now); n <= 0 {
 			continue
 		}
-		next[j.ID] = i + 1
+		nextIndex[j.ID] = i + 1
 		l.allocateTask(j, i, p.Machine.Name, now)
 	}
 }
 
-// allocateTask allocates a task of a job to a machine. It is started once that is stored.
+// allocateTask allocates a task of a job to a machine. The task is started once the allocation is committed.
 func (l *Loop) allocateTask(j *jobs.Job, index int, machine string, now time.Time) {
 	m := l.machines.Machines[machine]
 	a := l.jobs.Allocate(j, index, m.Name, m.Zone, m.Incarnation, now)
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -8,21 +8,21 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// serviceLevels tells operators who is served: jobs that arrived and jobs that began, by class, team and size. A job is large when
-// it is among the largest tenth of its class's last ones, by the CPUs of all its tasks.
+// serviceLevels tracks which jobs arrived and which began to run, for metrics by class, team and size. A job is large if
+// it is among the largest tenth of the last jobs of its class, by the CPUs of all its tasks.
 type serviceLevels struct {
-	sizes map[string][]float64 // of the last jobs of a class, in the order in which they arrived
-	live  map[string]*liveJob  // by ID
+	sizes map[string][]float64 // by class: the sizes of its last jobs in CPUs, in order of arrival
+	live  map[string]*liveJob  // by job ID
 }
 
-// liveJob is a job that is not over.
+// liveJob is a job that has not finished.
 type liveJob struct{ large, begun bool }
 
 func newServiceLevels() serviceLevels {
 	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*liveJob{}}
 }
 
-// sizeName is what metrics call the job's size.
+// sizeName returns the job's size as a label of metrics.
 func (j *liveJob) sizeName() string {
 	if j.large {
 		return "largest"
@@ -30,7 +30,7 @@
 	return "other"
 }
 
-// jobArrived adds a job.
+// jobArrived adds a job and its size.
 func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
@@ -43,7 +43,8 @@
 	return live
 }
 
-// isLargest reports whether a size is among the largest tenth of some.
+// isLargest reports whether size is among the largest tenth of sizes. No size is while there are too few of them, or
+// none that is smaller.
 func isLargest(size float64, sizes []float64) bool {
 	smaller, larger := 0, 0
 	for _, s := range sizes {
@@ -58,7 +59,7 @@
 		float64(len(sizes)-larger) > math.Ceil(float64(len(sizes))*tuning.LargestShare)
 }
 
-// jobBegan tells that a task of a job runs; first is nil unless it is the job's first.
+// jobBegan records that a task of a job runs. It returns the job if that is its first task to run, and nil otherwise.
 func (s *serviceLevels) jobBegan(j *jobs.Job) (first *liveJob) {
 	if live := s.live[j.ID]; live != nil && !live.begun {
 		live.begun = true
@@ -67,10 +68,10 @@
 	return nil
 }
 
-// jobFinished removes a job.
+// jobFinished removes a job that has finished.
 func (s *serviceLevels) jobFinished(id string) { delete(s.live, id) }
 
-// oldestWaits gives for each class for how long its oldest job waits to begin, in seconds.
+// oldestWaits returns, for each class, how long the oldest job that has not begun has waited, in seconds.
 func (l *Loop) oldestWaits(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for _, j := range l.jobs.Jobs {
@@ -81,7 +82,7 @@
 	return out
 }
 
-// reportStateSize tells an observer how much the loop has in memory, and what waits.
+// reportStateSize reports to an observer how many jobs and machines the loop holds in memory, and what waits.
 func (l *Loop) reportStateSize(o Observer) {
 	waiting := map[string]int{}
 	for _, j := range l.jobs.Jobs {
--- a/internal/scheduler/leader/team_usage.go
+++ b/internal/scheduler/leader/team_usage.go
@@ -8,10 +8,11 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// teams gives each team's quota, guarantee and fair share, and counts what its tasks use, wherever they may be.
+// teams returns each team's quota, guarantee and fair share, and the resources that its tasks use. All tasks count that
+// may be running somewhere.
 func (l *Loop) teams() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.env.Teams))
-	fairShareCPUs := 0.0 // counted for the first team without a quota
+	fairShareCPUs := 0.0 // computed for the first team without a quota
 	for name, t := range l.env.Teams {
 		teams[name] = &placement.Team{QuotaCPUs: t.CPUsMax, QuotaGPUs: t.GPUsMax, GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs}
 		if !math.IsInf(t.CPUsMax, 1) {
@@ -38,7 +39,7 @@
 	return teams
 }
 
-// fleetCPUs is what all machines have together.
+// fleetCPUs returns the number of CPUs of all machines together.
 func (l *Loop) fleetCPUs() float64 {
 	cpus := map[string]float64{}
 	for _, t := range l.env.Types() {
