--- a/internal/scheduler/autoscale/plan.go
+++ b/internal/scheduler/autoscale/plan.go
@@ -74,8 +74,8 @@
 
 // mustWait reports whether one more machine of an offering, of which some are planned already, has to wait for the next
 // plan.
-func (in *Input) mustWait(o Offering, ordered int) bool {
-	return in.InFlight != nil && in.InFlight(o) || in.MaxPerRequest > 0 && ordered >= in.MaxPerRequest
+func (in *Input) mustWait(o Offering, planned int) bool {
+	return in.InFlight != nil && in.InFlight(o) || in.MaxPerRequest > 0 && planned >= in.MaxPerRequest
 }
 
 // rentalPlan holds the machines that a plan rents, with their offerings in the order in which they were first needed.
--- a/internal/scheduler/autoscale/plan_test.go
+++ b/internal/scheduler/autoscale/plan_test.go
@@ -32,7 +32,7 @@
 func TestPlan(t *testing.T) {
 	small := func(zone string, spot bool, n int) Rental { return Rental{Offering{"small", zone, spot}, n} }
 	unavailable := func(in Input, o Offering) Input {
-		in.Unavailable = func(x Offering) bool { return x == o }
+		in.Unavailable = func(other Offering) bool { return other == o }
 		return in
 	}
 	booting := input(pendingJob(1, 4, true, false))
@@ -54,19 +54,19 @@
 		want []Rental
 	}{
 		{"an on-demand machine when spot is unavailable", noSpot(false), []Rental{small("a", false, 1)}},
-		{"but not for a job that awaits spot", noSpot(true), []Rental{}},
-		{"the cheapest kind", input(pendingJob(1, 4, true, false)), []Rental{small("a", true, 1)}},
+		{"no on-demand machine for a job that awaits spot", noSpot(true), []Rental{}},
+		{"the cheapest offering", input(pendingJob(1, 4, true, false)), []Rental{small("a", true, 1)}},
 		{"no spot for a job that does not allow it", input(pendingJob(1, 4, false, false)), []Rental{small("a", false, 1)}},
-		{"a large task takes the type that fits", input(pendingJob(1, 32, true, false)), []Rental{{Offering{"big", "a", true}, 1}}},
-		{"another zone when unavailable", unavailable(input(pendingJob(1, 4, true, false)), Offering{"small", "a", true}), []Rental{small("b", true, 1)}},
-		{"spread over the zones", input(pendingJob(2, 4, false, true)), []Rental{small("a", false, 1), small("b", false, 1)}},
-		{"booting machines are counted", booting, []Rental{}},
-		{"never more than may be rented", full, []Rental{}},
-		{"never more than the team's quota allows", limited, []Rental{small("a", true, 1), small("b", true, 1)}},
+		{"a type that is large enough for the task", input(pendingJob(1, 32, true, false)), []Rental{{Offering{"big", "a", true}, 1}}},
+		{"another zone when the cheapest offering is unavailable", unavailable(input(pendingJob(1, 4, true, false)), Offering{"small", "a", true}), []Rental{small("b", true, 1)}},
+		{"one zone each for tasks that are spread", input(pendingJob(2, 4, false, true)), []Rental{small("a", false, 1), small("b", false, 1)}},
+		{"nothing for a task that fits on a booting machine", booting, []Rental{}},
+		{"nothing when the limit on machines is reached", full, []Rental{}},
+		{"no more than the team's quota allows", limited, []Rental{small("a", true, 1), small("b", true, 1)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Plan(&c.in); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("rents %v, want %v", got, c.want)
+				t.Errorf("plan is %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 		{wire.Job{CPUs: 1, GPUs: 1}, false},
 	} {
 		if got := FitsSomeType(&c.job, in.Types); got != c.want {
-			t.Errorf("%+v: %v", c.job, got)
+			t.Errorf("job %+v fits: %v, want %v", c.job, got, c.want)
 		}
 	}
 }
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against an expensive machine that is rented for hours because of one
-// replica that settled there when the cheap ones were full.
+// Guards against an expensive machine that stays rented for hours because of one replica that was placed there when the
+// cheap machines were full.
 func TestExpensiveMachineIsDrained(t *testing.T) {
 	l, clock := newTestLoop(t)
 	l.addRunning(t, "job-1", "n-small", 1)
@@ -23,12 +23,12 @@
 		t.Fatal("the expensive machine is not drained")
 	}
 	if a.Stop != nil {
-		t.Error("a fresh replica is moved: its start would not count")
+		t.Error("a replica that has just started is moved, so its start would not count")
 	}
 	a.RunningSince = clock.Now().Add(-tuning.PreemptMinRun)
 	l.moves.next = clock.Now()
 	if l.consolidate(clock.Now()); a.Stop == nil {
-		t.Error("the replica is not moved")
+		t.Error("a replica that has run for long enough is not moved")
 	}
 }
 
@@ -37,12 +37,12 @@
 	l.addRunning(t, "job-1", "n-small", 3)
 	l.addRunning(t, "job-2", "n-large", 2)
 	if l.consolidate(clock.Now()); l.machines.Machines["n-large"].Draining {
-		t.Error("drained though its work fits nowhere else")
+		t.Error("a machine is drained although its tasks fit on no other machine")
 	}
 }
 
-// newFleetOfSmall makes small machines that have sent heartbeats, each with a settled replica
-// of a quarter of its size.
+// newFleetOfSmall returns a loop with n small machines that have sent heartbeats. On each runs a replica that uses a
+// quarter of its CPUs and has run for long enough to be moved.
 func newFleetOfSmall(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
 	l, clock := newTestLoop(t)
 	delete(l.machines.Machines, "n-large")
@@ -56,13 +56,13 @@
 	return l, clock
 }
 
-// Guards against a fleet that shrinks by one machine at a time: with hundreds
-// of machines half of the money was spent on room that nobody used.
+// Guards against a fleet that shrinks by only one machine at a time: with hundreds of machines, half of the cost was for
+// unused room.
 func TestLargeFleetDrainsManyMachinesAtATime(t *testing.T) {
 	l, clock := newFleetOfSmall(t, 160)
 	l.consolidate(clock.Now())
 	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateShare {
-		t.Errorf("%d machines are drained", got)
+		t.Errorf("%d machines are drained, want one in %d of 160", got, tuning.ConsolidateCandidateShare)
 	}
 	moving := 0
 	for _, m := range l.drainingMachines() {
@@ -72,15 +72,14 @@
 			}
 		}
 	}
-	// More at a time would be down together if the leader died.
+	// If more were moved at a time, more would be down together when the leader dies.
 	if moving != tuning.MovesInFlight {
-		t.Errorf("%d replicas are moved at a time", moving)
+		t.Errorf("%d replicas are moved at a time, want %d", moving, tuning.MovesInFlight)
 	}
 }
 
-// Guards against a fleet that never shrinks, because some job always waits
-// for its team's limit, and against machines that stay out of use though their
-// room is waited for.
+// Guards against a fleet that never shrinks because some job always waits for its team's quota, and against machines
+// that stay drained although jobs wait for their room.
 func TestOnlyJobsShortOfRoomStopDraining(t *testing.T) {
 	l, clock := newFleetOfSmall(t, 16)
 	waiting := wire.Job{ID: "job-900", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 3, MemoryGB: 1, Image: "img"}
@@ -88,12 +87,12 @@
 	l.addPending(t, waiting)
 	l.consolidate(clock.Now())
 	if len(l.drainingMachines()) == 0 {
-		t.Fatal("nothing is drained while a job waits for its team's limit")
+		t.Fatal("no machine is drained while a job waits for its team's quota")
 	}
 	l.env.Teams["t"] = config.Team{Name: "t", CPUsMax: 100}
 	l.moves.next = clock.Now()
 	l.consolidate(clock.Now())
 	if n := len(l.drainingMachines()); n != 0 {
-		t.Errorf("%d machines stay out of use while a job waits for their room", n)
+		t.Errorf("%d machines are still being drained while a job waits for their room", n)
 	}
 }
--- a/internal/scheduler/leader/cycle_test.go
+++ b/internal/scheduler/leader/cycle_test.go
@@ -8,39 +8,39 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against pauses between scheduling cycles that grow for ever: what only time makes possible, such as the end of a job's pause after
-// failures, is found within the longest pause.
+// Guards against pauses between scheduling cycles that grow without bound. A task that becomes placeable only as time
+// passes, such as at the end of its job's backoff after failures, is placed within the longest pause.
 func TestSchedulingCyclesContinueWhileNothingFits(t *testing.T) {
 	l, clock := newTestLoop(t)
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1})
-	begun := clock.Now()
-	blocked := l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
-	for j.BackoffUntil = begun.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
+	start := clock.Now()
+	tooLarge := l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 99}) // fits nowhere
+	for j.BackoffUntil = start.Add(40 * time.Second); j.Allocated == 0; clock.Advance(250 * time.Millisecond) {
 		now := clock.Now()
-		for _, m := range l.machines.Machines { // it sends heartbeats all the while
+		for _, m := range l.machines.Machines { // all machines continue to send heartbeats
 			m.LastHeartbeat, m.LeaseExpiry = now, now.Add(10*time.Second)
 		}
 		if l.cycle.changed || !now.Before(l.cycle.next) {
 			l.schedule(now)
 		}
 		if waited := now.Sub(j.BackoffUntil); waited > tuning.CycleBackoffMax+time.Second {
-			t.Fatalf("waits for %v since it may be placed", waited)
+			t.Fatalf("the task is still not placed %v after the end of its job's backoff", waited)
 		}
 	}
-	if blocked.Allocated > 0 {
-		t.Error("a task is placed that fits nowhere")
+	if tooLarge.Allocated > 0 {
+		t.Error("a task that fits on no machine was placed")
 	}
 }
 
-// Guards against hundreds of heartbeats a second that have a scheduling cycle each: a cycle
-// is followed by a pause as many times as long.
+// Guards against a scheduling cycle for each of hundreds of heartbeats a second: a cycle is followed by a pause of
+// tuning.CycleRestFactor times its duration.
 func TestPauseAfterSchedulingCycle(t *testing.T) {
 	l, clock := newTestLoop(t)
-	begun := clock.Now()
+	start := clock.Now()
 	clock.Advance(3 * time.Millisecond)
-	for _, least := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.restAfter(begun, least).Sub(clock.Now()), max(least, tuning.CycleRestFactor*3*time.Millisecond); got != want {
-			t.Errorf("rests for %v, want %v", got, want)
+	for _, minPause := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
+		if got, want := l.restAfter(start, minPause).Sub(clock.Now()), max(minPause, tuning.CycleRestFactor*3*time.Millisecond); got != want {
+			t.Errorf("pause of %v after a cycle of 3 ms, want %v", got, want)
 		}
 	}
 }
--- a/internal/scheduler/leader/forecast_test.go
+++ b/internal/scheduler/leader/forecast_test.go
@@ -10,12 +10,12 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against room kept for jobs like those that waited for the service's
-// very first begin: 70 services at once had a third more machines rented.
+// Guards against a forecast that treats all jobs that waited for the scheduler's very first start as usual arrivals:
+// when 70 services arrived at once, a third more machines were rented for such jobs.
 func TestInitialBacklogIsSampledAsArrivals(t *testing.T) {
 	l, clock := newTestLoop(t)
 	l.startedAt = clock.Now()
-	take := func(id string) int {
+	loadJob := func(id string) int {
 		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1}})
 		if err != nil {
 			t.Fatal(err)
@@ -24,16 +24,16 @@
 		return len(l.arrivals.recent)
 	}
 	for i := range tuning.FirstStartRushShare {
-		if n := take(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
-			t.Errorf("%d arrivals after %d of the initial backlog", n, i+1)
+		if n := loadJob(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
+			t.Errorf("%d arrivals counted after %d jobs of the initial backlog", n, i+1)
 		}
 	}
 	clock.Advance(tuning.FirstStartRush)
-	if n := take("job-2"); n != 2 {
-		t.Errorf("%d arrivals after it", n)
+	if n := loadJob("job-2"); n != 2 {
+		t.Errorf("%d arrivals counted after one more job that was not in the backlog, want 2", n)
 	}
-	l.leadership.Term, l.startedAt = 2, clock.Now() // a failover has no backlog
-	if n := take("job-3"); n != 3 {
-		t.Errorf("%d arrivals after a failover", n)
+	l.leadership.Term, l.startedAt = 2, clock.Now() // after a failover no job counts as initial backlog
+	if n := loadJob("job-3"); n != 3 {
+		t.Errorf("%d arrivals counted after one more job after a failover, want 3", n)
 	}
 }
--- a/internal/scheduler/leader/kind_preference_test.go
+++ b/internal/scheduler/leader/kind_preference_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Guards against jobs that are late since one long task went with its spot machine, while short tasks, which would
-// have ended in time all the same, ran on on-demand ones.
+// Guards against jobs that are late because a long task was lost with its spot machine, while short tasks, whose jobs
+// would have ended in time even after a loss, ran on on-demand machines.
 func TestArraysThatWouldLoseMostPreferOnDemandMachines(t *testing.T) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
@@ -27,27 +27,27 @@
 		})
 		return &placement.PendingJob{Job: &j.Job, WaitingSince: now, Waiting: 10}
 	}
-	short, long, saves := array("job-1", 40, 0), array("job-2", 150, 0), array("job-3", 150, 10)
+	short, long, checkpointed := array("job-1", 40, 0), array("job-2", 150, 0), array("job-3", 150, 10)
 	if l.fleet.spotLossLimitS = l.lossLimitOnSpot(); !math.IsInf(l.fleet.spotLossLimitS, 1) {
-		t.Errorf("nothing runs on on-demand machines, and the limit is %v", l.fleet.spotLossLimitS)
+		t.Errorf("the limit is %v while no array runs on on-demand machines, want +Inf", l.fleet.spotLossLimitS)
 	}
 	if l.setKindPreferences([]*placement.PendingJob{short, long}); short.Preference != placement.AnyKind || long.Preference != placement.AnyKind {
-		t.Error("kinds are preferred where spot machines suffice")
+		t.Error("a kind of machine is preferred although spot machines suffice")
 	}
 	j := l.jobs.Jobs["job-1"]
 	for i := range 4 {
 		l.machines.AddAllocation(l.jobs.Allocate(j, i, fmt.Sprintf("n-%d", i), "a", 1, now), now)
 	}
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
-	items := []*placement.PendingJob{short, long, saves}
-	l.setKindPreferences(items)
-	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || saves.Preference != placement.PreferSpot {
-		t.Errorf("preferences %v, %v, %v with a limit of %v", short.Preference, long.Preference, saves.Preference, l.fleet.spotLossLimitS)
+	pending := []*placement.PendingJob{short, long, checkpointed}
+	l.setKindPreferences(pending)
+	if short.Preference != placement.PreferSpot || long.Preference != placement.PreferSpot && long.Preference != placement.PreferOnDemand || checkpointed.Preference != placement.PreferSpot {
+		t.Errorf("preferences %v, %v, %v with a limit of %v", short.Preference, long.Preference, checkpointed.Preference, l.fleet.spotLossLimitS)
 	}
-	// Two long jobs have more than the share of on-demand machines: the longest is tried there.
+	// Two long jobs have more than the on-demand share of the work, so only the longest prefers on-demand machines.
 	longest := array("job-4", 160, 0)
 	l.fleet.spotLossLimitS = l.lossLimitOnSpot()
 	if l.setKindPreferences([]*placement.PendingJob{longest, short}); longest.Preference != placement.PreferOnDemand || short.Preference != placement.PreferSpot {
-		t.Errorf("the longest %v, the short %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLossLimitS)
+		t.Errorf("the longest job has preference %v and the short one %v with a limit of %v", longest.Preference, short.Preference, l.fleet.spotLossLimitS)
 	}
 }
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -10,34 +10,34 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against tasks that are stopped over and over in a full cluster: on a
-// drawn day one task was stopped 19 times, and nothing of its job got done.
+// Guards against tasks that are preempted over and over in a full cluster: on a randomly generated day of a simulation,
+// one task was stopped 19 times, and its job made no progress.
 func TestTaskIsPreemptedAtMostOnce(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	job := &jobs.Job{Job: wire.Job{ID: "job-1", Priority: wire.PriorityLow, CheckpointS: 10}}
-	place := func(attempt uint64, state wire.TaskState) *jobs.Allocation {
+	newAllocation := func(attempt uint64, state wire.TaskState) *jobs.Allocation {
 		return &jobs.Allocation{Job: job, Attempt: attempt, Committed: true, State: state, RunningSince: now.Add(-time.Hour)}
 	}
-	uncommitted := place(1, wire.TaskRunning)
+	uncommitted := newAllocation(1, wire.TaskRunning)
 	uncommitted.Committed = false
-	stopped := place(1, wire.TaskRunning)
+	stopped := newAllocation(1, wire.TaskRunning)
 	stopped.Stop = &jobs.StopRequest{}
 	m := &machines.Machine{Allocations: map[machines.AttemptID]*jobs.Allocation{}}
-	want := place(1, wire.TaskRunning)
-	for i, a := range []*jobs.Allocation{want, place(2, wire.TaskRunning), place(1, wire.TaskSaving), uncommitted, stopped} {
+	want := newAllocation(1, wire.TaskRunning)
+	for i, a := range []*jobs.Allocation{want, newAllocation(2, wire.TaskRunning), newAllocation(1, wire.TaskSaving), uncommitted, stopped} {
 		m.Allocations[machines.AttemptID{Task: wire.TaskID{Job: "job-1", Index: i}, Attempt: a.Attempt}] = a
 	}
 	got := victims(m, now)
 	if len(got) != 1 || got[0].Ref != any(want) {
-		t.Fatalf("may stop %d allocations", len(got))
+		t.Fatalf("%d allocations may be preempted, want only the running first attempt", len(got))
 	}
 	if got[0].Cost != 10 {
-		t.Errorf("costs %v s; it saves every 10 s", got[0].Cost)
+		t.Errorf("preemption costs %v s, want 10 s: the task saves a checkpoint every 10 s", got[0].Cost)
 	}
-	// Guards against urgent work of a team that borrows being stopped for
-	// patient work within a guarantee, while there is other patient work.
+	// High priority makes preemption cost more. Otherwise urgent tasks of a team that borrows could be preempted for
+	// less urgent work within a guarantee, although less urgent tasks could be preempted instead.
 	job.Priority = wire.PriorityHigh
 	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PreemptPriorityCost {
-		t.Errorf("urgent work costs %v", urgent)
+		t.Errorf("victims with high priority are %v, want one with a cost of two steps of priority more", urgent)
 	}
 }
--- a/internal/scheduler/leader/scale_in_test.go
+++ b/internal/scheduler/leader/scale_in_test.go
@@ -10,24 +10,23 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against deletions that pile up: one is in flight at a time, and
-// what comes meanwhile shares the next.
+// Guards against deletion requests that pile up: one is in flight at a time, and machines added meanwhile share the next.
 func TestDeletionsAreBatched(t *testing.T) {
 	l, _ := newTestLoop(t)
 	l.deleteMachines([]string{"n-1"})
 	l.deleteMachines([]string{"n-2"})
 	l.deleteMachines([]string{"n-3"})
 	if !l.deletions.inFlight || len(l.deletions.queue) != 2 {
-		t.Errorf("deleting %v, %v wait", l.deletions.inFlight, l.deletions.queue)
+		t.Errorf("request in flight: %v, queued: %v; want one in flight and two machines queued", l.deletions.inFlight, l.deletions.queue)
 	}
 }
 
-// Guards against a leader that returns half of the fleet because it is
-// partitioned from it: machines that the cloud lists as running are of use again.
+// Guards against a leader that returns half of the fleet because it is partitioned from it: machines that the cloud lists
+// as running become usable again when the partition ends.
 func TestManySilentMachinesAreKeptDuringAPartition(t *testing.T) {
 	for _, c := range []struct {
 		silent int
-		keeps  time.Duration
+		limit  time.Duration
 	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
 		l, clock := newTestLoop(t)
 		var listed []wire.ListedMachine
@@ -36,7 +35,7 @@
 		}
 		l.reconcileMachines([]cloud.ListPage{{Machines: listed}}, clock.Now())
 		returned := func() int {
-			for name := range l.machines.Machines { // the others send heartbeats
+			for name := range l.machines.Machines { // the machines of the test loop continue to send heartbeats
 				if m := l.machines.Machines[name]; m.Incarnation > 0 {
 					m.LastHeartbeat, m.IdleSince = clock.Now(), clock.Now()
 				}
@@ -50,13 +49,13 @@
 			}
 			return n
 		}
-		clock.Advance(l.env.workerLease() + c.keeps - time.Second)
+		clock.Advance(l.env.workerLease() + c.limit - time.Second)
 		if n := returned(); n != 0 {
-			t.Errorf("%d silent: %d returned too soon", c.silent, n)
+			t.Errorf("%d machines silent: %d returned too soon", c.silent, n)
 		}
 		clock.Advance(2 * time.Second)
 		if n := returned(); n != c.silent {
-			t.Errorf("%d silent: %d returned in the end", c.silent, n)
+			t.Errorf("%d machines silent: %d returned after the limit, want all", c.silent, n)
 		}
 	}
 }
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -10,49 +10,48 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against machines rented in a partitioned zone, and counted as coming while
-// the work waits.
+// Guards against machines that are rented in a partitioned zone or counted as booting there, while the jobs for which
+// they are meant wait.
 func TestNoScaleOutInPartitionedZone(t *testing.T) {
 	l, advance := twoZones(t, 10)
 	now := l.env.Clock.Now()
 	l.machines.Register(machines.Rented{Name: "n-boots", Type: "small", Zone: "b", RentedAt: now}, now)
 	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
-		t.Errorf("partitioned: %v", partitioned)
+		t.Errorf("zones %v count as partitioned while all machines send heartbeats", partitioned)
 	}
 	advance(l.maxSilence() + time.Second)
 	now = l.env.Clock.Now()
-	for i := range 10 { // zone a, and one of b, go on sending heartbeats
+	for i := range 10 { // all machines of zone a and one of zone b continue to send heartbeats
 		l.machines.Machines[fmt.Sprintf("n-%d", i)].LastHeartbeat = now
 	}
 	l.machines.Machines["n-10"].LastHeartbeat = now
 	partitioned := l.partitionedZones(now)
 	if len(partitioned) != 1 || !partitioned["b"] {
-		t.Fatalf("partitioned: %v", partitioned)
+		t.Fatalf("zones %v count as partitioned, want only b", partitioned)
 	}
 	for _, v := range l.bootingMachines(partitioned, now) {
 		if v.Zone == "b" {
-			t.Error("what boots there counts as coming")
+			t.Error("a machine that boots in the partitioned zone counts as booting")
 		}
 	}
 	l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
 	l.scaleOut(now)
 	zones := map[string]int{}
-	for _, w := range l.rentals.pending {
-		zones[w.Zone] += w.Count
+	for _, rental := range l.rentals.pending {
+		zones[rental.Zone] += rental.Count
 	}
 	if zones["a"] == 0 || zones["b"] != 0 {
-		t.Errorf("rents %v", zones)
+		t.Errorf("machines requested by zone: %v, want some in a and none in b", zones)
 	}
-	l.startedAt = now // a new leader has heard nobody yet
+	l.startedAt = now // a new leader has not had time to receive heartbeats
 	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
-		t.Errorf("a new leader finds %v partitioned", partitioned)
+		t.Errorf("zones %v count as partitioned for a new leader", partitioned)
 	}
 }
 
-// Guards against rentals that pile up behind the cloud's rate: at the start of
-// a large deployment every job that came asked for a machine or two of its own,
-// 390 machines were counted as booting whose requests had not been sent, and
-// for minutes nothing was rented for those that waited.
+// Guards against rent requests that queue up behind the cloud's rate limit. At the start of a large deployment, every
+// job that arrived requested a machine or two of its own. 390 machines counted as booting although their requests had
+// not been sent, and for minutes nothing was rented for the jobs that waited.
 func TestRentRequestsDoNotPileUp(t *testing.T) {
 	l, clock := newTestLoop(t)
 	for i := range 40 {
@@ -60,12 +59,12 @@
 			ID: fmt.Sprintf("job-%d", i), Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh,
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
-		l.scaleOut(clock.Now()) // no request is answered meanwhile
+		l.scaleOut(clock.Now()) // no request is answered in the meantime
 		if n := len(l.rentals.pending); n > tuning.RentalsInFlight {
-			t.Fatalf("%d rentals on their way after %d jobs", n, i+1)
+			t.Fatalf("%d rent requests in flight after %d jobs, want at most %d", n, i+1, tuning.RentalsInFlight)
 		}
 	}
 	if len(l.rentals.pending) == 0 {
-		t.Error("nothing is rented")
+		t.Error("no machine is requested")
 	}
 }
