--- a/internal/scheduler/autoscale/plan_test.go
+++ b/internal/scheduler/autoscale/plan_test.go
@@ -87,7 +87,7 @@
 		{wire.Job{CPUs: 1, GPUs: 1}, false},
 	} {
 		if got := FitsSomeType(&c.job, in.Types); got != c.want {
-			t.Errorf("job %+v fits: %v, want %v", c.job, got, c.want)
+			t.Errorf("job %+v fits some type: %v, want the opposite", c.job, got)
 		}
 	}
 }
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -62,7 +62,7 @@
 	l, clock := newFleetOfSmall(t, 160)
 	l.consolidate(clock.Now())
 	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateShare {
-		t.Errorf("%d machines are drained, want one in %d of 160", got, tuning.ConsolidateCandidateShare)
+		t.Errorf("%d of 160 machines are drained, want one in tuning.ConsolidateCandidateShare", got)
 	}
 	moving := 0
 	for _, m := range l.drainingMachines() {
@@ -74,7 +74,7 @@
 	}
 	// If more were moved at a time, more would be down together when the leader dies.
 	if moving != tuning.MovesInFlight {
-		t.Errorf("%d replicas are moved at a time, want %d", moving, tuning.MovesInFlight)
+		t.Errorf("%d replicas are moved at a time, want tuning.MovesInFlight", moving)
 	}
 }
 
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -34,8 +34,8 @@
 // offeringsInFlight returns the offerings of the requests in flight.
 func (r *rentals) offeringsInFlight() map[autoscale.Offering]bool {
 	out := map[autoscale.Offering]bool{}
-	for _, p := range r.pending {
-		out[p.Offering] = true
+	for _, rental := range r.pending {
+		out[rental.Offering] = true
 	}
 	return out
 }
@@ -50,9 +50,9 @@
 	// There is one request for an offering at a time: if it is refused, the next one would be too.
 	inFlight := l.rentals.offeringsInFlight()
 	in.InFlight, in.MaxPerRequest = func(o autoscale.Offering) bool { return inFlight[o] }, wire.MaxRent
-	for _, p := range autoscale.Plan(&in) {
-		l.requestMachines(p)
-		inFlight[p.Offering] = true
+	for _, rental := range autoscale.Plan(&in) {
+		l.requestMachines(rental)
+		inFlight[rental.Offering] = true
 	}
 	if l.rentals.full() {
 		return
@@ -78,9 +78,9 @@
 	}
 	placement.Sort(in.Pending, in.Teams, now)
 	l.countByOffering(in.Existing)
-	for _, p := range l.rentals.pending {
-		in.MaxNew -= p.Count
-		in.Existing[p.Offering] += p.Count
+	for _, rental := range l.rentals.pending {
+		in.MaxNew -= rental.Count
+		in.Existing[rental.Offering] += rental.Count
 	}
 	return in
 }
@@ -91,8 +91,8 @@
 	in.Booting = append(in.Booting, l.machinesWithRoomFor(now, in.Pending)...)
 	in.Teams = autoscale.UnlimitedTeams(in.Pending)
 	in.SpotOnly = true
-	for _, p := range autoscale.Plan(in) {
-		l.requestMachines(p)
+	for _, rental := range autoscale.Plan(in) {
+		l.requestMachines(rental)
 	}
 }
 
@@ -129,9 +129,9 @@
 			out = append(out, &v)
 		}
 	}
-	for name, p := range l.rentals.pending {
-		for i := range p.Count {
-			v, ok := l.machineView(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: p.Type, Zone: p.Zone, Spot: p.Spot})
+	for name, rental := range l.rentals.pending {
+		for i := range rental.Count {
+			v, ok := l.machineView(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot})
 			if ok {
 				out = append(out, &v)
 			}
@@ -147,21 +147,21 @@
 }
 
 // requestMachines sends a rent request, unless too many are in flight.
-func (l *Loop) requestMachines(p autoscale.Rental) {
+func (l *Loop) requestMachines(rental autoscale.Rental) {
 	if l.rentals.full() {
 		return
 	}
 	// The name contains the term, so that neither another controller nor this one in another term ever uses it again.
 	l.rentals.requestCount++
 	name := fmt.Sprintf("pp-%d-%d", l.leadership.Term, l.rentals.requestCount)
-	l.rentals.pending[name] = p
-	go l.rentUntilAnswered(name, p)
+	l.rentals.pending[name] = rental
+	go l.rentUntilAnswered(name, rental)
 }
 
 // rentUntilAnswered sends a rent request, and retries it until the cloud gives a definite answer. A request without an
 // answer may have been executed. A retry is safe, because the same request name yields the same machines.
-func (l *Loop) rentUntilAnswered(name string, p autoscale.Rental) {
-	req := wire.RentRequest{Request: name, Type: p.Type, Zone: p.Zone, Spot: p.Spot, Count: p.Count}
+func (l *Loop) rentUntilAnswered(name string, rental autoscale.Rental) {
+	req := wire.RentRequest{Request: name, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
 	for l.awaitRightToAct() {
 		names, err := l.env.Cloud.Rent(l.ended, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
@@ -169,25 +169,25 @@
 			l.env.sleep(l.ended, tuning.CloudRetry)
 			continue
 		}
-		l.post(func() { l.machinesRented(name, p, names) })
+		l.post(func() { l.machinesRented(name, rental, names) })
 		return
 	}
 }
 
 // machinesRented registers the machines that a rent request yielded, and has the fleet planned again.
-func (l *Loop) machinesRented(name string, p autoscale.Rental, names []string) {
+func (l *Loop) machinesRented(name string, rental autoscale.Rental, names []string) {
 	now := l.env.Clock.Now()
 	delete(l.rentals.pending, name)
 	for _, m := range names {
 		if !l.machines.WasReturned(m) {
-			rented := machines.Rented{Name: m, Type: p.Type, Zone: p.Zone, Spot: p.Spot, RentedAt: now}
+			rented := machines.Rented{Name: m, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, RentedAt: now}
 			l.machines.Register(rented, now).RentedThisTerm = true
 		}
 	}
-	if len(names) < p.Count {
-		l.rentals.refusedUntil[p.Offering] = now.Add(tuning.NoCapacityBackoff)
+	if len(names) < rental.Count {
+		l.rentals.refusedUntil[rental.Offering] = now.Add(tuning.NoCapacityBackoff)
 	}
 	l.cycle.wake()        // one of them may have sent a heartbeat already
 	l.fleet.planSoon(now) // for what is still needed, from another offering if this one was refused
-	l.log.Info("rent request answered", "type", p.Type, "zone", p.Zone, "spot", p.Spot, "asked", p.Count, "got", len(names))
+	l.log.Info("rent request answered", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(names))
 }
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -61,7 +61,7 @@
 		})
 		l.scaleOut(clock.Now()) // no request is answered in the meantime
 		if n := len(l.rentals.pending); n > tuning.RentalsInFlight {
-			t.Fatalf("%d rent requests in flight after %d jobs, want at most %d", n, i+1, tuning.RentalsInFlight)
+			t.Fatalf("%d rent requests in flight after %d jobs, want at most tuning.RentalsInFlight", n, i+1)
 		}
 	}
 	if len(l.rentals.pending) == 0 {
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -22,7 +22,7 @@
 	return serviceLevels{sizes: map[string][]float64{}, live: map[string]*liveJob{}}
 }
 
-// sizeName returns the job's size as a label of metrics.
+// sizeName returns the job's size as a label value of metrics.
 func (j *liveJob) sizeName() string {
 	if j.large {
 		return "largest"
