--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -78,9 +78,9 @@
 	}
 	placement.Sort(in.Pending, in.Teams, now)
 	l.countByOffering(in.Existing)
-	for _, rental := range l.rentals.pending {
-		in.MaxNew -= rental.Count
-		in.Existing[rental.Offering] += rental.Count
+	for _, p := range l.rentals.pending {
+		in.MaxNew -= p.Count
+		in.Existing[p.Offering] += p.Count
 	}
 	return in
 }
