--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -43,8 +43,8 @@
 	return live
 }
 
-// isLargest reports whether size is among the largest tenth of sizes. No size is while there are too few of them, or
-// none that is smaller.
+// isLargest reports whether size is among the largest tenth of sizes. It is false while there are fewer than
+// tuning.SizesMin sizes, or if none is smaller.
 func isLargest(size float64, sizes []float64) bool {
 	smaller, larger := 0, 0
 	for _, s := range sizes {
