--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -7,23 +7,23 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-func startCommand(p *jobs.Allocation) wire.Command {
-	return wire.Command{Op: wire.OpStart, Task: p.Task().String(), Attempt: p.Attempt}
+func startCommand(allocation *jobs.Allocation) wire.Command {
+	return wire.Command{Op: wire.OpStart, Task: allocation.Task().String(), Attempt: allocation.Attempt}
 }
 
-func stopCommand(p *jobs.Allocation) wire.Command {
-	grace := p.Stop.GraceS
-	return wire.Command{Op: wire.OpStop, Task: p.Task().String(), Attempt: p.Attempt, GraceS: &grace}
+func stopCommand(allocation *jobs.Allocation) wire.Command {
+	grace := allocation.Stop.GraceS
+	return wire.Command{Op: wire.OpStop, Task: allocation.Task().String(), Attempt: allocation.Attempt, GraceS: &grace}
 }
 
 // stopOrphanCommand stops a task without grace that no record places where it runs.
-func stopOrphanCommand(t *wire.TaskStatus) wire.Command {
+func stopOrphanCommand(status *wire.TaskStatus) wire.Command {
 	grace := 0.0
-	return wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: status.Task, Attempt: status.Attempt, GraceS: &grace}
 }
 
-func forgetCommand(t *wire.TaskStatus) wire.Command {
-	return wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt}
+func forgetCommand(status *wire.TaskStatus) wire.Command {
+	return wire.Command{Op: wire.OpForget, Task: status.Task, Attempt: status.Attempt}
 }
 
 // reply is what the reply to a heartbeat said. The next heartbeat shows whether it arrived, since a worker has one heartbeat
@@ -40,14 +40,14 @@
 		acknowledged, missed = hb.FencingToken >= term, hb.FencingToken < term
 	}
 	for i := range r.commands {
-		c := &r.commands[i]
-		id, ok := wire.ParseTaskID(c.Task)
+		command := &r.commands[i]
+		taskID, ok := wire.ParseTaskID(command.Task)
 		if !ok {
 			continue
 		}
-		task := listed[AttemptID{Task: id, Attempt: c.Attempt}]
+		task := listed[AttemptID{Task: taskID, Attempt: command.Attempt}]
 		present := task != nil && task.State != wire.TaskExited
-		switch c.Op {
+		switch command.Op {
 		case wire.OpStart: // whatever came of it, it is listed until it is forgotten
 			acknowledged, missed = acknowledged || task != nil, missed || task == nil
 		case wire.OpStop:
@@ -71,14 +71,14 @@
 		return "", nil, ErrUnaddressable
 	}
 	req = &wire.DirectCommands{FencingToken: r.term, Incarnation: m.Incarnation}
-	for _, p := range allocations {
+	for _, allocation := range allocations {
 		switch {
-		case p.Removed || !p.Committed || p.Incarnation != m.Incarnation:
-		case p.Stop == nil:
-			m.openStarts[attemptOf(p)]++
-			req.Commands = append(req.Commands, startCommand(p))
-		case p.State != "":
-			req.Commands = append(req.Commands, stopCommand(p))
+		case allocation.Removed || !allocation.Committed || allocation.Incarnation != m.Incarnation:
+		case allocation.Stop == nil:
+			m.unansweredStarts[attemptOf(allocation)]++
+			req.Commands = append(req.Commands, startCommand(allocation))
+		case allocation.State != "":
+			req.Commands = append(req.Commands, stopCommand(allocation))
 		}
 	}
 	if len(req.Commands) == 0 {
@@ -95,17 +95,17 @@
 		return
 	}
 	for i := range req.Commands {
-		c := &req.Commands[i]
-		if id, ok := wire.ParseTaskID(c.Task); ok && c.Op == wire.OpStart {
-			m.closeStart(AttemptID{Task: id, Attempt: c.Attempt})
+		command := &req.Commands[i]
+		if taskID, ok := wire.ParseTaskID(command.Task); ok && command.Op == wire.OpStart {
+			m.removeUnansweredStart(AttemptID{Task: taskID, Attempt: command.Attempt})
 		}
 	}
 }
 
-// closeStart counts one open start of an attempt less.
-func (m *Machine) closeStart(id AttemptID) {
-	if m.openStarts[id]--; m.openStarts[id] <= 0 {
-		delete(m.openStarts, id)
+// removeUnansweredStart counts one open start of an attempt less.
+func (m *Machine) removeUnansweredStart(id AttemptID) {
+	if m.unansweredStarts[id]--; m.unansweredStarts[id] <= 0 {
+		delete(m.unansweredStarts, id)
 	}
 }
 
@@ -114,10 +114,10 @@
 // first incarnation lasts.
 func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
-	if m == nil || len(m.openStarts) == 0 || m.LeaseExpiry.IsZero() {
+	if m == nil || len(m.unansweredStarts) == 0 || m.LeaseExpiry.IsZero() {
 		return
 	}
-	if end := sent.Add(r.lease); m.LeaseExpiry.Before(end) {
-		m.LeaseExpiry = end
+	if expiry := sent.Add(r.lease); m.LeaseExpiry.Before(expiry) {
+		m.LeaseExpiry = expiry
 	}
 }
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -14,29 +14,29 @@
 func TestAttemptWithAnOpenDirectStartIsStoppedAndNotForgotten(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	p := allocation(1)
-	f.AddAllocation(p, t0)
-	addr, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+	allocation := newAllocation(1)
+	f.AddAllocation(allocation, t0)
+	addr, req, err := f.CommandsFor("n-1", []*jobs.Allocation{allocation})
 	if err != nil || addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
 		t.Fatalf("direct: %s %+v, %v", addr, req, err)
 	}
-	p.Stop = &jobs.StopRequest{}
-	a := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
-	if ops(a.Commands) != "start halt " || len(a.Outcomes) != 0 {
-		t.Fatalf("commands %v, outcomes %v", a.Commands, a.Outcomes)
+	allocation.Stop = &jobs.StopRequest{}
+	result := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
+	if ops(result.Commands) != "start halt " || len(result.Outcomes) != 0 {
+		t.Fatalf("commands %v, outcomes %v", result.Commands, result.Outcomes)
 	}
 	exited := status("job-1/0", 1, wire.TaskExited, wire.ExitStopped)
-	a = f.receive(heartbeat(1, 3, term, exited), 2*time.Second, mayForget)
-	if len(a.Outcomes) != 1 {
-		t.Fatalf("outcomes %v", a.Outcomes)
+	result = f.receive(heartbeat(1, 3, term, exited), 2*time.Second, mayForget)
+	if len(result.Outcomes) != 1 {
+		t.Fatalf("outcomes %v", result.Outcomes)
 	}
-	f.RemoveAllocation(p, t0)
-	if a = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(a.Commands) != 0 {
-		t.Fatalf("forgotten while a start is open: %v", a.Commands)
+	f.RemoveAllocation(allocation, t0)
+	if result = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(result.Commands) != 0 {
+		t.Fatalf("forgotten while a start is open: %v", result.Commands)
 	}
 	f.CommandsAnswered("n-1", req) // now its answer came
-	if a = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(a.Commands) != "forget " {
-		t.Fatalf("commands %v", a.Commands)
+	if result = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(result.Commands) != "forget " {
+		t.Fatalf("commands %v", result.Commands)
 	}
 }
 
@@ -51,9 +51,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-			p := allocation(1)
-			f.AddAllocation(p, t0)
-			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			allocation := newAllocation(1)
+			f.AddAllocation(allocation, t0)
+			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{allocation})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -88,19 +88,19 @@
 		{"its incarnation is over", "n-1", func(m *Machine, _ *jobs.Allocation) { m.EndedIncarnation = m.Incarnation }, ErrUnaddressable, nil},
 		{"no incarnation is known", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Incarnation = 0 }, ErrUnaddressable, ErrUnaddressable},
 		{"it is being deleted", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Returning = true }, ErrUnaddressable, ErrUnaddressable},
-		{"the allocation is not recorded yet", "n-1", func(_ *Machine, p *jobs.Allocation) { p.Committed = false }, ErrNoCommands, nil},
+		{"the allocation is not recorded yet", "n-1", func(_ *Machine, allocation *jobs.Allocation) { allocation.Committed = false }, ErrNoCommands, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-			p, m := allocation(1), f.Machines["n-1"]
-			f.AddAllocation(p, t0)
-			c.prepare(m, p)
-			addr, req, err := f.CommandsFor(c.machine, []*jobs.Allocation{p})
+			allocation, m := newAllocation(1), f.Machines["n-1"]
+			f.AddAllocation(allocation, t0)
+			c.prepare(m, allocation)
+			addr, req, err := f.CommandsFor(c.machine, []*jobs.Allocation{allocation})
 			if !errors.Is(err, c.commands) || (err == nil) != (addr != "" && req != nil) {
 				t.Errorf("commands for %q: %+v, error %v, want %v", addr, req, err, c.commands)
 			}
-			if open := len(m.openStarts); (open > 0) != (err == nil) {
+			if open := len(m.unansweredStarts); (open > 0) != (err == nil) {
 				t.Errorf("%d starts are open after error %v", open, err)
 			}
 			addr, req, _, err = f.Probe(m, t0)
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -19,7 +19,7 @@
 // Guards against the spot notice of a delayed copy: it drained a healthy machine, or had one that will be interrupted look safe.
 func TestSpotNoticeOfADelayedCopyDoesNotLast(t *testing.T) {
 	f := newFixture(t)
-	f.RestoreAllocation(allocation(1), t0)
+	f.RestoreAllocation(newAllocation(1), t0)
 	f.receive(withNotice(heartbeat(1, 5, term-1), 25), 0, mayNotForget) // may be a copy
 	if m := f.Machines["n-1"]; m.InterruptionAt.IsZero() {
 		t.Error("a notice does not count though nothing speaks against it")
@@ -99,8 +99,8 @@
 	if _, err := f.DirectAnswer(heartbeat(2, 9, term), t0.Add(back), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
-	p := allocation(2)
-	f.AddAllocation(p, t0.Add(back))
+	allocation := newAllocation(2)
+	f.AddAllocation(allocation, t0.Add(back))
 	if outcomes := f.expire(back + 9*time.Second); len(outcomes) != 0 {
 		t.Fatalf("lost within the lease of its incarnation: %v", outcomes)
 	}
@@ -113,17 +113,17 @@
 // that was over, knew that it was gone, allocated another there and ended before it had written the first one's end.
 func TestAllocationLeftOverFromAnEarlierIncarnationIsLost(t *testing.T) {
 	f := newFixture(t)
-	gone, there := allocation(1), allocation(2)
-	there.Index = 1
+	gone, present := newAllocation(1), newAllocation(2)
+	present.Index = 1
 	f.RestoreAllocation(gone, t0)
-	f.RestoreAllocation(there, t0)
+	f.RestoreAllocation(present, t0)
 	// Before the worker has the term's token this may be a copy from before a restart, and the task in the process that runs.
-	if a := f.receive(heartbeat(2, 6, term-1, status("job-1/1", 1, wire.TaskRunning, "")), 0, mayNotForget); len(a.Outcomes) != 0 {
-		t.Errorf("outcomes %+v of what may be a copy", a.Outcomes)
+	if result := f.receive(heartbeat(2, 6, term-1, status("job-1/1", 1, wire.TaskRunning, "")), 0, mayNotForget); len(result.Outcomes) != 0 {
+		t.Errorf("outcomes %+v of what may be a copy", result.Outcomes)
 	}
-	a := f.receive(heartbeat(2, 7, term, status("job-1/1", 1, wire.TaskRunning, "")), time.Second, mayNotForget)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != gone || !a.Outcomes[0].Lost {
-		t.Errorf("outcomes %+v", a.Outcomes)
+	result := f.receive(heartbeat(2, 7, term, status("job-1/1", 1, wire.TaskRunning, "")), time.Second, mayNotForget)
+	if len(result.Outcomes) != 1 || result.Outcomes[0].Allocation != gone || !result.Outcomes[0].Lost {
+		t.Errorf("outcomes %+v", result.Outcomes)
 	}
 }
 
@@ -141,24 +141,24 @@
 		t.Fatalf("verdict %v", got)
 	}
 	f.AcceptRestart(m, restarted, t0.Add(5*time.Second))
-	f.AddAllocation(allocation(1), t0.Add(5*time.Second))
-	if a, err := f.Heartbeat(heartbeat(3, 39, term), t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 {
-		t.Errorf("%v, %v", a.Outcomes, err)
+	f.AddAllocation(newAllocation(1), t0.Add(5*time.Second))
+	if result, err := f.Heartbeat(heartbeat(3, 39, term), t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(result.Outcomes) != 0 {
+		t.Errorf("%v, %v", result.Outcomes, err)
 	}
-	if a := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(a.Outcomes) != 0 {
-		t.Errorf("outcomes %v", a.Outcomes)
+	if result := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(result.Outcomes) != 0 {
+		t.Errorf("outcomes %v", result.Outcomes)
 	}
 }
 
 // Guards against a copy that is taken for news of a machine which answered a probe and sent no heartbeat in this term yet.
 func TestDirectAnswerSetsTheOrderBeforeTheFirstHeartbeat(t *testing.T) {
 	f := newFixture(t)
-	f.RestoreAllocation(allocation(1), t0)
+	f.RestoreAllocation(newAllocation(1), t0)
 	if _, err := f.DirectAnswer(heartbeat(1, 7, term, status("job-1/0", 1, wire.TaskRunning, "")), t0.Add(time.Second), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
-	if a, err := f.Heartbeat(heartbeat(1, 6, term), t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(a.Commands) != 0 {
-		t.Errorf("a copy from before the answer: %v, %v", a.Commands, err)
+	if result, err := f.Heartbeat(heartbeat(1, 6, term), t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(result.Commands) != 0 {
+		t.Errorf("a copy from before the answer: %v, %v", result.Commands, err)
 	}
 	f.receive(heartbeat(1, 8, term, status("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, mayNotForget)
 }
@@ -168,17 +168,17 @@
 func TestTaskIsNotGoneWhileAReplyWithItsStartMayArrive(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	p := allocation(1)
-	f.AddAllocation(p, t0)
-	if a := f.receive(heartbeat(1, 2, term), time.Second, mayNotForget); ops(a.Commands) != "start " {
-		t.Fatalf("commands %v", a.Commands)
+	allocation := newAllocation(1)
+	f.AddAllocation(allocation, t0)
+	if result := f.receive(heartbeat(1, 2, term), time.Second, mayNotForget); ops(result.Commands) != "start " {
+		t.Fatalf("commands %v", result.Commands)
 	}
-	p.Stop = &jobs.StopRequest{}
-	if a := f.receive(heartbeat(1, 90, term), 2*time.Second, mayNotForget); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
-		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
+	allocation.Stop = &jobs.StopRequest{}
+	if result := f.receive(heartbeat(1, 90, term), 2*time.Second, mayNotForget); len(result.Outcomes) != 0 || ops(result.Commands) != "start halt " {
+		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
 	}
-	if a := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, mayNotForget); len(a.Outcomes) != 1 {
-		t.Errorf("not gone though nothing can arrive any more: %v", a.Commands)
+	if result := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, mayNotForget); len(result.Outcomes) != 1 {
+		t.Errorf("not gone though nothing can arrive any more: %v", result.Commands)
 	}
 }
 
@@ -194,15 +194,15 @@
 			if c.acknowledged {
 				f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 			}
-			p := allocation(1)
-			f.RestoreAllocation(p, t0)
-			a, err := f.Heartbeat(heartbeat(2, 5, term-1), t0.Add(time.Second), mayNotForget)
-			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(a.Outcomes) != 0 || !m.SuspectCopy {
-				t.Errorf("%v, %v", a.Outcomes, err)
+			allocation := newAllocation(1)
+			f.RestoreAllocation(allocation, t0)
+			result, err := f.Heartbeat(heartbeat(2, 5, term-1), t0.Add(time.Second), mayNotForget)
+			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(result.Outcomes) != 0 || !m.SuspectCopy {
+				t.Errorf("%v, %v", result.Outcomes, err)
 			}
 			// If the incarnation is new, the machine itself says so.
-			if a, err := f.DirectAnswer(heartbeat(2, 6, term), t0.Add(2*time.Second), mayNotForget); err != nil || len(a.Outcomes) != 1 {
-				t.Errorf("the machine's own answer: %v, %v", a.Outcomes, err)
+			if result, err := f.DirectAnswer(heartbeat(2, 6, term), t0.Add(2*time.Second), mayNotForget); err != nil || len(result.Outcomes) != 1 {
+				t.Errorf("the machine's own answer: %v, %v", result.Outcomes, err)
 			}
 		})
 	}
@@ -217,9 +217,9 @@
 	}{{wire.ExitStopped, term - 1, 0}, {wire.ExitError, term - 1, 0}, {wire.ExitDone, term - 1, 1}, {wire.ExitStopped, term, 1}} {
 		t.Run(fmt.Sprintf("%s with token %d", c.reason, c.token), func(t *testing.T) {
 			f := newFixture(t)
-			f.RestoreAllocation(allocation(1), t0)
-			if a := f.receive(heartbeat(1, 7, c.token, status("job-1/0", 1, wire.TaskExited, c.reason)), time.Second, mayNotForget); len(a.Outcomes) != c.outcomes {
-				t.Errorf("outcomes %v", a.Outcomes)
+			f.RestoreAllocation(newAllocation(1), t0)
+			if result := f.receive(heartbeat(1, 7, c.token, status("job-1/0", 1, wire.TaskExited, c.reason)), time.Second, mayNotForget); len(result.Outcomes) != c.outcomes {
+				t.Errorf("outcomes %v", result.Outcomes)
 			}
 		})
 	}
@@ -231,13 +231,13 @@
 	f.receive(heartbeat(1, 40, term), 0, mayNotForget)
 	m := f.Machines["n-1"]
 	f.AcceptRestart(m, heartbeat(1, 2, term), t0.Add(5*time.Second))
-	p := allocation(1)
-	p.Stop = &jobs.StopRequest{}
-	f.AddAllocation(p, t0.Add(5*time.Second))
-	if a := f.receive(heartbeat(1, 39, term), 30*time.Second, mayNotForget); len(a.Outcomes) != 0 || ops(a.Commands) != "start halt " {
-		t.Errorf("outcomes %v, commands %v", a.Outcomes, a.Commands)
-	}
-	if a := f.receive(heartbeat(1, 41, term), 60*time.Second, mayNotForget); len(a.Outcomes) != 1 {
-		t.Errorf("not gone though the heartbeat is from after the restart: %v", a.Commands)
+	allocation := newAllocation(1)
+	allocation.Stop = &jobs.StopRequest{}
+	f.AddAllocation(allocation, t0.Add(5*time.Second))
+	if result := f.receive(heartbeat(1, 39, term), 30*time.Second, mayNotForget); len(result.Outcomes) != 0 || ops(result.Commands) != "start halt " {
+		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
+	}
+	if result := f.receive(heartbeat(1, 41, term), 60*time.Second, mayNotForget); len(result.Outcomes) != 1 {
+		t.Errorf("not gone though the heartbeat is from after the restart: %v", result.Commands)
 	}
 }
--- a/internal/scheduler/machines/fixture_test.go
+++ b/internal/scheduler/machines/fixture_test.go
@@ -27,8 +27,8 @@
 	return wire.TaskStatus{Task: task, Attempt: attempt, State: state, Reason: reason}
 }
 
-// allocation makes a recorded allocation of job-1/0 on n-1 in an incarnation.
-func allocation(incarnation uint64) *jobs.Allocation {
+// newAllocation makes a recorded allocation of job-1/0 on n-1 in an incarnation.
+func newAllocation(incarnation uint64) *jobs.Allocation {
 	return &jobs.Allocation{
 		Job:     &jobs.Job{Job: wire.Job{ID: "job-1", Team: "t", CPUs: 2, Tasks: 1, Image: "img"}},
 		Attempt: 1, Machine: "n-1", Incarnation: incarnation, Zone: "a", Committed: true,
@@ -44,25 +44,25 @@
 func newFixture(t *testing.T) *fixture { return &fixture{t, New(term, lease)} }
 
 // receive takes in a heartbeat that must not be refused, a time after t0.
-func (f *fixture) receive(hb *wire.Heartbeat, at time.Duration, forget MayForget) HeartbeatResult {
+func (f *fixture) receive(hb *wire.Heartbeat, offset time.Duration, forget MayForget) HeartbeatResult {
 	f.t.Helper()
-	a, err := f.Heartbeat(hb, t0.Add(at), forget)
+	result, err := f.Heartbeat(hb, t0.Add(offset), forget)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return a
+	return result
 }
 
 // expire is what the leader does when no follower renews any machine's lease.
-func (f *fixture) expire(at time.Duration) []Outcome {
-	return f.EndExpired(t0.Add(at), nil)
+func (f *fixture) expire(offset time.Duration) []Outcome {
+	return f.EndExpired(t0.Add(offset), nil)
 }
 
 // ops returns the operations of commands, by their words of the protocol.
 func ops(cmds []wire.Command) string {
-	s := ""
+	words := ""
 	for _, c := range cmds {
-		s += string(c.Op) + " "
+		words += string(c.Op) + " "
 	}
-	return s
+	return words
 }
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -41,40 +41,40 @@
 	if err := r.admit(hb, direct); err != nil {
 		return HeartbeatResult{}, err
 	}
-	m := r.ensure(hb.Machine, now)
-	wasUsable := m.Usable(r.term, now)
+	machine := r.ensure(hb.Machine, now)
+	wasUsable := machine.Usable(r.term, now)
 	rc := reconciliation{
-		m: m, hb: hb, direct: direct, now: now,
-		fenced:         r.fenced(hb),
-		newIncarnation: hb.Incarnation > m.Incarnation,
-		lastHeartbeat:  m.LastHeartbeat,
+		machine: machine, heartbeat: hb, direct: direct, now: now,
+		hasTermToken:      r.hasTermToken(hb),
+		newIncarnation:    hb.Incarnation > machine.Incarnation,
+		previousHeartbeat: machine.LastHeartbeat,
 	}
-	rc.result.Machine = m
-	rc.result.Changed = m.LastHeartbeat.IsZero() || rc.newIncarnation
+	rc.result.Machine = machine
+	rc.result.Changed = machine.LastHeartbeat.IsZero() || rc.newIncarnation
 	if rc.newIncarnation {
-		rc.result.Outcomes = r.beginIncarnation(m, hb, direct, now)
+		rc.result.Outcomes = r.beginIncarnation(machine, hb, direct, now)
 	}
-	r.noteAcknowledged(m, hb, direct, now)
-	m.noteIdentity(hb, now)
-	if m.noteInterruption(hb, now) {
+	r.recordAcknowledgment(machine, hb, direct, now)
+	machine.recordIdentity(hb, now)
+	if machine.recordInterruption(hb, now) {
 		rc.result.Changed = true
 	}
 	if !direct {
-		m.LastHeartbeat = now
-		m.LeaseExpiry = now.Add(r.lease)
+		machine.LastHeartbeat = now
+		machine.LeaseExpiry = now.Add(r.lease)
 	}
 
 	// Not a field of rc: so the map stays on the stack.
 	listed := make(map[AttemptID]*wire.TaskStatus, len(hb.Tasks))
-	rc.reported(listed, mayForget)
-	rc.orphansMissing(listed)
-	rc.allocationsMissing(listed)
+	rc.processListed(listed, mayForget)
+	rc.dropMissingOrphans(listed)
+	rc.processMissingAllocations(listed)
 	if !direct {
-		r.noteReplyEffect(m, hb, listed, now)
+		r.recordReplyEffect(machine, hb, listed, now)
 		rc.result.Commands = rc.commands()
-		m.lastReply = reply{newToken: !rc.fenced, commands: rc.result.Commands}
+		machine.lastReply = reply{newToken: !rc.hasTermToken, commands: rc.result.Commands}
 	}
-	rc.result.Changed = rc.result.Changed || !wasUsable && m.Usable(r.term, now)
+	rc.result.Changed = rc.result.Changed || !wasUsable && machine.Usable(r.term, now)
 	return rc.result, nil
 }
 
@@ -107,8 +107,8 @@
 // outOfOrder reports whether a message is no newer than one that is known of its machine. Direct answers tell the order as
 // well, also of a machine from which no heartbeat has come in this term.
 func (m *Machine) outOfOrder(hb *wire.Heartbeat) bool {
-	anyKnown := m.seq > 0 || !m.LastHeartbeat.IsZero()
-	return hb.Incarnation < m.Incarnation || anyKnown && !hb.Newer(m.Incarnation, m.seq)
+	anyMessageKnown := m.seq > 0 || !m.LastHeartbeat.IsZero()
+	return hb.Incarnation < m.Incarnation || anyMessageKnown && !hb.Newer(m.Incarnation, m.seq)
 }
 
 // mayPredateRestart reports whether a heartbeat that looks newer may be a delayed copy from before or after a restart of the
@@ -118,18 +118,18 @@
 	switch {
 	case hb.FencingToken < m.FencingToken: // a worker process keeps the highest token that it has seen
 		return true
-	case newIncarnation && !hb.Newer(m.beforeRestart.Incarnation, m.beforeRestart.Seq):
+	case newIncarnation && !hb.Newer(m.lastBeforeRestart.Incarnation, m.lastBeforeRestart.Seq):
 		// A copy from before a known restart looks newer than all messages since.
 		return true
 	}
 	// What is recorded there would count as gone, by an incarnation that may be from before a restart of which this leader
 	// never knew. Not if the machine has acknowledged a message of this term.
-	return newIncarnation && len(m.Allocations) > 0 && !r.fenced(hb) && !m.Reachability.EverAcknowledged()
+	return newIncarnation && len(m.Allocations) > 0 && !r.hasTermToken(hb) && !m.Reachability.EverAcknowledged()
 }
 
-// fenced reports whether a worker had seen the term's token when it sent a heartbeat. Only a message of this term can have
+// hasTermToken reports whether a worker had seen the term's token when it sent a heartbeat. Only a message of this term can have
 // brought it, and from then on the worker refuses what leaders of older terms sent directly.
-func (r *Registry) fenced(hb *wire.Heartbeat) bool { return hb.FencingToken >= r.term }
+func (r *Registry) hasTermToken(hb *wire.Heartbeat) bool { return hb.FencingToken >= r.term }
 
 // contradicts reports whether a heartbeat says of its machine what cannot change while it exists.
 func (m *Machine) contradicts(hb *wire.Heartbeat) bool {
@@ -149,17 +149,17 @@
 	return m.endIncarnations(hb.Incarnation-1, nil)
 }
 
-// noteAcknowledged records that a message of this term reached the machine, if a heartbeat proves it: it is the answer to a
+// recordAcknowledgment records that a message of this term reached the machine, if a heartbeat proves it: it is the answer to a
 // direct request, or the first one that bears the term's token. Only a direct answer ends the suspicion of a copy.
-func (r *Registry) noteAcknowledged(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) {
-	if direct || r.fenced(hb) && !m.Reachability.EverAcknowledged() {
+func (r *Registry) recordAcknowledgment(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) {
+	if direct || r.hasTermToken(hb) && !m.Reachability.EverAcknowledged() {
 		m.Reachability.Acknowledged(now)
 		m.SuspectCopy, m.probeIncarnation = m.SuspectCopy && !direct, 0
 	}
 }
 
-// noteIdentity records what a heartbeat says of its machine and where it stands in the order of messages.
-func (m *Machine) noteIdentity(hb *wire.Heartbeat, now time.Time) {
+// recordIdentity records what a heartbeat says of its machine and where it stands in the order of messages.
+func (m *Machine) recordIdentity(hb *wire.Heartbeat, now time.Time) {
 	m.seq, m.FencingToken = hb.Seq, hb.FencingToken
 	m.Address, m.Type, m.Zone, m.Spot = hb.Address, hb.Type, hb.Zone, hb.Spot
 	if m.LastHeartbeat.IsZero() && len(m.Allocations) == 0 {
@@ -168,13 +168,13 @@
 	m.MissedListings = 0
 }
 
-// noteInterruption records a heartbeat's spot notice, or that it has none, and reports whether there is a new one. The first
+// recordInterruption records a heartbeat's spot notice, or that it has none, and reports whether there is a new one. The first
 // heartbeat that a new leader sees may be a copy, whose notice is as old as the copy is. So until the machine has
 // acknowledged a message of this term a notice counts for the time being, and the lack of one clears nothing.
-func (m *Machine) noteInterruption(hb *wire.Heartbeat, now time.Time) bool {
+func (m *Machine) recordInterruption(hb *wire.Heartbeat, now time.Time) bool {
 	acknowledged := m.Reachability.EverAcknowledged()
-	if acknowledged && m.suspectNotice {
-		m.InterruptionAt, m.suspectNotice = time.Time{}, false
+	if acknowledged && m.provisionalNotice {
+		m.InterruptionAt, m.provisionalNotice = time.Time{}, false
 	}
 	if hb.NoticeS == nil {
 		if acknowledged {
@@ -186,12 +186,12 @@
 		return false
 	}
 	m.InterruptionAt = now.Add(time.Duration(max(0, *hb.NoticeS) * float64(time.Second)))
-	m.suspectNotice = !acknowledged
+	m.provisionalNotice = !acknowledged
 	return true
 }
 
-// noteReplyEffect records what a heartbeat shows of the reply to the one before.
-func (r *Registry) noteReplyEffect(m *Machine, hb *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, now time.Time) {
+// recordReplyEffect records what a heartbeat shows of the reply to the one before.
+func (r *Registry) recordReplyEffect(m *Machine, hb *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, now time.Time) {
 	switch acknowledged, missed := m.lastReply.effect(hb, listed, r.term); {
 	case acknowledged:
 		m.Reachability.Acknowledged(now)
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -21,11 +21,11 @@
 func TestNewIncarnationEndsTheAllocationsOfTheOld(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	p := allocation(1)
-	f.AddAllocation(p, t0)
-	a := f.receive(heartbeat(2, 2, term), time.Second, mayNotForget)
-	if len(a.Outcomes) != 1 || a.Outcomes[0].Allocation != p || a.Outcomes[0].Reason != wire.ExitStopped {
-		t.Fatalf("outcomes %v", a.Outcomes)
+	allocation := newAllocation(1)
+	f.AddAllocation(allocation, t0)
+	result := f.receive(heartbeat(2, 2, term), time.Second, mayNotForget)
+	if len(result.Outcomes) != 1 || result.Outcomes[0].Allocation != allocation || result.Outcomes[0].Reason != wire.ExitStopped {
+		t.Fatalf("outcomes %v", result.Outcomes)
 	}
 }
 
@@ -33,7 +33,7 @@
 // counts for the time being, the lack of one clears nothing, and what the machine itself says afterwards replaces it.
 func TestSpotNoticeBeforeTheFirstAcknowledgmentIsProvisional(t *testing.T) {
 	f := newFixture(t)
-	f.RestoreAllocation(allocation(1), t0)
+	f.RestoreAllocation(newAllocation(1), t0)
 	f.receive(withNotice(heartbeat(1, 5, term-1), 25), 0, mayNotForget)
 	m := f.Machines["n-1"]
 	f.receive(heartbeat(1, 6, term-1), time.Second, mayNotForget)
--- a/internal/scheduler/machines/histories_test.go
+++ b/internal/scheduler/machines/histories_test.go
@@ -37,7 +37,7 @@
 			w.hangsUntil, w.unreachableUntil, w.silentUntil = time.Time{}, time.Time{}, time.Time{}
 		}
 		// What is in flight arrives within five leases; a machine that was unreachable again and again waits for longest.
-		for end := s.now.Add(5*simLease + tuning.UnreachablePauseMax + tuning.ProbePauseMax); s.now.Before(end); {
+		for quietUntil := s.now.Add(5*simLease + tuning.UnreachablePauseMax + tuning.ProbePauseMax); s.now.Before(quietUntil); {
 			s.step()
 		}
 		for _, w := range s.workers {
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -18,43 +18,43 @@
 }
 
 // retainImage counts an allocation's image as used.
-func (m *Machine) retainImage(p *jobs.Allocation, now time.Time) {
+func (m *Machine) retainImage(allocation *jobs.Allocation, now time.Time) {
 	m.usedValid = false
-	u := m.images[p.Job.Image]
-	if u == nil {
+	usage := m.images[allocation.Job.Image]
+	if usage == nil {
 		if len(m.images) >= tuning.ImagesKnown {
 			clear(m.images) // no cache holds so many; what is in use is counted again
 		}
-		u = &imageUsage{gb: p.Job.ImageGB}
-		m.images[p.Job.Image] = u
+		usage = &imageUsage{gb: allocation.Job.ImageGB}
+		m.images[allocation.Job.Image] = usage
 	}
-	u.tasks++
-	u.lastUsed = now
+	usage.tasks++
+	usage.lastUsed = now
 }
 
 // releaseImage counts an allocation's image as no longer used by it.
-func (m *Machine) releaseImage(p *jobs.Allocation, now time.Time) {
+func (m *Machine) releaseImage(allocation *jobs.Allocation, now time.Time) {
 	m.usedValid = false
-	if u := m.images[p.Job.Image]; u != nil {
-		u.tasks = max(0, u.tasks-1)
-		u.lastUsed = now
+	if usage := m.images[allocation.Job.Image]; usage != nil {
+		usage.tasks = max(0, usage.tasks-1)
+		usage.lastUsed = now
 	}
 }
 
 // HasImage reports whether a machine whose cache holds cacheGB gigabytes has an image, as far as its tasks show: one of them
 // uses it, or what was used since leaves room for it. Without the size every image once used would count for ever.
 func (m *Machine) HasImage(image string, cacheGB float64) bool {
-	u := m.images[image]
-	if u == nil || u.tasks > 0 || cacheGB <= 0 {
-		return u != nil
+	usage := m.images[image]
+	if usage == nil || usage.tasks > 0 || cacheGB <= 0 {
+		return usage != nil
 	}
-	sum := u.gb
+	sumGB := usage.gb
 	for _, other := range m.images {
-		if other != u && (other.tasks > 0 || other.lastUsed.After(u.lastUsed)) {
-			sum += other.gb
+		if other != usage && (other.tasks > 0 || other.lastUsed.After(usage.lastUsed)) {
+			sumGB += other.gb
 		}
 	}
-	return sum <= cacheGB
+	return sumGB <= cacheGB
 }
 
 // Images is which machines hold which images, as far as a leader saw. It is stored for the next leader, which cannot learn it
@@ -74,11 +74,11 @@
 	On   []byte // bitmap: bit n%8 of byte n/8 stands for machine n of Images.Machines
 }
 
-// holds reports whether machine n holds the image.
-func (h *HeldImage) holds(n int) bool { return n/8 < len(h.On) && h.On[n/8]&(1<<(n%8)) != 0 }
+// isOn reports whether machine n holds the image.
+func (h *HeldImage) isOn(n int) bool { return n/8 < len(h.On) && h.On[n/8]&(1<<(n%8)) != 0 }
 
-// add records that machine n holds the image.
-func (h *HeldImage) add(n int) {
+// addMachine records that machine n holds the image.
+func (h *HeldImage) addMachine(n int) {
 	for len(h.On) <= n/8 {
 		h.On = append(h.On, 0)
 	}
@@ -88,32 +88,32 @@
 // Images returns which machines hold which images; cacheGB returns the cache size of a machine type, in gigabytes. Images that
 // more machines hold come first.
 func (r *Registry) Images(cacheGB func(typ string) float64) Images {
-	var out Images
-	index := map[string]int{}   // of images, in out.Held
-	holders := map[string]int{} // number of machines, by image
+	var images Images
+	imageIndexes := map[string]int{}  // of images, in out.Held
+	machineCounts := map[string]int{} // number of machines, by image
 	for _, name := range slices.Sorted(maps.Keys(r.Machines)) {
-		m, at := r.Machines[name], len(out.Machines)
-		for image, u := range m.images {
+		m, machineIndex := r.Machines[name], len(images.Machines)
+		for image, usage := range m.images {
 			if !m.HasImage(image, cacheGB(m.Type)) {
 				continue
 			}
-			if len(out.Machines) == at {
-				out.Machines = append(out.Machines, name)
+			if len(images.Machines) == machineIndex {
+				images.Machines = append(images.Machines, name)
 			}
-			i, ok := index[image]
+			imageIndex, ok := imageIndexes[image]
 			if !ok {
-				i = len(out.Held)
-				index[image] = i
-				out.Held = append(out.Held, HeldImage{Name: image, GB: u.gb})
+				imageIndex = len(images.Held)
+				imageIndexes[image] = imageIndex
+				images.Held = append(images.Held, HeldImage{Name: image, GB: usage.gb})
 			}
-			out.Held[i].add(at)
-			holders[image]++
+			images.Held[imageIndex].addMachine(machineIndex)
+			machineCounts[image]++
 		}
 	}
-	slices.SortFunc(out.Held, func(a, b HeldImage) int {
-		return cmp.Or(cmp.Compare(holders[b.Name], holders[a.Name]), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(images.Held, func(a, b HeldImage) int {
+		return cmp.Or(cmp.Compare(machineCounts[b.Name], machineCounts[a.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	return out
+	return images
 }
 
 // ByMachine returns the images of each machine, by its name. Their On is empty.
@@ -122,7 +122,7 @@
 	for k := range i.Held {
 		h := &i.Held[k]
 		for n, name := range i.Machines {
-			if h.holds(n) {
+			if h.isOn(n) {
 				out[name] = append(out[name], HeldImage{Name: h.Name, GB: h.GB})
 			}
 		}
@@ -131,8 +131,8 @@
 }
 
 // RestoreImages records which images a former leader knew the machine to hold at a time. What its tasks show counts for more.
-func (m *Machine) RestoreImages(held []HeldImage, at time.Time) {
-	for _, h := range held {
+func (m *Machine) RestoreImages(images []HeldImage, at time.Time) {
+	for _, h := range images {
 		if m.images[h.Name] == nil {
 			m.images[h.Name] = &imageUsage{gb: h.GB, lastUsed: at}
 		}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -12,11 +12,11 @@
 // Guards against a new leader that has every image fetched once more.
 func TestImagesAreRestoredByTheNextLeader(t *testing.T) {
 	r := New(1, 40)
-	cache := func(string) float64 { return 2 }
+	cacheGB := func(string) float64 { return 2 }
 	use := func(machine, image string) {
-		p := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
-		r.AddAllocation(p, t0)
-		r.RemoveAllocation(p, t0)
+		allocation := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
+		r.AddAllocation(allocation, t0)
+		r.RemoveAllocation(allocation, t0)
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
@@ -28,7 +28,7 @@
 			use(name, "img-2")
 		}
 	}
-	images := r.Images(cache)
+	images := r.Images(cacheGB)
 	if len(images.Held) != 2 || images.Held[0].Name != "img-1" {
 		t.Errorf("held are %+v, want first what most hold", images.Held)
 	}
@@ -45,7 +45,7 @@
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
-	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
+	if held := r.Images(cacheGB); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
 		t.Error("an image is handed on that its machine no longer holds")
 	}
 }
@@ -55,13 +55,13 @@
 func TestLeastRecentlyUsedImageLeavesAFullCache(t *testing.T) {
 	f := newFixture(t)
 	use := func(image string, at time.Duration) *jobs.Allocation {
-		p := allocation(1)
-		p.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
-		f.AddAllocation(p, t0.Add(at))
-		return p
+		allocation := newAllocation(1)
+		allocation.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
+		f.AddAllocation(allocation, t0.Add(at))
+		return allocation
 	}
 	f.receive(heartbeat(1, 1, 0), 0, mayNotForget)
-	pinned := use("1", 0)
+	inUse := use("1", 0)
 	f.RemoveAllocation(use("2", 0), t0.Add(time.Second))
 	f.RemoveAllocation(use("3", 0), t0.Add(2*time.Second))
 	m := f.Machines["n-1"]
@@ -78,7 +78,7 @@
 		}
 	}
 	holds("13")
-	f.RemoveAllocation(pinned, t0.Add(3*time.Second))
+	f.RemoveAllocation(inUse, t0.Add(3*time.Second))
 	f.RemoveAllocation(use("2", 4*time.Second), t0.Add(5*time.Second))
 	holds("12")
 }
--- a/internal/scheduler/machines/lease.go
+++ b/internal/scheduler/machines/lease.go
@@ -19,9 +19,9 @@
 // EndExpired ends the incarnations whose leases had expired by the time asked, at which the leader began to ask which
 // machines' leases followers renew in its stead. A machine in renewed is asked about again. One that is not in it was
 // answered by no follower for a whole lease before asked.
-func (r *Registry) EndExpired(asked time.Time, renewed map[string]bool) []Outcome {
+func (r *Registry) EndExpired(queryStarted time.Time, renewed map[string]bool) []Outcome {
 	var outcomes []Outcome
-	for _, name := range r.ExpiredLeases(asked) {
+	for _, name := range r.ExpiredLeases(queryStarted) {
 		if renewed[name] {
 			continue
 		}
@@ -35,12 +35,12 @@
 // in them: all of it is gone.
 func (m *Machine) endIncarnations(last uint64, outcomes []Outcome) []Outcome {
 	m.EndedIncarnation = max(m.EndedIncarnation, last)
-	for _, p := range m.Allocations {
-		if p.Incarnation <= last {
-			outcomes = append(outcomes, lost(p))
+	for _, allocation := range m.Allocations {
+		if allocation.Incarnation <= last {
+			outcomes = append(outcomes, lostOutcome(allocation))
 		}
 	}
 	clear(m.orphans)
-	clear(m.openStarts)
+	clear(m.unansweredStarts)
 	return outcomes
 }
--- a/internal/scheduler/machines/lease_test.go
+++ b/internal/scheduler/machines/lease_test.go
@@ -13,11 +13,11 @@
 func TestSilenceProvesNothingBeforeLeaseExpiry(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	f.AddAllocation(allocation(1), t0)
+	f.AddAllocation(newAllocation(1), t0)
 	f.receive(heartbeat(1, 2, term, status("job-1/0", 1, wire.TaskRunning, "")), 5*time.Second, mayNotForget)
 	// A direct answer renews no lease: it must not put the end off, nor does it prove a task gone.
-	if a, err := f.DirectAnswer(heartbeat(1, 3, term), t0.Add(9*time.Second), mayForget); err != nil || len(a.Outcomes)+len(a.Commands) != 0 {
-		t.Fatalf("direct answer: %+v, %v", a, err)
+	if result, err := f.DirectAnswer(heartbeat(1, 3, term), t0.Add(9*time.Second), mayForget); err != nil || len(result.Outcomes)+len(result.Commands) != 0 {
+		t.Fatalf("direct answer: %+v, %v", result, err)
 	}
 	if outcomes := f.expire(15 * time.Second); len(outcomes) != 0 {
 		t.Fatalf("gone before the lease with its drift: %v", outcomes)
@@ -32,8 +32,8 @@
 	if _, err := f.Heartbeat(heartbeat(1, 4, term, status("job-1/0", 1, wire.TaskRunning, "")), t0.Add(end), mayNotForget); !errors.Is(err, ErrStale) {
 		t.Errorf("a heartbeat of an incarnation that is over: %v", err)
 	}
-	if a := f.receive(heartbeat(2, 5, term), end, mayNotForget); len(a.Outcomes) != 0 {
-		t.Errorf("gone twice: %v", a.Outcomes)
+	if result := f.receive(heartbeat(2, 5, term), end, mayNotForget); len(result.Outcomes) != 0 {
+		t.Errorf("gone twice: %v", result.Outcomes)
 	}
 }
 
@@ -41,7 +41,7 @@
 func TestLeaseRenewedByAFollowerDoesNotExpire(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	f.AddAllocation(allocation(1), t0)
+	f.AddAllocation(newAllocation(1), t0)
 	renewed := map[string]bool{"n-1": true}
 	// The lease expired after the followers were asked: nothing is known yet.
 	if outcomes := f.EndExpired(t0.Add(9*time.Second), nil); len(outcomes) != 0 {
--- a/internal/scheduler/machines/listing.go
+++ b/internal/scheduler/machines/listing.go
@@ -17,7 +17,7 @@
 // The machines of the registry did exist: a heartbeat of theirs came, an answer to a rental or a list named them, or a former
 // leader placed tasks on them, which it does only on machines that sent a heartbeat.
 func (r *Registry) ProvenGone(after, last string, listed []wire.ListedMachine) []string {
-	newest := newestSettled(listed)
+	newest := newestOldEnough(listed)
 	if newest == "" {
 		return nil
 	}
@@ -34,9 +34,9 @@
 	return gone
 }
 
-// newestSettled returns the last name, in the order of creation, of those listed that have existed for tuning.ListNewer
+// newestOldEnough returns the last name, in the order of creation, of those listed that have existed for tuning.ListNewer
 // seconds; empty: there is none.
-func newestSettled(listed []wire.ListedMachine) string {
+func newestOldEnough(listed []wire.ListedMachine) string {
 	newest := ""
 	for i := range listed {
 		m := &listed[i]
--- a/internal/scheduler/machines/listing_test.go
+++ b/internal/scheduler/machines/listing_test.go
@@ -57,15 +57,15 @@
 	machines map[string]*cloudMachine
 }
 
-type cloudMachine struct{ born, ends float64 }
+type cloudMachine struct{ createdAt, goneAt float64 }
 
 // rent creates up to three machines, half of which end within a minute, and returns their names.
 func (c *laggingCloud) rent() []string {
 	var names []string
 	for range c.rnd.IntN(4) {
-		m, name := &cloudMachine{born: c.now, ends: 1e9}, fmt.Sprintf("n-%04d", len(c.machines))
+		m, name := &cloudMachine{createdAt: c.now, goneAt: 1e9}, fmt.Sprintf("n-%04d", len(c.machines))
 		if c.rnd.IntN(2) == 0 {
-			m.ends = c.now + 60*c.rnd.Float64()
+			m.goneAt = c.now + 60*c.rnd.Float64()
 		}
 		c.machines[name] = m
 		names = append(names, name)
@@ -79,7 +79,7 @@
 	at := c.now - lag*c.rnd.Float64()
 	var names []string
 	for name, m := range c.machines {
-		if name > after && m.born <= at && at < m.ends {
+		if name > after && m.createdAt <= at && at < m.goneAt {
 			names = append(names, name)
 		}
 	}
@@ -89,7 +89,7 @@
 		last = names[4]
 	}
 	for _, name := range names {
-		age := float64(int(10*(at-c.machines[name].born))) / 10
+		age := float64(int(10*(at-c.machines[name].createdAt))) / 10
 		listed = append(listed, wire.ListedMachine{Name: name, AgeS: age})
 	}
 	return listed, last
@@ -102,7 +102,7 @@
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		c := &laggingCloud{rnd: rnd, machines: map[string]*cloudMachine{}}
-		r, found := New(1, 40), map[string]bool{}
+		r, provenGone := New(1, 40), map[string]bool{}
 		for ; c.now < 200; c.now += 1 + 4*rnd.Float64() {
 			for _, name := range c.rent() {
 				r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
@@ -121,17 +121,17 @@
 				var listed []wire.ListedMachine
 				listed, last = c.page(after, lag)
 				for _, name := range r.ProvenGone(after, last, listed) {
-					if c.now < c.machines[name].ends {
-						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, name, c.now, c.machines[name].ends)
+					if c.now < c.machines[name].goneAt {
+						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, name, c.now, c.machines[name].goneAt)
 					}
-					found[name] = true
+					provenGone[name] = true
 					r.Forget(name)
 				}
 			}
 		}
 		for name, m := range c.machines {
-			if m.ends < 120 && !found[name] {
-				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, name, m.ends)
+			if m.goneAt < 120 && !provenGone[name] {
+				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, name, m.goneAt)
 			}
 		}
 	}
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -15,7 +15,7 @@
 	Attempt uint64
 }
 
-func attemptOf(p *jobs.Allocation) AttemptID { return AttemptID{Task: p.Task(), Attempt: p.Attempt} }
+func attemptOf(a *jobs.Allocation) AttemptID { return AttemptID{Task: a.Task(), Attempt: a.Attempt} }
 
 // Resources is what tasks take of a machine or of a team's quota.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
@@ -42,13 +42,13 @@
 	CopyDetection
 	Reachability reachability.State // whether commands and replies get to it
 
-	Allocations map[AttemptID]*jobs.Allocation
-	used        Resources              // what they take, if usedValid
-	usedValid   bool                   // no allocation came or went since used was summed up
-	orphans     map[AttemptID]bool     // reported tasks that no record places here
-	openStarts  map[AttemptID]int      // starts in direct commands that had no answer (yet)
-	images      map[string]*imageUsage // images that its tasks had it fetch, by name
-	lastReply   reply                  // to its newest heartbeat
+	Allocations      map[AttemptID]*jobs.Allocation
+	used             Resources              // what they take, if usedValid
+	usedValid        bool                   // no allocation came or went since used was summed up
+	orphans          map[AttemptID]bool     // reported tasks that no record places here
+	unansweredStarts map[AttemptID]int      // starts in direct commands that had no answer (yet)
+	images           map[string]*imageUsage // images that its tasks had it fetch, by name
+	lastReply        reply                  // to its newest heartbeat
 }
 
 // Liveness is which incarnation of a machine's worker is known, and until when it holds its lease.
@@ -86,20 +86,20 @@
 
 // CopyDetection is what tells a delayed copy of a heartbeat from a restart of a machine's worker process.
 type CopyDetection struct {
-	SuspectCopy      bool        // a heartbeat came that looks older than one before: a copy, or the process restarted
-	probeIncarnation uint64      // the incarnation to which the next probe is addressed; 0: the newest known
-	beforeRestart    MessageMark // the newest message from before its process restarted; zero: it did not
-	suspectNotice    bool        // its spot notice comes from a heartbeat that may be a copy
+	SuspectCopy       bool        // a heartbeat came that looks older than one before: a copy, or the process restarted
+	probeIncarnation  uint64      // the incarnation to which the next probe is addressed; 0: the newest known
+	lastBeforeRestart MessageMark // the newest message from before its process restarted; zero: it did not
+	provisionalNotice bool        // its spot notice comes from a heartbeat that may be a copy
 }
 
 func newMachine(name string, now time.Time) *Machine {
 	return &Machine{
-		Name:        name,
-		Lifecycle:   Lifecycle{AddedAt: now, IdleSince: now, RentedAt: now},
-		Allocations: map[AttemptID]*jobs.Allocation{},
-		orphans:     map[AttemptID]bool{},
-		openStarts:  map[AttemptID]int{},
-		images:      map[string]*imageUsage{},
+		Name:             name,
+		Lifecycle:        Lifecycle{AddedAt: now, IdleSince: now, RentedAt: now},
+		Allocations:      map[AttemptID]*jobs.Allocation{},
+		orphans:          map[AttemptID]bool{},
+		unansweredStarts: map[AttemptID]int{},
+		images:           map[string]*imageUsage{},
 	}
 }
 
@@ -134,8 +134,8 @@
 func (m *Machine) Used() Resources {
 	if !m.usedValid {
 		m.used, m.usedValid = Resources{}, true
-		for _, p := range m.Allocations {
-			m.used.Add(DemandOf(&p.Job.Job), 1)
+		for _, allocation := range m.Allocations {
+			m.used.Add(DemandOf(&allocation.Job.Job), 1)
 		}
 	}
 	return m.used
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -92,8 +92,8 @@
 		return nil
 	}
 	var outcomes []Outcome
-	for _, p := range m.Allocations {
-		outcomes = append(outcomes, lost(p))
+	for _, allocation := range m.Allocations {
+		outcomes = append(outcomes, lostOutcome(allocation))
 	}
 	delete(r.Machines, name)
 	return outcomes
@@ -112,34 +112,34 @@
 }
 
 // AddAllocation counts a new allocation on its machine.
-func (r *Registry) AddAllocation(p *jobs.Allocation, now time.Time) {
-	m := r.ensure(p.Machine, now)
-	m.Allocations[attemptOf(p)] = p
-	m.retainImage(p, now)
+func (r *Registry) AddAllocation(allocation *jobs.Allocation, now time.Time) {
+	m := r.ensure(allocation.Machine, now)
+	m.Allocations[attemptOf(allocation)] = allocation
+	m.retainImage(allocation, now)
 }
 
 // RestoreAllocation counts an allocation that a former leader recorded. Whoever answered the machine last did so before the
 // term began, so its lease runs from then at most.
-func (r *Registry) RestoreAllocation(p *jobs.Allocation, begun time.Time) {
-	m := r.ensure(p.Machine, begun)
-	m.Allocations[attemptOf(p)] = p
-	m.retainImage(p, begun)
-	m.Incarnation = max(m.Incarnation, p.Incarnation)
-	m.Zone, m.Known = p.Zone, true
-	if m.LeaseExpiry.Before(begun.Add(r.lease)) {
-		m.LeaseExpiry = begun.Add(r.lease)
+func (r *Registry) RestoreAllocation(allocation *jobs.Allocation, termStart time.Time) {
+	m := r.ensure(allocation.Machine, termStart)
+	m.Allocations[attemptOf(allocation)] = allocation
+	m.retainImage(allocation, termStart)
+	m.Incarnation = max(m.Incarnation, allocation.Incarnation)
+	m.Zone, m.Known = allocation.Zone, true
+	if m.LeaseExpiry.Before(termStart.Add(r.lease)) {
+		m.LeaseExpiry = termStart.Add(r.lease)
 	}
 }
 
 // RemoveAllocation takes an allocation that is proven gone off its machine.
-func (r *Registry) RemoveAllocation(p *jobs.Allocation, now time.Time) {
-	m := r.Machines[p.Machine]
+func (r *Registry) RemoveAllocation(allocation *jobs.Allocation, now time.Time) {
+	m := r.Machines[allocation.Machine]
 	if m == nil {
 		return
 	}
-	if _, there := m.Allocations[attemptOf(p)]; there {
-		delete(m.Allocations, attemptOf(p))
-		m.releaseImage(p, now)
+	if _, present := m.Allocations[attemptOf(allocation)]; present {
+		delete(m.Allocations, attemptOf(allocation))
+		m.releaseImage(allocation, now)
 	}
 	if len(m.Allocations) == 0 {
 		m.IdleSince = now
@@ -155,9 +155,9 @@
 	NotRunningAt time.Time       // a time at which it was known not to run yet; zero: none
 }
 
-// lost is the outcome of an allocation whose end nobody saw.
-func lost(p *jobs.Allocation) Outcome {
-	return Outcome{Allocation: p, Reason: wire.ExitStopped, Lost: true}
+// lostOutcome is the outcome of an allocation whose end nobody saw.
+func lostOutcome(allocation *jobs.Allocation) Outcome {
+	return Outcome{Allocation: allocation, Reason: wire.ExitStopped, Lost: true}
 }
 
 // Ending names the end for people: "lost", or the reason of the exit.
--- a/internal/scheduler/machines/registry_test.go
+++ b/internal/scheduler/machines/registry_test.go
@@ -8,9 +8,9 @@
 func TestReturnedMachineIsLostAndItsHeartbeatsRefused(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	p := allocation(1)
-	f.AddAllocation(p, t0)
-	if outcomes := f.MarkLost("n-1", t0); len(outcomes) != 1 || outcomes[0].Allocation != p {
+	allocation := newAllocation(1)
+	f.AddAllocation(allocation, t0)
+	if outcomes := f.MarkLost("n-1", t0); len(outcomes) != 1 || outcomes[0].Allocation != allocation {
 		t.Fatalf("outcomes %v", outcomes)
 	}
 	if _, err := f.Heartbeat(heartbeat(1, 2, term), t0, mayNotForget); !errors.Is(err, ErrReturned) {
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -55,9 +55,9 @@
 		return NotRestarted
 	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyLife:
 		return Ambiguous
-	case len(m.openStarts) > 0:
+	case len(m.unansweredStarts) > 0:
 		return DeleteOnly
-	case !r.fenced(hb):
+	case !r.hasTermToken(hb):
 		m.probeIncarnation = hb.Incarnation
 		return ProbeAgain
 	}
@@ -78,7 +78,7 @@
 	outcomes := m.allocationsNotIn(hb)
 	clear(m.orphans)
 	clear(m.images)
-	m.markBeforeRestart()
+	m.recordLastBeforeRestart()
 	m.Incarnation, m.seq, m.FencingToken = hb.Incarnation, hb.Seq, hb.FencingToken
 	m.EndedIncarnation, m.probeIncarnation = hb.Incarnation-1, 0
 	m.SuspectCopy, m.lastReply, m.InterruptionAt = false, reply{}, time.Time{}
@@ -91,25 +91,25 @@
 func (m *Machine) allocationsNotIn(hb *wire.Heartbeat) []Outcome {
 	listed := make(map[AttemptID]bool, len(hb.Tasks))
 	for i := range hb.Tasks {
-		t := &hb.Tasks[i]
-		if id, ok := wire.ParseTaskID(t.Task); ok {
-			listed[AttemptID{Task: id, Attempt: t.Attempt}] = true
+		status := &hb.Tasks[i]
+		if taskID, ok := wire.ParseTaskID(status.Task); ok {
+			listed[AttemptID{Task: taskID, Attempt: status.Attempt}] = true
 		}
 	}
 	var outcomes []Outcome
-	for k, p := range m.Allocations {
-		if !listed[k] {
-			outcomes = append(outcomes, lost(p))
+	for id, allocation := range m.Allocations {
+		if !listed[id] {
+			outcomes = append(outcomes, lostOutcome(allocation))
 		}
 	}
 	return outcomes
 }
 
-// markBeforeRestart keeps the newest message from before the restart: whatever is not newer may be a copy. After several
+// recordLastBeforeRestart keeps the newest message from before the restart: whatever is not newer may be a copy. After several
 // restarts that is the newest of all of them.
-func (m *Machine) markBeforeRestart() {
-	last := &m.beforeRestart
-	if last.Incarnation < m.Incarnation || last.Incarnation == m.Incarnation && last.Seq < m.seq {
-		*last = MessageMark{Incarnation: m.Incarnation, Seq: m.seq}
+func (m *Machine) recordLastBeforeRestart() {
+	newest := &m.lastBeforeRestart
+	if newest.Incarnation < m.Incarnation || newest.Incarnation == m.Incarnation && newest.Seq < m.seq {
+		*newest = MessageMark{Incarnation: m.Incarnation, Seq: m.seq}
 	}
 }
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -13,14 +13,14 @@
 // the worker has seen the term's token does what its heartbeat lacks prove anything.
 func TestMissingTaskProvesNothingBeforeTheTermsToken(t *testing.T) {
 	f := newFixture(t)
-	p := allocation(1)
-	p.Stop = &jobs.StopRequest{}
-	f.RestoreAllocation(p, t0)
-	if a := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(a.Outcomes) != 0 {
-		t.Fatalf("concluded while an older leader's start may arrive: %v", a.Outcomes)
+	allocation := newAllocation(1)
+	allocation.Stop = &jobs.StopRequest{}
+	f.RestoreAllocation(allocation, t0)
+	if result := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(result.Outcomes) != 0 {
+		t.Fatalf("concluded while an older leader's start may arrive: %v", result.Outcomes)
 	}
-	if a := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(a.Outcomes) != 1 {
-		t.Errorf("outcomes %v with the term's token", a.Outcomes)
+	if result := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(result.Outcomes) != 1 {
+		t.Errorf("outcomes %v with the term's token", result.Outcomes)
 	}
 }
 
@@ -28,11 +28,11 @@
 // a reply to a heartbeat that was taken a moment ago, a direct start without an answer, or one by an older leader.
 func TestRestartIsAcceptedOnlyOnceNoStartMayArrive(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		after time.Duration // from the last heartbeat that was taken to the probe
-		open  bool          // a direct start is without an answer
-		token uint64
-		want  RestartVerdict
+		name            string
+		after           time.Duration // from the last heartbeat that was taken to the probe
+		unansweredStart bool          // a direct start is without an answer
+		token           uint64
+		want            RestartVerdict
 	}{
 		{"nothing can come", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
 		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
@@ -42,14 +42,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.receive(heartbeat(1, 5, term), 0, mayNotForget)
-			p := allocation(1)
-			f.AddAllocation(p, t0)
+			allocation := newAllocation(1)
+			f.AddAllocation(allocation, t0)
 			m := f.Machines["n-1"]
-			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{allocation})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !c.open {
+			if !c.unansweredStart {
 				f.CommandsAnswered("n-1", req)
 			}
 			_, _, mark, err := f.Probe(m, t0.Add(c.after))
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -29,13 +29,13 @@
 
 // simTask is a task, as it is and as the leader and its record have it.
 type simTask struct {
-	id              wire.TaskID
-	job             *jobs.Job
-	attempt         uint64
-	allocation      *jobs.Allocation // as the present leader has it
-	recorded        *jobs.Allocation // as the record has it: written with each new allocation, and some time after an end
-	completed       bool             // as the present leader has it
-	reallyCompleted bool             // it completed somewhere
+	id                wire.TaskID
+	job               *jobs.Job
+	attempt           uint64
+	allocation        *jobs.Allocation // as the present leader has it
+	recorded          *jobs.Allocation // as the record has it: written with each new allocation, and some time after an end
+	completed         bool             // as the present leader has it
+	actuallyCompleted bool             // it completed somewhere
 }
 
 // simWorker is a machine with its worker process.
@@ -46,7 +46,7 @@
 	unreachableUntil time.Time      // until then nothing gets to it
 	silentUntil      time.Time      // until then nothing of it gets to the leader
 	hangsUntil       time.Time
-	replyDue         time.Time // until then its one heartbeat is in flight
+	inFlightUntil    time.Time // until then its one heartbeat is in flight
 	nextHeartbeat    time.Time
 	dead             bool
 }
@@ -55,7 +55,7 @@
 type message struct {
 	arrives, sent time.Time
 	heartbeat     *wire.Heartbeat // a copy of one that came already, or a late one
-	to            *simWorker
+	recipient     *simWorker
 	process       int
 	direct        *wire.DirectCommands
 	reply         *wire.HeartbeatReply
@@ -68,8 +68,8 @@
 	return !s.noFaults && rapid.IntRange(0, 99).Draw(s.t, what) < percent
 }
 
-func (s *simulation) delayUpTo(most time.Duration, what string) time.Duration {
-	return time.Duration(rapid.IntRange(0, int(most/time.Millisecond)).Draw(s.t, what)) * time.Millisecond
+func (s *simulation) delayUpTo(limit time.Duration, what string) time.Duration {
+	return time.Duration(rapid.IntRange(0, int(limit/time.Millisecond)).Draw(s.t, what)) * time.Millisecond
 }
 
 func clone(hb *wire.Heartbeat) *wire.Heartbeat {
@@ -85,8 +85,8 @@
 	s.r = New(s.term, lease)
 	for _, task := range s.tasks {
 		task.allocation, task.completed = nil, task.completed && task.recorded == nil
-		if p := task.recorded; p != nil {
-			c := *p
+		if recorded := task.recorded; recorded != nil {
+			c := *recorded
 			c.Stop, c.State, c.Removed, c.Committed = nil, "", false, true
 			task.allocation, task.recorded = &c, &c
 			s.r.RestoreAllocation(&c, s.now)
@@ -111,39 +111,39 @@
 // execute has a worker carry out commands, and checks that no task runs twice.
 func (s *simulation) execute(w *simWorker, commands []wire.Command) {
 	for _, c := range commands {
-		i := slices.IndexFunc(w.state.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		known := slices.IndexFunc(w.state.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		switch {
-		case c.Op == wire.OpStart && i < 0:
-			for _, o := range s.workers {
-				for _, t := range o.state.Tasks {
+		case c.Op == wire.OpStart && known < 0:
+			for _, other := range s.workers {
+				for _, t := range other.state.Tasks {
 					// One that hangs executes nothing, and past its lease kills its tasks before anything else.
-					if t.Task == c.Task && t.State != wire.TaskExited && s.now.Sub(o.lastReply) <= simLease {
-						s.t.Fatalf("%s attempt %d starts on %s while attempt %d is on %s\n%s", c.Task, c.Attempt, w.state.Machine, t.Attempt, o.state.Machine, s.trace.String())
+					if t.Task == c.Task && t.State != wire.TaskExited && s.now.Sub(other.lastReply) <= simLease {
+						s.t.Fatalf("%s attempt %d starts on %s while attempt %d is on %s\n%s", c.Task, c.Attempt, w.state.Machine, t.Attempt, other.state.Machine, s.trace.String())
 					}
 				}
 			}
 			w.state.Tasks = append(w.state.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
-		case c.Op == wire.OpStop && i >= 0 && w.state.Tasks[i].State != wire.TaskExited:
-			w.state.Tasks[i].State, w.state.Tasks[i].Reason = wire.TaskExited, wire.ExitStopped
-		case c.Op == wire.OpForget && i >= 0 && w.state.Tasks[i].State == wire.TaskExited:
-			w.state.Tasks = slices.Delete(slices.Clone(w.state.Tasks), i, i+1)
+		case c.Op == wire.OpStop && known >= 0 && w.state.Tasks[known].State != wire.TaskExited:
+			w.state.Tasks[known].State, w.state.Tasks[known].Reason = wire.TaskExited, wire.ExitStopped
+		case c.Op == wire.OpForget && known >= 0 && w.state.Tasks[known].State == wire.TaskExited:
+			w.state.Tasks = slices.Delete(slices.Clone(w.state.Tasks), known, known+1)
 		}
 	}
 }
 
-// settle is what the leader's loop does with outcomes.
-func (s *simulation) settle(outcomes []Outcome) {
-	for _, o := range outcomes {
-		task := s.taskOf(o.Allocation.Task())
-		if o.Allocation.Removed || task.allocation != o.Allocation {
+// applyOutcomes is what the leader's loop does with outcomes.
+func (s *simulation) applyOutcomes(outcomes []Outcome) {
+	for _, outcome := range outcomes {
+		task := s.taskOf(outcome.Allocation.Task())
+		if outcome.Allocation.Removed || task.allocation != outcome.Allocation {
 			continue
 		}
-		o.Allocation.Removed = true
-		s.tracef("settle %v attempt %d on %s incarnation %d: %s, lost %v", o.Allocation.Task(), o.Allocation.Attempt, o.Allocation.Machine, o.Allocation.Incarnation, o.Reason, o.Lost)
+		outcome.Allocation.Removed = true
+		s.tracef("settle %v attempt %d on %s incarnation %d: %s, lost %v", outcome.Allocation.Task(), outcome.Allocation.Attempt, outcome.Allocation.Machine, outcome.Allocation.Incarnation, outcome.Reason, outcome.Lost)
 		task.allocation = nil
-		s.r.RemoveAllocation(o.Allocation, s.now)
-		if o.Reason == wire.ExitDone {
-			if !task.reallyCompleted {
+		s.r.RemoveAllocation(outcome.Allocation, s.now)
+		if outcome.Reason == wire.ExitDone {
+			if !task.actuallyCompleted {
 				s.t.Fatalf("%v counts as completed, and is not", task.id)
 			}
 			task.completed = true
@@ -158,13 +158,13 @@
 
 // deliverHeartbeat has the leader process a heartbeat, and returns its reply; nil: it refused the heartbeat.
 func (s *simulation) deliverHeartbeat(hb *wire.Heartbeat) *wire.HeartbeatReply {
-	a, err := s.r.Heartbeat(clone(hb), s.now, s.mayForget)
-	s.tracef("heartbeat of %s incarnation %d seq %d token %d: %v -> %v %v", hb.Machine, hb.Incarnation, hb.Seq, hb.FencingToken, hb.Tasks, a.Commands, err)
+	result, err := s.r.Heartbeat(clone(hb), s.now, s.mayForget)
+	s.tracef("heartbeat of %s incarnation %d seq %d token %d: %v -> %v %v", hb.Machine, hb.Incarnation, hb.Seq, hb.FencingToken, hb.Tasks, result.Commands, err)
 	if err != nil {
 		return nil
 	}
-	s.settle(a.Outcomes)
-	return &wire.HeartbeatReply{FencingToken: s.term, Commands: a.Commands}
+	s.applyOutcomes(result.Outcomes)
+	return &wire.HeartbeatReply{FencingToken: s.term, Commands: result.Commands}
 }
 
 // deliverReply has a worker process the reply to a heartbeat that it sent at a time. It ignores one with an older token.
@@ -213,15 +213,15 @@
 			later = append(later, m)
 		case m.heartbeat != nil:
 			s.deliverHeartbeat(m.heartbeat) // its reply reaches nobody
-		case m.process != m.to.process || m.to.dead:
-		case m.reply != nil && m.incarnation != m.to.state.Incarnation: // dropped
+		case m.process != m.recipient.process || m.recipient.dead:
+		case m.reply != nil && m.incarnation != m.recipient.state.Incarnation: // dropped
 		case m.reply != nil:
-			s.deliverReply(m.to, m.reply, m.sent)
-		case s.now.Before(m.to.hangsUntil):
-			m.arrives = m.to.hangsUntil
+			s.deliverReply(m.recipient, m.reply, m.sent)
+		case s.now.Before(m.recipient.hangsUntil):
+			m.arrives = m.recipient.hangsUntil
 			later = append(later, m)
 		default:
-			s.deliverDirect(m.to, m.direct) // its answer comes too late
+			s.deliverDirect(m.recipient, m.direct) // its answer comes too late
 		}
 	}
 	s.inFlight = later
@@ -234,17 +234,17 @@
 	}
 	if s.now.Sub(w.lastReply) > simLease {
 		s.tracef("lease of %s expires", w.state.Machine)
-		w.state.Incarnation, w.state.Tasks, w.lastReply, w.replyDue = w.state.Incarnation+1, nil, s.now, time.Time{}
+		w.state.Incarnation, w.state.Tasks, w.lastReply, w.inFlightUntil = w.state.Incarnation+1, nil, s.now, time.Time{}
 	}
 	for i := range w.state.Tasks {
 		t := &w.state.Tasks[i]
 		if t.State == wire.TaskRunning && (s.noFaults || s.chance(3, "completes")) {
 			t.State, t.Reason = wire.TaskExited, wire.ExitDone
 			id, _ := wire.ParseTaskID(t.Task)
-			s.taskOf(id).reallyCompleted = true
+			s.taskOf(id).actuallyCompleted = true
 		}
 	}
-	if s.now.After(w.replyDue) && !s.now.Before(w.nextHeartbeat) {
+	if s.now.After(w.inFlightUntil) && !s.now.Before(w.nextHeartbeat) {
 		s.sendHeartbeat(w)
 	}
 }
@@ -258,7 +258,7 @@
 	case s.chance(1, "restarted"):
 		w.process++
 		s.tracef("%s restarts", w.state.Machine)
-		w.state.Incarnation, w.state.Seq, w.state.FencingToken, w.state.Tasks, w.lastReply, w.replyDue = 1, 0, 0, nil, s.now, time.Time{}
+		w.state.Incarnation, w.state.Seq, w.state.FencingToken, w.state.Tasks, w.lastReply, w.inFlightUntil = 1, 0, 0, nil, s.now, time.Time{}
 	case w != s.workers[0] && s.chance(1, "dies"):
 		w.dead, w.state.Tasks = true, nil
 		return true
@@ -286,8 +286,8 @@
 	case s.now.Before(w.unreachableUntil):
 		w.nextHeartbeat = s.now.Add(5 * time.Second)
 	case reply != nil && s.chance(15, "slow"):
-		w.replyDue = s.now.Add(time.Duration(rapid.IntRange(1, 7).Draw(s.t, "slow")) * 500 * time.Millisecond)
-		s.inFlight = append(s.inFlight, message{arrives: w.replyDue, sent: s.now, to: w, process: w.process, incarnation: w.state.Incarnation, reply: reply})
+		w.inFlightUntil = s.now.Add(time.Duration(rapid.IntRange(1, 7).Draw(s.t, "slow")) * 500 * time.Millisecond)
+		s.inFlight = append(s.inFlight, message{arrives: w.inFlightUntil, sent: s.now, recipient: w, process: w.process, incarnation: w.state.Incarnation, reply: reply})
 	default:
 		s.deliverReply(w, reply, s.now)
 	}
@@ -301,15 +301,15 @@
 	}
 	w := s.worker(name)
 	if s.now.Before(w.unreachableUntil) || w.dead || s.chance(30, "lost") {
-		s.inFlight = append(s.inFlight, message{arrives: s.now.Add(s.delayUpTo(5*simLease, "late")), to: w, process: w.process, direct: req})
+		s.inFlight = append(s.inFlight, message{arrives: s.now.Add(s.delayUpTo(5*simLease, "late")), recipient: w, process: w.process, direct: req})
 		s.r.Machines[name].Reachability.NoteFailed(s.now, s.now)
 		s.r.CommandsUnanswered(name, s.now)
 		return
 	}
 	if answer := s.deliverDirect(w, req); answer != nil {
 		s.r.CommandsAnswered(name, req)
-		if a, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
-			s.settle(a.Outcomes)
+		if result, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
+			s.applyOutcomes(result.Outcomes)
 		}
 	}
 }
@@ -320,14 +320,14 @@
 
 // stepLeader is what the leader does in a step: lease expiries, probes, records and placements.
 func (s *simulation) stepLeader() {
-	s.settle(s.r.EndExpired(s.now, nil))
+	s.applyOutcomes(s.r.EndExpired(s.now, nil))
 	for _, name := range slices.Sorted(maps.Keys(s.r.Machines)) {
 		if s.probeDue(s.r.Machines[name]) {
 			s.probe(name)
 		}
 	}
 	for _, task := range s.tasks {
-		if p := task.recorded; p != nil && task.allocation != p && (s.noFaults || s.chance(20, "written")) {
+		if recorded := task.recorded; recorded != nil && task.allocation != recorded && (s.noFaults || s.chance(20, "written")) {
 			task.recorded = task.allocation
 		}
 		if task.allocation != nil && task.allocation.Stop == nil && s.chance(10, "stop") {
@@ -335,7 +335,7 @@
 			s.sendDirect(task.allocation.Machine, []*jobs.Allocation{task.allocation})
 		}
 		if task.allocation == nil && !task.completed {
-			s.place(task)
+			s.allocate(task)
 		}
 	}
 }
@@ -369,17 +369,17 @@
 		s.tracef("probed %s %+v: verdict %v, incarnation %d seq %d", name, mark, verdict, answer.Incarnation, answer.Seq)
 		switch verdict {
 		case ProcessRestarted:
-			s.settle(s.r.AcceptRestart(m, answer, s.now))
+			s.applyOutcomes(s.r.AcceptRestart(m, answer, s.now))
 		case DeleteOnly:
 			w.process++
 			w.dead, w.state.Tasks = true, nil
-			s.settle(s.r.MarkLost(name, s.now))
+			s.applyOutcomes(s.r.MarkLost(name, s.now))
 		case Ambiguous:
 			m.SuspectCopy = true
 		case NotRestarted:
 			m.SuspectCopy = false
-			if a, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
-				s.settle(a.Outcomes)
+			if result, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
+				s.applyOutcomes(result.Outcomes)
 			}
 		}
 		if verdict != ProbeAgain {
@@ -388,18 +388,18 @@
 	}
 }
 
-// place gives a task to any machine that may get work.
-func (s *simulation) place(task *simTask) {
-	var open []string
+// allocate gives a task to any machine that may get work.
+func (s *simulation) allocate(task *simTask) {
+	var usable []string
 	for _, name := range slices.Sorted(maps.Keys(s.r.Machines)) {
 		if m := s.r.Machines[name]; m.Alive() && m.Usable(s.term, s.now) && !m.HasOrphans() {
-			open = append(open, name)
+			usable = append(usable, name)
 		}
 	}
-	if len(open) == 0 {
+	if len(usable) == 0 {
 		return
 	}
-	m := s.r.Machines[rapid.SampledFrom(open).Draw(s.t, "machine")]
+	m := s.r.Machines[rapid.SampledFrom(usable).Draw(s.t, "machine")]
 	task.attempt++
 	task.allocation = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Incarnation, Committed: true}
 	task.recorded = task.allocation
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -16,17 +16,17 @@
 // Note counts a completed task that ran for the given seconds. others are the run times of tasks of the same job on other
 // machines, in seconds; with fewer than tuning.SlowPeers of them nothing is learned. It reports whether the machine counts as
 // slow now.
-func (s *RelativeSpeed) Note(ran float64, others []float64) bool {
-	if len(others) < tuning.SlowPeers || ran <= 0 {
+func (s *RelativeSpeed) Note(ranS float64, othersS []float64) bool {
+	if len(othersS) < tuning.SlowPeers || ranS <= 0 {
 		return false
 	}
-	sorted := slices.Sorted(slices.Values(others))
+	sorted := slices.Sorted(slices.Values(othersS))
 	median := sorted[len(sorted)/2]
 	if median <= 0 {
 		return false
 	}
-	slow := math.Log(tuning.SlowFactor)
-	x := min(math.Log(ran/median), slow) // one task, however long, counts as one slow one
-	s.evidence = max(0, s.evidence+(x-slow/2)*slow/(tuning.EstimateSpread*tuning.EstimateSpread))
+	logSlowFactor := math.Log(tuning.SlowFactor)
+	logRatio := min(math.Log(ranS/median), logSlowFactor) // one task, however long, counts as one slow one
+	s.evidence = max(0, s.evidence+(logRatio-logSlowFactor/2)*logSlowFactor/(tuning.EstimateSpread*tuning.EstimateSpread))
 	return s.evidence >= tuning.SlowEvidence
 }
