--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -16,7 +16,7 @@
 	return wire.Command{Op: wire.OpStop, Task: allocation.Task().String(), Attempt: allocation.Attempt, GraceS: &grace}
 }
 
-// stopOrphanCommand stops a task without grace that no record places where it runs.
+// stopOrphanCommand stops, without a grace period, a task that no record allocates to the machine that runs it.
 func stopOrphanCommand(status *wire.TaskStatus) wire.Command {
 	grace := 0.0
 	return wire.Command{Op: wire.OpStop, Task: status.Task, Attempt: status.Attempt, GraceS: &grace}
@@ -26,15 +26,16 @@
 	return wire.Command{Op: wire.OpForget, Task: status.Task, Attempt: status.Attempt}
 }
 
-// reply is what the reply to a heartbeat said. The next heartbeat shows whether it arrived, since a worker has one heartbeat
-// in flight at a time.
+// reply is the content of the reply to a heartbeat. The next heartbeat shows whether the reply arrived, since a
+// worker has only one heartbeat in flight at a time.
 type reply struct {
-	newToken bool // it brought a fencing token that the worker had not seen
+	newToken bool // it carried a fencing token that the worker had not seen
 	commands []wire.Command
 }
 
-// effect compares a heartbeat with the reply to the one before. acknowledged: something shows that the reply was carried
-// out. missed: nothing does, and something shows that it was not. listed are the heartbeat's tasks.
+// effect compares a heartbeat with the reply to the previous one. acknowledged means that something in the heartbeat
+// shows that the reply was executed. missed means that nothing shows this and something shows the contrary. listed
+// holds the heartbeat's tasks.
 func (r *reply) effect(hb *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, term uint64) (acknowledged, missed bool) {
 	if r.newToken {
 		acknowledged, missed = hb.FencingToken >= term, hb.FencingToken < term
@@ -48,7 +49,7 @@
 		task := listed[AttemptID{Task: taskID, Attempt: command.Attempt}]
 		present := task != nil && task.State != wire.TaskExited
 		switch command.Op {
-		case wire.OpStart: // whatever came of it, it is listed until it is forgotten
+		case wire.OpStart: // a task that was started is listed, however it ended, until the worker may forget it
 			acknowledged, missed = acknowledged || task != nil, missed || task == nil
 		case wire.OpStop:
 			missed = missed || present && task.State != wire.TaskSaving
@@ -59,9 +60,9 @@
 	return acknowledged, missed && !acknowledged
 }
 
-// CommandsFor makes the direct request that tells a machine at once what was decided for some of its allocations: starts,
-// or stops where these are wanted. The starts count as open until CommandsAnswered. The error is ErrUnknownMachine,
-// ErrUnaddressable or ErrNoCommands; then there is no request, and no start counts as open.
+// CommandsFor returns a direct request that starts or stops some of a machine's allocations at once, without waiting
+// for a heartbeat. The starts in it count as unanswered until CommandsAnswered is called. The error is
+// ErrUnknownMachine, ErrUnaddressable or ErrNoCommands; then there is no request, and no start counts as unanswered.
 func (r *Registry) CommandsFor(name string, allocations []*jobs.Allocation) (addr string, req *wire.DirectCommands, err error) {
 	m := r.Machines[name]
 	switch {
@@ -87,8 +88,8 @@
 	return m.Address, req, nil
 }
 
-// CommandsAnswered records that a direct request had a definite answer: it will not be executed again. Without one its
-// starts stay open for the rest of the incarnation.
+// CommandsAnswered records that a direct request will not be executed any more: it was answered, or never sent.
+// Without that, its starts count as unanswered for the rest of the incarnation.
 func (r *Registry) CommandsAnswered(name string, req *wire.DirectCommands) {
 	m := r.Machines[name]
 	if m == nil || m.Incarnation != req.Incarnation {
@@ -102,16 +103,17 @@
 	}
 }
 
-// removeUnansweredStart counts one open start of an attempt less.
+// removeUnansweredStart decreases the number of unanswered direct starts of an attempt by one.
 func (m *Machine) removeUnansweredStart(id AttemptID) {
 	if m.unansweredStarts[id]--; m.unansweredStarts[id] <= 0 {
 		delete(m.unansweredStarts, id)
 	}
 }
 
-// CommandsUnanswered records that a direct request, sent at a time, had no answer. A start in it may still arrive, also at a
-// worker process that was restarted until then and counts its incarnations from 1 again, as long as the lease of that process's
-// first incarnation lasts.
+// CommandsUnanswered records that a direct request, sent at the given time, had no answer, and postpones the
+// machine's lease expiry to at least one lease duration after that time. A start in the request may still arrive. It
+// may even be executed by a worker process that was restarted in the meantime, since that process counts its
+// incarnations from 1 again; but only until the lease of its first incarnation expires.
 func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
 	if m == nil || len(m.unansweredStarts) == 0 || m.LeaseExpiry.IsZero() {
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a direct start without an answer, which may be executed minutes later: the attempt is made known before it
-// counts as gone, and it is not forgotten while the start is open.
+// Guards against an unanswered direct start that is executed minutes later. The worker is made to know the attempt
+// before the attempt counts as gone, and does not forget it while the start is unanswered.
 func TestAttemptWithAnOpenDirectStartIsStoppedAndNotForgotten(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
@@ -18,7 +18,7 @@
 	f.AddAllocation(allocation, t0)
 	addr, req, err := f.CommandsFor("n-1", []*jobs.Allocation{allocation})
 	if err != nil || addr == "" || ops(req.Commands) != "start " || req.FencingToken != term || req.Incarnation != 1 {
-		t.Fatalf("direct: %s %+v, %v", addr, req, err)
+		t.Fatalf("direct request to %s: %+v, error %v", addr, req, err)
 	}
 	allocation.Stop = &jobs.StopRequest{}
 	result := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
@@ -32,21 +32,22 @@
 	}
 	f.RemoveAllocation(allocation, t0)
 	if result = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(result.Commands) != 0 {
-		t.Fatalf("forgotten while a start is open: %v", result.Commands)
+		t.Fatalf("commands while a start is unanswered: %v, want none", result.Commands)
 	}
-	f.CommandsAnswered("n-1", req) // now its answer came
+	f.CommandsAnswered("n-1", req) // its answer arrives now
 	if result = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(result.Commands) != "forget " {
 		t.Fatalf("commands %v", result.Commands)
 	}
 }
 
-// Guards against a task that counts as gone while a direct start without an answer may reach a worker process that was
-// restarted since and counts its incarnations from 1 again: its lease runs from the start's sending then.
-func TestUnansweredDirectStartPutsTheLeaseExpiryOff(t *testing.T) {
+// Guards against a task that counts as gone while an unanswered direct start of it may reach a worker process that
+// was restarted since and counts its incarnations from 1 again. The lease expiry is counted from when the start was
+// sent.
+func TestUnansweredDirectStartPostponesTheLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		answered bool
-		want     int // outcomes at the expiry by the last heartbeat
+		want     int // number of outcomes one lease after the last heartbeat
 	}{{"unanswered", false, 0}, {"answered before", true, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -71,20 +72,20 @@
 	}
 }
 
-// Guards against a direct request that nobody can get or that says nothing, and against a start that counts as open though it
-// was never sent: it would keep its attempt from being forgotten.
+// Guards against a direct request that cannot be delivered or has no commands. Guards also against a start that
+// counts as unanswered although it was never sent: its attempt would never be forgotten.
 func TestRefusedDirectRequestsNameTheirReason(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machine  string
 		prepare  func(*Machine, *jobs.Allocation)
-		commands error
-		probe    error // of n-1
+		commands error // of CommandsFor
+		probe    error // of Probe for n-1
 	}{
-		{"all is well", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
-		{"another machine is named", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
+		{"a request can be sent", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
+		{"the machine is not in the registry", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
 		{"no address", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Address = "" }, ErrUnaddressable, ErrUnaddressable},
-		{"the cloud's list has its address", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Address, m.ListedAddress = "", "10.0.0.9:1" }, ErrUnaddressable, nil},
+		{"only the cloud's list has its address", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Address, m.ListedAddress = "", "10.0.0.9:1" }, ErrUnaddressable, nil},
 		{"its incarnation is over", "n-1", func(m *Machine, _ *jobs.Allocation) { m.EndedIncarnation = m.Incarnation }, ErrUnaddressable, nil},
 		{"no incarnation is known", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Incarnation = 0 }, ErrUnaddressable, ErrUnaddressable},
 		{"it is being deleted", "n-1", func(m *Machine, _ *jobs.Allocation) { m.Returning = true }, ErrUnaddressable, ErrUnaddressable},
@@ -98,14 +99,14 @@
 			c.prepare(m, allocation)
 			addr, req, err := f.CommandsFor(c.machine, []*jobs.Allocation{allocation})
 			if !errors.Is(err, c.commands) || (err == nil) != (addr != "" && req != nil) {
-				t.Errorf("commands for %q: %+v, error %v, want %v", addr, req, err, c.commands)
+				t.Errorf("CommandsFor: address %q, request %+v, error %v, want %v", addr, req, err, c.commands)
 			}
 			if open := len(m.unansweredStarts); (open > 0) != (err == nil) {
-				t.Errorf("%d starts are open after error %v", open, err)
+				t.Errorf("%d starts count as unanswered after error %v", open, err)
 			}
 			addr, req, _, err = f.Probe(m, t0)
 			if !errors.Is(err, c.probe) || (err == nil) != (addr != "" && req != nil) {
-				t.Errorf("probe of %q: %+v, error %v, want %v", addr, req, err, c.probe)
+				t.Errorf("Probe: address %q, request %+v, error %v, want %v", addr, req, err, c.probe)
 			}
 		})
 	}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -16,54 +16,56 @@
 	return hb
 }
 
-// Guards against the spot notice of a delayed copy: it drained a healthy machine, or had one that will be interrupted look safe.
+// Guards against a lasting effect of a delayed copy on the spot notice: a healthy machine was drained, or one that
+// will be interrupted looked safe.
 func TestSpotNoticeOfADelayedCopyDoesNotLast(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(newAllocation(1), t0)
 	f.receive(withNotice(heartbeat(1, 5, term-1), 25), 0, mayNotForget) // may be a copy
 	if m := f.Machines["n-1"]; m.InterruptionAt.IsZero() {
-		t.Error("a notice does not count though nothing speaks against it")
+		t.Error("a provisional notice does not count")
 	}
 	f.receive(heartbeat(1, 9, term), time.Second, mayNotForget)
 	if m := f.Machines["n-1"]; !m.InterruptionAt.IsZero() {
-		t.Error("the notice stays though the machine itself says that it has none")
+		t.Error("the notice remains although the machine acknowledged the term and reports none")
 	}
 	f.receive(withNotice(heartbeat(1, 10, term), 25), 2*time.Second, mayNotForget)
 	before := f.Machines["n-1"].InterruptionAt
 	for _, stale := range []*wire.Heartbeat{heartbeat(1, 8, term), withNotice(heartbeat(1, 10, term), 3)} {
 		if _, err := f.Heartbeat(stale, t0.Add(3*time.Second), mayNotForget); !errors.Is(err, ErrStale) {
-			t.Errorf("a copy: %v", err)
+			t.Errorf("delayed copy: error %v, want ErrStale", err)
 		}
 	}
 	if m := f.Machines["n-1"]; m.InterruptionAt != before || before.IsZero() || !m.SuspectCopy {
-		t.Errorf("a copy changed the notice (%v, %v), or does not make its machine suspect", before, m.InterruptionAt)
+		t.Errorf("a delayed copy changed the notice from %v to %v, or did not make its machine suspect", before, m.InterruptionAt)
 	}
 }
 
-// Guards against a machine that a former leader returned: a copy of its heartbeat had it look idle and empty.
+// Guards against tasks for a machine that a former leader returned to the cloud: a delayed copy of its heartbeat made
+// it look idle.
 func TestMachineNamedOnlyByHeartbeatsGetsNoWorkBeforeItAcknowledges(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 5, term-1), 0, mayNotForget)
 	m := f.Machines["n-1"]
 	if m.Usable(term, t0) {
-		t.Error("usable though nothing but a heartbeat names it")
+		t.Error("usable although only a heartbeat names it")
 	}
 	f.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0) // the cloud lists it
 	if !m.Usable(term, t0) {
-		t.Error("not usable though it is listed and has the token of the last term")
+		t.Error("not usable although it is listed and has the previous term's token")
 	}
 	old := newFixture(t)
 	old.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0)
 	old.receive(heartbeat(1, 5, term-2), 0, mayNotForget)
 	if old.Machines["n-1"].Usable(term, t0) {
-		t.Error("trusted by a heartbeat from before the last term")
+		t.Error("usable although its heartbeat is from before the previous term")
 	}
 	if old.receive(heartbeat(1, 6, term), time.Second, mayNotForget); !old.Machines["n-1"].Usable(term, t0) {
-		t.Error("not usable though it acknowledged the term")
+		t.Error("not usable although it acknowledged the term")
 	}
 }
 
-// Guards against a heartbeat that gives its machine another identity.
+// Guards against a heartbeat that changes the address, type, zone or kind of its machine.
 func TestContradictingHeartbeatChangesNothing(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 5, term), 0, mayNotForget)
@@ -81,53 +83,57 @@
 			c.change(hb)
 			before := *f.Machines["n-1"]
 			if _, err := f.Heartbeat(hb, t0.Add(time.Second), mayNotForget); !errors.Is(err, ErrContradicts) {
-				t.Errorf("%+v: %v", hb, err)
+				t.Errorf("heartbeat %+v: error %v, want ErrContradicts", hb, err)
 			}
 			if m := f.Machines["n-1"]; m.Incarnation != before.Incarnation || m.Address != before.Address || m.LastHeartbeat != before.LastHeartbeat || m.HasOrphans() {
-				t.Errorf("it changed %+v", m)
+				t.Errorf("the heartbeat changed the machine: %+v", m)
 			}
 		})
 	}
 }
 
-// Guards against an incarnation that counts as over by the lease of the one before: a machine that was unreachable for longer
-// than its lease answered a probe with its new incarnation, was given work, and a moment later that was started elsewhere.
+// Guards against an incarnation that counts as over because the lease of the previous one expired. A machine that was
+// unreachable for longer than its lease answered a probe with its new incarnation and was given tasks, which a moment
+// later were started elsewhere.
 func TestNewIncarnationInADirectAnswerHasItsOwnLease(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	back := 30 * time.Second // long after its lease; nothing was concluded, since followers may have renewed it
+	back := 30 * time.Second // long after its lease expired; nothing was concluded, since followers may have renewed it
 	if _, err := f.DirectAnswer(heartbeat(2, 9, term), t0.Add(back), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
 	allocation := newAllocation(2)
 	f.AddAllocation(allocation, t0.Add(back))
 	if outcomes := f.expire(back + 9*time.Second); len(outcomes) != 0 {
-		t.Fatalf("lost within the lease of its incarnation: %v", outcomes)
+		t.Fatalf("allocation lost within the lease of its incarnation: %v", outcomes)
 	}
 	if outcomes := f.expire(back + 11*time.Second); len(outcomes) != 1 {
-		t.Errorf("not lost after it: %v", outcomes)
+		t.Errorf("outcomes after the lease of the incarnation: %v, want one", outcomes)
 	}
 }
 
-// Guards against a task that is never wanted again, and its job forgotten: a former leader had recorded it in an incarnation
-// that was over, knew that it was gone, allocated another there and ended before it had written the first one's end.
+// Guards against a task that is never started again, so that its job never completes. A former leader had recorded the
+// task in an incarnation that was over, knew that it was gone, allocated another task to the machine, and lost
+// leadership before it had written the end of the first.
 func TestAllocationLeftOverFromAnEarlierIncarnationIsLost(t *testing.T) {
 	f := newFixture(t)
 	gone, present := newAllocation(1), newAllocation(2)
 	present.Index = 1
 	f.RestoreAllocation(gone, t0)
 	f.RestoreAllocation(present, t0)
-	// Before the worker has the term's token this may be a copy from before a restart, and the task in the process that runs.
+	// Until the worker has this term's token, this may be a copy from before a restart, and the task may run in the
+	// present process.
 	if result := f.receive(heartbeat(2, 6, term-1, status("job-1/1", 1, wire.TaskRunning, "")), 0, mayNotForget); len(result.Outcomes) != 0 {
-		t.Errorf("outcomes %+v of what may be a copy", result.Outcomes)
+		t.Errorf("outcomes %+v of a heartbeat that may be a copy, want none", result.Outcomes)
 	}
 	result := f.receive(heartbeat(2, 7, term, status("job-1/1", 1, wire.TaskRunning, "")), time.Second, mayNotForget)
 	if len(result.Outcomes) != 1 || result.Outcomes[0].Allocation != gone || !result.Outcomes[0].Lost {
-		t.Errorf("outcomes %+v", result.Outcomes)
+		t.Errorf("outcomes %+v, want the earlier allocation as lost", result.Outcomes)
 	}
 }
 
-// Guards against a copy from before a restart whose incarnation is higher than that of the process that runs.
+// Guards against a copy from before a restart whose incarnation is higher than that of the present process: it must
+// not end that incarnation.
 func TestCopyFromBeforeARestartEndsNoIncarnation(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(3, 40, term), 0, mayNotForget)
@@ -150,21 +156,22 @@
 	}
 }
 
-// Guards against a copy that is taken for news of a machine which answered a probe and sent no heartbeat in this term yet.
-func TestDirectAnswerSetsTheOrderBeforeTheFirstHeartbeat(t *testing.T) {
+// Guards against a delayed copy that is accepted as news of a machine that has answered a probe and sent no heartbeat
+// in this term.
+func TestHeartbeatOlderThanADirectAnswerIsStale(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(newAllocation(1), t0)
 	if _, err := f.DirectAnswer(heartbeat(1, 7, term, status("job-1/0", 1, wire.TaskRunning, "")), t0.Add(time.Second), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
 	if result, err := f.Heartbeat(heartbeat(1, 6, term), t0.Add(2*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(result.Commands) != 0 {
-		t.Errorf("a copy from before the answer: %v, %v", result.Commands, err)
+		t.Errorf("delayed copy from before the answer: commands %v, error %v", result.Commands, err)
 	}
 	f.receive(heartbeat(1, 8, term, status("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, mayNotForget)
 }
 
-// Guards against a task that counts as gone while the reply with its start is on its way: the next heartbeat may be a copy from
-// before a restart of the worker process, with a higher sequence number.
+// Guards against a task that counts as gone while the reply with its start is on its way. The next heartbeat may be a
+// copy from before a restart of the worker process, with a higher sequence number.
 func TestTaskIsNotGoneWhileAReplyWithItsStartMayArrive(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
@@ -178,17 +185,18 @@
 		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, mayNotForget); len(result.Outcomes) != 1 {
-		t.Errorf("not gone though nothing can arrive any more: %v", result.Commands)
+		t.Errorf("not gone although no start can arrive any more; commands %v", result.Commands)
 	}
 }
 
-// Guards against a copy from before a restart that a leader never knew of: the process that runs has the lower incarnation, and
-// its tasks counted as gone. A worker does not lose its token, and a machine that acknowledged nothing yet is probed.
+// Guards against a copy from before a restart that the leader never learned of: the present process has the lower
+// incarnation, and its tasks counted as gone. A worker never loses its token, so a lower one shows a copy or a
+// restart. A machine that has acknowledged nothing yet is probed.
 func TestNewIncarnationThatMayBeACopyEndsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		acknowledged bool // the machine acknowledged a message of this term
-	}{{"a token that went down", true}, {"a machine that acknowledged nothing", false}} {
+	}{{"a token that decreased", true}, {"a machine that acknowledged nothing", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			if c.acknowledged {
@@ -200,15 +208,16 @@
 			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(result.Outcomes) != 0 || !m.SuspectCopy {
 				t.Errorf("%v, %v", result.Outcomes, err)
 			}
-			// If the incarnation is new, the machine itself says so.
+			// If the incarnation is new, the machine's direct answer shows it.
 			if result, err := f.DirectAnswer(heartbeat(2, 6, term), t0.Add(2*time.Second), mayNotForget); err != nil || len(result.Outcomes) != 1 {
-				t.Errorf("the machine's own answer: %v, %v", result.Outcomes, err)
+				t.Errorf("direct answer: outcomes %v, error %v", result.Outcomes, err)
 			}
 		})
 	}
 }
 
-// Guards against an exit from before a restart: a recorded attempt is started again in the process that runs.
+// Guards against an exit from before a restart that ends an attempt: a recorded attempt is started again in the new
+// process.
 func TestExitWithoutTheTermsTokenCountsOnlyIfCompleted(t *testing.T) {
 	for _, c := range []struct {
 		reason   wire.ExitReason
@@ -225,7 +234,8 @@
 	}
 }
 
-// Guards against a copy from before a restart, of the same incarnation: it lacks what runs in the process that is there.
+// Guards against a copy from before a restart with the same incarnation: it does not list what runs in the present
+// process.
 func TestTaskMissingFromACopyFromBeforeARestartIsNotGone(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 40, term), 0, mayNotForget)
@@ -238,6 +248,6 @@
 		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 41, term), 60*time.Second, mayNotForget); len(result.Outcomes) != 1 {
-		t.Errorf("not gone though the heartbeat is from after the restart: %v", result.Commands)
+		t.Errorf("not gone although the heartbeat is from after the restart; commands %v", result.Commands)
 	}
 }
--- a/internal/scheduler/machines/fixture_test.go
+++ b/internal/scheduler/machines/fixture_test.go
@@ -18,7 +18,7 @@
 func mayForget(AttemptID) bool    { return true }
 func mayNotForget(AttemptID) bool { return false }
 
-// heartbeat makes one of n-1.
+// heartbeat returns a heartbeat of machine n-1.
 func heartbeat(incarnation, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Address: "10.0.0.9:1", Type: "g8", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: token, Tasks: tasks}
 }
@@ -27,7 +27,7 @@
 	return wire.TaskStatus{Task: task, Attempt: attempt, State: state, Reason: reason}
 }
 
-// newAllocation makes a recorded allocation of job-1/0 on n-1 in an incarnation.
+// newAllocation returns a recorded allocation of task job-1/0 on machine n-1 in an incarnation.
 func newAllocation(incarnation uint64) *jobs.Allocation {
 	return &jobs.Allocation{
 		Job:     &jobs.Job{Job: wire.Job{ID: "job-1", Team: "t", CPUs: 2, Tasks: 1, Image: "img"}},
@@ -35,7 +35,7 @@
 	}
 }
 
-// fixture is a registry of term 7, with machine n-1 in the heartbeats.
+// fixture is a registry of term 7 with helpers that fail the test.
 type fixture struct {
 	t *testing.T
 	*Registry
@@ -43,7 +43,7 @@
 
 func newFixture(t *testing.T) *fixture { return &fixture{t, New(term, lease)} }
 
-// receive takes in a heartbeat that must not be refused, a time after t0.
+// receive processes a heartbeat that arrives at t0 plus offset. The heartbeat must not be rejected.
 func (f *fixture) receive(hb *wire.Heartbeat, offset time.Duration, forget MayForget) HeartbeatResult {
 	f.t.Helper()
 	result, err := f.Heartbeat(hb, t0.Add(offset), forget)
@@ -53,12 +53,13 @@
 	return result
 }
 
-// expire is what the leader does when no follower renews any machine's lease.
+// expire ends the incarnations whose leases have expired at t0 plus offset, as the leader does if no follower renewed
+// any lease.
 func (f *fixture) expire(offset time.Duration) []Outcome {
 	return f.EndExpired(t0.Add(offset), nil)
 }
 
-// ops returns the operations of commands, by their words of the protocol.
+// ops returns the operations of commands as the protocol names them, each followed by a space.
 func ops(cmds []wire.Command) string {
 	words := ""
 	for _, c := range cmds {
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -7,36 +7,38 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// HeartbeatResult is what a heartbeat leads to.
+// HeartbeatResult is the result of processing a heartbeat.
 type HeartbeatResult struct {
 	Machine       *Machine
 	Outcomes      []Outcome
-	Commands      []wire.Command     // for the reply; none for a direct answer
-	Started       []*jobs.Allocation // those that were seen to run for the first time
-	RetainedExits []AttemptID        // exited attempts that the worker may not forget yet
-	Changed       bool               // something that matters to placement changed, outcomes apart
+	Commands      []wire.Command     // for the reply; empty for a direct answer
+	Started       []*jobs.Allocation // allocations whose tasks are reported running for the first time
+	RetainedExits []AttemptID        // exited attempts without an allocation that the worker may not forget yet
+	Changed       bool               // something besides the outcomes changed that matters to placement
 }
 
-// MayForget reports whether an exited attempt without an allocation may be forgotten by its worker: the stored record no
-// longer names it.
+// MayForget reports whether a worker may forget an exited attempt that has no allocation: the stored record no longer
+// names the attempt.
 type MayForget func(AttemptID) bool
 
-// Heartbeat processes a heartbeat that a worker sent by itself. It renews the lease of its machine, and its reply brings the
-// result's commands. The error is ErrReturned, ErrStale or ErrContradicts; such a heartbeat changes nothing but whether its
-// machine is to be probed.
+// Heartbeat processes a heartbeat that a worker sent on its own initiative. It renews the lease of the machine, and
+// the reply carries the result's commands. The error is ErrReturned, ErrStale or ErrContradicts. A heartbeat that is
+// rejected with an error changes nothing, except that its machine may be probed because of it.
 func (r *Registry) Heartbeat(hb *wire.Heartbeat, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	return r.processHeartbeat(hb, false, now, mayForget)
 }
 
-// DirectAnswer processes the heartbeat with which a worker answered a direct request. Such an answer carries no commands back
-// and renews no lease. It proves nothing of tasks that it lacks, since a reply to a heartbeat may still be on its way to the
-// worker. But it is no delayed copy, and proves that the machine is reached. The errors are those of Heartbeat.
+// DirectAnswer processes the heartbeat with which a worker answered a direct request. Such an answer renews no lease,
+// and no commands can be sent in reply to it. It proves nothing about tasks that it does not list, because the reply
+// to an ordinary heartbeat, with a start, may still be on its way to the worker. But it is not a delayed copy, and it
+// proves that requests reach the machine. The errors are those of Heartbeat.
 func (r *Registry) DirectAnswer(hb *wire.Heartbeat, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	return r.processHeartbeat(hb, true, now, mayForget)
 }
 
-// processHeartbeat processes a heartbeat: first the order of its machine's messages and its incarnation, then the lease and
-// the spot notice, then its tasks. direct: it is the answer to a direct request.
+// processHeartbeat processes a heartbeat. It first checks the order of the machine's messages and the incarnation,
+// then updates the lease and the spot notice, then reconciles the tasks. direct means that the heartbeat is the
+// answer to a direct request.
 func (r *Registry) processHeartbeat(hb *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	if err := r.admit(hb, direct); err != nil {
 		return HeartbeatResult{}, err
@@ -44,7 +46,7 @@
 	machine := r.ensure(hb.Machine, now)
 	wasUsable := machine.Usable(r.term, now)
 	rc := reconciliation{
-		machine: machine, heartbeat: hb, direct: direct, now: now,
+		machine: machine, hb: hb, direct: direct, now: now,
 		hasTermToken:      r.hasTermToken(hb),
 		newIncarnation:    hb.Incarnation > machine.Incarnation,
 		previousHeartbeat: machine.LastHeartbeat,
@@ -64,7 +66,7 @@
 		machine.LeaseExpiry = now.Add(r.lease)
 	}
 
-	// Not a field of rc: so the map stays on the stack.
+	// The map is not a field of rc, so that it stays on the stack.
 	listed := make(map[AttemptID]*wire.TaskStatus, len(hb.Tasks))
 	rc.processListed(listed, mayForget)
 	rc.dropMissingOrphans(listed)
@@ -78,8 +80,8 @@
 	return rc.result, nil
 }
 
-// admit decides whether a heartbeat is news of a machine that exists, before it changes anything. One that is refused may have
-// the machine probed.
+// admit decides whether a heartbeat is news of a machine that still exists, before the heartbeat changes anything. If
+// it rejects the heartbeat, it may mark the machine as to be probed (SuspectCopy).
 func (r *Registry) admit(hb *wire.Heartbeat, direct bool) error {
 	if r.WasReturned(hb.Machine) {
 		return ErrReturned
@@ -91,7 +93,7 @@
 		}
 		return nil
 	}
-	// An incarnation whose lease expired is over, whatever a late heartbeat says.
+	// An incarnation whose lease has expired is over, even if a late heartbeat of it arrives.
 	ended := hb.Incarnation <= m.EndedIncarnation
 	if m.outOfOrder(hb) || !direct && r.mayPredateRestart(m, hb) || ended {
 		m.SuspectCopy = true
@@ -104,43 +106,48 @@
 	return nil
 }
 
-// outOfOrder reports whether a message is no newer than one that is known of its machine. Direct answers tell the order as
-// well, also of a machine from which no heartbeat has come in this term.
+// outOfOrder reports whether a message is no newer than the newest known message of its machine. Direct answers count
+// as known messages too, even if the machine has sent no heartbeat in this term.
 func (m *Machine) outOfOrder(hb *wire.Heartbeat) bool {
 	anyMessageKnown := m.seq > 0 || !m.LastHeartbeat.IsZero()
 	return hb.Incarnation < m.Incarnation || anyMessageKnown && !hb.Newer(m.Incarnation, m.seq)
 }
 
-// mayPredateRestart reports whether a heartbeat that looks newer may be a delayed copy from before or after a restart of the
-// machine's worker process. Then the machine itself is to tell, as the answer to a probe.
+// mayPredateRestart reports whether a heartbeat that looks newer may be a delayed copy from before a restart of the
+// machine's worker process, or the first sign of a restart. Its sequence number proves nothing then, and only the
+// machine's answer to a probe shows which of the two it is.
 func (r *Registry) mayPredateRestart(m *Machine, hb *wire.Heartbeat) bool {
 	newIncarnation := hb.Incarnation > m.Incarnation
 	switch {
-	case hb.FencingToken < m.FencingToken: // a worker process keeps the highest token that it has seen
+	case hb.FencingToken < m.FencingToken: // a worker process never forgets the highest token that it has seen
 		return true
 	case newIncarnation && !hb.Newer(m.lastBeforeRestart.Incarnation, m.lastBeforeRestart.Seq):
-		// A copy from before a known restart looks newer than all messages since.
+		// A copy from before a known restart can look newer than all messages since the restart.
 		return true
 	}
-	// What is recorded there would count as gone, by an incarnation that may be from before a restart of which this leader
-	// never knew. Not if the machine has acknowledged a message of this term.
+	// Accepting the new incarnation would end the allocations on the machine. But the incarnation may be from before
+	// a restart that this leader never learned of, and the tasks may run in the present process. There is no such
+	// doubt if the worker has this term's token or the machine has acknowledged a message of this term.
 	return newIncarnation && len(m.Allocations) > 0 && !r.hasTermToken(hb) && !m.Reachability.EverAcknowledged()
 }
 
-// hasTermToken reports whether a worker had seen the term's token when it sent a heartbeat. Only a message of this term can have
-// brought it, and from then on the worker refuses what leaders of older terms sent directly.
+// hasTermToken reports whether a worker had seen this term's fencing token when it sent a heartbeat. Only a message
+// of this term can have carried the token to it. From then on the worker refuses direct requests of leaders of older
+// terms.
 func (r *Registry) hasTermToken(hb *wire.Heartbeat) bool { return hb.FencingToken >= r.term }
 
-// contradicts reports whether a heartbeat says of its machine what cannot change while it exists.
+// contradicts reports whether a heartbeat differs from the known machine in something that cannot change while the
+// machine exists.
 func (m *Machine) contradicts(hb *wire.Heartbeat) bool {
 	return m.Address != "" && (m.Address != hb.Address || m.Type != hb.Type || m.Zone != hb.Zone || m.Spot != hb.Spot)
 }
 
-// beginIncarnation records the first message of a new incarnation, and ends the ones before. The lease counts from the begin
-// of the incarnation, which may be this moment. When a direct answer told of a new incarnation, the end of the former one's
-// lease once counted for it: tasks that had just been started there were started elsewhere.
+// beginIncarnation records the first message of a new incarnation and ends the earlier ones. The new incarnation may
+// have begun just now, so its lease may last a full lease duration from now. That also applies if the message is a
+// direct answer, which renews no lease otherwise: if the lease expiry of the former incarnation still applied, tasks
+// that had just been started on the machine would be started elsewhere while they run there.
 func (r *Registry) beginIncarnation(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) []Outcome {
-	// Its worker's lease expired though its heartbeats were answered: the replies did not arrive.
+	// The worker's lease expired although its heartbeats were answered, so the replies did not arrive.
 	if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
 		m.Reachability.NoteMissed(now)
 	}
@@ -149,8 +156,9 @@
 	return m.endIncarnations(hb.Incarnation-1, nil)
 }
 
-// recordAcknowledgment records that a message of this term reached the machine, if a heartbeat proves it: it is the answer to a
-// direct request, or the first one that bears the term's token. Only a direct answer ends the suspicion of a copy.
+// recordAcknowledgment records that a message of this term reached the machine, if a heartbeat proves it: the
+// heartbeat is the answer to a direct request, or the first one with this term's token. Only a direct answer ends the
+// suspicion that heartbeats of the machine are delayed copies.
 func (r *Registry) recordAcknowledgment(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) {
 	if direct || r.hasTermToken(hb) && !m.Reachability.EverAcknowledged() {
 		m.Reachability.Acknowledged(now)
@@ -158,7 +166,8 @@
 	}
 }
 
-// recordIdentity records what a heartbeat says of its machine and where it stands in the order of messages.
+// recordIdentity records the position of a heartbeat in the order of the machine's messages, its token, and the
+// address, type, zone and kind that it reports.
 func (m *Machine) recordIdentity(hb *wire.Heartbeat, now time.Time) {
 	m.seq, m.FencingToken = hb.Seq, hb.FencingToken
 	m.Address, m.Type, m.Zone, m.Spot = hb.Address, hb.Type, hb.Zone, hb.Spot
@@ -168,9 +177,10 @@
 	m.MissedListings = 0
 }
 
-// recordInterruption records a heartbeat's spot notice, or that it has none, and reports whether there is a new one. The first
-// heartbeat that a new leader sees may be a copy, whose notice is as old as the copy is. So until the machine has
-// acknowledged a message of this term a notice counts for the time being, and the lack of one clears nothing.
+// recordInterruption records a heartbeat's spot notice, or that it has none, and reports whether the notice is new.
+// The first heartbeat that a new leader receives may be a delayed copy, and its notice outdated. So until the machine
+// has acknowledged a message of this term, a notice counts only provisionally, and a heartbeat without a notice does
+// not clear an earlier one.
 func (m *Machine) recordInterruption(hb *wire.Heartbeat, now time.Time) bool {
 	acknowledged := m.Reachability.EverAcknowledged()
 	if acknowledged && m.provisionalNotice {
@@ -190,7 +200,7 @@
 	return true
 }
 
-// recordReplyEffect records what a heartbeat shows of the reply to the one before.
+// recordReplyEffect records whether a heartbeat shows that the reply to the previous heartbeat arrived.
 func (r *Registry) recordReplyEffect(m *Machine, hb *wire.Heartbeat, listed map[AttemptID]*wire.TaskStatus, now time.Time) {
 	switch acknowledged, missed := m.lastReply.effect(hb, listed, r.term); {
 	case acknowledged:
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -13,7 +13,7 @@
 	f.receive(heartbeat(2, 5, term), 0, mayNotForget)
 	for _, hb := range []*wire.Heartbeat{heartbeat(2, 5, term), heartbeat(2, 4, term), heartbeat(1, 9, term)} {
 		if _, err := f.Heartbeat(hb, t0, mayNotForget); !errors.Is(err, ErrStale) {
-			t.Errorf("incarnation %d, seq %d: %v", hb.Incarnation, hb.Seq, err)
+			t.Errorf("heartbeat of incarnation %d, seq %d: error %v, want ErrStale", hb.Incarnation, hb.Seq, err)
 		}
 	}
 }
@@ -29,8 +29,9 @@
 	}
 }
 
-// Guards against the spot notice of a copy that outlives it: until the machine acknowledged a message of this term, a notice
-// counts for the time being, the lack of one clears nothing, and what the machine itself says afterwards replaces it.
+// Guards against a lasting spot notice from a delayed copy. Until the machine has acknowledged a message of this
+// term, a notice counts provisionally and a heartbeat without a notice does not clear it. The first heartbeat after
+// the acknowledgment replaces it.
 func TestSpotNoticeBeforeTheFirstAcknowledgmentIsProvisional(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(newAllocation(1), t0)
@@ -38,10 +39,10 @@
 	m := f.Machines["n-1"]
 	f.receive(heartbeat(1, 6, term-1), time.Second, mayNotForget)
 	if want := t0.Add(25 * time.Second); m.InterruptionAt != want {
-		t.Errorf("what may be a copy changed the notice to %v, want %v", m.InterruptionAt, want)
+		t.Errorf("a heartbeat that may be a copy changed the interruption time to %v, want %v", m.InterruptionAt, want)
 	}
 	f.receive(withNotice(heartbeat(1, 7, term), 60), 2*time.Second, mayNotForget)
 	if want := t0.Add(62 * time.Second); m.InterruptionAt != want {
-		t.Errorf("interruption at %v, want %v by the machine's own notice", m.InterruptionAt, want)
+		t.Errorf("interruption at %v, want %v by the notice after the acknowledgment", m.InterruptionAt, want)
 	}
 }
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -10,20 +10,20 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// imageUsage is what is known of an image on a machine.
+// imageUsage is how an image is used on a machine.
 type imageUsage struct {
-	gb       float64
-	tasks    int       // allocations that use it
-	lastUsed time.Time // when the newest of them came or went
+	gb       float64   // size in gigabytes
+	tasks    int       // number of allocations that use it
+	lastUsed time.Time // when an allocation that uses it was last added or removed
 }
 
-// retainImage counts an allocation's image as used.
+// retainImage records that an allocation uses its image.
 func (m *Machine) retainImage(allocation *jobs.Allocation, now time.Time) {
 	m.usedValid = false
 	usage := m.images[allocation.Job.Image]
 	if usage == nil {
 		if len(m.images) >= tuning.ImagesKnown {
-			clear(m.images) // no cache holds so many; what is in use is counted again
+			clear(m.images) // no cache has room for so many; images in use are added again by later allocations
 		}
 		usage = &imageUsage{gb: allocation.Job.ImageGB}
 		m.images[allocation.Job.Image] = usage
@@ -32,7 +32,7 @@
 	usage.lastUsed = now
 }
 
-// releaseImage counts an allocation's image as no longer used by it.
+// releaseImage records that an allocation no longer uses its image.
 func (m *Machine) releaseImage(allocation *jobs.Allocation, now time.Time) {
 	m.usedValid = false
 	if usage := m.images[allocation.Job.Image]; usage != nil {
@@ -41,8 +41,10 @@
 	}
 }
 
-// HasImage reports whether a machine whose cache holds cacheGB gigabytes has an image, as far as its tasks show: one of them
-// uses it, or what was used since leaves room for it. Without the size every image once used would count for ever.
+// HasImage reports whether a machine whose image cache has a size of cacheGB gigabytes has an image, as far as its
+// tasks show. It has an image that one of its tasks uses. It also has one that was used before, if the images used
+// since leave room for it in the cache. Without the size (cacheGB is 0), every image that was ever used counts for
+// ever.
 func (m *Machine) HasImage(image string, cacheGB float64) bool {
 	usage := m.images[image]
 	if usage == nil || usage.tasks > 0 || cacheGB <= 0 {
@@ -57,27 +59,27 @@
 	return sumGB <= cacheGB
 }
 
-// Images is which machines hold which images, as far as a leader saw. It is stored for the next leader, which cannot learn it
-// from heartbeats: without it each start after a failover fetched again what some machine with room held. It is a hint
-// only: where it is wrong, an image is fetched.
+// Images is a stored record of which machines have which images in their caches, as far as a leader knows. The next
+// leader reads it, because heartbeats do not contain this. Without it, tasks that start after a failover would fetch
+// images again that another machine with room has cached. It is only a hint: if it is wrong, an image is fetched.
 type Images struct {
 	_        struct{} `cbor:",toarray"`
 	Machines []string // names; HeldImage.On refers to them by index
 	Held     []HeldImage
 }
 
-// HeldImage is an image and the machines that hold it.
+// HeldImage is an image and the machines that have it.
 type HeldImage struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	GB   float64
-	On   []byte // bitmap: bit n%8 of byte n/8 stands for machine n of Images.Machines
+	On   []byte // bitmap: bit n%8 of byte n/8 is set if Images.Machines[n] has the image
 }
 
-// isOn reports whether machine n holds the image.
+// isOn reports whether Images.Machines[n] has the image.
 func (h *HeldImage) isOn(n int) bool { return n/8 < len(h.On) && h.On[n/8]&(1<<(n%8)) != 0 }
 
-// addMachine records that machine n holds the image.
+// addMachine records that Images.Machines[n] has the image.
 func (h *HeldImage) addMachine(n int) {
 	for len(h.On) <= n/8 {
 		h.On = append(h.On, 0)
@@ -85,12 +87,12 @@
 	h.On[n/8] |= 1 << (n % 8)
 }
 
-// Images returns which machines hold which images; cacheGB returns the cache size of a machine type, in gigabytes. Images that
-// more machines hold come first.
+// Images returns which machines have which images. cacheGB returns the cache size of a machine type in gigabytes. The
+// images are sorted by the number of machines that have them, largest first.
 func (r *Registry) Images(cacheGB func(typ string) float64) Images {
 	var images Images
-	imageIndexes := map[string]int{}  // of images, in out.Held
-	machineCounts := map[string]int{} // number of machines, by image
+	imageIndexes := map[string]int{}  // index in the result, by image name
+	machineCounts := map[string]int{} // number of machines that have an image, by image name
 	for _, name := range slices.Sorted(maps.Keys(r.Machines)) {
 		m, machineIndex := r.Machines[name], len(images.Machines)
 		for image, usage := range m.images {
@@ -116,7 +118,7 @@
 	return images
 }
 
-// ByMachine returns the images of each machine, by its name. Their On is empty.
+// ByMachine returns the images of each machine by the machine's name, without their bitmaps.
 func (i *Images) ByMachine() map[string][]HeldImage {
 	out := make(map[string][]HeldImage, len(i.Machines))
 	for k := range i.Held {
@@ -130,7 +132,8 @@
 	return out
 }
 
-// RestoreImages records which images a former leader knew the machine to hold at a time. What its tasks show counts for more.
+// RestoreImages records which images the machine had at the given time according to a former leader. It changes
+// nothing about images that tasks of the machine have used in this term.
 func (m *Machine) RestoreImages(images []HeldImage, at time.Time) {
 	for _, h := range images {
 		if m.images[h.Name] == nil {
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a new leader that has every image fetched once more.
+// Guards against a new leader under which every image is fetched once more.
 func TestImagesAreRestoredByTheNextLeader(t *testing.T) {
 	r := New(1, 40)
 	cacheGB := func(string) float64 { return 2 }
@@ -30,7 +30,7 @@
 	}
 	images := r.Images(cacheGB)
 	if len(images.Held) != 2 || images.Held[0].Name != "img-1" {
-		t.Errorf("held are %+v, want first what most hold", images.Held)
+		t.Errorf("images are %+v, want first the one that most machines have", images.Held)
 	}
 	next := New(2, 40)
 	restored := images.ByMachine()
@@ -38,20 +38,20 @@
 		m := next.Register(Rented{Name: fmt.Sprintf("n-%02d", i), Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		m.RestoreImages(restored[m.Name], t0)
 		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
-			t.Errorf("%s holds %v", m.Name, m.images)
+			t.Errorf("machine %s has images %v", m.Name, m.images)
 		}
 	}
-	// What was evicted from a cache is not handed on.
+	// An image that was evicted from a machine's cache is not stored for the next leader.
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
 	if held := r.Images(cacheGB); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
-		t.Error("an image is handed on that its machine no longer holds")
+		t.Error("an image is stored for the next leader although its machine has evicted it")
 	}
 }
 
-// Guards against prompt work that is sent where its image was once, and waits there for a fetch: a cache keeps what was used
-// most recently.
+// Guards against tasks that should start at once and are allocated to a machine that had their image before, where
+// they wait until it is fetched again. A cache evicts the least recently used image.
 func TestLeastRecentlyUsedImageLeavesAFullCache(t *testing.T) {
 	f := newFixture(t)
 	use := func(image string, at time.Duration) *jobs.Allocation {
@@ -69,12 +69,12 @@
 		t.Helper()
 		got := ""
 		for _, image := range []string{"1", "2", "3", "4"} {
-			if m.HasImage(image, 10) { // two of 4 GB
+			if m.HasImage(image, 10) { // room for two images of 4 GB
 				got += image
 			}
 		}
 		if got != want {
-			t.Errorf("holds %q, want %q", got, want)
+			t.Errorf("machine has images %q, want %q", got, want)
 		}
 	}
 	holds("13")
--- a/internal/scheduler/machines/lease.go
+++ b/internal/scheduler/machines/lease.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ExpiredLeases returns the names of the machines whose leases have expired, as far as the replies of leaders go. A follower
-// may have renewed such a lease, so nothing is concluded before the followers' records are read (EndExpired). It also
-// forgets the machines that were returned long ago.
+// ExpiredLeases returns the names of the machines whose leases have expired if only leaders renewed them. A follower
+// may have renewed such a lease on behalf of the leader, so nothing follows before the followers' records are read
+// (EndExpired). It also forgets the machines that were returned long ago.
 func (r *Registry) ExpiredLeases(now time.Time) []string {
 	var expired []string
 	for _, m := range r.Machines {
@@ -16,9 +16,11 @@
 	return expired
 }
 
-// EndExpired ends the incarnations whose leases had expired by the time asked, at which the leader began to ask which
-// machines' leases followers renew in its stead. A machine in renewed is asked about again. One that is not in it was
-// answered by no follower for a whole lease before asked.
+// EndExpired ends the incarnations whose leases had expired by queryStarted, and returns the outcomes of their
+// allocations. queryStarted is when the leader began to query which machines' leases followers renew on its behalf.
+// renewed holds the machines whose leases followers may have renewed; the leader queries these again later. For any
+// other machine, no follower answered a heartbeat for a full lease duration before queryStarted, so nobody can have
+// renewed its lease.
 func (r *Registry) EndExpired(queryStarted time.Time, renewed map[string]bool) []Outcome {
 	var outcomes []Outcome
 	for _, name := range r.ExpiredLeases(queryStarted) {
@@ -31,8 +33,8 @@
 	return outcomes
 }
 
-// endIncarnations records that the machine's incarnations up to last are over, and appends the outcomes of what was started
-// in them: all of it is gone.
+// endIncarnations records that the machine's incarnations up to last are over, and appends the outcomes of the
+// allocations in them: all their tasks are gone.
 func (m *Machine) endIncarnations(last uint64, outcomes []Outcome) []Outcome {
 	m.EndedIncarnation = max(m.EndedIncarnation, last)
 	for _, allocation := range m.Allocations {
--- a/internal/scheduler/machines/listing.go
+++ b/internal/scheduler/machines/listing.go
@@ -5,17 +5,18 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ProvenGone returns the names of the machines that one page of the cloud's list proves to be gone. listed is the page. It
-// covers the names after `after` (empty: from the list's begin) up to and including last (empty: to its end), all as they
-// were at one time.
+// ProvenGone returns the names of the machines that one page of the cloud's list proves to be gone. listed is the
+// page. It covers the names after `after` (empty: from the start of the list) up to and including last (empty: to the
+// end of the list).
 //
-// The protocol says that the list is in the order of creation, that a page tells of one time, however late, and that a
-// machine, once listed, remains listed until it is gone. So where a machine is listed that was created later, each earlier
-// one that ever existed is either listed too or gone. Ties and rounded ages are kept apart by tuning.ListNewer. Of the
-// newest machines nothing is concluded: they may be missing because the list is late.
+// The cloud's protocol guarantees that the list is in order of creation, that a page shows the state at one point in
+// time, which may be long past, and that a machine, once listed, remains listed until it is gone. So if a page lists
+// a machine, each machine created earlier that ever existed is either listed too or gone. Machines created at the
+// same time and rounded ages make that order uncertain, so the listed machine must have existed for tuning.ListNewer
+// seconds. Nothing is concluded about the newest machines: they may be missing because the page is out of date.
 //
-// The machines of the registry did exist: a heartbeat of theirs came, an answer to a rental or a list named them, or a former
-// leader placed tasks on them, which it does only on machines that sent a heartbeat.
+// All machines of the registry did exist: a heartbeat of theirs arrived, or an answer to a rent request or a list
+// named them, or a former leader allocated tasks to them, which it does only on machines that sent a heartbeat.
 func (r *Registry) ProvenGone(after, last string, listed []wire.ListedMachine) []string {
 	newest := newestOldEnough(listed)
 	if newest == "" {
@@ -34,8 +35,8 @@
 	return gone
 }
 
-// newestOldEnough returns the last name, in the order of creation, of those listed that have existed for tuning.ListNewer
-// seconds; empty: there is none.
+// newestOldEnough returns the name of the machine created last among those listed that have existed for at least
+// tuning.ListNewer seconds; empty: there is none.
 func newestOldEnough(listed []wire.ListedMachine) string {
 	newest := ""
 	for i := range listed {
@@ -47,11 +48,12 @@
 	return newest
 }
 
-// createdBefore reports whether a machine was surely created before another one, by their names. Names come in the order of
-// creation; those of different lengths may stand elsewhere in it than by their letters.
+// createdBefore reports whether the names of two machines prove that the first was created before the second. The
+// cloud assigns names in order of creation. Among names of different lengths this need not be the alphabetical order,
+// so those prove nothing.
 func createdBefore(name, other string) bool { return len(name) == len(other) && name < other }
 
-// covers reports whether a page with the names after `after` up to and including last would surely have a name.
+// covers reports whether a page with the names after `after` up to and including last is certain to cover a name.
 func covers(after, last, name string) bool {
 	return (after == "" || createdBefore(after, name)) && (last == "" || name == last || createdBefore(name, last))
 }
--- a/internal/scheduler/machines/listing_test.go
+++ b/internal/scheduler/machines/listing_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// page makes a page of the cloud's list, of names and ages in seconds.
+// page returns a page of the cloud's list. Its arguments alternate between names and ages in seconds.
 func page(namesAndAges ...any) []wire.ListedMachine {
 	var out []wire.ListedMachine
 	for i := 0; i < len(namesAndAges); i += 2 {
@@ -19,9 +19,9 @@
 	return out
 }
 
-// Guards against tasks that wait for the leases of machines that the cloud took without notice, and
-// against concluding that from a list that is too old, or covers other names.
-func TestMachineThatTheListPassesOverIsProvenGone(t *testing.T) {
+// Guards against tasks that wait for the lease expiry of a machine that the cloud took back without notice. Guards
+// also against concluding that a machine is gone from a page that is out of date or covers other names.
+func TestMachineMissingBeforeALaterOneInTheListIsProvenGone(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		after, last string
@@ -30,12 +30,12 @@
 	}{
 		{"a later one is listed", "", "", page("n-1", 20, "n-3", 15), []string{"n-2"}},
 		{"all are listed", "", "", page("n-1", 20, "n-2", 18, "n-3", 15), nil},
-		{"no later one is listed: the list may be late", "", "", page("n-1", 20), nil},
-		{"a later one is listed that may be of the same moment", "", "", page("n-1", 20, "n-3", 1), nil},
+		{"no later one is listed: the list may be out of date", "", "", page("n-1", 20), nil},
+		{"a later one is listed that may have been created at the same time", "", "", page("n-1", 20, "n-3", 1), nil},
 		{"a page that ends before it", "", "n-1", page("n-1", 20), nil},
-		{"a page that begins behind it", "n-2", "", page("n-3", 15), nil},
-		{"a page for its part of the list", "n-1", "n-3", page("n-3", 15), []string{"n-2"}},
-		{"names of another length are not in that order", "", "", page("n-10", 20), nil},
+		{"a page that begins after it", "n-2", "", page("n-3", 15), nil},
+		{"a page that covers its part of the list", "n-1", "n-3", page("n-3", 15), []string{"n-2"}},
+		{"a name of another length proves no order", "", "", page("n-10", 20), nil},
 		{"an empty list", "", "", nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,13 +44,14 @@
 				r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 			}
 			if got := r.ProvenGone(c.after, c.last, c.listed); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("gone are %v, want %v", got, c.want)
+				t.Errorf("machines proven gone: %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// laggingCloud is a cloud whose machines come and go, and whose list tells of some time before. Times are in seconds.
+// laggingCloud is a cloud whose machines are created and end, and whose list shows the state at some earlier time.
+// Times are in seconds.
 type laggingCloud struct {
 	rnd      *rand.Rand
 	now      float64
@@ -73,8 +74,8 @@
 	return names
 }
 
-// page returns up to five listed machines after a name, as they were up to lag seconds ago, and the name up to which the page
-// reaches; empty: to the list's end.
+// page returns up to five machines after a name, as they were at a random time up to lag seconds ago, and the last
+// name that the page covers; empty: it covers the rest of the list.
 func (c *laggingCloud) page(after string, lag float64) (listed []wire.ListedMachine, last string) {
 	at := c.now - lag*c.rnd.Float64()
 	var names []string
@@ -95,9 +96,9 @@
 	return listed, last
 }
 
-// Random clouds whose lists lag, each page on its own and by any time: no machine counts as gone while it exists, and each
-// that ends does before long once a later one is listed. A new leader that knows all of them, and has seen no list before,
-// finds the same.
+// Guards against a machine that counts as gone while it exists, and against one that ended and never counts as gone.
+// The pages of random clouds lag independently of each other. A machine that ended must count as gone soon after a
+// later one is listed, also under a new leader that knows all machines and has seen no list before.
 func TestExistingMachineIsNeverProvenGoneByLaggingLists(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -122,7 +123,7 @@
 				listed, last = c.page(after, lag)
 				for _, name := range r.ProvenGone(after, last, listed) {
 					if c.now < c.machines[name].goneAt {
-						t.Fatalf("seed %d: %s counts as gone at %.1f, ends at %.1f", seed, name, c.now, c.machines[name].goneAt)
+						t.Fatalf("seed %d: %s counts as gone at %.1f s, but ends at %.1f s", seed, name, c.now, c.machines[name].goneAt)
 					}
 					provenGone[name] = true
 					r.Forget(name)
@@ -131,7 +132,7 @@
 		}
 		for name, m := range c.machines {
 			if m.goneAt < 120 && !provenGone[name] {
-				t.Errorf("seed %d: %s ended at %.1f and never counted as gone", seed, name, m.goneAt)
+				t.Errorf("seed %d: %s ended at %.1f s and never counted as gone", seed, name, m.goneAt)
 			}
 		}
 	}
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/scheduler/reachability"
 )
 
-// AttemptID names one attempt of a task.
+// AttemptID identifies one attempt of a task.
 type AttemptID struct {
 	Task    wire.TaskID
 	Attempt uint64
@@ -17,79 +17,84 @@
 
 func attemptOf(a *jobs.Allocation) AttemptID { return AttemptID{Task: a.Task(), Attempt: a.Attempt} }
 
-// Resources is what tasks take of a machine or of a team's quota.
+// Resources is an amount that tasks use of a machine or of a team's quota.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Add adds n times another amount.
+// Add adds n times b.
 func (a *Resources) Add(b Resources, n float64) {
 	a.CPUs += n * b.CPUs
 	a.GPUs += n * b.GPUs
 	a.MemoryGB += n * b.MemoryGB
 }
 
-// DemandOf returns what one task of a job takes.
+// DemandOf returns what one task of a job uses.
 func DemandOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// Machine is a rented machine, as far as it is known. Like the Registry it belongs to the leader's loop.
+// Machine is what the leader knows of a rented machine. Like the Registry it belongs to the leader's loop and is not
+// safe for concurrent use.
 type Machine struct {
 	Name, Address, Type, Zone string
 	Spot                      bool
-	ListedAddress             string // its address by the cloud's list; empty: not listed
+	ListedAddress             string // its address in the cloud's list of machines; empty: not listed
 
 	Liveness
 	Lifecycle
 	Health
 	CopyDetection
-	Reachability reachability.State // whether commands and replies get to it
-
-	Allocations      map[AttemptID]*jobs.Allocation
-	used             Resources              // what they take, if usedValid
-	usedValid        bool                   // no allocation came or went since used was summed up
-	orphans          map[AttemptID]bool     // reported tasks that no record places here
-	unansweredStarts map[AttemptID]int      // starts in direct commands that had no answer (yet)
-	images           map[string]*imageUsage // images that its tasks had it fetch, by name
-	lastReply        reply                  // to its newest heartbeat
+	Reachability reachability.State // whether commands and replies reach it
+
+	Allocations      map[AttemptID]*jobs.Allocation // tasks that may be on it, until they are proven gone
+	used             Resources                      // sum over Allocations, if usedValid
+	usedValid        bool                           // Allocations has not changed since used was computed
+	orphans          map[AttemptID]bool             // tasks that it reported and that no record allocates to it
+	unansweredStarts map[AttemptID]int              // number of starts in direct requests without a definite answer
+	images           map[string]*imageUsage         // images that it fetched for its tasks, by name
+	lastReply        reply                          // the reply to its newest heartbeat
 }
 
-// Liveness is which incarnation of a machine's worker is known, and until when it holds its lease.
+// Liveness is the newest known incarnation of a machine's worker, and until when it may hold its lease. A worker
+// begins a new incarnation, without tasks, when its lease expires.
 type Liveness struct {
-	Incarnation      uint64    // the newest one known
-	seq              uint64    // of the newest message of that incarnation
-	EndedIncarnation uint64    // this incarnation and the earlier ones are over, with all their tasks
+	Incarnation      uint64    // the newest known one
+	seq              uint64    // sequence number of the newest message of that incarnation
+	EndedIncarnation uint64    // this incarnation and all earlier ones are over, with all their tasks
 	FencingToken     uint64    // the highest token that the worker is known to have seen
-	LastHeartbeat    time.Time // when its newest heartbeat came; zero: none has come in this term
-	LeaseExpiry      time.Time // by then its incarnation is over unless another heartbeat comes; zero: not counted
+	LastHeartbeat    time.Time // when its newest heartbeat arrived; zero: none in this term
+	LeaseExpiry      time.Time // when its incarnation is over unless another heartbeat arrives; zero: no lease is known
 }
 
-// Lifecycle is a machine's way from its rental to its return.
+// Lifecycle is the state of a machine from its rental to its return to the cloud.
 type Lifecycle struct {
-	AddedAt        time.Time // when the registry learned of it
+	AddedAt        time.Time // when it was added to the registry
 	RentedAt       time.Time // when it was rented, as far as known
-	IdleSince      time.Time // since when it has no allocations
-	InterruptionAt time.Time // when the cloud takes it, by its spot notice; zero: no notice
-	Known          bool      // the cloud or a record names it; else only its own heartbeats do, which may be delayed copies
-	RentedThisTerm bool      // rented in this term, so that no leader before can have returned it
+	IdleSince      time.Time // since when it has had no allocations
+	InterruptionAt time.Time // when the cloud takes it back, by its spot notice; zero: no notice
+	Known          bool      // the cloud or a stored record names it; false: only its heartbeats do, perhaps delayed copies
+	RentedThisTerm bool      // rented in this term, so no earlier leader can have returned it
 	ListedRunning  bool      // the cloud lists it as running
-	MissedListings int       // consecutive lists that lacked it, since it was last listed or sent a heartbeat
-	Draining       bool      // it gets no more tasks while the others suffice, and is returned once empty
-	Returning      bool      // it gets no more tasks and is being deleted
+	MissedListings int       // consecutive cloud lists without it, since it was last listed or sent a heartbeat
+	Draining       bool      // it gets no new tasks while the other machines suffice, and is returned once empty
+	Returning      bool      // it gets no new tasks and is being deleted
 }
 
-// Health is how well a machine does what it is told.
+// Health is how reliably a machine runs tasks and answers commands.
 type Health struct {
-	Unhealthy     bool            // tasks of several jobs failed on it
-	failedJobs    map[string]bool // jobs that work elsewhere and had a task fail here since one completed here
-	UnansweredAt  time.Time       // when the newest command was sent to it that had no answer
-	RefusedAt     time.Time       // when it refused a task for lack of room
+	Unhealthy     bool            // tasks of several jobs failed on it, or it is slow
+	failedJobs    map[string]bool // jobs that work elsewhere and had a task fail here since a task last completed here
+	UnansweredAt  time.Time       // when the newest command that had no answer was sent
+	RefusedAt     time.Time       // until when it gets no tasks, because it refused one for lack of room
 	RelativeSpeed RelativeSpeed   // how fast it runs tasks, compared with other machines
 }
 
-// CopyDetection is what tells a delayed copy of a heartbeat from a restart of a machine's worker process.
+// CopyDetection is the state that distinguishes a delayed copy of a heartbeat from a restart of a machine's worker
+// process.
 type CopyDetection struct {
-	SuspectCopy       bool        // a heartbeat came that looks older than one before: a copy, or the process restarted
-	probeIncarnation  uint64      // the incarnation to which the next probe is addressed; 0: the newest known
-	lastBeforeRestart MessageMark // the newest message from before its process restarted; zero: it did not
-	provisionalNotice bool        // its spot notice comes from a heartbeat that may be a copy
+	// SuspectCopy is true if a message looked like a delayed copy. Either it is one or the process was restarted, so
+	// the machine is probed.
+	SuspectCopy       bool
+	probeIncarnation  uint64      // incarnation to which the next probe is addressed; 0: the newest known one
+	lastBeforeRestart MessageMark // newest message from before its process was restarted; zero: no restart is known
+	provisionalNotice bool        // its spot notice is from a heartbeat that may be a copy
 }
 
 func newMachine(name string, now time.Time) *Machine {
@@ -103,9 +108,10 @@
 	}
 }
 
-// Usable reports whether the machine may be given work now, as far as reaching it goes: it has acknowledged a message of
-// this term, or there is no reason to think that its heartbeats are copies, and it is not found unreachable. term is the
-// leader's. A machine that holds a higher token obeys a later leader, or nobody.
+// Usable reports whether the machine can be reached well enough to get tasks now. It must have acknowledged a message
+// of this term, or there must be no reason to suspect that its heartbeats are delayed copies. It must not count as
+// unreachable, nor have been unreachable until shortly before. term is the leader's term. A machine with a higher
+// fencing token does not obey this leader: it obeys a later one, or nobody.
 func (m *Machine) Usable(term uint64, now time.Time) bool {
 	if m.FencingToken > term {
 		return false
@@ -114,12 +120,13 @@
 	return m.Reachability.Usable(now, trusted)
 }
 
-// Alive reports whether the machine's present incarnation can run tasks.
+// Alive reports whether the machine has been heard from in this term and its newest incarnation is not over, so that
+// it can run tasks.
 func (m *Machine) Alive() bool {
 	return (!m.LastHeartbeat.IsZero() || m.Reachability.EverAcknowledged()) && m.Incarnation > m.EndedIncarnation
 }
 
-// LastSeen returns when the machine last sent a heartbeat or answered the leader.
+// LastSeen returns when the machine last sent a heartbeat or acknowledged a message; zero: never in this term.
 func (m *Machine) LastSeen() time.Time {
 	if at := m.Reachability.AcknowledgedAt(); at.After(m.LastHeartbeat) {
 		return at
@@ -127,10 +134,10 @@
 	return m.LastHeartbeat
 }
 
-// HasOrphans reports whether tasks run there that no record places there.
+// HasOrphans reports whether the machine runs tasks that no record allocates to it.
 func (m *Machine) HasOrphans() bool { return len(m.orphans) > 0 }
 
-// Used returns what the tasks that may be on the machine take.
+// Used returns what the tasks that may be on the machine use.
 func (m *Machine) Used() Resources {
 	if !m.usedValid {
 		m.used, m.usedValid = Resources{}, true
@@ -141,8 +148,8 @@
 	return m.used
 }
 
-// NoteFailure counts a failed task of a job that works elsewhere. The machine is unhealthy once several such jobs failed
-// on it (tuning.FaultyMachineJobs).
+// NoteFailure counts a failed task of a job that works elsewhere. The machine is unhealthy once tasks of
+// tuning.FaultyMachineJobs such jobs have failed on it.
 func (m *Machine) NoteFailure(job string) {
 	if m.failedJobs == nil {
 		m.failedJobs = map[string]bool{}
@@ -151,5 +158,5 @@
 	m.Unhealthy = m.Unhealthy || len(m.failedJobs) >= tuning.FaultyMachineJobs
 }
 
-// NoteCompletion records that a task completed on the machine: what failed there before no longer counts against it.
+// NoteCompletion records that a task completed on the machine. Earlier failures no longer count against it.
 func (m *Machine) NoteCompletion() { clear(m.failedJobs) }
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -8,24 +8,25 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// reconciliation compares the tasks that a heartbeat lists with the allocations of its machine. It gathers outcomes and
-// commands. The heartbeat is already admitted, and its machine's liveness brought up to date.
+// reconciliation compares the tasks that a heartbeat lists with the allocations of its machine, and collects outcomes
+// and commands. The heartbeat has been admitted and the machine's liveness updated before.
 type reconciliation struct {
 	machine           *Machine
-	heartbeat         *wire.Heartbeat
+	hb                *wire.Heartbeat
 	direct            bool // the heartbeat is the answer to a direct request
 	now               time.Time
-	newIncarnation    bool      // it is the first message of its incarnation; Registry.beginIncarnation settled the earlier ones
-	previousHeartbeat time.Time // when the heartbeat before came; zero: none came in this term
-	// hasTermToken: the worker has seen the term's token (Registry.fenced), so no direct start of an older leader may arrive. A
-	// heartbeat without it may be a delayed copy from before a restart of the worker process.
+	newIncarnation    bool      // it is the first message of its incarnation; beginIncarnation has ended the earlier ones
+	previousHeartbeat time.Time // when the previous heartbeat arrived; zero: none in this term
+	// hasTermToken is true if the worker has seen this term's fencing token (Registry.hasTermToken), so that it
+	// refuses a direct start of an older leader that arrives late. A heartbeat without the token may be a delayed
+	// copy from before a restart of the worker process.
 	hasTermToken bool
 
 	stops, forgets, starts []wire.Command
 	result                 HeartbeatResult
 }
 
-// commands returns the commands of the reply: stops, then forgets, then starts.
+// commands returns the commands for the reply: stops, then forgets, then starts.
 func (rc *reconciliation) commands() []wire.Command {
 	all := make([]wire.Command, 0, len(rc.stops)+len(rc.forgets)+len(rc.starts))
 	all = append(all, rc.stops...)
@@ -33,10 +34,10 @@
 	return append(all, rc.starts...)
 }
 
-// processListed goes through the tasks that the heartbeat lists, and enters them into listed.
+// processListed processes the tasks that the heartbeat lists, and adds them to listed.
 func (rc *reconciliation) processListed(listed map[AttemptID]*wire.TaskStatus, mayForget MayForget) {
-	for i := range rc.heartbeat.Tasks {
-		status := &rc.heartbeat.Tasks[i]
+	for i := range rc.hb.Tasks {
+		status := &rc.hb.Tasks[i]
 		taskID, ok := wire.ParseTaskID(status.Task)
 		if !ok {
 			continue
@@ -57,8 +58,9 @@
 	}
 }
 
-// forgetExitedOrphan has the worker forget an exited attempt without an allocation. Not while the stored record names it, and not
-// while a start of it may still arrive: of an older leader, or a direct one without an answer.
+// forgetExitedOrphan makes the worker forget an exited attempt that has no allocation. But not while the stored record
+// names the attempt, and not while a start of it may still arrive, from an older leader or as an unanswered direct
+// start: a worker that has forgotten the attempt would run it again.
 func (rc *reconciliation) forgetExitedOrphan(id AttemptID, status *wire.TaskStatus, mayForget MayForget) {
 	rc.dropOrphan(id)
 	switch {
@@ -69,7 +71,7 @@
 	}
 }
 
-// stopOrphan stops an attempt that no known record places on the machine. It counts as an orphan until it is gone.
+// stopOrphan stops an attempt that no known record allocates to the machine. It counts as an orphan until it is gone.
 func (rc *reconciliation) stopOrphan(id AttemptID, status *wire.TaskStatus) {
 	rc.machine.orphans[id] = true
 	rc.stops = append(rc.stops, stopOrphanCommand(status))
@@ -82,9 +84,9 @@
 	}
 }
 
-// processExitedAllocation ends an allocation whose task exited. What may be a copy proves that only of a task that completed, for
-// what completed, completed: another end may be from before a restart of the worker process, since a recorded attempt is
-// started again after one.
+// processExitedAllocation ends an allocation whose task exited. A heartbeat that may be a delayed copy proves the end
+// only of a task that completed: that task has completed whatever happened since. Any other exit may be from before a
+// restart of the worker process, after which the same recorded attempt is started again.
 func (rc *reconciliation) processExitedAllocation(allocation *jobs.Allocation, status *wire.TaskStatus) {
 	mayBeCopy := !rc.direct && !rc.hasTermToken
 	if mayBeCopy && status.Reason != wire.ExitDone {
@@ -93,8 +95,9 @@
 	rc.addOutcome(Outcome{Allocation: allocation, Reason: status.Reason, Saved: status.Saved, NotRunningAt: rc.previousHeartbeat})
 }
 
-// processPresentAllocation records the state of a task that is where it belongs, and stops it if that is wanted. One that saves its
-// progress is told again only if it is to have no more time for that.
+// processPresentAllocation records the state of a task on the machine that it is allocated to, and stops the task if
+// that is wanted. A task that is already saving its checkpoint is stopped again only if its grace period is to be cut
+// to zero.
 func (rc *reconciliation) processPresentAllocation(allocation *jobs.Allocation, status *wire.TaskStatus) {
 	if status.State == wire.TaskRunning && allocation.State != wire.TaskRunning {
 		allocation.RunningSince = rc.now
@@ -106,7 +109,8 @@
 	}
 }
 
-// dropMissingOrphans drops the orphans that the heartbeat lacks: they are gone. A direct answer proves no such thing.
+// dropMissingOrphans drops the orphans that the heartbeat does not list: they are gone. A direct answer does not
+// prove that.
 func (rc *reconciliation) dropMissingOrphans(listed map[AttemptID]*wire.TaskStatus) {
 	if rc.direct {
 		return
@@ -118,21 +122,23 @@
 	}
 }
 
-// processMissingAllocations goes through the machine's allocations that the heartbeat lacks: it starts again what is wanted, and
-// concludes that the rest is gone, if nothing can start it any more.
+// processMissingAllocations processes the machine's allocations that the heartbeat does not list. It repeats the
+// starts of those that are wanted. It concludes that the others are gone if no start of them can arrive any more.
 func (rc *reconciliation) processMissingAllocations(listed map[AttemptID]*wire.TaskStatus) {
 	for id, allocation := range rc.machine.Allocations {
 		switch {
 		case rc.fromEarlierIncarnation(allocation):
 			rc.addOutcome(lostOutcome(allocation))
-		case listed[id] != nil || !allocation.Committed || allocation.Incarnation != rc.heartbeat.Incarnation:
-			// It is there, it may not be started yet, or the heartbeat tells nothing of its incarnation.
+		case listed[id] != nil || !allocation.Committed || allocation.Incarnation != rc.hb.Incarnation:
+			// The task is listed, or may not be started yet, or the heartbeat is of another incarnation and proves
+			// nothing about it.
 		case rc.direct:
-			// It carries no commands, and proves nothing of what it lacks: a reply with the start may be on its way.
+			// A direct answer gets no commands in reply, and proves nothing about what it does not list: a reply with
+			// the start may be on its way.
 		case allocation.Stop == nil:
 			rc.repeatStart(allocation)
 		case !rc.hasTermToken:
-			// A start by the leader of an older term may still arrive.
+			// A start by the leader of an older term may still arrive and be executed.
 		case rc.startMayArrive(id, allocation):
 			rc.startAndStop(allocation)
 		default:
@@ -141,32 +147,40 @@
 	}
 }
 
-// fromEarlierIncarnation reports whether an allocation is of an earlier incarnation than the heartbeat, which did not begin with this
-// heartbeat: it was recorded beside others of the later one, by a leader that ended before it had written that the task is
-// gone. Since no incarnation began, the earlier ones were not settled, and the task would never be wanted again. Without the
-// term's token the heartbeat may be a copy from before a restart of the worker process, and the task in the incarnation of
-// the process that runs.
+// fromEarlierIncarnation reports whether an allocation is of an earlier incarnation than the heartbeat, although the
+// heartbeat is not the first message of its incarnation. This happens after a failover: the former leader recorded
+// allocations of both incarnations and lost leadership before it had written that the task of the earlier one is
+// gone. Since no incarnation begins in this term, beginIncarnation does not end the allocation, and without this
+// check the task would never be started again.
+//
+// A heartbeat without this term's token proves nothing here: it may be a copy from before a restart of the worker
+// process, and the task may run in the present process, whose incarnation is the lower one of the allocation.
 func (rc *reconciliation) fromEarlierIncarnation(allocation *jobs.Allocation) bool {
-	return !rc.newIncarnation && rc.hasTermToken && allocation.Incarnation < rc.heartbeat.Incarnation
+	return !rc.newIncarnation && rc.hasTermToken && allocation.Incarnation < rc.hb.Incarnation
 }
 
-// startMayArrive reports whether a start of an allocation that the heartbeat lacks may still arrive: a direct one that had no
-// answer, or one in a reply, which workers drop after 4 s (tuning.HeartbeatReplyLife has their drift). Within that time the
-// heartbeat may be a copy from before a restart of the worker process that is not known yet. Nor does a heartbeat that may be
-// a copy from before a known restart prove that the task is not there.
+// startMayArrive reports whether an allocation that the heartbeat does not list may still be started, or may be on the
+// machine already. There are three cases:
+//   - A direct start of it is unanswered.
+//   - A start of it was sent in a reply less than tuning.HeartbeatReplyLife ago. Workers drop replies after 4 s; the
+//     constant adds the drift of their clocks. Within that time the heartbeat may also be a delayed copy from before
+//     a restart of the worker process that is not known yet.
+//   - The heartbeat may be a delayed copy from before a known restart. It does not prove that the task is not on the
+//     machine now.
 func (rc *reconciliation) startMayArrive(id AttemptID, allocation *jobs.Allocation) bool {
 	return rc.machine.unansweredStarts[id] > 0 ||
 		rc.now.Sub(allocation.StartSentAt) < tuning.HeartbeatReplyLife ||
-		!rc.heartbeat.Newer(rc.machine.lastBeforeRestart.Incarnation, rc.machine.lastBeforeRestart.Seq)
+		!rc.hb.Newer(rc.machine.lastBeforeRestart.Incarnation, rc.machine.lastBeforeRestart.Seq)
 }
 
-// repeatStart repeats the start of an attempt, which has no effect if it is known there.
+// repeatStart sends the start of an attempt again. It has no effect if the worker already knows the attempt.
 func (rc *reconciliation) repeatStart(allocation *jobs.Allocation) {
 	rc.starts = append(rc.starts, startCommand(allocation))
 	allocation.StartSentAt = rc.now
 }
 
-// startAndStop has an attempt started and stopped at once: so it becomes known there, and a late start has no effect.
+// startAndStop sends a start of an attempt followed by a stop. The worker then knows the attempt, so a late start has
+// no effect.
 func (rc *reconciliation) startAndStop(allocation *jobs.Allocation) {
 	rc.starts = append(rc.starts, startCommand(allocation), stopCommand(allocation))
 	allocation.StartSentAt = rc.now
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -35,32 +35,32 @@
 	allocation := newAllocation(3)
 	f.RestoreAllocation(allocation, t0)
 	if outcomes := f.expire(9 * time.Second); len(outcomes) != 0 {
-		t.Fatalf("gone: %v", outcomes)
+		t.Fatalf("allocations ended before the lease expiry: %v", outcomes)
 	}
-	// The worker has not seen the term's token yet: a start by the old leader may still arrive. The same attempt is started,
-	// which has no effect if it is there.
+	// The worker has not seen this term's token yet, so a start by the former leader may still arrive. The same
+	// attempt is started again, which has no effect if the worker knows it.
 	if result := f.receive(heartbeat(3, 1, term-1), 0, mayForget); ops(result.Commands) != "start " || len(result.Outcomes) != 0 {
 		t.Fatalf("commands %v, outcomes %v", result.Commands, result.Outcomes)
 	}
 	allocation.Stop = &jobs.StopRequest{}
 	if result := f.receive(heartbeat(3, 2, term-1), 0, mayForget); len(result.Outcomes) != 0 {
-		t.Fatalf("gone while an old start may arrive: %v", result.Outcomes)
+		t.Fatalf("allocation ended while an older leader's start may arrive: %v", result.Outcomes)
 	}
-	// Once the term's token is seen, no older start is executed: it is not there.
+	// Once the worker has seen this term's token it executes no older start, so a task that is not listed is gone.
 	if result := f.receive(heartbeat(3, 3, term), tuning.HeartbeatReplyLife, mayForget); len(result.Outcomes) != 1 {
-		t.Fatalf("not gone: %+v", result)
+		t.Fatalf("result %+v, want one outcome", result)
 	}
 }
 
-func TestForgetWaitsForTheRecord(t *testing.T) {
+func TestExitedAttemptIsForgottenOnlyOnceItsEndIsStored(t *testing.T) {
 	f := newFixture(t)
 	exited := status("job-1/0", 1, wire.TaskExited, wire.ExitDone)
 	if result := f.receive(heartbeat(1, 1, term, exited), 0, mayNotForget); len(result.Commands) != 0 {
-		t.Fatalf("forgotten before its end is stored: %v", result.Commands)
+		t.Fatalf("commands before the end of the attempt is stored: %v, want none", result.Commands)
 	}
 	older := newFixture(t)
 	if result := older.receive(heartbeat(1, 2, term-1, exited), 0, mayForget); len(result.Commands) != 0 {
-		t.Fatalf("forgotten while an older leader's start may arrive: %v", result.Commands)
+		t.Fatalf("commands while an older leader's start may arrive: %v, want none", result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 3, term, exited), 0, mayForget); ops(result.Commands) != "forget " {
 		t.Fatalf("commands %v", result.Commands)
@@ -74,7 +74,7 @@
 		t.Fatalf("commands %v, orphans %v", result.Commands, result.Machine.HasOrphans())
 	}
 	if result = f.receive(heartbeat(1, 2, term), time.Second, mayForget); result.Machine.HasOrphans() {
-		t.Error("it still counts after it was gone")
+		t.Error("the orphan still counts after the heartbeat no longer lists it")
 	}
 }
 
@@ -85,7 +85,7 @@
 	f.AddAllocation(allocation, t0)
 	allocation.Stop = &jobs.StopRequest{GraceS: 5}
 	if result := f.receive(heartbeat(1, 2, term, status("job-1/0", 1, wire.TaskSaving, "")), 0, mayNotForget); len(result.Commands) != 0 {
-		t.Fatalf("a task that saves its checkpoint is stopped again: %v", result.Commands)
+		t.Fatalf("commands while the task saves its checkpoint: %v, want none", result.Commands)
 	}
 	allocation.Stop.GraceS = 0 // its job was cancelled
 	if result := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskSaving, "")), 0, mayNotForget); ops(result.Commands) != "halt " {
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards against a task that counts as gone by a direct answer: a reply to a heartbeat, with its start, may be on its way.
+// Guards against a task that counts as gone because a direct answer does not list it: a reply to a heartbeat may be
+// on its way to the worker with the start of the task.
 func TestDirectAnswerProvesNothingOfTasksThatItLacks(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
@@ -102,9 +103,9 @@
 	f.AddAllocation(allocation, t0)
 	at := tuning.HeartbeatReplyLife
 	if result, err := f.DirectAnswer(heartbeat(1, 2, term), t0.Add(at), mayForget); err != nil || len(result.Outcomes)+len(result.Commands) != 0 {
-		t.Errorf("direct answer: outcomes %v, commands %v, %v", result.Outcomes, result.Commands, err)
+		t.Errorf("direct answer: outcomes %v, commands %v, error %v", result.Outcomes, result.Commands, err)
 	}
 	if result := f.receive(heartbeat(1, 3, term), at, mayForget); len(result.Outcomes) != 1 {
-		t.Errorf("not gone though a heartbeat lacks it: %v", result.Commands)
+		t.Errorf("not gone although a heartbeat does not list it; commands %v", result.Commands)
 	}
 }
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -1,10 +1,11 @@
-// Package machines keeps the registry of machines: what their workers report, until when a task on them may still be alive,
-// and the commands that reconcile what runs there with what the job store wants.
+// Package machines implements the leader's registry of machines. It records what their workers report and until when
+// a task on them may still be alive, and makes the commands that reconcile what runs there with what the job store
+// wants.
 //
-// An allocation counts on its machine until it is proven gone. Everything that proves this passes through the package and
-// comes back as an Outcome: a heartbeat (heartbeat.go), a lease expiry (lease.go), the restart of a machine's worker
-// process (restart.go), and the word of the cloud that a machine no longer exists (listing.go, Registry.MarkLost). The
-// argument why no task runs twice is in docs/design.md.
+// An allocation counts on its machine until it is proven gone; only then may its task start elsewhere. This package
+// evaluates every proof and returns it as an Outcome. The proofs are a heartbeat (heartbeat.go, reconcile.go), a
+// lease expiry (lease.go), a restart of the machine's worker process (restart.go), and the cloud's statement that the
+// machine no longer exists (listing.go, Registry.MarkLost). docs/design.md has the argument why no task runs twice.
 //
 // The Registry belongs to the leader's loop and is not safe for concurrent use. The package does no I/O.
 package machines
@@ -19,33 +20,34 @@
 )
 
 var (
-	// ErrStale is returned for a heartbeat that is no news: a newer message of its machine is known, its incarnation is over,
-	// or it may be a delayed copy from before a restart of the machine's worker.
-	ErrStale = errors.New("a newer heartbeat is known")
-	// ErrReturned is returned for a heartbeat of a machine that was deleted.
-	ErrReturned = errors.New("the machine was returned")
-	// ErrContradicts is returned for a heartbeat with another address, type, zone or kind than its machine has: these cannot
-	// change as long as the machine exists.
-	ErrContradicts = errors.New("the heartbeat contradicts what is known of its machine")
-	// ErrUnknownMachine is returned where a machine is named that the registry does not hold.
-	ErrUnknownMachine = errors.New("the machine is not known")
-	// ErrUnaddressable is returned for a machine to which no direct request can be sent: its address or its incarnation is
-	// not known or its incarnation is over, or the machine is about to be deleted.
+	// ErrStale is returned for a heartbeat that proves nothing new: a newer message of its machine is known, its
+	// incarnation is over, or it may be a delayed copy from before a restart of the machine's worker process.
+	ErrStale = errors.New("the heartbeat is outdated or may be a delayed copy")
+	// ErrReturned is returned for a heartbeat of a machine that no longer exists: it was returned to the cloud, or
+	// lost.
+	ErrReturned = errors.New("the machine was returned to the cloud")
+	// ErrContradicts is returned for a heartbeat whose address, type, zone or kind (spot or on-demand) differs from
+	// that of its machine. None of these can change while the machine exists.
+	ErrContradicts = errors.New("the heartbeat's address, type, zone or kind differs from its machine's")
+	// ErrUnknownMachine is returned for the name of a machine that is not in the registry.
+	ErrUnknownMachine = errors.New("the machine is not in the registry")
+	// ErrUnaddressable is returned for a machine to which no direct request can be sent: its address or its
+	// incarnation is unknown, its incarnation is over, or it is being deleted.
 	ErrUnaddressable = errors.New("no direct request can be sent to the machine")
-	// ErrNoCommands is returned if a machine need not be told anything directly.
+	// ErrNoCommands is returned if there is nothing to send to a machine directly.
 	ErrNoCommands = errors.New("there are no commands for the machine")
 )
 
-// Registry holds the machines of one term. It is not safe for concurrent use.
+// Registry is the set of machines that a leader knows during one term. It is not safe for concurrent use.
 type Registry struct {
 	Machines map[string]*Machine // by name
 
 	term     uint64
-	lease    time.Duration        // a worker's lease, with clock drift and margin
-	returned map[string]time.Time // when machines were deleted, by name; kept for tuning.ForgetReturned
+	lease    time.Duration        // duration of a worker's lease, plus clock drift and margin
+	returned map[string]time.Time // when machines were returned or lost, by name; remembered for tuning.ForgetReturned
 }
 
-// New makes the empty registry of a term. leaseS is the workers' lease in seconds.
+// New returns an empty registry for a term. leaseS is the duration of the workers' leases in seconds.
 func New(term uint64, leaseS float64) *Registry {
 	return &Registry{
 		Machines: map[string]*Machine{}, term: term, returned: map[string]time.Time{},
@@ -53,7 +55,7 @@
 	}
 }
 
-// ensure returns the machine of a name, and adds it if it is not known.
+// ensure returns the machine with a name. It adds the machine if the registry lacks it.
 func (r *Registry) ensure(name string, now time.Time) *Machine {
 	m := r.Machines[name]
 	if m == nil {
@@ -63,14 +65,15 @@
 	return m
 }
 
-// Rented is what the cloud tells of a machine, in its answer to a rent request or in its list.
+// Rented is what the cloud states about a machine, in its answer to a rent request or in its list of machines.
 type Rented struct {
 	Name, Type, Zone string
 	Spot             bool
 	RentedAt         time.Time // as far as known
 }
 
-// Register adds a machine that the cloud names. What the machine itself reported of its type, zone and kind counts for more.
+// Register adds a machine that the cloud names. If the machine has sent a heartbeat, the type, zone and kind that it
+// reported take precedence.
 func (r *Registry) Register(rented Rented, now time.Time) *Machine {
 	m := r.ensure(rented.Name, now)
 	m.RentedAt, m.Known = rented.RentedAt, true
@@ -83,8 +86,9 @@
 // Forget removes a machine that no longer exists and has no allocations.
 func (r *Registry) Forget(name string) { delete(r.Machines, name) }
 
-// MarkLost records that a machine is gone with all that was on it: its deletion was answered, or the cloud lists it as
-// failed. Heartbeats of it get ErrReturned from then on.
+// MarkLost records that a machine is gone with everything on it: the cloud confirmed its deletion, lists it as failed
+// or lists it no longer (ProvenGone). It returns the outcomes of the machine's allocations. From then on its
+// heartbeats get ErrReturned.
 func (r *Registry) MarkLost(name string, now time.Time) []Outcome {
 	r.returned[name] = now
 	m := r.Machines[name]
@@ -99,10 +103,10 @@
 	return outcomes
 }
 
-// WasReturned reports whether a machine was deleted within tuning.ForgetReturned.
+// WasReturned reports whether a machine was returned or lost within about tuning.ForgetReturned.
 func (r *Registry) WasReturned(name string) bool { _, ok := r.returned[name]; return ok }
 
-// forgetReturned drops the names of machines that were deleted long ago.
+// forgetReturned drops the names of machines that were returned or lost more than tuning.ForgetReturned ago.
 func (r *Registry) forgetReturned(now time.Time) {
 	for name, at := range r.returned {
 		if now.Sub(at) > tuning.ForgetReturned {
@@ -111,15 +115,16 @@
 	}
 }
 
-// AddAllocation counts a new allocation on its machine.
+// AddAllocation adds a new allocation to its machine.
 func (r *Registry) AddAllocation(allocation *jobs.Allocation, now time.Time) {
 	m := r.ensure(allocation.Machine, now)
 	m.Allocations[attemptOf(allocation)] = allocation
 	m.retainImage(allocation, now)
 }
 
-// RestoreAllocation counts an allocation that a former leader recorded. Whoever answered the machine last did so before the
-// term began, so its lease runs from then at most.
+// RestoreAllocation adds an allocation that a former leader recorded. termStart is the start of this term. Only an
+// answer to a heartbeat renews a machine's lease, and the last answer before this call was sent before termStart,
+// whoever sent it. So the lease expires at most one lease duration after termStart.
 func (r *Registry) RestoreAllocation(allocation *jobs.Allocation, termStart time.Time) {
 	m := r.ensure(allocation.Machine, termStart)
 	m.Allocations[attemptOf(allocation)] = allocation
@@ -131,7 +136,7 @@
 	}
 }
 
-// RemoveAllocation takes an allocation that is proven gone off its machine.
+// RemoveAllocation removes an allocation that is proven gone from its machine.
 func (r *Registry) RemoveAllocation(allocation *jobs.Allocation, now time.Time) {
 	m := r.Machines[allocation.Machine]
 	if m == nil {
@@ -148,19 +153,22 @@
 
 // Outcome is the proven end of an allocation.
 type Outcome struct {
-	Allocation   *jobs.Allocation
-	Reason       wire.ExitReason // wire.ExitStopped also when its machine's incarnation is over
-	Saved        bool            // a checkpoint was saved when it was stopped
-	Lost         bool            // nobody saw its end: its machine's incarnation is over, or the machine is gone
-	NotRunningAt time.Time       // a time at which it was known not to run yet; zero: none
+	Allocation *jobs.Allocation
+	Reason     wire.ExitReason // why the task ended; wire.ExitStopped if Lost
+	Saved      bool            // the task saved a checkpoint when it was stopped
+	Lost       bool            // nobody saw the end: the machine's incarnation is over, or the machine is gone
+	// NotRunningAt is the time of the machine's newest heartbeat that does not show the task's exit; zero: unknown. A
+	// task that was never reported as running had not started by then. One that was reported as running had not
+	// exited by then.
+	NotRunningAt time.Time
 }
 
-// lostOutcome is the outcome of an allocation whose end nobody saw.
+// lostOutcome returns the outcome of an allocation whose end nobody saw.
 func lostOutcome(allocation *jobs.Allocation) Outcome {
 	return Outcome{Allocation: allocation, Reason: wire.ExitStopped, Lost: true}
 }
 
-// Ending names the end for people: "lost", or the reason of the exit.
+// Ending returns the kind of end for display and metrics: "lost", or the reason of the exit.
 func (o *Outcome) Ending() string {
 	if o.Lost {
 		return "lost"
--- a/internal/scheduler/machines/registry_test.go
+++ b/internal/scheduler/machines/registry_test.go
@@ -14,6 +14,6 @@
 		t.Fatalf("outcomes %v", outcomes)
 	}
 	if _, err := f.Heartbeat(heartbeat(1, 2, term), t0, mayNotForget); !errors.Is(err, ErrReturned) {
-		t.Errorf("a late heartbeat of it: %v", err)
+		t.Errorf("late heartbeat of a lost machine: error %v, want ErrReturned", err)
 	}
 }
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -7,15 +7,17 @@
 	"poppypass/internal/platform/wire"
 )
 
-// MessageMark is the newest message of a machine that was known when a probe was sent. An answer from the same worker process
-// is newer, since (incarnation, seq) only grow. An older answer comes from another process: the worker was restarted.
+// MessageMark identifies a message of a machine, usually the newest one that was known when a probe was sent.
+// (Incarnation, Seq) only grows within a worker process. So an answer to the probe from the same process is newer than
+// the mark, and an older answer is from another process: the worker was restarted.
 type MessageMark struct {
 	Incarnation, Seq uint64
-	Sent             time.Time // when the probe was sent
+	Sent             time.Time // when the probe was sent; zero: the mark was not taken for a probe
 }
 
-// Probe makes the request that asks a machine for its heartbeat: no commands, but the term's token, which the worker keeps.
-// What it answers was so after the request was sent. The error is ErrUnaddressable: there is nobody to ask.
+// Probe returns a direct request that asks a machine for its heartbeat. The request has no commands, but it carries
+// this term's fencing token, which the worker remembers. The answer shows a state of the worker after the request was
+// sent. The error is ErrUnaddressable.
 func (r *Registry) Probe(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, err error) {
 	incarnation := m.Incarnation
 	if m.probeIncarnation != 0 {
@@ -32,23 +34,26 @@
 	return addr, req, MessageMark{m.Incarnation, m.seq, now}, nil
 }
 
-// RestartVerdict is what the answer to a probe proves of the machine's worker process.
+// RestartVerdict is what the answer to a probe proves about the machine's worker process.
 type RestartVerdict int
 
-// The verdicts. Only ProcessRestarted lets allocations count as gone (AcceptRestart).
+// The verdicts. Only ProcessRestarted proves that allocations are gone (AcceptRestart).
 const (
 	NotRestarted     RestartVerdict = iota
 	Ambiguous                       // perhaps restarted; a reply to one of its heartbeats may still be on its way
-	ProbeAgain                      // restarted; that it refuses the commands of older leaders is not known yet
-	DeleteOnly                      // restarted; a direct start may still arrive, so only the machine's deletion proves anything
-	ProcessRestarted                // restarted; nothing from before is there, nor can come
+	ProbeAgain                      // restarted, but the process is not known yet to refuse commands of older leaders
+	DeleteOnly                      // restarted, but a direct start may still arrive: only its deletion proves tasks gone
+	ProcessRestarted                // restarted; no earlier task is on the machine, and no earlier start can arrive
 )
 
-// JudgeRestart judges the answer to a probe by the mark that was taken when it was sent. A worker drops replies after 4 s.
-// Within that time after the last heartbeat that was taken, a reply with a start may be on its way to the new process: its
-// first heartbeat may have been taken for one of the former process, and a copy of a later one of that for its next.
+// JudgeRestart compares the answer to a probe with the mark that was taken when the probe was sent. A worker drops
+// replies after 4 s (tuning.HeartbeatReplyLife). Until then, counted from the last heartbeat that was accepted, a
+// reply with a start may be on its way to a new process: the first heartbeat of that process may have been mistaken
+// for one of the former process, and a delayed copy of a later heartbeat of the former process for the second one of
+// the new process.
 //
-// At ProbeAgain the next probe is addressed to the new process: what it answers shows whether it has the term's token.
+// At ProbeAgain the next probe is addressed to the new process. Its answer shows whether that process has this term's
+// token.
 func (r *Registry) JudgeRestart(m *Machine, mark MessageMark, hb *wire.Heartbeat) RestartVerdict {
 	switch {
 	case hb.Newer(mark.Incarnation, mark.Seq):
@@ -64,16 +69,17 @@
 	return ProcessRestarted
 }
 
-// AcceptRestart records that a machine's worker process was restarted, by an answer that JudgeRestart found to prove it and
-// that holds the term's token. What was allocated there before is gone, unless the answer lists it. That holds since
-//   - the worker lists all that is on its machine;
-//   - commands of older leaders are refused by their tokens;
-//   - replies to heartbeats of the former process reach nobody, and none to one of the new process is on its way
-//     (JudgeRestart);
-//   - no direct start of this leader is open.
+// AcceptRestart records that a machine's worker process was restarted. hb is the answer to a probe for which
+// JudgeRestart returned ProcessRestarted; it has this term's token. Tasks that were allocated to the machine before
+// are gone unless hb lists them, since
+//   - the worker lists everything that is on its machine;
+//   - the worker refuses commands of older leaders by their tokens;
+//   - replies to heartbeats of the former process reach nobody, and no reply to a heartbeat of the new process is on
+//     its way (JudgeRestart);
+//   - no direct start of this leader is unanswered.
 //
-// Without this a machine that was back at once was shut out as a copy until its new process had sent as many heartbeats as
-// the former one.
+// Without AcceptRestart, the heartbeats of a machine that is back soon after a restart would be rejected as delayed
+// copies until its new process had sent as many heartbeats as the former one.
 func (r *Registry) AcceptRestart(m *Machine, hb *wire.Heartbeat, now time.Time) []Outcome {
 	outcomes := m.allocationsNotIn(hb)
 	clear(m.orphans)
@@ -82,12 +88,12 @@
 	m.Incarnation, m.seq, m.FencingToken = hb.Incarnation, hb.Seq, hb.FencingToken
 	m.EndedIncarnation, m.probeIncarnation = hb.Incarnation-1, 0
 	m.SuspectCopy, m.lastReply, m.InterruptionAt = false, reply{}, time.Time{}
-	m.LeaseExpiry = now.Add(r.lease) // no leader had answered this process before
+	m.LeaseExpiry = now.Add(r.lease) // no leader answered a heartbeat of this process before now
 	m.Reachability.Acknowledged(now)
 	return outcomes
 }
 
-// allocationsNotIn returns the outcomes of the allocations whose attempts a heartbeat does not list.
+// allocationsNotIn returns the outcomes, as lost, of the allocations whose attempts a heartbeat does not list.
 func (m *Machine) allocationsNotIn(hb *wire.Heartbeat) []Outcome {
 	listed := make(map[AttemptID]bool, len(hb.Tasks))
 	for i := range hb.Tasks {
@@ -105,8 +111,8 @@
 	return outcomes
 }
 
-// recordLastBeforeRestart keeps the newest message from before the restart: whatever is not newer may be a copy. After several
-// restarts that is the newest of all of them.
+// recordLastBeforeRestart records the newest message from before a restart. Any heartbeat that is not newer may be a
+// delayed copy. After several restarts, the newest message before any of them counts.
 func (m *Machine) recordLastBeforeRestart() {
 	newest := &m.lastBeforeRestart
 	if newest.Incarnation < m.Incarnation || newest.Incarnation == m.Incarnation && newest.Seq < m.seq {
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -9,32 +9,33 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a start by the leader before that arrives after its task counts as gone, and its job as cancelled: only once
-// the worker has seen the term's token does what its heartbeat lacks prove anything.
+// Guards against a start by the former leader that arrives after its task counts as gone and its job as cancelled.
+// That a heartbeat does not list a task proves nothing until the worker has seen this term's token.
 func TestMissingTaskProvesNothingBeforeTheTermsToken(t *testing.T) {
 	f := newFixture(t)
 	allocation := newAllocation(1)
 	allocation.Stop = &jobs.StopRequest{}
 	f.RestoreAllocation(allocation, t0)
 	if result := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(result.Outcomes) != 0 {
-		t.Fatalf("concluded while an older leader's start may arrive: %v", result.Outcomes)
+		t.Fatalf("allocation ended while an older leader's start may arrive: %v", result.Outcomes)
 	}
 	if result := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(result.Outcomes) != 1 {
-		t.Errorf("outcomes %v with the term's token", result.Outcomes)
+		t.Errorf("outcomes %v with this term's token, want one", result.Outcomes)
 	}
 }
 
-// Guards against a machine whose worker process was restarted and that counts as empty while something may still start there: by
-// a reply to a heartbeat that was taken a moment ago, a direct start without an answer, or one by an older leader.
+// Guards against a machine that counts as empty after a restart of its worker process while a task may still be
+// started there: by a reply to a heartbeat that was accepted a moment ago, by an unanswered direct start, or by a
+// start of an older leader.
 func TestRestartIsAcceptedOnlyOnceNoStartMayArrive(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		after           time.Duration // from the last heartbeat that was taken to the probe
-		unansweredStart bool          // a direct start is without an answer
+		after           time.Duration // time from the last accepted heartbeat to the probe
+		unansweredStart bool          // a direct start is unanswered
 		token           uint64
 		want            RestartVerdict
 	}{
-		{"nothing can come", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
+		{"no start can arrive", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
 		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
 		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeleteOnly},
 		{"an older leader's start may arrive", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
@@ -57,10 +58,10 @@
 				t.Fatal(err)
 			}
 			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
-				t.Errorf("verdict %v, want %v", got, c.want)
+				t.Errorf("verdict on an older answer: %v, want %v", got, c.want)
 			}
 			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != NotRestarted {
-				t.Errorf("a newer answer is of another process: %v", got)
+				t.Errorf("verdict on a newer answer: %v, want NotRestarted", got)
 			}
 		})
 	}
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -13,53 +13,54 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// simulation is workers, a sequence of leaders, and a network that loses, delays and duplicates messages, in steps of half a
-// second. It checks at each start that no other copy of the task runs, and that a task counts as completed only if it was.
+// simulation simulates workers, a sequence of leaders, and a network that loses, delays and duplicates messages, in
+// steps of half a second. It checks at each start that no other attempt at the task runs, and that a task counts as
+// completed only if it did complete.
 type simulation struct {
 	t        *rapid.T
 	now      time.Time
-	r        *Registry
+	registry *Registry
 	term     uint64
 	workers  []*simWorker
 	tasks    []*simTask
 	inFlight []message       // delayed by the network
-	noFaults bool            // no more faults begin
-	trace    strings.Builder // what happened, for people
+	noFaults bool            // no new faults begin
+	trace    strings.Builder // log of the events, printed on failure
 }
 
-// simTask is a task, as it is and as the leader and its record have it.
+// simTask is a task: its actual state, and its state according to the present leader and to the stored record.
 type simTask struct {
 	id                wire.TaskID
 	job               *jobs.Job
 	attempt           uint64
-	allocation        *jobs.Allocation // as the present leader has it
-	recorded          *jobs.Allocation // as the record has it: written with each new allocation, and some time after an end
-	completed         bool             // as the present leader has it
-	actuallyCompleted bool             // it completed somewhere
+	allocation        *jobs.Allocation // according to the present leader
+	recorded          *jobs.Allocation // according to the stored record, written with each allocation and some time after its end
+	completed         bool             // according to the present leader
+	actuallyCompleted bool             // an attempt at it completed on a worker
 }
 
 // simWorker is a machine with its worker process.
 type simWorker struct {
-	process          int            // counts its restarts
-	state            wire.Heartbeat // as it would report itself now
-	lastReply        time.Time      // when the last heartbeat was sent that had a reply
-	unreachableUntil time.Time      // until then nothing gets to it
-	silentUntil      time.Time      // until then nothing of it gets to the leader
+	process          int            // number of restarts, which identifies the process
+	state            wire.Heartbeat // the content of a heartbeat that it would send now
+	lastAnsweredAt   time.Time      // when the last heartbeat that was answered was sent; the lease starts then
+	unreachableUntil time.Time      // until then no message reaches it
+	silentUntil      time.Time      // until then no message from it reaches the leader
 	hangsUntil       time.Time
-	inFlightUntil    time.Time // until then its one heartbeat is in flight
+	inFlightUntil    time.Time // until then its one heartbeat waits for a reply
 	nextHeartbeat    time.Time
 	dead             bool
 }
 
-// message is in flight: a heartbeat to the leader, or direct commands or a reply to a worker's process.
+// message is a message in flight: a heartbeat to the leader, or direct commands or a reply to a worker's process.
 type message struct {
 	arrives, sent time.Time
-	heartbeat     *wire.Heartbeat // a copy of one that came already, or a late one
+	heartbeat     *wire.Heartbeat // a delayed copy, or a heartbeat that arrives late
 	recipient     *simWorker
 	process       int
 	direct        *wire.DirectCommands
 	reply         *wire.HeartbeatReply
-	incarnation   uint64 // of the heartbeat that it replies to
+	incarnation   uint64 // of the heartbeat that the reply answers
 }
 
 const simLease = time.Duration(lease * float64(time.Second))
@@ -78,28 +79,28 @@
 	return &c
 }
 
-// electLeader begins a term from the records.
+// electLeader starts a new term with a registry that is restored from the stored records.
 func (s *simulation) electLeader() {
 	s.term++
 	s.tracef("leader %d", s.term)
-	s.r = New(s.term, lease)
+	s.registry = New(s.term, lease)
 	for _, task := range s.tasks {
 		task.allocation, task.completed = nil, task.completed && task.recorded == nil
 		if recorded := task.recorded; recorded != nil {
 			c := *recorded
 			c.Stop, c.State, c.Removed, c.Committed = nil, "", false, true
 			task.allocation, task.recorded = &c, &c
-			s.r.RestoreAllocation(&c, s.now)
+			s.registry.RestoreAllocation(&c, s.now)
 		}
 	}
 	for _, w := range s.workers {
 		if !w.dead {
-			s.r.Register(Rented{Name: w.state.Machine, Type: w.state.Type, Zone: w.state.Zone, Spot: w.state.Spot, RentedAt: s.now}, s.now).ListedAddress = w.state.Address
+			s.registry.Register(Rented{Name: w.state.Machine, Type: w.state.Type, Zone: w.state.Zone, Spot: w.state.Spot, RentedAt: s.now}, s.now).ListedAddress = w.state.Address
 		}
 	}
 }
 
-// tracef adds a line to the trace.
+// tracef adds a line with the time since the start to the trace.
 func (s *simulation) tracef(format string, args ...any) {
 	fmt.Fprintf(&s.trace, "%v ", s.now.Sub(t0))
 	fmt.Fprintf(&s.trace, format, args...)
@@ -108,7 +109,7 @@
 
 func (s *simulation) taskOf(id wire.TaskID) *simTask { return s.tasks[id.Index] }
 
-// execute has a worker carry out commands, and checks that no task runs twice.
+// execute executes commands on a worker, and checks that no task runs twice.
 func (s *simulation) execute(w *simWorker, commands []wire.Command) {
 	for _, c := range commands {
 		known := slices.IndexFunc(w.state.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
@@ -116,8 +117,9 @@
 		case c.Op == wire.OpStart && known < 0:
 			for _, other := range s.workers {
 				for _, t := range other.state.Tasks {
-					// One that hangs executes nothing, and past its lease kills its tasks before anything else.
-					if t.Task == c.Task && t.State != wire.TaskExited && s.now.Sub(other.lastReply) <= simLease {
+					// A worker whose lease has expired does not count: if it hangs it runs nothing, and afterwards it
+					// first kills its tasks.
+					if t.Task == c.Task && t.State != wire.TaskExited && s.now.Sub(other.lastAnsweredAt) <= simLease {
 						s.t.Fatalf("%s attempt %d starts on %s while attempt %d is on %s\n%s", c.Task, c.Attempt, w.state.Machine, t.Attempt, other.state.Machine, s.trace.String())
 					}
 				}
@@ -131,7 +133,7 @@
 	}
 }
 
-// applyOutcomes is what the leader's loop does with outcomes.
+// applyOutcomes does what the leader's loop does with outcomes.
 func (s *simulation) applyOutcomes(outcomes []Outcome) {
 	for _, outcome := range outcomes {
 		task := s.taskOf(outcome.Allocation.Task())
@@ -139,12 +141,12 @@
 			continue
 		}
 		outcome.Allocation.Removed = true
-		s.tracef("settle %v attempt %d on %s incarnation %d: %s, lost %v", outcome.Allocation.Task(), outcome.Allocation.Attempt, outcome.Allocation.Machine, outcome.Allocation.Incarnation, outcome.Reason, outcome.Lost)
+		s.tracef("ended %v attempt %d on %s incarnation %d: %s, lost %v", outcome.Allocation.Task(), outcome.Allocation.Attempt, outcome.Allocation.Machine, outcome.Allocation.Incarnation, outcome.Reason, outcome.Lost)
 		task.allocation = nil
-		s.r.RemoveAllocation(outcome.Allocation, s.now)
+		s.registry.RemoveAllocation(outcome.Allocation, s.now)
 		if outcome.Reason == wire.ExitDone {
 			if !task.actuallyCompleted {
-				s.t.Fatalf("%v counts as completed, and is not", task.id)
+				s.t.Fatalf("%v counts as completed, but no attempt at it completed", task.id)
 			}
 			task.completed = true
 		}
@@ -156,9 +158,9 @@
 	return task.recorded == nil || task.recorded.Attempt != id.Attempt
 }
 
-// deliverHeartbeat has the leader process a heartbeat, and returns its reply; nil: it refused the heartbeat.
+// deliverHeartbeat makes the leader process a heartbeat, and returns its reply; nil: it rejected the heartbeat.
 func (s *simulation) deliverHeartbeat(hb *wire.Heartbeat) *wire.HeartbeatReply {
-	result, err := s.r.Heartbeat(clone(hb), s.now, s.mayForget)
+	result, err := s.registry.Heartbeat(clone(hb), s.now, s.mayForget)
 	s.tracef("heartbeat of %s incarnation %d seq %d token %d: %v -> %v %v", hb.Machine, hb.Incarnation, hb.Seq, hb.FencingToken, hb.Tasks, result.Commands, err)
 	if err != nil {
 		return nil
@@ -167,17 +169,18 @@
 	return &wire.HeartbeatReply{FencingToken: s.term, Commands: result.Commands}
 }
 
-// deliverReply has a worker process the reply to a heartbeat that it sent at a time. It ignores one with an older token.
+// deliverReply makes a worker process the reply to a heartbeat that it sent at a given time. The worker ignores a
+// reply with an older token.
 func (s *simulation) deliverReply(w *simWorker, reply *wire.HeartbeatReply, sent time.Time) {
 	if reply == nil || reply.FencingToken < w.state.FencingToken {
 		return
 	}
-	w.state.FencingToken, w.lastReply = reply.FencingToken, sent
+	w.state.FencingToken, w.lastAnsweredAt = reply.FencingToken, sent
 	s.tracef("reply to %s: %v", w.state.Machine, reply.Commands)
 	s.execute(w, reply.Commands)
 }
 
-// deliverDirect has a worker execute direct commands, and returns its answer; nil: it sends none.
+// deliverDirect makes a worker process a direct request, and returns its answer; nil: it does not answer.
 func (s *simulation) deliverDirect(w *simWorker, req *wire.DirectCommands) *wire.Heartbeat {
 	if w.dead || s.now.Before(w.hangsUntil) {
 		return nil
@@ -191,7 +194,7 @@
 	return clone(&w.state)
 }
 
-// step lets half a second pass.
+// step advances the simulation by half a second.
 func (s *simulation) step() {
 	s.now = s.now.Add(500 * time.Millisecond)
 	for _, w := range s.workers {
@@ -204,7 +207,7 @@
 	}
 }
 
-// deliver delivers the messages that arrive by now.
+// deliver delivers the messages that have arrived by now.
 func (s *simulation) deliver() {
 	var later []message
 	for _, m := range s.inFlight {
@@ -212,29 +215,29 @@
 		case m.arrives.After(s.now):
 			later = append(later, m)
 		case m.heartbeat != nil:
-			s.deliverHeartbeat(m.heartbeat) // its reply reaches nobody
+			s.deliverHeartbeat(m.heartbeat) // the reply reaches nobody
 		case m.process != m.recipient.process || m.recipient.dead:
-		case m.reply != nil && m.incarnation != m.recipient.state.Incarnation: // dropped
+		case m.reply != nil && m.incarnation != m.recipient.state.Incarnation: // the worker drops a reply to an earlier incarnation
 		case m.reply != nil:
 			s.deliverReply(m.recipient, m.reply, m.sent)
 		case s.now.Before(m.recipient.hangsUntil):
 			m.arrives = m.recipient.hangsUntil
 			later = append(later, m)
 		default:
-			s.deliverDirect(m.recipient, m.direct) // its answer comes too late
+			s.deliverDirect(m.recipient, m.direct) // the answer is too late to be used
 		}
 	}
 	s.inFlight = later
 }
 
-// stepWorker is what a worker does in a step.
+// stepWorker does what a worker does in a step.
 func (s *simulation) stepWorker(w *simWorker) {
 	if w.dead || s.now.Before(w.hangsUntil) || s.fault(w) {
 		return
 	}
-	if s.now.Sub(w.lastReply) > simLease {
+	if s.now.Sub(w.lastAnsweredAt) > simLease {
 		s.tracef("lease of %s expires", w.state.Machine)
-		w.state.Incarnation, w.state.Tasks, w.lastReply, w.inFlightUntil = w.state.Incarnation+1, nil, s.now, time.Time{}
+		w.state.Incarnation, w.state.Tasks, w.lastAnsweredAt, w.inFlightUntil = w.state.Incarnation+1, nil, s.now, time.Time{}
 	}
 	for i := range w.state.Tasks {
 		t := &w.state.Tasks[i]
@@ -249,7 +252,8 @@
 	}
 }
 
-// fault may begin a fault of a worker or of the paths to and from it. It reports whether the worker does no more in this step.
+// fault may begin a fault of a worker or of the network paths to and from it. It reports whether the worker does
+// nothing more in this step.
 func (s *simulation) fault(w *simWorker) bool {
 	switch {
 	case s.chance(1, "hang"):
@@ -258,7 +262,7 @@
 	case s.chance(1, "restarted"):
 		w.process++
 		s.tracef("%s restarts", w.state.Machine)
-		w.state.Incarnation, w.state.Seq, w.state.FencingToken, w.state.Tasks, w.lastReply, w.inFlightUntil = 1, 0, 0, nil, s.now, time.Time{}
+		w.state.Incarnation, w.state.Seq, w.state.FencingToken, w.state.Tasks, w.lastAnsweredAt, w.inFlightUntil = 1, 0, 0, nil, s.now, time.Time{}
 	case w != s.workers[0] && s.chance(1, "dies"):
 		w.dead, w.state.Tasks = true, nil
 		return true
@@ -270,7 +274,8 @@
 	return false
 }
 
-// sendHeartbeat has a worker send a heartbeat, of which a copy may be delayed and whose reply may be lost or slow.
+// sendHeartbeat makes a worker send a heartbeat. A delayed copy of it may arrive later, and its reply may be lost or
+// slow.
 func (s *simulation) sendHeartbeat(w *simWorker) {
 	w.state.Seq++
 	w.nextHeartbeat = s.now.Add(time.Second)
@@ -293,22 +298,22 @@
 	}
 }
 
-// sendDirect has the leader send commands for allocations of a machine at once.
+// sendDirect makes the leader send direct commands for allocations of a machine.
 func (s *simulation) sendDirect(name string, allocations []*jobs.Allocation) {
-	_, req, err := s.r.CommandsFor(name, allocations)
+	_, req, err := s.registry.CommandsFor(name, allocations)
 	if err != nil {
 		return
 	}
 	w := s.worker(name)
 	if s.now.Before(w.unreachableUntil) || w.dead || s.chance(30, "lost") {
 		s.inFlight = append(s.inFlight, message{arrives: s.now.Add(s.delayUpTo(5*simLease, "late")), recipient: w, process: w.process, direct: req})
-		s.r.Machines[name].Reachability.NoteFailed(s.now, s.now)
-		s.r.CommandsUnanswered(name, s.now)
+		s.registry.Machines[name].Reachability.NoteFailed(s.now, s.now)
+		s.registry.CommandsUnanswered(name, s.now)
 		return
 	}
 	if answer := s.deliverDirect(w, req); answer != nil {
-		s.r.CommandsAnswered(name, req)
-		if result, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
+		s.registry.CommandsAnswered(name, req)
+		if result, err := s.registry.DirectAnswer(answer, s.now, s.mayForget); err == nil {
 			s.applyOutcomes(result.Outcomes)
 		}
 	}
@@ -318,11 +323,11 @@
 	return s.workers[slices.IndexFunc(s.workers, func(w *simWorker) bool { return w.state.Machine == name })]
 }
 
-// stepLeader is what the leader does in a step: lease expiries, probes, records and placements.
+// stepLeader does what the leader does in a step: lease expiries, probes, records, stops and allocations.
 func (s *simulation) stepLeader() {
-	s.applyOutcomes(s.r.EndExpired(s.now, nil))
-	for _, name := range slices.Sorted(maps.Keys(s.r.Machines)) {
-		if s.probeDue(s.r.Machines[name]) {
+	s.applyOutcomes(s.registry.EndExpired(s.now, nil))
+	for _, name := range slices.Sorted(maps.Keys(s.registry.Machines)) {
+		if s.probeDue(s.registry.Machines[name]) {
 			s.probe(name)
 		}
 	}
@@ -347,11 +352,11 @@
 	return reason && m.Reachability.ProbeDue(s.now)
 }
 
-// probe probes a machine, twice if the first answer says so.
+// probe probes a machine, twice if the verdict on the first answer is ProbeAgain.
 func (s *simulation) probe(name string) {
-	m, w := s.r.Machines[name], s.worker(name)
+	m, w := s.registry.Machines[name], s.worker(name)
 	for range 2 {
-		_, req, mark, err := s.r.Probe(m, s.now)
+		_, req, mark, err := s.registry.Probe(m, s.now)
 		if err != nil {
 			return
 		}
@@ -365,20 +370,20 @@
 			m.Reachability.NoteFailed(s.now, s.now)
 			return
 		}
-		verdict := s.r.JudgeRestart(m, mark, answer)
+		verdict := s.registry.JudgeRestart(m, mark, answer)
 		s.tracef("probed %s %+v: verdict %v, incarnation %d seq %d", name, mark, verdict, answer.Incarnation, answer.Seq)
 		switch verdict {
 		case ProcessRestarted:
-			s.applyOutcomes(s.r.AcceptRestart(m, answer, s.now))
+			s.applyOutcomes(s.registry.AcceptRestart(m, answer, s.now))
 		case DeleteOnly:
 			w.process++
 			w.dead, w.state.Tasks = true, nil
-			s.applyOutcomes(s.r.MarkLost(name, s.now))
+			s.applyOutcomes(s.registry.MarkLost(name, s.now))
 		case Ambiguous:
 			m.SuspectCopy = true
 		case NotRestarted:
 			m.SuspectCopy = false
-			if result, err := s.r.DirectAnswer(answer, s.now, s.mayForget); err == nil {
+			if result, err := s.registry.DirectAnswer(answer, s.now, s.mayForget); err == nil {
 				s.applyOutcomes(result.Outcomes)
 			}
 		}
@@ -388,32 +393,32 @@
 	}
 }
 
-// allocate gives a task to any machine that may get work.
+// allocate allocates a task to a random machine that may get tasks.
 func (s *simulation) allocate(task *simTask) {
 	var usable []string
-	for _, name := range slices.Sorted(maps.Keys(s.r.Machines)) {
-		if m := s.r.Machines[name]; m.Alive() && m.Usable(s.term, s.now) && !m.HasOrphans() {
+	for _, name := range slices.Sorted(maps.Keys(s.registry.Machines)) {
+		if m := s.registry.Machines[name]; m.Alive() && m.Usable(s.term, s.now) && !m.HasOrphans() {
 			usable = append(usable, name)
 		}
 	}
 	if len(usable) == 0 {
 		return
 	}
-	m := s.r.Machines[rapid.SampledFrom(usable).Draw(s.t, "machine")]
+	m := s.registry.Machines[rapid.SampledFrom(usable).Draw(s.t, "machine")]
 	task.attempt++
 	task.allocation = &jobs.Allocation{Job: task.job, Index: task.id.Index, Attempt: task.attempt, Machine: m.Name, Incarnation: m.Incarnation, Committed: true}
 	task.recorded = task.allocation
-	s.r.AddAllocation(task.allocation, s.now)
+	s.registry.AddAllocation(task.allocation, s.now)
 	s.sendDirect(m.Name, []*jobs.Allocation{task.allocation})
 }
 
-// describe returns the state of the workers and what the leader knows of them, for people.
+// describe returns the state of the workers and what the leader knows of them, for failure messages.
 func (s *simulation) describe() string {
 	out := ""
 	for _, w := range s.workers {
 		out += fmt.Sprintf("%s dead %v, incarnation %d, seq %d, tasks %v; ", w.state.Machine, w.dead, w.state.Incarnation, w.state.Seq, w.state.Tasks)
-		if m := s.r.Machines[w.state.Machine]; m != nil {
-			out += fmt.Sprintf("known: incarnation %d, seq %d, ended %d, token %d of %d, orphans %v, alive %v, usable %v, suspect copy %v\n",
+		if m := s.registry.Machines[w.state.Machine]; m != nil {
+			out += fmt.Sprintf("known to the leader: incarnation %d, seq %d, ended %d, token %d of %d, orphans %v, alive %v, usable %v, suspect copy %v\n",
 				m.Incarnation, m.seq, m.EndedIncarnation, m.FencingToken, s.term, m.orphans, m.Alive(), m.Usable(s.term, s.now), m.SuspectCopy)
 		}
 	}
--- a/internal/scheduler/machines/speed_test.go
+++ b/internal/scheduler/machines/speed_test.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a machine that runs everything three times slower and goes on getting tasks, and against one
-// that is given up since a few of its tasks happened to be long.
+// Guards against a machine that runs everything three times slower and still gets tasks, and against a normal machine
+// that counts as slow because a few of its tasks happened to be long.
 func TestSlowMachinesAreFoundAndOthersAreNot(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	runTime := func() float64 { return 60 * math.Exp(0.42*rnd.NormFloat64()) }
@@ -34,7 +34,7 @@
 		}
 	}
 	if found < 990 || sum > 12*found {
-		t.Errorf("of 1,000 slow machines %d are found, after %.1f tasks", found, float64(sum)/float64(found))
+		t.Errorf("of 1,000 slow machines %d are detected, after %.1f tasks on average", found, float64(sum)/float64(found))
 	}
 	misjudged := 0
 	for range 1000 {
@@ -43,16 +43,16 @@
 		}
 	}
 	if misjudged > 10 {
-		t.Errorf("%d of 1,000 machines that are a tenth slower are given up within 200 tasks", misjudged)
+		t.Errorf("%d of 1,000 machines that are a tenth slower count as slow within 200 tasks", misjudged)
 	}
 }
 
 func TestOneLongTaskProvesNothing(t *testing.T) {
 	var speed RelativeSpeed
 	if speed.Note(1e6, []float64{1, 1, 1, 1, 1, 1}) || speed.Note(1, nil) || speed.Note(9, []float64{1, 1}) {
-		t.Error("given up after one task, or with nothing to compare it with")
+		t.Error("machine counts as slow after one task, or without enough tasks to compare with")
 	}
 	if (&RelativeSpeed{evidence: tuning.SlowEvidence}).Note(60, []float64{60, 60, 60, 60, 60}) {
-		t.Error("a task of usual length speaks against its machine")
+		t.Error("a task of median length left its machine counted as slow")
 	}
 }
