--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -9,14 +9,14 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a new leader that has every image fetched once more.
+// Guards against a new leader under which every image is fetched once more.
 func TestImagesAreRestoredByTheNextLeader(t *testing.T) {
 	r := New(1, 40)
-	cache := func(string) float64 { return 2 }
+	cacheGB := func(string) float64 { return 2 }
 	use := func(machine, image string) {
-		p := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
-		r.AddAllocation(p, t0)
-		r.RemoveAllocation(p, t0)
+		allocation := &jobs.Allocation{Job: &jobs.Job{Job: wire.Job{ID: "job-" + image, Image: image, ImageGB: 1}}, Machine: machine, Attempt: 1}
+		r.AddAllocation(allocation, t0)
+		r.RemoveAllocation(allocation, t0)
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
@@ -28,9 +28,9 @@
 			use(name, "img-2")
 		}
 	}
-	images := r.Images(cache)
+	images := r.Images(cacheGB)
 	if len(images.Held) != 2 || images.Held[0].Name != "img-1" {
-		t.Errorf("held are %+v, want first what most hold", images.Held)
+		t.Errorf("images are %+v, want first the one that most machines have", images.Held)
 	}
 	next := New(2, 40)
 	restored := images.ByMachine()
@@ -38,30 +38,30 @@
 		m := next.Register(Rented{Name: fmt.Sprintf("n-%02d", i), Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		m.RestoreImages(restored[m.Name], t0)
 		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
-			t.Errorf("%s holds %v", m.Name, m.images)
+			t.Errorf("machine %s has images %v", m.Name, m.images)
 		}
 	}
-	// What was evicted from a cache is not handed on.
+	// An image that was evicted from a machine's cache is not stored for the next leader.
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
-	if held := r.Images(cache); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
-		t.Error("an image is handed on that its machine no longer holds")
+	if held := r.Images(cacheGB); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
+		t.Error("an image is stored for the next leader although its machine has evicted it")
 	}
 }
 
-// Guards against prompt work that is sent where its image was once, and waits there for a fetch: a cache keeps what was used
-// most recently.
+// Guards against tasks that should start at once and are allocated to a machine that had their image before, where
+// they wait until it is fetched again. A cache evicts the least recently used image.
 func TestLeastRecentlyUsedImageLeavesAFullCache(t *testing.T) {
 	f := newFixture(t)
 	use := func(image string, at time.Duration) *jobs.Allocation {
-		p := allocation(1)
-		p.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
-		f.AddAllocation(p, t0.Add(at))
-		return p
+		allocation := newAllocation(1)
+		allocation.Job = &jobs.Job{Job: wire.Job{ID: "job-" + image, Tasks: 1, Image: image, ImageGB: 4}}
+		f.AddAllocation(allocation, t0.Add(at))
+		return allocation
 	}
 	f.receive(heartbeat(1, 1, 0), 0, mayNotForget)
-	pinned := use("1", 0)
+	inUse := use("1", 0)
 	f.RemoveAllocation(use("2", 0), t0.Add(time.Second))
 	f.RemoveAllocation(use("3", 0), t0.Add(2*time.Second))
 	m := f.Machines["n-1"]
@@ -69,16 +69,16 @@
 		t.Helper()
 		got := ""
 		for _, image := range []string{"1", "2", "3", "4"} {
-			if m.HasImage(image, 10) { // two of 4 GB
+			if m.HasImage(image, 10) { // room for two images of 4 GB
 				got += image
 			}
 		}
 		if got != want {
-			t.Errorf("holds %q, want %q", got, want)
+			t.Errorf("machine has images %q, want %q", got, want)
 		}
 	}
 	holds("13")
-	f.RemoveAllocation(pinned, t0.Add(3*time.Second))
+	f.RemoveAllocation(inUse, t0.Add(3*time.Second))
 	f.RemoveAllocation(use("2", 4*time.Second), t0.Add(5*time.Second))
 	holds("12")
 }
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -9,32 +9,33 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against a start by the leader before that arrives after its task counts as gone, and its job as cancelled: only once
-// the worker has seen the term's token does what its heartbeat lacks prove anything.
+// Guards against a start by the former leader that arrives after its task counts as gone and its job as cancelled.
+// That a heartbeat does not list a task proves nothing until the worker has seen this term's token.
 func TestMissingTaskProvesNothingBeforeTheTermsToken(t *testing.T) {
 	f := newFixture(t)
-	p := allocation(1)
-	p.Stop = &jobs.StopRequest{}
-	f.RestoreAllocation(p, t0)
-	if a := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(a.Outcomes) != 0 {
-		t.Fatalf("concluded while an older leader's start may arrive: %v", a.Outcomes)
+	allocation := newAllocation(1)
+	allocation.Stop = &jobs.StopRequest{}
+	f.RestoreAllocation(allocation, t0)
+	if result := f.receive(heartbeat(1, 1, term-1), time.Second, mayForget); len(result.Outcomes) != 0 {
+		t.Fatalf("allocation ended while an older leader's start may arrive: %v", result.Outcomes)
 	}
-	if a := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(a.Outcomes) != 1 {
-		t.Errorf("outcomes %v with the term's token", a.Outcomes)
+	if result := f.receive(heartbeat(1, 2, term), 2*time.Second, mayForget); len(result.Outcomes) != 1 {
+		t.Errorf("outcomes %v with this term's token, want one", result.Outcomes)
 	}
 }
 
-// Guards against a machine whose worker process was restarted and that counts as empty while something may still start there: by
-// a reply to a heartbeat that was taken a moment ago, a direct start without an answer, or one by an older leader.
+// Guards against a machine that counts as empty after a restart of its worker process while a task may still be
+// started there: by a reply to a heartbeat that was accepted a moment ago, by an unanswered direct start, or by a
+// start of an older leader.
 func TestRestartIsAcceptedOnlyOnceNoStartMayArrive(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		after time.Duration // from the last heartbeat that was taken to the probe
-		open  bool          // a direct start is without an answer
-		token uint64
-		want  RestartVerdict
+		name            string
+		after           time.Duration // time from the last accepted heartbeat to the probe
+		unansweredStart bool          // a direct start is unanswered
+		token           uint64
+		want            RestartVerdict
 	}{
-		{"nothing can come", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
+		{"no start can arrive", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
 		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
 		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeleteOnly},
 		{"an older leader's start may arrive", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
@@ -42,14 +43,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.receive(heartbeat(1, 5, term), 0, mayNotForget)
-			p := allocation(1)
-			f.AddAllocation(p, t0)
+			allocation := newAllocation(1)
+			f.AddAllocation(allocation, t0)
 			m := f.Machines["n-1"]
-			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{p})
+			_, req, err := f.CommandsFor("n-1", []*jobs.Allocation{allocation})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !c.open {
+			if !c.unansweredStart {
 				f.CommandsAnswered("n-1", req)
 			}
 			_, _, mark, err := f.Probe(m, t0.Add(c.after))
@@ -57,10 +58,10 @@
 				t.Fatal(err)
 			}
 			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 2, FencingToken: c.token}); got != c.want {
-				t.Errorf("verdict %v, want %v", got, c.want)
+				t.Errorf("verdict on an older answer: %v, want %v", got, c.want)
 			}
 			if got := f.JudgeRestart(m, mark, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 6, FencingToken: c.token}); got != NotRestarted {
-				t.Errorf("a newer answer is of another process: %v", got)
+				t.Errorf("verdict on a newer answer: %v, want NotRestarted", got)
 			}
 		})
 	}
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -7,26 +7,26 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// RelativeSpeed is how fast a machine runs tasks, compared with the same work elsewhere. It is the evidence, as the logarithm
-// of a likelihood ratio, that the machine is slower by tuning.SlowFactor rather than like the others (Wald's sequential test,
-// restarted whenever the evidence is that it is like the others). One long task proves nothing: tasks of one job differ. The
-// zero value is ready for use.
+// RelativeSpeed is how fast a machine runs tasks, compared with tasks of the same jobs on other machines. It holds
+// the evidence, as the logarithm of a likelihood ratio, that the machine is slower by tuning.SlowFactor rather than
+// as fast as the others. This is Wald's sequential test, restarted whenever the evidence favours a machine of normal
+// speed. One long task proves nothing, because the tasks of a job differ. The zero value is ready for use.
 type RelativeSpeed struct{ evidence float64 }
 
-// Note counts a completed task that ran for the given seconds. others are the run times of tasks of the same job on other
-// machines, in seconds; with fewer than tuning.SlowPeers of them nothing is learned. It reports whether the machine counts as
-// slow now.
-func (s *RelativeSpeed) Note(ran float64, others []float64) bool {
-	if len(others) < tuning.SlowPeers || ran <= 0 {
+// Note adds the evidence of a completed task that ran for ranS seconds, and reports whether the machine counts as
+// slow now. othersS are the run times of tasks of the same job on other machines, in seconds. With fewer than
+// tuning.SlowPeers of them the task adds no evidence.
+func (s *RelativeSpeed) Note(ranS float64, othersS []float64) bool {
+	if len(othersS) < tuning.SlowPeers || ranS <= 0 {
 		return false
 	}
-	sorted := slices.Sorted(slices.Values(others))
+	sorted := slices.Sorted(slices.Values(othersS))
 	median := sorted[len(sorted)/2]
 	if median <= 0 {
 		return false
 	}
-	slow := math.Log(tuning.SlowFactor)
-	x := min(math.Log(ran/median), slow) // one task, however long, counts as one slow one
-	s.evidence = max(0, s.evidence+(x-slow/2)*slow/(tuning.EstimateSpread*tuning.EstimateSpread))
+	logSlowFactor := math.Log(tuning.SlowFactor)
+	logRatio := min(math.Log(ranS/median), logSlowFactor) // a longer task counts as one slower by SlowFactor
+	s.evidence = max(0, s.evidence+(logRatio-logSlowFactor/2)*logSlowFactor/(tuning.EstimateSpread*tuning.EstimateSpread))
 	return s.evidence >= tuning.SlowEvidence
 }
