--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -56,7 +56,7 @@
 	pending      []*PendingJob // in order
 	machines     []*Machine
 	teams        map[string]*Team
-	searches     searches
+	rankings     machineRankings
 	placed       []Placement
 	blocked      []bool // by index in pending: no machine has room
 	reservations reservations
@@ -67,7 +67,7 @@
 // mayReserve.
 func runCycle(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team, mayReserve bool) ([]Placement, bool) {
 	c := cycle{
-		now: now, pending: pending, machines: machines, teams: teams, searches: newSearches(withRoom(machines, pending)),
+		now: now, pending: pending, machines: machines, teams: teams, rankings: newMachineRankings(machinesWithRoom(machines, pending)),
 		blocked: make([]bool, len(pending)), reservations: reservations{allowed: mayReserve},
 	}
 	for lo, hi := 0, 0; lo < len(pending); lo = hi {
@@ -92,7 +92,7 @@
 // lo to before hi.
 func (c *cycle) schedulePriority(lo, hi int) {
 	for _, i := range starvingIn(c.pending, lo, hi, c.now) {
-		c.beginStarving(c.pending[i])
+		c.startStarvingJob(c.pending[i])
 	}
 	for _, ph := range phases {
 		c.runPhase(ph, lo, hi)
@@ -115,38 +115,38 @@
 // placeTasks places as many tasks of the job at index i as the phase, its team's
 // quota and the machines of a kind allow.
 func (c *cycle) placeTasks(i int, ph phase, kind KindPreference) {
-	p := c.pending[i]
-	if c.blocked[i] || p.Placeholder != (ph == placeholderPhase) {
+	job := c.pending[i]
+	if c.blocked[i] || job.Placeholder != (ph == placeholderPhase) {
 		return
 	}
-	team := c.teamOf(p)
+	team := c.teamOf(job)
 	if team == nil {
 		return
 	}
-	request := p.Request()
-	var s *search // made when it is first needed: it looks at all machines
-	for p.Waiting > 0 && team.admits(p) && (ph != guaranteedPhase || team.withinGuarantee(request)) {
-		if s == nil {
-			s = c.searches.forJob(p, kind)
+	request := job.Request()
+	var ranking *machineRanking // made when it is first needed: it looks at all machines
+	for job.Waiting > 0 && team.admits(job) && (ph != guaranteedPhase || team.withinGuarantee(request)) {
+		if ranking == nil {
+			ranking = c.rankings.forJob(job, kind)
 		}
-		m := s.best(p)
-		if m == nil {
+		machine := ranking.best(job)
+		if machine == nil {
 			if kind == AnyKind {
 				c.block(i)
 			}
 			return
 		}
-		c.place(p, m, request, team)
+		c.place(job, machine, request, team)
 	}
 }
 
 // teamOf returns the team whose quota applies to a job; nil: no task of it may be
 // placed. Placeholders have no quota, and reserve nothing in a cycle without
 // reservations.
-func (c *cycle) teamOf(p *PendingJob) *Team {
+func (c *cycle) teamOf(job *PendingJob) *Team {
 	switch {
-	case !p.Placeholder:
-		return c.teams[p.Job.Team]
+	case !job.Placeholder:
+		return c.teams[job.Job.Team]
 	case c.reservations.allowed:
 		return unlimitedTeam()
 	default:
@@ -155,27 +155,27 @@
 }
 
 // place places one task. A placeholder takes the room and is not a decision.
-func (c *cycle) place(p *PendingJob, m *Machine, request Resources, team *Team) {
-	p.assign(m, request, team)
-	if p.Placeholder {
+func (c *cycle) place(job *PendingJob, machine *Machine, request Resources, team *Team) {
+	job.assign(machine, request, team)
+	if job.Placeholder {
 		c.reservations.placeholders = true
 		return
 	}
-	c.placed = append(c.placed, Placement{p, m})
+	c.placed = append(c.placed, Placement{job, machine})
 }
 
 // block notes that no machine has room for a task of the job at index i. The
 // first such job that has waited long reserves a machine.
 func (c *cycle) block(i int) {
-	p := c.pending[i]
+	job := c.pending[i]
 	c.blocked[i] = true
-	if p.Placeholder {
+	if job.Placeholder {
 		return
 	}
 	if c.reservations.placeholders {
 		c.reservations.displaced = true
 	}
-	if c.reservations.allowed && !c.reservations.head && c.now.Sub(p.WaitingSince) >= tuning.HeadReservationAfter {
-		c.reservations.head = p.reserveMachine(c.machines, p.Request())
+	if c.reservations.allowed && !c.reservations.head && c.now.Sub(job.WaitingSince) >= tuning.HeadReservationAfter {
+		c.reservations.head = job.reserveMachine(c.machines, job.Request())
 	}
 }
--- a/internal/scheduler/placement/dryrun.go
+++ b/internal/scheduler/placement/dryrun.go
@@ -13,20 +13,20 @@
 // whether its tasks fit on the others then costs as much as one cycle, rather
 // than one cycle each.
 type DryRun struct {
-	searches searches
-	used     []*search   // by the present question
-	placed   []Placement // of the present question
+	rankings     machineRankings
+	usedRankings []*machineRanking // by the present question
+	placed       []Placement       // of the present question
 }
 
 // NewDryRun begins a dry run. What fits takes the machines' free resources;
 // nothing else may change them in the meantime.
 func NewDryRun(machines []*Machine) *DryRun {
-	return &DryRun{searches: newSearches(machines)}
+	return &DryRun{rankings: newMachineRankings(machines)}
 }
 
 // BestMachine returns the machine on which one more task of a job would be
 // placed; nil: there is none.
-func (d *DryRun) BestMachine(p *PendingJob) *Machine { return d.searches.forJob(p, AnyKind).best(p) }
+func (d *DryRun) BestMachine(p *PendingJob) *Machine { return d.rankings.forJob(p, AnyKind).best(p) }
 
 // TryPlace reports whether all waiting tasks of some jobs, whose teams have no
 // quotas, fit on the machines without one of them (nil: on all). If they do, they
@@ -56,20 +56,20 @@
 // placeAll places all waiting tasks, until one does not fit. It reports whether all
 // did.
 func (d *DryRun) placeAll(pending []*PendingJob, team *Team) bool {
-	d.used, d.placed = d.used[:0], d.placed[:0]
-	for _, p := range pending {
-		if p.Waiting == 0 {
+	d.usedRankings, d.placed = d.usedRankings[:0], d.placed[:0]
+	for _, job := range pending {
+		if job.Waiting == 0 {
 			continue
 		}
-		s := d.searches.forJob(p, AnyKind)
-		d.used = append(d.used, s)
-		for request := p.Request(); p.Waiting > 0; {
-			m := s.best(p)
-			if m == nil {
+		ranking := d.rankings.forJob(job, AnyKind)
+		d.usedRankings = append(d.usedRankings, ranking)
+		for request := job.Request(); job.Waiting > 0; {
+			machine := ranking.best(job)
+			if machine == nil {
 				return false
 			}
-			p.assign(m, request, team)
-			d.placed = append(d.placed, Placement{p, m})
+			job.assign(machine, request, team)
+			d.placed = append(d.placed, Placement{job, machine})
 		}
 	}
 	return true
@@ -81,12 +81,12 @@
 	for _, p := range d.placed {
 		p.Machine.Free.Add(p.Pending.Request())
 	}
-	for i, p := range d.placed {
-		if i > 0 && d.placed[i-1].Machine == p.Machine {
+	for i, placement := range d.placed {
+		if i > 0 && d.placed[i-1].Machine == placement.Machine {
 			continue
 		}
-		for _, s := range d.used {
-			s.addFreed(p.Machine)
+		for _, ranking := range d.usedRankings {
+			ranking.reinsert(placement.Machine)
 		}
 	}
 }
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -42,9 +42,9 @@
 	return m.FreeInS(lacking)
 }
 
-// withRoom returns the machines with room for the smallest of the requests. In
+// machinesWithRoom returns the machines with room for the smallest of the requests. In
 // a large cluster most machines are full, and every search would look at each.
-func withRoom(machines []*Machine, pending []*PendingJob) []*Machine {
+func machinesWithRoom(machines []*Machine, pending []*PendingJob) []*Machine {
 	if len(pending) == 0 {
 		return nil
 	}
--- a/internal/scheduler/placement/pending.go
+++ b/internal/scheduler/placement/pending.go
@@ -43,8 +43,8 @@
 	PreferSpot
 )
 
-// admits reports whether a machine is of the preferred kind.
-func (k KindPreference) admits(spot bool) bool { return k == AnyKind || spot == (k == PreferSpot) }
+// matches reports whether a machine is of the preferred kind.
+func (k KindPreference) matches(spot bool) bool { return k == AnyKind || spot == (k == PreferSpot) }
 
 // Request returns the resources that one task of the job requests.
 func (p *PendingJob) Request() Resources {
@@ -86,8 +86,8 @@
 
 // Allows reports whether one more task may run on a machine of a type, in a
 // zone, spot or not.
-func (p *PendingJob) Allows(typ, zone string, spot bool) bool {
-	return (!spot || p.Job.Spot) && (p.Job.Types == nil || slices.Contains(p.Job.Types, typ)) && p.AllowsZone(zone)
+func (p *PendingJob) Allows(machineType, zone string, spot bool) bool {
+	return (!spot || p.Job.Spot) && (p.Job.Types == nil || slices.Contains(p.Job.Types, machineType)) && p.AllowsZone(zone)
 }
 
 // avoids reports whether the job must not run on a machine.
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -25,7 +25,7 @@
 // chosen on which the least work is lost. It changes the jobs, machines and teams
 // as if the victims had ended and the tasks were placed.
 func Preempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
-	p := preemption{machines: machines, teams: teams, offers: make([]offer, len(machines))}
+	p := preemption{machines: machines, teams: teams, victimSets: make([]victimSet, len(machines))}
 	for _, job := range pending {
 		p.makeRoomFor(job)
 	}
@@ -34,18 +34,18 @@
 
 // preemption is the state of one choice of victims.
 type preemption struct {
-	machines []*Machine
-	teams    map[string]*Team
-	offers   []offer // of each machine, for a task of the present job
-	current  bool    // the offers are for the present job, and no team's borrowing has changed
-	chosen   []Victim
+	machines   []*Machine
+	teams      map[string]*Team
+	victimSets []victimSet // of each machine, for a task of the present job
+	upToDate   bool        // the offers are for the present job, and no team's borrowing has changed
+	chosen     []Victim
 }
 
-// offer is what room for one task on a machine costs.
-type offer struct {
-	ok      bool
-	cost    float64 // in seconds of lost work
-	victims []int   // indexes in the machine's victims
+// victimSet is what room for one task on a machine costs.
+type victimSet struct {
+	sufficient bool
+	cost       float64 // in seconds of lost work
+	victims    []int   // indexes in the machine's victims
 }
 
 // makeRoomFor chooses victims for up to tuning.PreemptBatch tasks of a job.
@@ -54,44 +54,44 @@
 	if team == nil {
 		return
 	}
-	p.current = false
+	p.upToDate = false
 	for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
-		if !p.current {
-			p.collectOffers(job, request)
+		if !p.upToDate {
+			p.findVictimSets(job, request)
 		}
-		i := p.bestOffer(job, request)
+		i := p.cheapestMachine(job, request)
 		if i < 0 {
 			return
 		}
-		p.accept(i, job)
+		p.removeVictims(i, job)
 		job.assign(p.machines[i], request, team)
-		p.offers[i] = p.offerOf(p.machines[i], job, request)
+		p.victimSets[i] = p.victimSetOn(p.machines[i], job, request)
 	}
 }
 
-// collectOffers asks all machines for an offer.
-func (p *preemption) collectOffers(job *PendingJob, request Resources) {
+// findVictimSets asks all machines for an offer.
+func (p *preemption) findVictimSets(job *PendingJob, request Resources) {
 	for i, m := range p.machines {
-		p.offers[i] = p.offerOf(m, job, request)
+		p.victimSets[i] = p.victimSetOn(m, job, request)
 	}
-	p.current = true
+	p.upToDate = true
 }
 
-// bestOffer returns the index of the machine with the cheapest offer; -1: there
+// cheapestMachine returns the index of the machine with the cheapest offer; -1: there
 // is none.
 //
 // While one job makes room, an offer is withdrawn (a zone is full) or stays, but
 // for that of the machine that was just used, and unless a team stops borrowing.
 // So the cheapest known offer is the cheapest if it still holds.
-func (p *preemption) bestOffer(job *PendingJob, request Resources) int {
+func (p *preemption) cheapestMachine(job *PendingJob, request Resources) int {
 	for {
-		i := cheapest(p.offers)
+		i := cheapest(p.victimSets)
 		if i < 0 {
 			return -1
 		}
-		now := p.offerOf(p.machines[i], job, request)
-		holds := now.ok && now.cost == p.offers[i].cost
-		p.offers[i] = now
+		updated := p.victimSetOn(p.machines[i], job, request)
+		holds := updated.sufficient && updated.cost == p.victimSets[i].cost
+		p.victimSets[i] = updated
 		if holds {
 			return i
 		}
@@ -100,69 +100,69 @@
 
 // cheapest returns the index of the first of the cheapest offers; -1: there is
 // none.
-func cheapest(offers []offer) int {
+func cheapest(victimSets []victimSet) int {
 	best := -1
-	for i := range offers {
-		if offers[i].ok && (best < 0 || offers[i].cost < offers[best].cost) {
+	for i := range victimSets {
+		if victimSets[i].sufficient && (best < 0 || victimSets[i].cost < victimSets[best].cost) {
 			best = i
 		}
 	}
 	return best
 }
 
-// accept takes the victims of the offer at index i from their machine, for a job.
-func (p *preemption) accept(i int, job *PendingJob) {
-	m, victims := p.machines[i], p.offers[i].victims
+// removeVictims takes the victims of the offer at index i from their machine, for a job.
+func (p *preemption) removeVictims(i int, job *PendingJob) {
+	machine, victims := p.machines[i], p.victimSets[i].victims
 	for _, k := range victims {
-		v := m.Victims[k]
+		v := machine.Victims[k]
 		v.Preemptor = job.Job
 		p.chosen = append(p.chosen, v)
-		m.Free.Add(v.request())
+		machine.Free.Add(v.request())
 		p.release(&v)
 	}
 	slices.Sort(victims)
 	for _, k := range slices.Backward(victims) {
-		m.Victims = slices.Delete(m.Victims, k, k+1)
+		machine.Victims = slices.Delete(machine.Victims, k, k+1)
 	}
 }
 
 // release takes a victim out of its team's use. If the team stops borrowing by
 // that, the offers with its tasks do not hold any more.
 func (p *preemption) release(v *Victim) {
-	t := p.teams[v.Job.Team]
-	if t == nil {
+	team := p.teams[v.Job.Team]
+	if team == nil {
 		return
 	}
-	borrowed := t.borrows()
-	t.release(v.request())
-	p.current = p.current && borrowed == t.borrows()
+	borrowed := team.borrows()
+	team.release(v.request())
+	p.upToDate = p.upToDate && borrowed == team.borrows()
 }
 
-// offerOf returns a machine's offer for one task of a job.
-func (p *preemption) offerOf(m *Machine, job *PendingJob, request Resources) offer {
+// victimSetOn returns a machine's offer for one task of a job.
+func (p *preemption) victimSetOn(m *Machine, job *PendingJob, request Resources) victimSet {
 	if !job.couldRunOn(m, request) {
-		return offer{}
+		return victimSet{}
 	}
 	victims, cost, ok := job.victimsOn(m, request, p.teams)
-	return offer{ok: ok, cost: cost, victims: victims}
+	return victimSet{sufficient: ok, cost: cost, victims: victims}
 }
 
 // victimsOn returns the indexes and the cost of the cheapest tasks of a machine
 // whose end makes room for one task of the job.
-func (p *PendingJob) victimsOn(m *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
+func (p *PendingJob) victimsOn(machine *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
 	var preemptible []int
-	for i := range m.Victims {
-		if p.mayPreempt(m.Victims[i].Job, teams) {
+	for i := range machine.Victims {
+		if p.mayPreempt(machine.Victims[i].Job, teams) {
 			preemptible = append(preemptible, i)
 		}
 	}
-	slices.SortFunc(preemptible, func(a, b int) int { return cmp.Compare(m.Victims[a].Cost, m.Victims[b].Cost) })
-	free := m.Free
+	slices.SortFunc(preemptible, func(a, b int) int { return cmp.Compare(machine.Victims[a].Cost, machine.Victims[b].Cost) })
+	free := machine.Free
 	for _, i := range preemptible {
 		if free.Fits(request) {
 			break
 		}
-		v := &m.Victims[i]
+		v := &machine.Victims[i]
 		free.Add(v.request())
 		victims = append(victims, i)
 		cost += v.Cost
@@ -178,6 +178,6 @@
 	if victim.Priority.Level() < p.Job.Priority.Level() {
 		return true
 	}
-	t := teams[victim.Team]
-	return t != nil && victim.Team != p.Job.Team && t.borrows() && victim.Kind != wire.KindService
+	team := teams[victim.Team]
+	return team != nil && victim.Team != p.Job.Team && team.borrows() && victim.Kind != wire.KindService
 }
--- a/internal/scheduler/placement/queue.go
+++ b/internal/scheduler/placement/queue.go
@@ -13,9 +13,9 @@
 // EffectivePriority returns a job's priority level after aging: one level above
 // its own once it has waited for tuning.PriorityAgingStep. A job that has had its
 // fair share does not age: its tasks are served, others wait.
-func EffectivePriority(p *PendingJob, teams map[string]*Team, now time.Time) int {
-	level := p.Job.Priority.Level()
-	if now.Sub(p.enqueuedAt()) >= tuning.PriorityAgingStep && !hadFairShare(p, teams) {
+func EffectivePriority(job *PendingJob, teams map[string]*Team, now time.Time) int {
+	level := job.Job.Priority.Level()
+	if now.Sub(job.enqueuedAt()) >= tuning.PriorityAgingStep && !hadFairShare(job, teams) {
 		level++
 	}
 	return level
@@ -23,9 +23,9 @@
 
 // hadFairShare reports whether a job of a team without a quota has had its fair
 // share.
-func hadFairShare(p *PendingJob, teams map[string]*Team) bool {
-	t := teams[p.Job.Team]
-	return t != nil && p.Started > 0 && t.FairShareCPUs > 0 && float64(p.Started+1)*p.Job.CPUs > t.FairShareCPUs
+func hadFairShare(job *PendingJob, teams map[string]*Team) bool {
+	team := teams[job.Job.Team]
+	return team != nil && job.Started > 0 && team.FairShareCPUs > 0 && float64(job.Started+1)*job.Job.CPUs > team.FairShareCPUs
 }
 
 // fairShareUsed returns how many steps, of tuning.FairShareSteps, of what its
@@ -34,22 +34,22 @@
 // end. Without a quota a share of the fleet takes its place: without that,
 // hundreds of tiny jobs of a guest waited three minutes behind the guest's array
 // of 25,000 tasks.
-func fairShareUsed(p *PendingJob, teams map[string]*Team) int {
-	t := teams[p.Job.Team]
-	if t == nil {
+func fairShareUsed(job *PendingJob, teams map[string]*Team) int {
+	team := teams[job.Job.Team]
+	if team == nil {
 		return 0
 	}
-	n, request := float64(p.Started+1), p.Request()
-	cpus := t.QuotaCPUs
-	if t.FairShareCPUs > 0 {
-		cpus = t.FairShareCPUs
+	tasks, request := float64(job.Started+1), job.Request()
+	cpus := team.QuotaCPUs
+	if team.FairShareCPUs > 0 {
+		cpus = team.FairShareCPUs
 	}
 	share := 0.0
 	if request.CPUs > 0 {
-		share = max(share, (n*request.CPUs-slack)/cpus)
+		share = max(share, (tasks*request.CPUs-roundingTolerance)/cpus)
 	}
 	if request.GPUs > 0 {
-		share = max(share, (n*request.GPUs-slack)/t.QuotaGPUs)
+		share = max(share, (tasks*request.GPUs-roundingTolerance)/team.QuotaGPUs)
 	}
 	return int(min(share, 1) * tuning.FairShareSteps)
 }
@@ -58,12 +58,12 @@
 // waiting work. What waits long for little work goes first (highest response
 // ratio next), so that a backlog makes few jobs late rather than all. It is +Inf
 // for other kinds: the absence of a service's replica is an outage.
-func responseRatio(p *PendingJob, now time.Time) float64 {
-	work := p.Job.CPUs * float64(p.Waiting) * p.expectedRunS()
-	if p.Job.Kind != wire.KindArray || work <= 0 {
+func responseRatio(job *PendingJob, now time.Time) float64 {
+	work := job.Job.CPUs * float64(job.Waiting) * job.expectedRunS()
+	if job.Job.Kind != wire.KindArray || work <= 0 {
 		return math.Inf(1)
 	}
-	return now.Sub(p.enqueuedAt()).Seconds() / work
+	return now.Sub(job.enqueuedAt()).Seconds() / work
 }
 
 // queueKey is what the order of the queue depends on.
--- a/internal/scheduler/placement/quota.go
+++ b/internal/scheduler/placement/quota.go
@@ -32,50 +32,50 @@
 
 // withinQuota reports whether the team stays within its quota with r more.
 func (t *Team) withinQuota(r Resources) bool {
-	return t.UsedCPUs+r.CPUs <= t.QuotaCPUs+slack && t.UsedGPUs+r.GPUs <= t.QuotaGPUs+slack
+	return t.UsedCPUs+r.CPUs <= t.QuotaCPUs+roundingTolerance && t.UsedGPUs+r.GPUs <= t.QuotaGPUs+roundingTolerance
 }
 
 // withinGuarantee reports whether the team stays within its guarantee with r more.
 func (t *Team) withinGuarantee(r Resources) bool {
-	return t.UsedCPUs+r.CPUs <= t.GuaranteedCPUs+slack && t.UsedGPUs+r.GPUs <= t.GuaranteedGPUs+slack
+	return t.UsedCPUs+r.CPUs <= t.GuaranteedCPUs+roundingTolerance && t.UsedGPUs+r.GPUs <= t.GuaranteedGPUs+roundingTolerance
 }
 
 // borrows reports whether the team uses more than its guarantee.
 func (t *Team) borrows() bool {
-	return t.UsedCPUs > t.GuaranteedCPUs+slack || t.UsedGPUs > t.GuaranteedGPUs+slack
+	return t.UsedCPUs > t.GuaranteedCPUs+roundingTolerance || t.UsedGPUs > t.GuaranteedGPUs+roundingTolerance
 }
 
 // everFits reports whether a task fits the quota beside the use that does not
 // end by itself.
 func (t *Team) everFits(r Resources) bool {
-	return t.PermanentUse.CPUs+r.CPUs <= t.QuotaCPUs+slack && t.PermanentUse.GPUs+r.GPUs <= t.QuotaGPUs+slack
+	return t.PermanentUse.CPUs+r.CPUs <= t.QuotaCPUs+roundingTolerance && t.PermanentUse.GPUs+r.GPUs <= t.QuotaGPUs+roundingTolerance
 }
 
 // admits reports whether one task of a job fits the quota beside what is
 // reserved for the first task of another job.
-func (t *Team) admits(p *PendingJob) bool {
-	r := p.Request()
-	if t.reservedFor != "" && t.reservedFor != p.Job.ID {
-		r.CPUs += t.reserved.CPUs
-		r.GPUs += t.reserved.GPUs
+func (t *Team) admits(job *PendingJob) bool {
+	request := job.Request()
+	if t.reservedFor != "" && t.reservedFor != job.Job.ID {
+		request.CPUs += t.reserved.CPUs
+		request.GPUs += t.reserved.GPUs
 	}
-	return t.withinQuota(r)
+	return t.withinQuota(request)
 }
 
 // TasksWithinQuota returns how many of a job's waiting tasks its team's quota
 // admits; 0 if the team is not known.
-func TasksWithinQuota(p *PendingJob, teams map[string]*Team) int {
-	t := teams[p.Job.Team]
-	if t == nil {
+func TasksWithinQuota(job *PendingJob, teams map[string]*Team) int {
+	team := teams[job.Job.Team]
+	if team == nil {
 		return 0
 	}
-	request := p.Request()
-	n := float64(p.Waiting)
+	request := job.Request()
+	tasks := float64(job.Waiting)
 	if request.CPUs > 0 {
-		n = min(n, math.Floor((t.QuotaCPUs-t.UsedCPUs+slack)/request.CPUs))
+		tasks = min(tasks, math.Floor((team.QuotaCPUs-team.UsedCPUs+roundingTolerance)/request.CPUs))
 	}
 	if request.GPUs > 0 {
-		n = min(n, math.Floor((t.QuotaGPUs-t.UsedGPUs+slack)/request.GPUs))
+		tasks = min(tasks, math.Floor((team.QuotaGPUs-team.UsedGPUs+roundingTolerance)/request.GPUs))
 	}
-	return int(max(0, n))
+	return int(max(0, tasks))
 }
--- a/internal/scheduler/placement/ranking.go
+++ b/internal/scheduler/placement/ranking.go
@@ -16,27 +16,27 @@
 	kind                   KindPreference
 }
 
-func shapeOf(p *PendingJob, kind KindPreference) taskShape {
-	s := taskShape{
-		request: p.Request(), image: p.Job.Image, imageGB: p.Job.ImageGB, spot: p.Job.Spot,
-		latencySensitive: p.LatencySensitive, kind: kind,
+func shapeOf(job *PendingJob, kind KindPreference) taskShape {
+	shape := taskShape{
+		request: job.Request(), image: job.Job.Image, imageGB: job.Job.ImageGB, spot: job.Job.Spot,
+		latencySensitive: job.LatencySensitive, kind: kind,
 	}
-	if p.Job.Types != nil {
-		s.types = "\x00" + strings.Join(p.Job.Types, "\x00") // no type allowed is not the same as all
+	if job.Job.Types != nil {
+		shape.types = "\x00" + strings.Join(job.Job.Types, "\x00") // no type allowed is not the same as all
 	}
-	return s
+	return shape
 }
 
 // candidate is a machine in the ranking of a shape, with what its rank was
 // determined by.
 type candidate struct {
-	m      *Machine
-	fetchS float64   // until it has the image, rounded to seconds
-	free   Resources // may be out of date: the machine's free resources are in m
+	machine *Machine
+	fetchS  float64   // until it has the image, rounded to seconds
+	free    Resources // may be out of date: the machine's free resources are in m
 }
 
 func (s *taskShape) candidate(m *Machine) candidate {
-	return candidate{m: m, fetchS: m.fetchS(s.image, s.imageGB), free: m.Free}
+	return candidate{machine: m, fetchS: m.fetchS(s.image, s.imageGB), free: m.Free}
 }
 
 // ranksBefore reports whether a is a better place than b for a task of the shape.
@@ -52,23 +52,23 @@
 // has acknowledged the leader; then the most free room, and the name so that the
 // order is deterministic.
 func (s *taskShape) ranksBefore(a, b *candidate, tasksIn map[string]int) bool {
-	if a.m.Spot != b.m.Spot {
-		return a.m.Spot
+	if a.machine.Spot != b.machine.Spot {
+		return a.machine.Spot
 	}
 	if s.latencySensitive && a.fetchS != b.fetchS {
 		return a.fetchS < b.fetchS
 	}
-	if a.m.Price != b.m.Price && (a.m.Spot || !s.spot) {
-		return a.m.Price < b.m.Price
+	if a.machine.Price != b.machine.Price && (a.machine.Spot || !s.spot) {
+		return a.machine.Price < b.machine.Price
 	}
 	if a.fetchS != b.fetchS {
 		return a.fetchS < b.fetchS
 	}
-	if tasksIn != nil && tasksIn[a.m.Zone] != tasksIn[b.m.Zone] {
-		return tasksIn[a.m.Zone] < tasksIn[b.m.Zone]
+	if tasksIn != nil && tasksIn[a.machine.Zone] != tasksIn[b.machine.Zone] {
+		return tasksIn[a.machine.Zone] < tasksIn[b.machine.Zone]
 	}
-	if a.m.Unacknowledged != b.m.Unacknowledged {
-		return b.m.Unacknowledged
+	if a.machine.Unacknowledged != b.machine.Unacknowledged {
+		return b.machine.Unacknowledged
 	}
-	return cmp.Or(cmp.Compare(b.free.CPUs, a.free.CPUs), cmp.Compare(b.free.MemoryGB, a.free.MemoryGB), cmp.Compare(a.m.Name, b.m.Name)) < 0
+	return cmp.Or(cmp.Compare(b.free.CPUs, a.free.CPUs), cmp.Compare(b.free.MemoryGB, a.free.MemoryGB), cmp.Compare(a.machine.Name, b.machine.Name)) < 0
 }
--- a/internal/scheduler/placement/reservations.go
+++ b/internal/scheduler/placement/reservations.go
@@ -31,16 +31,16 @@
 
 // reservations is what one cycle has reserved against other jobs.
 type reservations struct {
-	allowed      bool // anything may be reserved
-	head         bool // the first blocked job that waited long has reserved a machine
-	starving     int  // machines reserved for starving jobs
-	quota        bool // a part of a quota is reserved for one
-	placeholders bool // placeholders have taken room
-	displaced    bool // after that there was no room for some job
+	allowed          bool // anything may be reserved
+	head             bool // the first blocked job that waited long has reserved a machine
+	starvingMachines int  // machines reserved for starving jobs
+	quota            bool // a part of a quota is reserved for one
+	placeholders     bool // placeholders have taken room
+	displaced        bool // after that there was no room for some job
 }
 
 // any reports whether something was reserved that another job may have wanted.
-func (r *reservations) any() bool { return r.head || r.starving > 0 || r.quota || r.displaced }
+func (r *reservations) any() bool { return r.head || r.starvingMachines > 0 || r.quota || r.displaced }
 
 // reserveMachine reserves the machine that has room for a task soonest, by what
 // runs there; of equals, or where that is not known, the one with the most free
@@ -50,15 +50,15 @@
 func (p *PendingJob) reserveMachine(machines []*Machine, request Resources) bool {
 	var best *Machine
 	soonest := math.Inf(1)
-	for _, m := range machines {
-		if m.reservedFor != "" || !p.couldRunOn(m, request) {
+	for _, machine := range machines {
+		if machine.reservedFor != "" || !p.couldRunOn(machine, request) {
 			continue
 		}
-		s := m.freeInS(request)
-		if math.IsInf(s, 1) || best != nil && (s > soonest || s == soonest && m.Free.CPUs <= best.Free.CPUs) {
+		freeInS := machine.freeInS(request)
+		if math.IsInf(freeInS, 1) || best != nil && (freeInS > soonest || freeInS == soonest && machine.Free.CPUs <= best.Free.CPUs) {
 			continue
 		}
-		best, soonest = m, s
+		best, soonest = machine, freeInS
 	}
 	if best == nil {
 		return false
--- a/internal/scheduler/placement/resources.go
+++ b/internal/scheduler/placement/resources.go
@@ -3,12 +3,12 @@
 // Resources is what a machine has, or what a task requests.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// slack absorbs the rounding of sums of decimal amounts.
-const slack = 1e-9
+// roundingTolerance absorbs the rounding of sums of decimal amounts.
+const roundingTolerance = 1e-9
 
 // Fits reports whether a task that requests t fits into r.
 func (r Resources) Fits(t Resources) bool {
-	return t.CPUs <= r.CPUs+slack && t.GPUs <= r.GPUs+slack && t.MemoryGB <= r.MemoryGB+slack
+	return t.CPUs <= r.CPUs+roundingTolerance && t.GPUs <= r.GPUs+roundingTolerance && t.MemoryGB <= r.MemoryGB+roundingTolerance
 }
 
 // Sub subtracts n times t from r.
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -16,128 +16,128 @@
 // What differs between jobs of one shape (which zones are allowed, which machines
 // are reserved or avoided, how tasks are spread) is checked at the front only.
 
-// search ranks the machines for one task shape.
-type search struct {
+// machineRanking ranks the machines for one task shape.
+type machineRanking struct {
 	shape   taskShape
 	types   []string // machine types that are allowed; nil: all
 	zones   []zoneHeap
 	skipped []candidate // buffer of best
 }
 
-// searches holds the searches of a cycle by shape.
-type searches struct {
+// machineRankings holds the searches of a cycle by shape.
+type machineRankings struct {
 	machines []*Machine
-	byShape  map[taskShape]*search
+	byShape  map[taskShape]*machineRanking
 }
 
-func newSearches(machines []*Machine) searches {
-	return searches{machines: machines, byShape: map[taskShape]*search{}}
+func newMachineRankings(machines []*Machine) machineRankings {
+	return machineRankings{machines: machines, byShape: map[taskShape]*machineRanking{}}
 }
 
 // forJob returns the search for a job's tasks on a kind of machines.
-func (ss *searches) forJob(p *PendingJob, kind KindPreference) *search {
-	shape := shapeOf(p, kind)
-	if s := ss.byShape[shape]; s != nil {
-		return s
+func (r *machineRankings) forJob(job *PendingJob, kind KindPreference) *machineRanking {
+	shape := shapeOf(job, kind)
+	if ranking := r.byShape[shape]; ranking != nil {
+		return ranking
 	}
-	if len(ss.byShape) >= tuning.TaskShapesMax {
-		clear(ss.byShape) // of so many shapes few come again
+	if len(r.byShape) >= tuning.TaskShapesMax {
+		clear(r.byShape) // of so many shapes few come again
 	}
-	s := newSearch(shape, p.Job.Types, ss.machines)
-	ss.byShape[shape] = s
-	return s
+	ranking := newMachineRanking(shape, job.Job.Types, r.machines)
+	r.byShape[shape] = ranking
+	return ranking
 }
 
-func newSearch(shape taskShape, types []string, machines []*Machine) *search {
-	s := &search{shape: shape, types: types}
+func newMachineRanking(shape taskShape, types []string, machines []*Machine) *machineRanking {
+	ranking := &machineRanking{shape: shape, types: types}
 	for _, m := range machines {
-		if s.accepts(m) {
-			h := s.heap(m.Zone)
-			h.entries = append(h.entries, s.shape.candidate(m))
+		if ranking.accepts(m) {
+			h := ranking.heap(m.Zone)
+			h.entries = append(h.entries, ranking.shape.candidate(m))
 		}
 	}
-	for i := range s.zones {
-		s.zones[i].build()
+	for i := range ranking.zones {
+		ranking.zones[i].build()
 	}
-	return s
+	return ranking
 }
 
 // accepts reports whether a machine has room for the shape and is of an allowed
 // kind and type.
-func (s *search) accepts(m *Machine) bool {
-	return m.Free.Fits(s.shape.request) && s.shape.kind.admits(m.Spot) && (!m.Spot || s.shape.spot) && (s.types == nil || slices.Contains(s.types, m.Type))
+func (r *machineRanking) accepts(m *Machine) bool {
+	return m.Free.Fits(r.shape.request) && r.shape.kind.matches(m.Spot) && (!m.Spot || r.shape.spot) && (r.types == nil || slices.Contains(r.types, m.Type))
 }
 
 // heap returns the heap of a zone. The pointer is valid until the next call.
-func (s *search) heap(zone string) *zoneHeap {
-	for i := range s.zones {
-		if s.zones[i].zone == zone {
-			return &s.zones[i]
+func (r *machineRanking) heap(zone string) *zoneHeap {
+	for i := range r.zones {
+		if r.zones[i].zone == zone {
+			return &r.zones[i]
 		}
 	}
-	s.zones = append(s.zones, zoneHeap{zone: zone, shape: &s.shape})
-	return &s.zones[len(s.zones)-1]
+	r.zones = append(r.zones, zoneHeap{zone: zone, shape: &r.shape})
+	return &r.zones[len(r.zones)-1]
 }
 
 // best returns the best machine for one more task of a job; nil: there is none.
-func (s *search) best(p *PendingJob) *Machine {
+func (r *machineRanking) best(job *PendingJob) *Machine {
 	var tasksIn map[string]int
-	if p.Job.Spread {
-		tasksIn = p.Zones
+	if job.Job.Spread {
+		tasksIn = job.Zones
 	}
 	var best candidate
-	for i := range s.zones {
-		h := &s.zones[i]
-		if !p.AllowsZone(h.zone) {
+	for i := range r.zones {
+		h := &r.zones[i]
+		if !job.AllowsZone(h.zone) {
 			continue
 		}
-		c, found := s.bestIn(h, p)
-		if found && (best.m == nil || s.shape.ranksBefore(&c, &best, tasksIn)) {
+		c, found := r.bestInZone(h, job)
+		if found && (best.machine == nil || r.shape.ranksBefore(&c, &best, tasksIn)) {
 			best = c
 		}
 	}
-	return best.m
+	return best.machine
 }
 
-// bestIn returns the best machine of a zone for a job. Machines that are reserved
+// bestInZone returns the best machine of a zone for a job. Machines that are reserved
 // for other jobs, or that this one avoids, stay in the heap for other jobs.
-func (s *search) bestIn(h *zoneHeap, p *PendingJob) (c candidate, found bool) {
-	s.skipped = s.skipped[:0]
-	for len(h.entries) > 0 && !found {
-		front := &h.entries[0]
-		switch m := front.m; {
-		case front.free != m.Free:
-			s.refreshFront(h)
-		case m.reservedFor == removedFromDryRun:
-			h.pop()
-		case m.reservedFor != "" && m.reservedFor != p.Job.ID || p.avoids(m.Name):
-			s.skipped = append(s.skipped, *front)
-			h.pop()
+func (r *machineRanking) bestInZone(heap *zoneHeap, job *PendingJob) (best candidate, found bool) {
+	r.skipped = r.skipped[:0]
+	for len(heap.entries) > 0 && !found {
+		front := &heap.entries[0]
+		switch machine := front.machine; {
+		case front.free != machine.Free:
+			r.refreshFront(heap)
+		case machine.reservedFor == removedFromDryRun:
+			heap.pop()
+		case machine.reservedFor != "" && machine.reservedFor != job.Job.ID || job.avoids(machine.Name):
+			r.skipped = append(r.skipped, *front)
+			heap.pop()
 		default:
-			c, found = *front, true
+			best, found = *front, true
 		}
 	}
-	for _, skipped := range s.skipped {
-		h.push(skipped)
+	for _, skipped := range r.skipped {
+		heap.push(skipped)
 	}
-	return c, found
+	return best, found
 }
 
 // refreshFront ranks the front entry by the machine's present free resources, or
 // removes it if the shape does not fit any more.
-func (s *search) refreshFront(h *zoneHeap) {
-	front := &h.entries[0]
-	if !front.m.Free.Fits(s.shape.request) {
-		h.pop()
+func (r *machineRanking) refreshFront(heap *zoneHeap) {
+	front := &heap.entries[0]
+	if !front.machine.Free.Fits(r.shape.request) {
+		heap.pop()
 		return
 	}
-	front.free = front.m.Free
-	h.siftDown(0)
+	front.free = front.machine.Free
+	heap.siftDown(0)
 }
 
-// addFreed ranks a machine again whose free resources have grown.
-func (s *search) addFreed(m *Machine) {
-	if s.accepts(m) {
-		s.heap(m.Zone).push(s.shape.candidate(m))
+// reinsert ranks a machine again whose free resources have grown.
+func (r *machineRanking) reinsert(m *Machine) {
+	if r.accepts(m) {
+		r.heap(m.Zone).push(r.shape.candidate(m))
 	}
 }
--- a/internal/scheduler/placement/starvation.go
+++ b/internal/scheduler/placement/starvation.go
@@ -49,37 +49,37 @@
 // totalCPUs returns the CPUs that all tasks of the job request together.
 func (p *PendingJob) totalCPUs() float64 { return p.Job.CPUs * float64(p.Job.Tasks) }
 
-// beginStarving places one task of a starving job, or reserves what it lacks.
-func (c *cycle) beginStarving(p *PendingJob) {
-	team, request := c.teams[p.Job.Team], p.Request()
+// startStarvingJob places one task of a starving job, or reserves what it lacks.
+func (c *cycle) startStarvingJob(job *PendingJob) {
+	team, request := c.teams[job.Job.Team], job.Request()
 	if team == nil {
 		return
 	}
-	if team.admits(p) {
-		if m := c.searches.forJob(p, AnyKind).best(p); m != nil {
-			c.place(p, m, request, team)
+	if team.admits(job) {
+		if machine := c.rankings.forJob(job, AnyKind).best(job); machine != nil {
+			c.place(job, machine, request, team)
 			return
 		}
 	}
 	// If the team's permanent use leaves too little of its quota, reserving the
 	// rest brings nothing, and keeps its other jobs waiting.
 	if c.reservations.allowed && team.everFits(request) {
-		c.reserveForStarving(p, request, team)
+		c.reserveForStarving(job, request, team)
 	}
 }
 
 // reserveForStarving reserves a part of the quota and a machine at the same
 // time: one after the other took as long as both together. A team has one such
 // job at a time, and the machines with room are shared by all teams' jobs.
-func (c *cycle) reserveForStarving(p *PendingJob, request Resources, team *Team) {
+func (c *cycle) reserveForStarving(job *PendingJob, request Resources, team *Team) {
 	if team.reservedFor == "" {
-		team.reservedFor, team.reserved = p.Job.ID, request
+		team.reservedFor, team.reserved = job.Job.ID, request
 		c.reservations.quota = true
 	}
-	if team.reservedFor != p.Job.ID || c.reservations.starving >= max(1, len(c.machines)/tuning.StarvationReservationShare) {
+	if team.reservedFor != job.Job.ID || c.reservations.starvingMachines >= max(1, len(c.machines)/tuning.StarvationReservationShare) {
 		return
 	}
-	if p.reserveMachine(c.machines, request) {
-		c.reservations.starving++
+	if job.reserveMachine(c.machines, request) {
+		c.reservations.starvingMachines++
 	}
 }
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -85,7 +85,7 @@
 			}
 			sim.step()
 			for name, team := range sim.teams {
-				if team.UsedCPUs > team.QuotaCPUs+slack {
+				if team.UsedCPUs > team.QuotaCPUs+roundingTolerance {
 					t.Fatalf("seed %d: %s uses %v", seed, name, team.UsedCPUs)
 				}
 			}
