--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -6,65 +6,62 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Placement is a decision: one more task of the job goes to the machine.
+// Placement is the decision to run one more task of the pending job on the machine.
 type Placement struct {
 	Pending *PendingJob
 	Machine *Machine
 }
 
-// Schedule runs one scheduling cycle. It tries the jobs in order, each with as
-// many of its waiting tasks as fit its team's quota and the machines. A job that
-// cannot go on leaves its turn to those behind it; one that has waited long
-// reserves a machine against them, so that small tasks do not take every slot
-// before a large one fits.
+// Schedule runs one scheduling cycle. It tries the jobs in order, and places as many waiting tasks of each
+// as fit its team's quota and the machines. A job that cannot place any more tasks does not block the jobs
+// behind it. A job that has waited for long reserves a machine against them, so that small tasks do not
+// fill every machine before its large task fits.
 //
-// Within a priority, what fits its team's guarantee goes before what teams
-// borrow: room that was taken back from a borrower must not go to the next
-// borrower because it waited longer. Jobs that have waited too long for their
-// first task come before all of that, with one task each. Last come placeholders,
-// which reserve room against lower priorities only, and not for ever (see
-// BackfillReservations).
+// Within a priority, tasks that fit their team's guarantee are placed before tasks that a team borrows
+// beyond it. Otherwise room that was preempted from one borrower would go to the next borrower, because
+// that has waited longer. Jobs that have waited too long for their first task are tried even earlier, with
+// one task each. Placeholders are tried last: they reserve room against lower priorities only, and for a
+// limited time (see BackfillReservations).
 //
-// It sorts pending, and changes the jobs' waiting counts and zones, the machines'
-// free resources and the teams' use.
+// Schedule sorts pending. It changes the jobs' waiting counts and zones, the machines' free resources and
+// the teams' use.
 func Schedule(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(pending, teams, now)
 	return ScheduleSorted(now, pending, machines, teams)
 }
 
-// ScheduleSorted is Schedule for jobs that Sort has put in order already.
+// ScheduleSorted does the same as Schedule for jobs that Sort has put in order already.
 func ScheduleSorted(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	placed, _ := runCycle(now, pending, machines, teams, true)
 	return placed
 }
 
-// phase is a part of a cycle over the jobs of one priority.
+// phase is one pass of a cycle over the jobs of one effective priority.
 type phase int
 
 const (
-	guaranteedPhase  phase = iota // what fits the teams' guarantees
-	borrowingPhase                // what teams borrow beyond them
+	guaranteedPhase  phase = iota // tasks that fit their team's guarantee
+	borrowingPhase                // tasks that a team borrows beyond its guarantee
 	placeholderPhase              // placeholders for expected work
 )
 
-// phases are in the order in which they run.
+// phases lists the phases in the order in which they run.
 var phases = [...]phase{guaranteedPhase, borrowingPhase, placeholderPhase}
 
 // cycle is the state of one scheduling cycle.
 type cycle struct {
 	now          time.Time
-	pending      []*PendingJob // in order
+	pending      []*PendingJob // in the order of the queue
 	machines     []*Machine
 	teams        map[string]*Team
 	rankings     machineRankings
 	placed       []Placement
-	blocked      []bool // by index in pending: no machine has room
+	blocked      []bool // by index in pending: no machine has room for the job's next task
 	reservations reservations
 }
 
-// runCycle places the tasks of jobs that are in order. The second result says
-// whether anything was reserved against other jobs, which happens only if
-// mayReserve.
+// runCycle places tasks of jobs that are sorted already. The second result reports whether anything was
+// reserved against other jobs, which happens only if mayReserve is set.
 func runCycle(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team, mayReserve bool) ([]Placement, bool) {
 	c := cycle{
 		now: now, pending: pending, machines: machines, teams: teams, rankings: newMachineRankings(machinesWithRoom(machines, pending)),
@@ -74,11 +71,10 @@
 		hi = c.endOfPriority(lo)
 		c.schedulePriority(lo, hi)
 	}
-	return c.placed, c.reservations.any()
+	return c.placed, c.reservations.blocksOthers()
 }
 
-// endOfPriority returns the index behind the last job of the same effective
-// priority as the one at lo.
+// endOfPriority returns the index after the last job that has the same effective priority as the job at lo.
 func (c *cycle) endOfPriority(lo int) int {
 	level := EffectivePriority(c.pending[lo], c.teams, c.now)
 	hi := lo + 1
@@ -88,8 +84,7 @@
 	return hi
 }
 
-// schedulePriority places tasks of the jobs of one priority, at the indexes from
-// lo to before hi.
+// schedulePriority places tasks of the jobs of one priority, which are those at the indexes lo <= i < hi.
 func (c *cycle) schedulePriority(lo, hi int) {
 	for _, i := range starvingIn(c.pending, lo, hi, c.now) {
 		c.startStarvingJob(c.pending[i])
@@ -99,8 +94,8 @@
 	}
 }
 
-// runPhase tries all jobs in order, those that prefer a kind of machines on that
-// kind only; then what is left of these on any.
+// runPhase tries all jobs in order. Jobs that prefer a kind of machine are first tried on that kind only;
+// a second pass tries their remaining tasks on machines of any kind.
 func (c *cycle) runPhase(ph phase, lo, hi int) {
 	for i := lo; i < hi; i++ {
 		c.placeTasks(i, ph, c.pending[i].Preference)
@@ -112,8 +107,8 @@
 	}
 }
 
-// placeTasks places as many tasks of the job at index i as the phase, its team's
-// quota and the machines of a kind allow.
+// placeTasks places as many tasks of the job at index i as the phase, its team's quota and the machines of
+// the given kind allow.
 func (c *cycle) placeTasks(i int, ph phase, kind KindPreference) {
 	job := c.pending[i]
 	if c.blocked[i] || job.Placeholder != (ph == placeholderPhase) {
@@ -124,7 +119,7 @@
 		return
 	}
 	request := job.Request()
-	var ranking *machineRanking // made when it is first needed: it looks at all machines
+	var ranking *machineRanking // built when first needed, since building it examines all machines
 	for job.Waiting > 0 && team.admits(job) && (ph != guaranteedPhase || team.withinGuarantee(request)) {
 		if ranking == nil {
 			ranking = c.rankings.forJob(job, kind)
@@ -140,9 +135,8 @@
 	}
 }
 
-// teamOf returns the team whose quota applies to a job; nil: no task of it may be
-// placed. Placeholders have no quota, and reserve nothing in a cycle without
-// reservations.
+// teamOf returns the team whose quota applies to a job, or nil if no task of the job may be placed.
+// Placeholders have no quota. They may not be placed in a cycle that makes no reservations.
 func (c *cycle) teamOf(job *PendingJob) *Team {
 	switch {
 	case !job.Placeholder:
@@ -154,7 +148,7 @@
 	}
 }
 
-// place places one task. A placeholder takes the room and is not a decision.
+// place places one task. A placeholder uses up room, but is not part of the cycle's result.
 func (c *cycle) place(job *PendingJob, machine *Machine, request Resources, team *Team) {
 	job.assign(machine, request, team)
 	if job.Placeholder {
@@ -164,8 +158,8 @@
 	c.placed = append(c.placed, Placement{job, machine})
 }
 
-// block notes that no machine has room for a task of the job at index i. The
-// first such job that has waited long reserves a machine.
+// block records that no machine has room for a task of the job at index i. The first such job that has
+// waited for tuning.HeadReservationAfter reserves a machine.
 func (c *cycle) block(i int) {
 	job := c.pending[i]
 	c.blocked[i] = true
--- a/internal/scheduler/placement/dryrun.go
+++ b/internal/scheduler/placement/dryrun.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Marks of machines in a dry run, in place of the ID of a job that reserves one.
+// These values mark machines of a dry run. They are stored in Machine.reservedFor in place of a job ID, and
+// are not valid job IDs.
 const (
-	excludedFromDryRun = "\x00" // while its own tasks are tried on the others
-	removedFromDryRun  = "\x01" // after they fitted
+	excludedFromDryRun = "\x00" // while TryPlace tries to move the machine's tasks to other machines
+	removedFromDryRun  = "\x01" // after all of them fitted on other machines
 )
 
-// DryRun finds where tasks would be placed on a set of machines that it keeps
-// ranked from one question to the next. To ask for each of hundreds of machines
-// whether its tasks fit on the others then costs as much as one cycle, rather
-// than one cycle each.
+// DryRun finds where tasks would be placed, without starting them. It ranks the machines once and reuses the
+// ranking for every call. Testing each of hundreds of machines for whether its tasks fit on the others
+// therefore costs as much as one cycle, rather than one cycle per machine.
 type DryRun struct {
 	rankings     machineRankings
-	usedRankings []*machineRanking // by the present question
-	placed       []Placement       // of the present question
+	usedRankings []*machineRanking // in the current call of TryPlace
+	placed       []Placement       // in the current call of TryPlace
 }
 
-// NewDryRun begins a dry run. What fits takes the machines' free resources;
-// nothing else may change them in the meantime.
+// NewDryRun starts a dry run. Tasks that fit reduce the machines' free resources; nothing else may change
+// these during the dry run.
 func NewDryRun(machines []*Machine) *DryRun {
 	return &DryRun{rankings: newMachineRankings(machines)}
 }
 
-// BestMachine returns the machine on which one more task of a job would be
-// placed; nil: there is none.
+// BestMachine returns the machine on which one more task of a job would be placed, or nil if there is none.
 func (d *DryRun) BestMachine(p *PendingJob) *Machine { return d.rankings.forJob(p, AnyKind).best(p) }
 
-// TryPlace reports whether all waiting tasks of some jobs, whose teams have no
-// quotas, fit on the machines without one of them (nil: on all). If they do, they
-// take their room, and that machine is removed from the dry run; otherwise
-// nothing changes but the order of the jobs and their counts.
+// TryPlace reports whether all waiting tasks of the pending jobs fit on the machines other than without
+// (nil: on all machines). Quotas do not apply. If all tasks fit, they use up their room and without is
+// removed from the dry run. Otherwise nothing changes except the order of pending and the jobs' waiting
+// counts and zones.
 func (d *DryRun) TryPlace(now time.Time, pending []*PendingJob, without *Machine) bool {
 	if without != nil {
 		without.reservedFor = excludedFromDryRun
@@ -53,8 +52,7 @@
 	return fit
 }
 
-// placeAll places all waiting tasks, until one does not fit. It reports whether all
-// did.
+// placeAll places waiting tasks until one does not fit, and reports whether all of them fitted.
 func (d *DryRun) placeAll(pending []*PendingJob, team *Team) bool {
 	d.usedRankings, d.placed = d.usedRankings[:0], d.placed[:0]
 	for _, job := range pending {
@@ -75,8 +73,8 @@
 	return true
 }
 
-// undo returns the room that a question took. The searches that it used may have
-// ranked the machines by less room, and so too far behind: they get a new entry.
+// undo gives back the room that the current call has used up. The rankings that it used may have ranked
+// these machines while they had less room, and so too low. Each machine is therefore inserted again.
 func (d *DryRun) undo() {
 	for _, p := range d.placed {
 		p.Machine.Free.Add(p.Pending.Request())
--- a/internal/scheduler/placement/dryrun_test.go
+++ b/internal/scheduler/placement/dryrun_test.go
@@ -11,11 +11,11 @@
 	"poppypass/internal/platform/wire"
 )
 
-// A dry run that keeps its ranking answers as one that begins anew each time,
-// whatever fitted before.
+// A dry run, which reuses its rankings, gives the same answers as a fresh cycle for each question, whatever
+// was placed before.
 func TestDryRunMatchesFreshCycles(t *testing.T) {
 	for seed := range uint64(500) {
-		cluster := func(ask func(r *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool) (out string) {
+		simulate := func(tryPlace func(r *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool) (out string) {
 			r := rand.New(rand.NewPCG(seed, 2))
 			var machines []*Machine
 			for i := range 2 + r.IntN(20) {
@@ -23,17 +23,17 @@
 				m.Price = float64(r.IntN(3))
 				machines = append(machines, m)
 			}
-			for n := range 20 {
+			for round := range 20 {
 				var pending []*PendingJob
 				for i := range 1 + r.IntN(3) {
-					pending = append(pending, pendingJob(fmt.Sprint("job-", n, "-", i), wire.PriorityNormal, time.Duration(i)*time.Second, 1+r.IntN(4), float64(1+r.IntN(4)),
+					pending = append(pending, pendingJob(fmt.Sprint("job-", round, "-", i), wire.PriorityNormal, time.Duration(i)*time.Second, 1+r.IntN(4), float64(1+r.IntN(4)),
 						func(j *wire.Job) { j.Spread, j.Spot = r.IntN(3) == 0, r.IntN(2) == 0 }))
 				}
 				var without *Machine
 				if i := r.IntN(len(machines)); r.IntN(2) == 0 && len(machines) > 1 {
 					without = machines[i]
 				}
-				fits := ask(r, machines, pending, without)
+				fits := tryPlace(r, machines, pending, without)
 				if fits && without != nil {
 					machines = slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without })
 				}
@@ -45,13 +45,13 @@
 			return out
 		}
 		var dryRun *DryRun
-		got := cluster(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+		got := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
 			if dryRun == nil {
 				dryRun = NewDryRun(machines)
 			}
 			return dryRun.TryPlace(now, pending, without)
 		})
-		want := cluster(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+		want := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
 			waiting, teams := 0, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}}
 			for _, p := range pending {
 				waiting += p.Waiting
@@ -66,16 +66,16 @@
 			return false
 		})
 		if got != want {
-			t.Fatalf("seed %d: %s\nwant %s", seed, got, want)
+			t.Fatalf("seed %d: answers and free CPUs %s\nwant %s", seed, got, want)
 		}
 	}
 }
 
-// BenchmarkDryRun asks for a sixteenth of the machines whether their work fits on the
-// others: once by a cycle for each, and once by a dry run.
+// BenchmarkDryRun tests a sixteenth of the machines for whether their tasks fit on the others: once with a
+// cycle per machine, and once with a single dry run.
 func BenchmarkDryRun(b *testing.B) {
 	for _, n := range []int{400, 1000, 4000} {
-		cluster := func() (machines []*Machine, ask func(i int) []*PendingJob) {
+		cluster := func() (machines []*Machine, jobsOn func(i int) []*PendingJob) {
 			for i := range n {
 				m := machine(fmt.Sprintf("m-%05d", i), []string{"a", "b"}[i%2], i%3 == 0, float64(i%5))
 				m.FetchS = func(string, float64) float64 { return float64(i % 7) }
@@ -87,19 +87,19 @@
 		}
 		b.Run(fmt.Sprint("cycles/", n), func(b *testing.B) {
 			for b.Loop() {
-				machines, ask := cluster()
+				machines, jobsOn := cluster()
 				for i := range n / 16 {
 					others := slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == machines[i] })
-					Schedule(now, ask(i), others, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}})
+					Schedule(now, jobsOn(i), others, map[string]*Team{"t": {QuotaCPUs: math.Inf(1)}})
 				}
 			}
 		})
 		b.Run(fmt.Sprint("dryrun/", n), func(b *testing.B) {
 			for b.Loop() {
-				machines, ask := cluster()
-				t := NewDryRun(machines)
+				machines, jobsOn := cluster()
+				dryRun := NewDryRun(machines)
 				for i := range n / 16 {
-					t.TryPlace(now, ask(i), machines[i])
+					dryRun.TryPlace(now, jobsOn(i), machines[i])
 				}
 			}
 		})
--- a/internal/scheduler/placement/heap.go
+++ b/internal/scheduler/placement/heap.go
@@ -1,14 +1,14 @@
 package placement
 
-// zoneHeap holds the machines of one zone that have room for a shape as a binary
-// heap, the best first.
+// zoneHeap is a binary heap of the machines of one zone that have room for a task shape. The best machine is
+// at the front.
 type zoneHeap struct {
 	zone    string
 	shape   *taskShape
 	entries []candidate
 }
 
-// before compares two entries. They are in one zone, so spreading tasks over
+// before reports whether entry i ranks before entry k. Both are in the same zone, so spreading tasks over
 // zones does not matter.
 func (h *zoneHeap) before(i, k int) bool {
 	return h.shape.ranksBefore(&h.entries[i], &h.entries[k], nil)
@@ -16,14 +16,14 @@
 
 func (h *zoneHeap) swap(i, k int) { h.entries[i], h.entries[k] = h.entries[k], h.entries[i] }
 
-// build puts all entries in order.
+// build establishes the heap order of all entries.
 func (h *zoneHeap) build() {
 	for k := len(h.entries)/2 - 1; k >= 0; k-- {
 		h.siftDown(k)
 	}
 }
 
-// siftDown moves an entry behind those that rank before it.
+// siftDown moves entry k down until no child ranks before it.
 func (h *zoneHeap) siftDown(k int) {
 	for {
 		best := k
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Machine is the view of a machine on which tasks can be placed.
+// Machine is the view of a machine on which tasks may be placed.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
-	Price            float64 // per hour, of the whole machine
+	Price            float64 // of the whole machine, per hour
 	Total, Free      Resources
-	// FetchS returns after how many seconds the machine would have an image of gb
-	// gigabytes; nil: at once. It must return the same for the length of a cycle.
+	// FetchS returns the seconds until the machine has an image of gb gigabytes; nil: every image is available
+	// at once. The results must not change during a cycle.
 	FetchS func(image string, gb float64) float64
-	// FreeInS returns after how many seconds the tasks that end by themselves have
-	// freed the resources that are lacking; +Inf: never; nil: it is not known.
+	// FreeInS estimates the seconds until tasks that end by themselves have freed the lacking resources.
+	// +Inf means never; nil means that no estimate is known.
 	FreeInS func(lacking Resources) float64
 	// Victims are the tasks on the machine that may be preempted.
 	Victims []Victim
-	// Unacknowledged says that the machine has not yet proved that it receives this
-	// leader's commands.
+	// Unacknowledged is set until the machine has acknowledged a message of this leader, which proves that
+	// the machine receives the leader's messages.
 	Unacknowledged bool
 
-	reservedFor string // ID of the job for which it is reserved, or a mark of a dry run
+	reservedFor string // ID of the job for which the machine is reserved, or a mark of a dry run; empty: none
 }
 
-// fetchS returns the time until the machine has the image, rounded to seconds.
+// fetchS returns the time until the machine has the image, rounded to whole seconds.
 func (m *Machine) fetchS(image string, gb float64) float64 {
 	if m.FetchS == nil {
 		return 0
@@ -31,8 +31,8 @@
 	return math.Round(m.FetchS(image, gb))
 }
 
-// freeInS returns after how many seconds the machine has room for a task; +Inf:
-// never; 0 if it is not known.
+// freeInS returns the seconds until the machine has room for a task: +Inf if it never has, 0 if that is not
+// known.
 func (m *Machine) freeInS(request Resources) float64 {
 	if m.FreeInS == nil {
 		return 0
@@ -42,8 +42,8 @@
 	return m.FreeInS(lacking)
 }
 
-// machinesWithRoom returns the machines with room for the smallest of the requests. In
-// a large cluster most machines are full, and every search would look at each.
+// machinesWithRoom returns the machines with room for the smallest of the requests. In a large cluster most
+// machines are full; without this filter every ranking would examine all of them.
 func machinesWithRoom(machines []*Machine, pending []*PendingJob) []*Machine {
 	if len(pending) == 0 {
 		return nil
--- a/internal/scheduler/placement/pending.go
+++ b/internal/scheduler/placement/pending.go
@@ -7,43 +7,42 @@
 	"poppypass/internal/platform/wire"
 )
 
-// PendingJob is a job with tasks that wait for a machine.
+// PendingJob is the view of a job with tasks that wait to be placed.
 type PendingJob struct {
 	Job          *wire.Job
-	WaitingSince time.Time // since when its tasks wait
-	// EnqueuedAt is when the job was submitted, if that is what its order in the
-	// queue depends on; zero: WaitingSince is.
+	WaitingSince time.Time // since when its tasks have been waiting
+	// EnqueuedAt is when the job was submitted, if its order in the queue depends on that. If it is zero,
+	// the order depends on WaitingSince.
 	EnqueuedAt time.Time
-	Waiting    int // tasks that wait; a cycle decrements it for each task placed
-	Started    int // tasks that are placed or done
-	// Zones counts the job's placed tasks per zone, if its constraints depend on
-	// them; nil otherwise. A cycle adds the tasks that it places.
+	Waiting    int // number of waiting tasks; a cycle decrements it for each task placed
+	Started    int // number of tasks that are placed or done
+	// Zones counts the job's placed tasks per zone, if its constraints depend on them; nil otherwise. A
+	// cycle adds the tasks that it places.
 	Zones            map[string]int
-	Avoid            func(machine string) bool // machines that it must not run on; nil: none
-	ExpectedRunS     float64                   // expected run time of a task in seconds; 0: the owner's estimate
-	Preference       KindPreference            // the kind of machines that is tried first
-	LatencySensitive bool                      // it is to start sooner than a machine boots
-	AwaitSpot        bool                      // no on-demand machine is to be rented for it yet
-	OnProbation      bool                      // its job has only ever failed: no room is made for it
-	// Placeholder marks expected work: it reserves room against lower priorities and
-	// is never placed.
+	Avoid            func(machine string) bool // reports whether the job must not run on a machine; nil: it may run on all
+	ExpectedRunS     float64                   // expected run time of a task in seconds; 0: use the estimate in Job
+	Preference       KindPreference            // the kind of machine that is tried first
+	LatencySensitive bool                      // its tasks should start sooner than a new machine boots
+	AwaitSpot        bool                      // no on-demand machine may be rented for it yet
+	OnProbation      bool                      // its tasks have only ever failed: no room is made for it
+	// Placeholder marks expected work that is not submitted yet. It reserves room against lower priorities,
+	// and its tasks are never started.
 	Placeholder bool
 }
 
-// KindPreference is the kind of machines, spot or on-demand, that is tried first
-// for a job. While spot machines are short, the work that would lose most with
-// one prefers on-demand machines and the rest prefers spot ones; what finds no
-// room there is then tried on any.
+// KindPreference is the kind of machine, spot or on-demand, that is tried first for a job. While spot
+// machines are scarce, the jobs that would lose most on one prefer on-demand machines, and all others
+// prefer spot machines. Tasks that find no room on the preferred kind are then tried on any.
 type KindPreference int
 
-// The kinds of machines that a job can prefer.
+// The kinds of machine that a job can prefer.
 const (
 	AnyKind KindPreference = iota
 	PreferOnDemand
 	PreferSpot
 )
 
-// matches reports whether a machine is of the preferred kind.
+// matches reports whether a machine, spot or not, is of the preferred kind.
 func (k KindPreference) matches(spot bool) bool { return k == AnyKind || spot == (k == PreferSpot) }
 
 // Request returns the resources that one task of the job requests.
@@ -51,7 +50,7 @@
 	return Resources{p.Job.CPUs, p.Job.GPUs, p.Job.MemoryGB}
 }
 
-// expectedRunS returns how long a task is expected to run, in seconds.
+// expectedRunS returns the expected run time of a task in seconds.
 func (p *PendingJob) expectedRunS() float64 {
 	if p.ExpectedRunS > 0 {
 		return p.ExpectedRunS
@@ -59,7 +58,7 @@
 	return p.Job.EstimateS
 }
 
-// enqueuedAt returns the time from which the job's wait in the queue counts.
+// enqueuedAt returns the time since which the job's wait in the queue is counted.
 func (p *PendingJob) enqueuedAt() time.Time {
 	if p.EnqueuedAt.IsZero() {
 		return p.WaitingSince
@@ -67,8 +66,8 @@
 	return p.EnqueuedAt
 }
 
-// AllowsZone reports whether one more task may be placed in a zone, given where
-// the job's other tasks may be.
+// AllowsZone reports whether the job's constraints allow one more task in a zone, given the zones of its
+// other tasks.
 func (p *PendingJob) AllowsZone(zone string) bool {
 	j := p.Job
 	if j.Zone != "" && j.Zone != zone {
@@ -84,8 +83,8 @@
 	return !j.Spread || p.Zones[zone] < (j.Tasks+1)/2
 }
 
-// Allows reports whether one more task may run on a machine of a type, in a
-// zone, spot or not.
+// Allows reports whether the job's constraints allow one more task on a machine of the given type and zone,
+// spot or not.
 func (p *PendingJob) Allows(machineType, zone string, spot bool) bool {
 	return (!spot || p.Job.Spot) && (p.Job.Types == nil || slices.Contains(p.Job.Types, machineType)) && p.AllowsZone(zone)
 }
@@ -93,14 +92,13 @@
 // avoids reports whether the job must not run on a machine.
 func (p *PendingJob) avoids(machine string) bool { return p.Avoid != nil && p.Avoid(machine) }
 
-// couldRunOn reports whether a task could run on a machine if the machine were
-// empty.
+// couldRunOn reports whether a task of the job could run on a machine if the machine were empty.
 func (p *PendingJob) couldRunOn(m *Machine, request Resources) bool {
 	return m.Total.Fits(request) && p.Allows(m.Type, m.Zone, m.Spot) && !p.avoids(m.Name)
 }
 
-// assign places one waiting task on a machine and counts it: in the machine's
-// free resources, the team's use and the job's zones.
+// assign places one waiting task on a machine. It updates the machine's free resources, the team's use, the
+// job's zones and its number of waiting tasks.
 func (p *PendingJob) assign(m *Machine, request Resources, team *Team) {
 	m.Free.Sub(request, 1)
 	team.use(request)
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -11,19 +11,19 @@
 // Victim is a placed task that may be preempted.
 type Victim struct {
 	Job       *wire.Job
-	Cost      float64   // of preempting it, in seconds of lost work
+	Cost      float64   // cost of preempting the task, in seconds of lost work
 	Ref       any       // identifies the task to the caller
-	Preemptor *wire.Job // the job that it makes room for, once it is chosen
+	Preemptor *wire.Job // the job for which the task is preempted; nil until the task is chosen
 }
 
-// request returns the resources that the task holds.
+// request returns the resources that the task occupies.
 func (v *Victim) request() Resources { return Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB} }
 
-// Preempt chooses tasks to preempt for jobs that found no room. Only work within
-// its team's guarantee preempts: tasks of a lower priority, and, of any priority,
-// what another team runs beyond its own guarantee. For each task the machine is
-// chosen on which the least work is lost. It changes the jobs, machines and teams
-// as if the victims had ended and the tasks were placed.
+// Preempt chooses tasks to preempt for jobs that found no room. Only tasks that fit their team's guarantee
+// may preempt others. They may preempt tasks of a lower priority and, at any priority, tasks of another
+// team that uses more than its guarantee. For each task the machine is chosen on which the least work is
+// lost. Preempt changes the jobs, machines and teams as if the victims had ended and the tasks had been
+// placed.
 func Preempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
 	p := preemption{machines: machines, teams: teams, victimSets: make([]victimSet, len(machines))}
 	for _, job := range pending {
@@ -32,20 +32,21 @@
 	return p.chosen
 }
 
-// preemption is the state of one choice of victims.
+// preemption is the state of one call of Preempt.
 type preemption struct {
 	machines   []*Machine
 	teams      map[string]*Team
-	victimSets []victimSet // of each machine, for a task of the present job
-	upToDate   bool        // the offers are for the present job, and no team's borrowing has changed
+	victimSets []victimSet // by index in machines, for one task of the current job
+	upToDate   bool        // victimSets is for the current job, and no team has stopped borrowing since
 	chosen     []Victim
 }
 
-// victimSet is what room for one task on a machine costs.
+// victimSet is the tasks to preempt on a machine for one task of a job: the cheapest ones, as many as are
+// needed to make room.
 type victimSet struct {
-	sufficient bool
+	sufficient bool    // the machine has room once the victims have ended
 	cost       float64 // in seconds of lost work
-	victims    []int   // indexes in the machine's victims
+	victims    []int   // indexes in Machine.Victims
 }
 
 // makeRoomFor chooses victims for up to tuning.PreemptBatch tasks of a job.
@@ -69,7 +70,7 @@
 	}
 }
 
-// findVictimSets asks all machines for an offer.
+// findVictimSets finds the victim sets of all machines for a job.
 func (p *preemption) findVictimSets(job *PendingJob, request Resources) {
 	for i, m := range p.machines {
 		p.victimSets[i] = p.victimSetOn(m, job, request)
@@ -77,12 +78,14 @@
 	p.upToDate = true
 }
 
-// cheapestMachine returns the index of the machine with the cheapest offer; -1: there
-// is none.
+// cheapestMachine returns the index of the machine with the cheapest victim set, or -1 if no machine has a
+// sufficient one.
 //
-// While one job makes room, an offer is withdrawn (a zone is full) or stays, but
-// for that of the machine that was just used, and unless a team stops borrowing.
-// So the cheapest known offer is the cheapest if it still holds.
+// While victims are chosen for one job, a stored set either remains as it is or becomes insufficient (the
+// job's limit of tasks in the zone is reached). There are two exceptions. The set of the machine that was
+// just used is recomputed by makeRoomFor. All sets are recomputed when a team stops borrowing (see release).
+// So no set becomes cheaper, and the cheapest stored set is the cheapest of all if recomputing it gives the
+// same cost.
 func (p *preemption) cheapestMachine(job *PendingJob, request Resources) int {
 	for {
 		i := cheapest(p.victimSets)
@@ -98,8 +101,7 @@
 	}
 }
 
-// cheapest returns the index of the first of the cheapest offers; -1: there is
-// none.
+// cheapest returns the index of the first of the cheapest sufficient sets, or -1 if there is none.
 func cheapest(victimSets []victimSet) int {
 	best := -1
 	for i := range victimSets {
@@ -110,7 +112,8 @@
 	return best
 }
 
-// removeVictims takes the victims of the offer at index i from their machine, for a job.
+// removeVictims chooses the victims of the set at index i for a job, and removes them from their machine and
+// from their teams' use.
 func (p *preemption) removeVictims(i int, job *PendingJob) {
 	machine, victims := p.machines[i], p.victimSets[i].victims
 	for _, k := range victims {
@@ -126,8 +129,8 @@
 	}
 }
 
-// release takes a victim out of its team's use. If the team stops borrowing by
-// that, the offers with its tasks do not hold any more.
+// release subtracts a victim from its team's use. If the team stops borrowing by that, stored victim sets may
+// contain tasks that may not be preempted any more.
 func (p *preemption) release(v *Victim) {
 	team := p.teams[v.Job.Team]
 	if team == nil {
@@ -138,7 +141,7 @@
 	p.upToDate = p.upToDate && borrowed == team.borrows()
 }
 
-// victimSetOn returns a machine's offer for one task of a job.
+// victimSetOn returns the victim set of a machine for one task of a job.
 func (p *preemption) victimSetOn(m *Machine, job *PendingJob, request Resources) victimSet {
 	if !job.couldRunOn(m, request) {
 		return victimSet{}
@@ -147,8 +150,9 @@
 	return victimSet{sufficient: ok, cost: cost, victims: victims}
 }
 
-// victimsOn returns the indexes and the cost of the cheapest tasks of a machine
-// whose end makes room for one task of the job.
+// victimsOn chooses the tasks of a machine whose end makes room for one task of the job, in ascending order
+// of their cost. It returns their indexes in Machine.Victims and the sum of their costs. ok is false if
+// all preemptible tasks together do not make enough room.
 func (p *PendingJob) victimsOn(machine *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
 	var preemptible []int
 	for i := range machine.Victims {
@@ -170,10 +174,9 @@
 	return victims, cost, free.Fits(request)
 }
 
-// mayPreempt reports whether tasks of another job may be preempted for this one:
-// those of a lower priority, and what another team borrows. A service's replicas
-// are not preempted for a guarantee alone: the end of one is an outage to its
-// users.
+// mayPreempt reports whether a task of another job may be preempted for this one: it has a lower priority,
+// or its team is another one that borrows. Service replicas are not preempted for a guarantee alone, because
+// the end of a replica is an outage to its users.
 func (p *PendingJob) mayPreempt(victim *wire.Job, teams map[string]*Team) bool {
 	if victim.Priority.Level() < p.Job.Priority.Level() {
 		return true
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -25,15 +25,15 @@
 	}{
 		{"the least work lost makes room for a higher priority", pendingJob("a", wire.PriorityHigh, time.Second, 1, 4),
 			[]Victim{victim(wire.PriorityLow, "t", 4, 20, "x"), victim(wire.PriorityLow, "t", 4, 5, "y")}, 0, "y"},
-		{"not for the same priority", pendingJob("a", wire.PriorityHigh, time.Second, 1, 4),
+		{"a task of the same priority is not preempted", pendingJob("a", wire.PriorityHigh, time.Second, 1, 4),
 			[]Victim{victim(wire.PriorityHigh, "other", 4, 0, "x")}, 8, ""},
 		{"what another team borrows is preempted", pendingJob("a", wire.PriorityLow, time.Second, 1, 4),
 			[]Victim{victim(wire.PriorityHigh, "other", 4, 0, "x")}, 9, "x"},
-		{"no more than is needed for the guarantee", pendingJob("a", wire.PriorityLow, time.Second, 3, 4),
+		{"no more tasks are preempted than the guarantee needs", pendingJob("a", wire.PriorityLow, time.Second, 3, 4),
 			[]Victim{victim(wire.PriorityHigh, "other", 4, 0, "x"), victim(wire.PriorityHigh, "other", 4, 1, "y")}, 12, "x"},
-		{"not beyond the own guarantee", pendingJob("a", wire.PriorityHigh, time.Second, 1, 9),
+		{"a task beyond its team's guarantee preempts nothing", pendingJob("a", wire.PriorityHigh, time.Second, 1, 9),
 			[]Victim{victim(wire.PriorityLow, "t", 9, 0, "x")}, 0, ""},
-		{"nothing is preempted when it would not be enough", pendingJob("a", wire.PriorityHigh, time.Second, 1, 8),
+		{"nothing is preempted if that would not make enough room", pendingJob("a", wire.PriorityHigh, time.Second, 1, 8),
 			[]Victim{victim(wire.PriorityLow, "t", 4, 0, "x")}, 0, ""},
 		{"several tasks make room for a large one", pendingJob("a", wire.PriorityHigh, time.Second, 1, 8, other),
 			[]Victim{victim(wire.PriorityLow, "t", 4, 1, "x"), victim(wire.PriorityLow, "t", 4, 2, "y")}, 0, "xy"},
@@ -47,26 +47,26 @@
 				got += v.Ref.(string)
 			}
 			if got != c.want {
-				t.Errorf("preempts %q, want %q", got, c.want)
+				t.Errorf("preempted %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// referencePreempt looks at all machines for each task.
+// referencePreempt is Preempt without stored victim sets: it examines all machines for each task.
 func referencePreempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
-	for _, p := range pending {
-		team, request := teams[p.Job.Team], p.Request()
-		for n := 0; p.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
+	for _, job := range pending {
+		team, request := teams[job.Job.Team], job.Request()
+		for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
 			var best *Machine
 			var chosen []int
 			var cost float64
 			for _, m := range machines {
-				if !m.Total.Fits(request) || !p.Allows(m.Type, m.Zone, m.Spot) {
+				if !m.Total.Fits(request) || !job.Allows(m.Type, m.Zone, m.Spot) {
 					continue
 				}
-				if idx, c, ok := p.victimsOn(m, request, teams); ok && (best == nil || c < cost) {
-					best, chosen, cost = m, idx, c
+				if victims, victimsCost, ok := job.victimsOn(m, request, teams); ok && (best == nil || victimsCost < cost) {
+					best, chosen, cost = m, victims, victimsCost
 				}
 			}
 			if best == nil {
@@ -74,7 +74,7 @@
 			}
 			for _, i := range chosen {
 				v := best.Victims[i]
-				out = append(out, fmt.Sprint(v.Ref, " for ", p.Job.ID))
+				out = append(out, fmt.Sprint(v.Ref, " for ", job.Job.ID))
 				best.Free.Add(v.request())
 				teams[v.Job.Team].release(v.request())
 			}
@@ -82,13 +82,13 @@
 			for _, i := range slices.Backward(chosen) {
 				best.Victims = slices.Delete(best.Victims, i, i+1)
 			}
-			p.assign(best, request, team)
+			job.assign(best, request, team)
 		}
 	}
 	return out
 }
 
-// Guards against offers that are remembered and do not hold any more.
+// Guards against stored victim sets that are out of date.
 func TestPreemptMatchesReference(t *testing.T) {
 	preempted := 0
 	for seed := range uint64(1000) {
@@ -126,11 +126,11 @@
 		preempted += len(got)
 	}
 	if preempted < 1000 {
-		t.Errorf("%d were preempted in all: too few to tell", preempted)
+		t.Errorf("only %d tasks were preempted over all seeds, want at least 1000 for a meaningful comparison", preempted)
 	}
 }
 
-// BenchmarkPreempt makes room for 20 jobs, of eight tasks each, on full machines.
+// BenchmarkPreempt makes room for 20 jobs of eight tasks each on full machines.
 func BenchmarkPreempt(b *testing.B) {
 	for _, n := range []int{400, 4000} {
 		cluster := func() (pending []*PendingJob, machines []*Machine, teams map[string]*Team) {
@@ -152,7 +152,7 @@
 				referencePreempt(cluster())
 			}
 		})
-		b.Run(fmt.Sprint("offers/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("preempt/", n), func(b *testing.B) {
 			for b.Loop() {
 				Preempt(cluster())
 			}
--- a/internal/scheduler/placement/queue.go
+++ b/internal/scheduler/placement/queue.go
@@ -10,9 +10,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-// EffectivePriority returns a job's priority level after aging: one level above
-// its own once it has waited for tuning.PriorityAgingStep. A job that has had its
-// fair share does not age: its tasks are served, others wait.
+// EffectivePriority returns a job's priority level after aging: one level above its own once it has waited
+// for tuning.PriorityAgingStep. A job that has had its fair share does not age, because its tasks are being
+// placed while other jobs wait.
 func EffectivePriority(job *PendingJob, teams map[string]*Team, now time.Time) int {
 	level := job.Job.Priority.Level()
 	if now.Sub(job.enqueuedAt()) >= tuning.PriorityAgingStep && !hadFairShare(job, teams) {
@@ -21,19 +21,18 @@
 	return level
 }
 
-// hadFairShare reports whether a job of a team without a quota has had its fair
-// share.
+// hadFairShare reports whether a job of a team without a quota has started a task, and would exceed its fair
+// share with the next one.
 func hadFairShare(job *PendingJob, teams map[string]*Team) bool {
 	team := teams[job.Job.Team]
 	return team != nil && job.Started > 0 && team.FairShareCPUs > 0 && float64(job.Started+1)*job.Job.CPUs > team.FairShareCPUs
 }
 
-// fairShareUsed returns how many steps, of tuning.FairShareSteps, of what its
-// team's quota admits at a time a job has had. A large array so lets the team's
-// other jobs begin in between, rather than take every slot again as its own tasks
-// end. Without a quota a share of the fleet takes its place: without that,
-// hundreds of tiny jobs of a guest waited three minutes behind the guest's array
-// of 25,000 tasks.
+// fairShareUsed returns how much of its team's quota a job has used with the tasks that it has started and
+// the next one, in steps of 1/tuning.FairShareSteps. Jobs that have used fewer steps go first. A large array
+// therefore lets the team's other jobs start, instead of filling every free slot again as its own tasks end.
+// For a team without a quota, a share of the fleet (Team.FairShareCPUs) replaces the quota. Without that,
+// hundreds of tiny jobs of a guest waited three minutes behind the guest's array of 25,000 tasks.
 func fairShareUsed(job *PendingJob, teams map[string]*Team) int {
 	team := teams[job.Job.Team]
 	if team == nil {
@@ -54,10 +53,9 @@
 	return int(min(share, 1) * tuning.FairShareSteps)
 }
 
-// responseRatio returns how long ago an array was enqueued per CPU second of its
-// waiting work. What waits long for little work goes first (highest response
-// ratio next), so that a backlog makes few jobs late rather than all. It is +Inf
-// for other kinds: the absence of a service's replica is an outage.
+// responseRatio returns the seconds since an array was enqueued, per CPU second of its waiting work. The job
+// with the highest ratio goes first (highest response ratio next), so that a backlog makes few jobs late
+// rather than all. For other kinds of job the ratio is +Inf, since a missing service replica is an outage.
 func responseRatio(job *PendingJob, now time.Time) float64 {
 	work := job.Job.CPUs * float64(job.Waiting) * job.expectedRunS()
 	if job.Job.Kind != wire.KindArray || work <= 0 {
@@ -66,18 +64,18 @@
 	return now.Sub(job.enqueuedAt()).Seconds() / work
 }
 
-// queueKey is what the order of the queue depends on.
+// queueKey holds the values by which a job is ordered in the queue.
 type queueKey struct {
 	job           *PendingJob
 	priority      int
 	fairShareUsed int
 	responseRatio float64
-	index         int
+	index         int // in the list before sorting
 }
 
-// before compares in the order of the queue. It ends with the job's ID and the
-// index so that the order does not depend on how the jobs were given.
-func (a queueKey) before(b queueKey) int {
+// compare compares two jobs for the order of the queue: the result is negative if a goes before b. The job's ID
+// and the index are compared last, so that the order is deterministic.
+func (a queueKey) compare(b queueKey) int {
 	if a.priority != b.priority {
 		return b.priority - a.priority
 	}
@@ -90,9 +88,9 @@
 	return cmp.Or(a.job.WaitingSince.Compare(b.job.WaitingSince), cmp.Compare(a.job.Job.ID, b.job.Job.ID), a.index-b.index)
 }
 
-// Sort puts the jobs in the order in which they are placed: by effective
-// priority, then those that used less of their fair share, then by response
-// ratio, then by the time waited, then by ID so that the order is deterministic.
+// Sort puts the jobs in the order in which they are tried: by effective priority, then by the fair share used
+// (less first), then by response ratio (higher first), then by the time waited (longer first), then by ID so
+// that the order is deterministic.
 func Sort(pending []*PendingJob, teams map[string]*Team, now time.Time) {
 	keys := make([]queueKey, len(pending))
 	for i, p := range pending {
@@ -101,7 +99,7 @@
 			responseRatio: responseRatio(p, now), index: i,
 		}
 	}
-	slices.SortFunc(keys, queueKey.before)
+	slices.SortFunc(keys, queueKey.compare)
 	for i, k := range keys {
 		pending[i] = k.job
 	}
--- a/internal/scheduler/placement/quota.go
+++ b/internal/scheduler/placement/quota.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Team is a team's quotas and use. A cycle adds the tasks that it places.
+// Team is the view of a team's quota, guarantee and use. A cycle adds the tasks that it places to the use.
 type Team struct {
-	// UsedCPUs and UsedGPUs are taken by all tasks that may be running somewhere.
+	// UsedCPUs and UsedGPUs are occupied by all tasks that may be running on any machine.
 	UsedCPUs, UsedGPUs float64
-	// QuotaCPUs and QuotaGPUs are the limit of the team's use; +Inf: none.
+	// QuotaCPUs and QuotaGPUs are the upper limit of the team's use; +Inf: no limit.
 	QuotaCPUs, QuotaGPUs float64
-	// GuaranteedCPUs and GuaranteedGPUs are the team's guarantee. What it uses
-	// beyond them is borrowed, and other teams may take it back by preemption.
+	// GuaranteedCPUs and GuaranteedGPUs are the team's guarantee. Use beyond them is borrowed: other teams may
+	// take it back by preemption.
 	GuaranteedCPUs, GuaranteedGPUs float64
-	// PermanentUse is the part of the use that does not end by itself.
+	// PermanentUse is the part of the use that does not end by itself, which is that of service replicas.
 	PermanentUse Resources
-	// FairShareCPUs is how many CPUs one job of a team without a quota may have had
-	// before other jobs may begin ahead of its next tasks; 0: any number.
+	// FairShareCPUs is how many CPUs one job of a team without a quota may use before other jobs go ahead of
+	// its next tasks; 0: any number.
 	FairShareCPUs float64
 
-	reservedFor string    // ID of the starving job for which a part of the quota is reserved
-	reserved    Resources // that part
+	reservedFor string    // ID of the starving job for which a part of the quota is reserved; empty: none
+	reserved    Resources // the reserved part
 }
 
 // unlimitedTeam returns a team without a quota.
@@ -30,12 +30,12 @@
 // release subtracts what a task requested from the team's use.
 func (t *Team) release(r Resources) { t.UsedCPUs -= r.CPUs; t.UsedGPUs -= r.GPUs }
 
-// withinQuota reports whether the team stays within its quota with r more.
+// withinQuota reports whether the team's use stays within its quota if r is added.
 func (t *Team) withinQuota(r Resources) bool {
 	return t.UsedCPUs+r.CPUs <= t.QuotaCPUs+roundingTolerance && t.UsedGPUs+r.GPUs <= t.QuotaGPUs+roundingTolerance
 }
 
-// withinGuarantee reports whether the team stays within its guarantee with r more.
+// withinGuarantee reports whether the team's use stays within its guarantee if r is added.
 func (t *Team) withinGuarantee(r Resources) bool {
 	return t.UsedCPUs+r.CPUs <= t.GuaranteedCPUs+roundingTolerance && t.UsedGPUs+r.GPUs <= t.GuaranteedGPUs+roundingTolerance
 }
@@ -45,14 +45,14 @@
 	return t.UsedCPUs > t.GuaranteedCPUs+roundingTolerance || t.UsedGPUs > t.GuaranteedGPUs+roundingTolerance
 }
 
-// everFits reports whether a task fits the quota beside the use that does not
-// end by itself.
+// everFits reports whether a task that requests r will fit the quota once all use but the permanent use has
+// ended.
 func (t *Team) everFits(r Resources) bool {
 	return t.PermanentUse.CPUs+r.CPUs <= t.QuotaCPUs+roundingTolerance && t.PermanentUse.GPUs+r.GPUs <= t.QuotaGPUs+roundingTolerance
 }
 
-// admits reports whether one task of a job fits the quota beside what is
-// reserved for the first task of another job.
+// admits reports whether one more task of a job fits the quota, without the part that is reserved for the
+// first task of another job.
 func (t *Team) admits(job *PendingJob) bool {
 	request := job.Request()
 	if t.reservedFor != "" && t.reservedFor != job.Job.ID {
@@ -62,8 +62,8 @@
 	return t.withinQuota(request)
 }
 
-// TasksWithinQuota returns how many of a job's waiting tasks its team's quota
-// admits; 0 if the team is not known.
+// TasksWithinQuota returns how many of a job's waiting tasks fit its team's quota. It is 0 if the team is not
+// known.
 func TasksWithinQuota(job *PendingJob, teams map[string]*Team) int {
 	team := teams[job.Job.Team]
 	if team == nil {
--- a/internal/scheduler/placement/ranking.go
+++ b/internal/scheduler/placement/ranking.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// taskShape is what the ranking of machines within a zone depends on. Most tasks
-// share a shape with many others.
+// taskShape holds the properties of a task on which the ranking of machines within a zone depends. Most tasks
+// have the same shape as many others.
 type taskShape struct {
 	request                Resources
 	image                  string
 	imageGB                float64
-	types                  string // the allowed machine types, joined
+	types                  string // the allowed machine types, each after a zero byte; empty: all types
 	spot, latencySensitive bool
 	kind                   KindPreference
 }
@@ -22,35 +22,38 @@
 		latencySensitive: job.LatencySensitive, kind: kind,
 	}
 	if job.Job.Types != nil {
-		shape.types = "\x00" + strings.Join(job.Job.Types, "\x00") // no type allowed is not the same as all
+		shape.types = "\x00" + strings.Join(job.Job.Types, "\x00") // an empty list allows no type, nil allows all
 	}
 	return shape
 }
 
-// candidate is a machine in the ranking of a shape, with what its rank was
-// determined by.
+// candidate is a machine in the ranking of a shape, with the values by which it was ranked.
 type candidate struct {
 	machine *Machine
-	fetchS  float64   // until it has the image, rounded to seconds
-	free    Resources // may be out of date: the machine's free resources are in m
+	fetchS  float64   // seconds until the machine has the image, rounded
+	free    Resources // free resources when it was ranked; the present ones are in machine.Free
 }
 
 func (s *taskShape) candidate(m *Machine) candidate {
 	return candidate{machine: m, fetchS: m.fetchS(s.image, s.imageGB), free: m.Free}
 }
 
-// ranksBefore reports whether a is a better place than b for a task of the shape.
-// tasksIn counts, per zone, the placed tasks of a job that is to be spread; nil:
-// it is not, or both are in one zone.
+// ranksBefore reports whether a is a better machine than b for a task of the shape. tasksIn counts the placed
+// tasks of the job per zone; it is nil if the job's tasks need not be spread over zones, or if a and b are in
+// the same zone.
 //
-// Work that may run on spot machines goes there first and leaves the others to
-// work that may not. Then, for latency-sensitive work, the machine on which it
-// starts soonest, to the second: one that holds its image, or fetches fast and
-// has little to fetch. Then the machine that costs least to keep: what runs on a
-// machine keeps it rented, so the expensive ones become empty and can be
-// returned. For other work the start comes after the price. Then a machine that
-// has acknowledged the leader; then the most free room, and the name so that the
-// order is deterministic.
+// The criteria are, in this order:
+//   - Spot machines first. Work that may run on spot machines leaves on-demand machines to work that may not.
+//   - For latency-sensitive work, the shortest time in whole seconds until the machine has the image: it
+//     has the image already, fetches fast or has little to fetch.
+//   - The lowest price (for on-demand machines, only if the work must not run on spot machines). A machine
+//     stays rented while tasks run on it, so this empties the expensive machines, which can then be
+//     returned.
+//   - For other work, the shortest time until the machine has the image.
+//   - The zone with the fewest tasks of the job.
+//   - Machines that have acknowledged a message of this leader.
+//   - The most free CPUs, then the most free memory.
+//   - The name, so that the order is deterministic.
 func (s *taskShape) ranksBefore(a, b *candidate, tasksIn map[string]int) bool {
 	if a.machine.Spot != b.machine.Spot {
 		return a.machine.Spot
--- a/internal/scheduler/placement/reference_test.go
+++ b/internal/scheduler/placement/reference_test.go
@@ -12,49 +12,49 @@
 	"poppypass/internal/platform/wire"
 )
 
-// referenceSchedule is the cycle as it is described, without anything to make it
-// fast: each phase looks at all jobs and all machines.
+// referenceSchedule is a direct implementation of the cycle's rules, without any optimisation: each phase
+// examines all jobs and all machines.
 func referenceSchedule(pending []*PendingJob, machines []*Machine, teams map[string]*Team) (placed []Placement) {
 	Sort(pending, teams, now)
-	headReserved, starving, blocked := false, 0, map[*PendingJob]bool{}
+	headReserved, starvingMachines, blocked := false, 0, map[*PendingJob]bool{}
 	for level := 4; level >= 0; level-- {
-		of := slices.DeleteFunc(slices.Clone(pending), func(p *PendingJob) bool { return EffectivePriority(p, teams, now) != level })
-		for _, i := range starvingIn(of, 0, len(of), now) {
-			p := of[i]
-			team, request := teams[p.Job.Team], p.Request()
-			if m := referenceBest(p, machines, request); m != nil && team.admits(p) {
-				p.assign(m, request, team)
-				placed = append(placed, Placement{p, m})
+		atLevel := slices.DeleteFunc(slices.Clone(pending), func(p *PendingJob) bool { return EffectivePriority(p, teams, now) != level })
+		for _, i := range starvingIn(atLevel, 0, len(atLevel), now) {
+			job := atLevel[i]
+			team, request := teams[job.Job.Team], job.Request()
+			if m := referenceBest(job, machines, request); m != nil && team.admits(job) {
+				job.assign(m, request, team)
+				placed = append(placed, Placement{job, m})
 				continue
 			}
 			if team.reservedFor == "" {
-				team.reservedFor, team.reserved = p.Job.ID, request
+				team.reservedFor, team.reserved = job.Job.ID, request
 			}
-			if team.reservedFor == p.Job.ID && starving < max(1, len(machines)/tuning.StarvationReservationShare) && p.reserveMachine(machines, request) {
-				starving++
+			if team.reservedFor == job.Job.ID && starvingMachines < max(1, len(machines)/tuning.StarvationReservationShare) && job.reserveMachine(machines, request) {
+				starvingMachines++
 			}
 		}
 		for _, ph := range []phase{guaranteedPhase, borrowingPhase, placeholderPhase} {
-			for _, p := range pending {
-				for EffectivePriority(p, teams, now) == level && p.Placeholder == (ph == placeholderPhase) && p.Waiting > 0 && !blocked[p] {
-					team, request := teams[p.Job.Team], p.Request()
-					if p.Placeholder {
+			for _, job := range pending {
+				for EffectivePriority(job, teams, now) == level && job.Placeholder == (ph == placeholderPhase) && job.Waiting > 0 && !blocked[job] {
+					team, request := teams[job.Job.Team], job.Request()
+					if job.Placeholder {
 						team = &Team{QuotaCPUs: 1e9}
 					}
-					if !team.admits(p) || ph == guaranteedPhase && !team.withinGuarantee(request) {
+					if !team.admits(job) || ph == guaranteedPhase && !team.withinGuarantee(request) {
 						break
 					}
-					m := referenceBest(p, machines, request)
+					m := referenceBest(job, machines, request)
 					if m == nil {
-						blocked[p] = true
-						if !headReserved && !p.Placeholder && now.Sub(p.WaitingSince) >= tuning.HeadReservationAfter {
-							headReserved = p.reserveMachine(machines, request)
+						blocked[job] = true
+						if !headReserved && !job.Placeholder && now.Sub(job.WaitingSince) >= tuning.HeadReservationAfter {
+							headReserved = job.reserveMachine(machines, request)
 						}
 						break
 					}
-					p.assign(m, request, team)
-					if !p.Placeholder {
-						placed = append(placed, Placement{p, m})
+					job.assign(m, request, team)
+					if !job.Placeholder {
+						placed = append(placed, Placement{job, m})
 					}
 				}
 			}
@@ -63,35 +63,34 @@
 	return placed
 }
 
-// referenceBest looks at all machines.
-func referenceBest(p *PendingJob, machines []*Machine, request Resources) (best *Machine) {
+// referenceBest examines all machines.
+func referenceBest(job *PendingJob, machines []*Machine, request Resources) (best *Machine) {
 	for _, m := range machines {
-		if m.Free.Fits(request) && (m.reservedFor == "" || m.reservedFor == p.Job.ID) && p.Allows(m.Type, m.Zone, m.Spot) &&
-			(p.Avoid == nil || !p.Avoid(m.Name)) && (best == nil || ranksBefore(p, m, best)) {
+		if m.Free.Fits(request) && (m.reservedFor == "" || m.reservedFor == job.Job.ID) && job.Allows(m.Type, m.Zone, m.Spot) &&
+			(job.Avoid == nil || !job.Avoid(m.Name)) && (best == nil || ranksBefore(job, m, best)) {
 			best = m
 		}
 	}
 	return best
 }
 
-// ranksBefore is the ranking of machines as it is described, by the machines as
-// they are.
-func ranksBefore(p *PendingJob, a, b *Machine) bool {
+// ranksBefore is a direct implementation of the order of machines, by their present free resources.
+func ranksBefore(job *PendingJob, a, b *Machine) bool {
 	if a.Spot != b.Spot {
 		return a.Spot
 	}
-	fa, fb := a.fetchS(p.Job.Image, p.Job.ImageGB), b.fetchS(p.Job.Image, p.Job.ImageGB)
-	if p.LatencySensitive && fa != fb {
-		return fa < fb
+	fetchA, fetchB := a.fetchS(job.Job.Image, job.Job.ImageGB), b.fetchS(job.Job.Image, job.Job.ImageGB)
+	if job.LatencySensitive && fetchA != fetchB {
+		return fetchA < fetchB
 	}
-	if a.Price != b.Price && (a.Spot || !p.Job.Spot) {
+	if a.Price != b.Price && (a.Spot || !job.Job.Spot) {
 		return a.Price < b.Price
 	}
-	if fa != fb {
-		return fa < fb
+	if fetchA != fetchB {
+		return fetchA < fetchB
 	}
-	if p.Job.Spread && a.Zone != b.Zone && p.Zones[a.Zone] != p.Zones[b.Zone] {
-		return p.Zones[a.Zone] < p.Zones[b.Zone]
+	if job.Job.Spread && a.Zone != b.Zone && job.Zones[a.Zone] != job.Zones[b.Zone] {
+		return job.Zones[a.Zone] < job.Zones[b.Zone]
 	}
 	if a.Unacknowledged != b.Unacknowledged {
 		return b.Unacknowledged
@@ -105,11 +104,11 @@
 	return a.Name < b.Name
 }
 
-// Guards against a cycle that is fast and decides otherwise.
+// Guards against optimisations of the cycle that change its decisions.
 func TestScheduleMatchesReference(t *testing.T) {
 	priorities := []wire.Priority{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}
 	for seed := range uint64(3000) {
-		// The same cluster twice, since a cycle changes what it is given.
+		// cluster is called twice per seed, since a cycle changes the cluster that it is given.
 		cluster := func() (pending []*PendingJob, machines []*Machine, teams map[string]*Team) {
 			r := rand.New(rand.NewPCG(seed, 1))
 			for i := range 1 + r.IntN(40) {
@@ -122,28 +121,28 @@
 				machines = append(machines, m)
 			}
 			for i := range 1 + r.IntN(15) {
-				p := pendingJob(fmt.Sprintf("job-%02d", i), priorities[r.IntN(4)], time.Duration(r.IntN(200))*time.Second, 1+r.IntN(8), float64(1+r.IntN(6)),
+				job := pendingJob(fmt.Sprintf("job-%02d", i), priorities[r.IntN(4)], time.Duration(r.IntN(200))*time.Second, 1+r.IntN(8), float64(1+r.IntN(6)),
 					func(j *wire.Job) {
 						j.Team, j.MemoryGB = []string{"t", "u"}[r.IntN(2)], float64(r.IntN(6))
 						j.Spread, j.OneZone, j.Spot = r.IntN(4) == 0, r.IntN(4) == 0, r.IntN(2) == 0
 					})
-				p.LatencySensitive, p.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
-				p.Job.Image = []string{"i", "ii"}[r.IntN(2)]
+				job.LatencySensitive, job.Placeholder = r.IntN(2) == 0, r.IntN(6) == 0
+				job.Job.Image = []string{"i", "ii"}[r.IntN(2)]
 				if r.IntN(4) == 0 {
-					p.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
+					job.Job.Types = [][]string{{}, {"x"}, {"x", "y"}}[r.IntN(3)]
 				}
 				if r.IntN(4) == 0 {
-					bad := fmt.Sprintf("m-%02d", r.IntN(40))
-					p.Avoid = func(machine string) bool { return machine <= bad }
+					lastAvoided := fmt.Sprintf("m-%02d", r.IntN(40))
+					job.Avoid = func(machine string) bool { return machine <= lastAvoided }
 				}
-				if !p.Job.Spread && !p.Job.OneZone {
-					p.Zones = nil
+				if !job.Job.Spread && !job.Job.OneZone {
+					job.Zones = nil
 				}
-				pending = append(pending, p)
+				pending = append(pending, job)
 			}
 			return pending, machines, map[string]*Team{"t": {GuaranteedCPUs: 10, QuotaCPUs: 30}, "u": {GuaranteedCPUs: 40, QuotaCPUs: 60}}
 		}
-		show := func(placed []Placement) string {
+		format := func(placed []Placement) string {
 			var b strings.Builder
 			for _, p := range placed {
 				fmt.Fprintf(&b, "%s:%s ", p.Pending.Job.ID, p.Machine.Name)
@@ -151,9 +150,9 @@
 			return b.String()
 		}
 		pending, machines, teams := cluster()
-		got := show(Schedule(now, pending, machines, teams))
+		got := format(Schedule(now, pending, machines, teams))
 		pending, machines, teams = cluster()
-		if want := show(referenceSchedule(pending, machines, teams)); got != want {
+		if want := format(referenceSchedule(pending, machines, teams)); got != want {
 			t.Fatalf("seed %d: placed %s\nwant %s", seed, got, want)
 		}
 	}
--- a/internal/scheduler/placement/reservations.go
+++ b/internal/scheduler/placement/reservations.go
@@ -7,15 +7,15 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// BackfillReservations bounds for how long machines and parts of quotas stay
-// reserved for jobs that wait for more than is free, and room for expected work,
-// while other jobs wait that could start there. It remembers between cycles since
-// when anything has been reserved. After tuning.ReservationMax one cycle reserves
-// nothing, so that no job waits longer than that beside room, and what is
-// reserved afterwards counts anew. The zero value is ready for use.
+// BackfillReservations runs scheduling cycles and limits for how long reservations may delay other jobs.
+// Machines and parts of quotas are reserved for jobs that need more than is free, and room is reserved for
+// expected work, while other jobs wait that could start there. BackfillReservations stores since when
+// anything has been reserved. After tuning.ReservationMax one cycle reserves nothing, so that no job waits
+// longer than that while a machine has room for it. Reservations after that cycle start a new period. The
+// zero value is ready for use.
 type BackfillReservations struct{ since time.Time }
 
-// Schedule is the function Schedule with that bound.
+// Schedule does the same as the function Schedule, with that limit.
 func (b *BackfillReservations) Schedule(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(pending, teams, now)
 	expired := !b.since.IsZero() && now.Sub(b.since) >= tuning.ReservationMax
@@ -29,24 +29,25 @@
 	return placed
 }
 
-// reservations is what one cycle has reserved against other jobs.
+// reservations records what one cycle has reserved against other jobs.
 type reservations struct {
-	allowed          bool // anything may be reserved
-	head             bool // the first blocked job that waited long has reserved a machine
-	starvingMachines int  // machines reserved for starving jobs
-	quota            bool // a part of a quota is reserved for one
-	placeholders     bool // placeholders have taken room
-	displaced        bool // after that there was no room for some job
+	allowed          bool // whether the cycle may reserve anything
+	head             bool // the first blocked job that had waited for long has reserved a machine
+	starvingMachines int  // number of machines reserved for starving jobs
+	quota            bool // a part of a team's quota is reserved for a starving job
+	placeholders     bool // placeholders have reserved room
+	displaced        bool // a job found no room after placeholders had reserved some
 }
 
-// any reports whether something was reserved that another job may have wanted.
-func (r *reservations) any() bool { return r.head || r.starvingMachines > 0 || r.quota || r.displaced }
+// blocksOthers reports whether something was reserved that another job may need.
+func (r *reservations) blocksOthers() bool {
+	return r.head || r.starvingMachines > 0 || r.quota || r.displaced
+}
 
-// reserveMachine reserves the machine that has room for a task soonest, by what
-// runs there; of equals, or where that is not known, the one with the most free
-// CPUs. It reports whether there was one. A machine that never has room, since
-// service replicas stay there, is not reserved: one once was, against all other
-// jobs, for as long as they ran.
+// reserveMachine reserves the machine that will have room for a task soonest, by the estimated ends of the
+// tasks on it. Of machines with equal estimates, or without estimates, it reserves the one with the most free
+// CPUs. It reports whether it reserved one. A machine that never has room, because of its service replicas, is
+// not reserved: such a reservation once closed a machine to all other jobs for as long as its replicas ran.
 func (p *PendingJob) reserveMachine(machines []*Machine, request Resources) bool {
 	var best *Machine
 	soonest := math.Inf(1)
--- a/internal/scheduler/placement/resources.go
+++ b/internal/scheduler/placement/resources.go
@@ -1,9 +1,9 @@
 package placement
 
-// Resources is what a machine has, or what a task requests.
+// Resources is an amount of resources: those of a machine, or those that a task requests.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// roundingTolerance absorbs the rounding of sums of decimal amounts.
+// roundingTolerance covers the rounding errors of sums of decimal amounts.
 const roundingTolerance = 1e-9
 
 // Fits reports whether a task that requests t fits into r.
@@ -25,8 +25,8 @@
 	r.MemoryGB += t.MemoryGB
 }
 
-// MinRequest returns, for each resource, the least that a task of the jobs
-// requests. There must be at least one job.
+// MinRequest returns, for each resource, the smallest amount that a task of any of the jobs requests. There
+// must be at least one job.
 func MinRequest(pending []*PendingJob) Resources {
 	least := pending[0].Request()
 	for _, p := range pending[1:] {
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -6,25 +6,24 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// A cycle asks for the best machine once per task, and most tasks are of the same
-// shape as others. So machines are ranked once per task shape and kept in order
-// as they fill up: in a heap per zone, whose entries remember the free resources
-// by which they were ranked. In a cycle free resources only shrink, so an entry
-// that is out of date is too far in front, never too far behind: it is corrected
-// when it comes to the front, and the front is the best machine.
+// A cycle needs the best machine once per task, and most tasks have the same shape as others. The machines
+// are therefore ranked once per task shape and remain ordered as they fill up: in one heap per zone, whose
+// entries store the free resources by which they were ranked. During a cycle free resources only shrink. An
+// outdated entry therefore ranks too high, never too low. It is corrected when it reaches the front of its
+// heap, and an up-to-date entry at the front is the best machine of the zone.
 //
-// What differs between jobs of one shape (which zones are allowed, which machines
-// are reserved or avoided, how tasks are spread) is checked at the front only.
+// Constraints that differ between jobs of one shape are checked only at the front of the heaps: the allowed
+// zones, reserved and avoided machines, and how tasks are spread over zones.
 
 // machineRanking ranks the machines for one task shape.
 type machineRanking struct {
 	shape   taskShape
-	types   []string // machine types that are allowed; nil: all
+	types   []string // allowed machine types; nil: all
 	zones   []zoneHeap
-	skipped []candidate // buffer of best
+	skipped []candidate // buffer of bestInZone: entries that the job cannot use
 }
 
-// machineRankings holds the searches of a cycle by shape.
+// machineRankings holds the rankings of a cycle by task shape. They are built when first needed.
 type machineRankings struct {
 	machines []*Machine
 	byShape  map[taskShape]*machineRanking
@@ -34,14 +33,14 @@
 	return machineRankings{machines: machines, byShape: map[taskShape]*machineRanking{}}
 }
 
-// forJob returns the search for a job's tasks on a kind of machines.
+// forJob returns the ranking of the machines of the given kind for a job's tasks.
 func (r *machineRankings) forJob(job *PendingJob, kind KindPreference) *machineRanking {
 	shape := shapeOf(job, kind)
 	if ranking := r.byShape[shape]; ranking != nil {
 		return ranking
 	}
 	if len(r.byShape) >= tuning.TaskShapesMax {
-		clear(r.byShape) // of so many shapes few come again
+		clear(r.byShape) // with so many shapes few are needed again
 	}
 	ranking := newMachineRanking(shape, job.Job.Types, r.machines)
 	r.byShape[shape] = ranking
@@ -62,13 +61,12 @@
 	return ranking
 }
 
-// accepts reports whether a machine has room for the shape and is of an allowed
-// kind and type.
+// accepts reports whether a machine has room for the shape and is of an allowed kind and type.
 func (r *machineRanking) accepts(m *Machine) bool {
 	return m.Free.Fits(r.shape.request) && r.shape.kind.matches(m.Spot) && (!m.Spot || r.shape.spot) && (r.types == nil || slices.Contains(r.types, m.Type))
 }
 
-// heap returns the heap of a zone. The pointer is valid until the next call.
+// heap returns the heap of a zone. The pointer is valid until the next call, which may move the heaps.
 func (r *machineRanking) heap(zone string) *zoneHeap {
 	for i := range r.zones {
 		if r.zones[i].zone == zone {
@@ -79,7 +77,7 @@
 	return &r.zones[len(r.zones)-1]
 }
 
-// best returns the best machine for one more task of a job; nil: there is none.
+// best returns the best machine for one more task of a job, or nil if there is none.
 func (r *machineRanking) best(job *PendingJob) *Machine {
 	var tasksIn map[string]int
 	if job.Job.Spread {
@@ -99,8 +97,8 @@
 	return best.machine
 }
 
-// bestInZone returns the best machine of a zone for a job. Machines that are reserved
-// for other jobs, or that this one avoids, stay in the heap for other jobs.
+// bestInZone returns the best machine of a zone for a job. It skips machines that are reserved for other jobs
+// or that this job avoids; they remain in the heap for other jobs.
 func (r *machineRanking) bestInZone(heap *zoneHeap, job *PendingJob) (best candidate, found bool) {
 	r.skipped = r.skipped[:0]
 	for len(heap.entries) > 0 && !found {
@@ -123,8 +121,8 @@
 	return best, found
 }
 
-// refreshFront ranks the front entry by the machine's present free resources, or
-// removes it if the shape does not fit any more.
+// refreshFront ranks the front entry again by the machine's present free resources, or removes it if the shape
+// does not fit any more.
 func (r *machineRanking) refreshFront(heap *zoneHeap) {
 	front := &heap.entries[0]
 	if !front.machine.Free.Fits(r.shape.request) {
@@ -135,7 +133,8 @@
 	heap.siftDown(0)
 }
 
-// reinsert ranks a machine again whose free resources have grown.
+// reinsert adds a new entry for a machine whose free resources have grown, since its existing entry may rank
+// too low.
 func (r *machineRanking) reinsert(m *Machine) {
 	if r.accepts(m) {
 		r.heap(m.Zone).push(r.shape.candidate(m))
--- a/internal/scheduler/placement/simulation_test.go
+++ b/internal/scheduler/placement/simulation_test.go
@@ -8,75 +8,74 @@
 	"poppypass/internal/platform/wire"
 )
 
-// simulation is a small cluster in time: jobs are submitted, cycles place their
-// tasks, tasks end.
+// simulation simulates a small cluster over time: jobs are submitted, cycles place their tasks, and tasks end.
 type simulation struct {
-	now          time.Time
-	machines     []*Machine
-	teams        map[string]*Team
-	pending      []*PendingJob
-	running      []runningTask
-	began        map[string]time.Duration // after its submission
-	done         float64                  // CPU seconds of tasks that ended
-	reservations BackfillReservations
-	placeholders func() []*PendingJob // work that is expected; nil: none
-	// waitsBesideRoom is since when a job waits though a machine that fits has room
-	// and its team is within its quota, and longestWait for how long any did.
-	waitsBesideRoom map[*PendingJob]time.Time
-	longestWait     time.Duration
+	now                 time.Time
+	machines            []*Machine
+	teams               map[string]*Team
+	pending             []*PendingJob
+	running             []runningTask
+	startDelays         map[string]time.Duration // by job ID: time from the submission to the first task's start
+	completedCPUSeconds float64                  // of tasks that have ended
+	reservations        BackfillReservations
+	placeholders        func() []*PendingJob // placeholders for expected work; nil: none
+	// waitingDespiteRoom stores since when a job has been waiting although a machine has room for it and its
+	// team's quota admits it. longestAvoidableWait is the longest such wait so far.
+	waitingDespiteRoom   map[*PendingJob]time.Time
+	longestAvoidableWait time.Duration
 }
 
 // runningTask is a task that ends by itself.
 type runningTask struct {
 	endsAt  time.Time
-	m       *Machine
+	machine *Machine
 	request Resources
 	team    string
 	job     *PendingJob
 }
 
 func newSimulation(teams map[string]*Team) *simulation {
-	return &simulation{now: now, teams: teams, began: map[string]time.Duration{}, waitsBesideRoom: map[*PendingJob]time.Time{}}
+	return &simulation{now: now, teams: teams, startDelays: map[string]time.Duration{}, waitingDespiteRoom: map[*PendingJob]time.Time{}}
 }
 
-// submit adds an array.
-func (s *simulation) submit(id, team string, tasks int, cpus, runS float64, prio wire.Priority) *PendingJob {
+// submit adds an array job of the given number of tasks, each of which runs for runS seconds.
+func (s *simulation) submit(id, team string, tasks int, cpus, runS float64, priority wire.Priority) *PendingJob {
 	p := &PendingJob{
-		Job:          &wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: prio, Tasks: tasks, CPUs: cpus, EstimateS: runS},
+		Job:          &wire.Job{ID: id, Team: team, Kind: wire.KindArray, Priority: priority, Tasks: tasks, CPUs: cpus, EstimateS: runS},
 		WaitingSince: s.now, EnqueuedAt: s.now, Waiting: tasks,
 	}
 	s.pending = append(s.pending, p)
 	return p
 }
 
-// step advances the time by a second: tasks end, and a cycle places others.
+// step advances the time by one second: tasks end, and a cycle places others.
 func (s *simulation) step() {
 	s.now = s.now.Add(time.Second)
 	s.endTasks()
 	s.pending = slices.DeleteFunc(s.pending, func(p *PendingJob) bool { return p.Waiting == 0 })
-	s.forgetReservations()
+	s.clearReservations()
 	placed := s.schedule()
 	for _, p := range placed {
 		s.start(p)
 	}
-	s.watch()
+	s.recordAvoidableWaits()
 }
 
-// endTasks ends the tasks whose time is up, and returns their room.
+// endTasks ends the tasks whose run time has passed, and frees their resources.
 func (s *simulation) endTasks() {
-	s.running = slices.DeleteFunc(s.running, func(e runningTask) bool {
-		if e.endsAt.After(s.now) {
+	s.running = slices.DeleteFunc(s.running, func(task runningTask) bool {
+		if task.endsAt.After(s.now) {
 			return false
 		}
-		e.m.Free.Add(e.request)
-		s.teams[e.team].UsedCPUs -= e.request.CPUs
-		s.done += e.request.CPUs * e.job.Job.EstimateS
+		task.machine.Free.Add(task.request)
+		s.teams[task.team].UsedCPUs -= task.request.CPUs
+		s.completedCPUSeconds += task.request.CPUs * task.job.Job.EstimateS
 		return true
 	})
 }
 
-// forgetReservations makes views that are new for a cycle.
-func (s *simulation) forgetReservations() {
+// clearReservations removes the previous cycle's reservations, since every cycle begins with fresh views.
+func (s *simulation) clearReservations() {
 	for _, m := range s.machines {
 		m.reservedFor = ""
 		m.FreeInS = func(lacking Resources) float64 {
@@ -89,8 +88,8 @@
 	}
 }
 
-// schedule runs a cycle. What placeholders took of the machines is free again after
-// it, and so is what placed tasks took: start takes that.
+// schedule runs a cycle and then restores the machines' free resources, because placeholders occupy nothing
+// and start subtracts what placed tasks request.
 func (s *simulation) schedule() []Placement {
 	wanted := slices.Clone(s.pending)
 	if s.placeholders != nil {
@@ -107,34 +106,33 @@
 	return placed
 }
 
-// start runs a placed task.
-func (s *simulation) start(p Placement) {
-	job, request := p.Pending, p.Pending.Request()
-	p.Machine.Free.Sub(request, 1)
+// start starts a placed task.
+func (s *simulation) start(placement Placement) {
+	job, request := placement.Pending, placement.Pending.Request()
+	placement.Machine.Free.Sub(request, 1)
 	if job.Started++; job.Started == 1 {
-		s.began[job.Job.ID] = s.now.Sub(job.EnqueuedAt)
+		s.startDelays[job.Job.ID] = s.now.Sub(job.EnqueuedAt)
 	}
 	run := time.Duration(job.Job.EstimateS * float64(time.Second))
-	s.running = append(s.running, runningTask{s.now.Add(run), p.Machine, request, job.Job.Team, job})
+	s.running = append(s.running, runningTask{s.now.Add(run), placement.Machine, request, job.Job.Team, job})
 }
 
-// freeInS returns after how many seconds a machine has room, by the tasks that run
-// there; service replicas stay.
-func (s *simulation) freeInS(m *Machine, request Resources) float64 {
-	free := m.Free
-	var here []runningTask
-	for _, e := range s.running {
-		if e.m == m {
-			here = append(here, e)
+// freeInS returns the seconds until a machine has room, by the ends of its tasks. Service replicas do not end.
+func (s *simulation) freeInS(machine *Machine, request Resources) float64 {
+	free := machine.Free
+	var onMachine []runningTask
+	for _, task := range s.running {
+		if task.machine == machine {
+			onMachine = append(onMachine, task)
 		}
 	}
-	slices.SortFunc(here, func(a, b runningTask) int { return a.endsAt.Compare(b.endsAt) })
-	for _, e := range here {
+	slices.SortFunc(onMachine, func(a, b runningTask) int { return a.endsAt.Compare(b.endsAt) })
+	for _, task := range onMachine {
 		if free.Fits(request) {
 			break
 		}
-		if free.Add(e.request); free.Fits(request) {
-			return e.endsAt.Sub(s.now).Seconds()
+		if free.Add(task.request); free.Fits(request) {
+			return task.endsAt.Sub(s.now).Seconds()
 		}
 	}
 	if free.Fits(request) {
@@ -143,19 +141,19 @@
 	return math.Inf(1)
 }
 
-// watch notes the jobs that wait beside room.
-func (s *simulation) watch() {
-	for _, p := range s.pending {
-		team, request := s.teams[p.Job.Team], p.Request()
-		room := p.Waiting > 0 && team.withinQuota(request) && slices.ContainsFunc(s.machines, func(m *Machine) bool {
-			return m.Free.Fits(request) && p.Allows(m.Type, m.Zone, m.Spot)
+// recordAvoidableWaits records the jobs that wait although there is room for them.
+func (s *simulation) recordAvoidableWaits() {
+	for _, job := range s.pending {
+		team, request := s.teams[job.Job.Team], job.Request()
+		room := job.Waiting > 0 && team.withinQuota(request) && slices.ContainsFunc(s.machines, func(m *Machine) bool {
+			return m.Free.Fits(request) && job.Allows(m.Type, m.Zone, m.Spot)
 		})
-		if since, known := s.waitsBesideRoom[p]; !room {
-			delete(s.waitsBesideRoom, p)
+		if since, known := s.waitingDespiteRoom[job]; !room {
+			delete(s.waitingDespiteRoom, job)
 		} else if !known {
-			s.waitsBesideRoom[p] = s.now
+			s.waitingDespiteRoom[job] = s.now
 		} else {
-			s.longestWait = max(s.longestWait, s.now.Sub(since))
+			s.longestAvoidableWait = max(s.longestAvoidableWait, s.now.Sub(since))
 		}
 	}
 }
--- a/internal/scheduler/placement/starvation.go
+++ b/internal/scheduler/placement/starvation.go
@@ -8,30 +8,26 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// The order within a priority favours little work: the longest wait per CPU
-// second goes first, and what has had its fair share goes last. A job that is
-// large in any way can therefore starve: each machine that becomes free is too
-// small for its task and is taken by small ones, its team's quota is used up by
-// them, or it is behind them in every cycle. So the wait for the first task is
-// bounded.
+// Within a priority, the order of the queue favours jobs with little work: the longest wait per CPU second
+// goes first, and a job that has had its fair share goes last. A large job can therefore starve. Each machine
+// that becomes free may be too small for its task and be filled by small ones, small jobs may use up its
+// team's quota, or it may be behind them in every cycle. The wait for the first task is therefore bounded.
 //
-// A job none of whose tasks was placed within tuning.StarvationBound is starving:
-// before anything else of its priority it gets one task. If none fits, a machine,
-// and what the task requests of its team's quota, is reserved against the jobs
-// behind it until one does: as far as what runs ends by itself, and for
-// tuning.ReservationMax at a time (see BackfillReservations). With that task the
-// job has begun, and the usual order applies again, so that small jobs lose the
-// time of one task to each large job.
+// A job that has waited for tuning.StarvationBound without any task placed is starving. Before anything else
+// of its priority is placed, it gets one task. If no task fits, a machine and the part of its team's quota
+// that the task requests are reserved against the jobs behind it until one fits. They are reserved only if
+// tasks that end by themselves will free them, and for at most tuning.ReservationMax at a time (see
+// BackfillReservations). Once it has that task, the job counts as started and the usual order applies again,
+// so each large job delays small jobs by the time of one task only.
 
 // Starving reports whether the job has waited too long for its first task.
 func (p *PendingJob) Starving(now time.Time) bool {
 	return p.Started == 0 && !p.Placeholder && !p.OnProbation && p.Waiting > 0 && now.Sub(p.enqueuedAt()) >= tuning.StarvationBound
 }
 
-// starvingIn returns the indexes of the starving jobs among those from lo to
-// before hi, the largest first, of equals those enqueued first. Small jobs have
-// the usual order in their favour, and large ones are few: one task for each
-// costs little.
+// starvingIn returns the indexes of the starving jobs at the indexes lo <= i < hi: those that request the most
+// CPUs in all first, and of equals those enqueued first. Small jobs are favoured by the usual order, and large
+// jobs are few, so one task for each costs little.
 func starvingIn(pending []*PendingJob, lo, hi int, now time.Time) []int {
 	var starving []int
 	for i := lo; i < hi; i++ {
@@ -46,10 +42,10 @@
 	return starving
 }
 
-// totalCPUs returns the CPUs that all tasks of the job request together.
+// totalCPUs returns how many CPUs all tasks of the job request together.
 func (p *PendingJob) totalCPUs() float64 { return p.Job.CPUs * float64(p.Job.Tasks) }
 
-// startStarvingJob places one task of a starving job, or reserves what it lacks.
+// startStarvingJob places one task of a starving job, or reserves a machine and quota for it.
 func (c *cycle) startStarvingJob(job *PendingJob) {
 	team, request := c.teams[job.Job.Team], job.Request()
 	if team == nil {
@@ -61,16 +57,17 @@
 			return
 		}
 	}
-	// If the team's permanent use leaves too little of its quota, reserving the
-	// rest brings nothing, and keeps its other jobs waiting.
+	// If the team's permanent use leaves too little of its quota, reserving the rest would not help this job
+	// and would keep the team's other jobs waiting.
 	if c.reservations.allowed && team.everFits(request) {
 		c.reserveForStarving(job, request, team)
 	}
 }
 
-// reserveForStarving reserves a part of the quota and a machine at the same
-// time: one after the other took as long as both together. A team has one such
-// job at a time, and the machines with room are shared by all teams' jobs.
+// reserveForStarving reserves a part of the team's quota and a machine at the same time, because waiting for
+// one after the other takes as long as both waits together. Quota is reserved for one job of a team at a
+// time, and the machines that may be reserved are shared by the starving jobs of all teams: a
+// tuning.StarvationReservationShare-th of the cycle's machines, at least one.
 func (c *cycle) reserveForStarving(job *PendingJob, request Resources, team *Team) {
 	if team.reservedFor == "" {
 		team.reservedFor, team.reserved = job.Job.ID, request
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -10,16 +10,16 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against jobs that wait for ever beside room that is reserved for one that
-// cannot use it: a task requests a whole machine, or most of its team's quota,
-// where service replicas stay; and against any reservation that lasts.
-func TestNoJobWaitsBesideRoom(t *testing.T) {
+// Guards against jobs that wait for ever although a machine has room, because that room is reserved for a job
+// that can never use it: a task requests a whole machine, or most of its team's quota, a part of which service
+// replicas occupy. Also guards against any other reservation without an end.
+func TestNoJobWaitsLongDespiteFreeRoom(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		sim := newSimulation(map[string]*Team{"hot": {QuotaCPUs: 64}, "t": {QuotaCPUs: 1000}})
 		for i := range 2 + r.IntN(6) {
 			m := machine(fmt.Sprintf("m-%d", i), string(rune('a'+i%2)), false, 16)
-			if r.IntN(3) > 0 { // a service replica stays
+			if r.IntN(3) > 0 { // a service replica occupies one CPU for good
 				m.Free.CPUs -= 1
 				sim.teams["hot"].UsedCPUs++
 				sim.teams["hot"].PermanentUse.CPUs++
@@ -44,16 +44,15 @@
 			}
 			sim.step()
 		}
-		if sim.longestWait >= 90*time.Second {
-			t.Errorf("seed %d: a job waited for %v beside room", seed, sim.longestWait)
+		if sim.longestAvoidableWait >= 90*time.Second {
+			t.Errorf("seed %d: a job waited for %v although a machine and its quota had room", seed, sim.longestAvoidableWait)
 		}
 	}
 }
 
-// Guards against the largest of a class that never begin while small work goes on:
-// tasks for which each machine that becomes free is too small, jobs as large as
-// their team's quota, arrays behind a stream of little work.
-func TestLargestJobsBeginInTime(t *testing.T) {
+// Guards against large jobs that never start while small jobs are submitted: tasks for which each machine that
+// becomes free is too small, jobs as large as their team's quota, and arrays behind a stream of small jobs.
+func TestLargeJobsStartWithinBound(t *testing.T) {
 	const bound = 240 * time.Second
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -66,13 +65,13 @@
 		large := map[string]*PendingJob{}
 		n := 0
 		for s := range 600 {
-			// Small work for more than there is, of all teams.
+			// Small jobs of all teams for 1.3 times the cluster's 160 CPUs.
 			for work := 0.0; work < 160*1.3; {
-				cpus, run := float64(1+r.IntN(3)), float64(15+r.IntN(30))
+				cpus, runS := float64(1+r.IntN(3)), float64(15+r.IntN(30))
 				tasks := 1 + r.IntN(4)
 				n++
-				sim.submit(fmt.Sprintf("small-%d", n), []string{"hot", "guest", "t"}[r.IntN(3)], tasks, cpus, run, wire.PriorityNormal)
-				work += cpus * run * float64(tasks)
+				sim.submit(fmt.Sprintf("small-%d", n), []string{"hot", "guest", "t"}[r.IntN(3)], tasks, cpus, runS, wire.PriorityNormal)
+				work += cpus * runS * float64(tasks)
 			}
 			if s%100 == 50 && s < 350 {
 				for id, p := range map[string]*PendingJob{
@@ -86,64 +85,63 @@
 			sim.step()
 			for name, team := range sim.teams {
 				if team.UsedCPUs > team.QuotaCPUs+roundingTolerance {
-					t.Fatalf("seed %d: %s uses %v", seed, name, team.UsedCPUs)
+					t.Fatalf("seed %d: team %s uses %v CPUs, more than its quota", seed, name, team.UsedCPUs)
 				}
 			}
 		}
 		for id := range large {
-			if took, ok := sim.began[id]; !ok || took > bound {
-				t.Fatalf("seed %d: %s began after %v (ever: %v)", seed, id, took, ok)
+			if delay, started := sim.startDelays[id]; !started || delay > bound {
+				t.Fatalf("seed %d: %s started after %v (started at all: %v)", seed, id, delay, started)
 			}
 		}
-		if sim.longestWait >= 90*time.Second {
-			t.Errorf("seed %d: a job waited for %v beside room", seed, sim.longestWait)
+		if sim.longestAvoidableWait >= 90*time.Second {
+			t.Errorf("seed %d: a job waited for %v although a machine and its quota had room", seed, sim.longestAvoidableWait)
 		}
-		// What is reserved for them costs little of what the machines can do.
-		if used := sim.done / (600 * 160); used < 0.85 {
-			t.Errorf("seed %d: %.2f of the machines' time was of use", seed, used)
+		// The reservations for large jobs leave little of the machines' time unused.
+		if utilisation := sim.completedCPUSeconds / (600 * 160); utilisation < 0.85 {
+			t.Errorf("seed %d: completed work used only %.2f of the machines' time", seed, utilisation)
 		}
 	}
 }
 
-// Guards against a bound that lets a large job take everything: one task of it goes
-// before the others.
+// Guards against a starving job that gets all free machines: only one of its tasks goes before other jobs.
 func TestStarvingJobGetsOneTask(t *testing.T) {
-	late := pendingJob("late", wire.PriorityNormal, tuning.StarvationBound, 8, 4)
-	late.Started = 0
-	begun := pendingJob("begun", wire.PriorityNormal, tuning.StarvationBound/2, 8, 1)
-	begun.Started, begun.Job.EstimateS, late.Job.EstimateS = 1, 1, 1000
-	late.Job.Kind, begun.Job.Kind = wire.KindArray, wire.KindArray
+	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvationBound, 8, 4)
+	starving.Started = 0
+	started := pendingJob("started", wire.PriorityNormal, tuning.StarvationBound/2, 8, 1)
+	started.Started, started.Job.EstimateS, starving.Job.EstimateS = 1, 1, 1000
+	starving.Job.Kind, started.Job.Kind = wire.KindArray, wire.KindArray
 	got := map[string]int{}
-	for _, p := range Schedule(now, []*PendingJob{begun, late}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {QuotaCPUs: 100}}) {
+	for _, p := range Schedule(now, []*PendingJob{started, starving}, []*Machine{machine("m", "a", false, 8)}, map[string]*Team{"t": {QuotaCPUs: 100}}) {
 		got[p.Pending.Job.ID]++
 	}
-	if got["late"] != 1 || got["begun"] != 4 {
-		t.Errorf("placed %v", got)
+	if got["starving"] != 1 || got["started"] != 4 {
+		t.Errorf("placed %v, want one task of starving and four of started", got)
 	}
 }
 
-// Guards against a quota that is reserved for the first task of a job for ever, and
-// against one that is reserved against other teams.
+// Guards against quota that remains reserved for a starving job after its first task fits, and against quota
+// that is reserved against other teams.
 func TestQuotaReservationForStarvingJob(t *testing.T) {
-	late := pendingJob("late", wire.PriorityNormal, tuning.StarvationBound, 1, 8)
+	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvationBound, 1, 8)
 	small := pendingJob("small", wire.PriorityNormal, 0, 4, 1)
 	other := pendingJob("other", wire.PriorityNormal, 0, 4, 1)
 	other.Job.Team = "u"
 	teams := map[string]*Team{"t": {UsedCPUs: 4, QuotaCPUs: 10}, "u": {QuotaCPUs: 10}}
 	got := map[string]int{}
-	for _, p := range Schedule(now, []*PendingJob{late, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
+	for _, p := range Schedule(now, []*PendingJob{starving, small, other}, []*Machine{machine("m", "a", false, 16), machine("n", "a", false, 12)}, teams) {
 		got[p.Pending.Job.ID]++
 	}
-	if got["late"] != 0 || got["small"] != 0 || got["other"] != 4 {
-		t.Errorf("placed %v while the quota is reserved", got)
+	if got["starving"] != 0 || got["small"] != 0 || got["other"] != 4 {
+		t.Errorf("placed %v while quota is reserved for the starving job, want only tasks of other", got)
 	}
 	teams["t"] = &Team{UsedCPUs: 2, QuotaCPUs: 10}
 	clear(got)
-	small.Waiting, late.Waiting = 4, 1
-	for _, p := range Schedule(now, []*PendingJob{late, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
+	small.Waiting, starving.Waiting = 4, 1
+	for _, p := range Schedule(now, []*PendingJob{starving, small}, []*Machine{machine("m", "a", false, 16)}, teams) {
 		got[p.Pending.Job.ID]++
 	}
-	if got["late"] != 1 {
-		t.Errorf("placed %v once it fits", got)
+	if got["starving"] != 1 {
+		t.Errorf("placed %v although the starving job fits", got)
 	}
 }
