--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -54,7 +54,7 @@
 	pending      []*PendingJob // in the order of the queue
 	machines     []*Machine
 	teams        map[string]*Team
-	rankings     machineRankings
+	rankings     rankings
 	placed       []Placement
 	blocked      []bool // by index in pending: no machine has room for the job's next task
 	reservations reservations
@@ -64,7 +64,7 @@
 // reserved against other jobs, which happens only if mayReserve is set.
 func runCycle(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team, mayReserve bool) ([]Placement, bool) {
 	c := cycle{
-		now: now, pending: pending, machines: machines, teams: teams, rankings: newMachineRankings(machinesWithRoom(machines, pending)),
+		now: now, pending: pending, machines: machines, teams: teams, rankings: newRankings(machinesWithRoom(machines, pending)),
 		blocked: make([]bool, len(pending)), reservations: reservations{allowed: mayReserve},
 	}
 	for lo, hi := 0, 0; lo < len(pending); lo = hi {
--- a/internal/scheduler/placement/dryrun.go
+++ b/internal/scheduler/placement/dryrun.go
@@ -13,7 +13,7 @@
 // ranking for every call. Testing each of hundreds of machines for whether its tasks fit on the others
 // therefore costs as much as one cycle, rather than one cycle per machine.
 type DryRun struct {
-	rankings     machineRankings
+	rankings     rankings
 	usedRankings []*machineRanking // in the current call of TryPlace
 	placed       []Placement       // in the current call of TryPlace
 }
@@ -21,7 +21,7 @@
 // NewDryRun starts a dry run. Tasks that fit reduce the machines' free resources; nothing else may change
 // these during the dry run.
 func NewDryRun(machines []*Machine) *DryRun {
-	return &DryRun{rankings: newMachineRankings(machines)}
+	return &DryRun{rankings: newRankings(machines)}
 }
 
 // BestMachine returns the machine on which one more task of a job would be placed, or nil if there is none.
@@ -76,8 +76,8 @@
 // undo gives back the room that the current call has used up. The rankings that it used may have ranked
 // these machines while they had less room, and so too low. Each machine is therefore inserted again.
 func (d *DryRun) undo() {
-	for _, p := range d.placed {
-		p.Machine.Free.Add(p.Pending.Request())
+	for _, placement := range d.placed {
+		placement.Machine.Free.Add(placement.Pending.Request())
 	}
 	for i, placement := range d.placed {
 		if i > 0 && d.placed[i-1].Machine == placement.Machine {
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -146,8 +146,8 @@
 	if !job.couldRunOn(m, request) {
 		return victimSet{}
 	}
-	victims, cost, ok := job.victimsOn(m, request, p.teams)
-	return victimSet{sufficient: ok, cost: cost, victims: victims}
+	victims, cost, sufficient := job.victimsOn(m, request, p.teams)
+	return victimSet{sufficient: sufficient, cost: cost, victims: victims}
 }
 
 // victimsOn chooses the tasks of a machine whose end makes room for one task of the job, in ascending order
--- a/internal/scheduler/placement/ranking.go
+++ b/internal/scheduler/placement/ranking.go
@@ -34,8 +34,8 @@
 	free    Resources // free resources when it was ranked; the present ones are in machine.Free
 }
 
-func (s *taskShape) candidate(m *Machine) candidate {
-	return candidate{machine: m, fetchS: m.fetchS(s.image, s.imageGB), free: m.Free}
+func (s *taskShape) candidate(machine *Machine) candidate {
+	return candidate{machine: machine, fetchS: machine.fetchS(s.image, s.imageGB), free: machine.Free}
 }
 
 // ranksBefore reports whether a is a better machine than b for a task of the shape. tasksIn counts the placed
--- a/internal/scheduler/placement/reference_test.go
+++ b/internal/scheduler/placement/reference_test.go
@@ -18,7 +18,7 @@
 	Sort(pending, teams, now)
 	headReserved, starvingMachines, blocked := false, 0, map[*PendingJob]bool{}
 	for level := 4; level >= 0; level-- {
-		atLevel := slices.DeleteFunc(slices.Clone(pending), func(p *PendingJob) bool { return EffectivePriority(p, teams, now) != level })
+		atLevel := slices.DeleteFunc(slices.Clone(pending), func(job *PendingJob) bool { return EffectivePriority(job, teams, now) != level })
 		for _, i := range starvingIn(atLevel, 0, len(atLevel), now) {
 			job := atLevel[i]
 			team, request := teams[job.Job.Team], job.Request()
@@ -144,8 +144,8 @@
 		}
 		format := func(placed []Placement) string {
 			var b strings.Builder
-			for _, p := range placed {
-				fmt.Fprintf(&b, "%s:%s ", p.Pending.Job.ID, p.Machine.Name)
+			for _, placement := range placed {
+				fmt.Fprintf(&b, "%s:%s ", placement.Pending.Job.ID, placement.Machine.Name)
 			}
 			return b.String()
 		}
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -23,18 +23,18 @@
 	skipped []candidate // buffer of bestInZone: entries that the job cannot use
 }
 
-// machineRankings holds the rankings of a cycle by task shape. They are built when first needed.
-type machineRankings struct {
+// rankings holds the rankings of a cycle by task shape. They are built when first needed.
+type rankings struct {
 	machines []*Machine
 	byShape  map[taskShape]*machineRanking
 }
 
-func newMachineRankings(machines []*Machine) machineRankings {
-	return machineRankings{machines: machines, byShape: map[taskShape]*machineRanking{}}
+func newRankings(machines []*Machine) rankings {
+	return rankings{machines: machines, byShape: map[taskShape]*machineRanking{}}
 }
 
 // forJob returns the ranking of the machines of the given kind for a job's tasks.
-func (r *machineRankings) forJob(job *PendingJob, kind KindPreference) *machineRanking {
+func (r *rankings) forJob(job *PendingJob, kind KindPreference) *machineRanking {
 	shape := shapeOf(job, kind)
 	if ranking := r.byShape[shape]; ranking != nil {
 		return ranking
