--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -11,41 +11,42 @@
 // Victim is a placed task that may be preempted.
 type Victim struct {
 	Job       *wire.Job
-	Cost      float64   // of preempting it, in seconds of lost work
+	Cost      float64   // cost of preempting the task, in seconds of lost work
 	Ref       any       // identifies the task to the caller
-	Preemptor *wire.Job // the job that it makes room for, once it is chosen
+	Preemptor *wire.Job // the job for which the task is preempted; nil until the task is chosen
 }
 
-// request returns the resources that the task holds.
+// request returns the resources that the task occupies.
 func (v *Victim) request() Resources { return Resources{v.Job.CPUs, v.Job.GPUs, v.Job.MemoryGB} }
 
-// Preempt chooses tasks to preempt for jobs that found no room. Only work within
-// its team's guarantee preempts: tasks of a lower priority, and, of any priority,
-// what another team runs beyond its own guarantee. For each task the machine is
-// chosen on which the least work is lost. It changes the jobs, machines and teams
-// as if the victims had ended and the tasks were placed.
+// Preempt chooses tasks to preempt for jobs that found no room. Only tasks that fit their team's guarantee
+// may preempt others. They may preempt tasks of a lower priority and, at any priority, tasks of another
+// team that uses more than its guarantee. For each task the machine is chosen on which the least work is
+// lost. Preempt changes the jobs, machines and teams as if the victims had ended and the tasks had been
+// placed.
 func Preempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Victim {
-	p := preemption{machines: machines, teams: teams, offers: make([]offer, len(machines))}
+	p := preemption{machines: machines, teams: teams, victimSets: make([]victimSet, len(machines))}
 	for _, job := range pending {
 		p.makeRoomFor(job)
 	}
 	return p.chosen
 }
 
-// preemption is the state of one choice of victims.
+// preemption is the state of one call of Preempt.
 type preemption struct {
-	machines []*Machine
-	teams    map[string]*Team
-	offers   []offer // of each machine, for a task of the present job
-	current  bool    // the offers are for the present job, and no team's borrowing has changed
-	chosen   []Victim
+	machines   []*Machine
+	teams      map[string]*Team
+	victimSets []victimSet // by index in machines, for one task of the current job
+	upToDate   bool        // victimSets is for the current job, and no team has stopped borrowing since
+	chosen     []Victim
 }
 
-// offer is what room for one task on a machine costs.
-type offer struct {
-	ok      bool
-	cost    float64 // in seconds of lost work
-	victims []int   // indexes in the machine's victims
+// victimSet is the tasks to preempt on a machine for one task of a job: the cheapest ones, as many as are
+// needed to make room.
+type victimSet struct {
+	sufficient bool    // the machine has room once the victims have ended
+	cost       float64 // in seconds of lost work
+	victims    []int   // indexes in Machine.Victims
 }
 
 // makeRoomFor chooses victims for up to tuning.PreemptBatch tasks of a job.
@@ -54,115 +55,118 @@
 	if team == nil {
 		return
 	}
-	p.current = false
+	p.upToDate = false
 	for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
-		if !p.current {
-			p.collectOffers(job, request)
+		if !p.upToDate {
+			p.findVictimSets(job, request)
 		}
-		i := p.bestOffer(job, request)
+		i := p.cheapestMachine(job, request)
 		if i < 0 {
 			return
 		}
-		p.accept(i, job)
+		p.removeVictims(i, job)
 		job.assign(p.machines[i], request, team)
-		p.offers[i] = p.offerOf(p.machines[i], job, request)
+		p.victimSets[i] = p.victimSetOn(p.machines[i], job, request)
 	}
 }
 
-// collectOffers asks all machines for an offer.
-func (p *preemption) collectOffers(job *PendingJob, request Resources) {
+// findVictimSets finds the victim sets of all machines for a job.
+func (p *preemption) findVictimSets(job *PendingJob, request Resources) {
 	for i, m := range p.machines {
-		p.offers[i] = p.offerOf(m, job, request)
+		p.victimSets[i] = p.victimSetOn(m, job, request)
 	}
-	p.current = true
+	p.upToDate = true
 }
 
-// bestOffer returns the index of the machine with the cheapest offer; -1: there
-// is none.
+// cheapestMachine returns the index of the machine with the cheapest victim set, or -1 if no machine has a
+// sufficient one.
 //
-// While one job makes room, an offer is withdrawn (a zone is full) or stays, but
-// for that of the machine that was just used, and unless a team stops borrowing.
-// So the cheapest known offer is the cheapest if it still holds.
-func (p *preemption) bestOffer(job *PendingJob, request Resources) int {
+// While victims are chosen for one job, a stored set either remains as it is or becomes insufficient (the
+// job's limit of tasks in the zone is reached). There are two exceptions. The set of the machine that was
+// just used is recomputed by makeRoomFor. All sets are recomputed when a team stops borrowing (see release).
+// So no set becomes cheaper, and the cheapest stored set is the cheapest of all if recomputing it gives the
+// same cost.
+func (p *preemption) cheapestMachine(job *PendingJob, request Resources) int {
 	for {
-		i := cheapest(p.offers)
+		i := cheapest(p.victimSets)
 		if i < 0 {
 			return -1
 		}
-		now := p.offerOf(p.machines[i], job, request)
-		holds := now.ok && now.cost == p.offers[i].cost
-		p.offers[i] = now
+		updated := p.victimSetOn(p.machines[i], job, request)
+		holds := updated.sufficient && updated.cost == p.victimSets[i].cost
+		p.victimSets[i] = updated
 		if holds {
 			return i
 		}
 	}
 }
 
-// cheapest returns the index of the first of the cheapest offers; -1: there is
-// none.
-func cheapest(offers []offer) int {
+// cheapest returns the index of the first of the cheapest sufficient sets, or -1 if there is none.
+func cheapest(victimSets []victimSet) int {
 	best := -1
-	for i := range offers {
-		if offers[i].ok && (best < 0 || offers[i].cost < offers[best].cost) {
+	for i := range victimSets {
+		if victimSets[i].sufficient && (best < 0 || victimSets[i].cost < victimSets[best].cost) {
 			best = i
 		}
 	}
 	return best
 }
 
-// accept takes the victims of the offer at index i from their machine, for a job.
-func (p *preemption) accept(i int, job *PendingJob) {
-	m, victims := p.machines[i], p.offers[i].victims
+// removeVictims chooses the victims of the set at index i for a job, and removes them from their machine and
+// from their teams' use.
+func (p *preemption) removeVictims(i int, job *PendingJob) {
+	machine, victims := p.machines[i], p.victimSets[i].victims
 	for _, k := range victims {
-		v := m.Victims[k]
+		v := machine.Victims[k]
 		v.Preemptor = job.Job
 		p.chosen = append(p.chosen, v)
-		m.Free.Add(v.request())
+		machine.Free.Add(v.request())
 		p.release(&v)
 	}
 	slices.Sort(victims)
 	for _, k := range slices.Backward(victims) {
-		m.Victims = slices.Delete(m.Victims, k, k+1)
+		machine.Victims = slices.Delete(machine.Victims, k, k+1)
 	}
 }
 
-// release takes a victim out of its team's use. If the team stops borrowing by
-// that, the offers with its tasks do not hold any more.
+// release subtracts a victim from its team's use. If the team stops borrowing by that, stored victim sets may
+// contain tasks that may not be preempted any more.
 func (p *preemption) release(v *Victim) {
-	t := p.teams[v.Job.Team]
-	if t == nil {
+	team := p.teams[v.Job.Team]
+	if team == nil {
 		return
 	}
-	borrowed := t.borrows()
-	t.release(v.request())
-	p.current = p.current && borrowed == t.borrows()
+	borrowed := team.borrows()
+	team.release(v.request())
+	p.upToDate = p.upToDate && borrowed == team.borrows()
 }
 
-// offerOf returns a machine's offer for one task of a job.
-func (p *preemption) offerOf(m *Machine, job *PendingJob, request Resources) offer {
+// victimSetOn returns the victim set of a machine for one task of a job.
+func (p *preemption) victimSetOn(m *Machine, job *PendingJob, request Resources) victimSet {
 	if !job.couldRunOn(m, request) {
-		return offer{}
+		return victimSet{}
 	}
-	victims, cost, ok := job.victimsOn(m, request, p.teams)
-	return offer{ok: ok, cost: cost, victims: victims}
+	victims, cost, sufficient := job.victimsOn(m, request, p.teams)
+	return victimSet{sufficient: sufficient, cost: cost, victims: victims}
 }
 
-// victimsOn returns the indexes and the cost of the cheapest tasks of a machine
-// whose end makes room for one task of the job.
-func (p *PendingJob) victimsOn(m *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
+// victimsOn chooses the tasks of a machine whose end makes room for one task of the job, in ascending order
+// of their cost. It returns their indexes in Machine.Victims and the sum of their costs. ok is false if
+// all preemptible tasks together do not make enough room.
+func (p *PendingJob) victimsOn(machine *Machine, request Resources, teams map[string]*Team) (victims []int, cost float64, ok bool) {
 	var preemptible []int
-	for i := range m.Victims {
-		if p.mayPreempt(m.Victims[i].Job, teams) {
+	for i := range machine.Victims {
+		if p.mayPreempt(machine.Victims[i].Job, teams) {
 			preemptible = append(preemptible, i)
 		}
 	}
-	slices.SortFunc(preemptible, func(a, b int) int { return cmp.Compare(m.Victims[a].Cost, m.Victims[b].Cost) })
-	free := m.Free
+	slices.SortFunc(preemptible, func(a, b int) int { return cmp.Compare(machine.Victims[a].Cost, machine.Victims[b].Cost) })
+	free := machine.Free
 	for _, i := range preemptible {
 		if free.Fits(request) {
 			break
 		}
-		v := &m.Victims[i]
+		v := &machine.Victims[i]
 		free.Add(v.request())
 		victims = append(victims, i)
 		cost += v.Cost
@@ -170,14 +174,13 @@
 	return victims, cost, free.Fits(request)
 }
 
-// mayPreempt reports whether tasks of another job may be preempted for this one:
-// those of a lower priority, and what another team borrows. A service's replicas
-// are not preempted for a guarantee alone: the end of one is an outage to its
-// users.
+// mayPreempt reports whether a task of another job may be preempted for this one: it has a lower priority,
+// or its team is another one that borrows. Service replicas are not preempted for a guarantee alone, because
+// the end of a replica is an outage to its users.
 func (p *PendingJob) mayPreempt(victim *wire.Job, teams map[string]*Team) bool {
 	if victim.Priority.Level() < p.Job.Priority.Level() {
 		return true
 	}
-	t := teams[victim.Team]
-	return t != nil && victim.Team != p.Job.Team && t.borrows() && victim.Kind != wire.KindService
+	team := teams[victim.Team]
+	return team != nil && victim.Team != p.Job.Team && team.borrows() && victim.Kind != wire.KindService
 }
