--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -72,10 +72,10 @@
 	return l.budgets.Admit(t, waiting)
 }
 
-// LimitTogether lowers the counts of waiting tasks to what the budgets allow together.
+// LimitStarts lowers the counts of waiting tasks to what the budgets allow together.
 // Otherwise machines would be bought for every job of a team whose budget allows only one
 // of them. The rest of a budget goes to the jobs in the order in which they are placed.
-func (l *Ledger) LimitTogether(waiting []*jobs.Job, counts []int, _ time.Time) {
+func (l *Ledger) LimitStarts(waiting []*jobs.Job, counts []int, _ time.Time) {
 	if !l.budgets.HasBudgets() {
 		return
 	}
--- a/internal/accounting/ledger/budgets_test.go
+++ b/internal/accounting/ledger/budgets_test.go
@@ -86,7 +86,7 @@
 }
 
 // Guards against machines that are bought for every job of a team whose budget allows a few
-// tasks only: LimitTogether shares the rest of the budget among the jobs, in their order.
+// tasks only: LimitStarts shares the rest of the budget among the jobs, in their order.
 func TestJobsShareTheRestOfABudget(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.05"}) // 180 core-seconds: 9 tasks
 	var waiting []*jobs.Job
@@ -97,7 +97,7 @@
 	}
 	for range 2 { // it reserves nothing
 		counts := []int{4, 4, 4, 4}
-		tl.ledger.LimitTogether(waiting, counts, tl.now())
+		tl.ledger.LimitStarts(waiting, counts, tl.now())
 		if !slices.Equal(counts, []int{0, 1, 4, 4}) {
 			t.Fatalf("may consider %v", counts)
 		}
--- a/internal/api/userapi/cancel_test.go
+++ b/internal/api/userapi/cancel_test.go
@@ -28,8 +28,8 @@
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16},
 		}},
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Store: statestore.New(state, 1e6, 1e6), FinalStates: jobs.NewFinalStates(8),
-		Types: func() []wire.MachineType { return nil },
-		Valid: func(uint64) bool { return false },
+		MachineTypes: func() []wire.MachineType { return nil },
+		MayAct:       func(uint64) bool { return false },
 	}, election.Leadership{Term: 1})
 	l.Start(ctx)
 	return l
--- a/internal/api/userapi/handler.go
+++ b/internal/api/userapi/handler.go
@@ -45,10 +45,10 @@
 		peers:       p,
 		teams:       env.Teams,
 		finalStates: env.FinalStates,
-		types:       env.Types,
+		types:       env.MachineTypes,
 		leader:      current,
 		memoryFull:  env.MemoryFull,
-		accounts:    env.Accounts,
+		accounts:    env.AccountsEnabled,
 		isolated:    isolated,
 	}
 	h.statusReader = newStatusReader(h)
--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -37,8 +37,8 @@
 	types := []wire.MachineType{{Name: "g8", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}}}
 	return New(&leader.Env{
 		Settings: s, Clock: clock, Log: log, Store: store, FinalStates: jobs.NewFinalStates(8),
-		Teams: map[string]config.Team{"t": {Name: "t", CPUsMax: 100}},
-		Types: func() []wire.MachineType { return types },
+		Teams:        map[string]config.Team{"t": {Name: "t", CPUsMax: 100}},
+		MachineTypes: func() []wire.MachineType { return types },
 	}, p, func() *leader.Loop { return nil }, func() bool { return false }), clock
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -100,12 +100,12 @@
 		FinalStates:    jobs.NewFinalStates(max(tuning.FinalCache, int(memoryMB*tuning.FinalsOfMB))),
 		Workers:        httpjson.NewClient(2, 1, int(sockets*tuning.IdleShare), tuning.CommandTimeout),
 		CommandSlots:   make(chan struct{}, max(tuning.SendMin, int(sockets*tuning.SendShare))),
-		Valid:          c.elector.Valid,
+		MayAct:         c.elector.Valid,
 		MayHaveRenewed: c.mayHaveRenewed,
 		ProbeWorkers:   c.peers.ProbeWorkers,
 		MemoryFull:     memory.New(memoryMB, c.clock).Full,
-		MemoryLive:     memory.Live,
-		Types:          c.catalog.Types,
+		MemoryInUse:    memory.Live,
+		MachineTypes:   c.catalog.Types,
 	}
 }
 
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	c.ledger = &ledger.Handler{Reader: reader, QueryLeader: c.queryLeader}
-	c.env.Accounts = true
+	c.env.AccountsEnabled = true
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return ledger.New(cfg, log) })
 	return nil
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -127,8 +127,8 @@
 	return j.Waiting(), ""
 }
 
-// LimitTogether lowers the counts of jobs that rest.
-func (g *Graphs) LimitTogether(waiting []*jobs.Job, counts []int, now time.Time) {
+// LimitStarts lowers the counts of jobs that rest.
+func (g *Graphs) LimitStarts(waiting []*jobs.Job, counts []int, now time.Time) {
 	if len(g.byJob) == 0 {
 		return
 	}
--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -28,7 +28,7 @@
 // goroutine.
 func (l *Loop) listMachines() {
 	begun := l.env.Clock.Now()
-	pages, err := l.env.Cloud.List(l.ended)
+	pages, err := l.env.Cloud.List(l.termCtx)
 	l.post(func() {
 		now := l.env.Clock.Now()
 		l.listing.inFlight = false
@@ -100,14 +100,14 @@
 	case m == nil || m.Type == "":
 		// The machine is unknown, or is known from records only. It is used or returned like any other.
 		rentedAt := now.Add(-seconds(listed.AgeS))
-		l.machines.Register(machines.Rented{Name: listed.Name, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, RentedAt: rentedAt}, now)
+		l.machines.Register(machines.RentedMachine{Name: listed.Name, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, RentedAt: rentedAt}, now)
 		if m == nil {
 			l.log.Info("unknown machine in the cloud's list; added to the registry", "machine", listed.Name, "state", listed.State)
 		}
 	}
 	if m := l.machines.Machines[listed.Name]; m != nil {
-		l.cycle.wakeIf(!m.Known) // it may be used from now on, as the list proves that it exists
-		m.ListedRunning, m.Known, m.ListedAddress = listed.State == wire.MachineRunning, true, listed.Address
+		l.cycle.wakeIf(!m.Confirmed) // it may be used from now on, as the list proves that it exists
+		m.ListedRunning, m.Confirmed, m.ListedAddress = listed.State == wire.MachineRunning, true, listed.Address
 	}
 	return failed
 }
--- a/internal/scheduler/leader/commands.go
+++ b/internal/scheduler/leader/commands.go
@@ -36,7 +36,7 @@
 // sendCommandsTo sends a machine direct commands, once a command slot is free and if this member may still act by then.
 func (l *Loop) sendCommandsTo(name, addr string, req *wire.DirectCommands) {
 	started := l.env.Clock.Now()
-	ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
+	ctx, cancel := context.WithTimeout(l.termCtx, tuning.CommandTimeout)
 	defer cancel()
 	if l.env.CommandSlots != nil {
 		select {
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 		}
 	}
-	if ctx.Err() != nil || !l.env.Valid(l.leadership.Term) {
+	if ctx.Err() != nil || !l.env.MayAct(l.leadership.Term) {
 		l.post(func() { l.machines.CommandsAnswered(name, req) }) // nothing was sent
 		return
 	}
@@ -70,9 +70,9 @@
 // commandsUnanswered records that a machine did not answer commands. If a connection was made, they may still arrive.
 // started is when sending them began.
 func (l *Loop) commandsUnanswered(name string, req *wire.DirectCommands, started time.Time, err error) {
-	if m := l.machines.Machines[name]; m != nil && m.UnansweredAt.Before(started) {
-		m.UnansweredAt = started
-		m.Reachability.NoteFailed(started, l.env.Clock.Now())
+	if m := l.machines.Machines[name]; m != nil && m.UnansweredCommandAt.Before(started) {
+		m.UnansweredCommandAt = started
+		m.Reachability.NoteUnanswered(started, l.env.Clock.Now())
 	}
 	l.probing.commandUnanswered(name)
 	if neverSent(err) {
--- a/internal/scheduler/leader/commands_test.go
+++ b/internal/scheduler/leader/commands_test.go
@@ -12,10 +12,10 @@
 // Guards against placing work on a machine that hangs, or died a moment ago. It counts as alive for two and a half
 // heartbeat intervals, and a task that is started on it in that time waits for as long as the machine hangs.
 func TestNothingIsPlacedOnMachineWithUnansweredCommand(t *testing.T) {
-	l, advance := twoZones(t, 1)
+	l, advance := newTwoZoneLoop(t, 1)
 	openMachines := func() string {
 		var names []string
-		for _, v := range l.openMachines(l.env.Clock.Now()) {
+		for _, v := range l.schedulableMachines(l.env.Clock.Now()) {
 			names = append(names, v.Name)
 		}
 		slices.Sort(names)
@@ -25,7 +25,7 @@
 		t.Fatalf("machines open for placement at first: %s", got)
 	}
 	advance(time.Second)
-	l.env.Valid = func(uint64) bool { return true }
+	l.env.MayAct = func(uint64) bool { return true }
 	l.sendCommandsTo("n-0", "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1}) // nothing listens there
 	for len(l.inbox) > 0 {
 		(<-l.inbox)()
--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -27,13 +27,13 @@
 	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
 	mayBeApplied := false // by an earlier try without an answer
 	for pause := tuning.StateRetry; ; pause = min(2*pause, tuning.StateRetryMax) {
-		if err := l.ended.Err(); err != nil {
+		if err := l.termCtx.Err(); err != nil {
 			return 0, err
 		}
 		if inDoubt != nil {
 			inDoubt.Store(true)
 		}
-		revision, err := l.store.Commit(l.ended, t)
+		revision, err := l.store.Commit(l.termCtx, t)
 		if err == nil {
 			return revision, nil
 		}
@@ -54,7 +54,7 @@
 			return 0, fmt.Errorf("the state service rejected the transaction: %w", err)
 		}
 		l.log.Debug("transaction has no definite outcome yet; retrying", "err", err)
-		l.env.sleep(l.ended, pause)
+		l.env.sleep(l.termCtx, pause)
 	}
 }
 
@@ -84,7 +84,7 @@
 		if change.Put == "" {
 			continue
 		}
-		item, ok, err := l.store.Get(l.ended, change.Put)
+		item, ok, err := l.store.Get(l.termCtx, change.Put)
 		switch {
 		case err != nil:
 			return 0, err
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -39,7 +39,7 @@
 	shortOfRoom := l.jobsShortOfRoom(now)
 	l.undrainForWaitingJobs(shortOfRoom, draining, now)
 
-	open := l.openMachines(now)
+	open := l.schedulableMachines(now)
 	expected := l.expectedJobs(now)
 	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected)) // occupies the room reserved for them
 	used := l.filterInUse(open)
@@ -126,7 +126,7 @@
 
 // pricePerHour returns the price of a machine per hour, which is the spot price for a spot machine.
 func (l *Loop) pricePerHour(v *placement.Machine) float64 {
-	if t := l.env.typeOf(v.Type); t != nil && v.Spot {
+	if t := l.env.machineType(v.Type); t != nil && v.Spot {
 		return t.SpotPrice
 	}
 	return v.Price
@@ -168,7 +168,7 @@
 				continue
 			}
 			if dryRun == nil {
-				dryRun = placement.NewDryRun(l.filterInUse(l.openMachines(now)))
+				dryRun = placement.NewDryRun(l.filterInUse(l.schedulableMachines(now)))
 			}
 			downtimeS, ok := moveDowntimeS(a, dryRun, now)
 			if !ok || downtimeS > l.moves.budgetS || len(moved) >= maxMoves {
--- a/internal/scheduler/leader/cycle_test.go
+++ b/internal/scheduler/leader/cycle_test.go
@@ -39,7 +39,7 @@
 	start := clock.Now()
 	clock.Advance(3 * time.Millisecond)
 	for _, minPause := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.restAfter(start, minPause).Sub(clock.Now()), max(minPause, tuning.CycleRestFactor*3*time.Millisecond); got != want {
+		if got, want := l.earliestNextRun(start, minPause).Sub(clock.Now()), max(minPause, tuning.CycleRestFactor*3*time.Millisecond); got != want {
 			t.Errorf("pause of %v after a cycle of 3 ms, want %v", got, want)
 		}
 	}
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -38,12 +38,12 @@
 
 	// Observer receives the events of the loop; it may be nil.
 	Observer Observer
-	// Accounts is true if charges are recorded, by account, and jobs may name the account to charge.
-	Accounts bool
+	// AccountsEnabled is true if charges are recorded, by account, and jobs may name the account to charge.
+	AccountsEnabled bool
 	// Subsystems are the constructors of the subsystems. They are called once for each term.
 	Subsystems []func(log *slog.Logger) (Subsystem, error)
-	// Valid reports whether this member may act as the leader of a term now.
-	Valid func(term uint64) bool
+	// MayAct reports whether this member may act as the leader of a term now.
+	MayAct func(term uint64) bool
 	// MayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its
 	// zone lease, which renews their worker leases. An error means that the member cannot tell or gave no answer:
 	// it may then have answered any of them.
@@ -53,10 +53,10 @@
 	ProbeWorkers func(ctx context.Context, addrs []string) bool
 	// MemoryFull reports whether this process has no memory for more jobs. If it is nil, there is always enough.
 	MemoryFull func() bool
-	// MemoryLive returns how many bytes of memory this process uses, without garbage. It is nil if that is not known.
-	MemoryLive func() uint64
-	// Types returns the machine types; nil while none are known.
-	Types func() []wire.MachineType
+	// MemoryInUse returns how many bytes of memory this process uses, without garbage. It is nil if that is not known.
+	MemoryInUse func() uint64
+	// MachineTypes returns the machine types; nil while none are known.
+	MachineTypes func() []wire.MachineType
 }
 
 // observe calls fn with the observer, if there is one.
@@ -71,9 +71,9 @@
 	clock.Sleep(ctx, e.Clock, d)
 }
 
-// typeOf returns a machine type by its name; nil if it is not known.
-func (e *Env) typeOf(name string) *wire.MachineType {
-	return wire.TypeNamed(e.Types(), name)
+// machineType returns a machine type by its name; nil if it is not known.
+func (e *Env) machineType(name string) *wire.MachineType {
+	return wire.TypeNamed(e.MachineTypes(), name)
 }
 
 // workerLease is how long a worker may run its tasks after a heartbeat that was answered.
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -95,7 +95,7 @@
 	now := clock.Now()
 	full := l.addRunning(t, "job-1", "n-small", 1)
 	l.endAttempt(full, wire.ExitNoRoom)
-	if full.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusedAt.After(now) {
+	if full.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusalPauseUntil.After(now) {
 		t.Error("a machine that refused a task for lack of room gets another at once")
 	}
 	unknown := l.addRunning(t, "job-2", "n-large", 1)
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -34,12 +34,12 @@
 	}
 	begun := l.env.Clock.Now()
 	l.planFleet(begun)
-	l.fleet.notBefore = l.restAfter(begun, tuning.ScaleOutRestMin)
+	l.fleet.notBefore = l.earliestNextRun(begun, tuning.ScaleOutRestMin)
 }
 
 // planFleet rents the machines that are needed and returns those that are not.
 func (l *Loop) planFleet(now time.Time) {
-	if l.env.Types() == nil {
+	if l.env.MachineTypes() == nil {
 		return
 	}
 	l.fleet.next = now.Add(tuning.ScaleOutEvery)
@@ -59,21 +59,21 @@
 	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover
 }
 
-// bootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time,
+// maxBootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time,
 // plus BootExtra.
-func (l *Loop) bootTime(typ string, factor float64) time.Duration {
-	if t := l.env.typeOf(typ); t != nil {
+func (l *Loop) maxBootTime(typ string, factor float64) time.Duration {
+	if t := l.env.machineType(typ); t != nil {
 		return time.Duration(t.BootS*factor*float64(time.Second)) + tuning.BootExtra
 	}
 	return tuning.BootUnknown
 }
 
-// awaitRightToAct waits until this member may act as the leader of the term (Env.Valid). It returns false if the
+// awaitValidLeadership waits until this member may act as the leader of the term (Env.Valid). It returns false if the
 // term ends first. Without it, a leader whose process was suspended could delete machines on which the next leader
 // has placed tasks since.
-func (l *Loop) awaitRightToAct() bool {
-	for l.ended.Err() == nil && !l.env.Valid(l.leadership.Term) {
-		l.env.sleep(l.ended, tuning.Tick)
+func (l *Loop) awaitValidLeadership() bool {
+	for l.termCtx.Err() == nil && !l.env.MayAct(l.leadership.Term) {
+		l.env.sleep(l.termCtx, tuning.Tick)
 	}
-	return l.ended.Err() == nil
+	return l.termCtx.Err() == nil
 }
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -30,7 +30,7 @@
 // not count as using memory yet: for each of them, and for each machine that is still to be rented, MachineKB of
 // the remaining memory is set aside. The result is 0 if the memory in use is not known.
 func (l *Loop) maxMachinesByMemoryInUse(targetMB float64) int {
-	if l.env.MemoryLive == nil {
+	if l.env.MemoryInUse == nil {
 		return 0
 	}
 	inUse := 0
@@ -39,5 +39,5 @@
 			inUse++
 		}
 	}
-	return inUse + machinesFittingIn(tuning.LiveShare*targetMB-float64(l.env.MemoryLive())/(1<<20))
+	return inUse + machinesFittingIn(tuning.LiveShare*targetMB-float64(l.env.MemoryInUse())/(1<<20))
 }
--- a/internal/scheduler/leader/fleet_size_test.go
+++ b/internal/scheduler/leader/fleet_size_test.go
@@ -31,7 +31,7 @@
 		kbPerMachine float64 // KiB in use for each machine that sends heartbeats
 		least, most  int
 	}{
-		{"half of what each of 4,000 machines was measured to need", 21, maxSizedMachines, 7000},
+		{"half of what each of 4,000 machines was measured to need", 21, maxDeploymentMachines, 7000},
 		{"what each of 4,000 machines was measured to need, with garbage", 42, 3000, 3400},
 		{"as much as MachineKB", 64, 2964, 2964},
 		{"more than MachineKB", 128, 2964, 2964},
@@ -41,7 +41,7 @@
 			clear(l.machines.Machines)
 			l.env.Settings.Cluster.Limits.RAMMB = ramMB
 			inUse := 0.0
-			l.env.MemoryLive = func() uint64 { return uint64(inUse * (1 << 20)) }
+			l.env.MemoryInUse = func() uint64 { return uint64(inUse * (1 << 20)) }
 			for limit := l.maxMachines(); len(l.machines.Machines) < limit; limit = l.maxMachines() {
 				for len(l.machines.Machines) < limit {
 					l.register(t, newHeartbeat(machineName(len(l.machines.Machines)), "small", "a"))
@@ -53,7 +53,7 @@
 			}
 			// Machines that are booting count, though they do not use memory yet.
 			before := l.maxMachines()
-			l.machines.Register(machines.Rented{Name: machineName(len(l.machines.Machines)), Type: "small", Zone: "a", RentedAt: clock.Now()}, clock.Now())
+			l.machines.Register(machines.RentedMachine{Name: machineName(len(l.machines.Machines)), Type: "small", Zone: "a", RentedAt: clock.Now()}, clock.Now())
 			if got := l.maxMachines(); got != before {
 				t.Errorf("%d machines are allowed instead of %d while one is booting", got, before)
 			}
--- a/internal/scheduler/leader/fleet_test.go
+++ b/internal/scheduler/leader/fleet_test.go
@@ -12,9 +12,9 @@
 func TestNoCloudCallWithoutValidLeadership(t *testing.T) {
 	l, clock := newTestLoop(t) // Env.Valid reports that it may not act
 	ctx, endTerm := context.WithCancel(t.Context())
-	l.ended = ctx
+	l.termCtx = ctx
 	mayAct := make(chan bool)
-	go func() { mayAct <- l.awaitRightToAct() }()
+	go func() { mayAct <- l.awaitValidLeadership() }()
 	for range 3 {
 		if err := clock.BlockUntilContext(t.Context(), 1); err != nil {
 			t.Fatal(err)
--- a/internal/scheduler/leader/forecast.go
+++ b/internal/scheduler/leader/forecast.go
@@ -93,7 +93,7 @@
 // fastest. It is 0 while no machine types are known.
 func (l *Loop) provisioningTime() time.Duration {
 	bootS := math.Inf(1)
-	for _, t := range l.env.Types() {
+	for _, t := range l.env.MachineTypes() {
 		bootS = min(bootS, t.BootS)
 	}
 	if math.IsInf(bootS, 1) {
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -23,7 +23,7 @@
 func TestStoredImages(t *testing.T) {
 	loop, _ := newTestLoop(t)
 	loop.env.Settings.Cluster.State.ValueKB = 16
-	images := machines.Images{Machines: []string{"n-1", "n-2"}, Held: []machines.HeldImage{{Name: "img-07", GB: 6.25, On: []byte{3}}}}
+	images := machines.ImageLocations{Machines: []string{"n-1", "n-2"}, Images: []machines.CachedImage{{Name: "img-07", GB: 6.25, MachineBits: []byte{3}}}}
 	value := loop.encodeImages(images)
 	golden.Check(t, "images-of-machines", value)
 	var record imagesRecord
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var decoded machines.Images
+	var decoded machines.ImageLocations
 	if err := codec.Decode(record.Frame, &decoded); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -73,7 +73,7 @@
 		l.taskStarted(a, now)
 	}
 	l.applyOutcomes(r.Outcomes, now)
-	l.recallImages(r.Machine)
+	l.restoreImages(r.Machine)
 	if r.Machine.InterruptionAt.After(now) {
 		l.noticeInterruption(r.Machine, now)
 	}
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -25,10 +25,10 @@
 
 // imageHints is the state for handing over to the next leader which machines hold which images.
 type imageHints struct {
-	codec          *charge.Codec                   // nil until it is needed
-	nextWrite      time.Time                       // the record is not written before this time
-	inFlight       bool                            // a write of the record is in flight
-	notYetRestored map[string][]machines.HeldImage // stored by a former leader, by machine; removed at its first heartbeat
+	codec          *charge.Codec                     // nil until it is needed
+	nextWrite      time.Time                         // the record is not written before this time
+	inFlight       bool                              // a write of the record is in flight
+	notYetRestored map[string][]machines.CachedImage // stored by a former leader, by machine; removed at its first heartbeat
 }
 
 // loadImages reads the record of the former leader. If that fails, the loop starts without it. It runs outside the
@@ -47,13 +47,13 @@
 	l.post(func() {
 		l.images.notYetRestored, l.images.codec = notYetRestored, codec // reused, since a codec needs some MB
 		for _, m := range l.machines.Machines {
-			l.recallImages(m)
+			l.restoreImages(m)
 		}
 	})
 }
 
 // decodeImages decodes a record of images. It also returns the codec that it made, for reuse.
-func decodeImages(value json.RawMessage) (codec *charge.Codec, images machines.Images, err error) {
+func decodeImages(value json.RawMessage) (codec *charge.Codec, images machines.ImageLocations, err error) {
 	codec, err = charge.NewCodec()
 	if err != nil {
 		return nil, images, fmt.Errorf("create codec: %w", err)
@@ -68,8 +68,8 @@
 	return codec, images, nil
 }
 
-// recallImages applies, once, the images that a former leader stored for a machine.
-func (l *Loop) recallImages(m *machines.Machine) {
+// restoreImages applies, once, the images that a former leader stored for a machine.
+func (l *Loop) restoreImages(m *machines.Machine) {
 	if held := l.images.notYetRestored[m.Name]; held != nil {
 		delete(l.images.notYetRestored, m.Name)
 		m.RestoreImages(held, l.startedAt)
@@ -83,7 +83,7 @@
 		return
 	}
 	l.images.nextWrite = now.Add(tuning.ImagesEvery)
-	value := l.encodeImages(l.machines.Images(l.cacheGB))
+	value := l.encodeImages(l.machines.ImageLocations(l.cacheGB))
 	if value == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 
 // cacheGB is the size of the image cache of a machine type, in gigabytes; 0 if the type is not known.
 func (l *Loop) cacheGB(typ string) float64 {
-	if t := l.env.typeOf(typ); t != nil {
+	if t := l.env.machineType(typ); t != nil {
 		return t.CacheGB
 	}
 	return 0
@@ -103,7 +103,7 @@
 func (l *Loop) writeImages(value json.RawMessage) {
 	_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
 	if errors.Is(err, errDeposed) {
-		l.end(err)
+		l.endTerm(err)
 		return
 	}
 	if err != nil {
@@ -114,7 +114,7 @@
 
 // encodeImages encodes the record of images. If it would be too long, the images that the fewest machines hold are
 // left out. It returns nil if there is nothing to store.
-func (l *Loop) encodeImages(images machines.Images) json.RawMessage {
+func (l *Loop) encodeImages(images machines.ImageLocations) json.RawMessage {
 	if l.images.codec == nil {
 		codec, err := charge.NewCodec()
 		if err != nil {
@@ -123,7 +123,7 @@
 		}
 		l.images.codec = codec
 	}
-	for ; len(images.Held) > 0; images.Held = images.Held[:len(images.Held)/2] {
+	for ; len(images.Images) > 0; images.Images = images.Images[:len(images.Images)/2] {
 		value := wire.EncodeRecord(imagesRecord{l.images.codec.Encode(images)})
 		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.CommitBytes {
 			return value
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -25,7 +25,7 @@
 	if long.Stop == nil || short.Stop != nil {
 		t.Errorf("stop request of the long task %+v (want one), of the short task %+v (want none)", long.Stop, short.Stop)
 	}
-	for _, v := range l.openMachines(clock.Now()) {
+	for _, v := range l.schedulableMachines(clock.Now()) {
 		if v.Name == m.Name {
 			t.Error("the machine still gets tasks")
 		}
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -40,7 +40,7 @@
 		return wire.JobStatus{}, err
 	case r.err != nil:
 		return wire.JobStatus{}, r.err
-	case !l.env.Valid(l.leadership.Term): // the right to act ended while the loop answered
+	case !l.env.MayAct(l.leadership.Term): // the right to act ended while the loop answered
 		return wire.JobStatus{}, ErrLeadershipOver
 	}
 	return r.status, nil
--- a/internal/scheduler/leader/job_requests_test.go
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -18,7 +18,7 @@
 	l, _ := newTestLoop(t)
 	l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
 	for valid, want := range map[bool]error{true: nil, false: ErrLeadershipOver} {
-		l.env.Valid = func(uint64) bool { return valid }
+		l.env.MayAct = func(uint64) bool { return valid }
 		got := make(chan error, 1)
 		go func() { _, err := l.Status(t.Context(), "job-1"); got <- err }()
 		(<-l.inbox)()
@@ -50,12 +50,12 @@
 			inFlight = l.jobs.NextBatch(l.env.Clock.Now(), jobs.WriteBudget{Spare: 100})
 			l.writer.inDoubt.Store(true)
 		}, ErrEndInDoubt, nil},
-		{"a term that is over", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { stopServing(l); l.ended = cancelled }, ErrLeadershipOver, ErrLeadershipOver},
+		{"a term that is over", t.Context(), "job-1", func(l *Loop, j *jobs.Job) { stopServing(l); l.termCtx = cancelled }, ErrLeadershipOver, ErrLeadershipOver},
 		{"a client that is gone", cancelled, "job-1", func(l *Loop, j *jobs.Job) { stopServing(l) }, context.Canceled, context.Canceled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTestLoop(t)
-			l.env.Valid = func(uint64) bool { return true }
+			l.env.MayAct = func(uint64) bool { return true }
 			j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1})
 			c.prepare(l, j)
 			got := make(chan error, 1)
@@ -92,7 +92,7 @@
 // Guards against a cancellation that is confirmed while a task may still run. It is confirmed once all tasks are
 // gone; while one is unreachable, the user is told at once to ask again.
 func TestCancellationWaitsForUnreachableTasks(t *testing.T) {
-	l, advance := twoZones(t, 1)
+	l, advance := newTwoZoneLoop(t, 1)
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -139,7 +139,7 @@
 		t.Fatalf("cancelling while the task on the silent machine may run: got error %v, want ErrTaskUnreachable", err)
 	}
 	advance(tuning.SilentReturnAfter + l.env.workerLease())
-	l.concludeExpired()
+	l.expireLeasesNow()
 	if j.Allocated != 0 {
 		t.Fatal("the task on the silent machine is not found to be gone")
 	}
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -145,7 +145,7 @@
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
 	l.env.Settings.Cluster.State.TxnOps = 40
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a", "b", "c"}}}
-	l.env.Types = func() []wire.MachineType { return types }
+	l.env.MachineTypes = func() []wire.MachineType { return types }
 	for i := range jobCount {
 		l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -31,7 +31,7 @@
 	}
 	l.leases.inFlight = true
 	go func() {
-		renewed, err := l.findPossiblyRenewed(l.ended, byZone)
+		renewed, err := l.findPossiblyRenewed(l.termCtx, byZone)
 		l.post(func() { l.leaseQueryDone(now, renewed, err) })
 	}()
 }
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -32,7 +32,7 @@
 		{"a record in the key-value store names a machine", []string{inA, `{"machines":["n-3"]}`}, map[string][]string{"ma": nil}, "[n-3]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, advance := twoZones(t, 2, c.zoneLeases...)
+			l, advance := newTwoZoneLoop(t, 2, c.zoneLeases...)
 			l.env.MayHaveRenewed = func(_ context.Context, member string, names []string) ([]string, error) {
 				renewed, ok := c.renewedBy[member]
 				if !ok {
@@ -41,7 +41,7 @@
 				return renewed, nil
 			}
 			advance(l.env.workerLease() + time.Second)
-			l.concludeExpired()
+			l.expireLeasesNow()
 			got := []string{}
 			for i := range 4 {
 				if name := fmt.Sprintf("n-%d", i); len(l.machines.Machines[name].Allocations) > 0 {
@@ -62,18 +62,18 @@
 		took  time.Duration
 		ended bool
 	}{{tuning.RenewedQueryTime, true}, {tuning.RenewedQueryTime + time.Millisecond, false}} {
-		l, advance := twoZones(t, 1, `{"zone":"a","member":"ma"}`)
+		l, advance := newTwoZoneLoop(t, 1, `{"zone":"a","member":"ma"}`)
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) {
 			advance(c.took)
 			return nil, nil
 		}
 		advance(l.env.workerLease() + time.Second)
-		l.concludeExpired()
+		l.expireLeasesNow()
 		if ended := len(l.machines.Machines["n-0"].Allocations) == 0; ended != c.ended {
 			t.Errorf("after a query that took %v, the task counts as ended: %v", c.took, ended)
 		}
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) { return nil, nil }
-		if l.concludeExpired(); len(l.machines.Machines["n-0"].Allocations) != 0 {
+		if l.expireLeasesNow(); len(l.machines.Machines["n-0"].Allocations) != 0 {
 			t.Error("the next query does not end the task")
 		}
 	}
@@ -82,8 +82,8 @@
 // Guards against starting tasks of a partitioned zone elsewhere because the follower's records of the machines
 // whose leases it renewed, or the query about them, do not cover all machines of the zone.
 func TestAllMachinesOfPartitionedZoneStayOccupied(t *testing.T) {
-	const perZone = maxSizedMachines / 2
-	l, advance := twoZones(t, perZone, `{"zone":"b","member":"mb"}`)
+	const perZone = maxDeploymentMachines / 2
+	l, advance := newTwoZoneLoop(t, perZone, `{"zone":"b","member":"mb"}`)
 	var names []string
 	for i := perZone; i < 2*perZone; i++ {
 		names = append(names, fmt.Sprintf("n-%d", i))
@@ -102,7 +102,7 @@
 		return renewed, nil
 	}
 	advance(l.env.workerLease() + time.Second)
-	l.concludeExpired()
+	l.expireLeasesNow()
 	occupied := map[string]int{}
 	for _, m := range l.machines.Machines {
 		occupied[m.Zone] += len(m.Allocations)
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -36,7 +36,7 @@
 	}
 	// Charges that were detached from their progress records are of use only where charges are recorded.
 	var detached []wire.Item
-	if len(l.subsystems.joined) > 0 {
+	if len(l.subsystems.active) > 0 {
 		if detached, ok = l.gatherAll(ctx, jobs.PrefixDetached); !ok {
 			return
 		}
@@ -75,7 +75,7 @@
 		response, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatch)
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
-			l.end(fmt.Errorf("the watch missed changes of jobs: %w", err))
+			l.endTerm(fmt.Errorf("the watch missed changes of jobs: %w", err))
 			return
 		case err != nil:
 			l.env.sleep(ctx, tuning.StateRetry)
@@ -140,7 +140,7 @@
 		seen[item.Key] = true
 		if err := l.restoreAllocations(item, now); err != nil {
 			// Without this record nobody knows where its tasks may be running.
-			l.end(err)
+			l.endTerm(err)
 			return
 		}
 	}
@@ -179,7 +179,7 @@
 	for id, live := range l.levels.live {
 		live.begun = l.jobs.Jobs[id].Allocated+l.jobs.Jobs[id].Done > 0
 	}
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		s.Loaded(l.jobs, now)
 	}
 	l.readSubsystems()
--- a/internal/scheduler/leader/load_test.go
+++ b/internal/scheduler/leader/load_test.go
@@ -18,7 +18,7 @@
 // with a command.
 func TestFailoverRestoresTasksFromRecords(t *testing.T) {
 	const tasksPerMachine, tasksPerJob = 2, 40
-	const totalTasks = maxSizedMachines * tasksPerMachine
+	const totalTasks = maxDeploymentMachines * tasksPerMachine
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
 	state := fakes.NewStore(clock)
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		for k := range tasksPerJob {
-			l.machines.AddAllocation(l.jobs.Allocate(stored, k, machineName(allocated%maxSizedMachines), "a", 1, clock.Now()), clock.Now())
+			l.machines.AddAllocation(l.jobs.Allocate(stored, k, machineName(allocated%maxDeploymentMachines), "a", 1, clock.Now()), clock.Now())
 			allocated++
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 		l.jobs.MarkCommitted(batch, revision)
 	}
-	heartbeats := make([]*wire.Heartbeat, maxSizedMachines)
+	heartbeats := make([]*wire.Heartbeat, maxDeploymentMachines)
 	for i := range heartbeats {
 		heartbeats[i] = &wire.Heartbeat{Machine: machineName(i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1, Seq: 9, FencingToken: 1}
 		for _, a := range l.machines.Machines[machineName(i)].Allocations {
@@ -61,7 +61,7 @@
 	newLeader := New(l.env, election.Leadership{Term: 2})
 	newLeader.Start(t.Context())
 	newLeader.store = l.store
-	go newLeader.load(newLeader.ended)
+	go newLeader.load(newLeader.termCtx)
 	for !newLeader.loading.done {
 		(<-newLeader.inbox)()
 	}
@@ -79,8 +79,8 @@
 			}
 		}
 	}
-	if len(newLeader.machines.Machines) != maxSizedMachines || running != totalTasks {
-		t.Errorf("after the failover %d machines run %d tasks, want %d and %d", len(newLeader.machines.Machines), running, maxSizedMachines, totalTasks)
+	if len(newLeader.machines.Machines) != maxDeploymentMachines || running != totalTasks {
+		t.Errorf("after the failover %d machines run %d tasks, want %d and %d", len(newLeader.machines.Machines), running, maxDeploymentMachines, totalTasks)
 	}
 	if newLeader.jobs.WriteDue(clock.Now()) && newLeader.jobs.NextBatch(clock.Now(), jobs.WriteBudget{}) != nil {
 		t.Error("the new leader writes a progress record although nothing changed")
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -22,9 +22,9 @@
 	// start of the term or, if later, when the last heartbeat was answered while the records were being loaded.
 	startedAt time.Time
 
-	inbox chan func()             // messages to run on the loop's goroutine
-	ended context.Context         // is done when the term ends
-	end   context.CancelCauseFunc // ends the term; the cause says why
+	inbox   chan func()             // messages to run on the loop's goroutine
+	termCtx context.Context         // is done when the term ends
+	endTerm context.CancelCauseFunc // ends the term; the cause says why
 
 	store    *statestore.Client // limited to the leader's share of the state service's rate limits
 	jobs     *jobs.Store
@@ -88,16 +88,16 @@
 func (l *Loop) Leadership() election.Leadership { return l.leadership }
 
 // Start lets the loop accept messages until ctx ends. Run handles them.
-func (l *Loop) Start(ctx context.Context) { l.ended, l.end = context.WithCancelCause(ctx) }
+func (l *Loop) Start(ctx context.Context) { l.termCtx, l.endTerm = context.WithCancelCause(ctx) }
 
 // Run runs the loop until the leadership is lost. Run ends by itself if the records in memory can no longer be
 // trusted; the next leader then starts from the stored records. The error is the reason why this member gave up the
 // leadership; it is nil if the term ended otherwise.
 func (l *Loop) Run() error {
-	defer l.end(ErrLeadershipOver)
-	go l.load(l.ended)
-	l.run(l.ended)
-	switch cause := context.Cause(l.ended); {
+	defer l.endTerm(ErrLeadershipOver)
+	go l.load(l.termCtx)
+	l.run(l.termCtx)
+	switch cause := context.Cause(l.termCtx); {
 	case errors.Is(cause, errDeposed):
 		l.log.Info("leadership lost to another member; ending the term", "err", cause)
 	case errors.Is(cause, ErrUnreachable):
@@ -131,13 +131,13 @@
 // it decides nothing about tasks or the fleet, but it still writes earlier decisions: every transaction is guarded
 // on the leader key, so the state service refuses it once another member leads.
 func (l *Loop) step(now time.Time) {
-	if !l.loading.done || l.ended.Err() != nil {
+	if !l.loading.done || l.termCtx.Err() != nil {
 		return
 	}
 	l.expireLeases(now)
 	l.stepProbing(now)
 	l.stepInterruptions(now)
-	if l.env.Valid(l.leadership.Term) {
+	if l.env.MayAct(l.leadership.Term) {
 		l.stepScheduling(now)
 		l.stepFleet(now)
 	}
@@ -146,12 +146,12 @@
 	l.stepImages(now)
 }
 
-// restAfter returns the earliest time at which work that began at started, and ends now, may be done again. The pause
+// earliestNextRun returns the earliest time at which work that began at started, and ends now, may be done again. The pause
 // is tuning.CycleRestFactor times as long as the work, and at least minPause; work that took no measurable time needs
 // none. A scheduling cycle over a large cluster takes milliseconds of a share of a processor, and without the pause
 // each of hundreds of heartbeats per second would trigger one. Changes that arrive during the pause share the next
 // cycle.
-func (l *Loop) restAfter(started time.Time, minPause time.Duration) time.Time {
+func (l *Loop) earliestNextRun(started time.Time, minPause time.Duration) time.Time {
 	now := l.env.Clock.Now()
 	took := now.Sub(started)
 	if took <= 0 {
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -12,8 +12,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// openMachines returns the schedulable machines, those on which tasks may be placed now (isSchedulable).
-func (l *Loop) openMachines(now time.Time) []*placement.Machine {
+// schedulableMachines returns the schedulable machines, those on which tasks may be placed now (isSchedulable).
+func (l *Loop) schedulableMachines(now time.Time) []*placement.Machine {
 	return l.schedulableMachinesWithFree(now, placement.Resources{})
 }
 
@@ -31,7 +31,7 @@
 func (l *Loop) schedulableMachinesWithFree(now time.Time, free placement.Resources) []*placement.Machine {
 	var out []*placement.Machine
 	for _, m := range l.machines.Machines {
-		t := l.env.typeOf(m.Type)
+		t := l.env.machineType(m.Type)
 		if t == nil || !freeResources(m, t).Fits(free) || !l.isSchedulable(m, now) {
 			continue
 		}
@@ -48,17 +48,17 @@
 func (l *Loop) isSchedulable(m *machines.Machine, now time.Time) bool {
 	stays := !m.Returning && !m.Draining && m.InterruptionAt.IsZero()
 	return m.Alive() && stays && !m.Unhealthy && !m.HasOrphans() &&
-		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusedAt)
+		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusalPauseUntil)
 }
 
-// allOpenMachines returns the schedulable machines. For a machine that is in seen it returns that view, which
+// allSchedulableMachines returns the schedulable machines. For a machine that is in seen it returns that view, which
 // already accounts for the tasks placed in this cycle.
-func (l *Loop) allOpenMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
+func (l *Loop) allSchedulableMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	known := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
 		known[v.Name] = v
 	}
-	all := l.openMachines(now)
+	all := l.schedulableMachines(now)
 	for i, v := range all {
 		if k := known[v.Name]; k != nil {
 			all[i] = k
@@ -74,7 +74,7 @@
 
 // machineView returns placement's view of a machine. ok is false if the machine's type is not known.
 func (l *Loop) machineView(m *machines.Machine) (v placement.Machine, ok bool) {
-	t := l.env.typeOf(m.Type)
+	t := l.env.machineType(m.Type)
 	if t == nil {
 		return placement.Machine{}, false
 	}
--- a/internal/scheduler/leader/machine_views_test.go
+++ b/internal/scheduler/leader/machine_views_test.go
@@ -17,7 +17,7 @@
 	m := l.machines.Machines["n-large"]
 	roomInS := func() float64 {
 		lacking := placement.Resources{CPUs: 64}
-		lacking.Sub(freeResources(m, l.env.typeOf(m.Type)), 1)
+		lacking.Sub(freeResources(m, l.env.machineType(m.Type)), 1)
 		return freeInS(m, clock.Now())(lacking)
 	}
 	if s := roomInS(); s != 0 {
--- a/internal/scheduler/leader/messages.go
+++ b/internal/scheduler/leader/messages.go
@@ -19,7 +19,7 @@
 func (l *Loop) post(fn func()) {
 	select {
 	case l.inbox <- fn:
-	case <-l.ended.Done():
+	case <-l.termCtx.Done():
 	}
 }
 
@@ -39,7 +39,7 @@
 	}:
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-l.ended.Done():
+	case <-l.termCtx.Done():
 		return zero, ErrLeadershipOver
 	}
 	select {
@@ -47,7 +47,7 @@
 		return v, nil
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-l.ended.Done():
+	case <-l.termCtx.Done():
 		return zero, ErrLeadershipOver
 	}
 }
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -22,10 +22,10 @@
 // for another attempt.
 func (l *Loop) applyOutcome(o machines.Outcome, now time.Time) {
 	a := o.Allocation
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		s.Ended(o, now)
 	}
-	l.env.observe(func(b Observer) { b.AttemptEnded(a.Job.Class, o.Ending()) })
+	l.env.observe(func(b Observer) { b.AttemptEnded(a.Job.Class, o.ReasonLabel()) })
 	l.machines.RemoveAllocation(a, now)
 	l.cycle.wake()
 	m := l.machines.Machines[a.Machine]
@@ -50,7 +50,7 @@
 	case wire.ExitNoRoom:
 		// Something that the leader does not know of uses resources there. Try again after a pause.
 		if m != nil {
-			m.RefusedAt = now.Add(tuning.RefusalPause)
+			m.RefusalPauseUntil = now.Add(tuning.RefusalPause)
 		}
 	case wire.ExitUnknown:
 		// The worker does not find the job's description, or not yet.
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -26,7 +26,9 @@
 // leftCommandUnanswered reports whether a machine has left a command unanswered that was sent after its last
 // heartbeat. The machine may hang, be partitioned or be dead, even if it is not silent yet. A task placed on it
 // would wait until that ends.
-func leftCommandUnanswered(m *machines.Machine) bool { return m.UnansweredAt.After(m.LastHeartbeat) }
+func leftCommandUnanswered(m *machines.Machine) bool {
+	return m.UnansweredCommandAt.After(m.LastHeartbeat)
+}
 
 // partitionedZones returns the zones in which a share of at least CutShare of the machines, and at least SilentMany
 // of them, have lost contact with the leader. These zones are partitioned from the leader, which cannot use
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	if hasLeader && !c.partitioned[c.leaderZone] {
-		c.loop.concludeExpired()
+		c.loop.expireLeasesNow()
 	}
 	for zone, worker := range c.workers {
 		j := c.loop.jobs.Jobs["job-1"]
@@ -231,8 +231,8 @@
 // A zone all of whose machines are unreachable counts as partitioned: no machines are rented there, and its
 // machines are returned only after a longer time.
 func TestZoneOfUnreachableMachinesIsPartitioned(t *testing.T) {
-	l, advance := twoZones(t, 6)
-	l.env.Valid = func(uint64) bool { return true }
+	l, advance := newTwoZoneLoop(t, 6)
+	l.env.MayAct = func(uint64) bool { return true }
 	seq := uint64(1)
 	sendHeartbeats := func() {
 		advance(time.Second)
--- a/internal/scheduler/leader/preempt.go
+++ b/internal/scheduler/leader/preempt.go
@@ -18,7 +18,7 @@
 	if len(preemptors) == 0 || l.heartbeatsMayBeMissing(now) {
 		return
 	}
-	open = l.allOpenMachines(now, open)
+	open = l.allSchedulableMachines(now, open)
 	for _, v := range open {
 		v.Victims = victims(l.machines.Machines[v.Name], now)
 	}
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -78,7 +78,7 @@
 
 // stepProbing probes the suspects, as many as the limits on probes in flight and on their rate allow.
 func (l *Loop) stepProbing(now time.Time) {
-	if now.Before(l.probing.next) || !l.env.Valid(l.leadership.Term) {
+	if now.Before(l.probing.next) || !l.env.MayAct(l.leadership.Term) {
 		return
 	}
 	l.probing.next = now.Add(tuning.SubsystemTick)
@@ -91,7 +91,7 @@
 		}
 		l.probe(s.m, now)
 	}
-	l.stepDownIfUnheard(now)
+	l.stepDownIfUnreachable(now)
 }
 
 // suspects returns the machines that are to be probed now, ordered by rank. It also reports to the observer how
@@ -168,7 +168,7 @@
 	l.probing.inFlight++
 	name := m.Name
 	go func() {
-		ctx, cancel := context.WithTimeout(l.ended, tuning.CommandTimeout)
+		ctx, cancel := context.WithTimeout(l.termCtx, tuning.CommandTimeout)
 		defer cancel()
 		hb, err := l.callWorker(ctx, name, addr, req)
 		l.post(func() { l.probeAnswered(name, mark, hb, err) })
@@ -194,7 +194,7 @@
 		m.SuspectCopy = true
 	case machines.ProbeAgain:
 		l.probe(m, now)
-	case machines.DeleteOnly:
+	case machines.DeletionRequired:
 		l.deleteRestarted(m)
 	case machines.ProcessRestarted:
 		l.acceptRestart(m, hb, now)
@@ -209,7 +209,7 @@
 // probeFailed records that a machine did not answer a probe.
 func (l *Loop) probeFailed(m *machines.Machine, mark machines.MessageMark, now time.Time) {
 	wasUnreachable := m.Reachability.Unreachable()
-	m.Reachability.NoteFailed(mark.Sent, now)
+	m.Reachability.NoteUnanswered(mark.Sent, now)
 	l.probing.commandUnanswered(m.Name)
 	if m.Reachability.Unreachable() && !wasUnreachable {
 		l.log.Info("machine unreachable: heartbeats arrive but it answers no commands; placing no tasks there", "machine", m.Name, "zone", m.Zone, "tasks", len(m.Allocations))
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -13,7 +13,7 @@
 func newLoopWithReachableMachines(t testing.TB, n int) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
-	l.env.Valid = func(uint64) bool { return true }
+	l.env.MayAct = func(uint64) bool { return true }
 	l.env.Settings.Cluster.Workers.HeartbeatS = 10
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: n, CPUs: 1, MemoryGB: 1})
 	heartbeats := make([]*wire.Heartbeat, n)
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -45,8 +45,8 @@
 	}{
 		{"400 machines", 400, 700, 18, 3},
 		{"4,000 machines", 4000, 5000, 42, 10},
-		{"6,000 machines", maxSizedMachines, 5000, 42, 10},
-		{"6,000 machines with short leases", maxSizedMachines, 5000, 18, 3},
+		{"6,000 machines", maxDeploymentMachines, 5000, 42, 10},
+		{"6,000 machines with short leases", maxDeploymentMachines, 5000, 18, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, clock := newTestLoop(t)
@@ -54,7 +54,7 @@
 			l.env.Workers = &http.Client{Transport: workers}
 			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
 			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.HeartbeatS = c.leaseS, c.heartbeatS
-			l.env.Valid = func(uint64) bool { return true }
+			l.env.MayAct = func(uint64) bool { return true }
 			clear(l.machines.Machines)
 			for i := range c.machines {
 				hb := newHeartbeat(machineName(i), "small", "a")
@@ -85,8 +85,8 @@
 		{"few machines", 400, 10, 50},
 		{"as many as an eighth of the slots can probe", 400, 500, 50},
 		{"more machines", 400, 1500, 150},
-		{"at most half of the command slots", 400, maxSizedMachines, 200},
-		{"few sockets", 16, maxSizedMachines, 8},
+		{"at most half of the command slots", 400, maxDeploymentMachines, 200},
+		{"few sockets", 16, maxDeploymentMachines, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l.env.CommandSlots = make(chan struct{}, c.commandSlots)
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -23,7 +23,7 @@
 		hb.Seq++
 		return hb
 	})
-	l, m, first, advance := newLoopHeardBy(t, addr)
+	l, m, first, advance := newLoopWithWorkerAt(t, addr)
 	hb = first
 	a := l.addRunning(t, "job-9", "n-9", 1)
 	a.State, a.RunningSince = "", time.Time{}
@@ -34,12 +34,12 @@
 			t.Fatalf("commands %v", cmds)
 		}
 	}
-	if !l.getsTasks("n-9") {
+	if !l.mayGetTasks("n-9") {
 		t.Error("a machine gets no tasks after one missed reply, which may have been slow")
 	}
 	l.probeAll()
-	if l.getsTasks("n-9") || len(m.Allocations) != 1 {
-		t.Errorf("an unreachable machine gets tasks (%v), or its task counts as gone", l.getsTasks("n-9"))
+	if l.mayGetTasks("n-9") || len(m.Allocations) != 1 {
+		t.Errorf("an unreachable machine gets tasks (%v), or its task counts as gone", l.mayGetTasks("n-9"))
 	}
 	if partitioned := l.partitionedZones(l.env.Clock.Now()); len(partitioned) != 0 {
 		t.Errorf("zones count as partitioned because of one unreachable machine: %v", partitioned)
@@ -55,13 +55,13 @@
 	answers = true
 	advance(tuning.ProbePauseMax)
 	l.probeAll()
-	if l.getsTasks("n-9") {
+	if l.mayGetTasks("n-9") {
 		t.Error("gets tasks at once after it was unreachable")
 	}
 	advance(tuning.UnreachablePause)
 	hb.Seq++
 	l.mustHandle(t, hb)
-	if !l.getsTasks("n-9") {
+	if !l.mayGetTasks("n-9") {
 		t.Error("gets no tasks though it acknowledged messages and the pause is over")
 	}
 }
@@ -69,7 +69,7 @@
 // Guards against treating slow replies as lost ones: a machine that answers probes stays in use.
 func TestMachineThatAnswersProbesStaysSchedulable(t *testing.T) {
 	var hb *wire.Heartbeat
-	l, _, first, advance := newLoopHeardBy(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { hb.Seq++; return hb }))
+	l, _, first, advance := newLoopWithWorkerAt(t, newAnsweringWorker(t, func(wire.DirectCommands) *wire.Heartbeat { hb.Seq++; return hb }))
 	hb = first
 	l.addRunning(t, "job-9", "n-9", 1).State = ""
 	for range 8 {
@@ -77,7 +77,7 @@
 		hb.Seq++
 		l.mustHandle(t, hb)
 		l.probeAll()
-		if !l.getsTasks("n-9") {
+		if !l.mayGetTasks("n-9") {
 			t.Fatal("a machine that answers each probe gets no tasks")
 		}
 	}
@@ -88,8 +88,8 @@
 // as that member's zone lease lasted.
 func TestMachinesWithHeartbeatsToOtherMembersAreProbed(t *testing.T) {
 	var probed wire.DirectCommands
-	l, advance := twoZones(t, 1)
-	l.env.Valid = func(uint64) bool { return true }
+	l, advance := newTwoZoneLoop(t, 1)
+	l.env.MayAct = func(uint64) bool { return true }
 	l.leadership.Term = 2
 	l.machines = machines.New(2, 10)
 	j := l.jobs.Jobs["job-1"]
@@ -136,7 +136,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			hb := &wire.Heartbeat{}
-			l, m, first, advance := newLoopHeardBy(t, newAnsweringWorker(t, func(req wire.DirectCommands) *wire.Heartbeat {
+			l, m, first, advance := newLoopWithWorkerAt(t, newAnsweringWorker(t, func(req wire.DirectCommands) *wire.Heartbeat {
 				hb.Seq++
 				if req.Incarnation == hb.Incarnation {
 					hb.FencingToken = max(hb.FencingToken, req.FencingToken)
@@ -180,7 +180,7 @@
 				return
 			}
 			hb.Seq++
-			if l.mustHandle(t, hb); !l.getsTasks("n-9") {
+			if l.mustHandle(t, hb); !l.mayGetTasks("n-9") {
 				t.Error("the restarted machine gets no tasks")
 			}
 		})
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -29,7 +29,7 @@
 	if id, ok := jobIDFromPath(uri, wire.EndExplain); ok {
 		return l.queryExplanation(id, now)
 	}
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		if a, err := s.Query(uri, now); err == nil {
 			return a
 		}
@@ -58,7 +58,7 @@
 		answer(loadingAnswer)
 		return
 	}
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		h, ok := s.(CommandHandler)
 		if !ok || h.Command(c, l.env.Clock.Now(), answer) != nil {
 			continue
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -74,5 +74,5 @@
 // JobWatch is an error, unless the whole process was suspended. In that case this member may no longer act, and the
 // listing may be handled before the events that the watch received meanwhile.
 func (l *Loop) wasMissed(item wire.Item, j *jobs.Job, now time.Time) bool {
-	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.Valid(l.leadership.Term)
+	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.MayAct(l.leadership.Term)
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -49,7 +49,7 @@
 	if l.jobs.Jobs["job-7"] == nil || counter.found != 1 {
 		t.Errorf("%d jobs count as missed after one that is late while this member may not act, want 1", counter.found)
 	}
-	l.env.Valid = func(term uint64) bool { return term == l.leadership.Term }
+	l.env.MayAct = func(term uint64) bool { return term == l.leadership.Term }
 	l.reconcileJobs([]wire.Item{missed})
 	if l.jobs.Jobs["job-6"] == nil || counter.found != 2 {
 		t.Errorf("%d jobs count as missed after one that the watch never reported, want 2", counter.found)
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -59,7 +59,7 @@
 	go func() {
 		revision, err := l.commit(batch.Txn, &l.writer.inDoubt)
 		if err != nil {
-			l.end(err)
+			l.endTerm(err)
 			return
 		}
 		l.post(func() { l.batchWritten(batch, revision, now) })
@@ -84,7 +84,7 @@
 func (l *Loop) jobFinished(f jobs.FinishedJob) {
 	l.levels.jobFinished(f.Job.ID)
 	l.env.FinalStates.Add(wire.JobStatus{ID: f.Job.ID, State: f.State, Done: f.Job.Done})
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		s.Finished(f, l.env.Clock.Now())
 	}
 	l.log.Debug("final state of a job stored", "job", f.Job.ID, "state", f.State)
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -72,7 +72,7 @@
 		lease := workerlease.WithDrift(r.l.env.workerLease())
 		return reasonIf("silent", r.now.Sub(m.AddedAt) > lease+r.silenceLimit)
 	case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
-		overdue := r.now.Sub(m.RentedAt) > r.l.bootTime(m.Type, tuning.BootGiveUp)
+		overdue := r.now.Sub(m.RentedAt) > r.l.maxBootTime(m.Type, tuning.BootGiveUp)
 		return reasonIf("never came up", overdue && r.now.Sub(m.AddedAt) > tuning.AdoptWait)
 	case !m.Alive():
 		return reasonIf("silent", r.now.Sub(m.LeaseExpiry) > r.silenceLimit)
@@ -187,10 +187,10 @@
 // deleteUntilAnswered asks the cloud to delete machines, and retries until the request succeeds. Deletions may safely be
 // repeated.
 func (l *Loop) deleteUntilAnswered(names []string) {
-	for l.awaitRightToAct() {
-		if err := l.env.Cloud.Delete(l.ended, names); err != nil {
+	for l.awaitValidLeadership() {
+		if err := l.env.Cloud.Delete(l.termCtx, names); err != nil {
 			l.log.Debug("machine deletion failed; retrying", "err", err)
-			l.env.sleep(l.ended, tuning.CloudRetry)
+			l.env.sleep(l.termCtx, tuning.CloudRetry)
 			continue
 		}
 		l.post(func() {
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -64,7 +64,7 @@
 func (l *Loop) scaleOutInput(now time.Time) autoscale.Input {
 	partitioned := l.partitionedZones(now)
 	in := autoscale.Input{
-		Now: now, Teams: l.teams(), Types: l.env.Types(),
+		Now: now, Teams: l.teams(), Types: l.env.MachineTypes(),
 		Unavailable: func(o autoscale.Offering) bool { return partitioned[o.Zone] || now.Before(l.rentals.refusedUntil[o]) },
 		MaxNew:      l.maxMachines() - len(l.machines.Machines), Existing: map[autoscale.Offering]int{},
 		Booting: l.bootingMachines(partitioned, now),
@@ -143,7 +143,7 @@
 // isBooting reports whether a machine has neither sent a heartbeat nor had a task yet, is not being returned and is not
 // overdue.
 func (l *Loop) isBooting(m *machines.Machine, now time.Time) bool {
-	return m.LastHeartbeat.IsZero() && m.Incarnation == 0 && !m.Returning && now.Sub(m.RentedAt) < l.bootTime(m.Type, tuning.BootFactor)
+	return m.LastHeartbeat.IsZero() && m.Incarnation == 0 && !m.Returning && now.Sub(m.RentedAt) < l.maxBootTime(m.Type, tuning.BootFactor)
 }
 
 // requestMachines sends a rent request, unless too many are in flight.
@@ -162,11 +162,11 @@
 // answer may have been executed. A retry is safe, because the same request name yields the same machines.
 func (l *Loop) rentUntilAnswered(name string, rental autoscale.Rental) {
 	req := wire.RentRequest{Request: name, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Count: rental.Count}
-	for l.awaitRightToAct() {
-		names, err := l.env.Cloud.Rent(l.ended, req)
+	for l.awaitValidLeadership() {
+		names, err := l.env.Cloud.Rent(l.termCtx, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			l.log.Debug("rent request failed; retrying", "request", name, "err", err)
-			l.env.sleep(l.ended, tuning.CloudRetry)
+			l.env.sleep(l.termCtx, tuning.CloudRetry)
 			continue
 		}
 		l.post(func() { l.machinesRented(name, rental, names) })
@@ -180,7 +180,7 @@
 	delete(l.rentals.pending, name)
 	for _, m := range names {
 		if !l.machines.WasReturned(m) {
-			rented := machines.Rented{Name: m, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, RentedAt: now}
+			rented := machines.RentedMachine{Name: m, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, RentedAt: now}
 			l.machines.Register(rented, now).RentedThisTerm = true
 		}
 	}
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -13,9 +13,9 @@
 // Guards against machines that are rented in a partitioned zone or counted as booting there, while the jobs for which
 // they are meant wait.
 func TestNoScaleOutInPartitionedZone(t *testing.T) {
-	l, advance := twoZones(t, 10)
+	l, advance := newTwoZoneLoop(t, 10)
 	now := l.env.Clock.Now()
-	l.machines.Register(machines.Rented{Name: "n-boots", Type: "small", Zone: "b", RentedAt: now}, now)
+	l.machines.Register(machines.RentedMachine{Name: "n-boots", Type: "small", Zone: "b", RentedAt: now}, now)
 	if partitioned := l.partitionedZones(now); len(partitioned) != 0 {
 		t.Errorf("zones %v count as partitioned while all machines send heartbeats", partitioned)
 	}
--- a/internal/scheduler/leader/schedule.go
+++ b/internal/scheduler/leader/schedule.go
@@ -51,8 +51,8 @@
 	m := l.machines.Machines[machine]
 	a := l.jobs.Allocate(j, index, m.Name, m.Zone, m.Incarnation, now)
 	l.machines.AddAllocation(a, now)
-	for _, s := range l.subsystems.joined {
-		s.Placed(a, m.Spot, l.env.typeOf(m.Type), now)
+	for _, s := range l.subsystems.active {
+		s.Placed(a, m.Spot, l.env.machineType(m.Type), now)
 	}
 	l.env.observe(func(o Observer) { o.TaskStarted(j.Class) })
 	l.log.Debug("task allocated", "task", a.Task().String(), "attempt", a.Attempt, "class", j.Class, "machine", m.Name,
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -6,9 +6,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// stepDownIfUnheard gives the leadership up to another member if no worker answers this one, although workers'
+// stepDownIfUnreachable gives the leadership up to another member if no worker answers this one, although workers'
 // heartbeats arrive, and another member reaches workers. In that case it is this member's own connection that is cut.
-func (l *Loop) stepDownIfUnheard(now time.Time) {
+func (l *Loop) stepDownIfUnreachable(now time.Time) {
 	probes := &l.probing
 	if l.env.ProbeWorkers == nil || probes.askingPeers || now.Before(probes.nextPeerProbe) || !l.mayBeUnreachable(now) {
 		return
@@ -19,11 +19,11 @@
 	}
 	probes.askingPeers, probes.nextPeerProbe = true, now.Add(tuning.UnheardFor)
 	go func() {
-		reached := l.env.ProbeWorkers(l.ended, addrs)
+		reached := l.env.ProbeWorkers(l.termCtx, addrs)
 		l.post(func() {
 			probes.askingPeers = false
 			if reached && len(probes.unanswered) >= tuning.UnheardMachines {
-				l.end(ErrUnreachable)
+				l.endTerm(ErrUnreachable)
 			}
 		})
 	}()
--- a/internal/scheduler/leader/step_down_test.go
+++ b/internal/scheduler/leader/step_down_test.go
@@ -15,10 +15,10 @@
 // renew its lease. It steps down if another member reaches workers, and only then.
 func TestLeaderThatReachesNoWorkerStepsDown(t *testing.T) {
 	for _, others := range []bool{true, false} {
-		l, advance := twoZones(t, 4)
+		l, advance := newTwoZoneLoop(t, 4)
 		ctx, end := context.WithCancelCause(t.Context())
-		l.ended, l.end = ctx, end
-		l.env.Valid = func(uint64) bool { return true }
+		l.termCtx, l.endTerm = ctx, end
+		l.env.MayAct = func(uint64) bool { return true }
 		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
 		for second := range 20 {
 			advance(time.Second)
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -20,8 +20,8 @@
 // nextWrite returns the next transaction, and its subsystem; nil if there is nothing to write. The subsystems take
 // turns, because one that always has something to write must not hold up the others.
 func (s *subsystemSet) nextWrite(now time.Time, room int) (Subsystem, *SubsystemWrite) {
-	for range s.joined {
-		sub := s.joined[s.writes.turn%len(s.joined)]
+	for range s.active {
+		sub := s.active[s.writes.turn%len(s.active)]
 		s.writes.turn++
 		if s.writes.failed[sub] {
 			continue
@@ -45,8 +45,8 @@
 	l.subsystems.writes.inFlight = true
 	go func() {
 		revision, err := l.commitChained(w.Txn)
-		if errors.Is(err, errDeposed) || l.ended.Err() != nil {
-			l.end(err)
+		if errors.Is(err, errDeposed) || l.termCtx.Err() != nil {
+			l.endTerm(err)
 			return
 		}
 		l.post(func() {
@@ -114,8 +114,8 @@
 	if chain.versionKnown {
 		return nil
 	}
-	read := l.retry(l.ended, func() error {
-		item, _, err := l.store.Get(l.ended, keyChainLink)
+	read := l.retry(l.termCtx, func() error {
+		item, _, err := l.store.Get(l.termCtx, keyChainLink)
 		if err != nil {
 			return fmt.Errorf("reading the chain of subsystems' transactions: %w", err)
 		}
@@ -123,7 +123,7 @@
 		return nil
 	})
 	if !read {
-		return l.ended.Err()
+		return l.termCtx.Err()
 	}
 	return nil
 }
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -81,7 +81,7 @@
 func TestSubsystemsTakeTurns(t *testing.T) {
 	l, clock := newTestLoop(t)
 	a, b := &busySubsystem{name: "a"}, &busySubsystem{name: "b"}
-	l.subsystems.joined = []Subsystem{a, b}
+	l.subsystems.active = []Subsystem{a, b}
 	for range 10 {
 		if _, w := l.subsystems.nextWrite(clock.Now(), 10); w == nil {
 			t.Fatal("nothing to write")
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -27,9 +27,9 @@
 	Loaded(store *jobs.Store, now time.Time)
 	// Admit returns how many of a job's waiting tasks may start now, and the reason why no more may.
 	Admit(j *jobs.Job, now time.Time) (n int, reason string)
-	// LimitTogether lowers counts to what may start together. counts[i] is how many waiting tasks of waiting[i] a
+	// LimitStarts lowers counts to what may start together. counts[i] is how many waiting tasks of waiting[i] a
 	// scheduling cycle or a fleet plan may consider; afterwards it is at most what Admit allows for that job.
-	LimitTogether(waiting []*jobs.Job, counts []int, now time.Time)
+	LimitStarts(waiting []*jobs.Job, counts []int, now time.Time)
 	// Placed is called when a task was allocated to a machine: of type typ, and a spot machine if spot is true.
 	Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended is called with the proven end of an attempt, before the job store is updated.
@@ -81,7 +81,7 @@
 
 // subsystemSet holds the subsystems that run inside the loop.
 type subsystemSet struct {
-	joined   []Subsystem
+	active   []Subsystem
 	nextTick time.Time
 	writes   subsystemWrites
 }
@@ -95,7 +95,7 @@
 			log.Error("constructing a subsystem failed; the loop runs without it", "err", err)
 			continue
 		}
-		set.joined = append(set.joined, s)
+		set.active = append(set.active, s)
 	}
 	return set
 }
@@ -103,7 +103,7 @@
 // admit returns how many of a job's waiting tasks all subsystems allow to start now, and the reason why no more may.
 func (s *subsystemSet) admit(j *jobs.Job, now time.Time) (n int, reason string) {
 	n = j.Waiting()
-	for _, sub := range s.joined {
+	for _, sub := range s.active {
 		if admitted, refusal := sub.Admit(j, now); admitted < n {
 			n, reason = admitted, refusal
 		}
@@ -117,24 +117,24 @@
 	for i, j := range waiting {
 		counts[i] = j.Waiting()
 	}
-	for _, sub := range s.joined {
-		sub.LimitTogether(waiting, counts, now)
+	for _, sub := range s.active {
+		sub.LimitStarts(waiting, counts, now)
 	}
 	return counts
 }
 
 // readSubsystems has each subsystem read its records, in a goroutine of its own.
 func (l *Loop) readSubsystems() {
-	for _, s := range l.subsystems.joined {
+	for _, s := range l.subsystems.active {
 		go l.readSubsystem(s)
 	}
 }
 
 // readSubsystem has a subsystem read its records, and repeats that until it succeeds.
 func (l *Loop) readSubsystem(s Subsystem) {
-	onLoop := func(fn func()) error { return l.do(l.ended, fn) }
-	l.retry(l.ended, func() error {
-		apply, err := s.Read(l.ended, l.store, onLoop)
+	onLoop := func(fn func()) error { return l.do(l.termCtx, fn) }
+	l.retry(l.termCtx, func() error {
+		apply, err := s.Read(l.termCtx, l.store, onLoop)
 		if err != nil {
 			return fmt.Errorf("reading a subsystem's records: %w", err)
 		}
@@ -148,7 +148,7 @@
 	if !now.Before(l.subsystems.nextTick) {
 		l.subsystems.nextTick = now.Add(tuning.SubsystemTick)
 		l.env.observe(l.reportStateSize)
-		for _, s := range l.subsystems.joined {
+		for _, s := range l.subsystems.active {
 			l.sendCommands(s.Tick(now))
 		}
 	}
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -30,7 +30,7 @@
 
 func TestCommandsFindTheirSubsystem(t *testing.T) {
 	l, _ := newTestLoop(t)
-	l.subsystems.joined = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
+	l.subsystems.active = []Subsystem{&busySubsystem{name: "a"}, &busySubsystem{name: "b"}}
 	for uri, want := range map[string]int{"/a": http.StatusOK, "/b": http.StatusOK, "/c": http.StatusNotFound} {
 		got := make(chan int, 1)
 		go func() {
--- a/internal/scheduler/leader/team_usage.go
+++ b/internal/scheduler/leader/team_usage.go
@@ -42,7 +42,7 @@
 // fleetCPUs returns the number of CPUs of all machines together.
 func (l *Loop) fleetCPUs() float64 {
 	cpus := map[string]float64{}
-	for _, t := range l.env.Types() {
+	for _, t := range l.env.MachineTypes() {
 		cpus[t.Name] = t.CPUs
 	}
 	sum := 0.0
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -44,9 +44,9 @@
 		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
 		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, FinalStates: jobs.NewFinalStates(8),
-		Valid: func(uint64) bool { return false }, Types: func() []wire.MachineType { return types },
+		MayAct: func(uint64) bool { return false }, MachineTypes: func() []wire.MachineType { return types },
 	}, election.Leadership{Term: 1})
-	l.ended = t.Context()
+	l.termCtx = t.Context()
 	l.loading.done = true
 	for name, machineType := range map[string]string{"n-small": "small", "n-large": "large"} {
 		l.register(t, newHeartbeat(name, machineType, "a"))
@@ -92,9 +92,9 @@
 	l.applyOutcomes([]machines.Outcome{{Allocation: a, Reason: reason}}, l.env.Clock.Now())
 }
 
-// twoZones returns a leader with n machines in each of two zones, each with a running task of a spread service, and
+// newTwoZoneLoop returns a leader with n machines in each of two zones, each with a running task of a spread service, and
 // a state service with the zone leases of members. The function advances the clock.
-func twoZones(t *testing.T, n int, zoneLeases ...string) (*Loop, func(d time.Duration)) {
+func newTwoZoneLoop(t *testing.T, n int, zoneLeases ...string) (*Loop, func(d time.Duration)) {
 	t.Helper()
 	l, clock := newTestLoop(t)
 	clear(l.machines.Machines)
@@ -103,7 +103,7 @@
 	l.store = statestore.New(state.Addr(), 1e6, 1e6)
 	ctx, end := context.WithCancel(t.Context())
 	t.Cleanup(end)
-	l.ended, l.end = ctx, func(error) { end() }
+	l.termCtx, l.endTerm = ctx, func(error) { end() }
 	for i, record := range zoneLeases {
 		if _, err := l.store.Commit(ctx, wire.Txn{Then: []wire.Change{{Put: fmt.Sprintf("keep/m/%d", i), Value: []byte(record)}}}); err != nil {
 			t.Fatal(err)
@@ -120,17 +120,17 @@
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
 
-// concludeExpired has the loop query the machines whose leases expired, and end what ran there if that is proven.
-func (l *Loop) concludeExpired() {
+// expireLeasesNow has the loop query the machines whose leases expired, and end what ran there if that is proven.
+func (l *Loop) expireLeasesNow() {
 	l.leases.next = time.Time{}
 	for l.expireLeases(l.env.Clock.Now()); l.leases.inFlight; {
 		(<-l.inbox)()
 	}
 }
 
-// maxSizedMachines is the largest number of machines that deployments are sized for: the operators' largest has
+// maxDeploymentMachines is the largest number of machines that deployments are sized for: the operators' largest has
 // about 4,000, and half as many more on a busy day.
-const maxSizedMachines = 6000
+const maxDeploymentMachines = 6000
 
 // machineName returns the name of the i-th machine of a test, in the order of the cloud's listing.
 func machineName(i int) string { return fmt.Sprintf("n-%06d", i) }
@@ -166,18 +166,18 @@
 		select {
 		case fn := <-l.inbox:
 			fn()
-		case <-l.ended.Done():
+		case <-l.termCtx.Done():
 			return
 		}
 	}
 }
 
-// newLoopHeardBy returns a leader in the middle of its term, with a machine that has sent it a heartbeat from an
+// newLoopWithWorkerAt returns a leader in the middle of its term, with a machine that has sent it a heartbeat from an
 // address.
-func newLoopHeardBy(t *testing.T, addr string) (l *Loop, m *machines.Machine, hb *wire.Heartbeat, advance func(time.Duration)) {
+func newLoopWithWorkerAt(t *testing.T, addr string) (l *Loop, m *machines.Machine, hb *wire.Heartbeat, advance func(time.Duration)) {
 	t.Helper()
-	l, advance = twoZones(t, 1)
-	l.env.Valid = func(uint64) bool { return true }
+	l, advance = newTwoZoneLoop(t, 1)
+	l.env.MayAct = func(uint64) bool { return true }
 	hb = &wire.Heartbeat{Machine: "n-9", Address: addr, Type: "small", Zone: "a", Incarnation: 1, Seq: 1, FencingToken: 1}
 	l.mustHandle(t, hb)
 	return l, l.machines.Machines["n-9"], hb, advance
@@ -194,9 +194,9 @@
 	return commands
 }
 
-// getsTasks reports whether tasks may be placed on a machine now.
-func (l *Loop) getsTasks(name string) bool {
-	for _, v := range l.openMachines(l.env.Clock.Now()) {
+// mayGetTasks reports whether tasks may be placed on a machine now.
+func (l *Loop) mayGetTasks(name string) bool {
+	for _, v := range l.schedulableMachines(l.env.Clock.Now()) {
 		if v.Name == name {
 			return true
 		}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -50,12 +50,12 @@
 	if m.Usable(term, t0) {
 		t.Error("usable although only a heartbeat names it")
 	}
-	f.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0) // the cloud lists it
+	f.Register(RentedMachine{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0) // the cloud lists it
 	if !m.Usable(term, t0) {
 		t.Error("not usable although it is listed and has the previous term's token")
 	}
 	old := newFixture(t)
-	old.Register(Rented{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0)
+	old.Register(RentedMachine{Name: "n-1", Type: "g8", Zone: "a", RentedAt: t0}, t0)
 	old.receive(heartbeat(1, 5, term-2), 0, mayNotForget)
 	if old.Machines["n-1"].Usable(term, t0) {
 		t.Error("usable although its heartbeat is from before the previous term")
--- a/internal/scheduler/machines/formats_test.go
+++ b/internal/scheduler/machines/formats_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	held := HeldImage{Name: "img-07", GB: 6.25, On: []byte{3}}
+	held := CachedImage{Name: "img-07", GB: 6.25, MachineBits: []byte{3}}
 	golden.CBOR(t, "held-image", &held)
-	golden.CBOR(t, "images", &Images{Machines: []string{"n-1", "n-2"}, Held: []HeldImage{held}})
+	golden.CBOR(t, "images", &ImageLocations{Machines: []string{"n-1", "n-2"}, Images: []CachedImage{held}})
 }
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -149,7 +149,7 @@
 func (r *Registry) beginIncarnation(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) []Outcome {
 	// The worker's lease expired although its heartbeats were answered, so the replies did not arrive.
 	if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
-		m.Reachability.NoteMissed(now)
+		m.Reachability.NoteMissedReply(now)
 	}
 	m.Incarnation, m.lastReply = hb.Incarnation, reply{}
 	m.LeaseExpiry = now.Add(r.lease)
@@ -206,6 +206,6 @@
 	case acknowledged:
 		m.Reachability.Acknowledged(now)
 	case missed:
-		m.Reachability.NoteMissed(now)
+		m.Reachability.NoteMissedReply(now)
 	}
 }
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -59,38 +59,40 @@
 	return sumGB <= cacheGB
 }
 
-// Images is a stored record of which machines have which images in their caches, as far as a leader knows. The next
+// ImageLocations is a stored record of which machines have which images in their caches, as far as a leader knows. The next
 // leader reads it, because heartbeats do not contain this. Without it, tasks that start after a failover would fetch
 // images again that another machine with room has cached. It is only a hint: if it is wrong, an image is fetched.
-type Images struct {
+type ImageLocations struct {
 	_        struct{} `cbor:",toarray"`
-	Machines []string // names; HeldImage.On refers to them by index
-	Held     []HeldImage
+	Machines []string // names; CachedImage.On refers to them by index
+	Images   []CachedImage
 }
 
-// HeldImage is an image and the machines that have it.
-type HeldImage struct {
-	_    struct{} `cbor:",toarray"`
-	Name string
-	GB   float64
-	On   []byte // bitmap: bit n%8 of byte n/8 is set if Images.Machines[n] has the image
+// CachedImage is an image and the machines that have it.
+type CachedImage struct {
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	GB          float64
+	MachineBits []byte // bitmap: bit n%8 of byte n/8 is set if Images.Machines[n] has the image
 }
 
 // isOn reports whether Images.Machines[n] has the image.
-func (h *HeldImage) isOn(n int) bool { return n/8 < len(h.On) && h.On[n/8]&(1<<(n%8)) != 0 }
+func (h *CachedImage) isOn(n int) bool {
+	return n/8 < len(h.MachineBits) && h.MachineBits[n/8]&(1<<(n%8)) != 0
+}
 
 // addMachine records that Images.Machines[n] has the image.
-func (h *HeldImage) addMachine(n int) {
-	for len(h.On) <= n/8 {
-		h.On = append(h.On, 0)
+func (h *CachedImage) addMachine(n int) {
+	for len(h.MachineBits) <= n/8 {
+		h.MachineBits = append(h.MachineBits, 0)
 	}
-	h.On[n/8] |= 1 << (n % 8)
+	h.MachineBits[n/8] |= 1 << (n % 8)
 }
 
-// Images returns which machines have which images. cacheGB returns the cache size of a machine type in gigabytes. The
+// ImageLocations returns which machines have which images. cacheGB returns the cache size of a machine type in gigabytes. The
 // images are sorted by the number of machines that have them, largest first.
-func (r *Registry) Images(cacheGB func(typ string) float64) Images {
-	var images Images
+func (r *Registry) ImageLocations(cacheGB func(typ string) float64) ImageLocations {
+	var images ImageLocations
 	imageIndexes := map[string]int{}  // index in the result, by image name
 	machineCounts := map[string]int{} // number of machines that have an image, by image name
 	for _, name := range slices.Sorted(maps.Keys(r.Machines)) {
@@ -104,28 +106,28 @@
 			}
 			imageIndex, ok := imageIndexes[image]
 			if !ok {
-				imageIndex = len(images.Held)
+				imageIndex = len(images.Images)
 				imageIndexes[image] = imageIndex
-				images.Held = append(images.Held, HeldImage{Name: image, GB: usage.gb})
+				images.Images = append(images.Images, CachedImage{Name: image, GB: usage.gb})
 			}
-			images.Held[imageIndex].addMachine(machineIndex)
+			images.Images[imageIndex].addMachine(machineIndex)
 			machineCounts[image]++
 		}
 	}
-	slices.SortFunc(images.Held, func(a, b HeldImage) int {
+	slices.SortFunc(images.Images, func(a, b CachedImage) int {
 		return cmp.Or(cmp.Compare(machineCounts[b.Name], machineCounts[a.Name]), cmp.Compare(a.Name, b.Name))
 	})
 	return images
 }
 
 // ByMachine returns the images of each machine by the machine's name, without their bitmaps.
-func (i *Images) ByMachine() map[string][]HeldImage {
-	out := make(map[string][]HeldImage, len(i.Machines))
-	for k := range i.Held {
-		h := &i.Held[k]
+func (i *ImageLocations) ByMachine() map[string][]CachedImage {
+	out := make(map[string][]CachedImage, len(i.Machines))
+	for k := range i.Images {
+		h := &i.Images[k]
 		for n, name := range i.Machines {
 			if h.isOn(n) {
-				out[name] = append(out[name], HeldImage{Name: h.Name, GB: h.GB})
+				out[name] = append(out[name], CachedImage{Name: h.Name, GB: h.GB})
 			}
 		}
 	}
@@ -134,7 +136,7 @@
 
 // RestoreImages records which images the machine had at the given time according to a former leader. It changes
 // nothing about images that tasks of the machine have used in this term.
-func (m *Machine) RestoreImages(images []HeldImage, at time.Time) {
+func (m *Machine) RestoreImages(images []CachedImage, at time.Time) {
 	for _, h := range images {
 		if m.images[h.Name] == nil {
 			m.images[h.Name] = &imageUsage{gb: h.GB, lastUsed: at}
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -20,7 +20,7 @@
 	}
 	for i := range 20 {
 		name := fmt.Sprintf("n-%02d", i)
-		r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
+		r.Register(RentedMachine{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		if i%2 == 0 {
 			use(name, "img-1")
 		}
@@ -28,14 +28,14 @@
 			use(name, "img-2")
 		}
 	}
-	images := r.Images(cacheGB)
-	if len(images.Held) != 2 || images.Held[0].Name != "img-1" {
-		t.Errorf("images are %+v, want first the one that most machines have", images.Held)
+	images := r.ImageLocations(cacheGB)
+	if len(images.Images) != 2 || images.Images[0].Name != "img-1" {
+		t.Errorf("images are %+v, want first the one that most machines have", images.Images)
 	}
 	next := New(2, 40)
 	restored := images.ByMachine()
 	for i := range 20 {
-		m := next.Register(Rented{Name: fmt.Sprintf("n-%02d", i), Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
+		m := next.Register(RentedMachine{Name: fmt.Sprintf("n-%02d", i), Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 		m.RestoreImages(restored[m.Name], t0)
 		if m.HasImage("img-1", 2) != (i%2 == 0) || m.HasImage("img-2", 2) != (i%9 == 0) || m.HasImage("img-3", 2) {
 			t.Errorf("machine %s has images %v", m.Name, m.images)
@@ -45,7 +45,7 @@
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
-	if held := r.Images(cacheGB); held.Held[0].On[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
+	if held := r.ImageLocations(cacheGB); held.Images[0].MachineBits[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
 		t.Error("an image is stored for the next leader although its machine has evicted it")
 	}
 }
--- a/internal/scheduler/machines/listing_test.go
+++ b/internal/scheduler/machines/listing_test.go
@@ -41,7 +41,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := New(1, 40)
 			for _, name := range []string{"n-1", "n-2", "n-3"} {
-				r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
+				r.Register(RentedMachine{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 			}
 			if got := r.ProvenGone(c.after, c.last, c.listed); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("machines proven gone: %v, want %v", got, c.want)
@@ -106,12 +106,12 @@
 		r, provenGone := New(1, 40), map[string]bool{}
 		for ; c.now < 200; c.now += 1 + 4*rnd.Float64() {
 			for _, name := range c.rent() {
-				r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
+				r.Register(RentedMachine{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 			}
 			if rnd.IntN(20) == 0 { // failover
 				r = New(2, 40)
 				for name := range c.machines {
-					r.Register(Rented{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
+					r.Register(RentedMachine{Name: name, Type: "small", Zone: "a", Spot: true, RentedAt: t0}, t0)
 				}
 			}
 			lag := 20.0
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -69,7 +69,7 @@
 	RentedAt       time.Time // when it was rented, as far as known
 	IdleSince      time.Time // since when it has had no allocations
 	InterruptionAt time.Time // when the cloud takes it back, by its spot notice; zero: no notice
-	Known          bool      // the cloud or a stored record names it; false: only its heartbeats do, perhaps delayed copies
+	Confirmed      bool      // the cloud or a stored record names it; false: only its heartbeats do, perhaps delayed copies
 	RentedThisTerm bool      // rented in this term, so no earlier leader can have returned it
 	ListedRunning  bool      // the cloud lists it as running
 	MissedListings int       // consecutive cloud lists without it, since it was last listed or sent a heartbeat
@@ -79,11 +79,11 @@
 
 // Health is how reliably a machine runs tasks and answers commands.
 type Health struct {
-	Unhealthy     bool            // tasks of several jobs failed on it, or it is slow
-	failedJobs    map[string]bool // jobs that work elsewhere and had a task fail here since a task last completed here
-	UnansweredAt  time.Time       // when the newest command that had no answer was sent
-	RefusedAt     time.Time       // until when it gets no tasks, because it refused one for lack of room
-	RelativeSpeed RelativeSpeed   // how fast it runs tasks, compared with other machines
+	Unhealthy           bool            // tasks of several jobs failed on it, or it is slow
+	failedJobs          map[string]bool // jobs that work elsewhere and had a task fail here since a task last completed here
+	UnansweredCommandAt time.Time       // when the newest command that had no answer was sent
+	RefusalPauseUntil   time.Time       // until when it gets no tasks, because it refused one for lack of room
+	RelativeSpeed       RelativeSpeed   // how fast it runs tasks, compared with other machines
 }
 
 // CopyDetection is the state that distinguishes a delayed copy of a heartbeat from a restart of a machine's worker
@@ -116,7 +116,7 @@
 	if m.FencingToken > term {
 		return false
 	}
-	trusted := m.RentedThisTerm || m.Known && m.FencingToken+1 >= term
+	trusted := m.RentedThisTerm || m.Confirmed && m.FencingToken+1 >= term
 	return m.Reachability.Usable(now, trusted)
 }
 
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -65,8 +65,8 @@
 	return m
 }
 
-// Rented is what the cloud states about a machine, in its answer to a rent request or in its list of machines.
-type Rented struct {
+// RentedMachine is what the cloud states about a machine, in its answer to a rent request or in its list of machines.
+type RentedMachine struct {
 	Name, Type, Zone string
 	Spot             bool
 	RentedAt         time.Time // as far as known
@@ -74,9 +74,9 @@
 
 // Register adds a machine that the cloud names. If the machine has sent a heartbeat, the type, zone and kind that it
 // reported take precedence.
-func (r *Registry) Register(rented Rented, now time.Time) *Machine {
+func (r *Registry) Register(rented RentedMachine, now time.Time) *Machine {
 	m := r.ensure(rented.Name, now)
-	m.RentedAt, m.Known = rented.RentedAt, true
+	m.RentedAt, m.Confirmed = rented.RentedAt, true
 	if m.Address == "" {
 		m.Type, m.Zone, m.Spot = rented.Type, rented.Zone, rented.Spot
 	}
@@ -130,7 +130,7 @@
 	m.Allocations[attemptOf(allocation)] = allocation
 	m.retainImage(allocation, termStart)
 	m.Incarnation = max(m.Incarnation, allocation.Incarnation)
-	m.Zone, m.Known = allocation.Zone, true
+	m.Zone, m.Confirmed = allocation.Zone, true
 	if m.LeaseExpiry.Before(termStart.Add(r.lease)) {
 		m.LeaseExpiry = termStart.Add(r.lease)
 	}
@@ -168,8 +168,8 @@
 	return Outcome{Allocation: allocation, Reason: wire.ExitStopped, Lost: true}
 }
 
-// Ending returns the kind of end for display and metrics: "lost", or the reason of the exit.
-func (o *Outcome) Ending() string {
+// ReasonLabel returns the kind of end for display and metrics: "lost", or the reason of the exit.
+func (o *Outcome) ReasonLabel() string {
 	if o.Lost {
 		return "lost"
 	}
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -42,7 +42,7 @@
 	NotRestarted     RestartVerdict = iota
 	Ambiguous                       // perhaps restarted; a reply to one of its heartbeats may still be on its way
 	ProbeAgain                      // restarted, but the process is not known yet to refuse commands of older leaders
-	DeleteOnly                      // restarted, but a direct start may still arrive: only its deletion proves tasks gone
+	DeletionRequired                // restarted, but a direct start may still arrive: only its deletion proves tasks gone
 	ProcessRestarted                // restarted; no earlier task is on the machine, and no earlier start can arrive
 )
 
@@ -61,7 +61,7 @@
 	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyLife:
 		return Ambiguous
 	case len(m.unansweredStarts) > 0:
-		return DeleteOnly
+		return DeletionRequired
 	case !r.hasTermToken(hb):
 		m.probeIncarnation = hb.Incarnation
 		return ProbeAgain
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -37,7 +37,7 @@
 	}{
 		{"no start can arrive", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
 		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
-		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeleteOnly},
+		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeletionRequired},
 		{"an older leader's start may arrive", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -95,7 +95,7 @@
 	}
 	for _, w := range s.workers {
 		if !w.dead {
-			s.registry.Register(Rented{Name: w.state.Machine, Type: w.state.Type, Zone: w.state.Zone, Spot: w.state.Spot, RentedAt: s.now}, s.now).ListedAddress = w.state.Address
+			s.registry.Register(RentedMachine{Name: w.state.Machine, Type: w.state.Type, Zone: w.state.Zone, Spot: w.state.Spot, RentedAt: s.now}, s.now).ListedAddress = w.state.Address
 		}
 	}
 }
@@ -307,7 +307,7 @@
 	w := s.worker(name)
 	if s.now.Before(w.unreachableUntil) || w.dead || s.chance(30, "lost") {
 		s.inFlight = append(s.inFlight, message{arrives: s.now.Add(s.delayUpTo(5*simLease, "late")), recipient: w, process: w.process, direct: req})
-		s.registry.Machines[name].Reachability.NoteFailed(s.now, s.now)
+		s.registry.Machines[name].Reachability.NoteUnanswered(s.now, s.now)
 		s.registry.CommandsUnanswered(name, s.now)
 		return
 	}
@@ -367,7 +367,7 @@
 			answer = s.deliverDirect(w, req)
 		}
 		if answer == nil {
-			m.Reachability.NoteFailed(s.now, s.now)
+			m.Reachability.NoteUnanswered(s.now, s.now)
 			return
 		}
 		verdict := s.registry.JudgeRestart(m, mark, answer)
@@ -375,7 +375,7 @@
 		switch verdict {
 		case ProcessRestarted:
 			s.applyOutcomes(s.registry.AcceptRestart(m, answer, s.now))
-		case DeleteOnly:
+		case DeletionRequired:
 			w.process++
 			w.dead, w.state.Tasks = true, nil
 			s.applyOutcomes(s.registry.MarkLost(name, s.now))
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -46,19 +46,19 @@
 	}
 }
 
-// NoteMissed records a heartbeat that shows no effect of the reply to the heartbeat before it: that reply did not
+// NoteMissedReply records a heartbeat that shows no effect of the reply to the heartbeat before it: that reply did not
 // arrive, or arrived too late. By itself this proves nothing about the path, but it makes the machine a suspect
 // (Suspect).
-func (s *State) NoteMissed(now time.Time) {
+func (s *State) NoteMissedReply(now time.Time) {
 	if s.missedSince.IsZero() {
 		s.missedSince = now
 	}
 	s.updateUnreachable(now)
 }
 
-// NoteFailed records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the
+// NoteUnanswered records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the
 // machine has acknowledged a message since then.
-func (s *State) NoteFailed(sent, now time.Time) {
+func (s *State) NoteUnanswered(sent, now time.Time) {
 	if sent.Before(s.acknowledgedAt) {
 		return
 	}
--- a/internal/scheduler/reachability/reachability_test.go
+++ b/internal/scheduler/reachability/reachability_test.go
@@ -20,13 +20,13 @@
 		events      func(s *State)
 		unreachable bool
 	}{
-		{"a slow reply", func(s *State) { s.NoteMissed(at(5)); s.NoteMissed(at(10)) }, false},
-		{"a lost probe", func(s *State) { s.NoteFailed(at(5), at(7)) }, false},
-		{"a missed reply, then a failed probe", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)) }, true},
-		{"a failed probe, then a missed reply", func(s *State) { s.NoteFailed(at(5), at(7)); s.NoteMissed(at(10)) }, true},
-		{"acknowledged in between", func(s *State) { s.NoteMissed(at(5)); s.Acknowledged(at(6)); s.NoteFailed(at(7), at(9)) }, false},
-		{"a probe sent before the acknowledgment", func(s *State) { s.Acknowledged(at(6)); s.NoteMissed(at(8)); s.NoteFailed(at(5), at(9)) }, false},
-		{"acknowledged since", func(s *State) { s.NoteMissed(at(5)); s.NoteFailed(at(5), at(7)); s.Acknowledged(at(9)) }, false},
+		{"a slow reply", func(s *State) { s.NoteMissedReply(at(5)); s.NoteMissedReply(at(10)) }, false},
+		{"a lost probe", func(s *State) { s.NoteUnanswered(at(5), at(7)) }, false},
+		{"a missed reply, then a failed probe", func(s *State) { s.NoteMissedReply(at(5)); s.NoteUnanswered(at(5), at(7)) }, true},
+		{"a failed probe, then a missed reply", func(s *State) { s.NoteUnanswered(at(5), at(7)); s.NoteMissedReply(at(10)) }, true},
+		{"acknowledged in between", func(s *State) { s.NoteMissedReply(at(5)); s.Acknowledged(at(6)); s.NoteUnanswered(at(7), at(9)) }, false},
+		{"a probe sent before the acknowledgment", func(s *State) { s.Acknowledged(at(6)); s.NoteMissedReply(at(8)); s.NoteUnanswered(at(5), at(9)) }, false},
+		{"acknowledged since", func(s *State) { s.NoteMissedReply(at(5)); s.NoteUnanswered(at(5), at(7)); s.Acknowledged(at(9)) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &State{}
@@ -53,9 +53,9 @@
 			wasUnreachable, times := s.Unreachable(), s.timesUnreachable
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				s.NoteMissed(now)
+				s.NoteMissedReply(now)
 			case 1:
-				s.NoteFailed(now.Add(-time.Second), now)
+				s.NoteUnanswered(now.Add(-time.Second), now)
 			case 2:
 				s.Acknowledged(now)
 				if pause := s.noWorkUntil.Sub(now); wasUnreachable && times > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
@@ -91,8 +91,8 @@
 	s, now := &State{}, t0
 	for range 12 {
 		now = now.Add(20 * time.Second)
-		s.NoteMissed(now)
-		s.NoteFailed(now, now.Add(time.Second))
+		s.NoteMissedReply(now)
+		s.NoteUnanswered(now, now.Add(time.Second))
 		now = now.Add(20 * time.Second)
 		s.Acknowledged(now)
 	}
