--- a/internal/scheduler/jobs/backoff.go
+++ b/internal/scheduler/jobs/backoff.go
@@ -7,9 +7,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-// MarkFailed records that a task of a job failed. What fails while the job backs off counts
-// to the same wave: a job that is submitted with a mistake has all its tasks fail at
-// once. The number of waves is stored, so that a new leader does not begin with a wave
+// MarkFailed records that a task of a job failed. Failures during the job's backoff count as one wave with the
+// failure that began it: all running tasks of a job that was submitted with a mistake fail at once. The number
+// of waves is stored, so that a new leader continues the backoff instead of starting all the job's tasks
 // again.
 func (s *Store) MarkFailed(j *Job, now time.Time) {
 	j.Failures++
@@ -18,24 +18,25 @@
 	}
 	j.FailedWaves++
 	j.BackoffUntil = now.Add(backoff(j.FailedWaves))
-	s.queue.markDirty(wavesChunk(j), now)
+	s.queue.markDirty(failedWavesChunk(j), now)
 	s.queue.scheduleFlush(now)
 }
 
-// MarkWorking records that a task of the job works: its failures are not the job's fault.
+// MarkWorking records that a task of the job ran well: the job itself is not the cause of its failures. It
+// ends the job's backoff.
 func (s *Store) MarkWorking(j *Job, now time.Time) {
 	if j.FailedWaves > 0 {
 		j.FailedWaves = 0
 		j.BackoffUntil = time.Time{}
-		s.queue.markDirty(wavesChunk(j), now)
+		s.queue.markDirty(failedWavesChunk(j), now)
 	}
 }
 
-// wavesChunk is the chunk whose record holds the job's failed waves.
-func wavesChunk(j *Job) chunkRef { return chunkRef{j, 0} }
+// failedWavesChunk returns the chunk whose record contains the job's number of failed waves.
+func failedWavesChunk(j *Job) chunkRef { return chunkRef{j, 0} }
 
-// HasWorked reports whether a task of the job has completed or has run for a
-// while: tasks of a job with a mistake fail as soon as they start.
+// HasWorked reports whether a task of the job has completed or has been running for HealthyRunAfter. Tasks of a
+// job that was submitted with a mistake fail as soon as they start.
 func (j *Job) HasWorked(now time.Time) bool {
 	if j.Done > 0 {
 		return true
@@ -49,7 +50,7 @@
 	return false
 }
 
-// backoff is how long a job waits after waves of failures.
+// backoff returns how long a job waits after a number of waves of failures.
 func backoff(waves int) time.Duration {
 	return min(tuning.ErrorPause<<min(max(waves-1, 0), 10), tuning.ErrorPauseMax)
 }
--- a/internal/scheduler/jobs/backoff_test.go
+++ b/internal/scheduler/jobs/backoff_test.go
@@ -7,29 +7,29 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a new leader that begins with all tasks of a job that has
-// only ever failed, on as many machines.
+// Guards against a new leader that starts all tasks of a job that has only ever failed, on as many machines,
+// because the number of failed waves was not stored.
 func TestFailedWavesAreStored(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 2*tuning.ChunkTasks)
 	s, _ := kv.load(12)
 	j := s.Jobs["job-1"]
-	for i := range 3 { // each a wave, since the backoff of the one before is over
+	for i := range 3 { // each failure begins a wave, since the backoff of the previous one is over
 		now := t0.Add(time.Duration(i) * time.Hour)
 		a := s.Allocate(j, tuning.ChunkTasks+1, "n-1", "a", 1, now)
 		s.MarkLost(a, now)
 		s.MarkFailed(j, now)
-		s.MarkFailed(j, now) // another of the same wave
+		s.MarkFailed(j, now) // a second failure of the same wave
 	}
 	kv.flush(s)
 	s, _ = kv.load(12)
 	if j := s.Jobs["job-1"]; j.FailedWaves != 3 || j.BackoffUntil.Sub(t0) != 4*tuning.ErrorPause {
-		t.Errorf("%d failed waves and a backoff of %v are known", j.FailedWaves, j.BackoffUntil.Sub(t0))
+		t.Errorf("a new leader loads %d failed waves and a backoff of %v, want 3 and 4 times ErrorPause", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
 	s.MarkWorking(s.Jobs["job-1"], t0)
 	s.queue.scheduleFlush(t0)
 	kv.flush(s)
 	if s, _ = kv.load(12); s.Jobs["job-1"].FailedWaves != 0 {
-		t.Error("a job that worked still has failed waves")
+		t.Error("a new leader loads failed waves of a job whose task ran well since")
 	}
 }
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -9,54 +9,54 @@
 // Batch is one transaction of the store's changes.
 type Batch struct {
 	Txn wire.Txn
-	// Counts says how many of its changes serve what.
+	// Counts classifies the transaction's changes by purpose.
 	Counts BatchCounts
 
-	chunks      []chunkRef
+	chunks      []chunkRef        // whose progress records the transaction writes
 	allocations []*Allocation     // that the transaction commits
-	ends        []jobEnd          // of jobs
-	detached    []DetachedCharges // their version is that of the batch, if 0
+	ends        []jobEnd          // of jobs that the transaction ends
+	detached    []DetachedCharges // Version 0: the transaction writes the record, so its revision is the version
 }
 
-// BatchCounts are numbers of changes, by what they serve.
+// BatchCounts counts the changes of a transaction by purpose.
 type BatchCounts struct {
-	Starts   int // records of allocations whose tasks wait to be started
-	Ends     int // ends of jobs, with what goes with them
-	Progress int // records that nobody waits for
-	Garbage  int // drops of what jobs that are over left behind
+	Starts   int // writes of urgent progress records, mostly of allocations whose tasks wait to be started
+	Ends     int // writes and deletions that belong to ends of jobs
+	Progress int // writes of lazy progress records, which nobody waits for
+	Garbage  int // deletions of records that finished jobs left behind
 }
 
-// jobEnd is a job's end in a batch.
+// jobEnd is the end of one job in a batch.
 type jobEnd struct {
 	job   *Job
-	state wire.JobState // the state that it stores; empty: it was stored before
+	state wire.JobState // the final state that the batch stores; empty: it was stored before
 }
 
-// FinishedJob is a job that came to a final state.
+// FinishedJob is a job whose final state is now stored.
 type FinishedJob struct {
 	Job   *Job
 	State wire.JobState
 }
 
-// WriteBudget is how much of the limit on changes a transaction may use.
+// WriteBudget limits how many of the currently permitted writes one transaction may use.
 type WriteBudget struct {
-	Changes int // all that go into it; 0: as many as one transaction holds
-	Spare   int // those of them that nobody waits for
-	Overdue int // the same, for records that have waited for LazyMax
+	Changes int // all changes in the transaction; 0: as many as one transaction may hold
+	Spare   int // changes among them that nobody waits for
+	Overdue int // like Spare, for records that have been dirty for LazyMax or longer; the larger one applies to them
 }
 
-// NextBatch gathers the next transaction, or returns nil when there is nothing to write.
-// Only one may be on its way at a time. What somebody waits for goes first: finished tasks
-// of large arrays would otherwise use up the limit on changes, and starts wait
-// behind them. It is best called once the changes may be written at once: what has
-// to wait for the limit anyway is then put in order as late as can be.
+// NextBatch builds the next transaction, or returns nil if there is nothing to write. Only one transaction
+// may be in flight at a time. Changes that somebody waits for come first: otherwise the finished tasks of
+// large arrays would use up the write limit, and starts would wait behind them. It is best called
+// when the transaction may be sent at once: the order of changes that have to wait for the write limit is then
+// decided as late as possible.
 func (s *Store) NextBatch(now time.Time, budget WriteBudget) *Batch {
 	b := newBatchBuilder(s, now, budget)
 	s.queue.sort()
 	b.addStartsAndEnds()
 	if s.queue.flushDue(now) {
 		b.addProgress()
-		b.dropStaleRecords()
+		b.deleteStaleRecords()
 	}
 	s.queue.updateDue()
 	if b.changes() == 0 {
@@ -65,35 +65,36 @@
 	return b.batch
 }
 
-// MarkCommitted records that a batch is stored at a revision. It returns the allocations
-// whose tasks may now be started, and the jobs that came to a final state.
-func (s *Store) MarkCommitted(b *Batch, revision uint64) (start []*Allocation, over []FinishedJob) {
-	for _, ref := range b.chunks {
+// MarkCommitted records that a batch is stored at a revision of the key-value store. It returns the
+// allocations whose tasks may now be started, and the jobs whose final state is now stored.
+func (s *Store) MarkCommitted(batch *Batch, revision uint64) (startable []*Allocation, finished []FinishedJob) {
+	for _, ref := range batch.chunks {
 		s.chunkCommitted(ref, revision)
 	}
-	for _, d := range b.detached {
+	for _, d := range batch.detached {
 		if d.Version == 0 {
 			d.Version = revision
 		}
 		s.detached = append(s.detached, d)
 	}
-	for _, a := range b.allocations {
+	for _, a := range batch.allocations {
 		a.Committed = true
 		if !a.Removed {
-			start = append(start, a)
+			startable = append(startable, a)
 		}
 	}
-	for _, e := range b.ends {
+	for _, e := range batch.ends {
 		s.endCommitted(e.job)
 		if e.state != "" {
-			over = append(over, FinishedJob{e.job, e.state})
+			finished = append(finished, FinishedJob{e.job, e.state})
 			e.job.notifyWaiters(e.state)
 		}
 	}
-	return start, over
+	return startable, finished
 }
 
-// chunkCommitted queues a written chunk again if it changed meanwhile.
+// chunkCommitted records a written chunk's version, and queues the chunk again if it changed during the
+// write.
 func (s *Store) chunkCommitted(ref chunkRef, revision uint64) {
 	c := ref.chunk()
 	c.version, c.writing = revision, false
@@ -105,7 +106,8 @@
 	}
 }
 
+// endCommitted removes a job whose end is stored.
 func (s *Store) endCommitted(j *Job) {
-	j.ending, j.ended = false, true
+	j.endPending, j.ended = false, true
 	delete(s.Jobs, j.ID)
 }
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -10,14 +10,14 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against starts of urgent work that wait behind tiny jobs of low
-// priority, and a cancellation that waits behind either.
+// Guards against starts of high-priority jobs that wait behind tiny jobs of low priority, and against a
+// cancellation that waits behind starts or ends of low priority.
 func TestBatchesAreOrderedByPriority(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 8 {
 		kv.accept(fmt.Sprintf("job-%d", i), 1)
 	}
-	s, _ := kv.load(4) // three changes for an end, and one more
+	s, _ := kv.load(4) // room for an end, which needs three changes, and one start
 	for i := range 8 {
 		s.Jobs[fmt.Sprintf("job-%d", i)].Priority = wire.PriorityLow
 	}
@@ -35,43 +35,43 @@
 	s.Cancel(s.Jobs["job-7"], func(wire.JobState) {})
 	batch := s.NextBatch(t0, WriteBudget{Spare: 0})
 	if batch.Txn.Then[0].Put != keyProgress("job-6", 0) || batch.Txn.Then[1].Put != KeyFinalState("job-7") || len(batch.Txn.Then) != 4 {
-		t.Errorf("the first transaction writes %+v", batch.Txn.Then)
+		t.Errorf("the first transaction writes %+v, want the production start and the cancellation", batch.Txn.Then)
 	}
 	if s.MarkCommitted(batch, kv.apply(batch.Txn)); !urgent.Committed {
-		t.Error("the urgent start waits")
+		t.Error("the production start is not in the first transaction")
 	}
 	for batch = s.NextBatch(t0, WriteBudget{Spare: 0}); batch != nil && batch.Txn.Then[0].Put != KeyFinalState("job-0"); batch = s.NextBatch(t0, WriteBudget{Spare: 0}) {
 		s.MarkCommitted(batch, kv.apply(batch.Txn))
 	}
 	if batch == nil || s.Jobs["job-5"].Tasks[0].Allocation.Committed != true {
-		t.Error("an end goes before the starts of its priority")
+		t.Error("an end is written before a start of the same priority")
 	}
 }
 
-// Guards against a start that was undone before it was written, of a job that
-// is dropped in the same transaction.
+// Guards against a progress record that remains after its job ended: the job's cancellation is written while a
+// chunk is still marked urgent, for a start that was withdrawn before it was committed.
 func TestProgressOfAnEndedJobIsNotWritten(t *testing.T) {
 	kv, s, j, first := newAllocatedJob(t, 1)
 	s.MarkLost(first, t0)
 	a := s.Allocate(j, 0, "n-2", "a", 1, t0)
 	s.Cancel(j, func(wire.JobState) {})
 	batch := s.NextBatch(t0, WriteBudget{Spare: 0})
-	s.MarkLost(a, t0) // the machine is lost while that is on its way
+	s.MarkLost(a, t0) // the machine is lost while the batch is in flight
 	s.queue.markUrgent(chunkRef{j, 0})
 	s.MarkCommitted(batch, kv.apply(batch.Txn))
 	kv.flush(s)
 	for key := range kv.items {
 		if key != KeyFinalState("job-1") {
-			t.Errorf("%s is left", key)
+			t.Errorf("key %s remains after the job ended", key)
 		}
 	}
 }
 
-func TestRecordsAndBatchesOfTheLargestJobKeepToTheLimits(t *testing.T) {
-	const ops = 12
+func TestRecordsAndBatchesOfTheLargestJobStayWithinLimits(t *testing.T) {
+	const txnOps = 12
 	kv := newKVStore(t)
 	kv.accept("job-7", wire.MaxTasks)
-	s, _ := kv.load(ops)
+	s, _ := kv.load(txnOps)
 	j := s.Jobs["job-7"]
 	var allocations []*Allocation
 	for i := range 20 * tuning.ChunkTasks {
@@ -81,12 +81,12 @@
 		size := 0
 		for _, c := range batch.Txn.Then {
 			if len(c.Value) > tuning.MinValueKB<<10 {
-				t.Fatalf("a record has %d bytes", len(c.Value))
+				t.Fatalf("a record has %d bytes, want at most MinValueKB", len(c.Value))
 			}
 			size += len(c.Value)
 		}
-		if len(batch.Txn.Then) > ops || len(batch.Txn.If) > 4*ops-1 || size > 60<<10 {
-			t.Fatalf("a transaction has %d changes, %d conditions and %d bytes", len(batch.Txn.Then), len(batch.Txn.If), size)
+		if len(batch.Txn.Then) > txnOps || len(batch.Txn.If) > 4*txnOps-1 || size > 60<<10 {
+			t.Fatalf("a transaction exceeds its limits: %d changes, %d conditions and %d bytes", len(batch.Txn.Then), len(batch.Txn.If), size)
 		}
 		s.MarkCommitted(batch, kv.apply(batch.Txn))
 	}
@@ -94,21 +94,21 @@
 		s.MarkDone(a, t0)
 	}
 	kv.flush(s)
-	next, _ := kv.load(ops)
-	found := next.Jobs["job-7"]
-	if found.Done != len(allocations) || found.NextWaiting(0) != len(allocations) {
-		t.Fatalf("a new leader finds %d done and %d waiting first", found.Done, found.NextWaiting(0))
-	}
-	// Its end drops more records than one transaction can; none stays behind.
-	next.Cancel(found, func(wire.JobState) {})
-	kv.flush(next)
+	reloaded, _ := kv.load(txnOps)
+	reloadedJob := reloaded.Jobs["job-7"]
+	if reloadedJob.Done != len(allocations) || reloadedJob.NextWaiting(0) != len(allocations) {
+		t.Fatalf("a new leader loads %d done tasks and first waiting task %d, want both to be the number of completed tasks", reloadedJob.Done, reloadedJob.NextWaiting(0))
+	}
+	// The job's end deletes more records than one transaction may; none remains.
+	reloaded.Cancel(reloadedJob, func(wire.JobState) {})
+	kv.flush(reloaded)
 	if len(kv.items) != 1 {
-		t.Errorf("%d keys left", len(kv.items))
+		t.Errorf("%d keys remain, want only the final state", len(kv.items))
 	}
 }
 
-// Guards against starts that wait behind progress that nobody waits for: with
-// a hundred large arrays their finished tasks alone exceed the limit on writes.
+// Guards against starts that wait behind progress that nobody waits for: the finished tasks of a hundred large
+// arrays alone exceed the write limit.
 func TestStartsAreWrittenBeforeFinishedTasks(t *testing.T) {
 	kv := newKVStore(t)
 	const n = 8
@@ -130,20 +130,20 @@
 	if batch == nil || len(batch.Txn.Then) != 1 {
 		t.Fatalf("the first transaction is %+v, want the start alone", batch)
 	}
-	if start, _ := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(start) != 1 || start[0] != a {
-		t.Fatalf("may start %v", start)
+	if startable, _ := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(startable) != 1 || startable[0] != a {
+		t.Fatalf("allocations to start: %v, want the urgent one", startable)
 	}
 	if batch := s.NextBatch(later, WriteBudget{Spare: 0}); batch != nil {
-		t.Errorf("without room to spare %d changes are written", len(batch.Txn.Then))
+		t.Errorf("%d changes that nobody waits for are written without spare room", len(batch.Txn.Then))
 	}
-	// They do not wait for ever.
+	// After LazyMax they are written without spare room.
 	if batch := s.NextBatch(later.Add(tuning.LazyMax), WriteBudget{Overdue: 2}); batch == nil || len(batch.Txn.Then) != 2 {
-		t.Errorf("written at last: %+v", batch)
+		t.Errorf("overdue changes: %+v, want a batch of two", batch)
 	}
 }
 
-// Guards against a transaction that is put together long before it may be sent: a production start that comes
-// meanwhile waits behind all of it.
+// Guards against a transaction with more changes than may be sent at once: a production start that arrives
+// while it waits to be sent would wait behind all of it.
 func TestBatchHoldsNoMoreChangesThanItsBudget(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 9 {
@@ -155,7 +155,7 @@
 	}
 	batch := s.NextBatch(t0, WriteBudget{Changes: 3})
 	if len(batch.Txn.Then) != 3 {
-		t.Fatalf("%d changes, of which three may be sent", len(batch.Txn.Then))
+		t.Fatalf("a transaction has %d changes with a budget of three", len(batch.Txn.Then))
 	}
 	late := s.Jobs["job-8"]
 	late.Priority = wire.PriorityProduction
@@ -163,12 +163,13 @@
 	s.MarkCommitted(batch, kv.apply(batch.Txn))
 	batch = s.NextBatch(t0, WriteBudget{Changes: 3})
 	if s.MarkCommitted(batch, kv.apply(batch.Txn)); !a.Committed {
-		t.Error("a production start waits behind starts that came before")
+		t.Error("a production start waits behind earlier starts of lower priority")
 	}
 }
 
-// Guards against progress that uses up the limit: it goes by each record's own age, within what is given for it.
-func TestOverdueProgressKeepsToItsBudget(t *testing.T) {
+// Guards against overdue progress that uses up the write limit: whether a record is overdue depends on its own
+// age, and overdue records stay within their budget.
+func TestOverdueProgressStaysWithinItsBudget(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 6 {
 		kv.accept(fmt.Sprintf("job-%d", i), 2)
@@ -184,22 +185,22 @@
 	}
 	at := t0.Add(tuning.LazyMax + 2500*time.Millisecond) // three of them are overdue
 	if batch := s.NextBatch(at, WriteBudget{Overdue: 2}); batch == nil || len(batch.Txn.Then) != 2 {
-		t.Fatalf("with a share of two: %+v", batch)
+		t.Fatalf("with three overdue records and a budget of two: %+v, want two changes", batch)
 	} else {
 		s.MarkCommitted(batch, kv.apply(batch.Txn))
 	}
 	if batch := s.NextBatch(at, WriteBudget{Overdue: 9}); batch == nil || len(batch.Txn.Then) != 1 {
-		t.Fatalf("one more is overdue: %+v", batch)
+		t.Fatalf("with one overdue record left: %+v, want one change", batch)
 	} else {
 		s.MarkCommitted(batch, kv.apply(batch.Txn))
 	}
 	if batch := s.NextBatch(at, WriteBudget{Spare: 9}); batch == nil || len(batch.Txn.Then) != 3 || batch.Counts.Progress != 3 {
-		t.Errorf("with room to spare: %+v", batch)
+		t.Errorf("with spare room: %+v, want the three other records", batch)
 	}
 }
 
-// Guards against records of a job that is over which are there again: whatever transaction of it had no answer, carried out once more
-// after the others it changes nothing.
+// Guards against records of a finished job that are created again: if a transaction of the job is executed a
+// second time after all others, because its first answer was lost, its conditions fail and nothing changes.
 func TestRepeatedTransactionsFailTheirConditions(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 2)
@@ -219,12 +220,12 @@
 		flush()
 	}
 	if len(sent) < 4 || s.Jobs["job-1"] != nil {
-		t.Fatalf("%d transactions, the job is over: %v", len(sent), s.Jobs["job-1"] == nil)
+		t.Fatalf("%d transactions, job finished: %v; want at least four and a finished job", len(sent), s.Jobs["job-1"] == nil)
 	}
 	for n, txn := range sent {
 		holds := !slices.ContainsFunc(txn.If, func(c wire.Condition) bool { return kv.items[c.Key].Version != c.Version })
 		if holds {
-			t.Errorf("transaction %d would be carried out again: %+v", n, txn)
+			t.Errorf("transaction %d would be executed a second time: %+v", n, txn)
 		}
 	}
 }
--- a/internal/scheduler/jobs/batchbuilder.go
+++ b/internal/scheduler/jobs/batchbuilder.go
@@ -8,35 +8,35 @@
 	"poppypass/internal/platform/wire"
 )
 
-// changeOverhead is what a change takes in a transaction besides its value and its
-// key, which its condition names once more, in bytes.
+// changeOverhead is the encoded size of a change and its condition, in bytes, without the value and without
+// the key, which occurs in both.
 const changeOverhead = 64
 
-// batchBuilder gathers changes into one transaction, within its limits of changes and bytes.
+// batchBuilder gathers changes into one transaction, within the limits on its changes and bytes.
 type batchBuilder struct {
-	queue      *writeQueue
-	metered    bool
-	txnOps     int // changes that one transaction may hold
-	now        time.Time
-	budget     WriteBudget
-	maxChanges int // that this one may hold
-	bytes      int
-	guarded    map[string]bool // jobs whose stored record is a condition already
-	batch      *Batch
+	queue        *writeQueue
+	metered      bool
+	txnOps       int // maximum number of changes in any transaction
+	now          time.Time
+	budget       WriteBudget
+	maxChanges   int             // maximum number of changes in this transaction, by txnOps and the budget
+	bytes        int             // estimated encoded size of the gathered changes and their conditions
+	requiredJobs map[string]bool // IDs of jobs whose record's version is already a condition
+	batch        *Batch
 }
 
 func newBatchBuilder(s *Store, now time.Time, budget WriteBudget) *batchBuilder {
-	most := s.txnOps
+	maxChanges := s.txnOps
 	if budget.Changes > 0 {
-		most = min(most, budget.Changes)
+		maxChanges = min(maxChanges, budget.Changes)
 	}
 	return &batchBuilder{
 		queue: &s.queue, metered: s.Metered, txnOps: s.txnOps, now: now, budget: budget,
-		maxChanges: most, guarded: map[string]bool{}, batch: &Batch{},
+		maxChanges: maxChanges, requiredJobs: map[string]bool{}, batch: &Batch{},
 	}
 }
 
-// changes is how many changes are gathered.
+// changes returns the number of gathered changes.
 func (b *batchBuilder) changes() int { return len(b.batch.Txn.Then) }
 
 // hasRoom reports whether n more changes fit.
@@ -44,8 +44,8 @@
 	return b.changes()+n <= b.maxChanges && b.bytes < tuning.CommitBytes
 }
 
-// hasRoomFor reports whether the records of chunks fit, by what they take at the most: with
-// charges, records are long enough for one to carry a transaction past its bound.
+// hasRoomFor reports whether the records of chunks fit, judged by their maximum size. hasRoom alone does not
+// suffice: a record with charges can be long enough to make a transaction exceed its size limit.
 func (b *batchBuilder) hasRoomFor(refs ...chunkRef) bool {
 	changes, bytes := 0, 0
 	for _, r := range refs {
@@ -55,27 +55,26 @@
 	return b.hasRoom(changes) && (b.changes() == 0 || b.bytes+bytes <= tuning.TxnBytes)
 }
 
-// put stores a value under a key that has a version; 0: that does not exist.
+// put stores a value under a key on the condition that the key has a version; 0: that the key does not exist.
 func (b *batchBuilder) put(key string, version uint64, value json.RawMessage) {
 	b.require(key, version)
 	b.batch.Txn.Then = append(b.batch.Txn.Then, wire.Change{Put: key, Value: value})
 	b.bytes += len(value) + 2*len(key) + changeOverhead
 }
 
-// drop deletes a key that has a version.
-func (b *batchBuilder) drop(key string, version uint64) {
+// deleteKey deletes a key on the condition that it has a version.
+func (b *batchBuilder) deleteKey(key string, version uint64) {
 	b.require(key, version)
 	b.batch.Txn.Then = append(b.batch.Txn.Then, wire.Change{Delete: key})
 	b.bytes += 2*len(key) + changeOverhead
 }
 
-// require makes a key's version a condition of the transaction.
+// require adds the condition that a key has a version; 0: that the key does not exist.
 func (b *batchBuilder) require(key string, version uint64) {
 	b.batch.Txn.If = append(b.batch.Txn.If, wire.Condition{Key: key, Version: version})
 }
 
-// addStartsAndEnds adds what somebody waits for, in the order of priorities, as far as there
-// is room.
+// addStartsAndEnds adds the urgent changes in order of priority, as far as there is room.
 func (b *batchBuilder) addStartsAndEnds() {
 	q, counts := b.queue, &b.batch.Counts
 	for more := true; more && len(q.ends)+len(q.urgent) > 0; {
@@ -90,7 +89,7 @@
 	}
 }
 
-// addNextStart writes the first urgent chunk, and reports whether it had room.
+// addNextStart adds the record of the first urgent chunk, and reports whether there was room for it.
 func (b *batchBuilder) addNextStart() bool {
 	q := b.queue
 	ref := q.urgent[0]
@@ -102,13 +101,13 @@
 	return true
 }
 
-// minChanges is how many changes the writing of a chunk takes at the least: its record must
-// not hold more charges than fit it.
-func (r chunkRef) minChanges(most int) int {
-	return min(most, 1+len(r.chunk().pack.Charges)/(tuning.DetachChargesMax+1))
+// minChanges returns the minimum number of changes that writing a chunk needs, up to a limit. It exceeds 1
+// when the chunk has more charges than fit its record, so that some must be detached to records of their own.
+func (r chunkRef) minChanges(limit int) int {
+	return min(limit, 1+len(r.chunk().pack.Charges)/(tuning.DetachChargesMax+1))
 }
 
-// maxBytes is what the writing of a chunk takes at the most, in bytes.
+// maxBytes returns the maximum size of a chunk's write in a transaction, in bytes.
 func (r chunkRef) maxBytes() int {
 	from, to := r.tasks()
 	return tuning.EntryBytes*(to-from) + tuning.ChargeBytes*len(r.chunk().pack.Charges) + tuning.RecordBytes
--- a/internal/scheduler/jobs/batchends.go
+++ b/internal/scheduler/jobs/batchends.go
@@ -6,14 +6,14 @@
 	"poppypass/internal/platform/wire"
 )
 
-// minEndChanges is how many changes a job's end takes at the least: its final state,
-// its record and one progress record.
+// minEndChanges is the number of changes for which there must be room before a job's end is added: its final
+// state, its job record and one progress record.
 const minEndChanges = 3
 
-// addNextEnd writes the first end, and reports whether it had room.
+// addNextEnd adds the first queued end, and reports whether there was room for it.
 func (b *batchBuilder) addNextEnd() bool {
 	q := b.queue
-	if !b.hasRoom(minEndChanges) || !b.settleCharges(q.ends[0]) {
+	if !b.hasRoom(minEndChanges) || !b.writeChargesBeforeEnd(q.ends[0]) {
 		return false
 	}
 	j := q.ends[0]
@@ -22,16 +22,15 @@
 	return true
 }
 
-// settleCharges reports whether the charges that a job's end brings along fit the
-// transaction with it. If not, it writes them as far as there is room: the end then goes
-// with a later batch.
-func (b *batchBuilder) settleCharges(j *Job) bool {
-	charged, long := j.unwrittenCharges()
-	few := len(charged) <= tuning.EndChunks && b.hasRoom(2+len(charged)) && b.hasRoomFor(charged...)
-	if !long && (len(charged) == 0 || few) {
+// writeChargesBeforeEnd reports whether the job's unwritten charges fit into the transaction together with
+// the job's end. If they do not, it writes them as far as there is room, and a later batch writes the end.
+func (b *batchBuilder) writeChargesBeforeEnd(j *Job) bool {
+	chunks, oversized := j.chunksWithUnwrittenCharges()
+	fit := len(chunks) <= tuning.EndChunks && b.hasRoom(2+len(chunks)) && b.hasRoomFor(chunks...)
+	if !oversized && (len(chunks) == 0 || fit) {
 		return true
 	}
-	for _, ref := range charged {
+	for _, ref := range chunks {
 		if !b.hasRoomFor(ref) {
 			break
 		}
@@ -40,19 +39,19 @@
 	return false
 }
 
-// unwrittenCharges are the job's chunks with charges that are not stored yet. long tells
-// that one holds more of them than one record may.
-func (j *Job) unwrittenCharges() (charged []chunkRef, long bool) {
+// chunksWithUnwrittenCharges returns the job's dirty chunks that have charges. oversized reports whether one
+// of them has more charges than one record may hold.
+func (j *Job) chunksWithUnwrittenCharges() (chunks []chunkRef, oversized bool) {
 	for n := range j.chunks {
 		if c := &j.chunks[n]; c.dirty && len(c.pack.Charges) > 0 {
-			charged = append(charged, chunkRef{j, n})
-			long = long || len(c.pack.Charges) > tuning.DetachChargesMax
+			chunks = append(chunks, chunkRef{j, n})
+			oversized = oversized || len(c.pack.Charges) > tuning.DetachChargesMax
 		}
 	}
-	return charged, long
+	return chunks, oversized
 }
 
-// endJob stores a job's final state, unless it is stored already, and drops the job's other
+// endJob stores a job's final state, unless it is already stored, and deletes or detaches the job's other
 // records.
 func (b *batchBuilder) endJob(j *Job) {
 	end := jobEnd{job: j}
@@ -64,33 +63,34 @@
 		}
 		b.put(KeyFinalState(j.ID), 0, wire.EncodeRecord(FinalState{State: end.state, Done: j.Done}))
 	}
-	b.drop(KeyJob(j.ID), j.version)
+	b.deleteKey(KeyJob(j.ID), j.version)
 	for n := range j.chunks {
-		b.endChunk(chunkRef{j, n})
+		b.deleteOrDetachChunk(chunkRef{j, n})
 	}
 	b.batch.ends = append(b.batch.ends, end)
 }
 
-// endChunk drops the record of a chunk of a job that ends, now or when there is room, or
-// leaves it behind with its charges.
-func (b *batchBuilder) endChunk(ref chunkRef) {
+// deleteOrDetachChunk handles a chunk of a job that ends. A record with charges becomes a record of detached
+// charges. Any other is deleted in this transaction or, without room, in a later one.
+func (b *batchBuilder) deleteOrDetachChunk(ref chunkRef) {
 	c := ref.chunk()
 	dirty := c.dirty
 	c.dirty, c.urgent = false, false
 	switch {
 	case len(c.pack.Charges) > 0:
-		b.leaveCharges(ref, dirty)
-	case c.version == 0: // there is no record
+		b.detachWholeRecord(ref, dirty)
+	case c.version == 0: // no record is stored
 	case b.hasRoom(1):
-		b.drop(ref.key(), c.version)
+		b.deleteKey(ref.key(), c.version)
 	default:
 		b.queue.pushStale(ref, b.now)
 	}
 }
 
-// leaveCharges makes the progress record of a job that ends a record of detached charges.
-// It is written only if it does not hold them all yet.
-func (b *batchBuilder) leaveCharges(ref chunkRef, dirty bool) {
+// detachWholeRecord turns the progress record of an ending job into a record of detached charges under the
+// same key. It is written only if the chunk is dirty: otherwise the stored record already contains all
+// charges.
+func (b *batchBuilder) detachWholeRecord(ref chunkRef, dirty bool) {
 	c := ref.chunk()
 	d := DetachedCharges{Key: ref.key(), Pack: &c.pack, Version: c.version}
 	if dirty {
--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -6,8 +6,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// addProgress adds dirty chunks that nobody waits for, the oldest first, within the budget
-// for them.
+// addProgress adds dirty chunks that nobody waits for, in the order in which they were queued, within the
+// budget for them.
 func (b *batchBuilder) addProgress() {
 	q, before := b.queue, b.changes()
 	for n := len(q.lazy); n > 0; n-- {
@@ -18,7 +18,7 @@
 			if b.changes() >= before+b.budget.lazy(age) || !b.hasRoomFor(ref) {
 				break
 			}
-			if age < tuning.LazyFlush { // it was written for a start meanwhile, and changed again
+			if age < tuning.LazyFlush { // written for a start after it was queued, and changed again since
 				q.lazy = append(q.lazy[1:], ref)
 				continue
 			}
@@ -29,8 +29,8 @@
 	b.batch.Counts.Progress = b.changes() - before
 }
 
-// lazy is how many changes that nobody waits for may be in a transaction before one that
-// has waited for some time.
+// lazy returns how many changes that nobody waits for one transaction may contain, for a next change
+// that has waited for some time.
 func (w WriteBudget) lazy(waited time.Duration) int {
 	if waited >= tuning.LazyMax {
 		return max(w.Spare, w.Overdue)
@@ -38,18 +38,18 @@
 	return w.Spare
 }
 
-// dropStaleRecords drops what jobs that are over left behind, as far as there is room to spare.
-func (b *batchBuilder) dropStaleRecords() {
+// deleteStaleRecords deletes records that finished jobs left behind, within the spare budget.
+func (b *batchBuilder) deleteStaleRecords() {
 	q, before := b.queue, b.changes()
 	for len(q.stale) > 0 && b.hasRoom(1) && b.changes() < before+b.budget.Spare {
 		stale := q.stale[0]
 		q.stale = q.stale[1:]
-		b.drop(stale.Key, stale.Version)
+		b.deleteKey(stale.Key, stale.Version)
 	}
 	b.batch.Counts.Garbage = b.changes() - before
 }
 
-// writeProgress writes a chunk's record, unless it is up to date or goes with its job.
+// writeProgress adds the write of a chunk's record, unless the record is up to date or the job has ended.
 func (b *batchBuilder) writeProgress(ref chunkRef) {
 	c := ref.chunk()
 	if !c.dirty || ref.job.ended {
@@ -58,14 +58,14 @@
 	b.detachCharges(c)
 	value, uncommitted := ref.encode(b.metered)
 	c.dirty, c.urgent, c.writing = false, false, true
-	b.guardJob(ref.job)
+	b.requireJob(ref.job)
 	b.put(ref.key(), c.version, value)
 	b.batch.chunks = append(b.batch.chunks, ref)
 	b.batch.allocations = append(b.batch.allocations, uncommitted...)
 }
 
-// detachCharges moves charges of a chunk that is about to be written to records of their
-// own, if there are many.
+// detachCharges moves charges of a chunk that is about to be written to records of their own, if there are
+// many. It leaves room for the chunk's own record.
 func (b *batchBuilder) detachCharges(c *progressChunk) {
 	for b.hasRoom(2) {
 		d, value, ok := c.detachOldCharges()
@@ -77,11 +77,12 @@
 	}
 }
 
-// guardJob makes it a condition that a job is still stored as it was loaded. Progress is
-// only written under it: a job that is over can never come back to life.
-func (b *batchBuilder) guardJob(j *Job) {
-	if !b.guarded[j.ID] {
-		b.guarded[j.ID] = true
+// requireJob adds the condition that the job record still has the version that was loaded. Every write of
+// progress has this condition, so a repeated or late transaction cannot recreate progress of a job that has
+// ended.
+func (b *batchBuilder) requireJob(j *Job) {
+	if !b.requiredJobs[j.ID] {
+		b.requiredJobs[j.ID] = true
 		b.require(KeyJob(j.ID), j.version)
 	}
 }
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -10,25 +10,24 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Charges are stored in the records that are written anyway. While a job is live, the
-// charges of its ended attempts lie in the progress record of their chunk: the
-// write that records an attempt's end records its charge. When a record's charges grow many,
-// some are moved, in such a write, to a record of their own, which bears the name of its
-// first attempt and must not exist yet. When the job is over, its progress records that hold
-// charges stay behind instead of being dropped. Both are detached charges: nothing of them
-// changes any more, until the ledger accounts for them and drops them in one transaction.
+// Charges are stored in records that are written anyway. While a job is live, the charges of its ended
+// attempts are in the progress record of their chunk: the write that records an attempt's end also records
+// its charge. When a record has many charges, such a write also moves some of them to a record of their own,
+// whose key is made from the first of these charges and must not exist yet. When the job ends, its progress
+// records that contain charges are not deleted. Records of both sorts are detached charges: they do not change
+// any more, until the ledger accounts for them and deletes them in one transaction.
 //
-// So a charge lies in exactly one record at any time, and each step of it is
-// guarded on the version of the record that it comes from.
+// So each charge is in exactly one record at any time. Every transaction that moves a charge has the condition
+// that the record from which it moves still has its known version.
 
-// DetachedCharges is a record of charges that the store no longer changes.
+// DetachedCharges is a stored record of charges that the Store no longer changes.
 type DetachedCharges struct {
 	Key     string
 	Version uint64
 	Pack    *charge.Pack
 }
 
-// TraitsOf is what the charges of a job have in common.
+// TraitsOf returns what the charges of a job have in common.
 func TraitsOf(j *wire.Job) charge.JobTraits {
 	return charge.JobTraits{
 		Team: j.Team, Account: j.Account, Class: j.Class,
@@ -36,8 +35,9 @@
 	}
 }
 
-// AddCharges records what an attempt took, or parts of it. It must be called in the
-// same step as what records the attempt's end, or the turn of its day.
+// AddCharges records the charges of an attempt, or of parts of it. It must be called in the same step of the
+// leader's loop as the call that records the attempt's end, or as the change of Allocation.ChargedFrom at a
+// day's end, so that one transaction stores both.
 func (s *Store) AddCharges(a *Allocation, parts []charge.Charge, now time.Time) {
 	c := a.chunk().chunk()
 	for _, part := range parts {
@@ -48,23 +48,24 @@
 	s.queue.scheduleFlush(now)
 }
 
-// MarkRunning records that a task was seen to run. Its time is stored with the next
-// write of its record, or by itself if it runs on for BeganAfter: what ends sooner
-// costs no write.
+// MarkRunning records that a task was seen running. That time is stored with the next write of the task's
+// record. No write is made for it alone until the allocation has been known for BeganAfter, so a shorter
+// task costs no extra write.
 func (s *Store) MarkRunning(a *Allocation, now time.Time) {
 	if !s.Metered || !a.ChargedFrom.IsZero() {
 		return
 	}
 	a.ChargedFrom = now
 	if a.Inherited {
-		// It may have run since before this leader: when it was allocated is all that
-		// is known. That both times are equal says so.
+		// The task may have started under an earlier leader, so only the time of its allocation is known.
+		// The ledger recognizes this case by the equality of the two times, and marks the charge as an upper
+		// bound.
 		a.ChargedFrom = a.AllocatedAt
 	}
 	s.newlyRunning = append(s.newlyRunning, a)
 }
 
-// flushLongRunning has the times of tasks that run on written.
+// flushLongRunning queues writes of ChargedFrom for tasks whose allocation has been known for BeganAfter.
 func (s *Store) flushLongRunning(now time.Time) {
 	for len(s.newlyRunning) > 0 && now.Sub(s.newlyRunning[0].KnownSince) >= tuning.BeganAfter {
 		a := s.newlyRunning[0]
@@ -76,7 +77,7 @@
 	}
 }
 
-// VisitCharges calls fn with the charges that still lie with each live job.
+// VisitCharges calls fn with the charges that are still in the progress records of live jobs.
 func (s *Store) VisitCharges(fn func(*charge.Pack)) {
 	for _, j := range s.Jobs {
 		for n := range j.chunks {
@@ -87,7 +88,7 @@
 	}
 }
 
-// TakeDetached returns the records of charges that were detached since it was last asked.
+// TakeDetached returns the records of detached charges that were added since the last call.
 func (s *Store) TakeDetached() []DetachedCharges {
 	out := s.detached
 	s.detached = nil
@@ -111,7 +112,7 @@
 	return p, nil
 }
 
-// loadCharges adds the charges in a progress record of a live job.
+// loadCharges sets a chunk's charges to those encoded in a progress record of a live job.
 func (c *progressChunk) loadCharges(raw []byte) error {
 	if len(raw) == 0 {
 		return nil
@@ -124,8 +125,9 @@
 	return nil
 }
 
-// detachOldCharges moves the first of a chunk's charges to a record of their own, if there
-// are many. The chunk must be written in the same transaction.
+// detachOldCharges moves the oldest of a chunk's charges to a record of their own, if there are at least
+// DetachCharges; ok is false otherwise. value is that record's encoded value. The chunk must be written in the
+// same transaction.
 func (c *progressChunk) detachOldCharges() (d DetachedCharges, value json.RawMessage, ok bool) {
 	n := min(len(c.pack.Charges), tuning.DetachChargesMax)
 	if n < tuning.DetachCharges {
--- a/internal/scheduler/jobs/errors_test.go
+++ b/internal/scheduler/jobs/errors_test.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-func TestUnusableRecordsAreNamedWithTheReason(t *testing.T) {
+func TestErrorsOfUnusableRecordsHaveKeyAndReason(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 1)
 	s, _ := kv.load(12)
@@ -37,17 +37,17 @@
 			err := c.load(wire.Item{Key: c.key, Value: []byte(c.value), Version: 9})
 			var record *RecordError
 			if !errors.As(err, &record) || record.Key != c.key {
-				t.Fatalf("the error is %v", err)
+				t.Fatalf("error %v, want a *RecordError with the record's key", err)
 			}
 			if c.want != nil && !errors.Is(err, c.want) {
-				t.Errorf("the error is %v, want %v", err, c.want)
+				t.Errorf("error %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// Guards against a leader that cannot begin since charges are damaged: they are reported, and
-// the progress in the same record is used.
+// Guards against a leader that cannot start because charges are damaged: the damage is reported, and the
+// progress in the same record is used.
 func TestProgressWithDamagedChargesIsUsed(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 3)
@@ -59,9 +59,9 @@
 		t.Errorf("%d tasks are done, want 2", done)
 	}
 	if damaged := s.TakeDamaged(); len(damaged) != 1 || !errors.Is(damaged[0], charge.ErrUnknownFormat) {
-		t.Errorf("damaged are %v", damaged)
+		t.Errorf("errors for damaged charges: %v, want one ErrUnknownFormat", damaged)
 	}
-	if again := s.TakeDamaged(); len(again) != 0 {
-		t.Errorf("damaged are told twice: %v", again)
+	if repeated := s.TakeDamaged(); len(repeated) != 0 {
+		t.Errorf("errors for damaged charges are returned twice: %v", repeated)
 	}
 }
--- a/internal/scheduler/jobs/finalstates.go
+++ b/internal/scheduler/jobs/finalstates.go
@@ -6,35 +6,34 @@
 	"poppypass/internal/platform/wire"
 )
 
-// FinalStates remembers the final states of jobs, which never change. When full it
-// forgets the oldest; the key-value store still knows them. It is safe for
-// concurrent use.
+// FinalStates is a cache of final states of jobs, which never change. When it is full, it evicts the job that
+// was added first, whose state can still be read from the key-value store. It is safe for concurrent use.
 type FinalStates struct {
-	mu    sync.Mutex
-	byID  map[string]wire.JobStatus
-	order []string
-	next  int
+	mu   sync.Mutex
+	byID map[string]wire.JobStatus
+	ring []string // job IDs in the order of their addition, as a ring buffer; empty: unused slot
+	next int      // the slot that is overwritten next
 }
 
-// NewFinalStates makes a FinalStates that remembers up to size jobs.
+// NewFinalStates returns an empty cache for up to size jobs.
 func NewFinalStates(size int) *FinalStates {
-	return &FinalStates{byID: make(map[string]wire.JobStatus), order: make([]string, size)}
+	return &FinalStates{byID: make(map[string]wire.JobStatus), ring: make([]string, size)}
 }
 
-// Add remembers a final state.
+// Add caches a final state. A job that is already cached is left unchanged.
 func (f *FinalStates) Add(s wire.JobStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, known := f.byID[s.ID]; known {
 		return
 	}
-	delete(f.byID, f.order[f.next])
-	f.order[f.next] = s.ID
-	f.next = (f.next + 1) % len(f.order)
+	delete(f.byID, f.ring[f.next])
+	f.ring[f.next] = s.ID
+	f.next = (f.next + 1) % len(f.ring)
 	f.byID[s.ID] = s
 }
 
-// Get returns the final state of a job, if it is remembered.
+// Get returns the final state of a job, if it is cached.
 func (f *FinalStates) Get(id string) (wire.JobStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -33,12 +33,12 @@
 	)
 	id, chunk, ok := parseProgressKey(keyProgress("job-17", 3))
 	if id != "job-17" || chunk != 3 || !ok {
-		t.Errorf("the key of a progress record is read as %q, %d, %v", id, chunk, ok)
+		t.Errorf("the key of a progress record is parsed as %q, %d, %v", id, chunk, ok)
 	}
 }
 
-// The charges of ended attempts lie in progress records and in those that they are
-// moved to, under the same field.
+// The charges of ended attempts are stored in progress records and in records of detached charges, in a field of
+// the same name.
 func TestStoredCharges(t *testing.T) {
 	pack := charge.Pack{
 		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Class: "train", Cores: 8000, Memory: 64_000},
@@ -54,25 +54,25 @@
 		{"moved-charges-pack", detachedRecord{Charges: encoded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			again, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
+			decoded, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden.Equal(t, c.name, again, &pack)
+			golden.Equal(t, c.name, decoded, &pack)
 		})
 	}
 }
 
-// Done tasks are stored as ranges. Which tasks share a record follows from the size of
-// a chunk, so that size is part of the format.
+// Done tasks are stored as ranges. The chunk size determines which tasks share a record, so it is part of the
+// stored format.
 func TestStoredRanges(t *testing.T) {
 	done := []int{0, 1, 2, 5, 7, 8, 99_999}
 	text := encodeRanges(done)
 	golden.Lines(t, "ranges", text)
-	again, err := decodeRanges(text)
+	decoded, err := decodeRanges(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "ranges", again, done)
+	golden.Equal(t, "ranges", decoded, done)
 	golden.Lines(t, "chunk-size", strconv.Itoa(tuning.ChunkTasks))
 }
--- a/internal/scheduler/jobs/job.go
+++ b/internal/scheduler/jobs/job.go
@@ -7,52 +7,53 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Job is a live job: one that is accepted and whose final state is not stored yet.
+// Job is a live job: it is accepted, and its final state is not stored yet.
 type Job struct {
 	wire.Job
-	AcceptedAt      time.Time // by the time of day
+	AcceptedAt      time.Time // time of day when the job was accepted
 	Tasks           []Task
-	Done            int
-	Allocated       int
-	WaitingSince    time.Time            // since when some task of it waits without a break
-	EnqueuedAt      time.Time            // when it was accepted, by the monotonic clock
-	BackoffUntil    time.Time            // after failures, no task is allocated before
-	PreemptingUntil time.Time            // until then, what was preempted for it is on its way out
-	Failures        int                  // tasks that failed, as this leader has seen
-	FailedWaves     int                  // waves of failures since a task of it last worked
-	AvoidMachines   map[string]time.Time // machines on which a task of it failed, until when
-	runs            []CompletedRun       // the last ones
-	medianRunS      float64              // the median of runs, once there are SeenRuns of them
+	Done            int                  // number of tasks that are done
+	Allocated       int                  // number of tasks that are allocated
+	WaitingSince    time.Time            // since when at least one task has waited without interruption
+	EnqueuedAt      time.Time            // when the job was accepted, by the monotonic clock
+	BackoffUntil    time.Time            // after failures, no task is allocated before this time
+	PreemptingUntil time.Time            // until then, tasks preempted for this job may still be stopping
+	Failures        int                  // failed tasks that this leader has seen
+	FailedWaves     int                  // waves of failures since a task last ran well; see MarkFailed
+	AvoidMachines   map[string]time.Time // machines on which a task of the job failed, and until when to avoid them
+	recentRuns      []CompletedRun       // of the last tasks that completed, at most SlowRuns
+	medianRunS      float64              // the median of recentRuns in seconds, once there are SeenRuns of them
 
-	version      uint64 // of the stored job
-	chunks       []progressChunk
-	cancelWanted bool
-	cancelled    bool // the stored job says so
-	ending       bool // its end is being written, or waits for that
-	endSent      bool // a transaction with its end was made
-	ended        bool // stored as done, or dropped
-	firstWaiting int  // no task before this index waits
-	waiters      []func(wire.JobState)
-	zones        map[string]int
+	version         uint64 // of the stored job record
+	chunks          []progressChunk
+	cancelWanted    bool                  // cancellation is requested
+	cancelled       bool                  // the stored job record says that the job is cancelled
+	endPending      bool                  // the write of the job's end is queued or in flight
+	endSent         bool                  // a transaction that ends the job was built; its outcome may be unknown
+	ended           bool                  // the job's end is stored
+	firstWaiting    int                   // no task before this index waits
+	waiters         []func(wire.JobState) // called with the final state once it is stored
+	allocatedByZone map[string]int        // allocations in each zone
 }
 
-// Waiting is how many tasks wait to be allocated.
+// Waiting returns the number of tasks that wait to be allocated.
 func (j *Job) Waiting() int { return len(j.Tasks) - j.Done - j.Allocated }
 
-// CanStart reports whether tasks of the job may be started.
+// CanStart reports whether tasks of the job may be started: it is neither cancelled nor ended.
 func (j *Job) CanStart() bool { return !j.cancelWanted && !j.cancelled && !j.ended }
 
-// Cancelled reports whether the job's cancellation is stored or wanted.
+// Cancelled reports whether the job's cancellation is requested or stored.
 func (j *Job) Cancelled() bool { return j.cancelWanted || j.cancelled }
 
-// EndSent reports whether a transaction that ends the job was made. Its outcome may be
-// unknown: the end may then be stored already.
+// EndSent reports whether a transaction that ends the job was built. While the outcome of that
+// transaction is unknown, the job's end may already be stored.
 func (j *Job) EndSent() bool { return j.endSent }
 
-// AllocationsByZone is how many tasks of the job may be in each zone.
-func (j *Job) AllocationsByZone() map[string]int { return j.zones }
+// AllocationsByZone returns the number of the job's allocations in each zone.
+func (j *Job) AllocationsByZone() map[string]int { return j.allocatedByZone }
 
-// Status is what the job's user may be told now.
+// Status returns the status that may be reported to the job's user now. It reports a final state only if
+// that state is stored.
 func (j *Job) Status() wire.JobStatus {
 	s := wire.JobStatus{ID: j.ID, State: wire.StateQueued, Done: j.Done}
 	for i := range j.Tasks {
@@ -69,7 +70,7 @@
 	return s
 }
 
-// NextWaiting is the index of the first waiting task at or behind from, or -1.
+// NextWaiting returns the index of the first waiting task at or after from, or -1 if there is none.
 func (j *Job) NextWaiting(from int) int {
 	for i := max(from, j.firstWaiting); i < len(j.Tasks); i++ {
 		if j.Tasks[i].State == Waiting {
@@ -82,8 +83,8 @@
 	return -1
 }
 
-// StopAll requests that all allocated tasks of the job end, with no time to save
-// progress, and returns their allocations.
+// StopAll requests that all allocated tasks of the job are stopped without time to save progress, and
+// returns their allocations.
 func (j *Job) StopAll(reason charge.Outcome) []*Allocation {
 	var stopped []*Allocation
 	for i := range j.Tasks {
@@ -95,24 +96,24 @@
 	return stopped
 }
 
-// allocate makes a waiting task an allocated one.
+// allocate changes the state of the allocation's task from waiting to allocated.
 func (j *Job) allocate(a *Allocation) {
 	t := &j.Tasks[a.Index]
 	t.State, t.Allocation = Allocated, a
 	j.Allocated++
-	j.zones[a.Zone]++
+	j.allocatedByZone[a.Zone]++
 }
 
-// release takes a task's allocation away and leaves the task in a state.
+// release removes an allocation and sets its task's state to the given one.
 func (j *Job) release(a *Allocation, to TaskState) {
 	a.Removed = true
 	t := &j.Tasks[a.Index]
 	t.State, t.Allocation = to, nil
 	j.Allocated--
-	j.zones[a.Zone]--
+	j.allocatedByZone[a.Zone]--
 }
 
-// notifyWaiters tells whoever asked for the job's cancellation how it ended.
+// notifyWaiters calls the callbacks of cancellation requests with the job's final state.
 func (j *Job) notifyWaiters(s wire.JobState) {
 	for _, fn := range j.waiters {
 		fn(s)
--- a/internal/scheduler/jobs/kvstore_test.go
+++ b/internal/scheduler/jobs/kvstore_test.go
@@ -11,11 +11,11 @@
 
 var (
 	t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	// later is when lazy changes are due to be written.
+	// later is a time at which lazy changes that were made at t0 are due to be written.
 	later = t0.Add(tuning.LazyFlush)
 )
 
-// kvStore applies a store's transactions like the key-value store, conditions included.
+// kvStore is a fake key-value store. It applies transactions and fails the test if a condition does not hold.
 type kvStore struct {
 	t        *testing.T
 	revision uint64
@@ -24,17 +24,19 @@
 
 func newKVStore(t *testing.T) *kvStore { return &kvStore{t: t, items: map[string]wire.Item{}} }
 
+// accept stores an accepted job.
 func (kv *kvStore) accept(id string, tasks int) {
 	kv.revision++
 	rec := JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AtMS: t0.UnixMilli()}
 	kv.items[KeyJob(id)] = wire.Item{Key: KeyJob(id), Value: wire.EncodeRecord(rec), Version: kv.revision}
 }
 
+// apply executes a transaction and returns its revision.
 func (kv *kvStore) apply(txn wire.Txn) uint64 {
 	kv.t.Helper()
 	for _, c := range txn.If {
 		if kv.items[c.Key].Version != c.Version {
-			kv.t.Fatalf("condition on %s: version %d, want %d", c.Key, kv.items[c.Key].Version, c.Version)
+			kv.t.Fatalf("transaction with a failed condition: key %s has version %d, the condition requires %d", c.Key, kv.items[c.Key].Version, c.Version)
 		}
 	}
 	kv.revision++
@@ -48,17 +50,18 @@
 	return kv.revision
 }
 
-// flush writes all that is pending. It returns what may be started and which jobs are over.
-func (kv *kvStore) flush(s *Store) (start []*Allocation, over []FinishedJob) {
+// flush writes all pending changes. It returns the allocations whose tasks may be started and the jobs that
+// finished.
+func (kv *kvStore) flush(s *Store) (startable []*Allocation, finished []FinishedJob) {
 	kv.t.Helper()
 	for batch := s.NextBatch(later, WriteBudget{Spare: 1000}); batch != nil; batch = s.NextBatch(later, WriteBudget{Spare: 1000}) {
 		started, ended := s.MarkCommitted(batch, kv.apply(batch.Txn))
-		start, over = append(start, started...), append(over, ended...)
+		startable, finished = append(startable, started...), append(finished, ended...)
 	}
-	return start, over
+	return startable, finished
 }
 
-// load is what a new leader does: it reads all records.
+// load returns a store with all records, as a new leader loads them, and the allocations in them.
 func (kv *kvStore) load(txnOps int) (*Store, []*Allocation) {
 	kv.t.Helper()
 	s := NewStore(txnOps)
@@ -83,7 +86,7 @@
 	return s, allocations
 }
 
-// newAllocatedJob is job-1 with some tasks, of which the first is allocated, which is stored.
+// newAllocatedJob returns a store with job-1, whose first task has a stored allocation.
 func newAllocatedJob(t *testing.T, tasks int) (*kvStore, *Store, *Job, *Allocation) {
 	t.Helper()
 	kv := newKVStore(t)
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -10,56 +10,57 @@
 	"poppypass/internal/platform/wire"
 )
 
-// RecordError tells that a stored record cannot be used.
+// RecordError reports a stored record that cannot be used.
 type RecordError struct {
 	Key string
-	Err error // why
+	Err error // the reason
 }
 
 func (e *RecordError) Error() string { return fmt.Sprintf("record %s: %v", e.Key, e.Err) }
 
-// Unwrap returns why the record cannot be used.
+// Unwrap returns the reason why the record cannot be used.
 func (e *RecordError) Unwrap() error { return e.Err }
 
 var (
-	// ErrMalformedKey tells that a record's key does not name what it should.
+	// ErrMalformedKey reports a record key that is not in its expected format.
 	ErrMalformedKey = errors.New("malformed key")
-	// ErrWrongJob tells that a job's record does not hold the job that its key names, or
-	// one of a size that was never accepted.
-	ErrWrongJob = errors.New("it does not hold its job")
-	// ErrMalformedProgress tells that a progress record names tasks that its job does not have.
+	// ErrWrongJob reports a job record whose job has another ID than its key, or a number of tasks that is
+	// never accepted.
+	ErrWrongJob = errors.New("no valid job with the ID in the key")
+	// ErrMalformedProgress reports a progress record with invalid task ranges, or with tasks that its job
+	// does not have.
 	ErrMalformedProgress = errors.New("malformed progress")
 )
 
-// LoadJob adds a stored job, unless it is known already; wall is the time of day. The
-// error is a *RecordError.
+// LoadJob adds a stored job and returns it. If the job is already loaded, it returns that one unchanged. wall
+// is the current time of day. The error is a *RecordError.
 func (s *Store) LoadJob(item wire.Item, now, wall time.Time) (*Job, error) {
-	var r JobRecord
-	if err := json.Unmarshal(item.Value, &r); err != nil {
+	var record JobRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return nil, &RecordError{item.Key, err}
 	}
-	if r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks || KeyJob(r.Job.ID) != item.Key {
+	if record.Job.Tasks < 1 || record.Job.Tasks > wire.MaxTasks || KeyJob(record.Job.ID) != item.Key {
 		return nil, &RecordError{item.Key, ErrWrongJob}
 	}
-	if j := s.Jobs[r.Job.ID]; j != nil {
+	if j := s.Jobs[record.Job.ID]; j != nil {
 		return j, nil
 	}
-	j := newJob(&r, item.Version, now, wall)
+	j := newJob(&record, item.Version, now, wall)
 	s.Jobs[j.ID] = j
 	return j, nil
 }
 
-func newJob(r *JobRecord, version uint64, now, wall time.Time) *Job {
-	acceptedAt := time.UnixMilli(r.AtMS)
-	// The wait is measured by the monotonic clock; what passed before we knew of
-	// the job comes from the time of day, which may be a little off.
+func newJob(record *JobRecord, version uint64, now, wall time.Time) *Job {
+	acceptedAt := time.UnixMilli(record.AtMS)
+	// The wait is measured by the monotonic clock. The part before this leader loaded the job is computed
+	// from the time of day, which may be slightly wrong.
 	waited := max(0, wall.Sub(acceptedAt))
 	j := &Job{
-		Job: r.Job, AcceptedAt: acceptedAt, Tasks: make([]Task, r.Job.Tasks),
+		Job: record.Job, AcceptedAt: acceptedAt, Tasks: make([]Task, record.Job.Tasks),
 		WaitingSince: now.Add(-waited), EnqueuedAt: now.Add(-waited),
-		version: version, cancelled: r.Cancelled,
-		chunks: make([]progressChunk, (r.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
-		zones:  map[string]int{}, AvoidMachines: map[string]time.Time{},
+		version: version, cancelled: record.Cancelled,
+		chunks:          make([]progressChunk, (record.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
+		allocatedByZone: map[string]int{}, AvoidMachines: map[string]time.Time{},
 	}
 	for n := range j.chunks {
 		j.chunks[n].pack.Job, j.chunks[n].pack.Traits = j.ID, TraitsOf(&j.Job)
@@ -67,47 +68,47 @@
 	return j
 }
 
-// LoadProgress adds a stored progress record of a job that was loaded before, and
-// returns the allocations that it names. The error is a *RecordError.
+// LoadProgress adds a stored progress record of a job that was loaded before, and returns the allocations
+// in it. A record whose job is not loaded belongs to a finished job. The error is a *RecordError.
 func (s *Store) LoadProgress(item wire.Item, now time.Time) ([]*Allocation, error) {
-	id, n, ok := parseProgressKey(item.Key)
+	id, index, ok := parseProgressKey(item.Key)
 	if !ok {
 		return nil, &RecordError{item.Key, ErrMalformedKey}
 	}
-	var r progressRecord
-	if err := json.Unmarshal(item.Value, &r); err != nil {
+	var record progressRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return nil, &RecordError{item.Key, err}
 	}
 	j := s.Jobs[id]
 	if j == nil {
-		s.loadStaleProgress(item, &r, now)
+		s.loadStaleProgress(item, &record, now)
 		return nil, nil
 	}
-	done, err := decodeRanges(r.Done)
+	done, err := decodeRanges(record.Done)
 	if err != nil {
 		return nil, &RecordError{item.Key, fmt.Errorf("%w: %w", ErrMalformedProgress, err)}
 	}
-	if n >= len(j.chunks) {
+	if index >= len(j.chunks) {
 		return nil, &RecordError{item.Key, ErrMalformedProgress}
 	}
-	c := &j.chunks[n]
-	c.version, c.baseMS = item.Version, r.BaseMS
-	if err := c.loadCharges(r.Charges); err != nil {
-		s.damaged = append(s.damaged, &RecordError{item.Key, err})
+	chunk := &j.chunks[index]
+	chunk.version, chunk.baseMS = item.Version, record.BaseMS
+	if err := chunk.loadCharges(record.Charges); err != nil {
+		s.chargeErrors = append(s.chargeErrors, &RecordError{item.Key, err})
 	}
-	if r.FailedWaves > 0 {
-		j.FailedWaves = r.FailedWaves
+	if record.FailedWaves > 0 {
+		j.FailedWaves = record.FailedWaves
 		j.BackoffUntil = now.Add(backoff(j.FailedWaves))
 	}
 	j.loadDone(done)
-	return j.loadEntries(c, r.Tasks, now), nil
+	return j.loadEntries(chunk, record.Tasks, now), nil
 }
 
-// loadStaleProgress takes care of a progress record of a job that is over: it still
-// holds charges, or the leader that ended the job could not drop all its records in one
-// transaction.
-func (s *Store) loadStaleProgress(item wire.Item, r *progressRecord, now time.Time) {
-	if len(r.Charges) > 0 {
+// loadStaleProgress handles a progress record of a finished job. If the record contains charges, it is
+// added as detached charges. Otherwise the leader that ended the job could not delete all its records in one
+// transaction, and the record is queued for deletion.
+func (s *Store) loadStaleProgress(item wire.Item, record *progressRecord, now time.Time) {
+	if len(record.Charges) > 0 {
 		s.LoadDetached(item)
 		return
 	}
@@ -115,6 +116,7 @@
 	s.queue.scheduleFlush(now)
 }
 
+// loadDone marks tasks as done, by their indexes.
 func (j *Job) loadDone(done []int) {
 	for _, i := range done {
 		if i < len(j.Tasks) && j.Tasks[i].State != Done {
@@ -124,51 +126,53 @@
 	}
 }
 
-// loadEntries adds what a progress record says of tasks that are not done, and returns
-// the allocations among it.
-func (j *Job) loadEntries(c *progressChunk, entries []taskEntry, now time.Time) []*Allocation {
+// loadEntries adds the entries of a progress record, which are of tasks that are not done, and returns the
+// allocations among them.
+func (j *Job) loadEntries(chunk *progressChunk, entries []taskEntry, now time.Time) []*Allocation {
 	var loaded []*Allocation
-	for _, e := range entries {
-		if e.Index < 0 || e.Index >= len(j.Tasks) || j.Tasks[e.Index].State == Done {
+	for _, entry := range entries {
+		if entry.Index < 0 || entry.Index >= len(j.Tasks) || j.Tasks[entry.Index].State == Done {
 			continue
 		}
-		j.Tasks[e.Index].Attempt = e.Attempt
-		if e.Machine == "" {
+		j.Tasks[entry.Index].Attempt = entry.Attempt
+		if entry.Machine == "" {
 			continue
 		}
 		a := &Allocation{
-			Job: j, Index: e.Index, Attempt: e.Attempt, Machine: e.Machine, Incarnation: e.Incarnation, Zone: e.Zone,
+			Job: j, Index: entry.Index, Attempt: entry.Attempt, Machine: entry.Machine, Incarnation: entry.Incarnation, Zone: entry.Zone,
 			Committed: true, KnownSince: now, AllocatedAt: now, Inherited: true,
 		}
-		c.decodeTimes(&e, a)
+		chunk.decodeTimes(&entry, a)
 		j.allocate(a)
 		loaded = append(loaded, a)
 	}
 	return loaded
 }
 
-// LoadDetached adds a stored record of detached charges.
+// LoadDetached adds a stored record of detached charges. If it cannot be decoded, the error is reported by
+// TakeDamaged.
 func (s *Store) LoadDetached(item wire.Item) {
 	switch p, err := DecodeCharges(item); {
 	case err != nil:
-		s.damaged = append(s.damaged, err)
+		s.chargeErrors = append(s.chargeErrors, err)
 	case p != nil:
 		s.detached = append(s.detached, DetachedCharges{Key: item.Key, Version: item.Version, Pack: p})
 	}
 }
 
-// FinishLoading is called when all records are loaded: what they imply is queued for
-// writing.
+// FinishLoading is called after all records are loaded. It queues the ends of jobs that the records show to
+// be finished.
 func (s *Store) FinishLoading() {
 	for _, j := range s.Jobs {
-		s.checkEnd(j)
+		s.queueEndIfFinished(j)
 	}
 }
 
-// TakeDamaged returns the records whose charges could not be read, since it was last
-// asked. What their jobs are owed is not affected by that. The errors are *RecordErrors.
+// TakeDamaged returns the errors since the last call of records whose charges could not be decoded. The task
+// progress in such a record is used all the same, so the job's tasks are not affected. Each error is a
+// *RecordError.
 func (s *Store) TakeDamaged() []error {
-	out := s.damaged
-	s.damaged = nil
+	out := s.chargeErrors
+	s.chargeErrors = nil
 	return out
 }
--- a/internal/scheduler/jobs/load_test.go
+++ b/internal/scheduler/jobs/load_test.go
@@ -6,7 +6,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// An earlier version stored the cancellation first, and dropped the records later.
+// An earlier version of the software stored the cancellation first and deleted the job's records later.
 func TestCancellationStoredByAnEarlierVersionIsFinished(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 1)
@@ -19,15 +19,15 @@
 	kv.items[KeyFinalState("job-1")] = wire.Item{Key: KeyFinalState("job-1"), Value: wire.EncodeRecord(FinalState{State: wire.StateCancelled})}
 	s, allocations := kv.load(12)
 	if s.Jobs["job-1"].CanStart() || len(allocations) != 1 {
-		t.Fatalf("can start: %v, allocations %v", s.Jobs["job-1"].CanStart(), allocations)
+		t.Fatalf("can start: %v, allocations %v; want a cancelled job with one allocation", s.Jobs["job-1"].CanStart(), allocations)
 	}
 	s.MarkLost(allocations[0], t0)
-	if _, over := kv.flush(s); len(kv.items) != 1 || kv.items[KeyFinalState("job-1")].Key == "" || len(over) != 0 {
-		t.Errorf("left in the store: %v; over: %v", kv.items, over)
+	if _, finished := kv.flush(s); len(kv.items) != 1 || kv.items[KeyFinalState("job-1")].Key == "" || len(finished) != 0 {
+		t.Errorf("keys that remain: %v; finished jobs: %v; want only the final state and no job", kv.items, finished)
 	}
 }
 
-// Guards against records that a leader could not drop before it died.
+// Guards against progress records that remain because a leader died before it deleted them.
 func TestProgressWithoutItsJobIsDropped(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 1)
@@ -38,6 +38,6 @@
 	s, allocations := kv.load(12)
 	kv.flush(s)
 	if len(allocations) != 0 || len(kv.items) != 0 {
-		t.Errorf("allocations %v, keys %v", allocations, kv.items)
+		t.Errorf("allocations %v and keys %v remain of a finished job", allocations, kv.items)
 	}
 }
--- a/internal/scheduler/jobs/progress.go
+++ b/internal/scheduler/jobs/progress.go
@@ -9,53 +9,54 @@
 	"poppypass/internal/platform/wire"
 )
 
-// progressChunk is the progress of ChunkTasks tasks of a job that share one stored
-// record, and what of it is to be written.
+// progressChunk is the progress of ChunkTasks consecutive tasks of a job, which share one stored record, and
+// the state of writing that record.
 type progressChunk struct {
-	version    uint64 // of the stored record; 0: there is none
-	dirty      bool   // memory holds more than the record
-	dirtySince time.Time
-	queued     bool        // it is in the store's lazy queue
-	urgent     bool        // an allocation in it waits to be stored before its task starts
-	writing    bool        // the record is in a batch that is not committed yet
-	pack       charge.Pack // charges of ended attempts, and the kinds of machines that entries name
-	baseMS     int64       // times in the record count from here, in milliseconds
+	version    uint64      // of the stored record; 0: no record is stored
+	dirty      bool        // the stored record is out of date
+	dirtySince time.Time   // valid while dirty
+	queued     bool        // the chunk is in writeQueue.lazy
+	urgent     bool        // somebody waits for the write, mostly an allocation whose task cannot start before
+	writing    bool        // the record is in a batch whose commit is not confirmed yet
+	pack       charge.Pack // charges of ended attempts, and the machine kinds that entries refer to
+	baseMS     int64       // time of day that the record's times are relative to, in Unix milliseconds; 0: unset
 }
 
-// chunkRef names a progress chunk.
+// chunkRef refers to a progress chunk of a job.
 type chunkRef struct {
-	job *Job
-	n   int
+	job   *Job
+	index int // in Job.chunks
 }
 
-// chunkOf is the chunk that holds a task.
+// chunkOf returns the chunk that contains a task, given by its index.
 func chunkOf(j *Job, task int) chunkRef { return chunkRef{j, task / tuning.ChunkTasks} }
 
-func (r chunkRef) chunk() *progressChunk { return &r.job.chunks[r.n] }
+func (r chunkRef) chunk() *progressChunk { return &r.job.chunks[r.index] }
 
-func (r chunkRef) key() string { return keyProgress(r.job.ID, r.n) }
+func (r chunkRef) key() string { return keyProgress(r.job.ID, r.index) }
 
-// tasks are the indexes of the chunk's tasks, from the first to behind the last.
+// tasks returns the range of the chunk's task indexes; to is exclusive.
 func (r chunkRef) tasks() (from, to int) {
-	from = r.n * tuning.ChunkTasks
+	from = r.index * tuning.ChunkTasks
 	return from, min(len(r.job.Tasks), from+tuning.ChunkTasks)
 }
 
-// encode returns the chunk's record and the allocations in it that are not committed yet.
+// encode returns the chunk's encoded record and the allocations in it that are not committed yet.
 func (r chunkRef) encode(metered bool) (json.RawMessage, []*Allocation) {
 	c := r.chunk()
-	rec, uncommitted := r.encodeTasks(metered)
-	if r.n == 0 {
-		rec.FailedWaves = r.job.FailedWaves
+	record, uncommitted := r.encodeTasks(metered)
+	if r.index == 0 {
+		record.FailedWaves = r.job.FailedWaves
 	}
-	// Only now: the entries may have set the base and added kinds.
-	if rec.BaseMS = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
-		rec.Charges = charge.EncodePack(&c.pack)
+	// These fields are set last: encoding the entries may set the base time and add machine kinds.
+	if record.BaseMS = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
+		record.Charges = charge.EncodePack(&c.pack)
 	}
-	return wire.EncodeRecord(rec), uncommitted
+	return wire.EncodeRecord(record), uncommitted
 }
 
-func (r chunkRef) encodeTasks(metered bool) (rec progressRecord, uncommitted []*Allocation) {
+// encodeTasks returns a record with the chunk's tasks, and the allocations in it that are not committed yet.
+func (r chunkRef) encodeTasks(metered bool) (record progressRecord, uncommitted []*Allocation) {
 	c := r.chunk()
 	var done []int
 	from, to := r.tasks()
@@ -70,20 +71,20 @@
 			if metered {
 				c.encodeTimes(&e, a)
 			}
-			rec.Tasks = append(rec.Tasks, e)
+			record.Tasks = append(record.Tasks, e)
 			if !a.Committed {
 				uncommitted = append(uncommitted, a)
 			}
 		case t.Attempt > 0:
-			rec.Tasks = append(rec.Tasks, taskEntry{Index: i, Attempt: t.Attempt})
+			record.Tasks = append(record.Tasks, taskEntry{Index: i, Attempt: t.Attempt})
 		}
 	}
-	rec.Done = encodeRanges(done)
-	return rec, uncommitted
+	record.Done = encodeRanges(done)
+	return record, uncommitted
 }
 
-// encodeTimes adds what the charge of an attempt will count from to its stored entry.
-// Times are stored as milliseconds from the record's base, and at least 1.
+// encodeTimes adds to a stored entry what the charge of its attempt is computed from. Times are stored as
+// milliseconds after the record's base, and as at least 1, since 0 means that the time is absent.
 func (c *progressChunk) encodeTimes(e *taskEntry, a *Allocation) {
 	if c.baseMS == 0 {
 		c.baseMS = a.AllocatedAt.UnixMilli() - 1
--- a/internal/scheduler/jobs/queue.go
+++ b/internal/scheduler/jobs/queue.go
@@ -9,33 +9,33 @@
 	"poppypass/internal/platform/wire"
 )
 
-// writeQueue holds what of the store's changes is to be written. A change is urgent when
-// somebody waits for it: the starts of tasks and the ends of jobs. Any other is lazy: it waits
-// for room to spare, so that changes of one record share a write.
+// writeQueue holds the store's changes that are to be written. A change is urgent if somebody waits for it:
+// the start of a task or the end of a job. Any other change is lazy: it waits until the write limit has spare
+// room, so that several changes of one record share a write.
 type writeQueue struct {
-	urgent []chunkRef       // in the order in which they became so
-	lazy   []chunkRef       // the other dirty ones, in the order in which they became so
-	ends   []*Job           // whose end is to be written
-	stale  []wire.Condition // records of jobs that are over, to be dropped
+	urgent []chunkRef       // urgent chunks; sort puts them in order of priority
+	lazy   []chunkRef       // chunks with lazy changes, in queueing order; some may be urgent too, or written by now
+	ends   []*Job           // jobs whose end is to be written
+	stale  []wire.Condition // records of finished jobs, to be deleted
 
-	flushAt  time.Time // when the oldest lazy change is to be written; zero: there is none
-	writeNow bool      // something urgent waits
+	flushAt  time.Time // from when lazy changes are to be written; zero: not scheduled
+	writeNow bool      // an urgent change waits
 }
 
-// flushDue reports whether it is time to write what nobody waits for.
+// flushDue reports whether it is time to write lazy changes.
 func (q *writeQueue) flushDue(now time.Time) bool {
 	return !q.flushAt.IsZero() && !now.Before(q.flushAt)
 }
 
-// scheduleFlush has lazy changes written within LazyFlush.
+// scheduleFlush sets the time for writing lazy changes to LazyFlush from now, unless one is already set.
 func (q *writeQueue) scheduleFlush(now time.Time) {
 	if q.flushAt.IsZero() {
 		q.flushAt = now.Add(tuning.LazyFlush)
 	}
 }
 
-// markDirty notes that a chunk's record is out of date. It is written when there is room
-// to spare, unless it is marked urgent as well.
+// markDirty records that a chunk's stored record is out of date. The record is written when there is spare
+// room, or earlier if the chunk is also marked urgent.
 func (q *writeQueue) markDirty(ref chunkRef, now time.Time) {
 	if c := ref.chunk(); !c.dirty {
 		c.dirty, c.dirtySince = true, now
@@ -45,6 +45,7 @@
 	}
 }
 
+// pushLazy adds a chunk to the lazy queue, unless it is already there.
 func (q *writeQueue) pushLazy(ref chunkRef) {
 	if c := ref.chunk(); !c.queued {
 		c.queued = true
@@ -52,7 +53,8 @@
 	}
 }
 
-// markUrgent has a dirty chunk written before those that nobody waits for.
+// markUrgent puts a dirty chunk before those that nobody waits for. If its record is being written now, the
+// chunk is queued once that write is committed.
 func (q *writeQueue) markUrgent(ref chunkRef) {
 	if c := ref.chunk(); !c.urgent {
 		c.urgent = true
@@ -67,17 +69,17 @@
 	q.writeNow = true
 }
 
-// pushEnd has a job's end written.
+// pushEnd queues the write of a job's end, unless it is already queued, in flight or stored.
 func (q *writeQueue) pushEnd(j *Job) {
-	if j.ending || j.ended {
+	if j.endPending || j.ended {
 		return
 	}
-	j.ending = true
+	j.endPending = true
 	q.ends = append(q.ends, j)
 	q.writeNow = true
 }
 
-// pushStale has a progress record of a job that is over dropped when there is room.
+// pushStale queues a progress record of a finished job for deletion when there is spare room.
 func (q *writeQueue) pushStale(ref chunkRef, now time.Time) {
 	q.stale = append(q.stale, wire.Condition{Key: ref.key(), Version: ref.chunk().version})
 	if q.flushAt.IsZero() {
@@ -85,22 +87,22 @@
 	}
 }
 
-// sort puts what waits to be written in the order of the jobs' priorities, so
-// that starts of urgent work do not wait behind hundreds of tiny jobs: starts before ends, and
-// cancellations, which users wait for, behind the starts of the highest priority only.
+// sort puts the urgent changes in order of the jobs' priorities, so that starts of high-priority jobs do not
+// wait behind hundreds of tiny jobs. Within a priority, starts come before ends. Cancellations, which users
+// wait for, come after the starts of the highest priority only.
 func (q *writeQueue) sort() {
 	slices.SortStableFunc(q.ends, func(x, y *Job) int { return cmp.Compare(y.endPriority(), x.endPriority()) })
-	// What is about to be dropped with its job needs no writing.
-	q.urgent = slices.DeleteFunc(q.urgent, func(r chunkRef) bool { return r.job.ending })
+	// Records of ending jobs need no write of their own: the job's end deletes or detaches them.
+	q.urgent = slices.DeleteFunc(q.urgent, func(r chunkRef) bool { return r.job.endPending })
 	slices.SortStableFunc(q.urgent, func(x, y chunkRef) int { return cmp.Compare(y.job.Priority.Level(), x.job.Priority.Level()) })
 }
 
-// endGoesFirst reports whether the first end goes before the first start.
+// endGoesFirst reports whether the first queued end is written before the first urgent chunk.
 func (q *writeQueue) endGoesFirst() bool {
 	return len(q.urgent) == 0 || len(q.ends) > 0 && q.ends[0].endPriority() > q.urgent[0].job.Priority.Level()
 }
 
-// updateDue notes, once a batch is gathered, what still waits to be written.
+// updateDue updates writeNow and flushAt after a batch is built, by the changes that are still queued.
 func (q *writeQueue) updateDue() {
 	q.writeNow = len(q.ends)+len(q.urgent) > 0
 	if len(q.lazy)+len(q.stale) == 0 {
@@ -108,10 +110,10 @@
 	}
 }
 
-// endPriority is the priority of the write of a job's end. A cancellation, which its user
-// waits for, has that of production, whose starts still go before it: cancellations that
-// came together used to hold them up, although each takes three changes and its tasks are
-// being stopped already.
+// endPriority returns the priority level of the write of a job's end. A cancellation has the level of
+// production jobs because its user waits for it. Starts of production jobs are still written before it: each
+// cancellation needs three changes and its tasks are already being stopped, and simultaneous cancellations
+// that were written first delayed those starts.
 func (j *Job) endPriority() int {
 	if j.cancelWanted {
 		return wire.PriorityProduction.Level()
--- a/internal/scheduler/jobs/ranges.go
+++ b/internal/scheduler/jobs/ranges.go
@@ -8,21 +8,21 @@
 	"poppypass/internal/platform/wire"
 )
 
-// encodeRanges is the stored form of ascending indexes, for example "0-2,5,7-8".
-func encodeRanges(idx []int) string {
+// encodeRanges returns the stored form of ascending indexes, for example "0-2,5,7-8".
+func encodeRanges(indexes []int) string {
 	var b strings.Builder
-	for i := 0; i < len(idx); {
+	for i := 0; i < len(indexes); {
 		j := i
-		for j+1 < len(idx) && idx[j+1] == idx[j]+1 {
+		for j+1 < len(indexes) && indexes[j+1] == indexes[j]+1 {
 			j++
 		}
 		if b.Len() > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(strconv.Itoa(idx[i]))
+		b.WriteString(strconv.Itoa(indexes[i]))
 		if j > i {
 			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(idx[j]))
+			b.WriteString(strconv.Itoa(indexes[j]))
 		}
 		i = j + 1
 	}
@@ -31,7 +31,7 @@
 
 // decodeRanges is the reverse of encodeRanges.
 func decodeRanges(s string) ([]int, error) {
-	var idx []int
+	var indexes []int
 	if s == "" {
 		return nil, nil
 	}
@@ -40,20 +40,20 @@
 		if !isRange {
 			to = from
 		}
-		a, err := strconv.Atoi(from)
+		first, err := strconv.Atoi(from)
 		if err != nil {
 			return nil, err
 		}
-		b, err := strconv.Atoi(to)
+		last, err := strconv.Atoi(to)
 		if err != nil {
 			return nil, err
 		}
-		if a < 0 || b < a || b >= wire.MaxTasks {
-			return nil, fmt.Errorf("range %q", part)
+		if first < 0 || last < first || last >= wire.MaxTasks {
+			return nil, fmt.Errorf("invalid task range %q", part)
 		}
-		for i := a; i <= b; i++ {
-			idx = append(idx, i)
+		for i := first; i <= last; i++ {
+			indexes = append(indexes, i)
 		}
 	}
-	return idx, nil
+	return indexes, nil
 }
--- a/internal/scheduler/jobs/ranges_test.go
+++ b/internal/scheduler/jobs/ranges_test.go
@@ -12,7 +12,7 @@
 	}{{nil, ""}, {[]int{3}, "3"}, {[]int{0, 1, 2, 5, 7, 8}, "0-2,5,7-8"}} {
 		got, err := decodeRanges(c.text)
 		if encodeRanges(c.idx) != c.text || err != nil || !reflect.DeepEqual(got, c.idx) {
-			t.Errorf("%v: %q, back %v, %v", c.idx, encodeRanges(c.idx), got, err)
+			t.Errorf("%v is encoded as %q and decoded as %v, error %v", c.idx, encodeRanges(c.idx), got, err)
 		}
 	}
 	for _, bad := range []string{"x", "3-1", "-1", "0-100000", "1,,2"} {
--- a/internal/scheduler/jobs/runtimes.go
+++ b/internal/scheduler/jobs/runtimes.go
@@ -7,36 +7,36 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// CompletedRun is how long a completed task ran, and where.
+// CompletedRun is the run of a completed task.
 type CompletedRun struct {
-	Machine, Type string
-	Seconds       float64
+	Machine, Type string  // the machine's name and its type
+	Seconds       float64 // run time
 }
 
-// RecordRun remembers a completed task. It returns how long, in seconds, the remembered
-// tasks ran that completed on other machines of the same type: another type may be
-// slower as it is.
-func (j *Job) RecordRun(r CompletedRun) (elsewhere []float64) {
-	for _, o := range j.runs {
-		if o.Machine != r.Machine && o.Type == r.Type {
-			elsewhere = append(elsewhere, o.Seconds)
+// RecordRun adds the run of a completed task to the job's recent runs. It returns the run times, in seconds, of
+// earlier recent runs on other machines of the same type. Runs on other types are left out because a type can
+// be slower by design.
+func (j *Job) RecordRun(run CompletedRun) (elsewhere []float64) {
+	for _, other := range j.recentRuns {
+		if other.Machine != run.Machine && other.Type == run.Type {
+			elsewhere = append(elsewhere, other.Seconds)
 		}
 	}
-	if j.runs = append(j.runs, r); len(j.runs) > tuning.SlowRuns {
-		j.runs = j.runs[1:]
+	if j.recentRuns = append(j.recentRuns, run); len(j.recentRuns) > tuning.SlowRuns {
+		j.recentRuns = j.recentRuns[1:]
 	}
-	if len(j.runs) >= tuning.SeenRuns {
-		sorted := slices.SortedFunc(slices.Values(j.runs), func(a, b CompletedRun) int { return cmp.Compare(a.Seconds, b.Seconds) })
+	if len(j.recentRuns) >= tuning.SeenRuns {
+		sorted := slices.SortedFunc(slices.Values(j.recentRuns), func(a, b CompletedRun) int { return cmp.Compare(a.Seconds, b.Seconds) })
 		j.medianRunS = sorted[len(sorted)/2].Seconds
 	}
 	return elsewhere
 }
 
-// ExpectedRunS is for how long a task of the job is expected to run, in seconds: as long
-// as those that completed, whose run times differ little within a job (seen is true
-// then), or else as its owner says.
-func (j *Job) ExpectedRunS() (s float64, seen bool) {
-	if len(j.runs) < tuning.SeenRuns {
+// ExpectedRunS returns the expected run time of a task of the job, in seconds. Once SeenRuns tasks completed,
+// it is the median of the recent runs, since run times differ little within a job; measured is true then.
+// Before, it is the owner's estimate.
+func (j *Job) ExpectedRunS() (seconds float64, measured bool) {
+	if len(j.recentRuns) < tuning.SeenRuns {
 		return j.EstimateS, false
 	}
 	return j.medianRunS, true
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -1,12 +1,12 @@
-// Package jobs holds the accepted jobs: their tasks, where each task may be, and the
-// records of all that in the key-value store.
+// Package jobs holds the leader's state of accepted jobs: their tasks, the machine on which each task may
+// be, and the records of this state in the key-value store.
 //
-// A change is made in memory first and marks the records that it concerns. NextBatch
-// gathers marked records into one transaction, and MarkCommitted applies that it is
-// stored. A task may be started only once the record that names its allocation is
-// stored, and a job's end is told only once it is stored.
+// Each change is made in memory first and marks the affected records as dirty. NextBatch gathers dirty
+// records into one transaction. MarkCommitted applies the effects of a stored transaction. A task may be
+// started only after the record that names its allocation is stored. A job's end is reported only after it
+// is stored.
 //
-// The Store belongs to the leader's loop and is not safe for concurrent use.
+// Only the leader's loop uses the Store, which is not safe for concurrent use.
 package jobs
 
 import (
@@ -15,27 +15,27 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Store holds the live jobs. The times that its methods take are the leader's clock.
+// Store holds the live jobs. Arguments named now are times of the leader's clock.
 type Store struct {
-	Jobs map[string]*Job
+	Jobs map[string]*Job // by job ID
 
-	// Metered tells that what tasks take is charged: the times that charges count from
-	// are stored then.
+	// Metered is whether resource use is charged. If so, progress records contain the times from which
+	// charges are computed.
 	Metered bool
 
-	txnOps int // changes that one transaction may hold
+	txnOps int // maximum number of changes in one transaction
 	queue  writeQueue
 
-	newlyRunning []*Allocation // seen to run, in that order
-	detached     []DetachedCharges
-	damaged      []error
+	newlyRunning []*Allocation     // first seen running, in that order; ChargedFrom may not be stored yet
+	detached     []DetachedCharges // not yet returned by TakeDetached
+	chargeErrors []error           // not yet returned by TakeDamaged
 }
 
-// NewStore makes an empty store; txnOps is how many changes one transaction may hold.
+// NewStore returns an empty store. txnOps is the maximum number of changes in one transaction.
 func NewStore(txnOps int) *Store { return &Store{Jobs: map[string]*Job{}, txnOps: txnOps} }
 
-// Allocate decides that a waiting task goes to a machine. The task may be started once
-// the allocation is committed.
+// Allocate assigns a waiting task to a machine under a new attempt number. The task may be started once the
+// allocation is committed.
 func (s *Store) Allocate(j *Job, index int, machine, zone string, incarnation uint64, now time.Time) *Allocation {
 	t := &j.Tasks[index]
 	t.Attempt++
@@ -49,7 +49,7 @@
 	return a
 }
 
-// MarkDone records that an allocated task has completed.
+// MarkDone records that an allocated task completed.
 func (s *Store) MarkDone(a *Allocation, now time.Time) {
 	if a.Removed {
 		return
@@ -59,8 +59,8 @@
 	s.markReleased(a, now)
 }
 
-// MarkLost records that a task is proven gone from its machine without completing; it
-// waits again.
+// MarkLost records that a task is proven gone from its machine without having completed. The task waits
+// for another allocation.
 func (s *Store) MarkLost(a *Allocation, now time.Time) {
 	if a.Removed {
 		return
@@ -74,31 +74,32 @@
 	s.markReleased(a, now)
 }
 
-// markReleased has what follows from the end of an allocation written.
+// markReleased queues the writes that follow from the end of an allocation.
 func (s *Store) markReleased(a *Allocation, now time.Time) {
 	s.queue.markDirty(a.chunk(), now)
 	s.queue.scheduleFlush(now)
-	s.checkEnd(a.Job)
+	s.queueEndIfFinished(a.Job)
 }
 
-// Cancel requests that a job is cancelled; fn is told the final state once it is stored.
-// That is stored once all its tasks are gone: until then no more are started.
+// Cancel requests the cancellation of a job. No more of its tasks are started. The cancellation is stored
+// once all its tasks are proven gone. fn is called with the job's final state once that is stored.
 func (s *Store) Cancel(j *Job, fn func(wire.JobState)) {
 	if j.cancelled {
 		fn(wire.StateCancelled)
 		return
 	}
 	j.waiters = append(j.waiters, fn)
-	if j.ending || j.cancelWanted {
-		return // fn learns how it ends
+	if j.endPending || j.cancelWanted {
+		return // fn is called when the pending end or cancellation is stored
 	}
 	j.cancelWanted = true
-	s.checkEnd(j)
+	s.queueEndIfFinished(j)
 }
 
-// checkEnd queues the end of a job whose tasks are all done, the cancellation of
-// one that is to be cancelled and whose tasks are all gone, or the dropping of one that was.
-func (s *Store) checkEnd(j *Job) {
+// queueEndIfFinished queues the write of a job's end if all its tasks are done, or if it is cancelled and
+// none of its tasks is allocated. If the stored job record already says that it is cancelled, the write only
+// deletes the job's records.
+func (s *Store) queueEndIfFinished(j *Job) {
 	if j.Done == len(j.Tasks) || j.Cancelled() && j.Allocated == 0 {
 		s.queue.pushEnd(j)
 	}
@@ -110,18 +111,19 @@
 	return s.queue.writeNow || s.queue.flushDue(now)
 }
 
-// FlushSoon has a task's record written soon. It is for a worker that holds many ended
-// tasks which it may not forget yet: its heartbeat must not outgrow what a request may be.
+// FlushSoon marks a task's record as urgent if it is dirty. It is called when a worker reports many ended
+// tasks that it must retain until their ends are stored: without it, the worker's heartbeat could exceed the
+// size limit of a request.
 func (s *Store) FlushSoon(j *Job, index int) {
-	if ref := chunkOf(j, index); !j.ending && ref.chunk().dirty {
+	if ref := chunkOf(j, index); !j.endPending && ref.chunk().dirty {
 		s.queue.markUrgent(ref)
 	}
 }
 
-// Persisted reports whether the stored record of a task says what memory says.
+// Persisted reports whether the stored record of a task is up to date with memory.
 func (s *Store) Persisted(j *Job, index int) bool {
 	c := chunkOf(j, index).chunk()
-	// While the job's end is on its way nothing tells of its last tasks: workers that forgot
-	// them in an outage had the next leader run them again.
-	return !c.dirty && !c.writing && !j.ending
+	// While the write of the job's end is pending, no stored record says that its last tasks ended. If
+	// workers forgot them now and the leader changed in an outage, the next leader would run them again.
+	return !c.dirty && !c.writing && !j.endPending
 }
--- a/internal/scheduler/jobs/store_test.go
+++ b/internal/scheduler/jobs/store_test.go
@@ -13,30 +13,30 @@
 	s, _ := kv.load(12)
 	a := s.Allocate(s.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	if a.Committed {
-		t.Fatal("an allocation counts as stored before it is")
+		t.Fatal("an allocation is marked as committed before it is stored")
 	}
-	start, _ := kv.flush(s)
-	if len(start) != 1 || start[0] != a || !a.Committed {
-		t.Fatalf("to start: %v", start)
+	startable, _ := kv.flush(s)
+	if len(startable) != 1 || startable[0] != a || !a.Committed {
+		t.Fatalf("allocations to start: %v, want the committed one", startable)
 	}
-	// A new leader finds the allocation, with all that it needs to count it.
+	// A new leader loads the allocation with all fields that it needs to account for it.
 	_, allocations := kv.load(12)
 	if len(allocations) != 1 || allocations[0].Machine != "n-1" || allocations[0].Incarnation != 1 || allocations[0].Attempt != 1 || allocations[0].Zone != "a" || !allocations[0].Committed {
-		t.Fatalf("found again: %+v", allocations)
+		t.Fatalf("allocations that a new leader loads: %+v", allocations)
 	}
 }
 
-// Guards against workers that forget a job's last task while its end is on its way to the
-// key-value store: after an outage in which the leader changed, it ran again.
+// Guards against workers that forget a job's last task before the job's end is stored: after an outage in which
+// the leader changed, the task ran again.
 func TestLastTaskIsNotPersistedUntilTheJobsEndIsStored(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
 	batch := s.NextBatch(later, WriteBudget{Spare: 1000})
 	if s.Persisted(j, 0) {
-		t.Error("its worker may forget it before its end is stored")
+		t.Error("the worker may forget the last task before the job's end is stored")
 	}
-	if _, over := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(over) != 1 || s.Jobs["job-1"] != nil {
-		t.Errorf("over are %v", over)
+	if _, finished := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(finished) != 1 || s.Jobs["job-1"] != nil {
+		t.Errorf("finished jobs: %v, want the job, removed from the store", finished)
 	}
 }
 
@@ -46,14 +46,14 @@
 	s, _ := kv.load(12)
 	a := s.Allocate(s.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 	batch := s.NextBatch(later, WriteBudget{Spare: 1000})
-	s.MarkLost(a, t0) // its worker's incarnation ended while the record was on its way
-	if start, _ := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(start) != 0 {
-		t.Fatalf("to start: %v", start)
+	s.MarkLost(a, t0) // its worker's incarnation ended while the batch was in flight
+	if startable, _ := s.MarkCommitted(batch, kv.apply(batch.Txn)); len(startable) != 0 {
+		t.Fatalf("allocations to start: %v, want none", startable)
 	}
 }
 
-// Guards against an attempt that is used twice: a worker that knows an attempt
-// ignores its start, and one that forgot it would run the task again.
+// Guards against an attempt number that is used twice: a worker that knows the attempt ignores its start, and
+// one that forgot the attempt would run the task again.
 func TestAttemptNumbersAreNeverReused(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 1)
@@ -65,7 +65,7 @@
 		}
 		a := s.Allocate(s.Jobs["job-1"], 0, "n-1", "a", 1, t0)
 		if seen[a.Attempt] {
-			t.Fatalf("attempt %d again", a.Attempt)
+			t.Fatalf("attempt number %d is used twice", a.Attempt)
 		}
 		seen[a.Attempt] = true
 		kv.flush(s)
@@ -77,55 +77,55 @@
 func TestDoneIsStoredBeforeItIsReported(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
-	if st := j.Status(); st.State.Final() {
-		t.Fatalf("reported as %v before it is stored", st)
+	if status := j.Status(); status.State.Final() {
+		t.Fatalf("reported as %v before it is stored", status)
 	}
 	if s.Persisted(j, 0) {
-		t.Error("the attempt could be forgotten before its end is stored")
+		t.Error("the worker may forget the attempt before its end is stored")
 	}
-	_, over := kv.flush(s)
-	if len(over) != 1 || over[0].State != wire.StateDone {
-		t.Fatalf("over: %v", over)
+	_, finished := kv.flush(s)
+	if len(finished) != 1 || finished[0].State != wire.StateDone {
+		t.Fatalf("finished jobs: %v, want one that is done", finished)
 	}
 	if _, live := kv.items[KeyJob("job-1")]; live || len(kv.items) != 1 || kv.items[KeyFinalState("job-1")].Key == "" {
-		t.Errorf("left in the store: %v", kv.items)
+		t.Errorf("keys that remain: %v, want only the final state", kv.items)
 	}
 }
 
-// Guards against a user who is told that a job is cancelled while a task of it runs in a
-// zone that is cut off, and may go on there for longer than users wait for its end.
+// Guards against a cancellation that is reported while a task of the job runs in a partitioned zone, where it
+// may continue to run for longer than users wait for its end.
 func TestCancellationIsStoredOnceAllTasksAreGone(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 3)
-	var told []wire.JobState
-	tell := func(st wire.JobState) { told = append(told, st) }
-	s.Cancel(j, tell)
-	s.Cancel(j, tell) // the request is repeated meanwhile
+	var reported []wire.JobState
+	report := func(state wire.JobState) { reported = append(reported, state) }
+	s.Cancel(j, report)
+	s.Cancel(j, report) // the request is repeated before the cancellation is stored
 	kv.flush(s)
-	if j.CanStart() || len(told) != 0 || kv.items[KeyFinalState("job-1")].Key != "" {
-		t.Fatalf("can start: %v, told %v while a task may run", j.CanStart(), told)
+	if j.CanStart() || len(reported) != 0 || kv.items[KeyFinalState("job-1")].Key != "" {
+		t.Fatalf("can start: %v, reported %v while a task may run", j.CanStart(), reported)
 	}
 	s.MarkLost(a, t0)
-	if len(told) != 0 {
-		t.Fatal("told before it is stored")
+	if len(reported) != 0 {
+		t.Fatal("the cancellation is reported before it is stored")
 	}
 	kv.flush(s)
-	if !reflect.DeepEqual(told, []wire.JobState{wire.StateCancelled, wire.StateCancelled}) {
-		t.Fatalf("told %v", told)
+	if !reflect.DeepEqual(reported, []wire.JobState{wire.StateCancelled, wire.StateCancelled}) {
+		t.Fatalf("reported %v, want both requests answered", reported)
 	}
 	if len(kv.items) != 1 || kv.items[KeyFinalState("job-1")].Key == "" {
-		t.Errorf("left in the store: %v", kv.items)
+		t.Errorf("keys that remain: %v, want only the final state", kv.items)
 	}
 }
 
-// Guards against a cancellation that overtakes the last task's end: whatever
-// is stored first is what everybody is told.
+// Guards against a cancellation that overtakes the last task's end: the final state that is stored first is the
+// one that everybody is told.
 func TestCancellationOfAJobWhoseEndIsBeingStoredReportsThatEnd(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
 	batch := s.NextBatch(later, WriteBudget{Spare: 1000})
-	var told wire.JobState
-	s.Cancel(j, func(st wire.JobState) { told = st })
-	if _, over := s.MarkCommitted(batch, kv.apply(batch.Txn)); told != wire.StateDone || over[0].State != wire.StateDone {
-		t.Errorf("told %q, over %v", told, over)
+	var reported wire.JobState
+	s.Cancel(j, func(state wire.JobState) { reported = state })
+	if _, finished := s.MarkCommitted(batch, kv.apply(batch.Txn)); reported != wire.StateDone || finished[0].State != wire.StateDone {
+		t.Errorf("reported %q, finished jobs %v; want both to say done", reported, finished)
 	}
 }
--- a/internal/scheduler/jobs/task.go
+++ b/internal/scheduler/jobs/task.go
@@ -7,8 +7,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// TaskState is where a task stands in its job: it waits for a machine, is allocated to
-// one, or is done. What a worker says of a running task is a wire.TaskState.
+// TaskState is the leader's state of a task: waiting for a machine, allocated to one, or done. The state
+// that a worker reports for an allocated task is a wire.TaskState.
 type TaskState uint8
 
 // The states of a task.
@@ -21,12 +21,12 @@
 // Task is one task of a job.
 type Task struct {
 	State      TaskState
-	Attempt    uint64      // the last attempt used
-	Allocation *Allocation // while it is allocated
+	Attempt    uint64      // the number of the last attempt; 0: the task was never allocated
+	Allocation *Allocation // nil unless the task is allocated
 }
 
-// Allocation is a machine on which a task may be. It lasts from the decision until
-// the task is proven gone from there.
+// Allocation is one attempt's assignment to a machine, on which the task may be present. It exists from the
+// placement decision until the task is proven gone from the machine.
 type Allocation struct {
 	Job          *Job
 	Index        int
@@ -34,32 +34,33 @@
 	Machine      string
 	Incarnation  uint64 // of the machine's worker
 	Zone         string
-	Committed    bool           // the record that names it is stored: the task may be started
-	Removed      bool           // proven gone, or given up before it was ever started
-	Stop         *StopRequest   // nil: it may run on
-	State        wire.TaskState // as the worker last said; empty: not yet
-	KnownSince   time.Time      // when it was decided, or loaded by a new leader
-	RunningSince time.Time      // when a heartbeat first said that it runs
-	StartSentAt  time.Time      // when an answer to a heartbeat last held its start
-	Inherited    bool           // an earlier leader decided it
+	Committed    bool           // the record that names the allocation is stored: the task may be started
+	Removed      bool           // the task is proven gone, or the allocation was withdrawn before any start
+	Stop         *StopRequest   // nil: the task may continue to run
+	State        wire.TaskState // as the worker last reported; empty: never reported
+	KnownSince   time.Time      // when this leader made the allocation or loaded it from its record
+	RunningSince time.Time      // when a heartbeat first reported the task as running
+	StartSentAt  time.Time      // when a heartbeat reply last contained the start command
+	Inherited    bool           // an earlier leader made the allocation
 
-	// What its charge counts from; kept only while Store.Metered is set.
+	// The times and the machine kind from which the attempt's charge is computed. They are stored only
+	// while Store.Metered is set.
 
 	Kind              charge.Kind
-	AllocatedAt       time.Time // when it was decided, by the time of day, whoever led then
-	ChargedFrom       time.Time // when it was first seen to run, or its day began
-	ChargedParts      int       // how many parts of it are charged already
-	chargedFromStored bool
+	AllocatedAt       time.Time // time of day when this or an earlier leader made the allocation
+	ChargedFrom       time.Time // start of the uncharged time: first seen running, or the last day's end; zero: not seen running
+	ChargedParts      int       // number of parts of the attempt that are already charged
+	chargedFromStored bool      // the record contains ChargedFrom
 }
 
-// Task names the allocated task.
+// Task returns the ID of the allocated task.
 func (a *Allocation) Task() wire.TaskID { return wire.TaskID{Job: a.Job.ID, Index: a.Index} }
 
-// chunk is the progress chunk that holds the allocated task.
+// chunk returns the progress chunk that contains the allocated task.
 func (a *Allocation) chunk() chunkRef { return chunkOf(a.Job, a.Index) }
 
-// StopRequest asks that an allocated task ends.
+// StopRequest requests that an allocated task is stopped.
 type StopRequest struct {
-	GraceS float64        // seconds to save progress
-	Reason charge.Outcome // how its charge says that it ended
+	GraceS float64        // time to save progress, in seconds
+	Reason charge.Outcome // the outcome for the attempt's charge, if the stop ends it
 }
