--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -12,16 +12,16 @@
 	"poppypass/internal/platform/wire"
 )
 
-var errConfirmationTooOld = errors.New("the confirmation is too old to act on")
+var errConfirmationTooOld = errors.New("the confirmation that the last term is over has expired")
 
-// Run campaigns until ctx ends. It calls work in a goroutine of its own for each
-// term of office; work's context ends when the term is over, and Run waits for it.
+// Run campaigns and leads until ctx ends. For each term of this member it calls work in a separate
+// goroutine. The context of work ends when the term is over, and Run waits until work returns.
 func (e *Elector) Run(ctx context.Context, work func(context.Context, Leadership)) {
 	for ctx.Err() == nil {
 		seen, err := e.readLeaderKey(ctx)
 		switch {
 		case err != nil:
-			e.log.Debug("leader key unreadable", "err", err)
+			e.log.Debug("leader key could not be read; retrying", "err", err)
 			e.pause(ctx, tuning.RetryLeader)
 		case seen.held && seen.holder.Member == e.member:
 			e.revokePreviousLease(ctx, seen.holder)
@@ -36,16 +36,16 @@
 
 // leaderKey is the leader key and the term, as they were read.
 type leaderKey struct {
-	sent        time.Time // when the first request was sent
-	term        uint64    // the last term that was begun, 0 if none was
-	termVersion uint64    // of the key that holds the term
-	held        bool
-	holder      holder // if held and readable
-	revision    uint64 // of the leader key, if held
+	sent        time.Time // when the first read was sent
+	term        uint64    // the last term that began; 0 if none did
+	termVersion uint64    // the version of the key that holds the term
+	held        bool      // the leader key exists
+	holder      holder    // its value; empty if the key does not exist or its value cannot be decoded
+	revision    uint64    // the version of the leader key, if held
 }
 
-// readLeaderKey reads the term first: if the leader key is vacant after that, all terms up
-// to this one are over.
+// readLeaderKey reads the term before the leader key. If the leader key is then found vacant, this term and
+// all earlier ones are over.
 func (e *Elector) readLeaderKey(ctx context.Context) (leaderKey, error) {
 	k := leaderKey{sent: e.clock.Now()}
 	var err error
@@ -56,7 +56,7 @@
 	return k, err
 }
 
-// readTerm reads the last term that was begun, 0 if none was.
+// readTerm reads the last term that began, 0 if none did, and the version of its key.
 func (e *Elector) readTerm(ctx context.Context) (term, version uint64, err error) {
 	var last termRecord
 	item, known, err := e.store.Get(ctx, keyTerm)
@@ -78,13 +78,13 @@
 		return holder{}, 0, false, nil
 	}
 	if err := json.Unmarshal(item.Value, &h); err != nil {
-		// Held by something that we cannot read: still held.
+		// The value cannot be decoded, but the key exists: it counts as held.
 		return holder{}, item.Version, true, nil
 	}
 	return h, item.Version, true, nil
 }
 
-// follow notes who leads and waits until that may have changed.
+// follow records who leads and waits until that may have changed.
 func (e *Elector) follow(ctx context.Context, seen leaderKey) {
 	if seen.holder.Member == "" {
 		e.noteNoHolder()
@@ -95,8 +95,9 @@
 	e.waitForChange(ctx, seen.revision)
 }
 
-// waitForChange returns when the leader key may have changed, or when reading it again tells more: a term that leads
-// after earlierConfirmationsUntil lets this member vote as one that remembers.
+// waitForChange returns when the leader key may have changed, or just after earlierConfirmationsUntil. A term that
+// a read finds in force from then on cannot be ended by a confirmation of an earlier process of this member, so
+// this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
 func (e *Elector) waitForChange(ctx context.Context, revision uint64) {
 	wait := tuning.LeaderWatch
 	if left := e.earlierConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
@@ -107,22 +108,25 @@
 		e.pause(ctx, tuning.RetryLeader)
 		return
 	}
-	e.log.Debug("leader key watched", "events", len(r.Events))
+	e.log.Debug("watch of the leader key returned; reading the key again", "events", len(r.Events))
 }
 
-// revokePreviousLease ends a term that the leader key gives to this member, which does not lead: that of an earlier process of it,
-// which is gone, since its addresses are ours; or of a campaign that had no answer, on which nobody acts. Both
-// otherwise keep the key until the lease expires, 4 s more without a leader for a process that is back at once.
-// Leases have numbers of their own, so one that is revoked late is revoked for nobody else.
+// revokePreviousLease revokes the lease of the leader key when the key names this member although it does not
+// lead. That is safe in both possible cases. Either the key belongs to an earlier process of this member, which has
+// ended, since this process has its addresses; or to a campaign of this process that got no answer, on which nobody
+// acts. Without the revocation the key is held until the lease expires: a process that restarts at once
+// would cause 4 s more without a leader.
+// Every lease has its own number, so a revocation that is executed late affects no other lease.
 func (e *Elector) revokePreviousLease(ctx context.Context, h holder) {
-	e.log.Info("revoking the lease of an earlier process", "term", h.Term)
+	e.log.Info("leader key names this member, which does not lead; revoking its lease", "term", h.Term)
 	if err := e.store.RevokeLease(ctx, h.Lease); err != nil {
-		e.log.Debug("lease of an earlier process not revoked", "err", err)
+		e.log.Debug("lease of the leader key could not be revoked; retrying", "err", err)
 	}
 	e.pause(ctx, tuning.RetryCampaign)
 }
 
-// tryToLead campaigns once, if that is allowed, and leads if it succeeds. The leader key was read as vacant.
+// tryToLead campaigns once, if that is allowed, and leads if the campaign succeeds. The caller has read the leader key
+// as vacant.
 func (e *Elector) tryToLead(ctx context.Context, seen leaderKey, work func(context.Context, Leadership)) {
 	if !e.mayCampaign(ctx) {
 		e.pause(ctx, tuning.RetryCampaign)
@@ -130,7 +134,7 @@
 	}
 	eligible, err := e.checkEligibility(ctx, seen.term)
 	if err != nil {
-		e.log.Debug("not eligible", "err", err)
+		e.log.Debug("member may not campaign yet; trying again", "err", err)
 		e.endCampaign()
 		e.pause(ctx, tuning.RetryCampaign)
 		return
@@ -144,11 +148,11 @@
 	e.lead(ctx, leadership, work)
 }
 
-// mayCampaign reports whether a campaign may begin, and marks that it does. It
-// may not while a vote binds us, or while we stand aside and another may still take the leadership.
+// mayCampaign reports whether a campaign may begin, and records that it begins. It may not while a vote
+// forbids it, nor while this member leaves the leadership to others (see StandAside).
 func (e *Elector) mayCampaign(ctx context.Context) bool {
-	// Only a leader relies on votes. If nobody leads, those that an
-	// earlier process may have given bind no more.
+	// Only a leader relies on votes. If nobody leads, the votes that an earlier
+	// process of this member may have given no longer bind it.
 	if e.boundByEarlierProcessOnly() && e.peers.NobodyLeads(ctx) {
 		e.dropEarlierVotes()
 	}
@@ -162,15 +166,15 @@
 	return true
 }
 
-// boundByEarlierProcessOnly reports whether votes that an earlier process of this member may have given are all
-// that keeps it from campaigning.
+// boundByEarlierProcessOnly reports whether this member may not campaign only because an earlier process of it may
+// have voted.
 func (e *Elector) boundByEarlierProcessOnly() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock.Now().Before(e.boundUntil) && e.boundUntil.Equal(e.earlierVotesUntil)
 }
 
-// dropEarlierVotes has those votes bind no more, unless we have voted meanwhile.
+// dropEarlierVotes lifts the restriction by votes of an earlier process, unless this process has voted meanwhile.
 func (e *Elector) dropEarlierVotes() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,28 +189,29 @@
 	e.campaigning = false
 }
 
-// StandAside leaves the leadership to others for a while: this member cannot do its work, though its lease holds. It
-// campaigns all the same once the leader key was vacant for long enough that no other takes it.
+// StandAside leaves the leadership to other members for a duration. The caller uses it when this member cannot do the
+// leader's work although it can renew its lease. This member campaigns nevertheless once the leader key has been
+// vacant for tuning.YieldVacantAfter, because another member would have acquired it by then.
 func (e *Elector) StandAside(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.standAsideUntil = e.clock.Now().Add(d)
 }
 
-// standsAside reports whether the leadership is left to others now. The caller holds the lock.
+// standsAside reports whether this member now leaves the leadership to others. The caller holds the lock.
 func (e *Elector) standsAside(now time.Time) bool {
 	return now.Before(e.standAsideUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter
 }
 
-// campaign tries once to become the leader of the term after the last. When the outcome of its
-// transaction is unknown it revokes the lease and reports failure: a late
-// success then leaves the key on a revoked lease, and nobody acts on it. Nor does anybody
-// once the eligibility is over: who confirmed may not remember it after that.
+// campaign tries once to become the leader of the term after lastTerm. If the outcome of its transaction is
+// unknown, it revokes the lease and reports failure: a transaction that is executed later then attaches the leader
+// key to a revoked lease, and nobody acts on it. It also fails if the eligibility has expired when the transaction
+// succeeds, because the member that confirmed may no longer remember its confirmation by then.
 func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligible eligibility) (Leadership, bool) {
 	sent := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, tuning.LeaseTTL)
 	if err != nil {
-		e.log.Debug("no lease granted", "err", err)
+		e.log.Debug("lease for a campaign not granted; campaign abandoned", "err", err)
 		return Leadership{}, false
 	}
 	next := holder{Member: e.member, Term: lastTerm + 1, Lease: lease}
@@ -215,7 +220,7 @@
 		err = errConfirmationTooOld
 	}
 	if err != nil {
-		e.log.Debug("campaign failed", "err", err)
+		e.log.Debug("campaign failed; revoking its lease", "err", err)
 		e.revokeLease(ctx, lease)
 		return Leadership{}, false
 	}
@@ -224,8 +229,8 @@
 	return Leadership{Term: next.Term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
 }
 
-// takeLeaderKey takes the leader key and raises the term in one transaction, which fails if the key is held, the term has
-// moved on since it was read, or a guard does not hold. It returns the version of the leader key.
+// takeLeaderKey writes the leader key and the next term in one transaction. The transaction fails if the leader key is
+// held, the term has changed since it was read, or a guard does not hold. It returns the version of the leader key.
 func (e *Elector) takeLeaderKey(ctx context.Context, next holder, termVersion uint64, guards []wire.Condition) (uint64, error) {
 	termValue, err := json.Marshal(termRecord{Term: next.Term})
 	if err != nil {
@@ -246,6 +251,6 @@
 
 func (e *Elector) revokeLease(ctx context.Context, lease uint64) {
 	if err := e.store.RevokeLease(ctx, lease); err != nil {
-		e.log.Debug("lease not revoked", "err", err)
+		e.log.Debug("lease could not be revoked; it ends when it expires", "err", err)
 	}
 }
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -16,18 +16,18 @@
 	a := start(t, "a", s, unreachablePeers, clock)
 	first := <-a.terms
 	if !a.Valid(first.Term) || a.Leader() != "a" {
-		t.Fatalf("valid %v, leader %q", a.Valid(first.Term), a.Leader())
+		t.Fatalf("a won the campaign: its term is valid: %v, want true; it names leader %q, want \"a\"", a.Valid(first.Term), a.Leader())
 	}
 	b := start(t, "b", s, unreachablePeers, clock)
-	a.stop() // killed: it revokes nothing
+	a.stop() // as if killed: it does not revoke its lease
 	<-a.ended
 	clock.Advance(2 * tuning.LeaseTTL)
 	s.Expire()
 	second := <-b.terms
 	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
-		t.Errorf("terms %d, %d", first.Term, second.Term)
+		t.Errorf("terms %d of a and %d of b: want a later term of b, valid for b alone", first.Term, second.Term)
 	}
-	// Whatever the first leader still sends fails on its guard.
+	// The guard makes every transaction fail that the first leader still sends.
 	_, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		If: []wire.Condition{first.Guard}, Then: []wire.Change{{Put: "run/x", Value: json.RawMessage("1")}},
 	})
@@ -37,7 +37,7 @@
 }
 
 // Guards against two leaders after a campaign of unknown outcome: nobody acts
-// on it, and when its lease is over the next campaign has a higher term.
+// on it, and the next campaign, once the lease of the first is gone, has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
 	clock, s := newState(t)
 	muted := 0
@@ -49,7 +49,7 @@
 	})
 	a := start(t, "a", s, unreachablePeers, clock)
 	var leadership Leadership
-	until(t, s, clock, following, "a term of office", func() bool {
+	until(t, s, clock, following, "a won campaign", func() bool {
 		select {
 		case leadership = <-a.terms:
 			return true
@@ -58,11 +58,11 @@
 		}
 	})
 	if leadership.Term != 2 {
-		t.Errorf("term %d; the campaign without an answer had term 1", leadership.Term)
+		t.Errorf("leads in term %d, want 2: the campaign that got no answer had term 1", leadership.Term)
 	}
 }
 
-// A member that stands aside leaves the leadership to others, and takes it when none does.
+// A member that leaves the leadership to others campaigns nevertheless when the leader key stays vacant.
 func TestMemberStandsAsideUnlessNobodyElseLeads(t *testing.T) {
 	clock, s := newState(t)
 	a, _ := startProcess(t, s, clock, 0, false)
@@ -70,11 +70,11 @@
 	begun := clock.Now()
 	passUntil(t, s, clock, a, a.terms)
 	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
-		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
+		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", took)
 	}
 }
 
-// Guards against a campaign beside a leader whose key this member cannot read.
+// Guards against a campaign while another member leads whose leader key this member cannot decode.
 func TestUnreadableLeaderKeyCountsAsHeld(t *testing.T) {
 	clock, s := newState(t)
 	store := statestore.New(s.Addr(), 1e6, 1e6)
@@ -84,6 +84,6 @@
 	e := newElector(store, unreachablePeers, "a", clock)
 	seen, err := e.readLeaderKey(t.Context())
 	if err != nil || !seen.held || seen.holder != (holder{}) || seen.revision == 0 {
-		t.Errorf("read as %+v, %v", seen, err)
+		t.Errorf("undecodable leader key read as %+v (error %v), want it held, with an empty holder and its version", seen, err)
 	}
 }
--- a/internal/cluster/election/confirmation.go
+++ b/internal/cluster/election/confirmation.go
@@ -1,9 +1,9 @@
 package election
 
-// ConfirmTermOver answers a member that found the leader key vacant after a term and
-// wants to lead, though it is fenced off. Once we confirmed, we grant no leader of that term, or of an earlier one, our vote. While a
-// vote binds us, or we lead, we confirm nothing. A leader that is asked about its own term so learns that its lease is over,
-// and resigns.
+// ConfirmTermOver answers a member that is fenced off, found the leader key vacant after a term, and wants to lead. It
+// reports whether this member confirms that the term is over. After a confirmation this member does not vote for a leader
+// of that term or of an earlier one. It does not confirm while it is bound by a vote, or while it leads in a later term. A
+// leader that is asked about its own term or a later one learns that its lease is over, and resigns.
 func (e *Elector) ConfirmTermOver(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -17,9 +17,9 @@
 	return true
 }
 
-// NotLeading answers a member that was just started and asks whether anybody
-// leads. An earlier process of it may have given us a vote that the new
-// one knows nothing of: a round that counts on it is void.
+// NotLeading reports whether this member does not lead. It answers a member that has just started. An earlier process
+// of that member may have voted for this one, and the new process does not know of that vote. So an open vote round,
+// which may rely on it, becomes void.
 func (e *Elector) NotLeading() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against a member that stands still between its confirmation and its
-// campaign: by then who confirmed may not remember it.
+// Guards against a member that is stalled between the confirmation that it gets and its campaign: by
+// then the member that confirmed may not remember its confirmation.
 func TestOldConfirmationIsNotActedOn(t *testing.T) {
 	clock, s := newState(t)
 	if _, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
@@ -26,58 +26,58 @@
 		return true
 	}}
 	a := start(t, "a", s, p, clock)
-	until(t, s, clock, following, "a term of office", func() bool { return len(a.terms) > 0 })
+	until(t, s, clock, following, "a won campaign", func() bool { return len(a.terms) > 0 })
 	if leadership := <-a.terms; leadership.Term != 2 || asked != 2 {
-		t.Errorf("leads in term %d after asking %d times", leadership.Term, asked)
+		t.Errorf("leads in term %d after asking for %d confirmations, want term 2 after 2: the first one expired", leadership.Term, asked)
 	}
 }
 
-// Guards against a vote for a leader whose term we confirmed to be over, also by
-// a member that was restarted and cannot know.
+// Guards against a vote for a leader whose term the voter confirmed to be over, also by a voter that
+// was restarted and does not know what it confirmed before.
 func TestConfirmationExcludesLaterVotes(t *testing.T) {
 	clock, s := newState(t)
 	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "a", clock)
 	s.Refuse(true)
 	if e.ConfirmTermOver(5) {
-		t.Error("confirms though its earlier process may have voted")
+		t.Error("confirms although an earlier process of the member may have voted")
 	}
-	e.noteStillLeading(5, clock.Now()) // its earlier process may have confirmed a moment ago
+	e.noteStillLeading(5, clock.Now()) // an earlier process of the member may have confirmed just before it ended
 	clock.Advance(voteKeptFor)
 	if got := e.Vote(t.Context(), 5); got != GrantedWithoutMemory {
-		t.Errorf("restarted, it answers %v", got)
+		t.Errorf("just restarted, it answers the vote request with %v, want GrantedWithoutMemory", got)
 	}
 	clock.Advance(tuning.ConfirmationFor)
 	e.noteStillLeading(5, clock.Now())
 	if got := e.Vote(t.Context(), 5); got != Granted {
-		t.Errorf("having read that the term still leads, it answers %v", got)
+		t.Errorf("having read that the term is still in force, it answers the vote request with %v, want Granted", got)
 	}
 	if e.ConfirmTermOver(5) {
-		t.Error("confirms in spite of its vote")
+		t.Error("confirms although its vote forbids that")
 	}
 	clock.Advance(voteKeptFor)
 	if !e.ConfirmTermOver(5) {
-		t.Error("confirms nothing")
+		t.Error("does not confirm although its vote has expired")
 	}
 	if got := e.Vote(t.Context(), 5); got != Refused {
-		t.Errorf("having confirmed that the term is over, it answers %v", got)
+		t.Errorf("having confirmed that the term is over, it answers the vote request with %v, want Refused", got)
 	}
 	e.noteStillLeading(6, clock.Now())
 	if got := e.Vote(t.Context(), 6); got != Granted {
-		t.Errorf("a later term's leader is answered %v", got)
+		t.Errorf("it answers the vote request of a later term's leader with %v, want Granted", got)
 	}
 }
 
-// A leader that is asked to confirm that its term is over resigns: the one who
-// asks has seen its lease's end. It does not resign for an earlier term.
+// A leader that is asked to confirm that its own term is over resigns: the member that asks has read
+// that the lease is gone. It does not resign if the question is about an earlier term.
 func TestLeaderAskedToConfirmItsOwnTermResigns(t *testing.T) {
 	clock, s := newState(t)
 	a := start(t, "a", s, unreachablePeers, clock)
 	leadership := <-a.terms
 	if a.ConfirmTermOver(leadership.Term-1) || !a.Valid(leadership.Term) {
-		t.Error("resigns for a term before its own")
+		t.Error("confirms or resigns when asked about a term before its own")
 	}
 	if !a.ConfirmTermOver(leadership.Term) || a.Valid(leadership.Term) {
-		t.Error("acts on, though its lease was seen to be over")
+		t.Error("does not confirm, or still acts as the leader, although its lease was read to be gone")
 	}
 	<-a.ended
 }
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -1,22 +1,22 @@
-// Package election decides which controller leads: the one on whose lease the
-// leader key in the state service hangs. Each leadership has a term that only
-// grows; workers take it as a fencing token.
+// Package election elects the controller that leads: the member whose lease the
+// leader key in the state service is attached to. Each leadership has a term
+// number, which only increases; workers use it as a fencing token.
 //
-// What keeps two members from acting at a time is argued in docs/design.md, "Why
-// the rules hold". In short, and by file:
+// docs/design.md, "Why the rules hold", argues why two members never act as the
+// leader at the same time. In short, and by file:
 //
-//   - campaign.go: a member takes the leader key in a transaction that fails if
-//     the key is held, the term has moved on, or a leader has fenced it off.
-//   - term.go: a leader acts until its lease ends, counted by its own clock from
-//     before the request that gave the lease its time.
-//   - votes.go: in an outage of the state service it acts on as long as every
-//     other member votes, that is, undertakes neither to campaign nor to confirm
-//     for a while.
-//   - fencing.go: one silent member may lack among those that vote if a fencing
-//     lease keeps it from campaigning.
-//   - confirmation.go: a member that is fenced off campaigns only on another
-//     member's confirmation that the last term is over.
-//   - knowledge.go: what a member knows of who leads and of terms that are over.
+//   - campaign.go: a member acquires the leader key in a transaction that fails if
+//     the key is held, the term has advanced, or a leader has fenced the member off.
+//   - term.go: a leader acts until its lease expires. It counts the lease's duration
+//     by its own clock, from before it sent the request that granted or renewed the lease.
+//   - votes.go: in an outage of the state service the leader continues to act as long
+//     as every other member votes for it. A vote is a promise neither to campaign nor
+//     to confirm that the term is over, for a limited time.
+//   - fencing.go: the vote of one silent member may be missing if a fencing lease
+//     prevents that member from campaigning.
+//   - confirmation.go: a member that is fenced off campaigns only if another member
+//     confirms that the last term is over.
+//   - knowledge.go: what a member knows about who leads and which terms are over.
 package election
 
 import (
@@ -33,11 +33,11 @@
 )
 
 const (
-	keyHolder = "lead/holder" // attached to the leader's lease
-	keyTerm   = "lead/term"   // never deleted: terms only grow
+	keyHolder = "lead/holder" // the leader key; attached to the leader's lease
+	keyTerm   = "lead/term"   // the last term that began; never deleted, so that terms only increase
 )
 
-// Store is what an election needs of the state service.
+// Store is the part of the state service's client that an election uses.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Item, bool, error)
 	Commit(ctx context.Context, t wire.Txn) (uint64, error)
@@ -47,41 +47,43 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (wire.WatchResult, error)
 }
 
-// Peers asks the other members. Nothing is known of one that cannot be reached:
-// it may be doing anything.
+// Peers asks the other members. A member that does not answer may be in any state:
+// it may lead, campaign or be down.
 type Peers interface {
-	// RequestVotes asks them for their votes, for the leader of a term.
+	// RequestVotes asks all other members to vote for the leader of a term.
 	RequestVotes(ctx context.Context, term uint64) Votes
-	// NobodyLeads asks whether none of them leads; each must have said so.
+	// NobodyLeads reports whether every other member answered that it does not lead.
 	NobodyLeads(ctx context.Context) bool
-	// ConfirmTermOver reports whether one of them confirms that no leader of this term or
-	// an earlier one can count on its vote any more. There may be none to ask; then it is true.
+	// ConfirmTermOver reports whether one of the other members confirms that no leader of this
+	// term or an earlier one can rely on its vote any more. It is true if there are no other members.
 	ConfirmTermOver(ctx context.Context, term uint64) bool
-	// EndLease has one of them revoke a lease.
+	// EndLease asks the other members to revoke a lease.
 	EndLease(ctx context.Context, lease uint64)
-	// Silent names those that do not answer of late.
+	// Silent returns the names of the members that did not answer recently.
 	Silent() []string
 }
 
-// Leadership is one term of office. Its guard makes a transaction fail once the
-// term is over, however late the transaction is applied.
+// Leadership is one term as the leader. Guard is the condition of the leader's transactions: it makes
+// a transaction fail once the term is over, however late the transaction is applied.
 type Leadership struct {
 	Term  uint64
 	Guard wire.Condition
 }
 
+// termRecord is the value of keyTerm.
 type termRecord struct {
 	Term uint64 `json:"term"`
 }
 
+// holder is the value of keyHolder: the leading member, its term, and the lease that the key is attached to.
 type holder struct {
 	Member string `json:"member"`
 	Term   uint64 `json:"term"`
 	Lease  uint64 `json:"lease"`
 }
 
-// Elector campaigns for the leadership, keeps it, and answers the other members'
-// questions about it. It is safe for concurrent use; Run is called once.
+// Elector campaigns for the leadership, renews its lease, and answers the other members'
+// election requests. It is safe for concurrent use; Run is called once.
 type Elector struct {
 	store  Store
 	peers  Peers
@@ -89,41 +91,41 @@
 	clock  clockwork.Clock
 	log    *slog.Logger
 
-	// When a confirmation that an earlier process of this member gave is acted on no more. It never changes.
+	// From this time on, no member acts on a confirmation that an earlier process of this member gave. It never changes.
 	earlierConfirmationsUntil time.Time
 
 	mu sync.Mutex
 
-	// Our own term of office.
-	ownTerm                 uint64        // 0: we do not lead
-	validUntil              time.Time     // we may act until then, by the local steady clock
-	lease                   uint64        // that the leader key hangs on
-	resigned                chan struct{} // closed when the term was given up
-	failedRenewals          int           // in a row
-	failuresWhenOtherServed int           // how many there were when another member was first seen to be served; 0: none was
-	voteRound               uint64        // the current request for votes; a newer one voids it
-	fencing                 fencingLease  // that we hold on a silent member
-
-	// What we know of others' terms.
+	// This member's own term.
+	ownTerm                 uint64        // the term in which this member leads; 0: it does not lead
+	validUntil              time.Time     // this member may act as the leader before this time of the local monotonic clock
+	lease                   uint64        // the lease that the leader key is attached to
+	resigned                chan struct{} // closed when this member resigns
+	failedRenewals          int           // consecutive failed renewals of the lease
+	failuresWhenOtherServed int           // failedRenewals when the state service was first seen to serve another member; 0: not seen
+	voteRound               uint64        // number of the current vote round; a round with an older number is void
+	fencing                 fencingLease  // the fencing lease that this leader holds on a silent member
+
+	// What this member knows about the terms of all members.
 	leader      string    // the member that leads; "" if unknown
-	leaderTerm  uint64    // its term
-	endedTerm   uint64    // this term and the earlier ones are over
-	leadingTerm uint64    // the last term that was read as leading after earlierConfirmationsUntil
-	vacantSince time.Time // since when the leader key names nobody; zero: it named somebody when it was read last
-
-	// What we have bound ourselves to.
-	campaigning       bool      // a campaign is on its way on whose success we would act
-	boundUntil        time.Time // by our vote: neither to campaign nor to confirm before
-	earlierVotesUntil time.Time // until then a vote of an earlier process of this member may bind us
-	confirmedOverTerm uint64    // we confirmed that this term is over: no vote for it or an earlier one
-	standAsideUntil   time.Time // the leadership is left to others before, unless none takes it
+	leaderTerm  uint64    // the term of leader
+	endedTerm   uint64    // this term and all earlier ones are over
+	leadingTerm uint64    // the highest term that a read after earlierConfirmationsUntil found still in force
+	vacantSince time.Time // since when the leader key names nobody; zero: it named a member at the last read
+
+	// What this member may not do because of what it did before.
+	campaigning       bool      // a campaign is in progress; if it succeeds, this member leads
+	boundUntil        time.Time // a vote forbids this member to campaign or confirm before this time
+	earlierVotesUntil time.Time // before this time, a vote of an earlier process of this member may still be relied on
+	confirmedOverTerm uint64    // this member confirmed that this term is over, so it votes neither for it nor for earlier ones
+	standAsideUntil   time.Time // before this time this member does not campaign, unless the leader key stays vacant
 }
 
-// New makes an elector for a member.
+// New returns an elector for a member.
 //
-// How an earlier process of this member voted and what it confirmed is not
-// known. That process ended before this one began, so its votes end within
-// tuning.VoteFor, and what it confirmed is acted on within
+// The elector does not know how an earlier process of this member voted, nor what
+// it confirmed. That process ended before this one started, so its votes expire
+// within tuning.VoteFor, and other members act on its confirmations only within
 // tuning.ConfirmationFor.
 func New(store Store, peers Peers, member string, clock clockwork.Clock, log *slog.Logger) *Elector {
 	e := &Elector{store: store, peers: peers, member: member, clock: clock, log: log}
@@ -133,8 +135,9 @@
 	return e
 }
 
-// stretch lengthens a time by a share of it, or shortens it by a negative one.
-// Who is bound by a time waits for it with drift; who relies on it takes the drift off.
+// stretch lengthens a duration by a fraction of it, or shortens it if the fraction is negative.
+// The clocks of two members drift apart. A member that is bound for a duration therefore waits longer by
+// tuning.ClockDrift, and a member that relies on the duration relies on it for less by tuning.ClockDrift.
 func stretch(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * (1 + share))
 }
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -12,25 +12,25 @@
 	"poppypass/internal/platform/wire"
 )
 
-// prefixFencing holds a key for a member that the leader has fenced off: while the
-// key stands, that member does not campaign unless another confirms that the last term is over.
+// prefixFencing is the prefix of the keys of members that the leader has fenced off. While a member's
+// key exists, that member does not campaign unless another member confirms that the last term is over.
 const prefixFencing = "fence/"
 
-var errNotConfirmed = errors.New("fenced off, and no member confirms that the last term is over")
+var errNotConfirmed = errors.New("member is fenced off, and no other member confirms that the last term is over")
 
-// fencingLease is what a leader knows of the member that it has fenced off. It may
-// count on that until fencingReliedFor after the key's lease got its time.
+// fencingLease is the leader's lease on the key of the member that it has fenced off. The leader may rely on
+// it until fencingReliedFor after sent.
 type fencingLease struct {
-	member string // "": none
-	lease  uint64
-	sent   time.Time // when the request was sent that gave the lease its time
+	member string    // the member that is fenced off; "": none
+	lease  uint64    // the lease that the member's key is attached to
+	sent   time.Time // when the request that granted or last renewed the lease was sent
 }
 
-// fencingReliedFor is how long the leader may count on a fencing lease.
+// fencingReliedFor is how long the leader may rely on a fencing lease after it sent the request that granted or renewed it.
 var fencingReliedFor = stretch(tuning.FencingLeaseTTL, -tuning.ClockDrift)
 
-// maintainFencing keeps a fencing lease on a silent member until the term is over: apart from the
-// renewals of the leader's lease, which must not wait for it.
+// maintainFencing maintains a fencing lease on a silent member until the term is over. It runs in a separate goroutine
+// because the renewals of the leader's lease must not wait for it.
 func (e *Elector) maintainFencing(ctx context.Context, l Leadership) {
 	for ctx.Err() == nil {
 		if e.pause(ctx, tuning.RenewEvery); ctx.Err() == nil {
@@ -39,9 +39,8 @@
 	}
 }
 
-// updateFencing fences off the one member that does not answer, as long as the
-// state service serves us: in an outage that member's vote cannot be had. A member that
-// answers again is released.
+// updateFencing fences off the only member that does not answer, while the state service still serves this leader:
+// in an outage that member cannot vote. A member that answers again is released.
 func (e *Elector) updateFencing(ctx context.Context, l Leadership) {
 	silent := e.peers.Silent()
 	f, released, ok := e.reviewFencing(l.Term, silent)
@@ -52,16 +51,17 @@
 	case len(silent) != 1:
 	case f.member == "":
 		if err := e.acquireFencing(ctx, l, silent[0]); err != nil {
-			e.log.Debug("member not fenced off", "member", silent[0], "err", err)
+			e.log.Debug("silent member could not be fenced off; retrying", "member", silent[0], "err", err)
 		}
 	case e.clock.Since(f.sent) >= tuning.FencingLeaseRenew:
 		e.renewFencing(ctx, f)
 	}
 }
 
-// reviewFencing returns the fencing lease and whether it is to be revoked, because its member is no longer the only silent one. Votes may not
-// count on it from here on, before it is revoked. ok is false when the term is over or its validity may rest on votes: a fencing lease
-// is only taken or given up while the leader's lease is renewed, and that is looked at in the same step.
+// reviewFencing returns the fencing lease and whether the caller is to revoke it because its member is no longer the only
+// silent one. It clears e.fencing in that case, so that no vote round relies on the lease from here on, before it is
+// revoked. ok is false when the term is over or its validity may depend on votes: a fencing lease is acquired or released
+// only while renewals of the leader's lease succeed, and that is checked under the same lock as the clearing.
 func (e *Elector) reviewFencing(term uint64, silent []string) (f fencingLease, released, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,8 +76,9 @@
 	return f, released, true
 }
 
-// acquireFencing fences a member off. The transaction is guarded on the key as it was read: an earlier one without an answer, if it
-// is carried out after this one, would hang the key on a lease that ends before we stop counting on it.
+// acquireFencing fences a member off. The transaction requires that the key is unchanged since it was read. Otherwise an
+// earlier transaction that got no answer could be executed after this one and attach the key to a lease that expires
+// while the leader still relies on it.
 func (e *Elector) acquireFencing(ctx context.Context, l Leadership, member string) error {
 	key := prefixFencing + member
 	old, _, err := e.store.Get(ctx, key)
@@ -87,7 +88,7 @@
 	sent := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, tuning.FencingLeaseTTL)
 	if err != nil {
-		return fmt.Errorf("a lease for %s: %w", key, err)
+		return fmt.Errorf("granting a lease for %s: %w", key, err)
 	}
 	if _, err := e.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{l.Guard, {Key: key, Version: old.Version}},
@@ -96,7 +97,7 @@
 		e.revokeLease(ctx, lease)
 		return fmt.Errorf("storing %s: %w", key, err)
 	}
-	e.log.Info("fencing off a silent member", "member", member)
+	e.log.Info("silent member fenced off; it cannot lead without another member's confirmation", "member", member)
 	e.noteFencing(l.Term, fencingLease{member, lease, sent})
 	return nil
 }
@@ -109,7 +110,8 @@
 	}
 }
 
-// renewFencing renews a fencing lease and counts it from before the request. One that the state service does not know is not counted on.
+// renewFencing renews a fencing lease and counts its duration from when the request was sent. The leader stops relying on a
+// lease that the state service does not know.
 func (e *Elector) renewFencing(ctx context.Context, f fencingLease) {
 	f.sent = e.clock.Now()
 	err := e.store.RenewLease(ctx, f.lease)
@@ -123,20 +125,21 @@
 	}
 }
 
-// eligibility is what a member needs to campaign: that no leader has fenced it off,
-// or another member's confirmation that the last term is over.
+// eligibility is the ground on which a member may campaign: no leader has fenced it off, or another member
+// has confirmed that the last term is over.
 type eligibility struct {
-	guards []wire.Condition // of the campaign's transaction
-	until  time.Time        // when it is too late to act on a confirmation; zero: never
+	guards []wire.Condition // further conditions of the campaign's transaction
+	until  time.Time        // when the confirmation expires; zero: never, since there is none
 }
 
-// expired reports whether it is too late to act.
+// expired reports whether it is too late to act on the eligibility.
 func (el eligibility) expired(now time.Time) bool {
 	return !el.until.IsZero() && !now.Before(el.until)
 }
 
-// checkEligibility tells on what grounds this member may campaign, the leader key being vacant after a term. The time of a confirmation counts from
-// before the asking. It is errNotConfirmed when this member is fenced off and no other confirms.
+// checkEligibility returns the ground on which this member may campaign, given that the leader key was found vacant after
+// the term. The validity of a confirmation counts from before the other members are asked. The error is errNotConfirmed
+// if this member is fenced off and no other member confirms that the term is over.
 func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
 	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -17,7 +17,7 @@
 	golden.Lines(t, "keys", keyHolder, keyTerm, prefixFencing)
 }
 
-// What a leader writes that wins a campaign and fences a silent member off.
+// The golden file holds what a member writes that wins a campaign and then fences off a silent member.
 func TestStoredRecordsOfALeader(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	state := fakes.NewStore(clock)
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -13,11 +13,11 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// fakePeers are the other members, as a test wants them to answer.
+// fakePeers implements Peers with the answers that a test sets.
 type fakePeers struct {
 	votes       func() Votes
 	nobodyLeads func() bool
-	confirm     func() bool // nil: they do
+	confirm     func() bool // nil: ConfirmTermOver is always true
 	endLease    func(lease uint64)
 	silent      []string
 }
@@ -40,14 +40,15 @@
 	return func() Votes { return Votes{Silent: names} }
 }
 
-// unreachablePeers give a leader no answer when it asks for votes, though none of them leads.
+// unreachablePeers are two members, b and c, that do not answer vote requests. None of them leads.
 var unreachablePeers = &fakePeers{votes: votesBut("b", "c"), nobodyLeads: always(true)}
 
+// member is an elector that runs.
 type member struct {
 	*Elector
 	stop  context.CancelFunc
-	terms chan Leadership
-	ended chan Leadership
+	terms chan Leadership // each term of this member, when it begins
+	ended chan Leadership // each term of this member, when it is over
 }
 
 func start(t *testing.T, name string, s *fakes.Store, p Peers, clock clockwork.Clock) *member {
@@ -57,7 +58,7 @@
 	return m
 }
 
-// run runs an elector until stop is called, which ends ctx. The channel is closed when it has ended.
+// run runs an elector until ctx ends; stop ends ctx. The channel is closed when the elector has stopped.
 func run(ctx context.Context, t *testing.T, e *Elector, stop context.CancelFunc) (*member, <-chan struct{}) {
 	t.Helper()
 	m := &member{Elector: e, stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
@@ -80,34 +81,34 @@
 	return m.ownTerm != 0
 }
 
-// How many goroutines of an elector wait for the clock: a follower's one, or
-// of a leader those that renew the lease, request votes and maintain the fencing lease.
+// How many goroutines of an elector wait for the clock: one of a follower; three of a
+// leader, which renew the lease, request votes and maintain the fencing lease.
 const (
 	following = 1
 	leading   = 3
 )
 
-// until lets time pass in small steps until a condition holds. It moves the
-// clock only while the one elector that runs waits for it, never during a call.
+// until advances the clock in small steps until a condition holds. It advances the clock only
+// while the given number of goroutines of the only running elector wait for it, never during a call.
 func until(t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
 	defer cancel()
 	for !holds() {
 		if err := clock.BlockUntilContext(ctx, waiting); err != nil {
-			t.Fatalf("never happened: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		clock.Advance(10 * time.Millisecond)
 		s.Expire()
 	}
 }
 
-// unrevokableStore is a store in which no lease can be given back.
+// unrevokableStore is a store whose RevokeLease always fails.
 type unrevokableStore struct{ Store }
 
 func (unrevokableStore) RevokeLease(context.Context, uint64) error { return statestore.ErrNotExecuted }
 
-// interruptedStore is a store whose reading fails after something has happened.
+// interruptedStore is a store whose Get calls fn and then fails.
 type interruptedStore struct {
 	Store
 	fn func()
@@ -118,7 +119,7 @@
 	return wire.Item{}, false, statestore.ErrNotExecuted
 }
 
-// newState returns a clock that the test moves, and a state service that goes by it.
+// newState returns a fake clock and a fake state service that uses it.
 func newState(t *testing.T) (*clockwork.FakeClock, *fakes.Store) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
@@ -127,7 +128,7 @@
 	return clock, s
 }
 
-// newElector makes an elector that does not log.
+// newElector returns an elector that does not log.
 func newElector(store Store, p Peers, member string, clock clockwork.Clock) *Elector {
 	return New(store, p, member, clock, slog.New(slog.DiscardHandler))
 }
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Leader names the leading member, as far as this one knows; "" if unknown.
+// Leader returns the name of the leading member as far as this member knows, "" if it does not know.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader
 }
 
-// Holder names the leading member and its term, as far as this one knows.
+// Holder returns the name of the leading member and its term as far as this member knows, "" if it does not know.
 func (e *Elector) Holder() (name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.leaderTerm
 }
 
-// NoteLeader notes who leads by another member's knowledge: the state service may
-// refuse us alone, and workers that come here must find the leader all the
-// same. Nobody acts as the leader because of it. A leader that hears of a later term so learns that its
-// own lease is over, though the state service does not tell it, and resigns.
+// NoteLeader records who leads according to another member. The state service may refuse only this member, and
+// workers that connect to it must be redirected to the leader nevertheless. No member starts acting as the leader because
+// of it. A leader that learns of a later term this way knows that its own lease is over, even if the state service
+// does not answer it, and resigns.
 func (e *Elector) NoteLeader(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// noteHolder notes who leads by the leader key.
+// noteHolder records who leads according to the leader key.
 func (e *Elector) noteHolder(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,7 +39,7 @@
 	e.leader, e.leaderTerm = name, term
 }
 
-// noteNoHolder notes that the leader key is vacant, or that it cannot be read who holds it: the last term that was known is over.
+// noteNoHolder records that the leader key is vacant, or that its value cannot be decoded: the last known term is over.
 func (e *Elector) noteNoHolder() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,8 +50,9 @@
 	e.leader, e.leaderTerm = "", 0
 }
 
-// noteStillLeading notes that a term was read as leading, by a request sent at
-// a time. A campaign on a confirmation that an earlier process of this member gave before has failed by then.
+// noteStillLeading records that a read sent at the given time found a term in force. A read from
+// earlierConfirmationsUntil on proves that no campaign that relied on a confirmation by an earlier process of this member
+// ended the term: such a campaign has failed by then.
 func (e *Elector) noteStillLeading(term uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// knowsLaterTerm reports whether this member knows of a leader after a term, itself for one: that term's leader must not act
-// again, whatever votes are given now. The caller holds the lock.
+// knowsLaterTerm reports whether this member knows of a leader with a later term, which may be itself. The leader of
+// the given term must then not act again, whatever votes members grant now. The caller holds the lock.
 func (e *Elector) knowsLaterTerm(term uint64) bool {
 	return max(e.leaderTerm, e.endedTerm) > term
 }
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -14,18 +14,19 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// crashingStore is a store whose member ends at its n-th call: before the call is executed, or after, without its answer.
+// crashingStore is a store that crashes the member's process at its n-th call. That call is either not executed, or executed
+// without an answer.
 type crashingStore struct {
 	Store
 	mu          sync.Mutex
-	callsLeft   int
-	executeLast bool
-	crash       func()
+	callsLeft   int    // calls until the crash, including the one at which the process crashes
+	executeLast bool   // the call at which the process crashes is executed
+	crash       func() // ends the process
 }
 
-var errCrashed = errors.New("the process ended")
+var errCrashed = errors.New("the process has crashed")
 
-// nextCall reports whether this call is the last, and whether it is still executed.
+// nextCall reports whether this call gets no answer because of the crash, and whether it is executed.
 func (c *crashingStore) nextCall() (last, executed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +82,8 @@
 	return err
 }
 
-// startProcess starts a process of a member, which crashes at its n-th call; 0: it does not.
+// startProcess starts a process of member a that crashes at its n-th call of the store, after the call is executed or before;
+// with n = 0 it does not crash.
 func startProcess(t *testing.T, s *fakes.Store, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -92,9 +94,10 @@
 	return run(ctx, t, newElector(store, unreachablePeers, "a", clock), stop)
 }
 
-// passUntil lets time pass in small steps until a channel is ready, and returns how long that took. A follower is one goroutine,
-// so no call of it is on its way while it waits for the clock. Once m leads the clock stands still: a leader's goroutines wait for
-// it all the time, and it once went on for seconds until the test's goroutine was woken.
+// passUntil advances the clock in small steps until ch can be received from, and returns the received value and how long
+// that took. A follower is one goroutine, so none of its calls is in progress while it waits for the clock. Once m leads, the
+// clock is not advanced: some goroutine of a leader always waits for it, so the clock would advance by seconds before
+// the test's goroutine runs again.
 func passUntil[T any](t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second) // a hang is a failure
@@ -112,7 +115,7 @@
 		case err := <-waits:
 			enough()
 			if err != nil {
-				t.Fatal("never happened")
+				t.Fatal("timed out waiting for the channel")
 			}
 			if m != nil && m.leads() {
 				v = <-ch
@@ -124,11 +127,11 @@
 	}
 }
 
-// Guards against what an earlier process of a member leaves behind: it crashes at each call of an election and of its term, with or
-// without the call being executed, and is restarted at once. The next process leads within a second or two, rather than when the
-// lease of the earlier one has expired, and in a higher term.
+// Guards against a long time without a leader, and against a reused term, after a restart. A process of a member crashes at
+// each call of a campaign and of its term, with the call executed or not, and is restarted at once. The next process
+// leads within 1.5 s, not only when the lease of the earlier one has expired, and in a higher term.
 func TestRestartedProcessLeadsSoonInAHigherTerm(t *testing.T) {
-	const bound = 1500 * time.Millisecond // for as long a restarted process waits before it campaigns, and some pauses
+	const bound = 1500 * time.Millisecond // the time that a restarted process waits before it campaigns, plus some pauses
 	for n := 1; n <= 10; n++ {
 		for _, after := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
@@ -142,7 +145,7 @@
 			second, _ := startProcess(t, s, clock, 0, false)
 			leadership, took := passUntil(t, s, clock, second, second.terms)
 			if took > bound || leadership.Term <= term || !second.Valid(leadership.Term) || first.Valid(leadership.Term) {
-				t.Errorf("crashed at call %d (executed: %v): leads after %v in term %d, the earlier one was %d", n, after, took, leadership.Term, term)
+				t.Errorf("crashed at call %d (executed: %v): the next process leads after %v in term %d; the earlier term was %d", n, after, took, leadership.Term, term)
 			}
 			second.stop()
 			s.Close()
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -17,21 +17,22 @@
 	return term != 0 && e.ownTerm == term && e.clock.Now().Before(e.validUntil)
 }
 
-// termOfOffice is a term of this member, as the goroutine that renews its lease sees it.
+// termOfOffice is a term of this member with what the goroutine that renews its lease needs.
 type termOfOffice struct {
 	Leadership
 	lease    uint64
-	resigned <-chan struct{} // closed when the term was given up
+	resigned <-chan struct{} // closed when this member resigns
 	workDone <-chan struct{} // closed when the leader's work has ended
 }
 
-// lead keeps the lease until it is lost. While the state service does not
-// answer, the term's validity ends by the local clock (unless the peers'
-// votes extend it), but the term goes on: after an outage the lease
-// has its full time again, nobody else can have written anything, and a
-// renewal makes the term valid again.
+// lead runs the leader's work and renews the lease until the lease is lost.
+//
+// While the state service does not answer, the term stops being valid at a time of the local clock (unless the
+// other members' votes extend it), but the term itself is not over. After an outage the state service gives every
+// lease its full duration again, and nobody else can have written anything meanwhile, so a successful renewal makes
+// the term valid again.
 func (e *Elector) lead(ctx context.Context, l Leadership, work func(context.Context, Leadership)) {
-	e.log.Info("leading", "term", l.Term)
+	e.log.Info("leadership won; starting the leader's work", "term", l.Term)
 	workDone := make(chan struct{})
 	t := e.termOf(l, workDone)
 	workCtx, stopWork := context.WithCancel(ctx)
@@ -49,7 +50,7 @@
 	stopWork()
 	<-workDone
 	helpers.Wait()
-	e.log.Info("no longer leading", "term", l.Term)
+	e.log.Info("leadership ended; the leader's work has stopped", "term", l.Term)
 }
 
 func (e *Elector) termOf(l Leadership, workDone <-chan struct{}) termOfOffice {
@@ -66,7 +67,7 @@
 	}
 }
 
-// renewLease tries until the lease is renewed; false when the term is over.
+// renewLease retries until the lease is renewed. It returns false when the term is over.
 func (e *Elector) renewLease(ctx context.Context, t termOfOffice) bool {
 	for ctx.Err() == nil {
 		sent := e.clock.Now()
@@ -78,15 +79,15 @@
 			return false
 		}
 		e.noteFailedRenewal()
-		e.log.Debug("lease not renewed", "err", err)
+		e.log.Debug("renewal of the leader's lease failed; retrying", "err", err)
 		if !e.waitInTerm(ctx, t, tuning.RetryLeader) {
 			return false
 		}
 	}
-	return true // the next wait ends with ctx
+	return true // ctx has ended: the caller's next wait returns false
 }
 
-// waitInTerm waits for a while; false when the term is over.
+// waitInTerm waits for a duration. It returns false when the term is over.
 func (e *Elector) waitInTerm(ctx context.Context, t termOfOffice, d time.Duration) bool {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
@@ -94,7 +95,7 @@
 	case <-ctx.Done():
 		return false
 	case <-t.workDone:
-		// The leader's work ended by itself: let another lead.
+		// The leader's work ended by itself: revoke the lease so that another member can lead.
 		e.revokeLease(ctx, t.lease)
 		return false
 	case <-t.resigned:
@@ -104,9 +105,9 @@
 	}
 }
 
-// beginTerm makes a new term of our own valid. sent is when the
-// request that gained the lease was sent: the lease cannot have begun earlier,
-// and our clock may run fast or slow.
+// beginTerm begins a term of this member and makes it valid. sent is when the request that granted
+// the lease was sent: the lease cannot have begun earlier. The clock may run fast or slow, so the
+// validity is shorter than the lease by the clock drift.
 func (e *Elector) beginTerm(term, lease uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,8 +116,9 @@
 	e.extendByRenewal(sent)
 }
 
-// noteRenewal notes that the lease was renewed; false when the term was given up meanwhile. From here on the term's validity
-// rests on the lease alone, and the fencing lease can be revoked. So an open round of votes, which may count on that, is void.
+// noteRenewal records that the lease was renewed by a request sent at the given time. It returns false if this member
+// resigned meanwhile. From now on the term's validity depends on the lease alone, so the fencing lease may be revoked. An
+// open vote round may rely on the fencing lease, therefore it becomes void.
 func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +130,8 @@
 	return true
 }
 
-// extendByRenewal counts the lease's time from before the request was sent, less drift. The caller holds the lock.
+// extendByRenewal makes the term valid for the lease's duration, less the clock drift, counted from when the request
+// was sent. The caller holds the lock.
 func (e *Elector) extendByRenewal(sent time.Time) {
 	e.failedRenewals, e.failuresWhenOtherServed = 0, 0
 	e.validUntil = sent.Add(stretch(tuning.LeaseTTL, -tuning.ClockDrift))
@@ -140,7 +143,7 @@
 	e.failedRenewals++
 }
 
-// resign ends our own term, if there is one.
+// resign ends this member's own term, if it has one.
 func (e *Elector) resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,28 +157,28 @@
 	}
 	e.endedTerm = max(e.endedTerm, e.ownTerm)
 	if e.leaderTerm <= e.ownTerm {
-		e.leader = "" // unless we heard of a later one
+		e.leader = "" // a leader of a later term stays known
 	}
 	e.ownTerm, e.failedRenewals, e.failuresWhenOtherServed = 0, 0, 0
 	e.voteRound++
 	close(e.resigned)
 }
 
-// handOver gives the leadership up when renewals fail though another member is
-// served by the state service: it resigns first and only then has the lease revoked by that member, rather than
-// have all wait until it expires. Renewals must go on failing after the other was
-// seen to be served: at the end of an outage it is served a moment before us.
+// handOver gives up the leadership when renewals fail although the state service serves another member. It resigns
+// first and only then asks the other members to revoke the lease, so that nobody has to wait until the lease expires.
+// Renewals must continue to fail after the other member was seen to be served: at the end of an outage the state
+// service may serve the other member a moment before this one.
 func (e *Elector) handOver(ctx context.Context, term uint64) {
 	lease, ok := e.resignIfOtherServed(term)
 	if !ok {
 		return
 	}
-	e.log.Info("handing over: the state service serves others", "term", term)
+	e.log.Info("state service serves another member but not this one; leadership handed over", "term", term)
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
-// resignIfOtherServed counts the failed renewals since another member was first seen to be served and
-// resigns after enough of them. It returns the lease that is to be revoked.
+// resignIfOtherServed resigns if at least tuning.YieldAfter renewals have failed since another member was first seen to
+// be served. It returns the lease that is then to be revoked; ok is false if it did not resign.
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against acting on a lease that may have ended: during an outage the
-// term's validity ends by the local clock, and the term outlives it.
+// Guards against acting on a lease that may have expired: during an outage the term stops being
+// valid by the local clock. The term itself is not over, and a renewal after the outage makes it valid again.
 func TestTermIsInvalidInAnOutageAndValidAgainAfterIt(t *testing.T) {
 	clock, s := newState(t)
 	a := start(t, "a", s, unreachablePeers, clock)
@@ -19,16 +19,17 @@
 	begun := clock.Now()
 	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
 	if clock.Since(begun) > tuning.LeaseTTL {
-		t.Errorf("acted for %v without a renewal", clock.Since(begun))
+		t.Errorf("the term stayed valid for %v without a renewal", clock.Since(begun))
 	}
 	s.Refuse(false)
 	until(t, s, clock, leading, "the term to be valid again", func() bool { return a.Valid(leadership.Term) })
 	if len(a.terms) != 0 || len(a.ended) != 0 {
-		t.Error("the term was lost in the outage")
+		t.Error("the outage ended the term")
 	}
 }
 
-// Guards against a validity that outlives the lease by the time that a renewal took: it counts from before the request.
+// Guards against a term that stays valid longer than the lease lasts, by the time that the request took: the validity counts
+// from before the request was sent.
 func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
 	for name, renew := range map[string]func(e *Elector, sent time.Time){
 		"gained":  func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
@@ -42,17 +43,17 @@
 			renew(e, sent)
 			clock.Advance(tuning.LeaseTTL - tuning.RenewTimeout - 100*time.Millisecond)
 			if !e.Valid(5) {
-				t.Errorf("over %v after the request", clock.Since(sent))
+				t.Errorf("invalid already %v after the request was sent", clock.Since(sent))
 			}
 			if clock.Advance(100 * time.Millisecond); e.Valid(5) {
-				t.Errorf("acts %v after the request", clock.Since(sent))
+				t.Errorf("still valid %v after the request was sent", clock.Since(sent))
 			}
 		})
 	}
 }
 
-// Guards against seconds without a leader when the state service refuses the
-// leader alone: it resigns, then another member revokes its lease.
+// Guards against seconds without a leader when the state service refuses only the
+// leader: it resigns, then another member revokes its lease.
 func TestLeaderRefusedAloneHandsOver(t *testing.T) {
 	clock, s := newState(t)
 	var a *member
@@ -65,29 +66,29 @@
 	s.Refuse(true)
 	until(t, s, clock, 1, "the handover", func() bool { return len(a.ended) > 0 })
 	if <-yielded {
-		t.Error("has its lease revoked while it acts on it")
+		t.Error("asked for the revocation of its lease while its term was valid")
 	}
 	if a.Leader() == "a" {
-		t.Error("still names itself")
+		t.Error("still names itself as the leader")
 	}
 }
 
-// Guards against a change of leaders at the end of an outage, which a follower
-// notices a moment before the leader's next renewal.
+// Guards against an unnecessary change of leader at the end of an outage, which a follower may
+// notice just before the leader's next renewal.
 func TestEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := newElector(nil, &fakePeers{endLease: func(uint64) { t.Error("has its lease revoked") }}, "a", clock)
+	e := newElector(nil, &fakePeers{endLease: func(uint64) { t.Error("asked for the revocation of its lease") }}, "a", clock)
 	e.beginTerm(3, 1, clock.Now())
 	for range 100 {
 		e.noteFailedRenewal() // the outage
 	}
-	e.handOver(t.Context(), 3) // a follower says that it is served
-	e.noteFailedRenewal()      // this one was on its way
+	e.handOver(t.Context(), 3) // a follower answers that the state service serves it
+	e.noteFailedRenewal()      // this renewal was sent before the outage ended
 	e.handOver(t.Context(), 3)
 	e.noteRenewal(3, clock.Now())
 	e.noteFailedRenewal()
 	e.handOver(t.Context(), 3)
 	if !e.Valid(3) {
-		t.Error("resigns")
+		t.Error("resigned at the end of an outage")
 	}
 }
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -7,33 +7,35 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Votes is how a request for votes went.
+// Votes is the result of one request for votes to all other members.
 type Votes struct {
-	Refused       int      // members that answered otherwise
-	WithoutMemory int      // members that voted, but cannot tell what they confirmed before a restart
-	Silent        []string // members that gave no answer
+	Refused       int      // how many members answered that they do not vote
+	WithoutMemory int      // how many members voted with GrantedWithoutMemory
+	Silent        []string // the members that did not answer
 }
 
-// Vote is a member's answer to a leader that asks for its vote: its undertaking
-// neither to campaign nor to confirm for tuning.VoteFor.
+// Vote is a member's answer to a leader that asks for its vote. A granted vote is a promise neither
+// to campaign nor to confirm that the term is over, for tuning.VoteFor.
 type Vote int
 
-// The answers.
+// The answers to a vote request.
 const (
 	Refused Vote = iota
 	Granted
-	GrantedWithoutMemory // granted, but the member cannot tell what it confirmed before its restart
+	// GrantedWithoutMemory grants the vote too, but the member does not know what it confirmed before its restart.
+	GrantedWithoutMemory
 )
 
-// A vote binds who gave it from the giving, with drift, and is relied on from the asking, less drift.
+// A vote binds the voter for VoteFor plus the clock drift, from when it votes. The leader relies on the vote for VoteFor
+// less the clock drift, from before it asked. So the leader stops relying on a vote before the voter is free again.
 var (
 	voteKeptFor   = stretch(tuning.VoteFor, tuning.ClockDrift)
 	voteReliedFor = stretch(tuning.VoteFor, -tuning.ClockDrift)
 )
 
-// Vote answers the leader of a term that cannot reach the state service. A member grants its vote only if it
-// follows, has no campaign on its way, and the state service does not answer it either: a
-// leader that the state service refuses alone had better be replaced.
+// Vote answers a request for a vote from the leader of a term, which gets no answer from the state service. A member
+// grants its vote only if it is a follower, has no campaign in progress, and the state service does not answer it
+// either. If the state service refuses only the leader, another member should replace that leader.
 func (e *Elector) Vote(ctx context.Context, term uint64) Vote {
 	if !e.isFollower() || e.stateServiceAnswers(ctx) {
 		return Refused
@@ -63,25 +65,28 @@
 	return err == nil
 }
 
-// mayVote reports whether a vote for the leader of a term contradicts nothing: we neither lead nor campaign (also since the
-// state service was asked), have not confirmed that its term is over, and know of no later one. The caller holds the lock.
+// mayVote reports whether this member may vote for the leader of a term: it neither leads nor campaigns (which
+// may have changed while it queried the state service), has not confirmed that the term is over, and knows of no
+// later term. The caller holds the lock.
 func (e *Elector) mayVote(term uint64) bool {
 	return e.ownTerm == 0 && !e.campaigning && e.confirmedOverTerm < term && !e.knowsLaterTerm(term)
 }
 
-// bind has a vote that is given now keep us from campaigning and confirming. The caller holds the lock.
+// bind forbids this member to campaign or confirm while the vote that it grants now is in force. The caller holds the lock.
 func (e *Elector) bind() {
 	if until := e.clock.Now().Add(voteKeptFor); until.After(e.boundUntil) {
 		e.boundUntil = until
 	}
 }
 
-// requestVotes keeps the term valid while renewals fail, as long as
-// the other members vote, that is, neither campaign nor confirm: then nobody can
-// have taken over, whatever became of the lease. One of them may be silent if it
-// was fenced off before: it finds nobody to confirm that the term is over.
-// Workers can be answered; what needs the state service waits. If a member is
-// served by the state service, which refuses us alone, the leadership is handed over.
+// requestVotes extends the term's validity while renewals of the lease fail, as long as the other members vote for this
+// leader. A member that voted neither campaigns nor confirms, so nobody can have taken over, even if the lease has
+// expired. One member may be silent if it was fenced off before: every member that could confirm to it that the
+// term is over has voted, so none does.
+//
+// A leader whose term is valid by votes can answer workers; whatever needs the state service has to wait. A refusal
+// counts as a sign that the state service serves another member and refuses only this one. The leadership is
+// then handed over if renewals continue to fail (see handOver).
 func (e *Elector) requestVotes(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		e.pause(ctx, tuning.VoteEvery)
@@ -98,7 +103,8 @@
 	}
 }
 
-// beginVoteRound voids an earlier round and reports whether votes are needed: the term goes on, and renewals fail.
+// beginVoteRound begins a vote round, which makes earlier rounds void. It reports whether votes are needed: this
+// member still leads in the term, and renewals fail.
 func (e *Elector) beginVoteRound(term uint64) (round uint64, sent time.Time, needed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +112,8 @@
 	return e.voteRound, e.clock.Now(), e.failedRenewals > 0 && e.ownTerm == term
 }
 
-// extendByVotes extends the validity of a term by a round of votes that was begun at a time, unless the round is void.
+// extendByVotes extends the validity of a term by the votes of a round that began at the given time, unless the round
+// is void.
 func (e *Elector) extendByVotes(term, round uint64, sent time.Time, votes Votes) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +125,8 @@
 	}
 }
 
-// votesSuffice reports whether votes without a refusal prove that nobody takes over, and until when. The caller holds the lock.
+// votesSuffice reports whether votes, none of them a refusal, prove that nobody takes over, and until when. The caller
+// holds the lock.
 func (e *Elector) votesSuffice(sent time.Time, votes Votes) (until time.Time, ok bool) {
 	if e.othersMayHaveLed(votes) {
 		return time.Time{}, false
@@ -136,16 +144,17 @@
 	return until, true
 }
 
-// othersMayHaveLed reports whether another may have led, and be gone again, since the term's validity lapsed: a leader that
-// was cut off from all made its term valid again with the votes of members that knew nothing of the leaders between, since
-// they had been restarted. Those that have run since know whether they led, and refuse. The caller holds the lock.
+// othersMayHaveLed reports whether another member may have led, and stopped leading again, since the term's validity
+// lapsed. It guards against this fault: a leader that had been cut off from everyone made its term valid again by the
+// votes of members that did not know of the leaders in between, because they had been restarted. Members that have run
+// since then know whether they led, and refuse. The caller holds the lock.
 func (e *Elector) othersMayHaveLed(votes Votes) bool {
 	return votes.WithoutMemory > 0 && !e.clock.Now().Before(e.validUntil)
 }
 
-// silentMemberIsFencedOff reports whether the only silent member cannot lead: its campaign fails while the fencing lease
-// stands, and it gets no confirmation. Every other member voted, so it confirms nothing meanwhile; that it confirmed
-// nothing before it must remember. The caller holds the lock.
+// silentMemberIsFencedOff reports whether the only silent member cannot lead. Its campaign fails without a confirmation
+// as long as the fencing lease exists, and no member confirms: every other member voted, so it does not confirm while
+// its vote is in force, and it must know that it did not confirm before (no WithoutMemory votes). The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
 	return len(votes.Silent) == 1 && votes.WithoutMemory == 0 && votes.Silent[0] == e.fencing.member
 }
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -11,9 +11,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against workers that kill their tasks in an outage of the state
-// service: with every other member's vote, the leader may
-// go on answering them; without, it may not.
+// Guards against workers that kill their tasks in an outage of the state service: with
+// every other member's vote the leader may continue to answer them; without, it may not.
 func TestVotesKeepTheTermValidInAnOutage(t *testing.T) {
 	clock, s := newState(t)
 	var given atomic.Bool
@@ -31,61 +30,61 @@
 		return clock.Since(begun) > 2*tuning.FencingLeaseTTL || !a.Valid(leadership.Term)
 	})
 	if !a.Valid(leadership.Term) {
-		t.Fatalf("invalid after %v", clock.Since(begun))
+		t.Fatalf("the term became invalid %v after the outage began, although all others vote", clock.Since(begun))
 	}
 	given.Store(false)
 	begun = clock.Now()
 	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
 	if clock.Since(begun) > tuning.VoteFor {
-		t.Errorf("acted for %v after the last vote", clock.Since(begun))
+		t.Errorf("the term stayed valid for %v after the last vote", clock.Since(begun))
 	}
 }
 
-// Guards against two leaders: who voted neither campaigns nor confirms, nor does a member
-// that was restarted and whose earlier process may have voted.
+// Guards against two leaders: a member that voted neither campaigns nor confirms, and neither does a
+// member that was restarted and whose earlier process may have voted.
 func TestVoteBindsItsGiver(t *testing.T) {
 	clock, s := newState(t)
 	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock)
 	if e.mayCampaign(t.Context()) {
-		t.Error("campaigns at once though a leader may count on its earlier process's vote")
+		t.Error("may campaign at once although a leader may rely on a vote of its earlier process")
 	}
 	clock.Advance(voteKeptFor)
 	if !e.mayCampaign(t.Context()) {
-		t.Error("does not campaign once those votes are over")
+		t.Error("may not campaign although the votes of its earlier process have expired")
 	}
 	e.noteStillLeading(5, e.earlierConfirmationsUntil)
 	if e.Vote(t.Context(), 5) != Refused {
-		t.Error("votes while it campaigns")
+		t.Error("votes although it campaigns")
 	}
 	e.endCampaign()
 	if e.Vote(t.Context(), 5) != Refused {
-		t.Error("votes though the state service answers it")
+		t.Error("votes although the state service answers it")
 	}
 	s.Refuse(true)
 	if e.Vote(t.Context(), 5) != Granted {
 		t.Error("does not vote in an outage")
 	}
 	if e.mayCampaign(t.Context()) {
-		t.Error("campaigns in spite of its vote")
+		t.Error("may campaign although its vote forbids that")
 	}
 	if e.ConfirmTermOver(5) {
-		t.Error("confirms in spite of its vote")
+		t.Error("confirms although its vote forbids that")
 	}
 	clock.Advance(voteKeptFor)
 	if !e.mayCampaign(t.Context()) {
-		t.Error("does not campaign after its vote is over")
+		t.Error("may not campaign although its vote has expired")
 	}
 }
 
-// Guards against a vote that its giver forgot by being restarted while the
-// round that asked for it was still open.
+// Guards against relying on a vote that the voter no longer knows of, because it was restarted while the
+// vote round was still open.
 func TestQuestionOfARestartedMemberVoidsTheVoteRound(t *testing.T) {
 	clock, s := newState(t)
 	var a *member
 	ready := make(chan struct{})
 	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
 		<-ready
-		if a.NotLeading() { // asked in the middle of the round, it says that it leads
+		if a.NotLeading() { // a restarted member asks during the round
 			return Votes{Refused: 1}
 		}
 		return Votes{}
@@ -97,32 +96,32 @@
 	begun := clock.Now()
 	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
 	if clock.Since(begun) > tuning.LeaseTTL {
-		t.Errorf("acted for %v on void vote rounds", clock.Since(begun))
+		t.Errorf("the term stayed valid for %v by void vote rounds", clock.Since(begun))
 	}
 }
 
-// Guards against a former leader whose term becomes valid again, though another has led since: one that was cut off from the
-// state service and all others, its lease expired, once got the votes of members that had led or heard of a later
-// leader, as soon as an outage kept all from seeing who leads.
+// Guards against a former leader whose term becomes valid again although another member has led since. A leader was cut off
+// from the state service and all other members, and its lease expired. Then an outage prevented all members from reading who
+// leads, and it got the votes of members that had led themselves or knew of a later leader.
 func TestTermKnownToBeOverGetsNoVotes(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		past func(e *Elector, now time.Time)
 		want Vote
 	}{
-		{"nothing later is known", func(*Elector, time.Time) {}, Granted},
-		{"it led itself, and resigned before it noted that it leads", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.resign() }, Refused},
-		{"it led itself, and gave up", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.noteHolder("b", 6); e.resign() }, Refused},
-		{"it led itself, and heard that nobody does now", func(e *Elector, now time.Time) {
+		{"knows of no later term", func(*Elector, time.Time) {}, Granted},
+		{"led itself, and resigned before it recorded that it leads", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.resign() }, Refused},
+		{"led itself, and resigned", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.noteHolder("b", 6); e.resign() }, Refused},
+		{"led itself, resigned, and read that nobody leads now", func(e *Elector, now time.Time) {
 			e.beginTerm(6, 1, now)
 			e.noteHolder("b", 6)
 			e.resign()
 			e.noteNoHolder()
 		}, Refused},
-		{"it read of another", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
-		{"it read of another, and that nobody leads now", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoHolder() }, Refused},
-		{"it heard of another", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
-		{"it read that the very term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoHolder() }, Granted},
+		{"read that another leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
+		{"read that another leads, and then that nobody leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoHolder() }, Refused},
+		{"learnt from a member that another leads", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
+		{"read that the same term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoHolder() }, Granted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock, s := newState(t)
@@ -132,14 +131,14 @@
 			c.past(e, clock.Now())
 			s.Refuse(true)
 			if got := e.Vote(t.Context(), 5); got != c.want {
-				t.Errorf("it answers %v, want %v", got, c.want)
+				t.Errorf("answers the vote request with %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Guards against the same where those that led in between were restarted and know nothing of it: their votes may extend a valid
-// term, not make a lapsed one valid again.
+// Guards against the same fault when the members that led in between were restarted and do not know of it: their votes may
+// extend a valid term, but not make a lapsed term valid again.
 func TestVotesWithoutMemoryDoNotRevalidateALapsedTerm(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -147,10 +146,10 @@
 		p      Votes
 		valid  bool
 	}{
-		{"extend a valid term", false, Votes{WithoutMemory: 2}, true},
-		{"do not revalidate a lapsed one", true, Votes{WithoutMemory: 2}, false},
-		{"nor with one of two without memory", true, Votes{WithoutMemory: 1}, false},
-		{"those that remember revalidate it", true, Votes{}, true},
+		{"extend the validity of a valid term", false, Votes{WithoutMemory: 2}, true},
+		{"do not make a lapsed term valid again", true, Votes{WithoutMemory: 2}, false},
+		{"nor do they if only one of two is without memory", true, Votes{WithoutMemory: 1}, false},
+		{"votes of members that remember make it valid again", true, Votes{}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
@@ -164,13 +163,13 @@
 			e.extendByVotes(5, e.voteRound, sent, c.p)
 			clock.Advance(tuning.VoteFor * 3 / 4)
 			if e.Valid(5) != c.valid {
-				t.Errorf("valid %v", e.Valid(5))
+				t.Errorf("the term is valid after the vote round: %v", e.Valid(5))
 			}
 		})
 	}
 }
 
-// Guards against the same where the term lapses while the members are being asked.
+// Guards against the same fault when the term lapses while the members are being asked.
 func TestTermThatLapsesDuringAVoteRoundIsNotRevalidated(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	e := newElector(nil, unreachablePeers, "a", clock)
@@ -179,11 +178,11 @@
 	sent := clock.Now()
 	clock.Advance(tuning.VoteFor / 2)
 	if e.extendByVotes(5, e.voteRound, sent, Votes{WithoutMemory: 1}); e.Valid(5) {
-		t.Error("the term is valid again")
+		t.Error("votes without memory made a lapsed term valid again")
 	}
 }
 
-// Guards against a vote that is given though a campaign of ours has begun, or we have come to lead, since we looked whether we follow.
+// Guards against a vote by a member that began a campaign, or became the leader, after it checked that it is a follower.
 func TestNoVoteBesideACampaignThatBeganMeanwhile(t *testing.T) {
 	for name, begin := range map[string]func(e *Elector){
 		"a campaign":       func(e *Elector) { e.campaigning = true },
@@ -196,7 +195,7 @@
 			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
 			e.noteStillLeading(5, clock.Now())
 			if got := e.Vote(t.Context(), 5); got != Refused {
-				t.Errorf("it answers %v", got)
+				t.Errorf("answers the vote request with %v, want Refused", got)
 			}
 		})
 	}
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -13,9 +13,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// ErrSilent is the error of a call to a peer that did not answer in time, now or the last time it
-// was asked.
-var ErrSilent = errors.New("the peer is silent")
+// ErrSilent is the error of a call to a peer that did not answer in time, either in this call or in an
+// earlier one.
+var ErrSilent = errors.New("peer did not answer in time")
 
 // Client sends requests to peers, over one connection to each. It is safe for concurrent use.
 type Client struct {
@@ -23,18 +23,18 @@
 
 	mu     sync.Mutex
 	conns  map[string]*clientConn
-	silent map[string]bool // peers that let a whole call's time pass without an answer
+	silent map[string]bool // addresses of the peers that Silent reports as silent
 }
 
-// NewClient makes a client whose calls take tuning.RelayTimeout at the most.
+// NewClient returns a client whose calls time out after tuning.RelayTimeout.
 func NewClient() *Client {
 	return &Client{timeout: tuning.RelayTimeout, conns: map[string]*clientConn{}, silent: map[string]bool{}}
 }
 
-// Call sends a request to the peer at addr and waits for its answer. A peer that
-// stands still or is cut off is found silent once; until it answers a ping
-// again, other calls to it fail at once, rather than have every poll and every
-// heartbeat wait out the time limit.
+// Call sends a request to the peer at addr and waits for its answer. A peer that hangs or is cut off by
+// a partition is marked silent when a call times out whose verb the peer answers from memory. Until
+// the peer answers a ping again, all other calls to it fail at once with ErrSilent. Otherwise every poll
+// and every heartbeat would wait for the timeout.
 func (c *Client) Call(ctx context.Context, addr string, r Request) (Response, error) {
 	if r.Verb != Ping && c.Silent(addr) {
 		return Response{}, ErrSilent
@@ -52,7 +52,8 @@
 	return resp, err
 }
 
-// Silent reports whether a peer did not answer of late.
+// Silent reports whether a call to the peer at addr timed out, of a verb that the peer answers from memory, and the peer
+// has not answered since.
 func (c *Client) Silent(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,7 @@
 	c.silent[addr] = silent
 }
 
-// call sends a request and waits for its answer.
+// call sends a request on the connection to a peer and waits for its answer until ctx ends.
 func (c *Client) call(ctx context.Context, addr string, r Request) (Response, error) {
 	cc := c.connection(addr)
 	select {
@@ -90,14 +91,14 @@
 		return resp, nil
 	case <-ctx.Done():
 		cc.forget(seq)
-		// A connection that does not answer in time may hang for ever: the
-		// next request takes a new one.
+		// A connection that does not answer in time may hang for ever, so the
+		// next request opens a new one.
 		c.drop(addr, cc)
 		return Response{}, ctx.Err()
 	}
 }
 
-// connection returns the connection to a peer, and dials it if there is none.
+// connection returns the connection to a peer, and dials a new one if there is none. The caller waits for ready.
 func (c *Client) connection(addr string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +118,7 @@
 	return cc
 }
 
-// drop closes a connection; the next request takes a new one.
+// drop closes a connection; the next request opens a new one.
 func (c *Client) drop(addr string, cc *clientConn) {
 	c.mu.Lock()
 	if c.conns[addr] == cc {
@@ -129,19 +130,19 @@
 	}
 }
 
-// clientConn is a connection to a peer, on which several calls may wait for their answers.
+// clientConn is a connection to a peer, on which several calls may wait for their answers at the same time.
 type clientConn struct {
-	ready chan struct{} // closed when dialled; conn and err are set then
+	ready chan struct{} // closed when dialling has succeeded or failed; conn and err are set from then on
 	conn  net.Conn
 	err   error
 
 	mu      sync.Mutex
-	seq     uint64                   // of the last request
-	waiting map[uint64]chan Response // by the request's number
-	dead    bool                     // nothing more is received
+	seq     uint64                   // sequence number of the last request
+	waiting map[uint64]chan Response // calls that wait for an answer, by sequence number
+	dead    bool                     // the connection has failed; no more answers are received
 }
 
-// send sends a request and returns its number, under which the answer is awaited.
+// send sends a request and returns its sequence number. The response with this number is delivered to answer.
 func (cc *clientConn) send(r Request, answer chan Response) (uint64, error) {
 	cc.mu.Lock()
 	if cc.dead {
@@ -152,20 +153,20 @@
 	seq := cc.seq
 	cc.waiting[seq] = answer
 	cc.mu.Unlock()
-	// One Write call is atomic for a net.Conn, and its deadline keeps it short.
+	// A net.Conn does not interleave concurrent Write calls, and the deadline bounds how long this one blocks.
 	_ = cc.conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
 	_, err := cc.conn.Write(encodeRequest(seq, r))
 	return seq, err
 }
 
-// forget has an answer that comes late be dropped.
+// forget ends the wait for an answer; an answer that arrives later is discarded.
 func (cc *clientConn) forget(seq uint64) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	delete(cc.waiting, seq)
 }
 
-// receive hands answers to those that wait for them, until the connection ends.
+// receive delivers answers to the calls that wait for them, until the connection fails.
 func (cc *clientConn) receive() {
 	in := bufio.NewReader(cc.conn)
 	for {
@@ -191,11 +192,11 @@
 	defer cc.mu.Unlock()
 	if answer := cc.waiting[seq]; answer != nil {
 		delete(cc.waiting, seq)
-		answer <- r // has room for one
+		answer <- r // does not block: the channel has a buffer of one
 	}
 }
 
-// fail ends all calls that wait for an answer, and refuses later ones.
+// fail ends all calls that wait for an answer, and makes later ones fail.
 func (cc *clientConn) fail() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/cluster/peerrpc/codec.go
+++ b/internal/cluster/peerrpc/codec.go
@@ -14,13 +14,13 @@
 	"poppypass/internal/platform/wire"
 )
 
-// frameLength is how many bytes tell the length of the rest of a frame, the highest first.
+// frameLength is the size in bytes of a frame's length prefix, which is big-endian and does not count itself.
 const frameLength = 4
 
-// errMalformed marks a frame that is no message; the connection ends.
-var errMalformed = errors.New("malformed frame between controllers")
+// errMalformed marks a frame that cannot be decoded. The connection is then closed.
+var errMalformed = errors.New("malformed message from a peer")
 
-// readFrame reads a length of 4 bytes and as many bytes as that tells.
+// readFrame reads the length prefix of a frame and returns the bytes that follow it.
 func readFrame(r io.Reader) ([]byte, error) {
 	var size [frameLength]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -35,7 +35,7 @@
 	return buf, err
 }
 
-// frameOf puts a finished message behind its length.
+// frameOf returns a finished message with its length prefix.
 func frameOf(b *flatbuffers.Builder) []byte {
 	body := b.FinishedBytes()
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, frameLength+len(body)), uint32(len(body))), body...)
@@ -77,7 +77,7 @@
 	return frameOf(b)
 }
 
-// stringVector writes names; 0, which is no vector, if there are none.
+// stringVector writes names as a vector and returns its offset: 0, which means no vector, if there are no names.
 func stringVector(b *flatbuffers.Builder, names []string, start func(*flatbuffers.Builder, int) flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	if len(names) == 0 {
 		return 0
@@ -93,7 +93,7 @@
 	return b.EndVector(len(at))
 }
 
-// namesOf reads names.
+// namesOf reads a vector of n names.
 func namesOf(n int, name func(int) []byte) []string {
 	var out []string
 	for i := range n {
@@ -102,8 +102,8 @@
 	return out
 }
 
-// recoverMalformed turns a panic of the FlatBuffers accessors, which do not verify what
-// they read, into an error: a peer's malformed bytes must not end a controller.
+// recoverMalformed calls fn and turns a panic in it into an error. The FlatBuffers accessors do not verify
+// what they read and panic on malformed bytes, and a peer's malformed bytes must not crash a controller.
 func recoverMalformed(fn func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/cluster/peerrpc/formats_test.go
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -7,7 +7,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// lengthBytes is how many bytes of a frame tell the length of the rest.
+// lengthBytes is the size in bytes of a frame's length prefix.
 const lengthBytes = 4
 
 func TestRequestFormat(t *testing.T) {
@@ -24,7 +24,7 @@
 			golden.Hex(t, "request-"+c.name, frame)
 			seq, again, err := decodeRequest(frame[lengthBytes:])
 			if err != nil || seq != 77 {
-				t.Fatalf("read back as message %d, %v", seq, err)
+				t.Fatalf("decoded with sequence number %d, error %v", seq, err)
 			}
 			golden.Equal(t, c.name, again, request)
 		})
@@ -33,14 +33,14 @@
 
 func TestResponseFormat(t *testing.T) {
 	response := Response{
-		Status: 200, Job: wire.JobStatus{State: wire.StateRunning, Done: 11, Running: 12}, // the job's id is not sent back
+		Status: 200, Job: wire.JobStatus{State: wire.StateRunning, Done: 11, Running: 12}, // a response does not contain the job's ID
 		Payload: []byte(`{"b":2}`), Leader: "m1", Term: 42, Names: []string{"n-1", "n-2"},
 	}
 	frame := encodeResponse(78, response)
 	golden.Hex(t, "response", frame)
 	seq, again, err := decodeResponse(frame[lengthBytes:])
 	if err != nil || seq != 78 {
-		t.Fatalf("read back as message %d, %v", seq, err)
+		t.Fatalf("decoded with sequence number %d, error %v", seq, err)
 	}
 	golden.Equal(t, "response", again, response)
 }
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -1,9 +1,9 @@
-// Package peerrpc carries what controllers say among themselves: FlatBuffers in
-// frames with a length, over TCP. A follower hands the leader what only the
-// leader may answer. Statuses are HTTP's.
+// Package peerrpc carries requests and responses between controllers: FlatBuffers
+// messages in length-prefixed frames, over TCP. With it a follower relays to the
+// leader the requests that only the leader may answer. Statuses are HTTP statuses.
 //
-// The schema is mesh.fbs, compiled by flatc 2.0.8, as Debian 12 packages it. Its output in fb/ is
-// committed, so that building needs no compiler.
+// The schema is mesh.fbs, compiled by flatc 2.0.8, the version that Debian 12 packages. The
+// generated code in fb/ is committed, so that a build does not need the compiler.
 package peerrpc
 
 //go:generate flatc --go mesh.fbs
@@ -15,48 +15,48 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Verb is what a request asks.
+// Verb is the kind of a request.
 type Verb byte
 
-// The verbs. The generated names behind them stay, as do their numbers: members of different versions talk to each other.
+// The verbs. The names in the generated code and the numbers never change: members of different versions exchange them.
 const (
-	JobStatus        = Verb(fb.VerbQuery)      // a job's state, of the leader
-	CancelJob        = Verb(fb.VerbCancel)     // cancel a job, of the leader
-	RequestVote      = Verb(fb.VerbPromise)    // a vote, of a follower: neither to campaign nor to confirm for a while
-	NotLeading       = Verb(fb.VerbNotLeading) // whether a member does not lead
-	Heartbeat        = Verb(fb.VerbReport)     // a worker's heartbeat, to the leader
-	SubmitJob        = Verb(fb.VerbSubmit)     // a submission, to any member
-	ConfirmTermOver  = Verb(fb.VerbVouch)      // that no leader of a term, or an earlier one, can count on the member's vote any more
-	EndLease         = Verb(fb.VerbYield)      // to revoke the lease of a leader that has resigned
-	SubsystemQuery   = Verb(fb.VerbShow)       // what a subsystem of the leader knows, by a path
-	MayHaveRenewed   = Verb(fb.VerbKept)       // which of some machines a member may have answered by its zone lease
-	SubsystemCommand = Verb(fb.VerbDo)         // a command to a subsystem of the leader
-	ProbeWorkers     = Verb(fb.VerbReach)      // whether one of some workers, by their addresses, answers a member
-	Ping             = Verb(fb.VerbPing)       // whether a member can be reached, and who leads by its knowledge
+	JobStatus        = Verb(fb.VerbQuery)      // asks the leader for a job's state
+	CancelJob        = Verb(fb.VerbCancel)     // asks the leader to cancel a job
+	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote: not to campaign and not to confirm for a limited time
+	NotLeading       = Verb(fb.VerbNotLeading) // asks a member whether it does not lead
+	Heartbeat        = Verb(fb.VerbReport)     // relays a worker's heartbeat to the leader
+	SubmitJob        = Verb(fb.VerbSubmit)     // relays a job submission to any member
+	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader of a term or an earlier one can rely on its vote
+	EndLease         = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
+	SubsystemQuery   = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
+	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member for which of the given machines it may have renewed the worker's lease under its zone lease
+	SubsystemCommand = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
+	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether at least one of the workers at the given addresses answers it
+	Ping             = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
 )
 
-// prompt reports whether the verb is answered from memory. Others may wait for
-// the state service, which says nothing of the peer.
+// prompt reports whether a peer answers the verb from memory. The answer to another verb may wait for the
+// state service, so a missing answer does not show that the peer is unreachable.
 func (v Verb) prompt() bool { return v == Ping || v == Heartbeat }
 
-// Request asks another member.
+// Request is a request to another member. Which fields are set depends on the verb.
 type Request struct {
 	Verb    Verb
-	Job     string   // of a ping, who sends it
-	Payload []byte   // what a worker or user sent, relayed as it came; of a ping, what its sender claims of its zone lease
+	Job     string   // the job's ID; in a ping, the sender's name
+	Payload []byte   // the body that a worker or user sent, unchanged; in a ping, the sender's claim about its zone lease
 	Number  uint64   // the term that a vote or confirmation is about, or the lease to revoke
-	Names   []string // the machines that are asked about, or workers' addresses
+	Names   []string // names of machines, or addresses of workers
 }
 
-// Response is its answer; Status is an HTTP status.
+// Response is a member's answer to a Request.
 type Response struct {
-	Status  int
+	Status  int // an HTTP status
 	Job     wire.JobStatus
-	Payload []byte // the body for the one who asked; to a ping, what its sender claimed last
-	Leader  string // answers a ping: who leads, and in which term
-	Term    uint64
-	Names   []string // those of the machines asked about that the member may have answered by its zone lease
+	Payload []byte   // the body for the worker or user; to a ping, the sender's last claim that the answering member remembers
+	Leader  string   // to a ping: the member that leads as far as the answering member knows
+	Term    uint64   // to a ping: the term of Leader
+	Names   []string // to MayHaveRenewed: the machines whose workers' leases the answering member may have renewed under its zone lease
 }
 
-// Handler answers a request. It is called concurrently; ctx ends with the connection.
+// Handler answers a request. It is called concurrently. Its ctx ends when the connection is closed.
 type Handler func(context.Context, Request) Response
--- a/internal/cluster/peerrpc/peerrpc_test.go
+++ b/internal/cluster/peerrpc/peerrpc_test.go
@@ -42,15 +42,15 @@
 		got, err := c.Call(t.Context(), addr, r)
 		want := Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}}
 		if err != nil || got.Status != want.Status || got.Job != want.Job || string(got.Payload) != string(r.Payload) || got.Leader != r.Job || got.Term != r.Number {
-			t.Errorf("%v: %+v, %v", r, got, err)
+			t.Errorf("request %v got the response %+v, error %v", r, got, err)
 		}
 	}
 	if _, err := c.Call(t.Context(), "127.0.0.1:1", Request{}); err == nil {
-		t.Error("a peer that is not there answered")
+		t.Error("a call to an address without a peer succeeded")
 	}
 }
 
-// Guards against bytes that are no message: the connection ends, the service goes on.
+// Guards against a crash by bytes that are not a message: the server closes the connection and continues to serve others.
 func TestMalformedFrameEndsTheConnectionOnly(t *testing.T) {
 	addr := listen(t, func(context.Context, Request) Response { return Response{Status: 200} })
 	bad := [][]byte{
@@ -68,17 +68,17 @@
 			t.Fatal(err)
 		}
 		if rest, _ := io.ReadAll(conn); len(rest) != 0 {
-			t.Errorf("%v was answered", raw)
+			t.Errorf("malformed frame %v was answered", raw)
 		}
 		conn.Close()
 	}
 	if r, err := NewClient().Call(t.Context(), addr, Request{Job: "job-1"}); err != nil || r.Status != 200 {
-		t.Errorf("afterwards: %+v, %v", r, err)
+		t.Errorf("call after the malformed frames: response %+v, error %v", r, err)
 	}
 }
 
-// Guards against polls and heartbeats that each wait out the time limit for a
-// member that stands still: after the first, calls to it fail at once, until
+// Guards against polls and heartbeats that each wait for the timeout because a
+// member hangs: after the first ping or heartbeat that times out, calls to it fail at once, until
 // it answers a ping again.
 func TestSilentPeerIsNotWaitedForTwice(t *testing.T) {
 	answering := make(chan struct{})
@@ -100,31 +100,31 @@
 		return err
 	}
 	if err := call(SubmitJob); err == nil || errors.Is(err, ErrSilent) {
-		t.Errorf("a verb that may wait for others: %v", err)
+		t.Errorf("timed-out call of a verb whose answer may wait for the state service: %v, want an error other than ErrSilent", err)
 	}
 	if err := call(Ping); !errors.Is(err, ErrSilent) {
-		t.Errorf("a ping without an answer: %v", err)
+		t.Errorf("ping without an answer: %v, want ErrSilent", err)
 	}
 	for range 10 {
 		if err := call(Heartbeat); !errors.Is(err, ErrSilent) {
-			t.Errorf("a call to a silent peer: %v", err)
+			t.Errorf("call to a silent peer: %v, want ErrSilent", err)
 		}
 	}
 	close(answering)
 	c.timeout = time.Minute
 	if err := call(Ping); err != nil {
-		t.Errorf("it answers again: %v", err)
+		t.Errorf("ping that the peer answers again: %v", err)
 	}
 	if err := call(Heartbeat); err != nil {
-		t.Errorf("after it answered: %v", err)
+		t.Errorf("heartbeat after the answered ping: %v", err)
 	}
 	if n := heartbeats.Load(); n != 1 {
-		t.Errorf("%d heartbeats were sent, all but one to a silent peer", n)
+		t.Errorf("%d heartbeats were sent, want 1: none while the peer was silent", n)
 	}
 }
 
-// Guards against a question or an answer that the other side's frame limit refuses: what NameBytes allows for a name is
-// what it takes at the most.
+// Guards against a request or response with names that exceeds the peer's frame limit: a name occupies at most
+// tuning.NameBytes in addition to its own length.
 func TestAsManyNamesAsAQuestionHoldsFitAFrame(t *testing.T) {
 	for _, length := range []int{1, 2, 3, 4, 8, 20, 63, 200} {
 		var names []string
@@ -132,11 +132,11 @@
 			names = append(names, strings.Repeat("n", length))
 		}
 		for side, framed := range map[string][]byte{
-			"question": encodeRequest(1<<60, Request{Verb: MayHaveRenewed, Names: names}),
-			"answer":   encodeResponse(1<<60, Response{Status: 200, Names: names}),
+			"request":  encodeRequest(1<<60, Request{Verb: MayHaveRenewed, Names: names}),
+			"response": encodeResponse(1<<60, Response{Status: 200, Names: names}),
 		} {
 			if _, err := readFrame(bytes.NewReader(framed)); err != nil {
-				t.Errorf("%s with %d names of %d bytes: %d bytes: %v", side, len(names), length, len(framed), err)
+				t.Errorf("%s with %d names of %d bytes has %d bytes: %v", side, len(names), length, len(framed), err)
 			}
 		}
 	}
--- a/internal/cluster/peerrpc/server.go
+++ b/internal/cluster/peerrpc/server.go
@@ -11,7 +11,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Serve answers peers on a listener until ctx ends. Handlers and connections may outlast it by a moment.
+// Serve answers peers' requests on a listener until ctx ends. Handlers and connections may still run for a
+// moment after it returns.
 func Serve(ctx context.Context, l net.Listener, h Handler, log *slog.Logger) {
 	context.AfterFunc(ctx, func() { l.Close() })
 	for {
@@ -20,7 +21,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			log.Error("peer connection not accepted", "err", err)
+			log.Error("accepting a peer connection failed; retrying", "err", err)
 			select {
 			case <-ctx.Done():
 				return
@@ -32,7 +33,7 @@
 	}
 }
 
-// serveConn answers the requests of a connection, each in a goroutine of its own, until it ends.
+// serveConn answers the requests on a connection, each in a separate goroutine, until the connection is closed.
 func serveConn(ctx context.Context, conn net.Conn, h Handler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -47,7 +48,7 @@
 		}
 		seq, req, err := decodeRequest(frame)
 		if err != nil {
-			log.Error("peer request malformed", "err", err)
+			log.Error("peer request could not be decoded; closing the connection", "err", err)
 			return
 		}
 		go func() {
@@ -59,7 +60,7 @@
 	}
 }
 
-// writeAnswer writes an answer, or closes the connection if that fails or takes too long.
+// writeAnswer writes an answer. It closes the connection if the write fails or takes longer than tuning.RelayTimeout.
 func writeAnswer(conn net.Conn, answer []byte) {
 	_ = conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
 	if _, err := conn.Write(answer); err != nil {
