--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -28,7 +28,7 @@
 		case seen.held:
 			e.follow(ctx, seen)
 		default:
-			e.noteNoHolder()
+			e.noteNoLeader()
 			e.tryToLead(ctx, seen, work)
 		}
 	}
@@ -87,7 +87,7 @@
 // follow records who leads and waits until that may have changed.
 func (e *Elector) follow(ctx context.Context, seen leaderKey) {
 	if seen.holder.Member == "" {
-		e.noteNoHolder()
+		e.noteNoLeader()
 	} else {
 		e.noteHolder(seen.holder.Member, seen.holder.Term)
 	}
@@ -95,20 +95,20 @@
 	e.waitForChange(ctx, seen.revision)
 }
 
-// waitForChange returns when the leader key may have changed, or just after earlierConfirmationsUntil. A term that
-// a read finds in force from then on cannot be ended by a confirmation of an earlier process of this member, so
-// this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
+// waitForChange returns when the leader key may have changed, or just after earlierProcessConfirmationsUntil. A
+// term that a read finds in force from then on cannot be ended by a confirmation of an earlier process of this
+// member, so this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
 func (e *Elector) waitForChange(ctx context.Context, revision uint64) {
 	wait := tuning.LeaderWatch
-	if left := e.earlierConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
+	if left := e.earlierProcessConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
 		wait = left + time.Millisecond
 	}
-	r, err := e.store.Watch(ctx, keyHolder, revision, wait)
+	result, err := e.store.Watch(ctx, keyHolder, revision, wait)
 	if err != nil {
 		e.pause(ctx, tuning.RetryLeader)
 		return
 	}
-	e.log.Debug("watch of the leader key returned; reading the key again", "events", len(r.Events))
+	e.log.Debug("watch of the leader key returned; reading the key again", "events", len(result.Events))
 }
 
 // revokePreviousLease revokes the lease of the leader key when the key names this member although it does not
@@ -159,7 +159,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	if now.Before(e.boundUntil) || e.standsAside(now) {
+	if now.Before(e.boundByVoteUntil) || e.defersCampaign(now) {
 		return false
 	}
 	e.campaigning = true
@@ -171,15 +171,15 @@
 func (e *Elector) boundByEarlierProcessOnly() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.clock.Now().Before(e.boundUntil) && e.boundUntil.Equal(e.earlierVotesUntil)
+	return e.clock.Now().Before(e.boundByVoteUntil) && e.boundByVoteUntil.Equal(e.earlierProcessVotesUntil)
 }
 
 // dropEarlierVotes lifts the restriction by votes of an earlier process, unless this process has voted meanwhile.
 func (e *Elector) dropEarlierVotes() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.boundUntil.Equal(e.earlierVotesUntil) {
-		e.boundUntil = time.Time{}
+	if e.boundByVoteUntil.Equal(e.earlierProcessVotesUntil) {
+		e.boundByVoteUntil = time.Time{}
 	}
 }
 
@@ -195,12 +195,12 @@
 func (e *Elector) StandAside(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.standAsideUntil = e.clock.Now().Add(d)
+	e.deferCampaignUntil = e.clock.Now().Add(d)
 }
 
-// standsAside reports whether this member now leaves the leadership to others. The caller holds the lock.
-func (e *Elector) standsAside(now time.Time) bool {
-	return now.Before(e.standAsideUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter
+// defersCampaign reports whether this member now leaves the leadership to others. The caller holds the lock.
+func (e *Elector) defersCampaign(now time.Time) bool {
+	return now.Before(e.deferCampaignUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter
 }
 
 // campaign tries once to become the leader of the term after lastTerm. If the outcome of its transaction is
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -12,23 +12,23 @@
 )
 
 func TestNextLeaderIsElectedWhenTheLeaseExpires(t *testing.T) {
-	clock, s := newState(t)
-	a := start(t, "a", s, unreachablePeers, clock)
+	clock, state := newStateService(t)
+	a := startMember(t, "a", state, unreachablePeers, clock)
 	first := <-a.terms
 	if !a.Valid(first.Term) || a.Leader() != "a" {
-		t.Fatalf("a won the campaign: its term is valid: %v, want true; it names leader %q, want \"a\"", a.Valid(first.Term), a.Leader())
+		t.Fatalf("after a won its campaign: term valid %v, leader %q; want true, \"a\"", a.Valid(first.Term), a.Leader())
 	}
-	b := start(t, "b", s, unreachablePeers, clock)
+	b := startMember(t, "b", state, unreachablePeers, clock)
 	a.stop() // as if killed: it does not revoke its lease
 	<-a.ended
 	clock.Advance(2 * tuning.LeaseTTL)
-	s.Expire()
+	state.Expire()
 	second := <-b.terms
 	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
 		t.Errorf("terms %d of a and %d of b: want a later term of b, valid for b alone", first.Term, second.Term)
 	}
 	// The guard makes every transaction fail that the first leader still sends.
-	_, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
+	_, err := statestore.New(state.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		If: []wire.Condition{first.Guard}, Then: []wire.Change{{Put: "run/x", Value: json.RawMessage("1")}},
 	})
 	if err == nil {
@@ -39,17 +39,17 @@
 // Guards against two leaders after a campaign of unknown outcome: nobody acts
 // on it, and the next campaign, once the lease of the first is gone, has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
-	clock, s := newState(t)
-	muted := 0
-	s.LoseAnswers(func(txn wire.Txn) bool {
+	clock, state := newStateService(t)
+	lostAnswers := 0
+	state.LoseAnswers(func(txn wire.Txn) bool {
 		if strings.HasPrefix(txn.Then[0].Put, "lead/") {
-			muted++
+			lostAnswers++
 		}
-		return muted == 1
+		return lostAnswers == 1
 	})
-	a := start(t, "a", s, unreachablePeers, clock)
+	a := startMember(t, "a", state, unreachablePeers, clock)
 	var leadership Leadership
-	until(t, s, clock, following, "a won campaign", func() bool {
+	advanceUntil(t, state, clock, followerGoroutines, "a won campaign", func() bool {
 		select {
 		case leadership = <-a.terms:
 			return true
@@ -63,26 +63,26 @@
 }
 
 // A member that leaves the leadership to others campaigns nevertheless when the leader key stays vacant.
-func TestMemberStandsAsideUnlessNobodyElseLeads(t *testing.T) {
-	clock, s := newState(t)
-	a, _ := startProcess(t, s, clock, 0, false)
+func TestMemberDefersCampaignUnlessNobodyElseLeads(t *testing.T) {
+	clock, state := newStateService(t)
+	a, _ := startProcess(t, state, clock, 0, false)
 	a.StandAside(tuning.YieldFor)
-	begun := clock.Now()
-	passUntil(t, s, clock, a, a.terms)
-	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
-		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", took)
+	started := clock.Now()
+	advanceUntilReceived(t, state, clock, a, a.terms)
+	if elapsed := clock.Since(started); elapsed < tuning.YieldVacantAfter || elapsed > tuning.YieldVacantAfter+time.Second {
+		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", elapsed)
 	}
 }
 
 // Guards against a campaign while another member leads whose leader key this member cannot decode.
 func TestUnreadableLeaderKeyCountsAsHeld(t *testing.T) {
-	clock, s := newState(t)
-	store := statestore.New(s.Addr(), 1e6, 1e6)
+	clock, state := newStateService(t)
+	store := statestore.New(state.Addr(), 1e6, 1e6)
 	if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: keyHolder, Value: json.RawMessage("[]")}}}); err != nil {
 		t.Fatal(err)
 	}
-	e := newElector(store, unreachablePeers, "a", clock)
-	seen, err := e.readLeaderKey(t.Context())
+	elector := newElector(store, unreachablePeers, "a", clock)
+	seen, err := elector.readLeaderKey(t.Context())
 	if err != nil || !seen.held || seen.holder != (holder{}) || seen.revision == 0 {
 		t.Errorf("undecodable leader key read as %+v (error %v), want it held, with an empty holder and its version", seen, err)
 	}
--- a/internal/cluster/election/confirmation.go
+++ b/internal/cluster/election/confirmation.go
@@ -1,16 +1,16 @@
 package election
 
-// ConfirmTermOver answers a member that is fenced off, found the leader key vacant after a term, and wants to lead. It
-// reports whether this member confirms that the term is over. After a confirmation this member does not vote for a leader
-// of that term or of an earlier one. It does not confirm while it is bound by a vote, or while it leads in a later term. A
-// leader that is asked about its own term or a later one learns that its lease is over, and resigns.
+// ConfirmTermOver answers a member that is fenced off, found the leader key vacant after a term, and wants to lead.
+// It reports whether this member confirms that the term is over. After a confirmation this member does not vote for
+// a leader of that term or of an earlier one. It does not confirm while a vote binds it, or while it leads in a
+// later term. A leader that is asked about its own term or a later one learns that its lease is over, and resigns.
 func (e *Elector) ConfirmTermOver(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ownTerm != 0 && e.ownTerm <= term {
 		e.resignLocked()
 	}
-	if e.ownTerm != 0 || e.clock.Now().Before(e.boundUntil) {
+	if e.ownTerm != 0 || e.clock.Now().Before(e.boundByVoteUntil) {
 		return false
 	}
 	e.confirmedOverTerm = max(e.confirmedOverTerm, term)
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -92,33 +92,33 @@
 	log    *slog.Logger
 
 	// From this time on, no member acts on a confirmation that an earlier process of this member gave. It never changes.
-	earlierConfirmationsUntil time.Time
+	earlierProcessConfirmationsUntil time.Time
 
 	mu sync.Mutex
 
 	// This member's own term.
-	ownTerm                 uint64        // the term in which this member leads; 0: it does not lead
-	validUntil              time.Time     // this member may act as the leader before this time of the local monotonic clock
-	lease                   uint64        // the lease that the leader key is attached to
-	resigned                chan struct{} // closed when this member resigns
-	failedRenewals          int           // consecutive failed renewals of the lease
-	failuresWhenOtherServed int           // failedRenewals when the state service was first seen to serve another member; 0: not seen
-	voteRound               uint64        // number of the current vote round; a round with an older number is void
-	fencing                 fencingLease  // the fencing lease that this leader holds on a silent member
+	ownTerm                       uint64        // the term in which this member leads; 0: it does not lead
+	validUntil                    time.Time     // it may act as the leader before this time of its monotonic clock
+	lease                         uint64        // the lease that the leader key is attached to
+	resigned                      chan struct{} // closed when this member resigns
+	failedRenewals                int           // consecutive failed renewals of the lease
+	failedRenewalsWhenOtherServed int           // failedRenewals when another member was first seen served; 0: not seen
+	voteRound                     uint64        // number of the current vote round; a round with an older number is void
+	fencing                       fencingLease  // the fencing lease that this leader holds on a silent member
 
 	// What this member knows about the terms of all members.
-	leader      string    // the member that leads; "" if unknown
-	leaderTerm  uint64    // the term of leader
-	endedTerm   uint64    // this term and all earlier ones are over
-	leadingTerm uint64    // the highest term that a read after earlierConfirmationsUntil found still in force
-	vacantSince time.Time // since when the leader key names nobody; zero: it named a member at the last read
+	leader                  string    // the member that leads; "" if unknown
+	leaderTerm              uint64    // the term of leader
+	endedTerm               uint64    // this term and all earlier ones are over
+	leadingTermSinceRestart uint64    // the highest term read in force after earlierProcessConfirmationsUntil
+	vacantSince             time.Time // since when the leader key names nobody; zero: it named a member at the last read
 
 	// What this member may not do because of what it did before.
-	campaigning       bool      // a campaign is in progress; if it succeeds, this member leads
-	boundUntil        time.Time // a vote forbids this member to campaign or confirm before this time
-	earlierVotesUntil time.Time // before this time, a vote of an earlier process of this member may still be relied on
-	confirmedOverTerm uint64    // this member confirmed that this term is over, so it votes neither for it nor for earlier ones
-	standAsideUntil   time.Time // before this time this member does not campaign, unless the leader key stays vacant
+	campaigning              bool      // a campaign is in progress; if it succeeds, this member leads
+	boundByVoteUntil         time.Time // a vote forbids this member to campaign or confirm before this time
+	earlierProcessVotesUntil time.Time // a vote of an earlier process of this member may be relied on before this time
+	confirmedOverTerm        uint64    // this member confirmed the end of this term: no vote for it or earlier ones
+	deferCampaignUntil       time.Time // no campaign before this time, unless the leader key stays vacant
 }
 
 // New returns an elector for a member.
@@ -129,17 +129,17 @@
 // tuning.ConfirmationFor.
 func New(store Store, peers Peers, member string, clock clockwork.Clock, log *slog.Logger) *Elector {
 	e := &Elector{store: store, peers: peers, member: member, clock: clock, log: log}
-	e.earlierVotesUntil = clock.Now().Add(voteKeptFor)
-	e.boundUntil = e.earlierVotesUntil
-	e.earlierConfirmationsUntil = clock.Now().Add(stretch(tuning.ConfirmationFor, tuning.ClockDrift))
+	e.earlierProcessVotesUntil = clock.Now().Add(voteBindsFor)
+	e.boundByVoteUntil = e.earlierProcessVotesUntil
+	e.earlierProcessConfirmationsUntil = clock.Now().Add(withMargin(tuning.ConfirmationFor, tuning.ClockDrift))
 	return e
 }
 
-// stretch lengthens a duration by a fraction of it, or shortens it if the fraction is negative.
+// withMargin lengthens a duration by a fraction of it, or shortens it if the fraction is negative.
 // The clocks of two members drift apart. A member that is bound for a duration therefore waits longer by
 // tuning.ClockDrift, and a member that relies on the duration relies on it for less by tuning.ClockDrift.
-func stretch(d time.Duration, share float64) time.Duration {
-	return time.Duration(float64(d) * (1 + share))
+func withMargin(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * (1 + fraction))
 }
 
 func (e *Elector) pause(ctx context.Context, d time.Duration) {
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -19,69 +19,71 @@
 var errNotConfirmed = errors.New("member is fenced off, and no other member confirms that the last term is over")
 
 // fencingLease is the leader's lease on the key of the member that it has fenced off. The leader may rely on
-// it until fencingReliedFor after sent.
+// it until fencingReliedOnFor after sent.
 type fencingLease struct {
 	member string    // the member that is fenced off; "": none
 	lease  uint64    // the lease that the member's key is attached to
 	sent   time.Time // when the request that granted or last renewed the lease was sent
 }
 
-// fencingReliedFor is how long the leader may rely on a fencing lease after it sent the request that granted or renewed it.
-var fencingReliedFor = stretch(tuning.FencingLeaseTTL, -tuning.ClockDrift)
+// fencingReliedOnFor is how long the leader may rely on a fencing lease after it sent the request that granted or
+// renewed it.
+var fencingReliedOnFor = withMargin(tuning.FencingLeaseTTL, -tuning.ClockDrift)
 
 // maintainFencing maintains a fencing lease on a silent member until the term is over. It runs in a separate goroutine
 // because the renewals of the leader's lease must not wait for it.
-func (e *Elector) maintainFencing(ctx context.Context, l Leadership) {
+func (e *Elector) maintainFencing(ctx context.Context, leadership Leadership) {
 	for ctx.Err() == nil {
 		if e.pause(ctx, tuning.RenewEvery); ctx.Err() == nil {
-			e.updateFencing(ctx, l)
+			e.updateFencing(ctx, leadership)
 		}
 	}
 }
 
 // updateFencing fences off the only member that does not answer, while the state service still serves this leader:
 // in an outage that member cannot vote. A member that answers again is released.
-func (e *Elector) updateFencing(ctx context.Context, l Leadership) {
+func (e *Elector) updateFencing(ctx context.Context, leadership Leadership) {
 	silent := e.peers.Silent()
-	f, released, ok := e.reviewFencing(l.Term, silent)
+	fencing, released, ok := e.reviewFencing(leadership.Term, silent)
 	switch {
 	case !ok:
 	case released:
-		e.revokeLease(ctx, f.lease)
+		e.revokeLease(ctx, fencing.lease)
 	case len(silent) != 1:
-	case f.member == "":
-		if err := e.acquireFencing(ctx, l, silent[0]); err != nil {
+	case fencing.member == "":
+		if err := e.acquireFencing(ctx, leadership, silent[0]); err != nil {
 			e.log.Debug("silent member could not be fenced off; retrying", "member", silent[0], "err", err)
 		}
-	case e.clock.Since(f.sent) >= tuning.FencingLeaseRenew:
-		e.renewFencing(ctx, f)
+	case e.clock.Since(fencing.sent) >= tuning.FencingLeaseRenew:
+		e.renewFencing(ctx, fencing)
 	}
 }
 
-// reviewFencing returns the fencing lease and whether the caller is to revoke it because its member is no longer the only
-// silent one. It clears e.fencing in that case, so that no vote round relies on the lease from here on, before it is
-// revoked. ok is false when the term is over or its validity may depend on votes: a fencing lease is acquired or released
-// only while renewals of the leader's lease succeed, and that is checked under the same lock as the clearing.
-func (e *Elector) reviewFencing(term uint64, silent []string) (f fencingLease, released, ok bool) {
+// reviewFencing returns the fencing lease and whether the caller is to revoke it because its member is no longer
+// the only silent one. It clears e.fencing in that case, so that no vote round relies on the lease from here on,
+// before it is revoked. ok is false when the term is over or its validity may depend on votes: a fencing lease is
+// acquired or released only while renewals of the leader's lease succeed, and that is checked under the same lock
+// as the clearing.
+func (e *Elector) reviewFencing(term uint64, silent []string) (fencing fencingLease, released, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.failedRenewals > 0 || e.ownTerm != term {
 		return fencingLease{}, false, false
 	}
-	f = e.fencing
-	released = f.member != "" && (len(silent) != 1 || silent[0] != f.member)
+	fencing = e.fencing
+	released = fencing.member != "" && (len(silent) != 1 || silent[0] != fencing.member)
 	if released {
 		e.fencing = fencingLease{}
 	}
-	return f, released, true
+	return fencing, released, true
 }
 
-// acquireFencing fences a member off. The transaction requires that the key is unchanged since it was read. Otherwise an
-// earlier transaction that got no answer could be executed after this one and attach the key to a lease that expires
-// while the leader still relies on it.
-func (e *Elector) acquireFencing(ctx context.Context, l Leadership, member string) error {
+// acquireFencing fences a member off. The transaction requires that the key is unchanged since it was read.
+// Otherwise an earlier transaction that got no answer could be executed after this one and attach the key to a
+// lease that expires while the leader still relies on it.
+func (e *Elector) acquireFencing(ctx context.Context, leadership Leadership, member string) error {
 	key := prefixFencing + member
-	old, _, err := e.store.Get(ctx, key)
+	previous, _, err := e.store.Get(ctx, key)
 	if err != nil {
 		return fmt.Errorf("reading %s: %w", key, err)
 	}
@@ -91,35 +93,35 @@
 		return fmt.Errorf("granting a lease for %s: %w", key, err)
 	}
 	if _, err := e.store.Commit(ctx, wire.Txn{
-		If:   []wire.Condition{l.Guard, {Key: key, Version: old.Version}},
+		If:   []wire.Condition{leadership.Guard, {Key: key, Version: previous.Version}},
 		Then: []wire.Change{{Put: key, Value: json.RawMessage("true"), Lease: lease}},
 	}); err != nil {
 		e.revokeLease(ctx, lease)
 		return fmt.Errorf("storing %s: %w", key, err)
 	}
 	e.log.Info("silent member fenced off; it cannot lead without another member's confirmation", "member", member)
-	e.noteFencing(l.Term, fencingLease{member, lease, sent})
+	e.noteFencing(leadership.Term, fencingLease{member, lease, sent})
 	return nil
 }
 
-func (e *Elector) noteFencing(term uint64, f fencingLease) {
+func (e *Elector) noteFencing(term uint64, fencing fencingLease) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ownTerm == term {
-		e.fencing = f
+		e.fencing = fencing
 	}
 }
 
-// renewFencing renews a fencing lease and counts its duration from when the request was sent. The leader stops relying on a
-// lease that the state service does not know.
-func (e *Elector) renewFencing(ctx context.Context, f fencingLease) {
-	f.sent = e.clock.Now()
-	err := e.store.RenewLease(ctx, f.lease)
+// renewFencing renews a fencing lease and counts its duration from when the request was sent. The leader stops relying
+// on a lease that the state service does not know.
+func (e *Elector) renewFencing(ctx context.Context, fencing fencingLease) {
+	fencing.sent = e.clock.Now()
+	err := e.store.RenewLease(ctx, fencing.lease)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case err == nil && e.fencing.lease == f.lease:
-		e.fencing = f
+	case err == nil && e.fencing.lease == fencing.lease:
+		e.fencing = fencing
 	case errors.Is(err, statestore.ErrLeaseNotFound):
 		e.fencing = fencingLease{}
 	}
@@ -128,18 +130,18 @@
 // eligibility is the ground on which a member may campaign: no leader has fenced it off, or another member
 // has confirmed that the last term is over.
 type eligibility struct {
-	guards []wire.Condition // further conditions of the campaign's transaction
-	until  time.Time        // when the confirmation expires; zero: never, since there is none
+	guards    []wire.Condition // further conditions of the campaign's transaction
+	expiresAt time.Time        // when the confirmation expires; zero: never, since there is none
 }
 
 // expired reports whether it is too late to act on the eligibility.
 func (el eligibility) expired(now time.Time) bool {
-	return !el.until.IsZero() && !now.Before(el.until)
+	return !el.expiresAt.IsZero() && !now.Before(el.expiresAt)
 }
 
-// checkEligibility returns the ground on which this member may campaign, given that the leader key was found vacant after
-// the term. The validity of a confirmation counts from before the other members are asked. The error is errNotConfirmed
-// if this member is fenced off and no other member confirms that the term is over.
+// checkEligibility returns the ground on which this member may campaign, given that the leader key was found
+// vacant after the term. The validity of a confirmation counts from before the other members are asked. The error
+// is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
 func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
 	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
@@ -149,9 +151,9 @@
 	if !fenced {
 		return eligibility{guards: []wire.Condition{{Key: key}}}, nil
 	}
-	el := eligibility{until: e.clock.Now().Add(tuning.ConfirmationFor)}
+	eligible := eligibility{expiresAt: e.clock.Now().Add(tuning.ConfirmationFor)}
 	if !e.peers.ConfirmTermOver(ctx, term) {
 		return eligibility{}, errNotConfirmed
 	}
-	return el, nil
+	return eligible, nil
 }
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -36,14 +36,15 @@
 
 func always(b bool) func() bool { return func() bool { return b } }
 
-func votesBut(names ...string) func() Votes {
+// votesExcept returns a fakePeers.votes function with the votes of all members except the named ones, which are silent.
+func votesExcept(names ...string) func() Votes {
 	return func() Votes { return Votes{Silent: names} }
 }
 
 // unreachablePeers are two members, b and c, that do not answer vote requests. None of them leads.
-var unreachablePeers = &fakePeers{votes: votesBut("b", "c"), nobodyLeads: always(true)}
+var unreachablePeers = &fakePeers{votes: votesExcept("b", "c"), nobodyLeads: always(true)}
 
-// member is an elector that runs.
+// member is a running elector.
 type member struct {
 	*Elector
 	stop  context.CancelFunc
@@ -51,15 +52,16 @@
 	ended chan Leadership // each term of this member, when it is over
 }
 
-func start(t *testing.T, name string, s *fakes.Store, p Peers, clock clockwork.Clock) *member {
+// startMember runs the elector of a member until its stop is called or the test ends.
+func startMember(t *testing.T, name string, state *fakes.Store, p Peers, clock clockwork.Clock) *member {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	m, _ := run(ctx, t, newElector(statestore.New(s.Addr(), 1e6, 1e6), p, name, clock), stop)
+	m, _ := runElector(ctx, t, newElector(statestore.New(state.Addr(), 1e6, 1e6), p, name, clock), stop)
 	return m
 }
 
-// run runs an elector until ctx ends; stop ends ctx. The channel is closed when the elector has stopped.
-func run(ctx context.Context, t *testing.T, e *Elector, stop context.CancelFunc) (*member, <-chan struct{}) {
+// runElector runs an elector until ctx ends; stop ends ctx. The channel is closed when the elector has stopped.
+func runElector(ctx context.Context, t *testing.T, e *Elector, stop context.CancelFunc) (*member, <-chan struct{}) {
 	t.Helper()
 	m := &member{Elector: e, stop: stop, terms: make(chan Leadership, 64), ended: make(chan Leadership, 64)}
 	done := make(chan struct{})
@@ -84,22 +86,22 @@
 // How many goroutines of an elector wait for the clock: one of a follower; three of a
 // leader, which renew the lease, request votes and maintain the fencing lease.
 const (
-	following = 1
-	leading   = 3
+	followerGoroutines = 1
+	leaderGoroutines   = 3
 )
 
-// until advances the clock in small steps until a condition holds. It advances the clock only
+// advanceUntil advances the clock in small steps until a condition holds. It advances the clock only
 // while the given number of goroutines of the only running elector wait for it, never during a call.
-func until(t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, waiting int, what string, holds func() bool) {
+func advanceUntil(t *testing.T, state *fakes.Store, clock *clockwork.FakeClock, goroutines int, awaited string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a hang is a failure
 	defer cancel()
-	for !holds() {
-		if err := clock.BlockUntilContext(ctx, waiting); err != nil {
-			t.Fatalf("timed out waiting for %s", what)
+	for !condition() {
+		if err := clock.BlockUntilContext(ctx, goroutines); err != nil {
+			t.Fatalf("timed out waiting for %s", awaited)
 		}
 		clock.Advance(10 * time.Millisecond)
-		s.Expire()
+		state.Expire()
 	}
 }
 
@@ -119,13 +121,13 @@
 	return wire.Item{}, false, statestore.ErrNotExecuted
 }
 
-// newState returns a fake clock and a fake state service that uses it.
-func newState(t *testing.T) (*clockwork.FakeClock, *fakes.Store) {
+// newStateService returns a fake clock and a fake state service that uses it.
+func newStateService(t *testing.T) (*clockwork.FakeClock, *fakes.Store) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	s := fakes.NewStore(clock)
-	t.Cleanup(s.Close)
-	return clock, s
+	state := fakes.NewStore(clock)
+	t.Cleanup(state.Close)
+	return clock, state
 }
 
 // newElector returns an elector that does not log.
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -17,9 +17,9 @@
 }
 
 // NoteLeader records who leads according to another member. The state service may refuse only this member, and
-// workers that connect to it must be redirected to the leader nevertheless. No member starts acting as the leader because
-// of it. A leader that learns of a later term this way knows that its own lease is over, even if the state service
-// does not answer it, and resigns.
+// workers that connect to it must be redirected to the leader nevertheless. No member starts to act as the leader
+// because of it. A leader that learns of a later term this way knows that its own lease is over, even if the state
+// service does not answer it, and resigns.
 func (e *Elector) NoteLeader(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,8 +39,8 @@
 	e.leader, e.leaderTerm = name, term
 }
 
-// noteNoHolder records that the leader key is vacant, or that its value cannot be decoded: the last known term is over.
-func (e *Elector) noteNoHolder() {
+// noteNoLeader records that the leader key is vacant, or that its value cannot be decoded: the last known term is over.
+func (e *Elector) noteNoLeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.vacantSince.IsZero() {
@@ -50,14 +50,14 @@
 	e.leader, e.leaderTerm = "", 0
 }
 
-// noteStillLeading records that a read sent at the given time found a term in force. A read from
-// earlierConfirmationsUntil on proves that no campaign that relied on a confirmation by an earlier process of this member
-// ended the term: such a campaign has failed by then.
+// noteStillLeading records that a read sent at the given time found a term in force. If the read was sent at or after
+// earlierProcessConfirmationsUntil, no campaign that relied on a confirmation by an earlier process of this member can
+// have followed the term: such a campaign has failed by then.
 func (e *Elector) noteStillLeading(term uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !sent.Before(e.earlierConfirmationsUntil) {
-		e.leadingTerm = max(e.leadingTerm, term)
+	if !sent.Before(e.earlierProcessConfirmationsUntil) {
+		e.leadingTermSinceRestart = max(e.leadingTermSinceRestart, term)
 	}
 }
 
--- a/internal/cluster/election/knowledge_test.go
+++ b/internal/cluster/election/knowledge_test.go
@@ -13,51 +13,51 @@
 // long as that lasted, while the third member led.
 func TestLeaderIsLearntFromOtherMembers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := newElector(nil, unreachablePeers, "a", clock)
-	holds := func(want string, wantTerm uint64) {
+	elector := newElector(nil, unreachablePeers, "a", clock)
+	wantLeader := func(wantName string, wantTerm uint64) {
 		t.Helper()
-		if name, term := e.Holder(); name != want || term != wantTerm && want != "" {
-			t.Errorf("names leader %q of term %d, want %q of term %d", name, term, want, wantTerm)
+		if name, term := elector.Holder(); name != wantName || term != wantTerm && wantName != "" {
+			t.Errorf("names leader %q of term %d, want %q of term %d", name, term, wantName, wantTerm)
 		}
 	}
-	e.beginTerm(3, 1, clock.Now())
-	e.noteHolder("a", 3)
-	e.NoteLeader("b", 2) // from a member whose knowledge is out of date
-	e.NoteLeader("", 9)
-	holds("a", 3)
+	elector.beginTerm(3, 1, clock.Now())
+	elector.noteHolder("a", 3)
+	elector.NoteLeader("b", 2) // from a member whose knowledge is out of date
+	elector.NoteLeader("", 9)
+	wantLeader("a", 3)
 	clock.Advance(tuning.LeaseTTL) // renewals are refused: the term is no longer valid, but not over
-	e.NoteLeader("b", 4)
-	holds("b", 4)
-	if e.Valid(4) || e.Valid(3) {
+	elector.NoteLeader("b", 4)
+	wantLeader("b", 4)
+	if elector.Valid(4) || elector.Valid(3) {
 		t.Error("acts as the leader because of another member's answer")
 	}
-	e.resign() // its own term ends after it learnt of the later one
-	holds("b", 4)
-	e.noteNoHolder() // the state service says that nobody leads
-	e.NoteLeader("b", 4)
-	holds("", 0)
-	e.NoteLeader("c", 5)
-	holds("c", 5)
+	elector.resign() // its own term ends after it learnt of the later one
+	wantLeader("b", 4)
+	elector.noteNoLeader() // the state service says that nobody leads
+	elector.NoteLeader("b", 4)
+	wantLeader("", 0)
+	elector.NoteLeader("c", 5)
+	wantLeader("c", 5)
 }
 
 // A leader that learns of a later term knows that its lease is over, even if the state service does not answer it, and
 // stops acting as the leader.
 func TestLeaderThatLearnsOfALaterTermResigns(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := newElector(nil, unreachablePeers, "a", clock)
-	e.beginTerm(5, 1, clock.Now())
-	e.noteHolder("a", 5)
-	e.NoteLeader("b", 4)
-	e.NoteLeader("a", 5)
-	if !e.Valid(5) {
+	elector := newElector(nil, unreachablePeers, "a", clock)
+	elector.beginTerm(5, 1, clock.Now())
+	elector.noteHolder("a", 5)
+	elector.NoteLeader("b", 4)
+	elector.NoteLeader("a", 5)
+	if !elector.Valid(5) {
 		t.Error("resigns because of its own term or an earlier one")
 	}
-	e.NoteLeader("b", 6)
-	if name, term := e.Holder(); e.Valid(5) || name != "b" || term != 6 {
-		t.Errorf("after it learnt of term 6: own term valid: %v, want false; names %q of term %d, want \"b\" of term 6", e.Valid(5), name, term)
+	elector.NoteLeader("b", 6)
+	if name, term := elector.Holder(); elector.Valid(5) || name != "b" || term != 6 {
+		t.Errorf("after it learnt of term 6: own term valid %v, leader %q of term %d; want false, \"b\", 6", elector.Valid(5), name, term)
 	}
-	e.extendByVotes(5, e.voteRound, clock.Now(), Votes{})
-	if e.Valid(5) {
+	elector.extendByVotes(5, elector.voteRound, clock.Now(), Votes{})
+	if elector.Valid(5) {
 		t.Error("votes made the term valid again after the resignation")
 	}
 }
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -14,14 +14,14 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// crashingStore is a store that crashes the member's process at its n-th call. That call is either not executed, or executed
-// without an answer.
+// crashingStore is a store that crashes the member's process at its n-th call. That call is either not executed, or
+// executed without an answer.
 type crashingStore struct {
 	Store
-	mu          sync.Mutex
-	callsLeft   int    // calls until the crash, including the one at which the process crashes
-	executeLast bool   // the call at which the process crashes is executed
-	crash       func() // ends the process
+	mu                  sync.Mutex
+	callsUntilCrash     int    // calls until the crash, including the one at which the process crashes
+	executeCrashingCall bool   // the call at which the process crashes is executed
+	crash               func() // ends the process
 }
 
 var errCrashed = errors.New("the process has crashed")
@@ -30,14 +30,14 @@
 func (c *crashingStore) nextCall() (last, executed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.callsLeft--
-	if c.callsLeft > 0 {
+	c.callsUntilCrash--
+	if c.callsUntilCrash > 0 {
 		return false, true
 	}
-	if c.callsLeft < 0 {
+	if c.callsUntilCrash < 0 {
 		return true, false
 	}
-	return true, c.executeLast
+	return true, c.executeCrashingCall
 }
 
 func call[T any](c *crashingStore, fn func() (T, error)) (T, error) {
@@ -60,8 +60,8 @@
 		item wire.Item
 		ok   bool
 	}
-	g, err := call(c, func() (got, error) { item, ok, err := c.Store.Get(ctx, key); return got{item, ok}, err })
-	return g.item, g.ok, err
+	result, err := call(c, func() (got, error) { item, ok, err := c.Store.Get(ctx, key); return got{item, ok}, err })
+	return result.item, result.ok, err
 }
 
 func (c *crashingStore) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
@@ -82,73 +82,73 @@
 	return err
 }
 
-// startProcess starts a process of member a that crashes at its n-th call of the store, after the call is executed or before;
-// with n = 0 it does not crash.
-func startProcess(t *testing.T, s *fakes.Store, clock clockwork.Clock, n int, after bool) (m *member, ended <-chan struct{}) {
+// startProcess starts a process of member a that crashes at the call of the store with the number crashAtCall, either
+// after the call is executed or before. With crashAtCall = 0 it does not crash.
+func startProcess(t *testing.T, state *fakes.Store, clock clockwork.Clock, crashAtCall int, executeCrashingCall bool) (m *member, ended <-chan struct{}) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	var store Store = statestore.New(s.Addr(), 1e6, 1e6)
-	if n > 0 {
-		store = &crashingStore{Store: store, callsLeft: n, executeLast: after, crash: stop}
+	var store Store = statestore.New(state.Addr(), 1e6, 1e6)
+	if crashAtCall > 0 {
+		store = &crashingStore{Store: store, callsUntilCrash: crashAtCall, executeCrashingCall: executeCrashingCall, crash: stop}
 	}
-	return run(ctx, t, newElector(store, unreachablePeers, "a", clock), stop)
+	return runElector(ctx, t, newElector(store, unreachablePeers, "a", clock), stop)
 }
 
-// passUntil advances the clock in small steps until ch can be received from, and returns the received value and how long
-// that took. A follower is one goroutine, so none of its calls is in progress while it waits for the clock. Once m leads, the
-// clock is not advanced: some goroutine of a leader always waits for it, so the clock would advance by seconds before
-// the test's goroutine runs again.
-func passUntil[T any](t *testing.T, s *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (v T, took time.Duration) {
+// advanceUntilReceived advances the clock in small steps until ch can be received from, and returns the received value
+// and how long that took. A follower is one goroutine, so none of its calls is in progress while it waits for the
+// clock. Once m leads, the clock is not advanced: some goroutine of a leader always waits for it, and the clock
+// once advanced by seconds before the test's goroutine ran again.
+func advanceUntilReceived[T any](t *testing.T, state *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (received T, elapsed time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second) // a hang is a failure
 	defer cancel()
-	begun := clock.Now()
+	started := clock.Now()
 	for {
-		waits := make(chan error, 1)
-		step, enough := context.WithCancel(ctx)
-		go func() { waits <- clock.BlockUntilContext(step, 1) }()
+		blocked := make(chan error, 1)
+		waitCtx, stopWaiting := context.WithCancel(ctx)
+		go func() { blocked <- clock.BlockUntilContext(waitCtx, 1) }()
 		select {
-		case v = <-ch:
-			enough()
-			<-waits
-			return v, clock.Since(begun)
-		case err := <-waits:
-			enough()
+		case received = <-ch:
+			stopWaiting()
+			<-blocked
+			return received, clock.Since(started)
+		case err := <-blocked:
+			stopWaiting()
 			if err != nil {
 				t.Fatal("timed out waiting for the channel")
 			}
 			if m != nil && m.leads() {
-				v = <-ch
-				return v, clock.Since(begun)
+				received = <-ch
+				return received, clock.Since(started)
 			}
 			clock.Advance(20 * time.Millisecond)
-			s.Expire()
+			state.Expire()
 		}
 	}
 }
 
-// Guards against a long time without a leader, and against a reused term, after a restart. A process of a member crashes at
-// each call of a campaign and of its term, with the call executed or not, and is restarted at once. The next process
-// leads within 1.5 s, not only when the lease of the earlier one has expired, and in a higher term.
+// Guards against a long time without a leader, and against a reused term, after a restart. A process of a member
+// crashes at each call of a campaign and of its term, with the call executed or not, and is restarted at once. The
+// next process leads within 1.5 s, not only when the lease of the earlier one has expired, and in a higher term.
 func TestRestartedProcessLeadsSoonInAHigherTerm(t *testing.T) {
-	const bound = 1500 * time.Millisecond // the time that a restarted process waits before it campaigns, plus some pauses
-	for n := 1; n <= 10; n++ {
-		for _, after := range []bool{false, true} {
+	const leadsWithin = 1500 * time.Millisecond // the time that a restarted process waits before it campaigns, plus some pauses
+	for crashAtCall := 1; crashAtCall <= 10; crashAtCall++ {
+		for _, executed := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
-			s := fakes.NewStore(clock)
-			first, ended := startProcess(t, s, clock, n, after)
-			passUntil(t, s, clock, nil, ended)
+			state := fakes.NewStore(clock)
+			first, processEnded := startProcess(t, state, clock, crashAtCall, executed)
+			advanceUntilReceived(t, state, clock, nil, processEnded)
 			term := uint64(0)
 			if len(first.terms) > 0 {
 				term = (<-first.terms).Term
 			}
-			second, _ := startProcess(t, s, clock, 0, false)
-			leadership, took := passUntil(t, s, clock, second, second.terms)
-			if took > bound || leadership.Term <= term || !second.Valid(leadership.Term) || first.Valid(leadership.Term) {
-				t.Errorf("crashed at call %d (executed: %v): the next process leads after %v in term %d; the earlier term was %d", n, after, took, leadership.Term, term)
+			second, _ := startProcess(t, state, clock, 0, false)
+			leadership, elapsed := advanceUntilReceived(t, state, clock, second, second.terms)
+			if elapsed > leadsWithin || leadership.Term <= term || !second.Valid(leadership.Term) || first.Valid(leadership.Term) {
+				t.Errorf("crashed at call %d (executed: %v): the next process leads after %v in term %d; the earlier term was %d", crashAtCall, executed, elapsed, leadership.Term, term)
 			}
 			second.stop()
-			s.Close()
+			state.Close()
 		}
 	}
 }
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -27,60 +27,60 @@
 
 // lead runs the leader's work and renews the lease until the lease is lost.
 //
-// While the state service does not answer, the term stops being valid at a time of the local clock (unless the
-// other members' votes extend it), but the term itself is not over. After an outage the state service gives every
+// While the state service does not answer, the term becomes invalid by the local clock, unless the other members'
+// votes extend its validity. But the term itself is not over. After an outage the state service gives every
 // lease its full duration again, and nobody else can have written anything meanwhile, so a successful renewal makes
 // the term valid again.
-func (e *Elector) lead(ctx context.Context, l Leadership, work func(context.Context, Leadership)) {
-	e.log.Info("leadership won; starting the leader's work", "term", l.Term)
+func (e *Elector) lead(ctx context.Context, leadership Leadership, work func(context.Context, Leadership)) {
+	e.log.Info("leadership won; starting the leader's work", "term", leadership.Term)
 	workDone := make(chan struct{})
-	t := e.termOf(l, workDone)
+	office := e.termOf(leadership, workDone)
 	workCtx, stopWork := context.WithCancel(ctx)
 	go func() {
 		defer close(workDone)
-		work(workCtx, l)
+		work(workCtx, leadership)
 	}()
-	var helpers sync.WaitGroup
-	helpers.Go(func() { e.requestVotes(workCtx, l.Term) })
-	helpers.Go(func() { e.maintainFencing(workCtx, l) })
+	var background sync.WaitGroup
+	background.Go(func() { e.requestVotes(workCtx, leadership.Term) })
+	background.Go(func() { e.maintainFencing(workCtx, leadership) })
 
-	e.renewUntilLost(ctx, t)
+	e.renewUntilLost(ctx, office)
 
 	e.resign()
 	stopWork()
 	<-workDone
-	helpers.Wait()
-	e.log.Info("leadership ended; the leader's work has stopped", "term", l.Term)
+	background.Wait()
+	e.log.Info("leadership ended; the leader's work has stopped", "term", leadership.Term)
 }
 
-func (e *Elector) termOf(l Leadership, workDone <-chan struct{}) termOfOffice {
+func (e *Elector) termOf(leadership Leadership, workDone <-chan struct{}) termOfOffice {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return termOfOffice{Leadership: l, lease: e.lease, resigned: e.resigned, workDone: workDone}
+	return termOfOffice{Leadership: leadership, lease: e.lease, resigned: e.resigned, workDone: workDone}
 }
 
-func (e *Elector) renewUntilLost(ctx context.Context, t termOfOffice) {
-	for e.waitInTerm(ctx, t, tuning.RenewEvery) {
-		if !e.renewLease(ctx, t) {
+func (e *Elector) renewUntilLost(ctx context.Context, office termOfOffice) {
+	for e.waitInTerm(ctx, office, tuning.RenewEvery) {
+		if !e.renewLease(ctx, office) {
 			return
 		}
 	}
 }
 
 // renewLease retries until the lease is renewed. It returns false when the term is over.
-func (e *Elector) renewLease(ctx context.Context, t termOfOffice) bool {
+func (e *Elector) renewLease(ctx context.Context, office termOfOffice) bool {
 	for ctx.Err() == nil {
 		sent := e.clock.Now()
-		err := e.store.RenewLease(ctx, t.lease)
+		err := e.store.RenewLease(ctx, office.lease)
 		switch {
 		case err == nil:
-			return e.noteRenewal(t.Term, sent)
+			return e.noteRenewal(office.Term, sent)
 		case errors.Is(err, statestore.ErrLeaseNotFound):
 			return false
 		}
 		e.noteFailedRenewal()
 		e.log.Debug("renewal of the leader's lease failed; retrying", "err", err)
-		if !e.waitInTerm(ctx, t, tuning.RetryLeader) {
+		if !e.waitInTerm(ctx, office, tuning.RetryLeader) {
 			return false
 		}
 	}
@@ -88,17 +88,17 @@
 }
 
 // waitInTerm waits for a duration. It returns false when the term is over.
-func (e *Elector) waitInTerm(ctx context.Context, t termOfOffice, d time.Duration) bool {
+func (e *Elector) waitInTerm(ctx context.Context, office termOfOffice, d time.Duration) bool {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.workDone:
+	case <-office.workDone:
 		// The leader's work ended by itself: revoke the lease so that another member can lead.
-		e.revokeLease(ctx, t.lease)
+		e.revokeLease(ctx, office.lease)
 		return false
-	case <-t.resigned:
+	case <-office.resigned:
 		return false
 	case <-timer.Chan():
 		return true
@@ -116,9 +116,9 @@
 	e.extendByRenewal(sent)
 }
 
-// noteRenewal records that the lease was renewed by a request sent at the given time. It returns false if this member
-// resigned meanwhile. From now on the term's validity depends on the lease alone, so the fencing lease may be revoked. An
-// open vote round may rely on the fencing lease, therefore it becomes void.
+// noteRenewal records that the lease was renewed by a request sent at the given time. It returns false if this
+// member resigned meanwhile. From now on the term's validity depends on the lease alone, so the fencing lease may
+// be revoked. An open vote round may rely on the fencing lease, therefore it becomes void.
 func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,8 +133,8 @@
 // extendByRenewal makes the term valid for the lease's duration, less the clock drift, counted from when the request
 // was sent. The caller holds the lock.
 func (e *Elector) extendByRenewal(sent time.Time) {
-	e.failedRenewals, e.failuresWhenOtherServed = 0, 0
-	e.validUntil = sent.Add(stretch(tuning.LeaseTTL, -tuning.ClockDrift))
+	e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0
+	e.validUntil = sent.Add(withMargin(tuning.LeaseTTL, -tuning.ClockDrift))
 }
 
 func (e *Elector) noteFailedRenewal() {
@@ -159,7 +159,7 @@
 	if e.leaderTerm <= e.ownTerm {
 		e.leader = "" // a leader of a later term stays known
 	}
-	e.ownTerm, e.failedRenewals, e.failuresWhenOtherServed = 0, 0, 0
+	e.ownTerm, e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0, 0
 	e.voteRound++
 	close(e.resigned)
 }
@@ -173,7 +173,7 @@
 	if !ok {
 		return
 	}
-	e.log.Info("state service serves another member but not this one; leadership handed over", "term", term)
+	e.log.Info("state service serves another member but not this one; handing over the leadership", "term", term)
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
@@ -182,10 +182,10 @@
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.failuresWhenOtherServed == 0 {
-		e.failuresWhenOtherServed = e.failedRenewals
+	if e.failedRenewalsWhenOtherServed == 0 {
+		e.failedRenewalsWhenOtherServed = e.failedRenewals
 	}
-	if e.ownTerm != term || e.failedRenewals < e.failuresWhenOtherServed+tuning.YieldAfter {
+	if e.ownTerm != term || e.failedRenewals < e.failedRenewalsWhenOtherServed+tuning.YieldAfter {
 		return 0, false
 	}
 	lease = e.lease
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -12,40 +12,40 @@
 // Guards against acting on a lease that may have expired: during an outage the term stops being
 // valid by the local clock. The term itself is not over, and a renewal after the outage makes it valid again.
 func TestTermIsInvalidInAnOutageAndValidAgainAfterIt(t *testing.T) {
-	clock, s := newState(t)
-	a := start(t, "a", s, unreachablePeers, clock)
+	clock, state := newStateService(t)
+	a := startMember(t, "a", state, unreachablePeers, clock)
 	leadership := <-a.terms
-	s.Refuse(true)
-	begun := clock.Now()
-	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(begun) > tuning.LeaseTTL {
-		t.Errorf("the term stayed valid for %v without a renewal", clock.Since(begun))
+	state.Refuse(true)
+	started := clock.Now()
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	if clock.Since(started) > tuning.LeaseTTL {
+		t.Errorf("the term stayed valid for %v without a renewal", clock.Since(started))
 	}
-	s.Refuse(false)
-	until(t, s, clock, leading, "the term to be valid again", func() bool { return a.Valid(leadership.Term) })
+	state.Refuse(false)
+	advanceUntil(t, state, clock, leaderGoroutines, "the term to be valid again", func() bool { return a.Valid(leadership.Term) })
 	if len(a.terms) != 0 || len(a.ended) != 0 {
 		t.Error("the outage ended the term")
 	}
 }
 
-// Guards against a term that stays valid longer than the lease lasts, by the time that the request took: the validity counts
-// from before the request was sent.
+// Guards against a term that stays valid longer than the lease lasts, by the time that the request took: the
+// validity counts from before the request was sent.
 func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
 	for name, renew := range map[string]func(e *Elector, sent time.Time){
-		"gained":  func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
+		"granted": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
 		"renewed": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent); e.noteRenewal(5, sent) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			e := newElector(nil, unreachablePeers, "a", clock)
+			elector := newElector(nil, unreachablePeers, "a", clock)
 			sent := clock.Now()
 			clock.Advance(tuning.RenewTimeout)
-			renew(e, sent)
+			renew(elector, sent)
 			clock.Advance(tuning.LeaseTTL - tuning.RenewTimeout - 100*time.Millisecond)
-			if !e.Valid(5) {
+			if !elector.Valid(5) {
 				t.Errorf("invalid already %v after the request was sent", clock.Since(sent))
 			}
-			if clock.Advance(100 * time.Millisecond); e.Valid(5) {
+			if clock.Advance(100 * time.Millisecond); elector.Valid(5) {
 				t.Errorf("still valid %v after the request was sent", clock.Since(sent))
 			}
 		})
@@ -55,17 +55,17 @@
 // Guards against seconds without a leader when the state service refuses only the
 // leader: it resigns, then another member revokes its lease.
 func TestLeaderRefusedAloneHandsOver(t *testing.T) {
-	clock, s := newState(t)
+	clock, state := newStateService(t)
 	var a *member
 	var leadership Leadership
-	yielded := make(chan bool, 1)
-	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes { return Votes{Refused: 1} }}
-	p.endLease = func(uint64) { yielded <- a.Valid(leadership.Term) }
-	a = start(t, "a", s, p, clock)
+	validAtRevocation := make(chan bool, 1)
+	peers := &fakePeers{nobodyLeads: always(true), votes: func() Votes { return Votes{Refused: 1} }}
+	peers.endLease = func(uint64) { validAtRevocation <- a.Valid(leadership.Term) }
+	a = startMember(t, "a", state, peers, clock)
 	leadership = <-a.terms
-	s.Refuse(true)
-	until(t, s, clock, 1, "the handover", func() bool { return len(a.ended) > 0 })
-	if <-yielded {
+	state.Refuse(true)
+	advanceUntil(t, state, clock, 1, "the handover", func() bool { return len(a.ended) > 0 })
+	if <-validAtRevocation {
 		t.Error("asked for the revocation of its lease while its term was valid")
 	}
 	if a.Leader() == "a" {
@@ -77,18 +77,18 @@
 // notice just before the leader's next renewal.
 func TestEndOfAnOutageIsNoReasonToHandOver(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := newElector(nil, &fakePeers{endLease: func(uint64) { t.Error("asked for the revocation of its lease") }}, "a", clock)
-	e.beginTerm(3, 1, clock.Now())
+	elector := newElector(nil, &fakePeers{endLease: func(uint64) { t.Error("asked for the revocation of its lease") }}, "a", clock)
+	elector.beginTerm(3, 1, clock.Now())
 	for range 100 {
-		e.noteFailedRenewal() // the outage
+		elector.noteFailedRenewal() // the outage
 	}
-	e.handOver(t.Context(), 3) // a follower answers that the state service serves it
-	e.noteFailedRenewal()      // this renewal was sent before the outage ended
-	e.handOver(t.Context(), 3)
-	e.noteRenewal(3, clock.Now())
-	e.noteFailedRenewal()
-	e.handOver(t.Context(), 3)
-	if !e.Valid(3) {
+	elector.handOver(t.Context(), 3) // a follower answers that the state service serves it
+	elector.noteFailedRenewal()      // this renewal was sent before the outage ended
+	elector.handOver(t.Context(), 3)
+	elector.noteRenewal(3, clock.Now())
+	elector.noteFailedRenewal()
+	elector.handOver(t.Context(), 3)
+	if !elector.Valid(3) {
 		t.Error("resigned at the end of an outage")
 	}
 }
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -26,11 +26,12 @@
 	GrantedWithoutMemory
 )
 
-// A vote binds the voter for VoteFor plus the clock drift, from when it votes. The leader relies on the vote for VoteFor
-// less the clock drift, from before it asked. So the leader stops relying on a vote before the voter is free again.
+// A vote binds the voter for VoteFor plus the clock drift, from when it votes. The leader relies on the vote for
+// VoteFor less the clock drift, from before it asked. So the leader stops relying on a vote before the voter is
+// free again.
 var (
-	voteKeptFor   = stretch(tuning.VoteFor, tuning.ClockDrift)
-	voteReliedFor = stretch(tuning.VoteFor, -tuning.ClockDrift)
+	voteBindsFor    = withMargin(tuning.VoteFor, tuning.ClockDrift)
+	voteReliedOnFor = withMargin(tuning.VoteFor, -tuning.ClockDrift)
 )
 
 // Vote answers a request for a vote from the leader of a term, which gets no answer from the state service. A member
@@ -45,8 +46,8 @@
 	if !e.mayVote(term) {
 		return Refused
 	}
-	e.bind()
-	if e.leadingTerm < term {
+	e.bindByVote()
+	if e.leadingTermSinceRestart < term {
 		return GrantedWithoutMemory
 	}
 	return Granted
@@ -72,10 +73,11 @@
 	return e.ownTerm == 0 && !e.campaigning && e.confirmedOverTerm < term && !e.knowsLaterTerm(term)
 }
 
-// bind forbids this member to campaign or confirm while the vote that it grants now is in force. The caller holds the lock.
-func (e *Elector) bind() {
-	if until := e.clock.Now().Add(voteKeptFor); until.After(e.boundUntil) {
-		e.boundUntil = until
+// bindByVote forbids this member to campaign or confirm while the vote that it grants now is in force. The caller
+// holds the lock.
+func (e *Elector) bindByVote() {
+	if until := e.clock.Now().Add(voteBindsFor); until.After(e.boundByVoteUntil) {
+		e.boundByVoteUntil = until
 	}
 }
 
@@ -131,14 +133,14 @@
 	if e.othersMayHaveLed(votes) {
 		return time.Time{}, false
 	}
-	until = sent.Add(voteReliedFor)
+	until = sent.Add(voteReliedOnFor)
 	if len(votes.Silent) == 0 {
 		return until, true
 	}
 	if !e.silentMemberIsFencedOff(votes) {
 		return time.Time{}, false
 	}
-	if fencedUntil := e.fencing.sent.Add(fencingReliedFor); until.After(fencedUntil) {
+	if fencedUntil := e.fencing.sent.Add(fencingReliedOnFor); until.After(fencedUntil) {
 		until = fencedUntil
 	}
 	return until, true
@@ -147,14 +149,15 @@
 // othersMayHaveLed reports whether another member may have led, and stopped leading again, since the term's validity
 // lapsed. It guards against this fault: a leader that had been cut off from everyone made its term valid again by the
 // votes of members that did not know of the leaders in between, because they had been restarted. Members that have run
-// since then know whether they led, and refuse. The caller holds the lock.
+// since then know whether they led, and refuse if they did. The caller holds the lock.
 func (e *Elector) othersMayHaveLed(votes Votes) bool {
 	return votes.WithoutMemory > 0 && !e.clock.Now().Before(e.validUntil)
 }
 
-// silentMemberIsFencedOff reports whether the only silent member cannot lead. Its campaign fails without a confirmation
-// as long as the fencing lease exists, and no member confirms: every other member voted, so it does not confirm while
-// its vote is in force, and it must know that it did not confirm before (no WithoutMemory votes). The caller holds the lock.
+// silentMemberIsFencedOff reports whether exactly one member is silent and cannot lead. As long as the fencing lease
+// exists, that member's campaign fails without a confirmation, and it gets none: every other member voted, so it does
+// not confirm while its vote is in force. A member that does not know whether it confirmed before its vote
+// does not suffice, so there must be no vote without memory. The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
 	return len(votes.Silent) == 1 && votes.WithoutMemory == 0 && votes.Silent[0] == e.fencing.member
 }
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -14,64 +14,64 @@
 // Guards against workers that kill their tasks in an outage of the state service: with
 // every other member's vote the leader may continue to answer them; without, it may not.
 func TestVotesKeepTheTermValidInAnOutage(t *testing.T) {
-	clock, s := newState(t)
-	var given atomic.Bool
-	given.Store(true)
-	a := start(t, "a", s, &fakePeers{nobodyLeads: always(true), votes: func() Votes {
-		if given.Load() {
+	clock, state := newStateService(t)
+	var votesGranted atomic.Bool
+	votesGranted.Store(true)
+	a := startMember(t, "a", state, &fakePeers{nobodyLeads: always(true), votes: func() Votes {
+		if votesGranted.Load() {
 			return Votes{}
 		}
 		return Votes{Silent: []string{"b", "c"}}
 	}}, clock)
 	leadership := <-a.terms
-	s.Refuse(true)
-	begun := clock.Now()
-	until(t, s, clock, leading, "a long outage to pass", func() bool {
-		return clock.Since(begun) > 2*tuning.FencingLeaseTTL || !a.Valid(leadership.Term)
+	state.Refuse(true)
+	started := clock.Now()
+	advanceUntil(t, state, clock, leaderGoroutines, "a long outage to pass", func() bool {
+		return clock.Since(started) > 2*tuning.FencingLeaseTTL || !a.Valid(leadership.Term)
 	})
 	if !a.Valid(leadership.Term) {
-		t.Fatalf("the term became invalid %v after the outage began, although all others vote", clock.Since(begun))
+		t.Fatalf("the term became invalid %v after the outage began, although all others vote", clock.Since(started))
 	}
-	given.Store(false)
-	begun = clock.Now()
-	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(begun) > tuning.VoteFor {
-		t.Errorf("the term stayed valid for %v after the last vote", clock.Since(begun))
+	votesGranted.Store(false)
+	started = clock.Now()
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	if clock.Since(started) > tuning.VoteFor {
+		t.Errorf("the term stayed valid for %v after the last vote", clock.Since(started))
 	}
 }
 
 // Guards against two leaders: a member that voted neither campaigns nor confirms, and neither does a
 // member that was restarted and whose earlier process may have voted.
 func TestVoteBindsItsGiver(t *testing.T) {
-	clock, s := newState(t)
-	e := newElector(statestore.New(s.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock)
-	if e.mayCampaign(t.Context()) {
+	clock, state := newStateService(t)
+	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock)
+	if elector.mayCampaign(t.Context()) {
 		t.Error("may campaign at once although a leader may rely on a vote of its earlier process")
 	}
-	clock.Advance(voteKeptFor)
-	if !e.mayCampaign(t.Context()) {
+	clock.Advance(voteBindsFor)
+	if !elector.mayCampaign(t.Context()) {
 		t.Error("may not campaign although the votes of its earlier process have expired")
 	}
-	e.noteStillLeading(5, e.earlierConfirmationsUntil)
-	if e.Vote(t.Context(), 5) != Refused {
+	elector.noteStillLeading(5, elector.earlierProcessConfirmationsUntil)
+	if elector.Vote(t.Context(), 5) != Refused {
 		t.Error("votes although it campaigns")
 	}
-	e.endCampaign()
-	if e.Vote(t.Context(), 5) != Refused {
+	elector.endCampaign()
+	if elector.Vote(t.Context(), 5) != Refused {
 		t.Error("votes although the state service answers it")
 	}
-	s.Refuse(true)
-	if e.Vote(t.Context(), 5) != Granted {
+	state.Refuse(true)
+	if elector.Vote(t.Context(), 5) != Granted {
 		t.Error("does not vote in an outage")
 	}
-	if e.mayCampaign(t.Context()) {
+	if elector.mayCampaign(t.Context()) {
 		t.Error("may campaign although its vote forbids that")
 	}
-	if e.ConfirmTermOver(5) {
+	if elector.ConfirmTermOver(5) {
 		t.Error("confirms although its vote forbids that")
 	}
-	clock.Advance(voteKeptFor)
-	if !e.mayCampaign(t.Context()) {
+	clock.Advance(voteBindsFor)
+	if !elector.mayCampaign(t.Context()) {
 		t.Error("may not campaign although its vote has expired")
 	}
 }
@@ -79,35 +79,36 @@
 // Guards against relying on a vote that the voter no longer knows of, because it was restarted while the
 // vote round was still open.
 func TestQuestionOfARestartedMemberVoidsTheVoteRound(t *testing.T) {
-	clock, s := newState(t)
+	clock, state := newStateService(t)
 	var a *member
 	ready := make(chan struct{})
-	p := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
+	peers := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
 		<-ready
 		if a.NotLeading() { // a restarted member asks during the round
 			return Votes{Refused: 1}
 		}
 		return Votes{}
 	}}
-	a = start(t, "a", s, p, clock)
+	a = startMember(t, "a", state, peers, clock)
 	close(ready)
 	leadership := <-a.terms
-	s.Refuse(true)
-	begun := clock.Now()
-	until(t, s, clock, leading, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(begun) > tuning.LeaseTTL {
-		t.Errorf("the term stayed valid for %v by void vote rounds", clock.Since(begun))
+	state.Refuse(true)
+	started := clock.Now()
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	if clock.Since(started) > tuning.LeaseTTL {
+		t.Errorf("the term stayed valid for %v by void vote rounds", clock.Since(started))
 	}
 }
 
-// Guards against a former leader whose term becomes valid again although another member has led since. A leader was cut off
-// from the state service and all other members, and its lease expired. Then an outage prevented all members from reading who
-// leads, and it got the votes of members that had led themselves or knew of a later leader.
+// Guards against a former leader whose term becomes valid again although another member has led since. A leader
+// was cut off from the state service and all other members, and its lease expired. Then an outage prevented all
+// members from reading who leads, and it got the votes of members that had led themselves or knew of a later
+// leader.
 func TestTermKnownToBeOverGetsNoVotes(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		past func(e *Elector, now time.Time)
-		want Vote
+		name    string
+		history func(e *Elector, now time.Time)
+		want    Vote
 	}{
 		{"knows of no later term", func(*Elector, time.Time) {}, Granted},
 		{"led itself, and resigned before it recorded that it leads", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.resign() }, Refused},
@@ -116,34 +117,34 @@
 			e.beginTerm(6, 1, now)
 			e.noteHolder("b", 6)
 			e.resign()
-			e.noteNoHolder()
+			e.noteNoLeader()
 		}, Refused},
 		{"read that another leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
-		{"read that another leads, and then that nobody leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoHolder() }, Refused},
+		{"read that another leads, and then that nobody leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoLeader() }, Refused},
 		{"learnt from a member that another leads", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
-		{"read that the same term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoHolder() }, Granted},
+		{"read that the same term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoLeader() }, Granted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			clock, s := newState(t)
-			e := newElector(statestore.New(s.Addr(), 1e6, 1e6), unreachablePeers, "b", clock)
-			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
-			e.noteStillLeading(5, clock.Now())
-			c.past(e, clock.Now())
-			s.Refuse(true)
-			if got := e.Vote(t.Context(), 5); got != c.want {
+			clock, state := newStateService(t)
+			elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "b", clock)
+			clock.Advance(voteBindsFor + tuning.ConfirmationFor)
+			elector.noteStillLeading(5, clock.Now())
+			c.history(elector, clock.Now())
+			state.Refuse(true)
+			if got := elector.Vote(t.Context(), 5); got != c.want {
 				t.Errorf("answers the vote request with %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Guards against the same fault when the members that led in between were restarted and do not know of it: their votes may
-// extend a valid term, but not make a lapsed term valid again.
+// Guards against the same fault when the members that led in between were restarted and do not know of it: their
+// votes may extend a valid term, but not make a lapsed term valid again.
 func TestVotesWithoutMemoryDoNotRevalidateALapsedTerm(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lapsed bool
-		p      Votes
+		votes  Votes
 		valid  bool
 	}{
 		{"extend the validity of a valid term", false, Votes{WithoutMemory: 2}, true},
@@ -153,17 +154,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			e := newElector(nil, unreachablePeers, "a", clock)
-			e.beginTerm(5, 1, clock.Now())
+			elector := newElector(nil, unreachablePeers, "a", clock)
+			elector.beginTerm(5, 1, clock.Now())
 			clock.Advance(tuning.LeaseTTL - tuning.VoteFor/2)
 			if c.lapsed {
 				clock.Advance(tuning.VoteFor)
 			}
 			sent := clock.Now()
-			e.extendByVotes(5, e.voteRound, sent, c.p)
+			elector.extendByVotes(5, elector.voteRound, sent, c.votes)
 			clock.Advance(tuning.VoteFor * 3 / 4)
-			if e.Valid(5) != c.valid {
-				t.Errorf("the term is valid after the vote round: %v", e.Valid(5))
+			if elector.Valid(5) != c.valid {
+				t.Errorf("the term is valid after the vote round: %v", elector.Valid(5))
 			}
 		})
 	}
@@ -172,17 +173,18 @@
 // Guards against the same fault when the term lapses while the members are being asked.
 func TestTermThatLapsesDuringAVoteRoundIsNotRevalidated(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	e := newElector(nil, unreachablePeers, "a", clock)
-	e.beginTerm(5, 1, clock.Now())
+	elector := newElector(nil, unreachablePeers, "a", clock)
+	elector.beginTerm(5, 1, clock.Now())
 	clock.Advance(tuning.LeaseTTL - tuning.VoteFor/4)
 	sent := clock.Now()
 	clock.Advance(tuning.VoteFor / 2)
-	if e.extendByVotes(5, e.voteRound, sent, Votes{WithoutMemory: 1}); e.Valid(5) {
+	if elector.extendByVotes(5, elector.voteRound, sent, Votes{WithoutMemory: 1}); elector.Valid(5) {
 		t.Error("votes without memory made a lapsed term valid again")
 	}
 }
 
-// Guards against a vote by a member that began a campaign, or became the leader, after it checked that it is a follower.
+// Guards against a vote by a member that began a campaign, or became the leader, after it checked that it is a
+// follower.
 func TestNoVoteBesideACampaignThatBeganMeanwhile(t *testing.T) {
 	for name, begin := range map[string]func(e *Elector){
 		"a campaign":       func(e *Elector) { e.campaigning = true },
@@ -190,11 +192,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			var e *Elector
-			e = newElector(interruptedStore{fn: func() { begin(e) }}, unreachablePeers, "a", clock)
-			clock.Advance(voteKeptFor + tuning.ConfirmationFor)
-			e.noteStillLeading(5, clock.Now())
-			if got := e.Vote(t.Context(), 5); got != Refused {
+			var elector *Elector
+			elector = newElector(interruptedStore{fn: func() { begin(elector) }}, unreachablePeers, "a", clock)
+			clock.Advance(voteBindsFor + tuning.ConfirmationFor)
+			elector.noteStillLeading(5, clock.Now())
+			if got := elector.Vote(t.Context(), 5); got != Refused {
 				t.Errorf("answers the vote request with %v, want Refused", got)
 			}
 		})
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -35,25 +35,25 @@
 // a partition is marked silent when a call times out whose verb the peer answers from memory. Until
 // the peer answers a ping again, all other calls to it fail at once with ErrSilent. Otherwise every poll
 // and every heartbeat would wait for the timeout.
-func (c *Client) Call(ctx context.Context, addr string, r Request) (Response, error) {
-	if r.Verb != Ping && c.Silent(addr) {
+func (c *Client) Call(ctx context.Context, addr string, request Request) (Response, error) {
+	if request.Verb != Ping && c.Silent(addr) {
 		return Response{}, ErrSilent
 	}
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.call(callCtx, addr, r)
+	resp, err := c.call(callCtx, addr, request)
 	switch {
 	case err == nil:
 		c.setSilent(addr, false)
-	case callCtx.Err() != nil && ctx.Err() == nil && r.Verb.prompt():
+	case callCtx.Err() != nil && ctx.Err() == nil && request.Verb.answeredFromMemory():
 		c.setSilent(addr, true)
 		err = fmt.Errorf("%w: %w", ErrSilent, err)
 	}
 	return resp, err
 }
 
-// Silent reports whether a call to the peer at addr timed out, of a verb that the peer answers from memory, and the peer
-// has not answered since.
+// Silent reports whether a call to the peer at addr timed out although the peer answers its verb from memory, and
+// the peer has not answered since.
 func (c *Client) Silent(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // call sends a request on the connection to a peer and waits for its answer until ctx ends.
-func (c *Client) call(ctx context.Context, addr string, r Request) (Response, error) {
+func (c *Client) call(ctx context.Context, addr string, request Request) (Response, error) {
 	cc := c.connection(addr)
 	select {
 	case <-cc.ready:
@@ -78,7 +78,7 @@
 		return Response{}, cc.err
 	}
 	answer := make(chan Response, 1)
-	seq, err := cc.send(r, answer)
+	seq, err := cc.send(request, answer)
 	if err != nil {
 		c.drop(addr, cc)
 		return Response{}, err
@@ -90,7 +90,7 @@
 		}
 		return resp, nil
 	case <-ctx.Done():
-		cc.forget(seq)
+		cc.stopWaiting(seq)
 		// A connection that does not answer in time may hang for ever, so the
 		// next request opens a new one.
 		c.drop(addr, cc)
@@ -105,7 +105,7 @@
 	if cc := c.conns[addr]; cc != nil {
 		return cc
 	}
-	cc := &clientConn{ready: make(chan struct{}), waiting: map[uint64]chan Response{}}
+	cc := &clientConn{ready: make(chan struct{}), pending: map[uint64]chan Response{}}
 	c.conns[addr] = cc
 	go func() {
 		cc.conn, cc.err = net.DialTimeout("tcp", addr, tuning.RelayTimeout)
@@ -138,48 +138,48 @@
 
 	mu      sync.Mutex
 	seq     uint64                   // sequence number of the last request
-	waiting map[uint64]chan Response // calls that wait for an answer, by sequence number
-	dead    bool                     // the connection has failed; no more answers are received
+	pending map[uint64]chan Response // calls that wait for an answer, by sequence number
+	failed  bool                     // the connection has failed; no more answers are received
 }
 
 // send sends a request and returns its sequence number. The response with this number is delivered to answer.
-func (cc *clientConn) send(r Request, answer chan Response) (uint64, error) {
+func (cc *clientConn) send(request Request, answer chan Response) (uint64, error) {
 	cc.mu.Lock()
-	if cc.dead {
+	if cc.failed {
 		cc.mu.Unlock()
 		return 0, io.ErrClosedPipe
 	}
 	cc.seq++
 	seq := cc.seq
-	cc.waiting[seq] = answer
+	cc.pending[seq] = answer
 	cc.mu.Unlock()
 	// A net.Conn does not interleave concurrent Write calls, and the deadline bounds how long this one blocks.
 	_ = cc.conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
-	_, err := cc.conn.Write(encodeRequest(seq, r))
+	_, err := cc.conn.Write(encodeRequest(seq, request))
 	return seq, err
 }
 
-// forget ends the wait for an answer; an answer that arrives later is discarded.
-func (cc *clientConn) forget(seq uint64) {
+// stopWaiting ends the wait for an answer; an answer that arrives later is discarded.
+func (cc *clientConn) stopWaiting(seq uint64) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	delete(cc.waiting, seq)
+	delete(cc.pending, seq)
 }
 
 // receive delivers answers to the calls that wait for them, until the connection fails.
 func (cc *clientConn) receive() {
 	in := bufio.NewReader(cc.conn)
 	for {
-		seq, r, err := readResponse(in)
+		seq, response, err := readResponse(in)
 		if err != nil {
 			cc.fail()
 			return
 		}
-		cc.deliver(seq, r)
+		cc.deliver(seq, response)
 	}
 }
 
-func readResponse(in io.Reader) (seq uint64, r Response, err error) {
+func readResponse(in io.Reader) (seq uint64, response Response, err error) {
 	frame, err := readFrame(in)
 	if err != nil {
 		return 0, Response{}, err
@@ -187,12 +187,12 @@
 	return decodeResponse(frame)
 }
 
-func (cc *clientConn) deliver(seq uint64, r Response) {
+func (cc *clientConn) deliver(seq uint64, response Response) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if answer := cc.waiting[seq]; answer != nil {
-		delete(cc.waiting, seq)
-		answer <- r // does not block: the channel has a buffer of one
+	if answer := cc.pending[seq]; answer != nil {
+		delete(cc.pending, seq)
+		answer <- response // does not block: the channel has a buffer of one
 	}
 }
 
@@ -200,9 +200,9 @@
 func (cc *clientConn) fail() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	cc.dead = true
-	for _, answer := range cc.waiting {
+	cc.failed = true
+	for _, answer := range cc.pending {
 		close(answer)
 	}
-	clear(cc.waiting)
+	clear(cc.pending)
 }
--- a/internal/cluster/peerrpc/codec.go
+++ b/internal/cluster/peerrpc/codec.go
@@ -14,15 +14,15 @@
 	"poppypass/internal/platform/wire"
 )
 
-// frameLength is the size in bytes of a frame's length prefix, which is big-endian and does not count itself.
-const frameLength = 4
+// lengthPrefixBytes is the size in bytes of a frame's length prefix, which is big-endian and does not count itself.
+const lengthPrefixBytes = 4
 
 // errMalformed marks a frame that cannot be decoded. The connection is then closed.
 var errMalformed = errors.New("malformed message from a peer")
 
 // readFrame reads the length prefix of a frame and returns the bytes that follow it.
 func readFrame(r io.Reader) ([]byte, error) {
-	var size [frameLength]byte
+	var size [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return nil, err
 	}
@@ -35,46 +35,46 @@
 	return buf, err
 }
 
-// frameOf returns a finished message with its length prefix.
-func frameOf(b *flatbuffers.Builder) []byte {
+// frameMessage returns a finished message with its length prefix.
+func frameMessage(b *flatbuffers.Builder) []byte {
 	body := b.FinishedBytes()
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, frameLength+len(body)), uint32(len(body))), body...)
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, lengthPrefixBytes+len(body)), uint32(len(body))), body...)
 }
 
-func encodeRequest(seq uint64, r Request) []byte {
-	b := flatbuffers.NewBuilder(128 + len(r.Payload))
-	job := b.CreateString(r.Job)
-	payload := b.CreateByteVector(r.Payload)
-	names := stringVector(b, r.Names, fb.RequestStartNamesVector)
+func encodeRequest(seq uint64, request Request) []byte {
+	b := flatbuffers.NewBuilder(128 + len(request.Payload))
+	job := b.CreateString(request.Job)
+	payload := b.CreateByteVector(request.Payload)
+	names := stringVector(b, request.Names, fb.RequestStartNamesVector)
 	fb.RequestStart(b)
 	fb.RequestAddSeq(b, seq)
-	fb.RequestAddVerb(b, fb.Verb(r.Verb))
+	fb.RequestAddVerb(b, fb.Verb(request.Verb))
 	fb.RequestAddJob(b, job)
 	fb.RequestAddPayload(b, payload)
-	fb.RequestAddNumber(b, r.Number)
+	fb.RequestAddNumber(b, request.Number)
 	fb.RequestAddNames(b, names)
 	b.Finish(fb.RequestEnd(b))
-	return frameOf(b)
+	return frameMessage(b)
 }
 
-func encodeResponse(seq uint64, r Response) []byte {
-	b := flatbuffers.NewBuilder(128 + len(r.Payload))
-	payload := b.CreateByteVector(r.Payload)
-	state := b.CreateString(string(r.Job.State))
-	leader := b.CreateString(r.Leader)
-	names := stringVector(b, r.Names, fb.ResponseStartNamesVector)
+func encodeResponse(seq uint64, response Response) []byte {
+	b := flatbuffers.NewBuilder(128 + len(response.Payload))
+	payload := b.CreateByteVector(response.Payload)
+	state := b.CreateString(string(response.Job.State))
+	leader := b.CreateString(response.Leader)
+	names := stringVector(b, response.Names, fb.ResponseStartNamesVector)
 	fb.ResponseStart(b)
 	fb.ResponseAddSeq(b, seq)
-	fb.ResponseAddStatus(b, uint16(r.Status))
+	fb.ResponseAddStatus(b, uint16(response.Status))
 	fb.ResponseAddState(b, state)
-	fb.ResponseAddDone(b, uint32(r.Job.Done))
-	fb.ResponseAddRunning(b, uint32(r.Job.Running))
+	fb.ResponseAddDone(b, uint32(response.Job.Done))
+	fb.ResponseAddRunning(b, uint32(response.Job.Running))
 	fb.ResponseAddPayload(b, payload)
 	fb.ResponseAddLeader(b, leader)
-	fb.ResponseAddTerm(b, r.Term)
+	fb.ResponseAddTerm(b, response.Term)
 	fb.ResponseAddNames(b, names)
 	b.Finish(fb.ResponseEnd(b))
-	return frameOf(b)
+	return frameMessage(b)
 }
 
 // stringVector writes names as a vector and returns its offset: 0, which means no vector, if there are no names.
@@ -82,24 +82,24 @@
 	if len(names) == 0 {
 		return 0
 	}
-	at := make([]flatbuffers.UOffsetT, len(names))
+	offsets := make([]flatbuffers.UOffsetT, len(names))
 	for i, n := range names {
-		at[i] = b.CreateString(n)
+		offsets[i] = b.CreateString(n)
 	}
-	start(b, len(at))
-	for _, o := range slices.Backward(at) {
-		b.PrependUOffsetT(o)
+	start(b, len(offsets))
+	for _, offset := range slices.Backward(offsets) {
+		b.PrependUOffsetT(offset)
 	}
-	return b.EndVector(len(at))
+	return b.EndVector(len(offsets))
 }
 
-// namesOf reads a vector of n names.
-func namesOf(n int, name func(int) []byte) []string {
-	var out []string
-	for i := range n {
-		out = append(out, string(name(i)))
+// readNames reads a vector of count names.
+func readNames(count int, nameAt func(int) []byte) []string {
+	var names []string
+	for i := range count {
+		names = append(names, string(nameAt(i)))
 	}
-	return out
+	return names
 }
 
 // recoverMalformed calls fn and turns a panic in it into an error. The FlatBuffers accessors do not verify
@@ -114,21 +114,21 @@
 	return nil
 }
 
-func decodeRequest(buf []byte) (seq uint64, r Request, err error) {
+func decodeRequest(buf []byte) (seq uint64, request Request, err error) {
 	err = recoverMalformed(func() {
-		m := fb.GetRootAsRequest(buf, 0)
-		seq, r = m.Seq(), Request{Verb: Verb(m.Verb()), Job: string(m.Job()), Payload: m.PayloadBytes(), Number: m.Number(), Names: namesOf(m.NamesLength(), m.Names)}
+		message := fb.GetRootAsRequest(buf, 0)
+		seq, request = message.Seq(), Request{Verb: Verb(message.Verb()), Job: string(message.Job()), Payload: message.PayloadBytes(), Number: message.Number(), Names: readNames(message.NamesLength(), message.Names)}
 	})
-	return seq, r, err
+	return seq, request, err
 }
 
-func decodeResponse(buf []byte) (seq uint64, r Response, err error) {
+func decodeResponse(buf []byte) (seq uint64, response Response, err error) {
 	err = recoverMalformed(func() {
-		m := fb.GetRootAsResponse(buf, 0)
-		seq = m.Seq()
-		r = Response{Status: int(m.Status()), Job: wire.JobStatus{
-			State: wire.JobState(m.State()), Done: int(m.Done()), Running: int(m.Running()),
-		}, Payload: m.PayloadBytes(), Leader: string(m.Leader()), Term: m.Term(), Names: namesOf(m.NamesLength(), m.Names)}
+		message := fb.GetRootAsResponse(buf, 0)
+		seq = message.Seq()
+		response = Response{Status: int(message.Status()), Job: wire.JobStatus{
+			State: wire.JobState(message.State()), Done: int(message.Done()), Running: int(message.Running()),
+		}, Payload: message.PayloadBytes(), Leader: string(message.Leader()), Term: message.Term(), Names: readNames(message.NamesLength(), message.Names)}
 	})
-	return seq, r, err
+	return seq, response, err
 }
--- a/internal/cluster/peerrpc/formats_test.go
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -22,11 +22,11 @@
 			request := Request{Verb: c.verb, Job: "job-17", Payload: []byte(`{"a":1}`), Number: 41, Names: []string{"n-1", "n-2"}}
 			frame := encodeRequest(77, request)
 			golden.Hex(t, "request-"+c.name, frame)
-			seq, again, err := decodeRequest(frame[lengthBytes:])
+			seq, decoded, err := decodeRequest(frame[lengthBytes:])
 			if err != nil || seq != 77 {
 				t.Fatalf("decoded with sequence number %d, error %v", seq, err)
 			}
-			golden.Equal(t, c.name, again, request)
+			golden.Equal(t, c.name, decoded, request)
 		})
 	}
 }
@@ -38,9 +38,9 @@
 	}
 	frame := encodeResponse(78, response)
 	golden.Hex(t, "response", frame)
-	seq, again, err := decodeResponse(frame[lengthBytes:])
+	seq, decoded, err := decodeResponse(frame[lengthBytes:])
 	if err != nil || seq != 78 {
 		t.Fatalf("decoded with sequence number %d, error %v", seq, err)
 	}
-	golden.Equal(t, "response", again, response)
+	golden.Equal(t, "response", decoded, response)
 }
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -22,22 +22,22 @@
 const (
 	JobStatus        = Verb(fb.VerbQuery)      // asks the leader for a job's state
 	CancelJob        = Verb(fb.VerbCancel)     // asks the leader to cancel a job
-	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote: not to campaign and not to confirm for a limited time
+	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote: neither to campaign nor to confirm for a while
 	NotLeading       = Verb(fb.VerbNotLeading) // asks a member whether it does not lead
 	Heartbeat        = Verb(fb.VerbReport)     // relays a worker's heartbeat to the leader
 	SubmitJob        = Verb(fb.VerbSubmit)     // relays a job submission to any member
-	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader of a term or an earlier one can rely on its vote
+	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader up to a term can rely on its vote
 	EndLease         = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
 	SubsystemQuery   = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
-	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member for which of the given machines it may have renewed the worker's lease under its zone lease
+	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which workers it may have answered by its zone lease
 	SubsystemCommand = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
-	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether at least one of the workers at the given addresses answers it
+	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether one of the workers at some addresses answers it
 	Ping             = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
 )
 
-// prompt reports whether a peer answers the verb from memory. The answer to another verb may wait for the
-// state service, so a missing answer does not show that the peer is unreachable.
-func (v Verb) prompt() bool { return v == Ping || v == Heartbeat }
+// answeredFromMemory reports whether a peer answers the verb from memory. The answer to another verb may wait for
+// the state service, so a missing answer does not show that the peer is unreachable.
+func (v Verb) answeredFromMemory() bool { return v == Ping || v == Heartbeat }
 
 // Request is a request to another member. Which fields are set depends on the verb.
 type Request struct {
@@ -52,10 +52,10 @@
 type Response struct {
 	Status  int // an HTTP status
 	Job     wire.JobStatus
-	Payload []byte   // the body for the worker or user; to a ping, the sender's last claim that the answering member remembers
+	Payload []byte   // the body for the worker or user; to a ping, the last claim of the ping's sender
 	Leader  string   // to a ping: the member that leads as far as the answering member knows
 	Term    uint64   // to a ping: the term of Leader
-	Names   []string // to MayHaveRenewed: the machines whose workers' leases the answering member may have renewed under its zone lease
+	Names   []string // to MayHaveRenewed: the machines whose workers it may have answered by its zone lease
 }
 
 // Handler answers a request. It is called concurrently. Its ctx ends when the connection is closed.
--- a/internal/cluster/peerrpc/peerrpc_test.go
+++ b/internal/cluster/peerrpc/peerrpc_test.go
@@ -17,9 +17,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-func listen(t *testing.T, h Handler) string {
+func listen(t *testing.T, handler Handler) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,48 +27,49 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		Serve(ctx, l, h, slog.New(slog.DiscardHandler))
+		Serve(ctx, listener, handler, slog.New(slog.DiscardHandler))
 	}()
 	t.Cleanup(func() { stop(); <-done })
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 func TestRequestsAndAnswersArriveUnchanged(t *testing.T) {
 	addr := listen(t, func(_ context.Context, r Request) Response {
 		return Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}, Payload: r.Payload, Leader: r.Job, Term: r.Number}
 	})
-	c := NewClient()
+	client := NewClient()
 	for _, r := range []Request{{Verb: JobStatus, Job: "job-1"}, {Verb: CancelJob, Job: "job-2"}, {Verb: EndLease, Number: 1 << 40}, {Verb: Heartbeat, Payload: []byte(`{"x":1}`)}, {}} {
-		got, err := c.Call(t.Context(), addr, r)
+		got, err := client.Call(t.Context(), addr, r)
 		want := Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}}
 		if err != nil || got.Status != want.Status || got.Job != want.Job || string(got.Payload) != string(r.Payload) || got.Leader != r.Job || got.Term != r.Number {
 			t.Errorf("request %v got the response %+v, error %v", r, got, err)
 		}
 	}
-	if _, err := c.Call(t.Context(), "127.0.0.1:1", Request{}); err == nil {
+	if _, err := client.Call(t.Context(), "127.0.0.1:1", Request{}); err == nil {
 		t.Error("a call to an address without a peer succeeded")
 	}
 }
 
-// Guards against a crash by bytes that are not a message: the server closes the connection and continues to serve others.
+// Guards against a crash by bytes that are not a message: the server closes the connection and continues to serve
+// others.
 func TestMalformedFrameEndsTheConnectionOnly(t *testing.T) {
 	addr := listen(t, func(context.Context, Request) Response { return Response{Status: 200} })
-	bad := [][]byte{
+	malformed := [][]byte{
 		binary.BigEndian.AppendUint32(nil, 0),
 		binary.BigEndian.AppendUint32(nil, tuning.PeerFrameBytes+1),
 		append(binary.BigEndian.AppendUint32(nil, 8), 0xff, 0xff, 0xff, 0xff, 1, 2, 3, 4),
 		append(binary.BigEndian.AppendUint32(nil, 2), 1, 2),
 	}
-	for _, raw := range bad {
+	for _, frame := range malformed {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := conn.Write(raw); err != nil {
+		if _, err := conn.Write(frame); err != nil {
 			t.Fatal(err)
 		}
 		if rest, _ := io.ReadAll(conn); len(rest) != 0 {
-			t.Errorf("malformed frame %v was answered", raw)
+			t.Errorf("malformed frame %v was answered", frame)
 		}
 		conn.Close()
 	}
@@ -93,10 +94,10 @@
 		}
 		return Response{Status: 200}
 	})
-	c := NewClient()
-	c.timeout = 10 * time.Millisecond
+	client := NewClient()
+	client.timeout = 10 * time.Millisecond
 	call := func(v Verb) error {
-		_, err := c.Call(t.Context(), addr, Request{Verb: v})
+		_, err := client.Call(t.Context(), addr, Request{Verb: v})
 		return err
 	}
 	if err := call(SubmitJob); err == nil || errors.Is(err, ErrSilent) {
@@ -111,7 +112,7 @@
 		}
 	}
 	close(answering)
-	c.timeout = time.Minute
+	client.timeout = time.Minute
 	if err := call(Ping); err != nil {
 		t.Errorf("ping that the peer answers again: %v", err)
 	}
@@ -125,18 +126,18 @@
 
 // Guards against a request or response with names that exceeds the peer's frame limit: a name occupies at most
 // tuning.NameBytes in addition to its own length.
-func TestAsManyNamesAsAQuestionHoldsFitAFrame(t *testing.T) {
+func TestMaximumOfNamesFitsAFrame(t *testing.T) {
 	for _, length := range []int{1, 2, 3, 4, 8, 20, 63, 200} {
 		var names []string
 		for size := length + tuning.NameBytes; size <= tuning.RenewedNamesBytes; size += length + tuning.NameBytes {
 			names = append(names, strings.Repeat("n", length))
 		}
-		for side, framed := range map[string][]byte{
+		for kind, frame := range map[string][]byte{
 			"request":  encodeRequest(1<<60, Request{Verb: MayHaveRenewed, Names: names}),
 			"response": encodeResponse(1<<60, Response{Status: 200, Names: names}),
 		} {
-			if _, err := readFrame(bytes.NewReader(framed)); err != nil {
-				t.Errorf("%s with %d names of %d bytes has %d bytes: %v", side, len(names), length, len(framed), err)
+			if _, err := readFrame(bytes.NewReader(frame)); err != nil {
+				t.Errorf("%s with %d names of %d bytes has %d bytes: %v", kind, len(names), length, len(frame), err)
 			}
 		}
 	}
--- a/internal/cluster/peerrpc/server.go
+++ b/internal/cluster/peerrpc/server.go
@@ -13,10 +13,10 @@
 
 // Serve answers peers' requests on a listener until ctx ends. Handlers and connections may still run for a
 // moment after it returns.
-func Serve(ctx context.Context, l net.Listener, h Handler, log *slog.Logger) {
-	context.AfterFunc(ctx, func() { l.Close() })
+func Serve(ctx context.Context, listener net.Listener, handler Handler, log *slog.Logger) {
+	context.AfterFunc(ctx, func() { listener.Close() })
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return
@@ -29,16 +29,16 @@
 			}
 			continue
 		}
-		go serveConn(ctx, conn, h, log)
+		go serveConn(ctx, conn, handler, log)
 	}
 }
 
 // serveConn answers the requests on a connection, each in a separate goroutine, until the connection is closed.
-func serveConn(ctx context.Context, conn net.Conn, h Handler, log *slog.Logger) {
+func serveConn(ctx context.Context, conn net.Conn, handler Handler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	context.AfterFunc(ctx, func() { conn.Close() })
-	var writing sync.Mutex
+	var writeMutex sync.Mutex
 	in := bufio.NewReader(conn)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
@@ -52,9 +52,9 @@
 			return
 		}
 		go func() {
-			answer := encodeResponse(seq, h(ctx, req))
-			writing.Lock()
-			defer writing.Unlock()
+			answer := encodeResponse(seq, handler(ctx, req))
+			writeMutex.Lock()
+			defer writeMutex.Unlock()
 			writeAnswer(conn, answer)
 		}()
 	}
