--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -31,9 +31,9 @@
 // Guards against a term that stays valid longer than the lease lasts, by the time that the request took: the
 // validity counts from before the request was sent.
 func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
-	for name, renew := range map[string]func(e *Elector, sent time.Time){
-		"granted": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent) },
-		"renewed": func(e *Elector, sent time.Time) { e.beginTerm(5, 1, sent); e.noteRenewal(5, sent) },
+	for name, renew := range map[string]func(elector *Elector, sent time.Time){
+		"granted": func(elector *Elector, sent time.Time) { elector.beginTerm(5, 1, sent) },
+		"renewed": func(elector *Elector, sent time.Time) { elector.beginTerm(5, 1, sent); elector.noteRenewal(5, sent) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -42,7 +42,7 @@
 
 // Guards against two leaders: a member that voted neither campaigns nor confirms, and neither does a
 // member that was restarted and whose earlier process may have voted.
-func TestVoteBindsItsGiver(t *testing.T) {
+func TestVoteBindsTheVoter(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), &fakePeers{nobodyLeads: always(false)}, "a", clock)
 	if elector.mayCampaign(t.Context()) {
@@ -107,22 +107,26 @@
 func TestTermKnownToBeOverGetsNoVotes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		history func(e *Elector, now time.Time)
+		history func(elector *Elector, now time.Time)
 		want    Vote
 	}{
 		{"knows of no later term", func(*Elector, time.Time) {}, Granted},
-		{"led itself, and resigned before it recorded that it leads", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.resign() }, Refused},
-		{"led itself, and resigned", func(e *Elector, now time.Time) { e.beginTerm(6, 1, now); e.noteHolder("b", 6); e.resign() }, Refused},
-		{"led itself, resigned, and read that nobody leads now", func(e *Elector, now time.Time) {
-			e.beginTerm(6, 1, now)
-			e.noteHolder("b", 6)
-			e.resign()
-			e.noteNoLeader()
+		{"led itself, and resigned before it recorded that it leads", func(elector *Elector, now time.Time) { elector.beginTerm(6, 1, now); elector.resign() }, Refused},
+		{"led itself, and resigned", func(elector *Elector, now time.Time) {
+			elector.beginTerm(6, 1, now)
+			elector.noteHolder("b", 6)
+			elector.resign()
 		}, Refused},
-		{"read that another leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6) }, Refused},
-		{"read that another leads, and then that nobody leads", func(e *Elector, _ time.Time) { e.noteHolder("c", 6); e.noteNoLeader() }, Refused},
-		{"learnt from a member that another leads", func(e *Elector, _ time.Time) { e.NoteLeader("c", 6) }, Refused},
-		{"read that the same term is over", func(e *Elector, _ time.Time) { e.noteHolder("a", 5); e.noteNoLeader() }, Granted},
+		{"led itself, resigned, and read that nobody leads now", func(elector *Elector, now time.Time) {
+			elector.beginTerm(6, 1, now)
+			elector.noteHolder("b", 6)
+			elector.resign()
+			elector.noteNoLeader()
+		}, Refused},
+		{"read that another leads", func(elector *Elector, _ time.Time) { elector.noteHolder("c", 6) }, Refused},
+		{"read that another leads, and then that nobody leads", func(elector *Elector, _ time.Time) { elector.noteHolder("c", 6); elector.noteNoLeader() }, Refused},
+		{"learnt from a member that another leads", func(elector *Elector, _ time.Time) { elector.NoteLeader("c", 6) }, Refused},
+		{"read that the same term is over", func(elector *Elector, _ time.Time) { elector.noteHolder("a", 5); elector.noteNoLeader() }, Granted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clock, state := newStateService(t)
@@ -186,9 +190,9 @@
 // Guards against a vote by a member that began a campaign, or became the leader, after it checked that it is a
 // follower.
 func TestNoVoteBesideACampaignThatBeganMeanwhile(t *testing.T) {
-	for name, begin := range map[string]func(e *Elector){
-		"a campaign":       func(e *Elector) { e.campaigning = true },
-		"a term of office": func(e *Elector) { e.ownTerm = 4 },
+	for name, begin := range map[string]func(elector *Elector){
+		"a campaign":       func(elector *Elector) { elector.campaigning = true },
+		"a term of office": func(elector *Elector) { elector.ownTerm = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
