--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -12,23 +12,23 @@
 )
 
 func TestNextLeaderIsElectedWhenTheLeaseExpires(t *testing.T) {
-	clock, s := newState(t)
-	a := start(t, "a", s, unreachablePeers, clock)
+	clock, state := newStateService(t)
+	a := startMember(t, "a", state, unreachablePeers, clock)
 	first := <-a.terms
 	if !a.Valid(first.Term) || a.Leader() != "a" {
-		t.Fatalf("valid %v, leader %q", a.Valid(first.Term), a.Leader())
+		t.Fatalf("after a won its campaign: term valid %v, leader %q; want true, \"a\"", a.Valid(first.Term), a.Leader())
 	}
-	b := start(t, "b", s, unreachablePeers, clock)
-	a.stop() // killed: it revokes nothing
+	b := startMember(t, "b", state, unreachablePeers, clock)
+	a.stop() // as if killed: it does not revoke its lease
 	<-a.ended
 	clock.Advance(2 * tuning.LeaseTTL)
-	s.Expire()
+	state.Expire()
 	second := <-b.terms
 	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
-		t.Errorf("terms %d, %d", first.Term, second.Term)
+		t.Errorf("terms %d of a and %d of b: want a later term of b, valid for b alone", first.Term, second.Term)
 	}
-	// Whatever the first leader still sends fails on its guard.
-	_, err := statestore.New(s.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
+	// The guard makes every transaction fail that the first leader still sends.
+	_, err := statestore.New(state.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		If: []wire.Condition{first.Guard}, Then: []wire.Change{{Put: "run/x", Value: json.RawMessage("1")}},
 	})
 	if err == nil {
@@ -37,19 +37,19 @@
 }
 
 // Guards against two leaders after a campaign of unknown outcome: nobody acts
-// on it, and when its lease is over the next campaign has a higher term.
+// on it, and the next campaign, once the lease of the first is gone, has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
-	clock, s := newState(t)
-	muted := 0
-	s.LoseAnswers(func(txn wire.Txn) bool {
+	clock, state := newStateService(t)
+	lostAnswers := 0
+	state.LoseAnswers(func(txn wire.Txn) bool {
 		if strings.HasPrefix(txn.Then[0].Put, "lead/") {
-			muted++
+			lostAnswers++
 		}
-		return muted == 1
+		return lostAnswers == 1
 	})
-	a := start(t, "a", s, unreachablePeers, clock)
+	a := startMember(t, "a", state, unreachablePeers, clock)
 	var leadership Leadership
-	until(t, s, clock, following, "a term of office", func() bool {
+	advanceUntil(t, state, clock, followerGoroutines, "a won campaign", func() bool {
 		select {
 		case leadership = <-a.terms:
 			return true
@@ -58,32 +58,32 @@
 		}
 	})
 	if leadership.Term != 2 {
-		t.Errorf("term %d; the campaign without an answer had term 1", leadership.Term)
+		t.Errorf("leads in term %d, want 2: the campaign that got no answer had term 1", leadership.Term)
 	}
 }
 
-// A member that stands aside leaves the leadership to others, and takes it when none does.
-func TestMemberStandsAsideUnlessNobodyElseLeads(t *testing.T) {
-	clock, s := newState(t)
-	a, _ := startProcess(t, s, clock, 0, false)
+// A member that leaves the leadership to others campaigns nevertheless when the leader key stays vacant.
+func TestMemberDefersCampaignUnlessNobodyElseLeads(t *testing.T) {
+	clock, state := newStateService(t)
+	a, _ := startProcess(t, state, clock, 0, false)
 	a.StandAside(tuning.YieldFor)
-	begun := clock.Now()
-	passUntil(t, s, clock, a, a.terms)
-	if took := clock.Since(begun); took < tuning.YieldVacantAfter || took > tuning.YieldVacantAfter+time.Second {
-		t.Errorf("led after %v, though it stands aside and nobody else is there", took)
+	started := clock.Now()
+	advanceUntilReceived(t, state, clock, a, a.terms)
+	if elapsed := clock.Since(started); elapsed < tuning.YieldVacantAfter || elapsed > tuning.YieldVacantAfter+time.Second {
+		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", elapsed)
 	}
 }
 
-// Guards against a campaign beside a leader whose key this member cannot read.
+// Guards against a campaign while another member leads whose leader key this member cannot decode.
 func TestUnreadableLeaderKeyCountsAsHeld(t *testing.T) {
-	clock, s := newState(t)
-	store := statestore.New(s.Addr(), 1e6, 1e6)
+	clock, state := newStateService(t)
+	store := statestore.New(state.Addr(), 1e6, 1e6)
 	if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: keyHolder, Value: json.RawMessage("[]")}}}); err != nil {
 		t.Fatal(err)
 	}
-	e := newElector(store, unreachablePeers, "a", clock)
-	seen, err := e.readLeaderKey(t.Context())
+	elector := newElector(store, unreachablePeers, "a", clock)
+	seen, err := elector.readLeaderKey(t.Context())
 	if err != nil || !seen.held || seen.holder != (holder{}) || seen.revision == 0 {
-		t.Errorf("read as %+v, %v", seen, err)
+		t.Errorf("undecodable leader key read as %+v (error %v), want it held, with an empty holder and its version", seen, err)
 	}
 }
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -17,96 +17,97 @@
 	return term != 0 && e.ownTerm == term && e.clock.Now().Before(e.validUntil)
 }
 
-// termOfOffice is a term of this member, as the goroutine that renews its lease sees it.
+// termOfOffice is a term of this member with what the goroutine that renews its lease needs.
 type termOfOffice struct {
 	Leadership
 	lease    uint64
-	resigned <-chan struct{} // closed when the term was given up
+	resigned <-chan struct{} // closed when this member resigns
 	workDone <-chan struct{} // closed when the leader's work has ended
 }
 
-// lead keeps the lease until it is lost. While the state service does not
-// answer, the term's validity ends by the local clock (unless the peers'
-// votes extend it), but the term goes on: after an outage the lease
-// has its full time again, nobody else can have written anything, and a
-// renewal makes the term valid again.
-func (e *Elector) lead(ctx context.Context, l Leadership, work func(context.Context, Leadership)) {
-	e.log.Info("leading", "term", l.Term)
+// lead runs the leader's work and renews the lease until the lease is lost.
+//
+// While the state service does not answer, the term becomes invalid by the local clock, unless the other members'
+// votes extend its validity. But the term itself is not over. After an outage the state service gives every
+// lease its full duration again, and nobody else can have written anything meanwhile, so a successful renewal makes
+// the term valid again.
+func (e *Elector) lead(ctx context.Context, leadership Leadership, work func(context.Context, Leadership)) {
+	e.log.Info("leadership won; starting the leader's work", "term", leadership.Term)
 	workDone := make(chan struct{})
-	t := e.termOf(l, workDone)
+	office := e.termOf(leadership, workDone)
 	workCtx, stopWork := context.WithCancel(ctx)
 	go func() {
 		defer close(workDone)
-		work(workCtx, l)
+		work(workCtx, leadership)
 	}()
-	var helpers sync.WaitGroup
-	helpers.Go(func() { e.requestVotes(workCtx, l.Term) })
-	helpers.Go(func() { e.maintainFencing(workCtx, l) })
+	var background sync.WaitGroup
+	background.Go(func() { e.requestVotes(workCtx, leadership.Term) })
+	background.Go(func() { e.maintainFencing(workCtx, leadership) })
 
-	e.renewUntilLost(ctx, t)
+	e.renewUntilLost(ctx, office)
 
 	e.resign()
 	stopWork()
 	<-workDone
-	helpers.Wait()
-	e.log.Info("no longer leading", "term", l.Term)
+	background.Wait()
+	e.log.Info("leadership ended; the leader's work has stopped", "term", leadership.Term)
 }
 
-func (e *Elector) termOf(l Leadership, workDone <-chan struct{}) termOfOffice {
+func (e *Elector) termOf(leadership Leadership, workDone <-chan struct{}) termOfOffice {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return termOfOffice{Leadership: l, lease: e.lease, resigned: e.resigned, workDone: workDone}
+	return termOfOffice{Leadership: leadership, lease: e.lease, resigned: e.resigned, workDone: workDone}
 }
 
-func (e *Elector) renewUntilLost(ctx context.Context, t termOfOffice) {
-	for e.waitInTerm(ctx, t, tuning.RenewEvery) {
-		if !e.renewLease(ctx, t) {
+func (e *Elector) renewUntilLost(ctx context.Context, office termOfOffice) {
+	for e.waitInTerm(ctx, office, tuning.RenewEvery) {
+		if !e.renewLease(ctx, office) {
 			return
 		}
 	}
 }
 
-// renewLease tries until the lease is renewed; false when the term is over.
-func (e *Elector) renewLease(ctx context.Context, t termOfOffice) bool {
+// renewLease retries until the lease is renewed. It returns false when the term is over.
+func (e *Elector) renewLease(ctx context.Context, office termOfOffice) bool {
 	for ctx.Err() == nil {
 		sent := e.clock.Now()
-		err := e.store.RenewLease(ctx, t.lease)
+		err := e.store.RenewLease(ctx, office.lease)
 		switch {
 		case err == nil:
-			return e.noteRenewal(t.Term, sent)
+			return e.noteRenewal(office.Term, sent)
 		case errors.Is(err, statestore.ErrLeaseNotFound):
 			return false
 		}
 		e.noteFailedRenewal()
-		e.log.Debug("lease not renewed", "err", err)
-		if !e.waitInTerm(ctx, t, tuning.RetryLeader) {
+		e.log.Debug("renewal of the leader's lease failed; retrying", "err", err)
+		if !e.waitInTerm(ctx, office, tuning.RetryLeader) {
 			return false
 		}
 	}
-	return true // the next wait ends with ctx
+	return true // ctx has ended: the caller's next wait returns false
 }
 
-// waitInTerm waits for a while; false when the term is over.
-func (e *Elector) waitInTerm(ctx context.Context, t termOfOffice, d time.Duration) bool {
+// waitInTerm waits for a duration. It returns false when the term is over.
+func (e *Elector) waitInTerm(ctx context.Context, office termOfOffice, d time.Duration) bool {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.workDone:
-		// The leader's work ended by itself: let another lead.
-		e.revokeLease(ctx, t.lease)
+	case <-office.workDone:
+		// The leader's work ended by itself: revoke the lease so that another member can lead.
+		e.revokeLease(ctx, office.lease)
 		return false
-	case <-t.resigned:
+	case <-office.resigned:
 		return false
 	case <-timer.Chan():
 		return true
 	}
 }
 
-// beginTerm makes a new term of our own valid. sent is when the
-// request that gained the lease was sent: the lease cannot have begun earlier,
-// and our clock may run fast or slow.
+// beginTerm begins a term of this member and makes it valid. sent is when the request that granted
+// the lease was sent: the lease cannot have begun earlier. The clock may run fast or slow, so the
+// validity is shorter than the lease by the clock drift.
 func (e *Elector) beginTerm(term, lease uint64, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,8 +116,9 @@
 	e.extendByRenewal(sent)
 }
 
-// noteRenewal notes that the lease was renewed; false when the term was given up meanwhile. From here on the term's validity
-// rests on the lease alone, and the fencing lease can be revoked. So an open round of votes, which may count on that, is void.
+// noteRenewal records that the lease was renewed by a request sent at the given time. It returns false if this
+// member resigned meanwhile. From now on the term's validity depends on the lease alone, so the fencing lease may
+// be revoked. An open vote round may rely on the fencing lease, therefore it becomes void.
 func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,10 +130,11 @@
 	return true
 }
 
-// extendByRenewal counts the lease's time from before the request was sent, less drift. The caller holds the lock.
+// extendByRenewal makes the term valid for the lease's duration, less the clock drift, counted from when the request
+// was sent. The caller holds the lock.
 func (e *Elector) extendByRenewal(sent time.Time) {
-	e.failedRenewals, e.failuresWhenOtherServed = 0, 0
-	e.validUntil = sent.Add(stretch(tuning.LeaseTTL, -tuning.ClockDrift))
+	e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0
+	e.validUntil = sent.Add(withMargin(tuning.LeaseTTL, -tuning.ClockDrift))
 }
 
 func (e *Elector) noteFailedRenewal() {
@@ -140,7 +143,7 @@
 	e.failedRenewals++
 }
 
-// resign ends our own term, if there is one.
+// resign ends this member's own term, if it has one.
 func (e *Elector) resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,35 +157,35 @@
 	}
 	e.endedTerm = max(e.endedTerm, e.ownTerm)
 	if e.leaderTerm <= e.ownTerm {
-		e.leader = "" // unless we heard of a later one
+		e.leader = "" // a leader of a later term stays known
 	}
-	e.ownTerm, e.failedRenewals, e.failuresWhenOtherServed = 0, 0, 0
+	e.ownTerm, e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0, 0
 	e.voteRound++
 	close(e.resigned)
 }
 
-// handOver gives the leadership up when renewals fail though another member is
-// served by the state service: it resigns first and only then has the lease revoked by that member, rather than
-// have all wait until it expires. Renewals must go on failing after the other was
-// seen to be served: at the end of an outage it is served a moment before us.
+// handOver gives up the leadership when renewals fail although the state service serves another member. It resigns
+// first and only then asks the other members to revoke the lease, so that nobody has to wait until the lease expires.
+// Renewals must continue to fail after the other member was seen to be served: at the end of an outage the state
+// service may serve the other member a moment before this one.
 func (e *Elector) handOver(ctx context.Context, term uint64) {
 	lease, ok := e.resignIfOtherServed(term)
 	if !ok {
 		return
 	}
-	e.log.Info("handing over: the state service serves others", "term", term)
+	e.log.Info("state service serves another member but not this one; handing over the leadership", "term", term)
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
-// resignIfOtherServed counts the failed renewals since another member was first seen to be served and
-// resigns after enough of them. It returns the lease that is to be revoked.
+// resignIfOtherServed resigns if at least tuning.YieldAfter renewals have failed since another member was first seen to
+// be served. It returns the lease that is then to be revoked; ok is false if it did not resign.
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.failuresWhenOtherServed == 0 {
-		e.failuresWhenOtherServed = e.failedRenewals
+	if e.failedRenewalsWhenOtherServed == 0 {
+		e.failedRenewalsWhenOtherServed = e.failedRenewals
 	}
-	if e.ownTerm != term || e.failedRenewals < e.failuresWhenOtherServed+tuning.YieldAfter {
+	if e.ownTerm != term || e.failedRenewals < e.failedRenewalsWhenOtherServed+tuning.YieldAfter {
 		return 0, false
 	}
 	lease = e.lease
--- a/internal/cluster/peerrpc/server.go
+++ b/internal/cluster/peerrpc/server.go
@@ -11,16 +11,17 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Serve answers peers on a listener until ctx ends. Handlers and connections may outlast it by a moment.
-func Serve(ctx context.Context, l net.Listener, h Handler, log *slog.Logger) {
-	context.AfterFunc(ctx, func() { l.Close() })
+// Serve answers peers' requests on a listener until ctx ends. Handlers and connections may still run for a
+// moment after it returns.
+func Serve(ctx context.Context, listener net.Listener, handler Handler, log *slog.Logger) {
+	context.AfterFunc(ctx, func() { listener.Close() })
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			log.Error("peer connection not accepted", "err", err)
+			log.Error("accepting a peer connection failed; retrying", "err", err)
 			select {
 			case <-ctx.Done():
 				return
@@ -28,16 +29,16 @@
 			}
 			continue
 		}
-		go serveConn(ctx, conn, h, log)
+		go serveConn(ctx, conn, handler, log)
 	}
 }
 
-// serveConn answers the requests of a connection, each in a goroutine of its own, until it ends.
-func serveConn(ctx context.Context, conn net.Conn, h Handler, log *slog.Logger) {
+// serveConn answers the requests on a connection, each in a separate goroutine, until the connection is closed.
+func serveConn(ctx context.Context, conn net.Conn, handler Handler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	context.AfterFunc(ctx, func() { conn.Close() })
-	var writing sync.Mutex
+	var writeMutex sync.Mutex
 	in := bufio.NewReader(conn)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
@@ -47,19 +48,19 @@
 		}
 		seq, req, err := decodeRequest(frame)
 		if err != nil {
-			log.Error("peer request malformed", "err", err)
+			log.Error("peer request could not be decoded; closing the connection", "err", err)
 			return
 		}
 		go func() {
-			answer := encodeResponse(seq, h(ctx, req))
-			writing.Lock()
-			defer writing.Unlock()
+			answer := encodeResponse(seq, handler(ctx, req))
+			writeMutex.Lock()
+			defer writeMutex.Unlock()
 			writeAnswer(conn, answer)
 		}()
 	}
 }
 
-// writeAnswer writes an answer, or closes the connection if that fails or takes too long.
+// writeAnswer writes an answer. It closes the connection if the write fails or takes longer than tuning.RelayTimeout.
 func writeAnswer(conn net.Conn, answer []byte) {
 	_ = conn.SetWriteDeadline(time.Now().Add(tuning.RelayTimeout))
 	if _, err := conn.Write(answer); err != nil {
