--- a/internal/api/workerapi/election_grace_test.go
+++ b/internal/api/workerapi/election_grace_test.go
@@ -8,16 +8,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against workers whose leases are renewed a second before the next leader is there, so that they do not report to it for
-// ten more, and against leases that expire because nobody renews them.
+// Guards against workers whose leases are renewed a second before the next leader is elected, so that they do not
+// report to it for ten more, and against leases that expire because no member renews them.
 func TestLeasesAreRenewedAfterTheElectionGraceOnly(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	long := electionGrace{length: graceLength(config.Workers{HeartbeatS: 10, LeaseS: 42})}
 	if long.length < 2*time.Second || long.length > 5*time.Second {
-		t.Fatalf("with leases of 42 s the grace is %v", long.length)
+		t.Fatalf("with leases of 42 s the grace period is %v, want 2 s to 5 s", long.length)
 	}
 	for _, c := range []struct {
-		after  time.Duration // the one before
+		after  time.Duration // after the previous request
 		active bool
 	}{
 		{0, true},
@@ -28,7 +28,7 @@
 	} {
 		now = now.Add(c.after)
 		if got := long.active(now); got != c.active {
-			t.Errorf("%v later: %v", c.after, got)
+			t.Errorf("%v after the previous request: active %v", c.after, got)
 		}
 	}
 	short := electionGrace{length: graceLength(config.Workers{HeartbeatS: 1, LeaseS: 10})}
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -1,5 +1,6 @@
-// Package workerapi is the HTTP handler for workers. It answers their heartbeats while this member leads, redirects them to
-// the leader otherwise, and renews their leases without the leader when the leader is out of reach.
+// Package workerapi is the HTTP handler for workers. It answers their heartbeats while this member leads and
+// redirects them to the leader otherwise. When the leader is out of reach, it renews the workers' leases without
+// the leader.
 package workerapi
 
 import (
@@ -22,21 +23,22 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// LeaseAcquirer grants the right to renew a machine's lease on behalf of the leader, by way of the state service.
+// LeaseAcquirer permits renewals of a machine's lease on behalf of the leader. It records the machine in the state
+// service first.
 type LeaseAcquirer interface {
 	// Acquire returns nil if this member may answer the machine now, workerlease.ErrNotRecorded otherwise.
 	Acquire(ctx context.Context, machine string) error
 }
 
-// ZoneLease grants that right without the state service, for machines of this member's own zone.
+// ZoneLease permits such renewals without the state service, for machines of this member's own zone.
 type ZoneLease interface {
-	// MayRenew reports whether this member may answer a machine of that zone now.
+	// MayRenew reports whether this member may answer a machine of a zone now.
 	MayRenew(machine, zone string) bool
-	// Isolated reports that the state service does not answer this member either.
+	// Isolated reports whether the state service does not answer this member either.
 	Isolated() bool
 }
 
-// Options are what a Handler works with.
+// Options are the dependencies and settings of a Handler.
 type Options struct {
 	Member  string // the name of this member
 	Workers config.Workers
@@ -47,9 +49,9 @@
 	Zone    ZoneLease
 	// Leader returns the leader's loop while this member has the right to act, nil otherwise.
 	Leader func() *leader.Loop
-	// Fetch asks a worker for its heartbeat; nil: no worker is asked.
+	// Fetch asks a worker for its heartbeat; nil: workers are not queried.
 	Fetch FetchHeartbeat
-	// MaxQueries is how many workers may be asked at a time.
+	// MaxQueries is how many workers may be queried at a time.
 	MaxQueries int
 }
 
@@ -60,7 +62,7 @@
 	elector   *election.Elector
 	peers     *peers.Peers
 	leases    LeaseAcquirer
-	zone      ZoneLease
+	zoneLease ZoneLease
 	leader    func() *leader.Loop
 	redirects redirects
 	grace     electionGrace
@@ -76,7 +78,7 @@
 		elector:   o.Elector,
 		peers:     o.Peers,
 		leases:    o.Leases,
-		zone:      o.Zone,
+		zoneLease: o.Zone,
 		leader:    o.Leader,
 		redirects: newRedirects(),
 		grace:     electionGrace{length: graceLength(o.Workers)},
@@ -84,23 +86,23 @@
 	}
 }
 
-// Why a heartbeat gets no reply from this member. The texts are those of the answers.
+// Why a heartbeat gets no reply from this member. The HTTP answers contain these texts.
 var (
-	// errNotAnswered means that this member leads and may not answer now, or did not accept the heartbeat.
+	// errNotAnswered means that this member leads but may not answer now or did not accept the heartbeat.
 	errNotAnswered = errors.New("the report cannot be answered now")
-	// errNobodyLeads means that no member is known to lead and that this one may not renew the worker's lease. The worker
-	// tries the next controller.
+	// errNobodyLeads means that no member is known to lead and that this one may not renew the worker's lease.
+	// The worker tries the next controller.
 	errNobodyLeads = errors.New("nobody leads")
 )
 
-// redirectError means that the worker is to try the leader.
+// redirectError means that the worker is to report to the leader.
 type redirectError struct{ leader string }
 
 // Error implements error.
 func (e *redirectError) Error() string { return "the worker is to report to " + e.leader }
 
-// ServeHeartbeat answers a worker's heartbeat: with a reply, with the name of the leader, or with 503 if the worker had better
-// try the next controller.
+// ServeHeartbeat answers a worker's heartbeat: with a reply, with the name of the leader, or with 503 if the worker
+// should try the next controller.
 func (h *Handler) ServeHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := httpjson.ReadBody(r, tuning.MaxHeartbeat)
 	if err != nil {
@@ -120,7 +122,7 @@
 	httpjson.Write(w, http.StatusOK, reply)
 }
 
-// writeNoReply answers a worker that gets no reply here: with the name of the leader, or with 503.
+// writeNoReply answers a heartbeat that gets no reply here: with the name of the leader, or with 503.
 func writeNoReply(w http.ResponseWriter, err error) {
 	var redirect *redirectError
 	if errors.As(err, &redirect) {
@@ -130,8 +132,8 @@
 	httpjson.WriteUnavailable(w, err.Error())
 }
 
-// AnswerRelayedHeartbeat answers a heartbeat that a follower relays to the leader: with 421 if this member does not lead, 503
-// if the leader does not answer that heartbeat.
+// AnswerRelayedHeartbeat answers a heartbeat that a follower relays to the leader. The status is 421 if this member
+// does not lead, and 503 if it leads but does not answer the heartbeat.
 func (h *Handler) AnswerRelayedHeartbeat(ctx context.Context, body []byte) peerrpc.Response {
 	hb, err := parseHeartbeat(body)
 	if err != nil {
@@ -151,7 +153,7 @@
 	return peerrpc.Response{Status: http.StatusOK, Payload: out}
 }
 
-// parseHeartbeat reads and checks a heartbeat.
+// parseHeartbeat decodes and checks a heartbeat.
 func parseHeartbeat(body []byte) (*wire.Heartbeat, error) {
 	var hb wire.Heartbeat
 	if err := json.Unmarshal(body, &hb); err != nil {
@@ -163,34 +165,36 @@
 	return &hb, nil
 }
 
-// reply answers a heartbeat. A leader within its right replies with commands. A follower names the leader; a worker that has
-// evidently lost the leader, or comes while the leader does not answer this member either, gets its lease renewed here instead.
+// reply answers a heartbeat. A leader that may act replies with commands. A follower names the leader. It renews
+// the worker's lease instead, without commands, if the worker has evidently lost the leader or the leader does not
+// answer this member either.
 func (h *Handler) reply(ctx context.Context, body []byte, hb *wire.Heartbeat) (wire.HeartbeatReply, error) {
 	if h.leader() != nil {
 		return h.answerAsLeader(ctx, hb)
 	}
-	name, term := h.elector.Holder()
-	if name == "" || name == h.member {
+	leaderName, term := h.elector.Holder()
+	if leaderName == "" || leaderName == h.member {
 		if reply, ok := h.renew(ctx, hb); ok {
 			return reply, nil
 		}
 		return wire.HeartbeatReply{}, errNobodyLeads
 	}
-	if h.redirects.lostLeader(hb, term, h.clock.Now()) || h.peers.LeaderUnreachable(name) {
-		return h.answerWithoutLeader(ctx, body, hb, name)
+	if h.redirects.lostLeader(hb, term, h.clock.Now()) || h.peers.LeaderUnreachable(leaderName) {
+		return h.answerWithoutLeader(ctx, body, hb, leaderName)
 	}
-	return wire.HeartbeatReply{}, &redirectError{name}
+	return wire.HeartbeatReply{}, &redirectError{leaderName}
 }
 
-// answerAsLeader has the leader's loop answer a heartbeat. The error is errNotAnswered when this member may not answer it.
+// answerAsLeader has the leader's loop answer a heartbeat. The error is errNotAnswered if this member may not
+// answer it or the loop does not accept it.
 func (h *Handler) answerAsLeader(ctx context.Context, hb *wire.Heartbeat) (wire.HeartbeatReply, error) {
-	l := h.leader()
-	if l == nil {
+	loop := h.leader()
+	if loop == nil {
 		return wire.HeartbeatReply{}, errNotAnswered
 	}
-	term := l.Leadership().Term
-	commands, err := l.Heartbeat(ctx, hb)
-	// The right to act is checked again now that the reply is ready.
+	term := loop.Leadership().Term
+	commands, err := loop.Heartbeat(ctx, hb)
+	// The leader's right to act may have ended while the loop prepared the reply, so it is checked again.
 	if err != nil || !h.elector.Valid(term) {
 		return wire.HeartbeatReply{}, errNotAnswered
 	}
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -24,13 +24,13 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// leasesAlways lets every lease be renewed.
-type leasesAlways struct{}
+// grantingLeases grants every request of Acquire. It holds no zone lease.
+type grantingLeases struct{}
 
-func (leasesAlways) Acquire(context.Context, string) error { return nil }
+func (grantingLeases) Acquire(context.Context, string) error { return nil }
 
-func (leasesAlways) MayRenew(string, string) bool { return false }
-func (leasesAlways) Isolated() bool               { return false }
+func (grantingLeases) MayRenew(string, string) bool { return false }
+func (grantingLeases) Isolated() bool               { return false }
 
 // newFollower makes the handler of a member that does not lead.
 func newFollower(clock clockwork.Clock, p *peers.Peers, leases interface {
@@ -45,49 +45,48 @@
 	r := newRedirects()
 	fresh := &wire.Heartbeat{Machine: "n-1", FencingToken: 3}
 	if r.lostLeader(fresh, 4, now) {
-		t.Error("a worker that has not met this leader is sent to it first")
+		t.Error("a worker that has not reported to this leader counts as having lost it, and is not redirected to it first")
 	}
 	if !r.lostLeader(fresh, 4, now.Add(5*time.Second)) {
-		t.Error("one that comes back did not find it")
+		t.Error("a worker that returns after its redirect does not count as having lost the leader")
 	}
 	if r.lostLeader(&wire.Heartbeat{Machine: "n-1", FencingToken: 3}, 4, now.Add(5*time.Second+2*tuning.RedirectMemory)) {
-		t.Error("what was long ago tells nothing")
+		t.Error("a redirect long ago counts")
 	}
 	if !r.lostLeader(&wire.Heartbeat{Machine: "n-2", FencingToken: 4}, 4, now) {
-		t.Error("one that has seen the leader's token has lost it")
+		t.Error("a worker that has seen the leader's token does not count as having lost it")
 	}
-	// A worker whose lease is renewed here tries the leader again now and then.
+	// A worker whose lease is renewed here tries the leader again from time to time.
 	if r.retryLeader("n-2", now) || r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint)) {
 		t.Error("a worker whose lease is renewed tries the leader at the wrong times")
 	}
 }
 
-// Guards against workers of an isolated zone that lose their leases on the way: of
-// five controllers they reached one, which sent them to a leader that they did
-// not reach, and they tried the others for 5 s each before they came back. On
-// a hunted day 400 tasks were lost so.
+// Guards against workers of an isolated zone whose leases expire while they search. Of five controllers they
+// reached one, which redirected them to a leader that they could not reach. They then tried the others for 5 s each
+// before they returned. 400 tasks were lost this way in one test run.
 func TestALeaseIsRenewedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	// those makes so many others, all of which refuse to be called. Workers try
-	// each controller for 5 s, and their lease is 10 s.
-	those := func(others int) *peers.Peers {
+	// newPeers makes the given number of other members, all of which refuse connections. Workers try each
+	// controller for 5 s, and their leases last 10 s.
+	newPeers := func(others int) *peers.Peers {
 		s := &config.Settings{Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}}}
 		for i := range others {
 			s.Members = append(s.Members, config.Member{Name: fmt.Sprint("m", 2*i), Endpoint: "127.0.0.1:1"})
 		}
 		return peers.New(s, clock, slog.New(slog.DiscardHandler))
 	}
-	p := those(4)
-	h := newFollower(clock, p, leasesAlways{})
+	p := newPeers(4)
+	h := newFollower(clock, p, grantingLeases{})
 	hb := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
 	for range tuning.LeaderPingsMissed {
 		if p.LeaderUnreachable("m0") {
-			t.Error("one missed ping is no partition")
+			t.Error("fewer missed pings than LeaderPingsMissed count as a partition")
 		}
 		p.NotePing("m0", true)
 	}
 	if p.LeaderUnreachable("m2") {
-		t.Error("another leader was not asked yet")
+		t.Error("a leader that was not pinged yet counts as unreachable")
 	}
 	renewed := func() bool {
 		hb.Seq++
@@ -96,20 +95,20 @@
 	}
 	for range 2 {
 		if !renewed() {
-			t.Error("sent to a leader that does not answer")
+			t.Error("redirected to a leader that does not answer")
 		}
 		clock.Advance(tuning.LeaderRetryHint)
 	}
-	h.peers = those(1)
+	h.peers = newPeers(1)
 	for range tuning.LeaderPingsMissed {
 		h.peers.NotePing("m0", true)
 	}
 	if !renewed() {
-		t.Error("sent to the leader at once")
+		t.Error("redirected to the leader at once")
 	}
 	clock.Advance(tuning.LeaderRetryHint)
 	if renewed() {
-		t.Error("never tries the leader again, though it would be back in time")
+		t.Error("not redirected to the leader, though the worker would be back in time")
 	}
 	p.NotePing("m0", false)
 	if p.LeaderUnreachable("m0") {
@@ -117,12 +116,13 @@
 	}
 }
 
-// Guards against workers whose leases run out while members send them to a leader that does not lead: it ended and was started anew
-// while nobody could read the leader key, which still names it. On a day of ours 2,809 tasks were lost so.
+// Guards against workers whose leases expire while members redirect them to a member that does not lead: it ended
+// and was restarted while no member could read the leader key, which still names it. 2,809 tasks were lost this way
+// in one test run.
 func TestALeaseIsRenewedWhileTheNamedLeaderDoesNotLead(t *testing.T) {
 	for _, c := range []struct {
 		status  int
-		renewed bool // otherwise the worker is redirected to the one that is named
+		renewed bool // otherwise the worker is redirected to the named member
 	}{
 		{http.StatusMisdirectedRequest, true},
 		{http.StatusServiceUnavailable, false}, // it leads, and rejects the heartbeat
@@ -134,44 +134,44 @@
 		}
 		go peerrpc.Serve(t.Context(), l, func(context.Context, peerrpc.Request) peerrpc.Response { return peerrpc.Response{Status: c.status} }, slog.New(slog.DiscardHandler))
 		s := &config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}
-		h := newFollower(clock, peers.New(s, clock, slog.New(slog.DiscardHandler)), leasesAlways{})
+		h := newFollower(clock, peers.New(s, clock, slog.New(slog.DiscardHandler)), grantingLeases{})
 		hb := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-		a, err := h.answerWithoutLeader(t.Context(), nil, hb, "m0")
+		reply, err := h.answerWithoutLeader(t.Context(), nil, hb, "m0")
 		var redirect *redirectError
-		if c.renewed && (err != nil || a.FencingToken != 3 || len(a.Commands) != 0) || !c.renewed && (!errors.As(err, &redirect) || redirect.leader != "m0") {
-			t.Errorf("told %d: %+v, %v", c.status, a, err)
+		if c.renewed && (err != nil || reply.FencingToken != 3 || len(reply.Commands) != 0) || !c.renewed && (!errors.As(err, &redirect) || redirect.leader != "m0") {
+			t.Errorf("the named leader answered %d: reply %+v, error %v", c.status, reply, err)
 		}
 	}
-	h := newFollower(clockwork.NewFakeClock(), nil, leasesAlways{})
+	h := newFollower(clockwork.NewFakeClock(), nil, grantingLeases{})
 	if r := h.AnswerRelayedHeartbeat(t.Context(), []byte(`{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1}`)); r.Status != http.StatusMisdirectedRequest {
-		t.Errorf("a member that does not lead answers %d", r.Status)
+		t.Errorf("a member that does not lead answers a relayed heartbeat with status %d", r.Status)
 	}
 }
 
-// leasesNever lets no lease be renewed.
-type leasesNever struct{ leasesAlways }
+// refusingLeases refuses every request of Acquire.
+type refusingLeases struct{ grantingLeases }
 
-func (leasesNever) Acquire(context.Context, string) error { return workerlease.ErrNotRecorded }
+func (refusingLeases) Acquire(context.Context, string) error { return workerlease.ErrNotRecorded }
 
-// Guards against workers that are sent to one that does not lead, by members that may not renew their leases: they never came to the member of
-// their own zone, which may.
+// Guards against workers that are redirected to a member that does not lead, by members that may not renew their
+// leases: they never reached the member of their own zone, which may.
 func TestAWorkerIsNotRedirectedToAMemberThatDoesNotLead(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := newFollower(clock, nil, leasesNever{})
+	h := newFollower(clock, nil, refusingLeases{})
 	go peerrpc.Serve(t.Context(), l, func(ctx context.Context, r peerrpc.Request) peerrpc.Response {
 		return h.AnswerRelayedHeartbeat(ctx, r.Payload)
 	}, slog.New(slog.DiscardHandler))
 	h.peers = peers.New(&config.Settings{Members: []config.Member{{Name: "m0", Endpoint: l.Addr().String()}}}, clock, slog.New(slog.DiscardHandler))
 	h.elector = election.New(nil, h.peers, "m1", clock, slog.New(slog.DiscardHandler))
 	h.elector.NoteLeader("m0", 3)
-	report := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
+	heartbeat := `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":1,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}]}`
 	w := httptest.NewRecorder()
-	h.ServeHeartbeat(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(report)))
+	h.ServeHeartbeat(w, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, strings.NewReader(heartbeat)))
 	if w.Code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d: %s", w.Code, w.Body)
+		t.Errorf("heartbeat answered %d: %s", w.Code, w.Body)
 	}
 }
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -12,32 +12,33 @@
 	"poppypass/internal/platform/wire"
 )
 
-// How a relay to the leader can fail.
+// Why a relay to the leader failed.
 var (
-	// errNamedNotLeading means that the member that is named as the leader says that it does not lead.
-	errNamedNotLeading = errors.New("the member that is named does not lead")
-	// errLeaderRefused means that the leader was reached and did not answer the heartbeat.
-	errLeaderRefused = errors.New("the leader did not answer the report")
-	// errLeaderUnreachable means that the leader cannot be reached from here.
+	// errNotLeading means that the member that is named as the leader answers that it does not lead.
+	errNotLeading = errors.New("the member that is named as the leader does not lead")
+	// errLeaderRefused means that the leader was reached but did not answer the heartbeat.
+	errLeaderRefused = errors.New("the leader did not answer the heartbeat")
+	// errLeaderUnreachable means that the leader cannot be reached from this member.
 	errLeaderUnreachable = errors.New("the leader cannot be reached")
 )
 
-// answerWithoutLeader answers a worker that cannot reach the leader: by a relay to the leader, or, when the leader cannot be
-// reached from here either, by renewing the worker's lease without any commands. The error is a redirectError, or
-// errNobodyLeads if the member that is named as the leader said that it does not lead.
-func (h *Handler) answerWithoutLeader(ctx context.Context, body []byte, hb *wire.Heartbeat, lead string) (wire.HeartbeatReply, error) {
-	redirect := &redirectError{lead}
-	if !h.peers.Known(lead) {
+// answerWithoutLeader answers a worker that cannot reach the leader. It relays the heartbeat to the leader or, if
+// this member cannot reach the leader either, renews the worker's lease without commands. The error is a
+// redirectError, or errNobodyLeads if the member that is named as the leader answered that it does not lead.
+func (h *Handler) answerWithoutLeader(ctx context.Context, body []byte, hb *wire.Heartbeat, leaderName string) (wire.HeartbeatReply, error) {
+	redirect := &redirectError{leaderName}
+	if !h.peers.Known(leaderName) {
 		return wire.HeartbeatReply{}, redirect
 	}
-	reply, err := h.relay(ctx, body, lead)
+	reply, err := h.relay(ctx, body, leaderName)
 	switch {
 	case err == nil:
 		return reply, nil
-	case errors.Is(err, errNamedNotLeading):
-		// It does not lead, though nothing better is known: it was started anew, and the leader key, which names its former
-		// incarnation, cannot be read. Members sent the workers to it, and it redirected them again, until their leases expired.
-		// A worker that was sent to a member that does not lead never came to the one of its own zone, so it is not redirected.
+	case errors.Is(err, errNotLeading):
+		// The named member does not lead, but no other leader is known: it was restarted, and the leader key, which
+		// names its former incarnation, cannot be read. Without this case, members redirected workers to it and it
+		// redirected them again until their leases expired. Such workers never reached the member of their own zone,
+		// so the worker is not redirected here.
 		if reply, ok := h.renew(ctx, hb); ok {
 			return reply, nil
 		}
@@ -54,40 +55,42 @@
 	return wire.HeartbeatReply{}, redirect
 }
 
-// relay has the leader answer a heartbeat through the peer transport. The error is one of those above, or that of a call that
-// failed although the leader may be reachable.
-func (h *Handler) relay(ctx context.Context, body []byte, lead string) (reply wire.HeartbeatReply, err error) {
-	if h.peers.LeaderUnreachable(lead) {
+// relay has the leader answer a heartbeat through the peer transport. The error is one of those above, or that of a
+// failed call if the leader may still be reachable.
+func (h *Handler) relay(ctx context.Context, body []byte, leaderName string) (reply wire.HeartbeatReply, err error) {
+	if h.peers.LeaderUnreachable(leaderName) {
 		return reply, errLeaderUnreachable
 	}
-	resp, err := h.peers.Call(ctx, lead, peerrpc.Request{Verb: peerrpc.Heartbeat, Payload: body})
+	resp, err := h.peers.Call(ctx, leaderName, peerrpc.Request{Verb: peerrpc.Heartbeat, Payload: body})
 	switch {
 	case err != nil && peers.Unanswered(err):
 		return reply, errLeaderUnreachable
 	case err != nil:
 		return reply, err
 	case resp.Status == http.StatusMisdirectedRequest:
-		return reply, errNamedNotLeading
+		return reply, errNotLeading
 	case resp.Status != http.StatusOK || json.Unmarshal(resp.Payload, &reply) != nil:
 		return reply, errLeaderRefused
 	}
 	return reply, nil
 }
 
-// mayTryLeader reports whether a worker that this member could not relay for, by the relay's error, may be sent to the leader.
-// A partition between this member and the leader is probably one between the worker and the leader, too: with five controllers,
-// two of which could be reached, a worker that was redirected took 30 s to come back, and its lease of 18 s had expired. If the
-// state service does not answer this member either, it is this member that is cut off, and its zone's workers with it.
+// mayTryLeader reports whether a worker whose heartbeat could not be relayed, because of relayErr, may be
+// redirected to the leader. A partition between this member and the leader probably separates the worker from the
+// leader, too. With five controllers, two of which could be reached, a worker that was redirected took 30 s to
+// return, and its lease of 18 s had expired. If the state service does not answer this member either, this member
+// is the one that is cut off, and the workers of its zone with it.
 func (h *Handler) mayTryLeader(relayErr error) bool {
 	if !errors.Is(relayErr, errLeaderUnreachable) {
 		return true
 	}
-	return h.peers.MayTryLeader() && !h.zone.Isolated()
+	return h.peers.MayTryLeader() && !h.zoneLease.Isolated()
 }
 
-// renew replies to a worker without commands, so that its lease goes on: while the leader is out of reach, or between two
-// leaders. The reply bears the worker's own fencing token: it claims no right that the worker does not know. A worker without
-// tasks has nothing to lose. ok is false when this member may not renew the lease now.
+// renew replies to a worker without commands, so that its lease is renewed while the leader is out of reach or
+// between two leaders. The reply repeats the worker's own fencing token, so it claims no right that the worker does
+// not already know. A worker without tasks gets no renewal: it has nothing to lose. ok is false if this member may
+// not renew the lease now.
 func (h *Handler) renew(ctx context.Context, hb *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
 	if hb.FencingToken == 0 || len(hb.Tasks) == 0 || h.grace.active(h.clock.Now()) {
 		return reply, false
@@ -97,7 +100,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseWait)
 	defer cancel()
-	if !h.zone.MayRenew(hb.Machine, hb.Zone) {
+	if !h.zoneLease.MayRenew(hb.Machine, hb.Zone) {
 		if err := h.leases.Acquire(ctx, hb.Machine); err != nil {
 			return reply, false
 		}
--- a/internal/cluster/peers/election.go
+++ b/internal/cluster/peers/election.go
@@ -10,14 +10,14 @@
 
 var _ election.Peers = (*Peers)(nil)
 
-// The statuses of a vote on the wire. Members of different versions exchange them.
+// The statuses that stand for a vote on the wire. Members of different versions exchange them.
 const (
 	statusGranted              = http.StatusOK
 	statusGrantedWithoutMemory = http.StatusAccepted
 	statusRefused              = http.StatusConflict
 )
 
-// VoteResponse is how a vote is answered to the member that asked for it by RequestVotes.
+// VoteResponse returns the response that carries a vote to the member that asked for it with RequestVotes.
 func VoteResponse(v election.Vote) peerrpc.Response {
 	switch v {
 	case election.Granted:
@@ -28,8 +28,9 @@
 	return peerrpc.Response{Status: statusRefused}
 }
 
-// voteOf is the vote that a status stands for. One that VoteResponse does not give grants nothing.
-func voteOf(status int) election.Vote {
+// voteFromStatus returns the vote that a status stands for. A status that VoteResponse does not produce counts as a
+// refusal.
+func voteFromStatus(status int) election.Vote {
 	switch status {
 	case statusGranted:
 		return election.Granted
@@ -39,16 +40,17 @@
 	return election.Refused
 }
 
-// RequestVotes asks all other members for their votes: neither to campaign nor to confirm that the term is over for a while.
+// RequestVotes asks all other members for their votes. A member that grants its vote does not campaign for a while,
+// nor does it confirm for a while that the term is over.
 func (p *Peers) RequestVotes(ctx context.Context, term uint64) (votes election.Votes) {
 	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
 	for range p.endpoints {
-		a := <-answers
-		if a.status == 0 {
-			votes.Silent = append(votes.Silent, a.name)
+		answer := <-answers
+		if answer.status == 0 {
+			votes.Silent = append(votes.Silent, answer.name)
 			continue
 		}
-		switch voteOf(a.status) {
+		switch voteFromStatus(answer.status) {
 		case election.GrantedWithoutMemory:
 			votes.WithoutMemory++
 		case election.Refused:
@@ -58,7 +60,7 @@
 	return votes
 }
 
-// NobodyLeads asks all other members whether they do not lead; each must have said so.
+// NobodyLeads asks all other members whether they do not lead. It is true only if each of them says so.
 func (p *Peers) NobodyLeads(ctx context.Context) bool {
 	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.NotLeading})
 	for range p.endpoints {
@@ -69,17 +71,19 @@
 	return true
 }
 
-// ConfirmTermOver asks all other members whether one confirms that a term is over; true if there are no others.
+// ConfirmTermOver asks all other members whether a term is over. It is true if at least one confirms it, or if
+// there are no others.
 func (p *Peers) ConfirmTermOver(ctx context.Context, term uint64) bool {
 	return len(p.endpoints) == 0 || p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, Number: term})
 }
 
-// EndLease has the other members revoke the lease of this one, which has resigned.
+// EndLease asks the other members to revoke the lease of this member, which has resigned. It returns when one of
+// them has done so or all have failed.
 func (p *Peers) EndLease(ctx context.Context, lease uint64) {
 	p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.EndLease, Number: lease})
 }
 
-// Silent names the members that do not answer of late.
+// Silent returns the names of the members that did not answer recently.
 func (p *Peers) Silent() []string {
 	var names []string
 	for name, addr := range p.endpoints {
--- a/internal/cluster/peers/election_test.go
+++ b/internal/cluster/peers/election_test.go
@@ -7,7 +7,7 @@
 	"poppypass/internal/cluster/election"
 )
 
-// Guards against votes that members of different versions read differently.
+// Guards against votes that members of different versions interpret differently.
 func TestVoteIsReadFromItsStatus(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -20,20 +20,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if r := VoteResponse(c.vote); r.Status != c.status {
-				t.Errorf("answered by %d, want %d", r.Status, c.status)
+				t.Errorf("vote answered with status %d, want %d", r.Status, c.status)
 			}
-			if got := voteOf(c.status); got != c.vote {
-				t.Errorf("%d is read as vote %d, want %d", c.status, got, c.vote)
+			if got := voteFromStatus(c.status); got != c.vote {
+				t.Errorf("status %d is read as vote %d, want %d", c.status, got, c.vote)
 			}
 		})
 	}
 }
 
-// Guards against a vote that is counted though the member did not grant it.
+// Guards against a vote that is counted although the member did not grant it.
 func TestUnknownStatusGrantsNoVote(t *testing.T) {
 	for _, status := range []int{http.StatusNoContent, http.StatusNotFound, http.StatusInternalServerError, http.StatusServiceUnavailable} {
-		if got := voteOf(status); got != election.Refused {
-			t.Errorf("%d is read as vote %d", status, got)
+		if got := voteFromStatus(status); got != election.Refused {
+			t.Errorf("status %d is read as vote %d, want a refusal", status, got)
 		}
 	}
 }
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -13,17 +13,17 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// health is what pings tell of the other members.
+// health is what pings have shown about the other members.
 type health struct {
 	mu          sync.Mutex
-	leader      string    // whose pings missedPings counts
-	missedPings int       // in a row without any answer
-	leaderFull  bool      // the leader has no memory for more jobs
-	lastAnswer  time.Time // when any other member answered a ping last, or Run began; zero: Run has not begun
+	leader      string    // the member whose missed pings are counted
+	missedPings int       // consecutive pings of that member without any answer
+	leaderFull  bool      // the leader's last answer said that it has no memory for more jobs
+	lastAnswer  time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
 }
 
-// Run pings the other members until ctx ends: whether the leader can be reached, and who leads by
-// their knowledge.
+// Run pings the other members until ctx ends, to learn whether the leader can be reached and which member they know
+// as the leader.
 func (p *Peers) Run(ctx context.Context) {
 	p.noteAnswer()
 	for ctx.Err() == nil {
@@ -40,29 +40,29 @@
 	var wg sync.WaitGroup
 	for name, addr := range p.endpoints {
 		wg.Go(func() {
-			r, err := p.ping(ctx, addr)
+			resp, err := p.ping(ctx, addr)
 			if name == leader {
 				p.NotePing(leader, Unanswered(err))
-				p.noteLeaderFull(err == nil && r.Status == http.StatusInsufficientStorage)
+				p.noteLeaderFull(err == nil && resp.Status == http.StatusInsufficientStorage)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// ping tells a member what this one claims of its zone lease, and takes over what the answer tells: what the member remembers
-// of that, and who leads.
+// ping sends a member this member's claim to its zone lease. From the answer it adopts what that member remembers
+// of the claim, and which member leads.
 func (p *Peers) ping(ctx context.Context, addr string) (peerrpc.Response, error) {
-	r, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
+	resp, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
 	if err == nil {
-		p.zoneLease.Inherit(r.Payload)
-		p.elector.NoteLeader(r.Leader, r.Term)
+		p.zoneLease.Inherit(resp.Payload)
+		p.elector.NoteLeader(resp.Leader, resp.Term)
 		p.noteAnswer()
 	}
-	return r, err
+	return resp, err
 }
 
-// NotePing notes how a ping of the leader went: missed tells that nothing came back.
+// NotePing records the result of a ping of the leader. missed is true if no answer at all arrived.
 func (p *Peers) NotePing(leader string, missed bool) {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
@@ -74,9 +74,10 @@
 	}
 }
 
-// LeaderUnreachable reports whether the leader has not answered for a while: it is cut off from this member, since it does
-// not answer at all. A refused connection is no partition: a process that ended refuses,
-// and so may a packet filter between controllers while workers pass.
+// LeaderUnreachable reports whether the leader has not answered this member for a while. The leader then counts as
+// cut off from this member, since no answer at all arrives. A refused connection does not count as a partition: a
+// process that ended refuses connections, and a packet filter may refuse those between controllers while it lets
+// workers' connections pass.
 func (p *Peers) LeaderUnreachable(leader string) bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
@@ -89,7 +90,7 @@
 	p.health.leaderFull = full
 }
 
-// LeaderFull reports whether the leader said, when it was last asked, that it has no memory for more jobs.
+// LeaderFull reports whether the leader answered the last ping that it has no memory for more jobs.
 func (p *Peers) LeaderFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
@@ -102,27 +103,28 @@
 	p.health.lastAnswer = p.clock.Now()
 }
 
-// Isolated reports whether there are other members, and none of them has answered for a while.
+// Isolated reports whether there are other members and none of them has answered for longer than
+// tuning.IsolatedFor.
 func (p *Peers) Isolated() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
 	return !p.health.lastAnswer.IsZero() && p.clock.Since(p.health.lastAnswer) > tuning.IsolatedFor
 }
 
-// Unanswered reports whether a call ended because nothing at all came back.
+// Unanswered reports whether a call failed because no answer at all arrived.
 func Unanswered(err error) bool {
-	var ne net.Error
-	return errors.Is(err, peerrpc.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &ne) && ne.Timeout()
+	var netErr net.Error
+	return errors.Is(err, peerrpc.ErrSilent) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// workerReturnTime is how long a worker takes at most that is sent to the leader, does
-// not reach it nor any other controller, and comes back here.
+// workerReturnTime returns the longest time that a worker needs if it is redirected to the leader, reaches neither
+// the leader nor any other controller, and returns to this member.
 func (p *Peers) workerReturnTime() time.Duration {
 	return time.Duration(p.members) * tuning.WorkerTry
 }
 
-// MayTryLeader reports whether a worker whose leader does not answer us may be sent
-// to it: only if it would be back well within its lease.
+// MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. It may if
+// the worker would be back well within its lease.
 func (p *Peers) MayTryLeader() bool {
 	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.ProbeLeaseShare)
 }
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -1,7 +1,6 @@
-// Package peers is what a member asks of the other controllers: their votes and
-// confirmations for the election, who leads, what their zone leases answered,
-// and to relay what only the leader can answer. It also watches which of them
-// can be reached.
+// Package peers makes a member's calls to the other controllers. It asks them for votes and confirmations in
+// elections, who leads, and which machines they answered under their zone leases, and relays to the leader what
+// only the leader can answer. It also monitors which of them can be reached.
 package peers
 
 import (
@@ -22,10 +21,10 @@
 	"poppypass/internal/platform/config"
 )
 
-// Peers are the other members. It is safe for concurrent use once SetElector and ShareZoneLease were called.
+// Peers are the other members. It is safe for concurrent use after SetElector and ShareZoneLease were called.
 type Peers struct {
 	client      *peerrpc.Client
-	endpoints   map[string]string // addresses for peer calls, by member
+	endpoints   map[string]string // addresses for peer calls, by the other members' names
 	member      string
 	members     int
 	workerLease time.Duration
@@ -37,8 +36,8 @@
 	claims      claims
 }
 
-// New makes the peers that the settings name. SetElector must be called before
-// anything but what an elector asks, and ShareZoneLease before Run.
+// New makes the peers that the settings name. SetElector must be called before any method other than those that an
+// elector calls, and ShareZoneLease before Run.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
 		client: peerrpc.NewClient(), endpoints: map[string]string{}, member: s.Member, members: len(s.Members),
@@ -51,7 +50,7 @@
 	return p
 }
 
-// SetElector has the peers know this member's elector.
+// SetElector sets this member's elector.
 func (p *Peers) SetElector(e *election.Elector) { p.elector = e }
 
 // Alone reports whether there are no other members.
@@ -60,7 +59,7 @@
 // Known reports whether a member is among the others.
 func (p *Peers) Known(name string) bool { return p.endpoints[name] != "" }
 
-// Others names the other members, the leader first.
+// Others returns the names of the other members, the leader first.
 func (p *Peers) Others() []string {
 	leader := p.elector.Leader()
 	return slices.SortedFunc(maps.Keys(p.endpoints), func(x, y string) int {
@@ -74,7 +73,7 @@
 	})
 }
 
-// Leader names the leading member if it is another one, as far as known.
+// Leader returns the name of the leading member, or "" if none is known to lead or this member itself does.
 func (p *Peers) Leader() string {
 	if name := p.elector.Leader(); p.Known(name) {
 		return name
@@ -82,20 +81,20 @@
 	return ""
 }
 
-// Call asks one member.
+// Call sends a request to one member.
 func (p *Peers) Call(ctx context.Context, name string, req peerrpc.Request) (peerrpc.Response, error) {
 	return p.client.Call(ctx, p.endpoints[name], req)
 }
 
-// Why a request that was relayed to the leader has no result. An error of neither kind is that of the call.
+// Why a request that was relayed to the leader has no result. Any other error is that of the call.
 var (
 	// ErrNoLeader means that no other member is known to lead.
 	ErrNoLeader = errors.New("no other member is known to lead")
-	// ErrNotAnswered means that the member that is named as the leader was reached and did not answer the question.
+	// ErrNotAnswered means that the member that is named as the leader was reached but did not answer the request.
 	ErrNotAnswered = errors.New("the leader did not answer the request")
 )
 
-// Relay asks the leader. Without an error the response's status is 200 or 404.
+// Relay sends a request to the leader. Without an error, the response's status is 200 or 404.
 func (p *Peers) Relay(ctx context.Context, req peerrpc.Request) (peerrpc.Response, error) {
 	leader := p.Leader()
 	if leader == "" {
@@ -103,7 +102,7 @@
 	}
 	resp, err := p.Call(ctx, leader, req)
 	if err != nil {
-		p.log.Debug("request not relayed", "job", req.Job, "err", err)
+		p.log.Debug("call to the leader failed; request not relayed", "job", req.Job, "err", err)
 		return peerrpc.Response{}, fmt.Errorf("asking the leader %s: %w", leader, err)
 	}
 	if resp.Status != http.StatusOK && resp.Status != http.StatusNotFound {
@@ -112,29 +111,29 @@
 	return resp, nil
 }
 
-// peerAnswer is a member's answer: its status, 0 if it gave none.
+// peerAnswer is the status that a member answered; 0 if it gave no answer.
 type peerAnswer struct {
 	name   string
 	status int
 }
 
-// askAll asks every other member at once and hands on each answer, one for each member. The channel has room for all of
-// them, so nobody need wait for the last.
+// askAll sends a request to every other member at once. The channel receives one answer for each member. It has
+// room for all of them, so the caller need not receive every answer.
 func (p *Peers) askAll(ctx context.Context, req peerrpc.Request) <-chan peerAnswer {
 	answers := make(chan peerAnswer, len(p.endpoints))
 	for name, addr := range p.endpoints {
 		go func() {
-			r, err := p.client.Call(ctx, addr, req)
+			resp, err := p.client.Call(ctx, addr, req)
 			if err != nil {
-				r.Status = 0
+				resp.Status = 0
 			}
-			answers <- peerAnswer{name, r.Status}
+			answers <- peerAnswer{name, resp.Status}
 		}()
 	}
 	return answers
 }
 
-// anyAccepts reports whether a member answers 200. It returns with the first that does.
+// anyAccepts reports whether any other member answers 200. It returns at the first such answer.
 func (p *Peers) anyAccepts(ctx context.Context, req peerrpc.Request) bool {
 	answers := p.askAll(ctx, req)
 	for range p.endpoints {
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a member that counts as isolated since a few pings were missed, and one that never does.
+// Guards against a member that counts as isolated after a few missed pings, and against one that never does.
 func TestMemberIsIsolatedOnceNobodyAnswersForAWhile(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clock, slog.New(slog.DiscardHandler))
@@ -34,31 +34,32 @@
 	}
 }
 
-// Guards against a claim that is gone with the process that made it, and against memory that strangers fill.
+// Guards against a claim that is lost with the process that made it, and against claims of unknown members that use
+// up memory.
 func TestClaimOutlivesItsProcess(t *testing.T) {
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clockwork.NewFakeClock(), slog.New(slog.DiscardHandler))
 	if got := p.ExchangeClaim("m1", nil); got != nil {
-		t.Errorf("%q is remembered of one that claimed nothing", got)
+		t.Errorf("%q is remembered of a member that claimed nothing", got)
 	}
 	p.ExchangeClaim("m1", []byte("until five"))
 	if got := p.ExchangeClaim("m1", nil); string(got) != "until five" {
 		t.Errorf("%q is remembered for the next process", got)
 	}
 	if got := p.ExchangeClaim("m1", []byte("until six")); string(got) != "until six" {
-		t.Errorf("%q is remembered, not what was said last", got)
+		t.Errorf("%q is remembered, not the last claim", got)
 	}
 	if got := p.ExchangeClaim("stranger", []byte("x")); got != nil || len(p.claims.byMember) != 1 {
-		t.Errorf("%q is remembered of a stranger", got)
+		t.Errorf("%q is remembered of an unknown member", got)
 	}
 }
 
-// Guards against a partition of a zone whose machines take more questions than there is time for: all of them together have
-// RelayTimeout, and 400 machines in each were 15 for 6,000.
-func TestMachinesOfAZoneTakeFewQuestions(t *testing.T) {
+// Guards against a partition of a zone whose machines need more requests than there is time for. All requests
+// together must finish within RelayTimeout; with 400 machines in each, 6,000 machines needed 15.
+func TestMachinesOfAZoneNeedFewRequests(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		machines, size int
-		most           int
+		maxBatches     int
 	}{
 		{"no machine", 0, 8, 0},
 		{"one machine", 1, 8, 1},
@@ -68,24 +69,24 @@
 		{"6,000 machines with names of 20 bytes", 6000, 20, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var names, asked []string
+			var names, collected []string
 			for i := range c.machines {
 				names = append(names, fmt.Sprintf("n-%0*d", c.size-len("n-"), i))
 			}
 			count := 0
-			for part := range questions(names) {
+			for batch := range machineBatches(names) {
 				size := 0
-				for _, name := range part {
+				for _, name := range batch {
 					size += len(name) + tuning.NameBytes
 				}
 				if size > tuning.RenewedNamesBytes {
-					t.Errorf("a question of %d bytes", size)
+					t.Errorf("a request of %d bytes", size)
 				}
-				asked = append(asked, part...)
+				collected = append(collected, batch...)
 				count++
 			}
-			if !slices.Equal(asked, names) || count > c.most {
-				t.Errorf("%d names in %d questions, want %d in at most %d", len(asked), count, len(names), c.most)
+			if !slices.Equal(collected, names) || count > c.maxBatches {
+				t.Errorf("%d names in %d requests, want %d in at most %d", len(collected), count, len(names), c.maxBatches)
 			}
 		})
 	}
--- a/internal/cluster/peers/questions.go
+++ b/internal/cluster/peers/questions.go
@@ -11,44 +11,45 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// MayHaveRenewed asks a member which of some machines it may have answered by its zone lease
-// within a worker's lease and tuning.RenewedQueryTime before. The error is workerlease.ErrUnsure if it answers that it cannot tell, or
-// that of the call if it does not answer.
-func (p *Peers) MayHaveRenewed(ctx context.Context, name string, names []string) (renewed []string, err error) {
-	for part := range questions(names) {
-		r, err := p.Call(ctx, name, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: part})
+// MayHaveRenewed asks a member which of some machines it may have answered under its zone lease within a worker's
+// lease plus tuning.RenewedQueryTime before. The error is workerlease.ErrUnsure if the member answers that it
+// cannot tell, or that of the call if the member does not answer.
+func (p *Peers) MayHaveRenewed(ctx context.Context, member string, machines []string) (renewed []string, err error) {
+	for batch := range machineBatches(machines) {
+		resp, err := p.Call(ctx, member, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: batch})
 		if err != nil {
-			return nil, fmt.Errorf("asking %s for its renewals: %w", name, err)
+			return nil, fmt.Errorf("asking member %s which leases it renewed: %w", member, err)
 		}
-		if r.Status != http.StatusOK {
-			return nil, fmt.Errorf("asking %s for its renewals: status %d: %w", name, r.Status, workerlease.ErrUnsure)
+		if resp.Status != http.StatusOK {
+			return nil, fmt.Errorf("asking member %s which leases it renewed: status %d: %w", member, resp.Status, workerlease.ErrUnsure)
 		}
-		renewed = append(renewed, r.Names...)
+		renewed = append(renewed, resp.Names...)
 	}
 	return renewed, nil
 }
 
-// questions divides the names of machines into those that one question each can hold.
-func questions(names []string) iter.Seq[[]string] {
+// machineBatches divides the names of machines into batches that each fit into one request.
+func machineBatches(machines []string) iter.Seq[[]string] {
 	return func(yield func([]string) bool) {
 		begin, size := 0, 0
-		for i, name := range names {
-			cost := len(name) + tuning.NameBytes
+		for i, machine := range machines {
+			cost := len(machine) + tuning.NameBytes
 			if i > begin && size+cost > tuning.RenewedNamesBytes {
-				if !yield(names[begin:i]) {
+				if !yield(machines[begin:i]) {
 					return
 				}
 				begin, size = i, 0
 			}
 			size += cost
 		}
-		if begin < len(names) {
-			yield(names[begin:])
+		if begin < len(machines) {
+			yield(machines[begin:])
 		}
 	}
 }
 
-// ProbeWorkers asks the other members whether one of them gets an answer from one of some workers, by their addresses.
+// ProbeWorkers reports whether any other member gets an answer from at least one of the workers with these
+// addresses.
 func (p *Peers) ProbeWorkers(ctx context.Context, addrs []string) bool {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandTimeout)
 	defer cancel()
--- a/internal/cluster/peers/relay_test.go
+++ b/internal/cluster/peers/relay_test.go
@@ -15,8 +15,9 @@
 	"poppypass/internal/platform/config"
 )
 
-// newPeerThatAnswers makes the peers of a member beside one other, m0, which answers every request with a status.
-func newPeerThatAnswers(t *testing.T, status int) *Peers {
+// newPeersAnswering makes the peers of a member with one other member, m0, which answers every request with a
+// status.
+func newPeersAnswering(t *testing.T, status int) *Peers {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,19 +26,19 @@
 	go peerrpc.Serve(t.Context(), l, func(_ context.Context, r peerrpc.Request) peerrpc.Response {
 		return peerrpc.Response{Status: status, Names: r.Names}
 	}, slog.New(slog.DiscardHandler))
-	return newPeersOfOne(l.Addr().String())
+	return newPeersAt(l.Addr().String())
 }
 
-// newPeersOfOne makes the peers of m1 beside m0, which nobody knows to lead yet.
-func newPeersOfOne(addr string) *Peers {
+// newPeersAt makes the peers of m1, whose only other member is m0 at addr. No member is known to lead yet.
+func newPeersAt(addr string) *Peers {
 	clock, log := clockwork.NewFakeClock(), slog.New(slog.DiscardHandler)
 	p := New(&config.Settings{Member: "m1", Members: []config.Member{{Name: "m0", Endpoint: addr}}}, clock, log)
 	p.SetElector(election.New(nil, p, "m1", clock, log))
 	return p
 }
 
-// Guards against a request that counts as answered by a member that only said that it cannot answer.
-func TestRelayPassesOnlyWhatTheLeaderAnswered(t *testing.T) {
+// Guards against a request that counts as answered although the member only said that it cannot answer.
+func TestRelayReturnsOnlyAnswersOfTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -50,7 +51,7 @@
 		{"the request is refused", http.StatusConflict, ErrNotAnswered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPeerThatAnswers(t, c.status)
+			p := newPeersAnswering(t, c.status)
 			p.elector.NoteLeader("m0", 3)
 			resp, err := p.Relay(t.Context(), peerrpc.Request{Verb: peerrpc.JobStatus, Job: "job-1"})
 			if !errors.Is(err, c.err) || err == nil && resp.Status != c.status {
@@ -61,14 +62,14 @@
 }
 
 func TestRelayWithoutAKnownLeaderAsksNobody(t *testing.T) {
-	p := newPeerThatAnswers(t, http.StatusOK)
+	p := newPeersAnswering(t, http.StatusOK)
 	if _, err := p.Relay(t.Context(), peerrpc.Request{Verb: peerrpc.JobStatus, Job: "job-1"}); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("error %v, want %v", err, ErrNoLeader)
 	}
 }
 
 func TestRelayToALeaderThatCannotBeReachedFails(t *testing.T) {
-	p := newPeersOfOne("127.0.0.1:1")
+	p := newPeersAt("127.0.0.1:1")
 	p.elector.NoteLeader("m0", 3)
 	_, err := p.Relay(t.Context(), peerrpc.Request{Verb: peerrpc.JobStatus, Job: "job-1"})
 	if err == nil || errors.Is(err, ErrNoLeader) || errors.Is(err, ErrNotAnswered) {
--- a/internal/cluster/workerlease/claim.go
+++ b/internal/cluster/workerlease/claim.go
@@ -7,24 +7,26 @@
 	"poppypass/internal/platform/wire"
 )
 
-// claim is what a member says of its zone lease in pings. Others remember it for the member's next process.
+// claim is what a member says about its zone lease in pings. Other members remember it for the member's next
+// process.
 type claim struct {
 	Zone    string `json:"zone"`
-	UntilMS int64  `json:"until_ms"` // when the zone lease ends, by the time of day
+	UntilMS int64  `json:"until_ms"` // when the zone lease ends: wall-clock time in Unix milliseconds
 }
 
-// Claim tells until when the zone lease that this process acquired lasts; nil: there is none.
+// Claim returns the encoded end of the zone lease that this process acquired, or nil if it holds none.
 func (z *ZoneLease) Claim() []byte {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	if !z.held(now) {
+	if !z.ownLeaseActive(now) {
 		return nil
 	}
-	return wire.EncodeRecord(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseSent)).UnixMilli()})
+	return wire.EncodeRecord(claim{Zone: z.zone, UntilMS: now.Add(z.ttl - now.Sub(z.leaseRequestedAt)).UnixMilli()})
 }
 
-// Inherit takes over what another member remembers of this one's zone lease. What cannot be read counts as nothing.
+// Inherit adopts what another member remembers of this member's zone lease. It ignores a claim that it cannot
+// decode or that is for another zone.
 func (z *ZoneLease) Inherit(remembered []byte) {
 	var c claim
 	if json.Unmarshal(remembered, &c) != nil || c.Zone != z.zone {
@@ -37,8 +39,9 @@
 	}
 }
 
-// inherited reports whether the zone lease of an earlier process surely lasts: the clock that told its end and ours may be off by
-// clockError each, in opposite directions. The caller holds the lock.
-func (z *ZoneLease) inherited(now time.Time) bool {
+// inheritedLeaseActive reports whether the zone lease of an earlier process surely still lasts. The clock that gave
+// the end of that lease and the clock of this process may each be wrong by clockError, in opposite directions, so
+// the lease counts as ended 2*clockError early. The caller holds the lock.
+func (z *ZoneLease) inheritedLeaseActive(now time.Time) bool {
 	return z.ttl > 0 && now.Round(0).Add(2*z.clockError).Before(z.inheritedUntil)
 }
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -11,11 +11,12 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against a machine that several members answer one after the other while the leader reads and asks: each said,
-// when it was asked, that it had not answered it for a lease, and so it had not; but the machine's lease had gone over from one
-// to the next. The reading takes its time, with pauses between its steps; it counts only if all of it took RenewedQueryTime at the most.
+// Guards against tasks that count as ended while they run because several members answer their machine one after
+// the other while the leader reads and asks. Each member truthfully said, when it was asked, that it had not
+// answered the machine for a lease, but the machine's lease had been renewed by one member and then by the next.
+// The query takes time, with pauses between its steps; it counts only if all of it took at most RenewedQueryTime.
 func TestNoConclusionFromAnswersOfDifferentTimes(t *testing.T) {
-	concluded, late, handed := 0, 0, 0
+	concluded, tooLate, handOvers := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
 		h := newFollowerHarness(t)
@@ -27,33 +28,34 @@
 			z.Renew(t.Context())
 			members = append(members, z)
 		}
-		advance := func(most time.Duration) {
-			h.clock.Advance(time.Duration(r.Int64N(int64(most))))
+		advance := func(limit time.Duration) {
+			h.clock.Advance(time.Duration(r.Int64N(int64(limit))))
 			h.state.Expire()
 			if r.IntN(3) == 0 {
 				h.renewRecord(t.Context())
 			}
 		}
-		h.clock.Advance(time.Minute) // all are sure of what they answered
+		h.clock.Advance(time.Minute) // all members are now sure which machines they answered
 		for _, z := range members {
 			z.Renew(t.Context())
 		}
-		var last time.Time // when the machine was last answered, in its present session
-		session, by := 1, -1
+		var lastAnswered time.Time // when the machine was last answered in its current session
+		session, answeredBy := 1, -1
 		answer := func() {
-			if !last.IsZero() && h.clock.Since(last) >= h.workerLease {
-				session, by = session+1, -1 // the next one began
+			if !lastAnswered.IsZero() && h.clock.Since(lastAnswered) >= h.workerLease {
+				session, answeredBy = session+1, -1 // the lease expired: a new session begins
 			}
-			who := r.IntN(3)
-			if who == 2 && h.tryAcquire("n-1") || who < 2 && members[who].MayRenew("n-1", "a") {
-				if last = h.clock.Now(); by != who {
-					handed++
+			answerer := r.IntN(3)
+			if answerer == 2 && h.tryAcquire("n-1") || answerer < 2 && members[answerer].MayRenew("n-1", "a") {
+				if lastAnswered = h.clock.Now(); answeredBy != answerer {
+					handOvers++
 				}
-				by = who
+				answeredBy = answerer
 			}
 		}
-		// trouble is what may happen between two steps of the leader.
-		trouble := func() {
+		// betweenSteps advances the clock, and may have a member answer the machine, between two steps of the
+		// leader.
+		betweenSteps := func() {
 			if advance(600 * time.Millisecond); r.IntN(8) == 0 {
 				answer()
 			}
@@ -65,33 +67,33 @@
 			if r.IntN(2) == 0 {
 				answer()
 			}
-			begun, of := h.clock.Now(), session
-			trouble()
+			queryStart, queriedSession := h.clock.Now(), session
+			betweenSteps()
 			renewed, zones, err := ReadAll(t.Context(), h.store)
 			if err != nil {
 				t.Fatal(err)
 			}
 			gone := !renewed["n-1"]
 			for range zones {
-				trouble()
+				betweenSteps()
 			}
 			for _, i := range r.Perm(len(members)) {
-				trouble()
+				betweenSteps()
 				names, err := members[i].MayHaveRenewed([]string{"n-1"})
 				gone = gone && err == nil && len(names) == 0
 			}
 			switch {
 			case !gone:
-			case h.clock.Since(begun) > tuning.RenewedQueryTime:
-				late++
+			case h.clock.Since(queryStart) > tuning.RenewedQueryTime:
+				tooLate++
 			default:
-				if concluded++; session == of && !last.IsZero() && h.clock.Since(last) < h.workerLease {
-					t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(last))
+				if concluded++; session == queriedSession && !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < h.workerLease {
+					t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(lastAnswered))
 				}
 			}
 		}
 	}
-	if concluded < 100 || late < 50 || handed < 100 {
-		t.Errorf("%d conclusions, %d that took too long, %d hand-overs", concluded, late, handed)
+	if concluded < 100 || tooLate < 50 || handOvers < 100 {
+		t.Errorf("%d conclusions, %d queries that took too long, %d hand-overs between members", concluded, tooLate, handOvers)
 	}
 }
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -15,38 +15,40 @@
 	"poppypass/internal/platform/wire"
 )
 
-// page is one of the record's values: as many names as one holds. A name stays on its
-// page, so that it is on one at any time, whichever are written.
+// page is one of the stored values that make up the record. It holds as many names as fit into one value. A name
+// never moves to another page, so that the stored record contains it at any time, whichever pages have been
+// written.
 type page struct {
 	version uint64
 	names   map[string]bool // true: stored
-	bytes   int             // of the names, with their quotes and commas
-	changed bool
+	bytes   int             // size of the names in the encoded value, with quotes and commas
+	changed bool            // differs from the stored value
 }
 
-// recordTTL is how long the record outlives its last renewal.
+// recordTTL returns how long the record remains stored after the last renewal of its lease.
 func (f *FollowerLeases) recordTTL() time.Duration {
 	return 2*f.workerLease + tuning.FollowerLeaseExtra
 }
 
-// outlivesLeaseFrom reports whether the record will outlive a worker's lease that
-// begins now.
+// outlivesLeaseFrom reports whether the record will outlive a worker's lease that begins now, with half of
+// tuning.FollowerLeaseExtra to spare.
 func (f *FollowerLeases) outlivesLeaseFrom(now time.Time) bool {
-	return f.leaseID != 0 && now.Sub(f.leaseSent) < f.recordTTL()-f.workerLease-tuning.FollowerLeaseExtra/2
+	return f.leaseID != 0 && now.Sub(f.leaseRequestedAt) < f.recordTTL()-f.workerLease-tuning.FollowerLeaseExtra/2
 }
 
-// isStored reports whether the record names a machine.
+// isStored reports whether the stored record names a machine.
 func (f *FollowerLeases) isStored(machine string) bool {
 	p := f.pageOf[machine]
 	return p != nil && p.names[machine]
 }
 
-// writeRecord stores the names, under a new lease if there is none. Until that has an answer, no new name counts.
+// writeRecord adds the names that are on no page yet and writes the changed pages, under a new lease if there is
+// none. A new name counts as stored only after the state service has confirmed the write.
 func (f *FollowerLeases) writeRecord(ctx context.Context) error {
 	if err := f.ensureLease(ctx); err != nil {
 		return err
 	}
-	first := len(f.pageOf) == 0
+	wasEmpty := len(f.pageOf) == 0
 	for _, name := range slices.Sorted(maps.Keys(f.lastRenewed)) {
 		if f.pageOf[name] == nil {
 			f.addName(name)
@@ -61,13 +63,14 @@
 		}
 	}
 	level := slog.LevelDebug
-	if first && len(f.lastRenewed) > 0 {
+	if wasEmpty && len(f.lastRenewed) > 0 {
 		level = slog.LevelInfo
 	}
-	f.log.Log(ctx, level, "renewing workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
+	f.log.Log(ctx, level, "machines recorded; renewing their workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
 	return nil
 }
 
+// ensureLease acquires a lease for the record if there is none.
 func (f *FollowerLeases) ensureLease(ctx context.Context) error {
 	if f.leaseID != 0 {
 		return nil
@@ -75,27 +78,26 @@
 	sent := f.clock.Now()
 	lease, err := f.store.GrantLease(ctx, f.recordTTL())
 	if err != nil {
-		return fmt.Errorf("a lease for the record: %w", err)
+		return fmt.Errorf("acquiring a lease for the record: %w", err)
 	}
-	f.leaseID, f.leaseSent = lease, sent
+	f.leaseID, f.leaseRequestedAt = lease, sent
 	return nil
 }
 
-// writePage stores one page. When the outcome of that is unknown, the whole record is abandoned.
-func (f *FollowerLeases) writePage(ctx context.Context, i int, p *page) error {
+// writePage stores one page. If the outcome of the write is unknown, the whole record is abandoned.
+func (f *FollowerLeases) writePage(ctx context.Context, index int, p *page) error {
 	value, err := json.Marshal(renewedRecord{Machines: slices.Sorted(maps.Keys(p.names))})
 	if err != nil {
 		return err
 	}
-	key := fmt.Sprintf("%s%s/%d/%d", prefixRenewed, f.member, f.leaseID, i)
+	key := fmt.Sprintf("%s%s/%d/%d", prefixRenewed, f.member, f.leaseID, index)
 	version, err := f.store.Commit(ctx, wire.Txn{
 		If:   []wire.Condition{{Key: key, Version: p.version}},
 		Then: []wire.Change{{Put: key, Value: value, Lease: f.leaseID}},
 	})
 	if err != nil {
 		if !errors.Is(err, statestore.ErrNotExecuted) {
-			// It may be applied later: a further change of this record could
-			// be undone by it.
+			// The write may still be applied later. It could then undo a further change of this record.
 			f.abandon()
 		}
 		return fmt.Errorf("storing %s: %w", key, err)
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// addName puts a name on the first page that has room for it.
+// addName adds a name to the first page that has room for it, or to a new page.
 func (f *FollowerLeases) addName(name string) {
 	size := nameBytes(name)
-	room := int(f.valueKB*1024) - len(`{"machines":[]}`)
-	i := slices.IndexFunc(f.pages, func(p *page) bool { return p.bytes+size <= room })
+	capacity := int(f.maxValueKB*1024) - len(`{"machines":[]}`)
+	i := slices.IndexFunc(f.pages, func(p *page) bool { return p.bytes+size <= capacity })
 	if i < 0 {
 		i = len(f.pages)
 		f.pages = append(f.pages, &page{names: map[string]bool{}})
@@ -123,7 +125,7 @@
 	f.pageOf[name] = p
 }
 
-// removeName takes a name off its page.
+// removeName removes a machine and takes its name off its page.
 func (f *FollowerLeases) removeName(name string) {
 	delete(f.lastRenewed, name)
 	if p := f.pageOf[name]; p != nil {
@@ -134,15 +136,15 @@
 	}
 }
 
-// nameBytes is what a name takes of a page's value.
+// nameBytes returns how many bytes a name occupies in a page's value.
 func nameBytes(name string) int { return len(name) + len(`"",`) }
 
-// renewRecord renews the record's lease while there is something to record, and takes out
-// machines whose leases have surely expired since their last answer.
+// renewRecord renews the record's lease while there are machines to record, and removes machines whose leases have
+// surely expired since their last reply.
 func (f *FollowerLeases) renewRecord(ctx context.Context) {
 	sent := f.clock.Now()
 	if err := f.store.RenewLease(ctx, f.leaseID); err == nil {
-		f.leaseSent = sent
+		f.leaseRequestedAt = sent
 	} else if !f.outlivesLeaseFrom(f.clock.Now()) {
 		f.abandon()
 		return
@@ -150,7 +152,7 @@
 	f.removeExpired()
 	if slices.ContainsFunc(f.pages, func(p *page) bool { return p.changed }) {
 		if err := f.writeRecord(ctx); err != nil {
-			f.log.Debug("machines not recorded", "err", err)
+			f.log.Debug("record of machines not updated; expired machines may stay in it for longer", "err", err)
 			return
 		}
 	}
@@ -159,19 +161,19 @@
 	}
 }
 
-// removeExpired takes the machines whose leases have surely expired off as many pages, in turn, as the member's share of
-// the changes has room for, and off one in any case: with thousands of machines a change of each page at each renewal
-// was more than that share. A name that stands longer only has the leader conclude later that the machine's tasks
-// are gone.
+// removeExpired removes machines whose leases have surely expired. One call changes only as many pages, in
+// rotation, as the member's share of the state service's writes allows, and at least one: with thousands of
+// machines, changing every page at each renewal exceeded that share. A name that stays in the record for longer
+// only makes the leader conclude later that the machine's tasks have ended.
 func (f *FollowerLeases) removeExpired() {
 	expired := f.expiredByPage()
 	remove := expired[nil]
-	room := max(1, f.store.SpareWrites())
-	for i, turn := 0, f.turn; i < len(f.pages) && room > 0; i++ {
-		at := (turn + i) % len(f.pages)
-		if names := expired[f.pages[at]]; len(names) > 0 {
+	writesLeft := max(1, f.store.SpareWrites())
+	for i, start := 0, f.nextPage; i < len(f.pages) && writesLeft > 0; i++ {
+		pageIndex := (start + i) % len(f.pages)
+		if names := expired[f.pages[pageIndex]]; len(names) > 0 {
 			remove = append(remove, names...)
-			room, f.turn = room-1, at+1
+			writesLeft, f.nextPage = writesLeft-1, pageIndex+1
 		}
 	}
 	for _, name := range remove {
@@ -179,12 +181,13 @@
 	}
 }
 
-// expiredByPage returns the machines of whose last answer the record need not tell any more; under nil those that are on no page yet.
+// expiredByPage returns, by page, the machines whose last reply the record no longer needs to report. Machines that
+// are on no page yet are under nil.
 func (f *FollowerLeases) expiredByPage() map[*page][]string {
-	reported := renewalReportedFor(f.workerLease)
+	reportedFor := renewalReportedFor(f.workerLease)
 	expired := map[*page][]string{}
-	for name, at := range f.lastRenewed {
-		if f.clock.Since(at) > reported {
+	for name, renewedAt := range f.lastRenewed {
+		if f.clock.Since(renewedAt) > reportedFor {
 			p := f.pageOf[name]
 			expired[p] = append(expired[p], name)
 		}
@@ -192,8 +195,8 @@
 	return expired
 }
 
-// abandon leaves the record to the end of its lease, which is late enough for all
-// that was answered; the next record gets a new key.
+// abandon stops using the record, which stays stored until its lease expires. That is late enough for every machine
+// that was answered under it. The next record gets a new key.
 func (f *FollowerLeases) abandon() {
 	f.leaseID, f.pages = 0, nil
 	clear(f.lastRenewed)
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -15,67 +15,68 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// ErrNotRecorded means that no record that outlives a worker's lease surely names the machine: it must not be answered now.
+// ErrNotRecorded means that no record that outlives a worker's lease is known to name the machine. The machine must
+// not be answered now.
 var ErrNotRecorded = errors.New("the machine is in no record that outlives its lease")
 
-// FollowerLeases lets a follower answer workers that cannot reach the leader, when
-// the follower cannot reach it either: two zones that are apart. The answers
-// hold no commands; they only renew the workers' leases. What makes that safe:
+// FollowerLeases lets a follower answer workers that cannot reach the leader while the follower cannot reach it
+// either, as when two zones are partitioned from each other. The replies contain no commands; they only renew the
+// workers' leases. This is safe for two reasons:
 //
-//   - A machine's name is in a record of the state service before its first
-//     answer, and stays there for a worker's lease and RenewedQueryTime after the last
-//     one, even if this process dies.
-//   - The leader concludes nothing from the expiry of a lease before it has read these
-//     records after the expiry, within RenewedQueryTime of its beginning to. A machine
-//     that is in none of them was answered by no follower for a whole lease before that beginning.
+//   - A machine's name is stored in a record of the state service before the machine's first reply. It stays there
+//     for a worker's lease plus RenewedQueryTime after the last reply, even if this process dies.
+//   - The leader concludes nothing from the expiry of a lease before it has read these records after the expiry,
+//     within RenewedQueryTime of the beginning of its query. A machine that is in none of them was answered by no
+//     follower for a whole lease before that beginning.
 //
-// Each process writes under a key of its own, so that a restart cannot take
-// away what an earlier process has written. Run's goroutine owns the state; Acquire may be called by any.
+// Each process writes under keys of its own, so that a restarted process cannot remove what an earlier process has
+// written. The goroutine of Run owns the state; any goroutine may call Acquire.
 type FollowerLeases struct {
 	store       *statestore.Client
 	clock       clockwork.Clock
 	log         *slog.Logger
 	member      string
-	workerLease time.Duration // how long an answer renews a worker's lease
-	valueKB     float64       // the largest value that the state service stores
+	workerLease time.Duration // how long a worker's lease lasts after a reply
+	maxValueKB  float64       // the largest value that the state service stores, in KB
 	requests    chan acquireRequest
 
-	leaseID     uint64               // the lease of our record; 0: there is no record
-	leaseSent   time.Time            // when the request was sent that gave the lease its time
-	lastRenewed map[string]time.Time // the machines that were asked for, and when they were last
-	pages       []*page
-	pageOf      map[string]*page // the page that names a machine
-	turn        int              // the index of the page from which on removeExpired looks for one to shorten
+	leaseID          uint64               // the lease of this process's record; 0: there is no record
+	leaseRequestedAt time.Time            // when the last successful grant or renewal of that lease was sent
+	lastRenewed      map[string]time.Time // when Acquire was last asked for each machine
+	pages            []*page
+	pageOf           map[string]*page // the page that names each machine
+	nextPage         int              // the index of the page at which the next removeExpired starts
 }
 
+// acquireRequest is a call of Acquire that Run is to answer.
 type acquireRequest struct {
 	machine string
-	result  chan error // holds one: nil grants the request
+	result  chan error // buffers one result: nil grants the request
 }
 
-// NewFollowerLeases makes the follower leases of a member; Run serves them.
+// NewFollowerLeases makes the follower leases of a member. Run must be called to serve them.
 func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
-		store: store, clock: clock, log: log, member: s.Member, valueKB: s.Cluster.State.ValueKB,
+		store: store, clock: clock, log: log, member: s.Member, maxValueKB: s.Cluster.State.ValueKB,
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.Inbox),
 		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
 }
 
-// Acquire returns nil if a machine may be answered now. It waits until the machine's name is
-// stored, or ctx ends. The error is ErrNotRecorded, also when ctx ended first: it then wraps both.
+// Acquire returns nil if a machine may be answered now. It waits until the machine's name is stored, or ctx ends.
+// The error is ErrNotRecorded; if ctx ended first, it also wraps the error of ctx.
 func (f *FollowerLeases) Acquire(ctx context.Context, machine string) error {
 	r := acquireRequest{machine, make(chan error, 1)}
 	select {
 	case f.requests <- r:
 	case <-ctx.Done():
-		return fmt.Errorf("asking for a record: %w: %w", ErrNotRecorded, ctx.Err())
+		return fmt.Errorf("handing over the request to record the machine: %w: %w", ErrNotRecorded, ctx.Err())
 	}
 	select {
 	case err := <-r.result:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("waiting for a record: %w: %w", ErrNotRecorded, ctx.Err())
+		return fmt.Errorf("waiting until the machine is recorded: %w: %w", ErrNotRecorded, ctx.Err())
 	}
 }
 
@@ -93,13 +94,14 @@
 			f.grantBatch(ctx, f.gatherBatch(ctx, r))
 		case <-wake:
 		}
-		if f.leaseID != 0 && f.clock.Since(f.leaseSent) >= tuning.FollowerLeaseRenew {
+		if f.leaseID != 0 && f.clock.Since(f.leaseRequestedAt) >= tuning.FollowerLeaseRenew {
 			f.renewRecord(ctx)
 		}
 	}
 }
 
-// gatherBatch returns a request and those that wait behind it. Workers that lose the leader come together: they share a write.
+// gatherBatch returns a request and those that are queued behind it. Workers that lose the leader all report here
+// at about the same time, and their names share a write.
 func (f *FollowerLeases) gatherBatch(ctx context.Context, first acquireRequest) []acquireRequest {
 	if !f.isStored(first.machine) {
 		clock.Sleep(ctx, f.clock, tuning.FollowerLeaseGather)
@@ -111,7 +113,8 @@
 	return batch
 }
 
-// grantBatch stores the names that the record lacks, and then grants the requests for those that are stored.
+// grantBatch stores the names that the record lacks, and then grants the requests for machines whose names are
+// stored.
 func (f *FollowerLeases) grantBatch(ctx context.Context, batch []acquireRequest) {
 	missing := false
 	for _, r := range batch {
@@ -120,7 +123,7 @@
 	}
 	if missing {
 		if err := f.writeRecord(ctx); err != nil {
-			f.log.Debug("machines not recorded", "err", err)
+			f.log.Debug("new machines not recorded; their workers' leases are not renewed", "err", err)
 		}
 	}
 	for _, r := range batch {
@@ -128,7 +131,8 @@
 	}
 }
 
-// checkRecorded returns ErrNotRecorded unless the record names a machine and will outlive a worker's lease that begins now.
+// checkRecorded returns ErrNotRecorded unless the stored record names a machine and will outlive a worker's lease
+// that begins now.
 func (f *FollowerLeases) checkRecorded(machine string) error {
 	if !f.isStored(machine) || !f.outlivesLeaseFrom(f.clock.Now()) {
 		return ErrNotRecorded
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -35,6 +35,7 @@
 	return &followerHarness{t, clock, state, f}
 }
 
+// tryAcquire reports whether a request for one machine is granted.
 func (h *followerHarness) tryAcquire(machine string) bool {
 	h.t.Helper()
 	r := acquireRequest{machine, make(chan error, 1)}
@@ -46,7 +47,7 @@
 	return err == nil
 }
 
-// recorded is what a leader would read.
+// recorded reports whether the records that a leader would read name a machine.
 func (h *followerHarness) recorded(machine string) bool {
 	h.t.Helper()
 	renewed, _, err := ReadAll(h.t.Context(), h.store)
@@ -66,32 +67,32 @@
 		t.Error("answers a machine that it could not record")
 	}
 	if !h.tryAcquire("n-1") {
-		t.Error("does not answer the one that is recorded")
+		t.Error("does not answer the machine that is recorded")
 	}
 }
 
-// Guards against a record that ends before a lease that was given under it:
-// the leader would place the tasks anew while they still run.
+// Guards against a record that expires before a worker's lease that was renewed under it: the leader would place
+// the tasks again while they still run.
 func TestRecordOutlivesEveryAnswer(t *testing.T) {
 	h := newFollowerHarness(t)
 	h.tryAcquire("n-1")
-	var last time.Time
-	for h.clock.Since(h.leaseSent) < h.recordTTL() { // never renewed
+	var lastAnswered time.Time
+	for h.clock.Since(h.leaseRequestedAt) < h.recordTTL() { // never renewed
 		if h.tryAcquire("n-1") {
-			last = h.clock.Now()
+			lastAnswered = h.clock.Now()
 		}
 		h.clock.Advance(100 * time.Millisecond)
 		h.state.Expire()
-		if !last.IsZero() && !h.recorded("n-1") && h.clock.Since(last) < h.workerLease {
-			t.Fatalf("the record ended %v after an answer", h.clock.Since(last))
+		if !lastAnswered.IsZero() && !h.recorded("n-1") && h.clock.Since(lastAnswered) < h.workerLease {
+			t.Fatalf("the record ended %v after an answer", h.clock.Since(lastAnswered))
 		}
 	}
 	if h.tryAcquire("n-1") {
-		t.Error("answers after its record's end")
+		t.Error("answers after the end of its record")
 	}
 }
 
-func TestMachineLeavesTheRecordALeaseAfterItsLastAnswer(t *testing.T) {
+func TestMachineIsRemovedFromTheRecordALeaseAfterItsLastAnswer(t *testing.T) {
 	h := newFollowerHarness(t)
 	h.tryAcquire("n-1")
 	h.clock.Advance(h.workerLease)
@@ -99,7 +100,7 @@
 	h.clock.Advance(tuning.RenewedQueryTime)
 	h.tryAcquire("n-2")
 	if h.renewRecord(t.Context()); !h.recorded("n-1") {
-		t.Error("taken out while a leader that began to read within its lease may read")
+		t.Error("removed while a leader that began its query within the machine's lease may still read")
 	}
 	h.clock.Advance(time.Second)
 	if h.renewRecord(t.Context()); h.recorded("n-1") || !h.recorded("n-2") {
@@ -107,34 +108,34 @@
 	}
 }
 
-// Guards against a write without an answer that is applied later and takes a
-// name out again: nothing more is written under its key.
+// Guards against a write without an answer that is applied later and removes a name again: nothing more is written
+// under its key.
 func TestWriteOfUnknownOutcomeEndsTheRecord(t *testing.T) {
 	h := newFollowerHarness(t)
 	h.tryAcquire("n-1")
-	first := h.leaseID
+	firstLease := h.leaseID
 	h.state.LoseAnswers(func(wire.Txn) bool { return true })
 	if h.tryAcquire("n-2") {
-		t.Error("answers a machine whose record has no answer")
+		t.Error("answers a machine although the write of its name was not confirmed")
 	}
 	h.state.LoseAnswers(nil)
-	if !h.tryAcquire("n-3") || h.leaseID == first {
-		t.Error("goes on under the same key")
+	if !h.tryAcquire("n-3") || h.leaseID == firstLease {
+		t.Error("not granted, or still uses the key of the unconfirmed write")
 	}
 	if !h.recorded("n-1") {
-		t.Error("the old record does not stand any more")
+		t.Error("the old record is no longer stored")
 	}
 }
 
-// Guards against a record that holds a few hundred machines: the workers of a large fleet
-// come together when a leader dies, and the leases of those that it did not hold expired.
-func TestManyMachinesTakeSeveralPages(t *testing.T) {
+// Guards against a record that has room for a few hundred machines only. When a leader dies, the workers of a large
+// fleet report at the same time, and the leases of those for which the record had no room expired.
+func TestManyMachinesNeedSeveralPages(t *testing.T) {
 	h := newFollowerHarness(t)
-	const n = 5000
+	const machines = 5000
 	name := func(i int) string { return fmt.Sprintf("n-%06d", i) }
-	for begin := 0; begin < n; begin += 500 {
+	for batchStart := 0; batchStart < machines; batchStart += 500 {
 		var batch []acquireRequest
-		for i := begin; i < begin+500; i++ {
+		for i := batchStart; i < batchStart+500; i++ {
 			batch = append(batch, acquireRequest{name(i), make(chan error, 1)})
 		}
 		h.grantBatch(t.Context(), batch)
@@ -151,8 +152,8 @@
 		}
 		return len(renewed)
 	}
-	if got := recorded(); got != n {
-		t.Errorf("%d recorded", got)
+	if got := recorded(); got != machines {
+		t.Errorf("%d machines recorded", got)
 	}
 	for _, txn := range h.state.Applied() {
 		if size := len(txn.Then[0].Value); size > 16<<10 {
@@ -162,21 +163,22 @@
 	h.clock.Advance(h.workerLease)
 	h.renewRecord(t.Context())
 	h.clock.Advance(tuning.RenewedQueryTime)
-	for i := 0; i < n; i += 2 {
+	for i := 0; i < machines; i += 2 {
 		h.tryAcquire(name(i))
 	}
 	h.clock.Advance(time.Second)
-	if h.renewRecord(t.Context()); recorded() != n/2 || h.recorded(name(1)) || !h.recorded(name(4998)) {
-		t.Errorf("%d recorded after the leases of half of them", recorded())
+	if h.renewRecord(t.Context()); recorded() != machines/2 || h.recorded(name(1)) || !h.recorded(name(4998)) {
+		t.Errorf("%d machines recorded after the leases of half of them expired", recorded())
 	}
 	if pages := len(h.pages); !h.tryAcquire("n-new") || len(h.pages) != pages {
-		t.Error("room on the pages is not used again")
+		t.Error("free room on the pages is not reused")
 	}
 }
 
-// Guards against a record of thousands of machines each of whose pages is written at each renewal, when workers return to
-// the leader one after the other: that was more than the member's share of the changes, and new machines waited behind.
-func TestExpiredMachinesLeaveTheRecordWithinTheShareOfChanges(t *testing.T) {
+// Guards against a record of thousands of machines of which every page is written at each renewal while workers
+// return to the leader one after the other. That exceeded the member's share of the state service's writes, and new
+// machines had to wait.
+func TestExpiredMachinesAreRemovedWithinTheShareOfChanges(t *testing.T) {
 	const machines, writeRPS, share = 6000, 50, 0.08
 	h := newFollowerHarness(t)
 	h.store = statestore.New(h.state.Addr(), 1e6, writeRPS).WithShare(share)
@@ -190,23 +192,23 @@
 	h.renewRecord(t.Context())
 	h.clock.Advance(tuning.RenewedQueryTime + time.Second)
 	for renewals := 1; len(h.lastRenewed) > 0; renewals++ {
-		room, before := max(1, h.store.SpareWrites()), len(h.state.Applied())
+		allowedWrites, writesBefore := max(1, h.store.SpareWrites()), len(h.state.Applied())
 		h.renewRecord(t.Context())
-		if changes := len(h.state.Applied()) - before; changes < 1 || changes > room {
-			t.Fatalf("renewal %d wrote %d of %d pages, where there was room for %d", renewals, changes, pages, room)
+		if changes := len(h.state.Applied()) - writesBefore; changes < 1 || changes > allowedWrites {
+			t.Fatalf("renewal %d wrote %d of %d pages, want between 1 and %d", renewals, changes, pages, allowedWrites)
 		}
 		if renewals > pages {
 			t.Fatalf("%d machines are left after %d renewals", len(h.lastRenewed), renewals)
 		}
 	}
 	if h.recorded("n-000000") || h.recorded("n-005999") {
-		t.Error("a machine whose lease expired is recorded")
+		t.Error("a machine whose lease expired is still recorded")
 	}
 }
 
-// Guards against a machine that is answered though nobody recorded it in time.
+// Guards against a machine that is answered although its name was not recorded in time.
 func TestAcquireEndsWithItsContextAndGrantsNothing(t *testing.T) {
-	h := newFollowerHarness(t) // nobody runs it
+	h := newFollowerHarness(t) // Run is not called
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := h.Acquire(ctx, "n-1"); !errors.Is(err, ErrNotRecorded) || !errors.Is(err, context.Canceled) {
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -13,15 +13,15 @@
 	golden.Lines(t, "keys", prefixRenewed)
 }
 
-// A ping carries what its sender claims, and the answer what the receiver remembers of it.
+// A ping carries the sender's claim, and its answer carries what the receiver remembers of that claim.
 func TestClaimFormat(t *testing.T) {
 	golden.JSON(t, "claim", golden.Fill(new(claim)))
 }
 
-func TestStoredRecordOfKeptMachines(t *testing.T) {
+func TestStoredRecordOfRenewedMachines(t *testing.T) {
 	harness := newFollowerHarness(t)
 	if !harness.tryAcquire("n-1") {
-		t.Fatal("the machine is not kept")
+		t.Fatal("the machine is not recorded")
 	}
 	golden.Lines(t, "kept-machines", written(harness.state)...)
 }
@@ -32,7 +32,7 @@
 	golden.Lines(t, "zone", written(harness.state)...)
 }
 
-// written gives the keys and values that were stored.
+// written returns the keys and values that were stored.
 func written(state *fakes.Store) []string {
 	var lines []string
 	for _, txn := range state.Applied() {
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -1,17 +1,15 @@
-// Package workerlease lets a member renew workers' leases on behalf of the leader
-// while the workers cannot reach it. Such an answer to a heartbeat holds no commands and bears the
-// worker's own fencing token. There are two grounds for it:
+// Package workerlease lets a member renew workers' leases on behalf of the leader while the workers cannot reach
+// the leader. Such a reply to a heartbeat contains no commands and repeats the worker's own fencing token. A member
+// may send it on one of two grounds:
 //
-//   - FollowerLeases: the machine's name is in a record of the state service
-//     before its first answer. It serves two zones that are apart, and the time
-//     between two leaders.
-//   - ZoneLease: the member holds a lease on the workers of its zone, which it
-//     acquired before it was cut off from all else.
+//   - FollowerLeases: the state service stores the machine's name in a record before the machine's first reply.
+//     This serves two zones that are partitioned from each other, and the time between two leaders.
+//   - ZoneLease: the member holds a lease on the workers of its zone, which it acquired before it was cut off from
+//     everything else.
 //
-// A leader that wants to conclude from the expiry of a worker's lease that the
-// worker's tasks are gone first reads the records of both kinds with ReadAll,
-// and asks the members that hold zone leases. docs/design.md argues why it then
-// concludes nothing while such an answer may be in force.
+// Before a leader concludes from the expiry of a worker's lease that the worker's tasks have ended, it reads the
+// records of both kinds with ReadAll and asks the members that hold zone leases. docs/design.md argues why the
+// leader then concludes nothing while such a reply may be in force.
 package workerlease
 
 import (
@@ -25,10 +23,10 @@
 	"poppypass/internal/platform/wire"
 )
 
-// prefixRenewed is the prefix of the records of machines whose leases followers renew, and of zone leases.
+// prefixRenewed is the key prefix of both kinds of records: machines whose leases followers renew, and zone leases.
 const prefixRenewed = "keep/"
 
-// renewedRecord names machines, or holds a zone lease.
+// renewedRecord is a stored record. It either names machines or describes a zone lease.
 type renewedRecord struct {
 	Machines []string `json:"machines,omitempty"`
 	ZoneLeaseRecord
@@ -40,20 +38,20 @@
 	Member string `json:"member,omitempty"`
 }
 
-// ReadAll reads which machines' leases followers renew, and the zone leases whose records stand.
+// ReadAll returns the machines whose leases followers renew, and the zone leases whose records are still stored.
 func ReadAll(ctx context.Context, store *statestore.Client) (renewed map[string]bool, zones []ZoneLeaseRecord, err error) {
 	renewed = map[string]bool{}
 	_, err = store.ListAll(ctx, prefixRenewed, func(items []wire.Item) error {
 		for _, item := range items {
-			var r renewedRecord
-			if err := json.Unmarshal(item.Value, &r); err != nil {
-				return fmt.Errorf("record %s: %w", item.Key, err)
+			var record renewedRecord
+			if err := json.Unmarshal(item.Value, &record); err != nil {
+				return fmt.Errorf("decoding record %s: %w", item.Key, err)
 			}
-			for _, n := range r.Machines {
-				renewed[n] = true
+			for _, machine := range record.Machines {
+				renewed[machine] = true
 			}
-			if r.Zone != "" {
-				zones = append(zones, r.ZoneLeaseRecord)
+			if record.Zone != "" {
+				zones = append(zones, record.ZoneLeaseRecord)
 			}
 		}
 		return nil
@@ -61,17 +59,20 @@
 	return renewed, zones, err
 }
 
-// WithDrift is a time that is over on every clock when it is over on ours.
+// WithDrift lengthens d by the largest drift between two clocks: once the result has elapsed on this clock, d has
+// elapsed on every clock.
 func WithDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + tuning.ClockDrift))
 }
 
-// expiredAfter is how long after an answer a worker's lease has expired on every clock.
+// expiredAfter returns how long after a reply the worker's lease has expired on every clock.
 func expiredAfter(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
-// renewalReportedFor is for how long after an answer the record, or the member's word, must tell of it. Whoever asks began
-// at most RenewedQueryTime before: each source tells of the lease before that beginning. When each told of the lease before it was
-// asked, two members that answered a machine one after the other both denied it, and its tasks counted as gone while they ran.
+// renewalReportedFor returns for how long after a reply the record, or the member itself, must report that reply. A
+// leader that asks began its query at most RenewedQueryTime earlier, so each source reports every reply within a
+// worker's lease before the beginning of the query. When each source reported only the lease before the moment at
+// which it was asked, two members that answered a machine one after the other both denied having answered it, and
+// its tasks counted as ended while they ran.
 func renewalReportedFor(lease time.Duration) time.Duration {
 	return expiredAfter(lease) + tuning.RenewedQueryTime
 }
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -18,48 +18,52 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ErrUnsure means that a member cannot tell which machines it may have answered by its zone lease: it may have answered any.
+// ErrUnsure means that a member cannot tell which machines it has answered under its zone lease: it may have
+// answered any machine of its zone.
 var ErrUnsure = errors.New("the member cannot tell which machines it has answered")
 
-// ZoneLease is a member's lease on the workers of its own zone: it may answer them on behalf of the
-// leader while it reaches neither the leader nor the state service: a zone that is
-// cut off from all else. The answers hold no commands and bear the worker's own
-// fencing token. What makes that safe:
+// ZoneLease is a member's lease on the workers of its own zone. It lets the member answer them on behalf of the
+// leader while it reaches neither the leader nor the state service, as when its zone is cut off from everything
+// else. The replies contain no commands and repeat the worker's own fencing token. This is safe for four reasons:
 //
-//   - The zone lease is a record in the state service, on a lease that the member renews
-//     while it is served. The member answers for tuning.ZoneLeaseTTL after it sent the last renewal that
-//     succeeded, and the record outlives the workers' leases that begin by then.
-//   - A leader concludes nothing from the expiry of a lease on a machine of that zone
-//     before it has read these records after that expiry and, of each that stands, has heard
-//     from its member that it did not answer that machine for a whole lease before the leader
-//     began to read (tuning.RenewedQueryTime). A member that does not say so may have answered it, until its record is gone.
-//   - A process that was restarted does not answer for the process before it: MayHaveRenewed is unsure
-//     until a lease after its own start, by when all answers of that process are over.
-//   - It takes over the zone lease of the process before it, if another member remembers when that ends: that process's record
-//     stands until a worker's lease after that, whichever process answers. The end is told by the time of day, so a message that was
-//     held up on its way tells nothing wrong; it counts as reached as early as two clocks that differ as far as they may can have it.
+//   - The zone lease is a record in the state service, under a lease that the member renews while the state service
+//     answers it. The member answers workers for tuning.ZoneLeaseTTL after it sent the last renewal that succeeded,
+//     and the record outlives the workers' leases that begin by then.
+//   - A leader concludes nothing from the expiry of the lease of a machine of that zone before it has read these
+//     records after that expiry. For each record that is still stored, the record's member must also have told the
+//     leader that it did not answer the machine for a whole lease before the leader began to read (see
+//     tuning.RenewedQueryTime). A member that does not say so may have answered the machine, until its record has
+//     expired.
+//   - A restarted process does not speak for the process before it. MayHaveRenewed returns ErrUnsure until a
+//     worker's lease after the start of the new process. By then, every lease that the earlier process renewed has
+//     expired.
+//   - A process adopts the zone lease of the process before it, if another member remembers when that lease ends.
+//     The record of the earlier process stays stored until a worker's lease after that end, whichever process
+//     answers. The end is a wall-clock time, so a message that was delayed is still correct. The end counts as
+//     reached at the earliest moment that is possible with two clocks, each of which may be wrong by the largest
+//     clock error.
 //
-// Terms and fencing leases play no part in that: a zone lease allows no command, no record and
-// no campaign. It is safe for concurrent use.
+// Terms and fencing leases play no part in this: a zone lease permits no command, no write of a record and no
+// campaign. ZoneLease is safe for concurrent use.
 type ZoneLease struct {
 	store       *statestore.Client
 	clock       clockwork.Clock
 	log         *slog.Logger
 	member      string
 	zone        string
-	workerLease time.Duration // how long an answer renews a worker's lease
-	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are too long for one
+	workerLease time.Duration // how long a worker's lease lasts after a reply
+	ttl         time.Duration // how long the zone lease lasts after a renewal; 0: workers' leases are too long for a zone lease
 	startedAt   time.Time
-	clockError  time.Duration // how far a time of day may be from the true one
+	clockError  time.Duration // how far a wall clock may be from the true time
 
-	mu             sync.Mutex
-	leaseID        uint64               // the lease of our record; 0: none
-	leaseSent      time.Time            // when the request was sent that gave it its time
-	inheritedUntil time.Time            // by the time of day: when the zone lease of an earlier process ends; zero: none is known
-	lastRenewed    map[string]time.Time // machines that we answered by the zone lease, and when
+	mu               sync.Mutex
+	leaseID          uint64               // the lease of this process's record; 0: none
+	leaseRequestedAt time.Time            // when the last successful grant or renewal of that lease was sent
+	inheritedUntil   time.Time            // wall-clock time at which the zone lease of an earlier process ends; zero: none is known
+	lastRenewed      map[string]time.Time // when each machine was last answered under the zone lease
 }
 
-// NewZoneLease makes the zone lease of a member; Run acquires it.
+// NewZoneLease makes the zone lease of a member. Run acquires it.
 func NewZoneLease(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *ZoneLease {
 	z := &ZoneLease{
 		store: store, clock: clock, log: log, member: s.Member, zone: s.Zone,
@@ -71,31 +75,34 @@
 	return z
 }
 
+// reportedFor returns for how long after a reply this member must report that it answered the machine.
 func (z *ZoneLease) reportedFor() time.Duration { return renewalReportedFor(z.workerLease) }
 
-// recordTTL is how long the record outlives its last renewal.
+// recordTTL returns how long the record remains stored after the last renewal of its lease.
 func (z *ZoneLease) recordTTL() time.Duration {
 	return z.ttl + z.reportedFor() + tuning.FollowerLeaseExtra
 }
 
-// MayRenew reports whether a machine of a zone may be answered now, and remembers that it was.
+// MayRenew reports whether a machine of a zone may be answered now. If so, it notes the machine as answered.
 func (z *ZoneLease) MayRenew(machine, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
-	if zone == "" || zone != z.zone || !z.held(now) && !z.inherited(now) {
+	if zone == "" || zone != z.zone || !z.ownLeaseActive(now) && !z.inheritedLeaseActive(now) {
 		return false
 	}
 	z.lastRenewed[machine] = now
 	return true
 }
 
-// held reports whether the zone lease that this process acquired lasts. The caller holds the lock.
-func (z *ZoneLease) held(now time.Time) bool { return z.leaseID != 0 && now.Sub(z.leaseSent) < z.ttl }
+// ownLeaseActive reports whether the zone lease that this process acquired still lasts. The caller holds the lock.
+func (z *ZoneLease) ownLeaseActive(now time.Time) bool {
+	return z.leaseID != 0 && now.Sub(z.leaseRequestedAt) < z.ttl
+}
 
-// MayHaveRenewed returns those of some machines that this member may have answered by its zone lease
-// within a worker's lease and RenewedQueryTime before now. The error is ErrUnsure while it cannot tell, since an earlier
-// process of it may have answered others; renewed then holds those that this process answered.
+// MayHaveRenewed returns those of some machines that this member may have answered under its zone lease within a
+// worker's lease plus RenewedQueryTime before now. The error is ErrUnsure while an earlier process of this member
+// may have answered others; renewed then holds only the machines that this process answered.
 func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, err error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -112,25 +119,25 @@
 	return renewed, nil
 }
 
-// forgetExpired drops the answers that need not be told of any more. The caller holds the lock.
+// forgetExpired drops the replies that no longer need to be reported. The caller holds the lock.
 func (z *ZoneLease) forgetExpired(now time.Time) {
-	for name, at := range z.lastRenewed {
-		if now.Sub(at) > z.reportedFor() {
+	for name, renewedAt := range z.lastRenewed {
+		if now.Sub(renewedAt) > z.reportedFor() {
 			delete(z.lastRenewed, name)
 		}
 	}
 }
 
-// Isolated reports whether the state service has not answered for a while, so that we may be
-// the one that is cut off. It is false without a zone lease.
+// Isolated reports whether the state service has not answered for more than two renewal intervals, so that this
+// member may be the one that is cut off. It is false without a zone lease.
 func (z *ZoneLease) Isolated() bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	since := z.leaseSent
+	since := z.leaseRequestedAt
 	if z.leaseID == 0 {
 		since = z.startedAt
 	}
-	return (z.leaseID != 0 || z.inherited(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
+	return (z.leaseID != 0 || z.inheritedLeaseActive(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
 }
 
 // Run acquires the zone lease and renews it until ctx ends.
@@ -144,14 +151,14 @@
 	}
 }
 
-// Renew renews the record once, or makes one where there is none.
+// Renew renews the lease of the record once, or stores a record if there is none.
 func (z *ZoneLease) Renew(ctx context.Context) {
 	z.mu.Lock()
 	lease := z.leaseID
 	z.mu.Unlock()
 	if lease == 0 {
 		if err := z.acquire(ctx); err != nil {
-			z.log.Debug("no zone lease", "err", err)
+			z.log.Debug("zone lease not acquired; retrying", "err", err)
 		}
 		return
 	}
@@ -161,20 +168,20 @@
 	defer z.mu.Unlock()
 	switch {
 	case err == nil:
-		z.leaseSent = sent
+		z.leaseRequestedAt = sent
 	case errors.Is(err, statestore.ErrLeaseNotFound):
-		z.leaseID = 0 // the zone lease was over long before
+		z.leaseID = 0 // the record's lease expired; the zone lease, which is shorter, ended long before
 	}
 }
 
-// acquire makes a record under a key of its own. The zone lease counts from before the lease of the record
-// was asked for, and only once the record is surely stored; a record whose storing had no answer is
-// left to its lease's end.
+// acquire stores a record under a key of its own. The zone lease counts from before the request for the record's
+// lease was sent, and only once the record is surely stored. A record whose write was not confirmed is left until
+// its lease expires.
 func (z *ZoneLease) acquire(ctx context.Context) error {
 	sent := z.clock.Now()
 	lease, err := z.store.GrantLease(ctx, z.recordTTL())
 	if err != nil {
-		return fmt.Errorf("a lease for the record: %w", err)
+		return fmt.Errorf("acquiring a lease for the record: %w", err)
 	}
 	value, err := json.Marshal(renewedRecord{ZoneLeaseRecord: ZoneLeaseRecord{Zone: z.zone, Member: z.member}})
 	if err != nil {
@@ -189,6 +196,6 @@
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.leaseID, z.leaseSent = lease, sent
+	z.leaseID, z.leaseRequestedAt = lease, sent
 	return nil
 }
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -41,15 +41,16 @@
 	}, statestore.New(h.state.Addr(), 1e6, 1e6), h.clock, slog.New(slog.DiscardHandler))
 }
 
-// advance lets time pass at the state service, too.
+// advance advances the clock and expires leases at the state service.
 func (h *zoneHarness) advance(d time.Duration) {
 	h.clock.Advance(d)
 	h.state.Expire()
 }
 
-// concludes reports whether a leader that reads now, after the end of the machine's
-// lease by its own count, concludes that its tasks are gone.
-func (h *zoneHarness) concludes(machine string, reached bool) bool {
+// concludes reports whether a leader that reads the records now, after the machine's lease has expired by the
+// leader's own count, concludes that the machine's tasks have ended. If memberReachable is false, the leader cannot
+// ask the member.
+func (h *zoneHarness) concludes(machine string, memberReachable bool) bool {
 	h.t.Helper()
 	_, zones, err := ReadAll(h.t.Context(), h.store)
 	if err != nil {
@@ -58,7 +59,7 @@
 	if len(zones) == 0 {
 		return true
 	}
-	if !reached {
+	if !memberReachable {
 		return false
 	}
 	renewed, err := h.MayHaveRenewed([]string{machine})
@@ -77,26 +78,26 @@
 	if !h.MayRenew("n-1", "a") || h.MayRenew("n-2", "b") {
 		t.Error("answers another zone's machines, or not its own")
 	}
-	h.state.Refuse(true) // a cut
-	begun := h.clock.Now()
+	h.state.Refuse(true) // the zone is cut off
+	partitionedAt := h.clock.Now()
 	for h.MayRenew("n-1", "a") {
 		h.advance(time.Second)
 		h.Renew(t.Context())
-		if isolated := h.clock.Since(begun) > 2*tuning.ZoneLeaseRenew; h.Isolated() != isolated {
-			t.Fatalf("isolated %v after %v", h.Isolated(), h.clock.Since(begun))
+		if wantIsolated := h.clock.Since(partitionedAt) > 2*tuning.ZoneLeaseRenew; h.Isolated() != wantIsolated {
+			t.Fatalf("isolated %v after %v", h.Isolated(), h.clock.Since(partitionedAt))
 		}
 	}
-	if d := h.clock.Since(begun); d != tuning.ZoneLeaseTTL {
-		t.Errorf("answers for %v", d)
+	if d := h.clock.Since(partitionedAt); d != tuning.ZoneLeaseTTL {
+		t.Errorf("answers for %v after it was cut off", d)
 	}
 	h.state.Refuse(false)
 	if h.Renew(t.Context()); !h.MayRenew("n-1", "a") || h.Isolated() {
-		t.Error("does not answer after the cut")
+		t.Error("does not answer after the partition")
 	}
 }
 
-// Guards against a member that was restarted and says that it answered nobody: its
-// earlier process may have, a moment before.
+// Guards against a restarted member that says that it answered no machine, although its earlier process may have
+// answered one a moment before.
 func TestRestartedMemberIsUnsureForALease(t *testing.T) {
 	h := newZoneHarness(t)
 	h.Renew(t.Context())
@@ -104,67 +105,67 @@
 	h.MayRenew("n-1", "a")
 	h.restart()
 	if h.concludes("n-1", true) {
-		t.Error("concluded on the answer of one that cannot know")
+		t.Error("concluded although the restarted member cannot know what its earlier process answered")
 	}
 	h.advance(zoneWorkerLease + time.Second)
 	if h.concludes("n-1", true) {
-		t.Error("concluded on an answer that may be asked for later than it counts from")
+		t.Error("concluded although the query may have begun up to RenewedQueryTime before the member was asked")
 	}
 	h.advance(tuning.RenewedQueryTime)
 	if !h.concludes("n-1", true) {
-		t.Error("not concluded though the earlier process's answers are over")
+		t.Error("not concluded though all leases that the earlier process renewed have expired")
 	}
 }
 
-// Workers' leases that are too long beside the state service's longest leave no time for a zone lease.
+// If workers' leases are too long compared with the state service's longest lease, no time is left for a zone
+// lease.
 func TestNoZoneLeaseBesideVeryLongWorkerLeases(t *testing.T) {
 	h := newZoneHarness(t)
 	h.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.MaxTTL.Seconds()}},
 	}, h.store, h.clock, h.log)
-	h.Run(t.Context()) // which ends at once
+	h.Run(t.Context()) // returns at once
 	if h.MayRenew("n-1", "a") {
 		t.Error("answers without a zone lease")
 	}
 }
 
-// Whatever comes together (cuts and outages of any length, restarts, members that the leader
-// cannot ask), no leader concludes that a machine's tasks are gone within a lease
-// after an answer to it.
+// Under any combination of faults (partitions and outages of any length, restarts, members that the leader cannot
+// ask), no leader concludes that a machine's tasks have ended within a lease after the machine was answered.
 func TestNoConclusionWithinALeaseOfAnAnswer(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 21))
 		h := newZoneHarness(t)
-		var last time.Time                                      // when the machine was last answered
-		refused, cut, concluded, answered := false, false, 0, 0 // cut: from the member alone
+		var lastAnswered time.Time                                         // when the machine was last answered
+		storeDown, memberCutOff, concluded, answered := false, false, 0, 0 // memberCutOff: from the state service and the leader
 		for range 800 {
 			switch n := r.IntN(100); {
 			case n < 1:
-				refused = !refused
-				h.state.Refuse(refused)
+				storeDown = !storeDown
+				h.state.Refuse(storeDown)
 			case n < 2:
-				cut = !cut
+				memberCutOff = !memberCutOff
 			case n < 3:
 				h.restart()
 			case n < 23:
-				if !cut {
+				if !memberCutOff {
 					h.Renew(t.Context())
 				}
 			case n < 80:
-				if last.IsZero() || h.clock.Since(last) < zoneWorkerLease {
+				if lastAnswered.IsZero() || h.clock.Since(lastAnswered) < zoneWorkerLease {
 					if h.MayRenew("n-1", "a") {
-						last = h.clock.Now()
+						lastAnswered = h.clock.Now()
 						answered++
 					}
 				}
-			case !refused:
-				// The leader has not answered it for a lease.
-				if h.concludes("n-1", !cut && r.IntN(3) > 0) {
+			case !storeDown:
+				// The leader itself has not answered the machine for a lease.
+				if h.concludes("n-1", !memberCutOff && r.IntN(3) > 0) {
 					concluded++
-					if !last.IsZero() && h.clock.Since(last) < zoneWorkerLease {
-						t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(last))
+					if !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < zoneWorkerLease {
+						t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(lastAnswered))
 					}
-					last = time.Time{} // its next session
+					lastAnswered = time.Time{} // the machine's next session
 				}
 			}
 			h.advance(time.Duration(r.IntN(4000)) * time.Millisecond)
@@ -175,25 +176,26 @@
 	}
 }
 
-// Guards against the loss of a zone's tasks as its only member is restarted while the state service is out: another member remembers its zone lease, whose
-// record stands as long, and a leader that reads it later asks the new process.
+// Guards against the loss of a zone's tasks when the zone's only member is restarted during an outage of the state
+// service. Another member remembers the zone lease, whose record stays stored as long as the lease lasts. A leader
+// that reads the record later asks the new process.
 func TestRestartedMemberInheritsItsZoneLease(t *testing.T) {
 	h := newZoneHarness(t)
 	h.clockError = 250 * time.Millisecond
 	h.Renew(t.Context())
 	h.advance(20 * time.Second)
 	h.state.Refuse(true)
-	claim, ends := h.Claim(), h.clock.Now().Add(tuning.ZoneLeaseTTL-20*time.Second)
-	off := h.clockError
+	claim, leaseEnd := h.Claim(), h.clock.Now().Add(tuning.ZoneLeaseTTL-20*time.Second)
+	clockError := h.clockError
 	h.restart()
-	h.clockError = off
+	h.clockError = clockError
 	h.Renew(t.Context())
 	if h.MayRenew("n-1", "a") || h.Claim() != nil {
 		t.Error("answers without any zone lease")
 	}
-	for _, other := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
-		if h.Inherit([]byte(other)); h.MayRenew("n-1", "a") {
-			t.Errorf("answers by %q", other)
+	for _, unusable := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
+		if h.Inherit([]byte(unusable)); h.MayRenew("n-1", "a") {
+			t.Errorf("answers after it inherited %q", unusable)
 		}
 	}
 	h.Inherit(claim)
@@ -201,39 +203,39 @@
 		t.Error("answers another zone's machine")
 	}
 	for h.MayRenew("n-1", "a") {
-		if h.advance(time.Second); h.clock.Now().After(ends) {
+		if h.advance(time.Second); h.clock.Now().After(leaseEnd) {
 			t.Fatal("answers beyond the end of its earlier process's zone lease")
 		}
-		h.Inherit(claim) // a copy that comes late changes nothing
+		h.Inherit(claim) // a copy that arrives late changes nothing
 	}
-	if left := ends.Sub(h.clock.Now()); left < 0 || left > 2*time.Second {
+	if left := leaseEnd.Sub(h.clock.Now()); left < 0 || left > 2*time.Second {
 		t.Errorf("stops %v before the end", left)
 	}
 	h.state.Refuse(false)
 	if h.concludes("n-1", true) || h.concludes("n-1", false) {
-		t.Error("concluded, though it was answered a moment ago")
+		t.Error("concluded, though the machine was answered a moment ago")
 	}
 	h.advance(zoneWorkerLease + tuning.RenewedQueryTime + time.Second)
 	if !h.concludes("n-1", true) || h.concludes("n-1", false) {
-		t.Error("not concluded a lease after the last answer, or without the member's answer while the record stands")
+		t.Error("not concluded a lease after the last answer, or concluded without the member's answer while the record is stored")
 	}
 	if h.Renew(t.Context()); !h.MayRenew("n-1", "a") || h.Claim() == nil {
-		t.Error("has no zone lease of its own once it is served")
+		t.Error("has no zone lease of its own once the state service answers again")
 	}
 }
 
-// Guards against an answer by an inherited zone lease after its end, where the clock that told the end and the one that reads it
-// are both as wrong as they may be, in opposite directions.
+// Guards against a reply under an inherited zone lease after its end, when the clock that gave the end and the
+// clock that reads it are both wrong by the largest clock error, in opposite directions.
 func TestInheritedZoneLeaseEndsEarlyByBothClocksErrors(t *testing.T) {
 	h := newZoneHarness(t)
 	h.clockError = 250 * time.Millisecond
-	const lasts = time.Minute
-	h.Inherit(wire.EncodeRecord(claim{Zone: "a", UntilMS: h.clock.Now().Add(lasts).UnixMilli()}))
-	h.advance(lasts - 2*h.clockError - 10*time.Millisecond)
+	const remaining = time.Minute
+	h.Inherit(wire.EncodeRecord(claim{Zone: "a", UntilMS: h.clock.Now().Add(remaining).UnixMilli()}))
+	h.advance(remaining - 2*h.clockError - 10*time.Millisecond)
 	if !h.MayRenew("n-1", "a") {
 		t.Error("ends too early")
 	}
 	if h.advance(10 * time.Millisecond); h.MayRenew("n-1", "a") {
-		t.Error("answers though its time may be over by the clock that told it")
+		t.Error("answers though the lease may have ended by the clock that gave its end")
 	}
 }
