--- a/internal/api/workerapi/redirects.go
+++ b/internal/api/workerapi/redirects.go
@@ -20,8 +20,8 @@
 
 func newRedirects() redirects {
 	return redirects{
-		redirected:   recentWorkers{times: map[string]time.Time{}, ttl: tuning.RedirectMemory},
-		renewedSince: recentWorkers{times: map[string]time.Time{}, ttl: tuning.LeaderRetryHint + tuning.RedirectMemory},
+		redirected:   recentWorkers{at: map[string]time.Time{}, ttl: tuning.RedirectMemory},
+		renewedSince: recentWorkers{at: map[string]time.Time{}, ttl: tuning.LeaderRetryHint + tuning.RedirectMemory},
 	}
 }
 
@@ -53,28 +53,28 @@
 	if now.Sub(since) < tuning.LeaderRetryHint {
 		return false
 	}
-	delete(r.renewedSince.times, machine)
+	delete(r.renewedSince.at, machine)
 	return true
 }
 
 // recentWorkers holds when something was noted of each worker. Entries older than the time to live are dropped, so
 // their number is bounded by how many workers report within that time, however many workers there are.
 type recentWorkers struct {
-	times   map[string]time.Time
+	at      map[string]time.Time // when each worker was last noted, by machine
 	ttl     time.Duration
 	sweepAt int // how many entries there must be before the old ones are dropped
 }
 
 // notedAt returns when a worker was last noted. ok is false if that was longer ago than the time to live, or never.
 func (w *recentWorkers) notedAt(machine string, now time.Time) (at time.Time, ok bool) {
-	at, ok = w.times[machine]
+	at, ok = w.at[machine]
 	return at, ok && now.Sub(at) <= w.ttl
 }
 
 // note notes a worker now.
 func (w *recentWorkers) note(machine string, now time.Time) {
-	sweep(w.times, &w.sweepAt, func(at time.Time) bool { return now.Sub(at) > w.ttl })
-	w.times[machine] = now
+	sweep(w.at, &w.sweepAt, func(at time.Time) bool { return now.Sub(at) > w.ttl })
+	w.at[machine] = now
 }
 
 // sweep drops expired entries from a map by worker once it has sweepAt entries. It then sets sweepAt to twice the
--- a/internal/api/workerapi/renewals.go
+++ b/internal/api/workerapi/renewals.go
@@ -15,8 +15,8 @@
 // FetchHeartbeat asks a worker, by its address, for its heartbeat. ok is false if the worker gives none.
 type FetchHeartbeat func(ctx context.Context, addr string) (hb wire.Heartbeat, ok bool)
 
-// renewals is what this member knows of the workers whose leases it renews on behalf of the leader. It is to find
-// out two things:
+// renewals is what this member knows of the workers whose leases it renews on behalf of the leader. It
+// answers two questions:
 //
 //   - Whether a heartbeat comes from the worker itself, now, or is a copy that the network delayed: a dead machine
 //     must not count as alive because of a copy. A heartbeat that is no newer than an earlier one is a copy, unless
@@ -96,7 +96,7 @@
 }
 
 // observe notes a heartbeat of a known worker. It reports whether the worker's lease may be renewed, and whether
-// the worker is to be queried whether it is alive. The caller holds the lock.
+// the worker is to be asked if it is alive. The caller holds the lock.
 func (r *renewals) observe(w *renewedWorker, hb *wire.Heartbeat, now time.Time) (allowed, needsQuery bool) {
 	isCopy := !hb.Newer(w.incarnation, w.seq)
 	leaderReachesWorker := hb.FencingToken > w.fencingToken
--- a/internal/api/workerapi/renewals_test.go
+++ b/internal/api/workerapi/renewals_test.go
@@ -42,9 +42,9 @@
 	ok := f.allow(f.t.Context(), hb, f.now)
 	for {
 		f.mu.Lock()
-		queried := f.workers[hb.Machine].queryPending
+		queryPending := f.workers[hb.Machine].queryPending
 		f.mu.Unlock()
-		if !queried {
+		if !queryPending {
 			return ok
 		}
 		<-f.answered
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -18,7 +18,7 @@
 	mu          sync.Mutex
 	leader      string    // the member whose missed pings are counted
 	missedPings int       // consecutive pings of that member without any answer
-	leaderFull  bool      // the leader's last answer said that it has no memory for more jobs
+	leaderFull  bool      // the leader answered the last ping that it has no memory for more jobs
 	lastAnswer  time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
 }
 
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// Call sends a request to one member.
+// Call sends a request to one member and returns its response.
 func (p *Peers) Call(ctx context.Context, name string, req peerrpc.Request) (peerrpc.Response, error) {
 	return p.client.Call(ctx, p.endpoints[name], req)
 }
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -66,7 +66,7 @@
 	if wasEmpty && len(f.lastRenewed) > 0 {
 		level = slog.LevelInfo
 	}
-	f.log.Log(ctx, level, "machines recorded; renewing their workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
+	f.log.Log(ctx, level, "record of machines stored; renewing their workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
 	return nil
 }
 
@@ -125,7 +125,7 @@
 	f.pageOf[name] = p
 }
 
-// removeName removes a machine and takes its name off its page.
+// removeName removes a machine and deletes its name from its page.
 func (f *FollowerLeases) removeName(name string) {
 	delete(f.lastRenewed, name)
 	if p := f.pageOf[name]; p != nil {
@@ -169,8 +169,8 @@
 	expired := f.expiredByPage()
 	remove := expired[nil]
 	writesLeft := max(1, f.store.SpareWrites())
-	for i, start := 0, f.nextPage; i < len(f.pages) && writesLeft > 0; i++ {
-		pageIndex := (start + i) % len(f.pages)
+	for i, nextPage := 0, f.nextPage; i < len(f.pages) && writesLeft > 0; i++ {
+		pageIndex := (nextPage + i) % len(f.pages)
 		if names := expired[f.pages[pageIndex]]; len(names) > 0 {
 			remove = append(remove, names...)
 			writesLeft, f.nextPage = writesLeft-1, pageIndex+1
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -39,9 +39,9 @@
 //     expired.
 //   - A process adopts the zone lease of the process before it, if another member remembers when that lease ends.
 //     The record of the earlier process stays stored until a worker's lease after that end, whichever process
-//     answers. The end is a wall-clock time, so a message that was delayed is still correct. The end counts as
-//     reached at the earliest moment that is possible with two clocks, each of which may be wrong by the largest
-//     clock error.
+//     answers. The end is a wall-clock time, so a message that was delayed is still correct. Two clocks
+//     are involved, each of which may be wrong by the largest clock error, so the process treats the end as reached
+//     at the earliest moment that these errors allow.
 //
 // Terms and fencing leases play no part in this: a zone lease permits no command, no write of a record and no
 // campaign. ZoneLease is safe for concurrent use.
@@ -52,14 +52,14 @@
 	member      string
 	zone        string
 	workerLease time.Duration // how long a worker's lease lasts after a reply
-	ttl         time.Duration // how long the zone lease lasts after a renewal; 0: workers' leases are too long for a zone lease
+	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are too long for one
 	startedAt   time.Time
 	clockError  time.Duration // how far a wall clock may be from the true time
 
 	mu               sync.Mutex
 	leaseID          uint64               // the lease of this process's record; 0: none
 	leaseRequestedAt time.Time            // when the last successful grant or renewal of that lease was sent
-	inheritedUntil   time.Time            // wall-clock time at which the zone lease of an earlier process ends; zero: none is known
+	inheritedUntil   time.Time            // wall-clock end of an earlier process's zone lease; zero: none is known
 	lastRenewed      map[string]time.Time // when each machine was last answered under the zone lease
 }
 
