--- a/internal/api/userapi/cancel_test.go
+++ b/internal/api/userapi/cancel_test.go
@@ -20,8 +20,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// loopOf makes a leader's loop that reads its records from a state service, until ctx ends.
-func loopOf(ctx context.Context, state string) *leader.Loop {
+// newLoop returns a leader's loop that loads its records from the state service at an address. Its term ends with ctx.
+func newLoop(ctx context.Context, state string) *leader.Loop {
 	clock := clockwork.NewFakeClock()
 	l := leader.New(&leader.Env{
 		Settings: &config.Settings{Member: "m0", Cluster: config.Cluster{
@@ -39,37 +39,37 @@
 func runLoop(t *testing.T, state string) *leader.Loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	l := loopOf(ctx, state)
+	l := newLoop(ctx, state)
 	done := make(chan struct{})
 	go func() { defer close(done); _ = l.Run() }()
 	t.Cleanup(func() { cancel(); <-done })
 	return l
 }
 
-// Guards against a cancellation that is answered by what is stored though the leader may be about to change it: what is stored
-// counts only for a job that the loop does not know. A poll is answered by what is stored in each case. Stored are job-1, which
-// is live, and the end of job-2.
+// Guards against a cancellation that is answered from the state service although the leader may be about to change
+// what is stored. Stored records answer a cancellation only if the loop does not know the job or is still loading;
+// they answer a poll in each case. Stored are the job record of job-1, which is live, and the final state of job-2.
 func TestCancellationReadsTheStoreOnlyForJobsTheLoopDoesNotKnow(t *testing.T) {
 	unreachable := httptest.NewServer(nil)
 	unreachable.Close()
-	over, cancel := context.WithCancel(t.Context())
+	endedCtx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, c := range []struct {
-		name string
-		loop func(t *testing.T) *leader.Loop
-		why  error // of the loop
-		want map[string]int
+		name    string
+		loop    func(t *testing.T) *leader.Loop
+		loopErr error // the error of the loop's Status for a job
+		want    map[string]int
 	}{
 		{"a loop that knows no jobs", func(t *testing.T) *leader.Loop {
 			empty := fakes.NewStore(clockwork.NewFakeClock())
 			t.Cleanup(empty.Close)
 			return runLoop(t, empty.Addr())
 		}, leader.ErrUnknownJob, map[string]int{"job-1": 503, "job-2": 200, "job-3": 404}},
-		{"a loop that still reads the records", func(t *testing.T) *leader.Loop {
+		{"a loop that is still loading the records", func(t *testing.T) *leader.Loop {
 			return runLoop(t, unreachable.Listener.Addr().String())
 		}, leader.ErrLoading, map[string]int{"job-1": 503, "job-2": 200, "job-3": 404}},
 		{"a loop whose term is over", func(t *testing.T) *leader.Loop {
-			return loopOf(over, unreachable.Listener.Addr().String())
+			return newLoop(endedCtx, unreachable.Listener.Addr().String())
 		}, leader.ErrLeadershipOver, map[string]int{"job-1": 503, "job-2": 503, "job-3": 503}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,13 +80,13 @@
 				t.Fatal(err)
 			}
 			l := c.loop(t)
-			for { // until it has read its records, where it can
+			for { // until the loop has loaded its records, if it can
 				_, err := l.Status(t.Context(), "job-1")
-				if errors.Is(err, c.why) {
+				if errors.Is(err, c.loopErr) {
 					break
 				}
 				if !errors.Is(err, leader.ErrLoading) {
-					t.Fatalf("the loop says %v, want %v", err, c.why)
+					t.Fatalf("the loop answers with error %v, want %v", err, c.loopErr)
 				}
 			}
 			h.leader = func() *leader.Loop { return l }
@@ -99,14 +99,14 @@
 			}
 			polls := map[string]int{"job-1": 200, "job-2": 200, "job-3": 404}
 			for id, want := range c.want {
-				// Whichever comes first must not answer the other from a remembered final state.
+				// A final state that one request remembered must not answer the other request.
 				h.finalStates = jobs.NewFinalStates(8)
 				if got := serve(h.ServeCancel, id); got != want {
-					t.Errorf("%s cancelled: %d, want %d", id, got, want)
+					t.Errorf("cancellation of %s: %d, want %d", id, got, want)
 				}
 				h.finalStates = jobs.NewFinalStates(8)
 				if got := serve(h.ServeStatus, id); got != polls[id] {
-					t.Errorf("%s polled: %d, want %d", id, got, polls[id])
+					t.Errorf("poll of %s: %d, want %d", id, got, polls[id])
 				}
 			}
 		})
--- a/internal/api/userapi/feasibility.go
+++ b/internal/api/userapi/feasibility.go
@@ -5,28 +5,28 @@
 	"poppypass/internal/scheduler/autoscale"
 )
 
-// InfeasibleReason says why a job can never run; empty: nothing is known against it. While the machine types are not known,
-// nothing is.
+// InfeasibleReason returns why a job can never run. It is empty if no reason is known, as it always is while the
+// machine types are not known.
 func (h *Handler) InfeasibleReason(j *wire.Job) string {
-	if types := h.types(); types != nil {
+	if types := h.machineTypes(); types != nil {
 		return h.infeasible(j, types)
 	}
 	return ""
 }
 
-// infeasible says why a job can never run, or nothing.
+// infeasible returns why a job can never run on these machine types, empty if no reason is known.
 func (h *Handler) infeasible(j *wire.Job, types []wire.MachineType) string {
 	team, ok := h.teams[j.Team]
 	if !ok {
 		return "the team is unknown"
 	}
-	atOnce := 1.0 // tasks that must run at the same time
+	concurrentTasks := 1.0 // the number of tasks that must run at the same time
 	if j.Kind == wire.KindService {
-		atOnce = float64(j.Tasks)
+		concurrentTasks = float64(j.Tasks)
 	}
-	const slack = 1e-9 // for rounding of sums
+	const slack = 1e-9 // for rounding errors of sums
 	switch {
-	case atOnce*j.CPUs > team.CPUsMax+slack || atOnce*j.GPUs > team.GPUsMax+slack:
+	case concurrentTasks*j.CPUs > team.CPUsMax+slack || concurrentTasks*j.GPUs > team.GPUsMax+slack:
 		return "the job needs more than its team's limit"
 	case !autoscale.FitsSomeType(j, types):
 		return "a task fits no allowed machine type"
--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -25,8 +25,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// handlerWith makes a handler of a member that does not lead, with a state service and other members.
-func handlerWith(t *testing.T, state string, members ...config.Member) (*Handler, *clockwork.FakeClock) {
+// newHandler returns the handler of a member that does not lead, with the address of a state service and other members.
+func newHandler(t *testing.T, state string, members ...config.Member) (*Handler, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	log := slog.New(slog.DiscardHandler)
@@ -42,24 +42,24 @@
 	}, p, func() *leader.Loop { return nil }, func() bool { return false }), clock
 }
 
-// newHandlerWithStore makes a handler of a member that does not lead and is alone, with a fake state service.
+// newHandlerWithStore returns the handler of a member that does not lead and has no peers, with a fake state service.
 func newHandlerWithStore(t *testing.T) (*Handler, *fakes.Store) {
 	t.Helper()
 	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
-	h, _ := handlerWith(t, state.Addr())
+	h, _ := newHandler(t, state.Addr())
 	return h, state
 }
 
-var body = []byte(`{"ref":"job-7","lane":"l","desk":"t","shape":"array","urgency":"standard","seats":1,"cpus":4,"gpus":0,"mem_gb":1,
+// submissionBody is a valid submission.
+var submissionBody = []byte(`{"ref":"job-7","lane":"l","desk":"t","shape":"array","urgency":"standard","seats":1,"cpus":4,"gpus":0,"mem_gb":1,
 	"bundle":"img","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":10,"stub_s":0,"stamp_s":0}`)
 
-// Guards against answers that come after the user has given up: members that
-// do not answer were asked one after the other, each for its own time, and
-// with five of them that took longer than the 5 s that a user waits.
+// Guards against answers after the user has given up: members that do not answer were asked one after the other, each
+// with a timeout of its own. With five of them that took longer than the 5 s that a user waits.
 func TestASubmissionAsksNobodyPastItsDeadline(t *testing.T) {
-	ctx, deadline := context.WithCancel(t.Context())
-	defer deadline()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	var asked atomic.Int32
 	var members []config.Member
 	for i := range 8 {
@@ -71,29 +71,29 @@
 		members = append(members, config.Member{Name: fmt.Sprintf("m%d", i), Endpoint: peer.Addr().String()})
 		go func() {
 			for {
-				conn, err := peer.Accept() // and never answers
+				conn, err := peer.Accept() // no request is ever answered
 				if err != nil {
 					return
 				}
 				t.Cleanup(func() { conn.Close() })
 				asked.Add(1)
-				deadline()
+				cancel()
 			}
 		}()
 	}
-	h, _ := handlerWith(t, "127.0.0.1:1", members...)
-	if h.relaySubmission(ctx, body).conclusive() {
-		t.Error("an answer, though no member gave one")
+	h, _ := newHandler(t, "127.0.0.1:1", members...)
+	if h.relaySubmission(ctx, submissionBody).conclusive() {
+		t.Error("conclusive answer although no member answered")
 	}
 	if n := asked.Load(); n != 1 {
-		t.Errorf("%d members were asked, want the one that was asked in time", n)
+		t.Errorf("%d members were asked, want only the one that was asked before the deadline", n)
 	}
 }
 
-// Guards against submissions that wait for a state service which does not
-// answer this member, while another member could store them at once.
-func TestASubmissionThatTakesLongIsTriedElsewhere(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never answers
+// Guards against submissions that wait for a state service which does not answer this member, while another member
+// could store them at once.
+func TestASlowSubmissionIsAlsoSentToAnotherMember(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,47 +107,48 @@
 	go peerrpc.Serve(ctx, peer, func(_ context.Context, r peerrpc.Request) peerrpc.Response {
 		return peerrpc.Response{Status: http.StatusCreated, Job: wire.JobStatus{State: wire.StateQueued}}
 	}, slog.New(slog.DiscardHandler))
-	h, clock := handlerWith(t, silent.Addr().String(), config.Member{Name: "m1", Endpoint: peer.Addr().String()})
+	h, clock := newHandler(t, silent.Addr().String(), config.Member{Name: "m1", Endpoint: peer.Addr().String()})
 	done := make(chan int, 1)
-	go func() { done <- h.submitAnywhere(ctx, body).status }()
+	go func() { done <- h.submitAnywhere(ctx, submissionBody).status }()
 	if err := clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
 	clock.Advance(tuning.SubmitHedge)
 	if status := <-done; status != http.StatusCreated {
-		t.Errorf("answered %d", status)
+		t.Errorf("the submission got status %d, want 201", status)
 	}
 }
 
-// Guards against a controller that is ended by the kernel with all that it does: what it
-// has no memory for is refused at once, with when to come back.
+// Guards against a controller that the kernel kills for lack of memory: a submission for which there is no memory is
+// refused at once with a Retry-After header, and nothing is stored.
 func TestWithoutMemoryASubmissionIsRefusedAtOnce(t *testing.T) {
 	h, state := newHandlerWithStore(t)
 	full := true
 	h.memoryFull = func() bool { return full }
 	submit := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, bytes.NewReader(body)))
+		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, bytes.NewReader(submissionBody)))
 		return w
 	}
 	if w := submit(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" || len(state.Applied()) != 0 {
-		t.Errorf("answered %d, come back after %q, %d written", w.Code, w.Header().Get("Retry-After"), len(state.Applied()))
+		t.Errorf("without memory: status %d, Retry-After %q, %d transactions applied", w.Code, w.Header().Get("Retry-After"), len(state.Applied()))
 	}
 	full = false
 	if w := submit(); w.Code != http.StatusCreated {
-		t.Errorf("with memory: %d", w.Code)
+		t.Errorf("with memory: status %d, want 201", w.Code)
 	}
 }
 
-// Guards against users that stay with a controller which has lost the state service and all others: their polls failed for
-// as long as that lasted. It says at once that it serves nobody, and has them ask another.
+// Guards against users that stay with a controller which reaches neither the state service nor another member: their
+// polls failed for as long as the isolation lasted. The controller answers with 503 at once and closes the
+// connection, so that they reach another member.
 func TestAnIsolatedMemberRefusesUsersAndClosesTheirConnections(t *testing.T) {
 	h, _ := newHandlerWithStore(t)
-	alone := true
-	h.isolated = func() bool { return alone }
-	status := func(serve http.HandlerFunc, method, path string) *httptest.ResponseRecorder {
+	isolated := true
+	h.isolated = func() bool { return isolated }
+	serveRequest := func(serve http.HandlerFunc, method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(body))
+		r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(submissionBody))
 		r.SetPathValue("id", "job-7")
 		serve(w, r)
 		return w
@@ -156,18 +157,18 @@
 		name  string
 		serve http.HandlerFunc
 	}{{"poll", h.ServeStatus}, {"submission", h.ServeSubmit}, {"cancellation", h.ServeCancel}} {
-		if w := status(c.serve, http.MethodPost, "/"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
+		if w := serveRequest(c.serve, http.MethodPost, "/"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d, connection %q", c.name, w.Code, w.Header().Get("Connection"))
 		}
 	}
-	if w := status(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("healthy: %d", w.Code)
+	if w := serveRequest(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusServiceUnavailable {
+		t.Errorf("health check of an isolated member: %d", w.Code)
 	}
-	alone = false
-	if w := status(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusOK {
-		t.Errorf("not healthy at once: %d", w.Code)
+	isolated = false
+	if w := serveRequest(h.ServeHealth, http.MethodGet, "/up"); w.Code != http.StatusOK {
+		t.Errorf("health check right after the isolation: %d", w.Code)
 	}
-	if w := status(h.ServeStatus, http.MethodGet, "/"); w.Code != http.StatusNotFound {
-		t.Errorf("poll: %d", w.Code)
+	if w := serveRequest(h.ServeStatus, http.MethodGet, "/"); w.Code != http.StatusNotFound {
+		t.Errorf("poll after the isolation: %d", w.Code)
 	}
 }
--- a/internal/api/userapi/relayed.go
+++ b/internal/api/userapi/relayed.go
@@ -10,8 +10,9 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// AnswerRelayed answers a poll or a cancellation that another member relays to the leader.
-func (h *Handler) AnswerRelayed(ctx context.Context, req peerrpc.Request) peerrpc.Response {
+// AnswerRelayedJobRequest answers a poll or a cancellation that another member relays to the leader. The status is
+// 503 if this member does not lead.
+func (h *Handler) AnswerRelayedJobRequest(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	if !wire.ValidJobID(req.Job) || h.leader() == nil {
 		return peerrpc.Response{Status: http.StatusServiceUnavailable}
 	}
@@ -19,7 +20,7 @@
 	var err error
 	switch req.Verb {
 	case peerrpc.JobStatus:
-		s, err = h.statusOrRead(ctx, req.Job)
+		s, err = h.statusWithoutRelay(ctx, req.Job)
 	case peerrpc.CancelJob:
 		s, err = h.cancel(ctx, req.Job)
 	default:
@@ -28,8 +29,8 @@
 	return peerrpc.Response{Status: statusCode(err), Job: s}
 }
 
-// statusOrRead finds a job's state without asking another member.
-func (h *Handler) statusOrRead(ctx context.Context, id string) (wire.JobStatus, error) {
+// statusWithoutRelay returns a job's state from memory or from the state service, without relaying to another member.
+func (h *Handler) statusWithoutRelay(ctx context.Context, id string) (wire.JobStatus, error) {
 	if s, err := h.statusInMemory(ctx, id); err == nil {
 		return s, nil
 	}
@@ -38,8 +39,8 @@
 
 // AnswerRelayedSubmission accepts a job that another member could not store.
 func (h *Handler) AnswerRelayedSubmission(ctx context.Context, body []byte) peerrpc.Response {
-	a := h.submit(ctx, body)
-	return peerrpc.Response{Status: a.status, Job: wire.JobStatus{State: a.job.State}, Payload: []byte(a.text)}
+	answer := h.submit(ctx, body)
+	return peerrpc.Response{Status: answer.status, Job: wire.JobStatus{State: answer.job.State}, Payload: []byte(answer.errorText)}
 }
 
 // AnswerRelayedQuery answers a query that another member relays to the leader.
@@ -47,25 +48,26 @@
 	return h.answerAsLeader(func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
 }
 
-// AnswerRelayedCommand carries out a command that another member relays to the leader.
+// AnswerRelayedCommand executes a command that another member relays to the leader.
 func (h *Handler) AnswerRelayedCommand(ctx context.Context, payload []byte) peerrpc.Response {
 	var c leader.Command
 	if json.Unmarshal(payload, &c) != nil {
-		return notLeading()
+		return notLeadingResponse()
 	}
 	return h.answerAsLeader(func(l *leader.Loop) (int, json.RawMessage) { return commandLoop(ctx, l, c) })
 }
 
-// answerAsLeader answers another member, if this one leads.
+// answerAsLeader returns the answer of this member's leader loop, or 503 if this member does not lead.
 func (h *Handler) answerAsLeader(answer func(*leader.Loop) (int, json.RawMessage)) peerrpc.Response {
 	l := h.leader()
 	if l == nil {
-		return notLeading()
+		return notLeadingResponse()
 	}
 	status, body := answer(l)
 	return peerrpc.Response{Status: status, Payload: body}
 }
 
-func notLeading() peerrpc.Response {
+// notLeadingResponse returns the response of a member that does not lead.
+func notLeadingResponse() peerrpc.Response {
 	return peerrpc.Response{Status: http.StatusServiceUnavailable, Payload: errorBody(errNotLeading.Error())}
 }
--- a/internal/api/userapi/status.go
+++ b/internal/api/userapi/status.go
@@ -14,15 +14,15 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Why a job's state is not known.
+// The errors of a request for a job's state.
 var (
-	// errNoSuchJob means that the job was never accepted.
+	// errNoSuchJob means that the job is known never to have been accepted.
 	errNoSuchJob = errors.New("no such job")
-	// errStatusUnknown means that the state cannot be read now.
+	// errStatusUnknown means that the state cannot be read now; the job may exist.
 	errStatusUnknown = errors.New("the job's state cannot be read now")
 )
 
-// statusCode is the HTTP status that tells an outcome.
+// statusCode returns the HTTP status for the outcome of a request: only a proven absence of the job is a 404.
 func statusCode(err error) int {
 	switch {
 	case err == nil:
@@ -33,8 +33,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// readStatus reads a job's state from the state service. The error is errNoSuchJob or errStatusUnknown.
-type readStatus func(ctx context.Context, id string) (wire.JobStatus, error)
+// statusReadFunc reads a job's state from the state service. Its error is errNoSuchJob or errStatusUnknown.
+type statusReadFunc func(ctx context.Context, id string) (wire.JobStatus, error)
 
 // ServeStatus answers a poll of a job's state.
 func (h *Handler) ServeStatus(w http.ResponseWriter, r *http.Request) {
@@ -55,9 +55,10 @@
 	}
 }
 
-// status finds a job's state. It comes from a final state, from the leader's memory within its right, or from a fresh read of
-// the state service. The error is errNoSuchJob or errStatusUnknown.
-func (h *Handler) status(ctx context.Context, id string, read readStatus) (wire.JobStatus, error) {
+// status returns a job's state. The source is a remembered final state, or the memory of the leader (this member or
+// another one, which is asked) while it may act, or otherwise a new read of the state service. The error is
+// errNoSuchJob or errStatusUnknown.
+func (h *Handler) status(ctx context.Context, id string, read statusReadFunc) (wire.JobStatus, error) {
 	if s, err := h.statusInMemory(ctx, id); err == nil {
 		return s, nil
 	}
@@ -69,7 +70,7 @@
 	return read(ctx, id)
 }
 
-// relayedStatus is what the leader told of a job; Peers.Relay passes 200 and 404 only.
+// relayedStatus returns a job's state from the leader's response to Peers.Relay, whose status is 200 or 404.
 func (h *Handler) relayedStatus(id string, resp peerrpc.Response) (wire.JobStatus, error) {
 	if resp.Status != http.StatusOK {
 		return wire.JobStatus{}, errNoSuchJob
@@ -80,8 +81,9 @@
 	return s, nil
 }
 
-// statusInMemory returns a job's state if this member may tell it without reading: a final state, which never changes, before
-// what the leader's memory says within its right. The error is errNotLeading or that of leader.Loop.Status.
+// statusInMemory returns a job's state if this member may report it without reading the state service: a remembered
+// final state, which never changes, or else the state in the leader's memory, if this member may act as the leader.
+// The error is errNotLeading or that of leader.Loop.Status.
 func (h *Handler) statusInMemory(ctx context.Context, id string) (wire.JobStatus, error) {
 	if s, ok := h.finalStates.Get(id); ok {
 		return s, nil
@@ -93,18 +95,21 @@
 	return l.Status(ctx, id)
 }
 
+// rememberFinal stores a status in the cache of final states if it is final.
 func (h *Handler) rememberFinal(s wire.JobStatus) {
 	if s.State.Final() {
 		h.finalStates.Add(s)
 	}
 }
 
-// storedStatus reads a job's state from the state service. The order matters: a job's record is dropped in the transaction that
-// stores its end, so a job that has no record when it is read either ended before or was never accepted.
+// storedStatus reads a job's state from the state service: first its job record, then its final state. The order
+// matters. The job record is deleted in the transaction that stores the final state, so a job without a job record
+// has either ended before that read, and its final state is stored, or was never accepted. The error is errNoSuchJob
+// or errStatusUnknown.
 func (h *Handler) storedStatus(ctx context.Context, id string, store *statestore.Client) (wire.JobStatus, error) {
 	item, live, err := store.Get(ctx, jobs.KeyJob(id))
 	if err != nil {
-		h.log.Debug("state unreadable", "job", id, "err", err)
+		h.log.Debug("job record not read; the job's state stays unknown", "job", id, "err", err)
 		return wire.JobStatus{}, errStatusUnknown
 	}
 	if live {
@@ -113,11 +118,13 @@
 	return h.storedFinalStatus(ctx, id, h.store)
 }
 
-// storedFinalStatus reads the final state of a job that had no record a moment before.
+// storedFinalStatus reads the final state of a job. The caller must have found before that the job has no job record:
+// only then a missing final state proves that the job was never accepted. The error is errNoSuchJob or
+// errStatusUnknown.
 func (h *Handler) storedFinalStatus(ctx context.Context, id string, store *statestore.Client) (wire.JobStatus, error) {
 	item, found, err := store.Get(ctx, jobs.KeyFinalState(id))
 	if err != nil {
-		h.log.Debug("state unreadable", "job", id, "err", err)
+		h.log.Debug("final state not read; the job's state stays unknown", "job", id, "err", err)
 		return wire.JobStatus{}, errStatusUnknown
 	}
 	if !found {
@@ -125,7 +132,7 @@
 	}
 	var final jobs.FinalState
 	if err := json.Unmarshal(item.Value, &final); err != nil || !final.State.Final() {
-		h.log.Error("end record is malformed", "job", id)
+		h.log.Error("stored final state is malformed; the job's state stays unknown", "job", id)
 		return wire.JobStatus{}, errStatusUnknown
 	}
 	s := final.Status(id)
@@ -133,7 +140,8 @@
 	return s, nil
 }
 
-// liveStatus is what a stored job's record tells its user.
+// liveStatus returns the status that a job record shows to the user: cancelled if the record says so, queued
+// otherwise. The record does not say whether tasks run.
 func liveStatus(item wire.Item) wire.JobStatus {
 	s := wire.JobStatus{ID: item.Key[len(jobs.PrefixJob):], State: wire.StateQueued}
 	var rec jobs.JobRecord
--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -10,17 +10,20 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// statusReader reads the states of jobs that the leader cannot tell: while nobody leads, or the leader stands still, all polls
-// end here. One batch is read at a time; what comes meanwhile shares the next, and many share one listing of the live jobs. Two
-// reads for each used up the limit when users asked eight times as often. Each answer was read after its poll came.
+// statusReader reads jobs' states from the state service for polls that the leader does not answer: all polls, while
+// there is no leader or the leader hangs. It reads one batch of polls at a time. The polls that arrive meanwhile form
+// the next batch, and a large batch shares one listing of the live jobs: two reads for each poll used up the rate
+// limit when users polled eight times as often as usual. Each answer is read after its poll arrived, so it is never
+// older than the poll.
 type statusReader struct {
 	h *Handler
 
 	mu      sync.Mutex
-	waiting map[string][]chan statusAnswer // by job
-	running bool                           // a goroutine answers batches; it ends when nobody waits
+	waiting map[string][]chan statusAnswer // the polls of the next batch, by job ID
+	running bool                           // whether the goroutine of run is active; it ends when no poll waits
 }
 
+// statusAnswer is the answer to one poll.
 type statusAnswer struct {
 	status wire.JobStatus
 	err    error
@@ -30,9 +33,10 @@
 	return &statusReader{h: h, waiting: map[string][]chan statusAnswer{}}
 }
 
-// read reads a job's state with the next batch. The error is errNoSuchJob or errStatusUnknown.
+// read reads a job's state with the next batch. The error is errNoSuchJob or errStatusUnknown, the latter also if ctx
+// ends before the batch is read.
 func (r *statusReader) read(ctx context.Context, id string) (wire.JobStatus, error) {
-	ch := make(chan statusAnswer, 1) // the one who waits may be gone
+	ch := make(chan statusAnswer, 1) // buffered: the caller may no longer receive
 	r.mu.Lock()
 	r.waiting[id] = append(r.waiting[id], ch)
 	if !r.running {
@@ -48,7 +52,7 @@
 	}
 }
 
-// run answers batches until nobody waits. Each takes at most tuning.PollWait.
+// run answers batches until no poll waits. Each batch takes at most tuning.PollWait.
 func (r *statusReader) run() {
 	for {
 		r.mu.Lock()
@@ -63,7 +67,9 @@
 	}
 }
 
-// answerBatch reads the states of a batch's jobs: one by one, or, if there are many, the live ones by a listing.
+// answerBatch reads the states of a batch's jobs and answers their polls. A batch of at least tuning.PollBatch jobs
+// reads the live ones by one listing and the final states of the others one by one; a smaller batch reads every job
+// by itself.
 func (r *statusReader) answerBatch(batch map[string][]chan statusAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollWait)
 	defer cancel()
@@ -73,29 +79,29 @@
 	if len(batch) >= tuning.PollBatch {
 		var err error
 		if live, err = listLive(ctx, store); err != nil {
-			r.h.log.Debug("live jobs unreadable", "polls", len(batch), "err", err)
-			for _, chs := range batch {
-				answerAll(chs, statusAnswer{err: errStatusUnknown})
+			r.h.log.Debug("listing of live jobs failed; the states of the polled jobs stay unknown", "polls", len(batch), "err", err)
+			for _, waiters := range batch {
+				answerAll(waiters, statusAnswer{err: errStatusUnknown})
 			}
 			return
 		}
-		read = r.h.storedFinalStatus // of those that are not live
+		read = r.h.storedFinalStatus // the listing has shown that the others have no job record
 	}
 	var wg sync.WaitGroup
-	for id, chs := range batch {
+	for id, waiters := range batch {
 		if s, ok := live[id]; ok {
-			answerAll(chs, statusAnswer{status: s})
+			answerAll(waiters, statusAnswer{status: s})
 			continue
 		}
 		wg.Go(func() {
 			s, err := read(ctx, id, store)
-			answerAll(chs, statusAnswer{s, err})
+			answerAll(waiters, statusAnswer{s, err})
 		})
 	}
 	wg.Wait()
 }
 
-// listLive reads the states of all jobs that are not over.
+// listLive reads the states of all jobs that have a job record, by job ID.
 func listLive(ctx context.Context, store *statestore.Client) (map[string]wire.JobStatus, error) {
 	live := map[string]wire.JobStatus{}
 	_, err := store.ListAll(ctx, jobs.PrefixJob, func(items []wire.Item) error {
@@ -108,8 +114,9 @@
 	return live, err
 }
 
-func answerAll(chs []chan statusAnswer, a statusAnswer) {
-	for _, ch := range chs {
+// answerAll sends an answer to all polls of one job.
+func answerAll(waiters []chan statusAnswer, a statusAnswer) {
+	for _, ch := range waiters {
 		ch <- a
 	}
 }
--- a/internal/api/userapi/status_reader_test.go
+++ b/internal/api/userapi/status_reader_test.go
@@ -15,13 +15,13 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against polls that use up the limit on reads while nobody leads: many
-// share one listing, and each answer was read after its poll came.
+// Guards against polls that use up the rate limit on reads while there is no leader: many polls share one listing,
+// and each answer is read after its poll arrived.
 func TestManyPollsShareAListing(t *testing.T) {
 	release := make(chan struct{})
 	var lists, gets atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		write := func(v any) { _ = json.NewEncoder(w).Encode(v) } // the caller notices
+		write := func(v any) { _ = json.NewEncoder(w).Encode(v) } // a missing answer fails the poll's check
 		if r.URL.Path == wire.PathKV {
 			lists.Add(1)
 			var page wire.ItemPage
@@ -43,25 +43,25 @@
 		write(struct{}{})
 	}))
 	t.Cleanup(srv.Close)
-	h, _ := handlerWith(t, strings.TrimPrefix(srv.URL, "http://"))
-	p := h.statusReader
+	h, _ := newHandler(t, strings.TrimPrefix(srv.URL, "http://"))
+	reader := h.statusReader
 	var wg sync.WaitGroup
 	poll := func(id string, want error, state wire.JobState) {
 		wg.Go(func() {
-			if s, err := p.read(t.Context(), id); !errors.Is(err, want) || s.State != state || err == nil && s.ID != id {
+			if s, err := reader.read(t.Context(), id); !errors.Is(err, want) || s.State != state || err == nil && s.ID != id {
 				t.Errorf("%s: %v %+v", id, err, s)
 			}
 		})
 	}
-	queued := func(n int) {
+	waitForQueued := func(n int) {
 		for done := false; !done; {
-			p.mu.Lock()
-			done = len(p.waiting) == n
-			p.mu.Unlock()
+			reader.mu.Lock()
+			done = len(reader.waiting) == n
+			reader.mu.Unlock()
 		}
 	}
 	poll("job-never", errNoSuchJob, "")
-	for gets.Load() == 0 { // its reads are on their way: what comes now waits
+	for gets.Load() == 0 { // until the first batch is being read: later polls wait for the next batch
 	}
 	for i := range 20 {
 		state := wire.StateQueued
@@ -71,7 +71,7 @@
 		poll(fmt.Sprintf("job-%d", i), nil, state)
 	}
 	poll("job-over", nil, wire.StateDone)
-	queued(21)
+	waitForQueued(21)
 	close(release)
 	wg.Wait()
 	if lists.Load() != 1 || gets.Load() != 3 {
--- a/internal/api/userapi/store_job.go
+++ b/internal/api/userapi/store_job.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Why a job is not stored.
+// The errors of storeJob.
 var (
 	errJobKnown   = errors.New("the job is stored already, or over")
 	errMemoryFull = errors.New("there is no memory for more jobs now; submit it again")
@@ -20,8 +20,8 @@
 	errNotStored  = errors.New("the job could not be stored; submit it again")
 )
 
-// submit accepts a job here, or says why it is not accepted.
-func (h *Handler) submit(ctx context.Context, body []byte) submission {
+// submit has this member store a job. If the job is not accepted, the answer holds the reason.
+func (h *Handler) submit(ctx context.Context, body []byte) submitAnswer {
 	job, err := h.parseSubmission(body)
 	if err != nil {
 		return refused(http.StatusBadRequest, httpjson.OneLine(err))
@@ -29,34 +29,34 @@
 	if s, ok := h.finalStates.Get(job.ID); ok {
 		return accepted(http.StatusOK, s.ID, s.State)
 	}
-	types := h.types()
+	types := h.machineTypes()
 	if types == nil {
 		return refused(http.StatusServiceUnavailable, "the machine types are not known yet")
 	}
 	reason := h.infeasible(job, types)
 	if reason != "" {
-		return h.answerKnown(ctx, job.ID, reason)
+		return h.answerKnownJob(ctx, job.ID, reason)
 	}
 	err = h.storeJob(ctx, job)
 	switch {
 	case err == nil:
-		h.log.Debug("accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
+		h.log.Debug("job stored; accepting it", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
 		return accepted(http.StatusCreated, job.ID, wire.StateQueued)
 	case errors.Is(err, errJobKnown):
-		return h.answerKnown(ctx, job.ID, "")
+		return h.answerKnownJob(ctx, job.ID, "")
 	case errors.Is(err, errTooLong):
 		return refused(http.StatusBadRequest, err.Error())
 	}
 	return refused(http.StatusServiceUnavailable, err.Error())
 }
 
-// parseSubmission reads a job, with its account where charges are kept.
+// parseSubmission decodes a job, including its account if charges are recorded.
 func (h *Handler) parseSubmission(body []byte) (*wire.Job, error) {
 	job, err := wire.ParseJob(body)
 	if err != nil {
 		return nil, err
 	}
-	if h.accounts {
+	if h.accountsEnabled {
 		if err := job.ReadAccount(body); err != nil {
 			return nil, err
 		}
@@ -64,7 +64,8 @@
 	return job, nil
 }
 
-// storeJob stores a job that is neither stored nor over. The error is one of those above.
+// storeJob stores a job in one transaction, on the condition that neither its job record nor its final state is
+// stored. The error is errJobKnown, errMemoryFull, errTooLong or errNotStored.
 func (h *Handler) storeJob(ctx context.Context, job *wire.Job) error {
 	if h.peers.LeaderFull() || h.memoryFull != nil && h.memoryFull() {
 		return errMemoryFull
@@ -84,13 +85,15 @@
 	case errors.As(err, &conflict):
 		return errJobKnown
 	}
-	h.log.Debug("submission not stored", "job", job.ID, "err", err)
+	h.log.Debug("submission not stored; telling the user to submit it again", "job", job.ID, "err", err)
 	return errNotStored
 }
 
-// answerKnown answers a submission of a job that is known, or, if there is a reason, that can never run. A job that was accepted
-// before must never be refused, whatever the machine types are by now.
-func (h *Handler) answerKnown(ctx context.Context, id, reason string) submission {
+// answerKnownJob answers a submission of a job that is stored or over, or that can never run for the given reason. A
+// job that was accepted before must never be refused, even if it fits none of the present machine types. So a job
+// that can never run is refused only once its absence is proven, and answered with 503 while its state cannot be
+// read.
+func (h *Handler) answerKnownJob(ctx context.Context, id, reason string) submitAnswer {
 	s, err := h.status(ctx, id, func(ctx context.Context, id string) (wire.JobStatus, error) {
 		return h.storedStatus(ctx, id, h.store)
 	})
--- a/internal/api/userapi/submit.go
+++ b/internal/api/userapi/submit.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ServeSubmit accepts a job: it is accepted once it is stored. Any member may store it, so that accepting goes on while nobody
-// leads.
+// ServeSubmit accepts a job. A job is accepted once it is stored. Any member may store it, so jobs are accepted while
+// there is no leader, too.
 func (h *Handler) ServeSubmit(w http.ResponseWriter, r *http.Request) {
 	body, err := httpjson.ReadBody(r, wire.MaxBody)
 	if err != nil {
@@ -21,45 +21,49 @@
 	if h.refuseIfIsolated(w) {
 		return
 	}
-	begun := h.clock.Now()
-	// One deadline covers all that is tried, however many members there are.
+	startedAt := h.clock.Now()
+	// One deadline bounds all attempts together, however many members there are.
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTotal)
 	defer cancel()
-	a := h.submitAnywhere(ctx, body)
-	h.log.Debug("submission answered", "status", a.status, "job", a.job.ID, "took_ms", h.clock.Since(begun).Milliseconds())
-	if a.status >= http.StatusBadRequest {
-		httpjson.WriteError(w, a.status, a.text)
+	answer := h.submitAnywhere(ctx, body)
+	h.log.Debug("submission answered", "status", answer.status, "job", answer.job.ID, "took_ms", h.clock.Since(startedAt).Milliseconds())
+	if answer.status >= http.StatusBadRequest {
+		httpjson.WriteError(w, answer.status, answer.errorText)
 		return
 	}
-	httpjson.Write(w, a.status, a.job)
+	httpjson.Write(w, answer.status, answer.job)
 }
 
-// submission is the answer to one.
-type submission struct {
-	status int           // 200: the job is known; 201: it was stored; otherwise it is refused
-	job    wire.Accepted // below 400
-	text   string        // what is wrong, from 400 on
+// submitAnswer is the answer to a submission.
+type submitAnswer struct {
+	status    int           // HTTP status; 200: the job was known already; 201: it is stored now; from 400: it is refused
+	job       wire.Accepted // set if status is below 400
+	errorText string        // the error text, set if status is 400 or above
 }
 
-// conclusive reports whether another member could not answer otherwise.
-func (s submission) conclusive() bool { return s.status != http.StatusServiceUnavailable }
+// conclusive reports whether the answer is the same at every member. Only 503 is not: another member may be able to
+// store the job.
+func (s submitAnswer) conclusive() bool { return s.status != http.StatusServiceUnavailable }
 
-func accepted(status int, id string, state wire.JobState) submission {
-	return submission{status: status, job: wire.Accepted{ID: id, State: state}}
+func accepted(status int, id string, state wire.JobState) submitAnswer {
+	return submitAnswer{status: status, job: wire.Accepted{ID: id, State: state}}
 }
 
-func refused(status int, text string) submission { return submission{status: status, text: text} }
+func refused(status int, text string) submitAnswer {
+	return submitAnswer{status: status, errorText: text}
+}
 
-// submitAnywhere has this member store a submission and, when that fails or takes long, another one: the state service may
-// refuse this member alone or not answer it. Whoever is second finds the job stored. The first conclusive answer counts; without
-// any it is this member's own.
-func (h *Handler) submitAnywhere(ctx context.Context, body []byte) submission {
+// submitAnywhere has this member store a submission. If that fails or takes longer than tuning.SubmitHedge, it has
+// another member store it, too: the state service may refuse this member alone, or not answer it. That both store it
+// is safe: the second one finds the job stored. submitAnywhere returns the first conclusive answer, or this member's
+// own if there is none.
+func (h *Handler) submitAnywhere(ctx context.Context, body []byte) submitAnswer {
 	ownAnswer := h.startSubmit(ctx, body)
 	if h.peers.Alone() {
 		return <-ownAnswer
 	}
-	hedge := h.clock.NewTimer(tuning.SubmitHedge)
-	defer hedge.Stop()
+	hedgeTimer := h.clock.NewTimer(tuning.SubmitHedge)
+	defer hedgeTimer.Stop()
 	select {
 	case own := <-ownAnswer:
 		if own.conclusive() {
@@ -69,14 +73,15 @@
 			return relayed
 		}
 		return own
-	case <-hedge.Chan():
+	case <-hedgeTimer.Chan():
 		return firstConclusive(ownAnswer, h.startRelay(ctx, body))
 	}
 }
 
-// startSubmit stores a submission here. Its goroutine ends within tuning.SubmitWait, or as ctx ends.
-func (h *Handler) startSubmit(ctx context.Context, body []byte) <-chan submission {
-	answer := make(chan submission, 1) // the one who waits may be gone
+// startSubmit starts to store a submission by this member. The goroutine ends after tuning.SubmitWait at the latest,
+// or with ctx.
+func (h *Handler) startSubmit(ctx context.Context, body []byte) <-chan submitAnswer {
+	answer := make(chan submitAnswer, 1) // buffered: the caller may no longer receive
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, tuning.SubmitWait)
 		defer cancel()
@@ -85,18 +90,18 @@
 	return answer
 }
 
-// startRelay has another member store a submission. Its goroutine ends as ctx ends.
-func (h *Handler) startRelay(ctx context.Context, body []byte) <-chan submission {
-	answer := make(chan submission, 1) // the one who waits may be gone
+// startRelay starts to have another member store a submission. The goroutine ends with ctx.
+func (h *Handler) startRelay(ctx context.Context, body []byte) <-chan submitAnswer {
+	answer := make(chan submitAnswer, 1) // buffered: the caller may no longer receive
 	go func() { answer <- h.relaySubmission(ctx, body) }()
 	return answer
 }
 
-// firstConclusive returns the first of two answers that is conclusive, or this member's own.
-func firstConclusive(ownAnswer, peerAnswer <-chan submission) submission {
-	var own submission
+// firstConclusive returns the first conclusive one of two answers, or this member's own if neither is conclusive.
+func firstConclusive(ownAnswer, peerAnswer <-chan submitAnswer) submitAnswer {
+	var own submitAnswer
 	for ownAnswer != nil || peerAnswer != nil {
-		var got submission
+		var got submitAnswer
 		select {
 		case got = <-ownAnswer:
 			own, ownAnswer = got, nil
@@ -110,26 +115,27 @@
 	return own
 }
 
-// relaySubmission has another member accept a submission, the leader first.
-func (h *Handler) relaySubmission(ctx context.Context, body []byte) submission {
-	none := refused(http.StatusServiceUnavailable, "no other controller can store the job now; submit it again")
+// relaySubmission has another member store a submission. It asks one member after the other, the leader first, until
+// one gives a conclusive answer or ctx ends.
+func (h *Handler) relaySubmission(ctx context.Context, body []byte) submitAnswer {
+	unavailable := refused(http.StatusServiceUnavailable, "no other controller can store the job now; submit it again")
 	job, err := wire.ParseJob(body)
 	if err != nil {
-		return none
+		return unavailable
 	}
 	for _, name := range h.peers.Others() {
 		if ctx.Err() != nil {
 			break
 		}
-		r, err := h.peers.Call(ctx, name, peerrpc.Request{Verb: peerrpc.SubmitJob, Payload: body})
+		resp, err := h.peers.Call(ctx, name, peerrpc.Request{Verb: peerrpc.SubmitJob, Payload: body})
 		if err != nil {
 			continue
 		}
-		a := accepted(r.Status, job.ID, r.Job.State)
-		a.text = string(r.Payload)
-		if a.conclusive() {
-			return a
+		answer := accepted(resp.Status, job.ID, resp.Job.State)
+		answer.errorText = string(resp.Payload)
+		if answer.conclusive() {
+			return answer
 		}
 	}
-	return none
+	return unavailable
 }
--- a/internal/api/userapi/submit_validation_test.go
+++ b/internal/api/userapi/submit_validation_test.go
@@ -15,11 +15,11 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// changed is a good submission of a job with some fields changed; nil takes a field away.
-func changed(t *testing.T, id string, fields map[string]any) []byte {
+// submissionWith returns a valid submission with this job ID and some fields changed; nil removes a field.
+func submissionWith(t *testing.T, id string, fields map[string]any) []byte {
 	t.Helper()
 	var m map[string]any
-	if err := json.Unmarshal(body, &m); err != nil {
+	if err := json.Unmarshal(submissionBody, &m); err != nil {
 		t.Fatal(err)
 	}
 	m["ref"] = id
@@ -35,18 +35,19 @@
 	return raw
 }
 
-// null is a field that is there and null.
-var null = json.RawMessage("null")
+// jsonNull is the value of a field that is present and null.
+var jsonNull = json.RawMessage("null")
 
-// submissionCase is a good submission with some fields changed, and its answer.
+// submissionCase is a valid submission with some fields changed, and the answer to it.
 type submissionCase struct {
-	name   string
-	fields map[string]any
-	status int
-	names  string // what the answer names
+	name          string
+	fields        map[string]any
+	status        int
+	errorMentions string // what the error text must contain
 }
 
-// submissionCases are submissions with one field missing, null, of a wrong type, out of range, or that fits nowhere.
+// submissionCases returns submissions with one field missing, null, of a wrong type or out of range, ones that no
+// machine or limit allows, and unusual valid ones.
 func submissionCases() []submissionCase {
 	var cases []submissionCase
 	wrong := map[string][]any{ // of a wrong type, or out of range
@@ -64,22 +65,23 @@
 		if nullable {
 			status = http.StatusCreated
 		}
-		cases = append(cases, submissionCase{field + " is missing", map[string]any{field: nil}, status, field}, submissionCase{field + " is null", map[string]any{field: null}, status, field})
+		cases = append(cases, submissionCase{field + " is missing", map[string]any{field: nil}, status, field}, submissionCase{field + " is null", map[string]any{field: jsonNull}, status, field})
 	}
 	cases = append(cases,
 		submissionCase{"unknown team", map[string]any{"desk": "nobody"}, http.StatusUnprocessableEntity, "team"},
 		submissionCase{"unknown type", map[string]any{"builds": []string{"h9"}}, http.StatusUnprocessableEntity, "type"},
 		submissionCase{"no type", map[string]any{"builds": []string{}}, http.StatusUnprocessableEntity, "type"},
 		submissionCase{"unknown zone", map[string]any{"yard": "z"}, http.StatusUnprocessableEntity, "type"},
-		submissionCase{"a zone in which the type is not", map[string]any{"yard": "b", "builds": []string{"g8"}}, http.StatusUnprocessableEntity, "type"},
+		submissionCase{"a zone without the type", map[string]any{"yard": "b", "builds": []string{"g8"}}, http.StatusUnprocessableEntity, "type"},
 		submissionCase{"too many CPUs for any machine", map[string]any{"cpus": 17}, http.StatusUnprocessableEntity, "type"},
 		submissionCase{"too much memory", map[string]any{"mem_gb": 65}, http.StatusUnprocessableEntity, "type"},
 		submissionCase{"GPUs that no machine has", map[string]any{"gpus": 1, "cpus": 1}, http.StatusUnprocessableEntity, ""},
 		submissionCase{"a task beyond the team's limit", map[string]any{"cpus": 101}, http.StatusUnprocessableEntity, "limit"},
 		submissionCase{"a service beyond the team's limit", map[string]any{"shape": "service", "seats": 26}, http.StatusUnprocessableEntity, "limit"},
-		submissionCase{"an array whose tasks together are beyond it", map[string]any{"seats": 26}, http.StatusCreated, ""},
+		submissionCase{"an array whose tasks together exceed the team's limit", map[string]any{"seats": 26}, http.StatusCreated, ""},
 		submissionCase{"a service at the limit", map[string]any{"shape": "service", "seats": 25}, http.StatusCreated, ""},
-		// Half of its tasks may run at a time, which is not among the protocol's reasons for 422.
+		// Such a job is accepted though only half of its tasks can run at a time: the protocol does not name that as a
+		// reason for 422.
 		submissionCase{"same_place and apart", map[string]any{"same_place": true, "apart": true, "seats": 4}, http.StatusCreated, ""},
 		submissionCase{"apart in one zone", map[string]any{"yard": "a", "apart": true, "seats": 4}, http.StatusCreated, ""},
 		submissionCase{"a field that nobody knows", map[string]any{"colour": "red"}, http.StatusCreated, ""},
@@ -88,44 +90,45 @@
 	return cases
 }
 
-// Guards against jobs that are accepted though they lack a field or can never run, and against good ones that are refused: every field
-// missing, null, of a wrong type and out of range, what is unknown, and what fits nowhere. The answer is one line that names the
-// field, nothing is stored, and each member says the same.
+// Guards against jobs that are accepted although they lack a field or can never run, and against valid ones that are
+// refused: every field missing, null, of a wrong type and out of range, unknown names, and jobs that fit no machine
+// type or limit. The answer is one line that names the field, nothing is stored, and each member gives the same
+// answer.
 func TestSubmissionsAreValidated(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewFakeClock())
 	t.Cleanup(state.Close)
 	members := []*Handler{}
 	for range 2 {
-		h, _ := handlerWith(t, state.Addr())
+		h, _ := newHandler(t, state.Addr())
 		members = append(members, h)
 	}
 	submit := func(h *Handler, raw []byte) (int, string) {
 		w := httptest.NewRecorder()
 		h.ServeSubmit(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, wire.PathJobs, strings.NewReader(string(raw))))
 		var out wire.Error
-		_ = json.Unmarshal(w.Body.Bytes(), &out) // an accepted job's answer has no error
+		_ = json.Unmarshal(w.Body.Bytes(), &out) // the answer to an accepted job has no error text
 		return w.Code, out.Error
 	}
 	for i, c := range submissionCases() {
 		id := fmt.Sprintf("job-%d", 1000+i)
-		raw := changed(t, id, c.fields)
+		raw := submissionWith(t, id, c.fields)
 		for n, h := range members {
 			want := c.status
 			if n > 0 && want == http.StatusCreated {
-				want = http.StatusOK // it is known
+				want = http.StatusOK // the first member has stored it
 			}
 			status, text := submit(h, raw)
-			if status != want || strings.Contains(text, "\n") || status >= 400 && (text == "" || !strings.Contains(text, c.names)) {
+			if status != want || strings.Contains(text, "\n") || status >= 400 && (text == "" || !strings.Contains(text, c.errorMentions)) {
 				t.Errorf("%s: member %d answers %d %q, want %d", c.name, n, status, text, want)
 			}
 		}
 		if _, stored := state.Value(jobs.KeyJob(id)); stored != (c.status == http.StatusCreated) {
-			t.Errorf("%s: stored: %v", c.name, stored)
+			t.Errorf("%s: stored is %v, want the opposite", c.name, stored)
 		}
 	}
 	for _, raw := range []string{"", "null", "[]", "7", `"x"`, "{", `{"ref":"job-1"`, "\x00", strings.Repeat("x", wire.MaxBody+1)} {
 		if status, text := submit(members[0], []byte(raw)); status != http.StatusBadRequest || text == "" || strings.Contains(text, "\n") {
-			t.Errorf("%.20q: %d %q", raw, status, text)
+			t.Errorf("body %.20q: status %d, error %q, want 400 and one line", raw, status, text)
 		}
 	}
 }
--- a/internal/api/userapi/subsystems.go
+++ b/internal/api/userapi/subsystems.go
@@ -12,8 +12,9 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Query has the leader's subsystems answer a query: a path and query string beside the protocol's. It returns the HTTP status
-// and JSON body of the answer, wherever it was made.
+// Query has the leader's subsystems answer a query: a path and query string that are not part of the user protocol.
+// It returns the HTTP status and JSON body of the answer, whether this member leads or the answer is relayed from the
+// leader.
 func (h *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
 	defer cancel()
@@ -21,7 +22,7 @@
 		func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
 }
 
-// Command has the leader's subsystems carry out a command. It returns the HTTP status and JSON body of the answer.
+// Command has the leader's subsystems execute a command. It returns the HTTP status and JSON body of the answer.
 func (h *Handler) Command(ctx context.Context, c leader.Command) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommandWait)
 	defer cancel()
@@ -33,8 +34,8 @@
 		func(l *leader.Loop) (int, json.RawMessage) { return commandLoop(ctx, l, c) })
 }
 
-// askLeader has the leader answer: this member, by answer, or the one that leads, by a request; unavailable is the text of the
-// answer if neither can.
+// askLeader returns the leader's answer. If this member leads, it calls answer; otherwise it sends req to the leader.
+// If neither gives an answer, the status is 503 and unavailable is the error text.
 func (h *Handler) askLeader(ctx context.Context, req peerrpc.Request, unavailable string, answer func(*leader.Loop) (int, json.RawMessage)) (int, json.RawMessage) {
 	if l := h.leader(); l != nil {
 		return answer(l)
@@ -47,15 +48,18 @@
 	return http.StatusServiceUnavailable, errorBody(unavailable)
 }
 
+// commandLoop has the leader's loop execute a command.
 func commandLoop(ctx context.Context, l *leader.Loop, c leader.Command) (int, json.RawMessage) {
 	return encodeAnswer(l.Command(ctx, c))
 }
 
+// queryLoop has the leader's loop answer a query.
 func queryLoop(ctx context.Context, l *leader.Loop, uri string) (int, json.RawMessage) {
 	return encodeAnswer(l.Query(ctx, uri))
 }
 
-// encodeAnswer is what a subsystem answered, as JSON that fits a message between members.
+// encodeAnswer returns the status and the JSON of a subsystem's answer, bounded to tuning.QueryResponseMax bytes so
+// that it fits a message between members.
 func encodeAnswer(a leader.Answer, err error) (int, json.RawMessage) {
 	if err != nil {
 		return http.StatusServiceUnavailable, errorBody("the leader cannot be asked now")
@@ -70,12 +74,13 @@
 	return a.Status, body
 }
 
+// errorBody returns the JSON of an error text.
 func errorBody(text string) json.RawMessage {
-	raw, _ := json.Marshal(wire.Error{Error: text}) // a string is always encodable
+	raw, _ := json.Marshal(wire.Error{Error: text}) // encoding a string cannot fail
 	return raw
 }
 
-// ServeExplanation says what a job waits for.
+// ServeExplanation answers with the reasons why a job waits.
 func (h *Handler) ServeExplanation(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
@@ -84,10 +89,10 @@
 	}
 	status, body := h.Query(r.Context(), r.URL.Path)
 	if status == http.StatusNotFound {
-		// The leader knows live jobs only; one that is over waits for nothing.
+		// The leader's memory holds live jobs only. A job that is over waits for nothing.
 		if s, err := h.status(r.Context(), id, h.statusReader.read); err == nil {
 			status = http.StatusOK
-			body, _ = json.MarshalIndent(wire.Explanation{JobStatus: s, Reasons: []string{}}, "", " ") // plain data
+			body, _ = json.MarshalIndent(wire.Explanation{JobStatus: s, Reasons: []string{}}, "", " ") // encoding plain data cannot fail
 		}
 	}
 	httpjson.WriteRaw(w, status, body)
--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -8,11 +8,11 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// connections bounds those that users and workers may hold. Each worker keeps one open to its controller; a fleet with more
-// workers than sockets shares them: near the limit an answer closes its connection, rather than have those that come next wait
-// for one that never ends.
+// connections counts the open connections of users and workers and limits their number. Each worker has one connection
+// open to its controller. If there are more workers than sockets, they share the sockets: near the limit, each response
+// closes its connection. Otherwise new clients would wait for a connection that is never closed.
 type connections struct {
-	max  int // how many may be open; 0: no limit is known
+	max  int // the largest number of open connections; 0: no limit is known
 	open atomic.Int64
 }
 
@@ -20,7 +20,7 @@
 	return &connections{max: int(float64(fdLimit) * tuning.ConnShare)}
 }
 
-// count counts the open connections, as http.Server.ConnState.
+// count updates the number of open connections. It is the ConnState callback of an http.Server.
 func (c *connections) count(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -30,15 +30,15 @@
 	}
 }
 
-// crowded reports whether few are left.
-func (c *connections) crowded() bool {
+// nearLimit reports whether the number of open connections is near the limit: at least tuning.ConnCloseShare of it.
+func (c *connections) nearLimit() bool {
 	return c.max > 0 && float64(c.open.Load()) >= tuning.ConnCloseShare*float64(c.max)
 }
 
-// closeWhenCrowded has answers close their connections while few are left.
-func (c *connections) closeWhenCrowded(next http.Handler) http.Handler {
+// closeNearLimit wraps a handler: each response closes its connection while the number of open ones is near the limit.
+func (c *connections) closeNearLimit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.crowded() {
+		if c.nearLimit() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
-// Package controller wires the subsystems into one process: the handlers for users, workers and peers, and the leader's loop
-// while this member leads.
+// Package controller wires one controller process together: the handlers for users, workers and peers, and the leader's
+// loop while this member leads.
 package controller
 
 import (
@@ -27,12 +27,12 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Controller is one member of the service.
+// Controller is one member of the cluster of controllers.
 type Controller struct {
-	settings *config.Settings
-	operator *config.OperatorSettingsWatcher
-	clock    clockwork.Clock
-	log      *slog.Logger
+	settings         *config.Settings
+	operatorSettings *config.OperatorSettingsWatcher
+	clock            clockwork.Clock
+	log              *slog.Logger
 
 	env            *leader.Env
 	store          *statestore.Client
@@ -44,17 +44,17 @@
 	zoneLease      *workerlease.ZoneLease
 	userAPI        *userapi.Handler
 	workerAPI      *workerapi.Handler
-	ledger         *ledger.Handler  // nil: no charges are kept
+	ledger         *ledger.Handler  // nil: no charges are recorded
 	graphs         *airflow.Handler // nil: no graphs are served
-	metrics        *metrics.Metrics // nil: they are served nowhere
+	metrics        *metrics.Metrics // nil: no metrics are served
 
-	leading atomic.Pointer[leader.Loop] // the leader's loop, while this member leads
+	activeLoop atomic.Pointer[leader.Loop] // the loop of the current term; nil while this member does not lead
 }
 
-// New makes a controller from its settings. It starts nothing: Run does.
+// New returns a controller with these settings. It starts nothing; Run does.
 func New(s *config.Settings, operator *config.OperatorSettingsWatcher, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
-	c := &Controller{settings: s, operator: operator, clock: clock, log: log}
-	c.connect()
+	c := &Controller{settings: s, operatorSettings: operator, clock: clock, log: log}
+	c.addClients()
 	c.env = c.newEnv()
 	if err := c.addSubsystems(); err != nil {
 		return nil, err
@@ -64,34 +64,35 @@
 	return c, nil
 }
 
-// connect makes the clients of what is outside this process, and the parts that need nothing but them.
-func (c *Controller) connect() {
-	s := c.settings
-	c.cloud = cloud.New(s.Outside.Cloud, s.Cluster.Cloud.RPS)
-	c.peers = peers.New(s, c.clock, c.log)
-	store := statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
-	c.elector = election.New(store.Urgent(), c.peers, s.Member, c.clock, c.log)
+// addClients creates the clients of the cloud, the state service and the peers, and the components that depend on
+// these alone.
+func (c *Controller) addClients() {
+	settings := c.settings
+	c.cloud = cloud.New(settings.Outside.Cloud, settings.Cluster.Cloud.RPS)
+	c.peers = peers.New(settings, c.clock, c.log)
+	store := statestore.New(settings.Outside.State, settings.Cluster.State.RPS, settings.Cluster.State.WriteRPS)
+	c.elector = election.New(store.Urgent(), c.peers, settings.Member, c.clock, c.log)
 	c.peers.SetElector(c.elector)
 	c.store = store.WithShare(c.memberShare(tuning.LeaderShare))
 	c.catalog = &instancetypes.Catalog{
-		Cloud: c.cloud, Store: c.store, ValueKB: s.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
+		Cloud: c.cloud, Store: c.store, ValueKB: settings.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
 	}
-	c.followerLeases = workerlease.NewFollowerLeases(s, c.store, c.clock, c.log)
-	c.zoneLease = workerlease.NewZoneLease(s, c.store, c.clock, c.log)
+	c.followerLeases = workerlease.NewFollowerLeases(settings, c.store, c.clock, c.log)
+	c.zoneLease = workerlease.NewZoneLease(settings, c.store, c.clock, c.log)
 	c.peers.ShareZoneLease(c.zoneLease)
 }
 
-// newEnv makes what the loop of each term works with.
+// newEnv returns the settings, clients and callbacks that the loop of each term uses.
 func (c *Controller) newEnv() *leader.Env {
-	s := c.settings
+	settings := c.settings
 	teams := map[string]config.Team{}
-	for _, t := range s.Cluster.Teams {
+	for _, t := range settings.Cluster.Teams {
 		teams[t.Name] = t
 	}
-	sockets, memoryMB := float64(s.Cluster.Limits.FDLimit), s.Cluster.Limits.RAMMB
+	sockets, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
 	return &leader.Env{
-		Settings:       s,
-		Tunables:       c.operator.Tunables(),
+		Settings:       settings,
+		Tunables:       c.operatorSettings.Tunables(),
 		Clock:          c.clock,
 		Log:            c.log,
 		Store:          c.store,
@@ -109,7 +110,8 @@
 	}
 }
 
-// addHandlers makes the handlers of users and workers. It comes after the subsystems, which change what the loop works with.
+// addHandlers creates the handlers for users and workers. It must run after addSubsystems, which changes the Env that
+// they use.
 func (c *Controller) addHandlers() {
 	c.userAPI = userapi.New(c.env, c.peers, c.leader, c.isolated)
 	c.workerAPI = workerapi.New(workerapi.Options{
@@ -126,18 +128,20 @@
 	})
 }
 
-// isolated reports that neither the state service nor any other member answers this one.
+// isolated reports whether neither the state service nor any other member answers this one.
 func (c *Controller) isolated() bool { return c.zoneLease.Isolated() && c.peers.Isolated() }
 
-// memberShare is what one member may use of a limit that all share, when the leader's work may use a share of it.
-func (c *Controller) memberShare(leader float64) float64 {
-	return (1 - leader) / float64(1+len(c.settings.Members))
+// memberShare returns the share of a common rate limit that each member may use. The leader's loop has a share of its
+// own, and all members, the leading one included, divide the rest equally.
+func (c *Controller) memberShare(leaderShare float64) float64 {
+	return (1 - leaderShare) / float64(1+len(c.settings.Members))
 }
 
-// setCloudShare divides the cloud's limit: followers ask it very little.
-func (c *Controller) setCloudShare(leads bool) {
+// setCloudShare sets this member's share of the cloud's rate limit. Followers send the cloud very few requests, so
+// nearly all of it is the leader's.
+func (c *Controller) setCloudShare(leading bool) {
 	share := c.memberShare(tuning.CloudLeaderShare)
-	if leads {
+	if leading {
 		share = tuning.CloudLeaderShare
 	}
 	c.cloud.SetShare(share)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,91 +15,91 @@
 	h := newHarness(t)
 	h.submit("job-1", 4)
 	if s := h.jobState("job-1"); s != "pending" {
-		t.Errorf("state %q", s)
+		t.Errorf("job-1 is %q before any worker runs it, want pending", s)
 	}
-	k := h.worker("n-000001", "a")
-	h.until("three tasks run", func() bool { k.heartbeat(); return k.running() == 3 })
-	k.heartbeat()
+	worker := h.worker("n-000001", "a")
+	h.until("three tasks run", func() bool { worker.heartbeat(); return worker.running() == 3 })
+	worker.heartbeat()
 	if s := h.jobState("job-1"); s != "running" {
-		t.Errorf("state %q", s)
+		t.Errorf("job-1 is %q while its tasks run, want running", s)
 	}
-	// The fourth would be beyond the team's limit of 12 CPUs.
+	// The fourth task would exceed the team's limit of 12 CPUs.
 	for range 20 {
-		if k.heartbeat(); k.running() > 3 {
-			t.Fatal("beyond the team's limit")
+		if worker.heartbeat(); worker.running() > 3 {
+			t.Fatal("more tasks run than the team's limit of CPUs allows")
 		}
 	}
-	h.until("done", func() bool { k.heartbeat(); k.finish(); return h.jobState("job-1") == "done" })
-	for task, n := range k.starts {
+	h.until("done", func() bool { worker.heartbeat(); worker.finish(); return h.jobState("job-1") == "done" })
+	for task, n := range worker.starts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
 		}
 	}
-	if len(k.starts) != 4 {
-		t.Errorf("started %v", k.starts)
+	if len(worker.starts) != 4 {
+		t.Errorf("started %v", worker.starts)
 	}
-	h.until("all forgotten", func() bool { k.heartbeat(); return len(k.hb.Tasks) == 0 })
-	// A submission that is repeated after the end gets the state, never a refusal.
+	h.until("the worker has forgotten all tasks", func() bool { worker.heartbeat(); return len(worker.hb.Tasks) == 0 })
+	// A submission that is repeated after the end of the job is answered with the final state and never refused.
 	if status, out := h.call("POST", "/v2/runs", job("job-1", 4)); status != 200 || out["status"] != "done" {
-		t.Errorf("repeated: %d %v", status, out)
+		t.Errorf("repeated submission of a job that is over: %d %v", status, out)
 	}
 }
 
 func TestARestartedControllerContinuesItsJobs(t *testing.T) {
 	h := newHarness(t)
 	h.submit("job-1", 2)
-	k := h.worker("n-000001", "a")
-	h.until("both run", func() bool { k.heartbeat(); return k.running() == 2 })
+	worker := h.worker("n-000001", "a")
+	h.until("both run", func() bool { worker.heartbeat(); return worker.running() == 2 })
 	h.submit("job-2", 1)
-	h.stop() // killed; its lease runs out
+	h.stop() // like a kill: the lease is not revoked but expires
 	h.clock.Advance(2 * tuning.LeaseTTL)
 	h.state.Expire()
 	h.boot()
-	old := k.hb.FencingToken
-	h.until("the new leader answers", func() bool { return k.heartbeat() == 200 && k.hb.FencingToken > old })
+	old := worker.hb.FencingToken
+	h.until("the new leader answers", func() bool { return worker.heartbeat() == 200 && worker.hb.FencingToken > old })
 	if s := h.jobState("job-1"); s != "running" && s != "pending" {
-		t.Errorf("state %q", s)
+		t.Errorf("job-1 is %q after the restart, want running or pending", s)
 	}
-	h.until("the third task runs too", func() bool { k.heartbeat(); return k.running() == 3 })
+	h.until("the third task runs too", func() bool { worker.heartbeat(); return worker.running() == 3 })
 	h.until("done", func() bool {
-		k.heartbeat()
-		k.finish()
+		worker.heartbeat()
+		worker.finish()
 		return h.jobState("job-1") == "done" && h.jobState("job-2") == "done"
 	})
-	for task, n := range k.starts {
+	for task, n := range worker.starts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
 		}
 	}
 }
 
-// Guards against a leader that takes a transaction without an answer for one
-// that failed, or repeats it as another.
+// Guards against a leader that treats a transaction without an answer as one that failed, or repeats it as a different
+// transaction: tasks would start twice. Every transaction that stores progress or final states loses its answer.
 func TestACommitWithoutAnAnswerStartsNothingTwice(t *testing.T) {
 	h := newHarness(t)
-	var muted atomic.Int32
+	var unanswered atomic.Int32
 	h.state.LoseAnswers(func(txn wire.Txn) bool {
 		for _, c := range txn.Then {
 			if strings.HasPrefix(c.Put, jobs.PrefixProgress) || strings.HasPrefix(c.Put, jobs.PrefixFinalState) {
-				muted.Add(1)
+				unanswered.Add(1)
 				return true
 			}
 		}
 		return false
 	})
 	h.submit("job-1", 2)
-	k := h.worker("n-000001", "a")
-	passed := int32(0)
+	worker := h.worker("n-000001", "a")
+	retried := int32(0)
 	h.until("done", func() bool {
-		k.heartbeat()
-		k.finish()
-		if passed < muted.Load() {
-			passed++
-			h.advanceWhenIdle(tuning.StateRetry) // the pause before a repetition
+		worker.heartbeat()
+		worker.finish()
+		if retried < unanswered.Load() {
+			retried++
+			h.advanceWhenIdle(tuning.StateRetry) // the pause before the transaction is retried
 		}
 		return h.jobState("job-1") == "done"
 	})
-	for task, n := range k.starts {
+	for task, n := range worker.starts {
 		if n != 1 {
 			t.Errorf("%s started %d times", task, n)
 		}
@@ -109,34 +109,34 @@
 func TestACancellationStopsTasksAndCanBeRepeated(t *testing.T) {
 	h := newHarness(t)
 	h.submit("job-1", 2)
-	k := h.worker("n-000001", "a")
-	h.until("both run", func() bool { k.heartbeat(); return k.running() == 2 })
+	worker := h.worker("n-000001", "a")
+	h.until("both run", func() bool { worker.heartbeat(); return worker.running() == 2 })
 	cancel := func(id string) (int, map[string]any) { return h.call("POST", "/v2/runs/"+id+"/cancel", nil) }
 	answered := make(chan int, 1)
 	go func() { status, _ := cancel("job-1"); answered <- status }()
-	h.until("the replies to heartbeats stop the tasks", func() bool { k.heartbeat(); return k.running() == 0 })
-	h.until("cancelled", func() bool {
-		k.heartbeat()
+	h.until("the replies to heartbeats stop the tasks", func() bool { worker.heartbeat(); return worker.running() == 0 })
+	h.until("the cancellation is confirmed", func() bool {
+		worker.heartbeat()
 		status, out := cancel("job-1")
 		return status == 200 && out["status"] == "withdrawn"
 	})
 	if status := <-answered; status != 200 && status != 503 {
-		t.Errorf("the first request: %d", status)
+		t.Errorf("first cancellation: status %d, want 200 or 503", status)
 	}
 	if s := h.jobState("job-1"); s != "withdrawn" {
-		t.Errorf("state %q", s)
+		t.Errorf("job-1 is %q after its cancellation, want withdrawn", s)
 	}
-	h.until("all forgotten", func() bool { k.heartbeat(); return len(k.hb.Tasks) == 0 })
+	h.until("the worker has forgotten all tasks", func() bool { worker.heartbeat(); return len(worker.hb.Tasks) == 0 })
 	if status, out := cancel("job-1"); status != 200 || out["status"] != "withdrawn" {
-		t.Errorf("repeated: %d %v", status, out)
+		t.Errorf("repeated cancellation: %d %v", status, out)
 	}
 	if status, _ := cancel("job-2"); status != 404 {
-		t.Errorf("a job that nobody submitted: %d", status)
+		t.Errorf("cancellation of a job that nobody submitted: %d", status)
 	}
 }
 
-// Guards against an answer that says less than is known: a failed look-up is
-// no proof that a job does not exist.
+// Guards against the answer that a job does not exist while its state cannot be read: a failed read is no proof of
+// that.
 func TestAFailedReadIsNoProofThatAJobDoesNotExist(t *testing.T) {
 	h := newHarness(t)
 	if s := h.jobState("job-9"); s != "Not Found" {
@@ -152,10 +152,10 @@
 	if status, _ := h.call("POST", "/v2/runs", job("job-3", 1)); status != 503 {
 		t.Errorf("a submission that cannot be stored: %d", status)
 	}
-	// Past its lease the leader has no right to answer workers.
+	// Once its lease has expired, the leader may not answer workers.
 	h.clock.Advance(tuning.LeaseTTL)
 	if status := h.worker("n-000001", "a").heartbeat(); status != 503 && status != 421 {
-		t.Errorf("a heartbeat past the lease: %d", status)
+		t.Errorf("a heartbeat after the leader's lease expired: %d", status)
 	}
 }
 
@@ -190,7 +190,7 @@
 			t.Errorf("%s: %d %v, want %d", c.name, status, out, c.want)
 		}
 	}
-	// A job that was accepted once is never refused, whatever the rules say now.
+	// A job that was accepted once is never refused, even if the submission now breaks the rules.
 	h.submit("job-5", 1)
 	refused := with("cpus", 13)
 	refused["ref"] = "job-5"
@@ -199,37 +199,36 @@
 	}
 }
 
-// Guards against renting twice: a rental without an answer is repeated under
-// the same name.
+// Guards against renting a machine twice: a rental without an answer is repeated with the same request name.
 func TestARentalWithoutAnAnswerIsRepeated(t *testing.T) {
 	h := newHarness(t)
 	h.cloud.LoseRentAnswers(2)
 	h.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
-		h.until("asked", func() bool { return len(h.cloud.Rents()) >= n })
+		h.until("the cloud has got the rental request", func() bool { return len(h.cloud.Rents()) >= n })
 		h.advanceWhenIdle(tuning.CloudRetry)
 	}
-	h.until("answered", func() bool { return len(h.cloud.Rents()) >= 3 })
+	h.until("the cloud has got the request that it answers", func() bool { return len(h.cloud.Rents()) >= 3 })
 	names := map[string]bool{}
 	for _, r := range h.cloud.Rents() {
 		names[r.Request] = true
 	}
 	if len(names) != 1 || len(h.cloud.Machines()) != 1 {
-		t.Errorf("requests %v, machines %v", names, h.cloud.Machines())
+		t.Errorf("request names %v, machines %v; want one of each", names, h.cloud.Machines())
 	}
 }
 
-// Guards against controllers that are useless after a restart in an outage of
-// the cloud: the machines that are there go on being used.
+// Guards against controllers that cannot schedule after a restart in an outage of the cloud: they load the machine
+// types from the state service and continue to use the rented machines.
 func TestAfterARestartInACloudOutageKnownMachinesAreUsed(t *testing.T) {
 	h := newHarness(t)
-	h.until("the types are stored", func() bool { _, ok := h.state.Value(instancetypes.Key); return ok })
+	h.until("the machine types are stored", func() bool { _, ok := h.state.Value(instancetypes.Key); return ok })
 	h.stop()
 	h.clock.Advance(2 * tuning.LeaseTTL)
 	h.state.Expire()
 	h.cloud.Refuse(true)
 	h.boot()
 	h.submit("job-1", 1)
-	k := h.worker("n-000001", "a")
-	h.until("done", func() bool { k.heartbeat(); k.finish(); return h.jobState("job-1") == "done" })
+	worker := h.worker("n-000001", "a")
+	h.until("done", func() bool { worker.heartbeat(); worker.finish(); return h.jobState("job-1") == "done" })
 }
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -16,10 +16,10 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// descriptions is a source at which steps are described: it remembers which job is which.
+// descriptions is an HTTP server that receives the descriptions of steps and remembers them by job.
 type descriptions struct {
 	mu    sync.Mutex
-	steps map[string]runner.Description // by job
+	steps map[string]runner.Description // by job ID
 }
 
 func (d *descriptions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -35,6 +35,7 @@
 	}
 }
 
+// get returns the description of a job.
 func (d *descriptions) get(job string) (runner.Description, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,26 +43,27 @@
 	return s, ok
 }
 
-func (d *descriptions) of(job string) string {
+// stepOf returns the name of the step that a job runs; empty if the job is no step.
+func (d *descriptions) stepOf(job string) string {
 	s, _ := d.get(job)
 	return s.Step
 }
 
-// newGraphHarness is a harness that serves graphs, with a source of descriptions.
+// newGraphHarness returns a harness whose controller serves graphs, and the server that receives their descriptions.
 func newGraphHarness(t *testing.T) (*harness, *descriptions) {
-	d := &descriptions{steps: map[string]runner.Description{}}
-	srv := httptest.NewServer(d)
+	received := &descriptions{steps: map[string]runner.Description{}}
+	srv := httptest.NewServer(received)
 	t.Cleanup(srv.Close)
-	return newHarnessWith(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), d
+	return newHarnessWith(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), received
 }
 
-// tick sends a heartbeat, and lets a little time pass.
-func (k *worker) tick() {
-	k.heartbeat()
-	k.h.clock.Advance(tuning.Tick / 5)
+// tick sends a heartbeat and advances the clock by a fifth of the leader's tick.
+func (w *worker) tick() {
+	w.heartbeat()
+	w.h.clock.Advance(tuning.Tick / 5)
 }
 
-// api calls the API for the team t.
+// api calls the graph API for the team t.
 func (h *harness) api(method, path string, body any) (int, map[string]any) {
 	sep := "?"
 	if strings.Contains(path, "?") {
@@ -70,8 +72,9 @@
 	return h.call(method, airflow.PathAPI+path+sep+"team=t", body)
 }
 
-// want calls the API until the answer has a status: while nobody leads it is 503.
-func (h *harness) want(method, path string, body any, want int) map[string]any {
+// expectStatus calls the graph API until the status is not 503, as it is while there is no leader. It fails the test
+// unless the status is then the wanted one.
+func (h *harness) expectStatus(method, path string, body any, want int) map[string]any {
 	h.t.Helper()
 	var status int
 	var out map[string]any
@@ -85,82 +88,84 @@
 	return out
 }
 
+// jobStep returns the definition of a step that runs a job.
 func jobStep(id string, up ...string) map[string]any {
 	return map[string]any{"task_id": id, "kind": "job", "upstream": up, "job": map[string]any{
 		"class": "l", "cpus": 4, "memory_gb": 1, "image": "img", "image_gb": 1, "estimate_s": 10}}
 }
 
-// stateOf returns the state of a step of a run.
-func (h *harness) stateOf(run, task string) any {
+// stepState returns the state of a step in a run of the graph g.
+func (h *harness) stepState(run, task string) any {
 	_, out := h.api("GET", "/dags/g/dagRuns/"+run+"/taskInstances/"+task, nil)
 	return out["state"]
 }
 
 func TestAGraphRunsFromRegistrationToItsEnd(t *testing.T) {
-	h, d := newGraphHarness(t)
+	h, received := newGraphHarness(t)
 	flaky := jobStep("flaky", "first")
 	flaky["retries"], flaky["pool"] = 1, "db"
 	graph := map[string]any{"dag_id": "g", "description": "a graph", "tags": []string{"x"}, "tasks": []any{jobStep("first"), flaky, jobStep("last", "flaky")}}
-	if out := h.want("PUT", "/dags/g", graph, 201); out["dag_id"] != "g" || out["is_paused"] != false {
+	if out := h.expectStatus("PUT", "/dags/g", graph, 201); out["dag_id"] != "g" || out["is_paused"] != false {
 		t.Errorf("registered as %v", out)
 	}
-	h.want("PUT", "/dags/g", graph, 200)
-	out := h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one", "conf": map[string]any{"day": 3}, "note": "by hand"}, 200)
+	h.expectStatus("PUT", "/dags/g", graph, 200)
+	out := h.expectStatus("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one", "conf": map[string]any{"day": 3}, "note": "by hand"}, 200)
 	if out["dag_run_id"] != "one" || out["run_type"] != "manual" || out["note"] != "by hand" || fmt.Sprint(out["conf"]) != "map[day:3]" {
-		t.Errorf("triggered: %v", out)
+		t.Errorf("the triggered run: %v", out)
 	}
-	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 409)
-	k := h.worker("n-000001", "a")
+	h.expectStatus("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 409)
+	worker := h.worker("n-000001", "a")
 	runs := func(step string) func() bool {
 		return func() bool {
-			k.heartbeat()
-			return len(k.hb.Tasks) == 1 && d.of(fakes.JobOf(k.hb.Tasks[0].Task)) == step && k.running() == 1
+			worker.heartbeat()
+			return len(worker.hb.Tasks) == 1 && received.stepOf(fakes.JobOf(worker.hb.Tasks[0].Task)) == step && worker.running() == 1
 		}
 	}
 	h.until("the first step runs", runs("first"))
-	h.until("that is shown", func() bool {
-		k.heartbeat()
+	h.until("the API reports that the first step runs", func() bool {
+		worker.heartbeat()
 		h.clock.Advance(tuning.SubsystemTick)
-		return h.stateOf("one", "first") == "running"
+		return h.stepState("one", "first") == "running"
 	})
-	h.want("POST", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries", map[string]any{"key": "return_value", "value": []int{1}}, 201)
-	if out := h.want("GET", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries/return_value", nil, 200); out["value"] != "[1]" {
-		t.Errorf("its result: %v", out)
+	h.expectStatus("POST", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries", map[string]any{"key": "return_value", "value": []int{1}}, 201)
+	if out := h.expectStatus("GET", "/dags/g/dagRuns/one/taskInstances/first/xcomEntries/return_value", nil, 200); out["value"] != "[1]" {
+		t.Errorf("the result of the first step: %v", out)
 	}
-	k.finish()
+	worker.finish()
 	h.until("the second step runs", runs("flaky"))
-	if out := h.want("GET", "/pools/db", nil, 200); out["slots"] != 2.0 || out["occupied_slots"] != 1.0 {
-		t.Errorf("the pool: %v", out)
+	if out := h.expectStatus("GET", "/pools/db", nil, 200); out["slots"] != 2.0 || out["occupied_slots"] != 1.0 {
+		t.Errorf("pool db: %v", out)
 	}
-	k.finish()
+	worker.finish()
 	h.until("the third step runs", runs("last"))
-	k.finish()
+	worker.finish()
 	h.until("the run is over", func() bool {
-		k.heartbeat()
+		worker.heartbeat()
 		_, out := h.api("GET", "/dags/g/dagRuns/one", nil)
 		return out["state"] == "success"
 	})
-	// A clear is a new generation under new jobs, though the run was over.
+	// A clear starts a new generation of the steps, which runs as new jobs, although the run was over.
 	clearing := map[string]any{"dag_run_id": "one", "task_ids": []string{"flaky"}, "include_downstream": true, "only_failed": false}
-	if out := h.want("POST", "/dags/g/clearTaskInstances", clearing, 200); len(out["task_instances"].([]any)) != 2 || h.stateOf("one", "flaky") != "success" {
-		t.Errorf("a dry run of a clear: %v", out)
+	if out := h.expectStatus("POST", "/dags/g/clearTaskInstances", clearing, 200); len(out["task_instances"].([]any)) != 2 || h.stepState("one", "flaky") != "success" {
+		t.Errorf("dry run of a clear: %v", out)
 	}
 	clearing["dry_run"] = false
-	h.want("POST", "/dags/g/clearTaskInstances", clearing, 200)
+	h.expectStatus("POST", "/dags/g/clearTaskInstances", clearing, 200)
 	h.until("the second step runs again", runs("flaky"))
-	h.want("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
+	h.expectStatus("PATCH", "/dags/g/dagRuns/one", map[string]any{"state": "failed"}, 200)
 	h.until("the run has failed", func() bool {
-		k.heartbeat()
+		worker.heartbeat()
 		h.clock.Advance(tuning.SubsystemTick)
 		_, out := h.api("GET", "/dags/g/dagRuns/one", nil)
 		return out["state"] == "failed"
 	})
-	if h.stateOf("one", "first") != "success" || h.stateOf("one", "flaky") != "failed" {
-		t.Error("the steps of the run that was cancelled")
+	if h.stepState("one", "first") != "success" || h.stepState("one", "flaky") != "failed" {
+		t.Error("wrong states of the steps of the run that was marked as failed")
 	}
-	// The run shows as failed at once; it is over when the job that was cancelled with it has ended and that is stored.
+	// The run is shown as failed at once. It is over, and its graph can be deleted, only when the final state of the
+	// job that was cancelled with it is stored.
 	h.until("the graph is deleted", func() bool {
-		k.heartbeat()
+		worker.heartbeat()
 		h.clock.Advance(tuning.SubsystemTick)
 		status, out := h.api("DELETE", "/dags/g", nil)
 		if status != http.StatusNoContent && status != http.StatusConflict && status != http.StatusServiceUnavailable {
@@ -168,19 +173,21 @@
 		}
 		return status == http.StatusNoContent
 	})
-	h.want("GET", "/dags/g", nil, 404)
+	h.expectStatus("GET", "/dags/g", nil, 404)
 }
 
-// What clients get wrong, and what they may not see, is answered in the API's own form.
+// Guards against errors in a form that clients of the API cannot parse: malformed requests and requests for what a
+// team may not see are answered in the API's own error form. Listings, filters and runs of empty steps are checked on
+// the way.
 func TestGraphErrorsHaveTheAPIsForm(t *testing.T) {
 	h, _ := newGraphHarness(t)
 	for i := range 5 {
 		g := map[string]any{"dag_id": fmt.Sprint("g", i), "tasks": []any{map[string]any{"task_id": "a", "kind": "empty"}}}
-		h.want("PUT", fmt.Sprint("/dags/g", i), g, 201)
+		h.expectStatus("PUT", fmt.Sprint("/dags/g", i), g, 201)
 	}
-	h.want("PATCH", "/dags/g3", map[string]any{"is_paused": true}, 200)
+	h.expectStatus("PATCH", "/dags/g3", map[string]any{"is_paused": true}, 200)
 	ids := func(path string) (out []string) {
-		for _, v := range h.want("GET", path, nil, 200)["dags"].([]any) {
+		for _, v := range h.expectStatus("GET", path, nil, 200)["dags"].([]any) {
 			out = append(out, v.(map[string]any)["dag_id"].(string))
 		}
 		return out
@@ -194,13 +201,13 @@
 		}
 	}
 	for i := range 3 {
-		out := h.want("POST", "/dags/g0/dagRuns", map[string]any{"logical_date": fmt.Sprintf("2026-12-0%dT00:00:00Z", i+1)}, 200)
+		out := h.expectStatus("POST", "/dags/g0/dagRuns", map[string]any{"logical_date": fmt.Sprintf("2026-12-0%dT00:00:00Z", i+1)}, 200)
 		if out["state"] != "success" || out["dag_run_id"] != fmt.Sprintf("manual__2026-12-0%dT00:00:00+00:00", i+1) {
 			t.Errorf("a run of empty steps: %v", out)
 		}
 	}
 	for path, want := range map[string]float64{"/dags/g0/dagRuns": 3, "/dags/~/dagRuns": 3, "/dags/g0/dagRuns?execution_date_gte=2026-12-02T00:00:00Z": 2, "/dags/g0/dagRuns?state=failed": 0} {
-		if out := h.want("GET", path, nil, 200); out["total_entries"] != want {
+		if out := h.expectStatus("GET", path, nil, 200); out["total_entries"] != want {
 			t.Errorf("%s: %v", path, out)
 		}
 	}
@@ -230,7 +237,7 @@
 		{"POST", "/dags/g0/clearTaskInstances", map[string]any{"include_past": true, "dag_run_id": "x"}, 400},
 		{"POST", "/backfills", map[string]any{"dag_id": "g0"}, 400},
 	} {
-		if out := h.want(c.method, c.path, c.body, c.want); out["status"] != float64(c.want) || out["title"] == "" || out["type"] != "about:blank" || strings.Contains(fmt.Sprint(out["detail"]), "\n") {
+		if out := h.expectStatus(c.method, c.path, c.body, c.want); out["status"] != float64(c.want) || out["title"] == "" || out["type"] != "about:blank" || strings.Contains(fmt.Sprint(out["detail"]), "\n") {
 			t.Errorf("%s %s: %v", c.method, c.path, out)
 		}
 	}
@@ -250,13 +257,13 @@
 	}
 }
 
-// Graphs and plain jobs of one class compete for one slot at a time: each starts in the
-// order in which it came to wait, a step from when it was ready, and neither jumps ahead.
-func TestGraphStepsAndPlainJobsStartInTheOrderOfTheirWaits(t *testing.T) {
-	h, d := newGraphHarness(t)
-	h.submit("job-1", 3) // it takes all that the team may have
-	k := h.worker("n-000001", "a")
-	h.until("the team is at its limit", func() bool { k.tick(); return k.running() == 3 })
+// Guards against unfairness between graphs and plain jobs of one class: they compete for one slot at a time and start
+// in the order in which they began to wait. A step waits from when it is ready.
+func TestGraphStepsAndPlainJobsStartInTheOrderInWhichTheyBeganToWait(t *testing.T) {
+	h, received := newGraphHarness(t)
+	h.submit("job-1", 3) // uses all CPUs of the team's limit
+	worker := h.worker("n-000001", "a")
+	h.until("the team is at its limit", func() bool { worker.tick(); return worker.running() == 3 })
 	long := func(s map[string]any) map[string]any { s["job"].(map[string]any)["cpus"] = 12; return s }
 	var want []string
 	for i := range 4 {
@@ -268,99 +275,101 @@
 		want = append(want, id)
 		h.clock.Advance(tuning.Tick)
 		name := fmt.Sprint("g", i)
-		h.want("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{long(jobStep("s")), long(jobStep("t", "s"))}}, 201)
-		h.want("POST", "/dags/"+name+"/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-		h.until("its step waits", func() bool {
-			k.heartbeat()
+		h.expectStatus("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{long(jobStep("s")), long(jobStep("t", "s"))}}, 201)
+		h.expectStatus("POST", "/dags/"+name+"/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+		h.until("the step is queued", func() bool {
+			worker.heartbeat()
 			_, out := h.api("GET", "/dags/"+name+"/dagRuns/one/taskInstances/s", nil)
 			return out["state"] == "queued"
 		})
 		want = append(want, name+".s")
 	}
-	// The second steps wait from when the first ones end, one after the other.
+	// The second step of each graph waits from when its first step ends. The first steps end one after the other.
 	for i := range 4 {
 		want = append(want, fmt.Sprintf("g%d.t", i))
 	}
 	var got []string
-	k.finish()
+	worker.finish()
 	for len(got) < len(want) {
-		h.until("the next one runs", func() bool { k.tick(); return k.running() == 1 })
-		id := fakes.JobOf(k.hb.Tasks[len(k.hb.Tasks)-1].Task)
-		if s, ok := d.get(id); ok {
+		h.until("the next job runs", func() bool { worker.tick(); return worker.running() == 1 })
+		id := fakes.JobOf(worker.hb.Tasks[len(worker.hb.Tasks)-1].Task)
+		if s, ok := received.get(id); ok {
 			id = s.Graph + "." + s.Step
 		}
 		got = append(got, id)
 		h.clock.Advance(tuning.Tick)
-		k.finish()
+		worker.finish()
 		if strings.HasSuffix(id, ".s") {
-			h.until("the step behind it waits", func() bool {
-				k.tick()
+			h.until("the next step of the graph waits or runs", func() bool {
+				worker.tick()
 				_, out := h.api("GET", "/dags/"+strings.TrimSuffix(id, ".s")+"/dagRuns/one/taskInstances/t", nil)
 				return out["state"] == "queued" || out["state"] == "running"
 			})
 		}
 	}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("started in the order\n%v, want\n%v", got, want)
+		t.Errorf("jobs and steps started in the order\n%v, want\n%v", got, want)
 	}
 }
 
-// The state service refuses everything for a minute while a step ends: nothing is lost, and
-// commands are answered at once with when to come back.
+// Guards against a graph that loses a step in an outage of the state service: it refuses every request for a minute
+// while a step ends. Nothing is lost, and commands and queries are answered at once with 503, which says when to
+// retry.
 func TestAGraphSurvivesAnOutageOfTheStateService(t *testing.T) {
 	h, _ := newGraphHarness(t)
-	h.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
-	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-	k := h.worker("n-000001", "a")
-	h.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
+	h.expectStatus("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
+	h.expectStatus("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+	worker := h.worker("n-000001", "a")
+	h.until("the first step runs", func() bool { worker.tick(); return worker.running() == 1 })
 	h.state.Refuse(true)
-	k.finish()
+	worker.finish()
 	for range 3 {
-		k.tick()
+		worker.tick()
 	}
 	if status, out := h.api("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}); status != 503 {
-		t.Errorf("a trigger meanwhile: %d %v", status, out)
+		t.Errorf("trigger in the outage: %d %v", status, out)
 	}
 	if status, out := h.api("GET", "/dags/g", nil); status != 503 {
-		t.Errorf("a question meanwhile: %d %v", status, out)
+		t.Errorf("query in the outage: %d %v", status, out)
 	}
 	for range 60 {
 		h.clock.Advance(time.Second)
-		k.heartbeat()
+		worker.heartbeat()
 	}
 	h.state.Refuse(false)
-	// Its worker was out of reach for longer than its lease, so its machine was returned.
-	again := h.worker("n-000002", "a")
+	// The first worker got no answer for longer than its lease, so its machine was returned.
+	secondWorker := h.worker("n-000002", "a")
 	h.until("both runs are over", func() bool {
-		again.tick()
-		again.finish()
+		secondWorker.tick()
+		secondWorker.finish()
 		_, one := h.api("GET", "/dags/g/dagRuns/one", nil)
 		_, two := h.api("GET", "/dags/g/dagRuns/two", nil)
 		return one["state"] == "success" && two["state"] == "success"
 	})
-	// The trigger without an answer has come about, and can be repeated.
-	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}, 409)
-	if len(k.starts) != 1 || len(again.starts) != 3 {
-		t.Errorf("started %v and %v", k.starts, again.starts)
+	// The trigger that was answered with 503 has been executed, so that its repetition is a conflict.
+	h.expectStatus("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "two"}, 409)
+	if len(worker.starts) != 1 || len(secondWorker.starts) != 3 {
+		t.Errorf("starts on the first worker %v, on the second %v; want 1 and 3 tasks", worker.starts, secondWorker.starts)
 	}
 }
 
-// A budget runs out in the middle of a graph: the next step waits, and says for what.
+// Guards against a step that runs though its team's budget was used up by an earlier step: it waits, and its
+// explanation names the budget.
 func TestAStepWaitsWhenItsBudgetRunsOut(t *testing.T) {
 	srv := httptest.NewServer(&descriptions{steps: map[string]runner.Description{}})
 	defer srv.Close()
 	h := newHarnessWith(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
-	h.want("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
-	h.want("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
-	k := h.worker("n-000001", "a")
-	h.until("the first step runs", func() bool { k.tick(); return k.running() == 1 })
-	for range 10 { // it takes 0.011 core-hours
+	h.expectStatus("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
+	h.expectStatus("POST", "/dags/g/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
+	worker := h.worker("n-000001", "a")
+	h.until("the first step runs", func() bool { worker.tick(); return worker.running() == 1 })
+	for range 10 { // the first step uses 0.011 core-hours
 		h.clock.Advance(time.Second)
-		h.until("reported", func() bool { return k.heartbeat() == 200 })
+		h.until("a heartbeat is answered", func() bool { return worker.heartbeat() == 200 })
 	}
-	k.finish()
+	worker.finish()
 	h.until("the second step waits for its budget", func() bool {
-		k.tick()
+		worker.tick()
 		_, out := h.api("GET", "/dags/g/dagRuns/one/taskInstances/b", nil)
 		id, _ := out["job"].(string)
 		if out["state"] != "queued" {
@@ -369,7 +378,7 @@
 		_, why := h.call("GET", "/v2/runs/"+id+"/why", nil)
 		return strings.Contains(fmt.Sprint(why["reasons"]), "budget")
 	})
-	if k.running() != 0 {
-		t.Error("it runs beyond the budget")
+	if worker.running() != 0 {
+		t.Error("the second step runs although the budget is used up")
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -23,8 +23,8 @@
 	"poppypass/internal/sim/testutil"
 )
 
-// harness is a controller with fakes of all that is outside. Its clock stands still unless a test moves it, so no lease expires
-// by itself; a test waits by asking again until the answer comes.
+// harness is a controller with a fake state service and a fake cloud. Its clock advances only when a test advances
+// it, so no lease expires by itself. A test waits for a condition by polling it.
 type harness struct {
 	t          *testing.T
 	clock      *clockwork.FakeClock
@@ -33,12 +33,12 @@
 	addr       string
 	c          *Controller
 	stop       func()
-	properties string          // path of the operators' properties
-	observer   leader.Observer // nil: nobody
+	properties string          // path of the operators' properties file; empty: none
+	observer   leader.Observer // nil: the observer that the settings give
 }
 
-// waitLimit turns a test that would hang into a failure; what a test waits for
-// takes milliseconds.
+// waitLimit is how long a test waits for a condition before it fails instead of hanging. Conditions normally hold
+// within milliseconds.
 const waitLimit = time.Minute
 
 func newHarness(t *testing.T) *harness {
@@ -55,8 +55,9 @@
 	return h
 }
 
-// closeFakes ends the fakes. A request that the state service holds back by the clock may have begun to wait after a test last
-// moved the clock, and the service closes once it is answered, so time goes on meanwhile.
+// closeFakes closes the fakes. The state service closes only once all requests are answered. It may delay a request
+// by the fake clock, and that delay may have begun after the test last advanced the clock, so closeFakes advances the
+// clock meanwhile.
 func (h *harness) closeFakes() {
 	closed := make(chan struct{})
 	go func() {
@@ -74,8 +75,8 @@
 	}
 }
 
-// boot starts the controller, as a process with no memory of an earlier one, and waits until it is healthy. A port that was free
-// may be another process's by the time it is bound; then others are tried.
+// boot starts a new controller, without any memory of an earlier one, and waits until it is healthy. A port that was
+// free may be in use by another process when the controller binds it; boot then tries other ports.
 func (h *harness) boot() {
 	h.t.Helper()
 	for tries := 1; ; tries++ {
@@ -89,7 +90,8 @@
 	}
 }
 
-// start starts the controller at addresses of its own. The error is that with which it ended before it was healthy.
+// start starts a controller at new addresses and waits until it is healthy. The error is that of a controller that
+// ended before.
 func (h *harness) start() error {
 	h.t.Helper()
 	h.addr = testutil.FreeAddr(h.t)
@@ -117,64 +119,64 @@
 			h.t.Errorf("the controller ended: %v", err)
 		}
 	}
-	var ended error
+	var endErr error
 	h.until("healthy", func() bool {
 		select {
-		case ended = <-done:
-			if ended == nil {
-				ended = errors.New("the controller ended before it was healthy")
+		case endErr = <-done:
+			if endErr == nil {
+				endErr = errors.New("the controller ended before it was healthy")
 			}
-			done <- nil // it is over, and nobody need hear of it again
+			done <- nil // lets h.stop return; the error is returned here
 			return true
 		default:
 		}
 		status, _ := h.call("GET", "/up", nil)
 		return status == 200
 	})
-	return ended
+	return endErr
 }
 
-// operatorSettings are the operators' settings.
+// operatorSettings loads the operators' settings.
 func (h *harness) operatorSettings() *config.OperatorSettingsWatcher {
-	own, err := config.LoadProperties(h.properties)
+	properties, err := config.LoadProperties(h.properties)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return config.Watch(h.properties, nil, own)
+	return config.Watch(h.properties, nil, properties)
 }
 
-// until waits until a condition holds. On a starved machine a call may time out,
-// and is repeated after a pause of the clock that stands still: that goes on a
-// little then.
+// until waits until a condition holds, and fails the test after waitLimit. On a machine with too little CPU a call
+// may time out and be retried after a pause by the fake clock. So until advances the clock by tuning.RetryLeader at
+// each twelfth of waitLimit.
 func (h *harness) until(what string, holds func() bool) {
 	h.t.Helper()
-	begun := time.Now()
-	for stalled := 1; !holds(); {
-		waited := time.Since(begun)
+	startedAt := time.Now()
+	for advances := 1; !holds(); {
+		waited := time.Since(startedAt)
 		if waited > waitLimit {
-			h.t.Fatalf("never happened: %s", what)
+			h.t.Fatalf("condition did not hold within the wait limit: %s", what)
 		}
-		if waited > time.Duration(stalled)*waitLimit/12 {
-			stalled++
+		if waited > time.Duration(advances)*waitLimit/12 {
+			advances++
 			h.clock.Advance(tuning.RetryLeader)
 		}
 	}
 }
 
-// advanceWhenIdle lets time pass once a call that is to be repeated waits for that,
-// beside the six that always wait: the leader's tick, the renewal of its lease,
-// its next request for votes, its next look at the fencing lease, the next reading
-// of the machine types and the next comparison with the stored jobs.
+// advanceWhenIdle advances the clock once a call waits on it for its retry. That is the seventh waiter: six always
+// wait for the leader's next tick, the renewal of its lease, its next request for votes, its next check of the
+// fencing lease, the next reading of the machine types and the next comparison with the stored jobs.
 func (h *harness) advanceWhenIdle(d time.Duration) {
 	h.t.Helper()
 	ctx, cancel := context.WithTimeout(h.t.Context(), waitLimit)
 	defer cancel()
 	if err := h.clock.BlockUntilContext(ctx, 7); err != nil {
-		h.t.Fatal("nothing waits to be repeated")
+		h.t.Fatal("no call waits for its retry")
 	}
 	h.clock.Advance(d)
 }
 
+// call sends a request to the controller. It returns the status, 0 if there is no answer, and the JSON body.
 func (h *harness) call(method, path string, body any) (int, map[string]any) {
 	var in io.Reader
 	switch b := body.(type) {
@@ -202,6 +204,7 @@
 	return resp.StatusCode, out
 }
 
+// job returns a valid submission with some tasks of 4 CPUs.
 func job(id string, tasks int) map[string]any {
 	return map[string]any{
 		"ref": id, "lane": "l", "desk": "t", "shape": "array", "urgency": "standard", "seats": tasks,
@@ -210,14 +213,16 @@
 	}
 }
 
+// submit submits a job and waits until it is accepted.
 func (h *harness) submit(id string, tasks int) {
 	h.t.Helper()
-	h.until("accepted", func() bool {
+	h.until("the job is accepted", func() bool {
 		status, _ := h.call("POST", "/v2/runs", job(id, tasks))
 		return status == 201 || status == 200
 	})
 }
 
+// jobState returns the state of a job, or the text of the HTTP status if it is not 200.
 func (h *harness) jobState(id string) string {
 	status, out := h.call("GET", "/v2/runs/"+id, nil)
 	if status != 200 {
@@ -226,12 +231,12 @@
 	return out["status"].(string)
 }
 
-// worker is a scripted worker: the test has it send heartbeats, and it obeys.
+// worker is a scripted worker: the test makes it send heartbeats, and it executes the commands of the replies.
 type worker struct {
-	h      *harness
-	hb     wire.Heartbeat
-	starts map[string]int // starts of each task that had an effect
-	saves  bool           // its tasks save when they are given time to
+	h               *harness
+	hb              wire.Heartbeat
+	starts          map[string]int // how often each task was started; a repeated start command does not count
+	savesCheckpoint bool           // its tasks save a checkpoint when a stop command grants them time
 }
 
 func (h *harness) worker(name, zone string) *worker {
@@ -240,15 +245,15 @@
 	}}
 }
 
-// heartbeat sends one heartbeat, carries out the commands of the reply, and returns its status.
-func (k *worker) heartbeat() int {
-	k.hb.Seq++
-	k.h.t.Helper()
-	raw, err := json.Marshal(k.hb)
+// heartbeat sends one heartbeat, executes the commands of the reply, and returns its status, 0 if there is no reply.
+func (w *worker) heartbeat() int {
+	w.hb.Seq++
+	w.h.t.Helper()
+	raw, err := json.Marshal(w.hb)
 	if err != nil {
-		k.h.t.Fatal(err)
+		w.h.t.Fatal(err)
 	}
-	resp, err := http.Post("http://"+k.h.addr+wire.PathHeartbeat, "application/json", bytes.NewReader(raw))
+	resp, err := http.Post("http://"+w.h.addr+wire.PathHeartbeat, "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0
 	}
@@ -258,33 +263,34 @@
 		return resp.StatusCode
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
-		k.h.t.Fatal(err)
+		w.h.t.Fatal(err)
 	}
-	k.hb.FencingToken = max(k.hb.FencingToken, a.FencingToken)
+	w.hb.FencingToken = max(w.hb.FencingToken, a.FencingToken)
 	for _, c := range a.Commands {
 		i := -1
-		for n, t := range k.hb.Tasks {
+		for n, t := range w.hb.Tasks {
 			if t.Task == c.Task && t.Attempt == c.Attempt {
 				i = n
 			}
 		}
 		switch {
 		case c.Op == wire.OpStart && i < 0:
-			k.starts[c.Task]++
-			k.hb.Tasks = append(k.hb.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
-		case c.Op == wire.OpStop && i >= 0 && k.hb.Tasks[i].State != wire.TaskExited:
-			k.hb.Tasks[i].State, k.hb.Tasks[i].Reason = wire.TaskExited, wire.ExitStopped
-			k.hb.Tasks[i].Saved = k.saves && c.GraceS != nil && *c.GraceS > 0
+			w.starts[c.Task]++
+			w.hb.Tasks = append(w.hb.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+		case c.Op == wire.OpStop && i >= 0 && w.hb.Tasks[i].State != wire.TaskExited:
+			w.hb.Tasks[i].State, w.hb.Tasks[i].Reason = wire.TaskExited, wire.ExitStopped
+			w.hb.Tasks[i].Saved = w.savesCheckpoint && c.GraceS != nil && *c.GraceS > 0
 		case c.Op == wire.OpForget && i >= 0:
-			k.hb.Tasks = append(k.hb.Tasks[:i:i], k.hb.Tasks[i+1:]...)
+			w.hb.Tasks = append(w.hb.Tasks[:i:i], w.hb.Tasks[i+1:]...)
 		}
 	}
 	return 200
 }
 
-func (k *worker) running() int {
+// running returns the number of running tasks.
+func (w *worker) running() int {
 	n := 0
-	for _, t := range k.hb.Tasks {
+	for _, t := range w.hb.Tasks {
 		if t.State == wire.TaskRunning {
 			n++
 		}
@@ -292,10 +298,11 @@
 	return n
 }
 
-func (k *worker) finish() {
-	for i := range k.hb.Tasks {
-		if k.hb.Tasks[i].State == wire.TaskRunning {
-			k.hb.Tasks[i].State, k.hb.Tasks[i].Reason = wire.TaskExited, wire.ExitDone
+// finish ends all running tasks successfully.
+func (w *worker) finish() {
+	for i := range w.hb.Tasks {
+		if w.hb.Tasks[i].State == wire.TaskRunning {
+			w.hb.Tasks[i].State, w.hb.Tasks[i].Reason = wire.TaskExited, wire.ExitDone
 		}
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -11,12 +11,13 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// lead runs the leader's loop until the leadership is lost.
-func (c *Controller) lead(ctx context.Context, t election.Leadership) {
-	l := leader.New(c.env, t)
-	l.Start(ctx)
+// lead runs the leader's loop until the leadership ends. If the loop ends because no worker answers this member,
+// although workers answer another one, this member leaves the leadership to others for tuning.YieldFor.
+func (c *Controller) lead(ctx context.Context, leadership election.Leadership) {
+	loop := leader.New(c.env, leadership)
+	loop.Start(ctx)
 	c.setCloudShare(true)
-	c.leading.Store(l)
+	c.activeLoop.Store(loop)
 	if c.metrics != nil {
 		c.metrics.SetLeading(true)
 		defer c.metrics.SetLeading(false)
@@ -24,19 +25,20 @@
 	var wg sync.WaitGroup
 	saveCtx, stopSave := context.WithCancel(ctx)
 	defer func() {
-		c.leading.Store(nil)
+		c.activeLoop.Store(nil)
 		c.setCloudShare(false)
 		stopSave()
 		wg.Wait()
 	}()
 	wg.Go(func() { c.catalog.Save(saveCtx) })
-	if errors.Is(l.Run(), leader.ErrUnreachable) {
+	if errors.Is(loop.Run(), leader.ErrUnreachable) {
 		c.elector.StandAside(tuning.YieldFor)
 	}
 }
 
-// mayHaveRenewed asks a member, this one or another, which of some machines it may have answered by its zone lease. The
-// error is workerlease.ErrUnsure when it cannot tell, or that of the call when it gives no answer.
+// mayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its zone
+// lease, which renews their worker leases. The error is workerlease.ErrUnsure if the member cannot tell, or that of
+// the call if it gives no answer.
 func (c *Controller) mayHaveRenewed(ctx context.Context, member string, names []string) (renewed []string, err error) {
 	if member == c.settings.Member {
 		return c.zoneLease.MayHaveRenewed(names)
@@ -44,15 +46,16 @@
 	return c.peers.MayHaveRenewed(ctx, member, names)
 }
 
-// leader returns the leader's loop while this member has the right to act, nil otherwise.
+// leader returns the leader's loop while this member may act as the leader of that loop's term, nil otherwise.
 func (c *Controller) leader() *leader.Loop {
-	if l := c.leading.Load(); l != nil && c.elector.Valid(l.Leadership().Term) {
+	if l := c.activeLoop.Load(); l != nil && c.elector.Valid(l.Leadership().Term) {
 		return l
 	}
 	return nil
 }
 
-// guard returns the condition that a transaction of the leader has; leads is false when this member may not act.
+// guard returns the condition that each transaction of the leader carries. leads is false while this member may not
+// act as the leader.
 func (c *Controller) guard() (guard wire.Condition, leads bool) {
 	if l := c.leader(); l != nil {
 		return l.Leadership().Guard, true
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -11,7 +11,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// servePeer answers another member's request.
+// servePeer answers a request of another member. Polls and cancellations of jobs are handled by the user API, which
+// rejects unknown verbs.
 func (c *Controller) servePeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	wait := tuning.RelayTimeout
 	if req.Verb == peerrpc.SubsystemCommand {
@@ -33,7 +34,7 @@
 	case peerrpc.MayHaveRenewed:
 		return c.serveMayHaveRenewed(req.Names)
 	case peerrpc.ProbeWorkers:
-		return okOrConflict(c.reachesAny(ctx, req.Names))
+		return okOrConflict(c.anyWorkerAnswers(ctx, req.Names))
 	case peerrpc.Heartbeat:
 		return c.workerAPI.AnswerRelayedHeartbeat(ctx, req.Payload)
 	case peerrpc.SubsystemQuery:
@@ -43,18 +44,18 @@
 	case peerrpc.SubmitJob:
 		return c.userAPI.AnswerRelayedSubmission(ctx, req.Payload)
 	}
-	return c.userAPI.AnswerRelayed(ctx, req)
+	return c.userAPI.AnswerRelayedJobRequest(ctx, req)
 }
 
-// fetchHeartbeat asks a worker for its heartbeat; ok is false when it gives none that is well-formed.
+// fetchHeartbeat requests a worker's heartbeat. ok is false if the worker does not answer with a well-formed one.
 func (c *Controller) fetchHeartbeat(ctx context.Context, addr string) (hb wire.Heartbeat, ok bool) {
 	status, err := httpjson.Call(ctx, c.env.Workers, http.MethodGet, "http://"+addr+wire.PathWorkerHeartbeat, nil, httpjson.IfOK(&hb))
 	return hb, err == nil && status == http.StatusOK && hb.Check() == nil
 }
 
-// reachesAny reports whether one of some workers, by their addresses, answers this member. It returns with the first that does;
-// the other calls end with ctx.
-func (c *Controller) reachesAny(ctx context.Context, addrs []string) bool {
+// anyWorkerAnswers reports whether any of the workers at these addresses answers this member. It returns at the first
+// answer; the other calls end with ctx.
+func (c *Controller) anyWorkerAnswers(ctx context.Context, addrs []string) bool {
 	answers := make(chan bool, len(addrs))
 	for _, addr := range addrs {
 		go func() {
@@ -70,7 +71,8 @@
 	return false
 }
 
-// serveMayHaveRenewed tells a leader which machines this member may have answered by its zone lease.
+// serveMayHaveRenewed answers a leader that asks which machines this member may have answered under its zone lease. The
+// status is 409 if this member cannot tell.
 func (c *Controller) serveMayHaveRenewed(names []string) peerrpc.Response {
 	renewed, err := c.zoneLease.MayHaveRenewed(names)
 	r := okOrConflict(err == nil)
@@ -78,8 +80,9 @@
 	return r
 }
 
-// servePing answers a ping, and says whether this member has no memory for more jobs (507) and what it remembers of the other's
-// claim to its zone lease. Members of earlier versions send no name.
+// servePing answers a ping. The response holds who leads by this member's knowledge, status 507 if this member has no
+// memory for more jobs, and the claim to a zone lease that this member remembers of the sender. The sender's name is
+// in req.Job; members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.Holder()
 	status := http.StatusOK
@@ -89,7 +92,7 @@
 	return peerrpc.Response{Status: status, Leader: name, Term: term, Payload: c.peers.ExchangeClaim(req.Job, req.Payload)}
 }
 
-// okOrConflict answers a question of yes or no: 200 or 409.
+// okOrConflict returns the response to a yes-or-no question: status 200 for yes, 409 for no.
 func okOrConflict(ok bool) peerrpc.Response {
 	if ok {
 		return peerrpc.Response{Status: http.StatusOK}
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -16,33 +16,34 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Run serves until ctx ends, and waits for what it started.
+// Run serves users, workers and peers until ctx ends, and then waits for the goroutines that it started. The error is
+// that of a listener or of the server.
 func (c *Controller) Run(ctx context.Context) error {
-	users, err := net.Listen("tcp", c.settings.Bind)
+	userListener, err := net.Listen("tcp", c.settings.Bind)
 	if err != nil {
-		return fmt.Errorf("bind: %w", err)
+		return fmt.Errorf("cannot listen for users and workers (setting bind): %w", err)
 	}
-	defer users.Close()
-	peers, err := net.Listen("tcp", c.settings.MeshAddr)
+	defer userListener.Close()
+	peerListener, err := net.Listen("tcp", c.settings.MeshAddr)
 	if err != nil {
-		return fmt.Errorf("mesh_addr: %w", err)
+		return fmt.Errorf("cannot listen for peers (setting mesh_addr): %w", err)
 	}
-	defer peers.Close()
+	defer peerListener.Close()
 	conns := newConnections(c.settings.Cluster.Limits.FDLimit)
 	if conns.max > 0 {
-		users = netutil.LimitListener(users, conns.max)
+		userListener = netutil.LimitListener(userListener, conns.max)
 	}
 	srv := c.newServer(conns)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	c.start(ctx, &wg, peers)
+	c.start(ctx, &wg, peerListener)
 	wg.Go(func() {
 		<-ctx.Done()
 		srv.Close()
 	})
-	c.log.Info("serving", "member", c.settings.Member, "bind", c.settings.Bind)
-	err = srv.Serve(users)
+	c.log.Info("controller started; serving users and workers", "member", c.settings.Member, "bind", c.settings.Bind)
+	err = srv.Serve(userListener)
 	stop()
 	wg.Wait()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -51,10 +52,10 @@
 	return err
 }
 
-// newServer makes the server of users and workers.
+// newServer returns the HTTP server for users and workers.
 func (c *Controller) newServer(conns *connections) *http.Server {
 	return &http.Server{
-		Handler:           conns.closeWhenCrowded(c.routes()),
+		Handler:           conns.closeNearLimit(c.routes()),
 		ConnState:         conns.count,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
 		ReadTimeout:       tuning.BodyTimeout,
@@ -65,11 +66,11 @@
 	}
 }
 
-// start starts what runs beside the server until ctx ends.
-func (c *Controller) start(ctx context.Context, wg *sync.WaitGroup, peers net.Listener) {
-	wg.Go(func() { peerrpc.Serve(ctx, peers, c.servePeer, c.log) })
+// start starts the background goroutines of the controller; they end with ctx.
+func (c *Controller) start(ctx context.Context, wg *sync.WaitGroup, peerListener net.Listener) {
+	wg.Go(func() { peerrpc.Serve(ctx, peerListener, c.servePeer, c.log) })
 	wg.Go(func() { c.catalog.Run(ctx) })
-	wg.Go(func() { c.operator.Run(ctx, c.clock, c.log) })
+	wg.Go(func() { c.operatorSettings.Run(ctx, c.clock, c.log) })
 	wg.Go(func() { c.followerLeases.Run(ctx) })
 	wg.Go(func() { c.zoneLease.Run(ctx) })
 	wg.Go(func() { c.elector.Run(ctx, c.lead) })
@@ -81,14 +82,14 @@
 	}
 }
 
-// serveMetrics serves the metrics until ctx ends. Its failure is no reason not to schedule.
+// serveMetrics serves the metrics until ctx ends. A failure is only logged: scheduling continues without metrics.
 func (c *Controller) serveMetrics(ctx context.Context) {
-	if err := c.metrics.Serve(ctx, c.operator.MetricsAddr(), c.log); err != nil {
-		c.log.Error("metrics are not served", "err", err)
+	if err := c.metrics.Serve(ctx, c.operatorSettings.MetricsAddr(), c.log); err != nil {
+		c.log.Error("metrics server failed; continuing without metrics", "err", err)
 	}
 }
 
-// routes are the paths that users and workers call.
+// routes returns the handler of all paths that users and workers call.
 func (c *Controller) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathJobs, c.userAPI.ServeSubmit)
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -16,30 +16,30 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// addSubsystems adds the subsystems that the operators' settings turn on.
+// addSubsystems adds the subsystems that are enabled in the operators' settings.
 func (c *Controller) addSubsystems() error {
-	if c.operator.MetricsAddr() != "" {
+	if c.operatorSettings.MetricsAddr() != "" {
 		c.metrics = metrics.New(c.settings.Cluster.State.WriteRPS)
 		c.env.Observer = c.metrics
 	}
-	if on, descriptions := c.operator.Graphs(); on {
-		c.addGraphs(descriptions)
+	if enabled, descriptionsURL := c.operatorSettings.Graphs(); enabled {
+		c.addGraphs(descriptionsURL)
 	}
-	if c.operator.Ledger() {
+	if c.operatorSettings.Ledger() {
 		return c.addLedger()
 	}
 	return nil
 }
 
-// addLedger has charges kept and served.
+// addLedger adds the ledger: charges are recorded and served.
 func (c *Controller) addLedger() error {
 	state := c.settings.Cluster.State
 	cfg := ledger.Config{
 		Clock:        c.clock,
-		MaxTxnOps:    state.TxnOps - 1, // the leader's guard is one more
+		MaxTxnOps:    state.TxnOps - 1, // the leader's guard condition counts as an operation too
 		MaxValueKB:   state.ValueKB,
 		MachineTypes: c.catalog.Types,
-		Budgets:      c.operator.Budgets,
+		Budgets:      c.operatorSettings.Budgets,
 	}
 	if c.metrics != nil {
 		cfg.OnCharge = c.metrics.Charged
@@ -54,20 +54,21 @@
 	return nil
 }
 
-// addGraphs has graphs of jobs run and served; descriptions is the URL at which their steps are described, empty if nowhere.
-func (c *Controller) addGraphs(descriptions string) {
+// addGraphs adds the graphs subsystem: graphs of jobs are run and served. descriptionsURL is where the descriptions of
+// steps are sent; if it is empty, they are sent nowhere.
+func (c *Controller) addGraphs(descriptionsURL string) {
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
 		Clock:      c.clock,
-		TxnOps:     cluster.State.TxnOps - 1, // the leader's guard is one more
+		TxnOps:     cluster.State.TxnOps - 1, // the leader's guard condition counts as an operation too
 		ValueKB:    cluster.State.ValueKB,
 		Bytes:      int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
 		Impossible: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
 		Jitter:     rand.Float64,
-		Pools:      c.operator.PoolSlots,
+		Pools:      c.operatorSettings.PoolSlots,
 	}
-	if descriptions != "" {
-		cfg.Source = &runner.HTTPSource{URL: descriptions, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
+	if descriptionsURL != "" {
+		cfg.Source = &runner.HTTPSource{URL: descriptionsURL, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
 		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log, Do: c.commandLeader, Ask: c.queryLeader,
@@ -75,12 +76,13 @@
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
 }
 
-// queryLeader has the leader's subsystems answer a query. The user API is made after the subsystems, and so looked up late.
+// queryLeader has the leader's subsystems answer a query. It reads c.userAPI at each call, since the user API is
+// created after the subsystems.
 func (c *Controller) queryLeader(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	return c.userAPI.Query(ctx, uri)
 }
 
-// commandLeader has the leader's subsystems carry out a command.
+// commandLeader has the leader's subsystems execute a command.
 func (c *Controller) commandLeader(ctx context.Context, cmd leader.Command) (status int, body json.RawMessage) {
 	return c.userAPI.Command(ctx, cmd)
 }
