--- a/internal/api/userapi/feasibility.go
+++ b/internal/api/userapi/feasibility.go
@@ -8,8 +8,8 @@
 // InfeasibleReason returns why a job can never run. It is empty if no reason is known, as it always is while the
 // machine types are not known.
 func (h *Handler) InfeasibleReason(j *wire.Job) string {
-	if types := h.machineTypes(); types != nil {
-		return h.infeasible(j, types)
+	if machineTypes := h.machineTypes(); machineTypes != nil {
+		return h.infeasible(j, machineTypes)
 	}
 	return ""
 }
--- a/internal/api/userapi/known_jobs_test.go
+++ b/internal/api/userapi/known_jobs_test.go
@@ -34,14 +34,14 @@
 			t.Errorf("submission repeated with %s: %d %s", name, status, s.State)
 		}
 	}
-	types := h.machineTypes
+	machineTypes := h.machineTypes
 	h.machineTypes = func() []wire.MachineType {
 		return []wire.MachineType{{Name: "tiny", CPUs: 1, MemoryGB: 1, Zones: []string{"a"}}}
 	}
 	if status, _ := do(h.ServeSubmit, "", submissionWith(t, "job-1", nil)); status != http.StatusOK {
 		t.Errorf("submission repeated when the job fits no machine type any more: %d", status)
 	}
-	h.machineTypes = types
+	h.machineTypes = machineTypes
 	if after, _ := state.Value(jobs.KeyJob("job-1")); string(after.Value) != string(before.Value) {
 		t.Error("the stored job was changed")
 	}
--- a/internal/api/userapi/store_job.go
+++ b/internal/api/userapi/store_job.go
@@ -29,11 +29,11 @@
 	if s, ok := h.finalStates.Get(job.ID); ok {
 		return accepted(http.StatusOK, s.ID, s.State)
 	}
-	types := h.machineTypes()
-	if types == nil {
+	machineTypes := h.machineTypes()
+	if machineTypes == nil {
 		return refused(http.StatusServiceUnavailable, "the machine types are not known yet")
 	}
-	reason := h.infeasible(job, types)
+	reason := h.infeasible(job, machineTypes)
 	if reason != "" {
 		return h.answerKnownJob(ctx, job.ID, reason)
 	}
--- a/internal/api/userapi/submit.go
+++ b/internal/api/userapi/submit.go
@@ -49,8 +49,8 @@
 	return submitAnswer{status: status, job: wire.Accepted{ID: id, State: state}}
 }
 
-func refused(status int, text string) submitAnswer {
-	return submitAnswer{status: status, errorText: text}
+func refused(status int, errorText string) submitAnswer {
+	return submitAnswer{status: status, errorText: errorText}
 }
 
 // submitAnywhere has this member store a submission. If that fails or takes longer than tuning.SubmitHedge, it has
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,8 +52,8 @@
 }
 
 // New returns a controller with these settings. It starts nothing; Run does.
-func New(s *config.Settings, operator *config.OperatorSettingsWatcher, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
-	c := &Controller{settings: s, operatorSettings: operator, clock: clock, log: log}
+func New(s *config.Settings, operatorSettings *config.OperatorSettingsWatcher, clock clockwork.Clock, log *slog.Logger) (*Controller, error) {
+	c := &Controller{settings: s, operatorSettings: operatorSettings, clock: clock, log: log}
 	c.addClients()
 	c.env = c.newEnv()
 	if err := c.addSubsystems(); err != nil {
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -155,9 +155,9 @@
 	h.until("the job is accepted", func() bool { status, _ := h.call("POST", "/v2/runs", j); return status == 201 || status == 200 })
 	notice := 60.0
 	ends := []struct {
-		how   string
-		saves bool
-		end   func(w *worker)
+		how             string
+		savesCheckpoint bool
+		end             func(w *worker)
 	}{
 		{"drained", true, func(w *worker) { w.hb.NoticeS = &notice }},
 		{"drained", false, func(w *worker) { w.hb.NoticeS = &notice }},
@@ -170,7 +170,7 @@
 	}
 	for i, e := range ends {
 		worker := h.worker(fmt.Sprintf("n-9%05d", i), "a")
-		worker.savesCheckpoint = e.saves
+		worker.savesCheckpoint = e.savesCheckpoint
 		h.until("the attempt runs", func() bool { worker.heartbeat(); h.clock.Advance(tuning.Tick); return worker.running() == 1 })
 		h.until("the job is reported as running", func() bool { worker.heartbeat(); return h.jobState("job-1") == "running" })
 		h.clock.Advance(3 * time.Second)
@@ -191,7 +191,7 @@
 		}
 		for i, e := range ends {
 			c := charges[i].(map[string]any)
-			if saved := c["saved"] == true; c["how"] != e.how || saved != e.saves || c["attempt"] != float64(i+1) || c["core_s"].(float64) < 12 {
+			if saved := c["saved"] == true; c["how"] != e.how || saved != e.savesCheckpoint || c["attempt"] != float64(i+1) || c["core_s"].(float64) < 12 {
 				t.Errorf("attempt %d, want %s: %v", i+1, e.how, c)
 			}
 		}
