--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock has what the clockwork clock lacks: a sleep that a context ends.
+// Package clock adds to clockwork clocks a sleep that ends with a context.
 package clock
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Sleep blocks for d, or until ctx is done. It leaves no timer behind on the clock:
-// tests with a fake clock count its waiters.
+// Sleep blocks for d or until ctx is done. It leaves no timer on the clock, because tests with a fake clock count the clock's
+// waiters.
 func Sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory reports when a process comes near the memory limit of its machine,
-// so that it refuses work rather than be killed by the kernel with all its work.
+// Package memory reports when the process approaches the memory limit of its machine, so that it refuses new work before the
+// kernel kills it together with all its work.
 package memory
 
 import (
@@ -12,26 +12,24 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Gauge measures the process's memory, at most once per tuning.MemoryEvery. It is safe
-// for concurrent use.
+// Gauge measures the process's memory, at most once per tuning.MemoryEvery. It is safe for concurrent use.
 type Gauge struct {
 	clock clockwork.Clock
-	limit uint64 // in bytes; 0: not known
-	read  func() uint64
+	limit uint64        // in bytes; 0: unknown
+	read  func() uint64 // returns the memory in use, in bytes
 
 	mu         sync.Mutex
-	measuredAt time.Time // zero: not yet
+	measuredAt time.Time // zero: not measured yet
 	full       bool
 }
 
-// New returns a gauge for a machine with ramMB MiB of memory; 0: the gauge never
-// reports full.
+// New returns a gauge for a machine with ramMB MiB of memory. If ramMB is 0, the gauge never reports full.
 func New(ramMB float64, clock clockwork.Clock) *Gauge {
 	return &Gauge{clock: clock, limit: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), read: heldBytes}
 }
 
-// Full reports whether no more work may be accepted now: the process holds
-// tuning.MemoryFull of the memory or more.
+// Full reports whether the process uses at least the share tuning.MemoryFull of the machine's memory, so that no more work may be
+// accepted now.
 func (g *Gauge) Full() bool {
 	if g.limit == 0 {
 		return false
@@ -44,10 +42,9 @@
 	return g.full
 }
 
-// Live returns how many bytes of the machine's memory are in use: what the runtime
-// holds, but of objects only as many bytes as the last garbage collection found
-// reachable. Objects allocated since then are not counted, so it lags by one
-// collection.
+// Live returns the memory in use, in bytes: all memory of the runtime that is neither free nor released, but of objects only
+// those that the last garbage collection found reachable. Objects allocated since then are not counted, so the result lags by
+// one collection.
 func Live() uint64 {
 	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
 		"/memory/classes/heap/unused:bytes", "/memory/classes/heap/objects:bytes", "/gc/heap/live:bytes")
@@ -55,13 +52,13 @@
 	return total - released - free - unused - objects + reachable
 }
 
-// heldBytes returns what the runtime holds of the machine's memory.
+// heldBytes returns how many bytes of the machine's memory the runtime has not released to the operating system.
 func heldBytes() uint64 {
 	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes")
 	return v[0] - v[1]
 }
 
-// readMetrics reads metrics of the runtime at one time.
+// readMetrics reads several metrics of the runtime at the same time.
 func readMetrics(names ...string) []uint64 {
 	samples := make([]metrics.Sample, len(names))
 	for i, name := range names {
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -21,21 +21,21 @@
 		holds = c.mb << 20
 		clock.Advance(tuning.MemoryEvery)
 		if g.Full() != c.full {
-			t.Errorf("%d of 100 MiB: full %v", c.mb, !c.full)
+			t.Errorf("%d of 100 MiB used: Full returned %v", c.mb, !c.full)
 		}
 	}
 	if holds = 99 << 20; g.Full() {
-		t.Error("measures again at once")
+		t.Error("the memory was measured again before tuning.MemoryEvery was over")
 	}
 	if New(0, clock).Full() {
-		t.Error("full without a limit")
+		t.Error("a gauge without a limit reports full")
 	}
 	if n := heldBytes(); n < 1<<20 || n > 1<<40 {
-		t.Errorf("this process holds %d bytes", n)
+		t.Errorf("implausible memory of this process: %d bytes", n)
 	}
 }
 
-// Guards against garbage, or memory that the runtime keeps for later, that counts as in use.
+// Guards against counting garbage, or free memory that the runtime has not released, as memory in use.
 func TestOnlyReachableMemoryCountsAsInUse(t *testing.T) {
 	const size = 64 << 20
 	runtime.GC()
@@ -43,12 +43,12 @@
 	kept := make([]byte, size)
 	runtime.GC()
 	if grown := Live() - before; grown < size || grown > size+size/4 {
-		t.Errorf("%d bytes more are in use with %d that are reachable", grown, size)
+		t.Errorf("memory in use grew by %d bytes after %d reachable bytes were allocated", grown, size)
 	}
 	runtime.KeepAlive(kept)
 	kept = nil
 	runtime.GC()
 	if after := Live(); after > before+size/4 {
-		t.Errorf("%d bytes more are in use when nothing is reachable any more", after-before)
+		t.Errorf("memory in use is still %d bytes higher after the allocation became unreachable", after-before)
 	}
 }
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -4,29 +4,30 @@
 
 // The leader's loop, and the process's memory.
 const (
-	// Tick is the period of the leader's own timer for expiries and timed work.
+	// Tick is the period of the timer of the leader's loop, which handles expiries and scheduled work.
 	Tick = 100 * time.Millisecond
-	// SubsystemTick is how often the subsystems of the leader's loop are asked what is
-	// due: budgets are checked and charges rolled up that often.
+	// SubsystemTick is the interval at which the leader's loop lets its subsystems do what is due, such as
+	// checking budgets and rolling up charges.
 	SubsystemTick = 500 * time.Millisecond
-	// Inbox is how many messages may wait for the leader's loop.
+	// Inbox is the number of messages that the queue of the leader's loop holds.
 	Inbox = 1024
-	// MemoryShare is the share of the machine's memory that the Go runtime aims to stay under.
+	// MemoryShare is the share of the machine's memory that is the Go runtime's soft memory limit.
 	MemoryShare = 0.65
-	// MemoryFull is the share above which no more jobs are accepted: the runtime holds
-	// more than its target only if reachable objects need it. MemoryEvery is how often
-	// that is checked.
+	// MemoryFull is the share of the machine's memory above which no more jobs are accepted. The runtime
+	// exceeds its soft limit only if reachable objects need the memory. MemoryEvery is the interval between
+	// checks.
 	MemoryFull  = 0.85
 	MemoryEvery = 250 * time.Millisecond
-	// ProcessMB is what of that a leader takes beside its machines, in MiB: the program,
-	// its libraries, and a job store of some thousand jobs.
+	// ProcessMB is the memory, in MiB, that a leader uses besides its machines: the program, its libraries,
+	// and a job store of some thousand jobs.
 	ProcessMB = 24
-	// MachineKB is what a machine takes of it at the most, in KiB: its tasks, its place in the
-	// views of a pass, its worker's connection and ours to it. Measured, with as much garbage as the runtime lets grow:
-	// 47 at 600 to 1,200 machines, 42 at 4,000.
+	// MachineKB bounds the memory, in KiB, that one machine uses in the leader: its tasks, its entries in
+	// the views of a scheduling cycle, and the connections between its worker and the leader. With as much
+	// garbage as the runtime allows, a machine uses 47 KiB at 600 to 1,200 machines and 42 KiB at 4,000.
 	MachineKB = 64
-	// LiveShare is the share of what the runtime aims at that may live (be reachable). More machines than MachineKB
-	// allows are rented while less lives: what a machine takes hangs on its tasks, and a fixed 64 KiB stopped at 2,965
-	// machines with 322 MB. The rest is for garbage: at 0.7 the collector runs 2.3 times as often as it does with room.
+	// LiveShare is the share of the runtime's soft memory limit that reachable objects may fill while
+	// machines are rented beyond the number that MachineKB allows. The memory of a machine depends on its
+	// tasks: with a fixed 64 KiB for each, the fleet stopped at 2,965 machines with 322 MB. The remaining
+	// share is for garbage: at 0.7 the collector runs 2.3 times as often as with ample memory.
 	LiveShare = 0.7
 )
--- a/internal/platform/tuning/interruption.go
+++ b/internal/platform/tuning/interruption.go
@@ -4,11 +4,10 @@
 
 // Interruptions of spot machines by the cloud.
 const (
-	// EstimateSpread is how far run times lie from their owners' estimates, as the
-	// standard deviation of the logarithm: often wrong by half.
+	// EstimateSpread is the standard deviation of the logarithm of a run time relative to its owner's
+	// estimate. Estimates are often wrong by half.
 	EstimateSpread = 0.5
-	// InterruptionStopLead is how long before a spot machine is interrupted what still
-	// runs there is stopped: for a command and its answer, and for the error of the
-	// announced time.
+	// InterruptionStopLead is how long before the interruption of a spot machine its running tasks are
+	// stopped. It covers a command, its answer, and the error of the announced time.
 	InterruptionStopLead = 2500 * time.Millisecond
 )
--- a/internal/platform/wire/cloud.go
+++ b/internal/platform/wire/cloud.go
@@ -1,13 +1,13 @@
 package wire
 
-// Paths of the cloud.
+// Paths of the cloud's API.
 const (
 	PathMachineTypes = "/machine_types"
 	PathMachines     = "/machines"
 	PathDelete       = "/machines/release"
 )
 
-// Limits of single calls to the cloud.
+// Limits of a single call to the cloud.
 const (
 	MaxRent   = 50  // machines in one rental
 	MaxDelete = 100 // machines in one deletion
@@ -24,35 +24,35 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// MachineType is a kind of machine that the cloud rents.
+// MachineType is a machine type that the cloud offers. Prices are per hour, of the whole machine.
 type MachineType struct {
 	Name        string   `json:"sku"`
 	CPUs        float64  `json:"cpus"`
 	GPUs        float64  `json:"gpus"`
 	MemoryGB    float64  `json:"mem_gb"`
-	CacheGB     float64  `json:"cache_gb"`
-	FetchGBPerS float64  `json:"fetch_gb_per_s"`
-	Price       float64  `json:"rate"`
+	CacheGB     float64  `json:"cache_gb"`       // size of the image cache
+	FetchGBPerS float64  `json:"fetch_gb_per_s"` // rate at which images are fetched
+	Price       float64  `json:"rate"`           // on-demand price
 	SpotPrice   float64  `json:"spot_price"`
-	BootS       float64  `json:"startup_s"`
-	Zones       []string `json:"yards"`
+	BootS       float64  `json:"startup_s"` // nominal boot time
+	Zones       []string `json:"yards"`     // zones that offer the type
 }
 
-// MachineTypes answers a request for the types.
+// MachineTypes is the answer to a request for the machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
 
-// RentRequest asks for machines.
+// RentRequest is a request to rent machines.
 type RentRequest struct {
-	Request string `json:"booking"`
+	Request string `json:"booking"` // idempotency key: a repeated request yields the same machines
 	Type    string `json:"build"`
 	Zone    string `json:"yard"`
 	Spot    bool   `json:"standby"`
 	Count   int    `json:"number"`
 }
 
-// MachineNames names machines, in a rental's answer or a deletion.
+// MachineNames is a list of machine names: the answer to a rental, or the request of a deletion.
 type MachineNames struct {
 	Machines []string `json:"stalls"`
 }
@@ -65,16 +65,16 @@
 	Zone    string       `json:"yard"`
 	Spot    bool         `json:"standby"`
 	State   MachineState `json:"status"`
-	AgeS    float64      `json:"age_s"`
+	AgeS    float64      `json:"age_s"` // time since the machine was created
 }
 
 // MachinePage is a page of the cloud's list.
 type MachinePage struct {
 	Machines []ListedMachine `json:"stalls"`
-	More     bool            `json:"has_next"`
+	More     bool            `json:"has_next"` // another page follows
 }
 
-// TypeNamed returns the machine type of a name; nil when there is none.
+// TypeNamed returns the machine type with a name, or nil if there is none.
 func TypeNamed(types []MachineType, name string) *MachineType {
 	for i := range types {
 		if types[i].Name == name {
--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -42,8 +42,7 @@
 	}
 }
 
-// A submission is a job whose fields are all read, by the parser that also finds out
-// which are missing.
+// Guards against a field of a job that the encoder writes and ParseJob or ReadAccount does not read.
 func TestSubmissionFormat(t *testing.T) {
 	job := golden.Fill(new(Job))
 	job.ID, job.Kind, job.Priority = "job-17", KindService, PriorityHigh
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -10,22 +10,22 @@
 	"unicode"
 )
 
-// Paths that users call.
+// Paths that users call. A constant with the prefix End is the last path element of a request about one job.
 const (
 	PathJobs   = "/v2/runs"
 	PathHealth = "/up"
 	EndCancel  = "cancel"
-	EndExplain = "why"     // beside the protocol: what a job waits for
-	EndCharges = "charges" // beside the protocol: what a job's attempts took
+	EndExplain = "why"     // an extension of the protocol: what a job waits for
+	EndCharges = "charges" // an extension of the protocol: what a job's attempts used
 )
 
 // MaxBody is the largest request body that the protocol allows, in bytes.
 const MaxBody = 64 << 10
 
-// MaxTasks is the largest number of tasks of one job.
+// MaxTasks is the largest number of tasks in one job.
 const MaxTasks = 100_000
 
-// Kind is how the tasks of a job run.
+// Kind is the kind of a job: an array of tasks that complete, or a service whose replicas run until they are cancelled.
 type Kind string
 
 // The kinds of jobs.
@@ -45,7 +45,7 @@
 	PriorityLow        Priority = "low"
 )
 
-// Level orders priorities: a larger one goes first. That of an unknown one is negative.
+// Level returns the rank of a priority; a higher level is scheduled first. The level of an unknown priority is negative.
 func (p Priority) Level() int {
 	switch p {
 	case PriorityProduction:
@@ -60,7 +60,7 @@
 	return -1
 }
 
-// Job is a job as its user describes it.
+// Job is a job as its user describes it. CPUs, GPUs and memory are those of each task.
 type Job struct {
 	ID          string   `json:"ref"`
 	Class       string   `json:"lane"`
@@ -73,23 +73,22 @@
 	MemoryGB    float64  `json:"mem_gb"`
 	Image       string   `json:"bundle"`
 	ImageGB     float64  `json:"image_gb"`
-	Types       []string `json:"builds"`
-	Zone        string   `json:"yard"`
-	OneZone     bool     `json:"same_place"`
-	Spread      bool     `json:"apart"`
-	Spot        bool     `json:"standby"`
-	EstimateS   float64  `json:"ride_s"`
-	CheckpointS float64  `json:"stub_s"`
-	SaveS       float64  `json:"stamp_s"`
-	DeadlineS   *float64 `json:"departure_s"`
+	Types       []string `json:"builds"`      // machine types allowed; nil: all
+	Zone        string   `json:"yard"`        // the only zone allowed; empty: any
+	OneZone     bool     `json:"same_place"`  // all tasks must run in the same zone
+	Spread      bool     `json:"apart"`       // at most half of the tasks, rounded up, may run in one zone
+	Spot        bool     `json:"standby"`     // the tasks may run on spot machines
+	EstimateS   float64  `json:"ride_s"`      // the owner's estimate of a task's run time; 0: none
+	CheckpointS float64  `json:"stub_s"`      // interval between a task's checkpoints; 0: it saves none
+	SaveS       float64  `json:"stamp_s"`     // time that a task needs to save a checkpoint
+	DeadlineS   *float64 `json:"departure_s"` // nil: no deadline
 
-	// Account is whom the team bills for the job. The protocol has no such field, so
-	// it is only read where charges are kept.
+	// Account is the account that the team bills for the job. The protocol has no such field, so it is only read if charges are
+	// recorded.
 	Account string `json:"account,omitempty"`
 }
 
-// jobDraft finds out which fields a submission has: a field that is missing
-// or null is nil.
+// jobDraft is a submission as decoded from JSON. A field that is missing or null is nil.
 type jobDraft struct {
 	ID          *string   `json:"ref"`
 	Class       *string   `json:"lane"`
@@ -113,8 +112,8 @@
 	DeadlineS   *float64  `json:"departure_s"`
 }
 
-// ReadAccount reads whom a job is billed to from its submission. The protocol has no
-// such field, so it is asked for only where charges are kept.
+// ReadAccount sets the account that a job is billed to from the job's submission. The protocol has no such field, so ReadAccount
+// is called only if charges are recorded.
 func (j *Job) ReadAccount(body []byte) error {
 	var d struct {
 		Account *json.RawMessage `json:"account"`
@@ -129,8 +128,8 @@
 	return nil
 }
 
-// ValidJobID reports whether id has the form of a job id: job- and up to 32 digits. Every task of every heartbeat is looked at,
-// so it takes little time.
+// ValidJobID reports whether id has the form of a job id: job- and 1 to 32 digits. It is called for every task of every
+// heartbeat, so it has to be fast.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "job-")
 	if !ok || len(digits) < 1 || len(digits) > 32 {
@@ -144,9 +143,9 @@
 	return true
 }
 
-const maxName = 200 // bytes: the longest name (team, class, image, type, zone) that a job may carry
+const maxName = 200 // length, in bytes, of the longest name (team, class, image, type, zone) in a job
 
-// ParseJob reads a submission. An error says in one line what is malformed.
+// ParseJob parses and checks a submission. An error says in one line what is malformed.
 func ParseJob(body []byte) (*Job, error) {
 	if b := bytes.TrimSpace(body); len(b) == 0 || b[0] != '{' {
 		return nil, errors.New("the body is not a JSON object")
@@ -169,7 +168,7 @@
 	return j, j.Check()
 }
 
-// required makes a job of the fields that a submission must have.
+// required returns a job with the fields that a submission must have, or an error that names the first missing one.
 func (d *jobDraft) required() (*Job, error) {
 	f := &requiredFields{}
 	j := &Job{
@@ -197,7 +196,7 @@
 	return j, nil
 }
 
-// zone returns the only zone allowed; empty: any.
+// zone returns the only zone allowed, or an empty string if any zone is.
 func (d *jobDraft) zone() (string, error) {
 	if d.Zone == nil {
 		return "", nil
@@ -208,7 +207,7 @@
 	return *d.Zone, nil
 }
 
-// types returns the machine types allowed; nil: all.
+// types returns the machine types allowed, or nil if all are.
 func (d *jobDraft) types() ([]string, error) {
 	if d.Types == nil {
 		return nil, nil
@@ -223,10 +222,10 @@
 	return names, nil
 }
 
-// requiredFields remembers the first field that is missing.
+// requiredFields records the first required field that is missing.
 type requiredFields struct{ missing string }
 
-// required returns a field's value; the zero value, and a note in f, if it is missing.
+// required returns a field's value. If the field is missing, it returns the zero value and records the name in f.
 func required[T any](f *requiredFields, name string, v *T) T {
 	if v == nil {
 		if f.missing == "" {
@@ -238,7 +237,7 @@
 	return *v
 }
 
-// Check says what no job may say, in one line.
+// Check returns an error, in one line, if a field of the job has a value that is not allowed.
 func (j *Job) Check() error {
 	switch {
 	case !ValidJobID(j.ID):
@@ -261,7 +260,7 @@
 	return nil
 }
 
-// checkAmounts says which amount is negative or not finite.
+// checkAmounts returns an error that names the first amount that is negative or not finite.
 func (j *Job) checkAmounts() error {
 	deadlineS := 0.0
 	if j.DeadlineS != nil {
@@ -292,10 +291,10 @@
 	StateCancelled JobState = "withdrawn"
 )
 
-// Final reports whether a job in this state stays in it.
+// Final reports whether a job never leaves this state.
 func (s JobState) Final() bool { return s == StateDone || s == StateCancelled }
 
-// JobStatus answers a user about a job.
+// JobStatus is the answer to a user's poll of a job. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      string   `json:"ref"`
 	State   JobState `json:"status"`
@@ -303,21 +302,21 @@
 	Running int      `json:"running"`
 }
 
-// Accepted answers a submission or a cancellation.
+// Accepted is the answer to an accepted submission or cancellation.
 type Accepted struct {
 	ID    string   `json:"ref"`
 	State JobState `json:"status"`
 }
 
-// Error is the body of an answer that refuses a request.
+// Error is the body of a response that refuses a request.
 type Error struct {
 	Error string `json:"error"`
 }
 
-// Explanation says what a job waits for.
+// Explanation is the answer to the question what a job waits for, with the reasons as text.
 type Explanation struct {
 	JobStatus
-	Waiting int      `json:"waiting"` // tasks that wait to be placed
-	Held    int      `json:"held"`    // of these, tasks that may not start now even if there is room
+	Waiting int      `json:"waiting"` // number of tasks that wait to be placed
+	Held    int      `json:"held"`    // number of these that may not start now even if there is room
 	Reasons []string `json:"reasons"`
 }
--- a/internal/platform/wire/job_test.go
+++ b/internal/platform/wire/job_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if j.ID != "job-000412" || j.Tasks != 16 || j.Types[0] != "g8" || j.Zone != "" || *j.DeadlineS != 900 || !j.OneZone {
-		t.Errorf("read as %+v", j)
+		t.Errorf("parsed as %+v", j)
 	}
 	// Fields that may be null may also be missing.
 	m := goodJob()
@@ -56,14 +56,14 @@
 		m := goodJob()
 		m[c.field] = c.value
 		if _, err := ParseJob(encode(t, m)); err == nil {
-			t.Errorf("%s = %v was taken", c.field, c.value)
+			t.Errorf("%s = %v was accepted", c.field, c.value)
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s = %v: the error has more than one line", c.field, c.value)
 		}
 	}
 	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"cpus":NaN}`, `{"cpus":1e999}`} {
 		if _, err := ParseJob([]byte(body)); err == nil {
-			t.Errorf("%q was taken", body)
+			t.Errorf("%q was accepted", body)
 		}
 	}
 	for field := range goodJob() {
@@ -79,11 +79,11 @@
 
 func TestParseTaskID(t *testing.T) {
 	if id, ok := ParseTaskID("job-000412/3"); !ok || id.Job != "job-000412" || id.Index != 3 || id.String() != "job-000412/3" {
-		t.Errorf("read as %v, %v", id, ok)
+		t.Errorf("parsed as %v, %v", id, ok)
 	}
 	for _, s := range []string{"", "job-1", "job-1/", "job-1/-1", "job-1/100000", "x/1", "job-1/2/3"} {
 		if _, ok := ParseTaskID(s); ok {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 }
--- a/internal/platform/wire/state.go
+++ b/internal/platform/wire/state.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Paths of the state service.
+// Paths of the state service. EndRenew is the last element of the path that renews a lease.
 const (
 	PathKV     = "/kv"
 	PathTxn    = "/commit"
@@ -14,7 +14,8 @@
 	PathWatch  = "/watch"
 )
 
-// Item is a key of the state service with its value.
+// Item is a key of the state service with its value. Version changes with each write of the key. Lease is the lease that the key
+// is attached to; 0: none.
 type Item struct {
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
@@ -22,20 +23,21 @@
 	Lease   uint64          `json:"pass,omitempty"`
 }
 
-// ItemPage is a page of keys.
+// ItemPage is a page of keys with their values. Revision is the revision of the store at which the page was read.
 type ItemPage struct {
 	Items    []Item `json:"pairs"`
-	More     bool   `json:"has_next"`
+	More     bool   `json:"has_next"` // another page follows
 	Revision uint64 `json:"ledger"`
 }
 
-// Condition requires the version of a key; 0: the key does not exist.
+// Condition requires that a key has a version; 0: that the key does not exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"stamp"`
 }
 
-// Change puts or deletes a key.
+// Change is one write of a transaction. Put is the key to store Value under, attached to Lease unless that is 0; Delete is the
+// key to delete.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -43,29 +45,30 @@
 	Delete string          `json:"drop,omitempty"`
 }
 
-// Txn is an atomic change of the store by compare-and-swap: if all conditions hold, all changes are made.
+// Txn is a transaction by compare-and-swap: if all conditions hold, all changes are applied atomically.
 type Txn struct {
 	If   []Condition `json:"guards"`
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TxnResult answers a transaction.
+// TxnResult is the answer to a transaction. Failed holds the keys whose conditions did not hold; if there are any, nothing was
+// changed.
 type TxnResult struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed,omitempty"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is a request for a lease with a time to live.
 type LeaseRequest struct {
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// LeaseGrant answers it.
+// LeaseGrant is the answer to a LeaseRequest: the id of the new lease.
 type LeaseGrant struct {
 	Lease uint64 `json:"pass"`
 }
 
-// Event is a change seen by a watch.
+// Event is a change that a watch reports. Put or Delete is the key that was written or deleted.
 type Event struct {
 	Put     string          `json:"write,omitempty"`
 	Delete  string          `json:"drop,omitempty"`
@@ -73,14 +76,14 @@
 	Version uint64          `json:"stamp"`
 }
 
-// WatchResult answers a watch.
+// WatchResult is the answer to a watch. Revision is the revision from which the next watch continues.
 type WatchResult struct {
 	Revision uint64  `json:"ledger"`
 	Events   []Event `json:"events"`
 }
 
-// EncodeRecord encodes a stored record for the state service. It panics on what cannot be
-// encoded, which no record holds.
+// EncodeRecord encodes a record for the state service. It panics if the record cannot be encoded, which is a programming error:
+// no type of a record has a field that JSON cannot represent.
 func EncodeRecord(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -24,10 +24,11 @@
 	TaskExited   TaskState = "exited"
 )
 
-// ExitReason is how a task came to its end.
+// ExitReason is why a task ended.
 type ExitReason string
 
-// The ends of a task.
+// The reasons for which a task ends. A worker reports ExitNoRoom and ExitBusy for a start that it refused, and ExitUnknown for a
+// task that it does not know.
 const (
 	ExitDone    ExitReason = "done"
 	ExitStopped ExitReason = "stopped"
@@ -37,18 +38,19 @@
 	ExitUnknown ExitReason = "unknown"
 )
 
-// Op is the operation that a command asks of a worker.
+// Op is the operation that a command requests from a worker.
 type Op string
 
-// The commands.
+// The operations of commands. OpForget acknowledges an exit, so that the worker no longer reports it.
 const (
 	OpStart  Op = "start"
 	OpStop   Op = "halt"
 	OpForget Op = "forget"
 )
 
-// Heartbeat is a worker's status: itself, its spot interruption notice if there is one, and its tasks. Incarnation is the epoch
-// of the worker's process; Seq grows with each heartbeat of an incarnation.
+// Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation grows
+// with each restart of the worker's process, and Seq with each heartbeat of an incarnation. FencingToken is the highest fencing
+// token that the worker has received.
 type Heartbeat struct {
 	Machine      string       `json:"stall"`
 	Address      string       `json:"address"`
@@ -58,11 +60,11 @@
 	Incarnation  uint64       `json:"shift"`
 	Seq          uint64       `json:"punch"`
 	FencingToken uint64       `json:"baton"`
-	NoticeS      *float64     `json:"warning_s"`
+	NoticeS      *float64     `json:"warning_s"` // time until the cloud interrupts the spot machine; nil: no notice
 	Tasks        []TaskStatus `json:"seats"`
 }
 
-// Check says what is malformed in a heartbeat, in one line.
+// Check returns an error, in one line, if the heartbeat is malformed.
 func (h *Heartbeat) Check() error {
 	if h.Machine == "" || h.Address == "" || h.Type == "" || h.Zone == "" {
 		return errors.New("a report lacks its machine, address, type or zone")
@@ -88,12 +90,12 @@
 	return nil
 }
 
-// Newer reports whether the heartbeat is newer than a message of an incarnation and sequence number of the same machine.
+// Newer reports whether the heartbeat is newer than a message of the same machine with an incarnation and a sequence number.
 func (h *Heartbeat) Newer(incarnation, seq uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Seq > seq
 }
 
-// TaskStatus is one task of a heartbeat. Saved is true if the attempt left a checkpoint as it was stopped.
+// TaskStatus is the status of one task in a heartbeat. Saved is true if the attempt saved a checkpoint when it was stopped.
 type TaskStatus struct {
 	Task    string     `json:"seat"`
 	Attempt uint64     `json:"boarding"`
@@ -102,33 +104,34 @@
 	Saved   bool       `json:"kept,omitempty"`
 }
 
-// Command is one thing that a worker is to do.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Op      Op       `json:"call"`
 	Task    string   `json:"seat"`
 	Attempt uint64   `json:"boarding"`
-	GraceS  *float64 `json:"boarding_s,omitempty"`
+	GraceS  *float64 `json:"boarding_s,omitempty"` // time to save a checkpoint before the task is stopped
 }
 
-// HeartbeatReply answers a heartbeat.
+// HeartbeatReply is the reply to a heartbeat: the sender's fencing token, and commands.
 type HeartbeatReply struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"calls"`
 }
 
-// Redirect sends a worker to the controller that leads.
+// Redirect tells a worker which controller is the leader.
 type Redirect struct {
 	ReportTo string `json:"conductor,omitempty"`
 }
 
-// DirectCommands is a request to a worker beside the replies to its heartbeats.
+// DirectCommands is a request to a worker, in addition to the replies to its heartbeats. Incarnation is the one that the commands
+// are meant for.
 type DirectCommands struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
 	Commands     []Command `json:"calls"`
 }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job   string
 	Index int
@@ -137,7 +140,7 @@
 // String returns the task's name on the wire.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads a task's name; ok is false if it is malformed.
+// ParseTaskID parses a task's name on the wire; ok is false if the name is malformed.
 func ParseTaskID(s string) (id TaskID, ok bool) {
 	job, num, ok := strings.Cut(s, "/")
 	if !ok || !ValidJobID(job) {
--- a/internal/platform/wire/worker_test.go
+++ b/internal/platform/wire/worker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against heartbeats that contradict themselves: they get one line, and change nothing.
+// Guards against a malformed or contradictory heartbeat that is accepted, or whose error has more than one line.
 func TestHeartbeatsThatContradictThemselvesAreRefused(t *testing.T) {
 	const good = `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":2,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}],"news":7}`
 	for _, c := range []struct {
@@ -23,7 +23,7 @@
 		{`"job-1/0"`, `"job-1/100000"`, true},
 		{`"job-1/0"`, `"job-1/-1"`, true},
 		{`}],"news"`, `},{"seat":"job-1/0","boarding":1,"status":"exited","cause":"done"}],"news"`, true},
-		{`"status":"running"`, `"status":"exited"`, false}, // it ended, and did not complete
+		{`"status":"running"`, `"status":"exited"`, false}, // an exit without a reason counts as not completed
 	} {
 		var r Heartbeat
 		err := json.Unmarshal([]byte(strings.Replace(good, c.from, c.to, 1)), &r)
@@ -34,7 +34,7 @@
 			t.Errorf("%s: %v", c.to, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than one line", c.to)
+			t.Errorf("%s: the error has more than one line", c.to)
 		}
 	}
 }
