--- a/internal/platform/config/check.go
+++ b/internal/platform/config/check.go
@@ -9,10 +9,10 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// minTxnOps is how many operations one job's end takes at the least.
+// minTxnOps is the smallest number of operations with which a transaction can record a job's end.
 const minTxnOps = 4
 
-// check says what is missing or wrong, the first thing only.
+// check returns an error that names the first field that is missing or invalid.
 func (s *Settings) check() error {
 	if s.Member == "" {
 		return errors.New("field member is missing")
@@ -87,7 +87,7 @@
 		{"cluster.state.txn_ops", float64(state.TxnOps)},
 		{"cluster.cloud.rps", cloud.RPS},
 	} {
-		if !(n.v > 0) { // also if it is not a number
+		if !(n.v > 0) { // also true for NaN
 			return fmt.Errorf("field %s is missing or not above 0", n.name)
 		}
 	}
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -20,14 +20,14 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "settings", raw)
-	again := new(Settings)
-	if err := toml.Unmarshal(raw, again); err != nil {
+	decoded := new(Settings)
+	if err := toml.Unmarshal(raw, decoded); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "settings", again, settings)
+	golden.Equal(t, "settings", decoded, settings)
 }
 
-// The operators' properties, and what is understood of them.
+// Guards against a changed key of the operators' properties, or a property that is read into a wrong field.
 func TestPropertiesFormat(t *testing.T) {
 	lines := []string{
 		"fleet.idle.keep = 45s",
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// The keys of the operators' properties.
+// The keys of the operators' properties. Keys of pools and budgets begin with a prefix, keyPool or budget.Prefix.
 const (
 	keyIdleKeep     = "fleet.idle.keep"
 	keyMaxMachines  = "fleet.machines.max"
@@ -24,27 +24,28 @@
 	keyPool         = "graphs.pool."
 )
 
-// OperatorSettings are what the operators set in properties, as they are read from a file.
+// OperatorSettings holds the settings of the operators' properties file.
 type OperatorSettings struct {
 	Tunables tuning.Tunables
-	// Ledger is true if charges are kept.
+	// Ledger is true if charges are recorded.
 	Ledger bool
-	// Budgets is never nil. Without a ledger it holds none.
+	// Budgets is never nil. Without a ledger it contains no budget.
 	Budgets *budget.Settings
-	// MetricsAddr is where metrics are served; empty: nowhere.
+	// MetricsAddr is the address at which metrics are served; empty: none are served.
 	MetricsAddr string
 	// Graphs is true if graphs of jobs are served.
 	Graphs bool
-	// Descriptions is the URL at which steps are described; empty: only clients do that.
+	// Descriptions is the URL of the service that describes steps of graphs; empty: only clients describe steps.
 	Descriptions string
-	// Pools is how many slots each team's pools have.
+	// Pools holds the number of slots of each pool.
 	Pools map[Pool]int
 }
 
-// Pool names a team's pool.
+// Pool identifies a pool of a team.
 type Pool struct{ Team, Name string }
 
-// LoadProperties reads the operators' settings; an empty path gives the defaults. An error says in one line what is wrong.
+// LoadProperties reads the operators' settings from a file. An empty path gives the defaults. An error says in one line what is
+// wrong.
 func LoadProperties(path string) (*OperatorSettings, error) {
 	o := &OperatorSettings{Tunables: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
 	if path == "" {
@@ -66,7 +67,7 @@
 	return o, nil
 }
 
-// checkDependencies says which settings are there without what they need.
+// checkDependencies returns an error if a setting is present without the setting that it requires.
 func (o *OperatorSettings) checkDependencies() error {
 	if !o.Graphs && (len(o.Pools) > 0 || o.Descriptions != "") {
 		return fmt.Errorf("there are settings of graphs, but %s is not on", keyGraphs)
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// set reads one property.
+// set parses the property with a key and stores its value.
 func (o *OperatorSettings) set(key string, p *properties.Properties) (err error) {
 	value := p.GetString(key, "")
 	switch key {
@@ -101,7 +102,7 @@
 	return err
 }
 
-// setWithPrefix reads a property whose key names a pool or a budget.
+// setWithPrefix parses a property whose key has the prefix of pools or budgets.
 func (o *OperatorSettings) setWithPrefix(key string, p *properties.Properties) error {
 	if rest, ok := strings.CutPrefix(key, keyPool); ok {
 		return o.setPool(key, rest, p)
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// Check says what does not fit the platform's settings, in one line.
+// Check returns an error, in one line, if the operators' settings do not fit the platform's settings.
 func (o *OperatorSettings) Check(s *Settings) error {
 	for pool := range o.Pools {
 		if !s.hasTeam(pool.Team) {
--- a/internal/platform/config/operator_settings_test.go
+++ b/internal/platform/config/operator_settings_test.go
@@ -12,21 +12,21 @@
 )
 
 func TestPropertiesAreReadAndChecked(t *testing.T) {
-	k, err := LoadProperties(testutil.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
-	if err != nil || k.Tunables.IdleKeep != 45*time.Second || k.Tunables.MaxMachines != 7 {
-		t.Errorf("read as %+v, %v", k, err)
+	settings, err := LoadProperties(testutil.File(t, "p.properties", "# ours\nfleet.idle.keep = 45s\nfleet.machines.max: 7\n"))
+	if err != nil || settings.Tunables.IdleKeep != 45*time.Second || settings.Tunables.MaxMachines != 7 {
+		t.Errorf("loaded as %+v, %v", settings, err)
 	}
-	if k, err = LoadProperties(""); err != nil || k.Tunables != tuning.Defaults() {
-		t.Errorf("without a file: %+v, %v", k, err)
+	if settings, err = LoadProperties(""); err != nil || settings.Tunables != tuning.Defaults() {
+		t.Errorf("without a file: %+v, %v", settings, err)
 	}
 	operator, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
 	if err != nil || !operator.Ledger || len(operator.Budgets.Budgets) != 1 || operator.MetricsAddr != "127.0.0.1:9" {
-		t.Errorf("read as %+v, %v", operator, err)
+		t.Errorf("loaded as %+v, %v", operator, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`name = "t"`, `name = "other"`, "unknown"}, {"value_kb = 16.0", "value_kb = 8.0", "value_kb"},
 	} {
-		s, err := Load(testutil.File(t, "s.toml", strings.Replace(good, c.old, c.new, 1)))
+		s, err := Load(testutil.File(t, "s.toml", strings.Replace(validSettings, c.old, c.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,15 +43,15 @@
 	}
 	for _, text := range []string{"fleet.idle.keep = soon", "fleet.idle.keep = -1s", "fleet.machines.max = 0", "fleet.machine.max = 3"} {
 		if _, err := LoadProperties(testutil.File(t, "p.properties", text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-// Budgets change while the program runs; a file with a mistake changes nothing.
+// Guards against changed budgets that have no effect while the program runs, and against an invalid file that changes budgets.
 func TestChangedBudgetsTakeEffect(t *testing.T) {
 	path := testutil.File(t, "p.properties", "ledger = on\nbudget.t.month.money = 5\n")
-	s, err := Load(testutil.File(t, "s.toml", good))
+	s, err := Load(testutil.File(t, "s.toml", validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 		}
 		w.reloadIfChanged(log)
 		if got := w.Budgets().Budgets[0].Amount; got != c.want {
-			t.Errorf("after %q: %v", c.text, got)
+			t.Errorf("after the file changed to %q, the budget is %v", c.text, got)
 		}
 	}
 }
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -1,4 +1,5 @@
-// Package config reads what a controller is told: the platform's settings file (TOML) and the operators' settings (properties).
+// Package config reads a controller's configuration: the platform's settings file (TOML) and the operators' settings file
+// (properties).
 package config
 
 import (
@@ -10,13 +11,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's settings file. Unknown fields are ignored.
+// Settings is the content of the platform's settings file. Unknown fields are ignored.
 type Settings struct {
-	Member   string   `toml:"member"`
-	Zone     string   `toml:"domain"`
-	Bind     string   `toml:"bind"`
-	MeshAddr string   `toml:"mesh_addr"`
-	Members  []Member `toml:"members"`
+	Member   string   `toml:"member"`    // name of this controller
+	Zone     string   `toml:"domain"`    // zone in which this controller runs
+	Bind     string   `toml:"bind"`      // address that serves users and workers
+	MeshAddr string   `toml:"mesh_addr"` // address that serves the other controllers
+	Members  []Member `toml:"members"`   // the other controllers
 	Outside  Outside  `toml:"outside"`
 	Cluster  Cluster  `toml:"cluster"`
 }
@@ -28,7 +29,7 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// Outside holds the addresses of the outside systems.
+// Outside holds the addresses of the cloud and the state service.
 type Outside struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -47,8 +48,8 @@
 	Limits       Limits      `toml:"limits"`
 }
 
-// Team has a quota: a guarantee and a limit. In the file an amount of 0, or none, means that there is none: no guarantee, or no
-// limit. Load turns the latter into an infinite limit, so that nobody else has to know.
+// Team is a team and its quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). In the file, an amount that is 0 or
+// missing means no guarantee or no limit. Load replaces a limit of 0 by infinity, so no other code has to handle that case.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -57,7 +58,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective: the share of a class's jobs that start or finish within a time.
+// Objective is a service-level objective: the share of a class's jobs that must start or finish within a time, in seconds.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -65,14 +66,16 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers are the times of workers, in seconds: between heartbeats, of a lease, and for a cancellation.
+// Workers holds the times of workers, in seconds: the heartbeat interval, the length of a lease, and the time for a
+// cancellation.
 type Workers struct {
 	HeartbeatS float64 `toml:"report_s"`
 	LeaseS     float64 `toml:"lease_s"`
 	CancelS    float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service: calls and changes a second, the size of a value, and operations in a transaction.
+// State holds the limits of the state service: calls and changes per second, the size of a value in KiB, and the number of
+// operations in a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -80,13 +83,14 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud: calls a second, and how late its list may be.
+// Cloud holds the limits of the cloud: calls per second, and how far its list of machines may lag, in seconds.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are those of the controller's own machine: its share of the CPU, memory, and file descriptors.
+// Limits holds the limits of the controller's own machine: its share of a CPU, its memory in MiB, and its number of file
+// descriptors.
 type Limits struct {
 	CPUShare float64 `toml:"cpu_share"`
 	RAMMB    float64 `toml:"ram_mb"`
@@ -113,8 +117,8 @@
 	return &s, nil
 }
 
-// unlimitedIfZero returns a limit, infinite if it was not set: a guest team that comes with neither guarantee nor limit had each
-// of its jobs refused as beyond a limit of nothing.
+// unlimitedIfZero returns limit, or infinity if it is 0. Without that, every job of a guest team, which has neither guarantee nor
+// limit, was refused as beyond a limit of 0.
 func unlimitedIfZero(limit float64) float64 {
 	if limit == 0 {
 		return math.Inf(1)
--- a/internal/platform/config/settings_test.go
+++ b/internal/platform/config/settings_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/sim/testutil"
 )
 
-const good = `
+const validSettings = `
 member = "m0"
 domain = "a"
 bind = "127.0.0.1:8080"
@@ -40,25 +40,24 @@
 list_lag_s = 4.0
 `
 
-func TestGoodSettingsAreRead(t *testing.T) {
-	s, err := Load(testutil.File(t, "s.toml", good))
+func TestValidSettingsAreLoaded(t *testing.T) {
+	s, err := Load(testutil.File(t, "s.toml", validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Member != "m0" || s.Members[0].Endpoint != "127.0.0.2:8081" || s.Cluster.Teams[0].CPUsMax != 8 || s.Cluster.State.TxnOps != 12 {
-		t.Errorf("read as %+v", s)
+		t.Errorf("loaded as %+v", s)
 	}
 }
 
-// A guest team comes without amounts: it has no guarantee and no cap, rather
-// than a cap of nothing.
+// Guards against a guest team, which has no amounts in the file, that gets a limit of 0 instead of no limit.
 func TestATeamWithoutAmountsHasNoLimit(t *testing.T) {
-	s, err := Load(testutil.File(t, "s.toml", good+"[[cluster.teams]]\nname = \"guest\"\n"))
+	s, err := Load(testutil.File(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := s.Cluster.Teams[1]; g.CPUs != 0 || !math.IsInf(g.CPUsMax, 1) || !math.IsInf(g.GPUsMax, 1) {
-		t.Errorf("the guest has %+v", g)
+	if guest := s.Cluster.Teams[1]; guest.CPUs != 0 || !math.IsInf(guest.CPUsMax, 1) || !math.IsInf(guest.GPUsMax, 1) {
+		t.Errorf("the guest team was loaded as %+v", guest)
 	}
 }
 
@@ -83,12 +82,12 @@
 		{`txn_ops = 12`, `txn_ops = "x"`, "not valid TOML"},
 		{`[outside]`, `[outside`, "not valid TOML"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
+		text := strings.Replace(validSettings, c.old, c.new, 1)
 		if _, err := Load(testutil.File(t, "s.toml", text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q instead of %q: %v", c.new, c.old, err)
 		}
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); err == nil {
-		t.Error("a missing file was taken")
+		t.Error("a missing file was accepted")
 	}
 }
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -12,21 +12,21 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// OperatorSettingsWatcher holds the operators' settings, of which budgets take effect while the program runs; the others stay as
-// they were when it began. It is safe for concurrent use.
+// OperatorSettingsWatcher holds the operators' settings and reloads their budgets when the properties file changes. All other
+// settings keep their values from the start of the program. It is safe for concurrent use.
 type OperatorSettingsWatcher struct {
 	path     string
 	settings *Settings
 	operator *OperatorSettings
 	budgets  atomic.Pointer[budget.Settings]
-	seen     os.FileInfo
+	lastRead os.FileInfo // of the file when it was last read
 }
 
-// Watch makes the watcher of a properties file that was loaded and checked; an empty path is never read.
+// Watch returns a watcher for a properties file that was loaded into operator and checked. An empty path is never read.
 func Watch(path string, s *Settings, operator *OperatorSettings) *OperatorSettingsWatcher {
 	w := &OperatorSettingsWatcher{path: path, settings: s, operator: operator}
 	if path != "" {
-		w.seen, _ = os.Stat(path) // a file that is gone meanwhile has changed
+		w.lastRead, _ = os.Stat(path) // if this fails, the file counts as changed once it can be read
 	}
 	w.budgets.Store(operator.Budgets)
 	return w
@@ -35,28 +35,28 @@
 // Tunables returns the tunables.
 func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operator.Tunables }
 
-// Ledger reports whether charges are kept.
+// Ledger reports whether charges are recorded.
 func (w *OperatorSettingsWatcher) Ledger() bool { return w.operator.Ledger }
 
-// Graphs reports whether graphs are served, and returns the URL at which their steps are described, empty if nowhere.
+// Graphs reports whether graphs are served, and returns the URL of the service that describes their steps; empty: none.
 func (w *OperatorSettingsWatcher) Graphs() (on bool, descriptions string) {
 	return w.operator.Graphs, w.operator.Descriptions
 }
 
-// PoolSlots returns the slots of a team's pool.
+// PoolSlots returns the number of slots of a team's pool; ok is false if the settings have no such pool.
 func (w *OperatorSettingsWatcher) PoolSlots(team, name string) (slots int, ok bool) {
 	slots, ok = w.operator.Pools[Pool{team, name}]
 	return slots, ok
 }
 
-// MetricsAddr returns where metrics are served; empty: nowhere.
+// MetricsAddr returns the address at which metrics are served; empty: none are served.
 func (w *OperatorSettingsWatcher) MetricsAddr() string { return w.operator.MetricsAddr }
 
-// Budgets returns the budgets that are in force.
+// Budgets returns the budgets currently in effect.
 func (w *OperatorSettingsWatcher) Budgets() *budget.Settings { return w.budgets.Load() }
 
-// Run looks at the file every tuning.PropertiesEvery until ctx ends, and has its budgets take effect when it has changed. A file
-// with a mistake changes nothing.
+// Run checks the file every tuning.PropertiesEvery until ctx ends and applies its budgets when it has changed. An invalid file
+// changes nothing.
 func (w *OperatorSettingsWatcher) Run(ctx context.Context, clock clockwork.Clock, log *slog.Logger) {
 	if w.path == "" {
 		return
@@ -73,26 +73,26 @@
 	}
 }
 
-// reloadIfChanged reads the file if its time or size changed.
+// reloadIfChanged reads the file and applies its budgets if the file's modification time or size has changed.
 func (w *OperatorSettingsWatcher) reloadIfChanged(log *slog.Logger) {
-	now, err := os.Stat(w.path)
-	if err != nil || w.seen != nil && now.ModTime().Equal(w.seen.ModTime()) && now.Size() == w.seen.Size() {
+	info, err := os.Stat(w.path)
+	if err != nil || w.lastRead != nil && info.ModTime().Equal(w.lastRead.ModTime()) && info.Size() == w.lastRead.Size() {
 		return
 	}
-	w.seen = now
+	w.lastRead = info
 	operator, err := LoadProperties(w.path)
 	if err == nil {
 		err = operator.Check(w.settings)
 	}
 	if err != nil {
-		log.Error("the changed properties are not used", "err", err)
+		log.Error("changed properties file is invalid; ignoring it until it changes again", "err", err)
 		return
 	}
 	if !w.operator.Ledger {
 		return
 	}
-	// Days of charges are named as they were when the program began.
+	// The days of charges remain in the time zone that was set when the program started.
 	operator.Budgets.Zone = w.operator.Budgets.Zone
 	w.budgets.Store(operator.Budgets)
-	log.Info("changed budgets taken in; other properties take effect at the next start")
+	log.Info("properties file changed; its budgets are in effect, other properties take effect at the next start")
 }
--- a/internal/platform/golden/golden.go
+++ b/internal/platform/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what the code encodes with files that hold what it encoded
-// before. It is for tests only.
+// Package golden compares the encodings of values with golden files, which contain the encodings of earlier versions. It is for
+// tests only.
 package golden
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Check compares got with the file testdata/formats/NAME.golden of the package under
-// test. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+// Check compares got with the file testdata/formats/NAME.golden of the package under test. With UPDATE_GOLDEN=1 in the
+// environment it first writes got to the file.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "formats", name+".golden")
@@ -51,14 +51,14 @@
 	Check(t, name, []byte(strings.Join(lines, "\n")))
 }
 
-// Hex compares bytes with a golden file that holds them in hexadecimal.
+// Hex compares bytes with a golden file that contains them in hexadecimal.
 func Hex(t *testing.T, name string, got []byte) {
 	t.Helper()
 	Check(t, name, []byte(hex.EncodeToString(got)))
 }
 
-// Written compares the JSON of a value with a golden file. It is for values that are
-// only written; JSON also reads them back.
+// Written compares the JSON of a value with a golden file and returns the JSON. It is for values that the code only encodes;
+// JSON also checks that they can be decoded.
 func Written(t *testing.T, name string, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -69,20 +69,20 @@
 	return raw
 }
 
-// JSON compares the JSON of the value that a pointer refers to with a golden file, and
-// checks that it is read back as the same value.
+// JSON compares the JSON of the value that a pointer refers to with a golden file, and checks that the JSON is decoded to the same
+// value.
 func JSON(t *testing.T, name string, value any) {
 	t.Helper()
-	again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-	if err := json.Unmarshal(Written(t, name, value), again); err != nil {
-		t.Fatalf("%s cannot be read back: %v", name, err)
+	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+	if err := json.Unmarshal(Written(t, name, value), decoded); err != nil {
+		t.Fatalf("%s cannot be decoded: %v", name, err)
 	}
-	Equal(t, name, again, value)
+	Equal(t, name, decoded, value)
 }
 
-// CBOR is like JSON for a value that is stored as CBOR; its file is in hexadecimal.
-// CBOR arrays hold no names, so the value must be written with the names of its fields,
-// and not be filled in their order: fields that change places then fail the test.
+// CBOR is like JSON, for a value that is stored as CBOR. Its golden file is in hexadecimal. CBOR arrays contain no field names, so
+// the value must be a literal with the names of its fields instead of a result of Fill, which sets fields by their order. Only
+// then does the test fail if two fields are swapped.
 func CBOR(t *testing.T, name string, value any) {
 	t.Helper()
 	Complete(t, name, value)
@@ -91,22 +91,22 @@
 		t.Fatal(err)
 	}
 	Hex(t, name, raw)
-	again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-	if err := cbor.Unmarshal(raw, again); err != nil {
-		t.Fatalf("%s cannot be read back: %v", name, err)
+	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+	if err := cbor.Unmarshal(raw, decoded); err != nil {
+		t.Fatalf("%s cannot be decoded: %v", name, err)
 	}
-	Equal(t, name, again, value)
+	Equal(t, name, decoded, value)
 }
 
-// Equal checks that a value was read back as what was written.
+// Equal checks that a decoded value equals the encoded one.
 func Equal(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read back as\n%+v\ninstead of\n%+v", name, got, want)
+		t.Errorf("%s is decoded as\n%+v\ninstead of\n%+v", name, got, want)
 	}
 }
 
-// Complete checks that a value leaves no exported field at zero, at any depth.
+// Complete checks that no exported field of a value is zero, at any depth.
 func Complete(t *testing.T, name string, value any) {
 	t.Helper()
 	complete(t, name, reflect.ValueOf(value))
@@ -134,12 +134,11 @@
 	}
 }
 
-// Fill sets each exported field of a value, at any depth, to a value that is not zero,
-// and gives the pointer back. Fields are numbered in their order, and their names play
-// no part, so that the same type always gets the same content.
+// Fill sets each exported field of a value, at any depth, to a nonzero value, and returns the pointer. The values depend on the
+// order of the fields but not on their names, so a type whose fields are renamed gets the same content.
 func Fill[T any](value *T) *T {
-	n := 0
-	fill(reflect.ValueOf(value).Elem(), &n)
+	fieldNumber := 0
+	fill(reflect.ValueOf(value).Elem(), &fieldNumber)
 	return value
 }
 
@@ -148,75 +147,75 @@
 	timeType = reflect.TypeFor[time.Time]()
 )
 
-func fill(v reflect.Value, n *int) {
-	*n++
+func fill(v reflect.Value, fieldNumber *int) {
+	*fieldNumber++
 	switch v.Type() {
 	case rawType:
-		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *n))
+		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *fieldNumber))
 		return
 	case timeType:
-		v.Set(reflect.ValueOf(time.Date(2026, time.December, 1, 12, 0, *n%60, 0, time.UTC)))
+		v.Set(reflect.ValueOf(time.Date(2026, time.December, 1, 12, 0, *fieldNumber%60, 0, time.UTC)))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		fillFields(v, n)
+		fillFields(v, fieldNumber)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fill(v.Elem(), fieldNumber)
 	case reflect.Slice:
-		fillSlice(v, n)
+		fillSlice(v, fieldNumber)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fill(v.Index(i), fieldNumber)
 		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(value, n)
+		fill(key, fieldNumber)
+		fill(value, fieldNumber)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Interface:
-		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", *n)))
+		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", *fieldNumber)))
 	default:
-		fillScalar(v, *n)
+		fillScalar(v, *fieldNumber)
 	}
 }
 
-func fillFields(v reflect.Value, n *int) {
+func fillFields(v reflect.Value, fieldNumber *int) {
 	for i := range v.NumField() {
 		if f := v.Type().Field(i); f.IsExported() || f.Anonymous {
-			fill(v.Field(i), n)
+			fill(v.Field(i), fieldNumber)
 		}
 	}
 }
 
-func fillSlice(v reflect.Value, n *int) {
+func fillSlice(v reflect.Value, fieldNumber *int) {
 	if v.Type().Elem().Kind() == reflect.Uint8 {
-		v.SetBytes(fmt.Appendf(nil, "bytes-%d", *n))
+		v.SetBytes(fmt.Appendf(nil, "bytes-%d", *fieldNumber))
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 	for i := range v.Len() {
-		fill(v.Index(i), n)
+		fill(v.Index(i), fieldNumber)
 	}
 }
 
-func fillScalar(v reflect.Value, n int) {
+func fillScalar(v reflect.Value, fieldNumber int) {
 	switch {
 	case v.Kind() == reflect.Bool:
 		v.SetBool(true)
 	case v.Kind() == reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", n))
+		v.SetString(fmt.Sprintf("text-%d", fieldNumber))
 	case v.Kind() == reflect.Uint8: // an enumeration of a few values
-		v.SetUint(uint64(1 + n%2))
+		v.SetUint(uint64(1 + fieldNumber%2))
 	case v.CanInt():
-		v.SetInt(int64(n))
+		v.SetInt(int64(fieldNumber))
 	case v.CanUint():
-		v.SetUint(uint64(n))
+		v.SetUint(uint64(fieldNumber))
 	case v.CanFloat():
-		v.SetFloat(float64(n) + 0.5)
+		v.SetFloat(float64(fieldNumber) + 0.5)
 	default:
-		panic(fmt.Sprintf("no content is known for a field of type %s", v.Type()))
+		panic(fmt.Sprintf("golden.Fill does not support fields of type %s", v.Type()))
 	}
 }
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -1,4 +1,4 @@
-// Package httpjson makes HTTP calls whose bodies are JSON, and answers them.
+// Package httpjson makes HTTP calls with JSON bodies and writes JSON responses.
 package httpjson
 
 import (
@@ -18,11 +18,12 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ErrTooLarge means that an answer was longer than tuning.MaxResponse.
+// ErrTooLarge means that a response was longer than tuning.MaxResponse.
 var ErrTooLarge = errors.New("the answer is too large")
 
-// NewClient makes a client with at most maxConns connections to a host, of which idleConns are kept open between calls, and at
-// most allIdle idle ones to all hosts; 0: any number. dial is how long a connection may take. It follows no redirects.
+// NewClient returns a client with at most maxConns connections to a host, of which idleConns stay open between calls, and at most
+// allIdle idle connections to all hosts; 0 means any number. dial is the timeout for opening a connection. The client follows no
+// redirects.
 func NewClient(maxConns, idleConns, allIdle int, dial time.Duration) *http.Client {
 	d := &net.Dialer{Timeout: dial}
 	return &http.Client{Transport: &http.Transport{
@@ -35,8 +36,8 @@
 	}, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Call sends in as JSON (nil: no body), and decodes the answer into what decode returns for its status (nil: the body is not
-// wanted). It returns the status; an error means that no usable answer came.
+// Call sends in as JSON, or no body if in is nil. It decodes the response into the value that decode returns for the response's
+// status; if that is nil, the body is ignored. It returns the status, or an error if there was no usable response.
 func Call(ctx context.Context, c *http.Client, method, url string, in any, decode func(status int) any) (int, error) {
 	var body io.Reader
 	if in != nil {
@@ -73,7 +74,7 @@
 	return resp.StatusCode, nil
 }
 
-// IfOK is a decode function for Call: it decodes into out when the status is 200.
+// IfOK returns a decode function for Call that decodes into out if the status is 200.
 func IfOK(out any) func(int) any {
 	return func(status int) any {
 		if status == http.StatusOK {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Write sends v as the answer to a request.
+// Write sends v as JSON in response to a request.
 func Write(w http.ResponseWriter, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -92,10 +93,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // the client may be gone; nothing to do about it
+	_, _ = w.Write(raw) // fails only if the client has disconnected
 }
 
-// ReadBody reads a request's body of at most limit bytes.
+// ReadBody reads the body of a request. A body of more than limit bytes is an error.
 func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -110,8 +111,7 @@
 // OneLine returns an error's text as one line.
 func OneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// WriteError answers with a status and what is wrong, in one line. With a 503 it says when to
-// come back.
+// WriteError responds with a status and an error text of one line. A 503 gets a Retry-After header.
 func WriteError(w http.ResponseWriter, status int, text string) {
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
@@ -119,18 +119,17 @@
 	Write(w, status, wire.Error{Error: text})
 }
 
-// WriteUnavailable answers 503.
+// WriteUnavailable responds with 503, an error text and a Retry-After header.
 func WriteUnavailable(w http.ResponseWriter, text string) {
 	WriteError(w, http.StatusServiceUnavailable, text)
 }
 
-// WriteRaw answers with JSON that is encoded already. With a 503 it says when to
-// come back.
+// WriteRaw responds with JSON that is already encoded. A 503 gets a Retry-After header.
 func WriteRaw(w http.ResponseWriter, status int, body json.RawMessage) {
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the client may be gone; nothing to do about it
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -14,9 +14,9 @@
 
 // Gauge measures the process's memory, at most once per tuning.MemoryEvery. It is safe for concurrent use.
 type Gauge struct {
-	clock clockwork.Clock
-	limit uint64        // in bytes; 0: unknown
-	read  func() uint64 // returns the memory in use, in bytes
+	clock      clockwork.Clock
+	limitBytes uint64        // 0: unknown
+	readUsed   func() uint64 // returns the memory in use, in bytes
 
 	mu         sync.Mutex
 	measuredAt time.Time // zero: not measured yet
@@ -25,19 +25,19 @@
 
 // New returns a gauge for a machine with ramMB MiB of memory. If ramMB is 0, the gauge never reports full.
 func New(ramMB float64, clock clockwork.Clock) *Gauge {
-	return &Gauge{clock: clock, limit: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), read: heldBytes}
+	return &Gauge{clock: clock, limitBytes: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), readUsed: runtimeBytes}
 }
 
 // Full reports whether the process uses at least the share tuning.MemoryFull of the machine's memory, so that no more work may be
 // accepted now.
 func (g *Gauge) Full() bool {
-	if g.limit == 0 {
+	if g.limitBytes == 0 {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now := g.clock.Now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= tuning.MemoryEvery {
-		g.measuredAt, g.full = now, g.read() >= g.limit
+		g.measuredAt, g.full = now, g.readUsed() >= g.limitBytes
 	}
 	return g.full
 }
@@ -52,8 +52,8 @@
 	return total - released - free - unused - objects + reachable
 }
 
-// heldBytes returns how many bytes of the machine's memory the runtime has not released to the operating system.
-func heldBytes() uint64 {
+// runtimeBytes returns how many bytes of the machine's memory the runtime has not released to the operating system.
+func runtimeBytes() uint64 {
 	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes")
 	return v[0] - v[1]
 }
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -12,25 +12,25 @@
 func TestGaugeIsFullNearTheLimit(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := New(100, clock)
-	var holds uint64
-	g.read = func() uint64 { return holds }
+	var usedBytes uint64
+	g.readUsed = func() uint64 { return usedBytes }
 	for _, c := range []struct {
 		mb   uint64
 		full bool
 	}{{10, false}, {84, false}, {86, true}, {120, true}, {50, false}} {
-		holds = c.mb << 20
+		usedBytes = c.mb << 20
 		clock.Advance(tuning.MemoryEvery)
 		if g.Full() != c.full {
 			t.Errorf("%d of 100 MiB used: Full returned %v", c.mb, !c.full)
 		}
 	}
-	if holds = 99 << 20; g.Full() {
+	if usedBytes = 99 << 20; g.Full() {
 		t.Error("the memory was measured again before tuning.MemoryEvery was over")
 	}
 	if New(0, clock).Full() {
 		t.Error("a gauge without a limit reports full")
 	}
-	if n := heldBytes(); n < 1<<20 || n > 1<<40 {
+	if n := runtimeBytes(); n < 1<<20 || n > 1<<40 {
 		t.Errorf("implausible memory of this process: %d bytes", n)
 	}
 }
@@ -40,13 +40,13 @@
 	const size = 64 << 20
 	runtime.GC()
 	before := Live()
-	kept := make([]byte, size)
+	block := make([]byte, size)
 	runtime.GC()
 	if grown := Live() - before; grown < size || grown > size+size/4 {
 		t.Errorf("memory in use grew by %d bytes after %d reachable bytes were allocated", grown, size)
 	}
-	runtime.KeepAlive(kept)
-	kept = nil
+	runtime.KeepAlive(block)
+	block = nil
 	runtime.GC()
 	if after := Live(); after > before+size/4 {
 		t.Errorf("memory in use is still %d bytes higher after the allocation became unreachable", after-before)
--- a/internal/platform/metrics/collectors.go
+++ b/internal/platform/metrics/collectors.go
@@ -5,14 +5,15 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// The names, labels and helps are known to operators' dashboards and alarms, so they keep the words that they had.
+// Operators' dashboards and alarms depend on the names, labels and help texts, so these must not change, even where the code uses
+// other terms.
 
-// loopMetrics are those of the leader's loop.
+// loopMetrics are the metrics of the leader's loop.
 type loopMetrics struct {
-	leading  prometheus.Gauge
-	failover prometheus.Histogram
-	cycle    prometheus.Histogram
-	written  prometheus.Counter
+	leading        prometheus.Gauge
+	failover       prometheus.Histogram
+	cycle          prometheus.Histogram
+	changesWritten prometheus.Counter
 }
 
 func newLoopMetrics(f promauto.Factory, writeRPS float64) loopMetrics {
@@ -23,40 +24,40 @@
 			prometheus.ExponentialBuckets(0.01, 2, 12)),
 		cycle: histogram(f, "poppypass_pass_seconds", "How long a pass over the waiting tasks takes.",
 			prometheus.ExponentialBuckets(0.0001, 2, 16)),
-		written: f.NewCounter(prometheus.CounterOpts{Name: "poppypass_state_changes_total", Help: "Changes that the leader wrote to the state service."}),
+		changesWritten: f.NewCounter(prometheus.CounterOpts{Name: "poppypass_state_changes_total", Help: "Changes that the leader wrote to the state service."}),
 	}
 }
 
-// jobMetrics are those of jobs, their tasks and attempts.
+// jobMetrics are the metrics of jobs, their tasks and attempts.
 type jobMetrics struct {
-	live     prometheus.Gauge
-	found    prometheus.Counter
-	queue    *prometheus.GaugeVec
-	oldest   *prometheus.GaugeVec
-	started  *prometheus.CounterVec
-	ended    *prometheus.CounterVec
-	accepted *prometheus.CounterVec
-	begun    *prometheus.CounterVec
-	waited   *prometheus.HistogramVec
+	liveJobs     prometheus.Gauge
+	missingFound prometheus.Counter
+	waitingTasks *prometheus.GaugeVec
+	oldestWait   *prometheus.GaugeVec
+	started      *prometheus.CounterVec
+	ended        *prometheus.CounterVec
+	accepted     *prometheus.CounterVec
+	begun        *prometheus.CounterVec
+	startWait    *prometheus.HistogramVec
 }
 
 func newJobMetrics(f promauto.Factory) jobMetrics {
 	return jobMetrics{
-		live:     gauge(f, "poppypass_jobs", "Jobs that are not over."),
-		found:    f.NewCounter(prometheus.CounterOpts{Name: "poppypass_jobs_found_total", Help: "Stored jobs that the leader did not know."}),
-		queue:    gauges(f, "poppypass_queue_tasks", "Tasks that wait to be placed.", "class"),
-		oldest:   gauges(f, "poppypass_oldest_unbegun_seconds", "For how long the oldest job waits to begin.", "class"),
-		started:  counters(f, "poppypass_starts_total", "Attempts that were placed.", "class"),
-		ended:    counters(f, "poppypass_ends_total", "Attempts that are proven over.", "class", "how"),
-		accepted: counters(f, "poppypass_jobs_accepted_total", "Jobs that came; size is largest for the largest tenth of the class's last ones.", "class", "team", "size"),
-		begun:    counters(f, "poppypass_jobs_begun_total", "Jobs of which a first task ran.", "class", "team", "size"),
-		waited: f.NewHistogramVec(prometheus.HistogramOpts{
+		liveJobs:     gauge(f, "poppypass_jobs", "Jobs that are not over."),
+		missingFound: f.NewCounter(prometheus.CounterOpts{Name: "poppypass_jobs_found_total", Help: "Stored jobs that the leader did not know."}),
+		waitingTasks: gauges(f, "poppypass_queue_tasks", "Tasks that wait to be placed.", "class"),
+		oldestWait:   gauges(f, "poppypass_oldest_unbegun_seconds", "For how long the oldest job waits to begin.", "class"),
+		started:      counters(f, "poppypass_starts_total", "Attempts that were placed.", "class"),
+		ended:        counters(f, "poppypass_ends_total", "Attempts that are proven over.", "class", "how"),
+		accepted:     counters(f, "poppypass_jobs_accepted_total", "Jobs that came; size is largest for the largest tenth of the class's last ones.", "class", "team", "size"),
+		begun:        counters(f, "poppypass_jobs_begun_total", "Jobs of which a first task ran.", "class", "team", "size"),
+		startWait: f.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "poppypass_begin_seconds", Help: "From a job's acceptance until its first task ran.", Buckets: prometheus.ExponentialBuckets(0.5, 2, 11),
 		}, []string{"class", "size"}),
 	}
 }
 
-// machineMetrics are those of machines and their heartbeats.
+// machineMetrics are the metrics of machines and their heartbeats.
 type machineMetrics struct {
 	known       prometheus.Gauge
 	unreachable prometheus.Gauge
@@ -77,16 +78,16 @@
 	}
 }
 
-// chargeMetrics are those of the ledger.
+// chargeMetrics are the metrics of the ledger.
 type chargeMetrics struct {
-	made        *prometheus.CounterVec
+	charges     *prometheus.CounterVec
 	coreSeconds *prometheus.CounterVec
 	money       *prometheus.CounterVec
 }
 
 func newChargeMetrics(f promauto.Factory) chargeMetrics {
 	return chargeMetrics{
-		made:        counters(f, "poppypass_charges_total", "Charges that this controller made.", "team", "how"),
+		charges:     counters(f, "poppypass_charges_total", "Charges that this controller made.", "team", "how"),
 		coreSeconds: counters(f, "poppypass_charged_core_seconds_total", "Core time that this controller charged.", "team"),
 		money:       counters(f, "poppypass_charged_money_total", "Money that this controller charged, in the currency of the cloud's prices.", "team"),
 	}
--- a/internal/platform/metrics/formats_test.go
+++ b/internal/platform/metrics/formats_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/golden"
 )
 
-// Operators' dashboards and alarms know metrics by their names and labels.
+// Guards against changed names and labels of metrics, on which operators' dashboards and alarms depend.
 func TestNamesAndLabels(t *testing.T) {
 	m := New(60)
 	m.SetLeading(true)
@@ -33,7 +33,7 @@
 	var lines []string
 	for _, family := range families {
 		if !strings.HasPrefix(family.GetName(), "poppypass_") {
-			continue // of the Go runtime and the process
+			continue // metrics of the Go runtime and the process
 		}
 		labels := []string{}
 		for _, pair := range family.GetMetric()[0].GetLabel() {
--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -48,14 +48,14 @@
 	job.ID, job.Kind, job.Priority = "job-17", KindService, PriorityHigh
 	golden.JSON(t, "job", job)
 	body := golden.Written(t, "job", job)
-	again, err := ParseJob(body)
+	parsed, err := ParseJob(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := again.ReadAccount(body); err != nil {
+	if err := parsed.ReadAccount(body); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "submission", again, job)
+	golden.Equal(t, "submission", parsed, job)
 }
 
 func TestPaths(t *testing.T) {
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -121,7 +121,7 @@
 	if err := json.Unmarshal(body, &d); err != nil || d.Account == nil {
 		return err
 	}
-	if err := json.Unmarshal(*d.Account, &j.Account); err != nil || len(j.Account) > maxName || strings.ContainsFunc(j.Account, unicode.IsControl) {
+	if err := json.Unmarshal(*d.Account, &j.Account); err != nil || len(j.Account) > maxNameBytes || strings.ContainsFunc(j.Account, unicode.IsControl) {
 		j.Account = ""
 		return errors.New(`field "account" is not a name`)
 	}
@@ -143,7 +143,7 @@
 	return true
 }
 
-const maxName = 200 // length, in bytes, of the longest name (team, class, image, type, zone) in a job
+const maxNameBytes = 200 // length, in bytes, of the longest name (team, class, image, type, zone) in a job
 
 // ParseJob parses and checks a submission. An error says in one line what is malformed.
 func ParseJob(body []byte) (*Job, error) {
@@ -170,28 +170,28 @@
 
 // required returns a job with the fields that a submission must have, or an error that names the first missing one.
 func (d *jobDraft) required() (*Job, error) {
-	f := &requiredFields{}
+	checked := &requiredFields{}
 	j := &Job{
-		ID:          required(f, "ref", d.ID),
-		Class:       required(f, "lane", d.Class),
-		Team:        required(f, "desk", d.Team),
-		Kind:        required(f, "shape", d.Kind),
-		Priority:    required(f, "urgency", d.Priority),
-		Tasks:       required(f, "seats", d.Tasks),
-		CPUs:        required(f, "cpus", d.CPUs),
-		GPUs:        required(f, "gpus", d.GPUs),
-		MemoryGB:    required(f, "mem_gb", d.MemoryGB),
-		Image:       required(f, "bundle", d.Image),
-		ImageGB:     required(f, "image_gb", d.ImageGB),
-		OneZone:     required(f, "same_place", d.OneZone),
-		Spread:      required(f, "apart", d.Spread),
-		Spot:        required(f, "standby", d.Spot),
-		EstimateS:   required(f, "ride_s", d.EstimateS),
-		CheckpointS: required(f, "stub_s", d.CheckpointS),
-		SaveS:       required(f, "stamp_s", d.SaveS),
+		ID:          required(checked, "ref", d.ID),
+		Class:       required(checked, "lane", d.Class),
+		Team:        required(checked, "desk", d.Team),
+		Kind:        required(checked, "shape", d.Kind),
+		Priority:    required(checked, "urgency", d.Priority),
+		Tasks:       required(checked, "seats", d.Tasks),
+		CPUs:        required(checked, "cpus", d.CPUs),
+		GPUs:        required(checked, "gpus", d.GPUs),
+		MemoryGB:    required(checked, "mem_gb", d.MemoryGB),
+		Image:       required(checked, "bundle", d.Image),
+		ImageGB:     required(checked, "image_gb", d.ImageGB),
+		OneZone:     required(checked, "same_place", d.OneZone),
+		Spread:      required(checked, "apart", d.Spread),
+		Spot:        required(checked, "standby", d.Spot),
+		EstimateS:   required(checked, "ride_s", d.EstimateS),
+		CheckpointS: required(checked, "stub_s", d.CheckpointS),
+		SaveS:       required(checked, "stamp_s", d.SaveS),
 	}
-	if f.missing != "" {
-		return nil, fmt.Errorf("field %q is missing", f.missing)
+	if checked.firstMissing != "" {
+		return nil, fmt.Errorf("field %q is missing", checked.firstMissing)
 	}
 	return j, nil
 }
@@ -201,7 +201,7 @@
 	if d.Zone == nil {
 		return "", nil
 	}
-	if *d.Zone == "" || len(*d.Zone) > maxName {
+	if *d.Zone == "" || len(*d.Zone) > maxNameBytes {
 		return "", errors.New(`field "yard" is invalid`)
 	}
 	return *d.Zone, nil
@@ -214,7 +214,7 @@
 	}
 	names := make([]string, 0, len(d.Types))
 	for _, t := range d.Types {
-		if t == nil || len(*t) > maxName {
+		if t == nil || len(*t) > maxNameBytes {
 			return nil, errors.New(`field "builds" is invalid`)
 		}
 		names = append(names, *t)
@@ -223,13 +223,13 @@
 }
 
 // requiredFields records the first required field that is missing.
-type requiredFields struct{ missing string }
+type requiredFields struct{ firstMissing string }
 
-// required returns a field's value. If the field is missing, it returns the zero value and records the name in f.
-func required[T any](f *requiredFields, name string, v *T) T {
+// required returns a field's value. If the field is missing, it returns the zero value and records the name in checked.
+func required[T any](checked *requiredFields, name string, v *T) T {
 	if v == nil {
-		if f.missing == "" {
-			f.missing = name
+		if checked.firstMissing == "" {
+			checked.firstMissing = name
 		}
 		var zero T
 		return zero
@@ -253,7 +253,7 @@
 		return err
 	}
 	for _, n := range []struct{ name, v string }{{"lane", j.Class}, {"desk", j.Team}, {"bundle", j.Image}} {
-		if n.v == "" || len(n.v) > maxName {
+		if n.v == "" || len(n.v) > maxNameBytes {
 			return fmt.Errorf("field %q is invalid", n.name)
 		}
 	}
--- a/internal/platform/wire/job_test.go
+++ b/internal/platform/wire/job_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func goodJob() map[string]any {
+func validJob() map[string]any {
 	return map[string]any{
 		"ref": "job-000412", "lane": "train", "desk": "vision", "shape": "array", "urgency": "urgent", "seats": 16,
 		"cpus": 8.0, "gpus": 1.0, "mem_gb": 64.0, "bundle": "img-07", "image_gb": 6.2,
@@ -24,8 +24,8 @@
 	return raw
 }
 
-func TestParseJobAcceptsAGoodJob(t *testing.T) {
-	j, err := ParseJob(encode(t, goodJob()))
+func TestParseJobAcceptsAValidJob(t *testing.T) {
+	j, err := ParseJob(encode(t, validJob()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,11 +33,11 @@
 		t.Errorf("parsed as %+v", j)
 	}
 	// Fields that may be null may also be missing.
-	m := goodJob()
-	delete(m, "builds")
-	delete(m, "yard")
-	delete(m, "departure_s")
-	if j, err = ParseJob(encode(t, m)); err != nil || j.Types != nil || j.DeadlineS != nil {
+	fields := validJob()
+	delete(fields, "builds")
+	delete(fields, "yard")
+	delete(fields, "departure_s")
+	if j, err = ParseJob(encode(t, fields)); err != nil || j.Types != nil || j.DeadlineS != nil {
 		t.Errorf("without the nullable fields: %+v, %v", j, err)
 	}
 }
@@ -53,9 +53,9 @@
 		{"departure_s", -5}, {"builds", "g8"}, {"builds", []any{nil}}, {"yard", 3}, {"yard", ""}, {"same_place", "yes"}, {"apart", nil},
 		{"desk", ""}, {"lane", strings.Repeat("x", 201)}, {"bundle", nil},
 	} {
-		m := goodJob()
-		m[c.field] = c.value
-		if _, err := ParseJob(encode(t, m)); err == nil {
+		fields := validJob()
+		fields[c.field] = c.value
+		if _, err := ParseJob(encode(t, fields)); err == nil {
 			t.Errorf("%s = %v was accepted", c.field, c.value)
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s = %v: the error has more than one line", c.field, c.value)
@@ -66,10 +66,10 @@
 			t.Errorf("%q was accepted", body)
 		}
 	}
-	for field := range goodJob() {
-		m := goodJob()
-		delete(m, field)
-		_, err := ParseJob(encode(t, m))
+	for field := range validJob() {
+		fields := validJob()
+		delete(fields, field)
+		_, err := ParseJob(encode(t, fields))
 		optional := field == "builds" || field == "yard" || field == "departure_s" || field == "new_field"
 		if (err == nil) != optional {
 			t.Errorf("without %s: %v", field, err)
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -27,8 +27,8 @@
 // ExitReason is why a task ended.
 type ExitReason string
 
-// The reasons for which a task ends. A worker reports ExitNoRoom and ExitBusy for a start that it refused, and ExitUnknown for a
-// task that it does not know.
+// The reasons for which a task ends. A worker refuses a start with ExitNoRoom if the machine lacks room, with ExitBusy if another
+// attempt of the task still runs there, and with ExitUnknown if it does not find the job's description (yet).
 const (
 	ExitDone    ExitReason = "done"
 	ExitStopped ExitReason = "stopped"
--- a/internal/platform/wire/worker_test.go
+++ b/internal/platform/wire/worker_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a malformed or contradictory heartbeat that is accepted, or whose error has more than one line.
 func TestHeartbeatsThatContradictThemselvesAreRefused(t *testing.T) {
-	const good = `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":2,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}],"news":7}`
+	const validHeartbeat = `{"stall":"n-1","address":"a:1","build":"g8","yard":"a","shift":1,"punch":2,"baton":3,"seats":[{"seat":"job-1/0","boarding":1,"status":"running"}],"news":7}`
 	for _, c := range []struct {
 		from, to string
 		bad      bool
@@ -25,10 +25,10 @@
 		{`}],"news"`, `},{"seat":"job-1/0","boarding":1,"status":"exited","cause":"done"}],"news"`, true},
 		{`"status":"running"`, `"status":"exited"`, false}, // an exit without a reason counts as not completed
 	} {
-		var r Heartbeat
-		err := json.Unmarshal([]byte(strings.Replace(good, c.from, c.to, 1)), &r)
+		var hb Heartbeat
+		err := json.Unmarshal([]byte(strings.Replace(validHeartbeat, c.from, c.to, 1)), &hb)
 		if err == nil {
-			err = r.Check()
+			err = hb.Check()
 		}
 		if (err != nil) != c.bad {
 			t.Errorf("%s: %v", c.to, err)
