--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -39,7 +39,7 @@
 type Cluster struct {
 	InitialSize  int         `toml:"initial_size"`
 	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"`
+	ClockErrorMS float64     `toml:"clock_error_ms"` // how far a time of day may be from the true one
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
 	Workers      Workers     `toml:"workers"`
@@ -89,7 +89,7 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits holds the limits of the controller's own machine: its share of a CPU, its memory in MiB, and its number of file
+// Limits holds the limits of the controller's own machine: its share of the CPU, its memory in MiB, and its number of file
 // descriptors.
 type Limits struct {
 	CPUShare float64 `toml:"cpu_share"`
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -16,7 +16,7 @@
 type Gauge struct {
 	clock      clockwork.Clock
 	limitBytes uint64        // 0: unknown
-	readUsed   func() uint64 // returns the memory in use, in bytes
+	readUsed   func() uint64 // runtimeBytes, except in tests
 
 	mu         sync.Mutex
 	measuredAt time.Time // zero: not measured yet
--- a/internal/platform/metrics/collectors.go
+++ b/internal/platform/metrics/collectors.go
@@ -80,14 +80,14 @@
 
 // chargeMetrics are the metrics of the ledger.
 type chargeMetrics struct {
-	charges     *prometheus.CounterVec
+	total       *prometheus.CounterVec
 	coreSeconds *prometheus.CounterVec
 	money       *prometheus.CounterVec
 }
 
 func newChargeMetrics(f promauto.Factory) chargeMetrics {
 	return chargeMetrics{
-		charges:     counters(f, "poppypass_charges_total", "Charges that this controller made.", "team", "how"),
+		total:       counters(f, "poppypass_charges_total", "Charges that this controller made.", "team", "how"),
 		coreSeconds: counters(f, "poppypass_charged_core_seconds_total", "Core time that this controller charged.", "team"),
 		money:       counters(f, "poppypass_charged_money_total", "Money that this controller charged, in the currency of the cloud's prices.", "team"),
 	}
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -114,7 +114,7 @@
 // Charged counts a charge of the ledger, by outcome, and adds its amounts. Core time is in millionths of a core second, money in
 // millionths of the currency.
 func (m *Metrics) Charged(team, outcome string, amounts charge.Amounts) {
-	m.charges.charges.WithLabelValues(team, outcome).Inc()
+	m.charges.total.WithLabelValues(team, outcome).Inc()
 	m.charges.coreSeconds.WithLabelValues(team).Add(float64(amounts.Core) / 1e6)
 	m.charges.money.WithLabelValues(team).Add(float64(amounts.Money) / 1e6)
 }
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -45,8 +45,8 @@
 	ChargesPage = 500
 	// ChargesTimeout bounds a query for charges.
 	ChargesTimeout = 4 * time.Second
-	// TotalRows is the number of rows in one answer about totals. With names of 200 bytes they still fit
-	// QueryResponseMax.
+	// TotalRows is the number of rows in one answer about totals. With names of 200 bytes the
+	// answer still fits the bound of a query's answer.
 	TotalRows = 40
 	// MonthlyTotalsAfterDays is the age, in days, at which totals per day are merged into totals per month.
 	// Budgets read the previous month at most.
--- a/internal/platform/tuning/placement.go
+++ b/internal/platform/tuning/placement.go
@@ -39,9 +39,9 @@
 	// of hundreds of changes per second requests a cycle. A cycle over 1,200 machines needs a millisecond or
 	// two on a share of a core, and the strictest service-level objective for starts is a second.
 	CycleRestFactor = 16
-	// CycleRestMin and ScaleOutRestMin are the shortest pauses after a cycle and after a scale-out plan. On
-	// a machine with 0.3 of a core, a seventeenth of a core is a fifth of the processor. A start takes a
-	// second or more and a boot 20 s, so neither pause matters.
+	// CycleRestMin and ScaleOutRestMin are the shortest pauses after a cycle and after a scale-out plan. The
+	// factor alone allows a seventeenth of a core, which is a fifth of the processor of a machine with 0.3 of
+	// a core. A start takes a second or more and a boot 20 s, so the pauses delay neither noticeably.
 	CycleRestMin    = 20 * time.Millisecond
 	ScaleOutRestMin = 200 * time.Millisecond
 	// PreemptWaitShare is the share of a class's allowed wait (by its own service-level objective or the
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -63,8 +63,8 @@
 	ZoneLeaseRenew = 5 * time.Second
 	// MaxTTL is the longest lease that the key-value store grants.
 	MaxTTL = 600 * time.Second
-	// RenewedNamesBytes bounds the machine names in one query between members, in bytes of a frame
-	// (PeerFrameBytes). NameBytes is the overhead of a name besides its own length: its vector entry,
+	// RenewedNamesBytes bounds the machine names in one query between members, in bytes; a message is
+	// a little larger. NameBytes is the overhead of a name besides its own length: its vector entry,
 	// length, terminator and alignment. All queries together must complete within RelayTimeout: with 400
 	// names in each, 6,000 machines needed 15 queries in sequence.
 	RenewedNamesBytes = 64 << 10
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -48,9 +48,9 @@
 	OpForget Op = "forget"
 )
 
-// Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation grows
-// with each restart of the worker's process, and Seq with each heartbeat of an incarnation. FencingToken is the highest fencing
-// token that the worker has received.
+// Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation is
+// the epoch of the worker's process; Seq grows with each heartbeat of an incarnation. FencingToken is the highest fencing token
+// that the worker has received.
 type Heartbeat struct {
 	Machine      string       `json:"stall"`
 	Address      string       `json:"address"`
@@ -112,7 +112,8 @@
 	GraceS  *float64 `json:"boarding_s,omitempty"` // time to save a checkpoint before the task is stopped
 }
 
-// HeartbeatReply is the reply to a heartbeat: the sender's fencing token, and commands.
+// HeartbeatReply is the reply to a heartbeat. A leader's reply has its own fencing token; a follower that answers on behalf of the
+// leader repeats the worker's token and sends no commands.
 type HeartbeatReply struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"calls"`
