--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -78,9 +78,9 @@
 }
 
 // JobBegan counts a job whose first task is running, and records how long the job waited for that.
-func (m *Metrics) JobBegan(class, team, size string, waited time.Duration) {
+func (m *Metrics) JobBegan(class, team, size string, startWait time.Duration) {
 	m.jobs.begun.WithLabelValues(class, team, size).Inc()
-	m.jobs.startWait.WithLabelValues(class, size).Observe(waited.Seconds())
+	m.jobs.startWait.WithLabelValues(class, size).Observe(startWait.Seconds())
 }
 
 // MissingJobsFound counts stored jobs that the leader had not loaded.
@@ -88,9 +88,9 @@
 
 // StateSize sets the size of the leader's state: the numbers of jobs and machines and, by class, the number of waiting tasks and
 // the seconds for which the oldest job has waited to begin.
-func (m *Metrics) StateSize(jobs, machines int, waiting map[string]int, oldest map[string]float64) {
+func (m *Metrics) StateSize(jobs, machines int, waiting map[string]int, oldestWait map[string]float64) {
 	m.jobs.oldestWait.Reset()
-	for class, s := range oldest {
+	for class, s := range oldestWait {
 		m.jobs.oldestWait.WithLabelValues(class).Set(s)
 	}
 	m.jobs.liveJobs.Set(float64(jobs))
