--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -42,21 +42,20 @@
 	}
 }
 
-// A submission is a job whose fields are all read, by the parser that also finds out
-// which are missing.
+// Guards against a field of a job that the encoder writes and ParseJob or ReadAccount does not read.
 func TestSubmissionFormat(t *testing.T) {
 	job := golden.Fill(new(Job))
 	job.ID, job.Kind, job.Priority = "job-17", KindService, PriorityHigh
 	golden.JSON(t, "job", job)
 	body := golden.Written(t, "job", job)
-	again, err := ParseJob(body)
+	parsed, err := ParseJob(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := again.ReadAccount(body); err != nil {
+	if err := parsed.ReadAccount(body); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "submission", again, job)
+	golden.Equal(t, "submission", parsed, job)
 }
 
 func TestPaths(t *testing.T) {
