--- a/cmd/poppypass/client.go
+++ b/cmd/poppypass/client.go
@@ -69,7 +69,7 @@
 	if resp.StatusCode < http.StatusBadRequest {
 		return nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.QueryResponseMax))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.QueryResponseMaxBytes))
 	if err != nil {
 		return err
 	}
--- a/cmd/poppypass/graph_commands_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -26,7 +26,7 @@
 	state := fakes.NewStore(clock)
 	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
 	s := &config.Settings{
-		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), Outside: config.Outside{Cloud: cloud.Addr(), State: state.Addr()},
+		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), External: config.ExternalAddresses{Cloud: cloud.Addr(), State: state.Addr()},
 		Cluster: config.Cluster{
 			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -81,9 +81,9 @@
 func describe(ctx context.Context, p *dag.Plan, run, to string, conf json.RawMessage, logical time.Time) error {
 	steps := runner.Foreseen(p, run, conf, logical)
 	source := &runner.HTTPSource{URL: to, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
-	for from := 0; from < len(steps); from += tuning.DescribeBatch {
+	for from := 0; from < len(steps); from += tuning.DescribeBatchSteps {
 		batchCtx, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
-		err := source.Describe(batchCtx, steps[from:min(len(steps), from+tuning.DescribeBatch)])
+		err := source.Describe(batchCtx, steps[from:min(len(steps), from+tuning.DescribeBatchSteps)])
 		cancel()
 		if err != nil {
 			return fmt.Errorf("descriptions: %w", err)
--- a/cmd/poppypass/ledger_verify.go
+++ b/cmd/poppypass/ledger_verify.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	// It leaves nine tenths of the limit to the controllers.
-	reader, err := ledger.NewReader(statestore.New(s.Outside.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS).WithShare(0.1))
+	reader, err := ledger.NewReader(statestore.New(s.External.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS).WithShare(0.1))
 	if err != nil {
 		return err
 	}
--- a/cmd/poppypass/serve.go
+++ b/cmd/poppypass/serve.go
@@ -82,7 +82,7 @@
 		return err
 	}
 	if mb := s.Cluster.Limits.RAMMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * tuning.MemoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(mb * tuning.MemoryTargetShare * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/accounting/budget/estimates.go
+++ b/internal/accounting/budget/estimates.go
@@ -30,7 +30,7 @@
 	if t.EstimateS <= 0 {
 		return
 	}
-	seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMax), tuning.EstimateCorrectionMax)
+	seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMaxFactor), tuning.EstimateCorrectionMaxFactor)
 	if old, ok := e.runRatio[t.Class]; ok {
 		seen = old + tuning.EstimateLearningRate*(seen-old)
 	}
@@ -47,7 +47,7 @@
 // service has none; for it a fixed time is reserved.
 func (e *estimates) expectedRun(t *Task) time.Duration {
 	if t.EstimateS <= 0 {
-		return tuning.ServiceReserve
+		return tuning.ServiceReservedTime
 	}
 	ratio, ok := e.runRatio[t.Class]
 	if !ok {
--- a/internal/accounting/budget/formats_test.go
+++ b/internal/accounting/budget/formats_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAnswerFormat(t *testing.T) {
-	golden.JSON(t, "view", golden.Fill(new(View)))
+	golden.JSONRoundTrip(t, "view", golden.Fill(new(View)))
 	golden.Lines(t, "words", string(Day), string(Week), string(Month), string(Ever), string(CoreHours), string(Money))
 }
 
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -40,7 +40,7 @@
 		{"pack", fullPack()},
 		{"amounts", fullAmounts()},
 	} {
-		t.Run(c.name, func(t *testing.T) { golden.CBOR(t, c.name, c.value) })
+		t.Run(c.name, func(t *testing.T) { golden.CBORRoundTrip(t, c.name, c.value) })
 	}
 }
 
--- a/internal/accounting/ledger/attempts.go
+++ b/internal/accounting/ledger/attempts.go
@@ -38,7 +38,7 @@
 
 // currentRate is what an attempt's task would take of its machine's price by now.
 func (l *Ledger) currentRate(a *jobs.Allocation) int64 {
-	return Rate(&a.Job.Job, wire.TypeNamed(l.cfg.MachineTypes(), a.Kind.Type), a.Kind.Spot)
+	return Rate(&a.Job.Job, wire.FindMachineType(l.cfg.MachineTypes(), a.Kind.Type), a.Kind.Spot)
 }
 
 // chargeDayEnd charges what running tasks took up to the end of the day: a bill for a day
--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -135,7 +135,7 @@
 		}
 		a.Stop = &jobs.StopRequest{Reason: charge.OverBudget}
 		if a.Job.CheckpointS > 0 {
-			a.Stop.GraceS = a.Job.SaveS + tuning.GraceExtra.Seconds()
+			a.Stop.GraceS = a.Job.SaveS + tuning.CheckpointGraceExtra.Seconds()
 		}
 		l.log.Info("stopped for its budget", "task", a.Task().String(), "team", a.Job.Team)
 		stopped = append(stopped, a)
--- a/internal/accounting/ledger/compact.go
+++ b/internal/accounting/ledger/compact.go
@@ -15,7 +15,7 @@
 // without rows is deleted, and two small ones become one. It is nil if there is nothing to
 // gain.
 func (l *Ledger) compact(room int) *leader.SubsystemWrite {
-	if room < 2 || len(l.closedPages) < tuning.CompactPages {
+	if room < 2 || len(l.closedPages) < tuning.CompactAfterPages {
 		return nil
 	}
 	into, from := l.pagesToMerge()
@@ -56,10 +56,10 @@
 			}
 			seen[key] = p
 		}
-		if small != nil && small.bytes+p.bytes <= tuning.PageBytes {
+		if small != nil && small.bytes+p.bytes <= tuning.TotalsPageMaxBytes {
 			return small, p
 		}
-		if p.bytes < tuning.PageBytes/2 {
+		if p.bytes < tuning.TotalsPageMaxBytes/2 {
 			small = p
 		}
 	}
@@ -76,7 +76,7 @@
 			b.remove(key)
 		}
 	}
-	if a.bytes+b.bytes <= tuning.PageBytes {
+	if a.bytes+b.bytes <= tuning.TotalsPageMaxBytes {
 		for key, sum := range b.rows {
 			a.add(key, sum)
 		}
--- a/internal/accounting/ledger/compact_test.go
+++ b/internal/accounting/ledger/compact_test.go
@@ -36,7 +36,7 @@
 	if after := len(tl.itemsWithPrefix(PrefixPage)); after >= before {
 		t.Errorf("%d pages are %d after compaction", before, after)
 	}
-	if len(tl.ledger.closedPages) >= tuning.CompactPages { // fewer are not compacted
+	if len(tl.ledger.closedPages) >= tuning.CompactAfterPages { // fewer are not compacted
 		tl.checkRowsAreInOneClosedPage()
 	}
 	tl.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A failover loses no run time: when a task began is stored once it has run for BeganAfter.
+// A failover loses no run time: when a task began is stored once it has run for StartTimeStoreDelay.
 func TestStartTimeSurvivesAFailover(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
@@ -65,7 +65,7 @@
 	tl.commitAll()
 	tl.clock.Advance(5 * time.Second) // the image is fetched
 	tl.run(a)
-	tl.clock.Advance(tuning.BeganAfter)
+	tl.clock.Advance(tuning.StartTimeStoreDelay)
 	tl.commitAll()
 	tl.newTerm()
 	tl.clock.Advance(10 * time.Second)
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -30,10 +30,10 @@
 }
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "segment", golden.Fill(new(segmentRecord)))
-	golden.JSON(t, "page", golden.Fill(new(pageRecord)))
-	golden.CBOR(t, "row", fullRow())
-	golden.CBOR(t, "row-name", &fullRow().Key)
+	golden.JSONRoundTrip(t, "segment", golden.Fill(new(segmentRecord)))
+	golden.JSONRoundTrip(t, "page", golden.Fill(new(pageRecord)))
+	golden.CBORRoundTrip(t, "row", fullRow())
+	golden.CBORRoundTrip(t, "row-name", &fullRow().Key)
 }
 
 func TestStoredKeys(t *testing.T) {
@@ -76,11 +76,11 @@
 }
 
 func TestAnswerFormats(t *testing.T) {
-	golden.JSON(t, "answer-total", golden.Fill(new(Total)))
-	golden.JSON(t, "answer-totals", golden.Fill(new(Totals)))
-	golden.JSON(t, "answer-stats", golden.Fill(new(Stats)))
-	golden.Written(t, "answer-charge", golden.Fill(new(ChargeView)))
-	golden.Written(t, "answer-charges", golden.Fill(new(ChargesPage)))
+	golden.JSONRoundTrip(t, "answer-total", golden.Fill(new(Total)))
+	golden.JSONRoundTrip(t, "answer-totals", golden.Fill(new(Totals)))
+	golden.JSONRoundTrip(t, "answer-stats", golden.Fill(new(Stats)))
+	golden.JSONEncoding(t, "answer-charge", golden.Fill(new(ChargeView)))
+	golden.JSONEncoding(t, "answer-charges", golden.Fill(new(ChargesPage)))
 }
 
 // What answers say of stored amounts and charges.
@@ -94,11 +94,11 @@
 	tally := NewAggregation(question)
 	tally.Add(fullRow().Key, fullRow().Sum)
 	totals := tally.Totals(time.UTC)
-	golden.Written(t, "question-totals", totals)
+	golden.JSONEncoding(t, "question-totals", totals)
 	pack := fullPack()
 	charges := ChargeViews(&pack)
-	golden.Written(t, "question-charges", charges)
-	golden.Written(t, "csv-totals", TotalsCSV(totals))
-	golden.Written(t, "csv-charges", ChargesCSV(charges))
+	golden.JSONEncoding(t, "question-charges", charges)
+	golden.JSONEncoding(t, "csv-totals", TotalsCSV(totals))
+	golden.JSONEncoding(t, "csv-charges", ChargesCSV(charges))
 	golden.Lines(t, "paths", append([]string{PathTotals, PathStats, PathBudgets}, groupColumns...)...)
 }
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -33,7 +33,7 @@
 		t.Fatal("the job does not end")
 	}
 	tl.submit(jobArray("job-2", 1))
-	for range 3 * tuning.DetachCharges {
+	for range 3 * tuning.DetachChargesMin {
 		a := tl.allocateAndRun("job-2")
 		tl.clock.Advance(time.Second)
 		tl.end(a, wire.ExitError, false)
--- a/internal/accounting/ledger/page.go
+++ b/internal/accounting/ledger/page.go
@@ -46,4 +46,4 @@
 func (p *page) sortedRows() []Row { return p.rows.sorted() }
 
 // full reports whether a page takes no more rows.
-func (p *page) full() bool { return p.bytes >= tuning.PageBytes }
+func (p *page) full() bool { return p.bytes >= tuning.TotalsPageMaxBytes }
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -74,7 +74,7 @@
 // addFromSegments adds the job's charges in the segments after a key, until the page has
 // ChargesPage of them, and sets where the next page goes on.
 func (r *Reader) addFromSegments(ctx context.Context, page *ChargesPage, id, after string) error {
-	items, err := r.store.List(ctx, PrefixSegment, after, tuning.SegmentPage)
+	items, err := r.store.List(ctx, PrefixSegment, after, tuning.SegmentsPerCall)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 				page.Charges = append(page.Charges, ChargeViews(&packs[i])...)
 			}
 		}
-		if len(page.Charges) >= tuning.ChargesPage {
+		if len(page.Charges) >= tuning.ChargesPerAnswer {
 			page.Next = item.Key
 			break
 		}
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -71,7 +71,7 @@
 	if min(l.maxTxnOps, room) <= rollUpOverhead || len(l.detached) == 0 {
 		return false
 	}
-	if room < min(l.maxTxnOps, len(l.detached)+rollUpOverhead, tuning.RollUpChangesMin) {
+	if room < min(l.maxTxnOps, len(l.detached)+rollUpOverhead, tuning.RollUpMinChanges) {
 		return false // the few changes that there is room for are better spent by others
 	}
 	full := len(l.detached) >= l.maxTxnOps-rollUpOverhead
@@ -79,13 +79,13 @@
 }
 
 // rollUpBatch returns the oldest detached records: at most limit, and of more than one only
-// as many as have RollUpBytes together.
+// as many as have RollUpMaxBytes together.
 func (l *Ledger) rollUpBatch(limit int) []jobs.DetachedCharges {
 	var batch []jobs.DetachedCharges
 	size := 0
 	for _, d := range l.detached {
 		n := len(charge.EncodePack(d.Pack))
-		if len(batch) == limit || size+n > tuning.RollUpBytes && len(batch) > 0 {
+		if len(batch) == limit || size+n > tuning.RollUpMaxBytes && len(batch) > 0 {
 			break
 		}
 		size += n
@@ -98,7 +98,7 @@
 // some records added, and its stored form. The ledger's own is not changed.
 func (l *Ledger) segmentWith(batch []jobs.DetachedCharges) (seg segment, value []byte) {
 	seg = l.openSegment
-	if seg.bytes >= tuning.SegmentBytes {
+	if seg.bytes >= tuning.SegmentCloseBytes {
 		seg = segment{n: seg.n + 1}
 	}
 	old := len(seg.packs)
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -102,7 +102,7 @@
 		tl.store.LoadDetached(item)
 	}
 	tl.store.FinishLoading()
-	if errs := tl.store.TakeDamaged(); len(errs) > 0 {
+	if errs := tl.store.TakeChargeErrors(); len(errs) > 0 {
 		tl.t.Fatal(errs)
 	}
 }
@@ -116,7 +116,7 @@
 	if j.CPUs == 0 {
 		j.CPUs, j.MemoryGB = 2, 8
 	}
-	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: tl.now().UnixMilli()})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AcceptedAtMS: tl.now().UnixMilli()})
 	if err != nil {
 		tl.t.Fatal(err)
 	}
--- a/internal/accounting/ledger/totals.go
+++ b/internal/accounting/ledger/totals.go
@@ -77,14 +77,14 @@
 	ag.sum.Add(a)
 }
 
-// Totals returns the answer: at most tuning.TotalRows rows after those that the query skips.
+// Totals returns the answer: at most tuning.TotalRowsPerAnswer rows after those that the query skips.
 func (ag *Aggregation) Totals(zone *time.Location) Totals {
 	q := &ag.query
 	out := Totals{From: q.From, To: q.To, Zone: zone.String(), By: strings.Join(q.By, ","), Rows: []Total{}, Sum: TotalOf(ag.sum)}
 	rows := ag.groups.sorted()
 	rows = rows[min(q.Skip, len(rows)):]
-	if len(rows) > tuning.TotalRows {
-		rows, out.Next = rows[:tuning.TotalRows], q.Skip+tuning.TotalRows
+	if len(rows) > tuning.TotalRowsPerAnswer {
+		rows, out.Next = rows[:tuning.TotalRowsPerAnswer], q.Skip+tuning.TotalRowsPerAnswer
 	}
 	for _, r := range rows {
 		out.Rows = append(out.Rows, q.totalOfRow(r))
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -117,7 +117,7 @@
 		tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 		if i == 30 {
 			tl.rollUpAll()
-			tl.ledger.openSegment.bytes = tuning.SegmentBytes // the next roll-up begins another segment
+			tl.ledger.openSegment.bytes = tuning.SegmentCloseBytes // the next roll-up begins another segment
 		}
 	}
 	tl.rollUpAll()
--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -113,7 +113,7 @@
 	if err := clock.BlockUntilContext(ctx, 1); err != nil {
 		t.Fatal(err)
 	}
-	clock.Advance(tuning.SubmitHedge)
+	clock.Advance(tuning.SubmitHedgeDelay)
 	if status := <-done; status != http.StatusCreated {
 		t.Errorf("the submission got status %d, want 201", status)
 	}
--- a/internal/api/userapi/status.go
+++ b/internal/api/userapi/status.go
@@ -42,7 +42,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollWait)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
 	defer cancel()
 	s, err := h.status(ctx, id, h.statusReader.read)
 	switch {
--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// run answers batches until no poll waits. Each batch takes at most tuning.PollWait.
+// run answers batches until no poll waits. Each batch takes at most tuning.PollTimeout.
 func (r *statusReader) run() {
 	for {
 		r.mu.Lock()
@@ -67,16 +67,16 @@
 	}
 }
 
-// answerBatch reads the states of a batch's jobs and answers their polls. A batch of at least tuning.PollBatch jobs
+// answerBatch reads the states of a batch's jobs and answers their polls. A batch of at least tuning.PollBatchMinJobs jobs
 // reads the live ones by one listing and the final states of the others one by one; a smaller batch reads every job
 // by itself.
 func (r *statusReader) answerBatch(batch map[string][]chan statusAnswer) {
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollWait)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollTimeout)
 	defer cancel()
 	store := r.h.store.LowPriority()
 	read := r.h.storedStatus
 	var live map[string]wire.JobStatus
-	if len(batch) >= tuning.PollBatch {
+	if len(batch) >= tuning.PollBatchMinJobs {
 		var err error
 		if live, err = listLive(ctx, store); err != nil {
 			r.h.log.Debug("listing of live jobs failed; the states of the polled jobs stay unknown", "polls", len(batch), "err", err)
--- a/internal/api/userapi/store_job.go
+++ b/internal/api/userapi/store_job.go
@@ -67,10 +67,10 @@
 // storeJob stores a job in one transaction, on the condition that neither its job record nor its final state is
 // stored. The error is errJobKnown, errMemoryFull, errTooLong or errNotStored.
 func (h *Handler) storeJob(ctx context.Context, job *wire.Job) error {
-	if h.peers.LeaderFull() || h.memoryFull != nil && h.memoryFull() {
+	if h.peers.LeaderMemoryFull() || h.memoryFull != nil && h.memoryFull() {
 		return errMemoryFull
 	}
-	value, err := json.Marshal(jobs.JobRecord{Job: *job, AtMS: h.clock.Now().UnixMilli()})
+	value, err := json.Marshal(jobs.JobRecord{Job: *job, AcceptedAtMS: h.clock.Now().UnixMilli()})
 	if err != nil || float64(len(value)) > h.settings.Cluster.State.ValueKB*1024 {
 		return errTooLong
 	}
--- a/internal/api/userapi/submit.go
+++ b/internal/api/userapi/submit.go
@@ -23,7 +23,7 @@
 	}
 	startedAt := h.clock.Now()
 	// One deadline bounds all attempts together, however many members there are.
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTotal)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
 	defer cancel()
 	answer := h.submitAnywhere(ctx, body)
 	h.log.Debug("submission answered", "status", answer.status, "job", answer.job.ID, "took_ms", h.clock.Since(startedAt).Milliseconds())
@@ -53,7 +53,7 @@
 	return submitAnswer{status: status, errorText: errorText}
 }
 
-// submitAnywhere has this member store a submission. If that fails or takes longer than tuning.SubmitHedge, it has
+// submitAnywhere has this member store a submission. If that fails or takes longer than tuning.SubmitHedgeDelay, it has
 // another member store it, too: the state service may refuse this member alone, or not answer it. That both store it
 // is safe: the second one finds the job stored. submitAnywhere returns the first conclusive answer, or this member's
 // own if there is none.
@@ -62,7 +62,7 @@
 	if h.peers.Alone() {
 		return <-ownAnswer
 	}
-	hedgeTimer := h.clock.NewTimer(tuning.SubmitHedge)
+	hedgeTimer := h.clock.NewTimer(tuning.SubmitHedgeDelay)
 	defer hedgeTimer.Stop()
 	select {
 	case own := <-ownAnswer:
@@ -78,12 +78,12 @@
 	}
 }
 
-// startSubmit starts to store a submission by this member. The goroutine ends after tuning.SubmitWait at the latest,
+// startSubmit starts to store a submission by this member. The goroutine ends after tuning.SubmitStoreTimeout at the latest,
 // or with ctx.
 func (h *Handler) startSubmit(ctx context.Context, body []byte) <-chan submitAnswer {
 	answer := make(chan submitAnswer, 1) // buffered: the caller may no longer receive
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, tuning.SubmitWait)
+		ctx, cancel := context.WithTimeout(ctx, tuning.SubmitStoreTimeout)
 		defer cancel()
 		answer <- h.submit(ctx, body)
 	}()
--- a/internal/api/userapi/subsystems.go
+++ b/internal/api/userapi/subsystems.go
@@ -16,7 +16,7 @@
 // It returns the HTTP status and JSON body of the answer, whether this member leads or the answer is relayed from the
 // leader.
 func (h *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
-	ctx, cancel := context.WithTimeout(ctx, tuning.PollWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.PollTimeout)
 	defer cancel()
 	return h.askLeader(ctx, peerrpc.Request{Verb: peerrpc.SubsystemQuery, Payload: []byte(uri)}, "the leader cannot be asked now",
 		func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
@@ -24,7 +24,7 @@
 
 // Command has the leader's subsystems execute a command. It returns the HTTP status and JSON body of the answer.
 func (h *Handler) Command(ctx context.Context, c leader.Command) (status int, body json.RawMessage) {
-	ctx, cancel := context.WithTimeout(ctx, tuning.CommandWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.UserCommandTimeout)
 	defer cancel()
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return encodeAnswer(l.Query(ctx, uri))
 }
 
-// encodeAnswer returns the status and the JSON of a subsystem's answer, bounded to tuning.QueryResponseMax bytes so
+// encodeAnswer returns the status and the JSON of a subsystem's answer, bounded to tuning.QueryResponseMaxBytes bytes so
 // that it fits a message between members.
 func encodeAnswer(a leader.Answer, err error) (int, json.RawMessage) {
 	if err != nil {
@@ -68,7 +68,7 @@
 	switch {
 	case err != nil:
 		return http.StatusInternalServerError, errorBody("the answer cannot be written")
-	case len(body) > tuning.QueryResponseMax:
+	case len(body) > tuning.QueryResponseMaxBytes:
 		return http.StatusRequestEntityTooLarge, errorBody("the answer is too long; ask for less")
 	}
 	return a.Status, body
--- a/internal/api/workerapi/election_grace.go
+++ b/internal/api/workerapi/election_grace.go
@@ -24,8 +24,8 @@
 // graceLength returns for how long workers may be refused: a share of the time that a lease leaves beyond the
 // longest pause between heartbeats and the search for a controller.
 func graceLength(w config.Workers) time.Duration {
-	spareSeconds := w.LeaseS - tuning.HeartbeatLateFactor*w.HeartbeatS - tuning.WorkerSearch.Seconds()
-	return time.Duration(max(0, spareSeconds) * tuning.WorkerPatience * float64(time.Second))
+	spareSeconds := w.LeaseS - tuning.HeartbeatLateFactor*w.HeartbeatS - tuning.WorkerSearchTime.Seconds()
+	return time.Duration(max(0, spareSeconds) * tuning.ElectionGraceShare * float64(time.Second))
 }
 
 // active reports whether the worker should look for a leader, since one is likely to be elected soon. It notes that
@@ -33,7 +33,7 @@
 func (g *electionGrace) active(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.lastRequest) > tuning.WorkerSearch {
+	if now.Sub(g.lastRequest) > tuning.WorkerSearchTime {
 		g.firstRequest = now
 	}
 	g.lastRequest = now
--- a/internal/api/workerapi/election_grace_test.go
+++ b/internal/api/workerapi/election_grace_test.go
@@ -24,7 +24,7 @@
 		{long.length - time.Millisecond, true},
 		{time.Millisecond, false},
 		{5 * time.Second, false}, // still the same search
-		{tuning.WorkerSearch + time.Second, true},
+		{tuning.WorkerSearchTime + time.Second, true},
 	} {
 		now = now.Add(c.after)
 		if got := long.active(now); got != c.active {
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -40,17 +40,17 @@
 
 // Options are the dependencies and settings of a Handler.
 type Options struct {
-	Member  string // the name of this member
-	Workers config.Workers
-	Clock   clockwork.Clock
-	Elector *election.Elector
-	Peers   *peers.Peers
-	Leases  LeaseAcquirer
-	Zone    ZoneLease
+	Member    string // the name of this member
+	Workers   config.Workers
+	Clock     clockwork.Clock
+	Elector   *election.Elector
+	Peers     *peers.Peers
+	Leases    LeaseAcquirer
+	ZoneLease ZoneLease
 	// Leader returns the leader's loop while this member has the right to act, nil otherwise.
 	Leader func() *leader.Loop
-	// Fetch asks a worker for its heartbeat; nil: workers are not queried.
-	Fetch FetchHeartbeat
+	// FetchHeartbeat asks a worker for its heartbeat; nil: workers are not queried.
+	FetchHeartbeat FetchHeartbeat
 	// MaxQueries is how many workers may be queried at a time.
 	MaxQueries int
 }
@@ -78,11 +78,11 @@
 		elector:   o.Elector,
 		peers:     o.Peers,
 		leases:    o.Leases,
-		zoneLease: o.Zone,
+		zoneLease: o.ZoneLease,
 		leader:    o.Leader,
 		redirects: newRedirects(),
 		grace:     electionGrace{length: graceLength(o.Workers)},
-		renewals:  newRenewals(lease, o.MaxQueries, o.Fetch),
+		renewals:  newRenewals(lease, o.MaxQueries, o.FetchHeartbeat),
 	}
 }
 
@@ -104,7 +104,7 @@
 // ServeHeartbeat answers a worker's heartbeat: with a reply, with the name of the leader, or with 503 if the worker
 // should try the next controller.
 func (h *Handler) ServeHeartbeat(w http.ResponseWriter, r *http.Request) {
-	body, err := httpjson.ReadBody(r, tuning.MaxHeartbeat)
+	body, err := httpjson.ReadBody(r, tuning.MaxHeartbeatBytes)
 	if err != nil {
 		httpjson.WriteError(w, http.StatusBadRequest, httpjson.OneLine(err))
 		return
@@ -172,7 +172,7 @@
 	if h.leader() != nil {
 		return h.answerAsLeader(ctx, hb)
 	}
-	leaderName, term := h.elector.Holder()
+	leaderName, term := h.elector.LeaderAndTerm()
 	if leaderName == "" || leaderName == h.member {
 		if reply, ok := h.renew(ctx, hb); ok {
 			return reply, nil
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -37,7 +37,7 @@
 	LeaseAcquirer
 	ZoneLease
 }) *Handler {
-	return New(Options{Member: "m1", Clock: clock, Peers: p, Leases: leases, Zone: leases, Leader: func() *leader.Loop { return nil }})
+	return New(Options{Member: "m1", Clock: clock, Peers: p, Leases: leases, ZoneLease: leases, Leader: func() *leader.Loop { return nil }})
 }
 
 func TestAWorkerThatComesBackHasLostTheLeader(t *testing.T) {
@@ -57,7 +57,7 @@
 		t.Error("a worker that has seen the leader's token does not count as having lost it")
 	}
 	// A worker whose lease is renewed here tries the leader again from time to time.
-	if r.retryLeader("n-2", now) || r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint/2)) || !r.retryLeader("n-2", now.Add(tuning.LeaderRetryHint)) {
+	if r.retryLeader("n-2", now) || r.retryLeader("n-2", now.Add(tuning.LeaderRedirectAfter/2)) || !r.retryLeader("n-2", now.Add(tuning.LeaderRedirectAfter)) {
 		t.Error("a worker whose lease is renewed tries the leader at the wrong times")
 	}
 }
@@ -97,7 +97,7 @@
 		if !renewed() {
 			t.Error("redirected to a leader that does not answer")
 		}
-		clock.Advance(tuning.LeaderRetryHint)
+		clock.Advance(tuning.LeaderRedirectAfter)
 	}
 	h.peers = newPeers(1)
 	for range tuning.LeaderPingsMissed {
@@ -106,7 +106,7 @@
 	if !renewed() {
 		t.Error("redirected to the leader at once")
 	}
-	clock.Advance(tuning.LeaderRetryHint)
+	clock.Advance(tuning.LeaderRedirectAfter)
 	if renewed() {
 		t.Error("not redirected to the leader, though the worker would be back in time")
 	}
--- a/internal/api/workerapi/redirects.go
+++ b/internal/api/workerapi/redirects.go
@@ -21,7 +21,7 @@
 func newRedirects() redirects {
 	return redirects{
 		redirected:   recentWorkers{at: map[string]time.Time{}, ttl: tuning.RedirectMemory},
-		renewedSince: recentWorkers{at: map[string]time.Time{}, ttl: tuning.LeaderRetryHint + tuning.RedirectMemory},
+		renewedSince: recentWorkers{at: map[string]time.Time{}, ttl: tuning.LeaderRedirectAfter + tuning.RedirectMemory},
 	}
 }
 
@@ -50,7 +50,7 @@
 		r.renewedSince.note(machine, now)
 		return false
 	}
-	if now.Sub(since) < tuning.LeaderRetryHint {
+	if now.Sub(since) < tuning.LeaderRedirectAfter {
 		return false
 	}
 	delete(r.renewedSince.at, machine)
@@ -78,11 +78,11 @@
 }
 
 // sweep drops expired entries from a map by worker once it has sweepAt entries. It then sets sweepAt to twice the
-// number of remaining entries, or to tuning.RedirectsMin if that is more.
+// number of remaining entries, or to tuning.RedirectsSweepMin if that is more.
 func sweep[V any](workers map[string]V, sweepAt *int, expired func(V) bool) {
 	if len(workers) < *sweepAt {
 		return
 	}
 	maps.DeleteFunc(workers, func(_ string, v V) bool { return expired(v) })
-	*sweepAt = max(tuning.RedirectsMin, 2*len(workers))
+	*sweepAt = max(tuning.RedirectsSweepMin, 2*len(workers))
 }
--- a/internal/api/workerapi/renewals.go
+++ b/internal/api/workerapi/renewals.go
@@ -54,8 +54,8 @@
 // newRenewals makes the renewals of a member that may have maxQueries queries in flight at a time.
 func newRenewals(lease time.Duration, maxQueries int, fetch FetchHeartbeat) *renewals {
 	return &renewals{
-		lease: lease, fetch: fetch, maxQueries: max(tuning.RenewedQueriesLeast, maxQueries), workers: map[string]*renewedWorker{},
-		limiter: rate.NewLimiter(tuning.RenewedQueryRateLeast, tuning.RenewedQueriesLeast),
+		lease: lease, fetch: fetch, maxQueries: max(tuning.RenewedQueriesInFlightMin, maxQueries), workers: map[string]*renewedWorker{},
+		limiter: rate.NewLimiter(tuning.RenewedQueriesPerSecondMin, tuning.RenewedQueriesInFlightMin),
 	}
 }
 
@@ -154,12 +154,12 @@
 }
 
 // queryRate returns how many queries per second, and how many at a time, are needed to query every worker whose
-// lease is renewed here within RenewedQueryShare of a lease. The caller holds the lock.
+// lease is renewed here within RenewedQueryLeaseShare of a lease. The caller holds the lock.
 func (r *renewals) queryRate() (perSecond float64, maxInFlight int) {
-	windowSeconds := max(1, tuning.RenewedQueryShare*r.lease.Seconds())
-	perSecond = max(tuning.RenewedQueryRateLeast, float64(len(r.workers))/windowSeconds)
-	maxInFlight = int(math.Ceil(perSecond * tuning.RenewedQueryAnswer.Seconds()))
-	return perSecond, min(max(tuning.RenewedQueriesLeast, maxInFlight), r.maxQueries)
+	windowSeconds := max(1, tuning.RenewedQueryLeaseShare*r.lease.Seconds())
+	perSecond = max(tuning.RenewedQueriesPerSecondMin, float64(len(r.workers))/windowSeconds)
+	maxInFlight = int(math.Ceil(perSecond * tuning.RenewedQueryAnswerTime.Seconds()))
+	return perSecond, min(max(tuning.RenewedQueriesInFlightMin, maxInFlight), r.maxQueries)
 }
 
 // reserveQuery reports whether one more query may be sent now, and counts it against the rate. The caller holds the
--- a/internal/api/workerapi/renewals_test.go
+++ b/internal/api/workerapi/renewals_test.go
@@ -225,17 +225,17 @@
 			t.Fatal("not renewed because too many queries are in flight")
 		}
 	}
-	if n := r.queriesInFlight(); n > tuning.RenewedQueriesLeast {
+	if n := r.queriesInFlight(); n > tuning.RenewedQueriesInFlightMin {
 		t.Errorf("%d queries are in flight", n)
 	}
 	close(block)
 	// What is known of workers is dropped after their leases.
-	for i := range 4 * tuning.RedirectsMin {
+	for i := range 4 * tuning.RedirectsSweepMin {
 		hb := newHeartbeat(1, 3)
 		hb.Machine = "m-" + time.Duration(i).String()
 		r.allow(t.Context(), hb, now.Add(time.Duration(i)*time.Second))
 	}
-	if len(r.workers) > 3*tuning.RedirectsMin {
+	if len(r.workers) > 3*tuning.RedirectsSweepMin {
 		t.Errorf("%d workers are remembered", len(r.workers))
 	}
 }
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -98,7 +98,7 @@
 	if !h.renewals.allow(ctx, hb, h.clock.Now()) {
 		return reply, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseTimeout)
 	defer cancel()
 	if !h.zoneLease.MayRenew(hb.Machine, hb.Zone) {
 		if err := h.leases.Acquire(ctx, hb.Machine); err != nil {
--- a/internal/clients/cloud/client.go
+++ b/internal/clients/cloud/client.go
@@ -51,7 +51,7 @@
 
 // SetShare sets which share of the limit this controller may use.
 func (c *Client) SetShare(share float64) {
-	limit := c.callsPerSecond * share * tuning.LimitMargin
+	limit := c.callsPerSecond * share * tuning.RateLimitUsedShare
 	c.limiter.SetLimit(rate.Limit(limit))
 	c.limiter.SetBurst(max(1, int(limit)))
 }
--- a/internal/clients/instancetypes/catalog.go
+++ b/internal/clients/instancetypes/catalog.go
@@ -63,11 +63,11 @@
 		if c.Types() == nil {
 			c.load(ctx)
 		}
-		return tuning.CloudRetry
+		return tuning.CloudRetryPause
 	}
 	c.Set(types)
 	c.Save(ctx)
-	return tuning.TypesRefresh
+	return tuning.TypesRefreshEvery
 }
 
 // Save stores the types that are known if this member leads and they fit one value.
--- a/internal/clients/statestore/lease.go
+++ b/internal/clients/statestore/lease.go
@@ -18,7 +18,7 @@
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var g wire.LeaseGrant
 	status, err := c.call(ctx, request{
-		timeout: tuning.RenewTimeout, method: http.MethodPost, path: wire.PathLeases,
+		timeout: tuning.LeaseCallTimeout, method: http.MethodPost, path: wire.PathLeases,
 		body: wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, decode: httpjson.IfOK(&g),
 	})
 	if err == nil && status != http.StatusOK {
@@ -31,7 +31,7 @@
 // has expired.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, request{
-		timeout: tuning.RenewTimeout, method: http.MethodPost, path: leasePath(lease) + "/" + wire.EndRenew,
+		timeout: tuning.LeaseCallTimeout, method: http.MethodPost, path: leasePath(lease) + "/" + wire.EndRenew,
 		decode: httpjson.IfOK(nil),
 	})
 	switch {
@@ -48,7 +48,7 @@
 // RevokeLease ends a lease at once. It is not an error that the lease has ended before.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.call(ctx, request{
-		timeout: tuning.RenewTimeout, method: http.MethodDelete, path: leasePath(lease), decode: httpjson.IfOK(nil),
+		timeout: tuning.LeaseCallTimeout, method: http.MethodDelete, path: leasePath(lease), decode: httpjson.IfOK(nil),
 	})
 	return err
 }
--- a/internal/clients/statestore/ratelimit.go
+++ b/internal/clients/statestore/ratelimit.go
@@ -30,15 +30,15 @@
 // newRateLimit makes the limit for a share of a published one, in calls a second. It begins
 // with all that may be used at once.
 func newRateLimit(published, share float64, now time.Time) *rateLimit {
-	top := published * tuning.LimitMargin
+	top := published * tuning.RateLimitUsedShare
 	floor := top * share
-	burst := max(1, int(floor*tuning.RateLimitBurst))
+	burst := max(1, int(floor*tuning.RateLimitBurstS))
 	return &rateLimit{floor: floor, top: top, level: floor, at: now, limiter: rate.NewLimiter(rate.Limit(floor), min(burst, max(1, int(top))))}
 }
 
 // current is the rate that is allowed now, in calls a second.
 func (r *rateLimit) current(now time.Time) float64 {
-	grown := (r.top - r.floor) * now.Sub(r.at).Seconds() / tuning.RateLimitRecover.Seconds()
+	grown := (r.top - r.floor) * now.Sub(r.at).Seconds() / tuning.RateLimitRecoverTime.Seconds()
 	return min(r.top, r.level+max(0, grown))
 }
 
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -74,7 +74,7 @@
 	}
 	// Guards against a watch that is asked again for ever: the changes since are more than are
 	// read at once, and would be more the next time.
-	huge := `{"ledger":1,"events":[` + strings.Repeat(" ", tuning.MaxResponse) + `]}`
+	huge := `{"ledger":1,"events":[` + strings.Repeat(" ", tuning.MaxResponseBytes) + `]}`
 	if _, err := answering(t, 200, huge).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
 		t.Errorf("changes too many to read: %v", err)
 	}
@@ -123,7 +123,7 @@
 func TestRateLimitTakesWhatOthersLeave(t *testing.T) {
 	begin := time.Unix(0, 0)
 	limit := newRateLimit(100, 0.1, begin)
-	top := 100 * tuning.LimitMargin
+	top := 100 * tuning.RateLimitUsedShare
 	now := begin
 	for _, step := range []struct {
 		name    string
@@ -132,10 +132,10 @@
 		want    float64
 	}{
 		{"the share in any case", false, 0, top / 10},
-		{"grown", false, tuning.RateLimitRecover, top},
+		{"grown", false, tuning.RateLimitRecoverTime, top},
 		{"not beyond the limit", false, time.Hour, top},
 		{"halved by a refusal", true, 0, top / 2},
-		{"grown a little", false, tuning.RateLimitRecover / 9, 0.6 * top},
+		{"grown a little", false, tuning.RateLimitRecoverTime / 9, 0.6 * top},
 		{"not under the share", true, 0, 0.3 * top},
 		{"not under the share", true, 0, 0.15 * top},
 		{"not under the share", true, 0, top / 10},
--- a/internal/clients/statestore/txn.go
+++ b/internal/clients/statestore/txn.go
@@ -36,7 +36,7 @@
 func pauseBusy(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(tuning.RetryTxnPause/2 + rand.N(tuning.RetryTxnPause)):
+	case <-time.After(tuning.TxnRetryPause/2 + rand.N(tuning.TxnRetryPause)):
 	}
 }
 
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -22,7 +22,7 @@
 		switch {
 		case err != nil:
 			e.log.Debug("leader key could not be read; retrying", "err", err)
-			e.pause(ctx, tuning.RetryLeader)
+			e.pause(ctx, tuning.ElectionRetryPause)
 		case seen.held && seen.holder.Member == e.member:
 			e.revokePreviousLease(ctx, seen.holder)
 		case seen.held:
@@ -99,13 +99,13 @@
 // term that a read finds in force from then on cannot be ended by a confirmation of an earlier process of this
 // member, so this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
 func (e *Elector) waitForChange(ctx context.Context, revision uint64) {
-	wait := tuning.LeaderWatch
+	wait := tuning.LeaderWatchWait
 	if left := e.earlierProcessConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
 		wait = left + time.Millisecond
 	}
 	result, err := e.store.Watch(ctx, keyHolder, revision, wait)
 	if err != nil {
-		e.pause(ctx, tuning.RetryLeader)
+		e.pause(ctx, tuning.ElectionRetryPause)
 		return
 	}
 	e.log.Debug("watch of the leader key returned; reading the key again", "events", len(result.Events))
@@ -122,34 +122,34 @@
 	if err := e.store.RevokeLease(ctx, h.Lease); err != nil {
 		e.log.Debug("lease of the leader key could not be revoked; retrying", "err", err)
 	}
-	e.pause(ctx, tuning.RetryCampaign)
+	e.pause(ctx, tuning.CampaignRetryPause)
 }
 
 // tryToLead campaigns once, if that is allowed, and leads if the campaign succeeds. The caller has read the leader key
 // as vacant.
 func (e *Elector) tryToLead(ctx context.Context, seen leaderKey, work func(context.Context, Leadership)) {
 	if !e.mayCampaign(ctx) {
-		e.pause(ctx, tuning.RetryCampaign)
+		e.pause(ctx, tuning.CampaignRetryPause)
 		return
 	}
 	eligible, err := e.checkEligibility(ctx, seen.term)
 	if err != nil {
 		e.log.Debug("member may not campaign yet; trying again", "err", err)
 		e.endCampaign()
-		e.pause(ctx, tuning.RetryCampaign)
+		e.pause(ctx, tuning.CampaignRetryPause)
 		return
 	}
 	leadership, ok := e.campaign(ctx, seen.term, seen.termVersion, eligible)
 	if !ok {
 		e.endCampaign()
-		e.pause(ctx, time.Duration(rand.Int64N(int64(tuning.RetryLeader))))
+		e.pause(ctx, time.Duration(rand.Int64N(int64(tuning.ElectionRetryPause))))
 		return
 	}
 	e.lead(ctx, leadership, work)
 }
 
 // mayCampaign reports whether a campaign may begin, and records that it begins. It may not while a vote
-// forbids it, nor while this member leaves the leadership to others (see StandAside).
+// forbids it, nor while this member leaves the leadership to others (see DeferCampaign).
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	// Only a leader relies on votes. If nobody leads, the votes that an earlier
 	// process of this member may have given no longer bind it.
@@ -189,10 +189,10 @@
 	e.campaigning = false
 }
 
-// StandAside leaves the leadership to other members for a duration. The caller uses it when this member cannot do the
+// DeferCampaign leaves the leadership to other members for a duration. The caller uses it when this member cannot do the
 // leader's work although it can renew its lease. This member campaigns nevertheless once the leader key has been
-// vacant for tuning.YieldVacantAfter, because another member would have acquired it by then.
-func (e *Elector) StandAside(d time.Duration) {
+// vacant for tuning.CampaignAfterVacancy, because another member would have acquired it by then.
+func (e *Elector) DeferCampaign(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.deferCampaignUntil = e.clock.Now().Add(d)
@@ -200,7 +200,7 @@
 
 // defersCampaign reports whether this member now leaves the leadership to others. The caller holds the lock.
 func (e *Elector) defersCampaign(now time.Time) bool {
-	return now.Before(e.deferCampaignUntil) && now.Sub(e.vacantSince) < tuning.YieldVacantAfter
+	return now.Before(e.deferCampaignUntil) && now.Sub(e.vacantSince) < tuning.CampaignAfterVacancy
 }
 
 // campaign tries once to become the leader of the term after lastTerm. If the outcome of its transaction is
@@ -209,7 +209,7 @@
 // succeeds, because the member that confirmed may no longer remember its confirmation by then.
 func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligible eligibility) (Leadership, bool) {
 	sent := e.clock.Now()
-	lease, err := e.store.GrantLease(ctx, tuning.LeaseTTL)
+	lease, err := e.store.GrantLease(ctx, tuning.LeaderLeaseTTL)
 	if err != nil {
 		e.log.Debug("lease for a campaign not granted; campaign abandoned", "err", err)
 		return Leadership{}, false
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -21,7 +21,7 @@
 	b := startMember(t, "b", state, unreachablePeers, clock)
 	a.stop() // as if killed: it does not revoke its lease
 	<-a.ended
-	clock.Advance(2 * tuning.LeaseTTL)
+	clock.Advance(2 * tuning.LeaderLeaseTTL)
 	state.Expire()
 	second := <-b.terms
 	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
@@ -66,10 +66,10 @@
 func TestMemberDefersCampaignUnlessNobodyElseLeads(t *testing.T) {
 	clock, state := newStateService(t)
 	a, _ := startProcess(t, state, clock, 0, false)
-	a.StandAside(tuning.YieldFor)
+	a.DeferCampaign(tuning.YieldFor)
 	started := clock.Now()
 	advanceUntilReceived(t, state, clock, a, a.terms)
-	if elapsed := clock.Since(started); elapsed < tuning.YieldVacantAfter || elapsed > tuning.YieldVacantAfter+time.Second {
+	if elapsed := clock.Since(started); elapsed < tuning.CampaignAfterVacancy || elapsed > tuning.CampaignAfterVacancy+time.Second {
 		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", elapsed)
 	}
 }
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -21,7 +21,7 @@
 	confirmationsAsked := 0
 	peers := &fakePeers{nobodyLeads: always(true), confirm: func() bool {
 		if confirmationsAsked++; confirmationsAsked == 1 {
-			clock.Advance(tuning.ConfirmationFor)
+			clock.Advance(tuning.ConfirmationValidity)
 		}
 		return true
 	}}
@@ -46,7 +46,7 @@
 	if got := elector.Vote(t.Context(), 5); got != GrantedWithoutMemory {
 		t.Errorf("just restarted, it answers the vote request with %v, want GrantedWithoutMemory", got)
 	}
-	clock.Advance(tuning.ConfirmationFor)
+	clock.Advance(tuning.ConfirmationValidity)
 	elector.noteStillLeading(5, clock.Now())
 	if got := elector.Vote(t.Context(), 5); got != Granted {
 		t.Errorf("having read that the term is still in force, it answers the vote request with %v, want Granted", got)
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -125,19 +125,19 @@
 //
 // The elector does not know how an earlier process of this member voted, nor what
 // it confirmed. That process ended before this one started, so its votes expire
-// within tuning.VoteFor, and other members act on its confirmations only within
-// tuning.ConfirmationFor.
+// within tuning.VoteValidity, and other members act on its confirmations only within
+// tuning.ConfirmationValidity.
 func New(store Store, peers Peers, member string, clock clockwork.Clock, log *slog.Logger) *Elector {
 	e := &Elector{store: store, peers: peers, member: member, clock: clock, log: log}
 	e.earlierProcessVotesUntil = clock.Now().Add(voteBindsFor)
 	e.boundByVoteUntil = e.earlierProcessVotesUntil
-	e.earlierProcessConfirmationsUntil = clock.Now().Add(withMargin(tuning.ConfirmationFor, tuning.ClockDrift))
+	e.earlierProcessConfirmationsUntil = clock.Now().Add(withMargin(tuning.ConfirmationValidity, tuning.ClockDriftShare))
 	return e
 }
 
 // withMargin lengthens a duration by a fraction of it, or shortens it if the fraction is negative.
 // The clocks of two members drift apart. A member that is bound for a duration therefore waits longer by
-// tuning.ClockDrift, and a member that relies on the duration relies on it for less by tuning.ClockDrift.
+// tuning.ClockDriftShare, and a member that relies on the duration relies on it for less by tuning.ClockDriftShare.
 func withMargin(d time.Duration, fraction float64) time.Duration {
 	return time.Duration(float64(d) * (1 + fraction))
 }
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -28,13 +28,13 @@
 
 // fencingReliedOnFor is how long the leader may rely on a fencing lease after it sent the request that granted or
 // renewed it.
-var fencingReliedOnFor = withMargin(tuning.FencingLeaseTTL, -tuning.ClockDrift)
+var fencingReliedOnFor = withMargin(tuning.FencingLeaseTTL, -tuning.ClockDriftShare)
 
 // maintainFencing maintains a fencing lease on a silent member until the term is over. It runs in a separate goroutine
 // because the renewals of the leader's lease must not wait for it.
 func (e *Elector) maintainFencing(ctx context.Context, leadership Leadership) {
 	for ctx.Err() == nil {
-		if e.pause(ctx, tuning.RenewEvery); ctx.Err() == nil {
+		if e.pause(ctx, tuning.LeaderLeaseRenewEvery); ctx.Err() == nil {
 			e.updateFencing(ctx, leadership)
 		}
 	}
@@ -54,7 +54,7 @@
 		if err := e.acquireFencing(ctx, leadership, silent[0]); err != nil {
 			e.log.Debug("silent member could not be fenced off; retrying", "member", silent[0], "err", err)
 		}
-	case e.clock.Since(fencing.sent) >= tuning.FencingLeaseRenew:
+	case e.clock.Since(fencing.sent) >= tuning.FencingLeaseRenewEvery:
 		e.renewFencing(ctx, fencing)
 	}
 }
@@ -151,7 +151,7 @@
 	if !fenced {
 		return eligibility{guards: []wire.Condition{{Key: key}}}, nil
 	}
-	eligible := eligibility{expiresAt: e.clock.Now().Add(tuning.ConfirmationFor)}
+	eligible := eligibility{expiresAt: e.clock.Now().Add(tuning.ConfirmationValidity)}
 	if !e.peers.ConfirmTermOver(ctx, term) {
 		return eligibility{}, errNotConfirmed
 	}
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -31,12 +31,12 @@
 			a := startMember(t, "a", state, &fakePeers{nobodyLeads: always(true), silent: c.silent, votes: func() Votes { return c.votes }}, clock)
 			leadership := <-a.terms
 			started := clock.Now()
-			advanceUntil(t, state, clock, leaderGoroutines, "the leader to check which members are silent", func() bool { return clock.Since(started) > 2*tuning.FencingLeaseRenew })
+			advanceUntil(t, state, clock, leaderGoroutines, "the leader to check which members are silent", func() bool { return clock.Since(started) > 2*tuning.FencingLeaseRenewEvery })
 			state.Refuse(true)
 			started = clock.Now()
 			advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
 			validFor := clock.Since(started)
-			if c.staysValid && (validFor < tuning.FencingLeaseTTL/2 || validFor > tuning.FencingLeaseTTL) || !c.staysValid && validFor > tuning.LeaseTTL {
+			if c.staysValid && (validFor < tuning.FencingLeaseTTL/2 || validFor > tuning.FencingLeaseTTL) || !c.staysValid && validFor > tuning.LeaderLeaseTTL {
 				t.Errorf("the term became invalid %v after the outage began", validFor)
 			}
 		})
@@ -58,7 +58,7 @@
 	advanceUntil(t, state, clock, leaderGoroutines, "the fencing lease", func() bool { _, ok := state.Value(prefixFencing + "b"); return ok })
 	a.stop()
 	<-a.ended
-	clock.Advance(tuning.LeaseTTL + time.Second) // the leader's lease has expired, the fencing lease has not
+	clock.Advance(tuning.LeaderLeaseTTL + time.Second) // the leader's lease has expired, the fencing lease has not
 	state.Expire()
 	_, version, err := elector.readTerm(t.Context())
 	if err != nil {
@@ -121,7 +121,7 @@
 	elector.updateFencing(t.Context(), leadership)
 	renewalSent := clock.Now()
 	elector.noteFailedRenewal()
-	clock.Advance(2 * tuning.LeaseTTL) // the process is stalled, and its lease may expire
+	clock.Advance(2 * tuning.LeaderLeaseTTL) // the process is stalled, and its lease may expire
 	round, sent, needed := elector.beginVoteRound(leadership.Term)
 	if !needed {
 		t.Fatal("a leader whose renewals fail does not ask for votes")
@@ -155,8 +155,8 @@
 	}
 	state.DelayTransactions(nil)
 	advance := func(d time.Duration) {
-		for ; d > 0; d -= tuning.RenewEvery {
-			clock.Advance(tuning.RenewEvery)
+		for ; d > 0; d -= tuning.LeaderLeaseRenewEvery {
+			clock.Advance(tuning.LeaderLeaseRenewEvery)
 			if err := elector.store.RenewLease(t.Context(), elector.lease); err != nil {
 				t.Fatal(err)
 			}
@@ -169,8 +169,8 @@
 	if applied := state.Deliver(); len(applied) != 0 {
 		t.Error("the first attempt was executed after the second")
 	}
-	for clock.Since(elector.fencing.sent) < fencingReliedOnFor-tuning.RenewEvery {
-		advance(tuning.RenewEvery)
+	for clock.Since(elector.fencing.sent) < fencingReliedOnFor-tuning.LeaderLeaseRenewEvery {
+		advance(tuning.LeaderLeaseRenewEvery)
 		if _, ok := state.Value(prefixFencing + "b"); !ok {
 			t.Fatalf("the fencing lease is gone %v after it was acquired, but the leader relies on it for %v", clock.Since(elector.fencing.sent), fencingReliedOnFor)
 		}
--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "term", golden.Fill(new(termRecord)))
-	golden.JSON(t, "holder", golden.Fill(new(holder)))
+	golden.JSONRoundTrip(t, "term", golden.Fill(new(termRecord)))
+	golden.JSONRoundTrip(t, "holder", golden.Fill(new(holder)))
 	golden.Lines(t, "keys", keyHolder, keyTerm, prefixFencing)
 }
 
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -9,8 +9,8 @@
 	return e.leader
 }
 
-// Holder returns the name of the leading member and its term as far as this member knows, "" if it does not know.
-func (e *Elector) Holder() (name string, term uint64) {
+// LeaderAndTerm returns the name of the leading member and its term as far as this member knows, "" if it does not know.
+func (e *Elector) LeaderAndTerm() (name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.leaderTerm
--- a/internal/cluster/election/knowledge_test.go
+++ b/internal/cluster/election/knowledge_test.go
@@ -16,7 +16,7 @@
 	elector := newElector(nil, unreachablePeers, "a", clock)
 	wantLeader := func(wantName string, wantTerm uint64) {
 		t.Helper()
-		if name, term := elector.Holder(); name != wantName || term != wantTerm && wantName != "" {
+		if name, term := elector.LeaderAndTerm(); name != wantName || term != wantTerm && wantName != "" {
 			t.Errorf("names leader %q of term %d, want %q of term %d", name, term, wantName, wantTerm)
 		}
 	}
@@ -25,7 +25,7 @@
 	elector.NoteLeader("b", 2) // from a member whose knowledge is out of date
 	elector.NoteLeader("", 9)
 	wantLeader("a", 3)
-	clock.Advance(tuning.LeaseTTL) // renewals are refused: the term is no longer valid, but not over
+	clock.Advance(tuning.LeaderLeaseTTL) // renewals are refused: the term is no longer valid, but not over
 	elector.NoteLeader("b", 4)
 	wantLeader("b", 4)
 	if elector.Valid(4) || elector.Valid(3) {
@@ -53,7 +53,7 @@
 		t.Error("resigns because of its own term or an earlier one")
 	}
 	elector.NoteLeader("b", 6)
-	if name, term := elector.Holder(); elector.Valid(5) || name != "b" || term != 6 {
+	if name, term := elector.LeaderAndTerm(); elector.Valid(5) || name != "b" || term != 6 {
 		t.Errorf("after it learnt of term 6: own term valid %v, leader %q of term %d; want false, \"b\", 6", elector.Valid(5), name, term)
 	}
 	elector.extendByVotes(5, elector.voteRound, clock.Now(), Votes{})
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -60,7 +60,7 @@
 }
 
 func (e *Elector) renewUntilLost(ctx context.Context, office termOfOffice) {
-	for e.waitInTerm(ctx, office, tuning.RenewEvery) {
+	for e.waitInTerm(ctx, office, tuning.LeaderLeaseRenewEvery) {
 		if !e.renewLease(ctx, office) {
 			return
 		}
@@ -80,7 +80,7 @@
 		}
 		e.noteFailedRenewal()
 		e.log.Debug("renewal of the leader's lease failed; retrying", "err", err)
-		if !e.waitInTerm(ctx, office, tuning.RetryLeader) {
+		if !e.waitInTerm(ctx, office, tuning.ElectionRetryPause) {
 			return false
 		}
 	}
@@ -134,7 +134,7 @@
 // was sent. The caller holds the lock.
 func (e *Elector) extendByRenewal(sent time.Time) {
 	e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0
-	e.validUntil = sent.Add(withMargin(tuning.LeaseTTL, -tuning.ClockDrift))
+	e.validUntil = sent.Add(withMargin(tuning.LeaderLeaseTTL, -tuning.ClockDriftShare))
 }
 
 func (e *Elector) noteFailedRenewal() {
@@ -177,7 +177,7 @@
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
-// resignIfOtherServed resigns if at least tuning.YieldAfter renewals have failed since another member was first seen to
+// resignIfOtherServed resigns if at least tuning.YieldAfterFailedRenewals renewals have failed since another member was first seen to
 // be served. It returns the lease that is then to be revoked; ok is false if it did not resign.
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
@@ -185,7 +185,7 @@
 	if e.failedRenewalsWhenOtherServed == 0 {
 		e.failedRenewalsWhenOtherServed = e.failedRenewals
 	}
-	if e.ownTerm != term || e.failedRenewals < e.failedRenewalsWhenOtherServed+tuning.YieldAfter {
+	if e.ownTerm != term || e.failedRenewals < e.failedRenewalsWhenOtherServed+tuning.YieldAfterFailedRenewals {
 		return 0, false
 	}
 	lease = e.lease
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -18,7 +18,7 @@
 	state.Refuse(true)
 	started := clock.Now()
 	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(started) > tuning.LeaseTTL {
+	if clock.Since(started) > tuning.LeaderLeaseTTL {
 		t.Errorf("the term stayed valid for %v without a renewal", clock.Since(started))
 	}
 	state.Refuse(false)
@@ -39,9 +39,9 @@
 			clock := clockwork.NewFakeClock()
 			elector := newElector(nil, unreachablePeers, "a", clock)
 			sent := clock.Now()
-			clock.Advance(tuning.RenewTimeout)
+			clock.Advance(tuning.LeaseCallTimeout)
 			renew(elector, sent)
-			clock.Advance(tuning.LeaseTTL - tuning.RenewTimeout - 100*time.Millisecond)
+			clock.Advance(tuning.LeaderLeaseTTL - tuning.LeaseCallTimeout - 100*time.Millisecond)
 			if !elector.Valid(5) {
 				t.Errorf("invalid already %v after the request was sent", clock.Since(sent))
 			}
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -15,7 +15,7 @@
 }
 
 // Vote is a member's answer to a leader that asks for its vote. A granted vote is a promise neither
-// to campaign nor to confirm that the term is over, for tuning.VoteFor.
+// to campaign nor to confirm that the term is over, for tuning.VoteValidity.
 type Vote int
 
 // The answers to a vote request.
@@ -26,12 +26,12 @@
 	GrantedWithoutMemory
 )
 
-// A vote binds the voter for VoteFor plus the clock drift, from when it votes. The leader relies on the vote for
-// VoteFor less the clock drift, from before it asked. So the leader stops relying on a vote before the voter is
+// A vote binds the voter for VoteValidity plus the clock drift, from when it votes. The leader relies on the vote for
+// VoteValidity less the clock drift, from before it asked. So the leader stops relying on a vote before the voter is
 // free again.
 var (
-	voteBindsFor    = withMargin(tuning.VoteFor, tuning.ClockDrift)
-	voteReliedOnFor = withMargin(tuning.VoteFor, -tuning.ClockDrift)
+	voteBindsFor    = withMargin(tuning.VoteValidity, tuning.ClockDriftShare)
+	voteReliedOnFor = withMargin(tuning.VoteValidity, -tuning.ClockDriftShare)
 )
 
 // Vote answers a request for a vote from the leader of a term, which gets no answer from the state service. A member
@@ -60,7 +60,7 @@
 }
 
 func (e *Elector) stateServiceAnswers(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, tuning.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.VoteProbeTimeout)
 	defer cancel()
 	_, _, err := e.store.Get(ctx, keyHolder)
 	return err == nil
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -35,7 +35,7 @@
 	votesGranted.Store(false)
 	started = clock.Now()
 	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(started) > tuning.VoteFor {
+	if clock.Since(started) > tuning.VoteValidity {
 		t.Errorf("the term stayed valid for %v after the last vote", clock.Since(started))
 	}
 }
@@ -95,7 +95,7 @@
 	state.Refuse(true)
 	started := clock.Now()
 	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
-	if clock.Since(started) > tuning.LeaseTTL {
+	if clock.Since(started) > tuning.LeaderLeaseTTL {
 		t.Errorf("the term stayed valid for %v by void vote rounds", clock.Since(started))
 	}
 }
@@ -131,7 +131,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			clock, state := newStateService(t)
 			elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "b", clock)
-			clock.Advance(voteBindsFor + tuning.ConfirmationFor)
+			clock.Advance(voteBindsFor + tuning.ConfirmationValidity)
 			elector.noteStillLeading(5, clock.Now())
 			c.history(elector, clock.Now())
 			state.Refuse(true)
@@ -160,13 +160,13 @@
 			clock := clockwork.NewFakeClock()
 			elector := newElector(nil, unreachablePeers, "a", clock)
 			elector.beginTerm(5, 1, clock.Now())
-			clock.Advance(tuning.LeaseTTL - tuning.VoteFor/2)
+			clock.Advance(tuning.LeaderLeaseTTL - tuning.VoteValidity/2)
 			if c.lapsed {
-				clock.Advance(tuning.VoteFor)
+				clock.Advance(tuning.VoteValidity)
 			}
 			sent := clock.Now()
 			elector.extendByVotes(5, elector.voteRound, sent, c.votes)
-			clock.Advance(tuning.VoteFor * 3 / 4)
+			clock.Advance(tuning.VoteValidity * 3 / 4)
 			if elector.Valid(5) != c.valid {
 				t.Errorf("the term is valid after the vote round: %v", elector.Valid(5))
 			}
@@ -179,9 +179,9 @@
 	clock := clockwork.NewFakeClock()
 	elector := newElector(nil, unreachablePeers, "a", clock)
 	elector.beginTerm(5, 1, clock.Now())
-	clock.Advance(tuning.LeaseTTL - tuning.VoteFor/4)
+	clock.Advance(tuning.LeaderLeaseTTL - tuning.VoteValidity/4)
 	sent := clock.Now()
-	clock.Advance(tuning.VoteFor / 2)
+	clock.Advance(tuning.VoteValidity / 2)
 	if elector.extendByVotes(5, elector.voteRound, sent, Votes{WithoutMemory: 1}); elector.Valid(5) {
 		t.Error("votes without memory made a lapsed term valid again")
 	}
@@ -198,7 +198,7 @@
 			clock := clockwork.NewFakeClock()
 			var elector *Elector
 			elector = newElector(interruptedStore{fn: func() { begin(elector) }}, unreachablePeers, "a", clock)
-			clock.Advance(voteBindsFor + tuning.ConfirmationFor)
+			clock.Advance(voteBindsFor + tuning.ConfirmationValidity)
 			elector.noteStillLeading(5, clock.Now())
 			if got := elector.Vote(t.Context(), 5); got != Refused {
 				t.Errorf("answers the vote request with %v, want Refused", got)
--- a/internal/cluster/peerrpc/codec.go
+++ b/internal/cluster/peerrpc/codec.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n == 0 || n > tuning.PeerFrameBytes {
+	if n == 0 || n > tuning.PeerFrameMaxBytes {
 		return nil, errMalformed
 	}
 	buf := make([]byte, n)
@@ -51,7 +51,7 @@
 	fb.RequestAddVerb(b, fb.Verb(request.Verb))
 	fb.RequestAddJob(b, job)
 	fb.RequestAddPayload(b, payload)
-	fb.RequestAddNumber(b, request.Number)
+	fb.RequestAddNumber(b, request.TermOrLease)
 	fb.RequestAddNames(b, names)
 	b.Finish(fb.RequestEnd(b))
 	return frameMessage(b)
@@ -117,7 +117,7 @@
 func decodeRequest(buf []byte) (seq uint64, request Request, err error) {
 	err = recoverMalformed(func() {
 		message := fb.GetRootAsRequest(buf, 0)
-		seq, request = message.Seq(), Request{Verb: Verb(message.Verb()), Job: string(message.Job()), Payload: message.PayloadBytes(), Number: message.Number(), Names: readNames(message.NamesLength(), message.Names)}
+		seq, request = message.Seq(), Request{Verb: Verb(message.Verb()), Job: string(message.Job()), Payload: message.PayloadBytes(), TermOrLease: message.Number(), Names: readNames(message.NamesLength(), message.Names)}
 	})
 	return seq, request, err
 }
--- a/internal/cluster/peerrpc/formats_test.go
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -19,7 +19,7 @@
 		{"submit", SubmitJob}, {"vouch", ConfirmTermOver}, {"yield", EndLease}, {"show", SubsystemQuery}, {"kept", MayHaveRenewed}, {"do", SubsystemCommand}, {"reach", ProbeWorkers}, {"ping", Ping},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			request := Request{Verb: c.verb, Job: "job-17", Payload: []byte(`{"a":1}`), Number: 41, Names: []string{"n-1", "n-2"}}
+			request := Request{Verb: c.verb, Job: "job-17", Payload: []byte(`{"a":1}`), TermOrLease: 41, Names: []string{"n-1", "n-2"}}
 			frame := encodeRequest(77, request)
 			golden.Hex(t, "request-"+c.name, frame)
 			seq, decoded, err := decodeRequest(frame[lengthBytes:])
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -41,11 +41,11 @@
 
 // Request is a request to another member. Which fields are set depends on the verb.
 type Request struct {
-	Verb    Verb
-	Job     string   // the job's ID; in a ping, the sender's name
-	Payload []byte   // the body that a worker or user sent, unchanged; in a ping, the sender's claim about its zone lease
-	Number  uint64   // the term that a vote or confirmation is about, or the lease to revoke
-	Names   []string // names of machines, or addresses of workers
+	Verb        Verb
+	Job         string   // the job's ID; in a ping, the sender's name
+	Payload     []byte   // the body that a worker or user sent, unchanged; in a ping, the sender's claim about its zone lease
+	TermOrLease uint64   // the term that a vote or confirmation is about, or the lease to revoke
+	Names       []string // names of machines, or addresses of workers
 }
 
 // Response is a member's answer to a Request.
--- a/internal/cluster/peerrpc/peerrpc_test.go
+++ b/internal/cluster/peerrpc/peerrpc_test.go
@@ -35,13 +35,13 @@
 
 func TestRequestsAndAnswersArriveUnchanged(t *testing.T) {
 	addr := listen(t, func(_ context.Context, r Request) Response {
-		return Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}, Payload: r.Payload, Leader: r.Job, Term: r.Number}
+		return Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}, Payload: r.Payload, Leader: r.Job, Term: r.TermOrLease}
 	})
 	client := NewClient()
-	for _, r := range []Request{{Verb: JobStatus, Job: "job-1"}, {Verb: CancelJob, Job: "job-2"}, {Verb: EndLease, Number: 1 << 40}, {Verb: Heartbeat, Payload: []byte(`{"x":1}`)}, {}} {
+	for _, r := range []Request{{Verb: JobStatus, Job: "job-1"}, {Verb: CancelJob, Job: "job-2"}, {Verb: EndLease, TermOrLease: 1 << 40}, {Verb: Heartbeat, Payload: []byte(`{"x":1}`)}, {}} {
 		got, err := client.Call(t.Context(), addr, r)
 		want := Response{Status: 200 + int(r.Verb), Job: wire.JobStatus{State: wire.JobState(r.Job), Done: 3, Running: 70_000}}
-		if err != nil || got.Status != want.Status || got.Job != want.Job || string(got.Payload) != string(r.Payload) || got.Leader != r.Job || got.Term != r.Number {
+		if err != nil || got.Status != want.Status || got.Job != want.Job || string(got.Payload) != string(r.Payload) || got.Leader != r.Job || got.Term != r.TermOrLease {
 			t.Errorf("request %v got the response %+v, error %v", r, got, err)
 		}
 	}
@@ -56,7 +56,7 @@
 	addr := listen(t, func(context.Context, Request) Response { return Response{Status: 200} })
 	malformed := [][]byte{
 		binary.BigEndian.AppendUint32(nil, 0),
-		binary.BigEndian.AppendUint32(nil, tuning.PeerFrameBytes+1),
+		binary.BigEndian.AppendUint32(nil, tuning.PeerFrameMaxBytes+1),
 		append(binary.BigEndian.AppendUint32(nil, 8), 0xff, 0xff, 0xff, 0xff, 1, 2, 3, 4),
 		append(binary.BigEndian.AppendUint32(nil, 2), 1, 2),
 	}
@@ -125,11 +125,11 @@
 }
 
 // Guards against a request or response with names that exceeds the peer's frame limit: a name occupies at most
-// tuning.NameBytes in addition to its own length.
+// tuning.NameOverheadBytes in addition to its own length.
 func TestMaximumOfNamesFitsAFrame(t *testing.T) {
 	for _, length := range []int{1, 2, 3, 4, 8, 20, 63, 200} {
 		var names []string
-		for size := length + tuning.NameBytes; size <= tuning.RenewedNamesBytes; size += length + tuning.NameBytes {
+		for size := length + tuning.NameOverheadBytes; size <= tuning.RenewedNamesMaxBytes; size += length + tuning.NameOverheadBytes {
 			names = append(names, strings.Repeat("n", length))
 		}
 		for kind, frame := range map[string][]byte{
--- a/internal/cluster/peerrpc/server.go
+++ b/internal/cluster/peerrpc/server.go
@@ -25,7 +25,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(tuning.RetryLeader):
+			case <-time.After(tuning.ElectionRetryPause):
 			}
 			continue
 		}
@@ -41,7 +41,7 @@
 	var writeMutex sync.Mutex
 	in := bufio.NewReader(conn)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
+		_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdleTimeout))
 		frame, err := readFrame(in)
 		if err != nil {
 			return
--- a/internal/cluster/peers/election.go
+++ b/internal/cluster/peers/election.go
@@ -43,7 +43,7 @@
 // RequestVotes asks all other members for their votes. A member that grants its vote does not campaign for a while,
 // nor does it confirm for a while that the term is over.
 func (p *Peers) RequestVotes(ctx context.Context, term uint64) (votes election.Votes) {
-	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, Number: term})
+	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.RequestVote, TermOrLease: term})
 	for range p.endpoints {
 		answer := <-answers
 		if answer.status == 0 {
@@ -74,13 +74,13 @@
 // ConfirmTermOver asks all other members whether a term is over. It is true if at least one confirms it, or if
 // there are no others.
 func (p *Peers) ConfirmTermOver(ctx context.Context, term uint64) bool {
-	return len(p.endpoints) == 0 || p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, Number: term})
+	return len(p.endpoints) == 0 || p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.ConfirmTermOver, TermOrLease: term})
 }
 
 // EndLease asks the other members to revoke the lease of this member, which has resigned. It returns when one of
 // them has done so or all have failed.
 func (p *Peers) EndLease(ctx context.Context, lease uint64) {
-	p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.EndLease, Number: lease})
+	p.anyAccepts(ctx, peerrpc.Request{Verb: peerrpc.EndLease, TermOrLease: lease})
 }
 
 // Silent returns the names of the members that did not answer recently.
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -90,8 +90,8 @@
 	p.health.leaderFull = full
 }
 
-// LeaderFull reports whether the leader answered the last ping that it has no memory for more jobs.
-func (p *Peers) LeaderFull() bool {
+// LeaderMemoryFull reports whether the leader answered the last ping that it has no memory for more jobs.
+func (p *Peers) LeaderMemoryFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
 	return p.health.leaderFull
@@ -104,11 +104,11 @@
 }
 
 // Isolated reports whether there are other members and none of them has answered for longer than
-// tuning.IsolatedFor.
+// tuning.IsolatedAfter.
 func (p *Peers) Isolated() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	return !p.health.lastAnswer.IsZero() && p.clock.Since(p.health.lastAnswer) > tuning.IsolatedFor
+	return !p.health.lastAnswer.IsZero() && p.clock.Since(p.health.lastAnswer) > tuning.IsolatedAfter
 }
 
 // Unanswered reports whether a call failed because no answer at all arrived.
@@ -120,11 +120,11 @@
 // workerReturnTime returns the longest time that a worker needs if it is redirected to the leader, reaches neither
 // the leader nor any other controller, and returns to this member.
 func (p *Peers) workerReturnTime() time.Duration {
-	return time.Duration(p.members) * tuning.WorkerTry
+	return time.Duration(p.members) * tuning.WorkerTryTime
 }
 
 // MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. It may if
 // the worker would be back well within its lease.
 func (p *Peers) MayTryLeader() bool {
-	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.ProbeLeaseShare)
+	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.RedirectLeaseShare)
 }
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -16,16 +16,16 @@
 func TestMemberIsIsolatedOnceNobodyAnswersForAWhile(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(&config.Settings{Members: []config.Member{{Name: "m1", Endpoint: "127.0.0.1:1"}}}, clock, slog.New(slog.DiscardHandler))
-	clock.Advance(2 * tuning.IsolatedFor)
+	clock.Advance(2 * tuning.IsolatedAfter)
 	if p.Isolated() {
 		t.Error("isolated before it has asked anybody")
 	}
 	p.noteAnswer()
-	clock.Advance(tuning.IsolatedFor)
+	clock.Advance(tuning.IsolatedAfter)
 	if p.Isolated() {
 		t.Error("isolated too soon")
 	}
-	clock.Advance(tuning.IsolatedFor / 2)
+	clock.Advance(tuning.IsolatedAfter / 2)
 	if !p.Isolated() {
 		t.Error("not isolated")
 	}
@@ -77,9 +77,9 @@
 			for batch := range machineBatches(names) {
 				size := 0
 				for _, name := range batch {
-					size += len(name) + tuning.NameBytes
+					size += len(name) + tuning.NameOverheadBytes
 				}
-				if size > tuning.RenewedNamesBytes {
+				if size > tuning.RenewedNamesMaxBytes {
 					t.Errorf("a request of %d bytes", size)
 				}
 				collected = append(collected, batch...)
--- a/internal/cluster/peers/questions.go
+++ b/internal/cluster/peers/questions.go
@@ -33,8 +33,8 @@
 	return func(yield func([]string) bool) {
 		begin, size := 0, 0
 		for i, machine := range machines {
-			cost := len(machine) + tuning.NameBytes
-			if i > begin && size+cost > tuning.RenewedNamesBytes {
+			cost := len(machine) + tuning.NameOverheadBytes
+			if i > begin && size+cost > tuning.RenewedNamesMaxBytes {
 				if !yield(machines[begin:i]) {
 					return
 				}
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -84,7 +84,7 @@
 			}
 			switch {
 			case !gone:
-			case h.clock.Since(queryStart) > tuning.RenewedQueryTime:
+			case h.clock.Since(queryStart) > tuning.RenewedQueryTimeout:
 				tooLate++
 			default:
 				if concluded++; session == queriedSession && !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < h.workerLease {
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -58,7 +58,7 @@
 func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
 		store: store, clock: clock, log: log, member: s.Member, maxValueKB: s.Cluster.State.ValueKB,
-		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.Inbox),
+		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.InboxMessages),
 		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
 }
@@ -85,7 +85,7 @@
 	for {
 		var wake <-chan time.Time
 		if f.leaseID != 0 {
-			wake = f.clock.After(tuning.FollowerLeaseRenew)
+			wake = f.clock.After(tuning.FollowerLeaseRenewEvery)
 		}
 		select {
 		case <-ctx.Done():
@@ -94,7 +94,7 @@
 			f.grantBatch(ctx, f.gatherBatch(ctx, r))
 		case <-wake:
 		}
-		if f.leaseID != 0 && f.clock.Since(f.leaseRequestedAt) >= tuning.FollowerLeaseRenew {
+		if f.leaseID != 0 && f.clock.Since(f.leaseRequestedAt) >= tuning.FollowerLeaseRenewEvery {
 			f.renewRecord(ctx)
 		}
 	}
@@ -104,7 +104,7 @@
 // at about the same time, and their names share a write.
 func (f *FollowerLeases) gatherBatch(ctx context.Context, first acquireRequest) []acquireRequest {
 	if !f.isStored(first.machine) {
-		clock.Sleep(ctx, f.clock, tuning.FollowerLeaseGather)
+		clock.Sleep(ctx, f.clock, tuning.FollowerLeaseBatchDelay)
 	}
 	batch := []acquireRequest{first}
 	for len(f.requests) > 0 {
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -97,7 +97,7 @@
 	h.tryAcquire("n-1")
 	h.clock.Advance(h.workerLease)
 	h.renewRecord(t.Context())
-	h.clock.Advance(tuning.RenewedQueryTime)
+	h.clock.Advance(tuning.RenewedQueryTimeout)
 	h.tryAcquire("n-2")
 	if h.renewRecord(t.Context()); !h.recorded("n-1") {
 		t.Error("removed while a leader that began its query within the machine's lease may still read")
@@ -162,7 +162,7 @@
 	}
 	h.clock.Advance(h.workerLease)
 	h.renewRecord(t.Context())
-	h.clock.Advance(tuning.RenewedQueryTime)
+	h.clock.Advance(tuning.RenewedQueryTimeout)
 	for i := 0; i < machines; i += 2 {
 		h.tryAcquire(name(i))
 	}
@@ -190,7 +190,7 @@
 	pages := len(h.pages)
 	h.clock.Advance(h.workerLease)
 	h.renewRecord(t.Context())
-	h.clock.Advance(tuning.RenewedQueryTime + time.Second)
+	h.clock.Advance(tuning.RenewedQueryTimeout + time.Second)
 	for renewals := 1; len(h.lastRenewed) > 0; renewals++ {
 		allowedWrites, writesBefore := max(1, h.store.SpareWrites()), len(h.state.Applied())
 		h.renewRecord(t.Context())
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "record", golden.Fill(new(renewedRecord)))
-	golden.JSON(t, "zone-right", golden.Fill(new(ZoneLeaseRecord)))
+	golden.JSONRoundTrip(t, "record", golden.Fill(new(renewedRecord)))
+	golden.JSONRoundTrip(t, "zone-right", golden.Fill(new(ZoneLeaseRecord)))
 	golden.Lines(t, "keys", prefixRenewed)
 }
 
 // A ping carries the sender's claim, and its answer carries what the receiver remembers of that claim.
 func TestClaimFormat(t *testing.T) {
-	golden.JSON(t, "claim", golden.Fill(new(claim)))
+	golden.JSONRoundTrip(t, "claim", golden.Fill(new(claim)))
 }
 
 func TestStoredRecordOfRenewedMachines(t *testing.T) {
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -62,7 +62,7 @@
 // WithDrift lengthens d by the largest drift between two clocks: once the result has elapsed on this clock, d has
 // elapsed on every clock.
 func WithDrift(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + tuning.ClockDrift))
+	return time.Duration(float64(d) * (1 + tuning.ClockDriftShare))
 }
 
 // expiredAfter returns how long after a reply the worker's lease has expired on every clock.
@@ -74,5 +74,5 @@
 // which it was asked, two members that answered a machine one after the other both denied having answered it, and
 // its tasks counted as ended while they ran.
 func renewalReportedFor(lease time.Duration) time.Duration {
-	return expiredAfter(lease) + tuning.RenewedQueryTime
+	return expiredAfter(lease) + tuning.RenewedQueryTimeout
 }
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -71,7 +71,7 @@
 		startedAt:   clock.Now(), lastRenewed: map[string]time.Time{},
 		clockError: time.Duration(s.Cluster.ClockErrorMS * float64(time.Millisecond)),
 	}
-	z.ttl = max(0, min(tuning.ZoneLeaseTTL, tuning.MaxTTL-z.reportedFor()-tuning.FollowerLeaseExtra))
+	z.ttl = max(0, min(tuning.ZoneLeaseTTL, tuning.StateLeaseMaxTTL-z.reportedFor()-tuning.FollowerLeaseExtra))
 	return z
 }
 
@@ -137,7 +137,7 @@
 	if z.leaseID == 0 {
 		since = z.startedAt
 	}
-	return (z.leaseID != 0 || z.inheritedLeaseActive(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenew
+	return (z.leaseID != 0 || z.inheritedLeaseActive(z.clock.Now())) && z.clock.Since(since) > 2*tuning.ZoneLeaseRenewEvery
 }
 
 // Run acquires the zone lease and renews it until ctx ends.
@@ -147,7 +147,7 @@
 	}
 	for ctx.Err() == nil {
 		z.Renew(ctx)
-		clock.Sleep(ctx, z.clock, tuning.ZoneLeaseRenew)
+		clock.Sleep(ctx, z.clock, tuning.ZoneLeaseRenewEvery)
 	}
 }
 
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -83,7 +83,7 @@
 	for h.MayRenew("n-1", "a") {
 		h.advance(time.Second)
 		h.Renew(t.Context())
-		if wantIsolated := h.clock.Since(partitionedAt) > 2*tuning.ZoneLeaseRenew; h.Isolated() != wantIsolated {
+		if wantIsolated := h.clock.Since(partitionedAt) > 2*tuning.ZoneLeaseRenewEvery; h.Isolated() != wantIsolated {
 			t.Fatalf("isolated %v after %v", h.Isolated(), h.clock.Since(partitionedAt))
 		}
 	}
@@ -111,7 +111,7 @@
 	if h.concludes("n-1", true) {
 		t.Error("concluded although the query may have begun up to RenewedQueryTime before the member was asked")
 	}
-	h.advance(tuning.RenewedQueryTime)
+	h.advance(tuning.RenewedQueryTimeout)
 	if !h.concludes("n-1", true) {
 		t.Error("not concluded though all leases that the earlier process renewed have expired")
 	}
@@ -122,7 +122,7 @@
 func TestNoZoneLeaseBesideVeryLongWorkerLeases(t *testing.T) {
 	h := newZoneHarness(t)
 	h.ZoneLease = NewZoneLease(&config.Settings{
-		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.MaxTTL.Seconds()}},
+		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.StateLeaseMaxTTL.Seconds()}},
 	}, h.store, h.clock, h.log)
 	h.Run(t.Context()) // returns at once
 	if h.MayRenew("n-1", "a") {
@@ -215,7 +215,7 @@
 	if h.concludes("n-1", true) || h.concludes("n-1", false) {
 		t.Error("concluded, though the machine was answered a moment ago")
 	}
-	h.advance(zoneWorkerLease + tuning.RenewedQueryTime + time.Second)
+	h.advance(zoneWorkerLease + tuning.RenewedQueryTimeout + time.Second)
 	if !h.concludes("n-1", true) || h.concludes("n-1", false) {
 		t.Error("not concluded a lease after the last answer, or concluded without the member's answer while the record is stored")
 	}
--- a/internal/controller/connections.go
+++ b/internal/controller/connections.go
@@ -17,7 +17,7 @@
 }
 
 func newConnections(fdLimit int) *connections {
-	return &connections{max: int(float64(fdLimit) * tuning.ConnShare)}
+	return &connections{max: int(float64(fdLimit) * tuning.IncomingConnShare)}
 }
 
 // count updates the number of open connections. It is the ConnState callback of an http.Server.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -68,12 +68,12 @@
 // these alone.
 func (c *Controller) addClients() {
 	settings := c.settings
-	c.cloud = cloud.New(settings.Outside.Cloud, settings.Cluster.Cloud.RPS)
+	c.cloud = cloud.New(settings.External.Cloud, settings.Cluster.Cloud.RPS)
 	c.peers = peers.New(settings, c.clock, c.log)
-	store := statestore.New(settings.Outside.State, settings.Cluster.State.RPS, settings.Cluster.State.WriteRPS)
+	store := statestore.New(settings.External.State, settings.Cluster.State.RPS, settings.Cluster.State.WriteRPS)
 	c.elector = election.New(store.Urgent(), c.peers, settings.Member, c.clock, c.log)
 	c.peers.SetElector(c.elector)
-	c.store = store.WithShare(c.memberShare(tuning.LeaderShare))
+	c.store = store.WithShare(c.memberShare(tuning.LeaderRateShare))
 	c.catalog = &instancetypes.Catalog{
 		Cloud: c.cloud, Store: c.store, ValueKB: settings.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
 	}
@@ -98,14 +98,14 @@
 		Store:          c.store,
 		Cloud:          c.cloud,
 		Teams:          teams,
-		FinalStates:    jobs.NewFinalStates(max(tuning.FinalCache, int(memoryMB*tuning.FinalsOfMB))),
-		Workers:        httpjson.NewClient(2, 1, int(sockets*tuning.IdleShare), tuning.CommandTimeout),
-		CommandSlots:   make(chan struct{}, max(tuning.SendMin, int(sockets*tuning.SendShare))),
+		FinalStates:    jobs.NewFinalStates(max(tuning.FinalStatesMin, int(memoryMB*tuning.FinalStatesPerMiB))),
+		Workers:        httpjson.NewClient(2, 1, int(sockets*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
+		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(sockets*tuning.CommandConnShare))),
 		MayAct:         c.elector.Valid,
 		MayHaveRenewed: c.mayHaveRenewed,
 		ProbeWorkers:   c.peers.ProbeWorkers,
 		MemoryFull:     memory.New(memoryMB, c.clock).Full,
-		MemoryInUse:    memory.Live,
+		MemoryInUse:    memory.InUse,
 		MachineTypes:   c.catalog.Types,
 	}
 }
@@ -115,16 +115,16 @@
 func (c *Controller) addHandlers() {
 	c.userAPI = userapi.New(c.env, c.peers, c.leader, c.isolated)
 	c.workerAPI = workerapi.New(workerapi.Options{
-		Member:     c.settings.Member,
-		Workers:    c.settings.Cluster.Workers,
-		Clock:      c.clock,
-		Elector:    c.elector,
-		Peers:      c.peers,
-		Leases:     c.followerLeases,
-		Zone:       c.zoneLease,
-		Leader:     c.leader,
-		Fetch:      c.fetchHeartbeat,
-		MaxQueries: cap(c.env.CommandSlots),
+		Member:         c.settings.Member,
+		Workers:        c.settings.Cluster.Workers,
+		Clock:          c.clock,
+		Elector:        c.elector,
+		Peers:          c.peers,
+		Leases:         c.followerLeases,
+		ZoneLease:      c.zoneLease,
+		Leader:         c.leader,
+		FetchHeartbeat: c.fetchHeartbeat,
+		MaxQueries:     cap(c.env.CommandSlots),
 	})
 }
 
@@ -140,9 +140,9 @@
 // setCloudShare sets this member's share of the cloud's rate limit. Followers send the cloud very few requests, so
 // nearly all of it is the leader's.
 func (c *Controller) setCloudShare(leading bool) {
-	share := c.memberShare(tuning.CloudLeaderShare)
+	share := c.memberShare(tuning.CloudLeaderRateShare)
 	if leading {
-		share = tuning.CloudLeaderShare
+		share = tuning.CloudLeaderRateShare
 	}
 	c.cloud.SetShare(share)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -52,7 +52,7 @@
 	h.until("both run", func() bool { worker.heartbeat(); return worker.running() == 2 })
 	h.submit("job-2", 1)
 	h.stop() // like a kill: the lease is not revoked but expires
-	h.clock.Advance(2 * tuning.LeaseTTL)
+	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
 	h.boot()
 	old := worker.hb.FencingToken
@@ -95,7 +95,7 @@
 		worker.finish()
 		if retried < unanswered.Load() {
 			retried++
-			h.advanceWhenIdle(tuning.StateRetry) // the pause before the transaction is retried
+			h.advanceWhenIdle(tuning.StateRetryPause) // the pause before the transaction is retried
 		}
 		return h.jobState("job-1") == "done"
 	})
@@ -153,7 +153,7 @@
 		t.Errorf("a submission that cannot be stored: %d", status)
 	}
 	// Once its lease has expired, the leader may not answer workers.
-	h.clock.Advance(tuning.LeaseTTL)
+	h.clock.Advance(tuning.LeaderLeaseTTL)
 	if status := h.worker("n-000001", "a").heartbeat(); status != 503 && status != 421 {
 		t.Errorf("a heartbeat after the leader's lease expired: %d", status)
 	}
@@ -206,7 +206,7 @@
 	h.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
 		h.until("the cloud has got the rental request", func() bool { return len(h.cloud.Rents()) >= n })
-		h.advanceWhenIdle(tuning.CloudRetry)
+		h.advanceWhenIdle(tuning.CloudRetryPause)
 	}
 	h.until("the cloud has got the request that it answers", func() bool { return len(h.cloud.Rents()) >= 3 })
 	names := map[string]bool{}
@@ -224,7 +224,7 @@
 	h := newHarness(t)
 	h.until("the machine types are stored", func() bool { _, ok := h.state.Value(instancetypes.Key); return ok })
 	h.stop()
-	h.clock.Advance(2 * tuning.LeaseTTL)
+	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
 	h.cloud.Refuse(true)
 	h.boot()
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -96,7 +96,7 @@
 	h.t.Helper()
 	h.addr = testutil.FreeAddr(h.t)
 	s := &config.Settings{
-		Member: "m0", Bind: h.addr, MeshAddr: testutil.FreeAddr(h.t), Outside: config.Outside{Cloud: h.cloud.Addr(), State: h.state.Addr()},
+		Member: "m0", Bind: h.addr, MeshAddr: testutil.FreeAddr(h.t), External: config.ExternalAddresses{Cloud: h.cloud.Addr(), State: h.state.Addr()},
 		Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}},
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
@@ -146,7 +146,7 @@
 }
 
 // until waits until a condition holds, and fails the test after waitLimit. On a machine with too little CPU a call
-// may time out and be retried after a pause by the fake clock. So until advances the clock by tuning.RetryLeader at
+// may time out and be retried after a pause by the fake clock. So until advances the clock by tuning.ElectionRetryPause at
 // each twelfth of waitLimit.
 func (h *harness) until(what string, holds func() bool) {
 	h.t.Helper()
@@ -158,7 +158,7 @@
 		}
 		if waited > time.Duration(advances)*waitLimit/12 {
 			advances++
-			h.clock.Advance(tuning.RetryLeader)
+			h.clock.Advance(tuning.ElectionRetryPause)
 		}
 	}
 }
--- a/internal/controller/late_answers_test.go
+++ b/internal/controller/late_answers_test.go
@@ -43,7 +43,7 @@
 	}
 	h.state.LoseAnswers(nil)
 	h.until("the leader knows the final state and has the worker forget the task", func() bool {
-		h.clock.Advance(tuning.StateRetry)
+		h.clock.Advance(tuning.StateRetryPause)
 		worker.heartbeat()
 		return len(worker.hb.Tasks) == 1
 	})
@@ -105,7 +105,7 @@
 	worker := h.worker("n-000001", "a")
 	h.until("heartbeats are answered", func() bool { return worker.heartbeat() == http.StatusOK })
 	h.state.DelayAnswers(func() time.Duration { return time.Hour }) // no renewal is answered
-	stall := func() { h.clock.Advance(tuning.LeaseTTL) }
+	stall := func() { h.clock.Advance(tuning.LeaderLeaseTTL) }
 	observer.onReply.Store(&stall)
 	if status := worker.heartbeat(); status != http.StatusServiceUnavailable {
 		t.Errorf("the heartbeat got status %d after the leader's lease expired, want 503", status)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -32,7 +32,7 @@
 	}()
 	wg.Go(func() { c.catalog.Save(saveCtx) })
 	if errors.Is(loop.Run(), leader.ErrUnreachable) {
-		c.elector.StandAside(tuning.YieldFor)
+		c.elector.DeferCampaign(tuning.YieldFor)
 	}
 }
 
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -19,7 +19,7 @@
 func newHarnessWith(t *testing.T, properties string) *harness {
 	h := newHarness(t)
 	h.stop()
-	h.clock.Advance(2 * tuning.LeaseTTL)
+	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
 	h.properties = testutil.File(t, "own.properties", properties)
 	h.boot()
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -16,17 +16,17 @@
 func (c *Controller) servePeer(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	wait := tuning.RelayTimeout
 	if req.Verb == peerrpc.SubsystemCommand {
-		wait = tuning.CommandWait
+		wait = tuning.UserCommandTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	switch req.Verb {
 	case peerrpc.RequestVote:
-		return peers.VoteResponse(c.elector.Vote(ctx, req.Number))
+		return peers.VoteResponse(c.elector.Vote(ctx, req.TermOrLease))
 	case peerrpc.ConfirmTermOver:
-		return okOrConflict(c.elector.ConfirmTermOver(req.Number))
+		return okOrConflict(c.elector.ConfirmTermOver(req.TermOrLease))
 	case peerrpc.EndLease:
-		return okOrConflict(c.store.Urgent().RevokeLease(ctx, req.Number) == nil)
+		return okOrConflict(c.store.Urgent().RevokeLease(ctx, req.TermOrLease) == nil)
 	case peerrpc.Ping:
 		return c.servePing(req)
 	case peerrpc.NotLeading:
@@ -84,7 +84,7 @@
 // memory for more jobs, and the claim to a zone lease that this member remembers of the sender. The sender's name is
 // in req.Job; members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
-	name, term := c.elector.Holder()
+	name, term := c.elector.LeaderAndTerm()
 	status := http.StatusOK
 	if c.env.MemoryFull() {
 		status = http.StatusInsufficientStorage
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -61,7 +61,7 @@
 		ReadTimeout:       tuning.BodyTimeout,
 		WriteTimeout:      tuning.AnswerTimeout,
 		IdleTimeout:       tuning.IdleTimeout,
-		MaxHeaderBytes:    tuning.MaxHeader,
+		MaxHeaderBytes:    tuning.MaxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(c.log.Handler(), slog.LevelDebug),
 	}
 }
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -62,7 +62,7 @@
 		Clock:      c.clock,
 		TxnOps:     cluster.State.TxnOps - 1, // the leader's guard condition counts as an operation too
 		ValueKB:    cluster.State.ValueKB,
-		Bytes:      int(cluster.Limits.RAMMB * tuning.GraphShare * (1 << 20)),
+		Bytes:      int(cluster.Limits.RAMMB * tuning.GraphMemoryShare * (1 << 20)),
 		Impossible: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
 		Jitter:     rand.Float64,
 		Pools:      c.operatorSettings.PoolSlots,
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -37,7 +37,7 @@
 		{"register", golden.Fill(new(register))},
 		{"clearing", golden.Fill(new(clearing))},
 	} {
-		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
+		t.Run(c.name, func(t *testing.T) { golden.JSONRoundTrip(t, c.name, c.value) })
 	}
 }
 
--- a/internal/graphs/airflow/registration.go
+++ b/internal/graphs/airflow/registration.go
@@ -77,7 +77,7 @@
 func (h *Handler) putPart(r *request) (any, error) {
 	part, errPart := strconv.Atoi(r.PathValue("part"))
 	parts, errParts := strconv.Atoi(r.query.Get("of"))
-	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPart+1)) // StorePart refuses what is over tuning.GraphPart
+	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPartMaxBytes+1)) // StorePart refuses what is over tuning.GraphPartMaxBytes
 	if errors.Join(errPart, errParts, errBody) != nil {
 		return nil, badRequest("%s", runner.ErrPart)
 	}
--- a/internal/graphs/airflow/request.go
+++ b/internal/graphs/airflow/request.go
@@ -21,9 +21,9 @@
 	query url.Values
 }
 
-// serve answers a request of a team within tuning.SubmitTotal.
+// serve answers a request of a team within tuning.SubmitTimeout.
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, e endpoint) {
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTotal)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
 	defer cancel()
 	req := &request{Request: r.WithContext(ctx), query: r.URL.Query()}
 	if req.team = req.namedTeam(); req.team == "" {
--- a/internal/graphs/airflow/service.go
+++ b/internal/graphs/airflow/service.go
@@ -30,7 +30,7 @@
 
 // serveHealth tells, to anybody, whether the state service can be read and the leader answers.
 func (h *Handler) serveHealth(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollWait)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
 	defer cancel()
 	state := h.stateHealth(ctx)
 	scheduler := h.leaderHealth(ctx)
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -15,7 +15,7 @@
 		step := &graph.Steps[i] // durations are whole seconds in JSON
 		step.Delay, step.MaxDelay, step.Timeout = Duration(7*time.Second), Duration(8*time.Second), Duration(9*time.Second)
 	}
-	golden.JSON(t, "graph", graph)
+	golden.JSONRoundTrip(t, "graph", graph)
 	raw, err := json.Marshal(graph)
 	if err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 	instance := storedInstance{Index: 1, Failures: 2, RetryAtMS: 3, StartedAtMS: 4, Cancelling: true}
 	step := storedStep{Step: 1, Generation: 2, Result: []byte(`{"a":1}`), States: []byte{5, 6}, Details: []storedInstance{instance}}
 	run := storedRun{Format: runFormat, ID: "manual__1", Cancelled: true, States: []byte{5, 6, 7}, Steps: []storedStep{step}, Orphans: []string{"job-1", "job-2"}}
-	golden.CBOR(t, "stored-instance", &instance)
-	golden.CBOR(t, "stored-step", &step)
-	golden.CBOR(t, "stored-run", &run)
+	golden.CBORRoundTrip(t, "stored-instance", &instance)
+	golden.CBORRoundTrip(t, "stored-step", &step)
+	golden.CBORRoundTrip(t, "stored-run", &run)
 }
 
 // A run is written as it is by the state machine, and read back to be written the same.
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -65,7 +65,7 @@
 	gr := g.graphs[key]
 	status := http.StatusOK
 	switch {
-	case len(key) > tuning.MaxKey:
+	case len(key) > tuning.MaxKeyBytes:
 		tell.refuse(http.StatusBadRequest, "the graph's name is too long")
 		return
 	case gr != nil && gr.deleting:
@@ -95,7 +95,7 @@
 func (gr *graph) define(p *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
 		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Timezone,
-		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphTasks),
+		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphDefaultTasks),
 		Tags: p.Tags, Steps: len(p.Steps),
 	}
 	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // it was checked
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -32,8 +32,8 @@
 		g.register(o, d.plan, tell)
 		return
 	}
-	if o.Parts < 1 || o.Parts > tuning.GraphParts {
-		tell.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphParts)
+	if o.Parts < 1 || o.Parts > tuning.GraphMaxParts {
+		tell.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphMaxParts)
 		return
 	}
 	if g.fetching != "" || g.dropping(o.Def) {
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -106,7 +106,7 @@
 	}
 	var batch []pickedStep
 	var texts []Description
-	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatch {
+	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatchSteps {
 		p := d.queue[0]
 		d.queue = d.queue[1:]
 		if !p.run.run.IsReadyWithJob(p.at, p.id) {
@@ -163,7 +163,7 @@
 	d := &g.source
 	d.busy = false
 	if err != nil {
-		d.pause = min(max(2*d.pause, tuning.DescribeRetry), tuning.DescribeRetryMax)
+		d.pause = min(max(2*d.pause, tuning.DescribeRetryPause), tuning.DescribeRetryPauseMax)
 		d.queue = append(batch, d.queue...)
 		g.log.Warn("steps cannot be described now", "steps", len(batch), "again_in", d.pause, "err", err)
 		g.describe()
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -14,10 +14,10 @@
 var formatTime = time.Date(2026, time.December, 1, 12, 0, 0, 123_000_000, time.UTC)
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "graph", golden.Fill(new(GraphRecord)))
-	golden.JSON(t, "part", golden.Fill(new(partRecord)))
-	golden.JSON(t, "run", golden.Fill(new(runRecord)))
-	golden.CBOR(t, "try", &Try{Step: 1, Index: 2, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success})
+	golden.JSONRoundTrip(t, "graph", golden.Fill(new(GraphRecord)))
+	golden.JSONRoundTrip(t, "part", golden.Fill(new(partRecord)))
+	golden.JSONRoundTrip(t, "run", golden.Fill(new(runRecord)))
+	golden.CBORRoundTrip(t, "try", &Try{Step: 1, Index: 2, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success})
 }
 
 func TestStoredKeys(t *testing.T) {
@@ -31,10 +31,10 @@
 
 // Orders ride in commands to the leader, descriptions go to the operators' source.
 func TestMessageFormats(t *testing.T) {
-	golden.JSON(t, "order", golden.Fill(new(Order)))
-	golden.JSON(t, "backfilled", golden.Fill(new(Backfilled)))
-	golden.JSON(t, "pool", golden.Fill(new(PoolView)))
-	golden.JSON(t, "description", golden.Fill(new(Description)))
+	golden.JSONRoundTrip(t, "order", golden.Fill(new(Order)))
+	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(Backfilled)))
+	golden.JSONRoundTrip(t, "pool", golden.Fill(new(PoolView)))
+	golden.JSONRoundTrip(t, "description", golden.Fill(new(Description)))
 	golden.Lines(t, "orders", PathOrders, PathPools, DoPut, DoPause, DoRemove, DoTrigger, DoBackfill, DoCancel, DoClear, DoForget, DoPush)
 }
 
@@ -112,5 +112,5 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "job-of-step", value)
-	golden.Written(t, "description-of-step", describe(run, golden.Fill(new(meta)), at))
+	golden.JSONEncoding(t, "description-of-step", describe(run, golden.Fill(new(meta)), at))
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -268,7 +268,7 @@
 		}
 	}
 	for x := range g.storeLater {
-		if now.Sub(x.lateAt) >= tuning.GraphLag {
+		if now.Sub(x.lateAt) >= tuning.GraphRecordDelay {
 			delete(g.storeLater, x)
 			g.markDirty(x)
 		}
@@ -276,7 +276,7 @@
 	g.cancelKnownJobs()
 	g.schedule(now)
 	if !now.Before(g.nextCleanUp) {
-		g.nextCleanUp = now.Add(tuning.GraphCare)
+		g.nextCleanUp = now.Add(tuning.GraphCleanUpEvery)
 		g.cleanUp(now)
 	}
 	g.describe()
@@ -330,7 +330,7 @@
 
 // fits reports whether some more changes of some bytes can go with it.
 func (b *batch) fits(changes, bytes int) bool {
-	return len(b.txn.Then)+changes <= b.most && (b.size == 0 || b.size+bytes <= tuning.CommitBytes)
+	return len(b.txn.Then)+changes <= b.most && (b.size == 0 || b.size+bytes <= tuning.TxnTargetBytes)
 }
 
 func (b *batch) put(key string, version uint64, value []byte) {
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -112,8 +112,8 @@
 		tell.refuse(http.StatusBadRequest, "conf is no JSON object")
 		return
 	}
-	if len(o.Note) > tuning.GraphConf {
-		tell.refuse(http.StatusBadRequest, "the note has %d bytes; up to %d are allowed", len(o.Note), tuning.GraphConf)
+	if len(o.Note) > tuning.GraphConfMaxBytes {
+		tell.refuse(http.StatusBadRequest, "the note has %d bytes; up to %d are allowed", len(o.Note), tuning.GraphConfMaxBytes)
 		return
 	}
 	logical := now
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -23,7 +23,7 @@
 			return n, true
 		}
 	}
-	return tuning.GraphPool, name == "" || name == DefaultPool
+	return tuning.GraphDefaultPoolSlots, name == "" || name == DefaultPool
 }
 
 // pool returns the pool of a step.
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -209,7 +209,7 @@
 
 // StorePart stores a part of a definition, if it is not there.
 func (r *Reader) StorePart(ctx context.Context, hash string, n, of int, zstd []byte) error {
-	if !validHash(hash) || n < 0 || n >= of || of > tuning.GraphParts || len(zstd) == 0 || len(zstd) > tuning.GraphPart {
+	if !validHash(hash) || n < 0 || n >= of || of > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
 		return ErrPart
 	}
 	value, err := json.Marshal(partRecord{Parts: of, Zstd: zstd})
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -123,12 +123,12 @@
 	}
 	packed := c.Encode(raw)
 	for len(packed) > 0 {
-		n := min(len(packed), tuning.GraphPart)
+		n := min(len(packed), tuning.GraphPartMaxBytes)
 		parts = append(parts, packed[:n])
 		packed = packed[n:]
 	}
-	if len(parts) > tuning.GraphParts {
-		return "", nil, fmt.Errorf("graph %s: it takes %d parts of %d bytes; up to %d are allowed", g.ID, len(parts), tuning.GraphPart, tuning.GraphParts)
+	if len(parts) > tuning.GraphMaxParts {
+		return "", nil, fmt.Errorf("graph %s: it takes %d parts of %d bytes; up to %d are allowed", g.ID, len(parts), tuning.GraphPartMaxBytes, tuning.GraphMaxParts)
 	}
 	return hashOf(raw), parts, nil
 }
@@ -186,7 +186,7 @@
 		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.def, State: x.run.RunState().String(), meta: x.meta,
 		Open: x.active > 0, Zstd: c.Encode(x.run.Encode()),
 	}
-	if n := int(tuning.TryShare*float64(limit)) / tuning.TryBytes; len(x.tries) > n {
+	if n := int(tuning.TriesRecordShare*float64(limit)) / tuning.TryBytes; len(x.tries) > n {
 		x.tries = slices.Clone(x.tries[len(x.tries)-n:])
 	}
 	if len(x.tries) > 0 {
@@ -220,6 +220,6 @@
 	if d.Urgency != "" {
 		j.Priority = wire.Priority(d.Urgency)
 	}
-	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: nowMS})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AcceptedAtMS: nowMS})
 	return j, value, err
 }
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -25,7 +25,7 @@
 	over := 0
 	for i := len(gr.history) - 1; i >= 0; i-- {
 		if e := gr.history[i]; e.live == nil && !e.deleting {
-			if over++; over > tuning.GraphKeep {
+			if over++; over > tuning.GraphRetainedRuns {
 				g.deleteRun(gr, e, nil)
 			}
 		}
@@ -37,7 +37,7 @@
 func (g *Graphs) cleanUp(now time.Time) {
 	if g.lastSweep.IsZero() {
 		g.lastSweep = now // a new leader has just read all of them
-	} else if now.Sub(g.lastSweep) >= tuning.GraphIdle {
+	} else if now.Sub(g.lastSweep) >= tuning.GraphDeleteAfter {
 		g.lastSweep = now
 		g.sweep()
 	}
@@ -58,7 +58,7 @@
 			d.idle = time.Time{}
 		case d.idle.IsZero():
 			d.idle = now
-		case now.Sub(d.idle) >= tuning.GraphIdle:
+		case now.Sub(d.idle) >= tuning.GraphDeleteAfter:
 			delete(g.defs, hash)
 			g.enqueueDeletions(nil, partKeys(hash, d.parts)...)
 		}
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -79,14 +79,14 @@
 		return http.StatusNotFound, "no such graph"
 	case d == nil || d.plan == nil:
 		return http.StatusServiceUnavailable, "the graph cannot be read now; ask again"
-	case !validRun(id) || len(key) > tuning.MaxKey:
+	case !validRun(id) || len(key) > tuning.MaxKeyBytes:
 		return http.StatusBadRequest, "dag_run_id is too long, or no name of letters, digits and _-.:+"
 	case slices.ContainsFunc(gr.history, func(e *entry) bool { return e.key == key }):
 		return http.StatusConflict, "the run exists already"
 	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *entry) bool { return e.due && e.logical == m.LogicalMS }):
 		return http.StatusConflict, "the interval has a run already"
-	case len(m.Conf) > tuning.GraphConf:
-		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConf)
+	case len(m.Conf) > tuning.GraphConfMaxBytes:
+		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConfMaxBytes)
 	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
 		return http.StatusServiceUnavailable, "there is no memory for more runs now; ask again"
 	case g.cfg.Source != nil:
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -236,7 +236,7 @@
 	if err := w.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	w.clock.Advance(tuning.DescribeRetry)
+	w.clock.Advance(tuning.DescribeRetryPause)
 	w.answered()
 	w.settle()
 	if got := w.live(); len(got) != 2 || counts(w.run(p, "one"))["failed"] != 1 {
@@ -308,12 +308,12 @@
 func TestWhatIsOverIsDropped(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
-	for i := range tuning.GraphKeep + 5 {
+	for i := range tuning.GraphRetainedRuns + 5 {
 		w.clock.Advance(time.Second)
 		w.begin(check(t, step("s")), fmt.Sprint("run", i))
 		w.finish()
 	}
-	if got := len(w.list(PrefixRun)); got != tuning.GraphKeep {
+	if got := len(w.list(PrefixRun)); got != tuning.GraphRetainedRuns {
 		t.Errorf("%d runs are kept", got)
 	}
 	if _, there := w.state.Value(keyRun("the team", "g", "run4")); there {
@@ -331,7 +331,7 @@
 	w.ordered(DoRemove, Order{}, http.StatusNoContent)
 	w.ordered(DoTrigger, Order{}, http.StatusNotFound)
 	for range 3 {
-		w.clock.Advance(tuning.GraphIdle)
+		w.clock.Advance(tuning.GraphDeleteAfter)
 		w.settle()
 	}
 	if left := w.list("graph/"); len(left) != 0 {
@@ -347,11 +347,11 @@
 	w.settle() // a first look at what may go
 	p := check(t, step("s"))
 	o := w.upload(p)
-	w.clock.Advance(tuning.GraphIdle)
+	w.clock.Advance(tuning.GraphDeleteAfter)
 	w.graphs.Tick(w.clock.Now())
 	w.answered() // it is found
 	for range 2 {
-		w.clock.Advance(tuning.GraphIdle)
+		w.clock.Advance(tuning.GraphDeleteAfter)
 		w.graphs.Tick(w.clock.Now())
 	}
 	if !w.graphs.dropping(o.Def) {
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -130,7 +130,7 @@
 
 // storeRuns puts runs into a transaction, each with the jobs of its steps that are ready.
 func (g *Graphs) storeRuns(b *batch, now time.Time) {
-	for n := len(g.todo); n > 0 && b.fits(2, tuning.RecordBytes); n-- {
+	for n := len(g.todo); n > 0 && b.fits(2, tuning.RecordOverheadBytes); n-- {
 		x := g.todo[0]
 		g.todo = g.todo[1:]
 		x.queued = false
@@ -152,7 +152,7 @@
 	if !x.dirty && len(x.picked) == 0 {
 		return true
 	}
-	if !b.fits(2, x.size+tuning.RecordBytes) || x.suspect && len(b.txn.Then) > 0 {
+	if !b.fits(2, x.size+tuning.RecordOverheadBytes) || x.suspect && len(b.txn.Then) > 0 {
 		return false
 	}
 	taken := g.submitPicked(x, b, now)
@@ -172,7 +172,7 @@
 // submitPicked puts the jobs of as many picked steps as there is room for into a transaction, and returns those. While a
 // run is suspect, one job goes at a time.
 func (g *Graphs) submitPicked(x *liveRun, b *batch, now time.Time) (taken []pickedStep) {
-	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordBytes) && (!x.suspect || len(taken) == 0) {
+	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordOverheadBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
 		if !x.run.IsReadyWithJob(p.at, p.id) {
--- a/internal/platform/config/check.go
+++ b/internal/platform/config/check.go
@@ -27,7 +27,7 @@
 
 func (s *Settings) checkAddresses() error {
 	for _, a := range []struct{ name, addr string }{
-		{"bind", s.Bind}, {"mesh_addr", s.MeshAddr}, {"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
+		{"bind", s.Bind}, {"mesh_addr", s.MeshAddr}, {"outside.cloud", s.External.Cloud}, {"outside.state", s.External.State},
 	} {
 		if err := checkAddr(a.name, a.addr); err != nil {
 			return err
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -27,16 +27,16 @@
 // OperatorSettings holds the settings of the operators' properties file.
 type OperatorSettings struct {
 	Tunables tuning.Tunables
-	// Ledger is true if charges are recorded.
-	Ledger bool
+	// LedgerEnabled is true if charges are recorded.
+	LedgerEnabled bool
 	// Budgets is never nil. Without a ledger it contains no budget.
 	Budgets *budget.Settings
 	// MetricsAddr is the address at which metrics are served; empty: none are served.
 	MetricsAddr string
-	// Graphs is true if graphs of jobs are served.
-	Graphs bool
-	// Descriptions is the URL of the service that describes steps of graphs; empty: only clients describe steps.
-	Descriptions string
+	// GraphsEnabled is true if graphs of jobs are served.
+	GraphsEnabled bool
+	// DescriptionsURL is the URL of the service that describes steps of graphs; empty: only clients describe steps.
+	DescriptionsURL string
 	// Pools holds the number of slots of each pool.
 	Pools map[Pool]int
 }
@@ -69,10 +69,10 @@
 
 // checkDependencies returns an error if a setting is present without the setting that it requires.
 func (o *OperatorSettings) checkDependencies() error {
-	if !o.Graphs && (len(o.Pools) > 0 || o.Descriptions != "") {
+	if !o.GraphsEnabled && (len(o.Pools) > 0 || o.DescriptionsURL != "") {
 		return fmt.Errorf("there are settings of graphs, but %s is not on", keyGraphs)
 	}
-	if !o.Ledger && len(o.Budgets.Budgets) > 0 {
+	if !o.LedgerEnabled && len(o.Budgets.Budgets) > 0 {
 		return fmt.Errorf("there are budgets, but %s is not on", keyLedger)
 	}
 	return nil
@@ -87,15 +87,15 @@
 	case keyMaxMachines:
 		o.Tunables.MaxMachines, err = parseCount(key, p)
 	case keyLedger:
-		o.Ledger, err = parseSwitch(key, value)
+		o.LedgerEnabled, err = parseSwitch(key, value)
 	case keyLedgerZone:
 		o.Budgets.Zone, err = parseZone(key, value)
 	case keyMetrics:
 		o.MetricsAddr, err = value, checkAddr(key, value)
 	case keyGraphs:
-		o.Graphs, err = parseSwitch(key, value)
+		o.GraphsEnabled, err = parseSwitch(key, value)
 	case keyDescriptions:
-		o.Descriptions, err = value, checkURL(key, value)
+		o.DescriptionsURL, err = value, checkURL(key, value)
 	default:
 		return o.setWithPrefix(key, p)
 	}
@@ -169,14 +169,14 @@
 			return fmt.Errorf("%s%s.%s: no team has that name", keyPool, pool.Team, pool.Name)
 		}
 	}
-	if o.Graphs && s.Cluster.State.ValueKB < tuning.GraphValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that runs of graphs take", keyGraphs, tuning.GraphValueKB)
+	if o.GraphsEnabled && s.Cluster.State.ValueKB < tuning.GraphMinValueKB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that runs of graphs take", keyGraphs, tuning.GraphMinValueKB)
 	}
-	if !o.Ledger {
+	if !o.LedgerEnabled {
 		return nil
 	}
-	if s.Cluster.State.ValueKB < tuning.LedgerValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that progress records with charges take", keyLedger, tuning.LedgerValueKB)
+	if s.Cluster.State.ValueKB < tuning.LedgerMinValueKB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that progress records with charges take", keyLedger, tuning.LedgerMinValueKB)
 	}
 	return o.Budgets.Check(s.hasTeam)
 }
--- a/internal/platform/config/operator_settings_test.go
+++ b/internal/platform/config/operator_settings_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("without a file: %+v, %v", settings, err)
 	}
 	operator, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
-	if err != nil || !operator.Ledger || len(operator.Budgets.Budgets) != 1 || operator.MetricsAddr != "127.0.0.1:9" {
+	if err != nil || !operator.LedgerEnabled || len(operator.Budgets.Budgets) != 1 || operator.MetricsAddr != "127.0.0.1:9" {
 		t.Errorf("loaded as %+v, %v", operator, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -13,13 +13,13 @@
 
 // Settings is the content of the platform's settings file. Unknown fields are ignored.
 type Settings struct {
-	Member   string   `toml:"member"`    // name of this controller
-	Zone     string   `toml:"domain"`    // zone in which this controller runs
-	Bind     string   `toml:"bind"`      // address that serves users and workers
-	MeshAddr string   `toml:"mesh_addr"` // address that serves the other controllers
-	Members  []Member `toml:"members"`   // the other controllers
-	Outside  Outside  `toml:"outside"`
-	Cluster  Cluster  `toml:"cluster"`
+	Member   string            `toml:"member"`    // name of this controller
+	Zone     string            `toml:"domain"`    // zone in which this controller runs
+	Bind     string            `toml:"bind"`      // address that serves users and workers
+	MeshAddr string            `toml:"mesh_addr"` // address that serves the other controllers
+	Members  []Member          `toml:"members"`   // the other controllers
+	External ExternalAddresses `toml:"outside"`
+	Cluster  Cluster           `toml:"cluster"`
 }
 
 // Member is another controller.
@@ -29,8 +29,8 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// Outside holds the addresses of the cloud and the state service.
-type Outside struct {
+// ExternalAddresses holds the addresses of the cloud and the state service.
+type ExternalAddresses struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -36,11 +36,11 @@
 func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operator.Tunables }
 
 // Ledger reports whether charges are recorded.
-func (w *OperatorSettingsWatcher) Ledger() bool { return w.operator.Ledger }
+func (w *OperatorSettingsWatcher) Ledger() bool { return w.operator.LedgerEnabled }
 
 // Graphs reports whether graphs are served, and returns the URL of the service that describes their steps; empty: none.
 func (w *OperatorSettingsWatcher) Graphs() (on bool, descriptions string) {
-	return w.operator.Graphs, w.operator.Descriptions
+	return w.operator.GraphsEnabled, w.operator.DescriptionsURL
 }
 
 // PoolSlots returns the number of slots of a team's pool; ok is false if the settings have no such pool.
@@ -55,13 +55,13 @@
 // Budgets returns the budgets currently in effect.
 func (w *OperatorSettingsWatcher) Budgets() *budget.Settings { return w.budgets.Load() }
 
-// Run checks the file every tuning.PropertiesEvery until ctx ends and applies its budgets when it has changed. An invalid file
+// Run checks the file every tuning.PropertiesCheckEvery until ctx ends and applies its budgets when it has changed. An invalid file
 // changes nothing.
 func (w *OperatorSettingsWatcher) Run(ctx context.Context, clock clockwork.Clock, log *slog.Logger) {
 	if w.path == "" {
 		return
 	}
-	tick := clock.NewTicker(tuning.PropertiesEvery)
+	tick := clock.NewTicker(tuning.PropertiesCheckEvery)
 	defer tick.Stop()
 	for {
 		select {
@@ -88,7 +88,7 @@
 		log.Error("changed properties file is invalid; ignoring it until it changes again", "err", err)
 		return
 	}
-	if !w.operator.Ledger {
+	if !w.operator.LedgerEnabled {
 		return
 	}
 	// The days of charges remain in the time zone that was set when the program started.
--- a/internal/platform/golden/golden.go
+++ b/internal/platform/golden/golden.go
@@ -57,9 +57,9 @@
 	Check(t, name, []byte(hex.EncodeToString(got)))
 }
 
-// Written compares the JSON of a value with a golden file and returns the JSON. It is for values that the code only encodes;
-// JSON also checks that they can be decoded.
-func Written(t *testing.T, name string, value any) []byte {
+// JSONEncoding compares the JSONRoundTrip of a value with a golden file and returns the JSONRoundTrip. It is for values that the code only encodes;
+// JSONRoundTrip also checks that they can be decoded.
+func JSONEncoding(t *testing.T, name string, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -69,23 +69,23 @@
 	return raw
 }
 
-// JSON compares the JSON of the value that a pointer refers to with a golden file, and checks that the JSON is decoded to the same
+// JSONRoundTrip compares the JSONRoundTrip of the value that a pointer refers to with a golden file, and checks that the JSONRoundTrip is decoded to the same
 // value.
-func JSON(t *testing.T, name string, value any) {
+func JSONRoundTrip(t *testing.T, name string, value any) {
 	t.Helper()
 	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-	if err := json.Unmarshal(Written(t, name, value), decoded); err != nil {
+	if err := json.Unmarshal(JSONEncoding(t, name, value), decoded); err != nil {
 		t.Fatalf("%s cannot be decoded: %v", name, err)
 	}
 	Equal(t, name, decoded, value)
 }
 
-// CBOR is like JSON, for a value that is stored as CBOR. Its golden file is in hexadecimal. CBOR arrays contain no field names, so
+// CBORRoundTrip is like JSONRoundTrip, for a value that is stored as CBORRoundTrip. Its golden file is in hexadecimal. CBORRoundTrip arrays contain no field names, so
 // the value must be a literal with the names of its fields instead of a result of Fill, which sets fields by their order. Only
 // then does the test fail if two fields are swapped.
-func CBOR(t *testing.T, name string, value any) {
+func CBORRoundTrip(t *testing.T, name string, value any) {
 	t.Helper()
-	Complete(t, name, value)
+	AllFieldsSet(t, name, value)
 	raw, err := cbor.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
@@ -106,8 +106,8 @@
 	}
 }
 
-// Complete checks that no exported field of a value is zero, at any depth.
-func Complete(t *testing.T, name string, value any) {
+// AllFieldsSet checks that no exported field of a value is zero, at any depth.
+func AllFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
 	complete(t, name, reflect.ValueOf(value))
 }
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -18,7 +18,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ErrTooLarge means that a response was longer than tuning.MaxResponse.
+// ErrTooLarge means that a response was longer than tuning.MaxResponseBytes.
 var ErrTooLarge = errors.New("the answer is too large")
 
 // NewClient returns a client with at most maxConns connections to a host, of which idleConns stay open between calls, and at most
@@ -59,11 +59,11 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxResponse+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxResponseBytes+1))
 	if err != nil {
 		return 0, fmt.Errorf("read answer: %w", err)
 	}
-	if len(raw) > tuning.MaxResponse {
+	if len(raw) > tuning.MaxResponseBytes {
 		return 0, ErrTooLarge
 	}
 	if out := decode(resp.StatusCode); out != nil {
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Gauge measures the process's memory, at most once per tuning.MemoryEvery. It is safe for concurrent use.
+// Gauge measures the process's memory, at most once per tuning.MemoryCheckEvery. It is safe for concurrent use.
 type Gauge struct {
 	clock      clockwork.Clock
 	limitBytes uint64        // 0: unknown
@@ -25,10 +25,10 @@
 
 // New returns a gauge for a machine with ramMB MiB of memory. If ramMB is 0, the gauge never reports full.
 func New(ramMB float64, clock clockwork.Clock) *Gauge {
-	return &Gauge{clock: clock, limitBytes: uint64(max(0, ramMB) * tuning.MemoryFull * (1 << 20)), readUsed: runtimeBytes}
+	return &Gauge{clock: clock, limitBytes: uint64(max(0, ramMB) * tuning.MemoryFullShare * (1 << 20)), readUsed: runtimeBytes}
 }
 
-// Full reports whether the process uses at least the share tuning.MemoryFull of the machine's memory, so that no more work may be
+// Full reports whether the process uses at least the share tuning.MemoryFullShare of the machine's memory, so that no more work may be
 // accepted now.
 func (g *Gauge) Full() bool {
 	if g.limitBytes == 0 {
@@ -36,16 +36,16 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now := g.clock.Now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= tuning.MemoryEvery {
+	if now := g.clock.Now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= tuning.MemoryCheckEvery {
 		g.measuredAt, g.full = now, g.readUsed() >= g.limitBytes
 	}
 	return g.full
 }
 
-// Live returns the memory in use, in bytes: all memory of the runtime that is neither free nor released, but of objects only
+// InUse returns the memory in use, in bytes: all memory of the runtime that is neither free nor released, but of objects only
 // those that the last garbage collection found reachable. Objects allocated since then are not counted, so the result lags by
 // one collection.
-func Live() uint64 {
+func InUse() uint64 {
 	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
 		"/memory/classes/heap/unused:bytes", "/memory/classes/heap/objects:bytes", "/gc/heap/live:bytes")
 	total, released, free, unused, objects, reachable := v[0], v[1], v[2], v[3], v[4], v[5]
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -19,7 +19,7 @@
 		full bool
 	}{{10, false}, {84, false}, {86, true}, {120, true}, {50, false}} {
 		usedBytes = c.mb << 20
-		clock.Advance(tuning.MemoryEvery)
+		clock.Advance(tuning.MemoryCheckEvery)
 		if g.Full() != c.full {
 			t.Errorf("%d of 100 MiB used: Full returned %v", c.mb, !c.full)
 		}
@@ -39,16 +39,16 @@
 func TestOnlyReachableMemoryCountsAsInUse(t *testing.T) {
 	const size = 64 << 20
 	runtime.GC()
-	before := Live()
+	before := InUse()
 	block := make([]byte, size)
 	runtime.GC()
-	if grown := Live() - before; grown < size || grown > size+size/4 {
+	if grown := InUse() - before; grown < size || grown > size+size/4 {
 		t.Errorf("memory in use grew by %d bytes after %d reachable bytes were allocated", grown, size)
 	}
 	runtime.KeepAlive(block)
 	block = nil
 	runtime.GC()
-	if after := Live(); after > before+size/4 {
+	if after := InUse(); after > before+size/4 {
 		t.Errorf("memory in use is still %d bytes higher after the allocation became unreachable", after-before)
 	}
 }
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -4,53 +4,53 @@
 
 // Charges, the ledger and budgets.
 const (
-	// ServiceReserve is the running time whose cost a started service replica reserves from its team's
+	// ServiceReservedTime is the running time whose cost a started service replica reserves from its team's
 	// budget. A service has no end, and nobody can forecast further than an hour.
-	ServiceReserve = time.Hour
-	// EstimateCorrectionMax bounds the factor by which owners' run time estimates are corrected. The
+	ServiceReservedTime = time.Hour
+	// EstimateCorrectionMaxFactor bounds the factor by which owners' run time estimates are corrected. The
 	// estimates are often wrong by half, rarely by more.
-	EstimateCorrectionMax = 4.0
+	EstimateCorrectionMaxFactor = 4.0
 	// EstimateLearningRate is the weight, as a share, of one more completed task in that factor.
 	EstimateLearningRate = 0.1
-	// LedgerValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
+	// LedgerMinValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
 	// records that contain charges can be stored.
-	LedgerValueKB = 14
+	LedgerMinValueKB = 14
 	// RollUpAfter is how long charges stay in the records of their jobs before they are rolled up. Charges
 	// are rolled up earlier if there are as many as fit one transaction. A longer time lets more charges
 	// share a transaction.
 	RollUpAfter = 60 * time.Second
-	// RollUpChangesMin is the number of changes that the write rate limit must allow before a roll-up
+	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up
 	// starts, if that many are due. Each roll-up also writes a segment and a page, so small roll-ups are
 	// expensive: on a day with 13 jobs per second there were 606 roll-ups of two jobs each.
-	RollUpChangesMin = 12
-	// RollUpBytes bounds, in bytes, what one transaction adds to a segment.
-	RollUpBytes = 6 << 10
-	// SegmentBytes is the size, in bytes, at which a segment is closed. Each roll-up rewrites the open
+	RollUpMinChanges = 12
+	// RollUpMaxBytes bounds, in bytes, what one transaction adds to a segment.
+	RollUpMaxBytes = 6 << 10
+	// SegmentCloseBytes is the size, in bytes, at which a segment is closed. Each roll-up rewrites the open
 	// segment.
-	SegmentBytes = 8 << 10
-	// PageBytes bounds a page of totals, in bytes before compression.
-	PageBytes = 8 << 10
-	// CompactPages is the number of closed pages of totals at which rows of the same name are merged.
-	CompactPages = 4
+	SegmentCloseBytes = 8 << 10
+	// TotalsPageMaxBytes bounds a page of totals, in bytes before compression.
+	TotalsPageMaxBytes = 8 << 10
+	// CompactAfterPages is the number of closed pages of totals at which rows of the same name are merged.
+	CompactAfterPages = 4
 	// CompactCheckEvery is the interval between checks whether to compact the totals. A check reads every
 	// row.
 	CompactCheckEvery = time.Minute
 	// TotalsLogEvery is the interval at which the totals are logged, at debug level.
 	TotalsLogEvery = 10 * time.Second
-	// SegmentPage is the number of segments that a query for a job's charges reads in one call: some
+	// SegmentsPerCall is the number of segments that a query for a job's charges reads in one call: some
 	// hundred KB.
-	SegmentPage = 20
-	// ChargesPage is the number of charges in one answer. The rest follows on the next page. At some 350
+	SegmentsPerCall = 20
+	// ChargesPerAnswer is the number of charges in one answer. The rest follows on the next page. At some 350
 	// bytes each, an answer stays under half a MB.
-	ChargesPage = 500
+	ChargesPerAnswer = 500
 	// ChargesTimeout bounds a query for charges.
 	ChargesTimeout = 4 * time.Second
-	// TotalRows is the number of rows in one answer about totals. With names of 200 bytes the
+	// TotalRowsPerAnswer is the number of rows in one answer about totals. With names of 200 bytes the
 	// answer still fits the bound of a query's answer.
-	TotalRows = 40
+	TotalRowsPerAnswer = 40
 	// MonthlyTotalsAfterDays is the age, in days, at which totals per day are merged into totals per month.
 	// Budgets read the previous month at most.
 	MonthlyTotalsAfterDays = 93
-	// PropertiesEvery is the interval at which the operators' properties file is checked for changes.
-	PropertiesEvery = 5 * time.Second
+	// PropertiesCheckEvery is the interval at which the operators' properties file is checked for changes.
+	PropertiesCheckEvery = 5 * time.Second
 )
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -9,25 +9,25 @@
 	// SubsystemTick is the interval at which the leader's loop lets its subsystems do what is due, such as
 	// checking budgets and rolling up charges.
 	SubsystemTick = 500 * time.Millisecond
-	// Inbox is the number of messages that the queue of the leader's loop holds.
-	Inbox = 1024
-	// MemoryShare is the share of the machine's memory that is the Go runtime's soft memory limit.
-	MemoryShare = 0.65
-	// MemoryFull is the share of the machine's memory above which no more jobs are accepted. The runtime
-	// exceeds its soft limit only if reachable objects need the memory. MemoryEvery is the interval between
+	// InboxMessages is the number of messages that the queue of the leader's loop holds.
+	InboxMessages = 1024
+	// MemoryTargetShare is the share of the machine's memory that is the Go runtime's soft memory limit.
+	MemoryTargetShare = 0.65
+	// MemoryFullShare is the share of the machine's memory above which no more jobs are accepted. The runtime
+	// exceeds its soft limit only if reachable objects need the memory. MemoryCheckEvery is the interval between
 	// checks.
-	MemoryFull  = 0.85
-	MemoryEvery = 250 * time.Millisecond
-	// ProcessMB is the memory, in MiB, that a leader uses besides its machines: the program, its libraries,
+	MemoryFullShare  = 0.85
+	MemoryCheckEvery = 250 * time.Millisecond
+	// ProcessMiB is the memory, in MiB, that a leader uses besides its machines: the program, its libraries,
 	// and a job store of some thousand jobs.
-	ProcessMB = 24
-	// MachineKB bounds the memory, in KiB, that one machine uses in the leader: its tasks, its entries in
+	ProcessMiB = 24
+	// MachineKiB bounds the memory, in KiB, that one machine uses in the leader: its tasks, its entries in
 	// the views of a scheduling cycle, and the connections between its worker and the leader. With as much
 	// garbage as the runtime allows, a machine uses 47 KiB at 600 to 1,200 machines and 42 KiB at 4,000.
-	MachineKB = 64
-	// LiveShare is the share of the runtime's soft memory limit that reachable objects may fill while
-	// machines are rented beyond the number that MachineKB allows. The memory of a machine depends on its
+	MachineKiB = 64
+	// ReachableMemoryShare is the share of the runtime's soft memory limit that reachable objects may fill while
+	// machines are rented beyond the number that MachineKiB allows. The memory of a machine depends on its
 	// tasks: with a fixed 64 KiB for each, the fleet stopped at 2,965 machines with 322 MB. The remaining
 	// share is for garbage: at 0.7 the collector runs 2.3 times as often as with ample memory.
-	LiveShare = 0.7
+	ReachableMemoryShare = 0.7
 )
--- a/internal/platform/tuning/election.go
+++ b/internal/platform/tuning/election.go
@@ -4,49 +4,49 @@
 
 // The election: the leader's lease, votes, confirmations and fencing leases.
 const (
-	// LeaseTTL is the time to live of the leader's lease. A shorter one replaces a dead leader sooner. A
+	// LeaderLeaseTTL is the time to live of the leader's lease. A shorter one replaces a dead leader sooner. A
 	// longer one survives slow answers of the key-value store (occasionally several hundred ms) and a
 	// process that gets little CPU time.
-	LeaseTTL = 4 * time.Second
-	// RenewEvery is the interval between renewals. Three renewals may fail within LeaseTTL.
-	RenewEvery = 1 * time.Second
-	// RenewTimeout bounds a call that grants, renews or revokes a lease, so that another renewal can follow
+	LeaderLeaseTTL = 4 * time.Second
+	// LeaderLeaseRenewEvery is the interval between renewals. Three renewals may fail within LeaderLeaseTTL.
+	LeaderLeaseRenewEvery = 1 * time.Second
+	// LeaseCallTimeout bounds a call that grants, renews or revokes a lease, so that another renewal can follow
 	// one without an answer.
-	RenewTimeout = 1 * time.Second
-	// RetryLeader is the pause after a failed step of the election.
-	RetryLeader = 250 * time.Millisecond
-	// RetryCampaign is the pause of a member that may not campaign yet.
-	RetryCampaign = 100 * time.Millisecond
-	// VoteFor is how long a vote is valid: a member that voted for the leader neither campaigns nor confirms
+	LeaseCallTimeout = 1 * time.Second
+	// ElectionRetryPause is the pause after a failed step of the election.
+	ElectionRetryPause = 250 * time.Millisecond
+	// CampaignRetryPause is the pause of a member that may not campaign yet.
+	CampaignRetryPause = 100 * time.Millisecond
+	// VoteValidity is how long a vote is valid: a member that voted for the leader neither campaigns nor confirms
 	// a candidate in that time. Members vote while the key-value store answers neither them nor the leader.
-	// VoteFor bounds how much later another member can become leader if the leader dies during such an
+	// VoteValidity bounds how much later another member can become leader if the leader dies during such an
 	// outage.
-	VoteFor = 1200 * time.Millisecond
-	// ConfirmationFor is how long a confirmation by another member is valid: within it the candidate must
+	VoteValidity = 1200 * time.Millisecond
+	// ConfirmationValidity is how long a confirmation by another member is valid: within it the candidate must
 	// become leader. That takes three calls to the key-value store, at worst some hundred ms each.
-	ConfirmationFor = 3 * time.Second
+	ConfirmationValidity = 3 * time.Second
 	// FencingLeaseTTL is how long a silent member stays fenced off without a renewal. For that long, a
 	// leader with the votes of all other members keeps its workers through an outage of the key-value
-	// store. Outages last about half a minute. FencingLeaseRenew is the interval between renewals.
-	FencingLeaseTTL   = 40 * time.Second
-	FencingLeaseRenew = 3 * time.Second
-	// YieldAfter is the number of renewals that must fail, after the key-value store was first seen to
+	// store. Outages last about half a minute. FencingLeaseRenewEvery is the interval between renewals.
+	FencingLeaseTTL        = 40 * time.Second
+	FencingLeaseRenewEvery = 3 * time.Second
+	// YieldAfterFailedRenewals is the number of renewals that must fail, after the key-value store was first seen to
 	// answer another member, before the leader hands over. A single renewal may have been sent before that.
-	YieldAfter = 2
-	// YieldVacantAfter is how long the leader key must be vacant before a member that leaves the leadership
+	YieldAfterFailedRenewals = 2
+	// CampaignAfterVacancy is how long the leader key must be vacant before a member that leaves the leadership
 	// to others campaigns all the same. Another member's campaign takes three calls, and a member that has
-	// just started waits for VoteFor.
-	YieldVacantAfter = 5 * time.Second
+	// just started waits for VoteValidity.
+	CampaignAfterVacancy = 5 * time.Second
 	// VoteEvery is the interval at which the leader asks for votes. Several rounds may fail while a vote is
 	// valid.
 	VoteEvery = 250 * time.Millisecond
-	// ProbeTimeout bounds a member's probe of the key-value store before it votes. It must fit RelayTimeout.
-	ProbeTimeout = 400 * time.Millisecond
-	// LeaderWatch is how long one watch request of a follower waits for a change of the leader key.
-	LeaderWatch = 10 * time.Second
+	// VoteProbeTimeout bounds a member's probe of the key-value store before it votes. It must fit RelayTimeout.
+	VoteProbeTimeout = 400 * time.Millisecond
+	// LeaderWatchWait is how long one watch request of a follower waits for a change of the leader key.
+	LeaderWatchWait = 10 * time.Second
 	// WatchGrace is added to the wait of a watch request to give its client timeout.
 	WatchGrace = 3 * time.Second
-	// ClockDrift is the share by which two monotonic clocks may drift apart. The protocol allows 0.05 % for
+	// ClockDriftShare is the share by which two monotonic clocks may drift apart. The protocol allows 0.05 % for
 	// each clock.
-	ClockDrift = 0.001
+	ClockDriftShare = 0.001
 )
--- a/internal/platform/tuning/interruption.go
+++ b/internal/platform/tuning/interruption.go
@@ -4,9 +4,9 @@
 
 // Interruptions of spot machines by the cloud.
 const (
-	// EstimateSpread is the standard deviation of the logarithm of a run time relative to its owner's
+	// EstimateLogStdDev is the standard deviation of the logarithm of a run time relative to its owner's
 	// estimate. Estimates are often wrong by half.
-	EstimateSpread = 0.5
+	EstimateLogStdDev = 0.5
 	// InterruptionStopLead is how long before the interruption of a spot machine its running tasks are
 	// stopped. It covers a command, its answer, and the error of the announced time.
 	InterruptionStopLead = 2500 * time.Millisecond
--- a/internal/platform/tuning/placement.go
+++ b/internal/platform/tuning/placement.go
@@ -4,29 +4,29 @@
 
 // Placement, preemption and reservations.
 const (
-	// PriorityAgingStep is the wait after which a job's effective priority rises by one level.
-	PriorityAgingStep = 120 * time.Second
+	// PriorityAgingAfter is the wait after which a job's effective priority rises by one level.
+	PriorityAgingAfter = 120 * time.Second
 	// FairShareOfFleet is the fair share of a job whose team has no quota, as a share of the fleet's CPUs.
 	// Once a job has had its fair share, its remaining tasks are placed after the first tasks of other jobs.
 	FairShareOfFleet = 0.25
 	// FairShareSteps is the number of equal steps in which a job's use of its fair share is counted. The
 	// fair share is what the team's quota admits at a time. Jobs that used fewer steps are placed first.
 	FairShareSteps = 4
-	// StarvationBound is how long a job may wait for its first task before that task precedes all others of
+	// StarvingAfter is how long a job may wait for its first task before that task precedes all others of
 	// its priority. Users expect the largest jobs to begin within four minutes. A machine or a part of a
 	// team's quota that is reserved for a job becomes free as running tasks end, mostly within two minutes.
-	// StarvationReservationShare is the divisor of the number of machines with room that gives how many may
+	// StarvationReservationDivisor is the divisor of the number of machines with room that gives how many may
 	// be reserved for such jobs at a time, at least one.
-	StarvationBound            = 60 * time.Second
-	StarvationReservationShare = 8
+	StarvingAfter                = 60 * time.Second
+	StarvationReservationDivisor = 8
 	// TaskShapesMax is the number of task shapes for which a scheduling cycle caches the ranked machines.
 	// With 40 bytes for each machine and shape, the cache has at most 16 MB with 10,000 machines, until the
 	// cycle ends.
 	TaskShapesMax = 40
-	// ReservationMax is how long machines and parts of quotas stay reserved for jobs that need more than is
+	// ReservationMaxTime is how long machines and parts of quotas stay reserved for jobs that need more than is
 	// free. After that, one cycle reserves nothing. Users expect that no job waits for 90 s while a machine
 	// that fits has room, and the next cycle may start only after CycleBackoffMax.
-	ReservationMax = 70 * time.Second
+	ReservationMaxTime = 70 * time.Second
 	// HeadReservationAfter is the wait after which the first blocked job of the queue reserves a machine
 	// against the jobs behind it.
 	HeadReservationAfter = 30 * time.Second
@@ -34,35 +34,35 @@
 	// specifies 1 s, doubling to 10 s. Any change ends the pause early.
 	CycleBackoffMin = 1 * time.Second
 	CycleBackoffMax = 10 * time.Second
-	// CycleRestFactor is the pause after a scheduling cycle or a scale-out plan, as a multiple of its
+	// CyclePauseFactor is the pause after a scheduling cycle or a scale-out plan, as a multiple of its
 	// duration. Cycles and plans so use at most a seventeenth of the processor each: during a backlog, each
 	// of hundreds of changes per second requests a cycle. A cycle over 1,200 machines needs a millisecond or
 	// two on a share of a core, and the strictest service-level objective for starts is a second.
-	CycleRestFactor = 16
-	// CycleRestMin and ScaleOutRestMin are the shortest pauses after a cycle and after a scale-out plan. The
+	CyclePauseFactor = 16
+	// CyclePauseMin and ScaleOutPauseMin are the shortest pauses after a cycle and after a scale-out plan. The
 	// factor alone allows a seventeenth of a core, which is a fifth of the processor of a machine with 0.3 of
 	// a core. A start takes a second or more and a boot 20 s, so the pauses delay neither noticeably.
-	CycleRestMin    = 20 * time.Millisecond
-	ScaleOutRestMin = 200 * time.Millisecond
+	CyclePauseMin    = 20 * time.Millisecond
+	ScaleOutPauseMin = 200 * time.Millisecond
 	// PreemptWaitShare is the share of a class's allowed wait (by its own service-level objective or the
 	// guarantee's) after which other tasks may be preempted for it.
 	PreemptWaitShare = 0.5
-	// PreemptAfterFailover is how long a new leader preempts nothing. Workers find the new leader within
+	// PreemptDelayAfterFailover is how long a new leader preempts nothing. Workers find the new leader within
 	// that time.
-	PreemptAfterFailover = 10 * time.Second
-	// PreemptBatch is the number of tasks of one job that may preempt others in one cycle.
-	PreemptBatch = 8
+	PreemptDelayAfterFailover = 10 * time.Second
+	// PreemptBatchTasks is the number of tasks of one job that may preempt others in one cycle.
+	PreemptBatchTasks = 8
 	// PreemptBackoff is how long a job waits for tasks that were preempted for it before more are preempted.
 	PreemptBackoff = 2 * time.Second
-	// PreemptFreshCost is the extra cost, in seconds of work, of preempting a task before PreemptMinRun:
+	// PreemptFreshCostS is the extra cost, in seconds of work, of preempting a task before PreemptMinRun:
 	// its start then does not count.
-	PreemptFreshCost = 30.0
-	// PreemptPriorityCost is the cost, in seconds of work, that each level of a task's priority adds to its
+	PreemptFreshCostS = 30.0
+	// PreemptPriorityCostS is the cost, in seconds of work, that each level of a task's priority adds to its
 	// preemption. Of the borrowed resources, those of low-priority work are so reclaimed first.
-	PreemptPriorityCost = 30.0
+	PreemptPriorityCostS = 30.0
 	// PreemptMinRun is how long a task must have run before it may be preempted. A start that is stopped
 	// within 30 s does not count.
 	PreemptMinRun = 31 * time.Second
-	// GraceExtra is added to the time that a task needs to save a checkpoint when the task is stopped.
-	GraceExtra = 1 * time.Second
+	// CheckpointGraceExtra is added to the time that a task needs to save a checkpoint when the task is stopped.
+	CheckpointGraceExtra = 1 * time.Second
 )
--- a/internal/platform/tuning/scaleout.go
+++ b/internal/platform/tuning/scaleout.go
@@ -10,12 +10,12 @@
 	ArrivalWindow = 120 * time.Second
 	// ArrivalWindowMin is the shortest time over which arrivals are converted to a rate.
 	ArrivalWindowMin = 30 * time.Second
-	// FirstStartRush is how long after the service's very first start the arriving jobs count as the
+	// InitialBacklogWindow is how long after the service's very first start the arriving jobs count as the
 	// initial backlog, which waited for the service. Users retry after a second or more.
-	FirstStartRush = 5 * time.Second
-	// FirstStartRushShare is the divisor for jobs of the initial backlog: one in so many counts in the
+	InitialBacklogWindow = 5 * time.Second
+	// InitialBacklogDivisor is the divisor for jobs of the initial backlog: one in so many counts in the
 	// forecast. When none counted, the services of the first minute found no room.
-	FirstStartRushShare = 8
+	InitialBacklogDivisor = 8
 	// ForecastShareLatencySensitive is the share of the work expected within a boot time for which room is
 	// reserved, for classes that must start sooner than a machine boots. ForecastShareGuaranteed is that
 	// share for all other classes, where a guarantee must be met sooner than a machine boots.
@@ -30,26 +30,26 @@
 	// AwaitSpotFor is how long work that is not latency-sensitive and may run on spot machines waits for
 	// one, before an on-demand machine is rented for it at several times the price.
 	AwaitSpotFor = 12 * time.Second
-	// RentalsInFlight is the largest number of rent requests in flight: enough to use the cloud's rate
+	// RentalsInFlightMax is the largest number of rent requests in flight: enough to use the cloud's rate
 	// limit, few enough that none waits long for the limit.
-	RentalsInFlight = 3
-	// RentAfterFailover is how long a new leader waits before it rents. The machines that it took over send
+	RentalsInFlightMax = 3
+	// RentDelayAfterFailover is how long a new leader waits before it rents. The machines that it took over send
 	// a heartbeat within that time.
-	RentAfterFailover = 4 * time.Second
+	RentDelayAfterFailover = 4 * time.Second
 	// ConsolidateEvery is the interval between checks for machines to drain. In each check, service
 	// replicas are also moved off draining machines.
 	ConsolidateEvery = 2 * time.Second
-	// ConsolidateCandidates is the smallest number of machines that one check considers for draining, and
-	// ConsolidateCandidateShare the divisor of the machines in use that gives the number in a large fleet. A
+	// ConsolidateCandidatesMin is the smallest number of machines that one check considers for draining, and
+	// ConsolidateCandidateDivisor the divisor of the machines in use that gives the number in a large fleet. A
 	// large fleet has to shrink as fast as a small one, and the tasks of each candidate are tried on all
 	// other machines.
-	ConsolidateCandidates     = 3
-	ConsolidateCandidateShare = 16
-	// MovesInFlight is the smallest number of replicas that may be moved at a time, and MovesInFlightShare
+	ConsolidateCandidatesMin    = 3
+	ConsolidateCandidateDivisor = 16
+	// MovesInFlightMin is the smallest number of replicas that may be moved at a time, and MovesInFlightDivisor
 	// the divisor of all replicas that gives the number in a large fleet. Replicas that are being moved wait
 	// longer if the leader dies.
-	MovesInFlight      = 2
-	MovesInFlightShare = 100
+	MovesInFlightMin     = 2
+	MovesInFlightDivisor = 100
 	// MoveDowntime is how long a moved replica is down, besides the fetch of its image.
 	MoveDowntime = 300 * time.Millisecond
 	// MoveDowntimeShare is the share of all replicas' time that moves may cost as downtime. The strictest
@@ -58,41 +58,41 @@
 	// MoveDowntimeBudgetMax bounds the accumulated downtime budget: it allows one move with a long fetch.
 	// With thousands of replicas the bound is what the budget gains between two checks, if that is more.
 	MoveDowntimeBudgetMax = 10 * time.Second
-	// ListEvery is the interval at which the cloud's list of machines is read.
-	ListEvery = 5 * time.Second
+	// CloudListEvery is the interval at which the cloud's list of machines is read.
+	CloudListEvery = 5 * time.Second
 	// NoCapacityBackoff is how long an offering (type, zone and kind) is not requested again after the
 	// cloud reported that it has no capacity.
 	NoCapacityBackoff = 10 * time.Second
-	// BootFactor is the multiple of the nominal boot time after which a booting machine counts as late and
+	// BootLateFactor is the multiple of the nominal boot time after which a booting machine counts as late and
 	// is replaced. Most machines are up after 1.5 times.
-	BootFactor = 2.0
-	// BootGiveUp is the multiple of the nominal boot time after which a booting machine is deleted.
-	BootGiveUp = 3.0
+	BootLateFactor = 2.0
+	// BootGiveUpFactor is the multiple of the nominal boot time after which a booting machine is deleted.
+	BootGiveUpFactor = 3.0
 	// BootExtra is added to both times, for the lag of the list and for the first heartbeat.
 	BootExtra = 5 * time.Second
-	// BootUnknown is the boot time allowed to a machine of a type that the cloud no longer offers.
-	BootUnknown = 120 * time.Second
-	// AdoptWait is how long a new leader waits for the first heartbeat of a machine that it found in the
+	// UnknownTypeBootTime is the boot time allowed to a machine of a type that the cloud no longer offers.
+	UnknownTypeBootTime = 120 * time.Second
+	// AdoptedMachineWait is how long a new leader waits for the first heartbeat of a machine that it found in the
 	// list, before the machine can count as never up.
-	AdoptWait = 15 * time.Second
+	AdoptedMachineWait = 15 * time.Second
 	// SilentReturnAfter is how long after its lease expired a silent machine is returned.
 	SilentReturnAfter = 20 * time.Second
-	// SilentReturnAfterCut replaces SilentReturnAfter during a network partition, which rarely lasts a
-	// minute. Silence counts as a partition if at least SilentMany machines and at least SilentManyShare of
+	// SilentReturnAfterPartition replaces SilentReturnAfter during a network partition, which rarely lasts a
+	// minute. Silence counts as a partition if at least PartitionMinMachines machines and at least PartitionFleetShare of
 	// all machines are silent.
-	SilentReturnAfterCut = 90 * time.Second
-	SilentMany           = 3
-	SilentManyShare      = 0.05
-	// CutShare is the share of a zone's machines that must have become silent together for the zone to
+	SilentReturnAfterPartition = 90 * time.Second
+	PartitionMinMachines       = 3
+	PartitionFleetShare        = 0.05
+	// PartitionZoneShare is the share of a zone's machines that must have become silent together for the zone to
 	// count as partitioned. Fewer are failures of single machines.
-	CutShare = 0.6
-	// ForgetReturned is how long the name of a returned machine is remembered, so that late messages of the
+	PartitionZoneShare = 0.6
+	// ForgetReturnedAfter is how long the name of a returned machine is remembered, so that late messages of the
 	// machine are recognized.
-	ForgetReturned = 15 * time.Minute
-	// ListNewer is the age, in seconds, that a listed machine must have for the list to prove that unlisted
+	ForgetReturnedAfter = 15 * time.Minute
+	// ListSettledAgeS is the age, in seconds, that a listed machine must have for the list to prove that unlisted
 	// machines created before it are gone. Several machines are created at once, and ages are rounded.
-	ListNewer = 2.0
-	// UnlistedLists is the number of consecutive lists that must lack a silent machine before it counts as
+	ListSettledAgeS = 2.0
+	// MissedListingsMin is the number of consecutive lists that must lack a silent machine before it counts as
 	// interrupted by the cloud.
-	UnlistedLists = 3
+	MissedListingsMin = 3
 )
--- a/internal/platform/tuning/users.go
+++ b/internal/platform/tuning/users.go
@@ -12,45 +12,45 @@
 	BodyTimeout = 10 * time.Second
 	// AnswerTimeout bounds how long a client may take to read its response. Users wait 5 s at most.
 	AnswerTimeout = 15 * time.Second
-	// MaxHeader is the largest request head, in bytes.
-	MaxHeader = 16 << 10
-	// MaxHeartbeat is the largest heartbeat of a worker, in bytes. The protocol bounds all request bodies,
+	// MaxHeaderBytes is the largest request head, in bytes.
+	MaxHeaderBytes = 16 << 10
+	// MaxHeartbeatBytes is the largest heartbeat of a worker, in bytes. The protocol bounds all request bodies,
 	// heartbeats included.
-	MaxHeartbeat = 64 << 10
-	// CancelWait is how long a cancellation may wait to be stored. A user waits 5 s. The time fits a few
+	MaxHeartbeatBytes = 64 << 10
+	// CancelTimeout is how long a cancellation may wait to be stored. A user waits 5 s. The time fits a few
 	// attempts at one transaction; after that the response asks the user to try again.
-	CancelWait = 1500 * time.Millisecond
-	// SubmitWait bounds how long one member tries to store a submission, including the wait for its own
+	CancelTimeout = 1500 * time.Millisecond
+	// SubmitStoreTimeout bounds how long one member tries to store a submission, including the wait for its own
 	// rate limit. After that another member is asked, or the response asks the user to try again later.
-	SubmitWait = 2 * time.Second
-	// SubmitHedge is how long a member tries to store a submission before it also asks another member. The
+	SubmitStoreTimeout = 2 * time.Second
+	// SubmitHedgeDelay is how long a member tries to store a submission before it also asks another member. The
 	// strictest service-level objective for submissions is 300 ms. The key-value store answers in 10 ms, or
 	// in 100 ms when it is slow.
-	SubmitHedge = 150 * time.Millisecond
-	// SubmitTotal bounds a submission including all members that are asked in turn. A user waits 5 s and
+	SubmitHedgeDelay = 150 * time.Millisecond
+	// SubmitTimeout bounds a submission including all members that are asked in turn. A user waits 5 s and
 	// must get a response that says when to try again.
-	SubmitTotal = 4 * time.Second
-	// PollWait bounds the search for the answer to a poll. A user waits 2 s.
-	PollWait = 1800 * time.Millisecond
-	// PollBatch is the number of jobs polled at a time from which one listing of the live jobs replaces
+	SubmitTimeout = 4 * time.Second
+	// PollTimeout bounds the search for the answer to a poll. A user waits 2 s.
+	PollTimeout = 1800 * time.Millisecond
+	// PollBatchMinJobs is the number of jobs polled at a time from which one listing of the live jobs replaces
 	// single reads. A listing costs as much as a few single reads.
-	PollBatch = 8
+	PollBatchMinJobs = 8
 	// IdleTimeout is the idle time after which a connection is closed. Users poll every 5 s, and workers
 	// send a heartbeat every few seconds.
 	IdleTimeout = 60 * time.Second
-	// ConnShare is the share of the socket limit that incoming connections may use.
-	ConnShare = 0.75
+	// IncomingConnShare is the share of the socket limit that incoming connections may use.
+	IncomingConnShare = 0.75
 	// ConnCloseShare is the share of the allowed incoming connections above which each response closes its
 	// connection, so that more workers than sockets can take turns.
 	ConnCloseShare = 0.92
-	// IdleShare is the share of the socket limit that idle connections to workers may use. SendShare is the
-	// share that commands in flight to workers may use, and SendMin the number of such commands that is
+	// IdleWorkerConnShare is the share of the socket limit that idle connections to workers may use. CommandConnShare is the
+	// share that commands in flight to workers may use, and CommandConnsMin the number of such commands that is
 	// always allowed: a scheduling cycle after a partition places tasks on every machine at once.
-	IdleShare = 0.06
-	SendShare = 0.08
-	SendMin   = 16
-	// FinalCache is the smallest capacity, in jobs, of the cache of final job states. FinalsOfMB is its
+	IdleWorkerConnShare = 0.06
+	CommandConnShare    = 0.08
+	CommandConnsMin     = 16
+	// FinalStatesMin is the smallest capacity, in jobs, of the cache of final job states. FinalStatesPerMiB is its
 	// capacity for each MiB of the machine's memory: at some 200 bytes a job, a hundredth of the memory.
-	FinalCache = 4096
-	FinalsOfMB = 50
+	FinalStatesMin    = 4096
+	FinalStatesPerMiB = 50
 )
--- a/internal/platform/wire/cloud.go
+++ b/internal/platform/wire/cloud.go
@@ -74,8 +74,8 @@
 	More     bool            `json:"has_next"` // another page follows
 }
 
-// TypeNamed returns the machine type with a name, or nil if there is none.
-func TypeNamed(types []MachineType, name string) *MachineType {
+// FindMachineType returns the machine type with a name, or nil if there is none.
+func FindMachineType(types []MachineType, name string) *MachineType {
 	for i := range types {
 		if types[i].Name == name {
 			return &types[i]
--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -38,7 +38,7 @@
 		{"state-event", golden.Fill(new(Event))},
 		{"state-watch-result", golden.Fill(new(WatchResult))},
 	} {
-		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
+		t.Run(c.name, func(t *testing.T) { golden.JSONRoundTrip(t, c.name, c.value) })
 	}
 }
 
@@ -46,8 +46,8 @@
 func TestSubmissionFormat(t *testing.T) {
 	job := golden.Fill(new(Job))
 	job.ID, job.Kind, job.Priority = "job-17", KindService, PriorityHigh
-	golden.JSON(t, "job", job)
-	body := golden.Written(t, "job", job)
+	golden.JSONRoundTrip(t, "job", job)
+	body := golden.JSONEncoding(t, "job", job)
 	parsed, err := ParseJob(body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -316,7 +316,7 @@
 // Explanation is the answer to the question what a job waits for, with the reasons as text.
 type Explanation struct {
 	JobStatus
-	Waiting int      `json:"waiting"` // number of tasks that wait to be placed
-	Held    int      `json:"held"`    // number of these that may not start now even if there is room
-	Reasons []string `json:"reasons"`
+	Waiting     int      `json:"waiting"` // number of tasks that wait to be placed
+	NotAdmitted int      `json:"held"`    // number of these that may not start now even if there is room
+	Reasons     []string `json:"reasons"`
 }
--- a/internal/scheduler/jobs/backoff.go
+++ b/internal/scheduler/jobs/backoff.go
@@ -22,9 +22,9 @@
 	s.queue.scheduleFlush(now)
 }
 
-// MarkWorking records that a task of the job ran well: the job itself is not the cause of its failures. It
+// ResetBackoff records that a task of the job ran well: the job itself is not the cause of its failures. It
 // ends the job's backoff.
-func (s *Store) MarkWorking(j *Job, now time.Time) {
+func (s *Store) ResetBackoff(j *Job, now time.Time) {
 	if j.FailedWaves > 0 {
 		j.FailedWaves = 0
 		j.BackoffUntil = time.Time{}
@@ -35,9 +35,9 @@
 // failedWavesChunk returns the chunk whose record contains the job's number of failed waves.
 func failedWavesChunk(j *Job) chunkRef { return chunkRef{j, 0} }
 
-// HasWorked reports whether a task of the job has completed or has been running for HealthyRunAfter. Tasks of a
+// HasHealthyRun reports whether a task of the job has completed or has been running for HealthyRunAfter. Tasks of a
 // job that was submitted with a mistake fail as soon as they start.
-func (j *Job) HasWorked(now time.Time) bool {
+func (j *Job) HasHealthyRun(now time.Time) bool {
 	if j.Done > 0 {
 		return true
 	}
@@ -52,5 +52,5 @@
 
 // backoff returns how long a job waits after a number of waves of failures.
 func backoff(waves int) time.Duration {
-	return min(tuning.ErrorPause<<min(max(waves-1, 0), 10), tuning.ErrorPauseMax)
+	return min(tuning.FailureBackoff<<min(max(waves-1, 0), 10), tuning.FailureBackoffMax)
 }
--- a/internal/scheduler/jobs/backoff_test.go
+++ b/internal/scheduler/jobs/backoff_test.go
@@ -23,10 +23,10 @@
 	}
 	kv.flush(s)
 	s, _ = kv.load(12)
-	if j := s.Jobs["job-1"]; j.FailedWaves != 3 || j.BackoffUntil.Sub(t0) != 4*tuning.ErrorPause {
+	if j := s.Jobs["job-1"]; j.FailedWaves != 3 || j.BackoffUntil.Sub(t0) != 4*tuning.FailureBackoff {
 		t.Errorf("a new leader loads %d failed waves and a backoff of %v, want 3 and 4 times ErrorPause", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
-	s.MarkWorking(s.Jobs["job-1"], t0)
+	s.ResetBackoff(s.Jobs["job-1"], t0)
 	s.queue.scheduleFlush(t0)
 	kv.flush(s)
 	if s, _ = kv.load(12); s.Jobs["job-1"].FailedWaves != 0 {
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -42,7 +42,7 @@
 type WriteBudget struct {
 	Changes int // all changes in the transaction; 0: as many as one transaction may hold
 	Spare   int // changes among them that nobody waits for
-	Overdue int // like Spare, for records that have been dirty for LazyMax or longer; the larger one applies to them
+	Overdue int // like Spare, for records that have been dirty for LazyMaxWait or longer; the larger one applies to them
 }
 
 // NextBatch builds the next transaction, or returns nil if there is nothing to write. Only one transaction
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -136,8 +136,8 @@
 	if batch := s.NextBatch(later, WriteBudget{Spare: 0}); batch != nil {
 		t.Errorf("%d changes that nobody waits for are written without spare room", len(batch.Txn.Then))
 	}
-	// After LazyMax they are written without spare room.
-	if batch := s.NextBatch(later.Add(tuning.LazyMax), WriteBudget{Overdue: 2}); batch == nil || len(batch.Txn.Then) != 2 {
+	// After LazyMaxWait they are written without spare room.
+	if batch := s.NextBatch(later.Add(tuning.LazyMaxWait), WriteBudget{Overdue: 2}); batch == nil || len(batch.Txn.Then) != 2 {
 		t.Errorf("overdue changes: %+v, want a batch of two", batch)
 	}
 }
@@ -183,7 +183,7 @@
 	for i, a := range allocations {
 		s.MarkDone(a, t0.Add(time.Duration(i)*time.Second))
 	}
-	at := t0.Add(tuning.LazyMax + 2500*time.Millisecond) // three of them are overdue
+	at := t0.Add(tuning.LazyMaxWait + 2500*time.Millisecond) // three of them are overdue
 	if batch := s.NextBatch(at, WriteBudget{Overdue: 2}); batch == nil || len(batch.Txn.Then) != 2 {
 		t.Fatalf("with three overdue records and a budget of two: %+v, want two changes", batch)
 	} else {
--- a/internal/scheduler/jobs/batchbuilder.go
+++ b/internal/scheduler/jobs/batchbuilder.go
@@ -41,7 +41,7 @@
 
 // hasRoom reports whether n more changes fit.
 func (b *batchBuilder) hasRoom(n int) bool {
-	return b.changes()+n <= b.maxChanges && b.bytes < tuning.CommitBytes
+	return b.changes()+n <= b.maxChanges && b.bytes < tuning.TxnTargetBytes
 }
 
 // hasRoomFor reports whether the records of chunks fit, judged by their maximum size. hasRoom alone does not
@@ -52,7 +52,7 @@
 		changes += r.minChanges(b.txnOps)
 		bytes += r.maxBytes()
 	}
-	return b.hasRoom(changes) && (b.changes() == 0 || b.bytes+bytes <= tuning.TxnBytes)
+	return b.hasRoom(changes) && (b.changes() == 0 || b.bytes+bytes <= tuning.TxnMaxBytes)
 }
 
 // put stores a value under a key on the condition that the key has a version; 0: that the key does not exist.
@@ -110,5 +110,5 @@
 // maxBytes returns the maximum size of a chunk's write in a transaction, in bytes.
 func (r chunkRef) maxBytes() int {
 	from, to := r.tasks()
-	return tuning.EntryBytes*(to-from) + tuning.ChargeBytes*len(r.chunk().pack.Charges) + tuning.RecordBytes
+	return tuning.TaskEntryMaxBytes*(to-from) + tuning.ChargeMaxBytes*len(r.chunk().pack.Charges) + tuning.RecordOverheadBytes
 }
--- a/internal/scheduler/jobs/batchends.go
+++ b/internal/scheduler/jobs/batchends.go
@@ -26,7 +26,7 @@
 // the job's end. If they do not, it writes them as far as there is room, and a later batch writes the end.
 func (b *batchBuilder) writeChargesBeforeEnd(j *Job) bool {
 	chunks, oversized := j.chunksWithUnwrittenCharges()
-	fit := len(chunks) <= tuning.EndChunks && b.hasRoom(2+len(chunks)) && b.hasRoomFor(chunks...)
+	fit := len(chunks) <= tuning.JobEndMaxChunks && b.hasRoom(2+len(chunks)) && b.hasRoomFor(chunks...)
 	if !oversized && (len(chunks) == 0 || fit) {
 		return true
 	}
--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -18,7 +18,7 @@
 			if b.changes() >= before+b.budget.lazy(age) || !b.hasRoomFor(ref) {
 				break
 			}
-			if age < tuning.LazyFlush { // written for a start after it was queued, and changed again since
+			if age < tuning.LazyWriteDelay { // written for a start after it was queued, and changed again since
 				q.lazy = append(q.lazy[1:], ref)
 				continue
 			}
@@ -32,7 +32,7 @@
 // lazy returns how many changes that nobody waits for one transaction may contain, for a next change
 // that has waited for some time.
 func (w WriteBudget) lazy(waited time.Duration) int {
-	if waited >= tuning.LazyMax {
+	if waited >= tuning.LazyMaxWait {
 		return max(w.Spare, w.Overdue)
 	}
 	return w.Spare
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -49,7 +49,7 @@
 }
 
 // MarkRunning records that a task was seen running. That time is stored with the next write of the task's
-// record. No write is made for it alone until the allocation has been known for BeganAfter, so a shorter
+// record. No write is made for it alone until the allocation has been known for StartTimeStoreDelay, so a shorter
 // task costs no extra write.
 func (s *Store) MarkRunning(a *Allocation, now time.Time) {
 	if !s.Metered || !a.ChargedFrom.IsZero() {
@@ -65,9 +65,9 @@
 	s.newlyRunning = append(s.newlyRunning, a)
 }
 
-// flushLongRunning queues writes of ChargedFrom for tasks whose allocation has been known for BeganAfter.
+// flushLongRunning queues writes of ChargedFrom for tasks whose allocation has been known for StartTimeStoreDelay.
 func (s *Store) flushLongRunning(now time.Time) {
-	for len(s.newlyRunning) > 0 && now.Sub(s.newlyRunning[0].KnownSince) >= tuning.BeganAfter {
+	for len(s.newlyRunning) > 0 && now.Sub(s.newlyRunning[0].KnownSince) >= tuning.StartTimeStoreDelay {
 		a := s.newlyRunning[0]
 		s.newlyRunning = s.newlyRunning[1:]
 		if !a.Removed && !a.chargedFromStored {
@@ -126,11 +126,11 @@
 }
 
 // detachOldCharges moves the oldest of a chunk's charges to a record of their own, if there are at least
-// DetachCharges; ok is false otherwise. value is that record's encoded value. The chunk must be written in the
+// DetachChargesMin; ok is false otherwise. value is that record's encoded value. The chunk must be written in the
 // same transaction.
 func (c *progressChunk) detachOldCharges() (d DetachedCharges, value json.RawMessage, ok bool) {
 	n := min(len(c.pack.Charges), tuning.DetachChargesMax)
-	if n < tuning.DetachCharges {
+	if n < tuning.DetachChargesMin {
 		return DetachedCharges{}, nil, false
 	}
 	pack := c.pack
--- a/internal/scheduler/jobs/errors_test.go
+++ b/internal/scheduler/jobs/errors_test.go
@@ -58,10 +58,10 @@
 	if done := s.Jobs["job-1"].Done; done != 2 {
 		t.Errorf("%d tasks are done, want 2", done)
 	}
-	if damaged := s.TakeDamaged(); len(damaged) != 1 || !errors.Is(damaged[0], charge.ErrUnknownFormat) {
+	if damaged := s.TakeChargeErrors(); len(damaged) != 1 || !errors.Is(damaged[0], charge.ErrUnknownFormat) {
 		t.Errorf("errors for damaged charges: %v, want one ErrUnknownFormat", damaged)
 	}
-	if repeated := s.TakeDamaged(); len(repeated) != 0 {
+	if repeated := s.TakeChargeErrors(); len(repeated) != 0 {
 		t.Errorf("errors for damaged charges are returned twice: %v", repeated)
 	}
 }
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -21,7 +21,7 @@
 		{"final-state", golden.Fill(new(FinalState))},
 		{"moved-charges", golden.Fill(new(detachedRecord))},
 	} {
-		t.Run(c.name, func(t *testing.T) { golden.JSON(t, c.name, c.value) })
+		t.Run(c.name, func(t *testing.T) { golden.JSONRoundTrip(t, c.name, c.value) })
 	}
 }
 
@@ -54,7 +54,7 @@
 		{"moved-charges-pack", detachedRecord{Charges: encoded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			decoded, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.Written(t, c.name, c.value)})
+			decoded, err := DecodeCharges(wire.Item{Key: c.name, Value: golden.JSONEncoding(t, c.name, c.value)})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scheduler/jobs/job.go
+++ b/internal/scheduler/jobs/job.go
@@ -21,8 +21,8 @@
 	Failures        int                  // failed tasks that this leader has seen
 	FailedWaves     int                  // waves of failures since a task last ran well; see MarkFailed
 	AvoidMachines   map[string]time.Time // machines on which a task of the job failed, and until when to avoid them
-	recentRuns      []CompletedRun       // of the last tasks that completed, at most SlowRuns
-	medianRunS      float64              // the median of recentRuns in seconds, once there are SeenRuns of them
+	recentRuns      []CompletedRun       // of the last tasks that completed, at most RememberedRuns
+	medianRunS      float64              // the median of recentRuns in seconds, once there are ObservedRunsMin of them
 
 	version         uint64 // of the stored job record
 	chunks          []progressChunk
--- a/internal/scheduler/jobs/kvstore_test.go
+++ b/internal/scheduler/jobs/kvstore_test.go
@@ -12,7 +12,7 @@
 var (
 	t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	// later is a time at which lazy changes that were made at t0 are due to be written.
-	later = t0.Add(tuning.LazyFlush)
+	later = t0.Add(tuning.LazyWriteDelay)
 )
 
 // kvStore is a fake key-value store. It applies transactions and fails the test if a condition does not hold.
@@ -27,7 +27,7 @@
 // accept stores an accepted job.
 func (kv *kvStore) accept(id string, tasks int) {
 	kv.revision++
-	rec := JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AtMS: t0.UnixMilli()}
+	rec := JobRecord{Job: wire.Job{ID: id, Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1}, AcceptedAtMS: t0.UnixMilli()}
 	kv.items[KeyJob(id)] = wire.Item{Key: KeyJob(id), Value: wire.EncodeRecord(rec), Version: kv.revision}
 }
 
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -51,7 +51,7 @@
 }
 
 func newJob(record *JobRecord, version uint64, now, wall time.Time) *Job {
-	acceptedAt := time.UnixMilli(record.AtMS)
+	acceptedAt := time.UnixMilli(record.AcceptedAtMS)
 	// The wait is measured by the monotonic clock. The part before this leader loaded the job is computed
 	// from the time of day, which may be slightly wrong.
 	waited := max(0, wall.Sub(acceptedAt))
@@ -150,7 +150,7 @@
 }
 
 // LoadDetached adds a stored record of detached charges. If it cannot be decoded, the error is reported by
-// TakeDamaged.
+// TakeChargeErrors.
 func (s *Store) LoadDetached(item wire.Item) {
 	switch p, err := DecodeCharges(item); {
 	case err != nil:
@@ -168,10 +168,10 @@
 	}
 }
 
-// TakeDamaged returns the errors since the last call of records whose charges could not be decoded. The task
+// TakeChargeErrors returns the errors since the last call of records whose charges could not be decoded. The task
 // progress in such a record is used all the same, so the job's tasks are not affected. Each error is a
 // *RecordError.
-func (s *Store) TakeDamaged() []error {
+func (s *Store) TakeChargeErrors() []error {
 	out := s.chargeErrors
 	s.chargeErrors = nil
 	return out
--- a/internal/scheduler/jobs/queue.go
+++ b/internal/scheduler/jobs/queue.go
@@ -27,10 +27,10 @@
 	return !q.flushAt.IsZero() && !now.Before(q.flushAt)
 }
 
-// scheduleFlush sets the time for writing lazy changes to LazyFlush from now, unless one is already set.
+// scheduleFlush sets the time for writing lazy changes to LazyWriteDelay from now, unless one is already set.
 func (q *writeQueue) scheduleFlush(now time.Time) {
 	if q.flushAt.IsZero() {
-		q.flushAt = now.Add(tuning.LazyFlush)
+		q.flushAt = now.Add(tuning.LazyWriteDelay)
 	}
 }
 
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -47,9 +47,9 @@
 
 // JobRecord is the stored form of an accepted job.
 type JobRecord struct {
-	Job       wire.Job `json:"job"`
-	AtMS      int64    `json:"at_ms"` // time of day when the job was accepted, in Unix milliseconds
-	Cancelled bool     `json:"cancelled,omitempty"`
+	Job          wire.Job `json:"job"`
+	AcceptedAtMS int64    `json:"at_ms"` // time of day when the job was accepted, in Unix milliseconds
+	Cancelled    bool     `json:"cancelled,omitempty"`
 }
 
 // FinalState is the stored form of a job's final state.
--- a/internal/scheduler/jobs/runtimes.go
+++ b/internal/scheduler/jobs/runtimes.go
@@ -22,21 +22,21 @@
 			elsewhere = append(elsewhere, other.Seconds)
 		}
 	}
-	if j.recentRuns = append(j.recentRuns, run); len(j.recentRuns) > tuning.SlowRuns {
+	if j.recentRuns = append(j.recentRuns, run); len(j.recentRuns) > tuning.RememberedRuns {
 		j.recentRuns = j.recentRuns[1:]
 	}
-	if len(j.recentRuns) >= tuning.SeenRuns {
+	if len(j.recentRuns) >= tuning.ObservedRunsMin {
 		sorted := slices.SortedFunc(slices.Values(j.recentRuns), func(a, b CompletedRun) int { return cmp.Compare(a.Seconds, b.Seconds) })
 		j.medianRunS = sorted[len(sorted)/2].Seconds
 	}
 	return elsewhere
 }
 
-// ExpectedRunS returns the expected run time of a task of the job, in seconds. Once SeenRuns tasks completed,
+// ExpectedRunS returns the expected run time of a task of the job, in seconds. Once ObservedRunsMin tasks completed,
 // it is the median of the recent runs, since run times differ little within a job; measured is true then.
 // Before, it is the owner's estimate.
 func (j *Job) ExpectedRunS() (seconds float64, measured bool) {
-	if len(j.recentRuns) < tuning.SeenRuns {
+	if len(j.recentRuns) < tuning.ObservedRunsMin {
 		return j.EstimateS, false
 	}
 	return j.medianRunS, true
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -28,7 +28,7 @@
 
 	newlyRunning []*Allocation     // first seen running, in that order; ChargedFrom may not be stored yet
 	detached     []DetachedCharges // not yet returned by TakeDetached
-	chargeErrors []error           // not yet returned by TakeDamaged
+	chargeErrors []error           // not yet returned by TakeChargeErrors
 }
 
 // NewStore returns an empty store. txnOps is the maximum number of changes in one transaction.
--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -45,7 +45,7 @@
 }
 
 // listPause returns the pause after a reading of the cloud's list that took this long.
-func listPause(took time.Duration) time.Duration { return max(tuning.ListEvery, took) }
+func listPause(took time.Duration) time.Duration { return max(tuning.CloudListEvery, took) }
 
 // endProvenGone ends the attempts on machines that a page of the list proves to be gone. A quarter of the machines
 // that the cloud interrupts get no notice. Without this, their tasks waited until the machines' leases expired.
@@ -115,13 +115,13 @@
 // forgetUnlisted forgets machines that are not alive, because their lease expired or they never came up, and that
 // several lists in a row lack: the cloud took them back.
 func (l *Loop) forgetUnlisted(listed map[string]bool, now time.Time) {
-	minAge := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.ListEvery
+	minAge := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.CloudListEvery
 	for _, m := range l.machines.Machines {
 		if listed[m.Name] || m.Alive() || now.Sub(m.AddedAt) < minAge {
 			m.MissedListings = 0
 			continue
 		}
-		if m.MissedListings++; m.MissedListings >= tuning.UnlistedLists && len(m.Allocations) == 0 && !m.Returning {
+		if m.MissedListings++; m.MissedListings >= tuning.MissedListingsMin && len(m.Allocations) == 0 && !m.Returning {
 			l.machines.Forget(m.Name)
 		}
 	}
--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -26,7 +26,7 @@
 func (l *Loop) commit(t wire.Txn, inDoubt *atomic.Bool) (revision uint64, err error) {
 	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
 	mayBeApplied := false // by an earlier try without an answer
-	for pause := tuning.StateRetry; ; pause = min(2*pause, tuning.StateRetryMax) {
+	for pause := tuning.StateRetryPause; ; pause = min(2*pause, tuning.StateRetryPauseMax) {
 		if err := l.termCtx.Err(); err != nil {
 			return 0, err
 		}
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -114,7 +114,7 @@
 	bySavings := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(savedPerTask(b), savedPerTask(a)), cmp.Compare(a.Name, b.Name))
 	})
-	candidates := bySavings[:min(len(bySavings), max(tuning.ConsolidateCandidates, len(bySavings)/tuning.ConsolidateCandidateShare))]
+	candidates := bySavings[:min(len(bySavings), max(tuning.ConsolidateCandidatesMin, len(bySavings)/tuning.ConsolidateCandidateDivisor))]
 	for _, v := range candidates {
 		m := l.machines.Machines[v.Name]
 		if dryRun.TryPlace(now, tasksAsPending(m, now), v) {
@@ -156,7 +156,7 @@
 func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
 	replicas := l.runningReplicas()
 	l.moves.addBudget(replicas)
-	maxMoves := max(tuning.MovesInFlight, replicas/tuning.MovesInFlightShare)
+	maxMoves := max(tuning.MovesInFlightMin, replicas/tuning.MovesInFlightDivisor)
 	var moved []*jobs.Allocation
 	var dryRun *placement.DryRun // on the machines in use; created only if a replica can be moved, as mostly none can
 	for _, m := range draining {
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -61,7 +61,7 @@
 func TestLargeFleetDrainsManyMachinesAtATime(t *testing.T) {
 	l, clock := newFleetOfSmall(t, 160)
 	l.consolidate(clock.Now())
-	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateShare {
+	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateDivisor {
 		t.Errorf("%d of 160 machines are drained, want one in tuning.ConsolidateCandidateShare", got)
 	}
 	moving := 0
@@ -73,7 +73,7 @@
 		}
 	}
 	// If more were moved at a time, more would be down together when the leader dies.
-	if moving != tuning.MovesInFlight {
+	if moving != tuning.MovesInFlightMin {
 		t.Errorf("%d replicas are moved at a time, want tuning.MovesInFlight", moving)
 	}
 }
--- a/internal/scheduler/leader/cycle.go
+++ b/internal/scheduler/leader/cycle.go
@@ -55,5 +55,5 @@
 	}
 	l.schedule(now)
 	l.env.observe(func(o Observer) { o.CycleDone(l.env.Clock.Since(now)) })
-	l.cycle.notBefore = l.earliestNextRun(now, tuning.CycleRestMin)
+	l.cycle.notBefore = l.earliestNextRun(now, tuning.CyclePauseMin)
 }
--- a/internal/scheduler/leader/cycle_test.go
+++ b/internal/scheduler/leader/cycle_test.go
@@ -33,13 +33,13 @@
 }
 
 // Guards against a scheduling cycle for each of hundreds of heartbeats a second: a cycle is followed by a pause of
-// tuning.CycleRestFactor times its duration.
+// tuning.CyclePauseFactor times its duration.
 func TestPauseAfterSchedulingCycle(t *testing.T) {
 	l, clock := newTestLoop(t)
 	start := clock.Now()
 	clock.Advance(3 * time.Millisecond)
 	for _, minPause := range []time.Duration{0, 20 * time.Millisecond, time.Second} {
-		if got, want := l.earliestNextRun(start, minPause).Sub(clock.Now()), max(minPause, tuning.CycleRestFactor*3*time.Millisecond); got != want {
+		if got, want := l.earliestNextRun(start, minPause).Sub(clock.Now()), max(minPause, tuning.CyclePauseFactor*3*time.Millisecond); got != want {
 			t.Errorf("pause of %v after a cycle of 3 ms, want %v", got, want)
 		}
 	}
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -73,7 +73,7 @@
 
 // machineType returns a machine type by its name; nil if it is not known.
 func (e *Env) machineType(name string) *wire.MachineType {
-	return wire.TypeNamed(e.MachineTypes(), name)
+	return wire.FindMachineType(e.MachineTypes(), name)
 }
 
 // workerLease is how long a worker may run its tasks after a heartbeat that was answered.
--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -46,7 +46,7 @@
 	add := func(format string, args ...any) { e.Reasons = append(e.Reasons, fmt.Sprintf(format, args...)) }
 	admitted, reason := l.subsystems.admit(j, now)
 	if admitted < e.Waiting {
-		e.Held = e.Waiting - admitted
+		e.NotAdmitted = e.Waiting - admitted
 		add("%s", reason)
 	}
 	if admitted == 0 {
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -15,7 +15,7 @@
 // with a mistake had healthy machines drained.
 func (l *Loop) taskFailed(a *jobs.Allocation, now time.Time) {
 	j := a.Job
-	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidFor)
+	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidMachineFor)
 	l.jobs.MarkFailed(j, now)
 	ranForLong := !a.RunningSince.IsZero() && now.Sub(a.RunningSince) >= tuning.HealthyRunAfter
 	if ranForLong {
@@ -25,7 +25,7 @@
 	}
 	l.blameMachines(j)
 	if n := len(j.AvoidMachines); n >= tuning.FaultyJobMachines {
-		j.BackoffUntil = now.Add(min(tuning.ErrorPause<<min(j.Failures-tuning.FaultyJobMachines, 10), tuning.ErrorPauseMax))
+		j.BackoffUntil = now.Add(min(tuning.FailureBackoff<<min(j.Failures-tuning.FaultyJobMachines, 10), tuning.FailureBackoffMax))
 	}
 }
 
@@ -37,7 +37,7 @@
 	if j.FailedWaves == 0 {
 		return false
 	}
-	if j.HasWorked(now) {
+	if j.HasHealthyRun(now) {
 		l.endProbation(j, now)
 		return false
 	}
@@ -46,7 +46,7 @@
 
 // endProbation ends a job's probation. Its failures now count against the machines on which they happened.
 func (l *Loop) endProbation(j *jobs.Job, now time.Time) {
-	l.jobs.MarkWorking(j, now)
+	l.jobs.ResetBackoff(j, now)
 	l.blameMachines(j)
 }
 
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -57,7 +57,7 @@
 			}
 			l.endAttempt(a, wire.ExitError)
 			next := j.BackoffUntil.Sub(clock.Now())
-			if next < pause || next > tuning.ErrorPauseMax {
+			if next < pause || next > tuning.FailureBackoffMax {
 				t.Fatalf("a pause of %v follows one of %v", next, pause)
 			}
 			clock.Advance(next)
@@ -69,7 +69,7 @@
 			l.machines.AddAllocation(a, clock.Now())
 		}
 		l.endAttempt(a, wire.ExitError)
-		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.ErrorPauseMax {
+		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.FailureBackoffMax {
 			t.Errorf("%d failed waves and a pause of %v, want 9 and the longest pause", j.FailedWaves, j.BackoffUntil.Sub(clock.Now()))
 		}
 	}
@@ -78,7 +78,7 @@
 			t.Errorf("%s is unhealthy", name)
 		}
 	}
-	clock.Advance(tuning.ErrorPauseMax)
+	clock.Advance(tuning.FailureBackoffMax)
 	if l.scaleOut(clock.Now()); len(l.rentals.pending) != 0 {
 		t.Errorf("machines are rented for jobs on probation: %v", l.rentals.pending)
 	}
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -34,7 +34,7 @@
 	}
 	begun := l.env.Clock.Now()
 	l.planFleet(begun)
-	l.fleet.notBefore = l.earliestNextRun(begun, tuning.ScaleOutRestMin)
+	l.fleet.notBefore = l.earliestNextRun(begun, tuning.ScaleOutPauseMin)
 }
 
 // planFleet rents the machines that are needed and returns those that are not.
@@ -56,7 +56,7 @@
 // mayRent reports whether machines may be rented. A new leader waits until the machines that it took over have had
 // time to send heartbeats.
 func (l *Loop) mayRent(now time.Time) bool {
-	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentAfterFailover
+	return l.leadership.Term == 1 || now.Sub(l.startedAt) > tuning.RentDelayAfterFailover
 }
 
 // maxBootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time,
@@ -65,7 +65,7 @@
 	if t := l.env.machineType(typ); t != nil {
 		return time.Duration(t.BootS*factor*float64(time.Second)) + tuning.BootExtra
 	}
-	return tuning.BootUnknown
+	return tuning.UnknownTypeBootTime
 }
 
 // awaitValidLeadership waits until this member may act as the leader of the term (Env.Valid). It returns false if the
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -16,17 +16,17 @@
 		limit = n
 	}
 	if mb := l.env.Settings.Cluster.Limits.RAMMB; mb > 0 {
-		targetMB := mb * tuning.MemoryShare
-		limit = min(limit, max(1, machinesFittingIn(targetMB-tuning.ProcessMB), l.maxMachinesByMemoryInUse(targetMB)))
+		targetMB := mb * tuning.MemoryTargetShare
+		limit = min(limit, max(1, machinesFittingIn(targetMB-tuning.ProcessMiB), l.maxMachinesByMemoryInUse(targetMB)))
 	}
 	return limit
 }
 
 // machinesFittingIn is how many machines fit into an amount of memory, in MiB, if each needs MachineKB.
-func machinesFittingIn(mb float64) int { return int(mb * 1024 / tuning.MachineKB) }
+func machinesFittingIn(mb float64) int { return int(mb * 1024 / tuning.MachineKiB) }
 
 // maxMachinesByMemoryInUse is how many machines there may be by the memory that is in use. targetMB is the
-// runtime's memory target in MiB. The share LiveShare of it may be in use. Machines that have sent no heartbeat do
+// runtime's memory target in MiB. The share ReachableMemoryShare of it may be in use. Machines that have sent no heartbeat do
 // not count as using memory yet: for each of them, and for each machine that is still to be rented, MachineKB of
 // the remaining memory is set aside. The result is 0 if the memory in use is not known.
 func (l *Loop) maxMachinesByMemoryInUse(targetMB float64) int {
@@ -39,5 +39,5 @@
 			inUse++
 		}
 	}
-	return inUse + machinesFittingIn(tuning.LiveShare*targetMB-float64(l.env.MemoryInUse())/(1<<20))
+	return inUse + machinesFittingIn(tuning.ReachableMemoryShare*targetMB-float64(l.env.MemoryInUse())/(1<<20))
 }
--- a/internal/scheduler/leader/forecast.go
+++ b/internal/scheduler/leader/forecast.go
@@ -17,10 +17,10 @@
 	count  int                 // number of all jobs added in this term
 }
 
-// add adds a job. Of the jobs of an initial backlog only one in tuning.FirstStartRushShare counts as an arrival.
+// add adds a job. Of the jobs of an initial backlog only one in tuning.InitialBacklogDivisor counts as an arrival.
 func (a *arrivalLog) add(j *jobs.Job, initialBacklog bool) {
 	a.count++
-	if !initialBacklog || a.count%tuning.FirstStartRushShare == 0 {
+	if !initialBacklog || a.count%tuning.InitialBacklogDivisor == 0 {
 		a.recent = append(a.recent, autoscale.Arrival{At: j.WaitingSince, Job: &j.Job})
 	}
 }
@@ -34,7 +34,7 @@
 // say nothing about future jobs: when 70 services arrived at once, room was reserved for 49 more, which was a third of
 // the machines for two minutes.
 func (l *Loop) inInitialBacklog(now time.Time) bool {
-	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.FirstStartRush
+	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.InitialBacklogWindow
 }
 
 // recentArrivals returns the jobs that arrived recently, without those on probation.
--- a/internal/scheduler/leader/forecast_test.go
+++ b/internal/scheduler/leader/forecast_test.go
@@ -23,12 +23,12 @@
 		l.loadJobs([]wire.Item{{Key: jobs.KeyJob(id), Value: value, Version: 1}})
 		return len(l.arrivals.recent)
 	}
-	for i := range tuning.FirstStartRushShare {
-		if n := loadJob(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.FirstStartRushShare {
+	for i := range tuning.InitialBacklogDivisor {
+		if n := loadJob(fmt.Sprintf("job-1%d", i)); n != (i+1)/tuning.InitialBacklogDivisor {
 			t.Errorf("%d arrivals counted after %d jobs of the initial backlog", n, i+1)
 		}
 	}
-	clock.Advance(tuning.FirstStartRush)
+	clock.Advance(tuning.InitialBacklogWindow)
 	if n := loadJob("job-2"); n != 2 {
 		t.Errorf("%d arrivals counted after one more job that was not in the backlog, want 2", n)
 	}
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSON(t, "link", golden.Fill(new(chainLinkRecord)))
-	golden.JSON(t, "images", golden.Fill(new(imagesRecord)))
+	golden.JSONRoundTrip(t, "link", golden.Fill(new(chainLinkRecord)))
+	golden.JSONRoundTrip(t, "images", golden.Fill(new(imagesRecord)))
 	golden.Lines(t, "keys", keyChainLink, keyImages)
 }
 
 // Guards the JSON in which a member relays a command to the leader.
 func TestCommandFormat(t *testing.T) {
-	golden.JSON(t, "command", golden.Fill(new(Command)))
+	golden.JSONRoundTrip(t, "command", golden.Fill(new(Command)))
 }
 
 func TestStoredImages(t *testing.T) {
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -66,7 +66,7 @@
 
 // applyHeartbeatResult applies the effects of a heartbeat, except for the commands of its reply.
 func (l *Loop) applyHeartbeatResult(r *machines.HeartbeatResult, now time.Time) {
-	if len(r.RetainedExits) > tuning.UnrecordedExits {
+	if len(r.RetainedExits) > tuning.UnrecordedExitsMax {
 		l.writeExitsSoon(r.RetainedExits)
 	}
 	for _, a := range r.Started {
--- a/internal/scheduler/leader/heartbeats_test.go
+++ b/internal/scheduler/leader/heartbeats_test.go
@@ -11,7 +11,7 @@
 // Guards against heartbeats that outgrow the largest request: ends are written late, and a worker of tiny tasks
 // lists each exit until its record is stored.
 func TestManyRetainedExitsAreWrittenEarly(t *testing.T) {
-	for _, retained := range []int{tuning.UnrecordedExits, tuning.UnrecordedExits + 1} {
+	for _, retained := range []int{tuning.UnrecordedExitsMax, tuning.UnrecordedExitsMax + 1} {
 		l, clock := newTestLoop(t)
 		now := clock.Now()
 		j := l.addPending(t, wire.Job{ID: "job-000001", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: retained + 1, CPUs: 0.1, MemoryGB: 0.1})
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		batch := l.jobs.NextBatch(now, jobs.WriteBudget{})
-		if got, want := batch != nil, retained > tuning.UnrecordedExits; got != want {
+		if got, want := batch != nil, retained > tuning.UnrecordedExitsMax; got != want {
 			t.Errorf("a worker retains %d exits: their ends are written early: %v", retained, got)
 		}
 		if batch != nil && len(batch.Txn.Then) != (retained+tuning.ChunkTasks-1)/tuning.ChunkTasks {
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -76,13 +76,13 @@
 	}
 }
 
-// stepImages stores which machines hold which images, every ImagesEvery, if the write limit of the key-value store
+// stepImages stores which machines hold which images, every ImagesStoreEvery, if the write limit of the key-value store
 // has room to spare.
 func (l *Loop) stepImages(now time.Time) {
-	if l.images.inFlight || now.Before(l.images.nextWrite) || l.store.SpareWrites() < tuning.ImagesRoom {
+	if l.images.inFlight || now.Before(l.images.nextWrite) || l.store.SpareWrites() < tuning.ImagesSpareChangesMin {
 		return
 	}
-	l.images.nextWrite = now.Add(tuning.ImagesEvery)
+	l.images.nextWrite = now.Add(tuning.ImagesStoreEvery)
 	value := l.encodeImages(l.machines.ImageLocations(l.cacheGB))
 	if value == nil {
 		return
@@ -125,7 +125,7 @@
 	}
 	for ; len(images.Images) > 0; images.Images = images.Images[:len(images.Images)/2] {
 		value := wire.EncodeRecord(imagesRecord{l.images.codec.Encode(images)})
-		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.CommitBytes {
+		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.TxnTargetBytes {
 			return value
 		}
 	}
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -35,7 +35,7 @@
 		j, running := &a.Job.Job, a.State == wire.TaskRunning
 		switch {
 		case running && j.CheckpointS > 0:
-			a.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.GraceExtra).Seconds(), Reason: charge.Drained}
+			a.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.CheckpointGraceExtra).Seconds(), Reason: charge.Drained}
 		case running && worthRunningOn(a.Job, now.Sub(a.RunningSince), timeLeft):
 			continue
 		default:
@@ -71,9 +71,9 @@
 	if expectedS <= 0 || timeLeft <= 0 {
 		return false
 	}
-	sigma := tuning.EstimateSpread
+	sigma := tuning.EstimateLogStdDev
 	if fromRuns {
-		sigma = tuning.SeenSpread
+		sigma = tuning.ObservedLogStdDev
 	}
 	runsLonger := func(s float64) float64 { // the share of tasks that run longer than s seconds
 		return 0.5 * math.Erfc(math.Log(s/expectedS)/(sigma*math.Sqrt2))
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -81,13 +81,13 @@
 // partitioned zone may run on for longer than a user who knows that the job is cancelled may have to wait for its end.
 //
 // While a task is unreachable, the error is ErrTaskUnreachable, and the user has to ask again. The other errors are
-// ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelWait at the latest.
+// ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelTimeout at the latest.
 func (l *Loop) Cancel(ctx context.Context, id string) (wire.JobState, error) {
 	type result struct {
 		state wire.JobState
 		err   error
 	}
-	ctx, stop := context.WithTimeout(ctx, tuning.CancelWait)
+	ctx, stop := context.WithTimeout(ctx, tuning.CancelTimeout)
 	defer stop()
 	r, err := ask(ctx, l, func(answer func(result)) {
 		j, err := l.liveJob(id)
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -51,8 +51,8 @@
 // records and the members report renewals only that much further back than a lease.
 func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
-	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadEvery)
-	if took := now.Sub(asked); err == nil && took > tuning.RenewedQueryTime {
+	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadMinInterval)
+	if took := now.Sub(asked); err == nil && took > tuning.RenewedQueryTimeout {
 		err = fmt.Errorf("query took too long to be conclusive: %v", took)
 	}
 	if err != nil {
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -61,7 +61,7 @@
 	for _, c := range []struct {
 		took  time.Duration
 		ended bool
-	}{{tuning.RenewedQueryTime, true}, {tuning.RenewedQueryTime + time.Millisecond, false}} {
+	}{{tuning.RenewedQueryTimeout, true}, {tuning.RenewedQueryTimeout + time.Millisecond, false}} {
 		l, advance := newTwoZoneLoop(t, 1, `{"zone":"a","member":"ma"}`)
 		l.env.MayHaveRenewed = func(context.Context, string, []string) ([]string, error) {
 			advance(c.took)
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -72,13 +72,13 @@
 // watch can no longer report all changes, the term ends, and the next leader reads all records.
 func (l *Loop) followJobs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		response, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatch)
+		response, err := l.store.Watch(ctx, jobs.PrefixJob, revision, tuning.JobWatchWait)
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
 			l.endTerm(fmt.Errorf("the watch missed changes of jobs: %w", err))
 			return
 		case err != nil:
-			l.env.sleep(ctx, tuning.StateRetry)
+			l.env.sleep(ctx, tuning.StateRetryPause)
 			continue
 		}
 		revision = max(revision, response.Revision)
@@ -171,7 +171,7 @@
 // finishLoading begins the work of the term, now that all records are in memory.
 func (l *Loop) finishLoading(now time.Time) {
 	l.jobs.FinishLoading()
-	for _, err := range l.jobs.TakeDamaged() {
+	for _, err := range l.jobs.TakeChargeErrors() {
 		l.log.Error("stored charges cannot be decoded; they are lost", "err", err)
 	}
 	l.loading.done = true
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -66,8 +66,8 @@
 		leadership:    leadership,
 		log:           env.Log.With("term", leadership.Term),
 		startedAt:     now,
-		inbox:         make(chan func(), tuning.Inbox),
-		store:         env.Store.WithShare(tuning.LeaderShare),
+		inbox:         make(chan func(), tuning.InboxMessages),
+		store:         env.Store.WithShare(tuning.LeaderRateShare),
 		jobs:          jobs.NewStore(env.Settings.Cluster.State.TxnOps),
 		machines:      machines.New(leadership.Term, env.Settings.Cluster.Workers.LeaseS),
 		writer:        recordWriter{overdueLimit: newOverdueLimiter(env.Settings.Cluster.State.WriteRPS)},
@@ -78,7 +78,7 @@
 		rentals:       newRentals(),
 		moves:         replicaMoves{budgetS: tuning.MoveDowntimeBudgetMax.Seconds()},
 		levels:        newServiceLevels(),
-		images:        imageHints{nextWrite: now.Add(tuning.ImagesEvery)},
+		images:        imageHints{nextWrite: now.Add(tuning.ImagesStoreEvery)},
 	}
 	l.subsystems = newSubsystemSet(env.Subsystems, l.log)
 	return l
@@ -147,7 +147,7 @@
 }
 
 // earliestNextRun returns the earliest time at which work that began at started, and ends now, may be done again. The pause
-// is tuning.CycleRestFactor times as long as the work, and at least minPause; work that took no measurable time needs
+// is tuning.CyclePauseFactor times as long as the work, and at least minPause; work that took no measurable time needs
 // none. A scheduling cycle over a large cluster takes milliseconds of a share of a processor, and without the pause
 // each of hundreds of heartbeats per second would trigger one. Changes that arrive during the pause share the next
 // cycle.
@@ -157,5 +157,5 @@
 	if took <= 0 {
 		return now
 	}
-	return now.Add(max(minPause, tuning.CycleRestFactor*took))
+	return now.Add(max(minPause, tuning.CyclePauseFactor*took))
 }
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -54,6 +54,6 @@
 		}
 	case wire.ExitUnknown:
 		// The worker does not find the job's description, or not yet.
-		a.Job.BackoffUntil = now.Add(tuning.ErrorPause)
+		a.Job.BackoffUntil = now.Add(tuning.FailureBackoff)
 	}
 }
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -15,7 +15,7 @@
 
 // maxSilence is the longest time that may pass between messages of a machine that is connected to the leader.
 func (l *Loop) maxSilence() time.Duration {
-	return seconds(tuning.SilentHeartbeats * l.env.Settings.Cluster.Workers.HeartbeatS)
+	return seconds(tuning.SilentHeartbeatIntervals * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
 // unreachable reports whether a command sent to a machine now is unlikely to reach it.
@@ -30,7 +30,7 @@
 	return m.UnansweredCommandAt.After(m.LastHeartbeat)
 }
 
-// partitionedZones returns the zones in which a share of at least CutShare of the machines, and at least SilentMany
+// partitionedZones returns the zones in which a share of at least PartitionZoneShare of the machines, and at least PartitionMinMachines
 // of them, have lost contact with the leader. These zones are partitioned from the leader, which cannot use
 // machines rented there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
@@ -52,7 +52,7 @@
 	}
 	partitioned := map[string]bool{}
 	for zone, c := range counts {
-		if c.silent >= tuning.SilentMany && float64(c.silent) >= tuning.CutShare*float64(c.all) {
+		if c.silent >= tuning.PartitionMinMachines && float64(c.silent) >= tuning.PartitionZoneShare*float64(c.all) {
 			partitioned[zone] = true
 		}
 	}
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -254,7 +254,7 @@
 	if partitioned := l.partitionedZones(now); !partitioned["b"] || partitioned["a"] {
 		t.Errorf("partitioned zones are %v, want zone b alone", partitioned)
 	}
-	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterCut {
+	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterPartition {
 		t.Errorf("silent machines are returned after %v, want SilentReturnAfterCut", got)
 	}
 }
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -63,9 +63,9 @@
 
 // avoidsMachines reports whether a job avoids the machines on which its tasks failed. A job that failed on
 // tuning.FaultyJobMachines machines or more avoids none, because it fails everywhere. Nor does a job without any
-// allocated task that has waited for tuning.AvoidWait, possibly while such a machine had room.
+// allocated task that has waited for tuning.AvoidMachineMaxWait, possibly while such a machine had room.
 func avoidsMachines(j *jobs.Job, now time.Time) bool {
-	waitedLong := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidWait
+	waitedLong := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidMachineMaxWait
 	failedOn := len(j.AvoidMachines)
 	return failedOn > 0 && failedOn < tuning.FaultyJobMachines && !waitedLong
 }
--- a/internal/scheduler/leader/preempt.go
+++ b/internal/scheduler/leader/preempt.go
@@ -52,7 +52,7 @@
 // heartbeatsMayBeMissing reports whether a failover was so recent that many jobs may wait only because machines have
 // not yet sent the new leader a heartbeat.
 func (l *Loop) heartbeatsMayBeMissing(now time.Time) bool {
-	return l.leadership.Term > 1 && now.Sub(l.startedAt) < tuning.PreemptAfterFailover
+	return l.leadership.Term > 1 && now.Sub(l.startedAt) < tuning.PreemptDelayAfterFailover
 }
 
 // stopVictims stops the tasks that were chosen to make room.
@@ -84,7 +84,7 @@
 // preemptionCostS returns the cost of preempting a task, in seconds: the work that would be lost, and more for a high
 // priority or for a task that has only just started.
 func preemptionCostS(a *jobs.Allocation, now time.Time) float64 {
-	cost := tuning.PreemptPriorityCost * float64(a.Job.Priority.Level())
+	cost := tuning.PreemptPriorityCostS * float64(a.Job.Priority.Level())
 	if a.State != wire.TaskRunning {
 		return cost
 	}
@@ -95,7 +95,7 @@
 	}
 	cost += lost
 	if ran < tuning.PreemptMinRun {
-		cost += tuning.PreemptFreshCost
+		cost += tuning.PreemptFreshCostS
 	}
 	return cost
 }
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -37,7 +37,7 @@
 	// High priority makes preemption cost more. Otherwise urgent tasks of a team that borrows could be preempted for
 	// less urgent work within a guarantee, although less urgent tasks could be preempted instead.
 	job.Priority = wire.PriorityHigh
-	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PreemptPriorityCost {
+	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PreemptPriorityCostS {
 		t.Errorf("victims with high priority are %v, want one with a cost of two steps of priority more", urgent)
 	}
 }
