--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -40,7 +40,7 @@
 }
 
 func newProbing() probing {
-	return probing{limiter: rate.NewLimiter(tuning.ProbeRateMin, tuning.ProbeMin), unanswered: map[string]bool{}}
+	return probing{limiter: rate.NewLimiter(tuning.ProbesPerSecondMin, tuning.ProbesInFlightMin), unanswered: map[string]bool{}}
 }
 
 // commandAnswered records that a machine answered a command or probe.
@@ -55,9 +55,9 @@
 // setRate limits the rate of probes in proportion to the rate at which this many machines send heartbeats, one
 // every heartbeatS seconds each.
 func (p *probing) setRate(machines int, heartbeatS float64, now time.Time) {
-	perS := max(tuning.ProbeRateMin, tuning.ProbeRate*float64(machines)/max(1, heartbeatS))
+	perS := max(tuning.ProbesPerSecondMin, tuning.ProbesPerHeartbeat*float64(machines)/max(1, heartbeatS))
 	p.limiter.SetLimitAt(now, rate.Limit(perS))
-	p.limiter.SetBurstAt(now, max(tuning.ProbeMin, int(perS*tuning.SubsystemTick.Seconds())+1))
+	p.limiter.SetBurstAt(now, max(tuning.ProbesInFlightMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 }
 
 // notePeakSuspects records the current number of suspects and returns the largest number since there were last
@@ -145,17 +145,17 @@
 // probeAfter is how long a machine may send no heartbeat before it is probed: the longest pause between heartbeats,
 // plus one attempt of its worker to reach another controller.
 func (l *Loop) probeAfter() time.Duration {
-	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTry
+	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTryTime
 }
 
 // maxProbesInFlight returns how many probes may be in flight for a number of suspects. They suffice to probe all
-// suspects within the share ProbeWithinLease of a worker's lease, at one round per SubsystemTick, but never exceed
-// the share ProbeShareMost of the command slots.
+// suspects within the share ProbeAllLeaseShare of a worker's lease, at one round per SubsystemTick, but never exceed
+// the share ProbeCommandShareMax of the command slots.
 func (l *Loop) maxProbesInFlight(suspects int) int {
 	commands := float64(cap(l.env.CommandSlots))
-	rounds := max(1, tuning.ProbeWithinLease*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
+	rounds := max(1, tuning.ProbeAllLeaseShare*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
 	perRound := int(math.Ceil(float64(suspects) / rounds))
-	return max(tuning.ProbeMin, int(tuning.ProbeShare*commands), min(perRound, int(tuning.ProbeShareMost*commands)))
+	return max(tuning.ProbesInFlightMin, int(tuning.ProbeCommandShare*commands), min(perRound, int(tuning.ProbeCommandShareMax*commands)))
 }
 
 // probe asks a machine for a heartbeat, without blocking the loop.
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -52,7 +52,7 @@
 			l, clock := newTestLoop(t)
 			workers := &workersTransport{requests: map[string]int{}}
 			l.env.Workers = &http.Client{Transport: workers}
-			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.SendShare))
+			l.env.CommandSlots = make(chan struct{}, int(c.fdLimit*tuning.CommandConnShare))
 			l.env.Settings.Cluster.Workers.LeaseS, l.env.Settings.Cluster.Workers.HeartbeatS = c.leaseS, c.heartbeatS
 			l.env.MayAct = func(uint64) bool { return true }
 			clear(l.machines.Machines)
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -168,7 +168,7 @@
 			}
 			*hb = *first
 			hb.Incarnation, hb.Seq, hb.FencingToken = c.incarnation, c.seq, 0
-			advance(tuning.HeartbeatReplyLife)
+			advance(tuning.HeartbeatReplyValidity)
 			if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-9", Address: hb.Address, Type: "small", Zone: "a", Incarnation: hb.Incarnation, Seq: hb.Seq}); !errors.Is(err, machines.ErrStale) {
 				t.Fatalf("a heartbeat that may be a copy gives %v before a probe was answered, want ErrStale", err)
 			}
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -71,8 +71,8 @@
 // wasMissed reports whether the watch should already have reported a stored job. If the job is newer than the
 // watch's last revision, and was accepted not long ago, it was not missed: with a slow state service the listing
 // overtakes the watch, and operators used to get an error for such jobs. A watch that stays behind for longer than
-// JobWatch is an error, unless the whole process was suspended. In that case this member may no longer act, and the
+// JobWatchWait is an error, unless the whole process was suspended. In that case this member may no longer act, and the
 // listing may be handled before the events that the watch received meanwhile.
 func (l *Loop) wasMissed(item wire.Item, j *jobs.Job, now time.Time) bool {
-	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatch && l.env.MayAct(l.leadership.Term)
+	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatchWait && l.env.MayAct(l.leadership.Term)
 }
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -15,7 +15,7 @@
 	l, clock := newTestLoop(t)
 	loaded := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
 	item := func(id string) wire.Item {
-		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 2, CPUs: 1}, AtMS: clock.Now().UnixMilli()})
+		value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: id, Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 2, CPUs: 1}, AcceptedAtMS: clock.Now().UnixMilli()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 	// right to act, as after the whole process was suspended.
 	missed, suspended := item("job-6"), item("job-7")
 	missed.Version, suspended.Version = l.loading.watchedRevision+2, l.loading.watchedRevision+3
-	clock.Advance(tuning.JobWatch + time.Second)
+	clock.Advance(tuning.JobWatchWait + time.Second)
 	l.reconcileJobs([]wire.Item{suspended})
 	if l.jobs.Jobs["job-7"] == nil || counter.found != 1 {
 		t.Errorf("%d jobs count as missed after one that is late while this member may not act, want 1", counter.found)
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -15,18 +15,18 @@
 type recordWriter struct {
 	inFlight     bool          // whether a transaction is in flight
 	inDoubt      atomic.Bool   // whether that transaction may already be applied; set by the goroutine that commits it
-	overdueLimit *rate.Limiter // limits the changes that nobody waits for, once they have waited for tuning.LazyMax
+	overdueLimit *rate.Limiter // limits the changes that nobody waits for, once they have waited for tuning.LazyMaxWait
 }
 
 // newOverdueLimiter returns the limiter of overdue changes, for a state service that allows writeRPS changes per second.
 func newOverdueLimiter(writeRPS float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(tuning.LazyShare*writeRPS), tuning.LazyMin)
+	return rate.NewLimiter(rate.Limit(tuning.LazyRateShare*writeRPS), tuning.LazyBurstChanges)
 }
 
 // budget returns how much the next transaction may hold. available is how many changes the rate limit on the state
 // service allows now, and limit how many it allows at the most. ok is false while too few are available.
 func (w *recordWriter) budget(available, limit int, now time.Time) (budget jobs.WriteBudget, ok bool) {
-	if available < min(limit, tuning.WriteBatchMin) {
+	if available < min(limit, tuning.WriteBatchMinChanges) {
 		return budget, false
 	}
 	budget = jobs.WriteBudget{Changes: available, Spare: available - limit/2, Overdue: int(w.overdueLimit.TokensAt(now))}
--- a/internal/scheduler/leader/retry.go
+++ b/internal/scheduler/leader/retry.go
@@ -6,10 +6,10 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// retry calls try until it succeeds, with pauses that grow from StateRetry to StateRetryMax. It returns false if
+// retry calls try until it succeeds, with pauses that grow from StateRetryPause to StateRetryPauseMax. It returns false if
 // ctx ended first.
 func (l *Loop) retry(ctx context.Context, try func() error) bool {
-	for pause := tuning.StateRetry; ctx.Err() == nil; pause = min(2*pause, tuning.StateRetryMax) {
+	for pause := tuning.StateRetryPause; ctx.Err() == nil; pause = min(2*pause, tuning.StateRetryPauseMax) {
 		err := try()
 		if err == nil {
 			return true
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -72,8 +72,8 @@
 		lease := workerlease.WithDrift(r.l.env.workerLease())
 		return reasonIf("silent", r.now.Sub(m.AddedAt) > lease+r.silenceLimit)
 	case m.LastHeartbeat.IsZero() && m.Incarnation == 0:
-		overdue := r.now.Sub(m.RentedAt) > r.l.maxBootTime(m.Type, tuning.BootGiveUp)
-		return reasonIf("never came up", overdue && r.now.Sub(m.AddedAt) > tuning.AdoptWait)
+		overdue := r.now.Sub(m.RentedAt) > r.l.maxBootTime(m.Type, tuning.BootGiveUpFactor)
+		return reasonIf("never came up", overdue && r.now.Sub(m.AddedAt) > tuning.AdoptedMachineWait)
 	case !m.Alive():
 		return reasonIf("silent", r.now.Sub(m.LeaseExpiry) > r.silenceLimit)
 	case m.Reachability.Unreachable():
@@ -119,8 +119,8 @@
 			silent++
 		}
 	}
-	if silent >= tuning.SilentMany && float64(silent) >= tuning.SilentManyShare*float64(len(l.machines.Machines)) {
-		return tuning.SilentReturnAfterCut
+	if silent >= tuning.PartitionMinMachines && float64(silent) >= tuning.PartitionFleetShare*float64(len(l.machines.Machines)) {
+		return tuning.SilentReturnAfterPartition
 	}
 	return tuning.SilentReturnAfter
 }
@@ -190,7 +190,7 @@
 	for l.awaitValidLeadership() {
 		if err := l.env.Cloud.Delete(l.termCtx, names); err != nil {
 			l.log.Debug("machine deletion failed; retrying", "err", err)
-			l.env.sleep(l.termCtx, tuning.CloudRetry)
+			l.env.sleep(l.termCtx, tuning.CloudRetryPause)
 			continue
 		}
 		l.post(func() {
--- a/internal/scheduler/leader/scale_in_test.go
+++ b/internal/scheduler/leader/scale_in_test.go
@@ -27,7 +27,7 @@
 	for _, c := range []struct {
 		silent int
 		limit  time.Duration
-	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterCut}} {
+	}{{1, tuning.SilentReturnAfter}, {10, tuning.SilentReturnAfterPartition}} {
 		l, clock := newTestLoop(t)
 		var listed []wire.ListedMachine
 		for i := range c.silent {
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -29,7 +29,7 @@
 }
 
 // full reports whether as many requests are in flight as are allowed.
-func (r *rentals) full() bool { return len(r.pending) >= tuning.RentalsInFlight }
+func (r *rentals) full() bool { return len(r.pending) >= tuning.RentalsInFlightMax }
 
 // offeringsInFlight returns the offerings of the requests in flight.
 func (r *rentals) offeringsInFlight() map[autoscale.Offering]bool {
@@ -143,7 +143,7 @@
 // isBooting reports whether a machine has neither sent a heartbeat nor had a task yet, is not being returned and is not
 // overdue.
 func (l *Loop) isBooting(m *machines.Machine, now time.Time) bool {
-	return m.LastHeartbeat.IsZero() && m.Incarnation == 0 && !m.Returning && now.Sub(m.RentedAt) < l.maxBootTime(m.Type, tuning.BootFactor)
+	return m.LastHeartbeat.IsZero() && m.Incarnation == 0 && !m.Returning && now.Sub(m.RentedAt) < l.maxBootTime(m.Type, tuning.BootLateFactor)
 }
 
 // requestMachines sends a rent request, unless too many are in flight.
@@ -166,7 +166,7 @@
 		names, err := l.env.Cloud.Rent(l.termCtx, req)
 		if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 			l.log.Debug("rent request failed; retrying", "request", name, "err", err)
-			l.env.sleep(l.termCtx, tuning.CloudRetry)
+			l.env.sleep(l.termCtx, tuning.CloudRetryPause)
 			continue
 		}
 		l.post(func() { l.machinesRented(name, rental, names) })
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -60,7 +60,7 @@
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
 		l.scaleOut(clock.Now()) // no request is answered in the meantime
-		if n := len(l.rentals.pending); n > tuning.RentalsInFlight {
+		if n := len(l.rentals.pending); n > tuning.RentalsInFlightMax {
 			t.Fatalf("%d rent requests in flight after %d jobs, want at most tuning.RentalsInFlight", n, i+1)
 		}
 	}
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -34,7 +34,7 @@
 func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
-	if len(last) > tuning.SizesRemembered {
+	if len(last) > tuning.RememberedJobSizes {
 		last = last[1:]
 	}
 	s.sizes[j.Class] = last
@@ -44,7 +44,7 @@
 }
 
 // isLargest reports whether size is among the largest tenth of sizes. It is false while there are fewer than
-// tuning.SizesMin sizes, or if none is smaller.
+// tuning.JobSizesMin sizes, or if none is smaller.
 func isLargest(size float64, sizes []float64) bool {
 	smaller, larger := 0, 0
 	for _, s := range sizes {
@@ -55,8 +55,8 @@
 			larger++
 		}
 	}
-	return len(sizes) >= tuning.SizesMin && smaller > 0 &&
-		float64(len(sizes)-larger) > math.Ceil(float64(len(sizes))*tuning.LargestShare)
+	return len(sizes) >= tuning.JobSizesMin && smaller > 0 &&
+		float64(len(sizes)-larger) > math.Ceil(float64(len(sizes))*tuning.LargestJobsQuantile)
 }
 
 // jobBegan records that a task of a job runs. It returns the job if that is its first task to run, and nil otherwise.
--- a/internal/scheduler/leader/service_levels_test.go
+++ b/internal/scheduler/leader/service_levels_test.go
@@ -18,7 +18,7 @@
 	for i := range 20 {
 		last = l.addPending(t, wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1 + i%10, CPUs: 4})
 		live := l.levels.jobArrived(last)
-		if large := i >= tuning.SizesMin-1 && i%10 == 9; live.large != large {
+		if large := i >= tuning.JobSizesMin-1 && i%10 == 9; live.large != large {
 			t.Errorf("job %d of %d tasks: large is %v", i, 1+i%10, live.large)
 		}
 	}
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -14,33 +14,33 @@
 		return
 	}
 	addrs := l.unansweredAddresses(now)
-	if len(addrs) < tuning.UnheardMachines {
+	if len(addrs) < tuning.UnansweredMachinesMin {
 		return
 	}
-	probes.askingPeers, probes.nextPeerProbe = true, now.Add(tuning.UnheardFor)
+	probes.askingPeers, probes.nextPeerProbe = true, now.Add(tuning.UnansweredFor)
 	go func() {
 		reached := l.env.ProbeWorkers(l.termCtx, addrs)
 		l.post(func() {
 			probes.askingPeers = false
-			if reached && len(probes.unanswered) >= tuning.UnheardMachines {
+			if reached && len(probes.unanswered) >= tuning.UnansweredMachinesMin {
 				l.endTerm(ErrUnreachable)
 			}
 		})
 	}()
 }
 
-// mayBeUnreachable reports whether at least tuning.UnheardMachines machines have left commands unanswered, and no
-// machine has answered one for tuning.UnheardFor.
+// mayBeUnreachable reports whether at least tuning.UnansweredMachinesMin machines have left commands unanswered, and no
+// machine has answered one for tuning.UnansweredFor.
 func (l *Loop) mayBeUnreachable(now time.Time) bool {
 	answered := l.probing.lastAnswered
 	if answered.Before(l.startedAt) {
 		answered = l.startedAt
 	}
-	return len(l.probing.unanswered) >= tuning.UnheardMachines && now.Sub(answered) >= tuning.UnheardFor
+	return len(l.probing.unanswered) >= tuning.UnansweredMachinesMin && now.Sub(answered) >= tuning.UnansweredFor
 }
 
 // unansweredAddresses returns the addresses of machines that left commands unanswered: at most
-// tuning.UnheardMachines, which the other members are asked to probe. Machines without recent heartbeats are left
+// tuning.UnansweredMachinesMin, which the other members are asked to probe. Machines without recent heartbeats are left
 // out: they may be dead, which is no reason to step down.
 func (l *Loop) unansweredAddresses(now time.Time) []string {
 	var addrs []string
@@ -50,7 +50,7 @@
 			delete(l.probing.unanswered, name)
 			continue
 		}
-		if m.Address != "" && now.Sub(m.LastHeartbeat) <= l.maxSilence() && len(addrs) < tuning.UnheardMachines {
+		if m.Address != "" && now.Sub(m.LastHeartbeat) <= l.maxSilence() && len(addrs) < tuning.UnansweredMachinesMin {
 			addrs = append(addrs, m.Address)
 		}
 	}
--- a/internal/scheduler/leader/step_down_test.go
+++ b/internal/scheduler/leader/step_down_test.go
@@ -19,13 +19,15 @@
 		ctx, end := context.WithCancelCause(t.Context())
 		l.termCtx, l.endTerm = ctx, end
 		l.env.MayAct = func(uint64) bool { return true }
-		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool { return others && len(addrs) == tuning.UnheardMachines }
+		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool {
+			return others && len(addrs) == tuning.UnansweredMachinesMin
+		}
 		for second := range 20 {
 			advance(time.Second)
 			for i := range 8 {
 				l.mustHandle(t, &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Address: "127.0.0.1:1", Type: "small", Zone: []string{"a", "b"}[i/4], Incarnation: 1, Seq: uint64(second + 2), FencingToken: 1,
 					Tasks: []wire.TaskStatus{{Task: fmt.Sprintf("job-1/%d", i), Attempt: 1, State: wire.TaskRunning}}})
-				if i < tuning.UnheardMachines {
+				if i < tuning.UnansweredMachinesMin {
 					l.sendCommandsTo(fmt.Sprintf("n-%d", i), "127.0.0.1:1", &wire.DirectCommands{Incarnation: 1})
 				}
 			}
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -51,7 +51,7 @@
 					if err := clock.BlockUntilContext(ctx, 1); err != nil {
 						t.Fatal(err)
 					}
-					clock.Advance(tuning.StateRetry)
+					clock.Advance(tuning.StateRetryPause)
 				}
 				if err := <-done; err != nil {
 					t.Fatalf("committing a chained transaction: %v", err)
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	settings := &config.Settings{
-		Member: "m0", Outside: config.Outside{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
+		Member: "m0", External: config.ExternalAddresses{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
 		Cluster: config.Cluster{
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 1, WriteRPS: 1, TxnOps: 12}, Cloud: config.Cloud{RPS: 1},
 		},
@@ -41,7 +41,7 @@
 	}
 	l := New(&Env{
 		Settings: settings, Tunables: tuning.Defaults(), Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Store: statestore.New(settings.Outside.State, 1, 1), Cloud: cloud.New(settings.Outside.Cloud, 1),
+		Store: statestore.New(settings.External.State, 1, 1), Cloud: cloud.New(settings.External.Cloud, 1),
 		Workers: httpjson.NewClient(2, 1, 0, tuning.CommandTimeout),
 		Teams:   map[string]config.Team{"t": {Name: "t", CPUsMax: 100}}, FinalStates: jobs.NewFinalStates(8),
 		MayAct: func(uint64) bool { return false }, MachineTypes: func() []wire.MachineType { return types },
@@ -208,7 +208,7 @@
 func (l *Loop) addPending(t testing.TB, j wire.Job) *jobs.Job {
 	t.Helper()
 	now := l.env.Clock.Now()
-	value, err := json.Marshal(jobs.JobRecord{Job: j, AtMS: now.UnixMilli()})
+	value, err := json.Marshal(jobs.JobRecord{Job: j, AcceptedAtMS: now.UnixMilli()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -184,7 +184,7 @@
 	if result := f.receive(heartbeat(1, 90, term), 2*time.Second, mayNotForget); len(result.Outcomes) != 0 || ops(result.Commands) != "start halt " {
 		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
 	}
-	if result := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyLife, mayNotForget); len(result.Outcomes) != 1 {
+	if result := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyValidity, mayNotForget); len(result.Outcomes) != 1 {
 		t.Errorf("not gone although no start can arrive any more; commands %v", result.Commands)
 	}
 }
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -22,7 +22,7 @@
 	m.usedValid = false
 	usage := m.images[allocation.Job.Image]
 	if usage == nil {
-		if len(m.images) >= tuning.ImagesKnown {
+		if len(m.images) >= tuning.MachineImagesMax {
 			clear(m.images) // no cache has room for so many; images in use are added again by later allocations
 		}
 		usage = &imageUsage{gb: allocation.Job.ImageGB}
--- a/internal/scheduler/machines/lease_test.go
+++ b/internal/scheduler/machines/lease_test.go
@@ -22,7 +22,7 @@
 	if outcomes := f.expire(15 * time.Second); len(outcomes) != 0 {
 		t.Fatalf("allocations ended before the lease, clock drift included, expired: %v", outcomes)
 	}
-	end := 5*time.Second + time.Duration(lease*(1+tuning.ClockDrift)*float64(time.Second)) + tuning.LeaseMargin
+	end := 5*time.Second + time.Duration(lease*(1+tuning.ClockDriftShare)*float64(time.Second)) + tuning.LeaseMargin
 	outcomes := f.expire(end)
 	if len(outcomes) != 1 {
 		t.Fatalf("outcomes at the lease expiry: %v, want one", outcomes)
--- a/internal/scheduler/machines/listing.go
+++ b/internal/scheduler/machines/listing.go
@@ -12,7 +12,7 @@
 // The cloud's protocol guarantees that the list is in order of creation, that a page shows the state at one point in
 // time, which may be long past, and that a machine, once listed, remains listed until it is gone. So if a page lists
 // a machine, each machine created earlier that ever existed is either listed too or gone. Machines created at the
-// same time and rounded ages make that order uncertain, so the listed machine must have existed for tuning.ListNewer
+// same time and rounded ages make that order uncertain, so the listed machine must have existed for tuning.ListSettledAgeS
 // seconds. Nothing is concluded about the newest machines: they may be missing because the page is out of date.
 //
 // All machines of the registry did exist: a heartbeat of theirs arrived, or an answer to a rent request or a list
@@ -36,12 +36,12 @@
 }
 
 // newestOldEnough returns the name of the machine created last among those listed that have existed for at least
-// tuning.ListNewer seconds; empty: there is none.
+// tuning.ListSettledAgeS seconds; empty: there is none.
 func newestOldEnough(listed []wire.ListedMachine) string {
 	newest := ""
 	for i := range listed {
 		m := &listed[i]
-		if m.AgeS >= tuning.ListNewer && (newest == "" || createdBefore(newest, m.Name)) {
+		if m.AgeS >= tuning.ListSettledAgeS && (newest == "" || createdBefore(newest, m.Name)) {
 			newest = m.Name
 		}
 	}
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -162,14 +162,14 @@
 // startMayArrive reports whether an allocation that the heartbeat does not list may still be started, or may be on the
 // machine already. There are three cases:
 //   - A direct start of it is unanswered.
-//   - A start of it was sent in a reply less than tuning.HeartbeatReplyLife ago. Workers drop replies after 4 s; the
+//   - A start of it was sent in a reply less than tuning.HeartbeatReplyValidity ago. Workers drop replies after 4 s; the
 //     constant adds the drift of their clocks. Within that time the heartbeat may also be a delayed copy from before
 //     a restart of the worker process that is not known yet.
 //   - The heartbeat may be a delayed copy from before a known restart. It does not prove that the task is not on the
 //     machine now.
 func (rc *reconciliation) startMayArrive(id AttemptID, allocation *jobs.Allocation) bool {
 	return rc.machine.unansweredStarts[id] > 0 ||
-		rc.now.Sub(allocation.StartSentAt) < tuning.HeartbeatReplyLife ||
+		rc.now.Sub(allocation.StartSentAt) < tuning.HeartbeatReplyValidity ||
 		!rc.hb.Newer(rc.machine.lastBeforeRestart.Incarnation, rc.machine.lastBeforeRestart.Seq)
 }
 
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -47,7 +47,7 @@
 		t.Fatalf("allocation ended while an older leader's start may arrive: %v", result.Outcomes)
 	}
 	// Once the worker has seen this term's token it executes no older start, so a task that is not listed is gone.
-	if result := f.receive(heartbeat(3, 3, term), tuning.HeartbeatReplyLife, mayForget); len(result.Outcomes) != 1 {
+	if result := f.receive(heartbeat(3, 3, term), tuning.HeartbeatReplyValidity, mayForget); len(result.Outcomes) != 1 {
 		t.Fatalf("result %+v, want one outcome", result)
 	}
 }
@@ -101,7 +101,7 @@
 	allocation := newAllocation(1)
 	allocation.Stop = &jobs.StopRequest{}
 	f.AddAllocation(allocation, t0)
-	at := tuning.HeartbeatReplyLife
+	at := tuning.HeartbeatReplyValidity
 	if result, err := f.DirectAnswer(heartbeat(1, 2, term), t0.Add(at), mayForget); err != nil || len(result.Outcomes)+len(result.Commands) != 0 {
 		t.Errorf("direct answer: outcomes %v, commands %v, error %v", result.Outcomes, result.Commands, err)
 	}
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -44,14 +44,14 @@
 
 	term     uint64
 	lease    time.Duration        // duration of a worker's lease, plus clock drift and margin
-	returned map[string]time.Time // when machines were returned or lost, by name; remembered for tuning.ForgetReturned
+	returned map[string]time.Time // when machines were returned or lost, by name; remembered for tuning.ForgetReturnedAfter
 }
 
 // New returns an empty registry for a term. leaseS is the duration of the workers' leases in seconds.
 func New(term uint64, leaseS float64) *Registry {
 	return &Registry{
 		Machines: map[string]*Machine{}, term: term, returned: map[string]time.Time{},
-		lease: time.Duration(leaseS*(1+tuning.ClockDrift)*float64(time.Second)) + tuning.LeaseMargin,
+		lease: time.Duration(leaseS*(1+tuning.ClockDriftShare)*float64(time.Second)) + tuning.LeaseMargin,
 	}
 }
 
@@ -103,13 +103,13 @@
 	return outcomes
 }
 
-// WasReturned reports whether a machine was returned or lost within about tuning.ForgetReturned.
+// WasReturned reports whether a machine was returned or lost within about tuning.ForgetReturnedAfter.
 func (r *Registry) WasReturned(name string) bool { _, ok := r.returned[name]; return ok }
 
-// forgetReturned drops the names of machines that were returned or lost more than tuning.ForgetReturned ago.
+// forgetReturned drops the names of machines that were returned or lost more than tuning.ForgetReturnedAfter ago.
 func (r *Registry) forgetReturned(now time.Time) {
 	for name, at := range r.returned {
-		if now.Sub(at) > tuning.ForgetReturned {
+		if now.Sub(at) > tuning.ForgetReturnedAfter {
 			delete(r.returned, name)
 		}
 	}
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -47,7 +47,7 @@
 )
 
 // JudgeRestart compares the answer to a probe with the mark that was taken when the probe was sent. A worker drops
-// replies after 4 s (tuning.HeartbeatReplyLife). Until then, counted from the last heartbeat that was accepted, a
+// replies after 4 s (tuning.HeartbeatReplyValidity). Until then, counted from the last heartbeat that was accepted, a
 // reply with a start may be on its way to a new process: the first heartbeat of that process may have been mistaken
 // for one of the former process, and a delayed copy of a later heartbeat of the former process for the second one of
 // the new process.
@@ -58,7 +58,7 @@
 	switch {
 	case hb.Newer(mark.Incarnation, mark.Seq):
 		return NotRestarted
-	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyLife:
+	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyValidity:
 		return Ambiguous
 	case len(m.unansweredStarts) > 0:
 		return DeletionRequired
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -35,10 +35,10 @@
 		token           uint64
 		want            RestartVerdict
 	}{
-		{"no start can arrive", tuning.HeartbeatReplyLife, false, term, ProcessRestarted},
-		{"a reply may be on its way", tuning.HeartbeatReplyLife - time.Millisecond, false, term, Ambiguous},
-		{"a direct start may arrive", tuning.HeartbeatReplyLife, true, term, DeletionRequired},
-		{"an older leader's start may arrive", tuning.HeartbeatReplyLife, false, term - 1, ProbeAgain},
+		{"no start can arrive", tuning.HeartbeatReplyValidity, false, term, ProcessRestarted},
+		{"a reply may be on its way", tuning.HeartbeatReplyValidity - time.Millisecond, false, term, Ambiguous},
+		{"a direct start may arrive", tuning.HeartbeatReplyValidity, true, term, DeletionRequired},
+		{"an older leader's start may arrive", tuning.HeartbeatReplyValidity, false, term - 1, ProbeAgain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -15,9 +15,9 @@
 
 // Note adds the evidence of a completed task that ran for ranS seconds, and reports whether the machine counts as
 // slow now. othersS are the run times of tasks of the same job on other machines, in seconds. With fewer than
-// tuning.SlowPeers of them the task adds no evidence.
+// tuning.SlowPeersMin of them the task adds no evidence.
 func (s *RelativeSpeed) Note(ranS float64, othersS []float64) bool {
-	if len(othersS) < tuning.SlowPeers || ranS <= 0 {
+	if len(othersS) < tuning.SlowPeersMin || ranS <= 0 {
 		return false
 	}
 	sorted := slices.Sorted(slices.Values(othersS))
@@ -27,6 +27,6 @@
 	}
 	logSlowFactor := math.Log(tuning.SlowFactor)
 	logRatio := min(math.Log(ranS/median), logSlowFactor) // a longer task counts as one slower by SlowFactor
-	s.evidence = max(0, s.evidence+(logRatio-logSlowFactor/2)*logSlowFactor/(tuning.EstimateSpread*tuning.EstimateSpread))
-	return s.evidence >= tuning.SlowEvidence
+	s.evidence = max(0, s.evidence+(logRatio-logSlowFactor/2)*logSlowFactor/(tuning.EstimateLogStdDev*tuning.EstimateLogStdDev))
+	return s.evidence >= tuning.SlowLogLikelihoodRatio
 }
--- a/internal/scheduler/machines/speed_test.go
+++ b/internal/scheduler/machines/speed_test.go
@@ -52,7 +52,7 @@
 	if speed.Note(1e6, []float64{1, 1, 1, 1, 1, 1}) || speed.Note(1, nil) || speed.Note(9, []float64{1, 1}) {
 		t.Error("machine counts as slow after one task, or without enough tasks to compare with")
 	}
-	if (&RelativeSpeed{evidence: tuning.SlowEvidence}).Note(60, []float64{60, 60, 60, 60, 60}) {
+	if (&RelativeSpeed{evidence: tuning.SlowLogLikelihoodRatio}).Note(60, []float64{60, 60, 60, 60, 60}) {
 		t.Error("a task of median length left its machine counted as slow")
 	}
 }
--- a/internal/scheduler/placement/cycle_test.go
+++ b/internal/scheduler/placement/cycle_test.go
@@ -30,7 +30,7 @@
 			[]*PendingJob{pendingJob("a", wire.PriorityNormal, time.Second, 1, 4), pendingJob("b", wire.PriorityNormal, 2*time.Second, 1, 4)},
 			machineList{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"after the aging step a job rises by one priority",
-			[]*PendingJob{pendingJob("a", wire.PriorityHigh, 0, 1, 4), pendingJob("b", wire.PriorityNormal, tuning.PriorityAgingStep, 1, 4)},
+			[]*PendingJob{pendingJob("a", wire.PriorityHigh, 0, 1, 4), pendingJob("b", wire.PriorityNormal, tuning.PriorityAgingAfter, 1, 4)},
 			machineList{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"most free room wins", []*PendingJob{pendingJob("a", wire.PriorityHigh, 0, 1, 4)},
 			machineList{machine("m", "a", false, 8), machine("n", "a", false, 12)}, 100, "a:n"},
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -49,14 +49,14 @@
 	victims    []int   // indexes in Machine.Victims
 }
 
-// makeRoomFor chooses victims for up to tuning.PreemptBatch tasks of a job.
+// makeRoomFor chooses victims for up to tuning.PreemptBatchTasks tasks of a job.
 func (p *preemption) makeRoomFor(job *PendingJob) {
 	team, request := p.teams[job.Job.Team], job.Request()
 	if team == nil {
 		return
 	}
 	p.upToDate = false
-	for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
+	for n := 0; job.Waiting > 0 && n < tuning.PreemptBatchTasks && team.withinQuota(request) && team.withinGuarantee(request); n++ {
 		if !p.upToDate {
 			p.findVictimSets(job, request)
 		}
--- a/internal/scheduler/placement/preempt_test.go
+++ b/internal/scheduler/placement/preempt_test.go
@@ -57,7 +57,7 @@
 func referencePreempt(pending []*PendingJob, machines []*Machine, teams map[string]*Team) (out []string) {
 	for _, job := range pending {
 		team, request := teams[job.Job.Team], job.Request()
-		for n := 0; job.Waiting > 0 && n < tuning.PreemptBatch && team.withinQuota(request) && team.withinGuarantee(request); n++ {
+		for n := 0; job.Waiting > 0 && n < tuning.PreemptBatchTasks && team.withinQuota(request) && team.withinGuarantee(request); n++ {
 			var best *Machine
 			var chosen []int
 			var cost float64
--- a/internal/scheduler/placement/queue.go
+++ b/internal/scheduler/placement/queue.go
@@ -11,11 +11,11 @@
 )
 
 // EffectivePriority returns a job's priority level after aging: one level above its own once it has waited
-// for tuning.PriorityAgingStep. A job that has had its fair share does not age, because its tasks are being
+// for tuning.PriorityAgingAfter. A job that has had its fair share does not age, because its tasks are being
 // placed while other jobs wait.
 func EffectivePriority(job *PendingJob, teams map[string]*Team, now time.Time) int {
 	level := job.Job.Priority.Level()
-	if now.Sub(job.enqueuedAt()) >= tuning.PriorityAgingStep && !hadFairShare(job, teams) {
+	if now.Sub(job.enqueuedAt()) >= tuning.PriorityAgingAfter && !hadFairShare(job, teams) {
 		level++
 	}
 	return level
--- a/internal/scheduler/placement/queue_test.go
+++ b/internal/scheduler/placement/queue_test.go
@@ -59,7 +59,7 @@
 		want    string
 	}{{"within its fair share", 1, "a:m"}, {"beyond its fair share", 2, "b:m"}} {
 		t.Run(c.name, func(t *testing.T) {
-			huge, tiny := pendingJob("a", wire.PriorityLow, tuning.PriorityAgingStep, 25000, 4), pendingJob("b", wire.PriorityLow, 0, 1, 4)
+			huge, tiny := pendingJob("a", wire.PriorityLow, tuning.PriorityAgingAfter, 25000, 4), pendingJob("b", wire.PriorityLow, 0, 1, 4)
 			huge.Started = c.started
 			placed := Schedule(now, []*PendingJob{huge, tiny}, []*Machine{machine("m", "a", false, 4)}, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), FairShareCPUs: 8}})
 			if got := placed[0].Pending.Job.ID + ":" + placed[0].Machine.Name; len(placed) != 1 || got != c.want {
@@ -74,7 +74,7 @@
 func TestRequeuedTaskWaitsSinceJobSubmission(t *testing.T) {
 	lost, fresh := pendingJob("b", wire.PriorityNormal, time.Second, 1, 4), pendingJob("a", wire.PriorityNormal, 100*time.Second, 40, 4)
 	lost.Job.EstimateS, fresh.Job.EstimateS = 60, 60
-	lost.EnqueuedAt = now.Add(-tuning.PriorityAgingStep)
+	lost.EnqueuedAt = now.Add(-tuning.PriorityAgingAfter)
 	pending := []*PendingJob{fresh, lost}
 	if Sort(pending, map[string]*Team{}, now); pending[0] != lost {
 		t.Error("a task lost a second ago is sorted behind an array that has not started")
--- a/internal/scheduler/placement/reference_test.go
+++ b/internal/scheduler/placement/reference_test.go
@@ -30,7 +30,7 @@
 			if team.reservedFor == "" {
 				team.reservedFor, team.reserved = job.Job.ID, request
 			}
-			if team.reservedFor == job.Job.ID && starvingMachines < max(1, len(machines)/tuning.StarvationReservationShare) && job.reserveMachine(machines, request) {
+			if team.reservedFor == job.Job.ID && starvingMachines < max(1, len(machines)/tuning.StarvationReservationDivisor) && job.reserveMachine(machines, request) {
 				starvingMachines++
 			}
 		}
--- a/internal/scheduler/placement/reservations.go
+++ b/internal/scheduler/placement/reservations.go
@@ -10,7 +10,7 @@
 // BackfillReservations runs scheduling cycles and limits for how long reservations may delay other jobs.
 // Machines and parts of quotas are reserved for jobs that need more than is free, and room is reserved for
 // expected work, while other jobs wait that could start there. BackfillReservations stores since when
-// anything has been reserved. After tuning.ReservationMax one cycle reserves nothing, so that no job waits
+// anything has been reserved. After tuning.ReservationMaxTime one cycle reserves nothing, so that no job waits
 // longer than that while a machine has room for it. Reservations after that cycle start a new period. The
 // zero value is ready for use.
 type BackfillReservations struct{ since time.Time }
@@ -18,7 +18,7 @@
 // Schedule does the same as the function Schedule, with that limit.
 func (b *BackfillReservations) Schedule(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(pending, teams, now)
-	expired := !b.since.IsZero() && now.Sub(b.since) >= tuning.ReservationMax
+	expired := !b.since.IsZero() && now.Sub(b.since) >= tuning.ReservationMaxTime
 	placed, reserved := runCycle(now, pending, machines, teams, !expired)
 	switch {
 	case !reserved:
--- a/internal/scheduler/placement/starvation.go
+++ b/internal/scheduler/placement/starvation.go
@@ -13,16 +13,16 @@
 // that becomes free may be too small for its task and be filled by small ones, small jobs may use up its
 // team's quota, or it may be behind them in every cycle. The wait for the first task is therefore bounded.
 //
-// A job that has waited for tuning.StarvationBound without any task placed is starving. Before anything else
+// A job that has waited for tuning.StarvingAfter without any task placed is starving. Before anything else
 // of its priority is placed, it gets one task. If no task fits, a machine and the part of its team's quota
 // that the task requests are reserved against the jobs behind it until one fits. They are reserved only if
-// tasks that end by themselves will free them, and for at most tuning.ReservationMax at a time (see
+// tasks that end by themselves will free them, and for at most tuning.ReservationMaxTime at a time (see
 // BackfillReservations). Once it has that task, the job counts as started and the usual order applies again,
 // so each large job delays small jobs by the time of one task only.
 
 // Starving reports whether the job has waited too long for its first task.
 func (p *PendingJob) Starving(now time.Time) bool {
-	return p.Started == 0 && !p.Placeholder && !p.OnProbation && p.Waiting > 0 && now.Sub(p.enqueuedAt()) >= tuning.StarvationBound
+	return p.Started == 0 && !p.Placeholder && !p.OnProbation && p.Waiting > 0 && now.Sub(p.enqueuedAt()) >= tuning.StarvingAfter
 }
 
 // starvingIn returns the indexes of the starving jobs at the indexes lo <= i < hi: those that request the most
@@ -67,13 +67,13 @@
 // reserveForStarving reserves a part of the team's quota and a machine at the same time, because waiting for
 // one after the other takes as long as both waits together. Quota is reserved for one job of a team at a
 // time, and the machines that may be reserved are shared by the starving jobs of all teams: a
-// tuning.StarvationReservationShare-th of the cycle's machines, at least one.
+// tuning.StarvationReservationDivisor-th of the cycle's machines, at least one.
 func (c *cycle) reserveForStarving(job *PendingJob, request Resources, team *Team) {
 	if team.reservedFor == "" {
 		team.reservedFor, team.reserved = job.Job.ID, request
 		c.reservations.quota = true
 	}
-	if team.reservedFor != job.Job.ID || c.reservations.starvingMachines >= max(1, len(c.machines)/tuning.StarvationReservationShare) {
+	if team.reservedFor != job.Job.ID || c.reservations.starvingMachines >= max(1, len(c.machines)/tuning.StarvationReservationDivisor) {
 		return
 	}
 	if job.reserveMachine(c.machines, request) {
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -106,9 +106,9 @@
 
 // Guards against a starving job that gets all free machines: only one of its tasks goes before other jobs.
 func TestStarvingJobGetsOneTask(t *testing.T) {
-	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvationBound, 8, 4)
+	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvingAfter, 8, 4)
 	starving.Started = 0
-	started := pendingJob("started", wire.PriorityNormal, tuning.StarvationBound/2, 8, 1)
+	started := pendingJob("started", wire.PriorityNormal, tuning.StarvingAfter/2, 8, 1)
 	started.Started, started.Job.EstimateS, starving.Job.EstimateS = 1, 1, 1000
 	starving.Job.Kind, started.Job.Kind = wire.KindArray, wire.KindArray
 	got := map[string]int{}
@@ -123,7 +123,7 @@
 // Guards against quota that remains reserved for a starving job after its first task fits, and against quota
 // that is reserved against other teams.
 func TestQuotaReservationForStarvingJob(t *testing.T) {
-	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvationBound, 1, 8)
+	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvingAfter, 1, 8)
 	small := pendingJob("small", wire.PriorityNormal, 0, 4, 1)
 	other := pendingJob("other", wire.PriorityNormal, 0, 4, 1)
 	other.Job.Team = "u"
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -22,7 +22,7 @@
 	failedAt       time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
 
 	unreachableSince time.Time // zero: it does not count as unreachable
-	timesUnreachable int       // how often it was found unreachable, each time within tuning.UnreachableForget of the last
+	timesUnreachable int       // how often it was found unreachable, each time within tuning.UnreachableForgetAfter of the last
 	noWorkUntil      time.Time // it gets no work before this time because it was unreachable
 
 	nextProbe     time.Time     // it is not probed before this time
@@ -74,7 +74,7 @@
 	if s.Unreachable() || s.missedSince.IsZero() || s.failedAt.IsZero() {
 		return
 	}
-	if now.Sub(s.noWorkUntil) > tuning.UnreachableForget {
+	if now.Sub(s.noWorkUntil) > tuning.UnreachableForgetAfter {
 		s.timesUnreachable = 0
 	}
 	s.unreachableSince = now
--- a/internal/sim/faults/node_test.go
+++ b/internal/sim/faults/node_test.go
@@ -41,7 +41,7 @@
 // boot starts a controller, as a process with no memory of an earlier one.
 func (n *node) boot() {
 	s := &config.Settings{
-		Member: n.name, Zone: n.zone, Bind: n.bind, MeshAddr: n.mesh, Outside: config.Outside{Cloud: n.toCloud, State: n.toState},
+		Member: n.name, Zone: n.zone, Bind: n.bind, MeshAddr: n.mesh, External: config.ExternalAddresses{Cloud: n.toCloud, State: n.toState},
 		Cluster: config.Cluster{
 			Zones:   []string{"a", "b"},
 			Workers: config.Workers{HeartbeatS: n.w.site.report, LeaseS: n.w.site.lease, CancelS: n.w.site.cancelS},
