--- a/internal/platform/golden/golden.go
+++ b/internal/platform/golden/golden.go
@@ -57,8 +57,8 @@
 	Check(t, name, []byte(hex.EncodeToString(got)))
 }
 
-// JSONEncoding compares the JSONRoundTrip of a value with a golden file and returns the JSONRoundTrip. It is for values that the code only encodes;
-// JSONRoundTrip also checks that they can be decoded.
+// JSONEncoding compares the JSON of a value with a golden file and returns the JSON. It is for values that the code only
+// encodes; JSONRoundTrip also checks that they can be decoded.
 func JSONEncoding(t *testing.T, name string, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -69,7 +69,7 @@
 	return raw
 }
 
-// JSONRoundTrip compares the JSONRoundTrip of the value that a pointer refers to with a golden file, and checks that the JSONRoundTrip is decoded to the same
+// JSONRoundTrip compares the JSON of the value that a pointer refers to with a golden file, and checks that the JSON is decoded to the same
 // value.
 func JSONRoundTrip(t *testing.T, name string, value any) {
 	t.Helper()
@@ -80,7 +80,7 @@
 	Equal(t, name, decoded, value)
 }
 
-// CBORRoundTrip is like JSONRoundTrip, for a value that is stored as CBORRoundTrip. Its golden file is in hexadecimal. CBORRoundTrip arrays contain no field names, so
+// CBORRoundTrip is like JSONRoundTrip, for a value that is stored as CBOR. Its golden file is in hexadecimal. CBOR arrays contain no field names, so
 // the value must be a literal with the names of its fields instead of a result of Fill, which sets fields by their order. Only
 // then does the test fail if two fields are swapped.
 func CBORRoundTrip(t *testing.T, name string, value any) {
