--- a/internal/clients/cloud/client.go
+++ b/internal/clients/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud from which machines are rented.
 package cloud
 
 import (
@@ -13,14 +13,14 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// ErrNoCapacity tells that no machine of this type, zone and kind is to be had now.
+// ErrNoCapacity means that the cloud currently has no machine of the requested type, zone and kind (spot or on-demand).
 var ErrNoCapacity = errors.New("no capacity")
 
-// StatusError tells that the cloud gave an answer that the call has no other meaning for.
+// StatusError means that the cloud answered a call with an unexpected HTTP status.
 type StatusError struct {
-	Call   string // what was being done
-	Status int    // of HTTP
-	Reason string // what the answer says, if it says anything
+	Call   string // the operation that failed, such as "rent machines"
+	Status int    // HTTP status code
+	Reason string // error text of the answer; empty: none
 }
 
 func (e *StatusError) Error() string {
@@ -30,15 +30,16 @@
 	return fmt.Sprintf("%s: status %d %s", e.Call, e.Status, e.Reason)
 }
 
-// Client talks to the cloud. It is safe for concurrent use.
+// Client calls the cloud. It is safe for concurrent use.
 type Client struct {
 	base           string
-	callsPerSecond float64 // the published limit, of all controllers together
+	callsPerSecond float64 // the cloud's published limit, which all controllers share
 	http           *http.Client
-	limiter        *rate.Limiter // this controller's share of it
+	limiter        *rate.Limiter // enforces this controller's share of callsPerSecond
 }
 
-// New makes a client; rps is the limit that all controllers share, in calls a second.
+// New returns a client of the cloud at addr (host:port). rps is the limit that all controllers share, in calls per
+// second.
 func New(addr string, rps float64) *Client {
 	c := &Client{
 		base: "http://" + addr, callsPerSecond: rps,
@@ -49,15 +50,15 @@
 	return c
 }
 
-// SetShare sets which share of the limit this controller may use.
+// SetShare sets the fraction of the shared limit that this controller may use, between 0 and 1.
 func (c *Client) SetShare(share float64) {
 	limit := c.callsPerSecond * share * tuning.RateLimitUsedShare
 	c.limiter.SetLimit(rate.Limit(limit))
 	c.limiter.SetBurst(max(1, int(limit)))
 }
 
-// call waits for its turn, makes a call and returns the status of its answer. Both the wait
-// and the call end after CloudTimeout.
+// call waits until the rate limit allows a call, makes it and returns the HTTP status of the answer. The wait and the
+// call together take at most tuning.CloudTimeout.
 func (c *Client) call(ctx context.Context, method, path string, in any, decode func(status int) any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
--- a/internal/clients/cloud/machines.go
+++ b/internal/clients/cloud/machines.go
@@ -12,76 +12,75 @@
 	"poppypass/internal/platform/wire"
 )
 
-// noCapacity is how the cloud says why it refused to rent.
+// noCapacity is the error text with which the cloud answers a rent request that it has no machines for.
 const noCapacity = "no capacity"
 
-// Types reads the machine types with their current prices. Without an error there is at
-// least one.
+// Types returns the machine types with their current prices. If the error is nil, there is at least one.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
-	const doing = "machine types"
-	var t wire.MachineTypes
-	status, err := c.call(ctx, http.MethodGet, wire.PathMachineTypes, nil, httpjson.IfOK(&t))
+	const operation = "list machine types"
+	var types wire.MachineTypes
+	status, err := c.call(ctx, http.MethodGet, wire.PathMachineTypes, nil, httpjson.IfOK(&types))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%s: %w", doing, err)
+		return nil, fmt.Errorf("%s: %w", operation, err)
 	case status != http.StatusOK:
-		return nil, &StatusError{Call: doing, Status: status}
-	case len(t.Types) == 0:
-		return nil, errors.New(doing + ": the cloud names none")
+		return nil, &StatusError{Call: operation, Status: status}
+	case len(types.Types) == 0:
+		return nil, errors.New(operation + ": the cloud returned none")
 	}
-	return t.Types, nil
+	return types.Types, nil
 }
 
-// Rent rents machines and returns their names. After any error but ErrNoCapacity the same
-// request must be repeated, since it may have been executed.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
-	const doing = "rent"
+// Rent rents machines and returns their names. After any error other than ErrNoCapacity the request may have been
+// executed, so the caller must repeat the same request. A repeated request yields the same machines.
+func (c *Client) Rent(ctx context.Context, request wire.RentRequest) ([]string, error) {
+	const operation = "rent machines"
 	var names wire.MachineNames
-	var refused wire.Error
-	status, err := c.call(ctx, http.MethodPost, wire.PathMachines, r, func(status int) any {
+	var refusal wire.Error
+	status, err := c.call(ctx, http.MethodPost, wire.PathMachines, request, func(status int) any {
 		switch status {
 		case http.StatusOK:
 			return &names
 		case http.StatusServiceUnavailable:
-			return &refused
+			return &refusal
 		}
 		return nil
 	})
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%s: %w", doing, err)
+		return nil, fmt.Errorf("%s: %w", operation, err)
 	case status == http.StatusOK:
 		return names.Machines, nil
-	case status == http.StatusServiceUnavailable && refused.Error == noCapacity:
+	case status == http.StatusServiceUnavailable && refusal.Error == noCapacity:
 		return nil, ErrNoCapacity
 	}
-	return nil, &StatusError{Call: doing, Status: status, Reason: refused.Error}
+	return nil, &StatusError{Call: operation, Status: status, Reason: refusal.Error}
 }
 
-// Delete returns machines. When it succeeds, they and all that is on them are gone. After an
-// error it may have been executed.
+// Delete deletes machines. On success they and everything on them are gone. After an error the request may have been
+// executed.
 func (c *Client) Delete(ctx context.Context, names []string) error {
-	const doing = "delete"
+	const operation = "delete machines"
 	status, err := c.call(ctx, http.MethodPost, wire.PathDelete, wire.MachineNames{Machines: names}, httpjson.IfOK(nil))
 	switch {
 	case err != nil:
-		return fmt.Errorf("%s: %w", doing, err)
+		return fmt.Errorf("%s: %w", operation, err)
 	case status != http.StatusOK:
-		return &StatusError{Call: doing, Status: status}
+		return &StatusError{Call: operation, Status: status}
 	}
 	return nil
 }
 
-// ListPage is one answer of the list: all machines with names behind After, up to and with Last, as they were at
-// one time, which may be before that of the page before.
+// ListPage is one page of the machine list: all machines whose names are greater than After and not greater than
+// Last, as they were at one moment. That moment may be earlier than that of the previous page.
 type ListPage struct {
 	After    string
-	Last     string // empty: there are none behind
+	Last     string // empty for the last page: no upper bound
 	Machines []wire.ListedMachine
 }
 
-// List reads the whole list of machines, page by page. It lags behind what is: see the
-// property list_lag_s.
+// List reads the whole list of machines, page by page. The list lags behind the machines that exist: see the
+// setting list_lag_s.
 func (c *Client) List(ctx context.Context) ([]ListPage, error) {
 	var all []ListPage
 	after := ""
@@ -100,19 +99,19 @@
 	}
 }
 
-// listPage reads the page of the list behind a name.
-func (c *Client) listPage(ctx context.Context, after string) (p wire.MachinePage, err error) {
-	const doing = "list"
-	q := url.Values{"page": {strconv.Itoa(wire.MaxList)}}
+// listPage reads the page of the list that begins behind the name after.
+func (c *Client) listPage(ctx context.Context, after string) (page wire.MachinePage, err error) {
+	const operation = "list machines"
+	query := url.Values{"page": {strconv.Itoa(wire.MaxList)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
 	}
-	status, err := c.call(ctx, http.MethodGet, wire.PathMachines+"?"+q.Encode(), nil, httpjson.IfOK(&p))
+	status, err := c.call(ctx, http.MethodGet, wire.PathMachines+"?"+query.Encode(), nil, httpjson.IfOK(&page))
 	switch {
 	case err != nil:
-		return p, fmt.Errorf("%s: %w", doing, err)
+		return page, fmt.Errorf("%s: %w", operation, err)
 	case status != http.StatusOK:
-		return p, &StatusError{Call: doing, Status: status}
+		return page, &StatusError{Call: operation, Status: status}
 	}
-	return p, nil
+	return page, nil
 }
--- a/internal/clients/cloud/machines_test.go
+++ b/internal/clients/cloud/machines_test.go
@@ -13,8 +13,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-// listing serves the list of machines n-000000 and so on, page by page, and counts the calls.
-func listing(t *testing.T, machines int, calls *int) *Client {
+// newListClient returns the client of a cloud that lists the given number of machines, named n-000000 and so on, page by
+// page. The cloud counts the calls.
+func newListClient(t *testing.T, machines int, calls *int) *Client {
 	t.Helper()
 	names := make([]string, machines)
 	for i := range names {
@@ -42,33 +43,33 @@
 	return New(strings.TrimPrefix(srv.URL, "http://"), 1e6)
 }
 
-// Guards against a list that is read in part, or by more calls than its pages take.
+// Guards against a list that is read only in part, or with more calls than it has pages.
 func TestListReadsEveryPageOnce(t *testing.T) {
 	for _, machines := range []int{0, 1, 499, 500, 501, 4000, 6000} {
 		t.Run(fmt.Sprintf("%d machines", machines), func(t *testing.T) {
 			calls := 0
-			pages, err := listing(t, machines, &calls).List(t.Context())
+			pages, err := newListClient(t, machines, &calls).List(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if want := max(1, (machines+wire.MaxList-1)/wire.MaxList); calls != want || len(pages) != want {
-				t.Errorf("%d calls gave %d pages, want %d", calls, len(pages), want)
+				t.Errorf("%d calls returned %d pages, want %d of each", calls, len(pages), want)
 			}
 			listed, after := 0, ""
 			for _, p := range pages {
 				if p.After != after {
-					t.Errorf("a page begins after %q, the one before ended with %q", p.After, after)
+					t.Errorf("a page begins behind %q although the previous page ended with %q", p.After, after)
 				}
 				after = p.Last
 				for _, m := range p.Machines {
 					if want := fmt.Sprintf("n-%06d", listed); m.Name != want {
-						t.Fatalf("machine %s in the place of %s", m.Name, want)
+						t.Fatalf("listed machine %s, want %s", m.Name, want)
 					}
 					listed++
 				}
 			}
 			if listed != machines || after != "" {
-				t.Errorf("%d machines up to %q", listed, after)
+				t.Errorf("listed %d machines, and the last page ends with %q; want all machines and no end", listed, after)
 			}
 		})
 	}
--- a/internal/clients/instancetypes/catalog.go
+++ b/internal/clients/instancetypes/catalog.go
@@ -1,5 +1,4 @@
-// Package instancetypes holds the cloud's machine types and their prices, as they were last
-// read.
+// Package instancetypes caches the cloud's machine types and their prices.
 package instancetypes
 
 import (
@@ -18,24 +17,24 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Key is the key of the machine types as a leader last read them. Only the leader writes it.
+// Key is the key under which the leader stores the machine types that it last read. Only the leader writes it.
 const Key = "cloud/types"
 
-// Catalog holds the machine types as they were last read. It is safe for
-// concurrent use.
+// Catalog caches the machine types that were last read from the cloud. It is safe for concurrent use.
 type Catalog struct {
 	Cloud   *cloud.Client
 	Store   *statestore.Client
-	ValueKB float64 // the longest value of the state service, in KiB
+	ValueKB float64 // largest value that the state service stores, in KiB
 	Clock   clockwork.Clock
 	Log     *slog.Logger
-	// Guard returns the condition under which this member leads; ok is false when it does not.
+	// Guard returns the condition that makes a transaction fail unless this member leads. ok is false if it does not
+	// lead.
 	Guard func() (guard wire.Condition, ok bool)
 
 	types atomic.Pointer[[]wire.MachineType]
 }
 
-// Types returns the machine types; nil while none are known. They must not be changed.
+// Types returns the machine types, or nil while none are known. Callers must not modify them.
 func (c *Catalog) Types() []wire.MachineType {
 	if t := c.types.Load(); t != nil {
 		return *t
@@ -46,20 +45,20 @@
 // Set replaces the machine types.
 func (c *Catalog) Set(types []wire.MachineType) { c.types.Store(&types) }
 
-// Run reads the machine types again and again until ctx ends.
+// Run refreshes the machine types periodically until ctx ends.
 func (c *Catalog) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, c.Clock, c.refresh(ctx))
 	}
 }
 
-// refresh reads the machine types and returns the pause until they are to be read again. While
-// the cloud does not answer a member that was just started, those that a leader stored are
-// used: machines that are there can then be used, and jobs accepted.
+// refresh reads the machine types from the cloud and returns the pause before the next refresh. If a member that was
+// just started gets no answer from the cloud, it uses the types that a leader stored. It can then accept jobs and use
+// the machines that exist.
 func (c *Catalog) refresh(ctx context.Context) (pause time.Duration) {
 	types, err := c.Cloud.Types(ctx)
 	if err != nil {
-		c.Log.Debug("machine types unreadable", "err", err)
+		c.Log.Debug("reading machine types from the cloud failed; retrying", "err", err)
 		if c.Types() == nil {
 			c.load(ctx)
 		}
@@ -70,7 +69,7 @@
 	return tuning.TypesRefreshEvery
 }
 
-// Save stores the types that are known if this member leads and they fit one value.
+// Save stores the known machine types if this member leads and they fit into one value of the state service.
 func (c *Catalog) Save(ctx context.Context) {
 	types := c.Types()
 	guard, leads := c.Guard()
@@ -85,11 +84,11 @@
 		If:   []wire.Condition{guard},
 		Then: []wire.Change{{Put: Key, Value: value}},
 	}); err != nil {
-		c.Log.Debug("machine types not stored", "err", err)
+		c.Log.Debug("storing machine types failed; retrying at the next refresh", "err", err)
 	}
 }
 
-// load uses the types that a leader stored, if there are any.
+// load sets the machine types to those that a leader stored, if there are any.
 func (c *Catalog) load(ctx context.Context) {
 	item, ok, err := c.Store.Get(ctx, Key)
 	if err != nil || !ok {
@@ -97,9 +96,9 @@
 	}
 	var types []wire.MachineType
 	if err := json.Unmarshal(item.Value, &types); err != nil || len(types) == 0 {
-		c.Log.Error("stored machine types are malformed", "err", err)
+		c.Log.Error("stored machine types cannot be decoded; ignoring them", "err", err)
 		return
 	}
 	c.Set(types)
-	c.Log.Info("machine types taken from the state service", "types", len(types))
+	c.Log.Info("machine types not available from the cloud; using those that a leader stored", "types", len(types))
 }
--- a/internal/clients/instancetypes/formats_test.go
+++ b/internal/clients/instancetypes/formats_test.go
@@ -17,19 +17,19 @@
 	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	types := golden.Fill(new([]wire.MachineType))
-	store := &Catalog{
+	leaderCatalog := &Catalog{
 		Store: statestore.New(state.Addr(), 1e6, 1e6), ValueKB: 16, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Guard: func() (wire.Condition, bool) { return wire.Condition{Key: "lead/holder"}, true },
 	}
-	store.Set(*types)
-	store.Save(t.Context())
+	leaderCatalog.Set(*types)
+	leaderCatalog.Save(t.Context())
 	item, ok := state.Value(Key)
 	if !ok {
 		t.Fatal("the machine types are not stored")
 	}
 	golden.Lines(t, "catalog", Key+" "+string(item.Value))
 
-	other := &Catalog{Store: store.Store, Clock: clock, Log: store.Log}
-	other.load(t.Context())
-	golden.Equal(t, "catalog", other.Types(), *types)
+	loadedCatalog := &Catalog{Store: leaderCatalog.Store, Clock: clock, Log: leaderCatalog.Log}
+	loadedCatalog.load(t.Context())
+	golden.Equal(t, "catalog", loadedCatalog.Types(), *types)
 }
--- a/internal/clients/statestore/client.go
+++ b/internal/clients/statestore/client.go
@@ -1,8 +1,8 @@
-// Package statestore is the client of the cluster's key-value store (the state service):
-// the only place where controllers can keep state.
+// Package statestore is the client of the cluster's key-value store (the state service), the only durable storage that
+// controllers have.
 //
-// A call that fails says whether it may have been executed: ErrNotExecuted tells that it
-// surely was not, ErrOutcomeUnknown that it may have been or may still be.
+// The error of a failed call says whether the call may have been executed: ErrNotExecuted means that it certainly was
+// not, ErrOutcomeUnknown that it may have been or may still be executed.
 package statestore
 
 import (
@@ -16,30 +16,30 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Client talks to the key-value store. It is safe for concurrent use.
+// Client calls the key-value store. It is safe for concurrent use.
 type Client struct {
 	base            string
-	callsPerSecond  float64 // the published limit, of all controllers together
-	writesPerSecond float64 // the same for changes
+	callsPerSecond  float64 // the published limit on calls, which all controllers share
+	writesPerSecond float64 // the published limit on changes of keys, which all controllers share
 	http            *http.Client
-	watches         *http.Client // apart, since watches hold their connections
+	watches         *http.Client // separate, since a watch occupies its connection until it is answered
 	callLimit       *rateLimit
 	writeLimit      *rateLimit
 	priority        priority
-	pauseBusy       func(context.Context) // after a refusal
+	pauseBusy       func(context.Context) // pauses before a refused transaction is retried
 }
 
-// priority says how a call stands to the client's own limits.
+// priority says how the client's own rate limits apply to a call.
 type priority int
 
 const (
-	normalPriority priority = iota // waits for its turn
-	urgentPriority                 // goes at once: nothing of ours may hold it up
-	lowPriority                    // goes only while half of the limit's burst is free
+	normalPriority priority = iota // waits until the limits allow it
+	urgentPriority                 // bypasses the limits
+	lowPriority                    // fails at once while less than half of the burst is free
 )
 
-// New makes a client; rps and writeRPS are the limits that all controllers share, on calls
-// and on changes a second.
+// New returns a client of the store at addr (host:port). rps and writeRPS are the limits that all controllers share, in
+// calls and in changes of keys per second.
 func New(addr string, rps, writeRPS float64) *Client {
 	c := &Client{
 		base: "http://" + addr, callsPerSecond: rps, writesPerSecond: writeRPS,
@@ -50,8 +50,8 @@
 	return c.WithShare(1)
 }
 
-// WithShare returns a client of the same service with limits of its own: at least a
-// share of the published ones, and what others leave.
+// WithShare returns a client of the same service with its own rate limits: at least the given fraction of the published
+// limits, and more while the other clients leave some unused.
 func (c *Client) WithShare(share float64) *Client {
 	view := *c
 	now := time.Now()
@@ -60,13 +60,13 @@
 	return &view
 }
 
-// Urgent returns a view of the client for the few calls that must not wait for
-// its own limits: elections, and what a new leader reads. Once polls that came
-// while nobody led had used up the limit, and the election waited behind them.
+// Urgent returns a view of the client for the few calls that must not wait for its own rate limits: those of elections
+// and the reads of a new leader. Without it, users' polls that arrived while there was no leader used up the limit, and
+// the election had to wait behind them.
 func (c *Client) Urgent() *Client { return c.withPriority(urgentPriority) }
 
-// LowPriority returns a view of the client for calls that are to leave room for
-// others: they are refused at once when the limit is half used up.
+// LowPriority returns a view of the client for calls that must leave room for others: they fail at once with
+// ErrNotExecuted while less than half of the burst is free.
 func (c *Client) LowPriority() *Client { return c.withPriority(lowPriority) }
 
 func (c *Client) withPriority(p priority) *Client {
@@ -75,25 +75,24 @@
 	return &view
 }
 
-// SpareWrites is how many changes could be written now without using up more than
-// half of what may be written at once.
+// SpareWrites returns how many changes can be written now so that half of the burst stays available for others. It
+// may be negative.
 func (c *Client) SpareWrites() int {
-	return int((c.writeLimit.free() - 0.5) * float64(c.writeLimit.limiter.Burst()))
+	return int((c.writeLimit.freeBurstShare() - 0.5) * float64(c.writeLimit.limiter.Burst()))
 }
 
-// AvailableWrites is how many changes could be written at once now, and most how many at the best of times.
-func (c *Client) AvailableWrites() (now, most int) {
+// AvailableWrites returns how many changes can be written now without waiting, and the size of the whole burst.
+func (c *Client) AvailableWrites() (available, burst int) {
 	return int(c.writeLimit.limiter.Tokens()), c.writeLimit.limiter.Burst()
 }
 
-// waitTurn waits until the client's own limit on calls allows one more. Its error is an
-// ErrNotExecuted.
-func (c *Client) waitTurn(ctx context.Context) error {
+// waitCall waits until the client's own rate limit allows one more call. The error is an ErrNotExecuted.
+func (c *Client) waitCall(ctx context.Context) error {
 	if c.priority == urgentPriority {
 		return nil
 	}
-	if c.priority == lowPriority && c.callLimit.free() < 0.5 {
-		return fmt.Errorf("%w: our own limit is needed for others", ErrNotExecuted)
+	if c.priority == lowPriority && c.callLimit.freeBurstShare() < 0.5 {
+		return fmt.Errorf("%w: the rest of the client's own rate limit is reserved for calls of a higher priority", ErrNotExecuted)
 	}
 	if err := c.callLimit.wait(ctx, 1); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
@@ -101,27 +100,27 @@
 	return nil
 }
 
-// request is one call to the service.
+// request is one call of the service.
 type request struct {
-	http    *http.Client // nil: the client's
-	timeout time.Duration
+	http    *http.Client  // nil: Client.http
+	timeout time.Duration // of the whole call
 	method  string
 	path    string
 	body    any                  // nil: none
-	decode  func(status int) any // returns what to decode an answer of this status into, or nil
+	decode  func(status int) any // returns the value to decode an answer of this status into, or nil to ignore its body
 }
 
-// get reads from a path once it is the call's turn.
+// get reads from a path as soon as the rate limit allows it, and returns the HTTP status of the answer.
 func (c *Client) get(ctx context.Context, path string, out any) (status int, err error) {
-	if err := c.waitTurn(ctx); err != nil {
+	if err := c.waitCall(ctx); err != nil {
 		return 0, err
 	}
 	return c.call(ctx, request{timeout: tuning.StateTimeout, method: http.MethodGet, path: path, decode: httpjson.IfOK(out)})
 }
 
-// call makes a call and returns the status of its answer. Statuses that mean the same for
-// every call are errors: ErrBusy, which also slows down the client's own limit, ErrNotExecuted
-// and, without an answer, ErrOutcomeUnknown.
+// call makes a call and returns the HTTP status of the answer. Statuses that mean the same for every call are returned
+// as errors: 429 as ErrBusy, which also lowers the client's own rate limit, and 503 as ErrNotExecuted. If there is no
+// usable answer, the error is ErrOutcomeUnknown.
 func (c *Client) call(ctx context.Context, r request) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -133,7 +132,7 @@
 	case err != nil:
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	case status == http.StatusTooManyRequests:
-		c.limitOf(r.path).refused(time.Now())
+		c.limitFor(r.path).recordRefusal(time.Now())
 		return status, ErrBusy
 	case status == http.StatusServiceUnavailable:
 		return status, fmt.Errorf("%w: status %d", ErrNotExecuted, status)
@@ -141,8 +140,8 @@
 	return status, nil
 }
 
-// limitOf is the limit that a refusal of a path tells of.
-func (c *Client) limitOf(path string) *rateLimit {
+// limitFor returns the rate limit that is exceeded if the service refuses a call of a path.
+func (c *Client) limitFor(path string) *rateLimit {
 	if path == wire.PathTxn {
 		return c.writeLimit
 	}
--- a/internal/clients/statestore/errors.go
+++ b/internal/clients/statestore/errors.go
@@ -7,29 +7,32 @@
 )
 
 var (
-	// ErrNotExecuted tells that the service refused a request without executing it.
-	ErrNotExecuted = errors.New("state service refused the request")
-	// ErrBusy tells that the service refused a request because of its limits. It is an
-	// ErrNotExecuted.
+	// ErrNotExecuted means that a request was certainly not executed: the service refused it, or the client did not
+	// send it.
+	ErrNotExecuted = errors.New("state service did not execute the request")
+	// ErrBusy means that the service refused a request because of its rate limits. It is an ErrNotExecuted.
 	ErrBusy = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	// ErrOutcomeUnknown tells that a request may have been executed, or may still be.
-	ErrOutcomeUnknown = errors.New("state service gave no usable answer")
-	// ErrLeaseNotFound tells that the lease has expired or was revoked.
-	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted tells that a watch asked for changes that are no longer kept.
-	ErrCompacted = errors.New("revision is too old to watch")
-	// ErrMalformed tells that the service did not understand the request.
-	ErrMalformed = errors.New("state service calls the request malformed")
+	// ErrOutcomeUnknown means that a request may have been executed or may still be.
+	ErrOutcomeUnknown = errors.New("no usable answer from the state service; the request may have been executed")
+	// ErrLeaseNotFound means that the lease has expired or was revoked.
+	ErrLeaseNotFound = errors.New("lease has expired or was revoked")
+	// ErrCompacted means that a watch cannot return all changes since its revision: the service has discarded some, or
+	// they are too large for one answer.
+	ErrCompacted = errors.New("changes since the watched revision are no longer available")
+	// ErrMalformed means that the service rejected a request as malformed.
+	ErrMalformed = errors.New("state service rejected the request as malformed")
 )
 
-// ConflictError tells that a transaction's conditions did not hold.
+// ConflictError means that a transaction was not applied because some of its conditions did not hold.
 type ConflictError struct {
-	Failed []string // the keys of those conditions
+	Failed []string // keys of the conditions that did not hold
 }
 
-func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Failed) }
+func (e *ConflictError) Error() string {
+	return fmt.Sprintf("transaction not applied: conditions failed on keys %v", e.Failed)
+}
 
-// unexpectedStatus is the error of an answer whose status a call has no other meaning for.
+// unexpectedStatus returns the error for an answer with a status that the call does not expect.
 func unexpectedStatus(status int) error {
 	if status == http.StatusBadRequest {
 		return ErrMalformed
--- a/internal/clients/statestore/lease.go
+++ b/internal/clients/statestore/lease.go
@@ -11,10 +11,10 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Calls for leases are not held up by the client's own limits: the right to act depends on
-// them.
+// Calls that concern leases bypass the client's own rate limits: a delayed renewal would let the lease expire, and with
+// it the right to act.
 
-// GrantLease asks for a lease, which expires after ttl unless it is renewed.
+// GrantLease creates a lease and returns its ID. The lease expires after ttl unless it is renewed.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	var g wire.LeaseGrant
 	status, err := c.call(ctx, request{
@@ -27,8 +27,8 @@
 	return g.Lease, err
 }
 
-// RenewLease gives a lease its full time again. It returns ErrLeaseNotFound once the lease
-// has expired.
+// RenewLease extends a lease to its full TTL from now. It returns ErrLeaseNotFound if the lease has expired or was
+// revoked.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, request{
 		timeout: tuning.LeaseCallTimeout, method: http.MethodPost, path: leasePath(lease) + "/" + wire.EndRenew,
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// RevokeLease ends a lease at once. It is not an error that the lease has ended before.
+// RevokeLease ends a lease at once. A lease that has already ended is not an error.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.call(ctx, request{
 		timeout: tuning.LeaseCallTimeout, method: http.MethodDelete, path: leasePath(lease), decode: httpjson.IfOK(nil),
--- a/internal/clients/statestore/ratelimit.go
+++ b/internal/clients/statestore/ratelimit.go
@@ -10,54 +10,53 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// rateLimit is this controller's own limit on one kind of calls. All controllers share the
-// service's limit; each may use what the others leave. A refusal halves the
-// rate, down to the share that is this controller's in any case, and it grows back while
-// nothing is refused. Fixed shares left those of idle and dead members unused:
-// of 15 submissions a second, four in ten had to be sent again while the
-// service did a quarter of what it may.
+// rateLimit is this controller's own rate limit on one kind of call. All controllers share the service's published
+// limit, and each may use what the others leave. A refusal by the service halves the rate, but not below this
+// controller's guaranteed share. While nothing is refused, the rate grows back to the whole published limit. Fixed
+// shares left those of idle and dead members unused: of 15 submissions per second, four in ten had to be repeated
+// although the service was used to only a quarter of its limit.
 //
 // It is safe for concurrent use.
 type rateLimit struct {
-	floor, top float64 // calls a second
-	limiter    *rate.Limiter
+	minRate, maxRate float64 // bounds of the rate, in calls per second: the guaranteed share and the usable published limit
+	limiter          *rate.Limiter
 
-	mu    sync.Mutex
-	level float64 // calls a second, at the time at
-	at    time.Time
+	mu       sync.Mutex
+	baseRate float64   // the rate at the time of the last refusal, in calls per second
+	baseTime time.Time // time of the last refusal; before the first one, of creation
 }
 
-// newRateLimit makes the limit for a share of a published one, in calls a second. It begins
-// with all that may be used at once.
+// newRateLimit returns a rate limit with a guaranteed share (a fraction) of the published limit, which is in calls per
+// second. It begins at the guaranteed rate and with a full burst.
 func newRateLimit(published, share float64, now time.Time) *rateLimit {
-	top := published * tuning.RateLimitUsedShare
-	floor := top * share
-	burst := max(1, int(floor*tuning.RateLimitBurstS))
-	return &rateLimit{floor: floor, top: top, level: floor, at: now, limiter: rate.NewLimiter(rate.Limit(floor), min(burst, max(1, int(top))))}
+	maxRate := published * tuning.RateLimitUsedShare
+	minRate := maxRate * share
+	burst := max(1, int(minRate*tuning.RateLimitBurstS))
+	return &rateLimit{minRate: minRate, maxRate: maxRate, baseRate: minRate, baseTime: now, limiter: rate.NewLimiter(rate.Limit(minRate), min(burst, max(1, int(maxRate))))}
 }
 
-// current is the rate that is allowed now, in calls a second.
-func (r *rateLimit) current(now time.Time) float64 {
-	grown := (r.top - r.floor) * now.Sub(r.at).Seconds() / tuning.RateLimitRecoverTime.Seconds()
-	return min(r.top, r.level+max(0, grown))
+// currentRate returns the rate that is allowed at the time now, in calls per second.
+func (r *rateLimit) currentRate(now time.Time) float64 {
+	growth := (r.maxRate - r.minRate) * now.Sub(r.baseTime).Seconds() / tuning.RateLimitRecoverTime.Seconds()
+	return min(r.maxRate, r.baseRate+max(0, growth))
 }
 
-// refused slows down after the service refused a call because of its limit.
-func (r *rateLimit) refused(now time.Time) {
+// recordRefusal halves the rate after the service refused a call because of its limit.
+func (r *rateLimit) recordRefusal(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.level, r.at = max(r.floor, r.current(now)/2), now
-	r.limiter.SetLimitAt(now, rate.Limit(r.level))
+	r.baseRate, r.baseTime = max(r.minRate, r.currentRate(now)/2), now
+	r.limiter.SetLimitAt(now, rate.Limit(r.baseRate))
 }
 
-// wait waits for the turn of n calls.
+// wait waits until n more calls are allowed.
 func (r *rateLimit) wait(ctx context.Context, n int) error {
 	r.mu.Lock()
 	now := time.Now()
-	r.limiter.SetLimitAt(now, rate.Limit(r.current(now)))
+	r.limiter.SetLimitAt(now, rate.Limit(r.currentRate(now)))
 	r.mu.Unlock()
 	return r.limiter.WaitN(ctx, min(n, r.limiter.Burst()))
 }
 
-// free is the share of what may be used at once that is free now.
-func (r *rateLimit) free() float64 { return r.limiter.Tokens() / float64(r.limiter.Burst()) }
+// freeBurstShare returns the fraction of the burst that is available now. It is negative while calls wait.
+func (r *rateLimit) freeBurstShare() float64 { return r.limiter.Tokens() / float64(r.limiter.Burst()) }
--- a/internal/clients/statestore/read.go
+++ b/internal/clients/statestore/read.go
@@ -14,7 +14,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Get reads a key; ok is false when it does not exist.
+// Get reads a key. ok is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (item wire.Item, ok bool, err error) {
 	status, err := c.get(ctx, wire.PathKV+"/"+key, &item)
 	switch {
@@ -28,66 +28,66 @@
 	return item, false, unexpectedStatus(status)
 }
 
-// List reads one page of the keys with a prefix, beginning behind after.
-func (c *Client) List(ctx context.Context, prefix, after string, page int) (p wire.ItemPage, err error) {
-	q := url.Values{"starts": {prefix}, "page": {strconv.Itoa(page)}}
+// List reads one page of at most page items whose keys have a prefix, beginning behind the key after.
+func (c *Client) List(ctx context.Context, prefix, after string, page int) (result wire.ItemPage, err error) {
+	query := url.Values{"starts": {prefix}, "page": {strconv.Itoa(page)}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set("after", after)
 	}
-	status, err := c.get(ctx, wire.PathKV+"?"+q.Encode(), &p)
+	status, err := c.get(ctx, wire.PathKV+"?"+query.Encode(), &result)
 	if err == nil && status != http.StatusOK {
 		err = unexpectedStatus(status)
 	}
-	return p, err
+	return result, err
 }
 
-// ListAll reads all keys with a prefix, page by page, and hands each page to
-// fn. It returns the revision of the first page: a watch behind it misses nothing.
+// ListAll reads all items whose keys have a prefix and calls fn for each page. It returns the revision of the first
+// page: a watch from that revision on misses no change.
 func (c *Client) ListAll(ctx context.Context, prefix string, fn func([]wire.Item) error) (uint64, error) {
 	var revision uint64
 	after := ""
 	for first := true; ; first = false {
-		p, err := c.List(ctx, prefix, after, tuning.LoadPageKeys)
+		result, err := c.List(ctx, prefix, after, tuning.LoadPageKeys)
 		if err != nil {
 			return 0, err
 		}
 		if first {
-			revision = p.Revision
+			revision = result.Revision
 		}
-		if err := fn(p.Items); err != nil {
+		if err := fn(result.Items); err != nil {
 			return 0, err
 		}
-		if !p.More || len(p.Items) == 0 {
+		if !result.More || len(result.Items) == 0 {
 			return revision, nil
 		}
-		after = p.Items[len(p.Items)-1].Key
+		after = result.Items[len(result.Items)-1].Key
 	}
 }
 
-// Watch waits until a key with the prefix has changed after the revision, or
-// until wait is over. After ErrCompacted the keys must be listed again.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (r wire.WatchResult, err error) {
-	if err := c.waitTurn(ctx); err != nil {
-		return r, err
+// Watch waits until a key with the prefix changes after the revision after, or until the time wait is over. It returns
+// the changes. After ErrCompacted the caller must list the keys again.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (result wire.WatchResult, err error) {
+	if err := c.waitCall(ctx); err != nil {
+		return result, err
 	}
-	q := url.Values{
+	query := url.Values{
 		"starts": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	status, err := c.call(ctx, request{
 		http: c.watches, timeout: wait + tuning.WatchGrace,
-		method: http.MethodGet, path: wire.PathWatch + "?" + q.Encode(), decode: httpjson.IfOK(&r),
+		method: http.MethodGet, path: wire.PathWatch + "?" + query.Encode(), decode: httpjson.IfOK(&result),
 	})
 	switch {
 	case errors.Is(err, httpjson.ErrTooLarge):
-		// It would be too large again: a watch is answered with all changes since.
-		return r, fmt.Errorf("%w: %w", ErrCompacted, err)
+		// A retry would fail, too: an answer contains all changes since the revision.
+		return result, fmt.Errorf("%w: %w", ErrCompacted, err)
 	case err != nil:
-		return r, err
+		return result, err
 	case status == http.StatusGone:
-		return r, ErrCompacted
+		return result, ErrCompacted
 	case status != http.StatusOK:
-		return r, unexpectedStatus(status)
+		return result, unexpectedStatus(status)
 	}
-	return r, nil
+	return result, nil
 }
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -17,8 +17,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-// answering makes a client of a service that always answers the same; status 0 is no answer.
-func answering(t *testing.T, status int, body string) *Client {
+// newClientAnswering returns the client of a service that gives every request the same answer. With status 0 the service
+// closes the connection without an answer.
+func newClientAnswering(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if status == 0 {
@@ -31,9 +32,9 @@
 	return New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6)
 }
 
-// Guards against taking one kind of failure for another: a refusal was surely
-// not executed, anything unexpected may have been.
-func TestCommitTellsWhetherItMayHaveBeenExecuted(t *testing.T) {
+// Guards against confusing the kinds of failure: a refused transaction was certainly not executed, but one with any
+// unexpected answer may have been.
+func TestCommitReportsWhetherItMayHaveBeenExecuted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -45,85 +46,85 @@
 		{"no lease", 400, `{"error":"no such lease"}`, ErrLeaseNotFound},
 		{"malformed", 400, `{"error":"bad key"}`, ErrMalformed},
 		{"no answer", 0, ``, ErrOutcomeUnknown},
-		{"half an answer", 200, `{"ledger":`, ErrOutcomeUnknown},
+		{"truncated answer", 200, `{"ledger":`, ErrOutcomeUnknown},
 		{"server error", 500, `oops`, ErrOutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			revision, err := answering(t, c.status, c.body).Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}})
+			revision, err := newClientAnswering(t, c.status, c.body).Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}})
 			if !errors.Is(err, c.want) || c.want == nil && revision != 7 {
-				t.Errorf("%d, %v", revision, err)
+				t.Errorf("revision %d, error %v", revision, err)
 			}
 		})
 	}
 	var conflict *ConflictError
-	_, err := answering(t, 409, `{"failed":["a/b"],"ledger":3}`).Commit(t.Context(), wire.Txn{})
+	_, err := newClientAnswering(t, 409, `{"failed":["a/b"],"ledger":3}`).Commit(t.Context(), wire.Txn{})
 	if !errors.As(err, &conflict) || conflict.Failed[0] != "a/b" {
-		t.Errorf("conflict: %v", err)
+		t.Errorf("error %v, want a ConflictError with the key a/b", err)
 	}
 }
 
 func TestFailedReadsAreNeverMissingKeys(t *testing.T) {
-	if _, ok, err := answering(t, 404, `{"ledger":3}`).Get(t.Context(), "a"); ok || err != nil {
-		t.Errorf("a key that does not exist: %v, %v", ok, err)
+	if _, ok, err := newClientAnswering(t, 404, `{"ledger":3}`).Get(t.Context(), "a"); ok || err != nil {
+		t.Errorf("Get of a key that does not exist: found %v, error %v", ok, err)
 	}
-	// A failed look-up must never look like a key that does not exist.
+	// A failed read must never look like a key that does not exist.
 	for _, status := range []int{0, 500, 503, 429, 302} {
-		if _, _, err := answering(t, status, ``).Get(t.Context(), "a"); err == nil {
-			t.Errorf("status %d: no error", status)
+		if _, _, err := newClientAnswering(t, status, ``).Get(t.Context(), "a"); err == nil {
+			t.Errorf("Get with status %d returned no error", status)
 		}
 	}
-	// Guards against a watch that is asked again for ever: the changes since are more than are
-	// read at once, and would be more the next time.
+	// Guards against a watch that is repeated forever: its answer is larger than the client reads, and the next answer
+	// would be larger still.
 	huge := `{"ledger":1,"events":[` + strings.Repeat(" ", tuning.MaxResponseBytes) + `]}`
-	if _, err := answering(t, 200, huge).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
-		t.Errorf("changes too many to read: %v", err)
+	if _, err := newClientAnswering(t, 200, huge).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
+		t.Errorf("watch with an answer that is too large: error %v, want ErrCompacted", err)
 	}
-	if _, err := answering(t, 410, ``).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
-		t.Errorf("watch: %v", err)
+	if _, err := newClientAnswering(t, 410, ``).Watch(t.Context(), "a", 1, time.Second); !errors.Is(err, ErrCompacted) {
+		t.Errorf("watch with status 410: error %v, want ErrCompacted", err)
 	}
-	if err := answering(t, 404, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrLeaseNotFound) {
-		t.Errorf("renew: %v", err)
+	if err := newClientAnswering(t, 404, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrLeaseNotFound) {
+		t.Errorf("renewal with status 404: error %v, want ErrLeaseNotFound", err)
 	}
-	if err := answering(t, 503, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrNotExecuted) {
-		t.Errorf("renew in an outage: %v", err)
+	if err := newClientAnswering(t, 503, ``).RenewLease(t.Context(), 1); !errors.Is(err, ErrNotExecuted) {
+		t.Errorf("renewal with status 503: error %v, want ErrNotExecuted", err)
 	}
 }
 
-// Guards against an election, or a submission, that waits behind the polls
-// that came while nobody led: the limit of our own is shared by all of them.
+// Guards against an election, or a submission, that waits behind users' polls that arrived while there was no leader.
+// All of them share the client's own rate limit.
 func TestLowPriorityCallsLeaveRoomAndUrgentOnesDoNotWait(t *testing.T) {
-	c := answering(t, 200, `{"path":"a","data":1,"stamp":1}`)
+	c := newClientAnswering(t, 200, `{"path":"a","data":1,"stamp":1}`)
 	c.callLimit = &rateLimit{limiter: rate.NewLimiter(rate.Every(time.Hour), 4)}
-	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // sooner than the next call is due
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // ends before the limit allows the next call
 	defer cancel()
-	got := 0
+	succeeded := 0
 	for range 10 {
 		if _, _, err := c.LowPriority().Get(ctx, "a"); err == nil {
-			got++
+			succeeded++
 		} else if !errors.Is(err, ErrNotExecuted) {
 			t.Fatal(err)
 		}
 	}
-	if got != 3 { // the third leaves less than half
-		t.Errorf("%d polls of 10 are served", got)
+	if succeeded != 3 { // the third leaves less than half of the burst
+		t.Errorf("%d of 10 low-priority calls succeeded, want 3", succeeded)
 	}
 	if _, _, err := c.Get(ctx, "a"); err != nil {
-		t.Errorf("a call that may wait finds no room: %v", err)
+		t.Errorf("a call of normal priority failed although the burst is not used up: %v", err)
 	}
 	if _, _, err := c.Get(ctx, "a"); err == nil {
-		t.Error("the limit is used up, and a call goes on")
+		t.Error("a call of normal priority succeeded although the burst is used up")
 	}
 	if _, _, err := c.Urgent().Get(ctx, "a"); err != nil {
-		t.Errorf("an urgent call waits: %v", err)
+		t.Errorf("an urgent call failed because of the rate limit: %v", err)
 	}
 }
 
-// Guards against shares that nobody else needs being left unused, and against
-// a limit of our own that outgrows the published one.
-func TestRateLimitTakesWhatOthersLeave(t *testing.T) {
+// Guards against shares of other clients that stay unused, and against a client's rate that grows beyond the published
+// limit.
+func TestRateLimitGrowsToWhatOthersLeave(t *testing.T) {
 	begin := time.Unix(0, 0)
 	limit := newRateLimit(100, 0.1, begin)
-	top := 100 * tuning.RateLimitUsedShare
+	maxRate := 100 * tuning.RateLimitUsedShare
 	now := begin
 	for _, step := range []struct {
 		name    string
@@ -131,27 +132,27 @@
 		after   time.Duration
 		want    float64
 	}{
-		{"the share in any case", false, 0, top / 10},
-		{"grown", false, tuning.RateLimitRecoverTime, top},
-		{"not beyond the limit", false, time.Hour, top},
-		{"halved by a refusal", true, 0, top / 2},
-		{"grown a little", false, tuning.RateLimitRecoverTime / 9, 0.6 * top},
-		{"not under the share", true, 0, 0.3 * top},
-		{"not under the share", true, 0, 0.15 * top},
-		{"not under the share", true, 0, top / 10},
+		{"begins at the guaranteed share", false, 0, maxRate / 10},
+		{"grows to the published limit", false, tuning.RateLimitRecoverTime, maxRate},
+		{"does not grow beyond the limit", false, time.Hour, maxRate},
+		{"halved by a refusal", true, 0, maxRate / 2},
+		{"grows in proportion to the time", false, tuning.RateLimitRecoverTime / 9, 0.6 * maxRate},
+		{"halved by a second refusal", true, 0, 0.3 * maxRate},
+		{"halved by a third refusal", true, 0, 0.15 * maxRate},
+		{"not halved below the guaranteed share", true, 0, maxRate / 10},
 	} {
 		now = now.Add(step.after)
 		if step.refused {
-			limit.refused(now)
+			limit.recordRefusal(now)
 		}
-		if got := limit.current(now); math.Abs(got-step.want) > 1e-6 {
-			t.Errorf("%s: %v a second, not %v", step.name, got, step.want)
+		if got := limit.currentRate(now); math.Abs(got-step.want) > 1e-6 {
+			t.Errorf("%s: rate is %v calls per second, want %v", step.name, got, step.want)
 		}
 	}
 }
 
-// Guards against a submission that is answered 503 because others used the
-// limit for a moment: it waits for another turn.
+// Guards against a submission that is answered with 503 because other clients used up the limit for a moment: the
+// transaction is retried.
 func TestRefusedTransactionWaitsForAnotherTurn(t *testing.T) {
 	refusals := 2
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -166,6 +167,6 @@
 	pauses := 0
 	c.pauseBusy = func(context.Context) { pauses++ }
 	if revision, err := c.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Delete: "x"}}}); err != nil || revision != 7 || pauses != 2 {
-		t.Errorf("%d, %v after %d pauses", revision, err, pauses)
+		t.Errorf("revision %d, error %v after %d pauses; want revision 7 after 2 pauses", revision, err, pauses)
 	}
 }
--- a/internal/clients/statestore/txn.go
+++ b/internal/clients/statestore/txn.go
@@ -12,16 +12,15 @@
 	"poppypass/internal/platform/wire"
 )
 
-// noSuchLease is how the service says why it refused a transaction that names a lease.
+// noSuchLease is the error text with which the service refuses a transaction whose lease has ended.
 const noSuchLease = "no such lease"
 
-// Commit executes a transaction, a compare-and-swap on the versions of keys, and returns its
-// revision. The error is a *ConflictError, ErrLeaseNotFound, ErrMalformed, ErrNotExecuted or
-// ErrOutcomeUnknown. A transaction that is refused because of the service's limits waits for
-// another turn, unless the client is urgent.
-func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
+// Commit executes a transaction, a compare-and-swap on the versions of keys, and returns its revision. The error is a
+// *ConflictError, ErrLeaseNotFound, ErrMalformed, ErrNotExecuted or ErrOutcomeUnknown. A transaction that the service
+// refuses because of its rate limits is retried after a pause until ctx ends, unless the client is urgent.
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	for {
-		revision, err := c.commitOnce(ctx, t)
+		revision, err := c.commitOnce(ctx, txn)
 		if !errors.Is(err, ErrBusy) || c.priority == urgentPriority {
 			return revision, err
 		}
@@ -31,8 +30,8 @@
 	}
 }
 
-// pauseBusy is the pause of a refused transaction, which differs so that several
-// do not come back together.
+// pauseBusy pauses before a refused transaction is retried. The pause is random so that several refused transactions are
+// not retried together.
 func pauseBusy(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -40,26 +39,27 @@
 	}
 }
 
-func (c *Client) commitOnce(ctx context.Context, t wire.Txn) (uint64, error) {
-	if err := c.waitTurn(ctx); err != nil {
+// commitOnce executes a transaction without a retry.
+func (c *Client) commitOnce(ctx context.Context, txn wire.Txn) (uint64, error) {
+	if err := c.waitCall(ctx); err != nil {
 		return 0, err
 	}
-	if err := c.waitWrites(ctx, len(t.Then)); err != nil {
+	if err := c.waitWrites(ctx, len(txn.Then)); err != nil {
 		return 0, err
 	}
-	if t.If == nil {
-		t.If = []wire.Condition{} // the service wants a list
+	if txn.If == nil {
+		txn.If = []wire.Condition{} // the service requires a list, not null
 	}
-	var res wire.TxnResult
-	var refused wire.Error
+	var result wire.TxnResult
+	var refusal wire.Error
 	status, err := c.call(ctx, request{
-		timeout: tuning.StateTimeout, method: http.MethodPost, path: wire.PathTxn, body: t,
+		timeout: tuning.StateTimeout, method: http.MethodPost, path: wire.PathTxn, body: txn,
 		decode: func(status int) any {
 			switch status {
 			case http.StatusOK, http.StatusConflict:
-				return &res
+				return &result
 			case http.StatusBadRequest:
-				return &refused
+				return &refusal
 			}
 			return nil
 		},
@@ -68,17 +68,16 @@
 	case err != nil:
 		return 0, err
 	case status == http.StatusOK:
-		return res.Revision, nil
+		return result.Revision, nil
 	case status == http.StatusConflict:
-		return 0, &ConflictError{Failed: res.Failed}
-	case status == http.StatusBadRequest && refused.Error == noSuchLease:
+		return 0, &ConflictError{Failed: result.Failed}
+	case status == http.StatusBadRequest && refusal.Error == noSuchLease:
 		return 0, ErrLeaseNotFound
 	}
 	return 0, unexpectedStatus(status)
 }
 
-// waitWrites waits until the client's own limit on changes allows n more. Its error is an
-// ErrNotExecuted.
+// waitWrites waits until the client's own rate limit allows n more changes. The error is an ErrNotExecuted.
 func (c *Client) waitWrites(ctx context.Context, n int) error {
 	if n == 0 || c.priority == urgentPriority {
 		return nil
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -11,44 +11,45 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Cloud is a cloud that rents what is asked for, up to Capacity machines. It is safe for concurrent use.
+// Cloud is a fake cloud. It rents out any machines that are requested, up to Capacity machines at a time. It is safe for
+// concurrent use.
 type Cloud struct {
 	srv *httptest.Server
 
-	mu       sync.Mutex
-	Types    []wire.MachineType
-	Capacity int
-	booked   map[string][]string
-	machines []wire.ListedMachine
-	rents    []wire.RentRequest
-	deleted  []string
-	named    int // machines so far
-	refusing bool
-	silent   int // rentals that are executed without an answer
-	listed   int // how many machines its lists name at the most; negative: all
+	mu                sync.Mutex
+	Types             []wire.MachineType   // machine types on offer
+	Capacity          int                  // largest number of machines that exist at a time
+	namesByRequest    map[string][]string  // names of rented machines by idempotency key
+	machines          []wire.ListedMachine // machines that exist, oldest first
+	rentRequests      []wire.RentRequest   // all rent requests, repeated ones included
+	deletionRequests  []string             // names of the machines whose deletion was requested
+	createdCount      int                  // number of machines created so far
+	refuseTypes       bool                 // whether requests for the machine types are answered with 503
+	rentAnswersToLose int                  // number of rent requests yet to be executed without an answer
+	listLimit         int                  // largest number of machines in a list; negative: no limit
 }
 
-// NewCloud starts a cloud with room for that many machines, of the given types.
+// NewCloud starts a cloud on a loopback address with a capacity of that many machines, of the given types.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
-	c := &Cloud{Types: types, Capacity: capacity, booked: map[string][]string{}, listed: -1}
+	c := &Cloud{Types: types, Capacity: capacity, namesByRequest: map[string][]string{}, listLimit: -1}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathMachineTypes, func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.refusing {
+		if c.refuseTypes {
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
 			return
 		}
 		answer(w, http.StatusOK, wire.MachineTypes{Types: c.Types})
 	})
 	mux.HandleFunc("POST "+wire.PathMachines, c.rent)
-	mux.HandleFunc("POST "+wire.PathDelete, c.remove)
+	mux.HandleFunc("POST "+wire.PathDelete, c.deleteMachines)
 	mux.HandleFunc("GET "+wire.PathMachines, func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		list := append([]wire.ListedMachine{}, c.machines...)
-		if c.listed >= 0 {
-			list = list[:min(c.listed, len(list))]
+		if c.listLimit >= 0 {
+			list = list[:min(c.listLimit, len(list))]
 		}
 		answer(w, http.StatusOK, wire.MachinePage{Machines: list})
 	})
@@ -56,55 +57,56 @@
 	return c
 }
 
-// Addr returns its address.
+// Addr returns the cloud's address as host:port.
 func (c *Cloud) Addr() string { return strings.TrimPrefix(c.srv.URL, "http://") }
 
-// Close stops it and drops its connections.
+// Close stops the cloud and closes its connections.
 func (c *Cloud) Close() {
 	c.srv.CloseClientConnections()
 	c.srv.Close()
 }
 
-// LoseRentAnswers makes it execute the next n rentals without answering them.
+// LoseRentAnswers makes the cloud execute the next n rent requests without answering them.
 func (c *Cloud) LoseRentAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = n
+	c.rentAnswersToLose = n
 }
 
-// ListOnly limits its lists to the oldest n machines, as a list that lags behind; a negative n ends that.
+// ListOnly limits the cloud's lists to the oldest n machines, like a list that lags behind. A negative n removes the
+// limit.
 func (c *Cloud) ListOnly(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listed = n
+	c.listLimit = n
 }
 
-// Terminate takes a machine back without notice.
+// Terminate ends a machine from the cloud's side without notice.
 func (c *Cloud) Terminate(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return m.Name == name })
 }
 
-// Refuse makes it answer 503 to requests for its machine types, or ends that.
+// Refuse sets whether the cloud answers requests for its machine types with 503.
 func (c *Cloud) Refuse(refuse bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refusing = refuse
+	c.refuseTypes = refuse
 }
 
-// Rents returns the rentals requested so far, repeated requests included.
+// Rents returns all rent requests so far, repeated ones included.
 func (c *Cloud) Rents() []wire.RentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]wire.RentRequest(nil), c.rents...)
+	return append([]wire.RentRequest(nil), c.rentRequests...)
 }
 
 // Deleted returns the names of the machines whose deletion was requested.
 func (c *Cloud) Deleted() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.deleted...)
+	return append([]string(nil), c.deletionRequests...)
 }
 
 // Machines returns the machines that exist.
@@ -115,42 +117,42 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var q wire.RentRequest
-	if !decode(w, r, &q) {
+	var request wire.RentRequest
+	if !decode(w, r, &request) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rents = append(c.rents, q)
-	names, known := c.booked[q.Request]
+	c.rentRequests = append(c.rentRequests, request)
+	names, known := c.namesByRequest[request.Request]
 	if !known {
-		for len(names) < q.Count && len(c.machines) < c.Capacity {
-			c.named++
-			name := fmt.Sprintf("n-%06d", c.named)
+		for len(names) < request.Count && len(c.machines) < c.Capacity {
+			c.createdCount++
+			name := fmt.Sprintf("n-%06d", c.createdCount)
 			names = append(names, name)
-			c.machines = append(c.machines, wire.ListedMachine{Name: name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, State: wire.MachineBooting})
+			c.machines = append(c.machines, wire.ListedMachine{Name: name, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting})
 		}
 		if len(names) == 0 {
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 			return
 		}
-		c.booked[q.Request] = names
+		c.namesByRequest[request.Request] = names
 	}
-	if c.silent > 0 {
-		c.silent--
+	if c.rentAnswersToLose > 0 {
+		c.rentAnswersToLose--
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, http.StatusOK, wire.MachineNames{Machines: names})
 }
 
-func (c *Cloud) remove(w http.ResponseWriter, r *http.Request) {
-	var q wire.MachineNames
-	if !decode(w, r, &q) {
+func (c *Cloud) deleteMachines(w http.ResponseWriter, r *http.Request) {
+	var request wire.MachineNames
+	if !decode(w, r, &request) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deleted = append(c.deleted, q.Machines...)
-	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return slices.Contains(q.Machines, m.Name) })
+	c.deletionRequests = append(c.deletionRequests, request.Machines...)
+	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return slices.Contains(request.Machines, m.Name) })
 	answer(w, http.StatusOK, struct{}{})
 }
--- a/internal/sim/fakes/doc.go
+++ b/internal/sim/fakes/doc.go
@@ -1,3 +1,3 @@
-// Package fakes has in-memory fakes of the outside systems for tests and load tools: a key-value store, a cloud and
-// workers. Each speaks the published protocol over loopback, and can be told to fail in set ways.
+// Package fakes contains in-memory fakes of the external systems for tests and load tools: a key-value store, a cloud and
+// workers. Each speaks the published protocol on loopback addresses. The store and the cloud can inject faults.
 package fakes
--- a/internal/sim/fakes/loopback.go
+++ b/internal/sim/fakes/loopback.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// Loopback returns a loopback address on which nothing listens.
-func Loopback() (string, error) {
+// FreeLoopbackAddr returns a loopback address (host:port) on which nothing listens.
+func FreeLoopbackAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/internal/sim/fakes/store.go
+++ b/internal/sim/fakes/store.go
@@ -18,30 +18,30 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Store is a consensus-backed key-value store in memory. Leases run by the clock that it was given. It is safe for
-// concurrent use.
+// Store is a fake of the consensus-backed key-value store, in memory. Its leases expire by the clock that NewStore gets.
+// It is safe for concurrent use.
 type Store struct {
 	clock clockwork.Clock
 	srv   *httptest.Server
 	mux   *http.ServeMux
 
-	mu          sync.Mutex
-	revision    uint64
-	keys        map[string]wire.Item
-	leases      map[uint64]*lease
-	nextID      uint64
-	events      []wire.Event
-	wake        chan struct{} // closed at each change
-	refuse      bool
-	refused     int // transactions that an outage refused
-	loseAnswer  func(wire.Txn) bool
-	delayTxn    func(wire.Txn) bool
-	answerDelay func() time.Duration
-	fate        func(*http.Request) Fate
-	delayed     []func()   // requests without an answer that are not executed yet
-	held        []wire.Txn // transactions without an answer that are not executed yet
-	applied     []wire.Txn
-	endpoints   []*Endpoint
+	mu              sync.Mutex
+	revision        uint64 // grows by one with each transaction that changes keys
+	keys            map[string]wire.Item
+	leases          map[uint64]*lease        // by lease ID
+	nextID          uint64                   // ID of the last lease granted
+	events          []wire.Event             // all changes so far, oldest first
+	wake            chan struct{}            // closed, and replaced, whenever the waiting watches must check again
+	refuse          bool                     // whether every request is answered with 503
+	refusedTxns     int                      // number of transactions refused while refuse was set
+	loseAnswer      func(wire.Txn) bool      // selects transactions to execute without an answer; nil: none
+	delayTxn        func(wire.Txn) bool      // selects transactions to delay until Deliver; nil: none
+	requestDelay    func() time.Duration     // delay before the next request is executed; nil: none
+	requestHandling func(*http.Request) Fate // decides how a request is handled; nil: all are answered
+	delayedRequests []func()                 // execute the requests, other than transactions, that Deliver is to execute
+	delayedTxns     []wire.Txn               // transactions that Deliver is to execute
+	applied         []wire.Txn               // transactions whose conditions held, oldest first
+	endpoints       []*Endpoint
 }
 
 // NewStore starts a store on a loopback address.
@@ -59,16 +59,16 @@
 	return s
 }
 
-// serve answers a request that came to an endpoint, or to the store's own address if d is nil.
-func (s *Store) serve(w http.ResponseWriter, r *http.Request, d *Endpoint) {
+// serve answers a request to an endpoint, or to the store's own address if endpoint is nil.
+func (s *Store) serve(w http.ResponseWriter, r *http.Request, endpoint *Endpoint) {
 	s.mu.Lock()
 	refuse := s.refuse
 	if refuse && r.URL.Path == wire.PathTxn {
-		s.refused++
+		s.refusedTxns++
 	}
-	fate := Answered
-	if s.fate != nil && r.URL.Path != wire.PathTxn && r.URL.Path != wire.PathWatch {
-		fate = s.fate(r)
+	handling := Answered
+	if s.requestHandling != nil && r.URL.Path != wire.PathTxn && r.URL.Path != wire.PathWatch {
+		handling = s.requestHandling(r)
 	}
 	s.mu.Unlock()
 	if refuse {
@@ -76,11 +76,11 @@
 		return
 	}
 	if r.URL.Path == wire.PathWatch {
-		s.watch(w, r, d)
+		s.watch(w, r, endpoint)
 		return
 	}
-	s.hold(r)
-	if fate == Answered {
+	s.waitBeforeExecution(r)
+	if handling == Answered {
 		s.mux.ServeHTTP(w, r)
 		return
 	}
@@ -88,34 +88,35 @@
 	if err == nil {
 		r = r.Clone(context.WithoutCancel(r.Context()))
 		r.Body = io.NopCloser(bytes.NewReader(raw))
-		carryOut := func() { s.mux.ServeHTTP(httptest.NewRecorder(), r) }
-		if fate == Unanswered {
-			carryOut()
+		execute := func() { s.mux.ServeHTTP(httptest.NewRecorder(), r) }
+		if handling == Unanswered {
+			execute()
 		} else {
 			s.mu.Lock()
-			s.delayed = append(s.delayed, carryOut)
+			s.delayedRequests = append(s.delayedRequests, execute)
 			s.mu.Unlock()
 		}
 	}
-	panic(http.ErrAbortHandler) // the connection ends without an answer
+	panic(http.ErrAbortHandler) // closes the connection without an answer
 }
 
-// Addr returns its address.
+// Addr returns the store's address as host:port.
 func (s *Store) Addr() string { return strings.TrimPrefix(s.srv.URL, "http://") }
 
-// Close stops it and its endpoints, and drops their connections.
+// Close stops the store and its endpoints, and closes their connections.
 func (s *Store) Close() {
 	s.mu.Lock()
 	endpoints := s.endpoints
 	s.mu.Unlock()
-	for _, d := range endpoints {
-		d.srv.CloseClientConnections()
-		d.srv.Close()
+	for _, endpoint := range endpoints {
+		endpoint.srv.CloseClientConnections()
+		endpoint.srv.Close()
 	}
 	s.srv.CloseClientConnections()
 	s.srv.Close()
 }
 
+// apply changes one key at the current revision. The caller holds the lock.
 func (s *Store) apply(c wire.Change) {
 	if c.Delete != "" {
 		delete(s.keys, c.Delete)
@@ -126,12 +127,13 @@
 	s.events = append(s.events, wire.Event{Put: c.Put, Value: c.Value, Version: s.revision})
 }
 
-func (s *Store) changed() {
+// wakeWatches makes the waiting watches check for events again. The caller holds the lock.
+func (s *Store) wakeWatches() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
-// decode reads a request's JSON body; if it is malformed, it answers 400 and returns false.
+// decode reads a request's JSON body into v. If the body is malformed, it answers with 400 and returns false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	if json.NewDecoder(r.Body).Decode(v) != nil {
 		answer(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
@@ -140,6 +142,7 @@
 	return true
 }
 
+// answer writes a response with v as its JSON body.
 func answer(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(v); err != nil {
@@ -176,33 +179,33 @@
 }
 
 func (s *Store) commit(w http.ResponseWriter, r *http.Request) {
-	var t wire.Txn
-	if !decode(w, r, &t) {
+	var txn wire.Txn
+	if !decode(w, r, &txn) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if s.delayTxn != nil && s.delayTxn(t) {
-		s.held = append(s.held, t)
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+	if s.delayTxn != nil && s.delayTxn(txn) {
+		s.delayedTxns = append(s.delayedTxns, txn)
+		panic(http.ErrAbortHandler) // closes the connection without an answer
 	}
-	status, body := s.execute(t)
-	if status == http.StatusOK && s.loseAnswer != nil && s.loseAnswer(t) {
+	status, body := s.execute(txn)
+	if status == http.StatusOK && s.loseAnswer != nil && s.loseAnswer(txn) {
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, status, body)
 }
 
-// execute applies a transaction if its conditions hold. The caller holds the lock.
-func (s *Store) execute(t wire.Txn) (status int, body any) {
+// execute applies a transaction if its conditions hold, and returns the answer. The caller holds the lock.
+func (s *Store) execute(txn wire.Txn) (status int, body any) {
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range txn.If {
 		if s.keys[c.Key].Version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
-	for _, c := range t.Then {
+	for _, c := range txn.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 		}
@@ -210,33 +213,34 @@
 	if len(failed) > 0 {
 		return http.StatusConflict, wire.TxnResult{Failed: failed, Revision: s.revision}
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.revision++
-		for _, c := range t.Then {
+		for _, c := range txn.Then {
 			s.apply(c)
 		}
-		s.changed()
+		s.wakeWatches()
 	}
-	s.applied = append(s.applied, t)
+	s.applied = append(s.applied, txn)
 	return http.StatusOK, wire.TxnResult{Revision: s.revision}
 }
 
-// watch answers a watch as soon as there are events. While its caller is refused it waits.
-func (s *Store) watch(w http.ResponseWriter, r *http.Request, d *Endpoint) {
+// watch answers a watch as soon as there are events. While the store or the endpoint refuses requests, a watch that was
+// accepted before waits.
+func (s *Store) watch(w http.ResponseWriter, r *http.Request, endpoint *Endpoint) {
 	prefix := r.FormValue("starts")
 	after, _ := strconv.ParseUint(r.FormValue("after"), 10, 64)
 	for {
 		s.mu.Lock()
-		res := wire.WatchResult{Revision: s.revision}
+		result := wire.WatchResult{Revision: s.revision}
 		for _, e := range s.events {
 			if e.Version > after && strings.HasPrefix(e.Put+e.Delete, prefix) {
-				res.Events = append(res.Events, e)
+				result.Events = append(result.Events, e)
 			}
 		}
-		wake, waits := s.wake, s.refuse || d != nil && d.refuse
+		wake, refused := s.wake, s.refuse || endpoint != nil && endpoint.refuse
 		s.mu.Unlock()
-		if len(res.Events) > 0 && !waits {
-			answer(w, http.StatusOK, res)
+		if len(result.Events) > 0 && !refused {
+			answer(w, http.StatusOK, result)
 			return
 		}
 		select {
--- a/internal/sim/fakes/store_faults.go
+++ b/internal/sim/fakes/store_faults.go
@@ -11,123 +11,127 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Endpoint is an address of the store for one caller, so that this caller alone can be refused.
+// Endpoint is an additional address of the store for a single caller, so that requests of this caller alone can be
+// refused.
 type Endpoint struct {
-	s      *Store
+	store  *Store
 	srv    *httptest.Server
-	refuse bool // guarded by s.mu
+	refuse bool // guarded by store.mu
 }
 
-// Endpoint opens an endpoint. Store.Close closes it.
+// Endpoint opens a new endpoint. Store.Close closes it.
 func (s *Store) Endpoint() *Endpoint {
-	d := &Endpoint{s: s}
-	d.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	endpoint := &Endpoint{store: s}
+	endpoint.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		refuse := d.refuse
+		refuse := endpoint.refuse
 		s.mu.Unlock()
 		if refuse {
 			answer(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
 			return
 		}
-		s.serve(w, r, d)
+		s.serve(w, r, endpoint)
 	}))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints = append(s.endpoints, d)
-	return d
+	s.endpoints = append(s.endpoints, endpoint)
+	return endpoint
 }
 
-// Addr returns the endpoint's address.
-func (d *Endpoint) Addr() string { return strings.TrimPrefix(d.srv.URL, "http://") }
+// Addr returns the endpoint's address as host:port.
+func (e *Endpoint) Addr() string { return strings.TrimPrefix(e.srv.URL, "http://") }
 
-// Refuse makes the store answer 503 to this caller alone, or ends that. The caller's leases expire meanwhile.
-func (d *Endpoint) Refuse(refuse bool) {
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	d.refuse = refuse
-	d.s.changed()
+// Refuse sets whether the store answers requests to this endpoint with 503. Leases of the caller expire as usual
+// meanwhile, since it cannot renew them.
+func (e *Endpoint) Refuse(refuse bool) {
+	e.store.mu.Lock()
+	defer e.store.mu.Unlock()
+	e.refuse = refuse
+	e.store.wakeWatches()
 }
 
-// Fate is what becomes of a request.
+// Fate says whether a request is executed and answered.
 type Fate int
 
 const (
 	// Answered requests are executed and answered.
 	Answered Fate = iota
-	// Unanswered requests are executed, and only the answer is lost.
+	// Unanswered requests are executed, but their answer is lost.
 	Unanswered
-	// Delayed requests get no answer, and are executed by Deliver.
+	// Delayed requests get no answer. Deliver executes them later.
 	Delayed
 )
 
-// SetFate has fn decide the fate of requests other than transactions and watches, that is, of reads and lease requests;
-// nil ends that.
+// SetFate makes fn decide about requests other than transactions and watches, that is, about reads and lease requests.
+// With nil, all of them are answered.
 func (s *Store) SetFate(fn func(*http.Request) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = fn
+	s.requestHandling = fn
 }
 
-// Refuse makes the store answer 503 to everything, or ends that; then every lease has its full TTL again.
+// Refuse sets whether the store answers all requests with 503, as in an outage. No lease expires meanwhile, and
+// afterwards every lease has its full TTL again.
 func (s *Store) Refuse(refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = refuse
-	s.changed()
+	s.wakeWatches()
 	for _, l := range s.leases {
-		l.end = s.clock.Now().Add(l.ttl)
+		l.expiresAt = s.clock.Now().Add(l.ttl)
 	}
 }
 
-// LoseAnswers makes it execute the transactions that fn picks without answering them; nil ends that.
+// LoseAnswers makes the store execute the transactions that fn selects without answering them. With nil, all of them are
+// answered.
 func (s *Store) LoseAnswers(fn func(wire.Txn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseAnswer = fn
 }
 
-// DelayAnswers makes each request but watches wait, by the store's clock, for as long as fn says before it is executed, even
-// if its caller gives up meanwhile; nil ends that.
+// DelayAnswers makes each request other than a watch wait, by the store's clock, for the duration that fn returns before
+// it is executed. The request is executed even if its caller has given up meanwhile. With nil, no request waits.
 func (s *Store) DelayAnswers(fn func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answerDelay = fn
+	s.requestDelay = fn
 }
 
-// hold has a request wait as DelayAnswers demands.
-func (s *Store) hold(r *http.Request) {
+// waitBeforeExecution makes a request wait as DelayAnswers demands.
+func (s *Store) waitBeforeExecution(r *http.Request) {
 	s.mu.Lock()
-	slow := s.answerDelay
+	delay := s.requestDelay
 	s.mu.Unlock()
-	if slow == nil || r.URL.Path == wire.PathWatch {
+	if delay == nil || r.URL.Path == wire.PathWatch {
 		return
 	}
-	if r.Body != nil { // it is executed even if its caller is gone
+	if r.Body != nil { // read now, since the body is lost once the caller disconnects
 		raw, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(raw))
 	}
-	if d := slow(); d > 0 {
+	if d := delay(); d > 0 {
 		<-s.clock.After(d)
 	}
 }
 
-// DelayTransactions makes it hold the transactions that fn picks: they get no answer, and Deliver executes them; nil ends
-// that.
+// DelayTransactions delays the transactions that fn selects: they get no answer, and Deliver executes them later. With
+// nil, no more transactions are delayed.
 func (s *Store) DelayTransactions(fn func(wire.Txn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delayTxn = fn
 }
 
-// Deliver executes the delayed requests, then the held transactions, each in order, and returns the transactions whose
-// conditions still held.
+// Deliver executes the delayed requests and then the delayed transactions, each in the order of their arrival. It returns
+// the transactions that were applied because their conditions still held.
 func (s *Store) Deliver() []wire.Txn {
 	s.mu.Lock()
-	delayed := s.delayed
-	s.delayed = nil
+	delayed := s.delayedRequests
+	s.delayedRequests = nil
 	s.mu.Unlock()
 	for _, execute := range delayed {
 		execute()
@@ -136,25 +140,25 @@
 	defer s.mu.Unlock()
 	s.expire()
 	var applied []wire.Txn
-	for _, t := range s.held {
+	for _, t := range s.delayedTxns {
 		if status, _ := s.execute(t); status == http.StatusOK {
 			applied = append(applied, t)
 		}
 	}
-	s.held = nil
+	s.delayedTxns = nil
 	return applied
 }
 
-// Refused returns how many transactions outages have refused.
+// Refused returns how many transactions the store has refused while Refuse(true) was in effect.
 func (s *Store) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.refusedTxns
 }
 
-// HeldTransactions returns how many transactions and other requests wait for Deliver.
+// HeldTransactions returns the number of transactions and other requests that Deliver is to execute.
 func (s *Store) HeldTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.held) + len(s.delayed)
+	return len(s.delayedTxns) + len(s.delayedRequests)
 }
--- a/internal/sim/fakes/store_inspect.go
+++ b/internal/sim/fakes/store_inspect.go
@@ -6,28 +6,28 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Value returns what is stored under a key.
+// Value returns the item that is stored under a key, and whether there is one.
 func (s *Store) Value(key string) (wire.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	i, ok := s.keys[key]
-	return i, ok
+	item, ok := s.keys[key]
+	return item, ok
 }
 
-// Holder returns the member that the leader key names, and its term; "" if there is none.
+// Holder returns the name and the term of the member that the leader key names as the leader; "" if there is none.
 func (s *Store) Holder() (member string, term uint64) {
-	var h struct {
+	var holder struct {
 		Member string
 		Term   uint64
 	}
-	if item, ok := s.Value("lead/holder"); !ok || json.Unmarshal(item.Value, &h) != nil {
+	if item, ok := s.Value("lead/holder"); !ok || json.Unmarshal(item.Value, &holder) != nil {
 		return "", 0
 	}
-	return h.Member, h.Term
+	return holder.Member, holder.Term
 }
 
-// Applied returns the transactions that were applied so far.
+// Applied returns the transactions that were applied so far, in order.
 func (s *Store) Applied() []wire.Txn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sim/fakes/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -13,7 +13,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Attempt identifies an attempt of a task.
+// Attempt identifies one attempt of a task.
 type Attempt struct {
 	Task    string
 	Attempt uint64
@@ -22,113 +22,118 @@
 // MeasuredAttempt is an attempt as its worker measured it.
 type MeasuredAttempt struct {
 	Attempt
-	Begin time.Time       // when it began to run
-	Run   time.Duration   // from then to when it ended
-	Why   wire.ExitReason // empty: it was killed when its worker's lease expired
-	Team  string
+	StartedAt  time.Time       // start time of the attempt
+	RunTime    time.Duration   // run time until the attempt ended
+	ExitReason wire.ExitReason // empty: the worker killed the attempt when its lease expired or it was stopped
+	Team       string
 }
 
-// Task decides how long an attempt runs, how it ends, and which team it belongs to.
-type Task func(task string, attempt uint64) (run time.Duration, why wire.ExitReason, team string)
+// AttemptPlanner returns how long an attempt is to run, why it is to exit, and the team of its job.
+type AttemptPlanner func(task string, attempt uint64) (runTime time.Duration, reason wire.ExitReason, team string)
 
-// Worker is a worker in real time: it sends heartbeats, executes commands, and measures each attempt.
+// Worker is a fake worker that runs by the system clock. It sends heartbeats, executes commands with simulated tasks and
+// measures each attempt.
 type Worker struct {
-	status      wire.Heartbeat
-	controllers map[string]string // addresses of the controllers by member
-	order       []string
-	every       time.Duration
-	lease       time.Duration
-	task        Task
-	onEnd       func(MeasuredAttempt)
-	wake        chan struct{}
+	status         wire.Heartbeat    // the heartbeat to send next, with the tasks of the worker
+	controllers    map[string]string // addresses of the controllers by member name
+	memberOrder    []string
+	heartbeatEvery time.Duration
+	workerLease    time.Duration
+	planAttempt    AttemptPlanner
+	onEnd          func(MeasuredAttempt)
+	wake           chan struct{} // signals that a heartbeat with a change is due
 
 	mu           sync.Mutex
-	running      map[Attempt]*run
-	lastAnswered time.Time // when the last heartbeat that was answered was sent
+	running      map[Attempt]*runningAttempt
+	lastAnswered time.Time // when the last answered heartbeat was sent
 }
 
-type run struct {
-	begun time.Time
-	end   *time.Timer
-	team  string
-	saved bool
+// runningAttempt is an attempt that runs.
+type runningAttempt struct {
+	startedAt time.Time
+	endTimer  *time.Timer // ends the attempt after its planned run time
+	team      string
+	saved     bool // whether it was stopped with a grace period, in which a real task saves its state
 }
 
-// WorkerOptions are what a worker needs beside its machine.
+// WorkerOptions configures a worker.
 type WorkerOptions struct {
-	Controllers map[string]string     // addresses by member
-	Order       []string              // members in the order in which they are tried
-	Every       time.Duration         // between heartbeats
-	Lease       time.Duration         // after which its tasks end unless a heartbeat is answered
-	Task        Task                  // decides about each attempt
-	OnEnd       func(MeasuredAttempt) // called with each attempt that ended
+	Controllers    map[string]string     // addresses by member name
+	MemberOrder    []string              // member names in the order in which the worker tries them
+	HeartbeatEvery time.Duration         // interval between heartbeats
+	WorkerLease    time.Duration         // the worker kills its tasks if no heartbeat is answered for this long
+	PlanAttempt    AttemptPlanner        // called for each attempt that starts
+	OnEnd          func(MeasuredAttempt) // called for each attempt that has ended
 }
 
-// NewWorker makes the worker of a machine.
-func NewWorker(m wire.ListedMachine, o WorkerOptions) *Worker {
+// NewWorker returns the worker of a machine.
+func NewWorker(machine wire.ListedMachine, options WorkerOptions) *Worker {
 	return &Worker{
-		status:      wire.Heartbeat{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1},
-		controllers: o.Controllers, order: o.Order, every: o.Every, lease: o.Lease, task: o.Task, onEnd: o.OnEnd,
-		wake: make(chan struct{}, 1), running: map[Attempt]*run{}, lastAnswered: time.Now(),
+		status:      wire.Heartbeat{Machine: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1},
+		controllers: options.Controllers, memberOrder: options.MemberOrder, heartbeatEvery: options.HeartbeatEvery,
+		workerLease: options.WorkerLease, planAttempt: options.PlanAttempt, onEnd: options.OnEnd,
+		wake: make(chan struct{}, 1), running: map[Attempt]*runningAttempt{}, lastAnswered: time.Now(),
 	}
 }
 
-// Run serves until ctx ends; the tasks that run then end with it.
+// Run sends heartbeats and serves direct commands until ctx ends. Then it kills the tasks that still run.
 func (w *Worker) Run(ctx context.Context) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.status.Address = l.Addr().String()
+	w.status.Address = listener.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathCommands, w.direct)
+	mux.HandleFunc("POST "+wire.PathCommands, w.serveCommands)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go func() { _ = srv.Serve(l) }() // it ends when it is closed
+	go func() { _ = srv.Serve(listener) }() // returns when srv is closed
 	defer srv.Close()
 	defer w.kill()
 	client := &http.Client{Timeout: 4 * time.Second}
-	at, last := 0, time.Time{}
+	memberIndex, lastSentAt := 0, time.Time{}
 	for ctx.Err() == nil {
-		name := w.order[at%len(w.order)]
-		pause := w.every
-		status, to := w.heartbeat(ctx, client, name)
+		member := w.memberOrder[memberIndex%len(w.memberOrder)]
+		pause := w.heartbeatEvery
+		status, redirectTo := w.heartbeat(ctx, client, member)
 		switch {
 		case status == http.StatusOK:
-		case status == http.StatusMisdirectedRequest && to != "" && to != name && w.controllers[to] != "":
-			for i, n := range w.order {
-				if n == to {
-					at = i
+		case status == http.StatusMisdirectedRequest && redirectTo != "" && redirectTo != member && w.controllers[redirectTo] != "":
+			for i, n := range w.memberOrder {
+				if n == redirectTo {
+					memberIndex = i
 				}
 			}
 			pause = 0
 		default:
-			at++
+			memberIndex++
 			pause = time.Second
 		}
 		w.expire()
-		last = time.Now()
+		lastSentAt = time.Now()
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		case <-w.wake:
-			select { // a change is told at most once every half second
+			select { // changes are reported at most every half second
 			case <-ctx.Done():
-			case <-time.After(time.Until(last.Add(500 * time.Millisecond))):
+			case <-time.After(time.Until(lastSentAt.Add(500 * time.Millisecond))):
 			}
 		}
 	}
 	return nil
 }
 
-func (w *Worker) changed() {
+// requestHeartbeat makes Run send the next heartbeat early, since the tasks have changed.
+func (w *Worker) requestHeartbeat() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// heartbeat sends one heartbeat and executes the commands in its reply.
-func (w *Worker) heartbeat(ctx context.Context, client *http.Client, name string) (status int, to string) {
+// heartbeat sends one heartbeat to a controller and executes the commands in the reply. It returns the HTTP status of the
+// answer, 0 if there is no usable one, and the member to which a redirect refers.
+func (w *Worker) heartbeat(ctx context.Context, client *http.Client, member string) (status int, redirectTo string) {
 	w.mu.Lock()
 	w.status.Seq++
 	incarnation := w.status.Incarnation
@@ -137,8 +142,8 @@
 	if err != nil {
 		return 0, ""
 	}
-	sent := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.controllers[name]+wire.PathHeartbeat, bytes.NewReader(raw))
+	sentAt := time.Now()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.controllers[member]+wire.PathHeartbeat, bytes.NewReader(raw))
 	if err != nil {
 		return 0, ""
 	}
@@ -148,76 +153,78 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		var r wire.Redirect
-		_ = json.NewDecoder(resp.Body).Decode(&r) // without one, the next controller is tried
-		return resp.StatusCode, r.ReportTo
+		var redirect wire.Redirect
+		_ = json.NewDecoder(resp.Body).Decode(&redirect) // if it cannot be decoded, the next controller is tried
+		return resp.StatusCode, redirect.ReportTo
 	}
-	var a wire.HeartbeatReply
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&a) != nil {
+	var reply wire.HeartbeatReply
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&reply) != nil {
 		return 0, ""
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.FencingToken >= w.status.FencingToken && incarnation == w.status.Incarnation {
-		w.status.FencingToken = a.FencingToken
-		w.lastAnswered = sent
-		w.execute(a.Commands)
+	if reply.FencingToken >= w.status.FencingToken && incarnation == w.status.Incarnation {
+		w.status.FencingToken = reply.FencingToken
+		w.lastAnswered = sentAt
+		w.execute(reply.Commands)
 	}
 	return resp.StatusCode, ""
 }
 
-func (w *Worker) direct(rw http.ResponseWriter, r *http.Request) {
-	var q wire.DirectCommands
-	if json.NewDecoder(r.Body).Decode(&q) != nil {
+// serveCommands answers direct commands. Commands for another incarnation, or with an older fencing token than the worker
+// has seen, are rejected with 409.
+func (w *Worker) serveCommands(rw http.ResponseWriter, r *http.Request) {
+	var request wire.DirectCommands
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	status := http.StatusConflict
-	if q.FencingToken >= w.status.FencingToken && q.Incarnation == w.status.Incarnation {
-		w.status.FencingToken = q.FencingToken
-		w.execute(q.Commands)
+	if request.FencingToken >= w.status.FencingToken && request.Incarnation == w.status.Incarnation {
+		w.status.FencingToken = request.FencingToken
+		w.execute(request.Commands)
 		status = http.StatusOK
 	}
 	w.status.Seq++
 	answer(rw, status, w.status)
 }
 
-// execute carries out commands. The caller holds the lock.
+// execute executes commands. The caller holds the lock.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, c := range commands {
-		i := -1
-		for n, t := range w.status.Tasks {
+		index := -1
+		for i, t := range w.status.Tasks {
 			if t.Task == c.Task && t.Attempt == c.Attempt {
-				i = n
+				index = i
 			}
 		}
 		id := Attempt{c.Task, c.Attempt}
 		switch {
-		case c.Op == wire.OpStart && i < 0:
-			length, why, team := w.task(c.Task, c.Attempt)
+		case c.Op == wire.OpStart && index < 0:
+			runTime, reason, team := w.planAttempt(c.Task, c.Attempt)
 			w.status.Tasks = append(w.status.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
-			w.running[id] = &run{begun: time.Now(), team: team, end: time.AfterFunc(length, func() {
+			w.running[id] = &runningAttempt{startedAt: time.Now(), team: team, endTimer: time.AfterFunc(runTime, func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				w.exit(id, why)
+				w.exit(id, reason)
 			})}
-			w.changed()
-		case c.Op == wire.OpStop && i >= 0:
+			w.requestHeartbeat()
+		case c.Op == wire.OpStop && index >= 0:
 			if r := w.running[id]; r != nil {
 				r.saved = c.GraceS != nil && *c.GraceS > 0
-				r.end.Stop()
+				r.endTimer.Stop()
 				w.exit(id, wire.ExitStopped)
 			}
-		case c.Op == wire.OpForget && i >= 0 && w.status.Tasks[i].State == wire.TaskExited:
-			w.status.Tasks = append(w.status.Tasks[:i:i], w.status.Tasks[i+1:]...)
+		case c.Op == wire.OpForget && index >= 0 && w.status.Tasks[index].State == wire.TaskExited:
+			w.status.Tasks = append(w.status.Tasks[:index:index], w.status.Tasks[index+1:]...)
 		}
 	}
 }
 
 // exit ends a running attempt. The caller holds the lock.
-func (w *Worker) exit(id Attempt, why wire.ExitReason) {
+func (w *Worker) exit(id Attempt, reason wire.ExitReason) {
 	r := w.running[id]
 	if r == nil {
 		return
@@ -225,18 +232,19 @@
 	delete(w.running, id)
 	for i := range w.status.Tasks {
 		if t := &w.status.Tasks[i]; t.Task == id.Task && t.Attempt == id.Attempt {
-			t.State, t.Reason, t.Saved = wire.TaskExited, why, r.saved
+			t.State, t.Reason, t.Saved = wire.TaskExited, reason, r.saved
 		}
 	}
-	w.onEnd(MeasuredAttempt{id, r.begun, time.Since(r.begun), why, r.team})
-	w.changed()
+	w.onEnd(MeasuredAttempt{id, r.startedAt, time.Since(r.startedAt), reason, r.team})
+	w.requestHeartbeat()
 }
 
-// expire begins a new incarnation when no heartbeat was answered for a lease.
+// expire kills all tasks and begins a new incarnation if no heartbeat was answered for the duration of the worker's
+// lease.
 func (w *Worker) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.lastAnswered) <= w.lease {
+	if time.Since(w.lastAnswered) <= w.workerLease {
 		return
 	}
 	w.killAll()
@@ -244,20 +252,22 @@
 	w.lastAnswered = time.Now()
 }
 
+// kill kills all tasks.
 func (w *Worker) kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killAll()
 }
 
+// killAll kills all tasks and reports their attempts without an exit reason. The caller holds the lock.
 func (w *Worker) killAll() {
 	for id, r := range w.running {
-		r.end.Stop()
-		w.onEnd(MeasuredAttempt{id, r.begun, time.Since(r.begun), "", r.team})
+		r.endTimer.Stop()
+		w.onEnd(MeasuredAttempt{id, r.startedAt, time.Since(r.startedAt), "", r.team})
 	}
 	clear(w.running)
 	w.status.Tasks = nil
 }
 
-// JobOf returns the job id in a task's name.
+// JobOf returns the job ID that a task name begins with, up to the first slash.
 func JobOf(task string) string { return task[:strings.IndexByte(task, '/')] }
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -1,5 +1,5 @@
-// Intake has a real controller answer the reports of thousands of workers on loopback, with
-// fewer sockets than workers if so asked, and prints how many were answered in time, and the
+// Intake is a load test in which thousands of workers send heartbeats to one real controller on loopback. The controller's
+// limit of sockets may be lower than the number of workers. It prints how many heartbeats were answered in time, and the
 // controller's threads, sockets and memory.
 //
 //	go run ./internal/sim/intake --program target/poppypass --workers 10000 --sockets 3851 --for 60s
@@ -28,18 +28,19 @@
 	"poppypass/internal/sim/fakes"
 )
 
+// loadTest is the state of one run of the program.
 type loadTest struct {
-	program  string
-	workers  int
-	sockets  int
-	memoryMB float64
-	every    time.Duration
-	length   time.Duration
-	bind     string
+	program        string
+	workers        int           // number of workers
+	sockets        int           // the controller's limit of open files
+	memoryMB       float64       // the controller's memory limit, in MiB
+	heartbeatEvery time.Duration // mean interval between a worker's heartbeats
+	duration       time.Duration // how long the test runs
+	addr           string        // address of the controller's worker API
 
-	sent, answered, late atomic.Int64
-	mu                   sync.Mutex
-	worst                time.Duration
+	sent, answered, failed atomic.Int64 // numbers of heartbeats; failed ones got no answer with status 200 within 4 s
+	mu                     sync.Mutex
+	slowest                time.Duration // longest time until an answer
 }
 
 func main() {
@@ -52,15 +53,16 @@
 	cmd.Flags().IntVar(&l.workers, "workers", 10_000, "how many workers report")
 	cmd.Flags().IntVar(&l.sockets, "sockets", 3851, "the controller's limit of sockets")
 	cmd.Flags().Float64Var(&l.memoryMB, "memory", 322, "the controller's memory in MiB")
-	cmd.Flags().DurationVar(&l.every, "every", 5*time.Second, "how often each reports")
-	cmd.Flags().DurationVar(&l.length, "for", time.Minute, "how long")
+	cmd.Flags().DurationVar(&l.heartbeatEvery, "every", 5*time.Second, "how often each reports")
+	cmd.Flags().DurationVar(&l.duration, "for", time.Minute, "how long")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
 		os.Exit(1)
 	}
 }
 
+// run runs the load test and prints its results.
 func (l *loadTest) run(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, l.length)
+	ctx, stop := context.WithTimeout(ctx, l.duration)
 	defer stop()
 	state := fakes.NewStore(clockwork.NewRealClock())
 	defer state.Close()
@@ -71,69 +73,69 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if l.bind, err = fakes.Loopback(); err != nil {
+	if l.addr, err = fakes.FreeLoopbackAddr(); err != nil {
 		return err
 	}
-	mesh, err := fakes.Loopback()
+	peerAddr, err := fakes.FreeLoopbackAddr()
 	if err != nil {
 		return err
 	}
 	settings := fmt.Sprintf("member = \"m0\"\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n[outside]\ncloud = %q\nstate = %q\n"+
 		"[[cluster.teams]]\nname = \"t\"\n[cluster.workers]\nreport_s = %g\nlease_s = 26.5\ncancel_s = 51.5\n"+
 		"[cluster.state]\nrps = 500.0\nwrite_rps = 180.0\nvalue_kb = 16.0\ntxn_ops = 40\n[cluster.cloud]\nrps = 12.0\nlist_lag_s = 6.0\n"+
-		"[cluster.limits]\nram_mb = %g\nfd_limit = %d\n", l.bind, mesh, cloud.Addr(), state.Addr(), l.every.Seconds(), l.memoryMB, l.sockets)
-	path := filepath.Join(dir, "settings.toml")
-	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
+		"[cluster.limits]\nram_mb = %g\nfd_limit = %d\n", l.addr, peerAddr, cloud.Addr(), state.Addr(), l.heartbeatEvery.Seconds(), l.memoryMB, l.sockets)
+	settingsPath := filepath.Join(dir, "settings.toml")
+	if err := os.WriteFile(settingsPath, []byte(settings), 0o600); err != nil {
 		return err
 	}
-	program := exec.CommandContext(ctx, l.program, "serve", "--config", path)
-	program.Stderr = os.Stderr
-	program.Env = append(os.Environ(), "LOG_LEVEL=error")
-	if err := program.Start(); err != nil {
+	process := exec.CommandContext(ctx, l.program, "serve", "--config", settingsPath)
+	process.Stderr = os.Stderr
+	process.Env = append(os.Environ(), "LOG_LEVEL=error")
+	if err := process.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = program.Wait() }() // it is killed
+	defer func() { _ = process.Wait() }() // ctx has ended and killed the process: an error is expected
 	time.Sleep(2 * time.Second)
 	var wg sync.WaitGroup
 	for i := range l.workers {
-		wg.Go(func() { l.work(ctx, i) })
+		wg.Go(func() { l.runWorker(ctx, i) })
 	}
-	var peak string
+	var lastStatus string
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(l.length / 10):
-			if now := process(program.Process.Pid); now != "" {
-				peak = now
+		case <-time.After(l.duration / 10):
+			if status := processStatus(process.Process.Pid); status != "" {
+				lastStatus = status
 			}
 		}
 	}
 	wg.Wait()
 	fmt.Printf("%d workers, %d sockets, a report each %v, for %v: %d reports, %d answered within 4 s, %d not; the slowest took %v\n%s\n",
-		l.workers, l.sockets, l.every, l.length, l.sent.Load(), l.answered.Load(), l.late.Load(), l.worst.Round(time.Millisecond), peak)
+		l.workers, l.sockets, l.heartbeatEvery, l.duration, l.sent.Load(), l.answered.Load(), l.failed.Load(), l.slowest.Round(time.Millisecond), lastStatus)
 	return nil
 }
 
-// work reports as one worker does.
-func (l *loadTest) work(ctx context.Context, i int) {
+// runWorker sends heartbeats as one worker does until ctx ends. The intervals vary by a quarter around the mean.
+func (l *loadTest) runWorker(ctx context.Context, i int) {
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	rep := wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1}
-	wait := time.Duration(rand.Int64N(int64(l.every)))
+	heartbeat := wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Address: "127.0.0.1:1", Type: "small", Zone: "a", Incarnation: 1}
+	wait := time.Duration(rand.Int64N(int64(l.heartbeatEvery)))
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = time.Duration(float64(l.every) * (0.75 + rand.Float64()/2))
-		rep.Seq++
-		raw, err := json.Marshal(rep)
+		wait = time.Duration(float64(l.heartbeatEvery) * (0.75 + rand.Float64()/2))
+		heartbeat.Seq++
+		raw, err := json.Marshal(heartbeat)
 		if err != nil {
 			return
 		}
-		begun := time.Now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.bind+wire.PathHeartbeat, bytes.NewReader(raw))
+		sentAt := time.Now()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.addr+wire.PathHeartbeat, bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
@@ -143,27 +145,28 @@
 		}
 		l.sent.Add(1)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			l.late.Add(1)
+			l.failed.Add(1)
 			if err == nil {
 				resp.Body.Close()
 			}
 			continue
 		}
-		var a wire.HeartbeatReply
-		if json.NewDecoder(resp.Body).Decode(&a) == nil {
-			rep.FencingToken = a.FencingToken
+		var reply wire.HeartbeatReply
+		if json.NewDecoder(resp.Body).Decode(&reply) == nil {
+			heartbeat.FencingToken = reply.FencingToken
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // so that the connection is used again
+		_, _ = io.Copy(io.Discard, resp.Body) // read to the end so that the connection is reused
 		resp.Body.Close()
 		l.answered.Add(1)
 		l.mu.Lock()
-		l.worst = max(l.worst, time.Since(begun))
+		l.slowest = max(l.slowest, time.Since(sentAt))
 		l.mu.Unlock()
 	}
 }
 
-// process tells a process's threads, open files and memory, as far as the system says.
-func process(pid int) string {
+// processStatus returns a process's open files, threads and memory for printing, or "" if the system does not report
+// them.
+func processStatus(pid int) string {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return ""
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -1,6 +1,6 @@
-// Pipelines has graphs and plain jobs of one class compete on real controllers on loopback,
-// while the leader is killed again and again. It prints the waits of both, whether every step
-// came to one end, and the controllers' memory.
+// Pipelines is a load test in which the steps of graphs and plain jobs compete on real controllers on loopback, while the
+// leader is killed repeatedly. It prints how long both waited to start, whether every job was done exactly once, and the
+// controllers' peak memory.
 //
 //	go run ./internal/sim/pipelines --program target/poppypass --for 3m --kill-every 40s
 package main
@@ -29,40 +29,42 @@
 	"poppypass/internal/sim/testcluster"
 )
 
+// loadTest is the state of one run of the program.
 type loadTest struct {
 	program   string
-	length    time.Duration
-	killEvery time.Duration
-	steps     int
-	crowd     int
+	duration  time.Duration // how long jobs are submitted
+	killEvery time.Duration // interval at which the leader is killed; 0: never
+	steps     int           // of each graph, without its first and last step
+	wideSteps int           // steps of the wide graph, all of which are ready at once; 0: no wide graph
 	cluster   *testcluster.Cluster
 
-	mu    sync.Mutex
-	ready map[string]time.Time // when a job began to wait: a step's when it was described
-	kind  map[string]string    // plain, service, first step (it comes at any time, as plain jobs do) or later step
-	begun map[string]time.Time
-	done  map[string]int
-	tries int
+	mu        sync.Mutex
+	readyAt   map[string]time.Time // by job ID: when the job began to wait; for a step, when its description arrived
+	kind      map[string]string    // by job ID: plain, service, first step or later step; a first step becomes ready at any time, as plain jobs do
+	startedAt map[string]time.Time // by job ID: when its first attempt started
+	doneCount map[string]int       // by job ID: number of attempts that were done
+	attempts  int                  // number of attempts
 }
 
 func main() {
-	l := &loadTest{ready: map[string]time.Time{}, kind: map[string]string{}, begun: map[string]time.Time{}, done: map[string]int{}}
+	l := &loadTest{readyAt: map[string]time.Time{}, kind: map[string]string{}, startedAt: map[string]time.Time{}, doneCount: map[string]int{}}
 	cmd := &cobra.Command{
 		Use: "pipelines", Short: "Have graphs and plain jobs compete", SilenceUsage: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.Context()) },
 	}
 	cmd.Flags().StringVar(&l.program, "program", "target/poppypass", "the program to run")
-	cmd.Flags().DurationVar(&l.length, "for", 3*time.Minute, "how long jobs are submitted")
+	cmd.Flags().DurationVar(&l.duration, "for", 3*time.Minute, "how long jobs are submitted")
 	cmd.Flags().DurationVar(&l.killEvery, "kill-every", 40*time.Second, "how often the leader is killed; 0: never")
-	cmd.Flags().IntVar(&l.crowd, "crowd", 0, "steps of one more graph that are all ready at the start; then services of another team come too, and nothing is waited for at the end")
+	cmd.Flags().IntVar(&l.wideSteps, "crowd", 0, "steps of one more graph that are all ready at the start; then services of another team come too, and nothing is waited for at the end")
 	cmd.Flags().IntVar(&l.steps, "steps", 6, "steps of each graph, in two rows behind a first one")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
 		os.Exit(1)
 	}
 }
 
-// describe takes descriptions: a step begins to wait as it comes to be known here.
-func (l *loadTest) describe(_ http.ResponseWriter, r *http.Request) {
+// receiveDescriptions is the HTTP handler to which the leader sends the descriptions of steps. A step begins to wait when
+// its description arrives.
+func (l *loadTest) receiveDescriptions(_ http.ResponseWriter, r *http.Request) {
 	var steps []runner.Description
 	if json.NewDecoder(r.Body).Decode(&steps) != nil {
 		return
@@ -70,8 +72,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range steps {
-		if _, again := l.ready[s.Job]; !again {
-			l.ready[s.Job], l.kind[s.Job] = time.Now(), "later step"
+		if _, known := l.readyAt[s.Job]; !known {
+			l.readyAt[s.Job], l.kind[s.Job] = time.Now(), "later step"
 			if s.Step == "first" {
 				l.kind[s.Job] = "first step"
 			}
@@ -79,44 +81,47 @@
 	}
 }
 
-func (l *loadTest) record(m fakes.MeasuredAttempt) {
+// recordAttempt records an attempt that has ended.
+func (l *loadTest) recordAttempt(m fakes.MeasuredAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := fakes.JobOf(m.Task)
-	l.tries++
-	if first, ok := l.begun[id]; !ok || m.Begin.Before(first) {
-		l.begun[id] = m.Begin
+	l.attempts++
+	if first, ok := l.startedAt[id]; !ok || m.StartedAt.Before(first) {
+		l.startedAt[id] = m.StartedAt
 	}
-	if m.Why == wire.ExitDone {
-		l.done[id]++
+	if m.ExitReason == wire.ExitDone {
+		l.doneCount[id]++
 	}
 }
 
-// graph describes a graph: a first step, two rows behind it, and a last one.
-func (l *loadTest) graph(id string) map[string]any {
-	step := func(name string, up ...string) map[string]any {
-		return map[string]any{"task_id": name, "kind": "job", "upstream": up, "retries": 2, "retry_delay": 2, "job": map[string]any{
+// graphDefinition returns a graph with a first step, two chains of steps that depend on it, and a last step that depends
+// on both chains.
+func (l *loadTest) graphDefinition(id string) map[string]any {
+	step := func(name string, upstream ...string) map[string]any {
+		return map[string]any{"task_id": name, "kind": "job", "upstream": upstream, "retries": 2, "retry_delay": 2, "job": map[string]any{
 			"class": "c", "cpus": 1, "memory_gb": 1, "image": "i", "image_gb": 1, "estimate_s": 6, "spot": true}}
 	}
 	tasks := []any{step("first")}
-	last := []string{"first", "first"}
+	chainEnds := []string{"first", "first"}
 	for i := range l.steps {
 		name := fmt.Sprint("s", i)
-		tasks = append(tasks, step(name, last[i%2]))
-		last[i%2] = name
+		tasks = append(tasks, step(name, chainEnds[i%2]))
+		chainEnds[i%2] = name
 	}
-	return map[string]any{"dag_id": id, "tasks": append(tasks, step("last", last...))}
+	return map[string]any{"dag_id": id, "tasks": append(tasks, step("last", chainEnds...))}
 }
 
-func (l *loadTest) api(ctx context.Context, method, path string, body any, out any) error {
+// callAPI calls the graph API and decodes the answer into out, unless out is nil.
+func (l *loadTest) callAPI(ctx context.Context, method, path string, body any, out any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	status, answer := l.cluster.Send(ctx, method, airflow.PathAPI+path+"?team=team-0", raw)
-	// A trigger that was stored without an answer is known when it is repeated.
+	// If a run was created but the answer was lost, the repeated request gets a conflict. That is a success.
 	if status == 0 || status >= http.StatusBadRequest && status != http.StatusConflict {
-		return fmt.Errorf("%s %s: %d %s", method, path, status, answer)
+		return fmt.Errorf("%s %s: status %d: %s", method, path, status, answer)
 	}
 	if out != nil {
 		return json.Unmarshal(answer, out)
@@ -124,26 +129,26 @@
 	return nil
 }
 
-// submit submits a plain job of one task. It waits from when it is accepted.
+// submit submits a job of one task that belongs to no graph. The job begins to wait when it is accepted.
 func (l *loadTest) submit(ctx context.Context, id, kind, shape, urgency string, team int) {
 	l.cluster.Send(ctx, http.MethodPost, wire.PathJobs, fmt.Appendf(nil, `{"ref":%q,"lane":%q,"desk":"team-%d","shape":%q,"urgency":%q,"seats":1,"cpus":1,
 		"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":%d,"stub_s":0,"stamp_s":0}`,
 		id, kind, team, shape, urgency, map[bool]int{false: 6}[kind == "service"]))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ready[id], l.kind[id] = time.Now(), kind
+	l.readyAt[id], l.kind[id] = time.Now(), kind
 }
 
-// crowded registers a graph whose steps are all ready at once, and begins a run of it.
-func (l *loadTest) crowded(ctx context.Context) error {
-	g := l.graph("crowd")
-	one := g["tasks"].([]any)[0].(map[string]any)
-	tasks := make([]any, l.crowd)
+// startWideGraph registers a graph whose steps are all ready at once, and starts a run of it.
+func (l *loadTest) startWideGraph(ctx context.Context) error {
+	graph := l.graphDefinition("crowd")
+	template := graph["tasks"].([]any)[0].(map[string]any)
+	tasks := make([]any, l.wideSteps)
 	for i := range tasks {
-		step := map[string]any{"task_id": fmt.Sprint("c", i), "kind": "job", "job": one["job"]}
+		step := map[string]any{"task_id": fmt.Sprint("c", i), "kind": "job", "job": template["job"]}
 		tasks[i] = step
 	}
-	raw, err := json.Marshal(map[string]any{"dag_id": "crowd", "team": "team-0", "max_active_tasks": l.crowd, "tasks": tasks})
+	raw, err := json.Marshal(map[string]any{"dag_id": "crowd", "team": "team-0", "max_active_tasks": l.wideSteps, "tasks": tasks})
 	if err != nil {
 		return err
 	}
@@ -151,28 +156,29 @@
 	if err != nil {
 		return err
 	}
-	hash, n, err := runner.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6)).Store(ctx, d)
+	hash, parts, err := runner.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6)).Store(ctx, d)
 	if err != nil {
 		return err
 	}
-	if err := l.api(ctx, http.MethodPut, "/dags/crowd", map[string]any{"definition": hash, "parts": n}, nil); err != nil {
+	if err := l.callAPI(ctx, http.MethodPut, "/dags/crowd", map[string]any{"definition": hash, "parts": parts}, nil); err != nil {
 		return err
 	}
-	return l.api(ctx, http.MethodPost, "/dags/crowd/dagRuns", map[string]any{"dag_run_id": "one"}, nil)
+	return l.callAPI(ctx, http.MethodPost, "/dags/crowd/dagRuns", map[string]any{"dag_run_id": "one"}, nil)
 }
 
+// run runs the load test and prints its results.
 func (l *loadTest) run(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, l.length+5*time.Minute)
+	ctx, stop := context.WithTimeout(ctx, l.duration+5*time.Minute)
 	defer stop()
-	source := httptest.NewServer(http.HandlerFunc(l.describe))
-	defer source.Close()
+	descriptions := httptest.NewServer(http.HandlerFunc(l.receiveDescriptions))
+	defer descriptions.Close()
 	l.cluster = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, HeartbeatEvery: time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + source.URL + "\n", OnEnd: l.record,
-		Task: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
+		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + descriptions.URL + "\n", OnEnd: l.recordAttempt,
+		PlanAttempt: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
 			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
-				return 15 * time.Second, wire.ExitDone, "team-1" // the replica of a service
+				return 15 * time.Second, wire.ExitDone, "team-1" // a replica of a service
 			}
 			return 6 * time.Second, wire.ExitDone, "team-0"
 		},
@@ -181,27 +187,27 @@
 	if err := l.cluster.Start(ctx); err != nil {
 		return err
 	}
-	if l.crowd > 0 {
-		if err := l.crowded(ctx); err != nil {
+	if l.wideSteps > 0 {
+		if err := l.startWideGraph(ctx); err != nil {
 			return err
 		}
 	}
 	var runs []string
-	begun := time.Now()
-	for n := 0; time.Since(begun) < l.length; n++ {
-		if n%8 == 0 { // a graph has as many steps as the plain jobs until the next one
+	startedAt := time.Now()
+	for n := 0; time.Since(startedAt) < l.duration; n++ {
+		if n%8 == 0 { // by default a graph has as many steps as there are plain jobs per graph
 			id := fmt.Sprint("g", n/8)
-			if err := l.api(ctx, http.MethodPut, "/dags/"+id, l.graph(id), nil); err != nil {
+			if err := l.callAPI(ctx, http.MethodPut, "/dags/"+id, l.graphDefinition(id), nil); err != nil {
 				return err
 			}
-			if err := l.api(ctx, http.MethodPost, "/dags/"+id+"/dagRuns", map[string]any{"dag_run_id": "one"}, nil); err != nil {
+			if err := l.callAPI(ctx, http.MethodPost, "/dags/"+id+"/dagRuns", map[string]any{"dag_run_id": "one"}, nil); err != nil {
 				return err
 			}
 			runs = append(runs, id)
 		}
 		id := fmt.Sprintf("job-%d", n+1)
 		l.submit(ctx, id, "plain", "array", "standard", 0)
-		if l.crowd > 0 && n%8 == 4 {
+		if l.wideSteps > 0 && n%8 == 4 {
 			l.submit(ctx, fmt.Sprintf("job-9%06d", n), "service", "service", "production", 1)
 		}
 		if err := l.cluster.KillLeader(ctx, l.killEvery); err != nil {
@@ -210,14 +216,14 @@
 		time.Sleep(750 * time.Millisecond)
 	}
 	states := map[string]int{}
-	if l.crowd > 0 {
-		l.tell(states)
+	if l.wideSteps > 0 {
+		l.printResults(states)
 		return nil
 	}
 	for _, id := range runs {
 		for {
 			var r struct{ State string }
-			if err := l.api(ctx, http.MethodGet, "/dags/"+id+"/dagRuns/one", nil, &r); err != nil {
+			if err := l.callAPI(ctx, http.MethodGet, "/dags/"+id+"/dagRuns/one", nil, &r); err != nil {
 				return err
 			}
 			if r.State == "success" || r.State == "failed" {
@@ -230,37 +236,37 @@
 	for l.cluster.HasKeys("job/") && ctx.Err() == nil {
 		time.Sleep(500 * time.Millisecond)
 	}
-	l.tell(states)
+	l.printResults(states)
 	return nil
 }
 
-// tell prints what came of it.
-func (l *loadTest) tell(states map[string]int) {
+// printResults prints the results. states counts the finished graph runs by state.
+func (l *loadTest) printResults(states map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	waits := map[string][]time.Duration{}
-	twice, never := 0, 0
-	for id, at := range l.ready {
-		first, ok := l.begun[id]
-		if l.done[id] == 0 {
-			never++
+	doneTwice, neverDone := 0, 0
+	for id, readyAt := range l.readyAt {
+		first, ok := l.startedAt[id]
+		if l.doneCount[id] == 0 {
+			neverDone++
 		}
 		if !ok {
 			continue
 		}
-		if l.done[id] > 1 {
-			twice++
+		if l.doneCount[id] > 1 {
+			doneTwice++
 		}
-		waits[l.kind[id]] = append(waits[l.kind[id]], first.Sub(at))
+		waits[l.kind[id]] = append(waits[l.kind[id]], first.Sub(readyAt))
 	}
 	fmt.Printf("runs %v; %d jobs, %d attempts, %d never done, %d done twice; the leader was killed %d times; at most %.0f MB in a controller\n",
-		states, len(l.ready), l.tries, never, twice, l.cluster.Kills, l.cluster.PeakMB())
+		states, len(l.readyAt), l.attempts, neverDone, doneTwice, l.cluster.LeaderKills, l.cluster.PeakMiB())
 	for _, kind := range []string{"plain", "first step", "later step", "service"} {
-		w := waits[kind]
-		slices.SortFunc(w, func(a, b time.Duration) int { return cmp.Compare(a, b) })
-		if len(w) > 0 {
+		sorted := waits[kind]
+		slices.SortFunc(sorted, func(a, b time.Duration) int { return cmp.Compare(a, b) })
+		if len(sorted) > 0 {
 			fmt.Printf("%s: %d waits, median %.2f s, nine in ten within %.2f s, longest %.2f s\n",
-				kind, len(w), w[len(w)/2].Seconds(), w[len(w)*9/10].Seconds(), w[len(w)-1].Seconds())
+				kind, len(sorted), sorted[len(sorted)/2].Seconds(), sorted[len(sorted)*9/10].Seconds(), sorted[len(sorted)-1].Seconds())
 		}
 	}
 }
--- a/internal/sim/testcluster/cluster.go
+++ b/internal/sim/testcluster/cluster.go
@@ -1,5 +1,5 @@
-// Package testcluster runs real controllers as processes on loopback, over fakes of the store and the cloud, with a fake
-// worker for each machine that is rented.
+// Package testcluster runs real controllers as processes on loopback addresses, with fakes of the state service and the
+// cloud, and a fake worker for each rented machine.
 package testcluster
 
 import (
@@ -22,44 +22,45 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// Cluster is a cluster on one machine. Fill in the fields, then Start.
+// Cluster is a cluster on the local machine. Set the fields of the first group, then call Start.
 type Cluster struct {
-	Program        string // the controllers' binary
-	Members        int
-	Teams          int // named team-0, team-1 and so on
-	CPUs           float64
-	Machines       int // that the cloud has
-	Type           wire.MachineType
-	HeartbeatEvery time.Duration
-	WorkerLease    time.Duration
-	Properties     string
-	Task           fakes.Task
-	OnEnd          func(fakes.MeasuredAttempt)
-
-	State     *fakes.Store
-	Cloud     *fakes.Cloud
-	UserAddrs []string // the members' addresses
-	Kills     int      // of leaders
-
-	dir        string
-	peerAddrs  []string
+	Program        string                      // path of the controller binary
+	Members        int                         // number of controllers, named m0, m1 and so on
+	Teams          int                         // number of teams, named team-0, team-1 and so on
+	CPUs           float64                     // quota of each team; a quarter of it is guaranteed
+	Machines       int                         // capacity of the cloud
+	Type           wire.MachineType            // the cloud's only machine type
+	HeartbeatEvery time.Duration               // interval between a worker's heartbeats
+	WorkerLease    time.Duration               // duration of a worker's lease
+	Properties     string                      // content of the operators' properties file
+	PlanAttempt    fakes.AttemptPlanner        // called by the workers for each attempt that starts
+	OnEnd          func(fakes.MeasuredAttempt) // called by the workers for each attempt that has ended
+
+	State       *fakes.Store
+	Cloud       *fakes.Cloud
+	UserAddrs   []string // addresses of the controllers' user and worker API
+	LeaderKills int      // number of leaders killed by KillLeader
+
+	dir        string   // temporary directory of the configuration files
+	peerAddrs  []string // addresses at which the controllers serve each other
 	processes  []*exec.Cmd
-	killedAt   time.Time
+	lastKillAt time.Time // last attempt to kill a leader; at first, the time of Start
 	mu         sync.Mutex
-	stopWorker map[string]context.CancelFunc // workers by machine
+	stopWorker map[string]context.CancelFunc // ends the worker of a machine; by machine name
 }
 
-// Start starts all of it; it ends with the context, and Close clears up.
+// Start starts the fakes, the controllers and the workers. Controllers and workers end when ctx ends; Close removes the
+// rest.
 func (c *Cluster) Start(ctx context.Context) (err error) {
 	if c.dir, err = os.MkdirTemp("", "testcluster"); err != nil {
 		return err
 	}
-	c.stopWorker, c.killedAt = map[string]context.CancelFunc{}, time.Now()
+	c.stopWorker, c.lastKillAt = map[string]context.CancelFunc{}, time.Now()
 	c.State = fakes.NewStore(clockwork.NewRealClock())
 	c.Cloud = fakes.NewCloud(c.Machines, c.Type)
 	for range c.Members {
 		for _, addrs := range []*[]string{&c.UserAddrs, &c.peerAddrs} {
-			addr, err := fakes.Loopback()
+			addr, err := fakes.FreeLoopbackAddr()
 			if err != nil {
 				return err
 			}
@@ -72,21 +73,22 @@
 			return err
 		}
 	}
-	go c.workers(ctx)
+	go c.runWorkers(ctx)
 	return nil
 }
 
-// Close ends the controllers.
+// Close kills the controllers and removes their configuration files.
 func (c *Cluster) Close() {
-	for _, p := range c.processes {
-		if p != nil {
-			_ = p.Process.Kill()
-			_ = p.Wait() // it was killed
+	for _, process := range c.processes {
+		if process != nil {
+			_ = process.Process.Kill()
+			_ = process.Wait() // it was killed
 		}
 	}
-	_ = os.RemoveAll(c.dir) // what is left is in the system's temporary files
+	_ = os.RemoveAll(c.dir) // files that cannot be removed stay in the system's temporary directory
 }
 
+// settings returns the configuration file of member i.
 func (c *Cluster) settings(i int) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "member = \"m%d\"\nbind = %q\nmesh_addr = %q\n", i, c.UserAddrs[i], c.peerAddrs[i])
@@ -104,40 +106,41 @@
 	return b.String()
 }
 
+// start starts the controller of member i.
 func (c *Cluster) start(ctx context.Context, i int) error {
-	props := filepath.Join(c.dir, "operator.properties")
-	path := filepath.Join(c.dir, fmt.Sprintf("m%d.toml", i))
-	if err := os.WriteFile(props, []byte(c.Properties), 0o600); err != nil {
+	propertiesPath := filepath.Join(c.dir, "operator.properties")
+	settingsPath := filepath.Join(c.dir, fmt.Sprintf("m%d.toml", i))
+	if err := os.WriteFile(propertiesPath, []byte(c.Properties), 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, []byte(c.settings(i)), 0o600); err != nil {
+	if err := os.WriteFile(settingsPath, []byte(c.settings(i)), 0o600); err != nil {
 		return err
 	}
-	p := exec.CommandContext(ctx, c.Program, "serve", "--properties", props, "--config", path)
-	p.Env = append(os.Environ(), "LOG_LEVEL=error")
-	p.Stderr = os.Stderr
-	c.processes[i] = p
-	return p.Start()
+	process := exec.CommandContext(ctx, c.Program, "serve", "--properties", propertiesPath, "--config", settingsPath)
+	process.Env = append(os.Environ(), "LOG_LEVEL=error")
+	process.Stderr = os.Stderr
+	c.processes[i] = process
+	return process.Start()
 }
 
-// KillLeader kills the member that leads, if one does, and starts it again, when that was not
-// done for some time; 0: never.
+// KillLeader kills the leader, if there is one, and restarts its controller. It does nothing if every is 0 or if less
+// than every has passed since the last attempt to kill a leader.
 func (c *Cluster) KillLeader(ctx context.Context, every time.Duration) error {
-	if every <= 0 || time.Since(c.killedAt) < every {
+	if every <= 0 || time.Since(c.lastKillAt) < every {
 		return nil
 	}
-	c.killedAt = time.Now()
+	c.lastKillAt = time.Now()
 	i := c.leader()
 	if i < 0 {
 		return nil
 	}
 	_ = c.processes[i].Process.Kill()
 	_ = c.processes[i].Wait() // it was killed
-	c.Kills++
+	c.LeaderKills++
 	return c.start(ctx, i)
 }
 
-// leader finds which member leads.
+// leader returns the index of the member that leads, or -1 if there is none.
 func (c *Cluster) leader() int {
 	member, _ := c.State.Holder()
 	var i int
@@ -147,47 +150,47 @@
 	return i
 }
 
-// PeakMB is the most memory that any member has had at once, in MiB, as the system counts it.
-func (c *Cluster) PeakMB() (most float64) {
-	for _, p := range c.processes {
-		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
+// PeakMiB returns the largest peak resident set size of the controller processes, in MiB.
+func (c *Cluster) PeakMiB() (peak float64) {
+	for _, process := range c.processes {
+		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Process.Pid))
 		if err != nil {
 			continue
 		}
 		for line := range strings.SplitSeq(string(raw), "\n") {
-			var kb float64
-			if _, err := fmt.Sscanf(line, "VmHWM: %f kB", &kb); err == nil {
-				most = max(most, kb/1024)
+			var kiB float64
+			if _, err := fmt.Sscanf(line, "VmHWM: %f kB", &kiB); err == nil {
+				peak = max(peak, kiB/1024)
 			}
 		}
 	}
-	return most
+	return peak
 }
 
-// workers starts a worker for each machine that is rented, and ends it when its
-// machine is deleted.
-func (c *Cluster) workers(ctx context.Context) {
-	nodes, order := map[string]string{}, []string{}
+// runWorkers starts a worker for each rented machine and ends the worker when its machine is deleted.
+func (c *Cluster) runWorkers(ctx context.Context) {
+	controllers, memberOrder := map[string]string{}, []string{}
 	for i, addr := range c.UserAddrs {
-		nodes[fmt.Sprint("m", i)] = addr
-		order = append(order, fmt.Sprint("m", i))
+		controllers[fmt.Sprint("m", i)] = addr
+		memberOrder = append(memberOrder, fmt.Sprint("m", i))
 	}
-	known := map[string]bool{}
+	started := map[string]bool{}
 	for ctx.Err() == nil {
 		c.State.Expire()
 		for _, m := range c.Cloud.Machines() {
-			if known[m.Name] {
+			if started[m.Name] {
 				continue
 			}
-			known[m.Name] = true
+			started[m.Name] = true
 			worker := fakes.NewWorker(m, fakes.WorkerOptions{
-				Controllers: nodes, Order: order, Every: c.HeartbeatEvery, Lease: c.WorkerLease, Task: c.Task, OnEnd: c.OnEnd,
+				Controllers: controllers, MemberOrder: memberOrder, HeartbeatEvery: c.HeartbeatEvery, WorkerLease: c.WorkerLease,
+				PlanAttempt: c.PlanAttempt, OnEnd: c.OnEnd,
 			})
-			wctx, end := context.WithCancel(ctx)
+			workerCtx, stop := context.WithCancel(ctx)
 			c.mu.Lock()
-			c.stopWorker[m.Name] = end
+			c.stopWorker[m.Name] = stop
 			c.mu.Unlock()
-			go func() { _ = worker.Run(wctx) }() // it ends with its machine
+			go func() { _ = worker.Run(workerCtx) }() // returns when it is stopped, or with an error if it cannot listen
 		}
 		for _, name := range c.Cloud.Deleted() {
 			c.mu.Lock()
@@ -198,17 +201,18 @@
 	}
 }
 
-// LoseMachine ends a machine without a word.
+// LoseMachine ends the worker of an arbitrary machine without notice. The cloud still lists the machine.
 func (c *Cluster) LoseMachine() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, end := range c.stopWorker {
-		end()
+	for _, stop := range c.stopWorker {
+		stop()
 		return
 	}
 }
 
-// Send repeats a request until a controller decides it, and gives its answer.
+// Send sends a request to the controllers in turn until one gives an answer with a status below 500, and returns it. If
+// ctx ends first, the status is 0.
 func (c *Cluster) Send(ctx context.Context, method, path string, body []byte) (status int, answer []byte) {
 	for i := 0; ctx.Err() == nil; i++ {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+c.UserAddrs[i%c.Members]+path, bytes.NewReader(body))
@@ -227,7 +231,8 @@
 	return 0, nil
 }
 
-// HasKeys tells whether the state service has keys with a prefix, or cannot be asked.
+// HasKeys reports whether the state service has keys with a prefix. It also returns true if the state service gives no
+// usable answer.
 func (c *Cluster) HasKeys(prefix string) bool {
 	resp, err := http.Get("http://" + c.State.Addr() + wire.PathKV + "?starts=" + prefix + "&page=1")
 	if err != nil {
--- a/internal/sim/testutil/testutil.go
+++ b/internal/sim/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds small helpers of tests: files, addresses and seeds.
+// Package testutil contains small helpers for tests: temporary files, free addresses and fixed random seeds.
 package testutil
 
 import (
@@ -10,20 +10,20 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// defaultSeed is the seed of random histories unless one is given.
+// defaultSeed is the seed of random tests unless the flag rapid.seed is given.
 const defaultSeed = "20261201"
 
-// FreeAddr returns a loopback address on which nothing listens.
+// FreeAddr returns a loopback address (host:port) on which nothing listens.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
-	addr, err := fakes.Loopback()
+	addr, err := fakes.FreeLoopbackAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return addr
 }
 
-// File writes a file that is removed when the test ends, and returns its path.
+// File writes text to a temporary file and returns its path. The file is removed when the test ends.
 func File(t testing.TB, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -33,13 +33,13 @@
 	return path
 }
 
-// FixedSeed runs the tests of a package with the same random histories (pgregory.net/rapid) each time, unless the
-// flag rapid.seed is given. A TestMain passes the exit code that it returns to os.Exit.
+// FixedSeed runs the tests of a package so that random tests (pgregory.net/rapid) draw the same values each time, unless
+// the flag rapid.seed is given. It returns the exit code, which the package's TestMain passes to os.Exit.
 func FixedSeed(m *testing.M) int {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
 		if err := f.Value.Set(defaultSeed); err != nil {
-			panic(err) // the flag takes any number
+			panic(err) // cannot happen: the flag accepts any number
 		}
 	}
 	return m.Run()
