--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -127,10 +127,10 @@
 	maxRate := 100 * tuning.RateLimitUsedShare
 	now := begin
 	for _, step := range []struct {
-		name    string
-		refused bool
-		after   time.Duration
-		want    float64
+		name          string
+		recordRefusal bool
+		after         time.Duration
+		want          float64
 	}{
 		{"begins at the guaranteed share", false, 0, maxRate / 10},
 		{"grows to the published limit", false, tuning.RateLimitRecoverTime, maxRate},
@@ -142,7 +142,7 @@
 		{"not halved below the guaranteed share", true, 0, maxRate / 10},
 	} {
 		now = now.Add(step.after)
-		if step.refused {
+		if step.recordRefusal {
 			limit.recordRefusal(now)
 		}
 		if got := limit.currentRate(now); math.Abs(got-step.want) > 1e-6 {
--- a/internal/sim/fakes/store.go
+++ b/internal/sim/fakes/store.go
@@ -66,9 +66,9 @@
 	if refuse && r.URL.Path == wire.PathTxn {
 		s.refusedTxns++
 	}
-	handling := Answered
+	requestHandling := Answered
 	if s.requestHandling != nil && r.URL.Path != wire.PathTxn && r.URL.Path != wire.PathWatch {
-		handling = s.requestHandling(r)
+		requestHandling = s.requestHandling(r)
 	}
 	s.mu.Unlock()
 	if refuse {
@@ -80,7 +80,7 @@
 		return
 	}
 	s.waitBeforeExecution(r)
-	if handling == Answered {
+	if requestHandling == Answered {
 		s.mux.ServeHTTP(w, r)
 		return
 	}
@@ -89,7 +89,7 @@
 		r = r.Clone(context.WithoutCancel(r.Context()))
 		r.Body = io.NopCloser(bytes.NewReader(raw))
 		execute := func() { s.mux.ServeHTTP(httptest.NewRecorder(), r) }
-		if handling == Unanswered {
+		if requestHandling == Unanswered {
 			execute()
 		} else {
 			s.mu.Lock()
--- a/internal/sim/fakes/store_faults.go
+++ b/internal/sim/fakes/store_faults.go
@@ -14,14 +14,14 @@
 // Endpoint is an additional address of the store for a single caller, so that requests of this caller alone can be
 // refused.
 type Endpoint struct {
-	store  *Store
+	s      *Store // the store that it belongs to
 	srv    *httptest.Server
-	refuse bool // guarded by store.mu
+	refuse bool // guarded by s.mu
 }
 
 // Endpoint opens a new endpoint. Store.Close closes it.
 func (s *Store) Endpoint() *Endpoint {
-	endpoint := &Endpoint{store: s}
+	endpoint := &Endpoint{s: s}
 	endpoint.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		refuse := endpoint.refuse
@@ -44,10 +44,10 @@
 // Refuse sets whether the store answers requests to this endpoint with 503. Leases of the caller expire as usual
 // meanwhile, since it cannot renew them.
 func (e *Endpoint) Refuse(refuse bool) {
-	e.store.mu.Lock()
-	defer e.store.mu.Unlock()
+	e.s.mu.Lock()
+	defer e.s.mu.Unlock()
 	e.refuse = refuse
-	e.store.wakeWatches()
+	e.s.wakeWatches()
 }
 
 // Fate says whether a request is executed and answered.
@@ -130,10 +130,10 @@
 // the transactions that were applied because their conditions still held.
 func (s *Store) Deliver() []wire.Txn {
 	s.mu.Lock()
-	delayed := s.delayedRequests
+	delayedRequests := s.delayedRequests
 	s.delayedRequests = nil
 	s.mu.Unlock()
-	for _, execute := range delayed {
+	for _, execute := range delayedRequests {
 		execute()
 	}
 	s.mu.Lock()
--- a/internal/sim/fakes/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -62,7 +62,7 @@
 	MemberOrder    []string              // member names in the order in which the worker tries them
 	HeartbeatEvery time.Duration         // interval between heartbeats
 	WorkerLease    time.Duration         // the worker kills its tasks if no heartbeat is answered for this long
-	PlanAttempt    AttemptPlanner        // called for each attempt that starts
+	AttemptPlanner AttemptPlanner        // called for each attempt that starts
 	OnEnd          func(MeasuredAttempt) // called for each attempt that has ended
 }
 
@@ -71,7 +71,7 @@
 	return &Worker{
 		status:      wire.Heartbeat{Machine: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1},
 		controllers: options.Controllers, memberOrder: options.MemberOrder, heartbeatEvery: options.HeartbeatEvery,
-		workerLease: options.WorkerLease, planAttempt: options.PlanAttempt, onEnd: options.OnEnd,
+		workerLease: options.WorkerLease, planAttempt: options.AttemptPlanner, onEnd: options.OnEnd,
 		wake: make(chan struct{}, 1), running: map[Attempt]*runningAttempt{}, lastAnswered: time.Now(),
 	}
 }
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -88,13 +88,13 @@
 	if err := os.WriteFile(settingsPath, []byte(settings), 0o600); err != nil {
 		return err
 	}
-	process := exec.CommandContext(ctx, l.program, "serve", "--config", settingsPath)
-	process.Stderr = os.Stderr
-	process.Env = append(os.Environ(), "LOG_LEVEL=error")
-	if err := process.Start(); err != nil {
+	program := exec.CommandContext(ctx, l.program, "serve", "--config", settingsPath)
+	program.Stderr = os.Stderr
+	program.Env = append(os.Environ(), "LOG_LEVEL=error")
+	if err := program.Start(); err != nil {
 		return err
 	}
-	defer func() { _ = process.Wait() }() // ctx has ended and killed the process: an error is expected
+	defer func() { _ = program.Wait() }() // ctx has ended and killed the process: an error is expected
 	time.Sleep(2 * time.Second)
 	var wg sync.WaitGroup
 	for i := range l.workers {
@@ -105,7 +105,7 @@
 		select {
 		case <-ctx.Done():
 		case <-time.After(l.duration / 10):
-			if status := processStatus(process.Process.Pid); status != "" {
+			if status := processStatus(program.Process.Pid); status != "" {
 				lastStatus = status
 			}
 		}
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -176,7 +176,7 @@
 		Program: l.program, Members: 3, Teams: 2, CPUs: 16, Machines: 4, HeartbeatEvery: time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
 		Properties: "graphs = on\ngraphs.pool.team-0.default_pool = 20000\ngraphs.descriptions = " + descriptions.URL + "\n", OnEnd: l.recordAttempt,
-		PlanAttempt: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
+		AttemptPlanner: func(task string, _ uint64) (time.Duration, wire.ExitReason, string) {
 			if strings.HasPrefix(task, "job-9") && len(fakes.JobOf(task)) == len("job-9000000") {
 				return 15 * time.Second, wire.ExitDone, "team-1" // a replica of a service
 			}
--- a/internal/sim/testcluster/cluster.go
+++ b/internal/sim/testcluster/cluster.go
@@ -33,7 +33,7 @@
 	HeartbeatEvery time.Duration               // interval between a worker's heartbeats
 	WorkerLease    time.Duration               // duration of a worker's lease
 	Properties     string                      // content of the operators' properties file
-	PlanAttempt    fakes.AttemptPlanner        // called by the workers for each attempt that starts
+	AttemptPlanner fakes.AttemptPlanner        // called by the workers for each attempt that starts
 	OnEnd          func(fakes.MeasuredAttempt) // called by the workers for each attempt that has ended
 
 	State       *fakes.Store
@@ -184,7 +184,7 @@
 			started[m.Name] = true
 			worker := fakes.NewWorker(m, fakes.WorkerOptions{
 				Controllers: controllers, MemberOrder: memberOrder, HeartbeatEvery: c.HeartbeatEvery, WorkerLease: c.WorkerLease,
-				PlanAttempt: c.PlanAttempt, OnEnd: c.OnEnd,
+				AttemptPlanner: c.AttemptPlanner, OnEnd: c.OnEnd,
 			})
 			workerCtx, stop := context.WithCancel(ctx)
 			c.mu.Lock()
