--- a/internal/accounting/ledger/attempts.go
+++ b/internal/accounting/ledger/attempts.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Placed notes on what kind of machine an attempt will run, and reserves what it is
-// expected to use.
+// Placed records the kind of machine on which an attempt will run, and reserves the attempt's expected usage in its
+// team's budgets.
 func (l *Ledger) Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, _ time.Time) {
 	a.Kind = charge.Kind{Zone: a.Zone, Spot: spot, Rate: Rate(&a.Job.Job, typ, spot)}
 	if typ != nil {
@@ -21,7 +21,7 @@
 	l.addLive(a)
 }
 
-// Ended charges an attempt that came to its end.
+// Ended charges an attempt that has ended.
 func (l *Ledger) Ended(o machines.Outcome, now time.Time) {
 	a := o.Allocation
 	delete(l.live, a)
@@ -33,16 +33,17 @@
 	}
 }
 
-// Finished does nothing in the ledger: charges are of attempts.
+// Finished does nothing: the ledger charges for attempts, not for jobs.
 func (l *Ledger) Finished(jobs.FinishedJob, time.Time) {}
 
-// currentRate is what an attempt's task would take of its machine's price by now.
+// currentRate returns the rate of an attempt's task at the current prices, in millionths of money per hour; 0 if the
+// machine type is unknown.
 func (l *Ledger) currentRate(a *jobs.Allocation) int64 {
 	return Rate(&a.Job.Job, wire.FindMachineType(l.cfg.MachineTypes(), a.Kind.Type), a.Kind.Spot)
 }
 
-// chargeDayEnd charges what running tasks took up to the end of the day: a bill for a day
-// is whole soon after it, however long a task runs on.
+// chargeDayEnd charges running tasks for their time up to the end of the day. So the bill of a day is complete soon
+// after that day, however long its tasks continue to run.
 func (l *Ledger) chargeDayEnd(now time.Time) {
 	end := l.dayEnd
 	l.dayEnd = l.endOfDay(now)
@@ -50,7 +51,7 @@
 		if a.ChargedFrom.IsZero() || !a.ChargedFrom.Before(end) {
 			continue
 		}
-		c := charge.Charge{Task: a.Index, Attempt: a.Attempt, Part: a.ChargedParts, Outcome: charge.Continues, Flags: unseenStart(a)}
+		c := charge.Charge{Task: a.Index, Attempt: a.Attempt, Part: a.ChargedParts, Outcome: charge.Continues, Flags: unseenStartFlag(a)}
 		setTimeAndCost(&c, a, a.ChargedFrom, end, l.currentRate(a))
 		parts := charge.SplitByDay(c, l.location)
 		a.ChargedFrom, a.ChargedParts = end, a.ChargedParts+len(parts)
@@ -58,11 +59,12 @@
 	}
 }
 
-// recordCharges counts the parts of an attempt's charge and has the job store write them.
+// recordCharges adds the parts of an attempt's charge to the budgets' usage and the metrics, and passes them to the job
+// store to be written.
 func (l *Ledger) recordCharges(a *jobs.Allocation, parts []charge.Charge, now time.Time) {
 	traits := jobs.TraitsOf(&a.Job.Job)
 	for i := range parts {
-		l.countCharge(&traits, &parts[i])
+		l.addChargeUsage(&traits, &parts[i])
 		if l.cfg.OnCharge != nil {
 			l.cfg.OnCharge(traits.Team, parts[i].Outcome.String(), traits.AmountsOf(&parts[i]))
 		}
@@ -78,7 +80,7 @@
 
 func (l *Ledger) logCharge(a *jobs.Allocation, traits *charge.JobTraits, c *charge.Charge) {
 	sum := traits.AmountsOf(c)
-	l.log.Debug("charged", "task", a.Task().String(), "attempt", c.Attempt, "part", c.Part, "team", traits.Team, "class", traits.Class,
+	l.log.Debug("attempt charged", "task", a.Task().String(), "attempt", c.Attempt, "part", c.Part, "team", traits.Team, "class", traits.Class,
 		"type", a.Kind.Type, "spot", a.Kind.Spot, "how", c.Outcome.String(), "bound", c.Flags&charge.UpperBound != 0, "saved", c.Flags&charge.ProgressSaved != 0,
 		"run_ms", c.Run, "core_us", sum.Core, "money_u", sum.Money)
 }
--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -11,50 +11,53 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// applyBudgetSettings applies the operators' budgets if they have changed.
+// applyBudgetSettings applies the operators' budget settings if they have changed.
 func (l *Ledger) applyBudgetSettings(now time.Time) {
-	s := l.cfg.Budgets()
-	if s == l.budgetSettings {
+	settings := l.cfg.Budgets()
+	if settings == l.budgetSettings {
 		return
 	}
-	l.budgetSettings = s
-	l.budgets.Configure(s, now)
-	if len(s.Budgets) > 0 {
-		l.log.Info("budgets in force", "budgets", len(s.Budgets))
+	l.budgetSettings = settings
+	l.budgets.Configure(settings, now)
+	if len(settings.Budgets) > 0 {
+		l.log.Info("budget settings applied", "budgets", len(settings.Budgets))
 	}
 }
 
-// countPack adds the charges of a pack to what the budgets know as used.
-func (l *Ledger) countPack(p *charge.Pack) {
+// addPackUsage adds the charges of a pack to the budgets' usage.
+func (l *Ledger) addPackUsage(p *charge.Pack) {
 	for i := range p.Charges {
-		l.countCharge(&p.Traits, &p.Charges[i])
+		l.addChargeUsage(&p.Traits, &p.Charges[i])
 	}
 }
 
-func (l *Ledger) countCharge(t *charge.JobTraits, c *charge.Charge) {
-	sum := t.AmountsOf(c)
-	l.budgets.AddCharge(budget.Scope{Team: t.Team, Account: t.Account}, charge.DayOf(c.Start, l.location), budget.Usage{Core: sum.Core, Money: sum.Money})
+// addChargeUsage adds a charge to the budgets' usage.
+func (l *Ledger) addChargeUsage(traits *charge.JobTraits, c *charge.Charge) {
+	sum := traits.AmountsOf(c)
+	l.budgets.AddCharge(budget.Scope{Team: traits.Team, Account: traits.Account}, charge.DayOf(c.Start, l.location), budget.Usage{Core: sum.Core, Money: sum.Money})
 }
 
-// addLive adds a live attempt, for which budgets reserve what it is expected to use.
+// addLive adds an attempt that has not ended and reserves its expected usage in its team's budgets.
 func (l *Ledger) addLive(a *jobs.Allocation) {
 	l.live[a] = true
-	t := budget.TaskOf(&a.Job.Job)
-	t.Rate, t.RunningSince = a.Kind.Rate, a.ChargedFrom
-	l.budgets.StartTask(a, t)
+	task := budget.TaskOf(&a.Job.Job)
+	task.Rate, task.RunningSince = a.Kind.Rate, a.ChargedFrom
+	l.budgets.StartTask(a, task)
 }
 
-// waitingTask describes a waiting task of a job for the budgets.
+// waitingTask returns the description of a waiting task of a job for the budgets. Its MaxRate is the highest rate on
+// any machine type, at on-demand prices.
 func (l *Ledger) waitingTask(j *jobs.Job) *budget.Task {
-	t := budget.TaskOf(&j.Job)
+	task := budget.TaskOf(&j.Job)
 	types := l.cfg.MachineTypes()
 	for i := range types {
-		t.MaxRate = max(t.MaxRate, Rate(&j.Job, &types[i], false))
+		task.MaxRate = max(task.MaxRate, Rate(&j.Job, &types[i], false))
 	}
-	return t
+	return task
 }
 
-// Admit says how many of a job's waiting tasks its team's budgets allow to start now.
+// Admit returns how many of a job's waiting tasks its team's budgets allow to start now, and the reason why no more
+// may.
 func (l *Ledger) Admit(j *jobs.Job, _ time.Time) (int, string) {
 	n := j.Waiting()
 	if !l.budgets.HasBudgets() {
@@ -63,18 +66,18 @@
 	return l.admit(l.waitingTask(j), n)
 }
 
-// admit is Admit for a number of equal tasks. Until the totals are loaded it is not known
-// what was used, so only production tasks may start.
-func (l *Ledger) admit(t *budget.Task, waiting int) (n int, reason string) {
-	if !l.loaded && !t.Production {
+// admit does the work of Admit for a number of equal waiting tasks. Until the totals are loaded, the usage of the team
+// is unknown, so only production tasks may start.
+func (l *Ledger) admit(task *budget.Task, waiting int) (n int, reason string) {
+	if !l.loaded && !task.Production {
 		return 0, "what its team has used is being read"
 	}
-	return l.budgets.Admit(t, waiting)
+	return l.budgets.Admit(task, waiting)
 }
 
-// LimitStarts lowers the counts of waiting tasks to what the budgets allow together.
-// Otherwise machines would be bought for every job of a team whose budget allows only one
-// of them. The rest of a budget goes to the jobs in the order in which they are placed.
+// LimitStarts lowers the counts of waiting tasks to what the budgets allow for all the jobs together. Without this limit,
+// machines would be rented for every job of a team whose budget allows only one of the jobs. The remainder of a budget
+// is allotted to the jobs in the order in which they are placed.
 func (l *Ledger) LimitStarts(waiting []*jobs.Job, counts []int, _ time.Time) {
 	if !l.budgets.HasBudgets() {
 		return
@@ -82,29 +85,29 @@
 	restore := l.budgets.SaveReservations()
 	defer restore()
 	for _, i := range placementOrder(waiting) {
-		t := l.waitingTask(waiting[i])
-		n, _ := l.admit(t, waiting[i].Waiting())
+		task := l.waitingTask(waiting[i])
+		n, _ := l.admit(task, waiting[i].Waiting())
 		counts[i] = min(counts[i], n)
-		l.budgets.Reserve(t, counts[i])
+		l.budgets.Reserve(task, counts[i])
 	}
 }
 
-// placementOrder returns the indexes of jobs in the order in which they are placed: by
-// priority, then by how long they wait.
+// placementOrder returns the indexes of jobs in the order in which they are placed: by descending priority, then by
+// descending waiting time.
 func placementOrder(waiting []*jobs.Job) []int {
-	order := make([]int, len(waiting))
-	for i := range order {
-		order[i] = i
+	indexes := make([]int, len(waiting))
+	for i := range indexes {
+		indexes[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int {
+	slices.SortFunc(indexes, func(a, b int) int {
 		x, y := waiting[a], waiting[b]
 		return cmp.Or(cmp.Compare(y.Priority.Level(), x.Priority.Level()), x.WaitingSince.Compare(y.WaitingSince), cmp.Compare(x.ID, y.ID))
 	})
-	return order
+	return indexes
 }
 
-// enforceBudgets recomputes the budgets, warns of those that are nearly spent, and returns
-// the allocations that are to be stopped.
+// enforceBudgets recomputes the budgets, logs a warning for those that are nearly spent, and returns the allocations
+// that are to be stopped.
 func (l *Ledger) enforceBudgets(now time.Time) []*jobs.Allocation {
 	if !l.budgets.HasBudgets() {
 		return nil
@@ -116,7 +119,7 @@
 	}
 	l.budgets.Recompute(now)
 	for _, bal := range l.budgets.Warnings() {
-		l.log.Warn("a budget is nearly spent", "budget", bal.Scope.String(), "period", bal.Period, "unit", bal.Unit)
+		l.log.Warn("budget usage reached its warning threshold", "budget", bal.Scope.String(), "period", bal.Period, "unit", bal.Unit)
 	}
 	if !l.loaded {
 		return nil
@@ -124,8 +127,8 @@
 	return l.stopOverspent()
 }
 
-// stopOverspent asks the live tasks of spent budgets to stop, each once, and returns their
-// allocations.
+// stopOverspent requests the stop of live tasks whose budget is spent and whose policy is to drain, once for each task,
+// and returns their allocations.
 func (l *Ledger) stopOverspent() []*jobs.Allocation {
 	var stopped []*jobs.Allocation
 	for _, ref := range l.budgets.TasksToDrain() {
@@ -137,7 +140,7 @@
 		if a.Job.CheckpointS > 0 {
 			a.Stop.GraceS = a.Job.SaveS + tuning.CheckpointGraceExtra.Seconds()
 		}
-		l.log.Info("stopped for its budget", "task", a.Task().String(), "team", a.Job.Team)
+		l.log.Info("budget spent; stopping the task", "task", a.Task().String(), "team", a.Job.Team)
 		stopped = append(stopped, a)
 	}
 	return stopped
--- a/internal/accounting/ledger/budgets_test.go
+++ b/internal/accounting/ledger/budgets_test.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// newTestLeaderWithBudgets returns a leader with budgets from properties.
+// newTestLeaderWithBudgets returns a leader with budgets from the operators' properties.
 func newTestLeaderWithBudgets(t *testing.T, properties map[string]string) *testLeader {
 	t.Helper()
 	tl := newTestLeader(t)
@@ -21,7 +21,7 @@
 	return tl
 }
 
-// setBudgets replaces the operators' budgets.
+// setBudgets replaces the operators' budgets by those from properties.
 func (tl *testLeader) setBudgets(properties map[string]string) {
 	tl.t.Helper()
 	tl.settings = &budget.Settings{}
@@ -32,41 +32,41 @@
 	}
 }
 
-// Guards against an array that starts past its budget at once: each start reserves what it
-// is expected to use, also those of the same scheduling cycle.
+// Guards against an array job that exceeds its budget by starting all its tasks in one scheduling cycle: each start
+// reserves the task's expected usage, so it counts for the next starts of the same cycle.
 func TestStartedTasksOfAnArrayReserveTheirBudget(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "1"}) // 3,600 core-seconds: 180 tasks of 2 cores for 10 s
 	tl.submit(jobArray("job-1", 10_000))
-	var placed []*jobs.Allocation
+	var allocated []*jobs.Allocation
 	for a := tl.allocate("job-1"); a != nil; a = tl.allocate("job-1") {
-		placed = append(placed, a)
+		allocated = append(allocated, a)
 	}
-	if len(placed) != 180 {
-		t.Fatalf("%d tasks start, want 180", len(placed))
+	if len(allocated) != 180 {
+		t.Fatalf("%d tasks started, want 180", len(allocated))
 	}
 	tl.commitAll()
 	tl.clock.Advance(time.Second)
-	for _, a := range placed {
+	for _, a := range allocated {
 		tl.run(a)
 	}
-	tl.clock.Advance(20 * time.Second) // twice what was expected
-	for _, a := range placed {
+	tl.clock.Advance(20 * time.Second) // twice the estimate
+	for _, a := range allocated {
 		tl.end(a, wire.ExitDone, false)
 	}
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
 	if a := tl.allocate("job-1"); a != nil {
-		t.Error("more starts though the budget is spent")
+		t.Error("a task started although the budget is spent")
 	}
 	n, reason := tl.ledger.Admit(tl.store.Jobs["job-1"], tl.now())
 	if n != 0 || reason == "" {
-		t.Errorf("%d may start, since %q", n, reason)
+		t.Errorf("%d tasks may start, for the reason %q; want none, with a reason", n, reason)
 	}
-	// The overdraft is what the running tasks took beyond their estimates.
+	// The budget is exceeded by the time that the running tasks took beyond their estimates.
 	if v := tl.ledger.budgets.Views("t")[0]; v.Used != 2 || v.State != "spent" {
-		t.Errorf("the budget is %+v", v)
+		t.Errorf("the budget is %+v, want 2 core-hours used and the state spent", v)
 	}
-	// It is raised meanwhile; and the tasks are known to take twice their estimate now.
+	// The budget is raised. From the first tasks the tracker has learned that a task takes twice its estimate.
 	tl.setBudgets(map[string]string{"budget.t.day.core-hours": "3"})
 	tl.ledger.Tick(tl.now())
 	n = 0
@@ -74,19 +74,19 @@
 		n++
 	}
 	if n < 90 || n > 100 {
-		t.Errorf("%d more start, want about 90", n)
+		t.Errorf("%d more tasks started, want about 90", n)
 	}
-	// A new leader counts the same, and the next day begins anew.
+	// A new leader computes the same usage.
 	tl.commitAll()
 	tl.newTerm()
 	if n, _ := tl.ledger.Admit(tl.store.Jobs["job-1"], tl.now()); n > 90 {
-		t.Errorf("a new leader lets %d start", n)
+		t.Errorf("a new leader lets %d tasks start, want at most 90", n)
 	}
 	tl.checkAgainstTruth()
 }
 
-// Guards against machines that are bought for every job of a team whose budget allows a few
-// tasks only: LimitStarts shares the rest of the budget among the jobs, in their order.
+// Guards against machines that are rented for every job of a team whose budget allows only a few tasks: LimitStarts
+// allots the remainder of the budget to the jobs in the order of their placement.
 func TestJobsShareTheRestOfABudget(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.05"}) // 180 core-seconds: 9 tasks
 	var waiting []*jobs.Job
@@ -95,11 +95,11 @@
 		j.Priority = priority
 		waiting = append(waiting, tl.submit(j))
 	}
-	for range 2 { // it reserves nothing
+	for range 2 { // the second call gives the same result, because LimitStarts leaves nothing reserved
 		counts := []int{4, 4, 4, 4}
 		tl.ledger.LimitStarts(waiting, counts, tl.now())
 		if !slices.Equal(counts, []int{0, 1, 4, 4}) {
-			t.Fatalf("may consider %v", counts)
+			t.Fatalf("LimitStarts allows %v, want [0 1 4 4]", counts)
 		}
 	}
 }
@@ -107,45 +107,45 @@
 func TestSpentBudgetLetsTasksStartInTheNextPeriod(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.01", "budget.t.carry-over": "0.5"}) // 36 core-seconds
 	j := jobArray("job-1", 100)
-	j.EstimateS = 3600 // one alone is beyond the budget
+	j.EstimateS = 3600 // one task alone exceeds the budget
 	tl.submit(j)
 	a := tl.allocateAndRun("job-1")
 	if tl.allocate("job-1") != nil {
-		t.Error("a second task starts beside it")
+		t.Error("a second task started while the first runs")
 	}
 	tl.clock.Advance(time.Minute)
 	tl.end(a, wire.ExitDone, false)
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
 	if tl.allocate("job-1") != nil {
-		t.Error("another task starts though the budget is spent")
+		t.Error("another task started although the budget is spent")
 	}
 	tl.clock.Advance(24 * time.Hour)
 	tl.ledger.Tick(tl.now())
 	if tl.allocate("job-1") == nil {
-		t.Error("nothing starts on the next day")
+		t.Error("no task starts on the next day")
 	}
 	tl.checkAgainstTruth()
 }
 
-func TestDrainingBudgetStopsRunningTasksOnceAtItsMark(t *testing.T) {
+func TestDrainingBudgetStopsRunningTasksOnceAtItsThreshold(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.1", "budget.t.when-spent": "drain", "budget.t.drain-at": "0.5"})
-	batch := jobArray("job-1", 1)
-	batch.EstimateS, batch.CheckpointS, batch.SaveS = 60, 10, 4
-	tl.submit(batch)
-	service := wire.Job{ID: "job-2", Class: "s", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1}
-	tl.submit(service)
+	batchJob := jobArray("job-1", 1)
+	batchJob.EstimateS, batchJob.CheckpointS, batchJob.SaveS = 60, 10, 4
+	tl.submit(batchJob)
+	serviceJob := wire.Job{ID: "job-2", Class: "s", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1}
+	tl.submit(serviceJob)
 	a, replica := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-2")
-	if stop := tl.ledger.Tick(tl.now()); len(stop) != 0 {
-		t.Fatal("something is stopped at once")
+	if stopped := tl.ledger.Tick(tl.now()); len(stopped) != 0 {
+		t.Fatal("a task is stopped before the drain threshold is reached")
 	}
-	tl.clock.Advance(time.Minute) // 240 core-seconds of 180
-	stop := tl.ledger.Tick(tl.now())
-	if len(stop) != 1 || stop[0] != a || a.Stop.Reason != charge.OverBudget || a.Stop.GraceS < 4 || replica.Stop != nil {
-		t.Fatalf("stopped are %v", stop)
+	tl.clock.Advance(time.Minute) // 240 core-seconds; draining starts at 180
+	stopped := tl.ledger.Tick(tl.now())
+	if len(stopped) != 1 || stopped[0] != a || a.Stop.Reason != charge.OverBudget || a.Stop.GraceS < 4 || replica.Stop != nil {
+		t.Fatalf("the stopped allocations are %v, want only the batch task, with a grace period", stopped)
 	}
-	if again := tl.ledger.Tick(tl.now()); len(again) != 0 {
-		t.Error("what stops already is stopped again")
+	if stoppedAgain := tl.ledger.Tick(tl.now()); len(stoppedAgain) != 0 {
+		t.Error("a task that is being stopped is stopped again")
 	}
 	tl.end(a, wire.ExitStopped, false)
 	tl.checkAgainstTruth()
--- a/internal/accounting/ledger/chargeview.go
+++ b/internal/accounting/ledger/chargeview.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ChargeView is a charge for people and programs.
+// ChargeView is a charge as it appears in answers, in JSON and CSV. Times are in UTC.
 type ChargeView struct {
 	Task          string         `json:"task"`
 	Attempt       uint64         `json:"attempt"`
@@ -32,7 +32,7 @@
 	PriceUnknown  bool           `json:"price_unknown,omitempty"`
 }
 
-// ChargeViews returns the charges of a pack.
+// ChargeViews returns the views of a pack's charges.
 func ChargeViews(p *charge.Pack) []ChargeView {
 	out := make([]ChargeView, 0, len(p.Charges))
 	for i := range p.Charges {
--- a/internal/accounting/ledger/charging_test.go
+++ b/internal/accounting/ledger/charging_test.go
@@ -44,7 +44,7 @@
 			if got.Outcome != c.outcome || got.Flags != c.flags || got.Run != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
-			// Half of its processors and half of its memory, at 0.8 an hour, for 30 s.
+			// The task uses half of the processors and half of the memory of a machine that costs 0.8 per hour, for 30 s.
 			if want := int64(3333); got.Money != want { // 0.8 / 2 * 30 / 3600
 				t.Errorf("costs %d, want %d", got.Money, want)
 			}
@@ -54,32 +54,32 @@
 	}
 }
 
-// A day ends while a task runs: the task's run time is split, and the bill of that day is
-// whole although the task runs on.
+// If a day ends while a task runs, the charge of the task is split at the day's end, so the bill of that day is complete
+// although the task continues to run.
 func TestDayEndSplitsTheChargeOfARunningTask(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
 	a := tl.allocateAndRun("job-1")
-	tl.clock.Advance(13*time.Hour - time.Second) // from noon to one in the night
+	tl.clock.Advance(13*time.Hour - time.Second) // from noon to one hour after midnight
 	tl.ledger.Tick(tl.now())
 	tl.rollUpAll()
 	day := func(day string) int64 {
 		return tl.ledger.totals(Query{From: day, To: day, By: []string{"day"}}, tl.now()).Sum.RunMS
 	}
 	if got := day("2026-12-01"); got != 12*3600_000-1000 {
-		t.Errorf("the first day has %d ms", got)
+		t.Errorf("the first day is charged for %d ms, want 12 h less 1 s", got)
 	}
 	if got := day("2026-12-02"); got != 0 {
-		t.Errorf("the second day has %d ms while the task runs", got)
+		t.Errorf("the second day is charged for %d ms while the task runs, want none", got)
 	}
-	tl.newTerm() // the new leader goes on from the end of the day
+	tl.newTerm() // the new leader continues to charge from the end of the day
 	tl.clock.Advance(time.Hour)
 	tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 	tl.checkAgainstTruth()
 	if got := day("2026-12-02"); got != 2*3600_000 {
-		t.Errorf("the second day has %d ms", got)
+		t.Errorf("the second day is charged for %d ms, want 2 h", got)
 	}
 	if got := tl.ledger.totals(Query{By: []string{"day"}}, tl.now()).Sum.Attempts; got != 1 {
-		t.Errorf("%d attempts are counted", got)
+		t.Errorf("%d attempts are counted, want 1", got)
 	}
 }
--- a/internal/accounting/ledger/compact.go
+++ b/internal/accounting/ledger/compact.go
@@ -10,12 +10,11 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// compact returns a transaction that brings rows of the same key together: those of one
-// closed page are moved to another that has rows of the same keys. A page that is left
-// without rows is deleted, and two small ones become one. It is nil if there is nothing to
-// gain.
-func (l *Ledger) compact(room int) *leader.SubsystemWrite {
-	if room < 2 || len(l.closedPages) < tuning.CompactAfterPages {
+// compact returns a transaction that merges rows of the same key: rows of one closed page are moved to another closed
+// page that has rows with the same keys. Two small pages are merged into one. A page that has no rows left is deleted.
+// compact returns nil if there are fewer than CompactAfterPages closed pages or no two of them can be merged.
+func (l *Ledger) compact(maxChanges int) *leader.SubsystemWrite {
+	if maxChanges < 2 || len(l.closedPages) < tuning.CompactAfterPages {
 		return nil
 	}
 	into, from := l.pagesToMerge()
@@ -24,35 +23,35 @@
 	}
 	into, from = merged(into, from)
 	var txn wire.Txn
-	putIfUnchanged(&txn, keyPage(into.n), into.version, pageValue(l.codec, into.sortedRows()))
+	putIfUnchanged(&txn, keyPage(into.number), into.version, pageValue(l.codec, into.sortedRows()))
 	if len(from.rows) == 0 {
-		deleteIfUnchanged(&txn, keyPage(from.n), from.version)
+		deleteIfUnchanged(&txn, keyPage(from.number), from.version)
 	} else {
-		putIfUnchanged(&txn, keyPage(from.n), from.version, pageValue(l.codec, from.sortedRows()))
+		putIfUnchanged(&txn, keyPage(from.number), from.version, pageValue(l.codec, from.sortedRows()))
 	}
 	return &leader.SubsystemWrite{Txn: txn, Done: func(revision uint64) {
 		into.version, from.version = revision, revision
-		l.closedPages[into.n] = into
+		l.closedPages[into.number] = into
 		if len(from.rows) == 0 {
-			delete(l.closedPages, from.n)
+			delete(l.closedPages, from.number)
 		} else {
-			l.closedPages[from.n] = from
+			l.closedPages[from.number] = from
 		}
 		l.stats.Compactions++
 		l.stats.Changes += len(txn.Then)
 	}}
 }
 
-// pagesToMerge finds two closed pages that compaction makes smaller: with rows of the same
-// key, or that fit into one.
+// pagesToMerge returns two closed pages that have rows with the same key, or that fit into one page; nil if there are
+// none.
 func (l *Ledger) pagesToMerge() (into, from *page) {
 	seen := map[RowKey]*page{}
 	var small *page
 	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
 		p := l.closedPages[n]
 		for key := range p.rows {
-			if q := seen[key]; q != nil {
-				return q, p
+			if other := seen[key]; other != nil {
+				return other, p
 			}
 			seen[key] = p
 		}
@@ -66,35 +65,35 @@
 	return nil, nil
 }
 
-// merged returns copies of two pages after rows of the second were moved to the first:
-// those whose keys the first has, or all if they fit.
-func merged(into, from *page) (a, b *page) {
-	a, b = into.clone(), from.clone()
+// merged returns copies of two pages with rows moved from the second to the first: all rows if they fit, otherwise
+// those whose keys the first has.
+func merged(into, from *page) (mergedInto, mergedFrom *page) {
+	mergedInto, mergedFrom = into.clone(), from.clone()
 	for key, sum := range from.rows {
-		if _, same := a.rows[key]; same {
-			a.add(key, sum)
-			b.remove(key)
+		if _, same := mergedInto.rows[key]; same {
+			mergedInto.add(key, sum)
+			mergedFrom.remove(key)
 		}
 	}
-	if a.bytes+b.bytes <= tuning.TotalsPageMaxBytes {
-		for key, sum := range b.rows {
-			a.add(key, sum)
+	if mergedInto.bytes+mergedFrom.bytes <= tuning.TotalsPageMaxBytes {
+		for key, sum := range mergedFrom.rows {
+			mergedInto.add(key, sum)
 		}
-		b.rows = nil
+		mergedFrom.rows = nil
 	}
-	return a, b
+	return mergedInto, mergedFrom
 }
 
-// foldIntoMonths returns a transaction that replaces the days of one closed page's old rows
-// by their months; compaction then brings the rows of a month together. It is nil if no
-// closed page has rows of days that are old enough.
-func (l *Ledger) foldIntoMonths(now time.Time, room int) *leader.SubsystemWrite {
-	if room < 1 {
+// foldIntoMonths returns a transaction that replaces the rows of old days in one closed page by rows of their months.
+// Compaction then merges the rows of a month across pages. foldIntoMonths returns nil if no closed page has rows of days
+// that are old enough.
+func (l *Ledger) foldIntoMonths(now time.Time, maxChanges int) *leader.SubsystemWrite {
+	if maxChanges < 1 {
 		return nil
 	}
-	before := now.In(l.location).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format(monthFormat) // whole months only
+	beforeMonth := now.In(l.location).AddDate(0, 0, -tuning.MonthlyTotalsAfterDays).Format(monthFormat) // only whole months are folded
 	for _, n := range slices.Sorted(maps.Keys(l.closedPages)) {
-		p, changed := l.closedPages[n].foldedBefore(before)
+		p, changed := l.closedPages[n].foldedBefore(beforeMonth)
 		if !changed {
 			continue
 		}
@@ -109,10 +108,10 @@
 	return nil
 }
 
-// foldedBefore returns a copy of a page in which rows of days before a month have months as
-// their days, and whether there are any.
+// foldedBefore returns a copy of a page in which the rows of days before a month are replaced by rows of their months,
+// and whether there were any such rows.
 func (p *page) foldedBefore(month string) (folded *page, changed bool) {
-	folded = newPage(p.n)
+	folded = newPage(p.number)
 	folded.version = p.version
 	for key, sum := range p.rows {
 		if !key.isMonth() && key.month() < month {
--- a/internal/accounting/ledger/compact_test.go
+++ b/internal/accounting/ledger/compact_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Rows of one key are spread over pages as charges come, and compaction brings them together
-// later; old days become months. The totals stay the same all the time.
+// Roll-ups spread rows of the same key over several pages. Compaction merges them later, and folding replaces old days by
+// months. Neither changes the totals.
 func TestCompactionAndFoldingKeepTheTotals(t *testing.T) {
 	tl := newTestLeader(t)
 	for i := range 400 {
@@ -34,9 +34,9 @@
 	tl.rollUpAll()
 	tl.checkAgainstTruth()
 	if after := len(tl.itemsWithPrefix(PrefixPage)); after >= before {
-		t.Errorf("%d pages are %d after compaction", before, after)
+		t.Errorf("compaction left %d pages as %d, want fewer", before, after)
 	}
-	if len(tl.ledger.closedPages) >= tuning.CompactAfterPages { // fewer are not compacted
+	if len(tl.ledger.closedPages) >= tuning.CompactAfterPages { // below that number, pages are not compacted
 		tl.checkRowsAreInOneClosedPage()
 	}
 	tl.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
@@ -47,7 +47,7 @@
 	for _, p := range tl.ledger.closedPages {
 		for key := range p.rows {
 			if len(key.Day) != len("2026-12") {
-				t.Fatalf("%v is not folded", key)
+				t.Fatalf("the row of %v is not folded into its month", key)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	for _, p := range tl.ledger.closedPages {
 		for key := range p.rows {
 			if pages[key]++; pages[key] > 1 {
-				tl.t.Fatalf("%v still stands in two closed pages", key)
+				tl.t.Fatalf("two closed pages still have rows with the key %v", key)
 			}
 		}
 	}
--- a/internal/accounting/ledger/csv.go
+++ b/internal/accounting/ledger/csv.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
+// writeCSV answers a request with rows as CSV.
 func writeCSV(w http.ResponseWriter, rows [][]string) {
 	var b bytes.Buffer
 	_ = csv.NewWriter(&b).WriteAll(rows) // writing to a buffer does not fail
 	w.Header().Set("Content-Type", "text/csv; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(b.Len()))
-	_, _ = w.Write(b.Bytes()) // the client may have gone
+	_, _ = w.Write(b.Bytes()) // fails only if the client has disconnected
 }
 
-// formatDecimal writes a number with six decimals.
+// formatDecimal formats a number with six decimal places.
 func formatDecimal(v float64) string { return strconv.FormatFloat(v, 'f', 6, 64) }
 
-// TotalsCSV returns totals as the rows of a CSV file, the first with the names of the columns.
+// TotalsCSV returns totals as the rows of a CSV file. The first row is the header.
 func TotalsCSV(t Totals) [][]string {
 	rows := [][]string{{"day", "team", "account", "class", "type", "spot", "attempts", "core_hours", "gpu_hours", "memory_gb_hours", "money", "core_us", "money_u"}}
 	for _, r := range t.Rows {
@@ -35,7 +36,7 @@
 	return rows
 }
 
-// ChargesCSV returns charges as the rows of a CSV file, the first with the names of the columns.
+// ChargesCSV returns charges as the rows of a CSV file. The first row is the header.
 func ChargesCSV(charges []ChargeView) [][]string {
 	rows := [][]string{{"task", "attempt", "part", "team", "account", "class", "type", "zone", "spot", "start", "end", "core_s", "gpu_s", "memory_gb_s", "money", "how", "upper_bound", "saved"}}
 	for _, c := range charges {
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -9,10 +9,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against charges that are lost or doubled when a leader dies between an attempt's
-// end and its charge, between the charge and its roll-up, or after a transaction that was
-// applied and never answered.
-func TestEachAttemptIsChargedOnceWhereverALeaderDies(t *testing.T) {
+// Guards against charges that are lost or duplicated when a leader fails between an attempt's end and its charge, between
+// the charge and its roll-up, or after a transaction that was applied but not answered.
+func TestEachAttemptIsChargedOnceWheneverALeaderFails(t *testing.T) {
 	steps := []func(*testLeader){
 		func(tl *testLeader) { tl.commitBatch(true) },
 		func(tl *testLeader) { tl.commitBatch(false); tl.newTerm() },
@@ -25,23 +24,23 @@
 			}
 		},
 	}
-	// All orders of four of them, after each of which the job has ended.
+	// Try all sequences of four steps, with repetition. The job ends after each sequence.
 	n := len(steps)
 	for order := range n * n * n * n {
 		tl := newTestLeader(t)
 		tl.submit(jobArray("job-1", 2))
 		a, b := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-1")
 		tl.clock.Advance(20 * time.Second)
-		tl.end(a, wire.ExitError, false) // and is repeated
+		tl.end(a, wire.ExitError, false) // the task is retried
 		tl.end(b, wire.ExitDone, false)
 		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
 			steps[o%n](tl)
 			tl.clock.Advance(time.Second)
 		}
 		tl.commitAll()
-		again := tl.allocateAndRun("job-1")
+		retry := tl.allocateAndRun("job-1")
 		tl.clock.Advance(20 * time.Second)
-		tl.end(again, wire.ExitDone, false)
+		tl.end(retry, wire.ExitDone, false)
 		for o, i := order, 0; i < 4; o, i = o/n, i+1 {
 			steps[n-1-o%n](tl)
 		}
@@ -52,18 +51,18 @@
 			t.Fatalf("order %d: %d attempts are charged, want 3", order, len(stored))
 		}
 		if len(tl.itemsWithPrefix(jobs.PrefixProgress))+len(tl.itemsWithPrefix(jobs.PrefixDetached)) != 0 {
-			t.Fatalf("order %d: records of a job that is over and rolled up are left", order)
+			t.Fatalf("order %d: records of a job that ended and was rolled up are not deleted", order)
 		}
 	}
 }
 
-// A failover loses no run time: when a task began is stored once it has run for StartTimeStoreDelay.
+// A failover loses no run time: a task's start time is stored once the task has run for StartTimeStoreDelay.
 func TestStartTimeSurvivesAFailover(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 1))
 	a := tl.allocate("job-1")
 	tl.commitAll()
-	tl.clock.Advance(5 * time.Second) // the image is fetched
+	tl.clock.Advance(5 * time.Second) // the time to fetch the image
 	tl.run(a)
 	tl.clock.Advance(tuning.StartTimeStoreDelay)
 	tl.commitAll()
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -11,6 +11,7 @@
 	"poppypass/internal/platform/wire"
 )
 
+// fullRow returns a row of totals in which every field is set.
 func fullRow() *Row {
 	return &Row{
 		Key: RowKey{Day: "2026-12-01", Team: "vision", Account: "grant-7", Class: "train", Type: "large", Spot: true},
@@ -18,6 +19,7 @@
 	}
 }
 
+// fullPack returns a pack with one charge.
 func fullPack() charge.Pack {
 	return charge.Pack{
 		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000},
@@ -40,7 +42,7 @@
 	golden.Lines(t, "keys", PrefixSegment, PrefixPage, keySegment(17), keyPage(18))
 	for prefix, key := range map[string]string{PrefixSegment: keySegment(17), PrefixPage: keyPage(17)} {
 		if n, err := recordNumber(prefix, key); n != 17 || err != nil {
-			t.Errorf("%s is read as %d, %v", key, n, err)
+			t.Errorf("the number in the key %s is read as %d, %v; want 17", key, n, err)
 		}
 	}
 }
@@ -53,11 +55,11 @@
 	packs := []charge.Pack{fullPack()}
 	value := segmentValue(codec, packs)
 	golden.Check(t, "segment-of-packs", value)
-	again, err := ReadSegment(codec, wire.Item{Key: keySegment(0), Value: value})
+	decoded, err := ReadSegment(codec, wire.Item{Key: keySegment(0), Value: value})
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "segment-of-packs", again, packs)
+	golden.Equal(t, "segment-of-packs", decoded, packs)
 }
 
 func TestStoredPage(t *testing.T) {
@@ -68,11 +70,11 @@
 	rows := []Row{*fullRow()}
 	value := pageValue(codec, rows)
 	golden.Check(t, "page-of-rows", value)
-	again, err := ReadPage(codec, wire.Item{Key: keyPage(0), Value: value})
+	decoded, err := ReadPage(codec, wire.Item{Key: keyPage(0), Value: value})
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "page-of-rows", again, rows)
+	golden.Equal(t, "page-of-rows", decoded, rows)
 }
 
 func TestAnswerFormats(t *testing.T) {
@@ -83,17 +85,17 @@
 	golden.JSONEncoding(t, "answer-charges", golden.Fill(new(ChargesPage)))
 }
 
-// What answers say of stored amounts and charges.
-func TestAnswersToQuestions(t *testing.T) {
-	question, err := ParseQuery(url.Values{
+// Answers and CSV files must not change for given stored amounts and charges.
+func TestAnswersToQueries(t *testing.T) {
+	query, err := ParseQuery(url.Values{
 		"team": {"vision"}, "account": {"grant-7"}, "class": {"train"}, "from": {"2026-12-01"}, "to": {"2026-12-31"}, "by": {strings.Join(groupColumns, ",")},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	tally := NewAggregation(question)
-	tally.Add(fullRow().Key, fullRow().Sum)
-	totals := tally.Totals(time.UTC)
+	aggregation := NewAggregation(query)
+	aggregation.Add(fullRow().Key, fullRow().Sum)
+	totals := aggregation.Totals(time.UTC)
 	golden.JSONEncoding(t, "question-totals", totals)
 	pack := fullPack()
 	charges := ChargeViews(&pack)
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -11,18 +11,20 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Handler answers users and operators about charges, totals and budgets, as JSON or,
-// with format=csv, as CSV. It is safe for concurrent use.
+// Handler serves the HTTP queries of users and operators for charges, totals and budgets. It answers in JSON; charges
+// and totals are sent as CSV if the query has format=csv. It is safe for concurrent use.
 type Handler struct {
-	// QueryLeader has the leader answer a path and query.
+	// QueryLeader sends a path with a query string to the leader and returns its answer.
 	QueryLeader func(ctx context.Context, uri string) (status int, body json.RawMessage)
-	// Reader reads the charges of jobs. Only the handler may use it.
+	// Reader reads the charges of jobs. Nothing else may use it, since it is not safe for concurrent use.
 	Reader *Reader
 
-	reading sync.Mutex // held while Reader is used: a question for charges reads some hundred KB, so one at a time
+	// readerMu is locked while Reader is in use. A query for charges reads some hundred KB, so only one is answered at a
+	// time.
+	readerMu sync.Mutex
 }
 
-// Routes registers the handler's paths.
+// Routes registers the handler's paths with mux.
 func (h *Handler) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathTotals, h.serveTotals)
 	mux.HandleFunc("GET "+PathBudgets, h.relayToLeader)
@@ -30,38 +32,40 @@
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndCharges, h.serveCharges)
 }
 
+// relayToLeader serves a request with the leader's answer.
 func (h *Handler) relayToLeader(w http.ResponseWriter, r *http.Request) {
 	status, body := h.QueryLeader(r.Context(), r.URL.RequestURI())
 	httpjson.WriteRaw(w, status, body)
 }
 
-// serveTotals answers for one team: a team's tools see its own charges only.
+// serveTotals serves the totals of one team. The parameter team is required, so that a team's tools receive only its own
+// charges.
 func (h *Handler) serveTotals(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("team") == "" {
 		httpjson.WriteError(w, http.StatusBadRequest, "the parameter team is missing")
 		return
 	}
 	status, body := h.QueryLeader(r.Context(), r.URL.RequestURI())
-	var t Totals
-	if r.URL.Query().Get("format") != "csv" || status != http.StatusOK || json.Unmarshal(body, &t) != nil {
+	var totals Totals
+	if r.URL.Query().Get("format") != "csv" || status != http.StatusOK || json.Unmarshal(body, &totals) != nil {
 		httpjson.WriteRaw(w, status, body)
 		return
 	}
-	writeCSV(w, TotalsCSV(t))
+	writeCSV(w, TotalsCSV(totals))
 }
 
-// serveCharges answers for one job, from the stored records: no leader is needed.
+// serveCharges serves the charges of one job. It reads the stored records, so it works without a leader.
 func (h *Handler) serveCharges(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if !wire.ValidJobID(id) {
 		httpjson.WriteError(w, http.StatusNotFound, "no such job")
 		return
 	}
-	if !h.reading.TryLock() {
+	if !h.readerMu.TryLock() {
 		httpjson.WriteUnavailable(w, "another question for charges is being answered")
 		return
 	}
-	defer h.reading.Unlock()
+	defer h.readerMu.Unlock()
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.ChargesTimeout)
 	defer cancel()
 	page, err := h.Reader.JobCharges(ctx, id, r.URL.Query().Get("after"))
@@ -73,10 +77,10 @@
 		writeCSV(w, ChargesCSV(page.Charges))
 		return
 	}
-	raw, err := json.MarshalIndent(page, "", " ")
+	encoded, err := json.MarshalIndent(page, "", " ")
 	if err != nil {
 		httpjson.WriteError(w, http.StatusInternalServerError, "the answer cannot be written")
 		return
 	}
-	httpjson.WriteRaw(w, http.StatusOK, raw)
+	httpjson.WriteRaw(w, http.StatusOK, encoded)
 }
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger keeps what every attempt of every task took: its charge, borne by
-// exactly one team. A charge of an attempt that lies in several days has a part for each.
+// Package ledger records what each attempt of each task used, as a charge to exactly one team. If an attempt runs on
+// several days, its charge has one part for each day.
 //
-// It joins the leader's loop as a subsystem. New charges are stored by the job store, in
-// the transaction that stores the attempt's end (jobs.Store.AddCharges). Later the ledger
-// rolls them up: it moves them to compressed segments and adds them to totals. Only the
-// leader writes these records; any member may read them (Reader).
+// The ledger is a subsystem of the leader's loop. The job store writes new charges in the transaction that stores the
+// attempt's end (jobs.Store.AddCharges). Later the ledger rolls them up: it moves them to compressed segments and adds
+// them to totals. Only the leader writes these records; any member may read them (Reader).
 //
-// The ledger also holds back work that its team's budget does not allow (package budget).
+// The ledger also enforces the budgets of teams (package budget): tasks that a budget does not allow are not started, and
+// running tasks of a spent budget are stopped if its policy says so.
 package ledger
 
 import (
@@ -21,55 +21,56 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Config is what a ledger gets from its process.
+// Config configures a ledger.
 type Config struct {
 	Clock      clockwork.Clock
-	MaxTxnOps  int     // changes in one transaction
-	MaxValueKB float64 // the longest value of the state service, in KiB
-	// MachineTypes returns the machine types; nil while none are known.
+	MaxTxnOps  int     // maximum number of changes in one transaction
+	MaxValueKB float64 // maximum size of a value in the state service, in KiB
+	// MachineTypes returns the cloud's machine types; nil while they are unknown.
 	MachineTypes func() []wire.MachineType
-	// Budgets returns the operators' budgets as they are now.
+	// Budgets returns the operators' current budget settings.
 	Budgets func() *budget.Settings
-	// OnCharge, if not nil, is called with each charge, for metrics.
+	// OnCharge, if not nil, is called with the amounts of each charge, for metrics.
 	OnCharge func(team, outcome string, sum charge.Amounts)
 }
 
-// Ledger is the ledger of one leader's term. It implements leader.Subsystem: the loop's
-// goroutine makes all calls but Read.
+// Ledger is the ledger during one leader's term. It implements leader.Subsystem: the loop's goroutine makes all calls
+// except Read.
 type Ledger struct {
 	cfg           Config
 	log           *slog.Logger
 	maxTxnOps     int
 	maxValueBytes int
 	codec         *charge.Codec
-	location      *time.Location // in which days begin
+	location      *time.Location // time zone in which days begin
 	store         *jobs.Store
 
-	loaded           bool // the last segment and the totals are in memory: roll-ups may begin
-	openSegment      segment
-	openPage         *page
+	loaded           bool                   // the last segment and the totals are in memory, so roll-ups may start
+	openSegment      segment                // the segment that roll-ups write to
+	openPage         *page                  // the page that roll-ups write to
 	closedPages      map[int]*page          // by number
-	detached         []jobs.DetachedCharges // that are not rolled up yet
-	detachedSince    time.Time              // when the oldest of them came
-	nextCompactCheck time.Time              // before it no compaction is looked for
+	detached         []jobs.DetachedCharges // records that are not rolled up yet
+	detachedSince    time.Time              // start of the wait for the next roll-up; see rollUpDue
+	nextCompactCheck time.Time              // time of the next check whether totals can be folded or compacted
 	nextTotalsLog    time.Time
 
-	live           map[*jobs.Allocation]bool
-	dayEnd         time.Time // when the present day ends
+	live           map[*jobs.Allocation]bool // allocations whose attempts have not ended
+	dayEnd         time.Time                 // end of the current day
 	budgets        *budget.Tracker
-	budgetSettings *budget.Settings // that are in force
+	budgetSettings *budget.Settings // settings that the tracker applies
 	stats          Stats
 }
 
-// Stats counts what a ledger did in its term.
+// Stats counts what the ledger did in the current term.
 type Stats struct {
 	Charges     int `json:"charges"`
 	RollUps     int `json:"roll_ups"`
 	Compactions int `json:"compactions"`
-	Changes     int `json:"changes"` // of its own in the state service
+	Changes     int `json:"changes"` // changes of the ledger's own records in the state service
 }
 
-// New returns the ledger of a leader's term. The settings' time zone is read once, here.
+// New returns the ledger of a leader's term. The time zone of the settings is read only here, so it does not change during
+// the term.
 func New(cfg Config, log *slog.Logger) (*Ledger, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -82,15 +83,15 @@
 	}, nil
 }
 
-// Loaded starts with the jobs in memory: it counts the charges that are not rolled up yet
-// and the live tasks of former leaders.
+// Loaded prepares the ledger once all jobs are in memory. It adds the charges that are not rolled up yet to the
+// budgets' usage, and reserves the expected usage of the live tasks of earlier leaders.
 func (l *Ledger) Loaded(store *jobs.Store, now time.Time) {
 	l.store = store
 	store.Metered = true
 	l.dayEnd = l.endOfDay(now)
-	store.VisitCharges(l.countPack)
+	store.VisitCharges(l.addPackUsage)
 	for _, d := range l.collectDetached(now) {
-		l.countPack(d.Pack)
+		l.addPackUsage(d.Pack)
 	}
 	for _, j := range store.Jobs {
 		for i := range j.Tasks {
@@ -102,13 +103,13 @@
 	l.applyBudgetSettings(now)
 }
 
-// endOfDay is when the day of a time ends, in the ledger's time zone.
+// endOfDay returns the end of the day that contains t, in the ledger's time zone.
 func (l *Ledger) endOfDay(t time.Time) time.Time {
 	return time.UnixMilli(charge.NextDay(t.UnixMilli(), l.location))
 }
 
-// collectDetached takes the records of detached charges that came since it was last
-// called, and returns them.
+// collectDetached fetches the records of detached charges that the job store has added since the last call, and returns
+// them.
 func (l *Ledger) collectDetached(now time.Time) []jobs.DetachedCharges {
 	added := l.store.TakeDetached()
 	if len(l.detached) == 0 {
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// A job of very many tasks ends although its charges do not fit into one transaction, and a
-// task that fails again and again does not outgrow its record.
+// Guards against two failures: a job with very many tasks that cannot end because its charges do not fit into one
+// transaction, and a task that fails repeatedly until its charges exceed the size limit of its record.
 func TestManyChargesOfAJobFitTheStateService(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.submit(jobArray("job-1", 40*tuning.ChunkTasks))
@@ -29,8 +29,8 @@
 	}
 	tl.heartbeat()
 	tl.checkAgainstTruth()
-	if _, over := tl.items[jobs.KeyFinalState("job-1")]; !over {
-		t.Fatal("the job does not end")
+	if _, ended := tl.items[jobs.KeyFinalState("job-1")]; !ended {
+		t.Fatal("the job has no final state")
 	}
 	tl.submit(jobArray("job-2", 1))
 	for range 3 * tuning.DetachChargesMin {
@@ -42,12 +42,12 @@
 	tl.rollUpAll()
 	tl.checkAgainstTruth()
 	if n := len(tl.itemsWithPrefix(jobs.PrefixDetached)); n != 0 {
-		t.Errorf("%d records are left", n)
+		t.Errorf("%d records of detached charges are not rolled up", n)
 	}
 }
 
-// A transaction stays within the state service's limits when many jobs with long records
-// end at once. A leader whose write is refused as malformed gives up, and so would the next.
+// Guards against a transaction that exceeds the state service's limits when many jobs with long records end at once. A
+// leader whose transaction is refused as malformed steps down, and the next leader would send the same transaction.
 func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.maxTxnOps = 40
@@ -63,7 +63,7 @@
 			}
 		}
 		tl.commitAll()
-		tl.heartbeat() // it forgets the allocations that were removed
+		tl.heartbeat() // forgets the allocations that were removed
 		tl.clock.Advance(time.Second)
 		for _, k := range tl.sortedAttempts() {
 			tl.attempts[k].began = tl.now()
@@ -77,9 +77,9 @@
 		}
 		tl.heartbeat()
 	}
-	tl.checkAgainstTruth() // its store refuses what is too long
+	tl.checkAgainstTruth() // apply fails the test if a transaction or value is too long
 	t.Logf("the longest transaction has %d bytes", tl.longestTxnBytes)
 	if len(tl.store.Jobs) != 0 {
-		t.Errorf("%d jobs do not end", len(tl.store.Jobs))
+		t.Errorf("%d jobs have not ended", len(tl.store.Jobs))
 	}
 }
--- a/internal/accounting/ledger/load.go
+++ b/internal/accounting/ledger/load.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Read reads the totals and the segment that may still grow.
+// Read reads the stored totals and the last segment, which is the only one that may still be extended.
 func (l *Ledger) Read(ctx context.Context, store *statestore.Client, _ func(func()) error) (func(), error) {
 	var pages []wire.Item
 	if _, err := store.ListAll(ctx, PrefixPage, func(items []wire.Item) error {
@@ -24,13 +24,14 @@
 	}
 	return func() {
 		if err := l.load(pages, last); err != nil {
-			// Without them nothing can be added; the charges stay where they are.
-			l.log.Error("the ledger's records are unreadable; charges are kept but not rolled up", "err", err)
+			// Nothing can be added to totals and segments that are not in memory. The charges stay in the job store's
+			// records.
+			l.log.Error("decoding the ledger's records failed; charges are stored but not rolled up in this term", "err", err)
 		}
 	}, nil
 }
 
-// lastSegment reads the newest segment; nil if there is none.
+// lastSegment returns the segment with the highest number; nil if there is none.
 func lastSegment(ctx context.Context, store *statestore.Client) (*wire.Item, error) {
 	var last *wire.Item
 	exists := func(n int) (bool, error) {
@@ -46,14 +47,14 @@
 	return last, nil
 }
 
-// lastNumber returns the highest number that exists; -1 if none does. Numbers begin with 0
-// and have no gaps, so it is found by doubling and halving, in few calls however high it
-// is. The last call of exists that returned true is the one with this number.
+// lastNumber returns the highest number for which exists returns true; -1 if there is none. Numbers start at 0 and have
+// no gaps, so the number is found by doubling followed by a binary search, in a logarithmic number of calls. Of the calls
+// of exists that return true, the last is the one with the returned number.
 func lastNumber(exists func(n int) (bool, error)) (int, error) {
 	if ok, err := exists(0); err != nil || !ok {
 		return -1, err
 	}
-	low, high := 0, 1 // the one at low exists
+	low, high := 0, 1 // low exists
 	for {
 		ok, err := exists(high)
 		if err != nil {
@@ -64,7 +65,7 @@
 		}
 		low, high = high, 2*high
 	}
-	for low+1 < high { // the one at high does not exist
+	for low+1 < high { // low exists, high does not
 		mid := (low + high) / 2
 		ok, err := exists(mid)
 		if err != nil {
@@ -79,8 +80,8 @@
 	return low, nil
 }
 
-// load sets the segment, the pages and the budgets' usage from stored records. After an
-// error nothing has changed.
+// load sets the open segment, the pages and the budgets' usage from stored records. If it returns an error, it has
+// changed nothing.
 func (l *Ledger) load(pages []wire.Item, last *wire.Item) error {
 	closed, open, err := l.decodePages(pages)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// decodePages decodes the pages of totals. The one with the highest number is open.
+// decodePages decodes the pages of totals. The page with the highest number is the open one.
 func (l *Ledger) decodePages(items []wire.Item) (closed map[int]*page, open *page, err error) {
 	closed, open = map[int]*page{}, newPage(0)
 	for _, item := range items {
@@ -106,12 +107,12 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		closed[p.n] = p
-		if p.n >= open.n {
+		closed[p.number] = p
+		if p.number >= open.number {
 			open = p
 		}
 	}
-	delete(closed, open.n)
+	delete(closed, open.number)
 	return closed, open, nil
 }
 
@@ -144,7 +145,7 @@
 	if err != nil {
 		return segment{}, err
 	}
-	return segment{n: n, version: item.Version, packs: packs, bytes: len(item.Value)}, nil
+	return segment{number: n, version: item.Version, packs: packs, bytes: len(item.Value)}, nil
 }
 
 // visitPages calls fn with each row of the totals.
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -10,26 +10,24 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// What a charge counts:
+// The time for which an attempt is charged:
 //
-//   - From the heartbeat in which the task was first seen to run, to the heartbeat in which
-//     it was first seen to have ended. Fetching an image is not charged.
-//   - A worker reports a change within half a second, so both ends are late by the same on
-//     average, and the sum over many attempts is right.
-//   - What nobody saw is charged as an upper bound and marked so:
-//     a task whose machine was lost counts until its loss was proven, which is after the
-//     last moment in which its worker can have run it;
-//     one that was never seen to run but ended counts from the last heartbeat that did not
-//     have it running;
-//     one that a former leader placed counts from when it was placed, if no record says
-//     when it began;
-//     and one whose end came while nobody led counts until a leader saw it.
+//   - It begins with the heartbeat that first reports the task as running, and ends with the heartbeat that first
+//     reports the task's end. The time to fetch the image is not charged.
+//   - A worker reports a change within half a second. So both times are late by the same amount on average, and the sum
+//     over many attempts is correct.
+//   - If the start or the end was not observed, the charge is an upper bound and is flagged as such:
+//     If the machine was lost, the time ends when the loss is proven, which is after the last moment at which the worker
+//     can have run the task.
+//     If the task ended without being reported as running, the time begins with the last heartbeat that did not report it
+//     as running.
+//     If an earlier leader placed the task and no record contains its start, the time begins with the placement.
+//     If the task ended while there was no leader, the time ends when a leader first sees the end.
 
-// Rate is what a task takes of a machine's price, in millionths of money an hour: the price
-// times its dominant share, the largest of its shares of the machine's processors, memory
-// and GPUs, since that is what it keeps from others. Equal tasks that fill a machine pay its
-// price together; idle resources are charged to nobody; tasks of opposite shapes that share
-// a machine can pay more than its price together. It is 0 for an unknown type.
+// Rate returns a task's share of a machine's price, in millionths of money per hour; 0 for an unknown type. It is the
+// price times the task's dominant share: the largest of its shares of the machine's processors, memory and GPUs, because
+// that much of the machine is unavailable to others. Equal tasks that fill a machine together pay its price. Idle
+// resources are charged to nobody. Tasks of opposite shapes that share a machine can together pay more than its price.
 func Rate(j *wire.Job, typ *wire.MachineType, spot bool) int64 {
 	if typ == nil {
 		return 0
@@ -41,18 +39,18 @@
 	return int64(math.Round(price * dominantShare(j, typ) * 1e6))
 }
 
-// dominantShare is the largest share, up to 1, that a task has of a machine's resources.
+// dominantShare returns the largest of a task's shares of a machine's processors, memory and GPUs, at most 1.
 func dominantShare(j *wire.Job, typ *wire.MachineType) float64 {
 	share := 0.0
-	for _, r := range []struct{ used, of float64 }{{j.CPUs, typ.CPUs}, {j.MemoryGB, typ.MemoryGB}, {j.GPUs, typ.GPUs}} {
-		if r.of > 0 {
-			share = max(share, min(1, r.used/r.of))
+	for _, r := range []struct{ used, available float64 }{{j.CPUs, typ.CPUs}, {j.MemoryGB, typ.MemoryGB}, {j.GPUs, typ.GPUs}} {
+		if r.available > 0 {
+			share = max(share, min(1, r.used/r.available))
 		}
 	}
 	return share
 }
 
-// outcomeOf is how an attempt ended, for its charge.
+// outcomeOf returns the outcome of an attempt for its charge.
 func outcomeOf(o *machines.Outcome) charge.Outcome {
 	a := o.Allocation
 	switch {
@@ -72,12 +70,12 @@
 	return charge.Stopped
 }
 
-// chargeFor returns the charge of an attempt from its outcome. currentRate is its task's
-// rate by now. started is false if the attempt was never started, so there is no charge.
+// chargeFor returns the charge of an attempt that ended. currentRate is the task's rate at the current prices. started is
+// false if the attempt was never started; there is no charge then.
 func chargeFor(o *machines.Outcome, now time.Time, currentRate int64) (c charge.Charge, started bool) {
 	a := o.Allocation
 	if !a.Committed {
-		return c, false // no record named it, so nothing was started
+		return c, false // no stored record contained the allocation, so no worker was told to start it
 	}
 	c = charge.Charge{Task: a.Index, Attempt: a.Attempt, Part: a.ChargedParts, Outcome: outcomeOf(o)}
 	from, flags := chargedFrom(o, c.Outcome, now)
@@ -86,20 +84,20 @@
 		c.Flags |= charge.ProgressSaved
 	}
 	if a.Inherited && a.State == "" && c.Outcome != charge.Refused {
-		// This leader never saw it run: it may have ended while nobody led.
+		// This leader never saw the task running, so it may have ended while there was no leader.
 		c.Flags |= charge.UpperBound
 	}
 	setTimeAndCost(&c, a, from, now, currentRate)
 	return c, true
 }
 
-// chargedFrom is from when on an attempt that ended is charged, and UpperBound if its run
-// time is not known exactly.
+// chargedFrom returns the time from which an attempt that ended is charged, and UpperBound if the charged time may be
+// longer than the run time.
 func chargedFrom(o *machines.Outcome, outcome charge.Outcome, now time.Time) (from time.Time, flags charge.Flag) {
 	a := o.Allocation
 	switch {
 	case !a.ChargedFrom.IsZero():
-		flags = unseenStart(a)
+		flags = unseenStartFlag(a)
 		if outcome == charge.Lost {
 			flags = charge.UpperBound
 		}
@@ -114,20 +112,19 @@
 	return from, charge.UpperBound
 }
 
-// unseenStart is UpperBound if a task counts from when it was placed, since nobody knows
-// when it began; otherwise 0.
-func unseenStart(a *jobs.Allocation) charge.Flag {
+// unseenStartFlag returns UpperBound if a task is charged from its placement on because its start is unknown; otherwise 0.
+func unseenStartFlag(a *jobs.Allocation) charge.Flag {
 	if a.ChargedParts == 0 && !a.ChargedFrom.After(a.AllocatedAt) {
 		return charge.UpperBound
 	}
 	return 0
 }
 
-// setTimeAndCost sets a charge's time and money. The rate is the mean of that at the
-// beginning and the current one, as far as they are known.
+// setTimeAndCost sets the time and the money of a charge. The applied rate is the mean of the rate at the allocation and
+// the current one. If only one of them is known, it applies; if neither is, the charge is flagged PriceUnknown.
 func setTimeAndCost(c *charge.Charge, a *jobs.Allocation, from, to time.Time, currentRate int64) {
-	run := max(0, to.Sub(from))
-	c.Start, c.Run = from.UnixMilli(), run.Milliseconds()
+	runTime := max(0, to.Sub(from))
+	c.Start, c.Run = from.UnixMilli(), runTime.Milliseconds()
 	rate := a.Kind.Rate
 	if rate > 0 && currentRate > 0 {
 		rate = (rate + currentRate) / 2
--- a/internal/accounting/ledger/page.go
+++ b/internal/accounting/ledger/page.go
@@ -7,24 +7,25 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// segment is the open one in memory.
+// segment is the open segment in memory.
 type segment struct {
-	n       int
-	version uint64
+	number  int
+	version uint64 // of its record; 0: it is not stored yet
 	packs   []charge.Pack
-	bytes   int // of its stored form
+	bytes   int // size of its stored form
 }
 
 // page is one page of totals in memory.
 type page struct {
-	n       int
-	version uint64 // 0: it is not stored yet
+	number  int
+	version uint64 // of its record; 0: it is not stored yet
 	rows    rowSums
-	bytes   int // before compression
+	bytes   int // approximate size before compression
 }
 
-func newPage(n int) *page { return &page{n: n, rows: rowSums{}} }
+func newPage(n int) *page { return &page{number: n, rows: rowSums{}} }
 
+// add adds amounts to a row, which may be new.
 func (p *page) add(key RowKey, sum charge.Amounts) {
 	if _, known := p.rows[key]; !known {
 		p.bytes += key.approxBytes()
@@ -40,10 +41,10 @@
 }
 
 func (p *page) clone() *page {
-	return &page{n: p.n, version: p.version, rows: maps.Clone(p.rows), bytes: p.bytes}
+	return &page{number: p.number, version: p.version, rows: maps.Clone(p.rows), bytes: p.bytes}
 }
 
 func (p *page) sortedRows() []Row { return p.rows.sorted() }
 
-// full reports whether a page takes no more rows.
+// full reports whether the page has reached its maximum size. The next roll-up then starts a new page.
 func (p *page) full() bool { return p.bytes >= tuning.TotalsPageMaxBytes }
--- a/internal/accounting/ledger/property_test.go
+++ b/internal/accounting/ledger/property_test.go
@@ -13,27 +13,26 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// The property: whatever happens, in whatever order, each attempt is charged once, and the
-// totals are the sum of the charges.
+// The property: for any sequence of events, each attempt is charged once, and the totals are the sum of the charges.
 func TestChargesAndTotalsMatchWhatRanInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := &randomRun{testLeader: newTestLeader(t)}
 		rt.Repeat(map[string]func(*rapid.T){
-			"submit":         r.submitJob,
-			"place":          r.allocateSome,
-			"run":            r.runOne,
-			"finish many":    r.finishMany,
-			"refuse":         r.refuseOne,
-			"lose":           r.loseOne,
-			"cancel":         r.cancelFirst,
-			"commit":         func(*rapid.T) { r.commitBatch(true) },
-			"commit unsure":  func(*rapid.T) { r.commitBatch(false); r.newTerm() },
-			"new leader":     func(*rapid.T) { r.newTerm() },
-			"roll up":        r.rollUpOnce,
-			"roll up unsure": r.rollUpUnanswered,
-			"seconds":        r.letSecondsPass,
-			"hours":          r.letHoursPass,
-			"":               func(*rapid.T) {}, // no invariant is checked after each action
+			"submit":             r.submitJob,
+			"place":              r.allocateSome,
+			"run":                r.runOne,
+			"finish many":        r.finishMany,
+			"refuse":             r.refuseOne,
+			"lose":               r.loseOne,
+			"cancel":             r.cancelFirst,
+			"commit":             func(*rapid.T) { r.commitBatch(true) },
+			"commit unanswered":  func(*rapid.T) { r.commitBatch(false); r.newTerm() },
+			"new leader":         func(*rapid.T) { r.newTerm() },
+			"roll up":            r.rollUpOnce,
+			"roll up unanswered": r.rollUpUnanswered,
+			"seconds":            r.letSecondsPass,
+			"hours":              r.letHoursPass,
+			"":                   func(*rapid.T) {}, // no invariant is checked after each action
 		})
 		r.checkAgainstTruth()
 		r.rollUpAll()
@@ -43,13 +42,13 @@
 	})
 }
 
-// randomRun is a leader to which random things happen.
+// randomRun is a test leader with actions that rapid calls in random order.
 type randomRun struct {
 	*testLeader
 	submitted int
 }
 
-// pick returns one of the live allocations; nil if there is none.
+// pick returns a random allocation whose attempt was started and has not ended; nil if there is none.
 func (r *randomRun) pick(rt *rapid.T) *jobs.Allocation {
 	var live []*jobs.Allocation
 	for _, id := range r.sortedAttempts() {
@@ -118,7 +117,7 @@
 	r.commitLedgerWrite(true)
 }
 
-// rollUpUnanswered is a roll-up after which the leader dies: the ledger does not learn of it.
+// rollUpUnanswered commits a roll-up whose answer is lost because the leader fails.
 func (r *randomRun) rollUpUnanswered(*rapid.T) {
 	r.ledger.detachedSince = time.Time{}
 	if r.commitLedgerWrite(false) {
@@ -133,5 +132,5 @@
 func (r *randomRun) letHoursPass(rt *rapid.T) {
 	r.clock.Advance(time.Duration(rapid.IntRange(1, 50).Draw(rt, "hours")) * time.Hour)
 	r.ledger.Tick(r.now())
-	r.commitAll() // the job store writes what is due within seconds
+	r.commitAll() // the job store commits what is due within seconds, so nothing stays uncommitted for hours
 }
--- a/internal/accounting/ledger/query.go
+++ b/internal/accounting/ledger/query.go
@@ -15,7 +15,7 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Paths beside the protocol's.
+// Paths of the ledger's queries.
 const (
 	PathTotals  = "/v2/ledger/totals"
 	PathStats   = "/v2/ledger/stats"
@@ -25,20 +25,20 @@
 // groupColumns are the columns by which totals can be grouped.
 var groupColumns = []string{"day", "team", "account", "class", "type", "spot"}
 
-// defaultGroupBy is by what totals are grouped if a query does not say.
+// defaultGroupBy lists the columns by which totals are grouped if a query names none.
 const defaultGroupBy = "team,account,class,type"
 
-// Query is a question for totals.
+// Query is a query for totals.
 type Query struct {
-	Team, Account, Class string // empty: any
-	From, To             string // days, both included; empty: no bound
-	By                   []string
-	Skip                 int // rows of the answer that are left out, from its beginning
+	Team, Account, Class string   // only rows with these values; empty: any value
+	From, To             string   // first and last day, both included; empty: no bound
+	By                   []string // columns by which the rows are grouped
+	Skip                 int      // number of rows to leave out at the beginning of the answer
 }
 
-// ParseQuery reads a question from a URL's values. An error says in one line what is wrong.
-func ParseQuery(v url.Values) (q Query, err error) {
-	q = Query{Team: v.Get("team"), Account: v.Get("account"), Class: v.Get("class"), From: v.Get("from"), To: v.Get("to")}
+// ParseQuery parses the query parameters of a URL. An error states in one line what is wrong; it is shown to the user.
+func ParseQuery(params url.Values) (q Query, err error) {
+	q = Query{Team: params.Get("team"), Account: params.Get("account"), Class: params.Get("class"), From: params.Get("from"), To: params.Get("to")}
 	for _, day := range []string{q.From, q.To} {
 		if day == "" {
 			continue
@@ -47,26 +47,26 @@
 			return q, fmt.Errorf("%q is not a day such as 2026-12-01", day)
 		}
 	}
-	if skip := v.Get("skip"); skip != "" {
+	if skip := params.Get("skip"); skip != "" {
 		if q.Skip, err = strconv.Atoi(skip); err != nil || q.Skip < 0 {
 			return q, fmt.Errorf("skip is %q; it must be a count", skip)
 		}
 	}
-	by := v.Get("by")
-	if by == "" {
-		by = defaultGroupBy
+	columns := params.Get("by")
+	if columns == "" {
+		columns = defaultGroupBy
 	}
-	for c := range strings.SplitSeq(by, ",") {
-		if !slices.Contains(groupColumns, c) {
-			return q, fmt.Errorf("%q is not a column; there are %s", c, strings.Join(groupColumns, ", "))
+	for column := range strings.SplitSeq(columns, ",") {
+		if !slices.Contains(groupColumns, column) {
+			return q, fmt.Errorf("%q is not a column; there are %s", column, strings.Join(groupColumns, ", "))
 		}
-		q.By = append(q.By, c)
+		q.By = append(q.By, column)
 	}
 	return q, nil
 }
 
-// matches reports whether a row is asked about. A month that is only partly within the bounds
-// is not, since its days can no longer be told apart.
+// matches reports whether the query includes a row. A row of a month that is only partly within the bounds is not
+// included, because the month's total can no longer be split into days.
 func (q *Query) matches(key RowKey) bool {
 	first, last := key.Day, key.Day
 	if key.isMonth() {
@@ -76,11 +76,11 @@
 		(q.From == "" || first >= q.From) && (q.To == "" || last <= q.To)
 }
 
-// groupKey returns a row's key with only the columns by which the answer is grouped.
+// groupKey returns a row's key, reduced to the columns by which the answer is grouped.
 func (q *Query) groupKey(key RowKey) RowKey {
 	var group RowKey
-	for _, c := range q.By {
-		switch c {
+	for _, column := range q.By {
+		switch column {
 		case "day":
 			group.Day = key.Day
 		case "team":
@@ -98,12 +98,13 @@
 	return group
 }
 
-// budgetsAnswer answers a question for budgets.
+// budgetsAnswer is the answer to a query for budgets.
 type budgetsAnswer struct {
 	Budgets []budget.View `json:"budgets"`
 }
 
-// Query answers the questions that the ledger has the answers to in memory. The error is leader.ErrUnknownPath.
+// Query answers the queries that can be answered from memory: for stats, budgets and totals. The error is
+// leader.ErrUnknownPath.
 func (l *Ledger) Query(uri string, now time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil {
@@ -121,8 +122,9 @@
 	return leader.Answer{}, leader.ErrUnknownPath
 }
 
-func (l *Ledger) answerTotals(v url.Values, now time.Time) leader.Answer {
-	q, err := ParseQuery(v)
+// answerTotals answers a query for totals. The status is 503 until the stored totals are in memory.
+func (l *Ledger) answerTotals(params url.Values, now time.Time) leader.Answer {
+	q, err := ParseQuery(params)
 	if err != nil {
 		return leader.Answer{Status: http.StatusBadRequest, Body: wire.Error{Error: err.Error()}}
 	}
@@ -132,22 +134,21 @@
 	return leader.Answer{Status: http.StatusOK, Body: l.totals(q, now)}
 }
 
-// totals answers a query from the pages of totals, the charges that are not rolled up yet,
-// and the tasks that run now.
+// totals answers a query from the pages of totals, the charges that are not rolled up yet, and the running tasks.
 func (l *Ledger) totals(q Query, now time.Time) Totals {
-	l.collectDetached(now) // what was detached since the last tick counts too
-	sums := NewAggregation(q)
-	l.visitPages(sums.Add)
+	l.collectDetached(now) // include the charges that were detached since the last tick
+	aggregation := NewAggregation(q)
+	l.visitPages(aggregation.Add)
 	addPack := func(p *charge.Pack) {
 		for key, sum := range RowsOf(p, l.location) {
-			sums.Add(key, sum)
+			aggregation.Add(key, sum)
 		}
 	}
 	for _, d := range l.detached {
 		addPack(d.Pack)
 	}
 	l.store.VisitCharges(addPack)
-	out := sums.Totals(l.location)
-	out.Running = TotalOf(l.runningAmounts(q, now))
-	return out
+	answer := aggregation.Totals(l.location)
+	answer.Running = TotalOf(l.runningAmounts(q, now))
+	return answer
 }
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -10,14 +10,14 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Reader reads the ledger from the state service; any member and any command can. It is not
-// safe for concurrent use.
+// Reader reads the ledger's records from the state service. Any member and any command can use one. It is not safe for
+// concurrent use.
 type Reader struct {
 	store *statestore.Client
 	codec *charge.Codec
 }
 
-// NewReader returns a reader of a state service.
+// NewReader returns a reader of the ledger in a state service.
 func NewReader(store *statestore.Client) (*Reader, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -26,17 +26,17 @@
 	return &Reader{store: store, codec: codec}, nil
 }
 
-// ChargesPage is a part of a job's charges.
+// ChargesPage is one page of a job's charges.
 type ChargesPage struct {
 	Charges []ChargeView `json:"charges"`
-	// Next is where to go on; empty: there are no more. Charges of a job that has just
-	// ended may come again on a later page while they are rolled up; their task, attempt
-	// and part tell.
+	// Next is the value of after that returns the next page; empty: this is the last page. Charges of a job that has
+	// just ended may appear again on a later page if they are rolled up meanwhile. Duplicates have the same task,
+	// attempt and part.
 	Next string `json:"next,omitempty"`
 }
 
-// JobCharges reads charges of a job: first those that are still in its own records, then
-// those in segments, some segments a page. after is the Next of the page before.
+// JobCharges returns one page of a job's charges: on the first page those that are still in the job's own records, and
+// on each page those in some segments. after is the Next of the previous page; it is empty for the first.
 func (r *Reader) JobCharges(ctx context.Context, id, after string) (ChargesPage, error) {
 	page := ChargesPage{Charges: []ChargeView{}}
 	if after == "" {
@@ -46,7 +46,8 @@
 			}
 		}
 	}
-	// A charge that was in neither moved to a segment before, so it is found there now.
+	// The segments are read after the records, so no charge is missed: one that was no longer in them had already been
+	// moved to a segment.
 	if err := r.addFromSegments(ctx, &page, id, after); err != nil {
 		return page, err
 	}
@@ -54,16 +55,16 @@
 	return page, nil
 }
 
-// addFromRecords adds the charges in a job's records with a prefix.
+// addFromRecords adds the charges in the job's records with a key prefix.
 func (r *Reader) addFromRecords(ctx context.Context, page *ChargesPage, prefix string) error {
 	_, err := r.store.ListAll(ctx, prefix, func(items []wire.Item) error {
 		for _, item := range items {
-			p, err := jobs.DecodeCharges(item)
+			pack, err := jobs.DecodeCharges(item)
 			if err != nil {
 				return err
 			}
-			if p != nil {
-				page.Charges = append(page.Charges, ChargeViews(p)...)
+			if pack != nil {
+				page.Charges = append(page.Charges, ChargeViews(pack)...)
 			}
 		}
 		return nil
@@ -71,8 +72,8 @@
 	return err
 }
 
-// addFromSegments adds the job's charges in the segments after a key, until the page has
-// ChargesPage of them, and sets where the next page goes on.
+// addFromSegments adds the job's charges in the segments after a key. It reads at most SegmentsPerCall segments, stops
+// once the page has ChargesPerAnswer charges, and sets page.Next.
 func (r *Reader) addFromSegments(ctx context.Context, page *ChargesPage, id, after string) error {
 	items, err := r.store.List(ctx, PrefixSegment, after, tuning.SegmentsPerCall)
 	if err != nil {
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -10,32 +10,30 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Keys of the state service. Only the leader writes them.
+// Key prefixes in the state service. Only the leader writes these records.
 const (
-	// PrefixSegment holds the charges that were rolled up, compressed, in the order in
-	// which that was done. Segments are numbered from 0 without gaps. The last one grows
-	// until it is full.
+	// PrefixSegment is the key prefix of segments: compressed records of the charges that were rolled up, in the order
+	// of the roll-ups. Segments are numbered from 0 without gaps. The last one is extended until it is full.
 	PrefixSegment = "ledger/seg/"
-	// PrefixPage holds the totals, in pages of rows. A row's key may stand in more than
-	// one page; its amounts are then the sum.
+	// PrefixPage is the key prefix of pages, which contain the rows of totals. Several pages may have rows with the same
+	// RowKey; the total is then the sum of these rows.
 	PrefixPage = "ledger/total/"
 )
 
 func keySegment(n int) string { return fmt.Sprintf("%s%010d", PrefixSegment, n) }
 func keyPage(n int) string    { return fmt.Sprintf("%s%010d", PrefixPage, n) }
 
-// ErrUnknownKind tells that a charge in a segment refers to a kind of machine that its pack
-// does not have.
-var ErrUnknownKind = errors.New("names no kind of machine")
+// ErrUnknownKind reports a charge in a segment whose machine kind is not among those of its pack.
+var ErrUnknownKind = errors.New("machine kind is not in the pack")
 
-// ChargeCountError tells that a segment does not hold as many charges as it says.
-type ChargeCountError struct{ Held, Stated int }
+// ChargeCountError reports a segment whose number of charges differs from the number stated in its record.
+type ChargeCountError struct{ Actual, Stated int }
 
 func (e *ChargeCountError) Error() string {
-	return fmt.Sprintf("it holds %d charges and says %d", e.Held, e.Stated)
+	return fmt.Sprintf("segment contains %d charges, but its record states %d", e.Actual, e.Stated)
 }
 
-// recordNumber reads the number of a segment or page from its key.
+// recordNumber returns the number of a segment or page, from its key.
 func recordNumber(prefix, key string) (int, error) {
 	var n int
 	if _, err := fmt.Sscanf(key, prefix+"%010d", &n); err != nil {
@@ -44,57 +42,57 @@
 	return n, nil
 }
 
-// segmentRecord is how a segment is stored.
+// segmentRecord is the stored form of a segment.
 type segmentRecord struct {
-	Charges int    `json:"charges"`
-	Zstd    []byte `json:"z"` // of CBOR of []charge.Pack
+	Charges int    `json:"charges"` // number of charges in Zstd
+	Zstd    []byte `json:"z"`       // the zstd-compressed CBOR encoding of a []charge.Pack
 }
 
-// pageRecord is how a page is stored.
+// pageRecord is the stored form of a page.
 type pageRecord struct {
-	Zstd []byte `json:"z"` // of CBOR of []Row
+	Zstd []byte `json:"z"` // the zstd-compressed CBOR encoding of a []Row
 }
 
 // ReadSegment decodes a stored segment. The error is a *jobs.RecordError.
-func ReadSegment(c *charge.Codec, item wire.Item) ([]charge.Pack, error) {
-	packs, err := decodeSegment(c, item.Value)
+func ReadSegment(codec *charge.Codec, item wire.Item) ([]charge.Pack, error) {
+	packs, err := decodeSegment(codec, item.Value)
 	if err != nil {
 		return nil, &jobs.RecordError{Key: item.Key, Err: err}
 	}
 	return packs, nil
 }
 
-func decodeSegment(c *charge.Codec, value []byte) ([]charge.Pack, error) {
-	var r segmentRecord
-	if err := json.Unmarshal(value, &r); err != nil {
+func decodeSegment(codec *charge.Codec, value []byte) ([]charge.Pack, error) {
+	var record segmentRecord
+	if err := json.Unmarshal(value, &record); err != nil {
 		return nil, err
 	}
 	var packs []charge.Pack
-	if err := c.Decode(r.Zstd, &packs); err != nil {
+	if err := codec.Decode(record.Zstd, &packs); err != nil {
 		return nil, err
 	}
 	for i := range packs {
-		p := &packs[i]
-		for k := range p.Charges {
-			if kind := p.Charges[k].Kind; kind < 0 || kind >= len(p.Kinds) {
-				return nil, fmt.Errorf("a charge of %s %w", p.Job, ErrUnknownKind)
+		pack := &packs[i]
+		for k := range pack.Charges {
+			if kind := pack.Charges[k].Kind; kind < 0 || kind >= len(pack.Kinds) {
+				return nil, fmt.Errorf("charge of %s: %w", pack.Job, ErrUnknownKind)
 			}
 		}
 	}
-	if n := countCharges(packs); n != r.Charges {
-		return nil, &ChargeCountError{Held: n, Stated: r.Charges}
+	if n := countCharges(packs); n != record.Charges {
+		return nil, &ChargeCountError{Actual: n, Stated: record.Charges}
 	}
 	return packs, nil
 }
 
 // ReadPage decodes a stored page of totals. The error is a *jobs.RecordError.
-func ReadPage(c *charge.Codec, item wire.Item) ([]Row, error) {
-	var r pageRecord
-	if err := json.Unmarshal(item.Value, &r); err != nil {
+func ReadPage(codec *charge.Codec, item wire.Item) ([]Row, error) {
+	var record pageRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return nil, &jobs.RecordError{Key: item.Key, Err: err}
 	}
 	var rows []Row
-	if err := c.Decode(r.Zstd, &rows); err != nil {
+	if err := codec.Decode(record.Zstd, &rows); err != nil {
 		return nil, &jobs.RecordError{Key: item.Key, Err: err}
 	}
 	return rows, nil
@@ -108,10 +106,10 @@
 	return n
 }
 
-func segmentValue(c *charge.Codec, packs []charge.Pack) json.RawMessage {
-	return wire.EncodeRecord(segmentRecord{Charges: countCharges(packs), Zstd: c.Encode(packs)})
+func segmentValue(codec *charge.Codec, packs []charge.Pack) json.RawMessage {
+	return wire.EncodeRecord(segmentRecord{Charges: countCharges(packs), Zstd: codec.Encode(packs)})
 }
 
-func pageValue(c *charge.Codec, rows []Row) json.RawMessage {
-	return wire.EncodeRecord(pageRecord{Zstd: c.Encode(rows)})
+func pageValue(codec *charge.Codec, rows []Row) json.RawMessage {
+	return wire.EncodeRecord(pageRecord{Zstd: codec.Encode(rows)})
 }
--- a/internal/accounting/ledger/records_test.go
+++ b/internal/accounting/ledger/records_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-func TestUnusableSegmentsAreNamedWithTheReason(t *testing.T) {
+func TestSegmentErrorNamesRecordAndReason(t *testing.T) {
 	codec, err := charge.NewCodec()
 	if err != nil {
 		t.Fatal(err)
@@ -21,19 +21,19 @@
 	for _, c := range []struct {
 		name, text string
 		value      json.RawMessage
-		is         func(error) bool
+		matches    func(error) bool
 	}{
-		{"an unknown kind", "record ledger/seg/0000000017: a charge of job-17 names no kind of machine",
+		{"an unknown kind", "record ledger/seg/0000000017: charge of job-17: machine kind is not in the pack",
 			segmentValue(codec, []charge.Pack{unknownKind}), func(err error) bool { return errors.Is(err, ErrUnknownKind) }},
-		{"a wrong count", "record ledger/seg/0000000017: it holds 1 charges and says 2", wire.EncodeRecord(wrongCount), func(err error) bool {
-			var wrong *ChargeCountError
-			return errors.As(err, &wrong) && wrong.Held == 1 && wrong.Stated == 2
+		{"a wrong count", "record ledger/seg/0000000017: segment contains 1 charges, but its record states 2", wire.EncodeRecord(wrongCount), func(err error) bool {
+			var countErr *ChargeCountError
+			return errors.As(err, &countErr) && countErr.Actual == 1 && countErr.Stated == 2
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ReadSegment(codec, wire.Item{Key: keySegment(17), Value: c.value})
-			var record *jobs.RecordError
-			if !errors.As(err, &record) || record.Key != keySegment(17) || !c.is(err) || err.Error() != c.text {
+			var recordErr *jobs.RecordError
+			if !errors.As(err, &recordErr) || recordErr.Key != keySegment(17) || !c.matches(err) || err.Error() != c.text {
 				t.Errorf("got the error %v", err)
 			}
 		})
@@ -42,8 +42,8 @@
 
 func TestRecordNumberRefusesAMalformedKey(t *testing.T) {
 	_, err := recordNumber(PrefixPage, PrefixPage+"last")
-	var record *jobs.RecordError
-	if !errors.As(err, &record) || record.Key != PrefixPage+"last" || !errors.Is(err, jobs.ErrMalformedKey) {
+	var recordErr *jobs.RecordError
+	if !errors.As(err, &recordErr) || recordErr.Key != PrefixPage+"last" || !errors.Is(err, jobs.ErrMalformedKey) {
 		t.Errorf("got the error %v", err)
 	}
 }
@@ -59,19 +59,19 @@
 			return n < count, nil
 		})
 		if got != count-1 || lastTrue != got || err != nil || calls > 15 {
-			t.Errorf("of %d: got %d after %d calls, the last that was true for %d; %v", count, got, calls, lastTrue, err)
+			t.Errorf("%d numbers exist: got %d after %d calls, the last of which to return true was for %d; error %v", count, got, calls, lastTrue, err)
 		}
 	}
-	fails := errors.New("no answer")
+	errNoAnswer := errors.New("no answer")
 	for failing := range 6 {
 		calls := 0
 		if _, err := lastNumber(func(n int) (bool, error) {
 			if calls++; calls > failing {
-				return false, fails
+				return false, errNoAnswer
 			}
 			return n < 10, nil
-		}); !errors.Is(err, fails) {
-			t.Errorf("call %d fails: got the error %v", failing+1, err)
+		}); !errors.Is(err, errNoAnswer) {
+			t.Errorf("call %d of exists fails: got the error %v", failing+1, err)
 		}
 	}
 }
--- a/internal/accounting/ledger/rows.go
+++ b/internal/accounting/ledger/rows.go
@@ -8,11 +8,11 @@
 	"poppypass/internal/accounting/charge"
 )
 
-// monthFormat is the form of a month that takes the place of its days.
+// monthFormat is the format of RowKey.Day for the total of a month.
 const monthFormat = "2006-01"
 
-// RowKey is what the totals are kept by. Day is a day (2026-12-01), or a month (2026-12)
-// once its days are long ago.
+// RowKey identifies a row of totals. Day is a day (2026-12-01), or a month (2026-12) if the rows of its days have been
+// folded into one because they are old.
 type RowKey struct {
 	_       struct{} `cbor:",toarray"`
 	Day     string
@@ -23,17 +23,18 @@
 	Spot    bool
 }
 
-// isMonth reports whether the row is of a month, whose days can no longer be told apart.
+// isMonth reports whether the row is the total of a month, which can no longer be split into days.
 func (k RowKey) isMonth() bool { return len(k.Day) < len(time.DateOnly) }
 
-// month is the month in which the row's days lie.
+// month returns the month of the row, in monthFormat.
 func (k RowKey) month() string { return k.Day[:min(len(k.Day), len(monthFormat))] }
 
-// approxBytes is about how many bytes a row takes before compression.
+// approxBytes returns the approximate size of a row in bytes, before compression.
 func (k RowKey) approxBytes() int {
 	return len(k.Day) + len(k.Team) + len(k.Account) + len(k.Class) + len(k.Type) + 48
 }
 
+// compareKeys orders row keys by their fields, the day first.
 func compareKeys(a, b RowKey) int {
 	return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.Team, b.Team), cmp.Compare(a.Account, b.Account),
 		cmp.Compare(a.Class, b.Class), cmp.Compare(a.Type, b.Type), compareBool(a.Spot, b.Spot))
@@ -50,24 +51,24 @@
 	return 1
 }
 
-// Row is one line of totals.
+// Row is one row of totals: the sum of the charges with the same key.
 type Row struct {
 	_   struct{} `cbor:",toarray"`
 	Key RowKey
 	Sum charge.Amounts
 }
 
-// rowSums are rows in memory.
+// rowSums holds rows of totals by key.
 type rowSums map[RowKey]charge.Amounts
 
 // add adds amounts to a row, which may be new.
-func (r rowSums) add(key RowKey, a charge.Amounts) {
+func (r rowSums) add(key RowKey, amounts charge.Amounts) {
 	sum := r[key]
-	sum.Add(a)
+	sum.Add(amounts)
 	r[key] = sum
 }
 
-// sorted returns the rows in the order of their keys.
+// sorted returns the rows, ordered by key.
 func (r rowSums) sorted() []Row {
 	rows := make([]Row, 0, len(r))
 	for key, sum := range r {
@@ -77,16 +78,16 @@
 	return rows
 }
 
-// RowsOf returns what a pack's charges add to the totals. Days begin in the given time zone.
-func RowsOf(p *charge.Pack, zone *time.Location) map[RowKey]charge.Amounts {
+// RowsOf returns the amounts that a pack's charges add to each row of totals. Days begin in the given time zone.
+func RowsOf(pack *charge.Pack, zone *time.Location) map[RowKey]charge.Amounts {
 	rows := rowSums{}
-	for i := range p.Charges {
-		c := &p.Charges[i]
-		kind := p.Kinds[c.Kind]
+	for i := range pack.Charges {
+		c := &pack.Charges[i]
+		kind := pack.Kinds[c.Kind]
 		rows.add(RowKey{
-			Day: charge.DayOf(c.Start, zone), Team: p.Traits.Team, Account: p.Traits.Account, Class: p.Traits.Class,
+			Day: charge.DayOf(c.Start, zone), Team: pack.Traits.Team, Account: pack.Traits.Account, Class: pack.Traits.Class,
 			Type: kind.Type, Spot: kind.Spot,
-		}, p.Traits.AmountsOf(c))
+		}, pack.Traits.AmountsOf(c))
 	}
 	return rows
 }
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -14,27 +14,27 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// jobArray is a job of some tasks, each of which is expected to run for 10 s.
+// jobArray returns a job with the given number of tasks, each with an estimated run time of 10 s.
 func jobArray(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
 }
 
-// testLeader is a leader's job store and ledger over a state service in memory, with workers
-// that the test drives. It knows when each attempt really ran.
+// testLeader is a leader's job store and ledger, with an in-memory state service and simulated workers that the test
+// controls. It records when each attempt really ran, as the ground truth for its charge.
 type testLeader struct {
 	t         testing.TB
 	clock     *clockwork.FakeClock
-	items     map[string]wire.Item
+	items     map[string]wire.Item // the stored records, by key
 	revision  uint64
 	maxTxnOps int
-	settings  *budget.Settings
+	settings  *budget.Settings // the operators' current budgets
 
 	store           *jobs.Store
 	ledger          *Ledger
-	allocations     map[attemptID]*jobs.Allocation // as the present leader knows them
-	attempts        map[attemptID]*attemptTruth
-	writtenChanges  int // put and deleted so far
-	longestTxnBytes int // the longest transaction so far
+	allocations     map[attemptID]*jobs.Allocation // those that the current leader knows
+	attempts        map[attemptID]*attemptTruth    // all that were started, under any leader
+	writtenChanges  int                            // number of puts and deletions so far
+	longestTxnBytes int                            // size of the longest transaction so far
 }
 
 var (
@@ -53,8 +53,7 @@
 
 func (tl *testLeader) now() time.Time { return tl.clock.Now() }
 
-// newTerm begins the term of a new leader, which loads what is stored and gets heartbeats
-// from the workers.
+// newTerm starts the term of a new leader, which loads the stored records and receives a heartbeat from each worker.
 func (tl *testLeader) newTerm() {
 	tl.t.Helper()
 	now := tl.now()
@@ -78,7 +77,7 @@
 	tl.heartbeat()
 }
 
-// loadJobs loads the job store from what is stored.
+// loadJobs loads the job store from the stored records.
 func (tl *testLeader) loadJobs(now time.Time) {
 	tl.t.Helper()
 	for _, item := range tl.itemsWithPrefix(jobs.PrefixJob) {
@@ -107,7 +106,7 @@
 	}
 }
 
-// submit stores a job, of the team t unless it names one.
+// submit stores a job. If the job has no team, its team is t.
 func (tl *testLeader) submit(j wire.Job) *jobs.Job {
 	tl.t.Helper()
 	if j.Team == "" {
@@ -121,14 +120,14 @@
 		tl.t.Fatal(err)
 	}
 	tl.apply(wire.Txn{If: []wire.Condition{{Key: jobs.KeyFinalState(j.ID)}}, Then: []wire.Change{{Put: jobs.KeyJob(j.ID), Value: value}}})
-	out, err := tl.store.LoadJob(tl.items[jobs.KeyJob(j.ID)], tl.now(), tl.now())
+	loaded, err := tl.store.LoadJob(tl.items[jobs.KeyJob(j.ID)], tl.now(), tl.now())
 	if err != nil {
 		tl.t.Fatal(err)
 	}
-	return out
+	return loaded
 }
 
-// allocate decides on the next waiting task of a job; nil: none may start.
+// allocate allocates the next waiting task of a job, without storing that; nil if none may start.
 func (tl *testLeader) allocate(id string) *jobs.Allocation {
 	j := tl.store.Jobs[id]
 	if j == nil || !j.CanStart() {
@@ -143,15 +142,15 @@
 	return a
 }
 
-// allocateAndRun allocates a task, stores that and has it run.
+// allocateAndRun allocates a task, stores the allocation and starts the task at its worker.
 func (tl *testLeader) allocateAndRun(id string) *jobs.Allocation {
 	tl.t.Helper()
 	a := tl.allocate(id)
 	if a == nil {
-		tl.t.Fatalf("nothing of %s may start", id)
+		tl.t.Fatalf("no task of %s may start", id)
 	}
 	tl.commitAll()
-	tl.clock.Advance(time.Second) // the image is fetched
+	tl.clock.Advance(time.Second) // the time to fetch the image
 	tl.run(a)
 	return a
 }
--- a/internal/accounting/ledger/teststore_test.go
+++ b/internal/accounting/ledger/teststore_test.go
@@ -11,12 +11,12 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// apply does what the state service does with a transaction, within limits like its own;
-// every condition must hold, since only one leader writes.
+// apply applies a transaction as the state service does, with the same kinds of limits, and returns its revision. Every
+// condition must hold, because only one leader writes.
 func (tl *testLeader) apply(txn wire.Txn) uint64 {
 	for _, c := range txn.If {
 		if tl.items[c.Key].Version != c.Version {
-			tl.t.Fatalf("condition on %s: version %d, want %d", c.Key, tl.items[c.Key].Version, c.Version)
+			tl.t.Fatalf("a condition does not hold: %s has version %d, want %d", c.Key, tl.items[c.Key].Version, c.Version)
 		}
 	}
 	if len(txn.Then) > tl.maxTxnOps || len(txn.If) >= 4*tl.maxTxnOps {
@@ -41,7 +41,7 @@
 	return tl.revision
 }
 
-// itemsWithPrefix returns the stored records with a prefix, in the order of their keys.
+// itemsWithPrefix returns the stored records whose keys have a prefix, ordered by key.
 func (tl *testLeader) itemsWithPrefix(prefix string) []wire.Item {
 	var out []wire.Item
 	for _, key := range slices.Sorted(maps.Keys(tl.items)) {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// commitBatch stores one of the job store's transactions, and reports whether there was one.
-// Unless it is answered, the leader does not learn of it.
+// commitBatch commits the job store's next transaction, and reports whether there was one. If answered is false, the
+// answer is lost, so the leader does not learn that the transaction was committed.
 func (tl *testLeader) commitBatch(answered bool) bool {
 	tl.store.WriteDue(tl.now())
 	batch := tl.store.NextBatch(tl.now().Add(time.Hour), jobs.WriteBudget{Spare: 1000})
@@ -68,7 +68,7 @@
 			}
 		}
 	}
-	// What is stored is started, even if this leader never learns of it.
+	// Stored allocations are started, even if this leader never learns that they are stored.
 	for _, item := range tl.itemsWithPrefix(jobs.PrefixProgress) {
 		tl.noteStarted(item)
 	}
@@ -78,7 +78,7 @@
 	return true
 }
 
-// noteStarted notes the attempts that a progress record names: they are on their machine.
+// noteStarted records the attempts in a progress record as started on their machines.
 func (tl *testLeader) noteStarted(item wire.Item) {
 	var r struct {
 		Tasks []struct {
@@ -91,21 +91,21 @@
 		tl.t.Fatal(err)
 	}
 	id := strings.Split(item.Key, "/")[1]
-	for _, e := range r.Tasks {
-		if k := (attemptID{id, e.I, e.A}); e.M != "" && tl.attempts[k] == nil {
-			tl.attempts[k] = &attemptTruth{}
+	for _, entry := range r.Tasks {
+		if attempt := (attemptID{id, entry.I, entry.A}); entry.M != "" && tl.attempts[attempt] == nil {
+			tl.attempts[attempt] = &attemptTruth{}
 		}
 	}
 }
 
-// commitAll stores all that waits in the job store.
+// commitAll commits everything that waits in the job store to be written.
 func (tl *testLeader) commitAll() {
 	for tl.commitBatch(true) {
 	}
 }
 
-// commitLedgerWrite stores one of the ledger's own transactions, and reports whether there was
-// one. Unless it is answered, the ledger does not learn of it.
+// commitLedgerWrite commits the ledger's next transaction, and reports whether there was one. If answered is false, the
+// answer is lost, so the ledger does not learn that the transaction was committed.
 func (tl *testLeader) commitLedgerWrite(answered bool) bool {
 	tl.ledger.Tick(tl.now())
 	write := tl.ledger.NextWrite(tl.now(), 1000)
@@ -118,7 +118,7 @@
 	return true
 }
 
-// rollUpAll rolls up all charges, and does what else the ledger has to write.
+// rollUpAll rolls up all charges and commits all other transactions of the ledger that are due.
 func (tl *testLeader) rollUpAll() {
 	tl.commitAll()
 	tl.ledger.Tick(tl.now())
--- a/internal/accounting/ledger/testworkers_test.go
+++ b/internal/accounting/ledger/testworkers_test.go
@@ -11,23 +11,23 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// attemptID names an attempt.
+// attemptID identifies an attempt.
 type attemptID struct {
 	job     string
 	task    int
 	attempt uint64
 }
 
-// attemptTruth is what really happened to an attempt that was started.
+// attemptTruth is the ground truth about an attempt that was started.
 type attemptTruth struct {
 	began, ended time.Time       // zero: not yet
-	reason       wire.ExitReason // as its worker reports it
-	lost         bool            // its machine is gone
+	reason       wire.ExitReason // of the end, as the worker reports it
+	lost         bool            // the machine was lost, or its worker's incarnation is over
 }
 
 func attemptIDOf(a *jobs.Allocation) attemptID { return attemptID{a.Job.ID, a.Index, a.Attempt} }
 
-// run has a started task begin to run at its worker.
+// run makes the worker of a started attempt run it, and sends heartbeats.
 func (tl *testLeader) run(a *jobs.Allocation) {
 	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.began.IsZero() && truth.ended.IsZero() {
 		truth.began = tl.now()
@@ -35,7 +35,7 @@
 	tl.heartbeat()
 }
 
-// end has an attempt end at its worker.
+// end makes an attempt end at its worker, and sends heartbeats.
 func (tl *testLeader) end(a *jobs.Allocation, reason wire.ExitReason, lost bool) {
 	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() {
 		truth.ended, truth.reason, truth.lost = tl.now(), reason, lost
@@ -43,20 +43,20 @@
 	tl.heartbeat()
 }
 
-// sortedAttempts returns the leader's allocations in an order that is the same every time.
+// sortedAttempts returns the IDs of the leader's allocations in a deterministic order.
 func (tl *testLeader) sortedAttempts() []attemptID {
 	return slices.SortedFunc(maps.Keys(tl.allocations), func(a, b attemptID) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 	})
 }
 
-// heartbeat reports to the leader what each worker knows, as the loop would.
+// heartbeat reports the state of all attempts to the leader, as the leader's loop does with the workers' heartbeats.
 func (tl *testLeader) heartbeat() {
 	now := tl.now()
-	for _, k := range tl.sortedAttempts() {
-		a, truth := tl.allocations[k], tl.attempts[k]
+	for _, id := range tl.sortedAttempts() {
+		a, truth := tl.allocations[id], tl.attempts[id]
 		if a.Removed {
-			delete(tl.allocations, k)
+			delete(tl.allocations, id)
 			continue
 		}
 		if truth == nil {
--- a/internal/accounting/ledger/totals.go
+++ b/internal/accounting/ledger/totals.go
@@ -10,9 +10,9 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Total is one line of an answer: what some charges took together. The integers are exact
-// (see package charge), the hours are for people. Operators use its field names in their
-// templates of bills.
+// Total is one row of an answer: the sum of some charges. The integers are exact, in the units of package charge; the
+// floating-point numbers are for display. Operators use the names of its fields in their templates of bills, so the names
+// must not change.
 type Total struct {
 	Day        string           `json:"day,omitempty"`
 	Team       string           `json:"team,omitempty"`
@@ -21,7 +21,7 @@
 	Type       string           `json:"type,omitempty"`
 	Spot       *bool            `json:"spot,omitempty"`
 	Attempts   int64            `json:"attempts"`
-	Ends       map[string]int64 `json:"ends,omitempty"` // of attempts, by outcome
+	Ends       map[string]int64 `json:"ends,omitempty"` // number of attempts by outcome
 	CoreHours  float64          `json:"core_hours"`
 	GPUHours   float64          `json:"gpu_hours"`
 	MemoryGBH  float64          `json:"memory_gb_hours"`
@@ -31,34 +31,34 @@
 	RunMS      int64            `json:"run_ms"`
 }
 
-// Totals answers a question for totals.
+// Totals is the answer to a query for totals.
 type Totals struct {
-	From string  `json:"from,omitempty"` // the first day
-	To   string  `json:"to,omitempty"`   // the last day
-	Zone string  `json:"zone"`           // in which days begin
-	By   string  `json:"by"`
+	From string  `json:"from,omitempty"` // first day; empty: no bound
+	To   string  `json:"to,omitempty"`   // last day; empty: no bound
+	Zone string  `json:"zone"`           // time zone in which days begin
+	By   string  `json:"by"`             // columns by which the rows are grouped, separated by commas
 	Rows []Total `json:"rows"`
-	Next int     `json:"next,omitempty"` // the skip with which the answer goes on; 0: there is no more
-	Sum  Total   `json:"sum"`
-	// Running is what tasks that run now have taken and are not charged for yet.
+	Next int     `json:"next,omitempty"` // the Skip of the query for the next rows; 0: there are no more
+	Sum  Total   `json:"sum"`            // of all rows, also those that are not in this answer
+	// Running is the usage of running tasks that is not charged yet. It is not included in Sum.
 	Running Total `json:"running"`
 }
 
-// TotalOf returns amounts for people and programs.
+// TotalOf returns amounts as a row of an answer.
 func TotalOf(a charge.Amounts) Total {
-	t := Total{
+	total := Total{
 		Attempts: a.Attempts(), CoreHours: a.CoreHours(), GPUHours: float64(a.GPU) / 1e6 / 3600, MemoryGBH: float64(a.Memory) / 1e6 / 3600,
 		Money: float64(a.Money) / 1e6, CoreMicroS: a.Core, MoneyMicro: a.Money, RunMS: a.Run, Ends: map[string]int64{},
 	}
 	for o, n := range a.ByOutcome {
 		if n > 0 && charge.Outcome(o) != charge.Continues {
-			t.Ends[charge.Outcome(o).String()] = n
+			total.Ends[charge.Outcome(o).String()] = n
 		}
 	}
-	return t
+	return total
 }
 
-// Aggregation sums up rows for a query.
+// Aggregation sums rows of totals for a query.
 type Aggregation struct {
 	query  Query
 	groups rowSums
@@ -68,7 +68,7 @@
 // NewAggregation returns an aggregation without rows.
 func NewAggregation(q Query) *Aggregation { return &Aggregation{query: q, groups: rowSums{}} }
 
-// Add adds a row, if the query asks about it.
+// Add adds a row, if the query includes it.
 func (ag *Aggregation) Add(key RowKey, a charge.Amounts) {
 	if !ag.query.matches(key) {
 		return
@@ -77,32 +77,31 @@
 	ag.sum.Add(a)
 }
 
-// Totals returns the answer: at most tuning.TotalRowsPerAnswer rows after those that the query skips.
+// Totals returns the answer. It contains at most tuning.TotalRowsPerAnswer rows, after those that the query skips.
 func (ag *Aggregation) Totals(zone *time.Location) Totals {
 	q := &ag.query
-	out := Totals{From: q.From, To: q.To, Zone: zone.String(), By: strings.Join(q.By, ","), Rows: []Total{}, Sum: TotalOf(ag.sum)}
+	answer := Totals{From: q.From, To: q.To, Zone: zone.String(), By: strings.Join(q.By, ","), Rows: []Total{}, Sum: TotalOf(ag.sum)}
 	rows := ag.groups.sorted()
 	rows = rows[min(q.Skip, len(rows)):]
 	if len(rows) > tuning.TotalRowsPerAnswer {
-		rows, out.Next = rows[:tuning.TotalRowsPerAnswer], q.Skip+tuning.TotalRowsPerAnswer
+		rows, answer.Next = rows[:tuning.TotalRowsPerAnswer], q.Skip+tuning.TotalRowsPerAnswer
 	}
 	for _, r := range rows {
-		out.Rows = append(out.Rows, q.totalOfRow(r))
+		answer.Rows = append(answer.Rows, q.totalOfRow(r))
 	}
-	return out
+	return answer
 }
 
 func (q *Query) totalOfRow(r Row) Total {
-	t := TotalOf(r.Sum)
-	t.Day, t.Team, t.Account, t.Class, t.Type = r.Key.Day, r.Key.Team, r.Key.Account, r.Key.Class, r.Key.Type
+	total := TotalOf(r.Sum)
+	total.Day, total.Team, total.Account, total.Class, total.Type = r.Key.Day, r.Key.Team, r.Key.Account, r.Key.Class, r.Key.Type
 	if slices.Contains(q.By, "spot") {
-		t.Spot = &r.Key.Spot
+		total.Spot = &r.Key.Spot
 	}
-	return t
+	return total
 }
 
-// runningAmounts is what the running tasks that a query asks about have taken and are not
-// charged for yet.
+// runningAmounts returns the usage, not charged yet, of the running tasks that a query includes.
 func (l *Ledger) runningAmounts(q Query, now time.Time) charge.Amounts {
 	today := charge.DayOf(now.UnixMilli(), l.location)
 	running := NewAggregation(q)
@@ -114,7 +113,7 @@
 		setTimeAndCost(&c, a, a.ChargedFrom, now, l.currentRate(a))
 		traits := jobs.TraitsOf(&a.Job.Job)
 		sum := traits.AmountsOf(&c)
-		sum.ByOutcome = [len(sum.ByOutcome)]int64{} // they have no outcome yet
+		sum.ByOutcome = [len(sum.ByOutcome)]int64{} // running tasks have no outcome yet
 		running.Add(RowKey{Day: today, Team: traits.Team, Account: traits.Account, Class: traits.Class}, sum)
 	}
 	return running.sum
--- a/internal/accounting/ledger/truth_test.go
+++ b/internal/accounting/ledger/truth_test.go
@@ -9,27 +9,27 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// onlyCharge returns the one charge of an attempt.
+// onlyCharge returns the charge of an attempt that must have exactly one.
 func (tl *testLeader) onlyCharge(id attemptID) charge.Charge {
 	tl.t.Helper()
 	stored, _ := tl.storedCharges()
 	if len(stored[id]) != 1 {
-		tl.t.Fatalf("%v has the charges %+v", id, stored[id])
+		tl.t.Fatalf("%v has the charges %+v, want one", id, stored[id])
 	}
 	return stored[id][0]
 }
 
-// storedCharges returns all charges that are stored, wherever they are, by attempt and in
-// the order of their parts, and their sum.
+// storedCharges returns all stored charges, from progress records, records of detached charges and segments, by attempt
+// and ordered by part, and their sum.
 func (tl *testLeader) storedCharges() (map[attemptID][]charge.Charge, charge.Amounts) {
 	tl.t.Helper()
-	out := map[attemptID][]charge.Charge{}
+	charges := map[attemptID][]charge.Charge{}
 	var sum charge.Amounts
 	add := func(p *charge.Pack) {
 		for i := range p.Charges {
 			c := &p.Charges[i]
-			k := attemptID{p.Job, c.Task, c.Attempt}
-			out[k] = append(out[k], *c)
+			id := attemptID{p.Job, c.Task, c.Attempt}
+			charges[id] = append(charges[id], *c)
 			sum.Add(p.Traits.AmountsOf(c))
 		}
 	}
@@ -51,15 +51,15 @@
 			add(&packs[i])
 		}
 	}
-	for _, parts := range out {
+	for _, parts := range charges {
 		slices.SortFunc(parts, func(a, b charge.Charge) int { return a.Part - b.Part })
 	}
-	return out, sum
+	return charges, sum
 }
 
-// checkAgainstTruth compares what is stored with what happened: each attempt whose end is
-// stored is charged once, to the millisecond or as an upper bound that says so; and the
-// totals and what the budgets count are the sum of the charges.
+// checkAgainstTruth compares the stored charges with the ground truth. Each attempt that ended must be charged once,
+// exactly to the millisecond unless the charge is flagged as an upper bound. The totals and the budgets' usage must be the
+// sum of the charges.
 func (tl *testLeader) checkAgainstTruth() {
 	tl.t.Helper()
 	tl.commitAll()
@@ -67,72 +67,72 @@
 	for id, parts := range stored {
 		truth := tl.attempts[id]
 		if truth == nil {
-			tl.t.Fatalf("%v was never started and is charged", id)
+			tl.t.Fatalf("%v was never started but is charged", id)
 		}
 		tl.checkParts(id, parts, truth)
 		tl.checkRunTime(id, parts, truth)
 	}
 	for id, truth := range tl.attempts {
 		if !truth.ended.IsZero() && len(stored[id]) == 0 {
-			tl.t.Fatalf("%v ended and is not charged", id)
+			tl.t.Fatalf("%v ended but is not charged", id)
 		}
 	}
 	tl.checkSums(sum)
 }
 
-// checkParts checks that an attempt's parts follow each other without a gap, each in one
-// day, and that only the last one of an attempt that ended has an outcome.
+// checkParts checks that the parts of an attempt are contiguous, that each lies within one day, and that only the last
+// part of an attempt that ended has an outcome.
 func (tl *testLeader) checkParts(id attemptID, parts []charge.Charge, truth *attemptTruth) {
 	tl.t.Helper()
 	for i, c := range parts {
 		if c.Part != i {
-			tl.t.Fatalf("%v: part %d stands where %d is expected", id, c.Part, i)
+			tl.t.Fatalf("%v: got part %d, want part %d", id, c.Part, i)
 		}
 		if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
-			tl.t.Fatalf("%v: part %d of %d ended as %v", id, i, len(parts), c.Outcome)
+			tl.t.Fatalf("%v: part %d of %d has the outcome %v", id, i, len(parts), c.Outcome)
 		}
 		if i > 0 && parts[i-1].End() != c.Start {
-			tl.t.Fatalf("%v: a gap before part %d", id, i)
+			tl.t.Fatalf("%v: part %d does not begin when the previous part ends", id, i)
 		}
 		if charge.DayOf(c.Start, time.UTC) != charge.DayOf(max(c.Start, c.End()-1), time.UTC) {
-			tl.t.Fatalf("%v: part %d lies in two days", id, i)
+			tl.t.Fatalf("%v: part %d extends over two days", id, i)
 		}
 	}
 }
 
-// checkRunTime checks that an attempt that ended is charged for the time that it ran, or
-// for more if a part says that it is an upper bound.
+// checkRunTime checks that an attempt that ended is charged for its run time, or for more if a part is flagged as an upper
+// bound.
 func (tl *testLeader) checkRunTime(id attemptID, parts []charge.Charge, truth *attemptTruth) {
 	tl.t.Helper()
 	if truth.ended.IsZero() {
 		return
 	}
-	run, bound := int64(0), false
+	run, upperBound := int64(0), false
 	for _, c := range parts {
 		run += c.Run
-		bound = bound || c.Flags&charge.UpperBound != 0
+		upperBound = upperBound || c.Flags&charge.UpperBound != 0
 	}
 	want := int64(0)
 	if !truth.began.IsZero() {
 		want = truth.ended.Sub(truth.began).Milliseconds()
 	}
-	if run != want && !bound || run < want {
-		tl.t.Fatalf("%v ran %d ms and is charged for %d (bound %v)", id, want, run, bound)
+	if run != want && !upperBound || run < want {
+		tl.t.Fatalf("%v ran %d ms but is charged for %d ms (upper bound: %v)", id, want, run, upperBound)
 	}
 }
 
-// checkSums checks that the totals and what the budgets count are the sum of all charges.
+// checkSums checks that the totals and the budgets' usage are the sum of all charges.
 func (tl *testLeader) checkSums(sum charge.Amounts) {
 	tl.t.Helper()
 	totals := tl.ledger.totals(Query{By: []string{"team"}}, tl.now())
 	if totals.Sum.CoreMicroS != sum.Core || totals.Sum.MoneyMicro != sum.Money || totals.Sum.Attempts != sum.Attempts() {
-		tl.t.Fatalf("totals %+v, the charges make %+v", totals.Sum, sum)
+		tl.t.Fatalf("the totals are %+v, but the charges sum to %+v", totals.Sum, sum)
 	}
 	var used budget.Usage
 	for _, u := range tl.ledger.budgets.TeamUsage("t") {
 		used.Add(u)
 	}
 	if used.Core != sum.Core || used.Money != sum.Money {
-		tl.t.Fatalf("budgets count %+v, the charges make %+v", used, sum)
+		tl.t.Fatalf("the budgets' usage is %+v, but the charges sum to %+v", used, sum)
 	}
 }
--- a/internal/accounting/ledger/verify.go
+++ b/internal/accounting/ledger/verify.go
@@ -12,14 +12,13 @@
 
 // Verification is the result of a verification.
 type Verification struct {
-	Segments, Jobs, Charges int
-	Discrepancies           []string // what is wrong, a line each
+	Segments, Jobs, Charges int      // numbers of those that were read
+	Discrepancies           []string // one line for each fault that was found
 }
 
-// Verify reads the whole ledger, works out the totals anew from the charges in the segments
-// and compares them with the stored ones. It also looks for charges that are there twice,
-// and for gaps between the parts of an attempt. Days begin in the given time zone. If the
-// ledger changes meanwhile, it begins again, until ctx is done.
+// Verify reads all segments and totals, recomputes the totals from the charges in the segments, and compares them with
+// the stored totals. It also checks for duplicate charges and for gaps between the parts of an attempt. Days begin in the
+// given time zone. If the ledger changes meanwhile, Verify starts again, until ctx is done.
 func (r *Reader) Verify(ctx context.Context, zone *time.Location) (*Verification, error) {
 	for {
 		v, stable, err := r.verifyOnce(ctx, zone)
@@ -32,8 +31,8 @@
 	}
 }
 
-// verifyOnce verifies the ledger. Totals and segments of different times do not match, so
-// the result counts only if it is stable: if no page of totals changed while it was read.
+// verifyOnce verifies the ledger once. Totals and segments that were read at different times need not match, so the
+// result is valid only if stable is true: no page of totals changed while the segments were read.
 func (r *Reader) verifyOnce(ctx context.Context, zone *time.Location) (result *Verification, stable bool, err error) {
 	v := newVerifier(zone)
 	before, err := r.readTotals(ctx, v.addTotal)
@@ -55,8 +54,7 @@
 	return &v.result, maps.Equal(before, after), err
 }
 
-// readTotals calls add with each stored row of totals, and returns the versions of their
-// pages by key.
+// readTotals calls add with each stored row of totals, and returns the versions of the pages by key.
 func (r *Reader) readTotals(ctx context.Context, add func(RowKey, charge.Amounts)) (map[string]uint64, error) {
 	versions := map[string]uint64{}
 	_, err := r.store.ListAll(ctx, PrefixPage, func(items []wire.Item) error {
@@ -75,19 +73,20 @@
 	return versions, err
 }
 
-// verifier is the work of one verification. All totals are added before the first segment.
+// verifier is the state of one verification. All stored totals must be added before the first segment, because they
+// determine which months are folded.
 type verifier struct {
-	zone        *time.Location
-	result      Verification
-	stored      rowSums         // totals, as they are stored
-	foldedMonth map[string]bool // months that stand in stored totals in place of their days
-	recomputed  rowSums         // totals, from the charges
-	parts       map[chargeID]charge.Charge
-	jobs        map[string]bool
-	nextSegment int
+	zone         *time.Location
+	result       Verification
+	stored       rowSums                    // the stored totals
+	foldedMonths map[string]bool            // months of which stored totals have rows per month
+	recomputed   rowSums                    // the totals computed from the charges
+	parts        map[chargeID]charge.Charge // the charges in the segments
+	jobs         map[string]bool            // jobs with charges, by ID
+	nextSegment  int                        // the expected number of the next segment
 }
 
-// chargeID names a charge.
+// chargeID identifies a charge.
 type chargeID struct {
 	job     string
 	task    int
@@ -97,36 +96,38 @@
 
 func newVerifier(zone *time.Location) *verifier {
 	return &verifier{
-		zone: zone, stored: rowSums{}, foldedMonth: map[string]bool{}, recomputed: rowSums{},
+		zone: zone, stored: rowSums{}, foldedMonths: map[string]bool{}, recomputed: rowSums{},
 		parts: map[chargeID]charge.Charge{}, jobs: map[string]bool{},
 	}
 }
 
+// report adds a discrepancy to the result.
 func (v *verifier) report(format string, args ...any) {
 	v.result.Discrepancies = append(v.result.Discrepancies, fmt.Sprintf(format, args...))
 }
 
+// addTotal adds a stored row of totals.
 func (v *verifier) addTotal(key RowKey, sum charge.Amounts) {
 	v.stored.add(key, sum)
 	if key.isMonth() {
-		v.foldedMonth[key.Day] = true
+		v.foldedMonths[key.Day] = true
 	}
 }
 
-// folded returns a key by which totals can be compared: days of a month of which some are
-// folded already count as the month.
+// folded returns the key under which a row is compared. If some rows of a month are folded already, all its days are
+// compared as one month.
 func (v *verifier) folded(key RowKey) RowKey {
-	if month := key.month(); v.foldedMonth[month] {
+	if month := key.month(); v.foldedMonths[month] {
 		key.Day = month
 	}
 	return key
 }
 
-// addSegment adds the charges of a segment, which must be the one that follows.
+// addSegment adds the charges of a segment, and reports it if it is not the next one in sequence.
 func (v *verifier) addSegment(codec *charge.Codec, item wire.Item) {
-	if n, err := recordNumber(PrefixSegment, item.Key); err != nil || n != v.nextSegment {
-		v.report("segment %s is not the one that follows", item.Key)
-		v.nextSegment = n
+	if number, err := recordNumber(PrefixSegment, item.Key); err != nil || number != v.nextSegment {
+		v.report("segment %s is out of sequence, or its key is malformed", item.Key)
+		v.nextSegment = number
 	}
 	v.nextSegment++
 	packs, err := ReadSegment(codec, item)
@@ -140,32 +141,33 @@
 	}
 }
 
-func (v *verifier) addPack(p *charge.Pack) {
-	v.jobs[p.Job] = true
-	for _, c := range p.Charges {
-		id := chargeID{p.Job, c.Task, c.Attempt, c.Part}
-		if _, twice := v.parts[id]; twice {
+// addPack adds the charges of a pack, and reports duplicates.
+func (v *verifier) addPack(pack *charge.Pack) {
+	v.jobs[pack.Job] = true
+	for _, c := range pack.Charges {
+		id := chargeID{pack.Job, c.Task, c.Attempt, c.Part}
+		if _, duplicate := v.parts[id]; duplicate {
 			v.report("%s/%d, attempt %d, part %d is charged twice", id.job, id.task, id.attempt, id.part)
 		}
 		v.parts[id] = c
 		v.result.Charges++
 	}
-	for key, sum := range RowsOf(p, v.zone) {
+	for key, sum := range RowsOf(pack, v.zone) {
 		v.recomputed.add(v.folded(key), sum)
 	}
 }
 
-// checkParts reports parts of an attempt that do not begin when the part before ends. That
-// part may not be rolled up yet.
+// checkParts reports parts of an attempt that do not begin when the previous part ends. A previous part that is not in
+// the segments is no fault: it may not be rolled up yet.
 func (v *verifier) checkParts() {
 	for id, c := range v.parts {
 		if id.part == 0 {
 			continue
 		}
-		earlier := id
-		earlier.part--
-		if e, ok := v.parts[earlier]; ok && e.End() != c.Start {
-			v.report("%s/%d, attempt %d: parts %d and %d do not follow each other", id.job, id.task, id.attempt, earlier.part, id.part)
+		earlierID := id
+		earlierID.part--
+		if earlierCharge, ok := v.parts[earlierID]; ok && earlierCharge.End() != c.Start {
+			v.report("%s/%d, attempt %d: parts %d and %d are not contiguous", id.job, id.task, id.attempt, earlierID.part, id.part)
 		}
 	}
 }
@@ -174,16 +176,16 @@
 func (v *verifier) compareTotals() {
 	stored := rowSums{}
 	for key, sum := range v.stored {
-		stored.add(v.folded(key), sum) // a page of its month may not be folded yet
+		stored.add(v.folded(key), sum) // some pages may still have rows of this month's days
 	}
 	for key, sum := range v.recomputed {
-		if s := stored[key]; s != sum {
-			v.report("total of %v is %d core-us and %d money; the charges make %d and %d", key, s.Core, s.Money, sum.Core, sum.Money)
+		if storedSum := stored[key]; storedSum != sum {
+			v.report("stored total of %v is %d core-us and %d money, but its charges sum to %d and %d", key, storedSum.Core, storedSum.Money, sum.Core, sum.Money)
 		}
 	}
 	for key, sum := range stored {
 		if _, ok := v.recomputed[key]; !ok && sum != (charge.Amounts{}) {
-			v.report("total of %v is kept, and no charge makes it up", key)
+			v.report("stored total of %v has no charges", key)
 		}
 	}
 }
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -17,17 +17,17 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Verification names what is wrong: a total that was changed, a charge that is there twice,
-// a gap between parts, a segment that is missing or damaged.
+// Verify must report each kind of fault: a changed total, a duplicate charge, a gap between parts, a missing segment, a
+// damaged segment.
 func TestVerifyNamesEachDiscrepancy(t *testing.T) {
 	tl := newTestLeader(t)
 	tl.makeTwoSegments()
 	codec := tl.ledger.codec
 	if v := verifyItems(t, tl.items); len(v.Discrepancies) != 0 || v.Jobs != 60 || v.Charges < 60 {
-		t.Fatalf("found %+v", v)
+		t.Fatalf("verifying the intact ledger gave %+v, want no discrepancies, 60 jobs and at least 60 charges", v)
 	}
 	segment := tl.itemsWithPrefix(PrefixSegment)[0]
-	// changed returns records whose first segment has other charges.
+	// changed returns a copy of the records in which the packs of the first segment are changed.
 	changed := func(change func(packs []charge.Pack) []charge.Pack) map[string]wire.Item {
 		packs, err := ReadSegment(codec, segment)
 		if err != nil {
@@ -39,22 +39,22 @@
 		name, want string
 		items      map[string]wire.Item
 	}{
-		{"a total", "total of", tl.withOtherTotal()},
-		{"a charge twice", "is charged twice", changed(func(packs []charge.Pack) []charge.Pack { return append(packs, packs[0]) })},
-		{"a part", "do not follow each other", changed(delaySecondParts)},
-		{"a segment", "is not the one that follows", without(tl.items, segment)},
-		{"a flipped bit", "damaged", withValue(tl.items, segment, flipBit(segment.Value))},
+		{"changed total", "total of", tl.withOtherTotal()},
+		{"duplicate charge", "is charged twice", changed(func(packs []charge.Pack) []charge.Pack { return append(packs, packs[0]) })},
+		{"gap between parts", "are not contiguous", changed(delaySecondParts)},
+		{"missing segment", "is out of sequence", withoutItem(tl.items, segment)},
+		{"damaged segment", "damaged", withValue(tl.items, segment, corruptByte(segment.Value))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := verifyItems(t, c.items)
 			if len(v.Discrepancies) == 0 || !slices.ContainsFunc(v.Discrepancies, func(s string) bool { return strings.Contains(s, c.want) }) {
-				t.Errorf("found %v", v.Discrepancies)
+				t.Errorf("the fault is not among the discrepancies: %v", v.Discrepancies)
 			}
 		})
 	}
 }
 
-// withValue returns records of which one has another value.
+// withValue returns a copy of the records in which one has another value.
 func withValue(items map[string]wire.Item, item wire.Item, value []byte) map[string]wire.Item {
 	out := maps.Clone(items)
 	item.Value = value
@@ -62,14 +62,14 @@
 	return out
 }
 
-// without returns records without one.
-func without(items map[string]wire.Item, item wire.Item) map[string]wire.Item {
+// withoutItem returns a copy of the records without one of them.
+func withoutItem(items map[string]wire.Item, item wire.Item) map[string]wire.Item {
 	out := maps.Clone(items)
 	delete(out, item.Key)
 	return out
 }
 
-// withOtherTotal returns the stored records with another sum in one row of the totals.
+// withOtherTotal returns a copy of the stored records in which one row of totals has another sum.
 func (tl *testLeader) withOtherTotal() map[string]wire.Item {
 	tl.t.Helper()
 	page := tl.itemsWithPrefix(PrefixPage)[0]
@@ -81,7 +81,7 @@
 	return withValue(tl.items, page, pageValue(tl.ledger.codec, rows))
 }
 
-// delaySecondParts has the second part of each attempt begin a second too late.
+// delaySecondParts changes the second part of each attempt to begin one second late.
 func delaySecondParts(packs []charge.Pack) []charge.Pack {
 	for i := range packs {
 		for k := range packs[i].Charges {
@@ -93,18 +93,19 @@
 	return packs
 }
 
-// flipBit damages a stored value in its middle, within the alphabet of its encoding.
-func flipBit(value []byte) []byte {
+// corruptByte returns a copy of a stored value with one changed byte in the middle. The byte stays within the
+// alphabet of the value's encoding, base64 in JSON.
+func corruptByte(value []byte) []byte {
 	value = slices.Clone(value)
-	at := len(value) / 2
-	if value[at]++; value[at] > 'z' || value[at] < 'A' {
-		value[at] = 'A'
+	middle := len(value) / 2
+	if value[middle]++; value[middle] > 'z' || value[middle] < 'A' {
+		value[middle] = 'A'
 	}
 	return value
 }
 
-// makeTwoSegments runs jobs whose charges have parts, and rolls them up into two segments
-// and some pages of totals.
+// makeTwoSegments runs jobs whose charges have several parts, and rolls them up into two segments and several pages of
+// totals.
 func (tl *testLeader) makeTwoSegments() {
 	tl.t.Helper()
 	for i := range 60 {
@@ -112,7 +113,7 @@
 		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
 		tl.submit(j)
 		a := tl.allocateAndRun(j.ID)
-		tl.clock.Advance(13 * time.Hour) // so that there are parts
+		tl.clock.Advance(13 * time.Hour) // past midnight, so that the charge has two parts
 		tl.ledger.Tick(tl.now())
 		tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 		if i == 30 {
@@ -123,22 +124,22 @@
 	tl.rollUpAll()
 }
 
-// verifyItems verifies the ledger of a state service with these records.
+// verifyItems returns the result of verifying the ledger in a state service that contains the given records.
 func verifyItems(t *testing.T, items map[string]wire.Item) *Verification {
 	t.Helper()
-	state := fakes.NewStore(clockwork.NewFakeClockAt(testStart))
-	t.Cleanup(func() { state.Close() })
-	store := statestore.New(state.Addr(), 1e6, 1e6)
+	service := fakes.NewStore(clockwork.NewFakeClockAt(testStart))
+	t.Cleanup(func() { service.Close() })
+	client := statestore.New(service.Addr(), 1e6, 1e6)
 	for key, item := range items {
-		if _, err := store.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: key, Value: item.Value}}}); err != nil {
+		if _, err := client.Commit(t.Context(), wire.Txn{Then: []wire.Change{{Put: key, Value: item.Value}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := NewReader(store)
+	reader, err := NewReader(client)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := r.Verify(t.Context(), time.UTC)
+	v, err := reader.Verify(t.Context(), time.UTC)
 	if err != nil {
 		t.Fatal(err)
 	}
