--- a/internal/accounting/ledger/load.go
+++ b/internal/accounting/ledger/load.go
@@ -117,7 +117,7 @@
 }
 
 func (l *Ledger) decodePage(item wire.Item) (*page, error) {
-	n, err := recordNumber(PrefixPage, item.Key)
+	number, err := recordNumber(PrefixPage, item.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := newPage(n)
+	p := newPage(number)
 	p.version = item.Version
 	for _, r := range rows {
 		p.add(r.Key, r.Sum)
@@ -137,7 +137,7 @@
 	if item == nil {
 		return segment{}, nil
 	}
-	n, err := recordNumber(PrefixSegment, item.Key)
+	number, err := recordNumber(PrefixSegment, item.Key)
 	if err != nil {
 		return segment{}, err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return segment{}, err
 	}
-	return segment{number: n, version: item.Version, packs: packs, bytes: len(item.Value)}, nil
+	return segment{number: number, version: item.Version, packs: packs, bytes: len(item.Value)}, nil
 }
 
 // visitPages calls fn with each row of the totals.
--- a/internal/accounting/ledger/page.go
+++ b/internal/accounting/ledger/page.go
@@ -23,7 +23,7 @@
 	bytes   int // approximate size before compression
 }
 
-func newPage(n int) *page { return &page{number: n, rows: rowSums{}} }
+func newPage(number int) *page { return &page{number: number, rows: rowSums{}} }
 
 // add adds amounts to a row, which may be new.
 func (p *page) add(key RowKey, sum charge.Amounts) {
