--- a/cmd/poppypass/client.go
+++ b/cmd/poppypass/client.go
@@ -16,19 +16,20 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// clientTimeout is how long the client commands wait for an answer: as long
-// as the protocol has users wait.
+// clientTimeout bounds a request of a client command. It equals the time that the protocol lets
+// users wait for a response.
 const clientTimeout = 5 * time.Second
 
-// client is how a command reaches a controller.
+// client sends the requests of a command to a controller.
 type client struct{ addr string }
 
-// flags lets a command, and those below it, name whom to ask.
+// flags adds the flag for the address to a command and its subcommands.
 func (c *client) flags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.addr, "addr", "127.0.0.1:8080", "address of a controller or load balancer")
 }
 
-// call sends JSON (nil: no body) and returns the answer's JSON. A refusal is an error.
+// call sends a request with in as its JSON body (nil: no body) and returns the JSON of the response. A
+// status of 400 or above is an error.
 func (c *client) call(ctx context.Context, method, path string, in any) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -44,7 +45,7 @@
 	return out, nil
 }
 
-// get reads what is at a path.
+// get sends a GET request for a path and decodes the JSON of the response into out.
 func (c *client) get(ctx context.Context, path string, out any) error {
 	raw, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// send sends bytes, and takes an answer without a body. A refusal is an error.
+// send sends a request with the given body and ignores the body of the response. A status of 400 or
+// above is an error.
 func (c *client) send(ctx context.Context, method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -76,11 +78,12 @@
 	return refusal(resp.StatusCode, raw)
 }
 
-// errNotNow tells that a controller cannot answer now: the same command may succeed a moment later.
-var errNotNow = errors.New("not now")
+// errNotNow means that the controller temporarily cannot serve the request. The same command may succeed a
+// moment later.
+var errNotNow = errors.New("temporarily unavailable")
 
-// refusal is the error that an answer tells: the protocol's, or that of the graphs' API. It wraps errNotNow where asking again
-// may help.
+// refusal returns the error in a response, of the job protocol ("error") or of the API for graphs ("detail"). It
+// wraps errNotNow if a retry may succeed.
 func refusal(status int, body []byte) error {
 	var e struct{ Error, Detail string }
 	text := http.StatusText(status)
--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -16,21 +16,21 @@
 func TestBadSettingsAreRefusedInOneLine(t *testing.T) {
 	good := settings(t, "127.0.0.1:8080", "127.0.0.1:1", "127.0.0.1:2")
 	if out, err := run("check", "--config", good); err != nil || !strings.Contains(out, "good settings for member m0") {
-		t.Errorf("good settings: %q, %v", out, err)
+		t.Errorf("check of valid settings printed %q, error %v", out, err)
 	}
 	for _, c := range []struct {
 		name string
 		args []string
 		want string
 	}{
-		{"no file named", nil, "config"},
-		{"no such file", []string{"--config", "none.toml"}, "none.toml"},
-		{"a field is missing", []string{"--config", testutil.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
-		{"bad properties", []string{"--config", good, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
+		{"no --config flag", nil, "config"},
+		{"a file that does not exist", []string{"--config", "none.toml"}, "none.toml"},
+		{"a missing field", []string{"--config", testutil.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
+		{"invalid properties", []string{"--config", good, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
 	} {
 		for _, verb := range []string{"check", "serve"} {
 			if _, err := run(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s, %s: %v", verb, c.name, err)
+				t.Errorf("%s with %s returned error %v", verb, c.name, err)
 			}
 		}
 	}
@@ -38,12 +38,12 @@
 
 func TestTheVersionIsPrinted(t *testing.T) {
 	if out, err := run("version"); err != nil || out != "poppypass "+version+"\n" {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("printed %q, error %v", out, err)
 	}
 }
 
-// Submits, queries and cancels a job with the client commands, against
-// a controller whose outside systems are fakes.
+// Submits, queries and cancels a job with the client commands. The controller uses a fake state
+// service and a fake cloud.
 func TestClientCommandsAgainstAController(t *testing.T) {
 	state := fakes.NewStore(clockwork.NewRealClock())
 	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
@@ -55,8 +55,8 @@
 	}
 	props := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
 	startController(t, s, props, state, cloud)
-	// until repeats a command until it prints what is wanted; the wait is short,
-	// and bounded so that a hang is a failure.
+	// until repeats a command until its output contains the given text. It fails after a minute, so
+	// that a hang is a test failure.
 	until := func(want string, args ...string) {
 		t.Helper()
 		for begun := time.Now(); ; {
@@ -65,12 +65,12 @@
 				return
 			}
 			if time.Since(begun) > time.Minute {
-				t.Fatalf("%v: %q, %v", args, out, err)
+				t.Fatalf("%v still prints %q, error %v", args, out, err)
 			}
 		}
 	}
 	if out, err := run("ledger", "verify", "--config", path, "--properties", props); err != nil || !strings.Contains(out, "all totals are right") {
-		t.Errorf("verify: %q, %v", out, err)
+		t.Errorf("verify printed %q, error %v", out, err)
 	}
 	job := testutil.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
 		"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,
@@ -91,32 +91,32 @@
 		{"core-hours", []string{"budget", "show"}},
 	} {
 		if out, err := run(append(c.args, "--addr", bind)...); err != nil || !strings.Contains(out, c.want) {
-			t.Errorf("%v: %q, %v", c.args, out, err)
+			t.Errorf("%v printed %q, error %v", c.args, out, err)
 		}
 	}
 	for _, args := range [][]string{{"ledger", "show"}, {"ledger", "show", "--team", "t", "--by", "x"}, {"ledger", "show", "--team", "t", "--output", "x"}, {"ledger", "statement"}} {
 		if out, err := run(append(args, "--addr", bind)...); err == nil {
-			t.Errorf("%v: %q", args, out)
+			t.Errorf("%v printed %q, want an error", args, out)
 		}
 	}
 	until(`"withdrawn"`, "cancel", "job-1")
 	until(`"withdrawn"`, "get", "job-1")
 	until(`"withdrawn"`, "submit", job)
 	if _, err := run("job", "--addr", bind, "get", "job-2"); err == nil || !strings.Contains(err.Error(), "404") {
-		t.Errorf("a job that nobody submitted: %v", err)
+		t.Errorf("get of a job that was never submitted returned error %v", err)
 	}
 	state.Refuse(true)
 	for _, c := range []struct {
 		id   string
-		want int // exit status: asking again helps, or not
+		want int // exit status: whether a retry may succeed
 	}{{"job-9", exitTryAgain}, {"x", 1}} {
 		_, err := run("job", "--addr", bind, "cancel", c.id)
 		if err == nil || exitStatus(err) != c.want || strings.Contains(err.Error(), "\n") {
-			t.Errorf("a cancellation of %s that cannot be confirmed: %v", c.id, err)
+			t.Errorf("cancellation of %s without the state service returned error %v", c.id, err)
 		}
 	}
 	state.Refuse(false)
 	if _, err := run("job", "--addr", bind, "submit", testutil.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
-		t.Errorf("a bad description: %v", err)
+		t.Errorf("submission of an invalid job returned error %v", err)
 	}
 }
--- a/cmd/poppypass/formats_test.go
+++ b/cmd/poppypass/formats_test.go
@@ -10,10 +10,10 @@
 	"poppypass/internal/platform/golden"
 )
 
-// flagName finds the names of flags in a command's help, which has a line for each.
+// flagName matches the flag names in a command's help, which has one line for each flag.
 var flagName = regexp.MustCompile(`(?m)^ *(?:-., )?(--[a-z-]+)`)
 
-// Scripts know commands by their names, and flags by theirs.
+// Operators' scripts depend on the names of commands and flags.
 func TestCommandsAndFlags(t *testing.T) {
 	var lines []string
 	var walk func(*cobra.Command)
--- a/cmd/poppypass/graph_backfill.go
+++ b/cmd/poppypass/graph_backfill.go
@@ -33,14 +33,15 @@
 	return c
 }
 
-// dayOf reads a time, or a day: its begin, or its last second.
+// dayOf parses an RFC 3339 time or a date. For a date it returns the beginning of the day or, if end is set, its
+// last second. The time zone of a date is UTC.
 func dayOf(text string, end bool) (time.Time, error) {
 	if at, err := time.Parse(time.RFC3339, text); err == nil {
 		return at, nil
 	}
 	at, err := time.Parse(time.DateOnly, text)
 	if err != nil {
-		return at, fmt.Errorf("%q is no time such as 2026-12-01 or 2026-12-01T06:00:00Z", text)
+		return at, fmt.Errorf("%q is not a date or time such as 2026-12-01 or 2026-12-01T06:00:00Z", text)
 	}
 	if end {
 		at = at.AddDate(0, 0, 1).Add(-time.Second)
--- a/cmd/poppypass/graph_change.go
+++ b/cmd/poppypass/graph_change.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// graphChange is a command that changes a graph or run, and says so.
+// graphChange returns a command that changes a graph or a run. args is the number of its arguments.
 func graphChange(use, short string, args int, change func(cmd *cobra.Command, a *graphAPI, args []string) error) *cobra.Command {
 	var a graphAPI
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
@@ -17,7 +17,9 @@
 	return c
 }
 
-// graphClearCommand has steps of a run go again: the named ones, or all, or only those that failed.
+// graphClearCommand returns a command that runs steps of a run again, together with all steps downstream of
+// them. These are the steps given as arguments or, without such arguments, all steps. With onlyFailed, only
+// failed steps are among them.
 func graphClearCommand(name, short string, onlyFailed bool) *cobra.Command {
 	var a graphAPI
 	var dry bool
--- a/cmd/poppypass/graph_check.go
+++ b/cmd/poppypass/graph_check.go
@@ -36,7 +36,7 @@
 	return c
 }
 
-// printPlan prints a graph in the form that --output names.
+// printPlan prints a graph in the format that --output selects.
 func printPlan(w io.Writer, p *dag.Plan, output string) error {
 	switch output {
 	case "text":
@@ -49,7 +49,7 @@
 	return fmt.Errorf("--output is %q; it can be text, json or dot", output)
 }
 
-// readGraphs reads and checks the graphs of a file.
+// readGraphs reads and checks the graphs in a file. Graphs without a team get the given one.
 func readGraphs(cmd *cobra.Command, path, team string) ([]*dag.Plan, error) {
 	raw, err := readInput(cmd, path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return plans, nil
 }
 
-// parseGraphs reads the graphs of a file: JSON where its name says so, otherwise Starlark.
+// parseGraphs parses the graphs in a file. A file whose name ends in .json contains JSON, any other Starlark.
 func parseGraphs(path string, raw []byte) ([]*dag.Graph, error) {
 	if filepath.Ext(path) != ".json" {
 		return dagfile.Load(path, raw, dagfile.DefaultLimits())
--- a/cmd/poppypass/graph_check_test.go
+++ b/cmd/poppypass/graph_check_test.go
@@ -17,17 +17,17 @@
 `)
 	out, err := run("graph", "check", file, "--team", "t")
 	if err != nil || !strings.Contains(out, "3 steps, 2 of them jobs") || !strings.Contains(out, "1m30s by the owners' estimates: a -> b") || !strings.Contains(out, "00:00 UTC") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("text output is %q, error %v", out, err)
 	}
 	if out, err = run("graph", "check", file, "--team", "t", "--output", "dot"); err != nil || !strings.Contains(out, `"a" -> "b";`) {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("DOT output is %q, error %v", out, err)
 	}
 	out, err = run("graph", "check", file, "--team", "t", "--output", "json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again, err := run("graph", "check", testutil.File(t, "nightly.json", out), "--output", "json"); err != nil || again != out {
-		t.Errorf("its JSON is read as %q, %v", again, err)
+		t.Errorf("check of the JSON output printed %q, error %v", again, err)
 	}
 	for _, c := range []struct{ name, text, want string }{
 		{"g.star", `DAG("g")`, "the team is missing"},
@@ -37,23 +37,23 @@
 		{"g.json", "{} {}", "follows"},
 	} {
 		if out, err := run("graph", "check", testutil.File(t, c.name, c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %q, %v", c.text, out, err)
+			t.Errorf("check of %s printed %q, error %v", c.text, out, err)
 		}
 	}
 	if _, err := run("graph", "check", file, "--team", "t", "--output", "png"); err == nil {
-		t.Error("an unknown form was taken")
+		t.Error("an unknown output format was accepted")
 	}
 }
 
-// The worked examples of the operators' page are graphs.
+// The example files of the operators' documentation must be valid graphs.
 func TestTheExamplesOfTheOperatorsPageAreGraphs(t *testing.T) {
 	files, err := filepath.Glob("../../docs/operators/graphs/*.star")
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("found example files %v, error %v; want 3 files", files, err)
 	}
 	for _, f := range files {
 		if out, err := run("graph", "check", f); err != nil || !strings.Contains(out, "critical path") {
-			t.Errorf("%s: %q, %v", f, out, err)
+			t.Errorf("check of %s printed %q, error %v", f, out, err)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 		g, err := dag.ParseJSON("g.json", raw)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Errorf("an error of more than one line: %q", err)
+				t.Errorf("the error has more than one line: %q", err)
 			}
 			return
 		}
--- a/cmd/poppypass/graph_client.go
+++ b/cmd/poppypass/graph_client.go
@@ -18,7 +18,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// graphAPI is how a command reaches the API for graphs.
+// graphAPI sends the requests of a command to the API for graphs.
 type graphAPI struct {
 	client
 	team string
@@ -29,7 +29,7 @@
 	c.Flags().StringVar(&a.team, "team", "", "the team whose graphs are meant")
 }
 
-// path is a path of the API, with its parameters.
+// path returns the path of an API request with its query parameters, including the team.
 func (a *graphAPI) path(q url.Values, parts ...string) (string, error) {
 	if a.team == "" {
 		return "", errors.New("name a team with --team")
@@ -45,7 +45,7 @@
 	return airflow.PathAPI + "/" + strings.Join(escaped, "/") + "?" + q.Encode(), nil
 }
 
-// request calls the API; out is nil if the answer does not matter.
+// request calls the API and decodes the JSON of the response into out, if that is not nil.
 func (a *graphAPI) request(ctx context.Context, method string, in, out any, q url.Values, parts ...string) error {
 	path, err := a.path(q, parts...)
 	if err != nil {
@@ -61,12 +61,12 @@
 	return json.Unmarshal(raw, out)
 }
 
-// read reads what is at a path of the API.
+// read sends a GET request to the API and decodes the JSON of the response into out.
 func (a *graphAPI) read(ctx context.Context, out any, parts ...string) error {
 	return a.request(ctx, http.MethodGet, nil, out, nil, parts...)
 }
 
-// list reads all pages of a list.
+// list reads all pages of a list. name is the field of the response that contains the items.
 func list[T any](ctx context.Context, a *graphAPI, name string, q url.Values, parts ...string) ([]T, error) {
 	var all []T
 	for {
@@ -81,7 +81,7 @@
 		var items []T
 		var total int
 		if err := errors.Join(json.Unmarshal(got[name], &items), json.Unmarshal(got["total_entries"], &total)); err != nil {
-			return nil, fmt.Errorf("malformed answer: %w", err)
+			return nil, fmt.Errorf("malformed response: %w", err)
 		}
 		if all = append(all, items...); len(items) == 0 || len(all) >= total {
 			return all, nil
@@ -89,8 +89,8 @@
 	}
 }
 
-// register uploads a graph, in parts if it is longer than a request may be, and registers it. paused is nil where the graph is to
-// stay as it is.
+// register uploads a graph and registers it. A graph that exceeds the size of a request is uploaded in several
+// parts. If paused is nil, a registered graph remains paused or not paused as before.
 func (a *graphAPI) register(ctx context.Context, p *dag.Plan, paused *bool) error {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -104,7 +104,8 @@
 	if paused != nil {
 		body["is_paused"] = *paused
 	}
-	// A part that another registration has just found spoilt is uploaded once more.
+	// A concurrent registration of the same definition that found a part damaged may delete the parts that were
+	// just uploaded. Uploading them once more repairs that.
 	for try := 0; ; try++ {
 		if err := a.upload(ctx, hash, parts); err != nil {
 			return err
@@ -116,7 +117,7 @@
 	}
 }
 
-// upload sends the parts of a definition.
+// upload uploads the parts of a graph definition.
 func (a *graphAPI) upload(ctx context.Context, hash string, parts [][]byte) error {
 	for i, part := range parts {
 		path, err := a.path(url.Values{"of": {strconv.Itoa(len(parts))}}, "definitions", hash, strconv.Itoa(i))
--- a/cmd/poppypass/graph_commands_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -19,7 +19,7 @@
 	"poppypass/internal/sim/testutil"
 )
 
-// serveGraphs runs a controller over fakes, and returns its address.
+// serveGraphs runs a controller with a fake state service and a fake cloud, and returns its address.
 func serveGraphs(t *testing.T, properties string) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -36,7 +36,8 @@
 	return s.Bind
 }
 
-// graph runs a command until it is answered: while nobody leads it is told to come back.
+// graph runs a graph command and returns its result. It retries for up to a minute while no controller listens
+// (connection refused) or no member is the leader (status 503).
 func graph(t *testing.T, addr string, args ...string) (string, error) {
 	t.Helper()
 	args = append(append([]string{"graph"}, args...), "--addr", addr, "--team", "t")
@@ -66,7 +67,7 @@
 `)
 	for _, c := range []struct {
 		args []string
-		want string // in the output; behind a bang: in the error
+		want string // expected in the output or, after "!", in the error
 	}{
 		{[]string{"submit", file}, "g of t: registered, 3 steps"},
 		{[]string{"list"}, "g    false"},
@@ -86,7 +87,7 @@
 		{[]string{"clear", "g", "one", "work", "--dry-run"}, "work\nend\n"},
 		{[]string{"retry", "g", "one"}, "!graphs.descriptions"},
 		{[]string{"backfill", "g", "--from", "2026-11-01", "--to", "2026-11-02"}, "!graphs.descriptions"},
-		{[]string{"backfill", "g", "--from", "soon", "--to", "2026-11-02"}, "!is no time"},
+		{[]string{"backfill", "g", "--from", "soon", "--to", "2026-11-02"}, "!is not a date or time"},
 		{[]string{"pause", "g"}, ""},
 		{[]string{"list"}, "g    true"},
 		{[]string{"unpause", "g"}, ""},
@@ -97,14 +98,14 @@
 		out, err := graph(t, addr, c.args...)
 		if want, refused := strings.CutPrefix(c.want, "!"); refused {
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v: %q, %v", c.args, out, err)
+				t.Errorf("%v should fail; printed %q, error %v", c.args, out, err)
 			}
 		} else if err != nil || !strings.Contains(out, want) {
-			t.Errorf("%v: %q, %v", c.args, out, err)
+			t.Errorf("%v printed %q, error %v", c.args, out, err)
 		}
 	}
 	if described.Load() != 2 {
-		t.Errorf("%d steps were described", described.Load())
+		t.Errorf("got descriptions of %d steps, want 2", described.Load())
 	}
 	for end := time.Now().Add(time.Minute); ; {
 		if _, err := graph(t, addr, "delete", "g"); err == nil {
@@ -114,11 +115,11 @@
 		}
 	}
 	if _, err := run("graph", "list", "--addr", addr); err == nil || !strings.Contains(err.Error(), "--team") {
-		t.Errorf("without a team: %v", err)
+		t.Errorf("list without a team returned error %v", err)
 	}
 }
 
-// A week that is named by its days has seven.
+// The end of a backfill that is given as a date includes that whole day: a week from Monday to Sunday has seven days.
 func TestADayOfABackfillCountsToItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -128,12 +129,12 @@
 		{"2026-11-23", false, "2026-11-23T00:00:00Z"}, {"2026-11-29", true, "2026-11-29T23:59:59Z"}, {"2026-11-29T06:00:00Z", true, "2026-11-29T06:00:00Z"},
 	} {
 		if at, err := dayOf(c.text, c.end); err != nil || at.Format(time.RFC3339) != c.want {
-			t.Errorf("%s: %v, %v", c.text, at, err)
+			t.Errorf("%s is parsed as %v, error %v", c.text, at, err)
 		}
 	}
 }
 
-// A graph that is longer than a request may be goes in parts.
+// A graph that exceeds the size of a request is uploaded in several parts.
 func TestTheLargestGraphIsSubmitted(t *testing.T) {
 	addr := serveGraphs(t, "graphs = on\n")
 	var b strings.Builder
@@ -147,12 +148,12 @@
 	b.WriteString("]}")
 	file := testutil.File(t, "large.json", b.String())
 	if out, err := graph(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
-		t.Fatalf("%q, %v", out, err)
+		t.Fatalf("submit printed %q, error %v", out, err)
 	}
 	if out, err := graph(t, addr, "trigger", "large", "--described", "--run", "one"); err != nil {
-		t.Fatalf("%q, %v", out, err)
+		t.Fatalf("trigger printed %q, error %v", out, err)
 	}
 	if out, err := graph(t, addr, "show", "large", "one"); err != nil || !strings.Contains(out, "scheduled") || strings.Count(out, "\n") < 9_000 {
-		t.Errorf("%.300q, %v", out, err)
+		t.Errorf("show printed %.300q, error %v", out, err)
 	}
 }
--- a/cmd/poppypass/graph_list.go
+++ b/cmd/poppypass/graph_list.go
@@ -37,7 +37,7 @@
 	return c
 }
 
-// printItems prints the items of a list, as they are or as a table.
+// printItems prints the items of a list as JSON or as a table. rows converts the items to the rows of the table.
 func printItems(w io.Writer, output string, items []json.RawMessage, rows func([]json.RawMessage) ([][]string, error)) error {
 	switch output {
 	case "json":
@@ -52,7 +52,7 @@
 	return fmt.Errorf("--output is %q; it can be table or json", output)
 }
 
-// dagRows is a table of graphs.
+// dagRows returns the rows of a table of graphs, beginning with the header.
 func dagRows(items []json.RawMessage) ([][]string, error) {
 	rows := [][]string{{"DAG", "PAUSED", "SCHEDULE", "NEXT RUN"}}
 	for _, raw := range items {
@@ -72,7 +72,7 @@
 	return rows, nil
 }
 
-// runRows is a table of runs.
+// runRows returns the rows of a table of runs, beginning with the header.
 func runRows(items []json.RawMessage) ([][]string, error) {
 	rows := [][]string{{"RUN", "TYPE", "STATE", "BEGUN", "TOOK"}}
 	for _, raw := range items {
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/graphs/dagview"
 )
 
-// runAnswer is what a command needs of a run.
+// runAnswer contains the fields of a run in an API response that commands use.
 type runAnswer struct {
 	ID    string     `json:"dag_run_id"`
 	DAG   string     `json:"dag_id"`
@@ -21,7 +21,7 @@
 	Date  *time.Time `json:"logical_date"`
 }
 
-// run reads a run, with what became of its steps, to be shown.
+// run reads a run with its definition and the instances and tries of its steps.
 func (a *graphAPI) run(ctx context.Context, id, run string) (*dagview.Run, error) {
 	path := []string{"dags", id, "dagRuns", run}
 	var r runAnswer
@@ -42,7 +42,7 @@
 	return v, nil
 }
 
-// plan reads and checks a graph's definition.
+// plan reads and checks a graph definition.
 func (a *graphAPI) plan(ctx context.Context, path ...string) (*dag.Plan, error) {
 	var g dag.Graph
 	if err := a.read(ctx, &g, path...); err != nil {
@@ -51,7 +51,7 @@
 	return dag.NewPlan(&g)
 }
 
-// instances reads the instances of a run's steps.
+// instances reads the instances of the steps of a run. run is the path of the run.
 func (a *graphAPI) instances(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Instance, error) {
 	type instance struct {
 		Task  string  `json:"task_id"`
@@ -78,7 +78,7 @@
 	return all, nil
 }
 
-// tries reads the tries of a run's steps.
+// tries reads the tries of the steps of a run. run is the path of the run.
 func (a *graphAPI) tries(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Try, error) {
 	items, err := list[airflow.TryView](ctx, a, "tries", nil, append(run, "tries")...)
 	if err != nil {
@@ -98,14 +98,14 @@
 	return all, nil
 }
 
-// parseTime reads a time of an answer; nil is the zero time.
+// parseTime parses a time in a response; nil gives the zero time.
 func parseTime(text *string) (time.Time, error) {
 	if text == nil {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339, *text)
 	if err != nil {
-		return at, fmt.Errorf("malformed answer: %w", err)
+		return at, fmt.Errorf("malformed response: %w", err)
 	}
 	return at, nil
 }
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -16,11 +16,11 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// trigger is what the flags say of a run that is to begin.
+// trigger contains the flags of the trigger command.
 type trigger struct {
 	run, conf, note string
-	descriptions    string // the URL to which the descriptions of the steps are sent first; empty: they are not
-	described       bool   // they are there already
+	descriptions    string // the URL to which the descriptions of the steps are uploaded first; empty: no upload
+	described       bool   // the descriptions are already uploaded
 }
 
 func graphTriggerCommand() *cobra.Command {
@@ -47,7 +47,7 @@
 	return c
 }
 
-// trigger begins a run of a graph.
+// trigger starts a run of a graph, after uploading the descriptions of its steps if requested.
 func (a *graphAPI) trigger(ctx context.Context, id string, t *trigger) (*runAnswer, error) {
 	now := time.Now().UTC()
 	run := t.run
@@ -77,7 +77,8 @@
 	return &r, nil
 }
 
-// describe uploads the descriptions of a run's steps that can be named ahead.
+// describe uploads the descriptions of those steps of a run that are known before it begins, in batches. The run
+// may be triggered afterwards.
 func describe(ctx context.Context, p *dag.Plan, run, to string, conf json.RawMessage, logical time.Time) error {
 	steps := runner.Foreseen(p, run, conf, logical)
 	source := &runner.HTTPSource{URL: to, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
@@ -86,7 +87,7 @@
 		err := source.Describe(batchCtx, steps[from:min(len(steps), from+tuning.DescribeBatchSteps)])
 		cancel()
 		if err != nil {
-			return fmt.Errorf("descriptions: %w", err)
+			return fmt.Errorf("uploading the descriptions of the steps: %w", err)
 		}
 	}
 	return nil
--- a/cmd/poppypass/helpers_test.go
+++ b/cmd/poppypass/helpers_test.go
@@ -15,7 +15,7 @@
 	"poppypass/internal/sim/testutil"
 )
 
-// run runs a command, and returns what it printed.
+// run runs a command and returns its output.
 func run(args ...string) (string, error) {
 	cmd := rootCommand()
 	var out bytes.Buffer
@@ -26,7 +26,7 @@
 	return out.String(), err
 }
 
-// settings writes a settings file.
+// settings writes a settings file for member m0 and returns its path.
 func settings(t *testing.T, bind, state, cloud string) string {
 	t.Helper()
 	return testutil.File(t, "settings.toml", fmt.Sprintf(`
@@ -54,8 +54,8 @@
 `, bind, testutil.FreeAddr(t), cloud, state))
 }
 
-// startController runs a controller with the operators' settings of a file until the test ends, and then closes the fakes that
-// it works with.
+// startController runs a controller with the operators' settings in a properties file. When the test ends, it
+// stops the controller and closes the fakes that it uses.
 func startController(t *testing.T, s *config.Settings, properties string, state *fakes.Store, cloud *fakes.Cloud) {
 	t.Helper()
 	operator, err := config.LoadProperties(properties)
@@ -72,7 +72,7 @@
 	t.Cleanup(func() {
 		stop()
 		if err := <-done; err != nil {
-			t.Errorf("the controller ended: %v", err)
+			t.Errorf("the controller returned error %v", err)
 		}
 		state.Close()
 		cloud.Close()
--- a/cmd/poppypass/job.go
+++ b/cmd/poppypass/job.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// jobRequestCommand is a command that sends a request about a job: to its path, with a suffix.
+// jobRequestCommand returns a command that sends a request about a job: to the path of the job plus a suffix.
 func jobRequestCommand(api *client, use, short, method, suffix string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -55,7 +55,7 @@
 	}
 }
 
-// printAnswer calls a controller and prints its answer as it is.
+// printAnswer calls a controller and prints its response unchanged.
 func printAnswer(cmd *cobra.Command, api *client, method, path string, in any) error {
 	out, err := api.call(cmd.Context(), method, path, in)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// readInput reads a file, or standard input where the path is "-".
+// readInput reads a file, or standard input if the path is "-".
 func readInput(cmd *cobra.Command, path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(cmd.InOrStdin())
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -14,7 +14,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// ledgerAPI is how a command reaches the ledger and the budgets, and prints what it got.
+// ledgerAPI sends the requests of a command to the API for the ledger and the budgets, and prints the responses.
 type ledgerAPI struct {
 	client
 	printer
@@ -25,7 +25,7 @@
 	a.printer.flags(c)
 }
 
-// totals reads all pages of a query.
+// totals reads all pages of the response to a query for totals.
 func (a *ledgerAPI) totals(ctx context.Context, q url.Values) (ledger.Totals, error) {
 	var all ledger.Totals
 	for skip := 0; ; {
@@ -54,7 +54,7 @@
 		attempt uint64
 		part    int
 	}
-	seen := map[chargeKey]bool{} // a charge may come again while it is rolled up
+	seen := map[chargeKey]bool{} // while a charge is rolled up, a later page may contain it again
 	for after := ""; ; {
 		var page ledger.ChargesPage
 		if err := a.get(ctx, wire.PathJobs+"/"+url.PathEscape(job)+"/"+wire.EndCharges+"?after="+url.QueryEscape(after), &page); err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// totalsQuery is the flags of a query for totals.
+// totalsQuery contains the flags of a query for totals.
 type totalsQuery struct{ team, account, class, from, to, by string }
 
 func (q *totalsQuery) flags(c *cobra.Command) {
@@ -83,7 +83,7 @@
 	c.Flags().StringVar(&q.to, "to", "", "the last day")
 }
 
-// values are the parameters of the query for totals by some columns.
+// values returns the parameters of a query for totals. by is the list of columns to group by, separated by commas.
 func (q *totalsQuery) values(by string) url.Values {
 	v := url.Values{"by": {by}}
 	for key, s := range map[string]string{"team": q.team, "account": q.account, "class": q.class, "from": q.from, "to": q.to} {
@@ -123,7 +123,7 @@
 	return c
 }
 
-// showTotals prints a team's totals, with their sum and what its running tasks have taken so far.
+// showTotals prints a team's totals, their sum, and the uncharged usage of its running tasks so far.
 func (a *ledgerAPI) showTotals(cmd *cobra.Command, q *totalsQuery) error {
 	t, err := a.totals(cmd.Context(), q.values(q.by))
 	if err != nil {
--- a/cmd/poppypass/ledger_test.go
+++ b/cmd/poppypass/ledger_test.go
@@ -23,7 +23,7 @@
 		t.Run(form, func(t *testing.T) {
 			out, err := run("ledger", "show", "--job", "job-1", "--output", form, "--addr", strings.TrimPrefix(controller.URL, "http://"))
 			if err != nil || !strings.Contains(out, "job-1/0") || !strings.Contains(out, charge.Failed.String()) {
-				t.Errorf("printed %q, %v", out, err)
+				t.Errorf("printed %q, error %v", out, err)
 			}
 		})
 	}
--- a/cmd/poppypass/main.go
+++ b/cmd/poppypass/main.go
@@ -1,5 +1,5 @@
-// Command poppypass is a cluster scheduler: a few controllers take jobs from
-// users, rent machines and place the jobs' tasks on them.
+// Command poppypass is a cluster scheduler: a few controllers accept jobs from
+// users, rent machines from a cloud and place the jobs' tasks on them.
 package main
 
 import (
@@ -15,8 +15,9 @@
 	}
 }
 
-// exitTryAgain is the exit status of a command that a controller cannot answer now, such as a cancellation that is not
-// confirmed yet (EX_TEMPFAIL of sysexits); other failures end with 1.
+// exitTryAgain is the exit status of a command whose request the controller temporarily cannot serve, such as a
+// cancellation that is not confirmed yet. Its value is EX_TEMPFAIL of sysexits.h. All other failures exit with
+// status 1.
 const exitTryAgain = 75
 
 func exitStatus(err error) int {
--- a/cmd/poppypass/output.go
+++ b/cmd/poppypass/output.go
@@ -11,14 +11,14 @@
 	"github.com/spf13/cobra"
 )
 
-// printer prints what a command got, in the form that --output names.
+// printer prints the result of a command in the format that --output selects.
 type printer struct{ output string }
 
 func (p *printer) flags(c *cobra.Command) {
 	c.PersistentFlags().StringVar(&p.output, "output", "table", "table, json or csv")
 }
 
-// print writes what a command got: a table for people, or what programs read.
+// print writes v as JSON, rows as CSV, or table as a table for people.
 func (p *printer) print(w io.Writer, v any, rows [][]string, table [][]string) error {
 	switch p.output {
 	case "json":
--- a/cmd/poppypass/root.go
+++ b/cmd/poppypass/root.go
@@ -6,10 +6,10 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the release that this source becomes.
+// version is the version of the release that will be built from this source.
 const version = "0.1.0"
 
-// rootCommand is the program with all its commands.
+// rootCommand returns the root command with all its subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "poppypass",
--- a/cmd/poppypass/serve.go
+++ b/cmd/poppypass/serve.go
@@ -18,18 +18,18 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// settingsFiles are the paths of the two settings files.
+// settingsFiles contains the paths of the settings file and of the properties file.
 type settingsFiles struct{ config, properties string }
 
 func (f *settingsFiles) flags(c *cobra.Command) {
 	c.Flags().StringVar(&f.config, "config", "", "path of the settings file (TOML)")
 	c.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties)")
 	if err := c.MarkFlagRequired("config"); err != nil {
-		panic(err) // the flag was defined two lines above
+		panic(err) // unreachable: the flag is defined above
 	}
 }
 
-// load reads both files, and checks that they fit each other.
+// load reads both files and checks that they are consistent with each other.
 func (f *settingsFiles) load() (*config.Settings, *config.OperatorSettings, error) {
 	s, err := config.Load(f.config)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s, operator, operator.Check(s)
 }
 
-// logger writes to standard error, at the level that LOG_LEVEL names.
+// logger returns a logger that writes to standard error, at the level that the environment variable LOG_LEVEL names.
 func logger() (*slog.Logger, error) {
 	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); strings.ToLower(name) {
@@ -71,7 +71,7 @@
 	return c
 }
 
-// serve runs a controller until ctx ends or the process is told to end.
+// serve runs a controller until ctx ends or the process receives an interrupt or SIGTERM.
 func serve(ctx context.Context, f *settingsFiles) error {
 	log, err := logger()
 	if err != nil {
--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -5,12 +5,13 @@
 	"math"
 )
 
-// exempt reports whether budgets do not hold a task back.
+// exempt reports whether budgets do not apply to a task.
 func (tr *Tracker) exempt(t *Task) bool {
 	return t.Production && !tr.settings.policy(t.Scope.Team).HoldProduction
 }
 
-// Admit says how many of a number of equal waiting tasks may start now, and why no more.
+// Admit returns how many of a number of identical waiting tasks may start now. If these are not
+// all of them, reason says why.
 func (tr *Tracker) Admit(t *Task, waiting int) (n int, reason string) {
 	if tr.exempt(t) {
 		return waiting, ""
@@ -25,10 +26,9 @@
 	return n, reason
 }
 
-// startable is how many tasks that are expected to use this much each fit below the
-// admission limit. As long as no task of the budget is live and it is not spent, one may
-// start: otherwise a task that is expected to use more than the whole budget would never
-// run.
+// startable returns how many tasks fit below the admission limit if each is expected to use the
+// given amount. If no task of the budget is live and the budget is not spent, one task may always
+// start: otherwise a task that is expected to use more than the whole budget would never run.
 func (bal *Balance) startable(each, limit float64) int {
 	left := limit - bal.Used - bal.Running - bal.Reserved
 	n := 0
@@ -45,8 +45,8 @@
 	return n
 }
 
-// explainHold says why a budget holds back waiting tasks of a job: each and all is what
-// one and all of them are expected to use, and limit is the admission limit.
+// explainHold returns the reason why a budget prevents waiting tasks of a job from starting. each
+// and all are the expected usage of one and of all of these tasks; limit is the admission limit.
 func (bal *Balance) explainHold(each, all, limit float64) string {
 	scale := bal.Unit.scale()
 	text := fmt.Sprintf("the budget of %s (%s, %s) is spent or reserved: %.6g used and %.6g reserved of %.6g",
@@ -65,8 +65,8 @@
 	return text
 }
 
-// Reserve counts n waiting tasks as if they had started, until the next Recompute or the
-// call of the function that SaveReservations returned.
+// Reserve counts n waiting tasks as if they had started. The effect lasts until the next Recompute,
+// or until the function that SaveReservations returned is called.
 func (tr *Tracker) Reserve(t *Task, n int) {
 	if n <= 0 {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// SaveReservations notes what is reserved now; restore undoes all Reserve calls since.
+// SaveReservations saves the current reservations; restore undoes all later Reserve calls.
 func (tr *Tracker) SaveReservations() (restore func()) {
 	type reservation struct {
 		reserved  float64
--- a/internal/accounting/budget/balance.go
+++ b/internal/accounting/budget/balance.go
@@ -6,29 +6,29 @@
 	"poppypass/internal/accounting/charge"
 )
 
-// Balance is the state of one budget in its present period. Its amounts are in the
-// ledger's units.
+// Balance is the state of one budget in its current period. Its amounts are in the ledger's
+// units: millionths of core-seconds, or of the currency.
 type Balance struct {
 	Budget
-	Limit        float64   // with what was carried over
-	Used         float64   // charged in the present period
-	Running      float64   // used by live tasks and not charged yet
-	Reserved     float64   // expected to be used by live tasks beyond that
-	From, To     time.Time // the period; To is zero for one without end
-	liveTasks    int       // that count in this budget
-	warnedPeriod time.Time // the beginning of the last period in which Warnings named it
+	Limit        float64   // including what was carried over
+	Used         float64   // charged in the current period
+	Running      float64   // used by live tasks but not charged yet
+	Reserved     float64   // what live tasks are expected to use in addition
+	From, To     time.Time // the current period; To is zero for a period without end
+	liveTasks    int       // number of live tasks that count in this budget
+	warnedPeriod time.Time // the beginning of the last period in which Warnings returned this balance
 }
 
-// spent is what was used in the present period, charged or not.
+// spent returns what was used in the current period, charged or not.
 func (bal *Balance) spent() float64 { return bal.Used + bal.Running }
 
-// reserve counts n more live tasks, which are expected to use this much each.
+// reserve counts n more live tasks. each is the expected usage of one task.
 func (bal *Balance) reserve(n int, each Usage) {
 	bal.liveTasks += n
 	bal.Reserved += float64(n) * each.in(bal.Unit)
 }
 
-// Recompute works out all balances anew from the charges and the live tasks.
+// Recompute computes all balances from scratch from the charges and the live tasks.
 func (tr *Tracker) Recompute(now time.Time) {
 	if len(tr.balances) == 0 {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// resetBalance sets the period, the limit and what was charged, without live tasks.
+// resetBalance sets the current period, its limit and the charged usage, without any live tasks.
 func (tr *Tracker) resetBalance(bal *Balance, now time.Time) {
 	bal.From, bal.To = bal.Period.bounds(now, tr.settings.Location())
 	bal.Limit = bal.Amount * bal.Unit.scale()
@@ -53,8 +53,8 @@
 	bal.Running, bal.Reserved, bal.liveTasks = 0, 0, 0
 }
 
-// carriedOver is the share of what the period before left unused that the present one has
-// in addition. The limit of the period before is taken without its own carry-over.
+// carriedOver returns the part of the previous period's unused amount that is added to the
+// current period. The carry-over into the previous period is not part of that unused amount.
 func (tr *Tracker) carriedOver(bal *Balance) float64 {
 	share := tr.settings.policy(bal.Team).CarryOver
 	if share <= 0 || bal.To.IsZero() {
@@ -65,8 +65,8 @@
 	return share * max(0, bal.Limit-used)
 }
 
-// addLiveTask counts what a live task used so far in the present period, and reserves the
-// rest of what it is expected to use.
+// addLiveTask counts what a live task has used so far in the current period, and reserves the
+// rest of its expected usage.
 func (bal *Balance) addLiveTask(t *Task, expected Usage, now time.Time) {
 	used := bal.usedSoFar(t, now).in(bal.Unit)
 	bal.liveTasks++
@@ -80,13 +80,13 @@
 	}
 	since := t.RunningSince
 	if since.Before(bal.From) {
-		since = bal.From // what it used earlier counts in the period before
+		since = bal.From // earlier usage counts in the previous period
 	}
 	run := max(0, now.Sub(since))
 	return Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(t.Rate, run)}
 }
 
-// admissionLimit is the amount, in the ledger's units, from which on a budget lets nothing
+// admissionLimit returns the usage, in the ledger's units, at which a budget lets no more tasks
 // start.
 func (tr *Tracker) admissionLimit(bal *Balance) float64 {
 	if p := tr.settings.policy(bal.Team); p.DrainWhenSpent {
@@ -95,7 +95,7 @@
 	return bal.Limit
 }
 
-// nearlySpent reports whether a budget has reached its warning mark.
+// nearlySpent reports whether the usage of a budget has reached its warning threshold.
 func (tr *Tracker) nearlySpent(bal *Balance) bool {
 	return bal.spent() >= tr.settings.policy(bal.Team).WarnAt*bal.Limit
 }
--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -1,22 +1,23 @@
-// Package budget decides what a team may still start. A team or one of its accounts
-// has budgets of core-hours or money for a day, a week, a month or without end. They
-// are compared with what was charged, what running tasks have used so far, and what
-// those tasks are expected to use beyond that. The package does no I/O: charges and
-// tasks are reported to a Tracker, which is not safe for concurrent use.
+// Package budget decides which tasks a team may still start. A team or one of its accounts
+// has budgets of core-hours or money for a day, a week, a month or a period without end.
+// Each budget is compared with the sum of three amounts: what was charged, what running
+// tasks have used so far, and what those tasks are expected to use in addition. The package
+// does no I/O: the caller reports charges and tasks to a Tracker, which is not safe for
+// concurrent use.
 package budget
 
-// Period is the time over which a budget counts.
+// Period is the span of time after which the usage of a budget starts again from zero.
 type Period string
 
 // The periods.
 const (
 	Day   Period = "day"
-	Week  Period = "week" // from Monday on
+	Week  Period = "week" // from Monday to Sunday
 	Month Period = "month"
-	Ever  Period = "ever"
+	Ever  Period = "ever" // a single period without end
 )
 
-// Unit is what a budget counts.
+// Unit is the unit in which a budget is given.
 type Unit string
 
 // The units.
@@ -25,18 +26,19 @@
 	Money     Unit = "money"
 )
 
-// scale is how many of the ledger's units one unit of a budget is.
+// scale returns the number of the ledger's units in one unit of a budget.
 func (u Unit) scale() float64 {
 	if u == CoreHours {
 		return 3600 * 1e6 // millionths of core-seconds
 	}
-	return 1e6
+	return 1e6 // millionths of the currency
 }
 
-// Scope is whose budget it is: a team's, or within it an account's.
+// Scope identifies the owner of a budget: a team, or an account of a team. Account is empty for
+// the team itself.
 type Scope struct{ Team, Account string }
 
-// String names the scope for people.
+// String returns TEAM or TEAM/ACCOUNT.
 func (s Scope) String() string {
 	if s.Account == "" {
 		return s.Team
@@ -44,8 +46,8 @@
 	return s.Team + "/" + s.Account
 }
 
-// enclosing returns the scopes in which usage of this one counts: itself, and the team
-// of an account.
+// enclosing returns the scopes in which usage of this scope counts: the scope itself and, for an
+// account, its team.
 func (s Scope) enclosing() []Scope {
 	if s.Account == "" {
 		return []Scope{s}
@@ -61,13 +63,14 @@
 	Amount float64
 }
 
-// Usage is what was or will be used, in the ledger's units.
+// Usage is an amount of past or expected usage. Core is in millionths of core-seconds, Money in
+// millionths of the currency; these are the ledger's units.
 type Usage struct{ Core, Money int64 }
 
-// Add adds v to the usage.
+// Add adds v to u.
 func (u *Usage) Add(v Usage) { u.Core += v.Core; u.Money += v.Money }
 
-// in returns the usage that a budget in this unit counts, in the ledger's units.
+// in returns the amount that counts in a budget of the given unit, in the ledger's units.
 func (u Usage) in(unit Unit) float64 {
 	if unit == CoreHours {
 		return float64(u.Core)
--- a/internal/accounting/budget/estimates.go
+++ b/internal/accounting/budget/estimates.go
@@ -7,25 +7,25 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// estimates is what was learned of the tasks of each class.
+// estimates contains run times and rates learned from earlier tasks, by job class.
 type estimates struct {
-	runRatio map[string]float64 // how long tasks ran, as a multiple of their owners' estimates
-	lastRate map[string]int64   // the rate of the task that was placed last
+	runRatio map[string]float64 // run time of completed tasks, as a multiple of their owners' estimates
+	lastRate map[string]int64   // rate of the most recently placed task, in millionths an hour
 }
 
 func newEstimates() estimates {
 	return estimates{runRatio: map[string]float64{}, lastRate: map[string]int64{}}
 }
 
-// learnRate notes the rate of a task that was placed.
+// learnRate records the rate of a placed task.
 func (e *estimates) learnRate(t *Task) {
 	if t.Rate > 0 {
 		e.lastRate[t.Class] = t.Rate
 	}
 }
 
-// learnRun notes how long a task ran that completed. The ratio is a moving average of
-// bounded values, so a single task of a class does not decide it.
+// learnRun records the run time of a completed task. The ratio is a moving average of bounded
+// values, so that a single task does not determine it.
 func (e *estimates) learnRun(t *Task, run time.Duration) {
 	if t.EstimateS <= 0 {
 		return
@@ -37,14 +37,14 @@
 	e.runRatio[t.Class] = seen
 }
 
-// expected is what a task is expected to use in all.
+// expected returns the total expected usage of a task.
 func (e *estimates) expected(t *Task) Usage {
 	run := e.expectedRun(t)
 	return Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(e.expectedRate(t), run)}
 }
 
-// expectedRun is the owner's estimate, corrected by what the class was seen to take. A
-// service has none; for it a fixed time is reserved.
+// expectedRun returns the owner's estimate of the run time, multiplied by the ratio learned for
+// the class. A service has no estimate; a fixed time is reserved for it.
 func (e *estimates) expectedRun(t *Task) time.Duration {
 	if t.EstimateS <= 0 {
 		return tuning.ServiceReservedTime
@@ -56,8 +56,8 @@
 	return time.Duration(t.EstimateS * ratio * float64(time.Second))
 }
 
-// expectedRate is the task's rate; before it is placed the last rate of its class; and
-// while that is unknown too, the rate on the most expensive machine type.
+// expectedRate returns the task's rate. Before the task is placed, that is the last rate of its
+// class or, if there is none yet, the rate on the most expensive machine type.
 func (e *estimates) expectedRate(t *Task) int64 {
 	switch {
 	case t.Rate != 0:
--- a/internal/accounting/budget/formats_test.go
+++ b/internal/accounting/budget/formats_test.go
@@ -12,7 +12,7 @@
 	golden.Lines(t, "words", string(Day), string(Week), string(Month), string(Ever), string(CoreHours), string(Money))
 }
 
-// The operators' properties, and what is understood of them.
+// Each property that operators can set for budgets, and the settings that it results in.
 func TestProperties(t *testing.T) {
 	lines := []string{
 		"budget.vision.day.core-hours = 1.5",
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TasksToDrain returns the references of the live tasks that are to be stopped now: those
-// of budgets whose policy says so and whose mark is reached.
+// TasksToDrain returns the references of the live tasks that must stop now: those that count in a
+// budget whose policy is DrainWhenSpent and whose usage has reached the DrainAt share.
 func (tr *Tracker) TasksToDrain() []any {
 	drained := tr.balancesToDrain()
 	if len(drained) == 0 {
@@ -31,13 +31,14 @@
 	return out
 }
 
-// Warnings returns the balances that reached their warning mark, each once a period.
+// Warnings returns the balances whose usage has reached the warning threshold. It returns each
+// balance only once a period.
 func (tr *Tracker) Warnings() []*Balance {
 	var out []*Balance
 	for _, bal := range tr.balances {
 		period := bal.From
 		if bal.Period == Ever {
-			period = time.Unix(1, 0) // it has no beginning; the zero time means no warning yet
+			period = time.Unix(1, 0) // this period has no beginning, and the zero time already means that no warning was given
 		}
 		if tr.nearlySpent(bal) && !bal.warnedPeriod.Equal(period) {
 			bal.warnedPeriod = period
--- a/internal/accounting/budget/overspend_test.go
+++ b/internal/accounting/budget/overspend_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-const coreHour = 3600 * 1_000_000 // in the ledger's units
+const coreHour = 3600 * 1_000_000 // in the ledger's units (millionths of core-seconds)
 
 func TestWarningsNameANearlySpentBudgetOnceAPeriod(t *testing.T) {
 	for _, c := range []struct {
 		period    string
-		nextDay   int // warnings on the day after, with as much use
-		nextMonth int // and in the month after
+		nextDay   int // expected warnings on the next day, with the same total usage
+		nextMonth int // expected warnings in the next month
 	}{
 		{"day", 1, 1}, {"month", 0, 1}, {"ever", 0, 0},
 	} {
@@ -26,10 +26,10 @@
 				return len(tr.Warnings())
 			}
 			if n := warnings(now, 4); n != 0 {
-				t.Errorf("%d warnings below the mark", n)
+				t.Errorf("%d warnings below the threshold", n)
 			}
 			if n := warnings(now, 1); n != 1 {
-				t.Errorf("%d warnings at the mark, want 1", n)
+				t.Errorf("%d warnings at the threshold, want 1", n)
 			}
 			tr.Configure(newSettings(t, map[string]string{"budget.t." + c.period + ".core-hours": "10", "budget.t.warn-at": "0.5"}), now)
 			if n := warnings(now, 1); n != 0 {
@@ -51,7 +51,7 @@
 	tr.Configure(newSettings(t, map[string]string{"budget.t.month.core-hours": "10"}), now)
 	for _, want := range []string{"open", "nearly-spent", "spent"} {
 		if got := tr.Views("t")[0].State; got != want {
-			t.Errorf("%v used: %s, want %s", tr.Views("t")[0].Used, got, want)
+			t.Errorf("state with %v used is %s, want %s", tr.Views("t")[0].Used, got, want)
 		}
 		tr.AddCharge(Scope{Team: "t"}, "2026-12-01", Usage{Core: 8 * coreHour})
 		tr.Recompute(now)
@@ -78,10 +78,10 @@
 			tr.AddCharge(Scope{Team: "t"}, "2026-12-01", Usage{Core: 10 * coreHour})
 			tr.Recompute(now)
 			if n, reason := tr.Admit(production, 5); n != c.admitted || (reason != "") != c.reasonIsGiven {
-				t.Errorf("%d are admitted, since %q", n, reason)
+				t.Errorf("admitted %d tasks, reason %q", n, reason)
 			}
 			if refs := tr.TasksToDrain(); len(refs) != c.tasksToDrain {
-				t.Errorf("to drain: %v", refs)
+				t.Errorf("tasks to drain: %v", refs)
 			}
 		})
 	}
--- a/internal/accounting/budget/period.go
+++ b/internal/accounting/budget/period.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// bounds returns the first instant of the period in which t lies and the first one after
-// it. Both are zero for a period without end. Days begin in the given time zone.
+// bounds returns the beginning of the period that contains t and the beginning of the next one.
+// Both are zero for a period without end. Days begin at midnight in the given time zone.
 func (p Period) bounds(t time.Time, zone *time.Location) (from, to time.Time) {
 	t = t.In(zone)
 	y, m, d := t.Date()
@@ -20,8 +20,8 @@
 	return time.Time{}, time.Time{}
 }
 
-// usageBetween is what a scope was charged for the days from from until before to. With a
-// zero to it is all that was charged, also what is kept by month.
+// usageBetween returns what a scope was charged for the days from from, inclusive, to to,
+// exclusive. If to is zero, it returns all charges, including those that are stored by month.
 func (tr *Tracker) usageBetween(s Scope, from, to time.Time) (u Usage) {
 	days := tr.usage[s]
 	if to.IsZero() {
--- a/internal/accounting/budget/period_test.go
+++ b/internal/accounting/budget/period_test.go
@@ -7,7 +7,7 @@
 
 func TestPeriodsBeginInTheOperatorsTimeZone(t *testing.T) {
 	where := time.FixedZone("UTC-5", -5*3600)
-	at := time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC) // Monday evening, the last of November, there
+	at := time.Date(2026, 12, 1, 3, 0, 0, 0, time.UTC) // Monday evening, November 30, in that time zone
 	for _, c := range []struct {
 		period   Period
 		from, to string
@@ -16,10 +16,10 @@
 	} {
 		from, to := c.period.bounds(at, where)
 		if from.Format(time.DateOnly) != c.from || to.Format(time.DateOnly) != c.to || from.Hour() != 0 {
-			t.Errorf("%s: from %v to %v", c.period, from, to)
+			t.Errorf("%s period is from %v to %v", c.period, from, to)
 		}
 	}
 	if _, to := Ever.bounds(at, where); !to.IsZero() {
-		t.Error("a period without end ends")
+		t.Error("the period without end has an end")
 	}
 }
--- a/internal/accounting/budget/properties.go
+++ b/internal/accounting/budget/properties.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Prefix begins the keys of budgets in the operators' properties.
+// Prefix is the prefix of the keys of budgets in the operators' properties.
 const Prefix = "budget."
 
-// maxAmount bounds a budget's amount, so that sums in the ledger's units stay finite.
+// maxAmount bounds a budget's amount, in the budget's unit, so that sums in the ledger's units stay
+// finite.
 const maxAmount = 1e9
 
-// PropertyError says why a property of the operators is refused.
+// PropertyError means that a property set by an operator is invalid.
 type PropertyError struct {
 	Key     string
 	Problem string // one line
 }
 
-// Error names the key and the problem in one line.
+// Error returns the key and the problem in one line.
 func (e *PropertyError) Error() string { return e.Key + ": " + e.Problem }
 
 func refuse(key, format string, args ...any) *PropertyError {
@@ -35,15 +36,15 @@
 //	budget.TEAM.drain-at = SHARE                    above 0, to 1
 //	budget.TEAM.production = spared | held
 //
-// The error is a *PropertyError. After an error the settings are not to be used.
+// The error is a *PropertyError. After an error the settings must not be used.
 func (s *Settings) Set(key, value string) error {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return refuse(key, "not a budget")
+		return refuse(key, "the key does not begin with \"budget.\"")
 	}
 	name, setting, ok := cutLast(rest)
 	if !ok {
-		return refuse(key, "it names no team and setting")
+		return refuse(key, "no team and setting in the key; expected budget.TEAM.SETTING")
 	}
 	switch unit := Unit(setting); unit {
 	case CoreHours, Money:
@@ -52,7 +53,7 @@
 	return s.setPolicy(key, name, setting, value)
 }
 
-// cutLast cuts a name, which may contain dots itself, from what follows its last dot.
+// cutLast splits s at its last dot. name may contain dots itself.
 func cutLast(s string) (name, last string, ok bool) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot <= 0 {
@@ -64,7 +65,7 @@
 func (s *Settings) setAmount(key, name string, unit Unit, value string) error {
 	scope, last, ok := cutLast(name)
 	if !ok {
-		return refuse(key, "it names no team and period")
+		return refuse(key, "no team and period in the key; expected budget.TEAM.PERIOD.UNIT")
 	}
 	period := Period(last)
 	switch period {
@@ -108,16 +109,16 @@
 	return nil
 }
 
-// parseShare reads a share from least to 1; NaN is none.
+// parseShare parses a number from least to 1. NaN is an error.
 func parseShare(key, value string, least float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(v >= least) || v > 1 {
-		return 0, refuse(key, "%q is not a share up to 1", value)
+		return 0, refuse(key, "%q is not a valid share; carry-over is from 0 to 1, all others are above 0 and up to 1", value)
 	}
 	return v, nil
 }
 
-// parseChoice reads one of two words, and reports whether it is the second.
+// parseChoice parses one of two words and reports whether it is the second.
 func parseChoice(key, value, no, yes string) (bool, error) {
 	switch value {
 	case no:
--- a/internal/accounting/budget/properties_test.go
+++ b/internal/accounting/budget/properties_test.go
@@ -28,11 +28,11 @@
 			var s Settings
 			err := s.Set(c.key, c.value)
 			if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), c.key)) {
-				t.Errorf("got the error %v", err)
+				t.Errorf("got error %v", err)
 			}
 			var refused *PropertyError
 			if err != nil && (!errors.As(err, &refused) || refused.Key != c.key || !strings.Contains(refused.Problem, c.want)) {
-				t.Errorf("the error is %#v", err)
+				t.Errorf("got error %#v", err)
 			}
 		})
 	}
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -6,34 +6,35 @@
 	"time"
 )
 
-// Policy is how a team's budgets work.
+// Policy is the set of rules for all budgets of one team.
 type Policy struct {
-	// CarryOver is the share, from 0 to 1, of what a period left unused that the next
-	// period has in addition.
+	// CarryOver is the share, from 0 to 1, of a period's unused amount that is added to the next
+	// period.
 	CarryOver float64
-	// WarnAt is the share of a budget from which on it counts as nearly spent.
+	// WarnAt is the used share at which a budget counts as nearly spent.
 	WarnAt float64
-	// DrainWhenSpent says that running tasks are stopped, with time to save a checkpoint,
-	// once DrainAt of a budget is used. Otherwise running tasks may finish.
+	// DrainWhenSpent means that running tasks are stopped, with time to save a checkpoint, once
+	// the DrainAt share of a budget is used. Otherwise running tasks may finish.
 	DrainWhenSpent bool
-	// DrainAt is the share of a budget at which draining begins. It is used only with
-	// DrainWhenSpent; nothing starts beyond it either.
+	// DrainAt is the used share of a budget at which draining begins. It applies only if
+	// DrainWhenSpent is set; from then on no more tasks start either.
 	DrainAt float64
-	// HoldProduction says that budgets hold back production work too.
+	// HoldProduction means that budgets also apply to production tasks (property value "held").
+	// Otherwise production tasks are exempt ("spared").
 	HoldProduction bool
 }
 
-// DefaultPolicy is that of a team without settings of its own.
+// DefaultPolicy returns the policy of a team without settings of its own.
 func DefaultPolicy() Policy { return Policy{WarnAt: 0.8, DrainAt: 1} }
 
-// Settings are the operators' budgets.
+// Settings are the budgets and policies that the operators set.
 type Settings struct {
-	Zone     *time.Location // in which days begin; nil: UTC
+	Zone     *time.Location // the time zone whose midnight begins a day; nil: UTC
 	Budgets  []Budget
 	Policies map[string]Policy // by team
 }
 
-// Location is the time zone in which days begin. The settings may be nil.
+// Location returns the time zone whose midnight begins a day. s may be nil.
 func (s *Settings) Location() *time.Location {
 	if s == nil || s.Zone == nil {
 		return time.UTC
@@ -48,11 +49,11 @@
 	return DefaultPolicy()
 }
 
-// ErrUnknownTeam is wrapped by Check's error: a setting names a team that does not exist.
+// ErrUnknownTeam means that a setting refers to a team that does not exist.
 var ErrUnknownTeam = errors.New("the team is unknown")
 
-// Check verifies the budgets as a whole: known reports whether a team exists. The error
-// wraps ErrUnknownTeam and says in one line which setting is wrong.
+// Check verifies that the teams of all budgets and policies exist, which known reports for a
+// team. The error wraps ErrUnknownTeam and identifies the invalid setting in one line.
 func (s *Settings) Check(known func(team string) bool) error {
 	for _, b := range s.Budgets {
 		if !known(b.Team) {
--- a/internal/accounting/budget/settings_test.go
+++ b/internal/accounting/budget/settings_test.go
@@ -12,13 +12,13 @@
 			s := newSettings(t, map[string]string{key: "1"})
 			err := s.Check(func(team string) bool { return team == "t" })
 			if want == "" && err != nil || want != "" && (!errors.Is(err, ErrUnknownTeam) || !strings.Contains(err.Error(), want)) {
-				t.Errorf("got the error %v", err)
+				t.Errorf("got error %v", err)
 			}
 		})
 	}
 }
 
-// newSettings returns the settings that properties make.
+// newSettings returns the settings that result from properties.
 func newSettings(t *testing.T, properties map[string]string) *Settings {
 	t.Helper()
 	s := &Settings{}
--- a/internal/accounting/budget/split_test.go
+++ b/internal/accounting/budget/split_test.go
@@ -15,10 +15,10 @@
 	for i, p := range parts {
 		run, money = run+p.Run, money+p.Money
 		if last := i == len(parts)-1; p.Part != i || (p.Outcome == charge.Done) != last || (p.Flags&charge.ProgressSaved != 0) != last {
-			t.Errorf("part %d: %+v", i, p)
+			t.Errorf("unexpected part %d: %+v", i, p)
 		}
 	}
 	if len(parts) != 3 || run != c.Run || money != c.Money || parts[0].Run != 4*3600_000 {
-		t.Errorf("parts %+v", parts)
+		t.Errorf("unexpected parts: %+v", parts)
 	}
 }
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -7,19 +7,19 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Task is what budgets need to know of a task: of a live attempt, or of one that waits.
+// Task contains the properties of a live attempt, or of a waiting task, that budgets depend on.
 type Task struct {
 	Scope        Scope
 	Production   bool
 	Class        string
 	MilliCores   int64
-	Rate         int64     // millionths of money an hour; 0: it is not placed yet
-	MaxRate      int64     // the rate on the most expensive machine type
-	EstimateS    float64   // the owner's, in seconds; 0: a service, which never ends by itself
-	RunningSince time.Time // zero: it does not run yet
+	Rate         int64     // millionths of the currency an hour; 0: the task is not placed yet
+	MaxRate      int64     // the rate on the most expensive machine type, in the same unit
+	EstimateS    float64   // the owner's estimate of the run time, in seconds; 0: a service, which never ends by itself
+	RunningSince time.Time // zero: the task is not running yet
 }
 
-// TaskOf describes a task of a job that is not placed yet.
+// TaskOf returns the description of a task of the job that is not placed yet.
 func TaskOf(j *wire.Job) *Task {
 	return &Task{
 		Scope: Scope{j.Team, j.Account}, Production: j.Priority == wire.PriorityProduction, Class: j.Class,
@@ -27,19 +27,19 @@
 	}
 }
 
-// Tracker keeps the balances of all budgets up to date from the charges and live tasks
-// that it is told of. A live task is named by a reference of the caller's choice, which
-// must be usable as a map key. It is not safe for concurrent use.
+// Tracker maintains the balances of all budgets from the charges and live tasks that the caller
+// reports. The caller identifies a live task by a reference of any type that can be a map key. A
+// Tracker is not safe for concurrent use.
 type Tracker struct {
 	settings  *Settings
-	usage     map[Scope]map[string]Usage // what was charged, by day or, for old days, by month
+	usage     map[Scope]map[string]Usage // charged usage by day or, for old days, by month
 	live      map[any]*Task              // by the caller's reference
 	estimates estimates
 	balances  []*Balance
 	byScope   map[Scope][]*Balance
 }
 
-// NewTracker makes a tracker without budgets, charges and tasks.
+// NewTracker returns a tracker without budgets, charges and tasks.
 func NewTracker() *Tracker {
 	return &Tracker{
 		settings: &Settings{}, usage: map[Scope]map[string]Usage{}, live: map[any]*Task{},
@@ -47,8 +47,8 @@
 	}
 }
 
-// Configure replaces the settings. Charges and live tasks stay known, and so does for which
-// period a budget was warned of.
+// Configure replaces the settings. It preserves the charges, the live tasks and, for each budget
+// that is unchanged, the period of its last warning.
 func (tr *Tracker) Configure(s *Settings, now time.Time) {
 	warned := map[Budget]time.Time{}
 	for _, bal := range tr.balances {
@@ -63,11 +63,11 @@
 	tr.Recompute(now)
 }
 
-// HasBudgets reports whether there are budgets.
+// HasBudgets reports whether any budgets are configured.
 func (tr *Tracker) HasBudgets() bool { return len(tr.balances) > 0 }
 
-// AddCharge counts a charge of a day (as in 2026-12-01) or a month (as in 2026-12).
-// Balances include it from the next Recompute on.
+// AddCharge adds a charge for a day (as in 2026-12-01) or a month (as in 2026-12). Balances include
+// it after the next Recompute.
 func (tr *Tracker) AddCharge(s Scope, day string, u Usage) {
 	for _, sc := range s.enclosing() {
 		days := tr.usage[sc]
@@ -81,11 +81,11 @@
 	}
 }
 
-// TeamUsage returns what a team was charged, by day or month. The map is the tracker's
-// own and must not be changed.
+// TeamUsage returns what a team was charged, by day or month. The map belongs to the tracker and
+// must not be modified.
 func (tr *Tracker) TeamUsage(team string) map[string]Usage { return tr.usage[Scope{Team: team}] }
 
-// StartTask adds a live task. What it is expected to use is reserved from now on.
+// StartTask adds a live task and reserves its expected usage.
 func (tr *Tracker) StartTask(ref any, t *Task) {
 	tr.live[ref] = t
 	tr.estimates.learnRate(t)
@@ -94,16 +94,17 @@
 	}
 }
 
-// MarkRunning sets since when a live task runs. It does nothing for an unknown reference.
+// MarkRunning records that a live task has been running since the given time. It does nothing for
+// an unknown reference.
 func (tr *Tracker) MarkRunning(ref any, since time.Time) {
 	if t := tr.live[ref]; t != nil {
 		t.RunningSince = since
 	}
 }
 
-// EndTask removes a live task; done tells that it completed after a run of this length.
-// What it used is charged separately, by AddCharge. Until the next Recompute it also
-// still counts as reserved, so a budget is rather held too early than overspent.
+// EndTask removes a live task. done means that it completed after the given run time. The caller
+// reports its usage separately with AddCharge. The reservation of the task lasts until the next
+// Recompute, so that tasks are delayed for a moment rather than a budget overspent.
 func (tr *Tracker) EndTask(ref any, done bool, run time.Duration) {
 	t := tr.live[ref]
 	if t == nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// balancesOf returns the balances in which a task counts: its account's and its team's.
+// balancesOf returns the balances in which a task counts: those of its account and of its team.
 func (tr *Tracker) balancesOf(t *Task) []*Balance {
 	if len(tr.balances) == 0 {
 		return nil
--- a/internal/accounting/budget/view.go
+++ b/internal/accounting/budget/view.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// View is a budget's state for people and programs, in the budget's own unit.
+// View is the state of a budget as HTTP responses contain it. Its amounts are in the budget's unit.
 type View struct {
 	Team     string     `json:"team"`
 	Account  string     `json:"account,omitempty"`
 	Period   Period     `json:"period"`
 	Unit     Unit       `json:"unit"`
 	Amount   float64    `json:"amount"`
-	Limit    float64    `json:"limit"` // with what was carried over
-	Used     float64    `json:"used"`  // with what running tasks have taken
-	Reserved float64    `json:"reserved"`
+	Limit    float64    `json:"limit"`    // including what was carried over
+	Used     float64    `json:"used"`     // charged, plus what running tasks have used so far
+	Reserved float64    `json:"reserved"` // what running tasks are expected to use in addition
 	From     *time.Time `json:"from,omitempty"`
 	To       *time.Time `json:"to,omitempty"`
 	State    string     `json:"state"` // open, nearly-spent or spent
 }
 
-// Views returns the state of a team's budgets, or of all with an empty name, by team and
-// account. They are copies, which later calls do not change.
+// Views returns the state of a team's budgets, or of all budgets if team is empty, sorted by team
+// and account. The views are copies, which later calls do not change.
 func (tr *Tracker) Views(team string) []View {
 	out := []View{}
 	for _, bal := range tr.balances {
@@ -43,7 +43,7 @@
 		Limit: bal.Limit / scale, Used: bal.spent() / scale, Reserved: bal.Reserved / scale, State: tr.stateOf(bal),
 	}
 	if !bal.To.IsZero() {
-		from, to := bal.From, bal.To // a view outlives the next Recompute
+		from, to := bal.From, bal.To // copies, since a view is used after the next Recompute
 		v.From, v.To = &from, &to
 	}
 	return v
--- a/internal/accounting/charge/amounts.go
+++ b/internal/accounting/charge/amounts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Amounts is the sum of some charges.
+// Amounts is the sum of several charges, in the units that the package comment lists.
 type Amounts struct {
 	_         struct{} `cbor:",toarray"`
 	Core      int64
@@ -13,10 +13,10 @@
 	Memory    int64
 	Money     int64
 	Run       int64
-	ByOutcome [outcomeCount]int64 // numbers of charges; attempts are all but Continues
+	ByOutcome [outcomeCount]int64 // number of charges by outcome; each one other than Continues is the end of an attempt
 }
 
-// AmountsOf is what a charge of the job amounts to.
+// AmountsOf returns the amounts of one charge of a job with these traits.
 func (t *JobTraits) AmountsOf(c *Charge) Amounts {
 	a := Amounts{Core: t.Cores * c.Run, GPU: t.GPUs * c.Run, Memory: t.Memory * c.Run, Money: c.Money, Run: c.Run}
 	if c.Outcome < outcomeCount {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Attempts is how many attempts came to an end.
+// Attempts returns the number of attempts that ended.
 func (a *Amounts) Attempts() int64 {
 	var attempts int64
 	for o, n := range a.ByOutcome {
@@ -48,10 +48,10 @@
 	return attempts
 }
 
-// CoreHours is the core time in core-hours, rounded by floating point: for display only.
+// CoreHours returns the core time in core-hours. Use it for display only: the conversion to floating point rounds.
 func (a *Amounts) CoreHours() float64 { return float64(a.Core) / 1e6 / 3600 }
 
-// Cost is what a rate, in millionths an hour, comes to over a run time, rounded.
+// Cost returns the cost of a run time in millionths of the currency, rounded. rate is in millionths an hour.
 func Cost(rate int64, run time.Duration) int64 {
 	return int64(math.Round(float64(rate) * run.Hours()))
 }
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -1,6 +1,6 @@
-// Package charge describes what the attempts of tasks cost: which team and account
-// are charged, on what machine, from when to when, and how the attempt ended. It
-// holds data and arithmetic only.
+// Package charge describes what the attempts of tasks cost: the team and account that
+// are charged, the kind of machine, the start and end, and the outcome of the attempt. The
+// package contains only data types, their stored forms and arithmetic.
 //
 // All amounts are integers, so that sums are exact in any order:
 //
@@ -13,59 +13,59 @@
 
 import "math"
 
-// Kind is the kind of machine an attempt ran on, and what the task cost there.
+// Kind describes the kind of machine that an attempt ran on, and the rate of the task there.
 type Kind struct {
 	_    struct{} `cbor:",toarray"`
 	Type string
 	Zone string
 	Spot bool
-	Rate int64 // the task's share of the machine's price when it was allocated, in millionths an hour
+	Rate int64 // the task's share of the machine's price, in millionths of the currency an hour, at the time of the allocation
 }
 
-// JobTraits is what the charges of a job have in common.
+// JobTraits are the properties that all charges of a job share.
 type JobTraits struct {
 	_       struct{} `cbor:",toarray"`
 	Team    string
-	Account string // that the team charges for the job; empty: the team itself
+	Account string // the account within the team that pays for the job; empty: the team itself
 	Class   string
-	Cores   int64 // of one task, in milli-cores
-	GPUs    int64 // in milli-GPUs
-	Memory  int64 // in milli-gigabytes
+	Cores   int64 // cores of one task, in milli-cores
+	GPUs    int64 // GPUs of one task, in milli-GPUs
+	Memory  int64 // memory of one task, in milli-gigabytes
 }
 
-// InMilli is an amount in thousandths, rounded.
+// InMilli converts an amount to thousandths, rounded.
 func InMilli(v float64) int64 { return int64(math.Round(v * 1000)) }
 
-// Charge is what one attempt of a task cost, or the part of it that lies in
-// one day: the parts of an attempt are numbered from 0 and follow each other
-// without a gap. (Job, task, attempt, part) is unique to a charge.
+// Charge is the cost of one attempt of a task, or of the part of the attempt
+// that falls on one day. The parts of an attempt are numbered from 0, and each
+// starts when the previous one ends. (Job, task, attempt, part) identifies a charge.
 type Charge struct {
 	_       struct{} `cbor:",toarray"`
 	Task    int
 	Attempt uint64
 	Part    int
-	Kind    int   // index into the pack's kinds
-	Start   int64 // time of day in milliseconds
-	Run     int64 // milliseconds from then on
+	Kind    int   // index into Pack.Kinds
+	Start   int64 // Unix time in milliseconds
+	Run     int64 // run time in milliseconds
 	Money   int64
 	Outcome Outcome
 	Flags   Flag
 }
 
-// Flag is a set of flags of a charge.
+// Flag is a bit set of the flags of a charge.
 type Flag uint8
 
 // The flags of a charge.
 const (
-	UpperBound    Flag = 1 << iota // its time is an upper bound: its start or its end was not seen
-	ProgressSaved                  // its progress was saved
+	UpperBound    Flag = 1 << iota // the run time is an upper bound, since the start or the end was not observed
+	ProgressSaved                  // the task's progress was saved
 	PriceUnknown                   // the machine's price was not known
 )
 
-// End is the time of day, in milliseconds, up to which the charge counts.
+// End returns the Unix time, in milliseconds, at which the charged time ends.
 func (c *Charge) End() int64 { return c.Start + c.Run }
 
-// Pack is some of the charges of one job, as they are stored.
+// Pack is the unit in which charges are stored: some or all of the charges of one job.
 type Pack struct {
 	_       struct{} `cbor:",toarray"`
 	Job     string
@@ -74,7 +74,7 @@
 	Charges []Charge
 }
 
-// KindIndex returns the index of a kind, which it adds if it is new.
+// KindIndex returns the index of a kind in p.Kinds. It appends the kind if it is not in there yet.
 func (p *Pack) KindIndex(k Kind) int {
 	for i := range p.Kinds {
 		if p.Kinds[i] == k {
--- a/internal/accounting/charge/codec.go
+++ b/internal/accounting/charge/codec.go
@@ -8,34 +8,34 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A pack is stored as CBOR, as arrays without field names, behind a byte
-// that names the format. What is kept for long is a zstd frame of CBOR; zstd's
-// own checksum finds a damaged one.
+// A pack is stored as one byte that identifies the format, followed by CBOR. The
+// CBOR encodes structs as arrays without field names. Long-term records are zstd frames of
+// CBOR; zstd's checksum detects damaged frames.
 
-// packFormat is the only format of packs so far.
+// packFormat identifies the only format of packs so far.
 const packFormat = 1
 
 var (
-	// ErrUnknownFormat tells that a pack was stored in a format that this version does not know.
+	// ErrUnknownFormat means that a pack was stored in a format that this version does not know.
 	ErrUnknownFormat = errors.New("charges are stored in an unknown format")
-	// ErrMalformed tells that a stored pack does not hold usable charges.
+	// ErrMalformed means that a stored pack does not contain valid charges.
 	ErrMalformed = errors.New("stored charges are malformed")
-	// ErrDamaged tells that a compressed record cannot be expanded.
+	// ErrDamaged means that a record cannot be decompressed.
 	ErrDamaged = errors.New("a compressed record is damaged")
-	// ErrMalformedRecord tells that a compressed record does not hold what is expected.
+	// ErrMalformedRecord means that a decompressed record does not have the expected type.
 	ErrMalformedRecord = errors.New("a compressed record is malformed")
 )
 
-// EncodePack returns a pack's stored form.
+// EncodePack encodes a pack for storage.
 func EncodePack(p *Pack) []byte {
 	raw, err := cbor.Marshal(p)
 	if err != nil {
-		panic(fmt.Sprintf("packs are always encodable: %v", err))
+		panic(fmt.Sprintf("cannot encode a pack of charges: %v", err))
 	}
 	return append([]byte{packFormat}, raw...)
 }
 
-// DecodePack reads a pack's stored form. The error is ErrUnknownFormat or ErrMalformed.
+// DecodePack decodes a stored pack. The error wraps ErrUnknownFormat or ErrMalformed.
 func DecodePack(raw []byte) (*Pack, error) {
 	if len(raw) == 0 || raw[0] != packFormat {
 		return nil, ErrUnknownFormat
@@ -46,23 +46,23 @@
 	}
 	for i := range p.Charges {
 		if c := &p.Charges[i]; c.Kind < 0 || c.Kind >= len(p.Kinds) || c.Run < 0 {
-			return nil, fmt.Errorf("%w: of job %s", ErrMalformed, p.Job)
+			return nil, fmt.Errorf("%w: a charge of job %s has an invalid kind or a negative run time", ErrMalformed, p.Job)
 		}
 	}
 	return p, nil
 }
 
-// Codec compresses what is kept for long. It is not safe for concurrent use.
+// Codec encodes and compresses long-term records. It is not safe for concurrent use.
 type Codec struct {
 	enc *zstd.Encoder
 	dec *zstd.Decoder
 }
 
-// maxPlain bounds, in bytes, what a compressed record may grow to: one that claims
-// more is damaged.
+// maxPlain bounds the size, in bytes, of a decompressed record. A frame that claims a larger
+// size is damaged.
 const maxPlain = 8 << 20
 
-// NewCodec makes a codec. It takes some 2 MB of memory.
+// NewCodec returns a codec. A codec uses about 2 MB of memory.
 func NewCodec() (*Codec, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10), zstd.WithEncoderCRC(true))
 	if err != nil {
@@ -75,16 +75,16 @@
 	return &Codec{enc: enc, dec: dec}, nil
 }
 
-// Encode returns the compressed CBOR form of a value.
+// Encode returns a value as compressed CBOR.
 func (c *Codec) Encode(v any) []byte {
 	raw, err := cbor.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("records are always encodable: %v", err))
+		panic(fmt.Sprintf("cannot encode a record: %v", err))
 	}
 	return c.enc.EncodeAll(raw, nil)
 }
 
-// Decode reads a compressed form into v. The error is ErrDamaged or ErrMalformedRecord.
+// Decode decodes the result of Encode into v. The error wraps ErrDamaged or ErrMalformedRecord.
 func (c *Codec) Decode(raw []byte, v any) error {
 	plain, err := c.dec.DecodeAll(raw, nil)
 	if err != nil {
--- a/internal/accounting/charge/codec_test.go
+++ b/internal/accounting/charge/codec_test.go
@@ -16,7 +16,7 @@
 	negative.Charges[0].Run = -1
 	good := codec.Encode([]Pack{*fullPack()})
 	flipped := append([]byte(nil), good...)
-	flipped[len(flipped)-1] ^= 1 // of its checksum
+	flipped[len(flipped)-1] ^= 1 // a bit of the checksum
 	pack := func(raw []byte) error { _, err := DecodePack(raw); return err }
 	compressed := func(raw []byte) error { return codec.Decode(raw, new([]Pack)) }
 	for _, c := range []struct {
@@ -27,16 +27,16 @@
 	}{
 		{"an empty pack", pack, nil, ErrUnknownFormat},
 		{"a pack of a later format", pack, []byte{packFormat + 1}, ErrUnknownFormat},
-		{"a pack that is cut off", pack, []byte{packFormat}, ErrMalformed},
-		{"a charge of a kind that the pack does not have", pack, EncodePack(badKind), ErrMalformed},
-		{"a charge of negative time", pack, EncodePack(negative), ErrMalformed},
+		{"a truncated pack", pack, []byte{packFormat}, ErrMalformed},
+		{"a charge whose kind is not in the pack", pack, EncodePack(badKind), ErrMalformed},
+		{"a charge with a negative run time", pack, EncodePack(negative), ErrMalformed},
 		{"a record that is not compressed", compressed, []byte("plain"), ErrDamaged},
 		{"a record with a wrong checksum", compressed, flipped, ErrDamaged},
 		{"a record of another type", compressed, codec.Encode("text"), ErrMalformedRecord},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := c.read(c.raw); !errors.Is(err, c.want) {
-				t.Errorf("the error is %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// DayOf is the date, such as 2026-12-02, of a time in milliseconds.
+// DayOf returns the date, such as 2026-12-02, of a Unix time in milliseconds.
 func DayOf(ms int64, loc *time.Location) string {
 	return time.UnixMilli(ms).In(loc).Format(time.DateOnly)
 }
 
-// NextDay is when the day after that of a time begins; both are in milliseconds.
+// NextDay returns the beginning of the next day after a time. Both are Unix times in milliseconds.
 func NextDay(ms int64, loc *time.Location) int64 {
 	t := time.UnixMilli(ms).In(loc)
 	return time.Date(t.Year(), t.Month(), t.Day()+1, 0, 0, 0, 0, loc).UnixMilli()
 }
 
-// SplitByDay cuts a charge at midnights, so that each part lies in one day.
-// The parts add up to the charge's run time and money exactly.
+// SplitByDay splits a charge at each midnight, so that each part falls on one day.
+// The run times and costs of the parts add up exactly to those of the charge.
 func SplitByDay(c Charge, loc *time.Location) []Charge {
 	var out []Charge
 	for {
--- a/internal/accounting/charge/days_test.go
+++ b/internal/accounting/charge/days_test.go
@@ -19,14 +19,14 @@
 		loc   *time.Location
 		start int64
 		run   int64
-		runs  []int64 // of the parts
+		runs  []int64 // run times of the parts
 	}{
 		{"within a day", time.UTC, at(time.UTC, 10, 3), 5 * hour, []int64{5 * hour}},
 		{"up to midnight", time.UTC, at(time.UTC, 10, 20), 4 * hour, []int64{4 * hour}},
-		{"over a midnight", time.UTC, at(time.UTC, 10, 20), 5 * hour, []int64{4 * hour, hour}},
-		{"over two midnights", time.UTC, at(time.UTC, 10, 23), 26 * hour, []int64{hour, 24 * hour, hour}},
+		{"across a midnight", time.UTC, at(time.UTC, 10, 20), 5 * hour, []int64{4 * hour, hour}},
+		{"across two midnights", time.UTC, at(time.UTC, 10, 23), 26 * hour, []int64{hour, 24 * hour, hour}},
 		{"a day of 23 hours", berlin, at(berlin, 28, 23), 25 * hour, []int64{hour, 23 * hour, hour}},
-		{"no time at all", time.UTC, at(time.UTC, 10, 0), 0, []int64{0}},
+		{"zero run time", time.UTC, at(time.UTC, 10, 0), 0, []int64{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			whole := Charge{Task: 1, Attempt: 2, Part: 3, Start: c.start, Run: c.run, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
@@ -44,7 +44,7 @@
 					t.Errorf("part %d has outcome %v and flags %b", i, p.Outcome, p.Flags)
 				}
 				if !last && p.Outcome != Continues {
-					t.Errorf("part %d ends as %v", i, p.Outcome)
+					t.Errorf("part %d has outcome %v, want Continues", i, p.Outcome)
 				}
 				next, money = p.End(), money+p.Money
 			}
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -27,8 +27,8 @@
 	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [outcomeCount]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
 }
 
-// Packs of charges are stored in progress records and segments, amounts in the ledger's
-// pages.
+// Packs are stored in the progress records of jobs and in the ledger's segments. Amounts are
+// stored in the ledger's pages of totals.
 func TestStoredFormats(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -70,7 +70,7 @@
 	golden.Equal(t, "compressed-packs", again, packs)
 }
 
-// The names of ends are part of messages and metrics, their numbers of stored charges.
+// Messages and metrics contain the names of outcomes; stored charges contain their numbers.
 func TestNumbersAndNames(t *testing.T) {
 	var lines []string
 	for how := range Outcome(outcomeCount) {
--- a/internal/accounting/statement/formats_test.go
+++ b/internal/accounting/statement/formats_test.go
@@ -10,8 +10,9 @@
 	"poppypass/internal/platform/golden"
 )
 
-// Operators write templates of their own, with the names of these fields and functions:
-// docs/operators/budgets.md lists them, so the names are a format though they have no tags.
+// allFields is a template that uses every field and function. Operators use these names in their own
+// templates, and docs/operators/budgets.md lists them. The names must therefore not change, although
+// the fields have no tags.
 const allFields = `{{.Team}} {{.From}} {{.To}} {{.Zone}} {{.Made}} {{.Currency}}
 {{range .Rows}}{{template "total" .}}{{end}}{{range .Accounts}}{{template "total" .}}{{end}}{{template "total" .Sum}}
 {{define "total"}}{{.Day}} {{.Team}} {{.Account}} {{.Class}} {{.Type}} {{.Spot}} {{.Attempts}} {{.Ends}}
--- a/internal/accounting/statement/statement.go
+++ b/internal/accounting/statement/statement.go
@@ -1,6 +1,6 @@
-// Package statement renders bills: what a team and its accounts used in a period, from the
-// operator's own template or the default one, as text or as an HTML page without external
-// resources.
+// Package statement renders bills, which list what a team and its accounts used in a period. A
+// bill is text, or an HTML page without external resources. The template is the default one or
+// the operator's own.
 package statement
 
 import (
@@ -23,34 +23,34 @@
 //go:embed default.html.tmpl
 var defaultHTML string
 
-// Bill is what a template gets. Operators use its field names in templates of their own, so
-// they are a format.
+// Bill is the data of a template. Operators use its field names in their own templates, so the
+// names must not change.
 type Bill struct {
 	Team     string
-	From, To string // the first and last day; empty: no bound
-	Zone     string // in which days begin
-	Made     time.Time
+	From, To string    // the first and the last day; empty: no bound
+	Zone     string    // the time zone whose midnight begins a day
+	Made     time.Time // the time of rendering
 	Currency string
 	Rows     []ledger.Total // by account, class and machine type
-	Accounts []ledger.Total // the sums by account
-	Sum      ledger.Total
+	Accounts []ledger.Total // sums by account
+	Sum      ledger.Total   // of all rows
 }
 
-// TemplateError tells that a template cannot be read, parsed or executed.
+// TemplateError means that a template cannot be read, parsed or executed.
 type TemplateError struct {
 	Err error
 }
 
-// Error says in one line what is wrong.
+// Error returns the cause in one line.
 func (e *TemplateError) Error() string {
 	return "template: " + strings.ReplaceAll(e.Err.Error(), "\n", " ")
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *TemplateError) Unwrap() error { return e.Err }
 
-// Render writes a bill, as an HTML page or as text. path names the operator's own template;
-// empty: the default one. The error is a *TemplateError.
+// Render writes a bill as an HTML page or as text. path is that of the operator's own template, or
+// empty for the default one. The error is a *TemplateError.
 func Render(w io.Writer, b *Bill, path string, html bool) error {
 	name, text, err := templateText(path, html)
 	if err != nil {
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// templateText returns the template at a path or, if that is empty, the default one.
+// templateText returns the name and the text of the template at a path, or of the default template
+// if the path is empty.
 func templateText(path string, html bool) (name, text string, err error) {
 	switch {
 	case path != "":
@@ -78,13 +79,13 @@
 	return "default", defaultText, nil
 }
 
-// template is what templates of text and of HTML have in common.
+// template is the common interface of text and HTML templates.
 type template interface {
 	Execute(w io.Writer, data any) error
 }
 
-// parse parses a template. One of HTML escapes what it is given: accounts and classes are
-// names that users chose.
+// parse parses a template. An HTML template escapes the data: users choose the names of accounts
+// and classes.
 func parse(name, text string, html bool) (template, error) {
 	if html {
 		return htmltemplate.New(name).Funcs(functions).Option("missingkey=error").Parse(text)
@@ -92,7 +93,8 @@
 	return texttemplate.New(name).Funcs(functions).Option("missingkey=error").Parse(text)
 }
 
-// functions are those that templates may call. Operators use their names.
+// functions are the functions that templates can call. Operators use these names in their own
+// templates.
 var functions = map[string]any{
 	"hours": func(v float64) string { return fmt.Sprintf("%.3f", v) },
 	"money": func(v float64) string { return fmt.Sprintf("%.2f", v) },
--- a/internal/accounting/statement/statement_test.go
+++ b/internal/accounting/statement/statement_test.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/accounting/ledger"
 )
 
-// newBill returns a bill for an account whose name is one that HTML must escape.
+// newBill returns a bill for an account whose name must be escaped in HTML.
 func newBill() *Bill {
 	return &Bill{
 		Team: "payouts", From: "2026-11-01", To: "2026-11-30", Zone: "UTC", Currency: "USD",
@@ -28,7 +28,7 @@
 	return out.String(), err
 }
 
-// ownTemplate writes an operator's own template, and returns its path.
+// ownTemplate writes an operator's own template to a file and returns the path.
 func ownTemplate(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "own.tmpl")
@@ -41,22 +41,22 @@
 func TestDefaultTextShowsAccountsAndRoundedAmounts(t *testing.T) {
 	text, err := render("", false)
 	if err != nil || !strings.Contains(text, "<owner>") || !strings.Contains(text, "1.500") || !strings.Contains(text, "2.35") && !strings.Contains(text, "2.34") {
-		t.Errorf("text: %v\n%s", err, text)
+		t.Errorf("error %v, rendered text:\n%s", err, text)
 	}
 }
 
-// A job brings its account's name, which must not become part of the page.
+// The submitted job contains the account's name. It must not become markup of the page.
 func TestDefaultPageEscapesAccountsAndNeedsNothingElse(t *testing.T) {
 	page, err := render("", true)
 	if err != nil || strings.Contains(page, "<owner>") || !strings.Contains(page, "&lt;owner&gt;") || strings.Contains(page, "http") {
-		t.Errorf("page: %v\n%s", err, page)
+		t.Errorf("error %v, rendered page:\n%s", err, page)
 	}
 }
 
 func TestOwnTemplateTakesTheDefaultsPlace(t *testing.T) {
 	text, err := render(ownTemplate(t, `{{.Team}} owes {{money .Sum.Money}} {{.Currency}}`), false)
 	if err != nil || !strings.HasPrefix(text, "payouts owes 2.3") {
-		t.Errorf("own template: %q, %v", text, err)
+		t.Errorf("own template rendered as %q, error %v", text, err)
 	}
 }
 
@@ -67,11 +67,11 @@
 				own := ownTemplate(t, text)
 				_, err := render(own, html)
 				if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), own) {
-					t.Errorf("got the error %v", err)
+					t.Errorf("got error %v", err)
 				}
 				var broken *TemplateError
 				if !errors.As(err, &broken) {
-					t.Errorf("the error is a %T", err)
+					t.Errorf("got an error of type %T, want *TemplateError", err)
 				}
 			})
 		}
@@ -83,6 +83,6 @@
 	_, err := render(path, false)
 	var missing *TemplateError
 	if !errors.As(err, &missing) || !errors.Is(err, fs.ErrNotExist) || err.Error() != "template: open "+path+": no such file or directory" {
-		t.Errorf("got the error %v", err)
+		t.Errorf("got error %v", err)
 	}
 }
