--- a/cmd/poppypass/budget.go
+++ b/cmd/poppypass/budget.go
@@ -12,26 +12,26 @@
 )
 
 func budgetCommand() *cobra.Command {
-	var a ledgerAPI
-	c := &cobra.Command{Use: "budget", Short: "Show the teams' budgets"}
-	a.flags(c)
-	c.AddCommand(budgetShowCommand(&a))
-	return c
+	var api ledgerAPI
+	command := &cobra.Command{Use: "budget", Short: "Show the teams' budgets"}
+	api.addFlags(command)
+	command.AddCommand(budgetShowCommand(&api))
+	return command
 }
 
-func budgetShowCommand(a *ledgerAPI) *cobra.Command {
+func budgetShowCommand(api *ledgerAPI) *cobra.Command {
 	var team string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "show", Short: "Show the state of each budget", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var got struct {
+			var response struct {
 				Budgets []budget.View `json:"budgets"`
 			}
-			if err := a.get(cmd.Context(), ledger.PathBudgets+"?team="+url.QueryEscape(team), &got); err != nil {
+			if err := api.get(cmd.Context(), ledger.PathBudgets+"?team="+url.QueryEscape(team), &response); err != nil {
 				return err
 			}
 			rows := [][]string{{"team", "account", "period", "unit", "limit", "used", "reserved", "state", "until"}}
-			for _, v := range got.Budgets {
+			for _, v := range response.Budgets {
 				until := ""
 				if v.To != nil {
 					until = v.To.Format(time.RFC3339)
@@ -39,9 +39,9 @@
 				rows = append(rows, []string{v.Team, v.Account, string(v.Period), string(v.Unit), fmt.Sprintf("%.3f", v.Limit),
 					fmt.Sprintf("%.3f", v.Used), fmt.Sprintf("%.3f", v.Reserved), v.State, until})
 			}
-			return a.print(cmd.OutOrStdout(), got, rows, rows)
+			return api.print(cmd.OutOrStdout(), response, rows, rows)
 		},
 	}
-	c.Flags().StringVar(&team, "team", "", "only this team's")
-	return c
+	command.Flags().StringVar(&team, "team", "", "only this team's")
+	return command
 }
--- a/cmd/poppypass/client.go
+++ b/cmd/poppypass/client.go
@@ -23,8 +23,8 @@
 // client sends the requests of a command to a controller.
 type client struct{ addr string }
 
-// flags adds the flag for the address to a command and its subcommands.
-func (c *client) flags(cmd *cobra.Command) {
+// addFlags adds the flag for the address to a command and its subcommands.
+func (c *client) addFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.addr, "addr", "127.0.0.1:8080", "address of a controller or load balancer")
 }
 
@@ -40,7 +40,7 @@
 		return nil, err
 	}
 	if status >= http.StatusBadRequest {
-		return nil, refusal(status, out)
+		return nil, responseError(status, out)
 	}
 	return out, nil
 }
@@ -75,24 +75,24 @@
 	if err != nil {
 		return err
 	}
-	return refusal(resp.StatusCode, raw)
+	return responseError(resp.StatusCode, raw)
 }
 
-// errNotNow means that the controller temporarily cannot serve the request. The same command may succeed a
-// moment later.
-var errNotNow = errors.New("temporarily unavailable")
+// errTemporarilyUnavailable means that the controller temporarily cannot serve the request. The same command may
+// succeed a moment later.
+var errTemporarilyUnavailable = errors.New("temporarily unavailable")
 
-// refusal returns the error in a response, of the job protocol ("error") or of the API for graphs ("detail"). It
-// wraps errNotNow if a retry may succeed.
-func refusal(status int, body []byte) error {
-	var e struct{ Error, Detail string }
-	text := http.StatusText(status)
-	if json.Unmarshal(body, &e) == nil && e.Error+e.Detail != "" {
-		text = fmt.Sprintf("status %d: %s", status, e.Error+e.Detail)
+// responseError returns the error in a response, of the job protocol ("error") or of the API for graphs
+// ("detail"). It wraps errTemporarilyUnavailable if a retry may succeed.
+func responseError(status int, body []byte) error {
+	var response struct{ Error, Detail string }
+	message := http.StatusText(status)
+	if json.Unmarshal(body, &response) == nil && response.Error+response.Detail != "" {
+		message = fmt.Sprintf("status %d: %s", status, response.Error+response.Detail)
 	}
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return fmt.Errorf("%w: %s", errNotNow, text)
+		return fmt.Errorf("%w: %s", errTemporarilyUnavailable, message)
 	}
-	return errors.New(text)
+	return errors.New(message)
 }
--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -13,9 +13,9 @@
 	"poppypass/internal/sim/testutil"
 )
 
-func TestBadSettingsAreRefusedInOneLine(t *testing.T) {
-	good := settings(t, "127.0.0.1:8080", "127.0.0.1:1", "127.0.0.1:2")
-	if out, err := run("check", "--config", good); err != nil || !strings.Contains(out, "good settings for member m0") {
+func TestInvalidSettingsErrorIsOneLine(t *testing.T) {
+	validSettings := writeSettings(t, "127.0.0.1:8080", "127.0.0.1:1", "127.0.0.1:2")
+	if out, err := runCommand("check", "--config", validSettings); err != nil || !strings.Contains(out, "good settings for member m0") {
 		t.Errorf("check of valid settings printed %q, error %v", out, err)
 	}
 	for _, c := range []struct {
@@ -26,18 +26,18 @@
 		{"no --config flag", nil, "config"},
 		{"a file that does not exist", []string{"--config", "none.toml"}, "none.toml"},
 		{"a missing field", []string{"--config", testutil.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
-		{"invalid properties", []string{"--config", good, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
+		{"invalid properties", []string{"--config", validSettings, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
 	} {
 		for _, verb := range []string{"check", "serve"} {
-			if _, err := run(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			if _, err := runCommand(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s with %s returned error %v", verb, c.name, err)
 			}
 		}
 	}
 }
 
-func TestTheVersionIsPrinted(t *testing.T) {
-	if out, err := run("version"); err != nil || out != "poppypass "+version+"\n" {
+func TestVersionIsPrinted(t *testing.T) {
+	if out, err := runCommand("version"); err != nil || out != "poppypass "+version+"\n" {
 		t.Errorf("printed %q, error %v", out, err)
 	}
 }
@@ -45,39 +45,39 @@
 // Submits, queries and cancels a job with the client commands. The controller uses a fake state
 // service and a fake cloud.
 func TestClientCommandsAgainstAController(t *testing.T) {
-	state := fakes.NewStore(clockwork.NewRealClock())
+	store := fakes.NewStore(clockwork.NewRealClock())
 	cloud := fakes.NewCloud(3, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, BootS: 30, Zones: []string{"a"}})
 	bind := testutil.FreeAddr(t)
-	path := settings(t, bind, state.Addr(), cloud.Addr())
-	s, err := config.Load(path)
+	settingsFile := writeSettings(t, bind, store.Addr(), cloud.Addr())
+	loaded, err := config.Load(settingsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	props := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
-	startController(t, s, props, state, cloud)
-	// until repeats a command until its output contains the given text. It fails after a minute, so
+	propertiesFile := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
+	startController(t, loaded, propertiesFile, store, cloud)
+	// runUntil repeats a job command until its output contains the given text. It fails after a minute, so
 	// that a hang is a test failure.
-	until := func(want string, args ...string) {
+	runUntil := func(wantOutput string, args ...string) {
 		t.Helper()
-		for begun := time.Now(); ; {
-			out, err := run(append([]string{"job", "--addr", bind}, args...)...)
-			if err == nil && strings.Contains(out, want) {
+		for start := time.Now(); ; {
+			out, err := runCommand(append([]string{"job", "--addr", bind}, args...)...)
+			if err == nil && strings.Contains(out, wantOutput) {
 				return
 			}
-			if time.Since(begun) > time.Minute {
+			if time.Since(start) > time.Minute {
 				t.Fatalf("%v still prints %q, error %v", args, out, err)
 			}
 		}
 	}
-	if out, err := run("ledger", "verify", "--config", path, "--properties", props); err != nil || !strings.Contains(out, "all totals are right") {
+	if out, err := runCommand("ledger", "verify", "--config", settingsFile, "--properties", propertiesFile); err != nil || !strings.Contains(out, "all totals are right") {
 		t.Errorf("verify printed %q, error %v", out, err)
 	}
-	job := testutil.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
+	jobFile := testutil.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
 		"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,
 		"ride_s":1,"stub_s":0,"stamp_s":0}`)
-	until(`"pending"`, "submit", job)
-	until(`"pending"`, "get", "job-1")
-	until(`no machine has room`, "why", "job-1")
+	runUntil(`"pending"`, "submit", jobFile)
+	runUntil(`"pending"`, "get", "job-1")
+	runUntil(`no machine has room`, "why", "job-1")
 	for _, c := range []struct {
 		want string
 		args []string
@@ -90,33 +90,33 @@
 		{"<!doctype html>", []string{"ledger", "statement", "--team", "t", "--format", "html"}},
 		{"core-hours", []string{"budget", "show"}},
 	} {
-		if out, err := run(append(c.args, "--addr", bind)...); err != nil || !strings.Contains(out, c.want) {
+		if out, err := runCommand(append(c.args, "--addr", bind)...); err != nil || !strings.Contains(out, c.want) {
 			t.Errorf("%v printed %q, error %v", c.args, out, err)
 		}
 	}
 	for _, args := range [][]string{{"ledger", "show"}, {"ledger", "show", "--team", "t", "--by", "x"}, {"ledger", "show", "--team", "t", "--output", "x"}, {"ledger", "statement"}} {
-		if out, err := run(append(args, "--addr", bind)...); err == nil {
+		if out, err := runCommand(append(args, "--addr", bind)...); err == nil {
 			t.Errorf("%v printed %q, want an error", args, out)
 		}
 	}
-	until(`"withdrawn"`, "cancel", "job-1")
-	until(`"withdrawn"`, "get", "job-1")
-	until(`"withdrawn"`, "submit", job)
-	if _, err := run("job", "--addr", bind, "get", "job-2"); err == nil || !strings.Contains(err.Error(), "404") {
+	runUntil(`"withdrawn"`, "cancel", "job-1")
+	runUntil(`"withdrawn"`, "get", "job-1")
+	runUntil(`"withdrawn"`, "submit", jobFile)
+	if _, err := runCommand("job", "--addr", bind, "get", "job-2"); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("get of a job that was never submitted returned error %v", err)
 	}
-	state.Refuse(true)
+	store.Refuse(true)
 	for _, c := range []struct {
 		id   string
 		want int // exit status: whether a retry may succeed
-	}{{"job-9", exitTryAgain}, {"x", 1}} {
-		_, err := run("job", "--addr", bind, "cancel", c.id)
+	}{{"job-9", exitTemporaryFailure}, {"x", 1}} {
+		_, err := runCommand("job", "--addr", bind, "cancel", c.id)
 		if err == nil || exitStatus(err) != c.want || strings.Contains(err.Error(), "\n") {
 			t.Errorf("cancellation of %s without the state service returned error %v", c.id, err)
 		}
 	}
-	state.Refuse(false)
-	if _, err := run("job", "--addr", bind, "submit", testutil.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
+	store.Refuse(false)
+	if _, err := runCommand("job", "--addr", bind, "submit", testutil.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
 		t.Errorf("submission of an invalid job returned error %v", err)
 	}
 }
--- a/cmd/poppypass/formats_test.go
+++ b/cmd/poppypass/formats_test.go
@@ -32,5 +32,5 @@
 }
 
 func TestAnswerFormat(t *testing.T) {
-	golden.JSONRoundTrip(t, "run", golden.Fill(new(runAnswer)))
+	golden.JSONRoundTrip(t, "run", golden.Fill(new(runResponse)))
 }
--- a/cmd/poppypass/graph_check.go
+++ b/cmd/poppypass/graph_check.go
@@ -15,7 +15,7 @@
 
 func graphCheckCommand() *cobra.Command {
 	var output, team string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "check FILE", Short: "Check the graphs that a file describes, and tell their critical paths", Args: cobra.ExactArgs(1),
 		Long: "Check the graphs that a file describes: Starlark with Airflow's words, or JSON (a name\nthat ends in .json). Nothing is sent anywhere. A file is run with bounded steps, time\nand memory; it cannot read files, reach a network or tell the time.",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,9 +31,9 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&output, "output", "text", "text, json or dot")
-	c.Flags().StringVar(&team, "team", "", "the team of graphs that name none")
-	return c
+	command.Flags().StringVar(&output, "output", "text", "text, json or dot")
+	command.Flags().StringVar(&team, "team", "", "the team of graphs that name none")
+	return command
 }
 
 // printPlan prints a graph in the format that --output selects.
--- a/cmd/poppypass/graph_client.go
+++ b/cmd/poppypass/graph_client.go
@@ -24,13 +24,13 @@
 	team string
 }
 
-func (a *graphAPI) flags(c *cobra.Command) {
-	a.client.flags(c)
-	c.Flags().StringVar(&a.team, "team", "", "the team whose graphs are meant")
+func (a *graphAPI) addFlags(command *cobra.Command) {
+	a.client.addFlags(command)
+	command.Flags().StringVar(&a.team, "team", "", "the team whose graphs are meant")
 }
 
 // path returns the path of an API request with its query parameters, including the team.
-func (a *graphAPI) path(q url.Values, parts ...string) (string, error) {
+func (a *graphAPI) path(params url.Values, parts ...string) (string, error) {
 	if a.team == "" {
 		return "", errors.New("name a team with --team")
 	}
@@ -38,16 +38,16 @@
 	for i, p := range parts {
 		escaped[i] = url.PathEscape(p)
 	}
-	if q == nil {
-		q = url.Values{}
+	if params == nil {
+		params = url.Values{}
 	}
-	q.Set("team", a.team)
-	return airflow.PathAPI + "/" + strings.Join(escaped, "/") + "?" + q.Encode(), nil
+	params.Set("team", a.team)
+	return airflow.PathAPI + "/" + strings.Join(escaped, "/") + "?" + params.Encode(), nil
 }
 
 // request calls the API and decodes the JSON of the response into out, if that is not nil.
-func (a *graphAPI) request(ctx context.Context, method string, in, out any, q url.Values, parts ...string) error {
-	path, err := a.path(q, parts...)
+func (a *graphAPI) request(ctx context.Context, method string, in, out any, params url.Values, parts ...string) error {
+	path, err := a.path(params, parts...)
 	if err != nil {
 		return err
 	}
@@ -66,21 +66,21 @@
 	return a.request(ctx, http.MethodGet, nil, out, nil, parts...)
 }
 
-// list reads all pages of a list. name is the field of the response that contains the items.
-func list[T any](ctx context.Context, a *graphAPI, name string, q url.Values, parts ...string) ([]T, error) {
+// listAll reads all pages of a list. name is the field of the response that contains the items.
+func listAll[T any](ctx context.Context, api *graphAPI, name string, params url.Values, parts ...string) ([]T, error) {
 	var all []T
 	for {
-		page := url.Values{"offset": {strconv.Itoa(len(all))}}
-		for k, v := range q {
-			page[k] = v
+		pageParams := url.Values{"offset": {strconv.Itoa(len(all))}}
+		for k, v := range params {
+			pageParams[k] = v
 		}
-		var got map[string]json.RawMessage
-		if err := a.request(ctx, http.MethodGet, nil, &got, page, parts...); err != nil {
+		var page map[string]json.RawMessage
+		if err := api.request(ctx, http.MethodGet, nil, &page, pageParams, parts...); err != nil {
 			return nil, err
 		}
 		var items []T
 		var total int
-		if err := errors.Join(json.Unmarshal(got[name], &items), json.Unmarshal(got["total_entries"], &total)); err != nil {
+		if err := errors.Join(json.Unmarshal(page[name], &items), json.Unmarshal(page["total_entries"], &total)); err != nil {
 			return nil, fmt.Errorf("malformed response: %w", err)
 		}
 		if all = append(all, items...); len(items) == 0 || len(all) >= total {
@@ -91,12 +91,12 @@
 
 // register uploads a graph and registers it. A graph that exceeds the size of a request is uploaded in several
 // parts. If paused is nil, a registered graph remains paused or not paused as before.
-func (a *graphAPI) register(ctx context.Context, p *dag.Plan, paused *bool) error {
+func (a *graphAPI) register(ctx context.Context, plan *dag.Plan, paused *bool) error {
 	codec, err := charge.NewCodec()
 	if err != nil {
 		return err
 	}
-	hash, parts, err := runner.Pack(codec, &p.Graph)
+	hash, parts, err := runner.Pack(codec, &plan.Graph)
 	if err != nil {
 		return err
 	}
@@ -106,12 +106,12 @@
 	}
 	// A concurrent registration of the same definition that found a part damaged may delete the parts that were
 	// just uploaded. Uploading them once more repairs that.
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		if err := a.upload(ctx, hash, parts); err != nil {
 			return err
 		}
-		err := a.request(ctx, http.MethodPut, body, nil, nil, "dags", p.ID)
-		if err == nil || try == 1 {
+		err := a.request(ctx, http.MethodPut, body, nil, nil, "dags", plan.ID)
+		if err == nil || attempt == 1 {
 			return err
 		}
 	}
--- a/cmd/poppypass/graph_commands_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -23,43 +23,43 @@
 func serveGraphs(t *testing.T, properties string) string {
 	t.Helper()
 	clock := clockwork.NewRealClock()
-	state := fakes.NewStore(clock)
+	store := fakes.NewStore(clock)
 	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
-	s := &config.Settings{
-		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), External: config.ExternalAddresses{Cloud: cloud.Addr(), State: state.Addr()},
+	settings := &config.Settings{
+		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), External: config.ExternalAddresses{Cloud: cloud.Addr(), State: store.Addr()},
 		Cluster: config.Cluster{
 			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	startController(t, s, testutil.File(t, "own.properties", properties), state, cloud)
-	return s.Bind
+	startController(t, settings, testutil.File(t, "own.properties", properties), store, cloud)
+	return settings.Bind
 }
 
-// graph runs a graph command and returns its result. It retries for up to a minute while no controller listens
-// (connection refused) or no member is the leader (status 503).
-func graph(t *testing.T, addr string, args ...string) (string, error) {
+// runGraphCommand runs a graph command and returns its result. It retries for up to a minute while no controller
+// listens (connection refused) or no member is the leader (status 503).
+func runGraphCommand(t *testing.T, addr string, args ...string) (string, error) {
 	t.Helper()
 	args = append(append([]string{"graph"}, args...), "--addr", addr, "--team", "t")
-	for end := time.Now().Add(time.Minute); ; {
-		out, err := run(args...)
-		if err == nil || !strings.Contains(err.Error(), "503") && !strings.Contains(err.Error(), "refused") || time.Now().After(end) {
+	for deadline := time.Now().Add(time.Minute); ; {
+		out, err := runCommand(args...)
+		if err == nil || !strings.Contains(err.Error(), "503") && !strings.Contains(err.Error(), "refused") || time.Now().After(deadline) {
 			return out, err
 		}
 	}
 }
 
 func TestGraphCommandsAgainstAController(t *testing.T) {
-	var described atomic.Int32
-	src := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var describedSteps atomic.Int32
+	descriptionServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var steps []runner.Description
 		if err := json.NewDecoder(r.Body).Decode(&steps); err != nil || r.URL.Path == "/none" {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
-		described.Add(int32(len(steps)))
+		describedSteps.Add(int32(len(steps)))
 	}))
-	defer src.Close()
+	defer descriptionServer.Close()
 	addr := serveGraphs(t, "graphs = on\n")
 	file := testutil.File(t, "g.star", `
 DAG("g", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"}, tags = ["x"])
@@ -72,9 +72,9 @@
 		{[]string{"submit", file}, "g of t: registered, 3 steps"},
 		{[]string{"list"}, "g    false"},
 		{[]string{"trigger", "g", "--run", "one"}, "!graphs.descriptions"},
-		{[]string{"trigger", "g", "--run", "one", "--descriptions", src.URL + "/none"}, "!cannot be described"},
+		{[]string{"trigger", "g", "--run", "one", "--descriptions", descriptionServer.URL + "/none"}, "!cannot be described"},
 		{[]string{"trigger", "g", "--run", "one", "--conf", "{"}, "!--conf is not JSON"},
-		{[]string{"trigger", "g", "--run", "one", "--conf", `{"a":1}`, "--descriptions", src.URL}, "one of g: "},
+		{[]string{"trigger", "g", "--run", "one", "--conf", `{"a":1}`, "--descriptions", descriptionServer.URL}, "one of g: "},
 		{[]string{"trigger", "g", "--run", "one", "--described"}, "!exists already"},
 		{[]string{"list", "g"}, "manual"},
 		{[]string{"show", "g", "one"}, "work"},
@@ -95,8 +95,8 @@
 		{[]string{"cancel", "g", "one"}, ""},
 		{[]string{"list", "--output", "csv"}, "!--output"},
 	} {
-		out, err := graph(t, addr, c.args...)
-		if want, refused := strings.CutPrefix(c.want, "!"); refused {
+		out, err := runGraphCommand(t, addr, c.args...)
+		if want, wantError := strings.CutPrefix(c.want, "!"); wantError {
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v should fail; printed %q, error %v", c.args, out, err)
 			}
@@ -104,23 +104,23 @@
 			t.Errorf("%v printed %q, error %v", c.args, out, err)
 		}
 	}
-	if described.Load() != 2 {
-		t.Errorf("got descriptions of %d steps, want 2", described.Load())
+	if describedSteps.Load() != 2 {
+		t.Errorf("got descriptions of %d steps, want 2", describedSteps.Load())
 	}
-	for end := time.Now().Add(time.Minute); ; {
-		if _, err := graph(t, addr, "delete", "g"); err == nil {
+	for deadline := time.Now().Add(time.Minute); ; {
+		if _, err := runGraphCommand(t, addr, "delete", "g"); err == nil {
 			break
-		} else if time.Now().After(end) {
+		} else if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
-	if _, err := run("graph", "list", "--addr", addr); err == nil || !strings.Contains(err.Error(), "--team") {
+	if _, err := runCommand("graph", "list", "--addr", addr); err == nil || !strings.Contains(err.Error(), "--team") {
 		t.Errorf("list without a team returned error %v", err)
 	}
 }
 
 // The end of a backfill that is given as a date includes that whole day: a week from Monday to Sunday has seven days.
-func TestADayOfABackfillCountsToItsEnd(t *testing.T) {
+func TestBackfillEndDateIncludesTheWholeDay(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		end  bool
@@ -128,7 +128,7 @@
 	}{
 		{"2026-11-23", false, "2026-11-23T00:00:00Z"}, {"2026-11-29", true, "2026-11-29T23:59:59Z"}, {"2026-11-29T06:00:00Z", true, "2026-11-29T06:00:00Z"},
 	} {
-		if at, err := dayOf(c.text, c.end); err != nil || at.Format(time.RFC3339) != c.want {
+		if at, err := parseDayOrTime(c.text, c.end); err != nil || at.Format(time.RFC3339) != c.want {
 			t.Errorf("%s is parsed as %v, error %v", c.text, at, err)
 		}
 	}
@@ -147,13 +147,13 @@
 	}
 	b.WriteString("]}")
 	file := testutil.File(t, "large.json", b.String())
-	if out, err := graph(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
+	if out, err := runGraphCommand(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
 		t.Fatalf("submit printed %q, error %v", out, err)
 	}
-	if out, err := graph(t, addr, "trigger", "large", "--described", "--run", "one"); err != nil {
+	if out, err := runGraphCommand(t, addr, "trigger", "large", "--described", "--run", "one"); err != nil {
 		t.Fatalf("trigger printed %q, error %v", out, err)
 	}
-	if out, err := graph(t, addr, "show", "large", "one"); err != nil || !strings.Contains(out, "scheduled") || strings.Count(out, "\n") < 9_000 {
+	if out, err := runGraphCommand(t, addr, "show", "large", "one"); err != nil || !strings.Contains(out, "scheduled") || strings.Count(out, "\n") < 9_000 {
 		t.Errorf("show printed %.300q, error %v", out, err)
 	}
 }
--- a/cmd/poppypass/graph_list.go
+++ b/cmd/poppypass/graph_list.go
@@ -12,29 +12,29 @@
 )
 
 func graphListCommand() *cobra.Command {
-	var a graphAPI
+	var api graphAPI
 	var output string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "list [DAG]", Short: "List a team's graphs, or the runs of one", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 1 {
 				newestFirst := url.Values{"order_by": {"-logical_date"}}
-				runs, err := list[json.RawMessage](cmd.Context(), &a, "dag_runs", newestFirst, "dags", args[0], "dagRuns")
+				runs, err := listAll[json.RawMessage](cmd.Context(), &api, "dag_runs", newestFirst, "dags", args[0], "dagRuns")
 				if err != nil {
 					return err
 				}
 				return printItems(cmd.OutOrStdout(), output, runs, runRows)
 			}
-			dags, err := list[json.RawMessage](cmd.Context(), &a, "dags", nil, "dags")
+			dags, err := listAll[json.RawMessage](cmd.Context(), &api, "dags", nil, "dags")
 			if err != nil {
 				return err
 			}
 			return printItems(cmd.OutOrStdout(), output, dags, dagRows)
 		},
 	}
-	a.flags(c)
-	c.Flags().StringVar(&output, "output", "table", "table or json")
-	return c
+	api.addFlags(command)
+	command.Flags().StringVar(&output, "output", "table", "table or json")
+	return command
 }
 
 // printItems prints the items of a list as JSON or as a table. rows converts the items to the rows of the table.
@@ -56,7 +56,7 @@
 func dagRows(items []json.RawMessage) ([][]string, error) {
 	rows := [][]string{{"DAG", "PAUSED", "SCHEDULE", "NEXT RUN"}}
 	for _, raw := range items {
-		var g struct {
+		var graph struct {
 			ID       string `json:"dag_id"`
 			Paused   bool   `json:"is_paused"`
 			Next     string `json:"next_dagrun_create_after"`
@@ -64,10 +64,10 @@
 				Value string `json:"value"`
 			} `json:"schedule_interval"`
 		}
-		if err := json.Unmarshal(raw, &g); err != nil {
+		if err := json.Unmarshal(raw, &graph); err != nil {
 			return nil, err
 		}
-		rows = append(rows, []string{g.ID, strconv.FormatBool(g.Paused), g.Schedule.Value, g.Next})
+		rows = append(rows, []string{graph.ID, strconv.FormatBool(graph.Paused), graph.Schedule.Value, graph.Next})
 	}
 	return rows, nil
 }
@@ -76,18 +76,18 @@
 func runRows(items []json.RawMessage) ([][]string, error) {
 	rows := [][]string{{"RUN", "TYPE", "STATE", "BEGUN", "TOOK"}}
 	for _, raw := range items {
-		var r runAnswer
-		if err := json.Unmarshal(raw, &r); err != nil {
+		var run runResponse
+		if err := json.Unmarshal(raw, &run); err != nil {
 			return nil, err
 		}
 		begun, took := "", ""
-		if r.Start != nil {
-			begun = r.Start.UTC().Format(time.RFC3339)
-			if r.End != nil {
-				took = r.End.Sub(*r.Start).Round(time.Second).String()
+		if run.Start != nil {
+			begun = run.Start.UTC().Format(time.RFC3339)
+			if run.End != nil {
+				took = run.End.Sub(*run.Start).Round(time.Second).String()
 			}
 		}
-		rows = append(rows, []string{r.ID, r.Type, r.State, begun, took})
+		rows = append(rows, []string{run.ID, run.Type, run.State, begun, took})
 	}
 	return rows, nil
 }
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/graphs/dagview"
 )
 
-// runAnswer contains the fields of a run in an API response that commands use.
-type runAnswer struct {
+// runResponse contains the fields of a run in an API response that commands use.
+type runResponse struct {
 	ID    string     `json:"dag_run_id"`
 	DAG   string     `json:"dag_id"`
 	State string     `json:"state"`
@@ -21,29 +21,29 @@
 	Date  *time.Time `json:"logical_date"`
 }
 
-// run reads a run with its definition and the instances and tries of its steps.
-func (a *graphAPI) run(ctx context.Context, id, run string) (*dagview.Run, error) {
-	path := []string{"dags", id, "dagRuns", run}
-	var r runAnswer
-	if err := a.read(ctx, &r, path...); err != nil {
+// readRun reads a run with its definition and the instances and tries of its steps.
+func (a *graphAPI) readRun(ctx context.Context, dagID, runID string) (*dagview.Run, error) {
+	path := []string{"dags", dagID, "dagRuns", runID}
+	var response runResponse
+	if err := a.read(ctx, &response, path...); err != nil {
 		return nil, err
 	}
-	plan, err := a.plan(ctx, append(path, "definition")...)
+	plan, err := a.readPlan(ctx, append(path, "definition")...)
 	if err != nil {
 		return nil, err
 	}
-	v := &dagview.Run{Plan: plan, ID: run, State: r.State, Start: timeOrZero(r.Start), End: timeOrZero(r.End), Now: time.Now()}
-	if v.Instances, err = a.instances(ctx, plan, path); err != nil {
+	view := &dagview.Run{Plan: plan, ID: runID, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
+	if view.Instances, err = a.readInstances(ctx, plan, path); err != nil {
 		return nil, err
 	}
-	if v.Tries, err = a.tries(ctx, plan, path); err != nil {
+	if view.Tries, err = a.readTries(ctx, plan, path); err != nil {
 		return nil, err
 	}
-	return v, nil
+	return view, nil
 }
 
-// plan reads and checks a graph definition.
-func (a *graphAPI) plan(ctx context.Context, path ...string) (*dag.Plan, error) {
+// readPlan reads and checks a graph definition.
+func (a *graphAPI) readPlan(ctx context.Context, path ...string) (*dag.Plan, error) {
 	var g dag.Graph
 	if err := a.read(ctx, &g, path...); err != nil {
 		return nil, err
@@ -51,8 +51,8 @@
 	return dag.NewPlan(&g)
 }
 
-// instances reads the instances of the steps of a run. run is the path of the run.
-func (a *graphAPI) instances(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Instance, error) {
+// readInstances reads the instances of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) readInstances(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Instance, error) {
 	type instance struct {
 		Task  string  `json:"task_id"`
 		Index int     `json:"map_index"`
@@ -60,40 +60,40 @@
 		Try   int     `json:"try_number"`
 		Job   *string `json:"job"`
 	}
-	items, err := list[instance](ctx, a, "task_instances", nil, append(run, "taskInstances")...)
+	items, err := listAll[instance](ctx, a, "task_instances", nil, append(runPath, "taskInstances")...)
 	if err != nil {
 		return nil, err
 	}
 	var all []dagview.Instance
-	for _, x := range items {
-		i := dagview.Instance{Step: p.Index[x.Task], Index: x.Index, State: dag.None.String(), Try: x.Try}
-		if x.State != nil {
-			i.State = *x.State
+	for _, item := range items {
+		instance := dagview.Instance{Step: plan.Index[item.Task], Index: item.Index, State: dag.None.String(), Try: item.Try}
+		if item.State != nil {
+			instance.State = *item.State
 		}
-		if x.Job != nil {
-			i.Job = *x.Job
+		if item.Job != nil {
+			instance.Job = *item.Job
 		}
-		all = append(all, i)
+		all = append(all, instance)
 	}
 	return all, nil
 }
 
-// tries reads the tries of the steps of a run. run is the path of the run.
-func (a *graphAPI) tries(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Try, error) {
-	items, err := list[airflow.TryView](ctx, a, "tries", nil, append(run, "tries")...)
+// readTries reads the tries of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) readTries(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Try, error) {
+	items, err := listAll[airflow.TryView](ctx, a, "tries", nil, append(runPath, "tries")...)
 	if err != nil {
 		return nil, err
 	}
 	var all []dagview.Try
-	for _, t := range items {
-		x := dagview.Try{Step: p.Index[t.Task], Index: t.Index, State: t.State}
-		if x.Begin, err = parseTime(t.Start); err != nil {
+	for _, item := range items {
+		try := dagview.Try{Step: plan.Index[item.Task], Index: item.Index, State: item.State}
+		if try.Begin, err = parseTime(item.Start); err != nil {
 			return nil, err
 		}
-		if x.End, err = parseTime(t.End); err != nil {
+		if try.End, err = parseTime(item.End); err != nil {
 			return nil, err
 		}
-		all = append(all, x)
+		all = append(all, try)
 	}
 	return all, nil
 }
--- a/cmd/poppypass/graph_show.go
+++ b/cmd/poppypass/graph_show.go
@@ -10,10 +10,10 @@
 )
 
 func graphShowCommand() *cobra.Command {
-	var a graphAPI
+	var api graphAPI
 	var output string
 	var all bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "show DAG RUN", Short: "Show a run: as text, JSON, DOT, or a page with the graph and a Gantt of its tries", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			w := cmd.OutOrStdout()
@@ -23,27 +23,27 @@
 				return fmt.Errorf("--output is %q; it can be text, json, dot or html", output)
 			}
 			if output == "json" {
-				items, err := list[json.RawMessage](cmd.Context(), &a, "task_instances", nil, "dags", args[0], "dagRuns", args[1], "taskInstances")
+				items, err := listAll[json.RawMessage](cmd.Context(), &api, "task_instances", nil, "dags", args[0], "dagRuns", args[1], "taskInstances")
 				if err != nil {
 					return err
 				}
 				return printJSON(w, items)
 			}
-			r, err := a.run(cmd.Context(), args[0], args[1])
+			run, err := api.readRun(cmd.Context(), args[0], args[1])
 			if err != nil {
 				return err
 			}
 			switch output {
 			case "dot":
-				return dagview.RunDot(w, r)
+				return dagview.RunDot(w, run)
 			case "html":
-				return dagview.RunHTML(w, r)
+				return dagview.RunHTML(w, run)
 			}
-			return dagview.RunText(w, r, all)
+			return dagview.RunText(w, run, all)
 		},
 	}
-	a.flags(c)
-	c.Flags().StringVar(&output, "output", "text", "text, json, dot or html")
-	c.Flags().BoolVar(&all, "all", false, "text: also steps that are done, or wait for others")
-	return c
+	api.addFlags(command)
+	command.Flags().StringVar(&output, "output", "text", "text, json, dot or html")
+	command.Flags().BoolVar(&all, "all", false, "text: also steps that are done, or wait for others")
+	return command
 }
--- a/cmd/poppypass/helpers_test.go
+++ b/cmd/poppypass/helpers_test.go
@@ -15,8 +15,8 @@
 	"poppypass/internal/sim/testutil"
 )
 
-// run runs a command and returns its output.
-func run(args ...string) (string, error) {
+// runCommand runs a command and returns its output.
+func runCommand(args ...string) (string, error) {
 	cmd := rootCommand()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
@@ -26,8 +26,8 @@
 	return out.String(), err
 }
 
-// settings writes a settings file for member m0 and returns its path.
-func settings(t *testing.T, bind, state, cloud string) string {
+// writeSettings writes a settings file for member m0 and returns its path.
+func writeSettings(t *testing.T, bind, state, cloud string) string {
 	t.Helper()
 	return testutil.File(t, "settings.toml", fmt.Sprintf(`
 member = "m0"
@@ -56,13 +56,13 @@
 
 // startController runs a controller with the operators' settings in a properties file. When the test ends, it
 // stops the controller and closes the fakes that it uses.
-func startController(t *testing.T, s *config.Settings, properties string, state *fakes.Store, cloud *fakes.Cloud) {
+func startController(t *testing.T, settings *config.Settings, propertiesFile string, store *fakes.Store, cloud *fakes.Cloud) {
 	t.Helper()
-	operator, err := config.LoadProperties(properties)
+	operatorSettings, err := config.LoadProperties(propertiesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := controller.New(s, config.Watch("", s, operator), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
+	c, err := controller.New(settings, config.Watch("", settings, operatorSettings), clockwork.NewRealClock(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 		if err := <-done; err != nil {
 			t.Errorf("the controller returned error %v", err)
 		}
-		state.Close()
+		store.Close()
 		cloud.Close()
 	})
 }
--- a/cmd/poppypass/job.go
+++ b/cmd/poppypass/job.go
@@ -14,15 +14,15 @@
 
 func jobCommand() *cobra.Command {
 	var api client
-	c := &cobra.Command{Use: "job", Short: "Submit, query and cancel jobs"}
-	api.flags(c)
-	c.AddCommand(
+	command := &cobra.Command{Use: "job", Short: "Submit, query and cancel jobs"}
+	api.addFlags(command)
+	command.AddCommand(
 		jobSubmitCommand(&api),
 		jobRequestCommand(&api, "get ID", "Show a job's state", http.MethodGet, ""),
 		jobRequestCommand(&api, "why ID", "Say what a job's tasks wait for", http.MethodGet, "/"+wire.EndExplain),
 		jobRequestCommand(&api, "cancel ID", "Cancel a job", http.MethodPost, "/"+wire.EndCancel),
 	)
-	return c
+	return command
 }
 
 func jobSubmitCommand(api *client) *cobra.Command {
@@ -38,7 +38,7 @@
 			if _, err := wire.ParseJob(raw); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			return printAnswer(cmd, api, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
+			return printResponse(cmd, api, http.MethodPost, wire.PathJobs, json.RawMessage(raw))
 		},
 	}
 }
@@ -50,18 +50,18 @@
 		Short: short,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return printAnswer(cmd, api, method, wire.PathJobs+"/"+args[0]+suffix, nil)
+			return printResponse(cmd, api, method, wire.PathJobs+"/"+args[0]+suffix, nil)
 		},
 	}
 }
 
-// printAnswer calls a controller and prints its response unchanged.
-func printAnswer(cmd *cobra.Command, api *client, method, path string, in any) error {
-	out, err := api.call(cmd.Context(), method, path, in)
+// printResponse calls a controller and prints its response unchanged.
+func printResponse(cmd *cobra.Command, api *client, method, path string, in any) error {
+	response, err := api.call(cmd.Context(), method, path, in)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(cmd.OutOrStdout(), string(out))
+	_, err = fmt.Fprintln(cmd.OutOrStdout(), string(response))
 	return err
 }
 
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -20,34 +20,34 @@
 	printer
 }
 
-func (a *ledgerAPI) flags(c *cobra.Command) {
-	a.client.flags(c)
-	a.printer.flags(c)
+func (a *ledgerAPI) addFlags(command *cobra.Command) {
+	a.client.addFlags(command)
+	a.printer.addFlags(command)
 }
 
-// totals reads all pages of the response to a query for totals.
-func (a *ledgerAPI) totals(ctx context.Context, q url.Values) (ledger.Totals, error) {
+// readTotals reads all pages of the response to a query for totals.
+func (a *ledgerAPI) readTotals(ctx context.Context, params url.Values) (ledger.Totals, error) {
 	var all ledger.Totals
 	for skip := 0; ; {
-		q.Set("skip", strconv.Itoa(skip))
-		var t ledger.Totals
-		if err := a.get(ctx, ledger.PathTotals+"?"+q.Encode(), &t); err != nil {
+		params.Set("skip", strconv.Itoa(skip))
+		var page ledger.Totals
+		if err := a.get(ctx, ledger.PathTotals+"?"+params.Encode(), &page); err != nil {
 			return all, err
 		}
 		if skip == 0 {
-			all = t
+			all = page
 		} else {
-			all.Rows = append(all.Rows, t.Rows...)
+			all.Rows = append(all.Rows, page.Rows...)
 		}
-		if skip = t.Next; skip == 0 {
+		if skip = page.Next; skip == 0 {
 			all.Next = 0
 			return all, nil
 		}
 	}
 }
 
-// charges reads all pages of a job's charges.
-func (a *ledgerAPI) charges(ctx context.Context, job string) ([]ledger.ChargeView, error) {
+// readCharges reads all pages of a job's charges.
+func (a *ledgerAPI) readCharges(ctx context.Context, job string) ([]ledger.ChargeView, error) {
 	var all []ledger.ChargeView
 	type chargeKey struct {
 		task    string
@@ -61,8 +61,8 @@
 			return nil, err
 		}
 		for _, c := range page.Charges {
-			if n := (chargeKey{c.Task, c.Attempt, c.Part}); !seen[n] {
-				seen[n] = true
+			if key := (chargeKey{c.Task, c.Attempt, c.Part}); !seen[key] {
+				seen[key] = true
 				all = append(all, c)
 			}
 		}
@@ -75,76 +75,76 @@
 // totalsQuery contains the flags of a query for totals.
 type totalsQuery struct{ team, account, class, from, to, by string }
 
-func (q *totalsQuery) flags(c *cobra.Command) {
-	c.Flags().StringVar(&q.team, "team", "", "the team whose charges are asked for")
-	c.Flags().StringVar(&q.account, "account", "", "only this account")
-	c.Flags().StringVar(&q.class, "class", "", "only this class of jobs")
-	c.Flags().StringVar(&q.from, "from", "", "the first day, such as 2026-12-01")
-	c.Flags().StringVar(&q.to, "to", "", "the last day")
+func (q *totalsQuery) addFlags(command *cobra.Command) {
+	command.Flags().StringVar(&q.team, "team", "", "the team whose charges are asked for")
+	command.Flags().StringVar(&q.account, "account", "", "only this account")
+	command.Flags().StringVar(&q.class, "class", "", "only this class of jobs")
+	command.Flags().StringVar(&q.from, "from", "", "the first day, such as 2026-12-01")
+	command.Flags().StringVar(&q.to, "to", "", "the last day")
 }
 
 // values returns the parameters of a query for totals. by is the list of columns to group by, separated by commas.
 func (q *totalsQuery) values(by string) url.Values {
-	v := url.Values{"by": {by}}
-	for key, s := range map[string]string{"team": q.team, "account": q.account, "class": q.class, "from": q.from, "to": q.to} {
-		if s != "" {
-			v.Set(key, s)
+	params := url.Values{"by": {by}}
+	for key, value := range map[string]string{"team": q.team, "account": q.account, "class": q.class, "from": q.from, "to": q.to} {
+		if value != "" {
+			params.Set(key, value)
 		}
 	}
-	return v
+	return params
 }
 
 func ledgerCommand() *cobra.Command {
-	var a ledgerAPI
-	c := &cobra.Command{Use: "ledger", Short: "Show and verify what teams are charged for"}
-	a.flags(c)
-	c.AddCommand(ledgerShowCommand(&a), ledgerStatementCommand(&a), ledgerVerifyCommand())
-	return c
+	var api ledgerAPI
+	command := &cobra.Command{Use: "ledger", Short: "Show and verify what teams are charged for"}
+	api.addFlags(command)
+	command.AddCommand(ledgerShowCommand(&api), ledgerStatementCommand(&api), ledgerVerifyCommand())
+	return command
 }
 
-func ledgerShowCommand(a *ledgerAPI) *cobra.Command {
-	var q totalsQuery
+func ledgerShowCommand(api *ledgerAPI) *cobra.Command {
+	var query totalsQuery
 	var job string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "show --team TEAM | --job ID", Short: "Show a team's totals, or each charge of a job", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if job != "" {
-				return a.showCharges(cmd, job)
+				return api.showCharges(cmd, job)
 			}
-			if q.team == "" {
+			if query.team == "" {
 				return errors.New("name a team with --team or a job with --job")
 			}
-			return a.showTotals(cmd, &q)
+			return api.showTotals(cmd, &query)
 		},
 	}
-	q.flags(c)
-	c.Flags().StringVar(&q.by, "by", "team,account,class,type", "columns: day, team, account, class, type, spot")
-	c.Flags().StringVar(&job, "job", "", "a job whose charges are shown one by one")
-	return c
+	query.addFlags(command)
+	command.Flags().StringVar(&query.by, "by", "team,account,class,type", "columns: day, team, account, class, type, spot")
+	command.Flags().StringVar(&job, "job", "", "a job whose charges are shown one by one")
+	return command
 }
 
 // showTotals prints a team's totals, their sum, and the uncharged usage of its running tasks so far.
-func (a *ledgerAPI) showTotals(cmd *cobra.Command, q *totalsQuery) error {
-	t, err := a.totals(cmd.Context(), q.values(q.by))
+func (a *ledgerAPI) showTotals(cmd *cobra.Command, query *totalsQuery) error {
+	totals, err := a.readTotals(cmd.Context(), query.values(query.by))
 	if err != nil {
 		return err
 	}
 	table := [][]string{{"DAY", "TEAM", "ACCOUNT", "CLASS", "TYPE", "ATTEMPTS", "CORE-HOURS", "MONEY"}}
-	add := func(name string, r ledger.Total) {
-		table = append(table, []string{name, r.Team, r.Account, r.Class, r.Type, strconv.FormatInt(r.Attempts, 10),
-			fmt.Sprintf("%.3f", r.CoreHours), fmt.Sprintf("%.4f", r.Money)})
+	addRow := func(label string, total ledger.Total) {
+		table = append(table, []string{label, total.Team, total.Account, total.Class, total.Type, strconv.FormatInt(total.Attempts, 10),
+			fmt.Sprintf("%.3f", total.CoreHours), fmt.Sprintf("%.4f", total.Money)})
 	}
-	for _, r := range t.Rows {
-		add(r.Day, r)
+	for _, row := range totals.Rows {
+		addRow(row.Day, row)
 	}
-	add("total", t.Sum)
-	add("running now", t.Running)
-	return a.print(cmd.OutOrStdout(), t, ledger.TotalsCSV(t), table)
+	addRow("total", totals.Sum)
+	addRow("running now", totals.Running)
+	return a.print(cmd.OutOrStdout(), totals, ledger.TotalsCSV(totals), table)
 }
 
 // showCharges prints each charge of a job.
 func (a *ledgerAPI) showCharges(cmd *cobra.Command, job string) error {
-	all, err := a.charges(cmd.Context(), job)
+	all, err := a.readCharges(cmd.Context(), job)
 	if err != nil {
 		return err
 	}
--- a/cmd/poppypass/ledger_test.go
+++ b/cmd/poppypass/ledger_test.go
@@ -19,9 +19,9 @@
 		httpjson.Write(w, http.StatusOK, ledger.ChargesPage{Charges: []ledger.ChargeView{view}})
 	}))
 	t.Cleanup(controller.Close)
-	for _, form := range []string{"table", "json", "csv"} {
-		t.Run(form, func(t *testing.T) {
-			out, err := run("ledger", "show", "--job", "job-1", "--output", form, "--addr", strings.TrimPrefix(controller.URL, "http://"))
+	for _, format := range []string{"table", "json", "csv"} {
+		t.Run(format, func(t *testing.T) {
+			out, err := runCommand("ledger", "show", "--job", "job-1", "--output", format, "--addr", strings.TrimPrefix(controller.URL, "http://"))
 			if err != nil || !strings.Contains(out, "job-1/0") || !strings.Contains(out, charge.Failed.String()) {
 				t.Errorf("printed %q, error %v", out, err)
 			}
--- a/cmd/poppypass/main.go
+++ b/cmd/poppypass/main.go
@@ -15,14 +15,14 @@
 	}
 }
 
-// exitTryAgain is the exit status of a command whose request the controller temporarily cannot serve, such as a
-// cancellation that is not confirmed yet. Its value is EX_TEMPFAIL of sysexits.h. All other failures exit with
-// status 1.
-const exitTryAgain = 75
+// exitTemporaryFailure is the exit status of a command whose request the controller temporarily cannot serve,
+// such as a cancellation that is not confirmed yet. Its value is EX_TEMPFAIL of sysexits.h. All other failures
+// exit with status 1.
+const exitTemporaryFailure = 75
 
 func exitStatus(err error) int {
-	if errors.Is(err, errNotNow) {
-		return exitTryAgain
+	if errors.Is(err, errTemporarilyUnavailable) {
+		return exitTemporaryFailure
 	}
 	return 1
 }
--- a/cmd/poppypass/output.go
+++ b/cmd/poppypass/output.go
@@ -14,7 +14,7 @@
 // printer prints the result of a command in the format that --output selects.
 type printer struct{ output string }
 
-func (p *printer) flags(c *cobra.Command) {
+func (p *printer) addFlags(c *cobra.Command) {
 	c.PersistentFlags().StringVar(&p.output, "output", "table", "table, json or csv")
 }
 
@@ -32,17 +32,17 @@
 }
 
 func printJSON(w io.Writer, v any) error {
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", " ")
-	return enc.Encode(v)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(v)
 }
 
 func printTable(w io.Writer, rows [][]string) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
-		if _, err := fmt.Fprintln(t, strings.Join(row, "\t")); err != nil {
+		if _, err := fmt.Fprintln(table, strings.Join(row, "\t")); err != nil {
 			return err
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/poppypass/serve.go
+++ b/cmd/poppypass/serve.go
@@ -21,25 +21,25 @@
 // settingsFiles contains the paths of the settings file and of the properties file.
 type settingsFiles struct{ config, properties string }
 
-func (f *settingsFiles) flags(c *cobra.Command) {
-	c.Flags().StringVar(&f.config, "config", "", "path of the settings file (TOML)")
-	c.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties)")
-	if err := c.MarkFlagRequired("config"); err != nil {
+func (f *settingsFiles) addFlags(command *cobra.Command) {
+	command.Flags().StringVar(&f.config, "config", "", "path of the settings file (TOML)")
+	command.Flags().StringVar(&f.properties, "properties", "", "path of the operators' own settings (Java-style properties)")
+	if err := command.MarkFlagRequired("config"); err != nil {
 		panic(err) // unreachable: the flag is defined above
 	}
 }
 
 // load reads both files and checks that they are consistent with each other.
 func (f *settingsFiles) load() (*config.Settings, *config.OperatorSettings, error) {
-	s, err := config.Load(f.config)
+	settings, err := config.Load(f.config)
 	if err != nil {
 		return nil, nil, err
 	}
-	operator, err := config.LoadProperties(f.properties)
+	operatorSettings, err := config.LoadProperties(f.properties)
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, operator, operator.Check(s)
+	return settings, operatorSettings, operatorSettings.Check(settings)
 }
 
 // logger returns a logger that writes to standard error, at the level that the environment variable LOG_LEVEL names.
@@ -59,34 +59,34 @@
 }
 
 func serveCommand() *cobra.Command {
-	var f settingsFiles
-	c := &cobra.Command{
+	var files settingsFiles
+	command := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run a controller until it is killed",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), &f) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), &files) },
 	}
-	f.flags(c)
-	c.SetContext(context.Background())
-	return c
+	files.addFlags(command)
+	command.SetContext(context.Background())
+	return command
 }
 
 // serve runs a controller until ctx ends or the process receives an interrupt or SIGTERM.
-func serve(ctx context.Context, f *settingsFiles) error {
+func serve(ctx context.Context, files *settingsFiles) error {
 	log, err := logger()
 	if err != nil {
 		return err
 	}
-	s, operator, err := f.load()
+	settings, operatorSettings, err := files.load()
 	if err != nil {
 		return err
 	}
-	if mb := s.Cluster.Limits.RAMMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * tuning.MemoryTargetShare * (1 << 20)))
+	if ramMB := settings.Cluster.Limits.RAMMB; ramMB > 0 {
+		debug.SetMemoryLimit(int64(ramMB * tuning.MemoryTargetShare * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	c, err := controller.New(s, config.Watch(f.properties, s, operator), clockwork.NewRealClock(), log)
+	c, err := controller.New(settings, config.Watch(files.properties, settings, operatorSettings), clockwork.NewRealClock(), log)
 	if err != nil {
 		return err
 	}
@@ -94,21 +94,21 @@
 }
 
 func checkCommand() *cobra.Command {
-	var f settingsFiles
-	c := &cobra.Command{
+	var files settingsFiles
+	command := &cobra.Command{
 		Use:   "check --config FILE",
 		Short: "Check the settings without serving",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, _, err := f.load()
+			settings, _, err := files.load()
 			if err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: good settings for member %s with %d others and %d teams\n",
-				f.config, s.Member, len(s.Members), len(s.Cluster.Teams))
+				files.config, settings.Member, len(settings.Members), len(settings.Cluster.Teams))
 			return err
 		},
 	}
-	f.flags(c)
-	return c
+	files.addFlags(command)
+	return command
 }
--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -7,7 +7,7 @@
 
 // exempt reports whether budgets do not apply to a task.
 func (tr *Tracker) exempt(t *Task) bool {
-	return t.Production && !tr.settings.policy(t.Scope.Team).HoldProduction
+	return t.Production && !tr.settings.policy(t.Scope.Team).LimitProduction
 }
 
 // Admit returns how many of a number of identical waiting tasks may start now. If these are not
@@ -18,9 +18,9 @@
 	}
 	n = waiting
 	for _, bal := range tr.balancesOf(t) {
-		each, limit := tr.estimates.expected(t).in(bal.Unit), tr.admissionLimit(bal)
-		if may := bal.startable(each, limit); may < n {
-			n, reason = may, bal.explainHold(each, each*float64(waiting), limit)
+		perTask, limit := tr.estimates.expected(t).amountFor(bal.Unit), tr.admissionLimit(bal)
+		if allowed := bal.startable(perTask, limit); allowed < n {
+			n, reason = allowed, bal.explainBlocked(perTask, perTask*float64(waiting), limit)
 		}
 	}
 	return n, reason
@@ -29,15 +29,15 @@
 // startable returns how many tasks fit below the admission limit if each is expected to use the
 // given amount. If no task of the budget is live and the budget is not spent, one task may always
 // start: otherwise a task that is expected to use more than the whole budget would never run.
-func (bal *Balance) startable(each, limit float64) int {
-	left := limit - bal.Used - bal.Running - bal.Reserved
+func (bal *Balance) startable(perTask, limit float64) int {
+	remaining := limit - bal.Used - bal.Running - bal.Reserved
 	n := 0
 	switch {
-	case left <= 0:
-	case each <= 0:
+	case remaining <= 0:
+	case perTask <= 0:
 		n = math.MaxInt32
 	default:
-		n = int(min(math.Floor(left/each), math.MaxInt32))
+		n = int(min(math.Floor(remaining/perTask), math.MaxInt32))
 	}
 	if n == 0 && bal.liveTasks == 0 && bal.Used < limit {
 		n = 1
@@ -45,9 +45,10 @@
 	return n
 }
 
-// explainHold returns the reason why a budget prevents waiting tasks of a job from starting. each
-// and all are the expected usage of one and of all of these tasks; limit is the admission limit.
-func (bal *Balance) explainHold(each, all, limit float64) string {
+// explainBlocked returns the reason why a budget prevents waiting tasks of a job from starting.
+// perTask and total are the expected usage of one and of all of these tasks; limit is the admission
+// limit. All three are in the ledger's units.
+func (bal *Balance) explainBlocked(perTask, total, limit float64) string {
 	scale := bal.Unit.scale()
 	text := fmt.Sprintf("the budget of %s (%s, %s) is spent or reserved: %.6g used and %.6g reserved of %.6g",
 		bal.Scope, bal.Unit, bal.Period, bal.spent()/scale, bal.Reserved/scale, bal.Limit/scale)
@@ -57,9 +58,9 @@
 		text += "; it goes on from " + bal.To.Format("2006-01-02 15:04 MST") + " or when the budget is raised"
 	}
 	switch {
-	case each > limit:
+	case perTask > limit:
 		text += "; one task alone is expected to take more than the whole budget, and runs when nothing else of it does"
-	case all > limit:
+	case total > limit:
 		text += "; what waits of this job is expected to take more than the whole budget"
 	}
 	return text
--- a/internal/accounting/budget/balance.go
+++ b/internal/accounting/budget/balance.go
@@ -22,10 +22,10 @@
 // spent returns what was used in the current period, charged or not.
 func (bal *Balance) spent() float64 { return bal.Used + bal.Running }
 
-// reserve counts n more live tasks. each is the expected usage of one task.
-func (bal *Balance) reserve(n int, each Usage) {
+// reserve counts n more live tasks. perTask is the expected usage of one task.
+func (bal *Balance) reserve(n int, perTask Usage) {
 	bal.liveTasks += n
-	bal.Reserved += float64(n) * each.in(bal.Unit)
+	bal.Reserved += float64(n) * perTask.amountFor(bal.Unit)
 }
 
 // Recompute computes all balances from scratch from the charges and the live tasks.
@@ -49,7 +49,7 @@
 	bal.From, bal.To = bal.Period.bounds(now, tr.settings.Location())
 	bal.Limit = bal.Amount * bal.Unit.scale()
 	bal.Limit += tr.carriedOver(bal)
-	bal.Used = tr.usageBetween(bal.Scope, bal.From, bal.To).in(bal.Unit)
+	bal.Used = tr.usageBetween(bal.Scope, bal.From, bal.To).amountFor(bal.Unit)
 	bal.Running, bal.Reserved, bal.liveTasks = 0, 0, 0
 }
 
@@ -60,18 +60,18 @@
 	if share <= 0 || bal.To.IsZero() {
 		return 0
 	}
-	before, _ := bal.Period.bounds(bal.From.Add(-time.Second), tr.settings.Location())
-	used := tr.usageBetween(bal.Scope, before, bal.From).in(bal.Unit)
+	previousFrom, _ := bal.Period.bounds(bal.From.Add(-time.Second), tr.settings.Location())
+	used := tr.usageBetween(bal.Scope, previousFrom, bal.From).amountFor(bal.Unit)
 	return share * max(0, bal.Limit-used)
 }
 
 // addLiveTask counts what a live task has used so far in the current period, and reserves the
 // rest of its expected usage.
 func (bal *Balance) addLiveTask(t *Task, expected Usage, now time.Time) {
-	used := bal.usedSoFar(t, now).in(bal.Unit)
+	used := bal.usedSoFar(t, now).amountFor(bal.Unit)
 	bal.liveTasks++
 	bal.Running += used
-	bal.Reserved += max(0, expected.in(bal.Unit)-used)
+	bal.Reserved += max(0, expected.amountFor(bal.Unit)-used)
 }
 
 func (bal *Balance) usedSoFar(t *Task, now time.Time) Usage {
--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -70,8 +70,8 @@
 // Add adds v to u.
 func (u *Usage) Add(v Usage) { u.Core += v.Core; u.Money += v.Money }
 
-// in returns the amount that counts in a budget of the given unit, in the ledger's units.
-func (u Usage) in(unit Unit) float64 {
+// amountFor returns the amount that counts in a budget of the given unit, in the ledger's units.
+func (u Usage) amountFor(unit Unit) float64 {
 	if unit == CoreHours {
 		return float64(u.Core)
 	}
--- a/internal/accounting/budget/estimates.go
+++ b/internal/accounting/budget/estimates.go
@@ -30,11 +30,11 @@
 	if t.EstimateS <= 0 {
 		return
 	}
-	seen := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMaxFactor), tuning.EstimateCorrectionMaxFactor)
-	if old, ok := e.runRatio[t.Class]; ok {
-		seen = old + tuning.EstimateLearningRate*(seen-old)
+	ratio := min(max(run.Seconds()/t.EstimateS, 1/tuning.EstimateCorrectionMaxFactor), tuning.EstimateCorrectionMaxFactor)
+	if previous, ok := e.runRatio[t.Class]; ok {
+		ratio = previous + tuning.EstimateLearningRate*(ratio-previous)
 	}
-	e.runRatio[t.Class] = seen
+	e.runRatio[t.Class] = ratio
 }
 
 // expected returns the total expected usage of a task.
--- a/internal/accounting/budget/formats_test.go
+++ b/internal/accounting/budget/formats_test.go
@@ -39,6 +39,6 @@
 			{Scope: Scope{Team: "vision", Account: "grant-7"}, Period: Month, Unit: CoreHours, Amount: 3.5},
 			{Scope: Scope{Team: "vision", Account: "grant-7"}, Period: Ever, Unit: Money, Amount: 4.5},
 		},
-		Policies: map[string]Policy{"vision": {CarryOver: 0.25, WarnAt: 0.5, DrainWhenSpent: true, DrainAt: 0.75, HoldProduction: true}},
+		Policies: map[string]Policy{"vision": {CarryOver: 0.25, WarnAt: 0.5, DrainWhenSpent: true, DrainAt: 0.75, LimitProduction: true}},
 	})
 }
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -8,13 +8,13 @@
 // TasksToDrain returns the references of the live tasks that must stop now: those that count in a
 // budget whose policy is DrainWhenSpent and whose usage has reached the DrainAt share.
 func (tr *Tracker) TasksToDrain() []any {
-	drained := tr.balancesToDrain()
-	if len(drained) == 0 {
+	toDrain := tr.balancesToDrain()
+	if len(toDrain) == 0 {
 		return nil
 	}
 	var refs []any
 	for ref, t := range tr.live {
-		if !tr.exempt(t) && slices.ContainsFunc(tr.balancesOf(t), func(bal *Balance) bool { return slices.Contains(drained, bal) }) {
+		if !tr.exempt(t) && slices.ContainsFunc(tr.balancesOf(t), func(bal *Balance) bool { return slices.Contains(toDrain, bal) }) {
 			refs = append(refs, ref)
 		}
 	}
--- a/internal/accounting/budget/overspend_test.go
+++ b/internal/accounting/budget/overspend_test.go
@@ -7,7 +7,7 @@
 
 const coreHour = 3600 * 1_000_000 // in the ledger's units (millionths of core-seconds)
 
-func TestWarningsNameANearlySpentBudgetOnceAPeriod(t *testing.T) {
+func TestWarningsReturnANearlySpentBudgetOnceAPeriod(t *testing.T) {
 	for _, c := range []struct {
 		period    string
 		nextDay   int // expected warnings on the next day, with the same total usage
@@ -20,8 +20,8 @@
 			s := newSettings(t, map[string]string{"budget.t." + c.period + ".core-hours": "10", "budget.t.warn-at": "0.5"})
 			tr := NewTracker()
 			tr.Configure(s, now)
-			warnings := func(at time.Time, use int64) int {
-				tr.AddCharge(Scope{Team: "t"}, at.Format(time.DateOnly), Usage{Core: use * coreHour})
+			warnings := func(at time.Time, coreHours int64) int {
+				tr.AddCharge(Scope{Team: "t"}, at.Format(time.DateOnly), Usage{Core: coreHours * coreHour})
 				tr.Recompute(at)
 				return len(tr.Warnings())
 			}
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestStateFollowsWhatWasUsed(t *testing.T) {
+func TestStateFollowsUsage(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	tr := NewTracker()
 	tr.Configure(newSettings(t, map[string]string{"budget.t.month.core-hours": "10"}), now)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestProductionIsHeldAndDrainedOnlyIfThePolicySaysSo(t *testing.T) {
+func TestProductionIsLimitedAndDrainedOnlyIfThePolicySaysSo(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
 		policy        string
--- a/internal/accounting/budget/period.go
+++ b/internal/accounting/budget/period.go
@@ -20,18 +20,18 @@
 	return time.Time{}, time.Time{}
 }
 
-// usageBetween returns what a scope was charged for the days from from, inclusive, to to,
-// exclusive. If to is zero, it returns all charges, including those that are stored by month.
-func (tr *Tracker) usageBetween(s Scope, from, to time.Time) (u Usage) {
-	days := tr.usage[s]
+// usageBetween returns what a scope was charged for the days from "from" (inclusive) to "to"
+// (exclusive). If to is zero, it returns all charges, including those that are stored by month.
+func (tr *Tracker) usageBetween(scope Scope, from, to time.Time) (sum Usage) {
+	days := tr.usage[scope]
 	if to.IsZero() {
 		for _, v := range days {
-			u.Add(v)
+			sum.Add(v)
 		}
-		return u
+		return sum
 	}
 	for day := from; day.Before(to); day = day.AddDate(0, 0, 1) {
-		u.Add(days[day.Format(time.DateOnly)])
+		sum.Add(days[day.Format(time.DateOnly)])
 	}
-	return u
+	return sum
 }
--- a/internal/accounting/budget/properties.go
+++ b/internal/accounting/budget/properties.go
@@ -23,7 +23,7 @@
 // Error returns the key and the problem in one line.
 func (e *PropertyError) Error() string { return e.Key + ": " + e.Problem }
 
-func refuse(key, format string, args ...any) *PropertyError {
+func newPropertyError(key, format string, args ...any) *PropertyError {
 	return &PropertyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -40,11 +40,11 @@
 func (s *Settings) Set(key, value string) error {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return refuse(key, "the key does not begin with \"budget.\"")
+		return newPropertyError(key, "the key does not begin with \"budget.\"")
 	}
-	name, setting, ok := cutLast(rest)
+	name, setting, ok := cutLastDot(rest)
 	if !ok {
-		return refuse(key, "no team and setting in the key; expected budget.TEAM.SETTING")
+		return newPropertyError(key, "no team and setting in the key; expected budget.TEAM.SETTING")
 	}
 	switch unit := Unit(setting); unit {
 	case CoreHours, Money:
@@ -53,8 +53,8 @@
 	return s.setPolicy(key, name, setting, value)
 }
 
-// cutLast splits s at its last dot. name may contain dots itself.
-func cutLast(s string) (name, last string, ok bool) {
+// cutLastDot splits s at its last dot. name may contain dots itself.
+func cutLastDot(s string) (name, last string, ok bool) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot <= 0 {
 		return "", "", false
@@ -63,19 +63,19 @@
 }
 
 func (s *Settings) setAmount(key, name string, unit Unit, value string) error {
-	scope, last, ok := cutLast(name)
+	scope, last, ok := cutLastDot(name)
 	if !ok {
-		return refuse(key, "no team and period in the key; expected budget.TEAM.PERIOD.UNIT")
+		return newPropertyError(key, "no team and period in the key; expected budget.TEAM.PERIOD.UNIT")
 	}
 	period := Period(last)
 	switch period {
 	case Day, Week, Month, Ever:
 	default:
-		return refuse(key, "%q is not a period; it can be day, week, month or ever", period)
+		return newPropertyError(key, "%q is not a period; it can be day, week, month or ever", period)
 	}
 	amount, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(amount >= 0) || amount > maxAmount {
-		return refuse(key, "%q is not an amount from 0 to 1e9", value)
+		return newPropertyError(key, "%q is not an amount from 0 to 1e9", value)
 	}
 	team, account, _ := strings.Cut(scope, "/")
 	s.Budgets = append(s.Budgets, Budget{Scope: Scope{team, account}, Period: period, Unit: unit, Amount: amount})
@@ -95,9 +95,9 @@
 	case "when-spent":
 		p.DrainWhenSpent, err = parseChoice(key, value, "finish", "drain")
 	case "production":
-		p.HoldProduction, err = parseChoice(key, value, "spared", "held")
+		p.LimitProduction, err = parseChoice(key, value, "spared", "held")
 	default:
-		err = refuse(key, "unknown key")
+		err = newPropertyError(key, "unknown key")
 	}
 	if err != nil {
 		return err
@@ -109,22 +109,22 @@
 	return nil
 }
 
-// parseShare parses a number from least to 1. NaN is an error.
-func parseShare(key, value string, least float64) (float64, error) {
+// parseShare parses a number from minimum to 1. NaN is an error.
+func parseShare(key, value string, minimum float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(v >= least) || v > 1 {
-		return 0, refuse(key, "%q is not a valid share; carry-over is from 0 to 1, all others are above 0 and up to 1", value)
+	if err != nil || !(v >= minimum) || v > 1 {
+		return 0, newPropertyError(key, "%q is not a valid share; carry-over is from 0 to 1, all others are above 0 and up to 1", value)
 	}
 	return v, nil
 }
 
-// parseChoice parses one of two words and reports whether it is the second.
-func parseChoice(key, value, no, yes string) (bool, error) {
+// parseChoice parses one of two words and reports whether it is trueWord.
+func parseChoice(key, value, falseWord, trueWord string) (bool, error) {
 	switch value {
-	case no:
+	case falseWord:
 		return false, nil
-	case yes:
+	case trueWord:
 		return true, nil
 	}
-	return false, refuse(key, "%q is neither %s nor %s", value, no, yes)
+	return false, newPropertyError(key, "%q is neither %s nor %s", value, falseWord, trueWord)
 }
--- a/internal/accounting/budget/properties_test.go
+++ b/internal/accounting/budget/properties_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSetNamesTheKeyAndTheProblem(t *testing.T) {
+func TestSetErrorContainsKeyAndProblem(t *testing.T) {
 	for _, c := range []struct{ key, value, want string }{
 		{"budget.t.month.core-hours", "500", ""},
 		{"budget.a.team.with.dots/an owner.ever.money", "0", ""},
@@ -30,8 +30,8 @@
 			if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), c.key)) {
 				t.Errorf("got error %v", err)
 			}
-			var refused *PropertyError
-			if err != nil && (!errors.As(err, &refused) || refused.Key != c.key || !strings.Contains(refused.Problem, c.want)) {
+			var propertyErr *PropertyError
+			if err != nil && (!errors.As(err, &propertyErr) || propertyErr.Key != c.key || !strings.Contains(propertyErr.Problem, c.want)) {
 				t.Errorf("got error %#v", err)
 			}
 		})
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -19,9 +19,9 @@
 	// DrainAt is the used share of a budget at which draining begins. It applies only if
 	// DrainWhenSpent is set; from then on no more tasks start either.
 	DrainAt float64
-	// HoldProduction means that budgets also apply to production tasks (property value "held").
+	// LimitProduction means that budgets also apply to production tasks (property value "held").
 	// Otherwise production tasks are exempt ("spared").
-	HoldProduction bool
+	LimitProduction bool
 }
 
 // DefaultPolicy returns the policy of a team without settings of its own.
@@ -52,16 +52,16 @@
 // ErrUnknownTeam means that a setting refers to a team that does not exist.
 var ErrUnknownTeam = errors.New("the team is unknown")
 
-// Check verifies that the teams of all budgets and policies exist, which known reports for a
-// team. The error wraps ErrUnknownTeam and identifies the invalid setting in one line.
-func (s *Settings) Check(known func(team string) bool) error {
+// Check verifies that the teams of all budgets and policies exist, which teamExists reports
+// for a team. The error wraps ErrUnknownTeam and identifies the invalid setting in one line.
+func (s *Settings) Check(teamExists func(team string) bool) error {
 	for _, b := range s.Budgets {
-		if !known(b.Team) {
+		if !teamExists(b.Team) {
 			return fmt.Errorf("budget of %s: %w", b.Scope, ErrUnknownTeam)
 		}
 	}
 	for team := range s.Policies {
-		if !known(team) {
+		if !teamExists(team) {
 			return fmt.Errorf("budget.%s: %w", team, ErrUnknownTeam)
 		}
 	}
--- a/internal/accounting/budget/settings_test.go
+++ b/internal/accounting/budget/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestCheckNamesTheSettingOfAnUnknownTeam(t *testing.T) {
+func TestCheckErrorIdentifiesTheSettingOfAnUnknownTeam(t *testing.T) {
 	for key, want := range map[string]string{"budget.t.month.money": "", "budget.x/a.month.money": "budget of x/a", "budget.x.carry-over": "budget.x:"} {
 		t.Run(key, func(t *testing.T) {
 			s := newSettings(t, map[string]string{key: "1"})
--- a/internal/accounting/budget/split_test.go
+++ b/internal/accounting/budget/split_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestSplitByDayKeepsRunTimeMoneyAndOutcome(t *testing.T) {
-	where := time.FixedZone("UTC+3", 3*3600)
-	c := charge.Charge{Start: time.Date(2026, 12, 1, 20, 0, 0, 0, where).UnixMilli(), Run: 50 * 3600_000, Money: 1_000_003, Outcome: charge.Done, Flags: charge.ProgressSaved}
-	parts := charge.SplitByDay(c, where)
+	zone := time.FixedZone("UTC+3", 3*3600)
+	c := charge.Charge{Start: time.Date(2026, 12, 1, 20, 0, 0, 0, zone).UnixMilli(), Run: 50 * 3600_000, Money: 1_000_003, Outcome: charge.Done, Flags: charge.ProgressSaved}
+	parts := charge.SplitByDay(c, zone)
 	var run, money int64
 	for i, p := range parts {
 		run, money = run+p.Run, money+p.Money
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -68,16 +68,16 @@
 
 // AddCharge adds a charge for a day (as in 2026-12-01) or a month (as in 2026-12). Balances include
 // it after the next Recompute.
-func (tr *Tracker) AddCharge(s Scope, day string, u Usage) {
-	for _, sc := range s.enclosing() {
-		days := tr.usage[sc]
-		if days == nil {
-			days = map[string]Usage{}
-			tr.usage[sc] = days
+func (tr *Tracker) AddCharge(scope Scope, dayOrMonth string, usage Usage) {
+	for _, enclosing := range scope.enclosing() {
+		charged := tr.usage[enclosing]
+		if charged == nil {
+			charged = map[string]Usage{}
+			tr.usage[enclosing] = charged
 		}
-		sum := days[day]
-		sum.Add(u)
-		days[day] = sum
+		sum := charged[dayOrMonth]
+		sum.Add(usage)
+		charged[dayOrMonth] = sum
 	}
 }
 
@@ -102,16 +102,16 @@
 	}
 }
 
-// EndTask removes a live task. done means that it completed after the given run time. The caller
+// EndTask removes a live task. completed means that it completed after the given run time. The caller
 // reports its usage separately with AddCharge. The reservation of the task lasts until the next
 // Recompute, so that tasks are delayed for a moment rather than a budget overspent.
-func (tr *Tracker) EndTask(ref any, done bool, run time.Duration) {
+func (tr *Tracker) EndTask(ref any, completed bool, run time.Duration) {
 	t := tr.live[ref]
 	if t == nil {
 		return
 	}
 	delete(tr.live, ref)
-	if done {
+	if completed {
 		tr.estimates.learnRun(t, run)
 	}
 }
@@ -121,9 +121,9 @@
 	if len(tr.balances) == 0 {
 		return nil
 	}
-	var out []*Balance
-	for _, sc := range t.Scope.enclosing() {
-		out = append(out, tr.byScope[sc]...)
+	var balances []*Balance
+	for _, scope := range t.Scope.enclosing() {
+		balances = append(balances, tr.byScope[scope]...)
 	}
-	return out
+	return balances
 }
--- a/internal/accounting/budget/tracker_test.go
+++ b/internal/accounting/budget/tracker_test.go
@@ -30,8 +30,8 @@
 	}
 	tr.AddCharge(Scope{"t", "b"}, "2026-12-01", Usage{Core: 9 * 3600 * 1_000_000})
 	tr.Recompute(now)
-	if n, why := tr.Admit(task("b"), 100); n != 0 || !strings.Contains(why, "budget of t (") || !strings.Contains(why, "more than the whole budget") {
-		t.Errorf("admitted %d tasks, reason %q", n, why)
+	if n, reason := tr.Admit(task("b"), 100); n != 0 || !strings.Contains(reason, "budget of t (") || !strings.Contains(reason, "more than the whole budget") {
+		t.Errorf("admitted %d tasks, reason %q", n, reason)
 	}
 	// The run time of a task before the beginning of the period counts in the previous period.
 	daily := newSettings(t, map[string]string{"budget.t.day.core-hours": "10"})
--- a/internal/accounting/charge/codec.go
+++ b/internal/accounting/charge/codec.go
@@ -12,8 +12,8 @@
 // CBOR encodes structs as arrays without field names. Long-term records are zstd frames of
 // CBOR; zstd's checksum detects damaged frames.
 
-// packFormat identifies the only format of packs so far.
-const packFormat = 1
+// packFormatVersion identifies the only format of packs so far.
+const packFormatVersion = 1
 
 var (
 	// ErrUnknownFormat means that a pack was stored in a format that this version does not know.
@@ -32,12 +32,12 @@
 	if err != nil {
 		panic(fmt.Sprintf("cannot encode a pack of charges: %v", err))
 	}
-	return append([]byte{packFormat}, raw...)
+	return append([]byte{packFormatVersion}, raw...)
 }
 
 // DecodePack decodes a stored pack. The error wraps ErrUnknownFormat or ErrMalformed.
 func DecodePack(raw []byte) (*Pack, error) {
-	if len(raw) == 0 || raw[0] != packFormat {
+	if len(raw) == 0 || raw[0] != packFormatVersion {
 		return nil, ErrUnknownFormat
 	}
 	p := &Pack{}
@@ -58,9 +58,9 @@
 	dec *zstd.Decoder
 }
 
-// maxPlain bounds the size, in bytes, of a decompressed record. A frame that claims a larger
+// maxDecompressedBytes bounds the size, in bytes, of a decompressed record. A frame that claims a larger
 // size is damaged.
-const maxPlain = 8 << 20
+const maxDecompressedBytes = 8 << 20
 
 // NewCodec returns a codec. A codec uses about 2 MB of memory.
 func NewCodec() (*Codec, error) {
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("compression: %w", err)
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPlain), zstd.WithDecoderLowmem(true))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecompressedBytes), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, fmt.Errorf("compression: %w", err)
 	}
@@ -86,11 +86,11 @@
 
 // Decode decodes the result of Encode into v. The error wraps ErrDamaged or ErrMalformedRecord.
 func (c *Codec) Decode(raw []byte, v any) error {
-	plain, err := c.dec.DecodeAll(raw, nil)
+	decompressed, err := c.dec.DecodeAll(raw, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if err := cbor.Unmarshal(plain, v); err != nil {
+	if err := cbor.Unmarshal(decompressed, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformedRecord, err)
 	}
 	return nil
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -19,17 +19,17 @@
 // SplitByDay splits a charge at each midnight, so that each part falls on one day.
 // The run times and costs of the parts add up exactly to those of the charge.
 func SplitByDay(c Charge, loc *time.Location) []Charge {
-	var out []Charge
+	var parts []Charge
 	for {
 		midnight := NextDay(c.Start, loc)
 		if c.End() <= midnight {
-			return append(out, c)
+			return append(parts, c)
 		}
 		part := c
 		part.Run = midnight - c.Start
 		part.Money = int64(math.Round(float64(c.Money) * float64(part.Run) / float64(c.Run)))
 		part.Outcome, part.Flags = Continues, c.Flags&^ProgressSaved
-		out = append(out, part)
+		parts = append(parts, part)
 		c.Start, c.Run, c.Money, c.Part = midnight, c.Run-part.Run, c.Money-part.Money, c.Part+1
 	}
 }
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -8,7 +8,7 @@
 
 func fullKind() *Kind { return &Kind{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000} }
 
-func fullBrief() *JobTraits {
+func fullJobTraits() *JobTraits {
 	return &JobTraits{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000}
 }
 
@@ -19,8 +19,8 @@
 }
 
 func fullPack() *Pack {
-	spare := Kind{Type: "small", Zone: "b", Spot: true, Rate: 200_000}
-	return &Pack{Job: "job-17", Traits: *fullBrief(), Kinds: []Kind{spare, *fullKind()}, Charges: []Charge{*fullCharge()}}
+	smallKind := Kind{Type: "small", Zone: "b", Spot: true, Rate: 200_000}
+	return &Pack{Job: "job-17", Traits: *fullJobTraits(), Kinds: []Kind{smallKind, *fullKind()}, Charges: []Charge{*fullCharge()}}
 }
 
 func fullAmounts() *Amounts {
@@ -35,7 +35,7 @@
 		value any
 	}{
 		{"kind", fullKind()},
-		{"brief", fullBrief()},
+		{"brief", fullJobTraits()},
 		{"charge", fullCharge()},
 		{"pack", fullPack()},
 		{"amounts", fullAmounts()},
@@ -48,11 +48,11 @@
 	pack := fullPack()
 	raw := EncodePack(pack)
 	golden.Hex(t, "encoded-pack", raw)
-	again, err := DecodePack(raw)
+	decoded, err := DecodePack(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "encoded-pack", again, pack)
+	golden.Equal(t, "encoded-pack", decoded, pack)
 }
 
 func TestCompressedForm(t *testing.T) {
@@ -63,18 +63,18 @@
 	packs := []Pack{*fullPack()}
 	raw := codec.Encode(packs)
 	golden.Hex(t, "compressed-packs", raw)
-	var again []Pack
-	if err := codec.Decode(raw, &again); err != nil {
+	var decoded []Pack
+	if err := codec.Decode(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "compressed-packs", again, packs)
+	golden.Equal(t, "compressed-packs", decoded, packs)
 }
 
 // Messages and metrics contain the names of outcomes; stored charges contain their numbers.
-func TestNumbersAndNames(t *testing.T) {
+func TestOutcomeNumbersAndNames(t *testing.T) {
 	var lines []string
-	for how := range Outcome(outcomeCount) {
-		lines = append(lines, how.String())
+	for outcome := range Outcome(outcomeCount) {
+		lines = append(lines, outcome.String())
 	}
 	golden.Lines(t, "ends", lines...)
 	golden.Hex(t, "ends-numbers", []byte{
--- a/internal/accounting/charge/outcome.go
+++ b/internal/accounting/charge/outcome.go
@@ -30,14 +30,14 @@
 
 var outcomeNames = [outcomeCount]string{"continues", "done", "failed", "refused", "stopped", "preempted", "drained", "cancelled", "over-spent", "lost"}
 
-// unknownOutcome is the prefix of the name of an outcome that this version does not know. The
+// unknownOutcomePrefix is the prefix of the name of an outcome that this version does not know. The
 // number of the outcome follows.
-const unknownOutcome = "how-"
+const unknownOutcomePrefix = "how-"
 
 // String returns the outcome's name as it appears in HTTP responses, metrics and messages.
 func (o Outcome) String() string {
 	if o >= outcomeCount {
-		return unknownOutcome + strconv.Itoa(int(o))
+		return unknownOutcomePrefix + strconv.Itoa(int(o))
 	}
 	return outcomeNames[o]
 }
@@ -53,9 +53,9 @@
 		*o = Outcome(i)
 		return nil
 	}
-	number, isNumber := strings.CutPrefix(name, unknownOutcome)
+	number, hasPrefix := strings.CutPrefix(name, unknownOutcomePrefix)
 	n, err := strconv.ParseUint(number, 10, 8)
-	if !isNumber || err != nil {
+	if !hasPrefix || err != nil {
 		return fmt.Errorf("unknown outcome %q", name)
 	}
 	*o = Outcome(n)
--- a/internal/accounting/statement/formats_test.go
+++ b/internal/accounting/statement/formats_test.go
@@ -30,8 +30,8 @@
 }
 
 func TestTemplateFields(t *testing.T) {
-	own := filepath.Join(t.TempDir(), "own.tmpl")
-	if err := os.WriteFile(own, []byte(allFields), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), "own.tmpl")
+	if err := os.WriteFile(path, []byte(allFields), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -39,7 +39,7 @@
 		path string
 		html bool
 	}{
-		{"own-template", own, false},
+		{"own-template", path, false},
 		{"default-text", "", false},
 		{"default-page", "", true},
 	} {
--- a/internal/accounting/statement/statement.go
+++ b/internal/accounting/statement/statement.go
@@ -100,5 +100,5 @@
 	"money": func(v float64) string { return fmt.Sprintf("%.2f", v) },
 	"pad":   func(n int, s string) string { return fmt.Sprintf("%-*s", n, s) },
 	"right": func(n int, s string) string { return fmt.Sprintf("%*s", n, s) },
-	"or1":   func(s, other string) string { return cmp.Or(s, other) },
+	"or1":   func(s, fallback string) string { return cmp.Or(s, fallback) },
 }
--- a/internal/accounting/statement/statement_test.go
+++ b/internal/accounting/statement/statement_test.go
@@ -28,8 +28,8 @@
 	return out.String(), err
 }
 
-// ownTemplate writes an operator's own template to a file and returns the path.
-func ownTemplate(t *testing.T, text string) string {
+// writeTemplate writes an operator's own template to a file and returns the path.
+func writeTemplate(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "own.tmpl")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -46,31 +46,31 @@
 }
 
 // The submitted job contains the account's name. It must not become markup of the page.
-func TestDefaultPageEscapesAccountsAndNeedsNothingElse(t *testing.T) {
+func TestDefaultPageEscapesAccountsAndLinksNoResources(t *testing.T) {
 	page, err := render("", true)
 	if err != nil || strings.Contains(page, "<owner>") || !strings.Contains(page, "&lt;owner&gt;") || strings.Contains(page, "http") {
 		t.Errorf("error %v, rendered page:\n%s", err, page)
 	}
 }
 
-func TestOwnTemplateTakesTheDefaultsPlace(t *testing.T) {
-	text, err := render(ownTemplate(t, `{{.Team}} owes {{money .Sum.Money}} {{.Currency}}`), false)
+func TestOwnTemplateReplacesTheDefault(t *testing.T) {
+	text, err := render(writeTemplate(t, `{{.Team}} owes {{money .Sum.Money}} {{.Currency}}`), false)
 	if err != nil || !strings.HasPrefix(text, "payouts owes 2.3") {
 		t.Errorf("own template rendered as %q, error %v", text, err)
 	}
 }
 
-func TestBrokenTemplateIsNamedInOneLine(t *testing.T) {
+func TestInvalidTemplateErrorIsOneLineWithThePath(t *testing.T) {
 	for _, text := range []string{"{{.Nothing}}", "{{", "{{range .Rows}}"} {
 		for name, html := range map[string]bool{"text": false, "page": true} {
 			t.Run(name+" "+text, func(t *testing.T) {
-				own := ownTemplate(t, text)
-				_, err := render(own, html)
-				if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), own) {
+				path := writeTemplate(t, text)
+				_, err := render(path, html)
+				if err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), path) {
 					t.Errorf("got error %v", err)
 				}
-				var broken *TemplateError
-				if !errors.As(err, &broken) {
+				var templateErr *TemplateError
+				if !errors.As(err, &templateErr) {
 					t.Errorf("got an error of type %T, want *TemplateError", err)
 				}
 			})
@@ -81,8 +81,8 @@
 func TestMissingTemplateIsATemplateError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing.tmpl")
 	_, err := render(path, false)
-	var missing *TemplateError
-	if !errors.As(err, &missing) || !errors.Is(err, fs.ErrNotExist) || err.Error() != "template: open "+path+": no such file or directory" {
+	var templateErr *TemplateError
+	if !errors.As(err, &templateErr) || !errors.Is(err, fs.ErrNotExist) || err.Error() != "template: open "+path+": no such file or directory" {
 		t.Errorf("got error %v", err)
 	}
 }
