--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -57,11 +57,11 @@
 	startController(t, loaded, propertiesFile, store, cloud)
 	// runUntil repeats a job command until its output contains the given text. It fails after a minute, so
 	// that a hang is a test failure.
-	runUntil := func(wantOutput string, args ...string) {
+	runUntil := func(want string, args ...string) {
 		t.Helper()
 		for start := time.Now(); ; {
 			out, err := runCommand(append([]string{"job", "--addr", bind}, args...)...)
-			if err == nil && strings.Contains(out, wantOutput) {
+			if err == nil && strings.Contains(out, want) {
 				return
 			}
 			if time.Since(start) > time.Minute {
--- a/cmd/poppypass/graph_change.go
+++ b/cmd/poppypass/graph_change.go
@@ -8,7 +8,7 @@
 )
 
 // graphChangeCommand returns a command that changes a graph or a run. args is the number of its arguments.
-func graphChangeCommand(use, short string, args int, change func(cmd *cobra.Command, a *graphAPI, args []string) error) *cobra.Command {
+func graphChangeCommand(use, short string, args int, change func(cmd *cobra.Command, api *graphAPI, args []string) error) *cobra.Command {
 	var api graphAPI
 	command := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(cmd *cobra.Command, args []string) error {
 		return change(cmd, &api, args)
@@ -18,8 +18,8 @@
 }
 
 // graphClearCommand returns a command that runs steps of a run again, together with all steps downstream of
-// them. These are the steps given as arguments or, without such arguments, all steps. With onlyFailed, only
-// failed steps are among them.
+// them. The steps are those given as arguments or, without such arguments, all steps of the run. With
+// onlyFailed, the command ignores those of them that have not failed.
 func graphClearCommand(name, short string, onlyFailed bool) *cobra.Command {
 	var api graphAPI
 	var dryRun bool
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -21,29 +21,30 @@
 	Date  *time.Time `json:"logical_date"`
 }
 
-// readRun reads a run with its definition and the instances and tries of its steps.
-func (a *graphAPI) readRun(ctx context.Context, dagID, runID string) (*dagview.Run, error) {
-	path := []string{"dags", dagID, "dagRuns", runID}
+// run reads a run with its definition and the instances and tries of its steps. dagID and run are the IDs of the
+// graph and the run.
+func (a *graphAPI) run(ctx context.Context, dagID, run string) (*dagview.Run, error) {
+	path := []string{"dags", dagID, "dagRuns", run}
 	var response runResponse
 	if err := a.read(ctx, &response, path...); err != nil {
 		return nil, err
 	}
-	plan, err := a.readPlan(ctx, append(path, "definition")...)
+	plan, err := a.plan(ctx, append(path, "definition")...)
 	if err != nil {
 		return nil, err
 	}
-	view := &dagview.Run{Plan: plan, ID: runID, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
-	if view.Instances, err = a.readInstances(ctx, plan, path); err != nil {
+	view := &dagview.Run{Plan: plan, ID: run, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
+	if view.Instances, err = a.instances(ctx, plan, path); err != nil {
 		return nil, err
 	}
-	if view.Tries, err = a.readTries(ctx, plan, path); err != nil {
+	if view.Tries, err = a.tries(ctx, plan, path); err != nil {
 		return nil, err
 	}
 	return view, nil
 }
 
-// readPlan reads and checks a graph definition.
-func (a *graphAPI) readPlan(ctx context.Context, path ...string) (*dag.Plan, error) {
+// plan reads and checks a graph definition.
+func (a *graphAPI) plan(ctx context.Context, path ...string) (*dag.Plan, error) {
 	var g dag.Graph
 	if err := a.read(ctx, &g, path...); err != nil {
 		return nil, err
@@ -51,8 +52,8 @@
 	return dag.NewPlan(&g)
 }
 
-// readInstances reads the instances of the steps of a run. runPath is the path of the run.
-func (a *graphAPI) readInstances(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Instance, error) {
+// instances reads the instances of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) instances(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Instance, error) {
 	type instance struct {
 		Task  string  `json:"task_id"`
 		Index int     `json:"map_index"`
@@ -78,8 +79,8 @@
 	return all, nil
 }
 
-// readTries reads the tries of the steps of a run. runPath is the path of the run.
-func (a *graphAPI) readTries(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Try, error) {
+// tries reads the tries of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) tries(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Try, error) {
 	items, err := listAll[airflow.TryView](ctx, a, "tries", nil, append(runPath, "tries")...)
 	if err != nil {
 		return nil, err
--- a/cmd/poppypass/graph_show.go
+++ b/cmd/poppypass/graph_show.go
@@ -29,7 +29,7 @@
 				}
 				return printJSON(w, items)
 			}
-			run, err := api.readRun(cmd.Context(), args[0], args[1])
+			run, err := api.run(cmd.Context(), args[0], args[1])
 			if err != nil {
 				return err
 			}
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -16,21 +16,21 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// triggerOptions contains the flags of the trigger command.
-type triggerOptions struct {
-	run, conf, note string
-	descriptions    string // the URL to which the descriptions of the steps are uploaded first; empty: no upload
-	described       bool   // the descriptions are already uploaded
+// trigger contains the flags of the trigger command.
+type trigger struct {
+	runID, conf, note string
+	descriptions      string // the URL to which the descriptions of the steps are uploaded first; empty: no upload
+	described         bool   // the descriptions are already uploaded
 }
 
 func graphTriggerCommand() *cobra.Command {
 	var api graphAPI
-	var options triggerOptions
+	var flags trigger
 	command := &cobra.Command{
 		Use: "trigger DAG", Short: "Begin a run of a graph", Args: cobra.ExactArgs(1),
 		Long: "Begin a run of a graph. Where the service has nowhere to have steps described\n(graphs.descriptions), --descriptions uploads those of all its steps first, or\n--described says that this was done.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r, err := api.triggerRun(cmd.Context(), args[0], &options)
+			r, err := api.trigger(cmd.Context(), args[0], &flags)
 			if err != nil {
 				return err
 			}
@@ -39,36 +39,37 @@
 		},
 	}
 	api.addFlags(command)
-	command.Flags().StringVar(&options.run, "run", "", "the run's id; it makes a repeated trigger harmless")
-	command.Flags().StringVar(&options.conf, "conf", "", "a JSON object over the graph's params")
-	command.Flags().StringVar(&options.note, "note", "", "a note for those who look at the run")
-	command.Flags().StringVar(&options.descriptions, "descriptions", "", "URL to which the descriptions of the steps are sent first")
-	command.Flags().BoolVar(&options.described, "described", false, "the descriptions of the steps are uploaded already")
+	command.Flags().StringVar(&flags.runID, "run", "", "the run's id; it makes a repeated trigger harmless")
+	command.Flags().StringVar(&flags.conf, "conf", "", "a JSON object over the graph's params")
+	command.Flags().StringVar(&flags.note, "note", "", "a note for those who look at the run")
+	command.Flags().StringVar(&flags.descriptions, "descriptions", "", "URL to which the descriptions of the steps are sent first")
+	command.Flags().BoolVar(&flags.described, "described", false, "the descriptions of the steps are uploaded already")
 	return command
 }
 
-// triggerRun starts a run of a graph, after uploading the descriptions of its steps if requested.
-func (a *graphAPI) triggerRun(ctx context.Context, dagID string, options *triggerOptions) (*runResponse, error) {
+// trigger starts a run of a graph, after uploading the descriptions of its steps if requested. dagID is the ID of
+// the graph.
+func (a *graphAPI) trigger(ctx context.Context, dagID string, flags *trigger) (*runResponse, error) {
 	now := time.Now().UTC()
-	runID := options.run
+	runID := flags.runID
 	if runID == "" {
 		runID = runner.RunName(runner.Manual, now)
 	}
-	if options.conf != "" && !json.Valid([]byte(options.conf)) {
+	if flags.conf != "" && !json.Valid([]byte(flags.conf)) {
 		return nil, errors.New("--conf is not JSON")
 	}
-	if options.descriptions != "" {
-		plan, err := a.readPlan(ctx, "dags", dagID, "definition")
+	if flags.descriptions != "" {
+		plan, err := a.plan(ctx, "dags", dagID, "definition")
 		if err != nil {
 			return nil, err
 		}
-		if err := uploadDescriptions(ctx, plan, runID, options.descriptions, json.RawMessage(options.conf), now); err != nil {
+		if err := uploadDescriptions(ctx, plan, runID, flags.descriptions, json.RawMessage(flags.conf), now); err != nil {
 			return nil, err
 		}
 	}
-	body := map[string]any{"dag_run_id": runID, "logical_date": now, "note": options.note, "described": options.described || options.descriptions != ""}
-	if options.conf != "" {
-		body["conf"] = json.RawMessage(options.conf)
+	body := map[string]any{"dag_run_id": runID, "logical_date": now, "note": flags.note, "described": flags.described || flags.descriptions != ""}
+	if flags.conf != "" {
+		body["conf"] = json.RawMessage(flags.conf)
 	}
 	var run runResponse
 	if err := a.request(ctx, http.MethodPost, body, &run, nil, "dags", dagID, "dagRuns"); err != nil {
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -130,9 +130,9 @@
 		return err
 	}
 	table := [][]string{{"DAY", "TEAM", "ACCOUNT", "CLASS", "TYPE", "ATTEMPTS", "CORE-HOURS", "MONEY"}}
-	addRow := func(label string, total ledger.Total) {
-		table = append(table, []string{label, total.Team, total.Account, total.Class, total.Type, strconv.FormatInt(total.Attempts, 10),
-			fmt.Sprintf("%.3f", total.CoreHours), fmt.Sprintf("%.4f", total.Money)})
+	addRow := func(label string, row ledger.Total) {
+		table = append(table, []string{label, row.Team, row.Account, row.Class, row.Type, strconv.FormatInt(row.Attempts, 10),
+			fmt.Sprintf("%.3f", row.CoreHours), fmt.Sprintf("%.4f", row.Money)})
 	}
 	for _, row := range totals.Rows {
 		addRow(row.Day, row)
--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// exempt reports whether budgets do not apply to a task.
+// exempt reports whether a task is exempt from budgets. Production tasks are, unless the team's policy is
+// LimitProduction.
 func (tr *Tracker) exempt(t *Task) bool {
 	return t.Production && !tr.settings.policy(t.Scope.Team).LimitProduction
 }
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -103,8 +103,8 @@
 }
 
 // EndTask removes a live task. completed means that it completed after the given run time. The caller
-// reports its usage separately with AddCharge. The reservation of the task lasts until the next
-// Recompute, so that tasks are delayed for a moment rather than a budget overspent.
+// reports its usage separately with AddCharge. The reservation of the task remains until the next
+// Recompute: a budget that delays other tasks too long is preferable to one that is overspent.
 func (tr *Tracker) EndTask(ref any, completed bool, run time.Duration) {
 	t := tr.live[ref]
 	if t == nil {
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -16,7 +16,7 @@
 	return time.Date(t.Year(), t.Month(), t.Day()+1, 0, 0, 0, 0, loc).UnixMilli()
 }
 
-// SplitByDay splits a charge at each midnight, so that each part falls on one day.
+// SplitByDay splits a charge at each midnight in loc, so that each part falls on one day.
 // The run times and costs of the parts add up exactly to those of the charge.
 func SplitByDay(c Charge, loc *time.Location) []Charge {
 	var parts []Charge
