--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// exempt reports whether a task is exempt from budgets. Production tasks are, unless the team's policy is
-// LimitProduction.
+// exempt reports whether a task is exempt from budgets. Production tasks are, unless the
+// team's policy sets LimitProduction.
 func (tr *Tracker) exempt(t *Task) bool {
 	return t.Production && !tr.settings.policy(t.Scope.Team).LimitProduction
 }
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -6,7 +6,7 @@
 )
 
 // TasksToDrain returns the references of the live tasks that must stop now: those that count in a
-// budget whose policy is DrainWhenSpent and whose usage has reached the DrainAt share.
+// budget whose policy sets DrainWhenSpent and whose usage has reached the DrainAt share.
 func (tr *Tracker) TasksToDrain() []any {
 	toDrain := tr.balancesToDrain()
 	if len(toDrain) == 0 {
