--- a/internal/accounting/budget/overspend_test.go
+++ b/internal/accounting/budget/overspend_test.go
@@ -10,8 +10,8 @@
 func TestWarningsReturnANearlySpentBudgetOnceAPeriod(t *testing.T) {
 	for _, c := range []struct {
 		period    string
-		nextDay   int // expected warnings on the next day, with the same total usage
-		nextMonth int // expected warnings in the next month
+		nextDay   int // expected warnings on the next day, after as much usage on that day as on the first
+		nextMonth int // expected warnings in the next month, likewise
 	}{
 		{"day", 1, 1}, {"month", 0, 1}, {"ever", 0, 0},
 	} {
