--- a/cmd/poppypass/client.go
+++ b/cmd/poppypass/client.go
@@ -16,19 +16,20 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// clientTimeout is how long the client commands wait for an answer: as long
-// as the protocol has users wait.
+// clientTimeout bounds a request of a client command. It equals the time that the protocol lets
+// users wait for a response.
 const clientTimeout = 5 * time.Second
 
-// client is how a command reaches a controller.
+// client sends the requests of a command to a controller.
 type client struct{ addr string }
 
-// flags lets a command, and those below it, name whom to ask.
-func (c *client) flags(cmd *cobra.Command) {
+// addFlags adds the flag for the address to a command and its subcommands.
+func (c *client) addFlags(cmd *cobra.Command) {
 	cmd.PersistentFlags().StringVar(&c.addr, "addr", "127.0.0.1:8080", "address of a controller or load balancer")
 }
 
-// call sends JSON (nil: no body) and returns the answer's JSON. A refusal is an error.
+// call sends a request with in as its JSON body (nil: no body) and returns the JSON of the response. A
+// status of 400 or above is an error.
 func (c *client) call(ctx context.Context, method, path string, in any) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -39,12 +40,12 @@
 		return nil, err
 	}
 	if status >= http.StatusBadRequest {
-		return nil, refusal(status, out)
+		return nil, responseError(status, out)
 	}
 	return out, nil
 }
 
-// get reads what is at a path.
+// get sends a GET request for a path and decodes the JSON of the response into out.
 func (c *client) get(ctx context.Context, path string, out any) error {
 	raw, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// send sends bytes, and takes an answer without a body. A refusal is an error.
+// send sends a request with the given body and ignores the body of the response. A status of 400 or
+// above is an error.
 func (c *client) send(ctx context.Context, method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -73,23 +75,24 @@
 	if err != nil {
 		return err
 	}
-	return refusal(resp.StatusCode, raw)
+	return responseError(resp.StatusCode, raw)
 }
 
-// errNotNow tells that a controller cannot answer now: the same command may succeed a moment later.
-var errNotNow = errors.New("not now")
+// errTemporarilyUnavailable means that the controller temporarily cannot serve the request. The same command may
+// succeed a moment later.
+var errTemporarilyUnavailable = errors.New("temporarily unavailable")
 
-// refusal is the error that an answer tells: the protocol's, or that of the graphs' API. It wraps errNotNow where asking again
-// may help.
-func refusal(status int, body []byte) error {
-	var e struct{ Error, Detail string }
-	text := http.StatusText(status)
-	if json.Unmarshal(body, &e) == nil && e.Error+e.Detail != "" {
-		text = fmt.Sprintf("status %d: %s", status, e.Error+e.Detail)
+// responseError returns the error in a response, of the job protocol ("error") or of the API for graphs
+// ("detail"). It wraps errTemporarilyUnavailable if a retry may succeed.
+func responseError(status int, body []byte) error {
+	var response struct{ Error, Detail string }
+	message := http.StatusText(status)
+	if json.Unmarshal(body, &response) == nil && response.Error+response.Detail != "" {
+		message = fmt.Sprintf("status %d: %s", status, response.Error+response.Detail)
 	}
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return fmt.Errorf("%w: %s", errNotNow, text)
+		return fmt.Errorf("%w: %s", errTemporarilyUnavailable, message)
 	}
-	return errors.New(text)
+	return errors.New(message)
 }
--- a/cmd/poppypass/graph_check.go
+++ b/cmd/poppypass/graph_check.go
@@ -15,7 +15,7 @@
 
 func graphCheckCommand() *cobra.Command {
 	var output, team string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "check FILE", Short: "Check the graphs that a file describes, and tell their critical paths", Args: cobra.ExactArgs(1),
 		Long: "Check the graphs that a file describes: Starlark with Airflow's words, or JSON (a name\nthat ends in .json). Nothing is sent anywhere. A file is run with bounded steps, time\nand memory; it cannot read files, reach a network or tell the time.",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,12 +31,12 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&output, "output", "text", "text, json or dot")
-	c.Flags().StringVar(&team, "team", "", "the team of graphs that name none")
-	return c
+	command.Flags().StringVar(&output, "output", "text", "text, json or dot")
+	command.Flags().StringVar(&team, "team", "", "the team of graphs that name none")
+	return command
 }
 
-// printPlan prints a graph in the form that --output names.
+// printPlan prints a graph in the format that --output selects.
 func printPlan(w io.Writer, p *dag.Plan, output string) error {
 	switch output {
 	case "text":
@@ -49,7 +49,7 @@
 	return fmt.Errorf("--output is %q; it can be text, json or dot", output)
 }
 
-// readGraphs reads and checks the graphs of a file.
+// readGraphs reads and checks the graphs in a file. Graphs without a team get the given one.
 func readGraphs(cmd *cobra.Command, path, team string) ([]*dag.Plan, error) {
 	raw, err := readInput(cmd, path)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return plans, nil
 }
 
-// parseGraphs reads the graphs of a file: JSON where its name says so, otherwise Starlark.
+// parseGraphs parses the graphs in a file. A file whose name ends in .json contains JSON, any other Starlark.
 func parseGraphs(path string, raw []byte) ([]*dag.Graph, error) {
 	if filepath.Ext(path) != ".json" {
 		return dagfile.Load(path, raw, dagfile.DefaultLimits())
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/graphs/dagview"
 )
 
-// runAnswer is what a command needs of a run.
-type runAnswer struct {
+// runResponse contains the fields of a run in an API response that commands use.
+type runResponse struct {
 	ID    string     `json:"dag_run_id"`
 	DAG   string     `json:"dag_id"`
 	State string     `json:"state"`
@@ -21,28 +21,29 @@
 	Date  *time.Time `json:"logical_date"`
 }
 
-// run reads a run, with what became of its steps, to be shown.
-func (a *graphAPI) run(ctx context.Context, id, run string) (*dagview.Run, error) {
-	path := []string{"dags", id, "dagRuns", run}
-	var r runAnswer
-	if err := a.read(ctx, &r, path...); err != nil {
+// run reads a run with its definition and the instances and tries of its steps. dagID and run are the IDs of the
+// graph and the run.
+func (a *graphAPI) run(ctx context.Context, dagID, run string) (*dagview.Run, error) {
+	path := []string{"dags", dagID, "dagRuns", run}
+	var response runResponse
+	if err := a.read(ctx, &response, path...); err != nil {
 		return nil, err
 	}
 	plan, err := a.plan(ctx, append(path, "definition")...)
 	if err != nil {
 		return nil, err
 	}
-	v := &dagview.Run{Plan: plan, ID: run, State: r.State, Start: timeOrZero(r.Start), End: timeOrZero(r.End), Now: time.Now()}
-	if v.Instances, err = a.instances(ctx, plan, path); err != nil {
+	view := &dagview.Run{Plan: plan, ID: run, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
+	if view.Instances, err = a.instances(ctx, plan, path); err != nil {
 		return nil, err
 	}
-	if v.Tries, err = a.tries(ctx, plan, path); err != nil {
+	if view.Tries, err = a.tries(ctx, plan, path); err != nil {
 		return nil, err
 	}
-	return v, nil
+	return view, nil
 }
 
-// plan reads and checks a graph's definition.
+// plan reads and checks a graph definition.
 func (a *graphAPI) plan(ctx context.Context, path ...string) (*dag.Plan, error) {
 	var g dag.Graph
 	if err := a.read(ctx, &g, path...); err != nil {
@@ -51,8 +52,8 @@
 	return dag.NewPlan(&g)
 }
 
-// instances reads the instances of a run's steps.
-func (a *graphAPI) instances(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Instance, error) {
+// instances reads the instances of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) instances(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Instance, error) {
 	type instance struct {
 		Task  string  `json:"task_id"`
 		Index int     `json:"map_index"`
@@ -60,52 +61,52 @@
 		Try   int     `json:"try_number"`
 		Job   *string `json:"job"`
 	}
-	items, err := list[instance](ctx, a, "task_instances", nil, append(run, "taskInstances")...)
+	items, err := listAll[instance](ctx, a, "task_instances", nil, append(runPath, "taskInstances")...)
 	if err != nil {
 		return nil, err
 	}
 	var all []dagview.Instance
-	for _, x := range items {
-		i := dagview.Instance{Step: p.Index[x.Task], Index: x.Index, State: dag.None.String(), Try: x.Try}
-		if x.State != nil {
-			i.State = *x.State
+	for _, item := range items {
+		instance := dagview.Instance{Step: plan.Index[item.Task], Index: item.Index, State: dag.None.String(), Try: item.Try}
+		if item.State != nil {
+			instance.State = *item.State
 		}
-		if x.Job != nil {
-			i.Job = *x.Job
+		if item.Job != nil {
+			instance.Job = *item.Job
 		}
-		all = append(all, i)
+		all = append(all, instance)
 	}
 	return all, nil
 }
 
-// tries reads the tries of a run's steps.
-func (a *graphAPI) tries(ctx context.Context, p *dag.Plan, run []string) ([]dagview.Try, error) {
-	items, err := list[airflow.TryView](ctx, a, "tries", nil, append(run, "tries")...)
+// tries reads the tries of the steps of a run. runPath is the path of the run.
+func (a *graphAPI) tries(ctx context.Context, plan *dag.Plan, runPath []string) ([]dagview.Try, error) {
+	items, err := listAll[airflow.TryView](ctx, a, "tries", nil, append(runPath, "tries")...)
 	if err != nil {
 		return nil, err
 	}
 	var all []dagview.Try
-	for _, t := range items {
-		x := dagview.Try{Step: p.Index[t.Task], Index: t.Index, State: t.State}
-		if x.Begin, err = parseTime(t.Start); err != nil {
+	for _, item := range items {
+		try := dagview.Try{Step: plan.Index[item.Task], Index: item.Index, State: item.State}
+		if try.Begin, err = parseTime(item.Start); err != nil {
 			return nil, err
 		}
-		if x.End, err = parseTime(t.End); err != nil {
+		if try.End, err = parseTime(item.End); err != nil {
 			return nil, err
 		}
-		all = append(all, x)
+		all = append(all, try)
 	}
 	return all, nil
 }
 
-// parseTime reads a time of an answer; nil is the zero time.
+// parseTime parses a time in a response; nil gives the zero time.
 func parseTime(text *string) (time.Time, error) {
 	if text == nil {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339, *text)
 	if err != nil {
-		return at, fmt.Errorf("malformed answer: %w", err)
+		return at, fmt.Errorf("malformed response: %w", err)
 	}
 	return at, nil
 }
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -16,21 +16,21 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// trigger is what the flags say of a run that is to begin.
+// trigger contains the flags of the trigger command.
 type trigger struct {
-	run, conf, note string
-	descriptions    string // the URL to which the descriptions of the steps are sent first; empty: they are not
-	described       bool   // they are there already
+	runID, conf, note string
+	descriptions      string // the URL to which the descriptions of the steps are uploaded first; empty: no upload
+	described         bool   // the descriptions are already uploaded
 }
 
 func graphTriggerCommand() *cobra.Command {
-	var a graphAPI
-	var t trigger
-	c := &cobra.Command{
+	var api graphAPI
+	var flags trigger
+	command := &cobra.Command{
 		Use: "trigger DAG", Short: "Begin a run of a graph", Args: cobra.ExactArgs(1),
 		Long: "Begin a run of a graph. Where the service has nowhere to have steps described\n(graphs.descriptions), --descriptions uploads those of all its steps first, or\n--described says that this was done.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r, err := a.trigger(cmd.Context(), args[0], &t)
+			r, err := api.trigger(cmd.Context(), args[0], &flags)
 			if err != nil {
 				return err
 			}
@@ -38,55 +38,57 @@
 			return err
 		},
 	}
-	a.flags(c)
-	c.Flags().StringVar(&t.run, "run", "", "the run's id; it makes a repeated trigger harmless")
-	c.Flags().StringVar(&t.conf, "conf", "", "a JSON object over the graph's params")
-	c.Flags().StringVar(&t.note, "note", "", "a note for those who look at the run")
-	c.Flags().StringVar(&t.descriptions, "descriptions", "", "URL to which the descriptions of the steps are sent first")
-	c.Flags().BoolVar(&t.described, "described", false, "the descriptions of the steps are uploaded already")
-	return c
+	api.addFlags(command)
+	command.Flags().StringVar(&flags.runID, "run", "", "the run's id; it makes a repeated trigger harmless")
+	command.Flags().StringVar(&flags.conf, "conf", "", "a JSON object over the graph's params")
+	command.Flags().StringVar(&flags.note, "note", "", "a note for those who look at the run")
+	command.Flags().StringVar(&flags.descriptions, "descriptions", "", "URL to which the descriptions of the steps are sent first")
+	command.Flags().BoolVar(&flags.described, "described", false, "the descriptions of the steps are uploaded already")
+	return command
 }
 
-// trigger begins a run of a graph.
-func (a *graphAPI) trigger(ctx context.Context, id string, t *trigger) (*runAnswer, error) {
+// trigger starts a run of a graph, after uploading the descriptions of its steps if requested. dagID is the ID of
+// the graph.
+func (a *graphAPI) trigger(ctx context.Context, dagID string, flags *trigger) (*runResponse, error) {
 	now := time.Now().UTC()
-	run := t.run
-	if run == "" {
-		run = runner.RunName(runner.Manual, now)
+	runID := flags.runID
+	if runID == "" {
+		runID = runner.RunName(runner.Manual, now)
 	}
-	if t.conf != "" && !json.Valid([]byte(t.conf)) {
+	if flags.conf != "" && !json.Valid([]byte(flags.conf)) {
 		return nil, errors.New("--conf is not JSON")
 	}
-	if t.descriptions != "" {
-		p, err := a.plan(ctx, "dags", id, "definition")
+	if flags.descriptions != "" {
+		plan, err := a.plan(ctx, "dags", dagID, "definition")
 		if err != nil {
 			return nil, err
 		}
-		if err := describe(ctx, p, run, t.descriptions, json.RawMessage(t.conf), now); err != nil {
+		if err := uploadDescriptions(ctx, plan, runID, flags.descriptions, json.RawMessage(flags.conf), now); err != nil {
 			return nil, err
 		}
 	}
-	body := map[string]any{"dag_run_id": run, "logical_date": now, "note": t.note, "described": t.described || t.descriptions != ""}
-	if t.conf != "" {
-		body["conf"] = json.RawMessage(t.conf)
+	body := map[string]any{"dag_run_id": runID, "logical_date": now, "note": flags.note, "described": flags.described || flags.descriptions != ""}
+	if flags.conf != "" {
+		body["conf"] = json.RawMessage(flags.conf)
 	}
-	var r runAnswer
-	if err := a.request(ctx, http.MethodPost, body, &r, nil, "dags", id, "dagRuns"); err != nil {
+	var run runResponse
+	if err := a.request(ctx, http.MethodPost, body, &run, nil, "dags", dagID, "dagRuns"); err != nil {
 		return nil, err
 	}
-	return &r, nil
+	return &run, nil
 }
 
-// describe uploads the descriptions of a run's steps that can be named ahead.
-func describe(ctx context.Context, p *dag.Plan, run, to string, conf json.RawMessage, logical time.Time) error {
-	steps := runner.Foreseen(p, run, conf, logical)
-	source := &runner.HTTPSource{URL: to, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
-	for from := 0; from < len(steps); from += tuning.DescribeBatchSteps {
+// uploadDescriptions uploads the descriptions of those steps of a run that are known before it begins, in
+// batches. The run may be triggered afterwards.
+func uploadDescriptions(ctx context.Context, plan *dag.Plan, runID, url string, conf json.RawMessage, logicalDate time.Time) error {
+	steps := runner.Foreseen(plan, runID, conf, logicalDate)
+	source := &runner.HTTPSource{URL: url, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
+	for start := 0; start < len(steps); start += tuning.DescribeBatchSteps {
 		batchCtx, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
-		err := source.Describe(batchCtx, steps[from:min(len(steps), from+tuning.DescribeBatchSteps)])
+		err := source.Describe(batchCtx, steps[start:min(len(steps), start+tuning.DescribeBatchSteps)])
 		cancel()
 		if err != nil {
-			return fmt.Errorf("descriptions: %w", err)
+			return fmt.Errorf("uploading the descriptions of the steps: %w", err)
 		}
 	}
 	return nil
--- a/internal/accounting/budget/formats_test.go
+++ b/internal/accounting/budget/formats_test.go
@@ -12,7 +12,7 @@
 	golden.Lines(t, "words", string(Day), string(Week), string(Month), string(Ever), string(CoreHours), string(Money))
 }
 
-// The operators' properties, and what is understood of them.
+// Each property that operators can set for budgets, and the settings that it results in.
 func TestProperties(t *testing.T) {
 	lines := []string{
 		"budget.vision.day.core-hours = 1.5",
@@ -39,6 +39,6 @@
 			{Scope: Scope{Team: "vision", Account: "grant-7"}, Period: Month, Unit: CoreHours, Amount: 3.5},
 			{Scope: Scope{Team: "vision", Account: "grant-7"}, Period: Ever, Unit: Money, Amount: 4.5},
 		},
-		Policies: map[string]Policy{"vision": {CarryOver: 0.25, WarnAt: 0.5, DrainWhenSpent: true, DrainAt: 0.75, HoldProduction: true}},
+		Policies: map[string]Policy{"vision": {CarryOver: 0.25, WarnAt: 0.5, DrainWhenSpent: true, DrainAt: 0.75, LimitProduction: true}},
 	})
 }
--- a/internal/accounting/budget/properties.go
+++ b/internal/accounting/budget/properties.go
@@ -7,22 +7,23 @@
 	"strings"
 )
 
-// Prefix begins the keys of budgets in the operators' properties.
+// Prefix is the prefix of the keys of budgets in the operators' properties.
 const Prefix = "budget."
 
-// maxAmount bounds a budget's amount, so that sums in the ledger's units stay finite.
+// maxAmount bounds a budget's amount, in the budget's unit, so that sums in the ledger's units stay
+// finite.
 const maxAmount = 1e9
 
-// PropertyError says why a property of the operators is refused.
+// PropertyError means that a property set by an operator is invalid.
 type PropertyError struct {
 	Key     string
 	Problem string // one line
 }
 
-// Error names the key and the problem in one line.
+// Error returns the key and the problem in one line.
 func (e *PropertyError) Error() string { return e.Key + ": " + e.Problem }
 
-func refuse(key, format string, args ...any) *PropertyError {
+func newPropertyError(key, format string, args ...any) *PropertyError {
 	return &PropertyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -35,15 +36,15 @@
 //	budget.TEAM.drain-at = SHARE                    above 0, to 1
 //	budget.TEAM.production = spared | held
 //
-// The error is a *PropertyError. After an error the settings are not to be used.
+// The error is a *PropertyError. After an error the settings must not be used.
 func (s *Settings) Set(key, value string) error {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return refuse(key, "not a budget")
+		return newPropertyError(key, "the key does not begin with \"budget.\"")
 	}
-	name, setting, ok := cutLast(rest)
+	name, setting, ok := cutLastDot(rest)
 	if !ok {
-		return refuse(key, "it names no team and setting")
+		return newPropertyError(key, "no team and setting in the key; expected budget.TEAM.SETTING")
 	}
 	switch unit := Unit(setting); unit {
 	case CoreHours, Money:
@@ -52,8 +53,8 @@
 	return s.setPolicy(key, name, setting, value)
 }
 
-// cutLast cuts a name, which may contain dots itself, from what follows its last dot.
-func cutLast(s string) (name, last string, ok bool) {
+// cutLastDot splits s at its last dot. name may contain dots itself.
+func cutLastDot(s string) (name, last string, ok bool) {
 	dot := strings.LastIndexByte(s, '.')
 	if dot <= 0 {
 		return "", "", false
@@ -62,19 +63,19 @@
 }
 
 func (s *Settings) setAmount(key, name string, unit Unit, value string) error {
-	scope, last, ok := cutLast(name)
+	scope, last, ok := cutLastDot(name)
 	if !ok {
-		return refuse(key, "it names no team and period")
+		return newPropertyError(key, "no team and period in the key; expected budget.TEAM.PERIOD.UNIT")
 	}
 	period := Period(last)
 	switch period {
 	case Day, Week, Month, Ever:
 	default:
-		return refuse(key, "%q is not a period; it can be day, week, month or ever", period)
+		return newPropertyError(key, "%q is not a period; it can be day, week, month or ever", period)
 	}
 	amount, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(amount >= 0) || amount > maxAmount {
-		return refuse(key, "%q is not an amount from 0 to 1e9", value)
+		return newPropertyError(key, "%q is not an amount from 0 to 1e9", value)
 	}
 	team, account, _ := strings.Cut(scope, "/")
 	s.Budgets = append(s.Budgets, Budget{Scope: Scope{team, account}, Period: period, Unit: unit, Amount: amount})
@@ -94,9 +95,9 @@
 	case "when-spent":
 		p.DrainWhenSpent, err = parseChoice(key, value, "finish", "drain")
 	case "production":
-		p.HoldProduction, err = parseChoice(key, value, "spared", "held")
+		p.LimitProduction, err = parseChoice(key, value, "spared", "held")
 	default:
-		err = refuse(key, "unknown key")
+		err = newPropertyError(key, "unknown key")
 	}
 	if err != nil {
 		return err
@@ -108,22 +109,22 @@
 	return nil
 }
 
-// parseShare reads a share from least to 1; NaN is none.
-func parseShare(key, value string, least float64) (float64, error) {
+// parseShare parses a number from minimum to 1. NaN is an error.
+func parseShare(key, value string, minimum float64) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(v >= least) || v > 1 {
-		return 0, refuse(key, "%q is not a share up to 1", value)
+	if err != nil || !(v >= minimum) || v > 1 {
+		return 0, newPropertyError(key, "%q is not a valid share; carry-over is from 0 to 1, all others are above 0 and up to 1", value)
 	}
 	return v, nil
 }
 
-// parseChoice reads one of two words, and reports whether it is the second.
-func parseChoice(key, value, no, yes string) (bool, error) {
+// parseChoice parses one of two words and reports whether it is trueWord.
+func parseChoice(key, value, falseWord, trueWord string) (bool, error) {
 	switch value {
-	case no:
+	case falseWord:
 		return false, nil
-	case yes:
+	case trueWord:
 		return true, nil
 	}
-	return false, refuse(key, "%q is neither %s nor %s", value, no, yes)
+	return false, newPropertyError(key, "%q is neither %s nor %s", value, falseWord, trueWord)
 }
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// DayOf is the date, such as 2026-12-02, of a time in milliseconds.
+// DayOf returns the date, such as 2026-12-02, of a Unix time in milliseconds.
 func DayOf(ms int64, loc *time.Location) string {
 	return time.UnixMilli(ms).In(loc).Format(time.DateOnly)
 }
 
-// NextDay is when the day after that of a time begins; both are in milliseconds.
+// NextDay returns the beginning of the next day after a time. Both are Unix times in milliseconds.
 func NextDay(ms int64, loc *time.Location) int64 {
 	t := time.UnixMilli(ms).In(loc)
 	return time.Date(t.Year(), t.Month(), t.Day()+1, 0, 0, 0, 0, loc).UnixMilli()
 }
 
-// SplitByDay cuts a charge at midnights, so that each part lies in one day.
-// The parts add up to the charge's run time and money exactly.
+// SplitByDay splits a charge at each midnight in loc, so that each part falls on one day.
+// The run times and costs of the parts add up exactly to those of the charge.
 func SplitByDay(c Charge, loc *time.Location) []Charge {
-	var out []Charge
+	var parts []Charge
 	for {
 		midnight := NextDay(c.Start, loc)
 		if c.End() <= midnight {
-			return append(out, c)
+			return append(parts, c)
 		}
 		part := c
 		part.Run = midnight - c.Start
 		part.Money = int64(math.Round(float64(c.Money) * float64(part.Run) / float64(c.Run)))
 		part.Outcome, part.Flags = Continues, c.Flags&^ProgressSaved
-		out = append(out, part)
+		parts = append(parts, part)
 		c.Start, c.Run, c.Money, c.Part = midnight, c.Run-part.Run, c.Money-part.Money, c.Part+1
 	}
 }
