--- a/internal/graphs/dag/advance.go
+++ b/internal/graphs/dag/advance.go
@@ -1,6 +1,6 @@
 package dag
 
-// evaluateStep applies a step's trigger rule, and starts or ends the step if it decides.
+// evaluateStep applies a step's trigger rule, and makes the step ready or ends it if the rule has decided.
 func (r *Run) evaluateStep(i int) {
 	if s := r.verdict(i); s == Scheduled {
 		r.makeReady(i)
@@ -9,8 +9,8 @@
 	}
 }
 
-// verdict returns what a step's trigger rule makes of it now: Scheduled, it may start; a
-// final state, it ends without starting; None, it waits or was decided before.
+// ruleDecision returns what a step's trigger rule decides now: Scheduled if the step may start, a final state
+// if it ends without starting, None if it still waits or was decided before.
 func (r *Run) verdict(i int) State {
 	n := &r.nodes[i]
 	if !n.undecided() {
@@ -19,8 +19,7 @@
 	return r.Plan.Steps[i].Rule.Evaluate(n.upstream)
 }
 
-// makeReady makes a step's instances ready, if it is known how many there are. A step that
-// has none ends.
+// makeReady makes a step's instances ready, if their number is known. A step that needs no instances ends.
 func (r *Run) makeReady(i int) {
 	s := &r.Plan.Steps[i]
 	switch {
@@ -33,12 +32,13 @@
 	}
 }
 
-// makeMappedReady makes the instances of a mapped step ready, one for each element.
+// makeMappedReady makes the instances of a mapped step ready, one for each list element. The step is skipped
+// if the list is empty.
 func (r *Run) makeMappedReady(i int) {
 	list, known := r.mapElements(i)
 	if !known {
-		// The step's rule lets it start although the step that gives the list has not
-		// succeeded. Once that one has ended there will be no list.
+		// The trigger rule lets the step start although the step that provides the list has not succeeded.
+		// Once that one has ended, there will be no list.
 		if r.nodes[r.Plan.Index[r.Plan.Steps[i].Map.Over]].state.Final() {
 			r.finishStep(i, UpstreamFailed)
 		}
@@ -49,12 +49,12 @@
 		return
 	}
 	for _, j := range r.Plan.Downstream[i] {
-		r.nodes[j].upstream.Total += len(list) - 1 // the step counted for one so far
+		r.nodes[j].upstream.Total += len(list) - 1 // until now the step counted as one instance
 	}
 	r.addInstances(i, len(list))
 }
 
-// addInstances gives a step its instances, all of them ready.
+// addInstances creates a step's instances, all of them ready.
 func (r *Run) addInstances(i, count int) {
 	n := &r.nodes[i]
 	n.state, n.unfinished = Scheduled, count
@@ -65,9 +65,9 @@
 	}
 }
 
-// finishStep ends a step, and evaluates those that follow it. Steps that end by this are in
-// a queue rather than on the stack: a chain of 10,000 skipped steps must not need a stack
-// as deep.
+// finishStep ends a step and evaluates the steps downstream. Steps that end as a consequence are handled from
+// a queue instead of by recursion, so that a chain of 10,000 skipped steps does not need a stack of that
+// depth.
 func (r *Run) finishStep(i int, s State) {
 	type finished struct {
 		step  int
@@ -94,7 +94,7 @@
 	}
 }
 
-// setFinal sets the final state of a step, and reports whether it had none yet.
+// setFinal sets the final state of a step. It does nothing and returns false if the step has ended before.
 func (r *Run) setFinal(i int, s State) bool {
 	n := &r.nodes[i]
 	if n.state.Final() {
@@ -103,12 +103,12 @@
 	n.state = s
 	r.unfinished--
 	if len(n.instances) == 0 {
-		r.countDownstream(i, s) // it counts as one: it never had instances
+		r.countDownstream(i, s) // a step that never had instances counts as one
 	}
 	return true
 }
 
-// countDownstream counts the end of one instance of a step in all steps that follow it.
+// countDownstream adds the final state of one instance of a step to the counts of all steps directly downstream.
 func (r *Run) countDownstream(i int, s State) {
 	for _, j := range r.Plan.Downstream[i] {
 		r.nodes[j].upstream.finish(s)
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// JobSubmitted records that an instance's job is accepted.
+// JobSubmitted records that the scheduler accepted an instance's job.
 func (r *Run) JobSubmitted(at Ref) {
 	if inst := r.instance(at); inst != nil && inst.State == Scheduled {
 		inst.State = Queued
@@ -13,8 +13,7 @@
 	}
 }
 
-// SubmissionFailed records that an instance's job could not be stored. The instance is
-// ready again.
+// SubmissionFailed records that an instance's job could not be stored. It makes the instance ready again.
 func (r *Run) SubmissionFailed(at Ref) {
 	if inst := r.instance(at); inst != nil && inst.State == Queued {
 		inst.State = Scheduled
@@ -23,7 +22,7 @@
 	}
 }
 
-// TaskRunning records that a task of an instance's job runs.
+// TaskRunning records that a task of an instance's job was seen running at the time now.
 func (r *Run) TaskRunning(at Ref, now time.Time) {
 	if inst := r.instance(at); inst != nil && !inst.Cancelling && (inst.State == Queued || inst.State == UpForRetry) {
 		inst.State, inst.StartedAt, inst.RetryAt = Running, now, time.Time{}
@@ -31,9 +30,9 @@
 	}
 }
 
-// AttemptFailed records that an attempt of an instance's job failed. The job rests before
-// its next try. When its tries are used up it is cancelled, and the instance fails with it.
-// jitter, from 0 to 1, spreads the rests (Retry.DelayBefore).
+// AttemptFailed records that an attempt of an instance's job failed. The next try waits for the retry delay.
+// Once the retries are used up, the job is to be cancelled, and the instance fails when that is done. jitter,
+// from 0 to 1, spreads the delays (Retry.DelayBefore).
 func (r *Run) AttemptFailed(at Ref, now time.Time, jitter float64) {
 	inst := r.instance(at)
 	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
@@ -50,8 +49,7 @@
 	r.updateStepState(at.Step)
 }
 
-// TimeOut cancels the job of an instance whose present try has run for longer than it may,
-// and reports whether it did.
+// TimeOut cancels the job of an instance if its current try has reached the step's timeout, and reports whether it did.
 func (r *Run) TimeOut(at Ref, now time.Time) bool {
 	inst, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
 	if inst == nil || limit == 0 || inst.State != Running || inst.Cancelling || now.Before(inst.StartedAt.Add(limit)) {
@@ -61,9 +59,8 @@
 	return true
 }
 
-// JobDone records that an instance's job is done. An error, a *ResultError, says that the
-// step's result (SetResult) is not what the step's kind asks for; the instance has failed
-// then.
+// JobDone records that an instance's job completed. It returns a *ResultError, and the instance fails, if the
+// step's result (SetResult) does not meet the requirements of the step's kind.
 func (r *Run) JobDone(at Ref) error {
 	inst := r.instance(at)
 	if inst == nil || inst.State.Final() {
@@ -79,11 +76,10 @@
 	return nil
 }
 
-// JobCancelled records that an instance's job was cancelled, by the run or by somebody
-// else: the instance has failed.
+// JobCancelled records that an instance's job was cancelled, by the run or by someone else. The instance fails.
 func (r *Run) JobCancelled(at Ref) { r.finishInstance(at, Failed) }
 
-// finishInstance ends an instance, and the step with its last one.
+// finishInstance ends an instance. The step ends with its last instance.
 func (r *Run) finishInstance(at Ref, s State) {
 	inst := r.instance(at)
 	if inst == nil || inst.State.Final() {
@@ -97,15 +93,14 @@
 		r.finishStep(at.Step, n.outcome(Success))
 		return
 	}
-	// Steps whose rule waits for one end only need not wait for all.
+	// Steps whose trigger rule needs only one ended instance do not wait for the others.
 	for _, j := range r.Plan.Downstream[at.Step] {
 		r.evaluateStep(j)
 	}
 	r.updateStepState(at.Step)
 }
 
-// updateStepState sets a step's state by those of its instances: the one that is furthest
-// on.
+// updateStepState sets the state of an unfinished step to the most advanced state among its unfinished instances.
 func (r *Run) updateStepState(i int) {
 	n := &r.nodes[i]
 	if n.state.Final() {
@@ -119,26 +114,24 @@
 	}
 }
 
-// cancelJob asks for the cancellation of an instance's job, which the scheduler would
-// otherwise repeat for ever. The instance does not end here but with its job: a job that is
-// done before its cancellation is stored has succeeded, and its step must not be called
-// failed.
+// cancelJob requests the cancellation of an instance's job, which the scheduler would otherwise retry
+// indefinitely. The instance does not end here but when its job ends: a job that completes before its
+// cancellation is stored has succeeded, and its step must not be recorded as failed.
 func (r *Run) cancelJob(at Ref) {
 	inst := r.instance(at)
 	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
 	r.cancellations = append(r.cancellations, r.JobID(at))
 }
 
-// TakeCancellations returns the IDs of the jobs to cancel that were added since the last
-// call.
+// TakeCancellations returns the IDs of the jobs whose cancellation was requested since the last call.
 func (r *Run) TakeCancellations() []string {
 	out := r.cancellations
 	r.cancellations = nil
 	return out
 }
 
-// JobsBeingCancelled returns the IDs of all jobs whose cancellation was asked for and that
-// are not over. A new leader asks for them again.
+// JobsBeingCancelled returns the IDs of all jobs whose cancellation was requested and that have not ended. A
+// new leader cancels them again, because the former leader may not have got to it.
 func (r *Run) JobsBeingCancelled() (jobs []string) {
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Orphans returns the IDs of jobs of earlier generations that are not over. The slice is
-// the run's own and must not be changed.
+// Orphans returns the IDs of the run's orphans: jobs of earlier generations of cleared steps that have not
+// ended. The slice belongs to the run and must not be changed.
 func (r *Run) Orphans() []string { return r.orphans }
 
-// OrphanFinished records that a job of an earlier generation is over.
+// OrphanFinished records that an orphan (a job of an earlier generation) has ended.
 func (r *Run) OrphanFinished(id string) {
 	r.orphans = slices.DeleteFunc(r.orphans, func(o string) bool { return o == id })
 }
 
-// Cancel ends a run: nothing more is started, and the jobs that are not over are cancelled.
-// The run ends with the last of them.
+// Cancel cancels the run: no more jobs are started, and cancellation of the jobs that have not ended is
+// requested. The run ends when the last of them has.
 func (r *Run) Cancel() {
 	if r.unfinished == 0 {
 		return
@@ -32,8 +32,8 @@
 	r.rebuildDerived()
 }
 
-// cancelInstances skips the instances of a step whose jobs are not submitted, and asks for
-// the cancellation of the jobs that are.
+// cancelInstances skips those instances of a step whose jobs are not submitted, and requests the cancellation
+// of the jobs that are.
 func (r *Run) cancelInstances(i int) {
 	n := &r.nodes[i]
 	for k := range n.instances {
@@ -48,9 +48,9 @@
 	}
 }
 
-// StepsToClear returns the steps that a clear would run again, in the plan's order: those
-// named, or all if none is; with onlyFailed of these only the failed ones; with downstream
-// also all that follow them. The error is an *UnknownStepError.
+// StepsToClear returns the steps that a clear would run again, in topological order: the named steps, or all
+// steps if names is empty. onlyFailed restricts these to the failed ones (Failed or UpstreamFailed).
+// downstream then adds all steps downstream of them. The error is an *UnknownStepError.
 func (r *Run) StepsToClear(names []string, downstream, onlyFailed bool) ([]int, error) {
 	steps, err := r.namedSteps(names)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return out, nil
 }
 
-// namedSteps returns the steps with these names, or all if there are none.
+// namedSteps returns the steps with the given IDs, or all steps if there are none.
 func (r *Run) namedSteps(names []string) ([]int, error) {
 	if len(names) == 0 {
 		return slices.Clone(r.Plan.Order), nil
@@ -91,7 +91,7 @@
 	return steps, nil
 }
 
-// addDownstream adds to a set of steps all that follow them, directly or not.
+// addDownstream adds to a set of steps all steps downstream of them, directly or not.
 func (p *Plan) addDownstream(set map[int]bool) {
 	queue := make([]int, 0, len(set))
 	for i := range set {
@@ -109,9 +109,8 @@
 	}
 }
 
-// Clear makes steps run again: each gets a new generation, so its jobs have new IDs. The
-// jobs of the earlier generation that are not over are cancelled, and are orphans until
-// they are.
+// Clear makes steps run again. Each gets a new generation, so its jobs have new IDs. Cancellation of the jobs
+// of the earlier generation that have not ended is requested; they are orphans until they end.
 func (r *Run) Clear(steps []int) {
 	chosen := map[int]bool{}
 	for _, i := range steps {
@@ -121,7 +120,7 @@
 	r.reset(chosen)
 }
 
-// orphanJobs asks for the cancellation of a step's jobs that are submitted and not over.
+// orphanJobs adds a step's jobs that are submitted and have not ended to the orphans, and requests their cancellation.
 func (r *Run) orphanJobs(i int) {
 	for k, inst := range r.nodes[i].instances {
 		if !inst.State.Final() && inst.State != Scheduled {
@@ -131,7 +130,7 @@
 	}
 }
 
-// reset puts steps back to their beginning, in a new generation.
+// reset returns steps to their initial state, in a new generation, and evaluates them.
 func (r *Run) reset(chosen map[int]bool) {
 	for i := range chosen {
 		n := &r.nodes[i]
@@ -149,8 +148,8 @@
 	}
 }
 
-// rebuildDerived works out from the states of all instances what events otherwise update
-// one by one: the counts of upstream states and the queue of what is ready.
+// rebuildDerivedState computes, from the states of all instances, what events otherwise update incrementally:
+// the counts of upstream states and the queue of ready instances.
 func (r *Run) rebuildDerived() {
 	for i := range r.nodes {
 		r.nodes[i].upstream = r.countUpstream(i)
@@ -165,7 +164,7 @@
 	}
 }
 
-// countUpstream counts the states of the instances of the steps that a step follows.
+// countUpstream counts the instances of a step's directly upstream steps, by state.
 func (r *Run) countUpstream(i int) (c UpstreamCounts) {
 	for _, j := range r.Plan.Upstream[i] {
 		n := &r.nodes[j]
--- a/internal/graphs/dag/duration.go
+++ b/internal/graphs/dag/duration.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Duration is a duration that JSON gives in seconds.
+// Duration is a duration that is encoded in JSON as a number of seconds.
 type Duration time.Duration
 
-// maxDuration bounds any duration of a graph.
+// maxDuration is the longest duration allowed in a graph.
 const maxDuration = 366 * 24 * time.Hour
 
-// MarshalJSON returns the duration in seconds.
+// MarshalJSON encodes the duration in seconds.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).Seconds()) }
 
-// UnmarshalJSON reads seconds. Negative numbers and those beyond a year are errors.
+// UnmarshalJSON decodes a number of seconds. A negative number, or one above maxDuration, is an error.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var seconds float64
 	if err := json.Unmarshal(raw, &seconds); err != nil {
--- a/internal/graphs/dag/errors.go
+++ b/internal/graphs/dag/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Error says what is wrong with a graph. Step is empty when it is not the fault of one
-// step.
+// Error says what is invalid about a graph. Step is the ID of the step at fault; it is empty if the error
+// concerns the graph as a whole.
 type Error struct {
 	Graph, Step, Text string
 }
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("graph %s, step %s: %s", e.Graph, e.Step, e.Text)
 }
 
-// ResultError says why a result of a step is refused, or is not what the step's kind asks
-// for. Text names the step.
+// ResultError says why a step's result is refused, or does not meet the requirements of the step's kind. Text
+// contains the step's ID.
 type ResultError struct {
 	Step, Text string
 }
@@ -28,12 +28,12 @@
 // Error implements error.
 func (e *ResultError) Error() string { return e.Text }
 
-// resultError returns a *ResultError.
+// resultError returns a *ResultError with a formatted text.
 func resultError(step, format string, args ...any) error {
 	return &ResultError{Step: step, Text: fmt.Sprintf(format, args...)}
 }
 
-// UnknownStepError says that a graph has no step of a name.
+// UnknownStepError says that a graph has no step with the ID Step.
 type UnknownStepError struct {
 	Step string
 }
@@ -41,12 +41,12 @@
 // Error implements error.
 func (e *UnknownStepError) Error() string { return fmt.Sprintf("there is no step %q", e.Step) }
 
-// Errors of Backfill.
+// Errors of Plan.Backfill.
 var (
 	ErrTooManyRuns = fmt.Errorf("more than %d runs", MaxBackfill)
 	ErrNoSchedule  = errors.New("the graph has no schedule")
 )
 
-// ErrStoredRun is wrapped by each error of DecodeRun: the stored form is malformed, or is
-// not that of a run of the given plan.
+// ErrStoredRun is wrapped by each error of DecodeRun: the stored form is malformed, or does not belong to a
+// run of the given plan.
 var ErrStoredRun = errors.New("stored run")
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -8,11 +8,11 @@
 	"poppypass/internal/platform/golden"
 )
 
-// A graph is registered, stored and answered in the same form.
+// Graphs have the same JSON form in registrations, in the store and in answers.
 func TestGraphFormat(t *testing.T) {
 	graph := golden.Fill(new(Graph))
 	for i := range graph.Steps {
-		step := &graph.Steps[i] // durations are whole seconds in JSON
+		step := &graph.Steps[i] // the JSON form is in seconds; whole seconds are decoded exactly
 		step.Delay, step.MaxDelay, step.Timeout = Duration(7*time.Second), Duration(8*time.Second), Duration(9*time.Second)
 	}
 	golden.JSONRoundTrip(t, "graph", graph)
@@ -36,7 +36,7 @@
 	golden.CBORRoundTrip(t, "stored-run", &run)
 }
 
-// A run is written as it is by the state machine, and read back to be written the same.
+// Encode of a run gives the golden bytes, and so does Encode of the run decoded from them.
 func TestStoredRun(t *testing.T) {
 	job := &Job{Class: "train", CPUs: 1, MemoryGB: 1, Image: "img-07"}
 	plan, err := NewPlan(&Graph{ID: "nightly", Team: "vision", Steps: []Step{
@@ -62,7 +62,7 @@
 	golden.Lines(t, "job-id", run.JobID(Ref{Step: 0, Index: 0}), run.JobID(Ref{Step: 1, Index: 2}))
 }
 
-// States are stored as numbers and answered as names.
+// States are stored as numbers and shown as names.
 func TestNumbersAndNames(t *testing.T) {
 	var lines []string
 	for state := range State(stateCount) {
--- a/internal/graphs/dag/helpers_test.go
+++ b/internal/graphs/dag/helpers_test.go
@@ -8,18 +8,18 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// step returns a step that runs a job.
+// step returns a step that runs a job, with the given upstream steps.
 func step(id string, up ...string) Step {
 	return Step{ID: id, Kind: KindJob, Job: &Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}, Upstream: up}
 }
 
-// changed returns a step with a change.
+// changed returns a copy of a step with a change applied.
 func changed(s Step, change func(*Step)) Step {
 	change(&s)
 	return s
 }
 
-// newTestPlan returns the plan of a graph with these steps.
+// newTestPlan returns the plan of a graph with the given steps.
 func newTestPlan(t testing.TB, steps ...Step) *Plan {
 	t.Helper()
 	p, err := NewPlan(&Graph{ID: "g", Team: "t", Steps: steps})
@@ -29,7 +29,7 @@
 	return p
 }
 
-// stateNames returns the states of a run's steps by name.
+// stateNames returns the names of the states of a run's steps, by step ID.
 func (r *Run) stateNames() map[string]string {
 	out := map[string]string{}
 	for i := range r.nodes {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// runReady submits all that is ready, and reports it as running.
+// runReady reports all ready instances as submitted and running, and returns them.
 func (r *Run) runReady(now time.Time) []Ref {
 	refs := r.TakeReady(1 << 20)
 	for _, at := range refs {
@@ -48,8 +48,8 @@
 	return refs
 }
 
-// finishJob sets the result of a step that is not mapped, if there is one, and reports its
-// job as done.
+// finishJob reports the job of an instance as done. Before that, it sets the step's result,
+// unless result is nil or the step is mapped.
 func (r *Run) finishJob(at Ref, result json.RawMessage) error {
 	if result != nil && r.Plan.Steps[at.Step].Map == nil {
 		if err := r.SetResult(at.Step, result); err != nil {
@@ -59,7 +59,7 @@
 	return r.JobDone(at)
 }
 
-// clearFrom clears a step and all that follow it.
+// clearFrom clears a step and all steps downstream of it.
 func (r *Run) clearFrom(t interface{ Fatal(...any) }, id string) {
 	steps, err := r.StepsToClear([]string{id}, true, false)
 	if err != nil {
--- a/internal/graphs/dag/intervals.go
+++ b/internal/graphs/dag/intervals.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// Interval is the time that a scheduled run represents. The run is due at its end.
+// Interval is the data interval of a scheduled run. The run is due at its end.
 type Interval struct{ Begin, End time.Time }
 
-// MaxBackfill bounds how many runs of the past are begun at one request.
+// MaxBackfill is the largest number of runs that one backfill request may create.
 const MaxBackfill = 1000
 
-// Due returns the intervals that end within (last, now]. last is the end of the last
-// interval that has a run; zero: none has. Without catch-up only the newest is returned, as
-// in Airflow; with it the oldest ones are, limit at the most: the others follow when asked
-// again.
+// Due returns the intervals that end within (last, now]. last is the end of the last interval that has a run;
+// it is zero if there is none. Without catch-up Due returns only the newest interval, as in Airflow. With
+// catch-up it returns the oldest ones, at most limit of them; later calls return the rest.
 func (p *Plan) Due(s *Schedule, last, now time.Time, limit int) []Interval {
 	if s == nil || p.Start == nil {
 		return nil
@@ -34,8 +33,8 @@
 	return out
 }
 
-// NextDue returns the interval that the next run represents: the one that Due returns
-// first, or the next that will be due. ok is false if none comes.
+// NextDue returns the data interval of the next scheduled run: the first one that Due returns, or else the
+// next that will be due. ok is false if there will be none.
 func (p *Plan) NextDue(s *Schedule, last, now time.Time) (next Interval, ok bool) {
 	if s == nil || p.Start == nil {
 		return next, false
@@ -54,11 +53,11 @@
 	return Interval{}, false
 }
 
-// onlyInterval is the interval of a graph that runs once, at its start.
+// onlyInterval returns the interval of a graph with the schedule @once: its run is due at the graph's start date.
 func (p *Plan) onlyInterval() Interval { return Interval{*p.Start, *p.Start} }
 
-// intervalFrom returns the interval that begins at a time, unless that is zero, behind the
-// graph's end, or the schedule's last.
+// intervalFrom returns the interval that begins at the given time. ok is false if begin is zero or after the
+// graph's end date, or if the schedule does not fire again after it.
 func (p *Plan) intervalFrom(s *Schedule, begin time.Time) (i Interval, ok bool) {
 	if begin.IsZero() || p.End != nil && begin.After(*p.End) {
 		return Interval{}, false
@@ -67,17 +66,17 @@
 	return Interval{begin, end}, !end.IsZero()
 }
 
-// firstBegin returns the begin of the first interval to look at; zero: the schedule never
-// fires.
+// firstBegin returns the begin of the first interval that Due and NextDue consider. It is zero if the
+// schedule never fires.
 func (p *Plan) firstBegin(s *Schedule, last, now time.Time) time.Time {
 	begin := last
 	if begin.IsZero() {
-		// The first interval begins with the first firing from the start on.
+		// The first interval begins when the schedule first fires at or after the start date.
 		begin = s.Next(p.Start.Add(-time.Second))
 	}
 	if !p.Catchup && !begin.IsZero() {
-		// Skip to the recent past: a graph that was paused for a year may have half a million
-		// intervals behind it, of which only the newest counts.
+		// Skip to the recent past: a graph that was paused for a year may have missed half a million
+		// intervals, of which only the newest is needed.
 		if recent := s.Next(now.Add(-s.searchBack(now))); recent.After(begin) {
 			begin = recent
 		}
@@ -85,20 +84,20 @@
 	return begin
 }
 
-// searchBack returns how far back from now the newest whole interval is sure to begin.
+// lookback returns a duration before now within which the newest complete interval is certain to begin.
 func (s *Schedule) searchBack(now time.Time) time.Duration {
 	first := s.Next(now)
 	second := s.Next(first)
 	if first.IsZero() || second.IsZero() {
 		return 366 * 24 * time.Hour
 	}
-	// Intervals differ in length: months do, or working days and weekends.
+	// The margin is wide because intervals differ in length: months do, and so do those between working days,
+	// some of which span a weekend.
 	return 40*second.Sub(first) + 8*24*time.Hour
 }
 
-// Backfill returns the intervals that begin from one time up to another, both included. It
-// fails with ErrNoSchedule for a graph without a recurring schedule, and with
-// ErrTooManyRuns for more than MaxBackfill intervals.
+// Backfill returns the intervals that begin within [from, to]. It returns ErrNoSchedule for a graph without a
+// recurring schedule, and ErrTooManyRuns for more than MaxBackfill intervals.
 func (p *Plan) Backfill(s *Schedule, from, to time.Time) ([]Interval, error) {
 	if s == nil || s.once {
 		return nil, ErrNoSchedule
--- a/internal/graphs/dag/intervals_test.go
+++ b/internal/graphs/dag/intervals_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// day returns the begin of a day of December 2026.
+// day returns the begin of a day of December 2026, in UTC.
 func day(d int) time.Time { return time.Date(2026, 12, d, 0, 0, 0, 0, time.UTC) }
 
-// dailyPlan returns the plan of a graph that runs daily from the first of December on.
+// dailyPlan returns the plan of a graph that starts on 1 December 2026, and a daily schedule.
 func dailyPlan(t *testing.T) (*Plan, *Schedule) {
 	t.Helper()
 	p := newTestPlan(t, step("a"))
@@ -18,7 +18,7 @@
 	return p, schedule(t, "@daily")
 }
 
-// schedule returns a schedule in UTC.
+// schedule parses a schedule in UTC.
 func schedule(t *testing.T, text string) *Schedule {
 	t.Helper()
 	s, err := ParseSchedule(text, "")
@@ -32,10 +32,10 @@
 	p, s := dailyPlan(t)
 	now := day(10).Add(time.Hour)
 	if got := p.Due(s, time.Time{}, now, 100); len(got) != 1 || !got[0].Begin.Equal(day(9)) || !got[0].End.Equal(day(10)) {
-		t.Errorf("without catch-up: %v", got)
+		t.Errorf("intervals due without catch-up: %v, want only 9 December", got)
 	}
 	if got := p.Due(s, day(10), now, 100); len(got) != 0 {
-		t.Errorf("the newest has a run already: %v", got)
+		t.Errorf("the newest interval has a run already, but intervals are due: %v", got)
 	}
 }
 
@@ -44,18 +44,18 @@
 	p.Catchup = true
 	now := day(10).Add(time.Hour)
 	if got := p.Due(s, time.Time{}, now, 100); len(got) != 9 || !got[0].Begin.Equal(day(1)) {
-		t.Errorf("with catch-up: %v", got)
+		t.Errorf("intervals due with catch-up: %v, want 1 to 9 December", got)
 	}
 	if got := p.Due(s, day(3), now, 2); len(got) != 2 || !got[0].Begin.Equal(day(3)) || !got[1].End.Equal(day(5)) {
-		t.Errorf("two at a time: %v", got)
+		t.Errorf("intervals due with a limit of two: %v, want 3 and 4 December", got)
 	}
 	end := day(5)
 	p.End = &end
 	if got := p.Due(s, time.Time{}, now, 100); len(got) != 5 {
-		t.Errorf("up to its end: %v", got)
+		t.Errorf("intervals due up to the graph's end date: %v, want 1 to 5 December", got)
 	}
 	if got := p.Due(s, day(5), day(4), 100); len(got) != 0 {
-		t.Errorf("after the clock was set back: %v", got)
+		t.Errorf("intervals due after the clock was set back: %v, want none", got)
 	}
 }
 
@@ -63,14 +63,14 @@
 	p, s := dailyPlan(t)
 	p.Catchup = true
 	end := day(5)
-	p.End = &end // backfills may go beyond it
+	p.End = &end // backfills may include intervals after it
 	if got, err := p.Backfill(s, day(1), day(7)); err != nil || len(got) != 7 {
-		t.Errorf("a week: %v, %v", got, err)
+		t.Errorf("backfill of a week: %v, %v, want seven intervals", got, err)
 	}
 	if _, err := p.Backfill(schedule(t, "* * * * *"), day(1), day(7)); !errors.Is(err, ErrTooManyRuns) {
-		t.Errorf("ten thousand runs at once: %v", err)
+		t.Errorf("backfill of six days of runs every minute: error %v, want ErrTooManyRuns", err)
 	}
 	if _, err := p.Backfill(nil, day(1), day(7)); !errors.Is(err, ErrNoSchedule) {
-		t.Errorf("without a schedule: %v", err)
+		t.Errorf("backfill without a schedule: error %v, want ErrNoSchedule", err)
 	}
 }
--- a/internal/graphs/dag/order.go
+++ b/internal/graphs/dag/order.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// maxCycleNames bounds how many steps of a cycle an error names.
+// maxCycleNames is the largest number of a cycle's steps that an error names.
 const maxCycleNames = 12
 
-// sortTopologically fills Order, in which each step stands behind those that it follows. If
-// there is no such order, it returns the names of a cycle instead.
+// sortTopologically fills Order, in which each step follows all steps upstream of it. If there is no such
+// order, it returns the IDs of a cycle's steps instead.
 func (p *Plan) sortTopologically() (cycle []string) {
-	waitsFor := make([]int, len(p.Steps)) // how many of the steps that it follows are not in the order yet
+	waitsFor := make([]int, len(p.Steps)) // by step: the number of upstream steps that are not in Order yet
 	var ready []int
 	for i := range p.Steps {
 		if waitsFor[i] = len(p.Upstream[i]); waitsFor[i] == 0 {
@@ -32,18 +32,18 @@
 	return p.cycleNames(p.findCycle(waitsFor))
 }
 
-// findCycle returns the steps of a cycle, the first one again at the end. waitsFor is what
-// the topological sort left: every step that still waits follows another one that does, so
-// going upstream from any of them comes back to a step that was seen.
+// findCycle returns the steps of a cycle, with the first one repeated at the end. pendingUpstream contains
+// the counts that the topological sort ended with. Every step with a count above zero has such a step
+// upstream, so a walk upstream from any of them returns to a step that it has visited.
 func (p *Plan) findCycle(waitsFor []int) []int {
 	waits := func(i int) bool { return waitsFor[i] > 0 }
 	at := slices.IndexFunc(waitsFor, func(n int) bool { return n > 0 })
-	seen := map[int]int{} // the place of each step in the path
+	seen := map[int]int{} // index in path, by step
 	var path []int
 	for {
 		if from, again := seen[at]; again {
 			path = append(path[from:], at)
-			slices.Reverse(path) // from each step to the one that follows it
+			slices.Reverse(path) // the walk went upstream; the result is in the direction of the edges
 			return path
 		}
 		seen[at] = len(path)
@@ -52,7 +52,7 @@
 	}
 }
 
-// cycleNames returns the names of a cycle's steps; a long one is cut.
+// cycleNames returns the IDs of a cycle's steps. After maxCycleNames of them it ends with an ellipsis.
 func (p *Plan) cycleNames(path []int) (names []string) {
 	for _, i := range path[:min(len(path), maxCycleNames)] {
 		names = append(names, p.Steps[i].ID)
--- a/internal/graphs/dag/parse.go
+++ b/internal/graphs/dag/parse.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// MaxJSONBytes is the length of the longest graph that is read as JSON.
+// MaxJSONBytes is the length of the longest graph that ParseJSON accepts.
 const MaxJSONBytes = 8 << 20
 
-// ParseJSON reads a graph from JSON; name is that of its source, for errors. An unknown
-// field is an error: one that is spelt wrongly must not be ignored. Errors are in one line,
-// with the line and column where that is known. The graph is not validated (NewPlan).
+// ParseJSON reads a graph from JSON. Errors begin with name, the name of the source, followed by the line and
+// column where these are known, and have no line breaks. An unknown field is an error, so that a misspelt
+// field is not ignored. ParseJSON does not validate the graph; NewPlan does.
 func ParseJSON(name string, raw []byte) (*Graph, error) {
 	if len(raw) > MaxJSONBytes {
 		return nil, fmt.Errorf("%s: the graph has %d bytes; up to %d are allowed", name, len(raw), MaxJSONBytes)
@@ -32,8 +32,8 @@
 	return &g, nil
 }
 
-// errorOffset returns where in the input an error of encoding/json lies; read is how far
-// the decoder came, for errors that do not say.
+// errorOffset returns the offset in the input at which an error of encoding/json occurred. For errors without
+// an offset it returns decoderOffset, how far the decoder has read.
 func errorOffset(err error, read int64) int64 {
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
@@ -46,7 +46,7 @@
 	return read
 }
 
-// lineAndColumn returns the place of an offset, both counted from 1.
+// lineAndColumn returns the line and column of an offset, both counted from 1.
 func lineAndColumn(raw []byte, offset int64) (line, column int) {
 	before := raw[:min(int(offset), len(raw))]
 	return 1 + bytes.Count(before, []byte{'\n'}), len(before) - bytes.LastIndexByte(before, '\n')
--- a/internal/graphs/dag/parse_test.go
+++ b/internal/graphs/dag/parse_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Users read these errors, which name the place and what was expected there.
+// Users read these errors, so they say where the input is wrong and why.
 func TestParseJSONSaysWhereAndWhy(t *testing.T) {
 	for _, c := range []struct{ name, graph, want string }{
 		{"syntax", "{\n\"dag_id\": }", "g.json:2:12: invalid character '}' looking for beginning of value"},
@@ -15,7 +15,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ParseJSON("g.json", []byte(c.graph)); err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("error %v, want %s", err, c.want)
 			}
 		})
 	}
--- a/internal/graphs/dag/plan.go
+++ b/internal/graphs/dag/plan.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Plan is a validated graph with its edges by index into Steps. It is immutable, so it may
-// be shared between runs and goroutines.
+// Plan is a validated graph whose edges are given by indexes into Steps. It is immutable, so runs and
+// goroutines may share it.
 type Plan struct {
 	Graph
-	Index      map[string]int // the place of each step, by ID
-	Upstream   [][]int        // the steps that each step follows, without repetition
-	Downstream [][]int        // the steps that follow each step
-	Order      []int          // topological: each step stands behind those that it follows
+	Index      map[string]int // index into Steps, by step ID
+	Upstream   [][]int        // by step: the steps directly upstream, without duplicates
+	Downstream [][]int        // by step: the steps directly downstream
+	Order      []int          // all steps in topological order: each follows all steps upstream of it
 }
 
-// NewPlan validates a graph, and returns its plan. The error is an *Error, in one line.
+// NewPlan validates a graph and returns its plan. The error is an *Error without line breaks.
 func NewPlan(g *Graph) (*Plan, error) {
 	if err := g.validate(); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return p, nil
 }
 
-// indexSteps fills Index. Each step must have a valid name of its own.
+// indexSteps fills Index. It returns an error if a step's ID is invalid or not unique.
 func (p *Plan) indexSteps() error {
 	for i := range p.Steps {
 		id := p.Steps[i].ID
@@ -59,8 +59,7 @@
 	return nil
 }
 
-// addStep validates a step, and adds the edges from those that it follows. It returns how
-// many edges were added.
+// addStep validates a step and adds the edges from its upstream steps. It returns the number of edges added.
 func (p *Plan) addStep(i int) (edges int, err error) {
 	s := &p.Steps[i]
 	if err := s.validate(); err != nil {
@@ -83,11 +82,11 @@
 	return edges, nil
 }
 
-// CriticalPath returns the chain of steps that takes longest by their owners' estimates,
-// and how long that is. Waiting and fetching images are not in it.
+// CriticalPath returns the IDs of the chain of steps that takes longest by their owners' estimates, and how
+// long it takes. Time spent waiting or fetching images is not included.
 func (p *Plan) CriticalPath() (path []string, length time.Duration) {
-	finish := make([]time.Duration, len(p.Steps)) // the earliest time at which each step could end
-	previous := make([]int, len(p.Steps))         // the step that each one waits for longest; -1: it waits for none
+	finish := make([]time.Duration, len(p.Steps)) // by step: the earliest time at which it can end, from the start of the run
+	previous := make([]int, len(p.Steps))         // by step: the upstream step that ends last; -1: it has none
 	last := -1
 	for _, i := range p.Order {
 		var begin time.Duration
@@ -104,8 +103,7 @@
 	return path, finish[last]
 }
 
-// lastUpstream returns which of the steps that a step follows ends last, and when; -1: it
-// follows none.
+// lastUpstream returns the upstream step that ends last, and when it ends. Without upstream steps it returns -1 and 0.
 func (p *Plan) lastUpstream(i int, finish []time.Duration) (last int, at time.Duration) {
 	last = -1
 	for _, j := range p.Upstream[i] {
@@ -116,7 +114,7 @@
 	return last, at
 }
 
-// estimate returns how long a step takes by its owner's estimate.
+// estimate returns the owner's estimate of the step's duration; 0 for a step without a job.
 func (s *Step) estimate() time.Duration {
 	if s.Job == nil {
 		return 0
--- a/internal/graphs/dag/plan_test.go
+++ b/internal/graphs/dag/plan_test.go
@@ -42,11 +42,11 @@
 			c.change(g)
 			_, err := NewPlan(g)
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("want %q: %v", c.want, err)
+				t.Errorf("want an error with %q and without line breaks: %v", c.want, err)
 			}
 			var graphErr *Error
 			if !errors.As(err, &graphErr) {
-				t.Errorf("the error is a %T", err)
+				t.Errorf("the error is a %T, want an *Error", err)
 			}
 		})
 	}
@@ -60,11 +60,12 @@
 		t.Fatal(err)
 	}
 	if path, length := p.CriticalPath(); strings.Join(path, " ") != "a long z" || length != 2*time.Minute {
-		t.Errorf("%v takes %v", path, length)
+		t.Errorf("critical path %v takes %v, want a, long, z and 2 minutes", path, length)
 	}
 }
 
-// A chain of 10,000 steps, all followed by one more, is sorted without recursion.
+// The largest graph, a chain of steps with one more step downstream of all of them, is sorted without
+// recursion. A cycle through it gives an error of limited length.
 func TestTheLargestGraphIsSortedAndItsCycleShortened(t *testing.T) {
 	g := &Graph{ID: "g", Team: "t"}
 	var all []string
@@ -83,6 +84,6 @@
 	}
 	g.Steps[0].Upstream = []string{"last"}
 	if _, err := NewPlan(g); err == nil || len(err.Error()) > 200 {
-		t.Errorf("a cycle of all: %v", err)
+		t.Errorf("cycle of all steps: %v, want an error of up to 200 bytes", err)
 	}
 }
--- a/internal/graphs/dag/random_test.go
+++ b/internal/graphs/dag/random_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// In random runs of random graphs the counts that events update are those that a recount
-// yields; no step waits whose trigger rule has decided; a final state changes only by a
-// clear; and a run that is stored and read goes on the same. Each run comes to its end.
+// In random runs of random graphs, the counts that events update equal a recount, no step waits
+// whose trigger rule has decided, a final state changes only by a clear, a run that is encoded and
+// decoded has the same states, and each run ends.
 func TestRandomRunsStayConsistentAndEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, err := NewPlan(drawGraph(t))
@@ -31,7 +31,7 @@
 	})
 }
 
-// drawGraph returns a graph of up to 12 steps of all kinds.
+// drawGraph returns a random graph of up to 12 steps of all kinds.
 func drawGraph(t *rapid.T) *Graph {
 	n := rapid.IntRange(1, 12).Draw(t, "steps")
 	g := &Graph{ID: "g", Team: "t"}
@@ -61,15 +61,15 @@
 	return g
 }
 
-// randomRun is a run that random events happen to.
+// randomRun is a run that random events are applied to.
 type randomRun struct {
 	t       *rapid.T
 	run     *Run
-	started []Ref // instances whose jobs were started and were not seen to be over
+	started []Ref // instances whose jobs were started and are not known to have ended
 	now     time.Time
 }
 
-// stepStates returns the states of all steps.
+// stepStates returns the states of all steps, by step.
 func (x *randomRun) stepStates() []State {
 	states := make([]State, len(x.run.nodes))
 	for i := range states {
@@ -78,7 +78,7 @@
 	return states
 }
 
-// drawEvent has something happen to the run, and returns which steps a clear changed.
+// drawEvent applies a random event to the run. If it is a clear, it returns the steps whose state changed.
 func (x *randomRun) drawEvent() (cleared map[int]bool) {
 	switch event := rapid.IntRange(0, 9).Draw(x.t, "event"); {
 	case event == 0:
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// clear clears a step with all that follow it, and returns the steps whose state changed.
+// clear clears a random step and all steps downstream of it. It returns the steps whose state changed.
 func (x *randomRun) clear() map[int]bool {
 	before := x.stepStates()
 	i := rapid.IntRange(0, len(before)-1).Draw(x.t, "clear")
@@ -107,7 +107,7 @@
 	return cleared
 }
 
-// storeAndRead replaces the run by what is read from its stored form.
+// storeAndRead replaces the run by the one decoded from its stored form, which must have the same states.
 func (x *randomRun) storeAndRead() {
 	r := x.run
 	again, err := DecodeRun(r.Plan, r.Encode())
@@ -115,12 +115,12 @@
 		x.t.Fatal(err)
 	}
 	if !reflect.DeepEqual(again.stateNames(), r.stateNames()) || again.unfinished != r.unfinished || again.RunState() != r.RunState() {
-		x.t.Fatalf("read as %v, was %v", again.stateNames(), r.stateNames())
+		x.t.Fatalf("decoded run has states %v, was %v", again.stateNames(), r.stateNames())
 	}
 	x.run = again
 }
 
-// jobEvent has something happen to one of the jobs that were started.
+// jobEvent applies a random event to one of the started jobs.
 func (x *randomRun) jobEvent() {
 	k := rapid.IntRange(0, len(x.started)-1).Draw(x.t, "job")
 	at := x.started[k]
@@ -140,7 +140,8 @@
 	}
 }
 
-// drawResult returns a result: a list, and of a branch one of its followers' names.
+// drawResult returns a result of a step: a list, which for a branch contains random directly
+// downstream steps.
 func (x *randomRun) drawResult(at Ref) json.RawMessage {
 	p := x.run.Plan
 	if p.Steps[at.Step].Kind != KindBranch {
@@ -152,40 +153,40 @@
 			pick = append(pick, p.Steps[j].ID)
 		}
 	}
-	result, _ := json.Marshal(pick) // names
+	result, _ := json.Marshal(pick) // a list of strings cannot fail
 	return result
 }
 
-// checkSteps compares what the run keeps with a recount, and with the states before.
+// checkSteps compares the run's counts with a recount, and its states with those before the event.
 func (x *randomRun) checkSteps(before []State, cleared map[int]bool) {
 	r, t := x.run, x.t
 	unfinished := 0
 	for i := range r.nodes {
 		n, s := &r.nodes[i], &r.Plan.Steps[i]
 		if want := r.countUpstream(i); n.upstream != want {
-			t.Fatalf("s%d counts %+v, there are %+v", i, n.upstream, want)
+			t.Fatalf("s%d has upstream counts %+v, a recount gives %+v", i, n.upstream, want)
 		}
 		if !n.state.Final() {
 			unfinished++
 		}
 		if before[i].Final() && n.state != before[i] && !cleared[i] {
-			t.Fatalf("s%d was %v and is %v", i, before[i], n.state)
+			t.Fatalf("s%d changed from the final state %v to %v without a clear", i, before[i], n.state)
 		}
 		if verdict := s.Rule.Evaluate(n.upstream); n.state == None && !r.cancelled && verdict != None && (verdict != Scheduled || s.Map == nil || s.Map.Over == "") {
-			t.Fatalf("s%d waits, though it is %v after %+v", i, verdict, n.upstream)
+			t.Fatalf("s%d waits, though its rule decides %v after %+v", i, verdict, n.upstream)
 		}
 	}
 	if unfinished != r.unfinished {
-		t.Fatalf("%d steps are not finished, %d are counted", unfinished, r.unfinished)
+		t.Fatalf("%d steps are unfinished, but the run counts %d", unfinished, r.unfinished)
 	}
 }
 
-// finish completes all jobs until none is left, and checks that the run has ended.
+// finish completes jobs until none is left, and checks that the run has ended.
 func (x *randomRun) finish() {
 	r := x.run
 	for range 4 * len(r.nodes) * 4 {
 		for _, at := range append(x.started, r.runReady(x.now)...) {
-			_ = r.finishJob(at, json.RawMessage(`[]`)) // of a branch too: it picks nothing
+			_ = r.finishJob(at, json.RawMessage(`[]`)) // a branch picks nothing with it
 		}
 		x.started = nil
 		for i := range r.nodes {
@@ -197,6 +198,6 @@
 		}
 	}
 	if r.RunState() == RunRunning {
-		x.t.Fatalf("never ends: %v", r.stateNames())
+		x.t.Fatalf("the run does not end: %v", r.stateNames())
 	}
 }
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -2,19 +2,19 @@
 
 import "container/heap"
 
-// IsReady reports whether an instance is ready and not submitted.
+// IsReady reports whether an instance is ready to be submitted.
 func (r *Run) IsReady(at Ref) bool {
 	inst := r.instance(at)
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
-// IsReadyWithJob reports whether an instance is ready and its job still has this ID: the
-// step was neither cleared nor the run cancelled since the ID was worked out.
+// IsReadyWithJob reports whether an instance is ready and its job has the given ID, so that neither was the
+// step cleared nor the run cancelled since the ID was computed.
 func (r *Run) IsReadyWithJob(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
 
-// TakeReady returns up to n instances that are ready, those of the greatest weight first,
-// then in the order in which they became ready. Each is returned once: the caller submits
-// its job and reports that (JobSubmitted).
+// TakeReady removes and returns up to n ready instances: those of the greatest weight first, and among equal
+// weights in the order in which they became ready. Each instance is returned once. The caller submits its job
+// and then calls JobSubmitted.
 func (r *Run) TakeReady(n int) []Ref {
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
@@ -26,11 +26,11 @@
 	return out
 }
 
-// ReadyCount returns an upper bound of how many instances TakeReady has left: some of them
-// may have been cancelled since.
+// ReadyCount returns an upper bound on the number of instances that TakeReady can still return. Some of those
+// counted may have been cancelled since they became ready.
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
-// enqueue adds an instance to those that are ready.
+// enqueue adds an instance to the queue of ready instances.
 func (r *Run) enqueue(at Ref) {
 	weight := max(1, r.Plan.Steps[at.Step].Weight)
 	r.lastReadySeq++
--- a/internal/graphs/dag/results.go
+++ b/internal/graphs/dag/results.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Result returns what a step left for those that follow; nil: nothing yet.
+// Result returns the result that a step passes to the steps downstream; nil if there is none yet.
 func (r *Run) Result(step int) json.RawMessage { return r.nodes[step].result }
 
-// SetResult records what a step leaves for those that follow, while its job runs. The
-// newest counts. The error is a *ResultError.
+// SetResult records the result that a step passes to the steps downstream. It is allowed while the step's job
+// is submitted and has not ended, and replaces an earlier result. The error is a *ResultError.
 func (r *Run) SetResult(step int, result json.RawMessage) error {
 	n, s := &r.nodes[step], &r.Plan.Steps[step]
 	switch {
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// mapElements returns what a mapped step is mapped over; known is false while there is no
-// such list, which may be for ever.
+// mapElements returns the list that a mapped step is mapped over. known is false as long as there is no valid
+// list, which can be for good.
 func (r *Run) mapElements(i int) (list []json.RawMessage, known bool) {
 	m := r.Plan.Steps[i].Map
 	if m.Over == "" {
@@ -43,8 +43,7 @@
 	return list, true
 }
 
-// Element returns the element that an instance is mapped to; nil for a step that is not
-// mapped.
+// Element returns the list element of an instance of a mapped step; nil for a step that is not mapped.
 func (r *Run) Element(at Ref) json.RawMessage {
 	if r.Plan.Steps[at.Step].Map == nil {
 		return nil
@@ -56,9 +55,8 @@
 	return list[at.Index]
 }
 
-// skipUnpicked skips the direct followers of a branch that its result does not pick, but
-// for those that also follow, directly or not, one that it picks. The error is a
-// *ResultError.
+// skipUnpicked skips the steps directly downstream of a branch that the branch's result does not pick. Steps
+// that are also downstream of a picked one, directly or not, are not skipped. The error is a *ResultError.
 func (r *Run) skipUnpicked(i int) error {
 	keep, err := r.pickedSteps(i)
 	if err != nil {
@@ -73,8 +71,8 @@
 	return nil
 }
 
-// pickedSteps returns the direct followers that a branch's result names: a list of names,
-// or a single one.
+// pickedSteps returns the directly downstream steps that a branch's result names. The result is a list of
+// step IDs or a single ID.
 func (r *Run) pickedSteps(i int) (map[int]bool, error) {
 	id, result := r.Plan.Steps[i].ID, r.nodes[i].result
 	var names []string
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Rule is a trigger rule: it says which states of the steps before it let a step start. The
-// name of the type stands in errors of ParseJSON, which users read.
+// Rule is a trigger rule: it says which states of the upstream steps let a step start. The type's name
+// appears in errors of ParseJSON, which users read, so it must not change.
 type Rule string
 
-// The trigger rules of Airflow 2. The empty rule is AllSuccess.
+// The trigger rules of Airflow 2. An empty Rule means AllSuccess.
 const (
 	AllSuccess              Rule = "all_success"
 	AllFailed               Rule = "all_failed"
@@ -21,7 +21,7 @@
 	Always                  Rule = "always"
 )
 
-// rules are the names of all trigger rules.
+// rules contains the names of all trigger rules.
 var rules = []string{
 	string(AllSuccess), string(AllFailed), string(AllDone), string(AllSkipped), string(OneSuccess), string(OneFailed), string(OneDone),
 	string(NoneFailed), string(NoneFailedMinOneSuccess), string(NoneSkipped), string(Always),
@@ -30,20 +30,20 @@
 // Rules returns the names of all trigger rules.
 func Rules() []string { return slices.Clone(rules) }
 
-// Known reports whether a text is a trigger rule; the empty one is.
+// Known reports whether r is a trigger rule. An empty Rule is.
 func (r Rule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
 
-// UpstreamCounts counts the instances of the steps that a step follows, by final state. A
-// mapped step counts once for each element.
+// UpstreamCounts counts the instances of a step's directly upstream steps, by final state. A mapped step
+// counts once for each element. A step without instances counts once.
 type UpstreamCounts struct {
-	Total          int // with those that have not ended
+	Total          int // all instances, including those that have not ended
 	Success        int
 	Failed         int
 	Skipped        int
 	UpstreamFailed int
 }
 
-// Add counts n more instances in a state, final or not.
+// Add adds n instances in a state, which need not be final.
 func (c *UpstreamCounts) Add(s State, n int) {
 	c.Total += n
 	switch s {
@@ -58,22 +58,22 @@
 	}
 }
 
-// finish counts the final state of an instance that is in Total already.
+// finish adds the final state of an instance that Total already includes.
 func (c *UpstreamCounts) finish(s State) {
 	c.Add(s, 1)
 	c.Total--
 }
 
-// Finished returns how many instances have ended.
+// Finished returns the number of instances in a final state.
 func (c *UpstreamCounts) Finished() int { return c.Success + c.Failed + c.Skipped + c.UpstreamFailed }
 
-// failures returns how many instances did not run to their end.
+// failures returns the number of instances in the states Failed and UpstreamFailed.
 func (c *UpstreamCounts) failures() int { return c.Failed + c.UpstreamFailed }
 
-// Evaluate applies a rule for a step that has not started: Scheduled, it may start; Skipped
-// or UpstreamFailed, it never will; None, that is still open. Once a rule lets a step start,
-// or rules it out, further ends do not change that. Which of the two ways of not starting
-// applies depends on which end comes first, as in Airflow.
+// Evaluate applies the rule to a step that has not started. It returns Scheduled if the step may start,
+// Skipped or UpstreamFailed if it never will, and None if that is not decided yet. Once a rule lets a step
+// start or excludes it, later ends of upstream instances do not change that. Whether an excluded step is
+// Skipped or UpstreamFailed depends on which upstream instance ends first, as in Airflow.
 func (r Rule) Evaluate(c UpstreamCounts) State {
 	failures := c.failures()
 	over := c.Finished() == c.Total
@@ -99,7 +99,7 @@
 	}
 }
 
-// evaluateOne applies the rules that one end satisfies, whatever the others are.
+// evaluateOne applies the rules OneSuccess, OneFailed and OneDone, which a single ended instance can satisfy.
 func (r Rule) evaluateOne(c UpstreamCounts) State {
 	over := c.Finished() == c.Total
 	switch {
@@ -113,8 +113,8 @@
 	return decide(false, false, over)
 }
 
-// decide returns the state for what a rule found. A failure counts before a skip, and both
-// before readiness.
+// decide returns the state that a rule's conditions lead to. A failure takes precedence over a skip, and both
+// take precedence over readiness.
 func decide(ready, failed, skipped bool) State {
 	switch {
 	case failed:
--- a/internal/graphs/dag/rules_test.go
+++ b/internal/graphs/dag/rules_test.go
@@ -30,13 +30,14 @@
 			e.Add(s, 1)
 		}
 		if got := c.rule.Evaluate(e); got != c.want {
-			t.Errorf("%q after %v: %v, want %v", c.rule, c.ends, got, c.want)
+			t.Errorf("rule %q after upstream states %v: %v, want %v", c.rule, c.ends, got, c.want)
 		}
 	}
 }
 
-// Whatever the order of the ends, a rule decides at the last one at the latest, and does
-// not change its decision: a step that was started or skipped stays so.
+// In whatever order the upstream steps end, a rule has decided when the last one has ended. A decision
+// to start the step is final. So is a decision against it, though it may still change between skipped
+// and upstream_failed.
 func TestTriggerRulesDecideOnceAndAtTheLatestAtTheEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := Rule(rapid.SampledFrom(rules).Draw(t, "rule"))
@@ -48,12 +49,12 @@
 			e.Total--
 			got := rule.Evaluate(e)
 			if given == Scheduled && got != Scheduled || given != None && (got == None || got == Scheduled && given != got) {
-				t.Fatalf("%s says %v, then %v after %v", rule, given, got, e)
+				t.Fatalf("rule %s decides %v, then %v after %v", rule, given, got, e)
 			}
 			given = got
 		}
 		if given == None {
-			t.Fatalf("%s says nothing after all of %v", rule, ends)
+			t.Fatalf("rule %s has not decided after all of %v", rule, ends)
 		}
 	})
 }
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Instance is one instance of a step: the only one, or that of one element of what the
-// step is mapped over. Its tries are attempts of one job, which the scheduler repeats until
-// the job is done or cancelled; the run counts those that failed.
+// Instance is an instance of a step: the only one, or for a mapped step the one of a single list element. All
+// tries of an instance are attempts of the same job, which the scheduler retries until the job is done or
+// cancelled. The run counts the failed attempts.
 type Instance struct {
 	State      State
-	Failures   int       // failed attempts of its job since the last clear
-	RetryAt    time.Time // until then its job rests; zero: it need not
-	StartedAt  time.Time // when its present try began to run; zero: it does not run
-	Cancelling bool      // its job is being cancelled: the instance ends as the job does
+	Failures   int       // failed attempts of its job since the step was last cleared
+	RetryAt    time.Time // its job does not start again before this time; zero: no delay
+	StartedAt  time.Time // when its current try began to run; zero: it does not run
+	Cancelling bool      // cancellation of its job is requested; the instance ends in the state of the job
 }
 
-// finish sets the final state of an instance.
+// finish sets the final state s and resets what only an unfinished instance has.
 func (inst *Instance) finish(s State) {
 	inst.State, inst.RetryAt, inst.StartedAt, inst.Cancelling = s, time.Time{}, time.Time{}, false
 }
 
-// node is a step in a run.
+// node is the state of a step in a run.
 type node struct {
-	generation int // how often the step was cleared
+	generation int // number of times that the step was cleared
 	state      State
-	upstream   UpstreamCounts // states of the instances of the steps that it follows
-	instances  []Instance     // empty until it is known how many there are
-	unfinished int            // instances that have not ended
-	result     json.RawMessage
+	upstream   UpstreamCounts  // counts of the instances of its directly upstream steps
+	instances  []Instance      // empty until the step is ready; stays empty if the step ends before that
+	unfinished int             // number of instances that have not ended
+	result     json.RawMessage // nil: none yet
 }
 
-// undecided reports whether a step still waits for the steps that it follows.
+// undecided reports whether the step still waits for upstream steps: it has neither started nor ended.
 func (n *node) undecided() bool { return n.state == None && len(n.instances) == 0 }
 
-// outcome returns the final state of a step by those of its instances: any failed one makes
-// it failed, otherwise it is the state given.
+// outcome returns the final state of a step whose instances have ended: Failed if any of them failed,
+// otherwise the given state.
 func (n *node) outcome(otherwise State) State {
 	for k := range n.instances {
 		if n.instances[k].State == Failed {
@@ -48,33 +48,32 @@
 	return otherwise
 }
 
-// Ref names an instance of a step: both are indexes, the step's into Plan.Steps.
+// Ref identifies an instance of a step. Step is an index into Plan.Steps, Index the number of the instance, from 0.
 type Ref struct{ Step, Index int }
 
-// Run is one run of a graph: a state machine over the states of its steps. Callers report
-// what happened to jobs; the run decides what follows. Submitting and cancelling jobs and
-// storing the run (Encode) are left to the caller.
+// Run is one run of a graph: a state machine over the states of its steps. Callers report what happened to
+// jobs, and the run decides which steps start, end or are skipped. Submitting and cancelling jobs and storing
+// the run (Encode) are left to the caller.
 //
-// The work for an event is in proportion to the edges that it touches. A Run is not safe
-// for concurrent use.
+// The cost of an event is proportional to the number of edges that it affects. A Run is not safe for concurrent use.
 type Run struct {
 	Plan *Plan
 	ID   string
 
 	nodes         []node // by step
-	unfinished    int    // steps that have not ended
+	unfinished    int    // number of steps that have not ended
 	ready         readyHeap
 	lastReadySeq  int      // sequence number of the newest entry of ready
-	cancellations []string // IDs of jobs to cancel, not taken yet
-	orphans       []string // IDs of jobs of earlier generations that are not over
-	cancelled     bool     // nothing more is started
+	cancellations []string // IDs of jobs to cancel that TakeCancellations has not returned yet
+	orphans       []string // IDs of jobs of earlier generations that have not ended
+	cancelled     bool     // Cancel was called, and no step was cleared since: no more jobs are started
 }
 
-// NewRun creates a run of a plan. Its first steps are ready at once.
+// NewRun creates a run of a plan. Steps without upstream steps are ready at once.
 func NewRun(p *Plan, id string) *Run {
 	r := &Run{Plan: p, ID: id, nodes: make([]node, len(p.Steps)), unfinished: len(p.Steps)}
 	for i := range r.nodes {
-		// Each counts for one until it is known how many instances it has.
+		// Each upstream step counts as one instance until the number of its instances is known.
 		r.nodes[i].upstream.Total = len(p.Upstream[i])
 	}
 	for _, i := range p.Order {
@@ -83,13 +82,13 @@
 	return r
 }
 
-// JobID returns the ID of an instance's job. It depends on nothing but the names of team,
-// graph, run and step, the index and the generation: every leader works out the same, and a
-// clear changes it. The form of IDs allows 32 digits, which hold 106 bits of the hash.
+// JobID returns the ID of an instance's job. The ID depends only on the team, the IDs of graph, run and step,
+// the instance's index and the step's generation, so every leader computes the same ID, and clearing the step
+// changes it. The format of job IDs allows 32 digits, which hold 106 bits of the hash.
 func (r *Run) JobID(at Ref) string {
 	h := sha256.New()
 	for _, part := range []string{r.Plan.Team, r.Plan.ID, r.ID, r.Plan.Steps[at.Step].ID} {
-		fmt.Fprintf(h, "%d:%s", len(part), part) // the length keeps different parts from reading the same
+		fmt.Fprintf(h, "%d:%s", len(part), part) // the length prefix keeps different parts from giving the same hash input
 	}
 	fmt.Fprintf(h, "%d.%d", at.Index, r.nodes[at.Step].generation)
 	n := new(big.Int).SetBytes(h.Sum(nil))
@@ -97,17 +96,16 @@
 	return fmt.Sprintf("job-%032d", n)
 }
 
-// Generation returns how often a step was cleared.
+// Generation returns the number of times that a step was cleared.
 func (r *Run) Generation(step int) int { return r.nodes[step].generation }
 
-// StepState returns a step's state and its instances. The instances are the run's own and
-// must not be changed.
+// StepState returns a step's state and its instances. The slice belongs to the run and must not be changed.
 func (r *Run) StepState(step int) (State, []Instance) {
 	return r.nodes[step].state, r.nodes[step].instances
 }
 
-// RunState returns the run's state. It ends when all steps have; it has failed if it was
-// cancelled, or if a step that none follows has failed.
+// RunState returns the run's state. The run ends when all its steps have ended. It has failed if it was
+// cancelled, or if a step with no downstream steps is Failed or UpstreamFailed.
 func (r *Run) RunState() RunState {
 	if r.unfinished > 0 {
 		return RunRunning
@@ -123,7 +121,7 @@
 	return RunSuccess
 }
 
-// instance returns an instance; nil if there is none of this name.
+// instance returns the instance that ref identifies; nil if there is none.
 func (r *Run) instance(at Ref) *Instance {
 	if at.Step < 0 || at.Step >= len(r.nodes) || at.Index < 0 || at.Index >= len(r.nodes[at.Step].instances) {
 		return nil
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// flakyRun returns a run of first -> middle (one retry after a minute) -> last -> cleanup
-// (trigger rule all_done), in which first is done and middle runs.
+// flakyRun returns a run of first -> middle (one retry, after a minute) -> last -> cleanup
+// (trigger rule all_done), in which first is done and middle is running.
 func flakyRun(t *testing.T) *Run {
 	t.Helper()
 	middle := changed(step("middle", "first"), func(s *Step) { s.Retries, s.Delay = 1, Duration(time.Minute) })
@@ -23,7 +23,7 @@
 	return r
 }
 
-// failMiddle uses up the tries of the middle step of a flakyRun.
+// failMiddle uses up the tries of the step middle of a flakyRun.
 func failMiddle(t *testing.T, r *Run) {
 	t.Helper()
 	r.AttemptFailed(r.ref("middle"), noon, 0)
@@ -33,23 +33,23 @@
 	r.TaskRunning(r.ref("middle"), noon.Add(time.Minute))
 	r.AttemptFailed(r.ref("middle"), noon.Add(2*time.Minute), 0)
 	if c := r.TakeCancellations(); len(c) != 1 || c[0] != r.JobID(r.ref("middle")) {
-		t.Errorf("cancels %v", c)
+		t.Errorf("jobs to cancel are %v, want that of middle", c)
 	}
 	r.JobCancelled(r.ref("middle"))
 	if got := r.stateNames(); got["middle"] != "failed" || got["last"] != "upstream_failed" || got["cleanup"] != "scheduled" {
-		t.Errorf("states %v", got)
+		t.Errorf("states after the last failure: %v", got)
 	}
 }
 
-// A step is tried again while later ones wait; when its tries are used up its job is
-// cancelled, and the run's result is that of its last step.
+// A failed step is retried while the steps downstream wait. When its tries are used up, its job is
+// cancelled. The state of the run is that of its last step.
 func TestAFailedStepIsRetriedThenCancelled(t *testing.T) {
 	r := flakyRun(t)
 	failMiddle(t, r)
 	r.runReady(noon)
 	_ = r.JobDone(r.ref("cleanup")) // it has no result
 	if r.RunState() != RunSuccess {
-		t.Errorf("the run is %v: its only last step is done", r.RunState())
+		t.Errorf("the run is %v, want success: the only step without downstream steps is done", r.RunState())
 	}
 }
 
@@ -61,16 +61,16 @@
 	before := r.JobID(r.ref("middle"))
 	r.clearFrom(t, "middle")
 	if got := r.stateNames(); got["first"] != "success" || got["middle"] != "scheduled" || got["last"] != "none" || got["cleanup"] != "none" || r.RunState() != RunRunning {
-		t.Errorf("after the clear: %v", got)
+		t.Errorf("states after the clear: %v", got)
 	}
 	if r.JobID(r.ref("middle")) == before {
-		t.Error("a cleared step has the job that it had")
+		t.Error("a cleared step has the same job ID as before")
 	}
 }
 
-// branchPlan is a plan in which pick chooses left or right, join follows both, mapped runs
-// for an hour at the most for each element of what join leaves, and last runs if one of
-// these fails.
+// branchPlan returns a plan in which pick is a branch to left or right, and join is downstream of
+// both. mapped has an instance, with a timeout of an hour, for each element of the result of join.
+// last runs if one of these fails.
 func branchPlan(t *testing.T) *Plan {
 	t.Helper()
 	pick := changed(step("pick"), func(s *Step) { s.Kind = KindBranch })
@@ -80,7 +80,7 @@
 	return newTestPlan(t, pick, step("left", "pick"), step("right", "pick"), join, mapped, last)
 }
 
-// pickedRun returns a run of branchPlan in which pick chose left, and join is ready.
+// pickedRun returns a run of branchPlan in which pick has picked left, and join is ready.
 func pickedRun(t *testing.T) *Run {
 	t.Helper()
 	r := NewRun(branchPlan(t), "run")
@@ -93,7 +93,8 @@
 	return r
 }
 
-// mappedRun returns a run of branchPlan in which the instances of mapped run, and these.
+// mappedRun returns a run of branchPlan in which all instances of mapped are running, and these
+// instances.
 func mappedRun(t *testing.T) (*Run, []Ref) {
 	t.Helper()
 	r := pickedRun(t)
@@ -103,14 +104,14 @@
 	}
 	refs := r.runReady(noon)
 	if len(refs) != 3 {
-		t.Fatalf("mapped to %v", refs)
+		t.Fatalf("instances of mapped are %v, want 3", refs)
 	}
 	return r, refs
 }
 
 func TestABranchSkipsTheFollowersThatItDoesNotPick(t *testing.T) {
 	if got := pickedRun(t).stateNames(); got["right"] != "skipped" || got["join"] != "scheduled" {
-		t.Fatalf("after the branch: %v", got)
+		t.Fatalf("states after the branch: %v", got)
 	}
 }
 
@@ -118,48 +119,49 @@
 	r := NewRun(branchPlan(t), "other")
 	r.runReady(noon)
 	if err := r.finishJob(r.ref("pick"), json.RawMessage(`["join"]`)); err == nil || r.stateNames()["pick"] != "failed" {
-		t.Errorf("picked what does not follow: %v", err)
+		t.Errorf("a branch picked a step that is not directly downstream: %v, want an error and state failed", err)
 	}
 }
 
 func TestAMappedStepHasAJobForEachElement(t *testing.T) {
 	r, refs := mappedRun(t)
 	if string(r.Element(refs[2])) != `{"x":3}` {
-		t.Fatalf("mapped to %v", refs)
+		t.Fatalf("the last of the instances %v has another element", refs)
 	}
 	ids := map[string]bool{}
 	for _, at := range refs {
 		ids[r.JobID(at)] = true
 	}
 	if len(ids) != 3 {
-		t.Error("instances share a job")
+		t.Error("instances share a job ID")
 	}
 }
 
-// Only instances that run for longer than allowed time out, each once. They end as their
-// jobs do: one that was done before its cancellation was stored has succeeded.
+// Only instances that run longer than the step's timeout time out, each once. An instance ends as its
+// job does: one whose job was done before the cancellation was stored has succeeded.
 func TestInstancesThatRunForTooLongAreCancelled(t *testing.T) {
 	r, refs := mappedRun(t)
 	_ = r.JobDone(refs[0]) // it has no result
 	for k, at := range refs {
 		if r.TimeOut(at, noon.Add(time.Minute)) {
-			t.Error("late after a minute")
+			t.Error("timed out after a minute, though the timeout is an hour")
 		}
 		if late := r.TimeOut(at, noon.Add(time.Hour)); late != (k > 0) || r.TimeOut(at, noon.Add(time.Hour)) {
-			t.Errorf("instance %d after an hour: late is %v", k, late)
+			t.Errorf("instance %d after an hour: timed out is %v, or it timed out twice", k, late)
 		}
 	}
 	if n := len(r.TakeCancellations()); n != 2 || len(r.JobsBeingCancelled()) != 2 {
-		t.Errorf("%d jobs are cancelled", n)
+		t.Errorf("%d jobs are to be cancelled, want 2", n)
 	}
 	r.JobCancelled(refs[1])
 	_ = r.JobDone(refs[2]) // it was done before its cancellation was stored
 	if got := r.stateNames(); got["mapped"] != "failed" || got["last"] != "scheduled" {
-		t.Errorf("after the timeout: %v", got)
+		t.Errorf("states after the timeout: %v", got)
 	}
 }
 
-// The failure of the first step of a chain of 10,000 ends all others at once.
+// The failure of the first step of a chain of 10,000 steps ends all others at once. With recursion this
+// would need a deep stack.
 func TestALongChainIsSkippedWithoutRecursion(t *testing.T) {
 	steps := []Step{step("s0")}
 	for i := 1; i < MaxSteps; i++ {
@@ -170,11 +172,12 @@
 	r.AttemptFailed(r.ref("s0"), noon, 0)
 	r.JobCancelled(r.ref("s0"))
 	if r.RunState() != RunFailed || r.stateNames()["s9999"] != "upstream_failed" {
-		t.Error("the chain is not skipped")
+		t.Error("the run has not failed, or the last step is not upstream_failed")
 	}
 }
 
-// Weight orders what is ready; among equals, what became ready first.
+// Ready instances are returned by descending weight, and among equal weights in the order in which
+// they became ready.
 func TestReadyInstancesComeByWeightThenAge(t *testing.T) {
 	heavy := changed(step("heavy"), func(s *Step) { s.Weight = 5 })
 	r := NewRun(newTestPlan(t, step("a"), step("b"), heavy), "run")
@@ -183,7 +186,7 @@
 		got = append(got, r.Plan.Steps[at.Step].ID)
 	}
 	if !slices.Equal(got, []string{"heavy", "a", "b"}) {
-		t.Errorf("in the order %v", got)
+		t.Errorf("ready in the order %v, want heavy, a, b", got)
 	}
 }
 
@@ -202,7 +205,7 @@
 			}
 		}
 		if r.RunState() != RunSuccess {
-			b.Fatal("not done")
+			b.Fatal("the run has not succeeded")
 		}
 		b.ReportMetric(float64(len(r.Encode())), "B/run")
 	}
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -7,43 +7,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// storedRun is the stored form of a run, in CBOR: one byte for the state of each step, in
-// the order of the graph's steps, and entries only for what most steps do not have. What
-// follows from these (the counts of upstream states, what is ready) is not stored.
+// storedRun is the stored form of a run, in CBOR. It has one byte for the state of each step, in the order of
+// the graph's steps, and further entries only for steps that have more than a state, which most do not. What
+// can be derived from these (the counts of upstream states, the queue of ready instances) is not stored.
 type storedRun struct {
 	_         struct{} `cbor:",toarray"`
 	Format    int
 	ID        string
 	Cancelled bool
-	States    []byte
-	Steps     []storedStep // those whose state does not suffice
-	Orphans   []string
+	States    []byte       // by step
+	Steps     []storedStep // of the steps that States does not fully describe
+	Orphans   []string     // job IDs
 }
 
 // runFormat is the version of the stored form.
 const runFormat = 1
 
-// storedStep is what a step has beside its state.
+// storedStep is what a step has in addition to its state.
 type storedStep struct {
 	_          struct{} `cbor:",toarray"`
-	Step       int
+	Step       int      // index into Plan.Steps
 	Generation int
-	Result     []byte
-	States     []byte // of its instances
-	Details    []storedInstance
+	Result     []byte           // JSON; empty: none
+	States     []byte           // by instance
+	Details    []storedInstance // of the instances that States does not fully describe
 }
 
-// storedInstance is what an instance has beside its state.
+// storedInstance is what an instance has in addition to its state.
 type storedInstance struct {
 	_           struct{} `cbor:",toarray"`
 	Index       int
 	Failures    int
-	RetryAtMS   int64 // since 1970; 0: none
-	StartedAtMS int64
+	RetryAtMS   int64 // Unix time in milliseconds; 0: none
+	StartedAtMS int64 // as RetryAtMS
 	Cancelling  bool
 }
 
-// unixMS returns a time in milliseconds since 1970; 0 for the zero time.
+// unixMS returns a Unix time in milliseconds; 0 for the zero time.
 func unixMS(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -59,12 +59,12 @@
 	return time.UnixMilli(ms)
 }
 
-// hasDetails reports whether an instance has more to store than its state.
+// hasDetails reports whether an instance needs a storedInstance in addition to its state.
 func (inst *Instance) hasDetails() bool {
 	return inst.Failures > 0 || !inst.RetryAt.IsZero() || !inst.StartedAt.IsZero() || inst.Cancelling
 }
 
-// Encode returns a run's stored form.
+// Encode returns the run's stored form, which DecodeRun reads.
 func (r *Run) Encode() []byte {
 	s := storedRun{Format: runFormat, ID: r.ID, Cancelled: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
@@ -75,13 +75,13 @@
 	}
 	raw, err := cbor.Marshal(s)
 	if err != nil {
-		panic(fmt.Sprintf("runs are always encodable: %v", err))
+		panic(fmt.Sprintf("encoding a run as CBOR failed: %v", err))
 	}
 	return raw
 }
 
-// stateSuffices reports whether all of a step follows from its state: one instance at the
-// most, in the same state, without details. Most steps are so.
+// stateSuffices reports whether a step can be restored from its state alone. That is so for most steps: they
+// have at most one instance, which is in the same state and has no details.
 func (r *Run) stateSuffices(i int) bool {
 	n := &r.nodes[i]
 	if n.generation > 0 || len(n.result) > 0 {
@@ -96,7 +96,7 @@
 	return false
 }
 
-// encodeStep returns the stored form of what a step has beside its state.
+// encodeStep returns the stored form of what a step has in addition to its state.
 func (r *Run) encodeStep(i int) storedStep {
 	n := &r.nodes[i]
 	e := storedStep{Step: i, Generation: n.generation, Result: n.result}
@@ -111,7 +111,7 @@
 	return e
 }
 
-// DecodeRun reads a run of a plan from its stored form. Each error wraps ErrStoredRun.
+// DecodeRun restores a run of a plan from the form that Encode returns. Each error wraps ErrStoredRun.
 func DecodeRun(p *Plan, raw []byte) (*Run, error) {
 	var s storedRun
 	if err := cbor.Unmarshal(raw, &s); err != nil {
@@ -136,7 +136,7 @@
 	return r, nil
 }
 
-// countUnfinished counts the instances that have not ended.
+// countUnfinished returns the number of instances that have not ended.
 func (n *node) countUnfinished() (count int) {
 	for k := range n.instances {
 		if !n.instances[k].State.Final() {
@@ -146,7 +146,7 @@
 	return count
 }
 
-// decodeStates sets the state of each step.
+// decodeStates sets the state of each step, and adds the instance of each step that is ready or running.
 func (r *Run) decodeStates(stored []byte) error {
 	for i := range r.nodes {
 		n := &r.nodes[i]
@@ -154,8 +154,9 @@
 		if n.state, err = r.decodeState(stored[i]); err != nil {
 			return err
 		}
-		// A step that is ready or runs has one instance unless its entry says otherwise. So
-		// had a step that a job ended, which counts the same without it.
+		// A step that is ready or running has one instance unless its storedStep says otherwise. A step that
+		// ended with its job had one too, but does not need it any more: without instances it counts once in
+		// the steps downstream, just the same.
 		if n.state != None && !n.state.Final() {
 			n.instances = []Instance{{State: n.state}}
 		}
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// decodeState reads one state.
+// decodeState converts a stored byte to a state. A number without a state is an error.
 func (r *Run) decodeState(b byte) (State, error) {
 	if int(b) >= stateCount {
 		return None, fmt.Errorf("%w %s of %s has an unknown state", ErrStoredRun, r.ID, r.Plan.ID)
@@ -174,7 +175,7 @@
 	return State(b), nil
 }
 
-// decodeStep sets what a step has beside its state.
+// decodeStep sets what a step has in addition to its state.
 func (r *Run) decodeStep(e *storedStep) error {
 	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMappedInstances {
 		return fmt.Errorf("%w %s of %s names an unknown step", ErrStoredRun, r.ID, r.Plan.ID)
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -4,35 +4,35 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones are known on machines without a zone database too
+	_ "time/tzdata" // provides time zones on machines without a zone database
 
 	"github.com/robfig/cron/v3"
 )
 
-// Schedule says when the intervals of a graph end: a run is due at the end of each, and
-// has the begin as its logical date, as in Airflow. It is immutable.
+// Schedule says when a graph's data intervals begin and end. A run is due at the end of its interval, and its
+// logical date is the interval's begin, as in Airflow. A Schedule is immutable.
 //
-// Daylight saving: a schedule that names hours fires once a day for each. If the clock
-// jumps over its time, it fires at the first moment after the gap; if the time comes twice,
-// at the first of the two. A schedule for every hour, or every few, goes by elapsed time.
+// Daylight saving time: a schedule that names hours fires once a day for each of them. If the clock jumps
+// over such a time, the schedule fires at the first moment after the gap. If the time occurs twice, it fires
+// at the first occurrence. A schedule for every hour, or every few hours, follows elapsed time.
 type Schedule struct {
 	spec       cron.Schedule
 	location   *time.Location
-	namesHours bool
-	once       bool // @once: spec is nil
+	namesHours bool // the hour field does not begin with *
+	once       bool // the preset @once; spec is nil
 }
 
-// cronParser reads the five classic fields.
+// cronParser parses the five standard cron fields.
 var cronParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow)
 
-// presets are Airflow's names for schedules.
+// presets maps Airflow's recurring presets to cron expressions.
 var presets = map[string]string{
 	"@hourly": "0 * * * *", "@daily": "0 0 * * *", "@weekly": "0 0 * * 0", "@monthly": "0 0 1 * *", "@quarterly": "0 0 1 */3 *", "@yearly": "0 0 1 1 *",
 }
 
-// ParseSchedule reads a schedule: five cron fields, or one of Airflow's presets, in a time
-// zone of the IANA database; an empty one is UTC. A graph that is only triggered has a nil
-// schedule, without an error. A schedule that never fires is an error.
+// ParseSchedule parses a schedule: five cron fields, or one of Airflow's presets. zone is the name of an IANA
+// time zone; if it is empty, the zone is UTC. For an empty text or "None" ParseSchedule returns nil without
+// an error: the graph runs only when triggered. A schedule that never fires is an error.
 func ParseSchedule(text, zone string) (*Schedule, error) {
 	location, err := loadZone(zone)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return parseCron(text, location)
 }
 
-// loadZone returns a time zone by its name; an empty one is UTC.
+// loadZone returns the time zone with the given IANA name; UTC if the name is empty.
 func loadZone(name string) (*time.Location, error) {
 	if name == "" {
 		return time.UTC, nil
@@ -59,7 +59,7 @@
 	return location, nil
 }
 
-// parseCron reads a preset or five cron fields.
+// parseCron parses a recurring preset or five cron fields.
 func parseCron(text string, location *time.Location) (*Schedule, error) {
 	if preset, ok := presets[text]; ok {
 		text = preset
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// Next returns the first time after another at which the schedule fires; zero: none comes
-// within five years.
+// Next returns the first time strictly after the given one at which the schedule fires. It is zero if the
+// schedule does not fire within five years, or if it is @once.
 func (s *Schedule) Next(after time.Time) time.Time {
 	if s.once {
 		return time.Time{}
@@ -89,32 +89,32 @@
 	if !s.namesHours {
 		return s.spec.Next(after)
 	}
-	// Cron is asked in wall clock times, which never jump.
+	// The cron library gets wall clock times labelled as UTC, so it sees no daylight saving changes.
 	wall := wallClock(after)
 	for {
 		if wall = s.spec.Next(wall); wall.IsZero() {
 			return time.Time{}
 		}
-		// A time that comes twice has been, if the clock shows it for the second time.
+		// A wall clock time that occurs twice is skipped here if only its second occurrence is after the given time.
 		if at := s.firstShown(wall); at.After(after) {
 			return at
 		}
 	}
 }
 
-// wallClock returns what a clock shows at a time, as if it were in UTC.
+// wallClock returns the wall clock time of t in t's own location, to the second and labelled as UTC.
 func wallClock(t time.Time) time.Time {
 	return time.Date(t.Year(), t.Month(), t.Day(), t.Hour(), t.Minute(), t.Second(), 0, time.UTC)
 }
 
-// firstShown returns when the wall clock first shows a time, or first shows a later one if
-// it jumps over it.
+// firstOccurrence returns the first moment at which the wall clock of the schedule's zone shows the given
+// time. If the clock jumps over that time, it returns the first moment after the gap.
 func (s *Schedule) firstShown(wall time.Time) time.Time {
 	at := time.Date(wall.Year(), wall.Month(), wall.Day(), wall.Hour(), wall.Minute(), wall.Second(), 0, s.location)
 	if !s.shows(at).Equal(wall) {
 		return s.endOfGap(wall)
 	}
-	// The clock may have shown it before, if it was set back since.
+	// The same wall clock time may have occurred earlier, if the clock was set back in between.
 	for _, back := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
 		if earlier := at.Add(-back); s.shows(earlier).Equal(wall) {
 			return earlier
@@ -123,12 +123,12 @@
 	return at
 }
 
-// shows returns what the wall clock of the schedule's zone shows at a time.
+// wallClockAt returns the wall clock time of the schedule's zone at t, labelled as UTC.
 func (s *Schedule) shows(t time.Time) time.Time { return wallClock(t.In(s.location)) }
 
-// endOfGap returns when the wall clock first shows a later time than one that it jumps
-// over. Offsets from UTC are within a day, and a change moves the clock by hours at the
-// most: a binary search between a day before and a day after finds the moment.
+// endOfGap returns the first moment after the gap in which the wall clock jumps over the given time. Offsets
+// from UTC are below a day, and a change moves the clock by a few hours at most, so the moment is within 26
+// hours of the time read as UTC. A binary search finds it.
 func (s *Schedule) endOfGap(wall time.Time) time.Time {
 	low, high := wall.Add(-26*time.Hour), wall.Add(26*time.Hour)
 	for high.Sub(low) > time.Second {
--- a/internal/graphs/dag/validate.go
+++ b/internal/graphs/dag/validate.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// fault returns an *Error about a graph, or about one of its steps.
+// errorf returns an *Error about the step with the given ID, or about the graph as a whole if step is empty.
 func (g *Graph) fault(step, format string, args ...any) error {
 	return &Error{Graph: g.ID, Step: step, Text: fmt.Sprintf(format, args...)}
 }
 
-// validate checks all of a graph but its steps. The error is an *Error.
+// validate checks the graph's own fields and the number of its steps; Step.validate checks each step. The
+// error is an *Error.
 func (g *Graph) validate() error {
 	switch {
 	case !ValidName(g.ID):
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// validate checks what can be checked of a step without the others.
+// validate checks what can be checked without knowing the other steps of the graph.
 func (s *Step) validate() error {
 	if err := s.validateKind(); err != nil {
 		return err
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// validateKind checks that a step has what its kind needs, and nothing that its kind does
-// not take.
+// validateKind checks that the step's kind is known, and that the step has the fields that its kind requires
+// and none that its kind excludes.
 func (s *Step) validateKind() error {
 	switch s.Kind {
 	case KindJob, KindBranch:
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// ValidName reports whether a text is a name: 1 to MaxNameBytes letters, digits, dashes, dots and underscores.
+// ValidName reports whether s is a valid name of a graph or step: 1 to MaxNameBytes ASCII letters, digits,
+// dashes, dots and underscores.
 func ValidName(s string) bool {
 	if s == "" || len(s) > MaxNameBytes {
 		return false
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -1,5 +1,4 @@
-// Package dagview shows graphs and their runs: to people as text or as a page of HTML, and
-// to programs that draw in the DOT language.
+// Package dagview renders graphs and their runs as text, as an HTML page, and in the DOT language of Graphviz.
 package dagview
 
 import (
@@ -13,11 +12,11 @@
 )
 
 const (
-	maxPathSteps = 12 // steps of a critical path that are shown
-	nextFirings  = 3  // of a schedule that are shown
+	maxPathSteps = 12 // steps of a critical path that are shown in full
+	nextFirings  = 3  // upcoming firings of a schedule that are shown
 )
 
-// Text writes what a graph is: its size, its critical path and when it runs next.
+// Text writes a summary of a graph: its size, its critical path and when it runs next.
 func Text(w io.Writer, p *dag.Plan, now time.Time) error {
 	schedule, err := dag.ParseSchedule(p.Schedule, p.Timezone)
 	if err != nil {
@@ -32,7 +31,7 @@
 	return err
 }
 
-// writeSize writes how many steps and edges a graph has.
+// writeSize writes the numbers of a graph's steps and edges.
 func writeSize(b *strings.Builder, p *dag.Plan) {
 	edges, jobs, mapped := 0, 0, 0
 	for i := range p.Steps {
@@ -63,7 +62,7 @@
 	}
 }
 
-// abbreviated returns a path, without the middle of a long one.
+// abbreviated returns the step IDs of a path as text. It leaves out the middle of a long path.
 func abbreviated(path []string) string {
 	if n := len(path); n > maxPathSteps {
 		path = slices.Concat(path[:6], []string{"..."}, path[n-5:])
--- a/internal/graphs/dagview/dot.go
+++ b/internal/graphs/dagview/dot.go
@@ -8,11 +8,12 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Dot writes a graph in the DOT language. IDs of graphs and steps have no characters that
-// need more than quotes there (dag.ValidName).
+// Dot writes a graph in the DOT language. The IDs of graphs and steps need no escaping there except quotes
+// around them (dag.ValidName).
 func Dot(w io.Writer, p *dag.Plan) error { return writeDot(w, p, nil) }
 
-// writeDot writes a graph; extra, if not nil, returns attributes of a step beside its shape.
+// writeDot writes a graph in the DOT language. extraAttrs, if not nil, returns further attributes of a step,
+// in addition to its shape.
 func writeDot(w io.Writer, p *dag.Plan, extra func(step int) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n  node [shape=box, style=rounded];\n", p.ID)
@@ -38,7 +39,7 @@
 	return err
 }
 
-// shapeOf returns the attributes by which kinds of steps look different.
+// shapeAttrs returns the attributes that give each kind of step its own look.
 func shapeOf(s *dag.Step) []string {
 	switch {
 	case s.Kind == dag.KindBranch:
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// edgeLabel returns the attributes of the edges to a step: its trigger rule, but for the
-// default.
+// edgeAttrs returns the attributes of the edges to a step: its trigger rule as the label, unless that is the
+// default rule.
 func edgeLabel(r dag.Rule) string {
 	if r == "" || r == dag.AllSuccess {
 		return ""
--- a/internal/graphs/dagview/formats_test.go
+++ b/internal/graphs/dagview/formats_test.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/platform/golden"
 )
 
-// The drawing that Graphviz reads, and the table of a run's steps.
+// The DOT output for Graphviz and the text table of a run have the golden contents.
 func TestFormatsOfARun(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -8,52 +8,52 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Sizes of the chart, in pixels.
+// Dimensions of the Gantt chart, in pixels.
 const (
 	rowHeight   = 18
-	chartWidth  = 900 // of the time axis
-	chartTop    = 30  // above the first row
-	labelWidth  = 220
+	chartWidth  = 900 // width of the time axis
+	chartTop    = 30  // space above the first row
+	labelWidth  = 220 // space left of the time axis, for the names of the instances
 	minBarWidth = 2
 )
 
 const (
-	axisParts   = 6  // intervals between the ticks of the time axis
-	maxRowLabel = 32 // bytes
+	axisParts   = 6  // number of intervals between the ticks of the time axis
+	maxRowLabel = 32 // length of an instance's name, in bytes
 )
 
-// bar is a try in the chart.
+// bar is a try in the chart. The coordinates are in pixels.
 type bar struct {
 	X, Width, Y   float64
 	Title, Colour string
 }
 
-// row is the label of an instance.
+// row is the label of an instance's row.
 type row struct {
 	Y    int
 	Name string
 }
 
-// tick is a label of the time axis.
+// tick is a tick of the time axis, with its label.
 type tick struct {
 	X    float64
 	Text string
 }
 
-// chart is a Gantt chart of a run's tries: a row for each instance that had any, in the
-// order in which they first began.
+// chart is a Gantt chart of a run's tries. It has a row for each instance with at least one try, in the order
+// in which their first tries began.
 type chart struct {
 	rows   []row
 	bars   []bar
 	ticks  []tick
-	height int
+	height int // in pixels
 
 	run      *Run
-	from, to time.Time       // of the time axis
-	rowOf    map[dag.Ref]int // by instance
+	from, to time.Time       // range of the time axis
+	rowOf    map[dag.Ref]int // index into rows, by instance
 }
 
-// newChart draws the first maxBars tries of a run.
+// newChart returns a chart of the first maxBars tries of a run, in the order of their begin.
 func newChart(r *Run) *chart {
 	c := &chart{height: chartTop, run: r, rowOf: map[dag.Ref]int{}}
 	if len(r.Tries) == 0 {
@@ -70,8 +70,8 @@
 	return c
 }
 
-// setAxis has the time axis reach from the first begin to the last end, a second at least.
-// tries are in the order of their begin.
+// setAxis sets the range of the time axis: from the begin of the first try to the last end, at least a
+// second. tries must be sorted by begin.
 func (c *chart) setAxis(tries []Try) {
 	c.from, c.to = tries[0].Begin, tries[0].Begin.Add(time.Second)
 	for i := range tries {
@@ -86,7 +86,7 @@
 	return d.Seconds() * (chartWidth / c.to.Sub(c.from).Seconds())
 }
 
-// addBar draws a try in the row of its instance.
+// addBar adds the bar of a try to the row of its instance.
 func (c *chart) addBar(t *Try) {
 	name := c.run.name(t.ref())
 	n := c.addRow(t.ref(), name)
@@ -97,7 +97,7 @@
 	})
 }
 
-// addRow returns the row of an instance; its first try adds it.
+// addRow returns the index of an instance's row. It adds the row if the instance has none yet.
 func (c *chart) addRow(at dag.Ref, name string) int {
 	n, ok := c.rowOf[at]
 	if !ok {
@@ -108,7 +108,7 @@
 	return n
 }
 
-// addTicks labels the time axis.
+// addTicks adds the ticks of the time axis.
 func (c *chart) addTicks() {
 	for i := range axisParts + 1 {
 		at := c.to.Sub(c.from) * time.Duration(i) / axisParts
--- a/internal/graphs/dagview/layout.go
+++ b/internal/graphs/dagview/layout.go
@@ -8,38 +8,38 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Sizes of the drawing of a graph, in pixels.
+// Dimensions of the drawing of a graph, in pixels.
 const (
 	boxWidth, boxHeight = 150, 26
-	gapAcross, gapDown  = 50, 12
+	gapAcross, gapDown  = 50, 12 // between columns, and between the boxes of a column
 	margin              = 10
 )
 
 const (
-	maxBoxName    = 22 // bytes
-	maxTitleLines = 20 // instances that the title of a box lists
+	maxBoxName    = 22 // length of a step's ID, in bytes
+	maxTitleLines = 20 // instances listed in the title of a box
 )
 
-// box is a step in the drawing.
+// box is a step in the drawing. Title is the tooltip text.
 type box struct {
 	X, Y                int
 	Name, Title, Colour string
 }
 
-// edge is a curve between two boxes; Mid is where it is steepest.
+// edge is a curve between two boxes. Mid is the x coordinate of its control points, at which it is steepest.
 type edge struct{ X1, Y1, X2, Y2, Mid int }
 
-// graphLayout is the drawing of a graph in columns, each step behind all that it follows.
+// graphLayout is the drawing of a graph in columns. Each step is in a column to the right of all its upstream steps.
 type graphLayout struct {
 	boxes         []box
 	edges         []edge
 	width, height int
 
 	plan    *dag.Plan
-	column  []int        // of each step
-	used    []int        // boxes in each column
-	boxOf   map[int]*box // by step; nil: not drawn
-	summary []stepSummary
+	column  []int         // index of the column, by step
+	used    []int         // number of boxes, by column
+	boxOf   map[int]*box  // by step; nil: not drawn
+	summary []stepSummary // by step
 }
 
 // newGraphLayout lays out the first maxBoxes steps of a run, in topological order.
@@ -52,7 +52,7 @@
 	return l
 }
 
-// addBox draws a step in the column behind those of all steps that it follows.
+// addBox adds the box of a step, in the first column to the right of all its upstream steps.
 func (l *graphLayout) addBox(i int) {
 	for _, j := range l.plan.Upstream[i] {
 		l.column[i] = max(l.column[i], l.column[j]+1)
@@ -71,8 +71,8 @@
 	l.width, l.height = max(l.width, b.X+boxWidth+margin), max(l.height, b.Y+boxHeight+margin)
 }
 
-// addEdges draws the edges to a step. The steps that it follows stand before it in the
-// order, so they are drawn.
+// addEdges adds the edges to a step. Its upstream steps precede it in the topological order, so they already
+// have boxes.
 func (l *graphLayout) addEdges(i int) {
 	to := l.boxOf[i]
 	for _, j := range l.plan.Upstream[i] {
@@ -82,16 +82,16 @@
 	}
 }
 
-// stepSummary is what a box shows of a step's instances.
+// stepSummary is what a box shows about a step's instances.
 type stepSummary struct {
-	worst string // the state that needs most attention
-	lines []string
+	worst string   // the most severe state (statesBySeverity); empty: no instances
+	lines []string // an instance and its state per line
 }
 
-// statesByAttention orders states by how much attention they need.
+// statesBySeverity lists the states in the order of how much they need a user's attention, the least first.
 var statesByAttention = []string{"none", "success", "skipped", "scheduled", "queued", "running", "up_for_retry", "upstream_failed", "failed"}
 
-// summarize returns what to show of each step.
+// summarize returns a summary of each step's instances, by step.
 func (r *Run) summarize() []stepSummary {
 	attention := func(state string) int { return slices.Index(statesByAttention, state) }
 	out := make([]stepSummary, len(r.Plan.Steps))
--- a/internal/graphs/dagview/page.go
+++ b/internal/graphs/dagview/page.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// What a page draws at the most; a browser still scrolls smoothly through as much.
+// Largest numbers of elements that a page draws. A browser still scrolls smoothly through that many.
 const (
 	maxBoxes = 600
 	maxBars  = 2000
@@ -18,7 +18,7 @@
 
 var page = template.Must(template.New("run").Parse(pageText))
 
-// pageData is what the template of a page reads.
+// pageData is the data for the template of a page. The template accesses the fields by name.
 type pageData struct {
 	Run                       *Run
 	States                    []state
@@ -33,8 +33,8 @@
 	Note                      string
 }
 
-// RunHTML writes a page that refers to nothing outside it: the graph with the states of its
-// steps, and a Gantt chart of the tries.
+// RunHTML writes a self-contained HTML page, without links to other resources: the graph with the states of
+// its steps, and a Gantt chart of the tries.
 func RunHTML(w io.Writer, r *Run) error {
 	graph, chart := newGraphLayout(r), newChart(r)
 	data := pageData{
@@ -48,7 +48,7 @@
 	return page.Execute(w, data)
 }
 
-// truncated returns a text of up to n bytes, with an ellipsis in place of what is cut.
+// truncated returns s, or its first n-1 bytes and an ellipsis if it is longer than n bytes.
 func truncated(s string, n int) string {
 	if len(s) > n {
 		return s[:n-1] + "…"
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -12,36 +12,36 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Run is a run of a graph as people look at it.
+// Run is what is displayed of a run of a graph.
 type Run struct {
 	Plan       *dag.Plan
 	ID, State  string
-	Start, End time.Time // zero: not yet
-	Now        time.Time // when it is looked at
+	Start, End time.Time // zero: not started or not ended yet
+	Now        time.Time // time of the display; unfinished tries are drawn up to it
 	Instances  []Instance
 	Tries      []Try
 }
 
-// Instance is an instance of a step.
+// Instance is an instance of a step, with its state.
 type Instance struct {
-	Step  int    // index into the plan's steps
-	Index int    // -1: the step is not mapped
-	State string // none if it waits
-	Try   int    // number of its last try; 0: it had none
-	Job   string // ID; empty: it has none
+	Step  int    // index into Plan.Steps
+	Index int    // number of the instance, from 0; -1: the step is not mapped
+	State string // name of a dag.State
+	Try   int    // number of its last try; 0: none yet
+	Job   string // job ID; empty: none yet
 }
 
-// Try is one try of an instance, named as in Instance. End is zero while it runs.
+// Try is a try of an instance. Step and Index identify the instance as in Instance. End is zero while the try runs.
 type Try struct {
 	Step, Index int
 	Begin, End  time.Time
 	State       string
 }
 
-// ref returns the instance that a try belongs to.
+// ref returns the instance that the try belongs to.
 func (t *Try) ref() dag.Ref { return dag.Ref{Step: t.Step, Index: t.Index} }
 
-// endOr returns when a try ended, or now if it has not.
+// endOr returns the end of the try, or now if the try has not ended.
 func (t *Try) endOr(now time.Time) time.Time {
 	if t.End.IsZero() {
 		return now
@@ -49,10 +49,11 @@
 	return t.End
 }
 
-// ref returns the names of an instance's step and index.
+// ref identifies the instance. Its Index is -1 if the step is not mapped.
 func (x *Instance) ref() dag.Ref { return dag.Ref{Step: x.Step, Index: x.Index} }
 
-// name returns an instance's name: the step's, with the index if the step is mapped.
+// instanceName returns an instance's display name: the step's ID, followed by the index in brackets if the
+// step is mapped.
 func (r *Run) name(at dag.Ref) string {
 	if at.Index < 0 {
 		return r.Plan.Steps[at.Step].ID
@@ -60,8 +61,8 @@
 	return fmt.Sprintf("%s[%d]", r.Plan.Steps[at.Step].ID, at.Index)
 }
 
-// RunText writes how a run goes: its state, and a table of all instances, or of those that
-// neither wait nor have succeeded.
+// RunText writes the state of a run and a table of its instances: all of them, or only those that neither
+// wait nor have succeeded.
 func RunText(w io.Writer, r *Run, all bool) error {
 	if _, err := fmt.Fprintf(w, "%s of %s: %s; %s\n", r.ID, r.Plan.ID, r.State, r.countsByState()); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	return t.Flush()
 }
 
-// countsByState returns how many instances are in each state that there is.
+// countsByState returns, as text, the number of instances in each state that occurs.
 func (r *Run) countsByState() string {
 	counts := map[string]int{}
 	for _, x := range r.Instances {
@@ -97,7 +98,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// durations returns how long each instance has run, all its tries together.
+// durations returns the running time of each instance, summed over its tries.
 func (r *Run) durations() map[dag.Ref]time.Duration {
 	took := map[dag.Ref]time.Duration{}
 	for i := range r.Tries {
@@ -107,7 +108,7 @@
 	return took
 }
 
-// RunDot writes a run in the DOT language, with the states as colours.
+// RunDot writes a run in the DOT language. The colour of a step shows its state.
 func RunDot(w io.Writer, r *Run) error {
 	colours := make([]string, len(r.Plan.Steps))
 	for _, x := range r.Instances {
@@ -118,14 +119,13 @@
 	})
 }
 
-// defaultColour is that of steps that wait, and of unknown states.
+// defaultColour is the colour of steps that wait, and of unknown states.
 const defaultColour = "#eeeeee"
 
-// state is a state of steps with its colour.
+// state is the name of a state of steps, with its colour.
 type state struct{ Name, Colour string }
 
-// states are all states of steps with the colours that Airflow shows them in, in the order
-// of the legend.
+// states lists all states of steps with the colours that Airflow uses for them, in the order of the legend.
 var states = []state{
 	{"success", "#2e8b57"}, {"running", "#7fff00"}, {"failed", "#e0311f"}, {"up_for_retry", "#ffd700"}, {"upstream_failed", "#ffa500"},
 	{"skipped", "#ff8fc7"}, {"queued", "#a9a9a9"}, {"scheduled", "#d2b48c"}, {"none", defaultColour},
--- a/internal/graphs/dagview/run_test.go
+++ b/internal/graphs/dagview/run_test.go
@@ -12,7 +12,8 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// nightly is a run with steps in different states, and tries that failed, succeeded and run.
+// nightlyRun returns a run with steps in different states, and with tries that failed, succeeded and
+// are running.
 func nightly(t *testing.T) *Run {
 	t.Helper()
 	job := &dag.Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
@@ -44,7 +45,8 @@
 	}
 }
 
-// countElements counts the elements of a page by the ID of the drawing that they are in.
+// countElements counts the elements of a page. The keys are the ID of the last svg element begun so far
+// and the name of the element.
 func countElements(t *testing.T, html string) map[string]int {
 	t.Helper()
 	seen := map[string]int{}
@@ -72,32 +74,32 @@
 	}
 }
 
-// A page is well formed, with a box for each step, an edge for each dependency and a bar for
-// each try.
+// A page is well formed and has a box for each step, an edge for each dependency and a bar for each
+// try.
 func TestAPageDrawsStepsDependenciesAndTries(t *testing.T) {
 	html := rendered(t, RunHTML)
 	if seen := countElements(t, html); seen["graph rect"] != 5 || seen["graph path"] != 4 || seen["gantt rect"] != 5 {
-		t.Errorf("drawn are %v", seen)
+		t.Errorf("elements of the page: %v, want 5 boxes, 4 edges and 5 bars", seen)
 	}
 	if strings.Contains(html, "a <team>") || strings.Contains(html, "http://") {
-		t.Error("a name is not escaped, or the page needs something else")
+		t.Error("a name is not escaped, or the page refers to an external resource")
 	}
 }
 
 func TestATableListsInstancesThatNeitherWaitNorSucceeded(t *testing.T) {
 	s := rendered(t, func(w io.Writer, r *Run) error { return RunText(w, r, false) })
 	if !strings.Contains(s, "3 success, 1 running, 1 failed, 1 upstream_failed") || !strings.Contains(s, "score[1]") || strings.Contains(s, "score[0]") || !strings.Contains(s, "1m35s") {
-		t.Errorf("as text %s", s)
+		t.Errorf("text of the run: %s", s)
 	}
 }
 
 func TestDOTShowsStatesAsColours(t *testing.T) {
 	if s := rendered(t, RunDot); !strings.Contains(s, `"score" [peripheries=2, style="rounded,filled", fillcolor="#e0311f"];`) {
-		t.Errorf("as DOT %s", s)
+		t.Errorf("DOT of the run: %s", s)
 	}
 }
 
-// rendered returns what a view writes of the nightly run.
+// rendered returns what a view writes for nightlyRun.
 func rendered(t *testing.T, view func(io.Writer, *Run) error) string {
 	t.Helper()
 	var b strings.Builder
@@ -122,6 +124,6 @@
 	}
 	var b strings.Builder
 	if err := RunHTML(&b, &Run{Plan: p, ID: "one"}); err != nil || !strings.Contains(b.String(), "The first 600 of 10000 steps") || b.Len() > 1<<20 {
-		t.Errorf("%d bytes, %v", b.Len(), err)
+		t.Errorf("page of the largest graph: %d bytes, error %v; want up to 1 MiB and a note that 600 steps are drawn", b.Len(), err)
 	}
 }
