--- a/internal/graphs/dag/advance.go
+++ b/internal/graphs/dag/advance.go
@@ -2,7 +2,7 @@
 
 // evaluateStep applies a step's trigger rule, and makes the step ready or ends it if the rule has decided.
 func (r *Run) evaluateStep(i int) {
-	if s := r.verdict(i); s == Scheduled {
+	if s := r.ruleDecision(i); s == Scheduled {
 		r.makeReady(i)
 	} else if s != None {
 		r.finishStep(i, s)
@@ -11,7 +11,7 @@
 
 // ruleDecision returns what a step's trigger rule decides now: Scheduled if the step may start, a final state
 // if it ends without starting, None if it still waits or was decided before.
-func (r *Run) verdict(i int) State {
+func (r *Run) ruleDecision(i int) State {
 	n := &r.nodes[i]
 	if !n.undecided() {
 		return None
@@ -81,14 +81,14 @@
 			continue
 		}
 		for _, j := range r.Plan.Downstream[f.step] {
-			switch verdict := r.verdict(j); {
-			case verdict == None:
-			case verdict == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
+			switch decision := r.ruleDecision(j); {
+			case decision == None:
+			case decision == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
 				queue = append(queue, finished{j, Success})
-			case verdict == Scheduled:
+			case decision == Scheduled:
 				r.makeReady(j)
 			default:
-				queue = append(queue, finished{j, verdict})
+				queue = append(queue, finished{j, decision})
 			}
 		}
 	}
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -6,98 +6,98 @@
 )
 
 // JobSubmitted records that the scheduler accepted an instance's job.
-func (r *Run) JobSubmitted(at Ref) {
-	if inst := r.instance(at); inst != nil && inst.State == Scheduled {
+func (r *Run) JobSubmitted(ref Ref) {
+	if inst := r.instance(ref); inst != nil && inst.State == Scheduled {
 		inst.State = Queued
-		r.updateStepState(at.Step)
+		r.updateStepState(ref.Step)
 	}
 }
 
 // SubmissionFailed records that an instance's job could not be stored. It makes the instance ready again.
-func (r *Run) SubmissionFailed(at Ref) {
-	if inst := r.instance(at); inst != nil && inst.State == Queued {
+func (r *Run) SubmissionFailed(ref Ref) {
+	if inst := r.instance(ref); inst != nil && inst.State == Queued {
 		inst.State = Scheduled
-		r.updateStepState(at.Step)
-		r.enqueue(at)
+		r.updateStepState(ref.Step)
+		r.enqueue(ref)
 	}
 }
 
 // TaskRunning records that a task of an instance's job was seen running at the time now.
-func (r *Run) TaskRunning(at Ref, now time.Time) {
-	if inst := r.instance(at); inst != nil && !inst.Cancelling && (inst.State == Queued || inst.State == UpForRetry) {
+func (r *Run) TaskRunning(ref Ref, now time.Time) {
+	if inst := r.instance(ref); inst != nil && !inst.Cancelling && (inst.State == Queued || inst.State == UpForRetry) {
 		inst.State, inst.StartedAt, inst.RetryAt = Running, now, time.Time{}
-		r.updateStepState(at.Step)
+		r.updateStepState(ref.Step)
 	}
 }
 
 // AttemptFailed records that an attempt of an instance's job failed. The next try waits for the retry delay.
 // Once the retries are used up, the job is to be cancelled, and the instance fails when that is done. jitter,
 // from 0 to 1, spreads the delays (Retry.DelayBefore).
-func (r *Run) AttemptFailed(at Ref, now time.Time, jitter float64) {
-	inst := r.instance(at)
+func (r *Run) AttemptFailed(ref Ref, now time.Time, jitter float64) {
+	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
 		return
 	}
 	inst.Failures++
 	inst.StartedAt = time.Time{}
-	s := &r.Plan.Steps[at.Step]
+	s := &r.Plan.Steps[ref.Step]
 	if inst.Failures > s.Retries {
-		r.cancelJob(at)
+		r.cancelJob(ref)
 		return
 	}
 	inst.State, inst.RetryAt = UpForRetry, now.Add(s.DelayBefore(inst.Failures, jitter))
-	r.updateStepState(at.Step)
+	r.updateStepState(ref.Step)
 }
 
 // TimeOut cancels the job of an instance if its current try has reached the step's timeout, and reports whether it did.
-func (r *Run) TimeOut(at Ref, now time.Time) bool {
-	inst, limit := r.instance(at), time.Duration(r.Plan.Steps[at.Step].Timeout)
+func (r *Run) TimeOut(ref Ref, now time.Time) bool {
+	inst, limit := r.instance(ref), time.Duration(r.Plan.Steps[ref.Step].Timeout)
 	if inst == nil || limit == 0 || inst.State != Running || inst.Cancelling || now.Before(inst.StartedAt.Add(limit)) {
 		return false
 	}
-	r.cancelJob(at)
+	r.cancelJob(ref)
 	return true
 }
 
 // JobDone records that an instance's job completed. It returns a *ResultError, and the instance fails, if the
 // step's result (SetResult) does not meet the requirements of the step's kind.
-func (r *Run) JobDone(at Ref) error {
-	inst := r.instance(at)
+func (r *Run) JobDone(ref Ref) error {
+	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() {
 		return nil
 	}
-	if r.Plan.Steps[at.Step].Kind == KindBranch {
-		if err := r.skipUnpicked(at.Step); err != nil {
-			r.finishInstance(at, Failed)
+	if r.Plan.Steps[ref.Step].Kind == KindBranch {
+		if err := r.skipUnpicked(ref.Step); err != nil {
+			r.finishInstance(ref, Failed)
 			return err
 		}
 	}
-	r.finishInstance(at, Success)
+	r.finishInstance(ref, Success)
 	return nil
 }
 
 // JobCancelled records that an instance's job was cancelled, by the run or by someone else. The instance fails.
-func (r *Run) JobCancelled(at Ref) { r.finishInstance(at, Failed) }
+func (r *Run) JobCancelled(ref Ref) { r.finishInstance(ref, Failed) }
 
 // finishInstance ends an instance. The step ends with its last instance.
-func (r *Run) finishInstance(at Ref, s State) {
-	inst := r.instance(at)
+func (r *Run) finishInstance(ref Ref, s State) {
+	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() {
 		return
 	}
 	inst.finish(s)
-	n := &r.nodes[at.Step]
+	n := &r.nodes[ref.Step]
 	n.unfinished--
-	r.countDownstream(at.Step, s)
+	r.countDownstream(ref.Step, s)
 	if n.unfinished == 0 {
-		r.finishStep(at.Step, n.outcome(Success))
+		r.finishStep(ref.Step, n.outcome(Success))
 		return
 	}
 	// Steps whose trigger rule needs only one ended instance do not wait for the others.
-	for _, j := range r.Plan.Downstream[at.Step] {
+	for _, j := range r.Plan.Downstream[ref.Step] {
 		r.evaluateStep(j)
 	}
-	r.updateStepState(at.Step)
+	r.updateStepState(ref.Step)
 }
 
 // updateStepState sets the state of an unfinished step to the most advanced state among its unfinished instances.
@@ -117,10 +117,10 @@
 // cancelJob requests the cancellation of an instance's job, which the scheduler would otherwise retry
 // indefinitely. The instance does not end here but when its job ends: a job that completes before its
 // cancellation is stored has succeeded, and its step must not be recorded as failed.
-func (r *Run) cancelJob(at Ref) {
-	inst := r.instance(at)
+func (r *Run) cancelJob(ref Ref) {
+	inst := r.instance(ref)
 	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
-	r.cancellations = append(r.cancellations, r.JobID(at))
+	r.cancellations = append(r.cancellations, r.JobID(ref))
 }
 
 // TakeCancellations returns the IDs of the jobs whose cancellation was requested since the last call.
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -29,7 +29,7 @@
 			r.unfinished--
 		}
 	}
-	r.rebuildDerived()
+	r.rebuildDerivedState()
 }
 
 // cancelInstances skips those instances of a step whose jobs are not submitted, and requests the cancellation
@@ -140,7 +140,7 @@
 		*n = node{generation: n.generation + 1}
 	}
 	r.cancelled = false
-	r.rebuildDerived()
+	r.rebuildDerivedState()
 	for _, i := range r.Plan.Order {
 		if chosen[i] {
 			r.evaluateStep(i)
@@ -150,7 +150,7 @@
 
 // rebuildDerivedState computes, from the states of all instances, what events otherwise update incrementally:
 // the counts of upstream states and the queue of ready instances.
-func (r *Run) rebuildDerived() {
+func (r *Run) rebuildDerivedState() {
 	for i := range r.nodes {
 		r.nodes[i].upstream = r.countUpstream(i)
 	}
--- a/internal/graphs/dag/dag.go
+++ b/internal/graphs/dag/dag.go
@@ -61,8 +61,8 @@
 type Step struct {
 	ID       string   `json:"task_id"`
 	Kind     Kind     `json:"kind"`
-	Job      *Job     `json:"job,omitempty"`      // nil exactly for KindEmpty
-	Upstream []string `json:"upstream,omitempty"` // IDs of the steps that must end before this one is decided
+	Job      *Job     `json:"job,omitempty"`      // nil if and only if Kind is KindEmpty
+	Upstream []string `json:"upstream,omitempty"` // IDs of the steps directly upstream, to which the trigger rule applies
 	Rule     Rule     `json:"trigger_rule,omitempty"`
 	Retry
 	Timeout       Duration `json:"execution_timeout,omitempty"` // limit on the running time of one try; 0: none
@@ -76,7 +76,7 @@
 
 // upstreamIDs returns the IDs of the steps directly upstream: those listed in Upstream, and the step whose
 // result this one is mapped over.
-func (s *Step) upstreamNames() []string {
+func (s *Step) upstreamIDs() []string {
 	if s.mappedOverStep() && !slices.Contains(s.Upstream, s.Map.Over) {
 		return append(slices.Clip(s.Upstream), s.Map.Over)
 	}
--- a/internal/graphs/dag/errors.go
+++ b/internal/graphs/dag/errors.go
@@ -43,7 +43,7 @@
 
 // Errors of Plan.Backfill.
 var (
-	ErrTooManyRuns = fmt.Errorf("more than %d runs", MaxBackfill)
+	ErrTooManyRuns = fmt.Errorf("more than %d runs", MaxBackfillRuns)
 	ErrNoSchedule  = errors.New("the graph has no schedule")
 )
 
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -20,11 +20,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := ParseJSON("graph", raw)
+	decoded, err := ParseJSON("graph", raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "graph", again, graph)
+	golden.Equal(t, "graph", decoded, graph)
 }
 
 func TestStoredFormats(t *testing.T) {
@@ -54,11 +54,11 @@
 	run.nodes[0].instances[0] = Instance{State: UpForRetry, Failures: 3, RetryAt: time.UnixMilli(1_780_000_000_000), StartedAt: time.UnixMilli(1_780_000_000_001), Cancelling: true}
 	raw := run.Encode()
 	golden.Hex(t, "run", raw)
-	again, err := DecodeRun(plan, raw)
+	decoded, err := DecodeRun(plan, raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Hex(t, "run", again.Encode())
+	golden.Hex(t, "run", decoded.Encode())
 	golden.Lines(t, "job-id", run.JobID(Ref{Step: 0, Index: 0}), run.JobID(Ref{Step: 1, Index: 2}))
 }
 
--- a/internal/graphs/dag/helpers_test.go
+++ b/internal/graphs/dag/helpers_test.go
@@ -9,8 +9,8 @@
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 // step returns a step that runs a job, with the given upstream steps.
-func step(id string, up ...string) Step {
-	return Step{ID: id, Kind: KindJob, Job: &Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}, Upstream: up}
+func step(id string, upstream ...string) Step {
+	return Step{ID: id, Kind: KindJob, Job: &Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}, Upstream: upstream}
 }
 
 // changed returns a copy of a step with a change applied.
@@ -41,22 +41,22 @@
 // runReady reports all ready instances as submitted and running, and returns them.
 func (r *Run) runReady(now time.Time) []Ref {
 	refs := r.TakeReady(1 << 20)
-	for _, at := range refs {
-		r.JobSubmitted(at)
-		r.TaskRunning(at, now)
+	for _, ref := range refs {
+		r.JobSubmitted(ref)
+		r.TaskRunning(ref, now)
 	}
 	return refs
 }
 
 // finishJob reports the job of an instance as done. Before that, it sets the step's result,
 // unless result is nil or the step is mapped.
-func (r *Run) finishJob(at Ref, result json.RawMessage) error {
-	if result != nil && r.Plan.Steps[at.Step].Map == nil {
-		if err := r.SetResult(at.Step, result); err != nil {
+func (r *Run) finishJob(ref Ref, result json.RawMessage) error {
+	if result != nil && r.Plan.Steps[ref.Step].Map == nil {
+		if err := r.SetResult(ref.Step, result); err != nil {
 			return err
 		}
 	}
-	return r.JobDone(at)
+	return r.JobDone(ref)
 }
 
 // clearFrom clears a step and all steps downstream of it.
--- a/internal/graphs/dag/intervals.go
+++ b/internal/graphs/dag/intervals.go
@@ -5,8 +5,8 @@
 // Interval is the data interval of a scheduled run. The run is due at its end.
 type Interval struct{ Begin, End time.Time }
 
-// MaxBackfill is the largest number of runs that one backfill request may create.
-const MaxBackfill = 1000
+// MaxBackfillRuns is the largest number of runs that one backfill request may create.
+const MaxBackfillRuns = 1000
 
 // Due returns the intervals that end within (last, now]. last is the end of the last interval that has a run;
 // it is zero if there is none. Without catch-up Due returns only the newest interval, as in Airflow. With
@@ -77,7 +77,7 @@
 	if !p.Catchup && !begin.IsZero() {
 		// Skip to the recent past: a graph that was paused for a year may have missed half a million
 		// intervals, of which only the newest is needed.
-		if recent := s.Next(now.Add(-s.searchBack(now))); recent.After(begin) {
+		if recent := s.Next(now.Add(-s.lookback(now))); recent.After(begin) {
 			begin = recent
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // lookback returns a duration before now within which the newest complete interval is certain to begin.
-func (s *Schedule) searchBack(now time.Time) time.Duration {
+func (s *Schedule) lookback(now time.Time) time.Duration {
 	first := s.Next(now)
 	second := s.Next(first)
 	if first.IsZero() || second.IsZero() {
@@ -97,7 +97,7 @@
 }
 
 // Backfill returns the intervals that begin within [from, to]. It returns ErrNoSchedule for a graph without a
-// recurring schedule, and ErrTooManyRuns for more than MaxBackfill intervals.
+// recurring schedule, and ErrTooManyRuns for more than MaxBackfillRuns intervals.
 func (p *Plan) Backfill(s *Schedule, from, to time.Time) ([]Interval, error) {
 	if s == nil || s.once {
 		return nil, ErrNoSchedule
@@ -108,7 +108,7 @@
 		if end.IsZero() {
 			break
 		}
-		if len(out) == MaxBackfill {
+		if len(out) == MaxBackfillRuns {
 			return nil, ErrTooManyRuns
 		}
 		out = append(out, Interval{begin, end})
--- a/internal/graphs/dag/parse.go
+++ b/internal/graphs/dag/parse.go
@@ -34,7 +34,7 @@
 
 // errorOffset returns the offset in the input at which an error of encoding/json occurred. For errors without
 // an offset it returns decoderOffset, how far the decoder has read.
-func errorOffset(err error, read int64) int64 {
+func errorOffset(err error, decoderOffset int64) int64 {
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
 	switch {
@@ -43,7 +43,7 @@
 	case errors.As(err, &typeErr):
 		return typeErr.Offset
 	}
-	return read
+	return decoderOffset
 }
 
 // lineAndColumn returns the line and column of an offset, both counted from 1.
--- a/internal/graphs/dag/plan.go
+++ b/internal/graphs/dag/plan.go
@@ -36,10 +36,10 @@
 		edges += added
 	}
 	if edges > MaxEdges {
-		return nil, p.fault("", "it has %d edges; up to %d are allowed", edges, MaxEdges)
+		return nil, p.errorf("", "it has %d edges; up to %d are allowed", edges, MaxEdges)
 	}
 	if cycle := p.sortTopologically(); cycle != nil {
-		return nil, p.fault("", "its steps follow each other in a circle: %s", strings.Join(cycle, " -> "))
+		return nil, p.errorf("", "its steps follow each other in a circle: %s", strings.Join(cycle, " -> "))
 	}
 	return p, nil
 }
@@ -49,10 +49,10 @@
 	for i := range p.Steps {
 		id := p.Steps[i].ID
 		if !ValidName(id) {
-			return p.fault(id, "task_id is not a name of letters, digits, dashes, dots and underscores")
+			return p.errorf(id, "task_id is not a name of letters, digits, dashes, dots and underscores")
 		}
-		if _, twice := p.Index[id]; twice {
-			return p.fault(id, "the name is used twice")
+		if _, duplicate := p.Index[id]; duplicate {
+			return p.errorf(id, "the name is used twice")
 		}
 		p.Index[id] = i
 	}
@@ -63,12 +63,12 @@
 func (p *Plan) addStep(i int) (edges int, err error) {
 	s := &p.Steps[i]
 	if err := s.validate(); err != nil {
-		return 0, p.fault(s.ID, "%v", err)
+		return 0, p.errorf(s.ID, "%v", err)
 	}
-	for _, name := range s.upstreamNames() {
+	for _, name := range s.upstreamIDs() {
 		j, ok := p.Index[name]
 		if !ok {
-			return 0, p.fault(s.ID, "it follows %q, which is no step of this graph", name)
+			return 0, p.errorf(s.ID, "it follows %q, which is no step of this graph", name)
 		}
 		if !slices.Contains(p.Upstream[i], j) {
 			p.Upstream[i] = append(p.Upstream[i], j)
@@ -77,7 +77,7 @@
 		}
 	}
 	if s.mappedOverStep() && p.Steps[p.Index[s.Map.Over]].Map != nil {
-		return 0, p.fault(s.ID, "it is mapped over %q, which is mapped itself", s.Map.Over)
+		return 0, p.errorf(s.ID, "it is mapped over %q, which is mapped itself", s.Map.Over)
 	}
 	return edges, nil
 }
@@ -104,14 +104,14 @@
 }
 
 // lastUpstream returns the upstream step that ends last, and when it ends. Without upstream steps it returns -1 and 0.
-func (p *Plan) lastUpstream(i int, finish []time.Duration) (last int, at time.Duration) {
+func (p *Plan) lastUpstream(i int, finish []time.Duration) (last int, end time.Duration) {
 	last = -1
 	for _, j := range p.Upstream[i] {
-		if last < 0 || finish[j] > at {
-			last, at = j, finish[j]
+		if last < 0 || finish[j] > end {
+			last, end = j, finish[j]
 		}
 	}
-	return last, at
+	return last, end
 }
 
 // estimate returns the owner's estimate of the step's duration; 0 for a step without a job.
--- a/internal/graphs/dag/random_test.go
+++ b/internal/graphs/dag/random_test.go
@@ -110,31 +110,31 @@
 // storeAndRead replaces the run by the one decoded from its stored form, which must have the same states.
 func (x *randomRun) storeAndRead() {
 	r := x.run
-	again, err := DecodeRun(r.Plan, r.Encode())
+	decoded, err := DecodeRun(r.Plan, r.Encode())
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	if !reflect.DeepEqual(again.stateNames(), r.stateNames()) || again.unfinished != r.unfinished || again.RunState() != r.RunState() {
-		x.t.Fatalf("decoded run has states %v, was %v", again.stateNames(), r.stateNames())
+	if !reflect.DeepEqual(decoded.stateNames(), r.stateNames()) || decoded.unfinished != r.unfinished || decoded.RunState() != r.RunState() {
+		x.t.Fatalf("decoded run has states %v, was %v", decoded.stateNames(), r.stateNames())
 	}
-	x.run = again
+	x.run = decoded
 }
 
 // jobEvent applies a random event to one of the started jobs.
 func (x *randomRun) jobEvent() {
 	k := rapid.IntRange(0, len(x.started)-1).Draw(x.t, "job")
-	at := x.started[k]
-	if inst := x.run.instance(at); inst == nil || inst.State.Final() || inst.State == Scheduled {
+	ref := x.started[k]
+	if inst := x.run.instance(ref); inst == nil || inst.State.Final() || inst.State == Scheduled {
 		x.started = slices.Delete(x.started, k, k+1)
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(x.t, "end") {
 	case 0:
-		x.run.AttemptFailed(at, x.now, 0)
+		x.run.AttemptFailed(ref, x.now, 0)
 	case 1:
-		x.run.TaskRunning(at, x.now)
+		x.run.TaskRunning(ref, x.now)
 	default:
-		if err := x.run.finishJob(at, x.drawResult(at)); err != nil && x.run.Plan.Steps[at.Step].Kind != KindBranch {
+		if err := x.run.finishJob(ref, x.drawResult(ref)); err != nil && x.run.Plan.Steps[ref.Step].Kind != KindBranch {
 			x.t.Fatal(err)
 		}
 	}
@@ -142,18 +142,18 @@
 
 // drawResult returns a result of a step: a list, which for a branch contains random directly
 // downstream steps.
-func (x *randomRun) drawResult(at Ref) json.RawMessage {
+func (x *randomRun) drawResult(ref Ref) json.RawMessage {
 	p := x.run.Plan
-	if p.Steps[at.Step].Kind != KindBranch {
+	if p.Steps[ref.Step].Kind != KindBranch {
 		return json.RawMessage(`[1,2]`)
 	}
-	var pick []string
-	for _, j := range p.Downstream[at.Step] {
+	var picked []string
+	for _, j := range p.Downstream[ref.Step] {
 		if rapid.Bool().Draw(x.t, "picked") {
-			pick = append(pick, p.Steps[j].ID)
+			picked = append(picked, p.Steps[j].ID)
 		}
 	}
-	result, _ := json.Marshal(pick) // a list of strings cannot fail
+	result, _ := json.Marshal(picked) // a list of strings cannot fail
 	return result
 }
 
@@ -172,8 +172,8 @@
 		if before[i].Final() && n.state != before[i] && !cleared[i] {
 			t.Fatalf("s%d changed from the final state %v to %v without a clear", i, before[i], n.state)
 		}
-		if verdict := s.Rule.Evaluate(n.upstream); n.state == None && !r.cancelled && verdict != None && (verdict != Scheduled || s.Map == nil || s.Map.Over == "") {
-			t.Fatalf("s%d waits, though its rule decides %v after %+v", i, verdict, n.upstream)
+		if decision := s.Rule.Evaluate(n.upstream); n.state == None && !r.cancelled && decision != None && (decision != Scheduled || s.Map == nil || s.Map.Over == "") {
+			t.Fatalf("s%d waits, though its rule decides %v after %+v", i, decision, n.upstream)
 		}
 	}
 	if unfinished != r.unfinished {
@@ -185,8 +185,8 @@
 func (x *randomRun) finish() {
 	r := x.run
 	for range 4 * len(r.nodes) * 4 {
-		for _, at := range append(x.started, r.runReady(x.now)...) {
-			_ = r.finishJob(at, json.RawMessage(`[]`)) // a branch picks nothing with it
+		for _, ref := range append(x.started, r.runReady(x.now)...) {
+			_ = r.finishJob(ref, json.RawMessage(`[]`)) // a branch picks nothing with it
 		}
 		x.started = nil
 		for i := range r.nodes {
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -3,14 +3,14 @@
 import "container/heap"
 
 // IsReady reports whether an instance is ready to be submitted.
-func (r *Run) IsReady(at Ref) bool {
-	inst := r.instance(at)
+func (r *Run) IsReady(ref Ref) bool {
+	inst := r.instance(ref)
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
 // IsReadyWithJob reports whether an instance is ready and its job has the given ID, so that neither was the
 // step cleared nor the run cancelled since the ID was computed.
-func (r *Run) IsReadyWithJob(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
+func (r *Run) IsReadyWithJob(ref Ref, id string) bool { return r.IsReady(ref) && r.JobID(ref) == id }
 
 // TakeReady removes and returns up to n ready instances: those of the greatest weight first, and among equal
 // weights in the order in which they became ready. Each instance is returned once. The caller submits its job
@@ -18,9 +18,9 @@
 func (r *Run) TakeReady(n int) []Ref {
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
-		at := heap.Pop(&r.ready).(readyRef).Ref
-		if r.IsReady(at) {
-			out = append(out, at)
+		ref := heap.Pop(&r.ready).(readyRef).Ref
+		if r.IsReady(ref) {
+			out = append(out, ref)
 		}
 	}
 	return out
@@ -31,10 +31,10 @@
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
 // enqueue adds an instance to the queue of ready instances.
-func (r *Run) enqueue(at Ref) {
-	weight := max(1, r.Plan.Steps[at.Step].Weight)
+func (r *Run) enqueue(ref Ref) {
+	weight := max(1, r.Plan.Steps[ref.Step].Weight)
 	r.lastReadySeq++
-	heap.Push(&r.ready, readyRef{at, weight, r.lastReadySeq})
+	heap.Push(&r.ready, readyRef{ref, weight, r.lastReadySeq})
 }
 
 // readyRef is an entry of the queue of ready instances.
--- a/internal/graphs/dag/results.go
+++ b/internal/graphs/dag/results.go
@@ -33,38 +33,38 @@
 	if m.Over == "" {
 		return m.List, true
 	}
-	up := &r.nodes[r.Plan.Index[m.Over]]
-	if up.state != Success || up.result == nil {
+	source := &r.nodes[r.Plan.Index[m.Over]]
+	if source.state != Success || source.result == nil {
 		return nil, false
 	}
-	if json.Unmarshal(up.result, &list) != nil || len(list) > MaxMappedInstances {
+	if json.Unmarshal(source.result, &list) != nil || len(list) > MaxMappedInstances {
 		return nil, false
 	}
 	return list, true
 }
 
 // Element returns the list element of an instance of a mapped step; nil for a step that is not mapped.
-func (r *Run) Element(at Ref) json.RawMessage {
-	if r.Plan.Steps[at.Step].Map == nil {
+func (r *Run) Element(ref Ref) json.RawMessage {
+	if r.Plan.Steps[ref.Step].Map == nil {
 		return nil
 	}
-	list, known := r.mapElements(at.Step)
-	if !known || at.Index >= len(list) {
+	list, known := r.mapElements(ref.Step)
+	if !known || ref.Index >= len(list) {
 		return nil
 	}
-	return list[at.Index]
+	return list[ref.Index]
 }
 
 // skipUnpicked skips the steps directly downstream of a branch that the branch's result does not pick. Steps
 // that are also downstream of a picked one, directly or not, are not skipped. The error is a *ResultError.
 func (r *Run) skipUnpicked(i int) error {
-	keep, err := r.pickedSteps(i)
+	picked, err := r.pickedSteps(i)
 	if err != nil {
 		return err
 	}
-	r.Plan.addDownstream(keep)
+	r.Plan.addDownstream(picked)
 	for _, j := range r.Plan.Downstream[i] {
-		if !keep[j] && r.nodes[j].undecided() {
+		if !picked[j] && r.nodes[j].undecided() {
 			r.finishStep(j, Skipped)
 		}
 	}
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -76,41 +76,41 @@
 // Skipped or UpstreamFailed depends on which upstream instance ends first, as in Airflow.
 func (r Rule) Evaluate(c UpstreamCounts) State {
 	failures := c.failures()
-	over := c.Finished() == c.Total
+	allEnded := c.Finished() == c.Total
 	switch r {
 	case AllFailed:
 		return decide(failures == c.Total, false, c.Success+c.Skipped > 0)
 	case AllDone:
-		return decide(over, false, false)
+		return decide(allEnded, false, false)
 	case AllSkipped:
 		return decide(c.Skipped == c.Total, false, c.Success+failures > 0)
 	case OneSuccess, OneFailed, OneDone:
 		return r.evaluateOne(c)
 	case NoneFailed:
-		return decide(over, failures > 0, false)
+		return decide(allEnded, failures > 0, false)
 	case NoneFailedMinOneSuccess:
-		return decide(over, failures > 0, over && c.Total > 0 && c.Success == 0)
+		return decide(allEnded, failures > 0, allEnded && c.Total > 0 && c.Success == 0)
 	case NoneSkipped:
-		return decide(over, false, c.Skipped > 0)
+		return decide(allEnded, false, c.Skipped > 0)
 	case Always:
 		return Scheduled
 	default: // AllSuccess
-		return decide(over, failures > 0, c.Skipped > 0)
+		return decide(allEnded, failures > 0, c.Skipped > 0)
 	}
 }
 
 // evaluateOne applies the rules OneSuccess, OneFailed and OneDone, which a single ended instance can satisfy.
 func (r Rule) evaluateOne(c UpstreamCounts) State {
-	over := c.Finished() == c.Total
+	allEnded := c.Finished() == c.Total
 	switch {
 	case r == OneSuccess && c.Success > 0,
 		r == OneFailed && c.failures() > 0,
 		r == OneDone && c.Success+c.Failed > 0:
 		return Scheduled
 	case r == OneSuccess:
-		return decide(c.Total == 0, over && c.Total > 0 && c.Skipped < c.Total, over && c.Total > 0)
+		return decide(c.Total == 0, allEnded && c.Total > 0 && c.Skipped < c.Total, allEnded && c.Total > 0)
 	}
-	return decide(false, false, over)
+	return decide(false, false, allEnded)
 }
 
 // decide returns the state that a rule's conditions lead to. A failure takes precedence over a skip, and both
--- a/internal/graphs/dag/rules_test.go
+++ b/internal/graphs/dag/rules_test.go
@@ -9,9 +9,9 @@
 func TestTriggerRulesDecideByUpstreamStates(t *testing.T) {
 	S, F, K, U, N := Success, Failed, Skipped, UpstreamFailed, None
 	for _, c := range []struct {
-		rule Rule
-		ends []State
-		want State
+		rule     Rule
+		upstream []State
+		want     State
 	}{
 		{"", []State{}, Scheduled}, {"", []State{S, S}, Scheduled}, {"", []State{S, N}, None}, {"", []State{F, N}, UpstreamFailed}, {"", []State{K, N}, Skipped}, {"", []State{U}, UpstreamFailed},
 		{AllFailed, []State{F, U}, Scheduled}, {AllFailed, []State{S, N}, Skipped}, {AllFailed, []State{F, N}, None},
@@ -25,12 +25,12 @@
 		{NoneSkipped, []State{S, F}, Scheduled}, {NoneSkipped, []State{K, N}, Skipped}, {NoneSkipped, []State{S, N}, None},
 		{Always, []State{N, N}, Scheduled},
 	} {
-		var e UpstreamCounts
-		for _, s := range c.ends {
-			e.Add(s, 1)
+		var counts UpstreamCounts
+		for _, s := range c.upstream {
+			counts.Add(s, 1)
 		}
-		if got := c.rule.Evaluate(e); got != c.want {
-			t.Errorf("rule %q after upstream states %v: %v, want %v", c.rule, c.ends, got, c.want)
+		if got := c.rule.Evaluate(counts); got != c.want {
+			t.Errorf("rule %q after upstream states %v: %v, want %v", c.rule, c.upstream, got, c.want)
 		}
 	}
 }
@@ -38,23 +38,23 @@
 // In whatever order the upstream steps end, a rule has decided when the last one has ended. A decision
 // to start the step is final. So is a decision against it, though it may still change between skipped
 // and upstream_failed.
-func TestTriggerRulesDecideOnceAndAtTheLatestAtTheEnd(t *testing.T) {
+func TestTriggerRulesDecideOnceAndByTheLastUpstreamEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rule := Rule(rapid.SampledFrom(rules).Draw(t, "rule"))
-		ends := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
-		e := UpstreamCounts{Total: len(ends)}
-		given := rule.Evaluate(e)
-		for _, s := range ends {
-			e.Add(s, 1)
-			e.Total--
-			got := rule.Evaluate(e)
-			if given == Scheduled && got != Scheduled || given != None && (got == None || got == Scheduled && given != got) {
-				t.Fatalf("rule %s decides %v, then %v after %v", rule, given, got, e)
+		states := rapid.SliceOfN(rapid.SampledFrom([]State{Success, Failed, Skipped, UpstreamFailed}), 1, 6).Draw(t, "ends")
+		counts := UpstreamCounts{Total: len(states)}
+		previous := rule.Evaluate(counts)
+		for _, s := range states {
+			counts.Add(s, 1)
+			counts.Total--
+			got := rule.Evaluate(counts)
+			if previous == Scheduled && got != Scheduled || previous != None && (got == None || got == Scheduled && previous != got) {
+				t.Fatalf("rule %s decides %v, then %v after %v", rule, previous, got, counts)
 			}
-			given = got
+			previous = got
 		}
-		if given == None {
-			t.Fatalf("rule %s has not decided after all of %v", rule, ends)
+		if previous == None {
+			t.Fatalf("rule %s has not decided after all of %v", rule, states)
 		}
 	})
 }
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -16,7 +16,7 @@
 	Failures   int       // failed attempts of its job since the step was last cleared
 	RetryAt    time.Time // its job does not start again before this time; zero: no delay
 	StartedAt  time.Time // when its current try began to run; zero: it does not run
-	Cancelling bool      // cancellation of its job is requested; the instance ends in the state of the job
+	Cancelling bool      // cancellation of its job is requested; the instance ends when the job does
 }
 
 // finish sets the final state s and resets what only an unfinished instance has.
@@ -85,12 +85,12 @@
 // JobID returns the ID of an instance's job. The ID depends only on the team, the IDs of graph, run and step,
 // the instance's index and the step's generation, so every leader computes the same ID, and clearing the step
 // changes it. The format of job IDs allows 32 digits, which hold 106 bits of the hash.
-func (r *Run) JobID(at Ref) string {
+func (r *Run) JobID(ref Ref) string {
 	h := sha256.New()
-	for _, part := range []string{r.Plan.Team, r.Plan.ID, r.ID, r.Plan.Steps[at.Step].ID} {
+	for _, part := range []string{r.Plan.Team, r.Plan.ID, r.ID, r.Plan.Steps[ref.Step].ID} {
 		fmt.Fprintf(h, "%d:%s", len(part), part) // the length prefix keeps different parts from giving the same hash input
 	}
-	fmt.Fprintf(h, "%d.%d", at.Index, r.nodes[at.Step].generation)
+	fmt.Fprintf(h, "%d.%d", ref.Index, r.nodes[ref.Step].generation)
 	n := new(big.Int).SetBytes(h.Sum(nil))
 	n.Mod(n, new(big.Int).Exp(big.NewInt(10), big.NewInt(32), nil))
 	return fmt.Sprintf("job-%032d", n)
@@ -122,9 +122,9 @@
 }
 
 // instance returns the instance that ref identifies; nil if there is none.
-func (r *Run) instance(at Ref) *Instance {
-	if at.Step < 0 || at.Step >= len(r.nodes) || at.Index < 0 || at.Index >= len(r.nodes[at.Step].instances) {
+func (r *Run) instance(ref Ref) *Instance {
+	if ref.Step < 0 || ref.Step >= len(r.nodes) || ref.Index < 0 || ref.Index >= len(r.nodes[ref.Step].instances) {
 		return nil
 	}
-	return &r.nodes[at.Step].instances[at.Index]
+	return &r.nodes[ref.Step].instances[ref.Index]
 }
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -27,8 +27,8 @@
 func failMiddle(t *testing.T, r *Run) {
 	t.Helper()
 	r.AttemptFailed(r.ref("middle"), noon, 0)
-	if s, x := r.StepState(1); s != UpForRetry || !x[0].RetryAt.Equal(noon.Add(time.Minute)) || len(r.TakeReady(9)) != 0 || len(r.TakeCancellations()) != 0 {
-		t.Fatalf("after the first failure: %v, %+v", s, x)
+	if state, instances := r.StepState(1); state != UpForRetry || !instances[0].RetryAt.Equal(noon.Add(time.Minute)) || len(r.TakeReady(9)) != 0 || len(r.TakeCancellations()) != 0 {
+		t.Fatalf("after the first failure: %v, %+v", state, instances)
 	}
 	r.TaskRunning(r.ref("middle"), noon.Add(time.Minute))
 	r.AttemptFailed(r.ref("middle"), noon.Add(2*time.Minute), 0)
@@ -129,8 +129,8 @@
 		t.Fatalf("the last of the instances %v has another element", refs)
 	}
 	ids := map[string]bool{}
-	for _, at := range refs {
-		ids[r.JobID(at)] = true
+	for _, ref := range refs {
+		ids[r.JobID(ref)] = true
 	}
 	if len(ids) != 3 {
 		t.Error("instances share a job ID")
@@ -142,11 +142,11 @@
 func TestInstancesThatRunForTooLongAreCancelled(t *testing.T) {
 	r, refs := mappedRun(t)
 	_ = r.JobDone(refs[0]) // it has no result
-	for k, at := range refs {
-		if r.TimeOut(at, noon.Add(time.Minute)) {
+	for k, ref := range refs {
+		if r.TimeOut(ref, noon.Add(time.Minute)) {
 			t.Error("timed out after a minute, though the timeout is an hour")
 		}
-		if late := r.TimeOut(at, noon.Add(time.Hour)); late != (k > 0) || r.TimeOut(at, noon.Add(time.Hour)) {
+		if late := r.TimeOut(ref, noon.Add(time.Hour)); late != (k > 0) || r.TimeOut(ref, noon.Add(time.Hour)) {
 			t.Errorf("instance %d after an hour: timed out is %v, or it timed out twice", k, late)
 		}
 	}
@@ -162,7 +162,7 @@
 
 // The failure of the first step of a chain of 10,000 steps ends all others at once. With recursion this
 // would need a deep stack.
-func TestALongChainIsSkippedWithoutRecursion(t *testing.T) {
+func TestALongChainFailsWithoutRecursion(t *testing.T) {
 	steps := []Step{step("s0")}
 	for i := 1; i < MaxSteps; i++ {
 		steps = append(steps, step(fmt.Sprint("s", i), fmt.Sprint("s", i-1)))
@@ -178,12 +178,12 @@
 
 // Ready instances are returned by descending weight, and among equal weights in the order in which
 // they became ready.
-func TestReadyInstancesComeByWeightThenAge(t *testing.T) {
+func TestReadyInstancesAreOrderedByWeightThenAge(t *testing.T) {
 	heavy := changed(step("heavy"), func(s *Step) { s.Weight = 5 })
 	r := NewRun(newTestPlan(t, step("a"), step("b"), heavy), "run")
 	var got []string
-	for _, at := range append(r.TakeReady(2), r.TakeReady(2)...) {
-		got = append(got, r.Plan.Steps[at.Step].ID)
+	for _, ref := range append(r.TakeReady(2), r.TakeReady(2)...) {
+		got = append(got, r.Plan.Steps[ref.Step].ID)
 	}
 	if !slices.Equal(got, []string{"heavy", "a", "b"}) {
 		t.Errorf("ready in the order %v, want heavy, a, b", got)
@@ -200,8 +200,8 @@
 	for b.Loop() {
 		r := NewRun(p, "run")
 		for refs := r.runReady(noon); len(refs) > 0; refs = r.runReady(noon) {
-			for _, at := range refs {
-				_ = r.JobDone(at) // it has no result
+			for _, ref := range refs {
+				_ = r.JobDone(ref) // it has no result
 			}
 		}
 		if r.RunState() != RunSuccess {
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -66,14 +66,14 @@
 
 // Encode returns the run's stored form, which DecodeRun reads.
 func (r *Run) Encode() []byte {
-	s := storedRun{Format: runFormat, ID: r.ID, Cancelled: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
+	stored := storedRun{Format: runFormat, ID: r.ID, Cancelled: r.cancelled, States: make([]byte, len(r.nodes)), Orphans: r.orphans}
 	for i := range r.nodes {
-		s.States[i] = byte(r.nodes[i].state)
+		stored.States[i] = byte(r.nodes[i].state)
 		if !r.stateSuffices(i) {
-			s.Steps = append(s.Steps, r.encodeStep(i))
+			stored.Steps = append(stored.Steps, r.encodeStep(i))
 		}
 	}
-	raw, err := cbor.Marshal(s)
+	raw, err := cbor.Marshal(stored)
 	if err != nil {
 		panic(fmt.Sprintf("encoding a run as CBOR failed: %v", err))
 	}
@@ -99,40 +99,40 @@
 // encodeStep returns the stored form of what a step has in addition to its state.
 func (r *Run) encodeStep(i int) storedStep {
 	n := &r.nodes[i]
-	e := storedStep{Step: i, Generation: n.generation, Result: n.result}
+	stored := storedStep{Step: i, Generation: n.generation, Result: n.result}
 	for k, inst := range n.instances {
-		e.States = append(e.States, byte(inst.State))
+		stored.States = append(stored.States, byte(inst.State))
 		if inst.hasDetails() {
-			e.Details = append(e.Details, storedInstance{
+			stored.Details = append(stored.Details, storedInstance{
 				Index: k, Failures: inst.Failures, RetryAtMS: unixMS(inst.RetryAt), StartedAtMS: unixMS(inst.StartedAt), Cancelling: inst.Cancelling,
 			})
 		}
 	}
-	return e
+	return stored
 }
 
 // DecodeRun restores a run of a plan from the form that Encode returns. Each error wraps ErrStoredRun.
 func DecodeRun(p *Plan, raw []byte) (*Run, error) {
-	var s storedRun
-	if err := cbor.Unmarshal(raw, &s); err != nil {
+	var stored storedRun
+	if err := cbor.Unmarshal(raw, &stored); err != nil {
 		return nil, fmt.Errorf("%w of %s is malformed: %w", ErrStoredRun, p.ID, err)
 	}
-	if s.Format != runFormat || len(s.States) != len(p.Steps) {
-		return nil, fmt.Errorf("%w %s of %s does not fit its graph", ErrStoredRun, s.ID, p.ID)
+	if stored.Format != runFormat || len(stored.States) != len(p.Steps) {
+		return nil, fmt.Errorf("%w %s of %s does not fit its graph", ErrStoredRun, stored.ID, p.ID)
 	}
-	r := &Run{Plan: p, ID: s.ID, nodes: make([]node, len(p.Steps)), cancelled: s.Cancelled, orphans: s.Orphans}
-	if err := r.decodeStates(s.States); err != nil {
+	r := &Run{Plan: p, ID: stored.ID, nodes: make([]node, len(p.Steps)), cancelled: stored.Cancelled, orphans: stored.Orphans}
+	if err := r.decodeStates(stored.States); err != nil {
 		return nil, err
 	}
-	for i := range s.Steps {
-		if err := r.decodeStep(&s.Steps[i]); err != nil {
+	for i := range stored.Steps {
+		if err := r.decodeStep(&stored.Steps[i]); err != nil {
 			return nil, err
 		}
 	}
 	for i := range r.nodes {
 		r.nodes[i].unfinished = r.nodes[i].countUnfinished()
 	}
-	r.rebuildDerived()
+	r.rebuildDerivedState()
 	return r, nil
 }
 
@@ -176,30 +176,30 @@
 }
 
 // decodeStep sets what a step has in addition to its state.
-func (r *Run) decodeStep(e *storedStep) error {
-	if e.Step < 0 || e.Step >= len(r.nodes) || len(e.States) > MaxMappedInstances {
+func (r *Run) decodeStep(stored *storedStep) error {
+	if stored.Step < 0 || stored.Step >= len(r.nodes) || len(stored.States) > MaxMappedInstances {
 		return fmt.Errorf("%w %s of %s names an unknown step", ErrStoredRun, r.ID, r.Plan.ID)
 	}
-	n := &r.nodes[e.Step]
-	n.generation = e.Generation
-	if len(e.Result) > 0 {
-		n.result = e.Result
+	n := &r.nodes[stored.Step]
+	n.generation = stored.Generation
+	if len(stored.Result) > 0 {
+		n.result = stored.Result
 	}
-	if len(e.States) > 0 {
-		n.instances = make([]Instance, len(e.States))
+	if len(stored.States) > 0 {
+		n.instances = make([]Instance, len(stored.States))
 	}
-	for k, b := range e.States {
+	for k, b := range stored.States {
 		var err error
 		if n.instances[k].State, err = r.decodeState(b); err != nil {
 			return err
 		}
 	}
-	for _, x := range e.Details {
-		if x.Index < 0 || x.Index >= len(n.instances) {
+	for _, details := range stored.Details {
+		if details.Index < 0 || details.Index >= len(n.instances) {
 			return fmt.Errorf("%w %s of %s names an unknown instance", ErrStoredRun, r.ID, r.Plan.ID)
 		}
-		n.instances[x.Index].Failures, n.instances[x.Index].Cancelling = x.Failures, x.Cancelling
-		n.instances[x.Index].RetryAt, n.instances[x.Index].StartedAt = fromUnixMS(x.RetryAtMS), fromUnixMS(x.StartedAtMS)
+		n.instances[details.Index].Failures, n.instances[details.Index].Cancelling = details.Failures, details.Cancelling
+		n.instances[details.Index].RetryAt, n.instances[details.Index].StartedAt = fromUnixMS(details.RetryAtMS), fromUnixMS(details.StartedAtMS)
 	}
 	return nil
 }
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -90,13 +90,13 @@
 		return s.spec.Next(after)
 	}
 	// The cron library gets wall clock times labelled as UTC, so it sees no daylight saving changes.
-	wall := wallClock(after)
+	wallTime := wallClock(after)
 	for {
-		if wall = s.spec.Next(wall); wall.IsZero() {
+		if wallTime = s.spec.Next(wallTime); wallTime.IsZero() {
 			return time.Time{}
 		}
 		// A wall clock time that occurs twice is skipped here if only its second occurrence is after the given time.
-		if at := s.firstShown(wall); at.After(after) {
+		if at := s.firstOccurrence(wallTime); at.After(after) {
 			return at
 		}
 	}
@@ -109,14 +109,14 @@
 
 // firstOccurrence returns the first moment at which the wall clock of the schedule's zone shows the given
 // time. If the clock jumps over that time, it returns the first moment after the gap.
-func (s *Schedule) firstShown(wall time.Time) time.Time {
-	at := time.Date(wall.Year(), wall.Month(), wall.Day(), wall.Hour(), wall.Minute(), wall.Second(), 0, s.location)
-	if !s.shows(at).Equal(wall) {
-		return s.endOfGap(wall)
+func (s *Schedule) firstOccurrence(wallTime time.Time) time.Time {
+	at := time.Date(wallTime.Year(), wallTime.Month(), wallTime.Day(), wallTime.Hour(), wallTime.Minute(), wallTime.Second(), 0, s.location)
+	if !s.wallClockAt(at).Equal(wallTime) {
+		return s.endOfGap(wallTime)
 	}
 	// The same wall clock time may have occurred earlier, if the clock was set back in between.
-	for _, back := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
-		if earlier := at.Add(-back); s.shows(earlier).Equal(wall) {
+	for _, shift := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
+		if earlier := at.Add(-shift); s.wallClockAt(earlier).Equal(wallTime) {
 			return earlier
 		}
 	}
@@ -124,19 +124,19 @@
 }
 
 // wallClockAt returns the wall clock time of the schedule's zone at t, labelled as UTC.
-func (s *Schedule) shows(t time.Time) time.Time { return wallClock(t.In(s.location)) }
+func (s *Schedule) wallClockAt(t time.Time) time.Time { return wallClock(t.In(s.location)) }
 
 // endOfGap returns the first moment after the gap in which the wall clock jumps over the given time. Offsets
 // from UTC are below a day, and a change moves the clock by a few hours at most, so the moment is within 26
 // hours of the time read as UTC. A binary search finds it.
-func (s *Schedule) endOfGap(wall time.Time) time.Time {
-	low, high := wall.Add(-26*time.Hour), wall.Add(26*time.Hour)
+func (s *Schedule) endOfGap(wallTime time.Time) time.Time {
+	low, high := wallTime.Add(-26*time.Hour), wallTime.Add(26*time.Hour)
 	for high.Sub(low) > time.Second {
 		mid := low.Add(high.Sub(low) / 2).Truncate(time.Second)
 		if !mid.After(low) {
 			break
 		}
-		if s.shows(mid).Before(wall) {
+		if s.wallClockAt(mid).Before(wallTime) {
 			low = mid
 		} else {
 			high = mid
--- a/internal/graphs/dag/schedule_test.go
+++ b/internal/graphs/dag/schedule_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestBadSchedulesAreRefusedInOneLine(t *testing.T) {
+func TestInvalidSchedulesGiveOneLineErrors(t *testing.T) {
 	for _, text := range []string{"* * * *", "61 * * * *", "0 0 31 2 *", "CRON_TZ=UTC * * * * *", "TZ=UTC 0 0 * *", "@every 1s", "x y z u v", strings.Repeat("1,", 200) + " * * * *"} {
 		if _, err := ParseSchedule(text, ""); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("schedule %q: error %v, want one without line breaks", text, err)
--- a/internal/graphs/dag/state.go
+++ b/internal/graphs/dag/state.go
@@ -10,7 +10,7 @@
 	Queued                      // its job is submitted, and no task of it has been seen running
 	Running                     // a task of its job runs
 	UpForRetry                  // waits out the retry delay before its next try
-	Success                     // its job is done
+	Success                     // its job is done, or it needs none
 	Failed                      // its retries are used up, its job was cancelled, or its branch result is invalid
 	Skipped                     // not needed, by decision of its trigger rule, a branch, an empty list or a cancellation
 	UpstreamFailed              // cannot run, because a step upstream failed or gave no valid list
--- a/internal/graphs/dag/validate.go
+++ b/internal/graphs/dag/validate.go
@@ -7,7 +7,7 @@
 )
 
 // errorf returns an *Error about the step with the given ID, or about the graph as a whole if step is empty.
-func (g *Graph) fault(step, format string, args ...any) error {
+func (g *Graph) errorf(step, format string, args ...any) error {
 	return &Error{Graph: g.ID, Step: step, Text: fmt.Sprintf(format, args...)}
 }
 
@@ -16,18 +16,18 @@
 func (g *Graph) validate() error {
 	switch {
 	case !ValidName(g.ID):
-		return g.fault("", "dag_id is not a name of letters, digits, dashes, dots and underscores")
+		return g.errorf("", "dag_id is not a name of letters, digits, dashes, dots and underscores")
 	case g.Team == "" || len(g.Team) > MaxNameBytes:
-		return g.fault("", "the team is missing")
+		return g.errorf("", "the team is missing")
 	case len(g.Steps) == 0 || len(g.Steps) > MaxSteps:
-		return g.fault("", "it has %d steps; 1 to %d are allowed", len(g.Steps), MaxSteps)
+		return g.errorf("", "it has %d steps; 1 to %d are allowed", len(g.Steps), MaxSteps)
 	case g.MaxRuns < 0 || g.MaxTasks < 0:
-		return g.fault("", "max_active_runs or max_active_tasks is negative")
+		return g.errorf("", "max_active_runs or max_active_tasks is negative")
 	case g.Start != nil && g.End != nil && g.End.Before(*g.Start):
-		return g.fault("", "it ends before it starts")
+		return g.errorf("", "it ends before it starts")
 	}
 	if _, err := ParseSchedule(g.Schedule, g.Timezone); err != nil {
-		return g.fault("", "%v", err)
+		return g.errorf("", "%v", err)
 	}
 	return nil
 }
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxPathSteps = 12 // steps of a critical path that are shown in full
-	nextFirings  = 3  // upcoming firings of a schedule that are shown
+	maxPathSteps = 12 // length of the longest critical path that is shown in full
+	shownFirings = 3  // upcoming firings of a schedule that are shown
 )
 
 // Text writes a summary of a graph: its size, its critical path and when it runs next.
@@ -53,7 +53,7 @@
 		return
 	}
 	fmt.Fprintf(b, "schedule %q", p.Schedule)
-	for at, n := s.Next(now), 0; !at.IsZero() && n < nextFirings; at, n = s.Next(at), n+1 {
+	for at, n := s.Next(now), 0; !at.IsZero() && n < shownFirings; at, n = s.Next(at), n+1 {
 		fmt.Fprintf(b, ", %s", at.Format("2006-01-02 15:04 MST"))
 	}
 	b.WriteString("\n")
--- a/internal/graphs/dagview/dot.go
+++ b/internal/graphs/dagview/dot.go
@@ -14,13 +14,13 @@
 
 // writeDot writes a graph in the DOT language. extraAttrs, if not nil, returns further attributes of a step,
 // in addition to its shape.
-func writeDot(w io.Writer, p *dag.Plan, extra func(step int) string) error {
+func writeDot(w io.Writer, p *dag.Plan, extraAttrs func(step int) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n  node [shape=box, style=rounded];\n", p.ID)
 	for i := range p.Steps {
-		attrs := shapeOf(&p.Steps[i])
-		if extra != nil {
-			attrs = append(attrs, extra(i))
+		attrs := shapeAttrs(&p.Steps[i])
+		if extraAttrs != nil {
+			attrs = append(attrs, extraAttrs(i))
 		}
 		fmt.Fprintf(&b, "  %q", p.Steps[i].ID)
 		if len(attrs) > 0 {
@@ -29,7 +29,7 @@
 		b.WriteString(";\n")
 	}
 	for i := range p.Steps {
-		label := edgeLabel(p.Steps[i].Rule)
+		label := edgeAttrs(p.Steps[i].Rule)
 		for _, j := range p.Upstream[i] {
 			fmt.Fprintf(&b, "  %q -> %q%s;\n", p.Steps[j].ID, p.Steps[i].ID, label)
 		}
@@ -40,7 +40,7 @@
 }
 
 // shapeAttrs returns the attributes that give each kind of step its own look.
-func shapeOf(s *dag.Step) []string {
+func shapeAttrs(s *dag.Step) []string {
 	switch {
 	case s.Kind == dag.KindBranch:
 		return []string{"shape=diamond"}
@@ -54,7 +54,7 @@
 
 // edgeAttrs returns the attributes of the edges to a step: its trigger rule as the label, unless that is the
 // default rule.
-func edgeLabel(r dag.Rule) string {
+func edgeAttrs(r dag.Rule) string {
 	if r == "" || r == dag.AllSuccess {
 		return ""
 	}
--- a/internal/graphs/dagview/formats_test.go
+++ b/internal/graphs/dagview/formats_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := c.write(&out, nightly(t)); err != nil {
+			if err := c.write(&out, nightlyRun(t)); err != nil {
 				t.Fatal(err)
 			}
 			golden.Check(t, c.name, out.Bytes())
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	axisParts   = 6  // number of intervals between the ticks of the time axis
-	maxRowLabel = 32 // length of an instance's name, in bytes
+	axisIntervals = 6  // number of intervals between the ticks of the time axis
+	maxRowName    = 32 // length of an instance's name, in bytes
 )
 
 // bar is a try in the chart. The coordinates are in pixels.
@@ -48,12 +48,12 @@
 	ticks  []tick
 	height int // in pixels
 
-	run      *Run
-	from, to time.Time       // range of the time axis
-	rowOf    map[dag.Ref]int // index into rows, by instance
+	run                *Run
+	axisStart, axisEnd time.Time       // range of the time axis
+	rowOf              map[dag.Ref]int // index into rows, by instance
 }
 
-// newChart returns a chart of the first maxBars tries of a run, in the order of their begin.
+// newChart returns a chart of the first maxBars tries of a run, ordered by their begin.
 func newChart(r *Run) *chart {
 	c := &chart{height: chartTop, run: r, rowOf: map[dag.Ref]int{}}
 	if len(r.Tries) == 0 {
@@ -73,45 +73,45 @@
 // setAxis sets the range of the time axis: from the begin of the first try to the last end, at least a
 // second. tries must be sorted by begin.
 func (c *chart) setAxis(tries []Try) {
-	c.from, c.to = tries[0].Begin, tries[0].Begin.Add(time.Second)
+	c.axisStart, c.axisEnd = tries[0].Begin, tries[0].Begin.Add(time.Second)
 	for i := range tries {
-		if end := tries[i].endOr(c.run.Now); end.After(c.to) {
-			c.to = end
+		if end := tries[i].endOr(c.run.Now); end.After(c.axisEnd) {
+			c.axisEnd = end
 		}
 	}
 }
 
 // pixels returns the length of a duration on the time axis.
 func (c *chart) pixels(d time.Duration) float64 {
-	return d.Seconds() * (chartWidth / c.to.Sub(c.from).Seconds())
+	return d.Seconds() * (chartWidth / c.axisEnd.Sub(c.axisStart).Seconds())
 }
 
 // addBar adds the bar of a try to the row of its instance.
 func (c *chart) addBar(t *Try) {
-	name := c.run.name(t.ref())
-	n := c.addRow(t.ref(), name)
+	name := c.run.instanceName(t.ref())
+	rowIndex := c.addRow(t.ref(), name)
 	length := t.endOr(c.run.Now).Sub(t.Begin)
 	c.bars = append(c.bars, bar{
-		X: labelWidth + c.pixels(t.Begin.Sub(c.from)), Width: max(minBarWidth, c.pixels(length)), Y: float64(chartTop + n*rowHeight + 2), Colour: colourOf(t.State),
+		X: labelWidth + c.pixels(t.Begin.Sub(c.axisStart)), Width: max(minBarWidth, c.pixels(length)), Y: float64(chartTop + rowIndex*rowHeight + 2), Colour: colourOf(t.State),
 		Title: fmt.Sprintf("%s: %s, %v from %s", name, t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
 	})
 }
 
 // addRow returns the index of an instance's row. It adds the row if the instance has none yet.
-func (c *chart) addRow(at dag.Ref, name string) int {
-	n, ok := c.rowOf[at]
+func (c *chart) addRow(ref dag.Ref, name string) int {
+	index, ok := c.rowOf[ref]
 	if !ok {
-		n = len(c.rows)
-		c.rowOf[at] = n
-		c.rows = append(c.rows, row{Y: chartTop + (n+1)*rowHeight - 6, Name: truncated(name, maxRowLabel)})
+		index = len(c.rows)
+		c.rowOf[ref] = index
+		c.rows = append(c.rows, row{Y: chartTop + (index+1)*rowHeight - 6, Name: truncated(name, maxRowName)})
 	}
-	return n
+	return index
 }
 
 // addTicks adds the ticks of the time axis.
 func (c *chart) addTicks() {
-	for i := range axisParts + 1 {
-		at := c.to.Sub(c.from) * time.Duration(i) / axisParts
-		c.ticks = append(c.ticks, tick{X: labelWidth + c.pixels(at), Text: c.from.Add(at).UTC().Format(time.TimeOnly)})
+	for i := range axisIntervals + 1 {
+		offset := c.axisEnd.Sub(c.axisStart) * time.Duration(i) / axisIntervals
+		c.ticks = append(c.ticks, tick{X: labelWidth + c.pixels(offset), Text: c.axisStart.Add(offset).UTC().Format(time.TimeOnly)})
 	}
 }
--- a/internal/graphs/dagview/layout.go
+++ b/internal/graphs/dagview/layout.go
@@ -11,7 +11,7 @@
 // Dimensions of the drawing of a graph, in pixels.
 const (
 	boxWidth, boxHeight = 150, 26
-	gapAcross, gapDown  = 50, 12 // between columns, and between the boxes of a column
+	columnGap, rowGap   = 50, 12 // between columns, and between the boxes of a column
 	margin              = 10
 )
 
@@ -35,16 +35,16 @@
 	edges         []edge
 	width, height int
 
-	plan    *dag.Plan
-	column  []int         // index of the column, by step
-	used    []int         // number of boxes, by column
-	boxOf   map[int]*box  // by step; nil: not drawn
-	summary []stepSummary // by step
+	plan      *dag.Plan
+	columnOf  []int         // index of the column, by step
+	boxCounts []int         // number of boxes, by column
+	boxOf     map[int]*box  // by step; nil: not drawn
+	summaries []stepSummary // by step
 }
 
 // newGraphLayout lays out the first maxBoxes steps of a run, in topological order.
 func newGraphLayout(r *Run) *graphLayout {
-	l := &graphLayout{plan: r.Plan, column: make([]int, len(r.Plan.Steps)), boxOf: map[int]*box{}, summary: r.summarize()}
+	l := &graphLayout{plan: r.Plan, columnOf: make([]int, len(r.Plan.Steps)), boxOf: map[int]*box{}, summaries: r.summarize()}
 	for _, i := range r.Plan.Order[:min(len(r.Plan.Order), maxBoxes)] {
 		l.addBox(i)
 		l.addEdges(i)
@@ -55,17 +55,17 @@
 // addBox adds the box of a step, in the first column to the right of all its upstream steps.
 func (l *graphLayout) addBox(i int) {
 	for _, j := range l.plan.Upstream[i] {
-		l.column[i] = max(l.column[i], l.column[j]+1)
+		l.columnOf[i] = max(l.columnOf[i], l.columnOf[j]+1)
 	}
-	column := l.column[i]
-	for len(l.used) <= column {
-		l.used = append(l.used, 0)
+	column := l.columnOf[i]
+	for len(l.boxCounts) <= column {
+		l.boxCounts = append(l.boxCounts, 0)
 	}
 	b := box{
-		X: margin + column*(boxWidth+gapAcross), Y: margin + l.used[column]*(boxHeight+gapDown), Name: truncated(l.plan.Steps[i].ID, maxBoxName),
-		Title: strings.Join(l.summary[i].lines, "\n"), Colour: colourOf(cmp.Or(l.summary[i].worst, dag.None.String())),
+		X: margin + column*(boxWidth+columnGap), Y: margin + l.boxCounts[column]*(boxHeight+rowGap), Name: truncated(l.plan.Steps[i].ID, maxBoxName),
+		Title: strings.Join(l.summaries[i].lines, "\n"), Colour: colourOf(cmp.Or(l.summaries[i].worst, dag.None.String())),
 	}
-	l.used[column]++
+	l.boxCounts[column]++
 	l.boxes = append(l.boxes, b)
 	l.boxOf[i] = &b
 	l.width, l.height = max(l.width, b.X+boxWidth+margin), max(l.height, b.Y+boxHeight+margin)
@@ -88,20 +88,20 @@
 	lines []string // an instance and its state per line
 }
 
-// statesBySeverity lists the states in the order of how much they need a user's attention, the least first.
-var statesByAttention = []string{"none", "success", "skipped", "scheduled", "queued", "running", "up_for_retry", "upstream_failed", "failed"}
+// statesBySeverity lists the states by how much they need a user's attention, in ascending order.
+var statesBySeverity = []string{"none", "success", "skipped", "scheduled", "queued", "running", "up_for_retry", "upstream_failed", "failed"}
 
 // summarize returns a summary of each step's instances, by step.
 func (r *Run) summarize() []stepSummary {
-	attention := func(state string) int { return slices.Index(statesByAttention, state) }
+	attention := func(state string) int { return slices.Index(statesBySeverity, state) }
 	out := make([]stepSummary, len(r.Plan.Steps))
-	for _, x := range r.Instances {
-		s := &out[x.Step]
-		if attention(x.State) >= attention(s.worst) {
-			s.worst = x.State
+	for _, inst := range r.Instances {
+		s := &out[inst.Step]
+		if attention(inst.State) >= attention(s.worst) {
+			s.worst = inst.State
 		}
 		if len(s.lines) < maxTitleLines {
-			s.lines = append(s.lines, r.name(x.ref())+": "+x.State)
+			s.lines = append(s.lines, r.instanceName(inst.ref())+": "+inst.State)
 		}
 	}
 	return out
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -54,11 +54,11 @@
 
 // instanceName returns an instance's display name: the step's ID, followed by the index in brackets if the
 // step is mapped.
-func (r *Run) name(at dag.Ref) string {
-	if at.Index < 0 {
-		return r.Plan.Steps[at.Step].ID
+func (r *Run) instanceName(ref dag.Ref) string {
+	if ref.Index < 0 {
+		return r.Plan.Steps[ref.Step].ID
 	}
-	return fmt.Sprintf("%s[%d]", r.Plan.Steps[at.Step].ID, at.Index)
+	return fmt.Sprintf("%s[%d]", r.Plan.Steps[ref.Step].ID, ref.Index)
 }
 
 // RunText writes the state of a run and a table of its instances: all of them, or only those that neither
@@ -71,12 +71,12 @@
 	if _, err := fmt.Fprintln(t, "STEP\tSTATE\tTRY\tTOOK\tJOB"); err != nil {
 		return err
 	}
-	took := r.durations()
-	for _, x := range r.Instances {
-		if !all && (x.State == dag.Success.String() || x.State == dag.None.String()) {
+	durations := r.durations()
+	for _, inst := range r.Instances {
+		if !all && (inst.State == dag.Success.String() || inst.State == dag.None.String()) {
 			continue
 		}
-		if _, err := fmt.Fprintf(t, "%s\t%s\t%d\t%v\t%s\n", r.name(x.ref()), x.State, x.Try, took[x.ref()].Round(time.Second), x.Job); err != nil {
+		if _, err := fmt.Fprintf(t, "%s\t%s\t%d\t%v\t%s\n", r.instanceName(inst.ref()), inst.State, inst.Try, durations[inst.ref()].Round(time.Second), inst.Job); err != nil {
 			return err
 		}
 	}
@@ -86,8 +86,8 @@
 // countsByState returns, as text, the number of instances in each state that occurs.
 func (r *Run) countsByState() string {
 	counts := map[string]int{}
-	for _, x := range r.Instances {
-		counts[x.State]++
+	for _, inst := range r.Instances {
+		counts[inst.State]++
 	}
 	var parts []string
 	for _, state := range states {
@@ -100,19 +100,19 @@
 
 // durations returns the running time of each instance, summed over its tries.
 func (r *Run) durations() map[dag.Ref]time.Duration {
-	took := map[dag.Ref]time.Duration{}
+	total := map[dag.Ref]time.Duration{}
 	for i := range r.Tries {
 		t := &r.Tries[i]
-		took[t.ref()] += t.endOr(r.Now).Sub(t.Begin)
+		total[t.ref()] += t.endOr(r.Now).Sub(t.Begin)
 	}
-	return took
+	return total
 }
 
 // RunDot writes a run in the DOT language. The colour of a step shows its state.
 func RunDot(w io.Writer, r *Run) error {
 	colours := make([]string, len(r.Plan.Steps))
-	for _, x := range r.Instances {
-		colours[x.Step] = colourOf(x.State)
+	for _, inst := range r.Instances {
+		colours[inst.Step] = colourOf(inst.State)
 	}
 	return writeDot(w, r.Plan, func(i int) string {
 		return fmt.Sprintf("style=\"rounded,filled\", fillcolor=%q", cmp.Or(colours[i], defaultColour))
--- a/internal/graphs/dagview/run_test.go
+++ b/internal/graphs/dagview/run_test.go
@@ -14,7 +14,7 @@
 
 // nightlyRun returns a run with steps in different states, and with tries that failed, succeeded and
 // are running.
-func nightly(t *testing.T) *Run {
+func nightlyRun(t *testing.T) *Run {
 	t.Helper()
 	job := &dag.Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 60}
 	p, err := dag.NewPlan(&dag.Graph{ID: "nightly", Team: "a <team>", Steps: []dag.Step{
@@ -25,16 +25,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC)
+	start := time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC)
 	try := func(step, index int, from, to int, state string) Try {
-		x := Try{Step: step, Index: index, Begin: at.Add(time.Duration(from) * time.Second), State: state}
+		x := Try{Step: step, Index: index, Begin: start.Add(time.Duration(from) * time.Second), State: state}
 		if to > 0 {
-			x.End = at.Add(time.Duration(to) * time.Second)
+			x.End = start.Add(time.Duration(to) * time.Second)
 		}
 		return x
 	}
 	return &Run{
-		Plan: p, ID: "scheduled__2026-12-01T00:00:00+00:00", State: "running", Start: at, Now: at.Add(5 * time.Minute),
+		Plan: p, ID: "scheduled__2026-12-01T00:00:00+00:00", State: "running", Start: start, Now: start.Add(5 * time.Minute),
 		Instances: []Instance{
 			{0, -1, "success", 0, ""}, {1, -1, "success", 2, "job-1"}, {2, 0, "success", 1, "job-2"}, {2, 1, "failed", 1, "job-3"},
 			{3, -1, "upstream_failed", 0, ""}, {4, -1, "running", 1, "job-4"},
@@ -49,14 +49,14 @@
 // and the name of the element.
 func countElements(t *testing.T, html string) map[string]int {
 	t.Helper()
-	seen := map[string]int{}
-	svg := ""
+	counts := map[string]int{}
+	svgID := ""
 	d := xml.NewDecoder(strings.NewReader(html[strings.Index(html, "<html"):]))
 	d.Strict, d.AutoClose, d.Entity = false, xml.HTMLAutoClose, xml.HTMLEntity
 	for {
 		token, err := d.Token()
 		if errors.Is(err, io.EOF) {
-			return seen
+			return counts
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -67,10 +67,10 @@
 		}
 		for _, a := range e.Attr {
 			if e.Name.Local == "svg" && a.Name.Local == "id" {
-				svg = a.Value
+				svgID = a.Value
 			}
 		}
-		seen[svg+" "+e.Name.Local]++
+		counts[svgID+" "+e.Name.Local]++
 	}
 }
 
@@ -78,8 +78,8 @@
 // try.
 func TestAPageDrawsStepsDependenciesAndTries(t *testing.T) {
 	html := rendered(t, RunHTML)
-	if seen := countElements(t, html); seen["graph rect"] != 5 || seen["graph path"] != 4 || seen["gantt rect"] != 5 {
-		t.Errorf("elements of the page: %v, want 5 boxes, 4 edges and 5 bars", seen)
+	if counts := countElements(t, html); counts["graph rect"] != 5 || counts["graph path"] != 4 || counts["gantt rect"] != 5 {
+		t.Errorf("elements of the page: %v, want 5 boxes, 4 edges and 5 bars", counts)
 	}
 	if strings.Contains(html, "a <team>") || strings.Contains(html, "http://") {
 		t.Error("a name is not escaped, or the page refers to an external resource")
@@ -103,7 +103,7 @@
 func rendered(t *testing.T, view func(io.Writer, *Run) error) string {
 	t.Helper()
 	var b strings.Builder
-	if err := view(&b, nightly(t)); err != nil {
+	if err := view(&b, nightlyRun(t)); err != nil {
 		t.Fatal(err)
 	}
 	return b.String()
