--- a/internal/graphs/dag/advance.go
+++ b/internal/graphs/dag/advance.go
@@ -81,14 +81,14 @@
 			continue
 		}
 		for _, j := range r.Plan.Downstream[f.step] {
-			switch decision := r.ruleDecision(j); {
-			case decision == None:
-			case decision == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
+			switch ruleDecision := r.ruleDecision(j); {
+			case ruleDecision == None:
+			case ruleDecision == Scheduled && r.Plan.Steps[j].Kind == KindEmpty:
 				queue = append(queue, finished{j, Success})
-			case decision == Scheduled:
+			case ruleDecision == Scheduled:
 				r.makeReady(j)
 			default:
-				queue = append(queue, finished{j, decision})
+				queue = append(queue, finished{j, ruleDecision})
 			}
 		}
 	}
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -88,22 +88,22 @@
 
 // addBar adds the bar of a try to the row of its instance.
 func (c *chart) addBar(t *Try) {
-	name := c.run.instanceName(t.ref())
-	rowIndex := c.addRow(t.ref(), name)
+	instanceName := c.run.instanceName(t.ref())
+	rowIndex := c.addRow(t.ref(), instanceName)
 	length := t.endOr(c.run.Now).Sub(t.Begin)
 	c.bars = append(c.bars, bar{
 		X: labelWidth + c.pixels(t.Begin.Sub(c.axisStart)), Width: max(minBarWidth, c.pixels(length)), Y: float64(chartTop + rowIndex*rowHeight + 2), Colour: colourOf(t.State),
-		Title: fmt.Sprintf("%s: %s, %v from %s", name, t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
+		Title: fmt.Sprintf("%s: %s, %v from %s", instanceName, t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
 	})
 }
 
 // addRow returns the index of an instance's row. It adds the row if the instance has none yet.
-func (c *chart) addRow(ref dag.Ref, name string) int {
+func (c *chart) addRow(ref dag.Ref, instanceName string) int {
 	index, ok := c.rowOf[ref]
 	if !ok {
 		index = len(c.rows)
 		c.rowOf[ref] = index
-		c.rows = append(c.rows, row{Y: chartTop + (index+1)*rowHeight - 6, Name: truncated(name, maxRowName)})
+		c.rows = append(c.rows, row{Y: chartTop + (index+1)*rowHeight - 6, Name: truncated(instanceName, maxRowName)})
 	}
 	return index
 }
--- a/internal/graphs/dagview/layout.go
+++ b/internal/graphs/dagview/layout.go
@@ -36,7 +36,7 @@
 	width, height int
 
 	plan      *dag.Plan
-	columnOf  []int         // index of the column, by step
+	column    []int         // index of the column, by step
 	boxCounts []int         // number of boxes, by column
 	boxOf     map[int]*box  // by step; nil: not drawn
 	summaries []stepSummary // by step
@@ -44,7 +44,7 @@
 
 // newGraphLayout lays out the first maxBoxes steps of a run, in topological order.
 func newGraphLayout(r *Run) *graphLayout {
-	l := &graphLayout{plan: r.Plan, columnOf: make([]int, len(r.Plan.Steps)), boxOf: map[int]*box{}, summaries: r.summarize()}
+	l := &graphLayout{plan: r.Plan, column: make([]int, len(r.Plan.Steps)), boxOf: map[int]*box{}, summaries: r.summarize()}
 	for _, i := range r.Plan.Order[:min(len(r.Plan.Order), maxBoxes)] {
 		l.addBox(i)
 		l.addEdges(i)
@@ -55,9 +55,9 @@
 // addBox adds the box of a step, in the first column to the right of all its upstream steps.
 func (l *graphLayout) addBox(i int) {
 	for _, j := range l.plan.Upstream[i] {
-		l.columnOf[i] = max(l.columnOf[i], l.columnOf[j]+1)
+		l.column[i] = max(l.column[i], l.column[j]+1)
 	}
-	column := l.columnOf[i]
+	column := l.column[i]
 	for len(l.boxCounts) <= column {
 		l.boxCounts = append(l.boxCounts, 0)
 	}
