--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -2,39 +2,39 @@
 
 import "container/heap"
 
-// IsReady reports whether an instance is ready and not submitted.
-func (r *Run) IsReady(at Ref) bool {
-	inst := r.instance(at)
+// IsReady reports whether an instance is ready to be submitted.
+func (r *Run) IsReady(ref Ref) bool {
+	inst := r.instance(ref)
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
-// IsReadyWithJob reports whether an instance is ready and its job still has this ID: the
-// step was neither cleared nor the run cancelled since the ID was worked out.
-func (r *Run) IsReadyWithJob(at Ref, id string) bool { return r.IsReady(at) && r.JobID(at) == id }
+// IsReadyWithJob reports whether an instance is ready and its job has the given ID, so that neither was the
+// step cleared nor the run cancelled since the ID was computed.
+func (r *Run) IsReadyWithJob(ref Ref, id string) bool { return r.IsReady(ref) && r.JobID(ref) == id }
 
-// TakeReady returns up to n instances that are ready, those of the greatest weight first,
-// then in the order in which they became ready. Each is returned once: the caller submits
-// its job and reports that (JobSubmitted).
+// TakeReady removes and returns up to n ready instances: those of the greatest weight first, and among equal
+// weights in the order in which they became ready. Each instance is returned once. The caller submits its job
+// and then calls JobSubmitted.
 func (r *Run) TakeReady(n int) []Ref {
 	var out []Ref
 	for len(out) < n && r.ready.Len() > 0 {
-		at := heap.Pop(&r.ready).(readyRef).Ref
-		if r.IsReady(at) {
-			out = append(out, at)
+		ref := heap.Pop(&r.ready).(readyRef).Ref
+		if r.IsReady(ref) {
+			out = append(out, ref)
 		}
 	}
 	return out
 }
 
-// ReadyCount returns an upper bound of how many instances TakeReady has left: some of them
-// may have been cancelled since.
+// ReadyCount returns an upper bound on the number of instances that TakeReady can still return. Some of those
+// counted may have been cancelled since they became ready.
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
-// enqueue adds an instance to those that are ready.
-func (r *Run) enqueue(at Ref) {
-	weight := max(1, r.Plan.Steps[at.Step].Weight)
+// enqueue adds an instance to the queue of ready instances.
+func (r *Run) enqueue(ref Ref) {
+	weight := max(1, r.Plan.Steps[ref.Step].Weight)
 	r.lastReadySeq++
-	heap.Push(&r.ready, readyRef{at, weight, r.lastReadySeq})
+	heap.Push(&r.ready, readyRef{ref, weight, r.lastReadySeq})
 }
 
 // readyRef is an entry of the queue of ready instances.
--- a/internal/graphs/dagview/dot.go
+++ b/internal/graphs/dagview/dot.go
@@ -8,18 +8,19 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Dot writes a graph in the DOT language. IDs of graphs and steps have no characters that
-// need more than quotes there (dag.ValidName).
+// Dot writes a graph in the DOT language. The IDs of graphs and steps need no escaping there except quotes
+// around them (dag.ValidName).
 func Dot(w io.Writer, p *dag.Plan) error { return writeDot(w, p, nil) }
 
-// writeDot writes a graph; extra, if not nil, returns attributes of a step beside its shape.
-func writeDot(w io.Writer, p *dag.Plan, extra func(step int) string) error {
+// writeDot writes a graph in the DOT language. extraAttrs, if not nil, returns further attributes of a step,
+// in addition to its shape.
+func writeDot(w io.Writer, p *dag.Plan, extraAttrs func(step int) string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n  node [shape=box, style=rounded];\n", p.ID)
 	for i := range p.Steps {
-		attrs := shapeOf(&p.Steps[i])
-		if extra != nil {
-			attrs = append(attrs, extra(i))
+		attrs := shapeAttrs(&p.Steps[i])
+		if extraAttrs != nil {
+			attrs = append(attrs, extraAttrs(i))
 		}
 		fmt.Fprintf(&b, "  %q", p.Steps[i].ID)
 		if len(attrs) > 0 {
@@ -28,7 +29,7 @@
 		b.WriteString(";\n")
 	}
 	for i := range p.Steps {
-		label := edgeLabel(p.Steps[i].Rule)
+		label := edgeAttrs(p.Steps[i].Rule)
 		for _, j := range p.Upstream[i] {
 			fmt.Fprintf(&b, "  %q -> %q%s;\n", p.Steps[j].ID, p.Steps[i].ID, label)
 		}
@@ -38,8 +39,8 @@
 	return err
 }
 
-// shapeOf returns the attributes by which kinds of steps look different.
-func shapeOf(s *dag.Step) []string {
+// shapeAttrs returns the attributes that give each kind of step its own look.
+func shapeAttrs(s *dag.Step) []string {
 	switch {
 	case s.Kind == dag.KindBranch:
 		return []string{"shape=diamond"}
@@ -51,9 +52,9 @@
 	return nil
 }
 
-// edgeLabel returns the attributes of the edges to a step: its trigger rule, but for the
-// default.
-func edgeLabel(r dag.Rule) string {
+// edgeAttrs returns the attributes of the edges to a step: its trigger rule as the label, unless that is the
+// default rule.
+func edgeAttrs(r dag.Rule) string {
 	if r == "" || r == dag.AllSuccess {
 		return ""
 	}
--- a/internal/graphs/dagview/formats_test.go
+++ b/internal/graphs/dagview/formats_test.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/platform/golden"
 )
 
-// The drawing that Graphviz reads, and the table of a run's steps.
+// The DOT output for Graphviz and the text table of a run have the golden contents.
 func TestFormatsOfARun(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -19,7 +19,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			if err := c.write(&out, nightly(t)); err != nil {
+			if err := c.write(&out, nightlyRun(t)); err != nil {
 				t.Fatal(err)
 			}
 			golden.Check(t, c.name, out.Bytes())
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -8,52 +8,52 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Sizes of the chart, in pixels.
+// Dimensions of the Gantt chart, in pixels.
 const (
 	rowHeight   = 18
-	chartWidth  = 900 // of the time axis
-	chartTop    = 30  // above the first row
-	labelWidth  = 220
+	chartWidth  = 900 // width of the time axis
+	chartTop    = 30  // space above the first row
+	labelWidth  = 220 // space left of the time axis, for the names of the instances
 	minBarWidth = 2
 )
 
 const (
-	axisParts   = 6  // intervals between the ticks of the time axis
-	maxRowLabel = 32 // bytes
+	axisIntervals = 6  // number of intervals between the ticks of the time axis
+	maxRowName    = 32 // length of an instance's name, in bytes
 )
 
-// bar is a try in the chart.
+// bar is a try in the chart. The coordinates are in pixels.
 type bar struct {
 	X, Width, Y   float64
 	Title, Colour string
 }
 
-// row is the label of an instance.
+// row is the label of an instance's row.
 type row struct {
 	Y    int
 	Name string
 }
 
-// tick is a label of the time axis.
+// tick is a tick of the time axis, with its label.
 type tick struct {
 	X    float64
 	Text string
 }
 
-// chart is a Gantt chart of a run's tries: a row for each instance that had any, in the
-// order in which they first began.
+// chart is a Gantt chart of a run's tries. It has a row for each instance with at least one try, in the order
+// in which their first tries began.
 type chart struct {
 	rows   []row
 	bars   []bar
 	ticks  []tick
-	height int
+	height int // in pixels
 
-	run      *Run
-	from, to time.Time       // of the time axis
-	rowOf    map[dag.Ref]int // by instance
+	run                *Run
+	axisStart, axisEnd time.Time       // range of the time axis
+	rowOf              map[dag.Ref]int // index into rows, by instance
 }
 
-// newChart draws the first maxBars tries of a run.
+// newChart returns a chart of the first maxBars tries of a run, ordered by their begin.
 func newChart(r *Run) *chart {
 	c := &chart{height: chartTop, run: r, rowOf: map[dag.Ref]int{}}
 	if len(r.Tries) == 0 {
@@ -70,48 +70,48 @@
 	return c
 }
 
-// setAxis has the time axis reach from the first begin to the last end, a second at least.
-// tries are in the order of their begin.
+// setAxis sets the range of the time axis: from the begin of the first try to the last end, at least a
+// second. tries must be sorted by begin.
 func (c *chart) setAxis(tries []Try) {
-	c.from, c.to = tries[0].Begin, tries[0].Begin.Add(time.Second)
+	c.axisStart, c.axisEnd = tries[0].Begin, tries[0].Begin.Add(time.Second)
 	for i := range tries {
-		if end := tries[i].endOr(c.run.Now); end.After(c.to) {
-			c.to = end
+		if end := tries[i].endOr(c.run.Now); end.After(c.axisEnd) {
+			c.axisEnd = end
 		}
 	}
 }
 
 // pixels returns the length of a duration on the time axis.
 func (c *chart) pixels(d time.Duration) float64 {
-	return d.Seconds() * (chartWidth / c.to.Sub(c.from).Seconds())
+	return d.Seconds() * (chartWidth / c.axisEnd.Sub(c.axisStart).Seconds())
 }
 
-// addBar draws a try in the row of its instance.
+// addBar adds the bar of a try to the row of its instance.
 func (c *chart) addBar(t *Try) {
-	name := c.run.name(t.ref())
-	n := c.addRow(t.ref(), name)
+	instanceName := c.run.instanceName(t.ref())
+	rowIndex := c.addRow(t.ref(), instanceName)
 	length := t.endOr(c.run.Now).Sub(t.Begin)
 	c.bars = append(c.bars, bar{
-		X: labelWidth + c.pixels(t.Begin.Sub(c.from)), Width: max(minBarWidth, c.pixels(length)), Y: float64(chartTop + n*rowHeight + 2), Colour: colourOf(t.State),
-		Title: fmt.Sprintf("%s: %s, %v from %s", name, t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
+		X: labelWidth + c.pixels(t.Begin.Sub(c.axisStart)), Width: max(minBarWidth, c.pixels(length)), Y: float64(chartTop + rowIndex*rowHeight + 2), Colour: colourOf(t.State),
+		Title: fmt.Sprintf("%s: %s, %v from %s", instanceName, t.State, length.Round(100*time.Millisecond), t.Begin.UTC().Format(time.TimeOnly)),
 	})
 }
 
-// addRow returns the row of an instance; its first try adds it.
-func (c *chart) addRow(at dag.Ref, name string) int {
-	n, ok := c.rowOf[at]
+// addRow returns the index of an instance's row. It adds the row if the instance has none yet.
+func (c *chart) addRow(ref dag.Ref, instanceName string) int {
+	index, ok := c.rowOf[ref]
 	if !ok {
-		n = len(c.rows)
-		c.rowOf[at] = n
-		c.rows = append(c.rows, row{Y: chartTop + (n+1)*rowHeight - 6, Name: truncated(name, maxRowLabel)})
+		index = len(c.rows)
+		c.rowOf[ref] = index
+		c.rows = append(c.rows, row{Y: chartTop + (index+1)*rowHeight - 6, Name: truncated(instanceName, maxRowName)})
 	}
-	return n
+	return index
 }
 
-// addTicks labels the time axis.
+// addTicks adds the ticks of the time axis.
 func (c *chart) addTicks() {
-	for i := range axisParts + 1 {
-		at := c.to.Sub(c.from) * time.Duration(i) / axisParts
-		c.ticks = append(c.ticks, tick{X: labelWidth + c.pixels(at), Text: c.from.Add(at).UTC().Format(time.TimeOnly)})
+	for i := range axisIntervals + 1 {
+		offset := c.axisEnd.Sub(c.axisStart) * time.Duration(i) / axisIntervals
+		c.ticks = append(c.ticks, tick{X: labelWidth + c.pixels(offset), Text: c.axisStart.Add(offset).UTC().Format(time.TimeOnly)})
 	}
 }
