--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -29,17 +29,17 @@
 
 // Settings are the budgets and policies that the operators set.
 type Settings struct {
-	Zone     *time.Location // the time zone whose midnight begins a day; nil: UTC
+	TimeZone *time.Location // the time zone whose midnight begins a day; nil: UTC
 	Budgets  []Budget
 	Policies map[string]Policy // by team
 }
 
 // Location returns the time zone whose midnight begins a day. s may be nil.
 func (s *Settings) Location() *time.Location {
-	if s == nil || s.Zone == nil {
+	if s == nil || s.TimeZone == nil {
 		return time.UTC
 	}
-	return s.Zone
+	return s.TimeZone
 }
 
 func (s *Settings) policy(team string) Policy {
--- a/internal/accounting/charge/amounts.go
+++ b/internal/accounting/charge/amounts.go
@@ -12,13 +12,13 @@
 	GPU       int64
 	Memory    int64
 	Money     int64
-	Run       int64
+	RunMS     int64
 	ByOutcome [outcomeCount]int64 // number of charges by outcome; each one other than Continues is the end of an attempt
 }
 
 // AmountsOf returns the amounts of one charge of a job with these traits.
 func (t *JobTraits) AmountsOf(c *Charge) Amounts {
-	a := Amounts{Core: t.Cores * c.Run, GPU: t.GPUs * c.Run, Memory: t.Memory * c.Run, Money: c.Money, Run: c.Run}
+	a := Amounts{Core: t.Cores * c.RunMS, GPU: t.GPUs * c.RunMS, Memory: t.Memory * c.RunMS, Money: c.Money, RunMS: c.RunMS}
 	if c.Outcome < outcomeCount {
 		a.ByOutcome[c.Outcome] = 1
 	}
@@ -31,7 +31,7 @@
 	a.GPU += b.GPU
 	a.Memory += b.Memory
 	a.Money += b.Money
-	a.Run += b.Run
+	a.RunMS += b.RunMS
 	for i := range a.ByOutcome {
 		a.ByOutcome[i] += b.ByOutcome[i]
 	}
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -40,16 +40,16 @@
 // that falls on one day. The parts of an attempt are numbered from 0, and each
 // starts when the previous one ends. (Job, task, attempt, part) identifies a charge.
 type Charge struct {
-	_       struct{} `cbor:",toarray"`
-	Task    int
-	Attempt uint64
-	Part    int
-	Kind    int   // index into Pack.Kinds
-	Start   int64 // Unix time in milliseconds
-	Run     int64 // run time in milliseconds
-	Money   int64
-	Outcome Outcome
-	Flags   Flag
+	_         struct{} `cbor:",toarray"`
+	Task      int
+	Attempt   uint64
+	Part      int
+	KindIndex int   // index into Pack.Kinds
+	StartMS   int64 // Unix time in milliseconds
+	RunMS     int64 // run time in milliseconds
+	Money     int64
+	Outcome   Outcome
+	Flags     Flag
 }
 
 // Flag is a bit set of the flags of a charge.
@@ -62,8 +62,8 @@
 	PriceUnknown                   // the machine's price was not known
 )
 
-// End returns the Unix time, in milliseconds, at which the charged time ends.
-func (c *Charge) End() int64 { return c.Start + c.Run }
+// EndMS returns the Unix time, in milliseconds, at which the charged time ends.
+func (c *Charge) EndMS() int64 { return c.StartMS + c.RunMS }
 
 // Pack is the unit in which charges are stored: some or all of the charges of one job.
 type Pack struct {
--- a/internal/accounting/charge/codec.go
+++ b/internal/accounting/charge/codec.go
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	for i := range p.Charges {
-		if c := &p.Charges[i]; c.Kind < 0 || c.Kind >= len(p.Kinds) || c.Run < 0 {
+		if c := &p.Charges[i]; c.KindIndex < 0 || c.KindIndex >= len(p.Kinds) || c.RunMS < 0 {
 			return nil, fmt.Errorf("%w: a charge of job %s has an invalid kind or a negative run time", ErrMalformed, p.Job)
 		}
 	}
--- a/internal/accounting/charge/codec_test.go
+++ b/internal/accounting/charge/codec_test.go
@@ -11,9 +11,9 @@
 		t.Fatal(err)
 	}
 	invalidKind := fullPack()
-	invalidKind.Charges[0].Kind = len(invalidKind.Kinds)
+	invalidKind.Charges[0].KindIndex = len(invalidKind.Kinds)
 	negativeRun := fullPack()
-	negativeRun.Charges[0].Run = -1
+	negativeRun.Charges[0].RunMS = -1
 	valid := codec.Encode([]Pack{*fullPack()})
 	wrongChecksum := append([]byte(nil), valid...)
 	wrongChecksum[len(wrongChecksum)-1] ^= 1 // a bit of the checksum
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -21,15 +21,15 @@
 func SplitByDay(c Charge, loc *time.Location) []Charge {
 	var parts []Charge
 	for {
-		midnight := NextDay(c.Start, loc)
-		if c.End() <= midnight {
+		midnight := NextDay(c.StartMS, loc)
+		if c.EndMS() <= midnight {
 			return append(parts, c)
 		}
 		part := c
-		part.Run = midnight - c.Start
-		part.Money = int64(math.Round(float64(c.Money) * float64(part.Run) / float64(c.Run)))
+		part.RunMS = midnight - c.StartMS
+		part.Money = int64(math.Round(float64(c.Money) * float64(part.RunMS) / float64(c.RunMS)))
 		part.Outcome, part.Flags = Continues, c.Flags&^ProgressSaved
 		parts = append(parts, part)
-		c.Start, c.Run, c.Money, c.Part = midnight, c.Run-part.Run, c.Money-part.Money, c.Part+1
+		c.StartMS, c.RunMS, c.Money, c.Part = midnight, c.RunMS-part.RunMS, c.Money-part.Money, c.Part+1
 	}
 }
--- a/internal/accounting/charge/days_test.go
+++ b/internal/accounting/charge/days_test.go
@@ -29,7 +29,7 @@
 		{"zero run time", time.UTC, at(time.UTC, 10, 0), 0, []int64{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			whole := Charge{Task: 1, Attempt: 2, Part: 3, Start: c.start, Run: c.run, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
+			whole := Charge{Task: 1, Attempt: 2, Part: 3, StartMS: c.start, RunMS: c.run, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
 			parts := SplitByDay(whole, c.loc)
 			if len(parts) != len(c.runs) {
 				t.Fatalf("%d parts, want %d: %+v", len(parts), len(c.runs), parts)
@@ -37,8 +37,8 @@
 			next, money := c.start, int64(0)
 			for i, p := range parts {
 				last := i == len(parts)-1
-				if p.Start != next || p.Run != c.runs[i] || p.Part != 3+i {
-					t.Errorf("part %d begins at %d and runs %d, want %d and %d: %+v", i, p.Start, p.Run, next, c.runs[i], p)
+				if p.StartMS != next || p.RunMS != c.runs[i] || p.Part != 3+i {
+					t.Errorf("part %d begins at %d and runs %d, want %d and %d: %+v", i, p.StartMS, p.RunMS, next, c.runs[i], p)
 				}
 				if (p.Outcome == Done) != last || (p.Flags&ProgressSaved != 0) != last || p.Flags&UpperBound == 0 {
 					t.Errorf("part %d has outcome %v and flags %b", i, p.Outcome, p.Flags)
@@ -46,10 +46,10 @@
 				if !last && p.Outcome != Continues {
 					t.Errorf("part %d has outcome %v, want Continues", i, p.Outcome)
 				}
-				next, money = p.End(), money+p.Money
+				next, money = p.EndMS(), money+p.Money
 			}
-			if next != whole.End() || money != whole.Money {
-				t.Errorf("the parts end at %d and cost %d, want %d and %d", next, money, whole.End(), whole.Money)
+			if next != whole.EndMS() || money != whole.Money {
+				t.Errorf("the parts end at %d and cost %d, want %d and %d", next, money, whole.EndMS(), whole.Money)
 			}
 		})
 	}
--- a/internal/accounting/charge/formats_test.go
+++ b/internal/accounting/charge/formats_test.go
@@ -14,7 +14,7 @@
 
 func fullCharge() *Charge {
 	return &Charge{
-		Task: 4, Attempt: 5, Part: 6, Kind: 1, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: Drained, Flags: UpperBound | PriceUnknown,
+		Task: 4, Attempt: 5, Part: 6, KindIndex: 1, StartMS: 1_780_000_000_000, RunMS: 90_000, Money: 85_000, Outcome: Drained, Flags: UpperBound | PriceUnknown,
 	}
 }
 
@@ -24,7 +24,7 @@
 }
 
 func fullAmounts() *Amounts {
-	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [outcomeCount]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
+	return &Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, RunMS: 25, ByOutcome: [outcomeCount]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}}
 }
 
 // Packs are stored in the progress records of jobs and in the ledger's segments. Amounts are
--- a/internal/accounting/ledger/attempts.go
+++ b/internal/accounting/ledger/attempts.go
@@ -27,7 +27,7 @@
 	delete(l.live, a)
 	c, started := chargeFor(&o, now, l.currentRate(a))
 	seenDone := c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0
-	l.budgets.EndTask(a, seenDone, time.Duration(c.Run)*time.Millisecond)
+	l.budgets.EndTask(a, seenDone, time.Duration(c.RunMS)*time.Millisecond)
 	if started {
 		l.recordCharges(a, charge.SplitByDay(c, l.location), now)
 	}
@@ -82,5 +82,5 @@
 	sum := traits.AmountsOf(c)
 	l.log.Debug("attempt charged", "task", a.Task().String(), "attempt", c.Attempt, "part", c.Part, "team", traits.Team, "class", traits.Class,
 		"type", a.Kind.Type, "spot", a.Kind.Spot, "how", c.Outcome.String(), "bound", c.Flags&charge.UpperBound != 0, "saved", c.Flags&charge.ProgressSaved != 0,
-		"run_ms", c.Run, "core_us", sum.Core, "money_u", sum.Money)
+		"run_ms", c.RunMS, "core_us", sum.Core, "money_u", sum.Money)
 }
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -15,7 +15,7 @@
 	tl := newTestLeader(b)
 	tl.submit(jobArray("job-1", 1))
 	a := tl.allocateAndRun("job-1")
-	c := charge.Charge{Attempt: 1, Start: testStart.UnixMilli(), Run: 50_000, Money: 11_111, Outcome: charge.Done}
+	c := charge.Charge{Attempt: 1, StartMS: testStart.UnixMilli(), RunMS: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Attempt++ // no two charges have the same ID
@@ -27,7 +27,7 @@
 	pack := charge.Pack{Job: "job-000001", Traits: charge.JobTraits{Team: "fraud-desk-00", Class: "fraud-scoring", Cores: 4000}, Kinds: []charge.Kind{{Type: "scorer-16", Zone: "a"}}}
 	empty := len(charge.EncodePack(&pack))
 	for i := range 64 {
-		c.Task, c.Start = i, c.Start+int64(i)
+		c.Task, c.StartMS = i, c.StartMS+int64(i)
 		pack.Charges = append(pack.Charges, c)
 	}
 	b.ReportMetric(float64(len(charge.EncodePack(&pack))-empty)/64, "B/charge")
@@ -50,7 +50,7 @@
 			for k := range chargesPerJob {
 				run := int64(30_000 + (i*7919+k*104729)%40_000)
 				pack.Charges = append(pack.Charges, charge.Charge{
-					Task: k, Attempt: 1, Start: testStart.UnixMilli() + int64(i)*4000 + int64(k*37%900), Run: run,
+					Task: k, Attempt: 1, StartMS: testStart.UnixMilli() + int64(i)*4000 + int64(k*37%900), RunMS: run,
 					Money: charge.Cost(90_000, time.Duration(run)*time.Millisecond), Outcome: charge.Done,
 				})
 			}
--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -34,7 +34,7 @@
 // addChargeUsage adds a charge to the budgets' usage.
 func (l *Ledger) addChargeUsage(traits *charge.JobTraits, c *charge.Charge) {
 	sum := traits.AmountsOf(c)
-	l.budgets.AddCharge(budget.Scope{Team: traits.Team, Account: traits.Account}, charge.DayOf(c.Start, l.location), budget.Usage{Core: sum.Core, Money: sum.Money})
+	l.budgets.AddCharge(budget.Scope{Team: traits.Team, Account: traits.Account}, charge.DayOf(c.StartMS, l.location), budget.Usage{Core: sum.Core, Money: sum.Money})
 }
 
 // addLive adds an attempt that has not ended and reserves its expected usage in its team's budgets.
--- a/internal/accounting/ledger/chargeview.go
+++ b/internal/accounting/ledger/chargeview.go
@@ -42,11 +42,11 @@
 }
 
 func chargeView(p *charge.Pack, c *charge.Charge) ChargeView {
-	kind, sum := p.Kinds[c.Kind], p.Traits.AmountsOf(c)
+	kind, sum := p.Kinds[c.KindIndex], p.Traits.AmountsOf(c)
 	return ChargeView{
 		Task: wire.TaskID{Job: p.Job, Index: c.Task}.String(), Attempt: c.Attempt, Part: c.Part,
 		Team: p.Traits.Team, Account: p.Traits.Account, Class: p.Traits.Class, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot,
-		Start: time.UnixMilli(c.Start).UTC(), End: time.UnixMilli(c.End()).UTC(),
+		Start: time.UnixMilli(c.StartMS).UTC(), End: time.UnixMilli(c.EndMS()).UTC(),
 		CoreS: float64(sum.Core) / 1e6, GPUS: float64(sum.GPU) / 1e6, MemoryGBS: float64(sum.Memory) / 1e6, Money: float64(c.Money) / 1e6,
 		Outcome: c.Outcome, UpperBound: c.Flags&charge.UpperBound != 0, ProgressSaved: c.Flags&charge.ProgressSaved != 0, PriceUnknown: c.Flags&charge.PriceUnknown != 0,
 	}
--- a/internal/accounting/ledger/charging_test.go
+++ b/internal/accounting/ledger/charging_test.go
@@ -41,7 +41,7 @@
 			c.end(tl, a)
 			tl.checkAgainstTruth()
 			got := tl.onlyCharge(attemptIDOf(a))
-			if got.Outcome != c.outcome || got.Flags != c.flags || got.Run != 30_000 {
+			if got.Outcome != c.outcome || got.Flags != c.flags || got.RunMS != 30_000 {
 				t.Errorf("charged %+v", got)
 			}
 			// The task uses half of the processors and half of the memory of a machine that costs 0.8 per hour, for 30 s.
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -71,7 +71,7 @@
 	a = tl.allocations[attemptIDOf(a)]
 	tl.end(a, wire.ExitDone, false)
 	tl.checkAgainstTruth()
-	if c := tl.onlyCharge(attemptIDOf(a)); c.Run != 20_000 || c.Flags != 0 {
+	if c := tl.onlyCharge(attemptIDOf(a)); c.RunMS != 20_000 || c.Flags != 0 {
 		t.Errorf("charged %+v", c)
 	}
 }
--- a/internal/accounting/ledger/formats_test.go
+++ b/internal/accounting/ledger/formats_test.go
@@ -15,7 +15,7 @@
 func fullRow() *Row {
 	return &Row{
 		Key: RowKey{Day: "2026-12-01", Team: "vision", Account: "grant-7", Class: "train", Type: "large", Spot: true},
-		Sum: charge.Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, Run: 25, ByOutcome: [10]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}},
+		Sum: charge.Amounts{Core: 21, GPU: 22, Memory: 23, Money: 24, RunMS: 25, ByOutcome: [10]int64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}},
 	}
 }
 
@@ -25,7 +25,7 @@
 		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Account: "grant-7", Class: "train", Cores: 8000, GPUs: 500, Memory: 64_000},
 		Kinds: []charge.Kind{{Type: "large", Zone: "a", Spot: true, Rate: 3_400_000}},
 		Charges: []charge.Charge{{
-			Task: 4, Attempt: 5, Part: 6, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: charge.Drained,
+			Task: 4, Attempt: 5, Part: 6, StartMS: 1_780_000_000_000, RunMS: 90_000, Money: 85_000, Outcome: charge.Drained,
 			Flags: charge.UpperBound | charge.ProgressSaved | charge.PriceUnknown,
 		}},
 	}
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -124,7 +124,7 @@
 // the current one. If only one of them is known, it applies; if neither is, the charge is flagged PriceUnknown.
 func setTimeAndCost(c *charge.Charge, a *jobs.Allocation, from, to time.Time, currentRate int64) {
 	runTime := max(0, to.Sub(from))
-	c.Start, c.Run = from.UnixMilli(), runTime.Milliseconds()
+	c.StartMS, c.RunMS = from.UnixMilli(), runTime.Milliseconds()
 	rate := a.Kind.Rate
 	if rate > 0 && currentRate > 0 {
 		rate = (rate + currentRate) / 2
@@ -132,8 +132,8 @@
 	if rate == 0 {
 		rate = currentRate
 	}
-	if rate == 0 && c.Run > 0 {
+	if rate == 0 && c.RunMS > 0 {
 		c.Flags |= charge.PriceUnknown
 	}
-	c.Money = charge.Cost(rate, time.Duration(c.Run)*time.Millisecond)
+	c.Money = charge.Cost(rate, time.Duration(c.RunMS)*time.Millisecond)
 }
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -74,7 +74,7 @@
 	for i := range packs {
 		pack := &packs[i]
 		for k := range pack.Charges {
-			if kind := pack.Charges[k].Kind; kind < 0 || kind >= len(pack.Kinds) {
+			if kind := pack.Charges[k].KindIndex; kind < 0 || kind >= len(pack.Kinds) {
 				return nil, fmt.Errorf("charge of %s: %w", pack.Job, ErrUnknownKind)
 			}
 		}
--- a/internal/accounting/ledger/records_test.go
+++ b/internal/accounting/ledger/records_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	unknownKind := fullPack()
-	unknownKind.Charges[0].Kind = len(unknownKind.Kinds)
+	unknownKind.Charges[0].KindIndex = len(unknownKind.Kinds)
 	wrongCount := segmentRecord{Charges: 2, Zstd: codec.Encode([]charge.Pack{fullPack()})}
 	for _, c := range []struct {
 		name, text string
--- a/internal/accounting/ledger/rows.go
+++ b/internal/accounting/ledger/rows.go
@@ -83,9 +83,9 @@
 	rows := rowSums{}
 	for i := range pack.Charges {
 		c := &pack.Charges[i]
-		kind := pack.Kinds[c.Kind]
+		kind := pack.Kinds[c.KindIndex]
 		rows.add(RowKey{
-			Day: charge.DayOf(c.Start, zone), Team: pack.Traits.Team, Account: pack.Traits.Account, Class: pack.Traits.Class,
+			Day: charge.DayOf(c.StartMS, zone), Team: pack.Traits.Team, Account: pack.Traits.Account, Class: pack.Traits.Class,
 			Type: kind.Type, Spot: kind.Spot,
 		}, pack.Traits.AmountsOf(c))
 	}
--- a/internal/accounting/ledger/totals.go
+++ b/internal/accounting/ledger/totals.go
@@ -48,7 +48,7 @@
 func TotalOf(a charge.Amounts) Total {
 	total := Total{
 		Attempts: a.Attempts(), CoreHours: a.CoreHours(), GPUHours: float64(a.GPU) / 1e6 / 3600, MemoryGBH: float64(a.Memory) / 1e6 / 3600,
-		Money: float64(a.Money) / 1e6, CoreMicroS: a.Core, MoneyMicro: a.Money, RunMS: a.Run, Ends: map[string]int64{},
+		Money: float64(a.Money) / 1e6, CoreMicroS: a.Core, MoneyMicro: a.Money, RunMS: a.RunMS, Ends: map[string]int64{},
 	}
 	for o, n := range a.ByOutcome {
 		if n > 0 && charge.Outcome(o) != charge.Continues {
--- a/internal/accounting/ledger/truth_test.go
+++ b/internal/accounting/ledger/truth_test.go
@@ -91,10 +91,10 @@
 		if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
 			tl.t.Fatalf("%v: part %d of %d has the outcome %v", id, i, len(parts), c.Outcome)
 		}
-		if i > 0 && parts[i-1].End() != c.Start {
+		if i > 0 && parts[i-1].EndMS() != c.StartMS {
 			tl.t.Fatalf("%v: part %d does not begin when the previous part ends", id, i)
 		}
-		if charge.DayOf(c.Start, time.UTC) != charge.DayOf(max(c.Start, c.End()-1), time.UTC) {
+		if charge.DayOf(c.StartMS, time.UTC) != charge.DayOf(max(c.StartMS, c.EndMS()-1), time.UTC) {
 			tl.t.Fatalf("%v: part %d extends over two days", id, i)
 		}
 	}
@@ -109,7 +109,7 @@
 	}
 	run, upperBound := int64(0), false
 	for _, c := range parts {
-		run += c.Run
+		run += c.RunMS
 		upperBound = upperBound || c.Flags&charge.UpperBound != 0
 	}
 	want := int64(0)
--- a/internal/accounting/ledger/verify.go
+++ b/internal/accounting/ledger/verify.go
@@ -166,7 +166,7 @@
 		}
 		earlierID := id
 		earlierID.part--
-		if earlierCharge, ok := v.parts[earlierID]; ok && earlierCharge.End() != c.Start {
+		if earlierCharge, ok := v.parts[earlierID]; ok && earlierCharge.EndMS() != c.StartMS {
 			v.report("%s/%d, attempt %d: parts %d and %d are not contiguous", id.job, id.task, id.attempt, earlierID.part, id.part)
 		}
 	}
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -86,7 +86,7 @@
 	for i := range packs {
 		for k := range packs[i].Charges {
 			if packs[i].Charges[k].Part == 1 {
-				packs[i].Charges[k].Start += 1000
+				packs[i].Charges[k].StartMS += 1000
 			}
 		}
 	}
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	run := dag.NewRun(plan, "manual__1")
-	first := dag.Ref{Step: 0, Index: 0}
+	first := dag.InstanceRef{Step: 0, Index: 0}
 	run.JobSubmitted(first)
 	run.TaskRunning(first, formatStart)
 	if err := run.SetResult(0, json.RawMessage(`{"a":1}`)); err != nil {
--- a/internal/graphs/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -40,7 +40,7 @@
 }
 
 // viewInstance returns an instance without its try and its job.
-func viewInstance(v *runner.RunView, at dag.Ref, state dag.State) instanceView {
+func viewInstance(v *runner.RunView, at dag.InstanceRef, state dag.State) instanceView {
 	s := &v.Run.Plan.Steps[at.Step]
 	pool, slots, weight := poolClaim(s)
 	x := instanceView{
@@ -113,12 +113,12 @@
 	for _, step := range v.Run.Plan.Order {
 		state, instances := v.Run.StepState(step)
 		if len(instances) == 0 {
-			x := viewInstance(v, dag.Ref{Step: step, Index: unmapped}, state)
+			x := viewInstance(v, dag.InstanceRef{Step: step, Index: unmapped}, state)
 			x.Try = tryNumber(v.Run.Plan.Steps[step].Kind, state, 0)
 			views = append(views, x)
 		}
 		for index := range instances {
-			at := dag.Ref{Step: step, Index: index}
+			at := dag.InstanceRef{Step: step, Index: index}
 			views = append(views, viewKnownInstance(v, at, &instances[index], newest[at]))
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // viewKnownInstance returns an instance with its job and its newest try, if one is kept.
-func viewKnownInstance(v *runner.RunView, at dag.Ref, i *dag.Instance, newest *runner.Try) instanceView {
+func viewKnownInstance(v *runner.RunView, at dag.InstanceRef, i *dag.Instance, newest *runner.Try) instanceView {
 	x := viewInstance(v, at, i.State)
 	x.Try = tryNumber(v.Run.Plan.Steps[at.Step].Kind, i.State, i.Failures)
 	if newest != nil {
--- a/internal/graphs/airflow/lists_test.go
+++ b/internal/graphs/airflow/lists_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	run := dag.NewRun(plan, "b")
-	first := dag.Ref{Step: 0, Index: 0}
+	first := dag.InstanceRef{Step: 0, Index: 0}
 	for range graph.Steps[0].Retries + 1 {
 		run.JobSubmitted(first)
 		run.TaskRunning(first, formatStart)
--- a/internal/graphs/airflow/tries.go
+++ b/internal/graphs/airflow/tries.go
@@ -18,11 +18,11 @@
 }
 
 // newestTries returns the newest try of each instance of a run, of those that are kept.
-func newestTries(v *runner.RunView) map[dag.Ref]*runner.Try {
-	newest := map[dag.Ref]*runner.Try{}
+func newestTries(v *runner.RunView) map[dag.InstanceRef]*runner.Try {
+	newest := map[dag.InstanceRef]*runner.Try{}
 	for i := range v.Tries {
 		t := &v.Tries[i]
-		newest[dag.Ref{Step: t.Step, Index: t.Index}] = t
+		newest[dag.InstanceRef{Step: t.Step, Index: t.Index}] = t
 	}
 	return newest
 }
@@ -50,7 +50,7 @@
 			continue
 		}
 		tries[t.Index]++
-		x := viewInstance(v, dag.Ref{Step: step, Index: t.Index}, t.State)
+		x := viewInstance(v, dag.InstanceRef{Step: step, Index: t.Index}, t.State)
 		x.Try = tries[t.Index]
 		x.setTimes(tryTimes(v, t))
 		views = append(views, x)
--- a/internal/graphs/dag/advance.go
+++ b/internal/graphs/dag/advance.go
@@ -61,7 +61,7 @@
 	n.instances = make([]Instance, count)
 	for k := range n.instances {
 		n.instances[k].State = Scheduled
-		r.enqueue(Ref{i, k})
+		r.enqueue(InstanceRef{i, k})
 	}
 }
 
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -6,7 +6,7 @@
 )
 
 // JobSubmitted records that the scheduler accepted an instance's job.
-func (r *Run) JobSubmitted(ref Ref) {
+func (r *Run) JobSubmitted(ref InstanceRef) {
 	if inst := r.instance(ref); inst != nil && inst.State == Scheduled {
 		inst.State = Queued
 		r.updateStepState(ref.Step)
@@ -14,7 +14,7 @@
 }
 
 // SubmissionFailed records that an instance's job could not be stored. It makes the instance ready again.
-func (r *Run) SubmissionFailed(ref Ref) {
+func (r *Run) SubmissionFailed(ref InstanceRef) {
 	if inst := r.instance(ref); inst != nil && inst.State == Queued {
 		inst.State = Scheduled
 		r.updateStepState(ref.Step)
@@ -23,7 +23,7 @@
 }
 
 // TaskRunning records that a task of an instance's job was seen running at the time now.
-func (r *Run) TaskRunning(ref Ref, now time.Time) {
+func (r *Run) TaskRunning(ref InstanceRef, now time.Time) {
 	if inst := r.instance(ref); inst != nil && !inst.Cancelling && (inst.State == Queued || inst.State == UpForRetry) {
 		inst.State, inst.StartedAt, inst.RetryAt = Running, now, time.Time{}
 		r.updateStepState(ref.Step)
@@ -33,7 +33,7 @@
 // AttemptFailed records that an attempt of an instance's job failed. The next try waits for the retry delay.
 // Once the retries are used up, the job is to be cancelled, and the instance fails when that is done. jitter,
 // from 0 to 1, spreads the delays (Retry.DelayBefore).
-func (r *Run) AttemptFailed(ref Ref, now time.Time, jitter float64) {
+func (r *Run) AttemptFailed(ref InstanceRef, now time.Time, jitter float64) {
 	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
 		return
@@ -49,8 +49,8 @@
 	r.updateStepState(ref.Step)
 }
 
-// TimeOut cancels the job of an instance if its current try has reached the step's timeout, and reports whether it did.
-func (r *Run) TimeOut(ref Ref, now time.Time) bool {
+// CancelIfTimedOut cancels the job of an instance if its current try has reached the step's timeout, and reports whether it did.
+func (r *Run) CancelIfTimedOut(ref InstanceRef, now time.Time) bool {
 	inst, limit := r.instance(ref), time.Duration(r.Plan.Steps[ref.Step].Timeout)
 	if inst == nil || limit == 0 || inst.State != Running || inst.Cancelling || now.Before(inst.StartedAt.Add(limit)) {
 		return false
@@ -61,7 +61,7 @@
 
 // JobDone records that an instance's job completed. It returns a *ResultError, and the instance fails, if the
 // step's result (SetResult) does not meet the requirements of the step's kind.
-func (r *Run) JobDone(ref Ref) error {
+func (r *Run) JobDone(ref InstanceRef) error {
 	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() {
 		return nil
@@ -77,10 +77,10 @@
 }
 
 // JobCancelled records that an instance's job was cancelled, by the run or by someone else. The instance fails.
-func (r *Run) JobCancelled(ref Ref) { r.finishInstance(ref, Failed) }
+func (r *Run) JobCancelled(ref InstanceRef) { r.finishInstance(ref, Failed) }
 
 // finishInstance ends an instance. The step ends with its last instance.
-func (r *Run) finishInstance(ref Ref, s State) {
+func (r *Run) finishInstance(ref InstanceRef, s State) {
 	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() {
 		return
@@ -117,7 +117,7 @@
 // cancelJob requests the cancellation of an instance's job, which the scheduler would otherwise retry
 // indefinitely. The instance does not end here but when its job ends: a job that completes before its
 // cancellation is stored has succeeded, and its step must not be recorded as failed.
-func (r *Run) cancelJob(ref Ref) {
+func (r *Run) cancelJob(ref InstanceRef) {
 	inst := r.instance(ref)
 	inst.Cancelling, inst.RetryAt, inst.StartedAt = true, time.Time{}, time.Time{}
 	r.cancellations = append(r.cancellations, r.JobID(ref))
@@ -137,7 +137,7 @@
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
 			if inst := &r.nodes[i].instances[k]; inst.Cancelling && !inst.State.Final() {
-				jobs = append(jobs, r.JobID(Ref{i, k}))
+				jobs = append(jobs, r.JobID(InstanceRef{i, k}))
 			}
 		}
 	}
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -43,7 +43,7 @@
 			inst.State = Skipped
 			n.unfinished--
 		default:
-			r.cancelJob(Ref{i, k})
+			r.cancelJob(InstanceRef{i, k})
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func (r *Run) orphanJobs(i int) {
 	for k, inst := range r.nodes[i].instances {
 		if !inst.State.Final() && inst.State != Scheduled {
-			id := r.JobID(Ref{i, k})
+			id := r.JobID(InstanceRef{i, k})
 			r.cancellations, r.orphans = append(r.cancellations, id), append(r.orphans, id)
 		}
 	}
@@ -158,7 +158,7 @@
 	for i := range r.nodes {
 		for k := range r.nodes[i].instances {
 			if r.nodes[i].instances[k].State == Scheduled {
-				r.enqueue(Ref{i, k})
+				r.enqueue(InstanceRef{i, k})
 			}
 		}
 	}
--- a/internal/graphs/dag/formats_test.go
+++ b/internal/graphs/dag/formats_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	golden.Hex(t, "run", decoded.Encode())
-	golden.Lines(t, "job-id", run.JobID(Ref{Step: 0, Index: 0}), run.JobID(Ref{Step: 1, Index: 2}))
+	golden.Lines(t, "job-id", run.JobID(InstanceRef{Step: 0, Index: 0}), run.JobID(InstanceRef{Step: 1, Index: 2}))
 }
 
 // States are stored as numbers and shown as names.
--- a/internal/graphs/dag/helpers_test.go
+++ b/internal/graphs/dag/helpers_test.go
@@ -39,7 +39,7 @@
 }
 
 // runReady reports all ready instances as submitted and running, and returns them.
-func (r *Run) runReady(now time.Time) []Ref {
+func (r *Run) runReady(now time.Time) []InstanceRef {
 	refs := r.TakeReady(1 << 20)
 	for _, ref := range refs {
 		r.JobSubmitted(ref)
@@ -50,7 +50,7 @@
 
 // finishJob reports the job of an instance as done. Before that, it sets the step's result,
 // unless result is nil or the step is mapped.
-func (r *Run) finishJob(ref Ref, result json.RawMessage) error {
+func (r *Run) finishJob(ref InstanceRef, result json.RawMessage) error {
 	if result != nil && r.Plan.Steps[ref.Step].Map == nil {
 		if err := r.SetResult(ref.Step, result); err != nil {
 			return err
@@ -69,4 +69,4 @@
 }
 
 // ref returns the first instance of a step.
-func (r *Run) ref(id string) Ref { return Ref{Step: r.Plan.Index[id]} }
+func (r *Run) ref(id string) InstanceRef { return InstanceRef{Step: r.Plan.Index[id]} }
--- a/internal/graphs/dag/random_test.go
+++ b/internal/graphs/dag/random_test.go
@@ -65,7 +65,7 @@
 type randomRun struct {
 	t       *rapid.T
 	run     *Run
-	started []Ref // instances whose jobs were started and are not known to have ended
+	started []InstanceRef // instances whose jobs were started and are not known to have ended
 	now     time.Time
 }
 
@@ -142,7 +142,7 @@
 
 // drawResult returns a result of a step: a list, which for a branch contains random directly
 // downstream steps.
-func (x *randomRun) drawResult(ref Ref) json.RawMessage {
+func (x *randomRun) drawResult(ref InstanceRef) json.RawMessage {
 	p := x.run.Plan
 	if p.Steps[ref.Step].Kind != KindBranch {
 		return json.RawMessage(`[1,2]`)
@@ -192,7 +192,7 @@
 		for i := range r.nodes {
 			for k := range r.nodes[i].instances {
 				if !r.nodes[i].instances[k].State.Final() {
-					x.started = append(x.started, Ref{i, k})
+					x.started = append(x.started, InstanceRef{i, k})
 				}
 			}
 		}
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -3,22 +3,24 @@
 import "container/heap"
 
 // IsReady reports whether an instance is ready to be submitted.
-func (r *Run) IsReady(ref Ref) bool {
+func (r *Run) IsReady(ref InstanceRef) bool {
 	inst := r.instance(ref)
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
 // IsReadyWithJob reports whether an instance is ready and its job has the given ID, so that neither was the
 // step cleared nor the run cancelled since the ID was computed.
-func (r *Run) IsReadyWithJob(ref Ref, id string) bool { return r.IsReady(ref) && r.JobID(ref) == id }
+func (r *Run) IsReadyWithJob(ref InstanceRef, id string) bool {
+	return r.IsReady(ref) && r.JobID(ref) == id
+}
 
 // TakeReady removes and returns up to n ready instances: those of the greatest weight first, and among equal
 // weights in the order in which they became ready. Each instance is returned once. The caller submits its job
 // and then calls JobSubmitted.
-func (r *Run) TakeReady(n int) []Ref {
-	var out []Ref
+func (r *Run) TakeReady(n int) []InstanceRef {
+	var out []InstanceRef
 	for len(out) < n && r.ready.Len() > 0 {
-		ref := heap.Pop(&r.ready).(readyRef).Ref
+		ref := heap.Pop(&r.ready).(readyRef).InstanceRef
 		if r.IsReady(ref) {
 			out = append(out, ref)
 		}
@@ -31,7 +33,7 @@
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
 // enqueue adds an instance to the queue of ready instances.
-func (r *Run) enqueue(ref Ref) {
+func (r *Run) enqueue(ref InstanceRef) {
 	weight := max(1, r.Plan.Steps[ref.Step].Weight)
 	r.lastReadySeq++
 	heap.Push(&r.ready, readyRef{ref, weight, r.lastReadySeq})
@@ -39,7 +41,7 @@
 
 // readyRef is an entry of the queue of ready instances.
 type readyRef struct {
-	Ref
+	InstanceRef
 	weight, seq int
 }
 
--- a/internal/graphs/dag/results.go
+++ b/internal/graphs/dag/results.go
@@ -44,7 +44,7 @@
 }
 
 // Element returns the list element of an instance of a mapped step; nil for a step that is not mapped.
-func (r *Run) Element(ref Ref) json.RawMessage {
+func (r *Run) Element(ref InstanceRef) json.RawMessage {
 	if r.Plan.Steps[ref.Step].Map == nil {
 		return nil
 	}
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -48,8 +48,8 @@
 	return otherwise
 }
 
-// Ref identifies an instance of a step. Step is an index into Plan.Steps, Index the number of the instance, from 0.
-type Ref struct{ Step, Index int }
+// InstanceRef identifies an instance of a step. Step is an index into Plan.Steps, Index the number of the instance, from 0.
+type InstanceRef struct{ Step, Index int }
 
 // Run is one run of a graph: a state machine over the states of its steps. Callers report what happened to
 // jobs, and the run decides which steps start, end or are skipped. Submitting and cancelling jobs and storing
@@ -85,7 +85,7 @@
 // JobID returns the ID of an instance's job. The ID depends only on the team, the IDs of graph, run and step,
 // the instance's index and the step's generation, so every leader computes the same ID, and clearing the step
 // changes it. The format of job IDs allows 32 digits, which hold 106 bits of the hash.
-func (r *Run) JobID(ref Ref) string {
+func (r *Run) JobID(ref InstanceRef) string {
 	h := sha256.New()
 	for _, part := range []string{r.Plan.Team, r.Plan.ID, r.ID, r.Plan.Steps[ref.Step].ID} {
 		fmt.Fprintf(h, "%d:%s", len(part), part) // the length prefix keeps different parts from giving the same hash input
@@ -122,7 +122,7 @@
 }
 
 // instance returns the instance that ref identifies; nil if there is none.
-func (r *Run) instance(ref Ref) *Instance {
+func (r *Run) instance(ref InstanceRef) *Instance {
 	if ref.Step < 0 || ref.Step >= len(r.nodes) || ref.Index < 0 || ref.Index >= len(r.nodes[ref.Step].instances) {
 		return nil
 	}
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -95,7 +95,7 @@
 
 // mappedRun returns a run of branchPlan in which all instances of mapped are running, and these
 // instances.
-func mappedRun(t *testing.T) (*Run, []Ref) {
+func mappedRun(t *testing.T) (*Run, []InstanceRef) {
 	t.Helper()
 	r := pickedRun(t)
 	r.runReady(noon)
@@ -143,10 +143,10 @@
 	r, refs := mappedRun(t)
 	_ = r.JobDone(refs[0]) // it has no result
 	for k, ref := range refs {
-		if r.TimeOut(ref, noon.Add(time.Minute)) {
+		if r.CancelIfTimedOut(ref, noon.Add(time.Minute)) {
 			t.Error("timed out after a minute, though the timeout is an hour")
 		}
-		if late := r.TimeOut(ref, noon.Add(time.Hour)); late != (k > 0) || r.TimeOut(ref, noon.Add(time.Hour)) {
+		if late := r.CancelIfTimedOut(ref, noon.Add(time.Hour)); late != (k > 0) || r.CancelIfTimedOut(ref, noon.Add(time.Hour)) {
 			t.Errorf("instance %d after an hour: timed out is %v, or it timed out twice", k, late)
 		}
 	}
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -49,13 +49,13 @@
 	height int // in pixels
 
 	run                *Run
-	axisStart, axisEnd time.Time       // range of the time axis
-	rowOf              map[dag.Ref]int // index into rows, by instance
+	axisStart, axisEnd time.Time               // range of the time axis
+	rowOf              map[dag.InstanceRef]int // index into rows, by instance
 }
 
 // newChart returns a chart of the first maxBars tries of a run, ordered by their begin.
 func newChart(r *Run) *chart {
-	c := &chart{height: chartTop, run: r, rowOf: map[dag.Ref]int{}}
+	c := &chart{height: chartTop, run: r, rowOf: map[dag.InstanceRef]int{}}
 	if len(r.Tries) == 0 {
 		return c
 	}
@@ -98,7 +98,7 @@
 }
 
 // addRow returns the index of an instance's row. It adds the row if the instance has none yet.
-func (c *chart) addRow(ref dag.Ref, instanceName string) int {
+func (c *chart) addRow(ref dag.InstanceRef, instanceName string) int {
 	index, ok := c.rowOf[ref]
 	if !ok {
 		index = len(c.rows)
--- a/internal/graphs/dagview/run.go
+++ b/internal/graphs/dagview/run.go
@@ -39,7 +39,7 @@
 }
 
 // ref returns the instance that the try belongs to.
-func (t *Try) ref() dag.Ref { return dag.Ref{Step: t.Step, Index: t.Index} }
+func (t *Try) ref() dag.InstanceRef { return dag.InstanceRef{Step: t.Step, Index: t.Index} }
 
 // endOr returns the end of the try, or now if the try has not ended.
 func (t *Try) endOr(now time.Time) time.Time {
@@ -50,11 +50,11 @@
 }
 
 // ref identifies the instance. Its Index is -1 if the step is not mapped.
-func (x *Instance) ref() dag.Ref { return dag.Ref{Step: x.Step, Index: x.Index} }
+func (x *Instance) ref() dag.InstanceRef { return dag.InstanceRef{Step: x.Step, Index: x.Index} }
 
 // instanceName returns an instance's display name: the step's ID, followed by the index in brackets if the
 // step is mapped.
-func (r *Run) instanceName(ref dag.Ref) string {
+func (r *Run) instanceName(ref dag.InstanceRef) string {
 	if ref.Index < 0 {
 		return r.Plan.Steps[ref.Step].ID
 	}
@@ -99,8 +99,8 @@
 }
 
 // durations returns the running time of each instance, summed over its tries.
-func (r *Run) durations() map[dag.Ref]time.Duration {
-	total := map[dag.Ref]time.Duration{}
+func (r *Run) durations() map[dag.InstanceRef]time.Duration {
+	total := map[dag.InstanceRef]time.Duration{}
 	for i := range r.Tries {
 		t := &r.Tries[i]
 		total[t.ref()] += t.endOr(r.Now).Sub(t.Begin)
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -162,7 +162,7 @@
 		if s.Job == nil {
 			continue
 		}
-		j, value, err := jobOf(r, dag.Ref{Step: i}, 0)
+		j, value, err := jobOf(r, dag.InstanceRef{Step: i}, 0)
 		if err == nil {
 			err = j.Check()
 		}
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -58,14 +58,14 @@
 			n = len(s.Map.List)
 		}
 		for k := range n {
-			out = append(out, describe(r, m, dag.Ref{Step: i, Index: k}))
+			out = append(out, describe(r, m, dag.InstanceRef{Step: i, Index: k}))
 		}
 	}
 	return out
 }
 
 // describe makes the description of an instance's job.
-func describe(r *dag.Run, m *meta, at dag.Ref) Description {
+func describe(r *dag.Run, m *meta, at dag.InstanceRef) Description {
 	s := &r.Plan.Steps[at.Step]
 	d := Description{
 		Job: r.JobID(at), Team: r.Plan.Team, Graph: r.Plan.ID, Run: r.ID, Step: s.ID, Index: -1, Generation: r.Generation(at.Step),
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -106,7 +106,7 @@
 // The job of a step, and what its source is told of it.
 func TestJobOfAStep(t *testing.T) {
 	run := dag.NewRun(formatPlan(t), "manual__1")
-	at := dag.Ref{Step: 0}
+	at := dag.InstanceRef{Step: 0}
 	_, value, err := jobOf(run, at, formatTime.UnixMilli())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -82,7 +82,7 @@
 // stepJob is a step's job that is not over.
 type stepJob struct {
 	run        *liveRun
-	at         dag.Ref
+	at         dag.InstanceRef
 	generation int
 }
 
@@ -262,7 +262,7 @@
 		}
 	}
 	for _, w := range g.withTimeout {
-		if w.current() && w.run.run.TimeOut(w.at, now) {
+		if w.current() && w.run.run.CancelIfTimedOut(w.at, now) {
 			g.markDirty(w.run)
 			g.cancelUnneeded(w.run)
 		}
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -61,7 +61,7 @@
 	w.begin(p, "one")
 	ids := w.live()
 	for _, id := range ids {
-		if pl := w.place(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.Ref{}) {
+		if pl := w.place(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.InstanceRef{}) {
 			w.end(pl, wire.ExitError)
 		}
 	}
@@ -197,7 +197,7 @@
 			rt.Fatalf("the run is %v; live are %v and %d steps", r.RunState(), w.live(), len(w.graphs.byJob))
 		}
 		for i := range p.Steps {
-			id := r.JobID(dag.Ref{Step: i})
+			id := r.JobID(dag.InstanceRef{Step: i})
 			item, ended := w.state.Value(jobs.KeyFinalState(id))
 			state, _ := r.StepState(i)
 			switch {
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -87,7 +87,7 @@
 			g.bytes += planBytes(d.plan)
 		}
 	}
-	open := func(x *liveRun, id string, at dag.Ref) {
+	open := func(x *liveRun, id string, at dag.InstanceRef) {
 		w := stepJob{run: x, at: at}
 		if at.Step >= 0 {
 			w.generation = x.run.Generation(at.Step)
@@ -110,12 +110,12 @@
 			_, instances := x.run.StepState(i)
 			for k := range instances {
 				if s := instances[k].State; s == dag.Queued || s == dag.Running || s == dag.UpForRetry {
-					open(x, x.run.JobID(dag.Ref{Step: i, Index: k}), dag.Ref{Step: i, Index: k})
+					open(x, x.run.JobID(dag.InstanceRef{Step: i, Index: k}), dag.InstanceRef{Step: i, Index: k})
 				}
 			}
 		}
 		for _, id := range x.run.Orphans() {
-			open(x, id, dag.Ref{Step: -1})
+			open(x, id, dag.InstanceRef{Step: -1})
 		}
 	}
 	return ended
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -209,7 +209,7 @@
 }
 
 // jobOf is the job of an instance, and its stored record.
-func jobOf(r *dag.Run, at dag.Ref, nowMS int64) (wire.Job, json.RawMessage, error) {
+func jobOf(r *dag.Run, at dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
 	p := r.Plan
 	d := p.Steps[at.Step].Job
 	j := wire.Job{
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -32,16 +32,16 @@
 	size     int  // bytes of its newest record
 	active   int  // jobs that are submitted and not over
 
-	waitingForPool map[*pool][]dag.Ref      // ready, and their pool is full
-	waitingForPast []dag.Ref                // ready, and the run before has not done the step
-	picked         []pickedStep             // described, with their slots taken
-	pending        map[string]wire.JobState // on their way to the store, with what became of them meanwhile
-	tries          []Try                    // the newest, in the order in which they began
+	waitingForPool map[*pool][]dag.InstanceRef // ready, and their pool is full
+	waitingForPast []dag.InstanceRef           // ready, and the run before has not done the step
+	picked         []pickedStep                // described, with their slots taken
+	pending        map[string]wire.JobState    // on their way to the store, with what became of them meanwhile
+	tries          []Try                       // the newest, in the order in which they began
 }
 
 func newLiveRun(gr *graph, r *dag.Run, key, def string, m meta) *liveRun {
 	return &liveRun{
-		run: r, graph: gr, key: key, def: def, meta: m, waitingForPool: map[*pool][]dag.Ref{}, pending: map[string]wire.JobState{},
+		run: r, graph: gr, key: key, def: def, meta: m, waitingForPool: map[*pool][]dag.InstanceRef{}, pending: map[string]wire.JobState{},
 	}
 }
 
@@ -198,7 +198,7 @@
 		if w, ok := g.byJob[id]; ok && w.at.Step >= 0 {
 			x.active++ // until it is over, the run is live
 			g.releaseSlots(x, w.at.Step)
-			w.at = dag.Ref{Step: -1}
+			w.at = dag.InstanceRef{Step: -1}
 			g.byJob[id] = w
 			delete(g.notSeenRunning, id)
 			delete(g.withTimeout, id)
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -278,7 +278,7 @@
 	w := newWorld(t)
 	defer w.close()
 	p := check(t, step("a"), step("b"))
-	taken := dag.NewRun(p, "one").JobID(dag.Ref{Step: 1})
+	taken := dag.NewRun(p, "one").JobID(dag.InstanceRef{Step: 1})
 	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: taken, Class: "c", Team: "others", Kind: wire.KindArray, Tasks: 1, CPUs: 1}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -14,7 +14,7 @@
 // pickedStep is an instance that is to be submitted.
 type pickedStep struct {
 	run *liveRun
-	at  dag.Ref
+	at  dag.InstanceRef
 	id  string // its job's
 }
 
@@ -89,7 +89,7 @@
 }
 
 // pickStep takes a step's slots, and has it described unless that is done already.
-func (g *Graphs) pickStep(x *liveRun, at dag.Ref) {
+func (g *Graphs) pickStep(x *liveRun, at dag.InstanceRef) {
 	g.takeSlots(x, at.Step)
 	p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
 	if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
@@ -105,7 +105,7 @@
 	return m != nil && m.Over != ""
 }
 
-func (g *Graphs) waitForPool(x *liveRun, at dag.Ref) {
+func (g *Graphs) waitForPool(x *liveRun, at dag.InstanceRef) {
 	p := g.pool(x.run.Plan, at.Step)
 	x.waitingForPool[p] = append(x.waitingForPool[p], at)
 }
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -20,14 +20,14 @@
 }
 
 // begun records that an instance runs.
-func (x *liveRun) begun(at dag.Ref, now time.Time) {
+func (x *liveRun) begun(at dag.InstanceRef, now time.Time) {
 	x.tries = append(x.tries, Try{
 		Step: at.Step, Index: at.Index, Generation: x.run.Generation(at.Step), BeginMS: now.UnixMilli() - x.meta.QueuedMS, State: dag.Running,
 	})
 }
 
 // ended records how the newest try of an instance ended, if it was seen to begin.
-func (x *liveRun) ended(at dag.Ref, now time.Time, state dag.State) {
+func (x *liveRun) ended(at dag.InstanceRef, now time.Time, state dag.State) {
 	for i := len(x.tries) - 1; i >= 0; i-- {
 		if t := &x.tries[i]; t.Step == at.Step && t.Index == at.Index {
 			if t.EndMS == 0 {
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -49,8 +49,8 @@
 		Tunables:      tuning.Tunables{IdleKeep: 45 * time.Second, MaxMachines: 7},
 		LedgerEnabled: true,
 		Budgets: &budget.Settings{
-			Zone:    time.UTC,
-			Budgets: []budget.Budget{{Scope: budget.Scope{Team: "vision"}, Period: budget.Month, Unit: budget.Money, Amount: 5.5}},
+			TimeZone: time.UTC,
+			Budgets:  []budget.Budget{{Scope: budget.Scope{Team: "vision"}, Period: budget.Month, Unit: budget.Money, Amount: 5.5}},
 		},
 		MetricsAddr: "127.0.0.1:9090", GraphsEnabled: true, DescriptionsURL: "http://127.0.0.1:8000/steps", Pools: map[Pool]int{{Team: "vision", Name: "gpu"}: 4},
 	})
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -89,7 +89,7 @@
 	case keyLedger:
 		o.LedgerEnabled, err = parseSwitch(key, value)
 	case keyLedgerZone:
-		o.Budgets.Zone, err = parseZone(key, value)
+		o.Budgets.TimeZone, err = parseZone(key, value)
 	case keyMetrics:
 		o.MetricsAddr, err = value, checkAddr(key, value)
 	case keyGraphs:
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -92,7 +92,7 @@
 		return
 	}
 	// The days of charges remain in the time zone that was set when the program started.
-	operator.Budgets.Zone = w.operator.Budgets.Zone
+	operator.Budgets.TimeZone = w.operator.Budgets.TimeZone
 	w.budgets.Store(operator.Budgets)
 	log.Info("properties file changed; its budgets are in effect, other properties take effect at the next start")
 }
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -41,7 +41,7 @@
 func (s *Store) AddCharges(a *Allocation, parts []charge.Charge, now time.Time) {
 	c := a.chunk().chunk()
 	for _, part := range parts {
-		part.Kind = c.pack.KindIndex(a.Kind)
+		part.KindIndex = c.pack.KindIndex(a.Kind)
 		c.pack.Charges = append(c.pack.Charges, part)
 	}
 	s.queue.markDirty(a.chunk(), now)
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -43,7 +43,7 @@
 	pack := charge.Pack{
 		Job: "job-17", Traits: charge.JobTraits{Team: "vision", Class: "train", Cores: 8000, Memory: 64_000},
 		Kinds:   []charge.Kind{{Type: "large", Zone: "a", Rate: 3_400_000}},
-		Charges: []charge.Charge{{Task: 4, Attempt: 5, Start: 1_780_000_000_000, Run: 90_000, Money: 85_000, Outcome: charge.Done}},
+		Charges: []charge.Charge{{Task: 4, Attempt: 5, StartMS: 1_780_000_000_000, RunMS: 90_000, Money: 85_000, Outcome: charge.Done}},
 	}
 	encoded := charge.EncodePack(&pack)
 	for _, c := range []struct {
