--- a/internal/sim/faults/cancellation_test.go
+++ b/internal/sim/faults/cancellation_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Guards against an older answer, or two, as a cancellation, a question or a repeated submission meets the end of a job's last task;
-// with no other fault.
+// Guards against answers with an older state, or with two final states, when a cancellation, a poll or a repeated
+// submission arrives just as a job's last task ends. No fault is injected.
 func TestCancellationAtTheEndOfAJob(t *testing.T) {
 	simulate(t, 17, func(sim *simulation) {
-		sim.pollClosely(true)
+		sim.setPollOnChange(true)
 		sim.mu.Lock()
-		sim.cancelAtEnd = true
+		sim.cancelAtJobEnd = true
 		sim.mu.Unlock()
 		for i := range 60 {
-			sim.submit(fmt.Sprintf("job-%d", i), spec{tasks: 1 + i%2, runS: sim.seconds(1, 6).Seconds()})
-			sim.advance(sim.seconds(0.3, 1.5))
+			sim.submit(fmt.Sprintf("job-%d", i), jobSpec{tasks: 1 + i%2, runS: sim.randomSeconds(1, 6).Seconds()})
+			sim.advance(sim.randomSeconds(0.3, 1.5))
 		}
 		sim.endFaultsAndCheck()
 		done, cancelled := 0, 0
@@ -25,26 +25,27 @@
 		for _, j := range sim.jobs {
 			if j.done {
 				done++
-			} else if !j.confirmed.IsZero() {
+			} else if !j.cancelConfirmedAt.IsZero() {
 				cancelled++
 			}
 		}
 		if done == 0 || done+cancelled != len(sim.jobs) {
-			sim.t.Errorf("%d done and %d cancelled of %d", done, cancelled, len(sim.jobs))
+			sim.t.Errorf("%d jobs done and %d cancelled of %d, want some done and all ended", done, cancelled, len(sim.jobs))
 		}
 	})
 }
 
-// Guards against a state service that answers slowly while users cancel and ask, leaders are refused and end.
+// Guards against violations when the state service answers slowly while users cancel and poll, and leaders are
+// refused by it or stop.
 func TestCancellationsWithASlowStore(t *testing.T) {
 	simulate(t, 21, func(sim *simulation) {
-		sim.pollClosely(true)
-		for round, most := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second} {
-			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.r.Int64N(int64(most))) })
+		sim.setPollOnChange(true)
+		for round, maxDelay := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second} {
+			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.rng.Int64N(int64(maxDelay))) })
 			for i := range 6 {
-				sim.submit(fmt.Sprintf("job-%d", 6*round+i), spec{tasks: 1 + i%2, runS: sim.seconds(3, 20).Seconds(), kind: []string{"array", "service"}[i/3]})
-				sim.advance(sim.seconds(1, 3))
-				sim.cancel(fmt.Sprintf("job-%d", sim.r.IntN(6*round+i+1)))
+				sim.submit(fmt.Sprintf("job-%d", 6*round+i), jobSpec{tasks: 1 + i%2, runS: sim.randomSeconds(3, 20).Seconds(), kind: []string{"array", "service"}[i/3]})
+				sim.advance(sim.randomSeconds(1, 3))
+				sim.cancel(fmt.Sprintf("job-%d", sim.rng.IntN(6*round+i+1)))
 			}
 			switch round {
 			case 1, 3:
@@ -52,20 +53,21 @@
 			case 2:
 				sim.restart(sim.leaderOrAny(), 0.2, 3)
 			}
-			sim.advance(sim.seconds(5, 15))
+			sim.advance(sim.randomSeconds(5, 15))
 		}
 		sim.state.DelayAnswers(nil)
 		sim.endFaultsAndCheck()
 	})
 }
 
-// Guards against an answer that is older than another: users ask at all controllers, again and again within milliseconds, and repeat
-// the submission, right after a job was accepted, ended or confirmed as cancelled; some cancel at once. Meanwhile the leader
-// ends, is refused by the state service, and answers to transactions are lost.
-func TestAnswersNeverGoBack(t *testing.T) {
+// Guards against answers with an older state than an earlier answer. Right after a job is accepted, ends or is
+// confirmed as cancelled, users poll all controllers repeatedly within milliseconds and repeat the submission; some
+// cancel at once. Meanwhile the leader stops, is refused by the state service or isolated, and answers to
+// transactions are lost or transactions delayed.
+func TestUserAnswersNeverRegress(t *testing.T) {
 	simulate(t, 1, func(sim *simulation) {
-		sim.pollClosely(true)
-		trouble := []func(){
+		sim.setPollOnChange(true)
+		faults := []func(){
 			func() {},
 			func() { sim.restartLeader() },
 			func() { refuseController(sim, sim.awaitLeader()) },
@@ -74,54 +76,55 @@
 			func() { sim.restartLeader(); delayTransactions(sim, nil) },
 		}
 		for i := range 48 {
-			sim.submit(fmt.Sprintf("job-%d", i), spec{tasks: 1 + i%3, runS: float64(1 + i%5)})
-			sim.advance(sim.seconds(1, 3))
+			sim.submit(fmt.Sprintf("job-%d", i), jobSpec{tasks: 1 + i%3, runS: float64(1 + i%5)})
+			sim.advance(sim.randomSeconds(1, 3))
 			if i%3 == 0 {
-				sim.cancel(fmt.Sprintf("job-%d", sim.r.IntN(i+1)))
+				sim.cancel(fmt.Sprintf("job-%d", sim.rng.IntN(i+1)))
 			}
 			if i%8 == 7 {
-				trouble[i/8]()
+				faults[i/8]()
 			}
 		}
 		sim.endFaultsAndCheck()
 	})
 }
 
-// Guards against cancellations that get lost, or are confirmed too soon, while one controller's work changes hands: asked at the old
-// leader, relayed to it as it gives up, written without an answer, asked again at the next one before and after its records are in.
+// Guards against cancellations that are lost or confirmed too early during a handover of the leadership. A
+// cancellation may reach the old leader, be relayed to it as it steps down, be written without an answer, or be
+// repeated at the next leader before and after that has loaded its records.
 func TestCancellationsDuringAHandover(t *testing.T) {
 	simulate(t, 4, func(sim *simulation) {
-		sim.pollClosely(true)
+		sim.setPollOnChange(true)
 		for i := range 24 {
-			sim.submit(fmt.Sprintf("job-%d", i), spec{tasks: 1 + i%2, kind: []string{"array", "service"}[i%2], runS: 100})
+			sim.submit(fmt.Sprintf("job-%d", i), jobSpec{tasks: 1 + i%2, kind: []string{"array", "service"}[i%2], runS: 100})
 		}
 		sim.awaitRunning(20)
 		for round := range 4 {
 			old := sim.awaitLeader()
 			switch round {
 			case 0:
-				sim.during(12*time.Second, func() { old.endpoint.Refuse(true) }, func() { old.endpoint.Refuse(false) })
+				sim.startFault(12*time.Second, func() { old.endpoint.Refuse(true) }, func() { old.endpoint.Refuse(false) })
 			case 1:
-				sim.during(12*time.Second, func() { old.endpoint.Refuse(true); old.isolate(true) }, func() { old.endpoint.Refuse(false); old.isolate(false) })
+				sim.startFault(12*time.Second, func() { old.endpoint.Refuse(true); old.isolate(true) }, func() { old.endpoint.Refuse(false); old.isolate(false) })
 			case 2:
 				sim.restart(old, 0.2, 1)
-			case 3: // the state service refuses the leader alone, and a second later everybody
-				sim.during(12*time.Second, func() { old.endpoint.Refuse(true) }, func() { old.endpoint.Refuse(false) })
+			case 3: // the state service refuses only the leader, and a second later everyone
+				sim.startFault(12*time.Second, func() { old.endpoint.Refuse(true) }, func() { old.endpoint.Refuse(false) })
 			}
 			for i := range 6 {
 				id := fmt.Sprintf("job-%d", 6*round+i)
 				if i%3 == 2 {
-					sim.impair(sim.machinesOf(id), hung, seconds(sim.site.lease*0.8))
+					sim.impair(sim.workersRunning(id), hung, seconds(sim.deployment.leaseS*0.8))
 				}
 				sim.cancel(id)
 				sim.advance(time.Second)
 				if round == 3 && i == 1 {
-					sim.during(seconds(1.3*sim.site.cancelS), func() { sim.state.Refuse(true) }, func() { sim.state.Refuse(false) })
+					sim.startFault(seconds(1.3*sim.deployment.cancelS), func() { sim.state.Refuse(true) }, func() { sim.state.Refuse(false) })
 				}
 			}
-			sim.advance(seconds(sim.site.lease))
+			sim.advance(seconds(sim.deployment.leaseS))
 			if round == 3 {
-				sim.advance(seconds(1.5 * sim.site.cancelS))
+				sim.advance(seconds(1.5 * sim.deployment.cancelS))
 			}
 		}
 		sim.endFaultsAndCheck()
--- a/internal/sim/faults/capacity_test.go
+++ b/internal/sim/faults/capacity_test.go
@@ -10,12 +10,12 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// running is how many tasks of a job are on machines. The lock is held.
-func (sim *simulation) running(id string) int {
+// tasksRunning returns how many tasks of a job execute on machines. The caller holds sim.mu.
+func (sim *simulation) tasksRunning(id string) int {
 	n := 0
-	for _, k := range sim.workers {
-		for _, t := range k.rep.Tasks {
-			if !k.gone && fakes.JobOf(t.Task) == id && present(t.State) {
+	for _, w := range sim.workers {
+		for _, t := range w.heartbeat.Tasks {
+			if !w.removed && fakes.JobOf(t.Task) == id && isExecuting(t.State) {
 				n++
 			}
 		}
@@ -23,19 +23,19 @@
 	return n
 }
 
-// holds tells whether a machine may still run what it reports: it is there, and its lease is not over.
-func (k *worker) holds() bool { return !k.gone && !k.over() }
+// leaseValid reports whether the worker may still run its tasks: its machine exists and its lease has not expired.
+func (w *worker) leaseValid() bool { return !w.removed && !w.leaseExpired() }
 
-// onMachines gives the tasks that are on machines whose leases are not over, and those that wait for their image as well if fetching
-// is set. The lock is held.
-func (sim *simulation) onMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
+// tasksOnMachines returns the tasks that execute on machines with valid leases and, if fetching is set, those whose
+// image is being fetched. The caller holds sim.mu.
+func (sim *simulation) tasksOnMachines(fetching bool) iter.Seq2[*worker, wire.TaskStatus] {
 	return func(yield func(*worker, wire.TaskStatus) bool) {
-		for _, k := range sim.workers {
-			if !k.holds() {
+		for _, w := range sim.workers {
+			if !w.leaseValid() {
 				continue
 			}
-			for _, t := range k.rep.Tasks {
-				if (present(t.State) || fetching && t.State == wire.TaskFetching) && !yield(k, t) {
+			for _, t := range w.heartbeat.Tasks {
+				if (isExecuting(t.State) || fetching && t.State == wire.TaskFetching) && !yield(w, t) {
 					return
 				}
 			}
@@ -43,10 +43,11 @@
 	}
 }
 
-// use is how many CPUs a team's tasks take. The lock is held.
-func (sim *simulation) use(team string, fetching bool) float64 {
+// cpusInUse returns the number of CPUs that a team's tasks use; fetching as in tasksOnMachines. The caller holds
+// sim.mu.
+func (sim *simulation) cpusInUse(team string, fetching bool) float64 {
 	sum := 0.0
-	for _, t := range sim.onMachines(fetching) {
+	for _, t := range sim.tasksOnMachines(fetching) {
 		if j := sim.jobOf(t.Task); j.team == team {
 			sum += j.cpus
 		}
@@ -54,86 +55,89 @@
 	return sum
 }
 
-// permanentUse is how many CPUs a team's replicas take, which do not end by themselves. The lock is held.
-func (sim *simulation) permanentUse(team string) float64 {
+// serviceCPUsInUse returns the number of CPUs that a team's replicas use, which do not end by themselves. Services
+// whose users want them cancelled do not count. The caller holds sim.mu.
+func (sim *simulation) serviceCPUsInUse(team string) float64 {
 	sum := 0.0
 	for _, j := range sim.jobs {
-		if j.team == team && j.kind == "service" && !j.asked {
-			sum += float64(sim.running(j.id)) * j.cpus
+		if j.team == team && j.kind == "service" && !j.cancelWanted {
+			sum += float64(sim.tasksRunning(j.id)) * j.cpus
 		}
 	}
 	return sum
 }
 
-// unfinished tells of jobs that are not over. The lock is held.
-func (sim *simulation) unfinished() string {
+// describeUnfinished describes the jobs that have not ended, a line each. The caller holds sim.mu.
+func (sim *simulation) describeUnfinished() string {
 	var out strings.Builder
 	for _, j := range sim.jobs {
-		if j.history.level != ended {
-			fmt.Fprintf(&out, "%s: %+v, accepted %v, asked %v, %d completed, %d run, its team uses %g (%g stay) of %g\n",
-				j.id, j.spec, j.accepted, j.asked, len(j.completed), sim.running(j.id), sim.use(j.team, true), sim.permanentUse(j.team), teamLimits[j.team])
+		if j.history.level != levelEnded {
+			fmt.Fprintf(&out, "%s: %+v, accepted %v, cancellation wanted %v, %d tasks completed, %d running, its team uses %g CPUs (%g by services) of %g\n",
+				j.id, j.jobSpec, j.accepted, j.cancelWanted, len(j.completed), sim.tasksRunning(j.id), sim.cpusInUse(j.team, true), sim.serviceCPUsInUse(j.team), teamLimits[j.team])
 		}
 	}
 	return out.String()
 }
 
-// siblings is how many other tasks of a job are in each zone. The lock is held.
-func (sim *simulation) siblings(j *job, but string, fetching bool) map[string]int {
+// otherTasksByZone returns how many tasks of a job other than the given one are in each zone; fetching as in
+// tasksOnMachines. The caller holds sim.mu.
+func (sim *simulation) otherTasksByZone(j *job, except string, fetching bool) map[string]int {
 	zones := map[string]int{}
-	for k, t := range sim.onMachines(fetching) {
-		if t.Task != but && fakes.JobOf(t.Task) == j.id {
-			zones[k.rep.Zone]++
+	for w, t := range sim.tasksOnMachines(fetching) {
+		if t.Task != except && fakes.JobOf(t.Task) == j.id {
+			zones[w.heartbeat.Zone]++
 		}
 	}
 	return zones
 }
 
-// fits says why a task of a job may not be in a place, given its other tasks.
-func (j *job) fits(k *worker, others map[string]int) (why string) {
+// placementViolation returns why a task of a job may not run on a worker, given the zones of the job's other tasks;
+// empty if it may.
+func (j *job) placementViolation(w *worker, others map[string]int) (why string) {
 	elsewhere := 0
 	for zone, n := range others {
-		if zone != k.rep.Zone {
+		if zone != w.heartbeat.Zone {
 			elsewhere += n
 		}
 	}
 	switch {
-	case j.types != nil && !slices.Contains(j.types, k.rep.Type):
-		return "type " + k.rep.Type
-	case j.zone != "" && j.zone != k.rep.Zone:
-		return "zone " + k.rep.Zone
-	case j.noSpot && k.rep.Spot:
-		return "a spot machine"
-	case j.oneZone && elsewhere > 0:
-		return fmt.Sprintf("zone %s, and %d others are elsewhere", k.rep.Zone, elsewhere)
-	case j.apart && others[k.rep.Zone]+1 > (j.tasks+1)/2:
-		return fmt.Sprintf("zone %s beside %d others", k.rep.Zone, others[k.rep.Zone])
+	case j.types != nil && !slices.Contains(j.types, w.heartbeat.Type):
+		return "machine type " + w.heartbeat.Type
+	case j.zone != "" && j.zone != w.heartbeat.Zone:
+		return "zone " + w.heartbeat.Zone
+	case j.noSpot && w.heartbeat.Spot:
+		return "on a spot machine"
+	case j.sameZone && elsewhere > 0:
+		return fmt.Sprintf("zone %s, while %d other tasks are in other zones", w.heartbeat.Zone, elsewhere)
+	case j.spreadZones && others[w.heartbeat.Zone]+1 > (j.tasks+1)/2:
+		return fmt.Sprintf("zone %s with %d other tasks, so more than half of the job", w.heartbeat.Zone, others[w.heartbeat.Zone])
 	}
 	return ""
 }
 
-// roomFor names a machine that could take a waiting task of a job; none if no task waits, there is none, or its team is at its limit.
-// The lock is held.
-func (sim *simulation) roomFor(j *job) (machine string) {
-	placed := len(j.completed)
-	others := sim.siblings(j, "", true)
+// machineWithRoom returns the name of a machine that could run a waiting task of a job. It is empty if no task
+// waits, no machine has room, or the team is at its limit. The caller holds sim.mu.
+func (sim *simulation) machineWithRoom(j *job) (machine string) {
+	startedOrDone := len(j.completed)
+	others := sim.otherTasksByZone(j, "", true)
 	for _, n := range others {
-		placed += n
+		startedOrDone += n
 	}
-	if j.asked || placed >= j.tasks || sim.use(j.team, true)+j.cpus > teamLimits[j.team] {
+	if j.cancelWanted || startedOrDone >= j.tasks || sim.cpusInUse(j.team, true)+j.cpus > teamLimits[j.team] {
 		return ""
 	}
-	for _, k := range sim.workers {
-		if !k.holds() || k.impaired() || j.fits(k, others) != "" {
+	for _, w := range sim.workers {
+		if !w.leaseValid() || w.impaired() || j.placementViolation(w, others) != "" {
 			continue
 		}
-		free := typeCPUs[k.rep.Type]
-		for _, t := range k.rep.Tasks {
+		free := typeCPUs[w.heartbeat.Type]
+		for _, t := range w.heartbeat.Tasks {
 			if t.State != wire.TaskExited {
 				free -= sim.jobOf(t.Task).cpus
 			}
 		}
 		if free >= j.cpus {
-			return k.rep.Machine
+			return w.heartbeat.Machine
 		}
 	}
 	return ""
--- a/internal/sim/faults/history_test.go
+++ b/internal/sim/faults/history_test.go
@@ -7,76 +7,77 @@
 	"testing"
 )
 
-// history is what a job's users were told, in real order. Answers only move forward: unknown, accepted, over, and once it is
-// over it stays what it is.
+// history is the progress of a job as its users were told, in the real order of the answers. A job's state only
+// moves forward, from unknown to accepted to ended, and its final state never changes.
 type history struct {
-	level int    // the furthest that any answer told
-	final string // the state that it is over in
+	level int    // the highest level in any answer
+	final string // its final state; empty: not ended
 }
 
-// levelOf is how far an answer tells a job to be; ok is false if it tells nothing.
+// levelOf returns the level that an answer shows; ok is false if the answer shows none, such as an error.
 func levelOf(status int, state string) (level int, ok bool) {
 	switch {
 	case status == http.StatusNotFound:
-		return unknown, true
+		return levelUnknown, true
 	case status != http.StatusOK && status != http.StatusCreated:
 		return 0, false
 	case state == "done" || state == "withdrawn":
-		return ended, true
+		return levelEnded, true
 	}
-	return accepted, true
+	return levelAccepted, true
 }
 
-// take takes in the answer to a request that began when before was known, and says what is wrong with it: a request that begins
-// after any answer arrived must never get an older one.
-func (h *history) take(before history, status int, state string) (broken string) {
+// observe records an answer. The argument before is the history when the request was sent. A request that is sent
+// after an answer arrived must never get an older state; observe describes such a violation, and returns "" if
+// there is none.
+func (h *history) observe(before history, status int, state string) (violation string) {
 	level, ok := levelOf(status, state)
 	switch {
 	case !ok:
 		return ""
-	case level < before.level && level == unknown:
-		broken = "forgotten: unknown, and was accepted"
+	case level < before.level && level == levelUnknown:
+		violation = "job lost: answered as unknown after it was accepted"
 	case level < before.level:
-		broken = fmt.Sprintf("went_back: called %s, and was %s", state, before.final)
-	case level == ended && before.level == ended && state != before.final,
-		level == ended && h.level == ended && state != h.final: // two that are on their way at once differ
-		broken = fmt.Sprintf("went_back: called %s, and was %s", state, h.final)
+		violation = fmt.Sprintf("state regressed: answered as %s after it was %s", state, before.final)
+	case level == levelEnded && before.level == levelEnded && state != before.final,
+		level == levelEnded && h.level == levelEnded && state != h.final: // concurrent requests got different final states
+		violation = fmt.Sprintf("state regressed: answered as %s after it was %s", state, h.final)
 	}
 	if level > h.level {
 		h.level = level
 	}
-	if level == ended && h.final == "" {
+	if level == levelEnded && h.final == "" {
 		h.final = state
 	}
-	return broken
+	return violation
 }
 
-// Guards against a checker that sees nothing.
-func TestAJobsStatesOnlyMoveForward(t *testing.T) {
+// Guards against a checker that misses violations: it must detect answers that show an older or different state.
+func TestHistoryDetectsRegressions(t *testing.T) {
 	type answer struct {
 		before history
 		status int
 		state  string
 	}
-	was := func(level int, final string) history { return history{level, final} }
+	at := func(level int, final string) history { return history{level, final} }
 	for name, c := range map[string]struct {
-		now    history
-		next   answer
-		broken string
+		now        history
+		next       answer
+		wantPrefix string
 	}{
-		"a question that began before it was accepted": {was(accepted, ""), answer{was(unknown, ""), 404, ""}, ""},
-		"unknown after it was accepted":                {was(accepted, ""), answer{was(accepted, ""), 404, ""}, "forgotten"},
-		"running after it was done":                    {was(ended, "done"), answer{was(ended, "done"), 200, "running"}, "went_back"},
-		"a question that began before its end":         {was(ended, "done"), answer{was(accepted, ""), 200, "running"}, ""},
-		"done after it was cancelled":                  {was(ended, "withdrawn"), answer{was(ended, "withdrawn"), 200, "done"}, "went_back"},
-		"both at once":                                 {was(ended, "withdrawn"), answer{was(accepted, ""), 200, "done"}, "went_back"},
-		"a submission repeated after its end":          {was(ended, "done"), answer{was(ended, "done"), 201, "pending"}, "went_back"},
-		"no answer":                                    {was(ended, "done"), answer{was(ended, "done"), 503, ""}, ""},
-		"the same again":                               {was(ended, "done"), answer{was(ended, "done"), 200, "done"}, ""},
+		"a poll sent before it was accepted":             {at(levelAccepted, ""), answer{at(levelUnknown, ""), 404, ""}, ""},
+		"unknown after it was accepted":                  {at(levelAccepted, ""), answer{at(levelAccepted, ""), 404, ""}, "job lost"},
+		"running after it was done":                      {at(levelEnded, "done"), answer{at(levelEnded, "done"), 200, "running"}, "state regressed"},
+		"a poll sent before its end":                     {at(levelEnded, "done"), answer{at(levelAccepted, ""), 200, "running"}, ""},
+		"done after it was cancelled":                    {at(levelEnded, "withdrawn"), answer{at(levelEnded, "withdrawn"), 200, "done"}, "state regressed"},
+		"concurrent answers with different final states": {at(levelEnded, "withdrawn"), answer{at(levelAccepted, ""), 200, "done"}, "state regressed"},
+		"a submission repeated after its end":            {at(levelEnded, "done"), answer{at(levelEnded, "done"), 201, "pending"}, "state regressed"},
+		"no answer":                                      {at(levelEnded, "done"), answer{at(levelEnded, "done"), 503, ""}, ""},
+		"the same state again":                           {at(levelEnded, "done"), answer{at(levelEnded, "done"), 200, "done"}, ""},
 	} {
 		h := c.now
-		if broken := h.take(c.next.before, c.next.status, c.next.state); !strings.HasPrefix(broken, c.broken) || (broken == "") != (c.broken == "") {
-			t.Errorf("%s: %q", name, broken)
+		if violation := h.observe(c.next.before, c.next.status, c.next.state); !strings.HasPrefix(violation, c.wantPrefix) || (violation == "") != (c.wantPrefix == "") {
+			t.Errorf("%s: observe returned %q", name, violation)
 		}
 	}
 }
--- a/internal/sim/faults/injection_test.go
+++ b/internal/sim/faults/injection_test.go
@@ -10,149 +10,152 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// fault is the end of a fault.
+// fault is an active fault: when it ends, and the function that ends it.
 type fault struct {
-	at time.Time
-	fn func()
+	endsAt time.Time
+	end    func()
 }
 
-// during begins a fault and has it end after a time.
-func (sim *simulation) during(d time.Duration, begin, end func()) {
+// startFault starts a fault that ends after d.
+func (sim *simulation) startFault(d time.Duration, begin, end func()) {
 	begin()
 	sim.faults = append(sim.faults, fault{sim.now().Add(d), end})
 }
 
-// endFaults ends the faults that are due, or all.
+// endFaults ends the faults that are due, or all, and from time to time lets the state service execute its delayed
+// transactions.
 func (sim *simulation) endFaults(all bool) {
-	sim.faults = slices.DeleteFunc(sim.faults, func(e fault) bool {
-		if !all && sim.now().Before(e.at) {
+	sim.faults = slices.DeleteFunc(sim.faults, func(f fault) bool {
+		if !all && sim.now().Before(f.endsAt) {
 			return false
 		}
-		e.fn()
+		f.end()
 		return true
 	})
-	if sim.state.HeldTransactions() > 0 && (all || sim.r.IntN(16) == 0) {
-		late := sim.state.Deliver()
-		sim.logFault("%d late transactions are carried out", len(late))
+	if sim.state.HeldTransactions() > 0 && (all || sim.rng.IntN(16) == 0) {
+		executed := sim.state.Deliver()
+		sim.recordEvent("%d delayed transactions are executed", len(executed))
 	}
 }
 
-// someWorkers gives some of the workers.
-func (sim *simulation) someWorkers() []*worker {
-	share := sim.r.Float64()
+// randomWorkers returns a random share of the workers.
+func (sim *simulation) randomWorkers() []*worker {
+	share := sim.rng.Float64()
 	var out []*worker
-	for _, k := range sim.workers {
-		if sim.r.Float64() < share {
-			out = append(out, k)
+	for _, w := range sim.workers {
+		if sim.rng.Float64() < share {
+			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// random names the faults that histories choose from, each as often as it stands here.
-var random = []struct {
+// faultKinds lists the faults from which injectFault chooses. A fault that is listed twice is twice as likely.
+var faultKinds = []struct {
 	name  string
-	begin func(sim *simulation, n *node) // n: mostly the leader
+	begin func(sim *simulation, n *node) // n is usually the leader
 }{
 	{"refused", refuseController}, {"refused", refuseController}, {"outage", storeOutage}, {"ends", restartController}, {"ends", restartController}, {"apart", isolateController}, {"apart", isolateController},
-	{"late transactions", delayTransactions}, {"answers lost", loseAnswers}, {"copies", copyHeartbeats}, {"copies for the next leader", copyHeartbeatsForNextLeader},
-	{"machines", impairMachines}, {"machines", impairMachines}, {"machines", impairMachines}, {"alone with workers", isolateWithWorkers}, {"called off", cancelManyJobs},
-	{"late commands", delayCommands}, {"late commands", delayCommands}, {"stands still", stallController}, {"stands still", stallController}, {"requests lost", loseRequests},
-	{"all away", stopAllControllers}, {"leaders in a row", rollLeaders}, {"slow", slowStore}, {"cloud", cloudFaults}, {"links", slowLinks}, {"links", slowLinks}, {"zone", cutSomeZone},
+	{"delayed transactions", delayTransactions}, {"answers lost", loseAnswers}, {"heartbeat copies", copyHeartbeats}, {"heartbeat copies for the next leader", copyHeartbeatsForNextLeader},
+	{"machines", impairMachines}, {"machines", impairMachines}, {"machines", impairMachines}, {"leader isolated with workers", isolateWithWorkers}, {"many cancellations", cancelManyJobs},
+	{"delayed commands", delayDirectCommands}, {"delayed commands", delayDirectCommands}, {"stalled", stallController}, {"stalled", stallController}, {"requests lost", loseRequests},
+	{"all stopped", stopAllControllers}, {"repeated leader restarts", restartLeadersRepeatedly}, {"slow state service", slowStore}, {"cloud", cloudFaults}, {"slow links", slowLinks}, {"slow links", slowLinks}, {"zone", partitionRandomZone},
 }
 
-// injectFault begins one of the faults, mostly one that concerns the leader.
+// injectFault starts a random fault. Three times in four it affects the leader, if there is one.
 func (sim *simulation) injectFault() {
 	n := sim.leader()
-	if n == nil || sim.r.IntN(4) == 0 {
+	if n == nil || sim.rng.IntN(4) == 0 {
 		n = sim.anyNode()
 	}
-	random[sim.r.IntN(len(random))].begin(sim, n)
+	faultKinds[sim.rng.IntN(len(faultKinds))].begin(sim, n)
 }
 
 func refuseController(sim *simulation, n *node) {
-	sim.logFault("%s is refused by the state service", n.name)
-	sim.during(sim.seconds(1, 20), func() { n.endpoint.Refuse(true) }, func() { n.endpoint.Refuse(false) })
+	sim.recordEvent("the state service refuses %s", n.name)
+	sim.startFault(sim.randomSeconds(1, 20), func() { n.endpoint.Refuse(true) }, func() { n.endpoint.Refuse(false) })
 }
 
 func storeOutage(sim *simulation, _ *node) {
-	sim.logFault("the state service is down")
-	sim.during(sim.seconds(1, 1.3*sim.site.cancelS), func() { sim.state.Refuse(true) }, func() { sim.logFault("the state service is back"); sim.state.Refuse(false) })
+	sim.recordEvent("the state service is down")
+	sim.startFault(sim.randomSeconds(1, 1.3*sim.deployment.cancelS), func() { sim.state.Refuse(true) }, func() { sim.recordEvent("the state service is available again"); sim.state.Refuse(false) })
 }
 
-// restart has a controller end, and start anew after a while.
-func (sim *simulation) restart(n *node, least, most float64) {
+// restart stops a controller that is up and sets when it starts again: after a random time between two bounds in
+// seconds.
+func (sim *simulation) restart(n *node, minDownS, maxDownS float64) {
 	if n.stop != nil {
-		sim.logFault("%s ends", n.name)
-		n.end()
-		n.back = sim.now().Add(sim.seconds(least, most))
+		sim.recordEvent("%s stops", n.name)
+		n.kill()
+		n.restartAt = sim.now().Add(sim.randomSeconds(minDownS, maxDownS))
 	}
 }
 
 func restartController(sim *simulation, n *node) {
-	for range 1 + sim.r.IntN(len(sim.nodes)) {
+	for range 1 + sim.rng.IntN(len(sim.nodes)) {
 		sim.restart(n, 0.2, 6)
-		n = sim.nodes[sim.r.IntN(len(sim.nodes))]
+		n = sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	}
 }
 
 func isolateController(sim *simulation, n *node) {
-	refused := sim.r.IntN(2) == 0
-	sim.logFault("%s is cut from the others, and refused: %v", n.name, refused)
-	sim.during(sim.seconds(2, 1.5*sim.site.lease), func() { n.isolate(true); n.endpoint.Refuse(refused) }, func() { n.isolate(false); n.endpoint.Refuse(false) })
+	refused := sim.rng.IntN(2) == 0
+	sim.recordEvent("%s is isolated from the other controllers; refused by the state service: %v", n.name, refused)
+	sim.startFault(sim.randomSeconds(2, 1.5*sim.deployment.leaseS), func() { n.isolate(true); n.endpoint.Refuse(refused) }, func() { n.isolate(false); n.endpoint.Refuse(false) })
 }
 
 func delayTransactions(sim *simulation, _ *node) {
-	sim.logFault("transactions come late")
-	sim.during(sim.seconds(5, 40), func() { sim.state.DelayTransactions(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { sim.state.DelayTransactions(nil) })
+	sim.recordEvent("transactions are delayed")
+	sim.startFault(sim.randomSeconds(5, 40), func() { sim.state.DelayTransactions(func(wire.Txn) bool { return rand.IntN(4) == 0 }) }, func() { sim.state.DelayTransactions(nil) })
 }
 
 func loseAnswers(sim *simulation, _ *node) {
-	sim.logFault("answers to transactions are lost")
-	sim.during(sim.seconds(5, 40), func() { sim.state.LoseAnswers(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { sim.state.LoseAnswers(nil) })
+	sim.recordEvent("answers to transactions are lost")
+	sim.startFault(sim.randomSeconds(5, 40), func() { sim.state.LoseAnswers(func(wire.Txn) bool { return rand.IntN(3) == 0 }) }, func() { sim.state.LoseAnswers(nil) })
 }
 
 func copyHeartbeats(sim *simulation, _ *node) {
-	sim.logFault("copies of reports")
-	sim.during(sim.seconds(5, 60), func() { sim.copyPercent = 30 }, func() { sim.copyPercent = 0 })
+	sim.recordEvent("copies of heartbeats arrive late")
+	sim.startFault(sim.randomSeconds(5, 60), func() { sim.copyPercent = 30 }, func() { sim.copyPercent = 0 })
 }
 
 func copyHeartbeatsForNextLeader(sim *simulation, _ *node) {
-	sim.logFault("copies of reports, kept for the next leader")
-	sim.during(sim.seconds(5, 60), func() { sim.copiesForNextLeader = 30 }, func() { sim.copiesForNextLeader = 0 })
+	sim.recordEvent("copies of heartbeats are saved for the next leader")
+	sim.startFault(sim.randomSeconds(5, 60), func() { sim.nextLeaderCopyPercent = 30 }, func() { sim.nextLeaderCopyPercent = 0 })
 }
 
-// delayCommands has direct commands be held up, unanswered, and be carried out seconds later.
-func delayCommands(sim *simulation, _ *node) {
-	sim.logFault("direct commands come late")
-	sim.during(sim.seconds(5, 90), func() { sim.delayCommands(20 + sim.r.IntN(60)) }, func() { sim.delayCommands(0) })
+// delayDirectCommands leaves direct commands unanswered and lets workers execute them seconds later.
+func delayDirectCommands(sim *simulation, _ *node) {
+	sim.recordEvent("direct commands are delayed")
+	sim.startFault(sim.randomSeconds(5, 90), func() { sim.setDelayedCommandPercent(20 + sim.rng.IntN(60)) }, func() { sim.setDelayedCommandPercent(0) })
 }
 
-// delayCommands has that many of a hundred direct commands come late.
-func (sim *simulation) delayCommands(percent int) {
+// setDelayedCommandPercent sets the percentage of direct commands that arrive late.
+func (sim *simulation) setDelayedCommandPercent(percent int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.lateCommandPercent = percent
+	sim.delayedCommandPercent = percent
 }
 
-// stallController has a controller stand still for up to half a minute.
+// stallController stalls a controller for up to half a minute.
 func stallController(sim *simulation, n *node) {
 	if n.stop == nil {
 		return
 	}
-	n.stall(sim.seconds(1, 30))
+	n.stall(sim.randomSeconds(1, 30))
 }
 
-// stall has a controller stand still for a while.
+// stall stalls a controller for a duration.
 func (n *node) stall(d time.Duration) {
-	n.w.logFault("%s stands still", n.name)
-	n.w.during(d, func() { n.freeze(true) }, func() { n.w.logFault("%s goes on", n.name); n.freeze(false) })
+	n.sim.recordEvent("%s stalls", n.name)
+	n.sim.startFault(d, func() { n.setStalled(true) }, func() { n.sim.recordEvent("%s resumes", n.name); n.setStalled(false) })
 }
 
-// loseRequests has what is asked of leases, and reads, go without an answer; some of the former are carried out late.
+// loseRequests leaves some lease requests and reads at the state service unanswered; some lease requests are
+// executed late.
 func loseRequests(sim *simulation, _ *node) {
-	sim.logFault("requests are lost or late")
-	sim.during(sim.seconds(5, 40), func() {
+	sim.recordEvent("lease requests and reads are lost or delayed")
+	sim.startFault(sim.randomSeconds(5, 40), func() {
 		sim.state.SetFate(func(r *http.Request) fakes.Fate {
 			switch rand.IntN(6) {
 			case 0:
@@ -168,110 +171,111 @@
 }
 
 func impairMachines(sim *simulation, _ *node) {
-	sim.impair(sim.someWorkers(), sim.r.IntN(4), sim.seconds(1, 1.4*sim.site.lease))
+	sim.impair(sim.randomWorkers(), sim.rng.IntN(4), sim.randomSeconds(1, 1.4*sim.deployment.leaseS))
 }
 
-// What may be wrong with machines.
+// The kinds of impairments of machines; see the fields of worker that end in Until.
 const (
 	hung = iota
 	receivesNothing
 	disconnected
-	sendsNothing
+	sendsNoHeartbeats
 )
 
-// impair has something be wrong with machines for a while.
-func (sim *simulation) impair(some []*worker, what int, d time.Duration) {
+// impair impairs workers' machines for a duration.
+func (sim *simulation) impair(workers []*worker, impairment int, d time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	until := sim.now().Add(d)
-	for _, k := range some {
-		sim.record("%s %s until %v", k.rep.Machine, []string{"hangs", "is deaf", "is lost", "is mute"}[what], until.Sub(sim.startedAt))
-		*[]*time.Time{&k.hangs, &k.deaf, &k.lost, &k.mute}[what] = until
+	for _, w := range workers {
+		sim.record("%s %s until %v", w.heartbeat.Machine, []string{"hangs", "receives nothing", "is disconnected", "sends no heartbeats"}[impairment], until.Sub(sim.startedAt))
+		*[]*time.Time{&w.hungUntil, &w.receivesNothingUntil, &w.disconnectedUntil, &w.noHeartbeatsUntil}[impairment] = until
 	}
 }
 
+// isolateWithWorkers lets some workers reach only the leader, and only the leader reach them.
 func isolateWithWorkers(sim *simulation, n *node) {
 	if n != sim.leader() {
 		return
 	}
-	some := sim.someWorkers()
-	sim.logFault("%d workers reach %s alone", len(some), n.name)
-	sim.during(sim.seconds(2, 2*sim.site.lease), func() { sim.holds(n, some) }, func() { sim.holds(nil, some) })
+	workers := sim.randomWorkers()
+	sim.recordEvent("%d workers reach only %s", len(workers), n.name)
+	sim.startFault(sim.randomSeconds(2, 2*sim.deployment.leaseS), func() { sim.limitWorkersTo(n, workers) }, func() { sim.limitWorkersTo(nil, workers) })
 }
 
-// cancelManyJobs has users cancel some jobs that run; their machines may hang, and the leader may end at that moment.
+// cancelManyJobs cancels up to four running jobs. Their machines may hang and the leader may stop at the same time.
 func cancelManyJobs(sim *simulation, n *node) {
 	sim.mu.Lock()
 	var ids []string
 	for _, j := range sim.jobs {
-		if !j.asked && sim.running(j.id) > 0 && len(ids) < 4 && sim.r.IntN(2) == 0 {
+		if !j.cancelWanted && sim.tasksRunning(j.id) > 0 && len(ids) < 4 && sim.rng.IntN(2) == 0 {
 			ids = append(ids, j.id)
 		}
 	}
 	sim.mu.Unlock()
-	if sim.r.IntN(2) == 0 {
-		sim.impair(sim.machinesOf(ids...), hung, sim.seconds(1, 1.2*sim.site.lease))
+	if sim.rng.IntN(2) == 0 {
+		sim.impair(sim.workersRunning(ids...), hung, sim.randomSeconds(1, 1.2*sim.deployment.leaseS))
 	}
 	for _, id := range ids {
 		sim.cancel(id)
 	}
-	if sim.r.IntN(3) == 0 {
+	if sim.rng.IntN(3) == 0 {
 		sim.restart(n, 0.2, 3)
 	}
 }
 
-// machinesOf gives the workers on which tasks of some jobs are.
-func (sim *simulation) machinesOf(ids ...string) (some []*worker) {
+// workersRunning returns the workers that report tasks of the given jobs.
+func (sim *simulation) workersRunning(ids ...string) (workers []*worker) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, k := range sim.workers {
-		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return slices.Contains(ids, sim.jobOf(t.Task).id) }) {
-			some = append(some, k)
+	for _, w := range sim.workers {
+		if slices.ContainsFunc(w.heartbeat.Tasks, func(t wire.TaskStatus) bool { return slices.Contains(ids, sim.jobOf(t.Task).id) }) {
+			workers = append(workers, w)
 		}
 	}
-	return some
+	return workers
 }
 
-// stopAllControllers has all controllers be away for longer than a lease.
+// stopAllControllers stops all controllers for longer than a worker's lease.
 func stopAllControllers(sim *simulation, _ *node) {
-	d := (1.1 + sim.r.Float64()) * sim.site.lease
+	d := (1.1 + sim.rng.Float64()) * sim.deployment.leaseS
 	for _, n := range sim.nodes {
 		sim.restart(n, d, d+3)
 	}
 }
 
-// rollLeaders has each leader end soon after it began, for a while.
-func rollLeaders(sim *simulation, _ *node) {
-	sim.logFault("leaders end, one after the other")
-	sim.during(sim.seconds(20, 60), func() { sim.rolling = true }, func() { sim.rolling = false })
+// restartLeadersRepeatedly restarts each leader soon after it was elected, for a while.
+func restartLeadersRepeatedly(sim *simulation, _ *node) {
+	sim.recordEvent("each leader stops soon after its election")
+	sim.startFault(sim.randomSeconds(20, 60), func() { sim.rollingRestarts = true }, func() { sim.rollingRestarts = false })
 }
 
 func slowStore(sim *simulation, _ *node) {
-	most := sim.seconds(0.1, 4)
-	sim.logFault("the state service takes up to %v", most)
-	sim.during(sim.seconds(5, 30), func() {
-		sim.state.DelayAnswers(func() time.Duration { return time.Duration(rand.Int64N(int64(most))) })
+	maxDelay := sim.randomSeconds(0.1, 4)
+	sim.recordEvent("the state service takes up to %v for an answer", maxDelay)
+	sim.startFault(sim.randomSeconds(5, 30), func() {
+		sim.state.DelayAnswers(func() time.Duration { return time.Duration(rand.Int64N(int64(maxDelay))) })
 	}, func() { sim.state.DelayAnswers(nil) })
 }
 
-// slowLinks has reports, their answers and direct commands be on their way for seconds.
+// slowLinks delays heartbeats, their answers and direct commands by up to several seconds each.
 func slowLinks(sim *simulation, _ *node) {
-	most := sim.seconds(0.5, 6)
-	sim.logFault("links take up to %v", most)
+	maxDelay := sim.randomSeconds(0.5, 6)
+	sim.recordEvent("link latency is up to %v", maxDelay)
 	set := func(d time.Duration) {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		sim.links = d
+		sim.maxLatency = d
 	}
-	sim.during(sim.seconds(5, 60), func() { set(most) }, func() { set(0) })
+	sim.startFault(sim.randomSeconds(5, 60), func() { set(maxDelay) }, func() { set(0) })
 }
 
-func cutSomeZone(sim *simulation, n *node) { sim.cutZone(n, sim.leases(0.3, 2)) }
+func partitionRandomZone(sim *simulation, n *node) { sim.partitionZone(n, sim.randomLeases(0.3, 2)) }
 
-// cloudFaults has rentals go without an answer, machines be up at once, and be listed late.
+// cloudFaults leaves rentals unanswered, lets machines boot within seconds and makes the cloud's list lag behind.
 func cloudFaults(sim *simulation, _ *node) {
-	sim.logFault("rentals without answers, machines up at once and not listed")
-	sim.cloud.LoseRentAnswers(1 + sim.r.IntN(3))
-	since := len(sim.cloud.Machines())
-	sim.during(sim.seconds(5, 30), func() { sim.fastBoot = true; sim.cloud.ListOnly(since) }, func() { sim.fastBoot = false; sim.cloud.ListOnly(-1) })
+	sim.recordEvent("rentals get no answers; machines boot within seconds and are not listed")
+	sim.cloud.LoseRentAnswers(1 + sim.rng.IntN(3))
+	listed := len(sim.cloud.Machines())
+	sim.startFault(sim.randomSeconds(5, 30), func() { sim.fastBoot = true; sim.cloud.ListOnly(listed) }, func() { sim.fastBoot = false; sim.cloud.ListOnly(-1) })
 }
--- a/internal/sim/faults/link_test.go
+++ b/internal/sim/faults/link_test.go
@@ -7,66 +7,66 @@
 	"testing"
 )
 
-// link is the way from one process to another.
+// link is a TCP proxy that stands for the network path from one process to another. It can be paused or cut.
 type link struct {
-	l    net.Listener
-	mu   sync.Mutex
-	shut bool
-	held bool
-	wake chan struct{} // closed when held or shut changes
-	open []net.Conn
+	listener     net.Listener
+	mu           sync.Mutex
+	cut          bool
+	paused       bool
+	stateChanged chan struct{} // closed and replaced when paused or cut changes
+	conns        []net.Conn
 }
 
-func newLink(t testing.TB, to string) *link {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newLink(t testing.TB, addr string) *link {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &link{l: l, wake: make(chan struct{})}
+	l := &link{listener: listener, stateChanged: make(chan struct{})}
 	go func() {
 		for {
-			in, err := l.Accept()
+			in, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go g.pass(in, to)
+			go l.forward(in, addr)
 		}
 	}()
-	t.Cleanup(func() { l.Close(); g.set(true) })
-	return g
+	t.Cleanup(func() { listener.Close(); l.setCut(true) })
+	return l
 }
 
-func (g *link) pass(in net.Conn, to string) {
+func (l *link) forward(in net.Conn, addr string) {
 	defer in.Close()
-	out, err := net.Dial("tcp", to)
+	out, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	g.mu.Lock()
-	shut := g.shut
-	g.open = append(g.open, in, out)
-	g.mu.Unlock()
-	if shut {
+	l.mu.Lock()
+	cut := l.cut
+	l.conns = append(l.conns, in, out)
+	l.mu.Unlock()
+	if cut {
 		return
 	}
-	go func() { g.copy(out, in); out.Close() }()
-	g.copy(in, out)
+	go func() { l.relay(out, in); out.Close() }()
+	l.relay(in, out)
 }
 
-// copy passes on what comes, as the link lets it.
-func (g *link) copy(to io.Writer, from io.Reader) {
+// relay copies data from one connection to the other. While the link is paused, it holds the data back.
+func (l *link) relay(to io.Writer, from io.Reader) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		for {
-			g.mu.Lock()
-			held, wake := g.held && !g.shut, g.wake
-			g.mu.Unlock()
-			if !held {
+			l.mu.Lock()
+			paused, stateChanged := l.paused && !l.cut, l.stateChanged
+			l.mu.Unlock()
+			if !paused {
 				break
 			}
-			<-wake
+			<-stateChanged
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -79,29 +79,29 @@
 	}
 }
 
-// hold keeps what passes on its way, or ends that.
-func (g *link) hold(held bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.held = held
-	g.changed()
+// setPaused delays all traffic, or lets it proceed; no data is lost.
+func (l *link) setPaused(paused bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.paused = paused
+	l.notify()
 }
 
-// changed wakes what waits on the link. The lock is held.
-func (g *link) changed() {
-	close(g.wake)
-	g.wake = make(chan struct{})
+// notify wakes the relays that wait for a change of the link's state. The caller holds l.mu.
+func (l *link) notify() {
+	close(l.stateChanged)
+	l.stateChanged = make(chan struct{})
 }
 
-// set shuts the link, which ends what passes, or opens it.
-func (g *link) set(shut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.changed()
-	if g.shut = shut; shut {
-		for _, c := range g.open {
+// setCut cuts the link, which closes its connections, or restores it.
+func (l *link) setCut(cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.notify()
+	if l.cut = cut; cut {
+		for _, c := range l.conns {
 			c.Close()
 		}
-		g.open = nil
+		l.conns = nil
 	}
 }
--- a/internal/sim/faults/node_test.go
+++ b/internal/sim/faults/node_test.go
@@ -15,140 +15,144 @@
 	"poppypass/internal/sim/fakes"
 )
 
+// node is a controller process of the simulated cluster, with its clock and its network links.
 type node struct {
-	w        *simulation
-	name     string
-	addr     string // where users and workers reach it
-	bind     string // where it listens for them
-	mesh     string
-	zone     string
-	clock    *clockwork.FakeClock // its own: it goes with the simulation's unless the process stands still
-	endpoint *fakes.Endpoint
-	links    map[string]*link // ways to the others, by their names
-	ways     []*link          // its ways from users and workers, and to the state service and the cloud
-	toState  string           // the addresses of the last two
-	toCloud  string
-	c        *controller.Controller
-	stop     func() // nil: it is down
-	back     time.Time
+	sim           *simulation
+	name          string
+	addr          string // address at which users and workers reach it
+	bindAddr      string // address at which it listens for them
+	meshAddr      string // address at which it listens for the other controllers
+	zone          string
+	clock         *clockwork.FakeClock // its own clock: follows the simulation's unless the process is stalled
+	endpoint      *fakes.Endpoint
+	peerLinks     map[string]*link // links to the other controllers, by name
+	externalLinks []*link          // links from users and workers to it, and from it to the state service and the cloud
+	stateAddr     string           // address of its link to the state service
+	cloudAddr     string           // address of its link to the cloud
+	controller    *controller.Controller
+	stop          func() // stops the process; nil: it is down
+	restartAt     time.Time
 
-	// While it stands still nothing comes in or goes out, and its clock is as it was; then its clock jumps, and all that was held
-	// up goes on. So what it had looked at before, it uses after. Guarded by the simulation's lock.
-	still bool
-	term  uint64 // the last that it led, if it stood still as a leader
+	// While the process is stalled, its links are paused and its clock is stopped. Then the clock jumps and delayed
+	// traffic is delivered. So it may act after the stall on what it had read before. Guarded by sim.mu.
+	stalled     bool
+	stalledTerm uint64 // its term if it was the leader when it stalled, else 0
 }
 
-// boot starts a controller, as a process with no memory of an earlier one.
-func (n *node) boot() {
+// start starts the controller as a new process, without any state of an earlier one.
+func (n *node) start() {
 	s := &config.Settings{
-		Member: n.name, Zone: n.zone, Bind: n.bind, MeshAddr: n.mesh, External: config.ExternalAddresses{Cloud: n.toCloud, State: n.toState},
+		Member: n.name, Zone: n.zone, Bind: n.bindAddr, MeshAddr: n.meshAddr, External: config.ExternalAddresses{Cloud: n.cloudAddr, State: n.stateAddr},
 		Cluster: config.Cluster{
 			Zones:   []string{"a", "b"},
-			Workers: config.Workers{HeartbeatS: n.w.site.report, LeaseS: n.w.site.lease, CancelS: n.w.site.cancelS},
+			Workers: config.Workers{HeartbeatS: n.sim.deployment.heartbeatS, LeaseS: n.sim.deployment.leaseS, CancelS: n.sim.deployment.cancelS},
 			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	for _, o := range n.w.nodes {
-		if o != n {
-			s.Members = append(s.Members, config.Member{Name: o.name, Zone: o.zone, Endpoint: n.links[o.name].l.Addr().String()})
+	for _, other := range n.sim.nodes {
+		if other != n {
+			s.Members = append(s.Members, config.Member{Name: other.name, Zone: other.zone, Endpoint: n.peerLinks[other.name].listener.Addr().String()})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(teamLimits)) {
 		s.Cluster.Teams = append(s.Cluster.Teams, config.Team{Name: name, CPUs: teamLimits[name] / 2, CPUsMax: teamLimits[name]})
 	}
-	own, err := config.LoadProperties("")
+	properties, err := config.LoadProperties("")
 	if err != nil {
-		n.w.t.Fatal(err)
+		n.sim.t.Fatal(err)
 	}
-	if n.c, err = controller.New(s, config.Watch("", nil, own), n.clock, slog.New(&errorLog{w: n.w, name: n.name})); err != nil {
-		n.w.t.Fatal(err)
+	if n.controller, err = controller.New(s, config.Watch("", nil, properties), n.clock, slog.New(&errorReporter{sim: n.sim, member: n.name})); err != nil {
+		n.sim.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- n.c.Run(ctx) }()
+	go func() { done <- n.controller.Run(ctx) }()
 	n.stop = func() {
 		stop()
 		if err := <-done; err != nil {
-			n.w.t.Errorf("controller %s ended: %v", n.name, err)
+			n.sim.t.Errorf("controller %s ended: %v", n.name, err)
 		}
 	}
 }
 
-// errorLog is a controller's log, of which errors count: whatever is in doubt, late or lost, a leader whose records nobody else
-// wrote must never find them changed and give up.
-type errorLog struct {
+// errorReporter is a controller's log handler. It reports each logged error as a violation: however many
+// transactions are late, lost or of unknown outcome, a leader must never find that records which nobody else wrote
+// have changed, and step down.
+type errorReporter struct {
 	slog.Handler
-	w    *simulation
-	name string
+	sim    *simulation
+	member string
 }
 
-func (l *errorLog) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelError }
+func (e *errorReporter) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelError
+}
 
-func (l *errorLog) WithAttrs([]slog.Attr) slog.Handler { return l }
+func (e *errorReporter) WithAttrs([]slog.Attr) slog.Handler { return e }
 
-func (l *errorLog) WithGroup(string) slog.Handler { return l }
+func (e *errorReporter) WithGroup(string) slog.Handler { return e }
 
-func (l *errorLog) Handle(_ context.Context, r slog.Record) error {
+func (e *errorReporter) Handle(_ context.Context, r slog.Record) error {
 	text := r.Message
 	r.Attrs(func(a slog.Attr) bool { text += fmt.Sprintf(" %s=%v", a.Key, a.Value); return true })
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	l.w.violation("error: %s logs %s", l.name, text)
+	e.sim.mu.Lock()
+	defer e.sim.mu.Unlock()
+	e.sim.reportViolation("error logged: %s logs %s", e.member, text)
 	return nil
 }
 
-// end kills it.
-func (n *node) end() {
-	n.freeze(false)
+// kill ends a stall and stops the process.
+func (n *node) kill() {
+	n.setStalled(false)
 	if n.stop != nil {
 		n.stop()
 		n.stop = nil
 	}
 }
 
-// stallController has the process stand still, or go on.
-func (n *node) freeze(still bool) {
-	sim := n.w
-	holder, term := sim.holder()
+// setStalled stalls the process or resumes it.
+func (n *node) setStalled(stalled bool) {
+	sim := n.sim
+	holder, term := sim.observeLeaderKey()
 	sim.mu.Lock()
-	if n.still == still {
+	if n.stalled == stalled {
 		sim.mu.Unlock()
 		return
 	}
-	n.still, n.term = still, 0
-	if still && holder == n {
-		n.term = term
+	n.stalled, n.stalledTerm = stalled, 0
+	if stalled && holder == n {
+		n.stalledTerm = term
 	}
 	sim.mu.Unlock()
-	if !still {
+	if !stalled {
 		n.syncClock()
 	}
-	for i, g := range n.ways {
-		if g.hold(still); i == 0 && !still { // what users asked meanwhile is there before any answer of the state service
+	for i, link := range n.externalLinks {
+		if link.setPaused(stalled); i == 0 && !stalled { // users' requests sent during the stall arrive before any answer of the state service
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	for _, o := range sim.nodes {
-		if o == n {
+	for _, other := range sim.nodes {
+		if other == n {
 			continue
 		}
 		sim.mu.Lock()
-		held := n.still || o.still
+		paused := n.stalled || other.stalled
 		sim.mu.Unlock()
-		n.links[o.name].hold(held)
-		o.links[n.name].hold(held)
+		n.peerLinks[other.name].setPaused(paused)
+		other.peerLinks[n.name].setPaused(paused)
 	}
 }
 
-// syncClock has its clock show what the simulation's does.
-func (n *node) syncClock() { n.clock.Advance(n.w.now().Sub(n.clock.Now())) }
+// syncClock advances the controller's clock to the simulation's time.
+func (n *node) syncClock() { n.clock.Advance(n.sim.now().Sub(n.clock.Now())) }
 
-// isolate cuts it from the others, or ends that.
+// isolate cuts the links between the controller and all others, or restores them.
 func (n *node) isolate(cut bool) {
-	for _, o := range n.w.nodes {
-		if o != n {
-			n.links[o.name].set(cut)
-			o.links[n.name].set(cut)
+	for _, other := range n.sim.nodes {
+		if other != n {
+			n.peerLinks[other.name].setCut(cut)
+			other.peerLinks[n.name].setCut(cut)
 		}
 	}
 }
--- a/internal/sim/faults/random_test.go
+++ b/internal/sim/faults/random_test.go
@@ -7,40 +7,43 @@
 	"time"
 )
 
-// sites are the deployments' leases and bounds on cancellations.
-var sites = map[string]site{
-	"lease 10, three": {nodes: 3, lease: 10, cancelS: 35, report: 2, imageS: 8, machines: 14},
-	"lease 18, five":  {nodes: 5, lease: 18, cancelS: 43, report: 4, imageS: 8, machines: 14},
-	"lease 42, five":  {nodes: 5, lease: 42, cancelS: 67, report: 10, imageS: 8, machines: 14},
-	"lease 26, three": {nodes: 3, lease: 26.5, cancelS: 51.5, report: 5, imageS: 8, machines: 14},
+// deployments are the simulated deployments, named after the workers' lease in seconds and the number of controllers.
+var deployments = map[string]deployment{
+	"lease 10, three": {nodes: 3, leaseS: 10, cancelS: 35, heartbeatS: 2, imageFetchMaxS: 8, cloudCapacity: 14},
+	"lease 18, five":  {nodes: 5, leaseS: 18, cancelS: 43, heartbeatS: 4, imageFetchMaxS: 8, cloudCapacity: 14},
+	"lease 42, five":  {nodes: 5, leaseS: 42, cancelS: 67, heartbeatS: 10, imageFetchMaxS: 8, cloudCapacity: 14},
+	"lease 26, three": {nodes: 3, leaseS: 26.5, cancelS: 51.5, heartbeatS: 5, imageFetchMaxS: 8, cloudCapacity: 14},
 }
 
+// Flags: the number of random histories for each deployment, a number that is added to the fixed seeds of the
+// scenarios, and the seed of the first random history.
 var (
-	histories    = flag.Int("meetings", 2, "how many random histories of meetings are played for each site")
-	shift        = flag.Uint64("shift", 0, "what is added to the seeds of the meetings that are set")
-	firstHistory = flag.Int("meeting", 100, "the seed of the first")
+	historyCount     = flag.Int("meetings", 2, "how many random histories of meetings are played for each site")
+	seedShift        = flag.Uint64("shift", 0, "what is added to the seeds of the meetings that are set")
+	firstHistorySeed = flag.Int("meeting", 100, "the seed of the first")
 )
 
-// Guards against faults that meet: whatever comes together, no rule breaks; and once all is over every job that was not cancelled
-// runs, and every cancellation is confirmed, in time.
+// Guards against combinations of faults that break a rule. Random faults overlap while jobs are submitted and
+// cancelled. Once all faults are over, every job that was not cancelled must run and every cancellation must be
+// confirmed, in time.
 func TestRandomFaults(t *testing.T) {
-	for name, s := range sites {
-		for seed := range *histories {
-			t.Run(fmt.Sprintf("%s/%d", name, *firstHistory+seed), func(t *testing.T) {
+	for name, params := range deployments {
+		for seed := range *historyCount {
+			t.Run(fmt.Sprintf("%s/%d", name, *firstHistorySeed+seed), func(t *testing.T) {
 				t.Parallel()
-				sim := newSimulation(t, s, uint64(*firstHistory+seed))
+				sim := newSimulation(t, params, uint64(*firstHistorySeed+seed))
 				sim.waitFor("a leader", time.Minute, func() bool { return sim.leader() != nil })
-				came := 0
-				sim.pollClosely(seed%2 == 0)
+				submitted := 0
+				sim.setPollOnChange(seed%2 == 0)
 				for sim.now().Sub(sim.startedAt) < 4*time.Minute {
-					if came < 14 && sim.r.IntN(20) == 0 || came < 4 {
-						sim.submit(fmt.Sprintf("job-%d", came), sim.someSpec())
-						came++
+					if submitted < 14 && sim.rng.IntN(20) == 0 || submitted < 4 {
+						sim.submit(fmt.Sprintf("job-%d", submitted), sim.randomJobSpec())
+						submitted++
 					}
-					if sim.r.IntN(40) == 0 {
-						sim.cancel(fmt.Sprintf("job-%d", sim.r.IntN(came)))
+					if sim.rng.IntN(40) == 0 {
+						sim.cancel(fmt.Sprintf("job-%d", sim.rng.IntN(submitted)))
 					}
-					if sim.r.IntN(24) == 0 && sim.now().Sub(sim.startedAt) > 10*time.Second {
+					if sim.rng.IntN(24) == 0 && sim.now().Sub(sim.startedAt) > 10*time.Second {
 						sim.injectFault()
 					}
 					sim.step()
@@ -48,49 +51,52 @@
 				sim.endFaultsAndCheck()
 				sim.mu.Lock()
 				defer sim.mu.Unlock()
-				if sim.starts < came/2 {
-					t.Errorf("%d starts for %d jobs", sim.starts, came)
+				if sim.taskStarts < submitted/2 {
+					t.Errorf("%d task starts for %d jobs, want at least one for every two jobs", sim.taskStarts, submitted)
 				}
 			})
 		}
 	}
 }
 
-// someSpec is any job.
-func (sim *simulation) someSpec() spec {
-	s := spec{kind: []string{"array", "service"}[sim.r.IntN(2)], team: []string{"t", "t", "small", "tight"}[sim.r.IntN(4)], tasks: 1 + sim.r.IntN(4), stub: float64(40 * sim.r.IntN(2))}
-	switch sim.r.IntN(6) {
+// randomJobSpec returns a random spec.
+func (sim *simulation) randomJobSpec() jobSpec {
+	s := jobSpec{kind: []string{"array", "service"}[sim.rng.IntN(2)], team: []string{"t", "t", "small", "tight"}[sim.rng.IntN(4)], tasks: 1 + sim.rng.IntN(4), checkpointS: float64(40 * sim.rng.IntN(2))}
+	switch sim.rng.IntN(6) {
 	case 0:
-		s.zone = []string{"a", "b"}[sim.r.IntN(2)]
+		s.zone = []string{"a", "b"}[sim.rng.IntN(2)]
 	case 1:
-		s.types = []string{[]string{"g8", "m4"}[sim.r.IntN(2)]}
+		s.types = []string{[]string{"g8", "m4"}[sim.rng.IntN(2)]}
 	case 2:
-		s.oneZone = true
+		s.sameZone = true
 	case 3:
 		s.noSpot = true
 	}
 	if s.kind == "service" && s.tasks > 1 {
-		s.apart = s.zone == "" && s.types == nil && !s.oneZone
+		s.spreadZones = s.zone == "" && s.types == nil && !s.sameZone
 	}
 	return s
 }
 
-// endFaultsAndCheck ends all faults and lets the simulation come to rest: every cancellation is confirmed, every other job runs or is done.
+// endFaultsAndCheck ends all faults and waits until every cancellation is confirmed and every other job runs or is
+// done.
 func (sim *simulation) endFaultsAndCheck() {
 	sim.t.Helper()
-	sim.settle()
-	lease := seconds(sim.site.lease)
-	confirmed := func() {
-		sim.waitFor("every cancellation is confirmed", 2*time.Minute+2*lease, sim.all(func(j *job) bool { return !j.asked || j.history.level == ended }))
+	sim.endAllFaults()
+	lease := seconds(sim.deployment.leaseS)
+	awaitCancellations := func() {
+		sim.waitFor("every cancellation is confirmed", 2*time.Minute+2*lease, sim.allJobs(func(j *job) bool { return !j.cancelWanted || j.history.level == levelEnded }))
 	}
-	confirmed()
-	// One whose team's replicas, which run on, leave too little of its limit waits for ever, as it should.
-	sim.waitFor("every array is done", 30*time.Minute, sim.all(func(j *job) bool {
-		return j.asked || j.done || j.kind == "service" || sim.permanentUse(j.team)+j.cpus > teamLimits[j.team]
+	awaitCancellations()
+	// A job may wait forever if its team's services, which run on, leave too little of the team's limit for a task
+	// of it.
+	sim.waitFor("every array is done", 30*time.Minute, sim.allJobs(func(j *job) bool {
+		return j.cancelWanted || j.done || j.kind == "service" || sim.serviceCPUsInUse(j.team)+j.cpus > teamLimits[j.team]
 	}))
-	// Services take their teams' rooms for ever: those that wait beside room are looked for all the while.
-	sim.waitFor("every other job runs or its team is at its limit", 5*time.Minute, sim.all(func(j *job) bool {
-		return j.accepted && (j.asked || j.done || sim.running(j.id) > 0 || sim.use(j.team, true)+j.cpus > teamLimits[j.team])
+	// Services use their teams' limits forever, so a service may wait. During all of this, checkNoJobLost looks for
+	// jobs that wait although a machine has room.
+	sim.waitFor("every other job runs or its team is at its limit", 5*time.Minute, sim.allJobs(func(j *job) bool {
+		return j.accepted && (j.cancelWanted || j.done || sim.tasksRunning(j.id) > 0 || sim.cpusInUse(j.team, true)+j.cpus > teamLimits[j.team])
 	}))
-	confirmed() // some were asked for meanwhile
+	awaitCancellations() // users may have requested others meanwhile
 }
--- a/internal/sim/faults/rules_test.go
+++ b/internal/sim/faults/rules_test.go
@@ -4,72 +4,74 @@
 	"poppypass/internal/platform/wire"
 )
 
-// check looks for broken rules.
-func (sim *simulation) check() {
+// checkRules checks the rules that are not tied to an event, and fails the test if any rule was violated.
+func (sim *simulation) checkRules() {
 	sim.mu.Lock()
 	sim.checkCancelled()
-	sim.checkServed()
-	broken, trace := sim.broken, sim.trace.String()
+	sim.checkNoJobLost()
+	violation, trace := sim.firstViolation, sim.trace.String()
 	sim.mu.Unlock()
-	if broken != "" {
-		sim.t.Fatalf("%s\n%s", broken, trace)
+	if violation != "" {
+		sim.t.Fatalf("%s\n%s", violation, trace)
 	}
 }
 
-// taskBegan checks the rules at the start of a task. The lock is held.
-func (sim *simulation) taskBegan(k *worker, t *wire.TaskStatus) {
-	sim.starts++
-	sim.record("%s attempt %d begins on %s", t.Task, t.Attempt, k.rep.Machine)
-	for o, u := range sim.onMachines(false) {
-		if o != k && u.Task == t.Task {
-			sim.violation("ran_twice: %s begins on %s while it is on %s", t.Task, k.rep.Machine, o.rep.Machine)
+// taskBegan records that a task begins to execute and checks the rules that apply then. The caller holds sim.mu.
+func (sim *simulation) taskBegan(w *worker, t *wire.TaskStatus) {
+	sim.taskStarts++
+	sim.record("%s attempt %d begins to execute on %s", t.Task, t.Attempt, w.heartbeat.Machine)
+	for other, status := range sim.tasksOnMachines(false) {
+		if other != w && status.Task == t.Task {
+			sim.reportViolation("ran twice: %s begins on %s while it executes on %s", t.Task, w.heartbeat.Machine, other.heartbeat.Machine)
 		}
 	}
 	j := sim.jobOf(t.Task)
-	if !j.confirmed.IsZero() {
-		sim.violation("ran_cancelled: %s begins on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
+	if !j.cancelConfirmedAt.IsZero() {
+		sim.reportViolation("ran after cancellation: %s begins on %s %v after its user was told that it is cancelled", t.Task, w.heartbeat.Machine, sim.now().Sub(j.cancelConfirmedAt))
 	}
-	if use, most := sim.use(j.team, false)+j.cpus, teamLimits[j.team]; use > most {
-		sim.violation("quota: %s begins on %s, and team %s uses %g of %g CPUs", t.Task, k.rep.Machine, j.team, use, most)
+	if inUse, limit := sim.cpusInUse(j.team, false)+j.cpus, teamLimits[j.team]; inUse > limit {
+		sim.reportViolation("quota exceeded: %s begins on %s, and team %s uses %g CPUs of at most %g", t.Task, w.heartbeat.Machine, j.team, inUse, limit)
 	}
-	if why := j.fits(k, sim.siblings(j, t.Task, false)); why != "" {
-		sim.violation("wrong_place: %s begins on %s: %s", t.Task, k.rep.Machine, why)
+	if why := j.placementViolation(w, sim.otherTasksByZone(j, t.Task, false)); why != "" {
+		sim.reportViolation("wrong placement: %s begins on %s: %s", t.Task, w.heartbeat.Machine, why)
 	}
 }
 
-// checkCancelled looks for tasks of cancelled jobs. The lock is held.
+// checkCancelled checks that no task executes for longer than cancel_s after its job's user was told that the job
+// is cancelled. The caller holds sim.mu.
 func (sim *simulation) checkCancelled() {
-	limit := seconds(sim.site.cancelS)
-	for k, t := range sim.onMachines(false) {
-		if j := sim.jobOf(t.Task); !j.confirmed.IsZero() && sim.now().Sub(j.confirmed) > limit {
-			sim.violation("ran_cancelled: %s is on %s %v after its user was told", t.Task, k.rep.Machine, sim.now().Sub(j.confirmed))
+	limit := seconds(sim.deployment.cancelS)
+	for w, t := range sim.tasksOnMachines(false) {
+		if j := sim.jobOf(t.Task); !j.cancelConfirmedAt.IsZero() && sim.now().Sub(j.cancelConfirmedAt) > limit {
+			sim.reportViolation("ran after cancellation: %s executes on %s %v after its user was told that it is cancelled", t.Task, w.heartbeat.Machine, sim.now().Sub(j.cancelConfirmedAt))
 		}
 	}
 }
 
-// checkServed looks, once all faults are over, for jobs that are forgotten or left waiting. The lock is held.
-func (sim *simulation) checkServed() {
-	if sim.calmSince.at.IsZero() {
+// checkNoJobLost checks, once all faults are over, that requests about each job are answered and that no job waits
+// while a machine has room for it. The caller holds sim.mu.
+func (sim *simulation) checkNoJobLost() {
+	if sim.faultsOverSince.simulated.IsZero() {
 		return
 	}
 	for _, j := range sim.jobs {
-		if !j.accepted || j.history.level == ended {
+		if !j.accepted || j.history.level == levelEnded {
 			continue
 		}
-		heard := j.heard
-		if heard.at.Before(sim.calmSince.at) {
-			heard = sim.calmSince
+		lastAnswered := j.lastAnswered
+		if lastAnswered.simulated.Before(sim.faultsOverSince.simulated) {
+			lastAnswered = sim.faultsOverSince
 		}
-		if sim.past(heard, silence, patience) {
-			sim.violation("forgotten: no question about %s is answered for %v", j.id, sim.now().Sub(heard.at))
+		if sim.bothElapsed(lastAnswered, maxUnanswered, minRealTime) {
+			sim.reportViolation("job lost: no request about %s was answered for %v", j.id, sim.now().Sub(lastAnswered.simulated))
 		}
-		switch machine := sim.roomFor(j); {
+		switch machine := sim.machineWithRoom(j); {
 		case machine == "":
-			j.roomy = sent{}
-		case j.roomy.at.IsZero():
-			j.roomy = sim.moment()
-		case sim.past(j.roomy, waitMax, patience):
-			sim.violation("waits: %s for %v, and %s has room", j.id, sim.now().Sub(j.roomy.at), machine)
+			j.roomSince = instant{}
+		case j.roomSince.simulated.IsZero():
+			j.roomSince = sim.instant()
+		case sim.bothElapsed(j.roomSince, maxWaitWithRoom, minRealTime):
+			sim.reportViolation("left waiting: %s has waited for %v while %s has room", j.id, sim.now().Sub(j.roomSince.simulated), machine)
 		}
 	}
 }
--- a/internal/sim/faults/scenario_test.go
+++ b/internal/sim/faults/scenario_test.go
@@ -6,59 +6,61 @@
 	"time"
 )
 
-// simulate has a meeting in a simulation of its own, with the leases of a deployment of three controllers and of one of five.
-func simulate(t *testing.T, seed uint64, fn func(sim *simulation)) {
+// simulate runs a scenario twice, each time in a simulation of its own: in a deployment of three controllers with
+// leases of 10 s and in one of five with leases of 18 s. The scenario begins when there is a leader.
+func simulate(t *testing.T, seed uint64, scenario func(sim *simulation)) {
 	for _, name := range []string{"lease 10, three", "lease 18, five"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sim := newSimulation(t, sites[name], seed+*shift)
+			sim := newSimulation(t, deployments[name], seed+*seedShift)
 			sim.awaitLeader()
-			fn(sim)
+			scenario(sim)
 		})
 	}
 }
 
-// awaitLeader waits for a leader.
+// awaitLeader waits for a leader and returns it.
 func (sim *simulation) awaitLeader() (n *node) {
 	sim.t.Helper()
 	sim.waitFor("a leader", time.Minute, func() bool { n = sim.leader(); return n != nil })
 	return n
 }
 
-// leases gives a time between two bounds, in leases.
-func (sim *simulation) leases(least, most float64) time.Duration {
-	return sim.seconds(least*sim.site.lease, most*sim.site.lease)
+// randomLeases returns a random duration between two bounds, which are multiples of a worker's lease.
+func (sim *simulation) randomLeases(least, most float64) time.Duration {
+	return sim.randomSeconds(least*sim.deployment.leaseS, most*sim.deployment.leaseS)
 }
 
-// restartLeader has the leader end now, and be back after some seconds.
+// restartLeader stops the leader, which starts again 1 to 4 s later.
 func (sim *simulation) restartLeader() {
 	sim.restart(sim.awaitLeader(), 1, 4)
 }
 
-// awaitRunning waits until some tasks run.
+// awaitRunning waits until at least that many tasks run.
 func (sim *simulation) awaitRunning(least int) {
 	sim.t.Helper()
-	sim.waitFor("tasks run", 5*time.Minute, sim.locked(func() bool {
+	sim.waitFor("enough tasks run", 5*time.Minute, sim.locked(func() bool {
 		n := 0
 		for _, j := range sim.jobs {
-			n += sim.running(j.id)
+			n += sim.tasksRunning(j.id)
 		}
 		return n >= least
 	}))
 }
 
-// submitter gives a function that has users submit some more jobs, each by its number.
-func (sim *simulation) submitter(of func(n int) spec) func(count int) {
+// submitter returns a function that submits the given number of jobs. The numbering continues from call to call;
+// specOf returns the spec of a job by its number.
+func (sim *simulation) submitter(specOf func(n int) jobSpec) func(count int) {
 	n := 0
 	return func(count int) {
 		for range count {
-			sim.submit(fmt.Sprintf("job-%d", n), of(n))
+			sim.submit(fmt.Sprintf("job-%d", n), specOf(n))
 			n++
 		}
 	}
 }
 
-// jobIDs names the jobs that hold.
+// jobIDs returns the IDs of the jobs for which holds is true.
 func (sim *simulation) jobIDs(holds func(*job) bool) (ids []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -70,7 +72,7 @@
 	return ids
 }
 
-// leaderOrAny gives the leader, or some controller if none leads.
+// leaderOrAny returns the leader, or a random controller if there is none.
 func (sim *simulation) leaderOrAny() *node {
 	if n := sim.leader(); n != nil {
 		return n
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -1,5 +1,7 @@
-// Package faults_test simulates a whole service in one process and injects faults into it: controllers, workers, users, the state
-// store, the cloud, and the network between them, on a clock that the tests control. The rules are checked from outside.
+// Package faults_test simulates a whole cluster in one process and injects faults into it. The simulation consists
+// of controllers, workers, users, the state service, the cloud and the network between them, on a clock that the
+// tests control. The scheduler's rules are checked from outside the controllers, from what workers run and what
+// users are told.
 package faults_test
 
 import (
@@ -23,138 +25,147 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// simulation is a whole service: several controllers, workers that report, hang and do not hear, users who submit, ask and cancel, a
-// state service that refuses, is down or carries transactions out late, and the ways between all of them. The rules are checked from
-// outside, by the workers and the users. Time goes on in steps, whatever is on its way: a call may take no time or, seen
-// from the clock, many seconds, as it may in a slow network. So the rules must hold however the goroutines are scheduled.
+// simulation is a simulated cluster. Several controllers run in it. Workers send heartbeats, hang or become
+// unreachable. Users submit, poll and cancel jobs. The state service refuses callers, is down or executes
+// transactions late. Network links between the controllers, and to the state service and the cloud, can be cut or
+// paused. The rules are checked from outside the controllers, by the workers and the users.
+//
+// Simulated time advances in steps, regardless of requests in flight: a call may take no simulated time or many
+// seconds, as in a slow network. So the rules must hold however the goroutines are scheduled.
 type simulation struct {
-	t         testing.TB
-	r         *rand.Rand
-	site      site
-	clock     *clockwork.FakeClock
-	state     *fakes.Store
-	cloud     *fakes.Cloud
-	nodes     []*node
-	client    *http.Client
-	startedAt time.Time
-	term      uint64         // the last that was seen to lead
-	asking    sync.WaitGroup // requests on their way
-	faults    []fault        // faults, and when they are over
-
-	rolling bool      // each leader ends soon
-	turn    time.Time // when the next one does
-
-	mu                  sync.Mutex // guards what follows; never held over a call
-	workers             []*worker
-	jobs                []*job
-	byID                map[string]*job
-	copied              []message
-	trace               strings.Builder
-	broken              string
-	starts              int
-	copyPercent         int      // percent of reports of which a copy comes late
-	copiesForNextLeader int      // percent of reports of which a copy reaches every controller as the next leader begins
-	heldCopies          [][]byte // those
-	lateCommandPercent  int      // percent of direct commands that are held up on their way, unanswered, and carried out once
-	delayedCommands     []lateCommands
-	paced               bool          // no step begins before the machine has done what the one before asked for
-	fastBoot            bool          // machines are up within 2 s
-	polling             bool          // users ask at all controllers after each answer that tells something new
-	links               time.Duration // how long reports, answers and direct commands are on their way at the most
-	cancelAtEnd         bool          // users cancel, ask and submit again as the last task of a job completes
-	calmSince           sent          // since when all faults are over
+	t                testing.TB
+	rng              *rand.Rand
+	deployment       deployment
+	clock            *clockwork.FakeClock
+	state            *fakes.Store
+	cloud            *fakes.Cloud
+	nodes            []*node
+	client           *http.Client
+	startedAt        time.Time
+	highestTerm      uint64         // highest term seen in the leader key
+	requestsInFlight sync.WaitGroup // users' requests, heartbeats and copies of heartbeats
+	faults           []fault        // active faults
+
+	rollingRestarts bool      // each leader is stopped within seconds of becoming leader
+	nextRestart     time.Time // when the next leader is stopped
+
+	mu                    sync.Mutex // guards the fields below; never held during a call
+	workers               []*worker
+	jobs                  []*job
+	jobsByID              map[string]*job
+	heartbeatCopies       []heartbeatCopy
+	trace                 strings.Builder
+	firstViolation        string
+	taskStarts            int
+	copyPercent           int      // percent of heartbeats of which a copy arrives later
+	nextLeaderCopyPercent int      // percent of heartbeats of which a copy reaches every controller when the next leader starts
+	nextLeaderCopies      [][]byte // encoded heartbeats that wait for the next leader
+	delayedCommandPercent int      // percent of direct commands that get no answer and are executed seconds later, once
+	delayedCommands       []delayedCommand
+	paced                 bool          // each step waits in real time for the calls of the previous one (awaitCalls)
+	fastBoot              bool          // machines send their first heartbeat within 2 s
+	pollOnChange          bool          // users poll all controllers after each answer that shows a new state of a job
+	maxLatency            time.Duration // maximum one-way latency of heartbeats, their answers and direct commands; 0: none
+	cancelAtJobEnd        bool          // users poll, resubmit and perhaps cancel a job when its last task completes
+	faultsOverSince       instant       // since when no fault is active; zero while faults may occur
 }
 
-// lockedSource is a source of chance for several goroutines.
+// lockedSource is a source of random numbers that is safe for concurrent use.
 type lockedSource struct {
-	mu  sync.Mutex
-	src rand.Source
+	mu     sync.Mutex
+	source rand.Source
 }
 
-func (d *lockedSource) Uint64() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.src.Uint64()
+func (s *lockedSource) Uint64() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source.Uint64()
 }
 
-// site is what a deployment sets.
-type site struct {
-	nodes          int
-	lease, cancelS float64
-	report, imageS float64
-	machines       int
+// deployment describes a deployment: the number of controllers, the workers' lease, the time within which the tasks
+// of a cancelled job must end, the heartbeat interval, the longest fetch of an image (all in seconds), and the
+// number of machines that the cloud can rent out.
+type deployment struct {
+	nodes                      int
+	leaseS, cancelS            float64
+	heartbeatS, imageFetchMaxS float64
+	cloudCapacity              int
 }
 
-// patience is how long a condition may take by the machine's clock beyond its bound by the simulation's: what a starved machine needs.
-const patience = 20 * time.Second
+// minRealTime is the minimum time by the real clock before a bound on simulated time counts as exceeded. A host
+// that is short of CPU needs it to catch up with the simulated clock.
+const minRealTime = 20 * time.Second
 
 const (
-	// callPatience is the machine's time for the controllers' calls to each other in a paced step: a call on loopback takes well under a
-	// millisecond on an idle machine.
-	callPatience = 5 * time.Millisecond
-	// answerPatience bounds how long a paced step waits for heartbeats on their way.
-	answerPatience = time.Second
+	// controllerCallTime is the real time that a paced step leaves for the controllers' calls to each other. A call
+	// on loopback takes well under a millisecond on an idle host.
+	controllerCallTime = 5 * time.Millisecond
+	// heartbeatAnswerTime bounds the real time that a paced step waits for answers to heartbeats in flight.
+	heartbeatAnswerTime = time.Second
 )
 
-// simulations is how many there were.
-var simulations atomic.Int32
+// simulationCount is the number of simulations started in this process. It gives each one its own addresses.
+var simulationCount atomic.Int32
 
-// teamLimits are the teams and how many CPUs each may use; typeCPUs are the machine types' CPUs.
+// teamLimits holds each team's limit in CPUs; typeCPUs holds the number of CPUs of each machine type.
 var (
 	teamLimits = map[string]float64{"t": 8000, "small": 16, "tight": 24}
 	typeCPUs   = map[string]float64{"g8": 16, "m4": 8}
 )
 
-func newSimulation(t testing.TB, s site, seed uint64) *simulation {
+// newSimulation starts a cluster. When the test ends, it reports violations found since the last step and stops
+// everything.
+func newSimulation(t testing.TB, params deployment, seed uint64) *simulation {
 	clock := clockwork.NewFakeClock()
 	sim := &simulation{
-		t: t, r: rand.New(&lockedSource{src: rand.NewPCG(seed, 5)}), site: s, clock: clock, byID: map[string]*job{}, state: fakes.NewStore(clock), startedAt: clock.Now(),
-		cloud: fakes.NewCloud(s.machines,
+		t: t, rng: rand.New(&lockedSource{source: rand.NewPCG(seed, 5)}), deployment: params, clock: clock, jobsByID: map[string]*job{}, state: fakes.NewStore(clock), startedAt: clock.Now(),
+		cloud: fakes.NewCloud(params.cloudCapacity,
 			wire.MachineType{Name: "g8", CPUs: typeCPUs["g8"], MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"a", "b"}},
 			wire.MachineType{Name: "m4", CPUs: typeCPUs["m4"], MemoryGB: 32, Price: 0.6, SpotPrice: 0.25, BootS: 5, Zones: []string{"b"}}),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}},
 	}
-	// An address of its own for each simulation, and ports that no connection is given: they are free when a controller is back.
-	n := int(simulations.Add(1))
-	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, n/250, 1+n%250)
-	for i := range s.nodes {
+	// Each simulation has its own loopback address. The ports are outside the range from which outgoing connections
+	// get theirs, so they are still free when a controller restarts.
+	number := int(simulationCount.Add(1))
+	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, number/250, 1+number%250)
+	for i := range params.nodes {
 		n := &node{
-			w: sim, name: fmt.Sprintf("m%d", i), bind: fmt.Sprintf("%s:%d", host, 20001+i), mesh: fmt.Sprintf("%s:%d", host, 21001+i),
-			zone: string(rune('a' + i%2)), clock: clockwork.NewFakeClockAt(clock.Now()), endpoint: sim.state.Endpoint(), links: map[string]*link{},
+			sim: sim, name: fmt.Sprintf("m%d", i), bindAddr: fmt.Sprintf("%s:%d", host, 20001+i), meshAddr: fmt.Sprintf("%s:%d", host, 21001+i),
+			zone: string(rune('a' + i%2)), clock: clockwork.NewFakeClockAt(clock.Now()), endpoint: sim.state.Endpoint(), peerLinks: map[string]*link{},
 		}
-		way := func(to string) string {
-			g := newLink(t, to)
-			n.ways = append(n.ways, g)
-			return g.l.Addr().String()
+		connect := func(to string) string {
+			link := newLink(t, to)
+			n.externalLinks = append(n.externalLinks, link)
+			return link.listener.Addr().String()
 		}
-		n.addr, n.toState, n.toCloud = way(n.bind), way(n.endpoint.Addr()), way(sim.cloud.Addr())
+		n.addr, n.stateAddr, n.cloudAddr = connect(n.bindAddr), connect(n.endpoint.Addr()), connect(sim.cloud.Addr())
 		sim.nodes = append(sim.nodes, n)
 	}
 	for _, n := range sim.nodes {
 		for _, o := range sim.nodes {
 			if o != n {
-				n.links[o.name] = newLink(t, o.mesh)
+				n.peerLinks[o.name] = newLink(t, o.meshAddr)
 			}
 		}
 	}
 	for _, n := range sim.nodes {
-		n.boot()
+		n.start()
 	}
 	t.Cleanup(func() {
-		sim.asking.Wait()
+		sim.requestsInFlight.Wait()
 		sim.mu.Lock()
-		if sim.broken != "" && !t.Failed() { // since the last step
-			t.Errorf("%s\n%s", sim.broken, sim.trace.String())
+		if sim.firstViolation != "" && !t.Failed() { // found since the last step
+			t.Errorf("%s\n%s", sim.firstViolation, sim.trace.String())
 		}
 		sim.mu.Unlock()
 		for _, n := range sim.nodes {
-			n.end()
+			n.kill()
 		}
 		sim.state.DelayAnswers(nil)
-		sim.clock.Advance(time.Minute) // what still waits at the state service goes on
-		for _, k := range sim.workers {
-			k.srv.CloseClientConnections()
-			k.srv.Close()
+		sim.clock.Advance(time.Minute) // requests that still wait in the state service proceed
+		for _, w := range sim.workers {
+			w.server.CloseClientConnections()
+			w.server.Close()
 		}
 		sim.client.CloseIdleConnections()
 		sim.state.Close()
@@ -163,50 +174,52 @@
 	return sim
 }
 
-// holds has some workers reach one controller alone, which leads; nil: all reach all again.
-func (sim *simulation) holds(n *node, workers []*worker) {
-	_, term := sim.holder()
+// limitWorkersTo lets workers reach only controller n and receive direct commands only of the present term. With n
+// nil they reach all controllers again.
+func (sim *simulation) limitWorkersTo(n *node, workers []*worker) {
+	_, term := sim.observeLeaderKey()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, k := range workers {
-		k.only, k.term = n, term
+	for _, w := range workers {
+		w.onlyNode, w.onlyNodeTerm = n, term
 	}
 }
 
-// holder gives the controller that the leader key names, and its term.
-func (sim *simulation) holder() (n *node, term uint64) {
+// observeLeaderKey returns the controller that the leader key names, nil if none, and its term. When the term is
+// new, it also delivers the messages that are meant to arrive late at a new leader or after it has acted.
+func (sim *simulation) observeLeaderKey() (holder *node, term uint64) {
 	member, term := sim.state.Holder()
 	if i := slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == member }); i >= 0 {
-		n = sim.nodes[i]
+		holder = sim.nodes[i]
 	}
-	if term > sim.term {
-		sim.term = term
-		sim.logFault("%s leads in term %d", member, term)
+	if term > sim.highestTerm {
+		sim.highestTerm = term
+		sim.recordEvent("%s leads in term %d", member, term)
 		sim.mu.Lock()
-		kept := sim.heldCopies
-		sim.heldCopies = nil
-		for i := range sim.delayedCommands { // of those of the leader before, half arrive as the next one acts
-			if sim.r.IntN(2) == 0 {
-				sim.delayedCommands[i].at = sim.now().Add(sim.seconds(0, 8))
+		copies := sim.nextLeaderCopies
+		sim.nextLeaderCopies = nil
+		for i := range sim.delayedCommands { // half of the previous leader's delayed commands arrive as the new leader acts
+			if sim.rng.IntN(2) == 0 {
+				sim.delayedCommands[i].deliverAt = sim.now().Add(sim.randomSeconds(0, 8))
 			}
 		}
 		sim.mu.Unlock()
-		for _, raw := range kept {
-			if sim.r.IntN(2) == 0 { // one that is held back until the new leader has acted
-				sim.copied = append(sim.copied, message{sim.now().Add(sim.seconds(1, 12)), raw, true})
+		for _, raw := range copies {
+			if sim.rng.IntN(2) == 0 { // half of the copies arrive only after the new leader has acted
+				sim.heartbeatCopies = append(sim.heartbeatCopies, heartbeatCopy{sim.now().Add(sim.randomSeconds(1, 12)), raw, true})
 				continue
 			}
 			for _, n := range sim.nodes {
-				sim.deliver(raw, n)
+				sim.deliverCopy(raw, n)
 			}
 		}
 	}
-	return n, term
+	return holder, term
 }
 
-// leader gives the controller that leads, by the leader key; nil if none does, or it is down.
+// leader returns the controller that the leader key names; nil if there is none or if it is down.
 func (sim *simulation) leader() *node {
-	if n, _ := sim.holder(); n != nil && n.stop != nil {
+	if n, _ := sim.observeLeaderKey(); n != nil && n.stop != nil {
 		return n
 	}
 	return nil
@@ -214,28 +227,29 @@
 
 func (sim *simulation) now() time.Time { return sim.clock.Now() }
 
-// record adds to the trace. The lock is held.
+// record adds a line to the trace. The caller holds sim.mu.
 func (sim *simulation) record(format string, args ...any) {
 	fmt.Fprintf(&sim.trace, "%v ", sim.now().Sub(sim.startedAt))
 	fmt.Fprintf(&sim.trace, format, args...)
 	sim.trace.WriteByte('\n')
 }
 
-// violation takes in that a rule is broken. The lock is held.
-func (sim *simulation) violation(format string, args ...any) {
-	sim.record("BROKEN "+format, args...)
-	if sim.broken == "" {
-		sim.broken = fmt.Sprintf(format, args...)
+// reportViolation records that a rule is violated; the test fails at the next check. The caller holds sim.mu.
+func (sim *simulation) reportViolation(format string, args ...any) {
+	sim.record("VIOLATION "+format, args...)
+	if sim.firstViolation == "" {
+		sim.firstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (sim *simulation) logFault(format string, args ...any) {
+// recordEvent is record for callers that do not hold sim.mu.
+func (sim *simulation) recordEvent(format string, args ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.record(format, args...)
 }
 
-// call sends a request and reads the JSON that comes back; status 0: nothing did.
+// call sends a request, decodes the JSON answer into out and returns its status; 0 means that no valid answer arrived.
 func (sim *simulation) call(ctx context.Context, method, url string, raw []byte, out any) int {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
 	if err != nil {
@@ -253,14 +267,14 @@
 	return resp.StatusCode
 }
 
-// anyNode gives a controller that is up, or one that is not if none is.
+// anyNode returns a random controller, after ten failed attempts even one that is down.
 func (sim *simulation) anyNode() *node {
-	n := sim.nodes[sim.r.IntN(len(sim.nodes))]
+	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	for range 10 {
 		if n.stop != nil {
 			break
 		}
-		n = sim.nodes[sim.r.IntN(len(sim.nodes))]
+		n = sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	}
 	return n
 }
@@ -269,75 +283,75 @@
 	return sim.call(ctx, http.MethodPost, url, raw, out)
 }
 
-// seconds gives a time between two bounds.
-func (sim *simulation) seconds(least, most float64) time.Duration {
-	return seconds(least + sim.r.Float64()*(most-least))
+// randomSeconds returns a random duration between two bounds in seconds.
+func (sim *simulation) randomSeconds(least, most float64) time.Duration {
+	return seconds(least + sim.rng.Float64()*(most-least))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// tick is one step of time.
-const tick = 250 * time.Millisecond
+// stepTime is the simulated time by which a step advances the clock.
+const stepTime = 250 * time.Millisecond
 
-// step lets everybody do what is due, and time go on.
+// step lets all parts of the simulation do what is due, checks the rules and advances the clock by stepTime.
 func (sim *simulation) step() {
-	sim.startWorkers()
+	sim.syncWorkers()
 	sim.endFaults(false)
-	if n := sim.leader(); sim.rolling && n != nil && !sim.now().Before(sim.turn) {
+	if n := sim.leader(); sim.rollingRestarts && n != nil && !sim.now().Before(sim.nextRestart) {
 		sim.restart(n, 0.2, 2)
-		sim.turn = sim.now().Add(sim.seconds(3, 12))
+		sim.nextRestart = sim.now().Add(sim.randomSeconds(3, 12))
 	}
 	for _, n := range sim.nodes {
-		if n.stop == nil && !sim.now().Before(n.back) {
-			sim.logFault("%s is back", n.name)
-			n.boot()
+		if n.stop == nil && !sim.now().Before(n.restartAt) {
+			sim.recordEvent("%s restarts", n.name)
+			n.start()
 		}
 	}
 	sim.mu.Lock()
 	workers, jobs := slices.Clone(sim.workers), slices.Clone(sim.jobs)
-	var due []message
-	sim.delayedCommands = slices.DeleteFunc(sim.delayedCommands, func(l lateCommands) bool {
-		if sim.now().Before(l.at) {
+	var due []heartbeatCopy
+	sim.delayedCommands = slices.DeleteFunc(sim.delayedCommands, func(delayed delayedCommand) bool {
+		if sim.now().Before(delayed.deliverAt) {
 			return false
 		}
-		l.to.delay(l.commands)
+		delayed.to.receiveDelayed(delayed.request)
 		return true
 	})
-	sim.copied = slices.DeleteFunc(sim.copied, func(l message) bool {
-		if sim.now().Before(l.at) {
+	sim.heartbeatCopies = slices.DeleteFunc(sim.heartbeatCopies, func(copied heartbeatCopy) bool {
+		if sim.now().Before(copied.deliverAt) {
 			return false
 		}
-		due = append(due, l)
+		due = append(due, copied)
 		return true
 	})
 	sim.mu.Unlock()
-	for _, l := range due {
-		if !l.all {
-			sim.deliver(l.raw, sim.anyNode())
+	for _, copied := range due {
+		if !copied.toAll {
+			sim.deliverCopy(copied.raw, sim.anyNode())
 			continue
 		}
 		for _, n := range sim.nodes {
-			sim.deliver(l.raw, n)
+			sim.deliverCopy(copied.raw, n)
 		}
 	}
-	for _, k := range workers {
-		k.sendHeartbeats()
+	for _, w := range workers {
+		w.sendDueHeartbeat()
 	}
 	for _, j := range jobs {
-		sim.poll(j)
+		sim.sendDueRequests(j)
 	}
-	sim.check()
-	sim.clock.Advance(tick)
+	sim.checkRules()
+	sim.clock.Advance(stepTime)
 	sim.state.Expire()
-	// What was due gets a moment of the machine: a call and its answer from each.
+	// Calling each controller and waiting for its answer gives its goroutines real time for the work that is due.
 	for _, n := range sim.nodes {
 		sim.mu.Lock()
-		still := n.still
+		stalled := n.stalled
 		sim.mu.Unlock()
-		if !still {
+		if !stalled {
 			n.syncClock()
 		}
-		if n.stop == nil || still {
+		if n.stop == nil || stalled {
 			continue
 		}
 		if resp, err := sim.client.Get("http://" + n.addr + wire.PathHealth); err == nil {
@@ -345,76 +359,79 @@
 		}
 	}
 	if sim.paced {
-		sim.keepPace()
+		sim.awaitCalls()
 	}
 }
 
-// keepPace has the machine follow the clock: the controllers have a moment for their calls to each other, and heartbeats on their way are
-// answered, or had answerPatience for it. What has to happen within a lease depends on that, where all else is as it should be.
-func (sim *simulation) keepPace() {
+// awaitCalls lets real time keep up with simulated time: it leaves the controllers time for their calls to each
+// other and waits up to heartbeatAnswerTime for the answers to heartbeats in flight. Tests set paced if something
+// must happen within a lease, which a host short of CPU would otherwise prevent.
+func (sim *simulation) awaitCalls() {
 	answered := sim.locked(func() bool {
-		return !slices.ContainsFunc(sim.workers, func(k *worker) bool { return k.waits != nil })
+		return !slices.ContainsFunc(sim.workers, func(w *worker) bool { return w.abortHeartbeat != nil })
 	})
-	time.Sleep(callPatience)
-	for begun := time.Now(); !answered() && time.Since(begun) < answerPatience; {
+	time.Sleep(controllerCallTime)
+	for start := time.Now(); !answered() && time.Since(start) < heartbeatAnswerTime; {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// deliver has a copy of a report arrive; its answer reaches nobody.
-func (sim *simulation) deliver(raw []byte, n *node) {
-	sim.asking.Go(func() {
+// deliverCopy delivers a heartbeat to a controller and drops the answer.
+func (sim *simulation) deliverCopy(raw []byte, n *node) {
+	sim.requestsInFlight.Go(func() {
 		var out map[string]any
 		sim.post(sim.t.Context(), "http://"+n.addr+wire.PathHeartbeat, raw, &out)
 	})
 }
 
-// settle ends all faults.
-func (sim *simulation) settle() {
+// endAllFaults ends all faults and sets faultsOverSince to when the last restart and machine impairment will be over.
+func (sim *simulation) endAllFaults() {
 	sim.endFaults(true)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.calmSince = sim.moment()
+	sim.faultsOverSince = sim.instant()
 	for _, n := range sim.nodes {
-		if n.stop == nil && n.back.After(sim.calmSince.at) {
-			sim.calmSince.at = n.back
+		if n.stop == nil && n.restartAt.After(sim.faultsOverSince.simulated) {
+			sim.faultsOverSince.simulated = n.restartAt
 		}
 	}
-	for _, k := range sim.workers { // what is wrong with machines ends by itself
-		for _, until := range []time.Time{k.hangs, k.deaf, k.lost, k.mute} {
-			if until.After(sim.calmSince.at) {
-				sim.calmSince.at = until
+	for _, w := range sim.workers { // impairments of machines end by themselves
+		for _, until := range []time.Time{w.hungUntil, w.receivesNothingUntil, w.disconnectedUntil, w.noHeartbeatsUntil} {
+			if until.After(sim.faultsOverSince.simulated) {
+				sim.faultsOverSince.simulated = until
 			}
 		}
 	}
-	sim.record("all is over from %v on", sim.calmSince.at.Sub(sim.startedAt))
+	sim.record("all faults are over from %v on", sim.faultsOverSince.simulated.Sub(sim.startedAt))
 }
 
-// advance lets time pass.
+// advance runs steps for a simulated duration.
 func (sim *simulation) advance(d time.Duration) {
-	for ; d > 0; d -= tick {
+	for ; d > 0; d -= stepTime {
 		sim.step()
 	}
 }
 
-// waitFor lets time pass until a condition holds, for a time at the most.
-func (sim *simulation) waitFor(what string, most time.Duration, holds func() bool) time.Duration {
+// waitFor runs steps until a condition holds and returns the simulated time that this took. It fails the test if
+// the condition does not hold within the limit.
+func (sim *simulation) waitFor(condition string, limit time.Duration, holds func() bool) time.Duration {
 	sim.t.Helper()
-	begun := sim.now()
-	started := time.Now()
+	start := sim.now()
+	realStart := time.Now()
 	for !holds() {
-		// Both bounds: what it takes by the clock, and that a starved machine had time to do it.
-		if sim.now().Sub(begun) > most && time.Since(started) > patience {
+		// Both clocks must be past their bounds: a host that is short of CPU gets real time to meet the simulated
+		// limit.
+		if sim.now().Sub(start) > limit && time.Since(realStart) > minRealTime {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			sim.t.Fatalf("never happened: %s\n%s%s", what, sim.trace.String(), sim.unfinished())
+			sim.t.Fatalf("condition not met in time: %s\n%s%s", condition, sim.trace.String(), sim.describeUnfinished())
 		}
 		sim.step()
 	}
-	return sim.now().Sub(begun)
+	return sim.now().Sub(start)
 }
 
-// locked tells whether something holds, under the lock.
+// locked returns a function that calls fn while it holds sim.mu.
 func (sim *simulation) locked(fn func() bool) func() bool {
 	return func() bool {
 		sim.mu.Lock()
@@ -423,7 +440,7 @@
 	}
 }
 
-// all tells whether something holds of all jobs.
-func (sim *simulation) all(fn func(*job) bool) func() bool {
+// allJobs returns a function that reports whether fn is true for all jobs.
+func (sim *simulation) allJobs(fn func(*job) bool) func() bool {
 	return sim.locked(func() bool { return !slices.ContainsFunc(sim.jobs, func(j *job) bool { return !fn(j) }) })
 }
--- a/internal/sim/faults/users_test.go
+++ b/internal/sim/faults/users_test.go
@@ -9,71 +9,74 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// spec is what a user asks for; what is left out is as most jobs have it.
-type spec struct {
-	kind     string   // array, if it is empty
-	team     string   // t, if it is empty
-	priority string   // standard, if it is empty
-	tasks    int      // 1, if it is 0
-	cpus     float64  // 4, if it is 0
-	stub     float64  // seconds between checkpoints
-	runS     float64  // for how long its tasks run; 0: 20 to 120 s
-	types    []string // nil: any
-	zone     string   // empty: any
-	oneZone  bool
-	apart    bool
-	noSpot   bool
-	lacks    string // a field that its submission lacks
+// jobSpec is what a user submits. Zero values give the defaults noted below.
+type jobSpec struct {
+	kind         string   // default: array
+	team         string   // default: t
+	priority     string   // default: standard
+	tasks        int      // default: 1
+	cpus         float64  // CPUs per task; default: 4
+	checkpointS  float64  // seconds between checkpoints; 0: none
+	runS         float64  // run time of its tasks in seconds; 0: random, 20 to 120 s. Services run until they are cancelled.
+	types        []string // allowed machine types; nil: any
+	zone         string   // zone in which its tasks must run; empty: any
+	sameZone     bool     // all tasks must run in the same zone
+	spreadZones  bool     // the tasks must be spread across zones
+	noSpot       bool     // no spot machines
+	omittedField string   // field that its submission lacks
 }
 
-// job is a job, as its user knows it.
+// job is a job as its user knows it.
 type job struct {
-	spec
-	id       string
-	raw      []byte // its submission
-	accepted bool
-	asked    bool               // its user wants it cancelled
-	polling  context.CancelFunc // its poll is on its way; nil: none is
-	polled   sent               // when that was sent
-	asking   context.CancelFunc // its submission or request to cancel is on its way; nil: none is
-	sent     sent
-	next     time.Time // when it is asked about next
-	cancelAt time.Time // when its cancellation, or its submission, is asked for next
-	history  history
+	jobSpec
+	id            string
+	submission    []byte             // encoded body of the submission
+	accepted      bool               // an answer showed that it is accepted
+	cancelWanted  bool               // its user wants it cancelled, and asks until this is answered
+	abortPoll     context.CancelFunc // aborts the poll in flight; nil: none
+	polledAt      instant            // when that poll was sent
+	abortRequest  context.CancelFunc // aborts the submission or cancellation in flight; nil: none
+	requestSentAt instant
+	nextPoll      time.Time // when the next poll is due
+	nextRequest   time.Time // when the next submission or cancellation is due
+	history       history
 
-	confirmed time.Time // when its user was told that it is cancelled
-	done      bool      // its user was told
-	completed map[string]bool
-	heard     sent // when an answer about it came last
-	roomy     sent // since when it waits though there is room; zero: it does not
+	cancelConfirmedAt time.Time       // when its user was first told that it is cancelled; zero: not yet
+	done              bool            // its user was told that it is done
+	completed         map[string]bool // tasks that completed on their machines
+	lastAnswered      instant         // when an answer about it last arrived
+	roomSince         instant         // since when a task of it waits although a machine has room; zero: none does
 }
 
-// sent is a moment by the simulation's clock and by the machine's: a bound holds only once both are past it, since a starved machine
-// may let the simulation's go on alone.
-type sent struct{ at, real time.Time }
+// instant is a point in time by the simulated and the real clock. A time bound counts as exceeded only when both
+// clocks are past it: on a host that is short of CPU the simulated clock may advance while nothing else does.
+type instant struct{ simulated, real time.Time }
 
-func (sim *simulation) moment() sent { return sent{sim.now(), time.Now()} }
+// instant returns the present time by both clocks.
+func (sim *simulation) instant() instant { return instant{sim.now(), time.Now()} }
 
-func (sim *simulation) past(s sent, d, wall time.Duration) bool {
-	return sim.now().Sub(s.at) > d && time.Since(s.real) > wall
+// bothElapsed reports whether more than the given simulated and real time has passed since an instant.
+func (sim *simulation) bothElapsed(since instant, simulatedTime, realTime time.Duration) bool {
+	return sim.now().Sub(since.simulated) > simulatedTime && time.Since(since.real) > realTime
 }
 
+// How far a job has advanced, as its users were told.
 const (
-	unknown = iota
-	accepted
-	ended
+	levelUnknown = iota
+	levelAccepted
+	levelEnded
 )
 
-// submit has a user submit a job, again and again until it is accepted.
-func (sim *simulation) submit(id string, s spec) *job {
-	or := func(v *string, most string) {
-		if *v == "" {
-			*v = most
+// submit makes a user submit a job, repeatedly until it is accepted.
+func (sim *simulation) submit(id string, s jobSpec) *job {
+	setDefault := func(field *string, fallback string) {
+		if *field == "" {
+			*field = fallback
 		}
 	}
-	or(&s.kind, "array")
-	or(&s.team, "t")
-	or(&s.priority, "standard")
+	setDefault(&s.kind, "array")
+	setDefault(&s.team, "t")
+	setDefault(&s.priority, "standard")
 	if s.tasks == 0 {
 		s.tasks = 1
 	}
@@ -82,35 +85,36 @@
 	}
 	fields := map[string]any{
 		"ref": id, "lane": "l", "desk": s.team, "shape": s.kind, "urgency": s.priority, "seats": s.tasks, "cpus": s.cpus, "gpus": 0.0, "mem_gb": 1.0,
-		"bundle": "img", "image_gb": 1.0, "builds": s.types, "yard": nil, "same_place": s.oneZone, "apart": s.apart, "standby": !s.noSpot,
-		"ride_s": 10.0, "stub_s": s.stub, "stamp_s": s.stub / 10,
+		"bundle": "img", "image_gb": 1.0, "builds": s.types, "yard": nil, "same_place": s.sameZone, "apart": s.spreadZones, "standby": !s.noSpot,
+		"ride_s": 10.0, "stub_s": s.checkpointS, "stamp_s": s.checkpointS / 10,
 	}
 	if s.zone != "" {
 		fields["yard"] = s.zone
 	}
-	delete(fields, s.lacks)
+	delete(fields, s.omittedField)
 	raw, err := json.Marshal(fields)
 	if err != nil {
 		sim.t.Fatal(err)
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	j := &job{spec: s, id: id, raw: raw, completed: map[string]bool{}, next: sim.now(), cancelAt: sim.now(), heard: sim.moment()}
+	j := &job{jobSpec: s, id: id, submission: raw, completed: map[string]bool{}, nextPoll: sim.now(), nextRequest: sim.now(), lastAnswered: sim.instant()}
 	sim.jobs = append(sim.jobs, j)
-	sim.byID[id] = j
+	sim.jobsByID[id] = j
 	return j
 }
 
+// jobOf returns the job of a task. It reports a violation if nobody submitted that job. The caller holds sim.mu.
 func (sim *simulation) jobOf(task string) *job {
-	j := sim.byID[fakes.JobOf(task)]
+	j := sim.jobsByID[fakes.JobOf(task)]
 	if j == nil {
-		sim.violation("invented: task %s of a job that nobody submitted", task)
+		sim.reportViolation("unknown job: task %s belongs to a job that nobody submitted", task)
 		return &job{id: fakes.JobOf(task), completed: map[string]bool{}}
 	}
 	return j
 }
 
-// runTime is how long a task runs.
+// runTime returns how long a task runs. The caller holds sim.mu.
 func (sim *simulation) runTime(task string) time.Duration {
 	j := sim.jobOf(task)
 	switch {
@@ -119,187 +123,190 @@
 	case j.runS > 0:
 		return seconds(j.runS)
 	}
-	return time.Duration(20+sim.r.IntN(100)) * time.Second
+	return time.Duration(20+sim.rng.IntN(100)) * time.Second
 }
 
-// request is one of a user's.
-type request int
+// requestKind is a kind of request that users send.
+type requestKind int
 
 const (
-	poll request = iota
-	submission
-	cancellation
+	requestPoll requestKind = iota
+	requestSubmit
+	requestCancel
 )
 
-// send sends a request about a job to a controller and takes in its answer. It returns when that is there.
-func (sim *simulation) send(ctx context.Context, j *job, n *node, what request) {
+// send sends a request about a job to a controller, waits for the answer and records it.
+func (sim *simulation) send(ctx context.Context, j *job, n *node, kind requestKind) {
 	sim.mu.Lock()
 	before := j.history
 	sim.mu.Unlock()
-	url, body, method := "http://"+n.addr+"/v2/runs", j.raw, http.MethodPost
-	switch what {
-	case poll:
+	url, body, method := "http://"+n.addr+"/v2/runs", j.submission, http.MethodPost
+	switch kind {
+	case requestPoll:
 		url, body, method = url+"/"+j.id, nil, http.MethodGet
-	case cancellation:
+	case requestCancel:
 		url, body = url+"/"+j.id+"/cancel", nil
 	}
 	var out struct{ Status, Error string }
 	status := sim.call(ctx, method, url, body, &out)
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.recordAnswer(j, n, what, before, status, out.Status, out.Error)
+	sim.recordAnswer(j, n, kind, before, status, out.Status, out.Error)
 }
 
-// recordAnswer takes in an answer. The lock is held.
-func (sim *simulation) recordAnswer(j *job, n *node, what request, before history, status int, state, text string) {
-	if what == submission && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
-		sim.violation("forgotten: %s is refused by %s with %d: %s", j.id, n.name, status, text)
+// recordAnswer checks the answer of a controller to a request about a job and records what it says. The argument
+// before is the history when the request was sent. The caller holds sim.mu.
+func (sim *simulation) recordAnswer(j *job, n *node, kind requestKind, before history, status int, state, text string) {
+	if kind == requestSubmit && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity) {
+		sim.reportViolation("job lost: submission of %s is refused by %s with %d: %s", j.id, n.name, status, text)
 		return
 	}
-	if what == cancellation && status == http.StatusOK && state != "done" && state != "withdrawn" {
-		sim.violation("went_back: the cancellation of %s is answered %s by %s", j.id, state, n.name)
+	if kind == requestCancel && status == http.StatusOK && state != "done" && state != "withdrawn" {
+		sim.reportViolation("state regressed: the cancellation of %s is answered with state %s by %s", j.id, state, n.name)
 	}
-	_, told := levelOf(status, state)
-	if !told {
+	_, informative := levelOf(status, state)
+	if !informative {
 		return
 	}
-	was := j.history
-	if broken := j.history.take(before, status, state); broken != "" {
-		sim.violation("%s: %s by %s", broken, j.id, n.name)
+	previous := j.history
+	if violation := j.history.observe(before, status, state); violation != "" {
+		sim.reportViolation("%s: %s by %s", violation, j.id, n.name)
 	}
-	j.heard = sim.moment()
-	if j.history.level == was.level {
+	j.lastAnswered = sim.instant()
+	if j.history.level == previous.level {
 		return
 	}
-	sim.record("%s: %s is told %d %s", j.id, n.name, status, state)
-	if j.history.level >= accepted {
+	sim.record("%s: %s answers %d %s", j.id, n.name, status, state)
+	if j.history.level >= levelAccepted {
 		j.accepted = true
 	}
 	switch {
-	case j.history.level != ended:
+	case j.history.level != levelEnded:
 	case state == "done":
 		if j.done = true; len(j.completed) < j.tasks {
-			sim.violation("not_done: %s is called done with %d of %d tasks", j.id, len(j.completed), j.tasks)
+			sim.reportViolation("done too early: %s is reported done with %d of %d tasks completed", j.id, len(j.completed), j.tasks)
 		}
 	default:
-		if j.confirmed = sim.now(); !j.asked {
-			sim.violation("went_back: %s is called cancelled, and nobody cancelled it", j.id)
+		if j.cancelConfirmedAt = sim.now(); !j.cancelWanted {
+			sim.reportViolation("state regressed: %s is reported cancelled, but nobody cancelled it", j.id)
 		}
 	}
-	if sim.polling {
+	if sim.pollOnChange {
 		sim.pollEverywhere(j)
 	}
 }
 
-// pollClosely begins or ends close looks.
-func (sim *simulation) pollClosely(on bool) {
+// setPollOnChange sets whether users poll all controllers after each answer that shows a new state of a job.
+func (sim *simulation) setPollOnChange(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.polling = on
+	sim.pollOnChange = on
 }
 
-// pollEverywhere has users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at
-// once. The lock is held.
+// pollEverywhere makes users poll all controllers about a job three times within milliseconds and repeat the
+// submission. Some jobs are cancelled at the same time. The caller holds sim.mu.
 func (sim *simulation) pollEverywhere(j *job) {
-	if !j.asked && j.history.level == accepted && sim.r.IntN(8) == 0 {
-		j.asked = true
-		sim.record("%s is to be cancelled at once", j.id)
+	if !j.cancelWanted && j.history.level == levelAccepted && sim.rng.IntN(8) == 0 {
+		j.cancelWanted = true
+		sim.record("user of %s wants to cancel it at once", j.id)
 	}
-	cancels := j.asked
+	cancelWanted := j.cancelWanted
 	for i, n := range sim.nodes {
-		sim.asking.Go(func() {
+		sim.requestsInFlight.Go(func() {
 			for round := range 3 {
-				sim.send(sim.t.Context(), j, n, poll)
+				sim.send(sim.t.Context(), j, n, requestPoll)
 				if round == i%3 {
-					sim.send(sim.t.Context(), j, n, submission)
+					sim.send(sim.t.Context(), j, n, requestSubmit)
 				}
-				if cancels && round == 1 {
-					sim.send(sim.t.Context(), j, n, cancellation)
+				if cancelWanted && round == 1 {
+					sim.send(sim.t.Context(), j, n, requestCancel)
 				}
 			}
 		})
 	}
 }
 
-// poll has a user ask about a job every 5 s, and submit or cancel it every second until that is answered. The simulation goes on
-// meanwhile; a user waits for 5 s, and for 2 s when it asks.
-func (sim *simulation) poll(j *job) {
+// sendDueRequests sends the requests about a job that are due: a poll about every 5 s, and the submission or
+// cancellation every second until it is answered. It does not wait for the answers. A user aborts a poll after 2 s
+// and other requests after 5 s.
+func (sim *simulation) sendDueRequests(j *job) {
 	n := sim.anyNode()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	now := sim.now()
-	if j.polling != nil && sim.past(j.polled, 2*time.Second, time.Second) {
-		j.polling()
+	if j.abortPoll != nil && sim.bothElapsed(j.polledAt, 2*time.Second, time.Second) {
+		j.abortPoll()
 	}
-	if j.asking != nil && sim.past(j.sent, 5*time.Second, time.Second) {
-		j.asking()
+	if j.abortRequest != nil && sim.bothElapsed(j.requestSentAt, 5*time.Second, time.Second) {
+		j.abortRequest()
 	}
-	over := j.history.level == ended
-	if j.accepted && j.polling == nil && !now.Before(j.next) {
-		j.next = now.Add(sim.seconds(4, 6))
-		if over {
-			j.next = now.Add(sim.seconds(15, 25))
+	ended := j.history.level == levelEnded
+	if j.accepted && j.abortPoll == nil && !now.Before(j.nextPoll) {
+		j.nextPoll = now.Add(sim.randomSeconds(4, 6))
+		if ended {
+			j.nextPoll = now.Add(sim.randomSeconds(15, 25))
 		}
-		j.polled = sim.moment()
-		sim.sendAsync(j, n, poll, &j.polling)
+		j.polledAt = sim.instant()
+		sim.startRequest(j, n, requestPoll, &j.abortPoll)
 	}
-	if j.asking != nil || now.Before(j.cancelAt) || j.accepted && (!j.asked || over) {
+	if j.abortRequest != nil || now.Before(j.nextRequest) || j.accepted && (!j.cancelWanted || ended) {
 		return
 	}
-	what := cancellation
+	kind := requestCancel
 	if !j.accepted {
-		what = submission
+		kind = requestSubmit
 	}
-	j.cancelAt = now.Add(time.Second)
-	j.sent = sim.moment()
-	sim.sendAsync(j, n, what, &j.asking)
+	j.nextRequest = now.Add(time.Second)
+	j.requestSentAt = sim.instant()
+	sim.startRequest(j, n, kind, &j.abortRequest)
 }
 
-// sendAsync sends a request while the simulation goes on; giveUp ends it, and is nil again once it is over. The lock is held.
-func (sim *simulation) sendAsync(j *job, n *node, what request, giveUp *context.CancelFunc) {
+// startRequest sends a request and returns at once. It sets *abort to a function that aborts the request, and back
+// to nil when the request has ended. The caller holds sim.mu.
+func (sim *simulation) startRequest(j *job, n *node, kind requestKind, abort *context.CancelFunc) {
 	ctx, cancel := context.WithCancel(sim.t.Context())
-	*giveUp = cancel
-	sim.asking.Go(func() {
+	*abort = cancel
+	sim.requestsInFlight.Go(func() {
 		defer cancel()
-		sim.send(ctx, j, n, what)
+		sim.send(ctx, j, n, kind)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		*giveUp = nil
+		*abort = nil
 	})
 }
 
-// cancel has a job's user want it cancelled from now on.
+// cancel makes a job's user request its cancellation from now on, unless the user was told that it is done.
 func (sim *simulation) cancel(id string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, j := range sim.jobs {
 		if j.id == id && !j.done {
-			j.asked, j.cancelAt = true, sim.now()
-			sim.record("%s is to be cancelled", id)
+			j.cancelWanted, j.nextRequest = true, sim.now()
+			sim.record("user of %s wants to cancel it", id)
 		}
 	}
 }
 
-// cancelServices has the users of all services want them cancelled: they hold their teams' room until then.
+// cancelServices cancels all services, which use their teams' quota until then.
 func (sim *simulation) cancelServices() {
 	for _, id := range sim.jobIDs(func(j *job) bool { return j.kind == "service" }) {
 		sim.cancel(id)
 	}
 }
 
-// taskCompleted takes in that a task has completed on its machine. The lock is held.
+// taskCompleted records that a task has completed on its machine. The caller holds sim.mu.
 func (sim *simulation) taskCompleted(j *job, task string) {
 	j.completed[task] = true
-	if !sim.cancelAtEnd || len(j.completed) < j.tasks {
+	if !sim.cancelAtJobEnd || len(j.completed) < j.tasks {
 		return
 	}
-	if sim.r.IntN(2) == 0 {
-		j.asked, j.cancelAt = true, sim.now()
+	if sim.rng.IntN(2) == 0 {
+		j.cancelWanted, j.nextRequest = true, sim.now()
 	}
 	sim.pollEverywhere(j)
 }
 
 const (
-	silence = 75 * time.Second // a job about which no question is answered for so long is forgotten
-	waitMax = 90 * time.Second // a job that waits for so long beside room breaks a rule
+	maxUnanswered   = 75 * time.Second // a job counts as lost if no request about it is answered for longer
+	maxWaitWithRoom = 90 * time.Second // a job must not wait for longer while a machine has room for it
 )
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -12,301 +12,320 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// worker is a worker and its machine.
+// worker is a simulated worker with its machine.
 type worker struct {
-	w                       *simulation
-	rep                     wire.Heartbeat
-	srv                     *httptest.Server
-	gone                    bool
-	seen                    time.Time // when the last answered report was sent
-	next                    time.Time
-	at                      int // which controller it reports to
-	sent                    time.Time
-	waits                   context.CancelFunc          // its report is on its way; nil: none is
-	due                     map[fakes.Attempt]time.Time // when the present state of a task is over
-	hangs, deaf, lost, mute time.Time                   // until when; lost: no way to any controller or from it; mute: direct commands come
-	held                    []wire.DirectCommands
-	only                    *node  // the one controller that it reaches, and that reaches it; nil: all
-	term                    uint64 // that one's
+	sim             *simulation
+	heartbeat       wire.Heartbeat // the worker's state, as its next heartbeat reports it
+	server          *httptest.Server
+	removed         bool      // its machine no longer exists
+	leaseStart      time.Time // when the last heartbeat that was answered was sent; the lease runs from then
+	nextHeartbeat   time.Time
+	reportsTo       int                         // index of the controller to which it sends heartbeats
+	heartbeatSentAt time.Time                   // when the last heartbeat was sent
+	abortHeartbeat  context.CancelFunc          // aborts the heartbeat in flight; nil: none
+	stateEnds       map[fakes.Attempt]time.Time // when a task's present state ends
+
+	// Until when a fault lasts.
+	hungUntil, // executes, sends and receives nothing
+	receivesNothingUntil, // neither commands nor answers arrive; heartbeats do leave
+	disconnectedUntil, // nothing passes to or from any controller; tasks run on
+	noHeartbeatsUntil time.Time // heartbeats do not leave; direct commands arrive and are answered
+
+	deferredCommands []wire.DirectCommands // arrived when the worker could not act; executed when it next acts
+	onlyNode         *node                 // the only controller that it reaches and that reaches it; nil: all
+	onlyNodeTerm     uint64                // term of that controller; direct commands of other terms are lost
 }
 
-// message is a copy of a report that comes again.
-type message struct {
-	at  time.Time
-	raw []byte
-	all bool // it reaches every controller
+// heartbeatCopy is a copy of a heartbeat that arrives later than the original.
+type heartbeatCopy struct {
+	deliverAt time.Time
+	raw       []byte
+	toAll     bool // it is delivered to every controller instead of a random one
 }
 
-// lateCommands are direct commands that are held up on their way.
-type lateCommands struct {
-	at       time.Time
-	to       *worker
-	commands wire.DirectCommands
+// delayedCommand is a request with direct commands that arrives late.
+type delayedCommand struct {
+	deliverAt time.Time
+	to        *worker
+	request   wire.DirectCommands
 }
 
-// delay has a direct command arrive of which its sender heard nothing. The lock is held.
-func (k *worker) delay(q wire.DirectCommands) {
-	k.run()
+// receiveDelayed handles a delayed request with direct commands; its sender gets no answer. The caller holds sim.mu.
+func (w *worker) receiveDelayed(request wire.DirectCommands) {
+	w.catchUp()
 	switch {
-	case k.gone || k.w.now().Before(k.lost) || k.w.now().Before(k.deaf) || k.only != nil && q.FencingToken != k.term: // it is lost
-	case k.away():
-		k.held = append(k.held, q)
+	case w.removed || w.sim.now().Before(w.disconnectedUntil) || w.sim.now().Before(w.receivesNothingUntil) || w.onlyNode != nil && request.FencingToken != w.onlyNodeTerm: // the request is lost
+	case w.unresponsive():
+		w.deferredCommands = append(w.deferredCommands, request)
 	default:
-		k.carryOut(q, "late ")
+		w.handleCommands(request, "late ")
 	}
 }
 
-// heldBack tells whether the leader of a term stands still, so that nothing that it sent is on its way. The lock is held.
-func (sim *simulation) heldBack(term uint64) bool {
-	return slices.ContainsFunc(sim.nodes, func(n *node) bool { return n.still && n.term != 0 && n.term == term })
+// leaderStalled reports whether the leader of a term is stalled. Direct commands do not pass through a link, so the
+// worker itself holds back those of a stalled leader. The caller holds sim.mu.
+func (sim *simulation) leaderStalled(term uint64) bool {
+	return slices.ContainsFunc(sim.nodes, func(n *node) bool { return n.stalled && n.stalledTerm != 0 && n.stalledTerm == term })
 }
 
-// startWorkers makes the cloud's machines workers, and ends those that it no longer has.
-func (sim *simulation) startWorkers() {
-	there := sim.cloud.Machines()
+// syncWorkers starts a worker on each new machine of the cloud and ends the workers whose machines no longer exist.
+func (sim *simulation) syncWorkers() {
+	listed := sim.cloud.Machines()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, m := range there {
-		if !slices.ContainsFunc(sim.workers, func(k *worker) bool { return k.rep.Machine == m.Name }) {
+	for _, m := range listed {
+		if !slices.ContainsFunc(sim.workers, func(w *worker) bool { return w.heartbeat.Machine == m.Name }) {
 			now := sim.now()
-			k := &worker{w: sim, seen: now, next: now.Add(sim.bootTime()), due: map[fakes.Attempt]time.Time{}, at: sim.r.IntN(len(sim.nodes))}
+			w := &worker{sim: sim, leaseStart: now, nextHeartbeat: now.Add(sim.bootTime()), stateEnds: map[fakes.Attempt]time.Time{}, reportsTo: sim.rng.IntN(len(sim.nodes))}
 			mux := http.NewServeMux()
-			mux.HandleFunc("POST "+wire.PathCommands, k.direct)
-			mux.HandleFunc("GET "+wire.PathWorkerHeartbeat, k.show)
-			k.srv = httptest.NewServer(mux)
-			k.rep = wire.Heartbeat{Machine: m.Name, Address: k.srv.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
-			sim.workers = append(sim.workers, k)
-			sim.record("%s in %s", m.Name, m.Zone)
+			mux.HandleFunc("POST "+wire.PathCommands, w.serveCommands)
+			mux.HandleFunc("GET "+wire.PathWorkerHeartbeat, w.serveHeartbeat)
+			w.server = httptest.NewServer(mux)
+			w.heartbeat = wire.Heartbeat{Machine: m.Name, Address: w.server.Listener.Addr().String(), Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Tasks: []wire.TaskStatus{}}
+			sim.workers = append(sim.workers, w)
+			sim.record("%s is rented in zone %s", m.Name, m.Zone)
 		}
 	}
-	for _, k := range sim.workers {
-		if !k.gone && !slices.ContainsFunc(there, func(m wire.ListedMachine) bool { return m.Name == k.rep.Machine }) {
-			k.gone = true
-			sim.record("%s is returned", k.rep.Machine)
-			k.rep.Tasks = nil
+	for _, w := range sim.workers {
+		if !w.removed && !slices.ContainsFunc(listed, func(m wire.ListedMachine) bool { return m.Name == w.heartbeat.Machine }) {
+			w.removed = true
+			sim.record("%s no longer exists", w.heartbeat.Machine)
+			w.heartbeat.Tasks = nil
 		}
 	}
 }
 
-func (k *worker) away() bool { return k.gone || k.w.now().Before(k.hangs) || k.w.now().Before(k.lost) }
+// unresponsive reports whether the worker can neither send nor receive: removed, hung or disconnected. The caller
+// holds sim.mu.
+func (w *worker) unresponsive() bool {
+	return w.removed || w.sim.now().Before(w.hungUntil) || w.sim.now().Before(w.disconnectedUntil)
+}
 
-// impaired tells whether something is wrong with a worker that may keep it from work.
-func (k *worker) impaired() bool {
-	now := k.w.now()
-	return k.away() || k.only != nil || now.Before(k.deaf) || now.Before(k.mute)
+// impaired reports whether a fault affects the worker that may prevent it from starting tasks.
+func (w *worker) impaired() bool {
+	now := w.sim.now()
+	return w.unresponsive() || w.onlyNode != nil || now.Before(w.receivesNothingUntil) || now.Before(w.noHeartbeatsUntil)
 }
 
-// bootTime is how long a machine takes until it reports: 5 s, or up to 2 s while machines are up at once.
+// bootTime returns the time until a new machine sends its first heartbeat: 5 s, or up to 2 s if fastBoot is set.
 func (sim *simulation) bootTime() time.Duration {
 	if sim.fastBoot {
-		return sim.seconds(0, 2)
+		return sim.randomSeconds(0, 2)
 	}
 	return 5 * time.Second
 }
 
-// present tells whether a task is on its machine: it has its image, and nothing ended it.
-func present(s wire.TaskState) bool { return s == wire.TaskRunning || s == wire.TaskSaving }
+// isExecuting reports whether a task in this state executes on its machine: its image is fetched and the task has
+// not exited.
+func isExecuting(s wire.TaskState) bool { return s == wire.TaskRunning || s == wire.TaskSaving }
 
-// run brings a worker up to now: its lease, images, runs and saves. The lock is held.
-func (k *worker) run() {
-	now := k.w.now()
-	if k.gone || now.Before(k.hangs) {
+// catchUp advances a worker to the present: the expiry of its lease, deferred commands, and its tasks' fetches,
+// runs and saves. A hung worker does nothing. The caller holds sim.mu.
+func (w *worker) catchUp() {
+	now := w.sim.now()
+	if w.removed || now.Before(w.hungUntil) {
 		return
 	}
-	if k.over() {
-		k.w.record("%s: session %d is over with %d tasks", k.rep.Machine, k.rep.Incarnation, len(k.rep.Tasks))
-		k.rep.Incarnation, k.seen, k.rep.Tasks, k.held = k.rep.Incarnation+1, now, []wire.TaskStatus{}, nil
-		k.next = now
-		clear(k.due)
+	if w.leaseExpired() {
+		w.sim.record("%s: lease expired, incarnation %d ends with %d tasks", w.heartbeat.Machine, w.heartbeat.Incarnation, len(w.heartbeat.Tasks))
+		w.heartbeat.Incarnation, w.leaseStart, w.heartbeat.Tasks, w.deferredCommands = w.heartbeat.Incarnation+1, now, []wire.TaskStatus{}, nil
+		w.nextHeartbeat = now
+		clear(w.stateEnds)
 	}
-	if len(k.held) > 0 {
-		held := k.held
-		k.held = nil
-		for _, q := range held {
-			k.carryOut(q, "late ")
+	if len(w.deferredCommands) > 0 {
+		deferred := w.deferredCommands
+		w.deferredCommands = nil
+		for _, request := range deferred {
+			w.handleCommands(request, "late ")
 		}
 	}
-	for i := range k.rep.Tasks {
-		t := &k.rep.Tasks[i]
+	for i := range w.heartbeat.Tasks {
+		t := &w.heartbeat.Tasks[i]
 		key := fakes.Attempt{Task: t.Task, Attempt: t.Attempt}
 		switch {
-		case t.State == wire.TaskFetching && !now.Before(k.due[key]):
-			k.w.taskBegan(k, t)
+		case t.State == wire.TaskFetching && !now.Before(w.stateEnds[key]):
+			w.sim.taskBegan(w, t)
 			t.State = wire.TaskRunning
-			k.due[key] = now.Add(k.w.runTime(t.Task))
-			k.next = now
-		case t.State == wire.TaskRunning && !now.Before(k.due[key]):
+			w.stateEnds[key] = now.Add(w.sim.runTime(t.Task))
+			w.nextHeartbeat = now
+		case t.State == wire.TaskRunning && !now.Before(w.stateEnds[key]):
 			t.State, t.Reason = wire.TaskExited, wire.ExitDone
-			k.w.taskCompleted(k.w.jobOf(t.Task), t.Task)
-			k.next = now
-		case t.State == wire.TaskSaving && !now.Before(k.due[key]):
+			w.sim.taskCompleted(w.sim.jobOf(t.Task), t.Task)
+			w.nextHeartbeat = now
+		case t.State == wire.TaskSaving && !now.Before(w.stateEnds[key]):
 			t.State, t.Reason, t.Saved = wire.TaskExited, wire.ExitStopped, true
-			k.next = now
+			w.nextHeartbeat = now
 		}
 	}
 }
 
-// over tells whether a worker's lease is over, so that it kills its tasks before it does anything else: the protocol has it look at
-// its lease first when it goes on after it hung.
-func (k *worker) over() bool {
-	return k.w.now().Sub(k.seen) > seconds(k.w.site.lease)
+// leaseExpired reports whether the worker's lease has expired. The worker then kills its tasks before it does
+// anything else: the protocol requires that it checks its lease first when it resumes after it hung.
+func (w *worker) leaseExpired() bool {
+	return w.sim.now().Sub(w.leaseStart) > seconds(w.sim.deployment.leaseS)
 }
 
-// carryOut executes direct commands, late or not, and tells whether token and session allowed it. The lock is held.
-func (k *worker) carryOut(q wire.DirectCommands, when string) bool {
-	if q.FencingToken < k.rep.FencingToken || q.Incarnation != k.rep.Incarnation {
+// handleCommands executes direct commands if their fencing token and incarnation are valid, and reports whether
+// they were. The prefix goes to the trace. The caller holds sim.mu.
+func (w *worker) handleCommands(request wire.DirectCommands, prefix string) bool {
+	if request.FencingToken < w.heartbeat.FencingToken || request.Incarnation != w.heartbeat.Incarnation {
 		return false
 	}
-	if q.FencingToken > k.rep.FencingToken {
-		k.rep.FencingToken, k.next = q.FencingToken, k.w.now()
+	if request.FencingToken > w.heartbeat.FencingToken {
+		w.heartbeat.FencingToken, w.nextHeartbeat = request.FencingToken, w.sim.now()
 	}
-	k.execute(q.Commands, when+"direct")
+	w.execute(request.Commands, prefix+"direct")
 	return true
 }
 
-func (k *worker) direct(rw http.ResponseWriter, r *http.Request) {
-	var q wire.DirectCommands
-	if json.NewDecoder(r.Body).Decode(&q) != nil {
+// serveCommands serves requests with direct commands. Depending on the active faults a request is delayed, deferred
+// or lost.
+func (w *worker) serveCommands(rw http.ResponseWriter, r *http.Request) {
+	var request wire.DirectCommands
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	k.w.mu.Lock()
-	defer k.w.mu.Unlock()
-	if d := k.w.latency(); d > 0 {
-		k.w.mu.Unlock()
-		k.w.sleep(k.w.t.Context(), d) // it is executed late, also when its sender has given it up
-		k.w.mu.Lock()
+	w.sim.mu.Lock()
+	defer w.sim.mu.Unlock()
+	if d := w.sim.latency(); d > 0 {
+		w.sim.mu.Unlock()
+		w.sim.sleep(w.sim.t.Context(), d) // the commands are executed even if their sender has stopped waiting
+		w.sim.mu.Lock()
 	}
-	for k.w.heldBack(q.FencingToken) {
-		k.w.mu.Unlock()
-		k.w.sleep(k.w.t.Context(), tick)
-		k.w.mu.Lock()
+	for w.sim.leaderStalled(request.FencingToken) {
+		w.sim.mu.Unlock()
+		w.sim.sleep(w.sim.t.Context(), stepTime)
+		w.sim.mu.Lock()
 	}
-	k.run()
-	if k.w.r.IntN(100) < k.w.lateCommandPercent {
-		k.w.delayedCommands = append(k.w.delayedCommands, lateCommands{k.w.now().Add(k.w.seconds(2, 16)), k, q})
+	w.catchUp()
+	if w.sim.rng.IntN(100) < w.sim.delayedCommandPercent {
+		w.sim.delayedCommands = append(w.sim.delayedCommands, delayedCommand{w.sim.now().Add(w.sim.randomSeconds(2, 16)), w, request})
 		panic(http.ErrAbortHandler)
 	}
-	if now := k.w.now(); k.away() || now.Before(k.deaf) || k.only != nil && q.FencingToken != k.term {
-		if !k.gone && !now.Before(k.deaf) && k.w.r.IntN(2) == 0 {
-			k.held = append(k.held, q) // it is carried out when the machine goes on
+	if now := w.sim.now(); w.unresponsive() || now.Before(w.receivesNothingUntil) || w.onlyNode != nil && request.FencingToken != w.onlyNodeTerm {
+		if !w.removed && !now.Before(w.receivesNothingUntil) && w.sim.rng.IntN(2) == 0 {
+			w.deferredCommands = append(w.deferredCommands, request) // executed when the worker next acts
 		}
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
-	if !k.carryOut(q, "") {
+	if !w.handleCommands(request, "") {
 		status = http.StatusConflict
 	}
-	k.rep.Seq++
-	raw, _ := json.Marshal(k.rep) // plain data
+	w.heartbeat.Seq++
+	raw, _ := json.Marshal(w.heartbeat) // cannot fail: plain data
 	rw.WriteHeader(status)
 	_, _ = rw.Write(raw)
 }
 
-func (k *worker) show(rw http.ResponseWriter, _ *http.Request) {
-	k.w.mu.Lock()
-	defer k.w.mu.Unlock()
-	k.run()
-	// One that reaches a single controller answers whoever asks: who that is cannot be seen here, and the one that keeps it asks.
-	if k.away() || k.w.now().Before(k.deaf) {
+// serveHeartbeat answers a controller's query for the worker's status.
+func (w *worker) serveHeartbeat(rw http.ResponseWriter, _ *http.Request) {
+	w.sim.mu.Lock()
+	defer w.sim.mu.Unlock()
+	w.catchUp()
+	// A worker that only one controller reaches answers queries of all: a query does not name its sender, and the
+	// controller that renews the worker's lease sends queries.
+	if w.unresponsive() || w.sim.now().Before(w.receivesNothingUntil) {
 		panic(http.ErrAbortHandler)
 	}
-	k.rep.Seq++
-	raw, _ := json.Marshal(k.rep)
+	w.heartbeat.Seq++
+	raw, _ := json.Marshal(w.heartbeat)
 	_, _ = rw.Write(raw)
 }
 
-// execute executes commands. The lock is held.
-func (k *worker) execute(commands []wire.Command, how string) {
-	now := k.w.now()
+// execute executes commands; source names their origin in the trace. The caller holds sim.mu.
+func (w *worker) execute(commands []wire.Command, source string) {
+	now := w.sim.now()
 	for _, c := range commands {
-		i := slices.IndexFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		i := slices.IndexFunc(w.heartbeat.Tasks, func(t wire.TaskStatus) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		key := fakes.Attempt{Task: c.Task, Attempt: c.Attempt}
 		switch {
 		case c.Op == wire.OpStart && i < 0:
 			t := wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}
-			if slices.ContainsFunc(k.rep.Tasks, func(o wire.TaskStatus) bool { return o.Task == c.Task && o.State != wire.TaskExited }) {
+			if slices.ContainsFunc(w.heartbeat.Tasks, func(other wire.TaskStatus) bool { return other.Task == c.Task && other.State != wire.TaskExited }) {
 				t.State, t.Reason = wire.TaskExited, wire.ExitBusy
 			}
-			k.w.record("%s attempt %d starts on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
-			k.due[key] = now.Add(k.w.seconds(0, k.w.site.imageS))
-			k.rep.Tasks = append(k.rep.Tasks, t)
-			k.next = now
-		case c.Op == wire.OpStop && i >= 0 && k.rep.Tasks[i].State != wire.TaskExited:
-			t := &k.rep.Tasks[i]
-			k.w.record("%s attempt %d is stopped on %s by %s", c.Task, c.Attempt, k.rep.Machine, how)
+			w.sim.record("%s attempt %d starts on %s by %s", c.Task, c.Attempt, w.heartbeat.Machine, source)
+			w.stateEnds[key] = now.Add(w.sim.randomSeconds(0, w.sim.deployment.imageFetchMaxS))
+			w.heartbeat.Tasks = append(w.heartbeat.Tasks, t)
+			w.nextHeartbeat = now
+		case c.Op == wire.OpStop && i >= 0 && w.heartbeat.Tasks[i].State != wire.TaskExited:
+			t := &w.heartbeat.Tasks[i]
+			w.sim.record("%s attempt %d is stopped on %s by %s", c.Task, c.Attempt, w.heartbeat.Machine, source)
 			if c.GraceS != nil && *c.GraceS >= 4 && t.State == wire.TaskRunning {
-				t.State, k.due[key] = wire.TaskSaving, now.Add(4*time.Second)
+				t.State, w.stateEnds[key] = wire.TaskSaving, now.Add(4*time.Second)
 			} else {
 				t.State, t.Reason = wire.TaskExited, wire.ExitStopped
 			}
-			k.next = now
-		case c.Op == wire.OpForget && i >= 0 && k.rep.Tasks[i].State == wire.TaskExited:
-			k.rep.Tasks = slices.Delete(slices.Clone(k.rep.Tasks), i, i+1)
+			w.nextHeartbeat = now
+		case c.Op == wire.OpForget && i >= 0 && w.heartbeat.Tasks[i].State == wire.TaskExited:
+			w.heartbeat.Tasks = slices.Delete(slices.Clone(w.heartbeat.Tasks), i, i+1)
 		}
 	}
 }
 
-// sendHeartbeats has a worker report if it is time, and give up a report that had no answer for 4 s.
-func (k *worker) sendHeartbeats() {
-	sim := k.w
+// sendDueHeartbeat sends a heartbeat if one is due, and aborts one that has had no answer for 4 s.
+func (w *worker) sendDueHeartbeat() {
+	sim := w.sim
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	k.run()
+	w.catchUp()
 	now := sim.now()
-	if k.waits != nil && now.Sub(k.sent) >= 4*time.Second {
-		k.waits()
+	if w.abortHeartbeat != nil && now.Sub(w.heartbeatSentAt) >= 4*time.Second {
+		w.abortHeartbeat()
 	}
-	if k.waits != nil || k.away() || now.Before(k.next) {
+	if w.abortHeartbeat != nil || w.unresponsive() || now.Before(w.nextHeartbeat) {
 		return
 	}
-	k.rep.Seq++
-	session := k.rep.Incarnation
-	raw, _ := json.Marshal(k.rep)
-	to := sim.nodes[k.at%len(sim.nodes)]
-	if sim.r.IntN(100) < sim.copyPercent {
-		sim.copied = append(sim.copied, message{at: now.Add(sim.seconds(2, 2+1.5*sim.site.lease)), raw: raw})
+	w.heartbeat.Seq++
+	incarnation := w.heartbeat.Incarnation
+	raw, _ := json.Marshal(w.heartbeat)
+	node := sim.nodes[w.reportsTo%len(sim.nodes)]
+	if sim.rng.IntN(100) < sim.copyPercent {
+		sim.heartbeatCopies = append(sim.heartbeatCopies, heartbeatCopy{deliverAt: now.Add(sim.randomSeconds(2, 2+1.5*sim.deployment.leaseS)), raw: raw})
 	}
-	if sim.r.IntN(100) < sim.copiesForNextLeader {
-		sim.heldCopies = append(sim.heldCopies, raw)
+	if sim.rng.IntN(100) < sim.nextLeaderCopyPercent {
+		sim.nextLeaderCopies = append(sim.nextLeaderCopies, raw)
 	}
-	if k.only != nil && k.only != to || now.Before(k.mute) {
-		k.handleReply(0, nil, to, session)
+	if w.onlyNode != nil && w.onlyNode != node || now.Before(w.noHeartbeatsUntil) {
+		w.handleReply(0, nil, node, incarnation)
 		return
 	}
 	ctx, cancel := context.WithCancel(sim.t.Context())
-	k.waits, k.sent = cancel, now
-	there, back := sim.latency(), sim.latency()
-	sim.asking.Go(func() {
-		var a answer
+	w.abortHeartbeat, w.heartbeatSentAt = cancel, now
+	outbound, inbound := sim.latency(), sim.latency()
+	sim.requestsInFlight.Go(func() {
+		var answer heartbeatAnswer
 		status := 0
-		if sim.sleep(ctx, there) {
-			status = sim.post(ctx, "http://"+to.addr+wire.PathHeartbeat, raw, &a)
+		if sim.sleep(ctx, outbound) {
+			status = sim.post(ctx, "http://"+node.addr+wire.PathHeartbeat, raw, &answer)
 		} else {
-			sim.deliver(raw, to) // it arrives, though its worker has given it up
+			sim.deliverCopy(raw, node) // it still arrives, although the worker has stopped waiting
 		}
-		if !sim.sleep(ctx, back) {
+		if !sim.sleep(ctx, inbound) {
 			status = 0
 		}
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		if cancel(); sim.now().Sub(k.sent) > 4*time.Second {
+		if cancel(); sim.now().Sub(w.heartbeatSentAt) > 4*time.Second {
 			status = 0
 		}
-		k.waits = nil
-		k.handleReply(status, &a, to, session)
+		w.abortHeartbeat = nil
+		w.handleReply(status, &answer, node, incarnation)
 	})
 }
 
-// latency is how long a message is on its way: no time, or up to what slow links take. The lock is held.
+// latency returns the random one-way latency of a message: zero for half of them, else up to maxLatency. The caller
+// holds sim.mu.
 func (sim *simulation) latency() time.Duration {
-	if sim.links <= 0 || sim.r.IntN(2) == 0 {
+	if sim.maxLatency <= 0 || sim.rng.IntN(2) == 0 {
 		return 0
 	}
-	return sim.seconds(0, sim.links.Seconds())
+	return sim.randomSeconds(0, sim.maxLatency.Seconds())
 }
 
-// sleep lets time pass on the simulation's clock, and tells whether it did before ctx ended.
+// sleep waits for a simulated duration and reports whether it passed before ctx ended.
 func (sim *simulation) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -319,35 +338,36 @@
 	}
 }
 
-// answer is what a controller answers a report.
-type answer struct {
+// heartbeatAnswer is a controller's answer to a heartbeat: a reply or a redirect to the leader.
+type heartbeatAnswer struct {
 	wire.HeartbeatReply
 	wire.Redirect
 }
 
-// handleReply takes in the answer to the report that was sent last. The lock is held.
-func (k *worker) handleReply(status int, a *answer, by *node, session uint64) {
-	sim, now := k.w, k.w.now()
-	k.run()
-	if k.away() || now.Before(k.deaf) {
+// handleReply handles the answer to the last heartbeat, sent in the given incarnation, and sets when and to whom
+// the next one is sent. Status 0 means no answer. The caller holds sim.mu.
+func (w *worker) handleReply(status int, answer *heartbeatAnswer, from *node, incarnation uint64) {
+	sim, now := w.sim, w.sim.now()
+	w.catchUp()
+	if w.unresponsive() || now.Before(w.receivesNothingUntil) {
 		status = 0 // the answer is lost
 	}
-	pause := sim.seconds(0.75*sim.site.report, 1.25*sim.site.report)
+	pause := sim.randomSeconds(0.75*sim.deployment.heartbeatS, 1.25*sim.deployment.heartbeatS)
 	switch {
 	case status == http.StatusOK:
-		if a.FencingToken >= k.rep.FencingToken && session == k.rep.Incarnation {
-			k.rep.FencingToken, k.seen = a.FencingToken, k.sent
-			k.execute(a.Commands, by.name)
+		if answer.FencingToken >= w.heartbeat.FencingToken && incarnation == w.heartbeat.Incarnation {
+			w.heartbeat.FencingToken, w.leaseStart = answer.FencingToken, w.heartbeatSentAt
+			w.execute(answer.Commands, from.name)
 		}
-		if slices.ContainsFunc(k.rep.Tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskExited }) {
+		if slices.ContainsFunc(w.heartbeat.Tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskExited }) {
 			pause = 500 * time.Millisecond
 		}
-	case status == http.StatusMisdirectedRequest && a.ReportTo != "" && a.ReportTo != by.name:
-		k.at = slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == a.ReportTo })
+	case status == http.StatusMisdirectedRequest && answer.ReportTo != "" && answer.ReportTo != from.name:
+		w.reportsTo = slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == answer.ReportTo })
 		pause = 250 * time.Millisecond
 	default:
-		k.at = (k.at + 1) % len(sim.nodes)
+		w.reportsTo = (w.reportsTo + 1) % len(sim.nodes)
 		pause = time.Second
 	}
-	k.next = now.Add(pause)
+	w.nextHeartbeat = now.Add(pause)
 }
