--- a/internal/graphs/airflow/backfill.go
+++ b/internal/graphs/airflow/backfill.go
@@ -21,7 +21,7 @@
 	if body.From.IsZero() || body.To.Before(body.From) {
 		return nil, badRequest("from_date is missing, or behind to_date")
 	}
-	answer, err := h.order(r, runner.DoBackfill, runner.Order{Graph: body.DAG, From: body.From, To: body.To})
+	answer, err := h.execute(r, runner.DoBackfill, runner.Order{Graph: body.DAG, From: body.From, To: body.To})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/graphs/airflow/branches_test.go
+++ b/internal/graphs/airflow/branches_test.go
@@ -32,36 +32,36 @@
 	t.Helper()
 	var all []string
 	for _, r := range requests {
-		all = append(all, serveHeaders(mux, formatTeam, r))
+		all = append(all, serveToText(mux, formatTeam, r))
 	}
 	golden.Check(t, name, []byte(strings.Join(all, "\n\n")))
 }
 
-// serveHeaders returns a request's status, headers and body in one text. Without a team the request has no authentication.
-func serveHeaders(mux http.Handler, team string, r clientRequest) string {
-	request := httptest.NewRequest(r.method, PathAPI+r.path, strings.NewReader(r.body))
+// serveToText returns a request's status, headers and body in one text. Without a team the request has no authentication.
+func serveToText(mux http.Handler, team string, c clientRequest) string {
+	request := httptest.NewRequest(c.method, PathAPI+c.path, strings.NewReader(c.body))
 	if team != "" {
 		request.SetBasicAuth(team, "")
 	}
-	answer := httptest.NewRecorder()
-	mux.ServeHTTP(answer, request)
+	response := httptest.NewRecorder()
+	mux.ServeHTTP(response, request)
 
-	lines := []string{r.method + " " + r.path}
-	if len(r.body) < 1000 {
-		lines = append(lines, r.body)
+	lines := []string{c.method + " " + c.path}
+	if len(c.body) < 1000 {
+		lines = append(lines, c.body)
 	}
-	lines = append(lines, fmt.Sprint(answer.Code))
+	lines = append(lines, fmt.Sprint(response.Code))
 	var headers []string
-	for name, values := range answer.Header() {
+	for name, values := range response.Header() {
 		headers = append(headers, name+": "+strings.Join(values, ", "))
 	}
 	slices.Sort(headers)
-	return strings.Join(append(append(lines, headers...), answer.Body.String()), "\n")
+	return strings.Join(append(append(lines, headers...), response.Body.String()), "\n")
 }
 
 // Pages of lists: bounds, and numbers that are none.
 func TestPagesOfLists(t *testing.T) {
-	checkAnswers(t, "pages", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "pages", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?limit=-1", ""},
 		{"GET", "/dags/nightly/dagRuns?limit=x", ""},
 		{"GET", "/pools?offset=-1", ""},
@@ -78,7 +78,7 @@
 
 // Orders of lists, up and down, and orders that are not offered.
 func TestOrdersOfLists(t *testing.T) {
-	checkAnswers(t, "orders", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "orders", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?order_by=none", ""},
 		{"GET", "/dags/nightly/dagRuns?order_by=-none", ""},
 		{"GET", formatInstances + "?order_by=none", ""},
@@ -93,7 +93,7 @@
 
 // Filters of lists: what they leave out, and bounds that are no times.
 func TestFiltersOfLists(t *testing.T) {
-	checkAnswers(t, "filters", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "filters", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?paused=True", ""},
 		{"GET", "/dags?dag_id_pattern=%25day%25", ""},
 		{"GET", "/dags?tags=cpu", ""},
@@ -113,7 +113,7 @@
 
 // Requests for graphs that are malformed, or name what is not known.
 func TestRefusedGraphRequests(t *testing.T) {
-	checkAnswers(t, "refused-graphs", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "refused-graphs", newFormatFixture(t).mux, []clientRequest{
 		{"PUT", "/dags/nightly", "{"},
 		{"PUT", "/dags/nightly", ""},
 		{"PUT", "/dags/nightly", `{"steps":[{"id":"a","upstream":["a"]}]}`},
@@ -134,7 +134,7 @@
 
 // Requests for runs that are malformed, or name what is not known.
 func TestRefusedRunRequests(t *testing.T) {
-	checkAnswers(t, "refused-runs", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "refused-runs", newFormatFixture(t).mux, []clientRequest{
 		{"POST", "/dags/nightly/dagRuns", `{"logical_date":"soon"}`},
 		{"POST", "/dags/nightly/dagRuns", `{"note":1}`},
 		{"PATCH", formatRunPath, `{"state":1}`},
@@ -161,7 +161,7 @@
 
 // Instances, tries, results and pools that are not known, and what is listed when there are none.
 func TestInstanceBranches(t *testing.T) {
-	checkAnswers(t, "instance-branches", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "instance-branches", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags/nightly/dagRuns/none/taskInstances", ""},
 		{"GET", formatInstances + "/none", ""},
 		{"GET", formatInstances + "/second/x", ""},
@@ -185,7 +185,7 @@
 
 // A request names its team as the user, or else with the parameter, and is refused without one.
 func TestTeamOfRequest(t *testing.T) {
-	mux := newFormatWorld(t).mux
+	mux := newFormatFixture(t).mux
 	for _, c := range []struct{ name, team, path string }{
 		{"none", "", "/dags"},
 		{"parameter", "", "/dags?team=others"},
@@ -193,14 +193,14 @@
 		{"without-runs-malformed-bound", "others", "/dags/~/dagRuns?end_date_gte=soon"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			golden.Check(t, "team-"+c.name, []byte(serveHeaders(mux, c.team, clientRequest{"GET", c.path, ""})))
+			golden.Check(t, "team-"+c.name, []byte(serveToText(mux, c.team, clientRequest{"GET", c.path, ""})))
 		})
 	}
 }
 
 func TestBodyTooLarge(t *testing.T) {
 	large := strings.Repeat(" ", wire.MaxBody+1)
-	checkAnswers(t, "body-too-large", newFormatWorld(t).mux, []clientRequest{
+	checkAnswers(t, "body-too-large", newFormatFixture(t).mux, []clientRequest{
 		{"PUT", "/dags/nightly", large},
 		{"POST", "/dags/nightly/dagRuns", large},
 	})
@@ -208,14 +208,14 @@
 
 func TestSchemaIsServed(t *testing.T) {
 	answer := httptest.NewRecorder()
-	newFormatWorld(t).mux.ServeHTTP(answer, httptest.NewRequest("GET", PathAPI+"/schema", nil))
+	newFormatFixture(t).mux.ServeHTTP(answer, httptest.NewRequest("GET", PathAPI+"/schema", nil))
 	if answer.Code != http.StatusOK || answer.Header().Get("Content-Type") != "application/schema+json" || !bytes.Equal(answer.Body.Bytes(), schema) {
 		t.Errorf("status %d, headers %v, body %q", answer.Code, answer.Header(), answer.Body)
 	}
 }
 
-// leaderAnswering returns the handler's routes with a leader that answers every order and query the same.
-func leaderAnswering(t *testing.T, status int, body string) *http.ServeMux {
+// routesWithLeaderAnswer returns the handler's routes with a leader that answers every order and query the same.
+func routesWithLeaderAnswer(t *testing.T, status int, body string) *http.ServeMux {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
 	state := fakes.NewStore(clock)
@@ -234,7 +234,7 @@
 
 // What clients are told when the leader refuses, cannot be asked or answers what cannot be read.
 func TestLeaderRefusalAnswers(t *testing.T) {
-	for _, world := range []struct {
+	for _, c := range []struct {
 		name   string
 		status int
 		body   string
@@ -245,9 +245,9 @@
 		{"unreadable", http.StatusOK, `x`},
 		{"created", http.StatusCreated, `{}`},
 	} {
-		mux := leaderAnswering(t, world.status, world.body)
-		t.Run(world.name, func(t *testing.T) {
-			checkAnswers(t, "leader-"+world.name, mux, []clientRequest{
+		mux := routesWithLeaderAnswer(t, c.status, c.body)
+		t.Run(c.name, func(t *testing.T) {
+			checkAnswers(t, "leader-"+c.name, mux, []clientRequest{
 				{"PUT", "/dags/nightly", `{"definition":"00112233445566778899aabbccddeeff","parts":2}`},
 				{"PATCH", "/dags/nightly", `{"is_paused":true}`},
 				{"DELETE", "/dags/nightly", ""},
--- a/internal/graphs/airflow/clearing.go
+++ b/internal/graphs/airflow/clearing.go
@@ -19,8 +19,8 @@
 func (c *clearing) isOnlyFailed() bool  { return c.OnlyFailed == nil || *c.OnlyFailed }
 func (c *clearing) isOnlyRunning() bool { return c.OnlyRunning != nil && *c.OnlyRunning }
 
-// refuseUnoffered refuses what Airflow offers and this API does not.
-func (c *clearing) refuseUnoffered() error {
+// checkSupported refuses what Airflow offers and this API does not.
+func (c *clearing) checkSupported() error {
 	switch {
 	case c.Run == "":
 		return badRequest("dag_run_id is missing: steps are cleared in one run at a time")
@@ -53,7 +53,7 @@
 	if err := r.read(&c); err != nil {
 		return nil, err
 	}
-	if err := c.refuseUnoffered(); err != nil {
+	if err := c.checkSupported(); err != nil {
 		return nil, err
 	}
 	return h.clear(r, &c)
@@ -61,21 +61,21 @@
 
 // clear has steps go again unless it is a dry run, and lists them.
 func (h *Handler) clear(r *request, c *clearing) (any, error) {
-	v, err := h.runNamed(r, c.Run)
+	run, err := h.runNamed(r, c.Run)
 	if err != nil {
 		return nil, err
 	}
-	steps, err := v.Run.StepsToClear(c.Steps, c.Downstream, c.isOnlyFailed())
+	steps, err := run.Run.StepsToClear(c.Steps, c.Downstream, c.isOnlyFailed())
 	if err != nil {
 		return nil, badRequest("%s", err)
 	}
 	if !c.isDryRun() {
-		o := runner.Order{Graph: r.dagID(), Run: c.Run, Steps: c.Steps, Below: c.Downstream, OnlyFailed: c.isOnlyFailed()}
-		if _, err := h.order(r, runner.DoClear, o); err != nil {
+		order := runner.Order{Graph: r.dagID(), Run: c.Run, Steps: c.Steps, Below: c.Downstream, OnlyFailed: c.isOnlyFailed()}
+		if _, err := h.execute(r, runner.DoClear, order); err != nil {
 			return nil, err
 		}
 	}
-	return map[string]any{"task_instances": stepReferences(v, steps)}, nil
+	return map[string]any{"task_instances": stepReferences(run, steps)}, nil
 }
 
 // stepReference names a step of a run, as the answer to a clear has it.
@@ -86,10 +86,10 @@
 	Task      string  `json:"task_id"`
 }
 
-func stepReferences(v *runner.RunView, steps []int) []stepReference {
+func stepReferences(run *runner.RunView, steps []int) []stepReference {
 	references := []stepReference{}
 	for _, i := range steps {
-		references = append(references, stepReference{DAG: v.Graph, Run: v.ID, Execution: timestamp(v.Logical), Task: v.Run.Plan.Steps[i].ID})
+		references = append(references, stepReference{DAG: run.Graph, Run: run.ID, Execution: timestamp(run.Logical), Task: run.Run.Plan.Steps[i].ID})
 	}
 	return references
 }
--- a/internal/graphs/airflow/dags.go
+++ b/internal/graphs/airflow/dags.go
@@ -14,24 +14,24 @@
 
 // dagView is a graph as the API has it.
 type dagView struct {
-	ID          string     `json:"dag_id"`
-	DisplayName string     `json:"dag_display_name"`
-	Paused      bool       `json:"is_paused"`
-	Active      bool       `json:"is_active"`
-	SubDAG      bool       `json:"is_subdag"`
-	Owners      []string   `json:"owners"`
-	Description *string    `json:"description"`
-	Schedule    typedValue `json:"schedule_interval"`
-	Timetable   *string    `json:"timetable_description"`
-	Tags        []tag      `json:"tags"`
-	MaxTasks    int        `json:"max_active_tasks"`
-	MaxRuns     int        `json:"max_active_runs"`
-	HasErrors   bool       `json:"has_import_errors"`
-	HasLimits   bool       `json:"has_task_concurrency_limits"`
-	NextFrom    *string    `json:"next_dagrun_data_interval_start"`
-	NextTo      *string    `json:"next_dagrun_data_interval_end"`
-	Next        *string    `json:"next_dagrun"`
-	NextAt      *string    `json:"next_dagrun_create_after"`
+	ID                string     `json:"dag_id"`
+	DisplayName       string     `json:"dag_display_name"`
+	Paused            bool       `json:"is_paused"`
+	Active            bool       `json:"is_active"`
+	SubDAG            bool       `json:"is_subdag"`
+	Owners            []string   `json:"owners"`
+	Description       *string    `json:"description"`
+	Schedule          typedValue `json:"schedule_interval"`
+	Timetable         *string    `json:"timetable_description"`
+	Tags              []tag      `json:"tags"`
+	MaxTasks          int        `json:"max_active_tasks"`
+	MaxRuns           int        `json:"max_active_runs"`
+	HasErrors         bool       `json:"has_import_errors"`
+	HasLimits         bool       `json:"has_task_concurrency_limits"`
+	NextIntervalStart *string    `json:"next_dagrun_data_interval_start"`
+	NextIntervalEnd   *string    `json:"next_dagrun_data_interval_end"`
+	NextLogical       *string    `json:"next_dagrun"`
+	NextCreateAfter   *string    `json:"next_dagrun_create_after"`
 }
 
 type tag struct {
@@ -41,53 +41,53 @@
 // detailsView is a graph with what its definition says beside its tasks.
 type detailsView struct {
 	dagView
-	Catchup bool                       `json:"catchup"`
-	Start   *string                    `json:"start_date"`
-	End     *string                    `json:"end_date"`
-	Zone    string                     `json:"timezone"`
-	Params  map[string]json.RawMessage `json:"params"`
+	Catchup  bool                       `json:"catchup"`
+	Start    *string                    `json:"start_date"`
+	End      *string                    `json:"end_date"`
+	Timezone string                     `json:"timezone"`
+	Params   map[string]json.RawMessage `json:"params"`
 }
 
-func viewDAG(g *runner.GraphRecord, now time.Time) dagView {
-	v := dagView{
-		ID:          g.ID,
-		DisplayName: g.ID,
-		Paused:      g.Paused,
+func viewDAG(record *runner.GraphRecord, now time.Time) dagView {
+	view := dagView{
+		ID:          record.ID,
+		DisplayName: record.ID,
+		Paused:      record.Paused,
 		Active:      true,
-		Owners:      []string{g.Team},
+		Owners:      []string{record.Team},
 		Tags:        []tag{},
-		MaxTasks:    g.MaxTasks,
-		MaxRuns:     g.MaxRuns,
+		MaxTasks:    record.MaxTasks,
+		MaxRuns:     record.MaxRuns,
 	}
-	if g.Description != "" {
-		v.Description = &g.Description
+	if record.Description != "" {
+		view.Description = &record.Description
 	}
-	for _, name := range g.Tags {
-		v.Tags = append(v.Tags, tag{name})
+	for _, name := range record.Tags {
+		view.Tags = append(view.Tags, tag{name})
 	}
-	if schedule, err := dag.ParseSchedule(g.Schedule, g.Zone); err == nil && schedule != nil {
-		v.Schedule = cronExpression(g.Schedule)
-		v.setNextRun(g, schedule, now)
+	if schedule, err := dag.ParseSchedule(record.Schedule, record.Zone); err == nil && schedule != nil {
+		view.Schedule = cronExpression(record.Schedule)
+		view.setNextRun(record, schedule, now)
 	}
-	return v
+	return view
 }
 
 // setNextRun sets the interval of the next run that the schedule begins, and when it does. A paused graph has none.
-func (v *dagView) setNextRun(g *runner.GraphRecord, s *dag.Schedule, now time.Time) {
-	if g.Paused {
+func (v *dagView) setNextRun(record *runner.GraphRecord, schedule *dag.Schedule, now time.Time) {
+	if record.Paused {
 		return
 	}
 	var last time.Time
-	if g.LastMS != 0 {
-		last = time.UnixMilli(g.LastMS)
+	if record.LastMS != 0 {
+		last = time.UnixMilli(record.LastMS)
 	}
-	p := dag.Plan{Graph: dag.Graph{Start: g.Start, End: g.End, Catchup: g.Catchup}}
-	next, ok := p.NextDue(s, last, now)
+	plan := dag.Plan{Graph: dag.Graph{Start: record.Start, End: record.End, Catchup: record.Catchup}}
+	next, ok := plan.NextDue(schedule, last, now)
 	if !ok {
 		return
 	}
-	v.NextFrom, v.NextTo = timestamp(next.Begin), timestamp(next.End)
-	v.Next, v.NextAt = timestamp(next.Begin), timestamp(next.End) // a run is named for the begin of its interval, and begins at the end
+	v.NextIntervalStart, v.NextIntervalEnd = timestamp(next.Begin), timestamp(next.End)
+	v.NextLogical, v.NextCreateAfter = timestamp(next.Begin), timestamp(next.End) // a run is named for the begin of its interval, and begins at the end
 }
 
 // graph returns the record of the graph that a request names.
@@ -97,20 +97,20 @@
 
 // plan returns the graph that a request names, with its checked definition.
 func (h *Handler) plan(r *request) (runner.GraphRecord, *dag.Plan, error) {
-	g, err := h.graph(r)
+	record, err := h.graph(r)
 	if err != nil {
-		return g, nil, err
+		return record, nil, err
 	}
-	p, err := h.Reader.Plan(r.Context(), g.Def)
-	return g, p, err
+	plan, err := h.Reader.Plan(r.Context(), record.Def)
+	return record, plan, err
 }
 
-var dagOrders = orders[dagView]{
+var dagSortFields = sortFields[dagView]{
 	"dag_id": byText(func(v *dagView) string { return v.ID }),
 }
 
 func (h *Handler) listDAGs(r *request) (any, error) {
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
@@ -121,25 +121,25 @@
 	now := h.Clock.Now()
 	views := []dagView{}
 	for i := range graphs {
-		if r.wantsGraph(&graphs[i]) {
+		if r.matchesGraph(&graphs[i]) {
 			views = append(views, viewDAG(&graphs[i], now))
 		}
 	}
-	return sortedPage(r, p, "dags", views, dagOrders, "dag_id")
+	return sortedPage(r, page, "dags", views, dagSortFields, "dag_id")
 }
 
-// wantsGraph reports whether a graph passes the filters of a list of graphs.
-func (r *request) wantsGraph(g *runner.GraphRecord) bool {
+// matchesGraph reports whether a graph passes the filters of a list of graphs.
+func (r *request) matchesGraph(record *runner.GraphRecord) bool {
 	paused := r.query.Get("paused")
-	if paused != "" && strconv.FormatBool(g.Paused) != strings.ToLower(paused) {
+	if paused != "" && strconv.FormatBool(record.Paused) != strings.ToLower(paused) {
 		return false
 	}
 	pattern := strings.Trim(r.query.Get("dag_id_pattern"), "%")
-	return strings.Contains(g.ID, pattern) && r.wantsTags(g.Tags)
+	return strings.Contains(record.ID, pattern) && r.matchesTags(record.Tags)
 }
 
-// wantsTags reports whether a graph has one of the tags that a request lists, if it lists any.
-func (r *request) wantsTags(tags []string) bool {
+// matchesTags reports whether a graph has one of the tags that a request lists, if it lists any.
+func (r *request) matchesTags(tags []string) bool {
 	if len(r.query["tags"]) == 0 {
 		return true
 	}
@@ -147,32 +147,32 @@
 }
 
 func (h *Handler) getDAG(r *request) (any, error) {
-	g, err := h.graph(r)
+	record, err := h.graph(r)
 	if err != nil {
 		return nil, err
 	}
-	return viewDAG(&g, h.Clock.Now()), nil
+	return viewDAG(&record, h.Clock.Now()), nil
 }
 
 func (h *Handler) getDetails(r *request) (any, error) {
-	g, p, err := h.plan(r)
+	record, plan, err := h.plan(r)
 	if err != nil {
 		return nil, err
 	}
 	return detailsView{
-		dagView: viewDAG(&g, h.Clock.Now()),
-		Catchup: g.Catchup,
-		Start:   optionalTimestamp(g.Start),
-		End:     optionalTimestamp(g.End),
-		Zone:    cmp.Or(g.Zone, "UTC"),
-		Params:  p.Params,
+		dagView:  viewDAG(&record, h.Clock.Now()),
+		Catchup:  record.Catchup,
+		Start:    optionalTimestamp(record.Start),
+		End:      optionalTimestamp(record.End),
+		Timezone: cmp.Or(record.Zone, "UTC"),
+		Params:   plan.Params,
 	}, nil
 }
 
 func (h *Handler) getDefinition(r *request) (any, error) {
-	_, p, err := h.plan(r)
+	_, plan, err := h.plan(r)
 	if err != nil {
 		return nil, err
 	}
-	return &p.Graph, nil
+	return &plan.Graph, nil
 }
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -51,11 +51,11 @@
 
 var formatStart = time.Date(2026, time.December, 1, 12, 0, 0, 0, time.UTC)
 
-// formatWorld is a handler over a state service that holds a graph and a run of it, and a
+// formatFixture is a handler over a state service that holds a graph and a run of it, and a
 // leader that takes every order and notes it.
-type formatWorld struct {
-	mux    *http.ServeMux
-	orders []string
+type formatFixture struct {
+	mux            *http.ServeMux
+	leaderRequests []string
 }
 
 func formatDefinition() *dag.Graph {
@@ -75,27 +75,27 @@
 	}
 }
 
-func newFormatWorld(t *testing.T) *formatWorld {
+func newFormatFixture(t *testing.T) *formatFixture {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
 	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	store := statestore.New(state.Addr(), 1e6, 1e6)
-	w := &formatWorld{mux: http.NewServeMux()}
+	fixture := &formatFixture{mux: http.NewServeMux()}
 	handler := &Handler{
 		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Do: func(_ context.Context, c leader.Command) (int, json.RawMessage) {
-			w.orders = append(w.orders, c.URI+" "+string(c.Body))
+			fixture.leaderRequests = append(fixture.leaderRequests, c.URI+" "+string(c.Body))
 			return http.StatusOK, json.RawMessage(`{"begun":1,"known":2}`)
 		},
 		Ask: func(_ context.Context, uri string) (int, json.RawMessage) {
-			w.orders = append(w.orders, uri)
+			fixture.leaderRequests = append(fixture.leaderRequests, uri)
 			return http.StatusOK, wire.EncodeRecord([]runner.PoolView{{Name: "gpu", Slots: 4, Used: 1, Waits: 2}})
 		},
 	}
-	handler.Routes(w.mux)
+	handler.Routes(fixture.mux)
 	storeFormatRecords(t, store, handler.Reader)
-	return w
+	return fixture
 }
 
 // storeFormatRecords stores the graph and the run as a leader does.
@@ -149,19 +149,19 @@
 }
 
 // exchange gives a request, the orders to the leader that it led to, and the answer.
-func (w *formatWorld) exchange(method, path, body string) string {
+func (f *formatFixture) exchange(method, path, body string) string {
 	request := httptest.NewRequest(method, PathAPI+path, strings.NewReader(body))
 	request.SetBasicAuth(formatTeam, "")
 	answer := httptest.NewRecorder()
-	w.orders = nil
-	w.mux.ServeHTTP(answer, request)
-	lines := append([]string{method + " " + path, body}, w.orders...)
+	f.leaderRequests = nil
+	f.mux.ServeHTTP(answer, request)
+	lines := append([]string{method + " " + path, body}, f.leaderRequests...)
 	return strings.Join(append(lines, http.StatusText(answer.Code), answer.Body.String()), "\n")
 }
 
 // Each request of the API, the orders to the leader that it leads to, and its answer.
 func TestRequestFormats(t *testing.T) {
-	world := newFormatWorld(t)
+	fixture := newFormatFixture(t)
 	definition := wire.EncodeRecord(formatDefinition())
 	for _, c := range []struct{ name, method, path, body string }{
 		{"list-dags", "GET", "/dags?limit=10&offset=0&order_by=dag_id&paused=false&dag_id_pattern=night&tags=gpu", ""},
@@ -208,7 +208,7 @@
 		{"not-found", "GET", "/dags/none", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			golden.Check(t, "request-"+c.name, []byte(world.exchange(c.method, c.path, c.body)))
+			golden.Check(t, "request-"+c.name, []byte(fixture.exchange(c.method, c.path, c.body)))
 		})
 	}
 }
--- a/internal/graphs/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -24,8 +24,8 @@
 // PathAPI begins all paths of the API.
 const PathAPI = "/api/v1"
 
-// Level is the version of Airflow whose API is followed.
-const Level = "2.10.0"
+// AirflowVersion is the version of Airflow whose API is followed.
+const AirflowVersion = "2.10.0"
 
 // Handler answers clients. It is safe for concurrent use.
 type Handler struct {
--- a/internal/graphs/airflow/instancelist.go
+++ b/internal/graphs/airflow/instancelist.go
@@ -10,18 +10,18 @@
 )
 
 // step returns the run and the step that a request names.
-func (h *Handler) step(r *request) (v *runner.RunView, step int, err error) {
-	if v, err = h.run(r); err != nil {
+func (h *Handler) step(r *request) (run *runner.RunView, step int, err error) {
+	if run, err = h.run(r); err != nil {
 		return nil, 0, err
 	}
-	step, ok := v.Run.Plan.Index[r.taskID()]
+	step, ok := run.Run.Plan.Index[r.taskID()]
 	if !ok {
 		return nil, 0, runner.ErrNone
 	}
-	return v, step, nil
+	return run, step, nil
 }
 
-var instanceOrders = orders[instanceView]{
+var instanceSortFields = sortFields[instanceView]{
 	"task_id": func(a, b instanceView) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.MapIndex, b.MapIndex))
 	},
@@ -33,39 +33,39 @@
 
 // listInstances returns the instances of all steps of a run.
 func (h *Handler) listInstances(r *request) (any, error) {
-	v, err := h.run(r)
+	run, err := h.run(r)
 	if err != nil {
 		return nil, err
 	}
-	return r.wantedInstances(instancesOf(v))
+	return r.instancePage(instancesOf(run))
 }
 
 // listMapped returns the instances of a mapped step.
 func (h *Handler) listMapped(r *request) (any, error) {
-	v, step, err := h.step(r)
+	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
-	id := v.Run.Plan.Steps[step].ID
+	id := run.Run.Plan.Steps[step].ID
 	others := func(x instanceView) bool { return x.Task != id || x.MapIndex < 0 }
-	return r.wantedInstances(slices.DeleteFunc(instancesOf(v), others))
+	return r.instancePage(slices.DeleteFunc(instancesOf(run), others))
 }
 
-// wantedInstances returns the page of the instances that pass a list's filters. Unless ordered otherwise they stay as they are.
-func (r *request) wantedInstances(all []instanceView) (any, error) {
-	p, err := r.page()
+// instancePage returns the page of the instances that pass a list's filters. Unless ordered otherwise they stay as they are.
+func (r *request) instancePage(all []instanceView) (any, error) {
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
 	wanted := slices.DeleteFunc(all, func(x instanceView) bool {
 		return !r.allows("state", cmp.Or(x.stateName(), "none")) || !r.allows("pool", x.Pool)
 	})
-	return sortedPage(r, p, "task_instances", wanted, instanceOrders, "")
+	return sortedPage(r, page, "task_instances", wanted, instanceSortFields, "")
 }
 
 // getInstance returns the instance of a step that is not mapped, or the one at an index of a mapped step.
 func (h *Handler) getInstance(r *request) (any, error) {
-	v, step, err := h.step(r)
+	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
@@ -73,9 +73,9 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, x := range instancesOf(v) {
-		if x.Task == v.Run.Plan.Steps[step].ID && x.MapIndex == index {
-			return x, nil
+	for _, instance := range instancesOf(run) {
+		if instance.Task == run.Run.Plan.Steps[step].ID && instance.MapIndex == index {
+			return instance, nil
 		}
 	}
 	if index < 0 {
--- a/internal/graphs/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -40,30 +40,30 @@
 }
 
 // viewInstance returns an instance without its try and its job.
-func viewInstance(v *runner.RunView, at dag.InstanceRef, state dag.State) instanceView {
-	s := &v.Run.Plan.Steps[at.Step]
-	pool, slots, weight := poolClaim(s)
-	x := instanceView{
-		Task:        s.ID,
-		DisplayName: s.ID,
-		DAG:         v.Graph,
-		Run:         v.ID,
-		Execution:   timestamp(v.Logical),
-		MapIndex:    mapIndex(s, at.Index),
-		MaxTries:    s.Retries,
+func viewInstance(run *runner.RunView, ref dag.InstanceRef, state dag.State) instanceView {
+	step := &run.Run.Plan.Steps[ref.Step]
+	pool, slots, weight := poolClaim(step)
+	view := instanceView{
+		Task:        step.ID,
+		DisplayName: step.ID,
+		DAG:         run.Graph,
+		Run:         run.ID,
+		Execution:   timestamp(run.Logical),
+		MapIndex:    mapIndex(step, ref.Index),
+		MaxTries:    step.Retries,
 		Pool:        pool,
 		PoolSlots:   slots,
 		Queue:       "default",
 		Weight:      weight,
-		Operator:    operators[s.Kind],
+		Operator:    operators[step.Kind],
 		Config:      "{}",
 		Rendered:    map[string]any{},
 	}
 	if state != dag.None {
 		name := state.String()
-		x.State = &name
+		view.State = &name
 	}
-	return x
+	return view
 }
 
 // mapIndex returns the index of an instance as the API has it: only those of mapped steps have one.
@@ -107,32 +107,32 @@
 
 // instancesOf returns the instances of a run's steps, in the plan's order. A step whose instances are not known yet, or that never had
 // any, has one.
-func instancesOf(v *runner.RunView) []instanceView {
-	newest := newestTries(v)
+func instancesOf(run *runner.RunView) []instanceView {
+	newest := newestTries(run)
 	views := []instanceView{}
-	for _, step := range v.Run.Plan.Order {
-		state, instances := v.Run.StepState(step)
+	for _, step := range run.Run.Plan.Order {
+		state, instances := run.Run.StepState(step)
 		if len(instances) == 0 {
-			x := viewInstance(v, dag.InstanceRef{Step: step, Index: unmapped}, state)
-			x.Try = tryNumber(v.Run.Plan.Steps[step].Kind, state, 0)
-			views = append(views, x)
+			view := viewInstance(run, dag.InstanceRef{Step: step, Index: unmapped}, state)
+			view.Try = tryNumber(run.Run.Plan.Steps[step].Kind, state, 0)
+			views = append(views, view)
 		}
 		for index := range instances {
-			at := dag.InstanceRef{Step: step, Index: index}
-			views = append(views, viewKnownInstance(v, at, &instances[index], newest[at]))
+			ref := dag.InstanceRef{Step: step, Index: index}
+			views = append(views, viewInstanceWithTry(run, ref, &instances[index], newest[ref]))
 		}
 	}
 	return views
 }
 
-// viewKnownInstance returns an instance with its job and its newest try, if one is kept.
-func viewKnownInstance(v *runner.RunView, at dag.InstanceRef, i *dag.Instance, newest *runner.Try) instanceView {
-	x := viewInstance(v, at, i.State)
-	x.Try = tryNumber(v.Run.Plan.Steps[at.Step].Kind, i.State, i.Failures)
+// viewInstanceWithTry returns an instance with its job and its newest try, if one is kept.
+func viewInstanceWithTry(run *runner.RunView, ref dag.InstanceRef, instance *dag.Instance, newest *runner.Try) instanceView {
+	view := viewInstance(run, ref, instance.State)
+	view.Try = tryNumber(run.Run.Plan.Steps[ref.Step].Kind, instance.State, instance.Failures)
 	if newest != nil {
-		x.setTimes(tryTimes(v, newest))
+		view.setTimes(tryTimes(run, newest))
 	}
-	id := v.Run.JobID(at)
-	x.Job = &id
-	return x
+	id := run.Run.JobID(ref)
+	view.Job = &id
+	return view
 }
--- a/internal/graphs/airflow/leader.go
+++ b/internal/graphs/airflow/leader.go
@@ -11,27 +11,27 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// leaderAnswer is what the leader answers to an order that it carried out. Its status is below 400.
-type leaderAnswer struct {
+// leaderResponse is what the leader answers to an order that it carried out. Its status is below 400.
+type leaderResponse struct {
 	status int
 	body   json.RawMessage
 }
 
-// order has the leader carry out an order of the request's team. What the leader refuses is a problem with the leader's status and
+// execute has the leader carry out an order of the request's team. What the leader refuses is a problem with the leader's status and
 // reason.
-func (h *Handler) order(r *request, verb string, o runner.Order) (leaderAnswer, error) {
-	o.Team = r.team
-	raw, err := json.Marshal(o)
+func (h *Handler) execute(r *request, verb string, order runner.Order) (leaderResponse, error) {
+	order.Team = r.team
+	raw, err := json.Marshal(order)
 	if err != nil {
-		return leaderAnswer{}, badRequest("%s", httpjson.OneLine(err))
+		return leaderResponse{}, badRequest("%s", httpjson.OneLine(err))
 	}
 	status, body := h.Do(r.Context(), leader.Command{URI: runner.PathOrders + verb, Body: raw})
 	if status >= http.StatusBadRequest {
-		var refusal wire.Error
-		_ = json.Unmarshal(body, &refusal) // without a reason the status says it
-		return leaderAnswer{}, newProblem(status, http.StatusText(status), "%s", refusal.Error)
+		var leaderError wire.Error
+		_ = json.Unmarshal(body, &leaderError) // without a reason the status says it
+		return leaderResponse{}, newProblem(status, http.StatusText(status), "%s", leaderError.Error)
 	}
-	return leaderAnswer{status, body}, nil
+	return leaderResponse{status, body}, nil
 }
 
 // askPools has the leader list the pools of the request's team.
--- a/internal/graphs/airflow/lists.go
+++ b/internal/graphs/airflow/lists.go
@@ -27,10 +27,10 @@
 }
 
 // count reads a query parameter that is a number of items.
-func (r *request) count(name string, missing int) (int, error) {
+func (r *request) count(name string, defaultCount int) (int, error) {
 	text := r.query.Get(name)
 	if text == "" {
-		return missing, nil
+		return defaultCount, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 0 {
@@ -50,18 +50,18 @@
 	return map[string]any{name: items, "total_entries": total}
 }
 
-// orders holds how a list can be ordered: a comparison for each name that order_by can have.
-type orders[T any] map[string]func(a, b T) int
+// sortFields holds how a list can be ordered: a comparison for each name that order_by can have.
+type sortFields[T any] map[string]func(a, b T) int
 
-// sortAsAsked orders items by the query parameter order_by, or without it by the field missing; if that is empty too, the items stay
+// sortByRequest orders items by the query parameter order_by, or without it by the field missing; if that is empty too, the items stay
 // as they are. A dash before the name reverses the order.
-func sortAsAsked[T any](r *request, items []T, by orders[T], missing string) error {
-	name := cmp.Or(r.query.Get("order_by"), missing)
+func sortByRequest[T any](r *request, items []T, fields sortFields[T], defaultField string) error {
+	name := cmp.Or(r.query.Get("order_by"), defaultField)
 	if name == "" {
 		return nil
 	}
 	field, descending := strings.CutPrefix(name, "-")
-	compare := by[field]
+	compare := fields[field]
 	if compare == nil {
 		return badRequest("Ordering with %q is disallowed or the attribute does not exist on the model", field)
 	}
@@ -75,8 +75,8 @@
 }
 
 // sortedPage is the answer with the page of a list that a request asks for, ordered as it asks.
-func sortedPage[T any](r *request, p page, name string, items []T, by orders[T], missing string) (any, error) {
-	if err := sortAsAsked(r, items, by, missing); err != nil {
+func sortedPage[T any](r *request, p page, name string, items []T, fields sortFields[T], defaultField string) (any, error) {
+	if err := sortByRequest(r, items, fields, defaultField); err != nil {
 		return nil, err
 	}
 	return listBody(name, itemsOf(p, items), len(items)), nil
--- a/internal/graphs/airflow/lists_test.go
+++ b/internal/graphs/airflow/lists_test.go
@@ -18,9 +18,9 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// newListWorld returns the handler's routes over two graphs, one of them paused, and three runs of the other: one whose first step
+// newListRoutes returns the handler's routes over two graphs, one of them paused, and three runs of the other: one whose first step
 // runs, one whose first step failed for good, and one that is queued.
-func newListWorld(t *testing.T) *http.ServeMux {
+func newListRoutes(t *testing.T) *http.ServeMux {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
 	state := fakes.NewStore(clock)
@@ -106,5 +106,5 @@
 	} {
 		requests = append(requests, clientRequest{"GET", path, ""})
 	}
-	checkAnswers(t, "several-items", newListWorld(t), requests)
+	checkAnswers(t, "several-items", newListRoutes(t), requests)
 }
--- a/internal/graphs/airflow/pools.go
+++ b/internal/graphs/airflow/pools.go
@@ -41,12 +41,12 @@
 	return views, nil
 }
 
-var poolOrders = orders[poolView]{
+var poolSortFields = sortFields[poolView]{
 	"name": byText(func(v *poolView) string { return v.Name }),
 }
 
 func (h *Handler) listPools(r *request) (any, error) {
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sortedPage(r, p, "pools", views, poolOrders, "name")
+	return sortedPage(r, page, "pools", views, poolSortFields, "name")
 }
 
 func (h *Handler) getPool(r *request) (any, error) {
--- a/internal/graphs/airflow/registration.go
+++ b/internal/graphs/airflow/registration.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, err
 	}
-	o := runner.Order{Graph: r.dagID(), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}
-	answer, err := h.order(r, runner.DoPut, o)
+	order := runner.Order{Graph: r.dagID(), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}
+	answer, err := h.execute(r, runner.DoPut, order)
 	if err != nil {
 		return nil, err
 	}
@@ -52,25 +52,25 @@
 	if body.Definition != "" {
 		return body, nil
 	}
-	g, err := parseGraph(raw, r.team)
+	graph, err := parseGraph(raw, r.team)
 	if err != nil {
 		return body, badRequest("%s", httpjson.OneLine(err))
 	}
-	body.Definition, body.Parts, err = h.Reader.Store(r.Context(), g)
+	body.Definition, body.Parts, err = h.Reader.Store(r.Context(), graph)
 	return body, err
 }
 
 // parseGraph reads and checks a graph. One without a team is the given team's.
 func parseGraph(raw []byte, team string) (*dag.Graph, error) {
-	g, err := dag.ParseJSON("graph", raw)
+	graph, err := dag.ParseJSON("graph", raw)
 	if err != nil {
 		return nil, err
 	}
-	if g.Team == "" {
-		g.Team = team
+	if graph.Team == "" {
+		graph.Team = team
 	}
-	_, err = dag.NewPlan(g)
-	return g, err
+	_, err = dag.NewPlan(graph)
+	return graph, err
 }
 
 // putPart stores a part of a definition.
@@ -99,7 +99,7 @@
 	if body.Paused == nil {
 		return nil, badRequest("is_paused is missing: nothing else of a DAG can be changed by this")
 	}
-	if _, err := h.order(r, runner.DoPause, runner.Order{Graph: r.dagID(), Paused: body.Paused}); err != nil {
+	if _, err := h.execute(r, runner.DoPause, runner.Order{Graph: r.dagID(), Paused: body.Paused}); err != nil {
 		return nil, err
 	}
 	return h.getDAG(r)
@@ -107,6 +107,6 @@
 
 // deleteDAG removes a graph and its runs.
 func (h *Handler) deleteDAG(r *request) (any, error) {
-	_, err := h.order(r, runner.DoRemove, runner.Order{Graph: r.dagID()})
+	_, err := h.execute(r, runner.DoRemove, runner.Order{Graph: r.dagID()})
 	return nil, err
 }
--- a/internal/graphs/airflow/results.go
+++ b/internal/graphs/airflow/results.go
@@ -11,38 +11,38 @@
 const resultKey = "return_value"
 
 func (h *Handler) listResults(r *request) (any, error) {
-	v, step, err := h.step(r)
+	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
 	entries := []map[string]any{}
-	if v.Run.Result(step) != nil {
-		entries = append(entries, viewResult(v, step))
+	if run.Run.Result(step) != nil {
+		entries = append(entries, viewResult(run, step))
 	}
 	return listBody("xcom_entries", entries, len(entries)), nil
 }
 
 func (h *Handler) getResult(r *request) (any, error) {
-	v, step, err := h.step(r)
+	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
-	if r.PathValue("key") != resultKey || v.Run.Result(step) == nil {
+	if r.PathValue("key") != resultKey || run.Run.Result(step) == nil {
 		return nil, runner.ErrNone
 	}
-	return viewResult(v, step), nil
+	return viewResult(run, step), nil
 }
 
 // viewResult returns a step's result as the API has it: the JSON of its value is a string.
-func viewResult(v *runner.RunView, step int) map[string]any {
+func viewResult(run *runner.RunView, step int) map[string]any {
 	return map[string]any{
 		"key":            resultKey,
-		"timestamp":      timestamp(v.Queued),
-		"execution_date": timestamp(v.Logical),
-		"task_id":        v.Run.Plan.Steps[step].ID,
-		"dag_id":         v.Graph,
+		"timestamp":      timestamp(run.Queued),
+		"execution_date": timestamp(run.Logical),
+		"task_id":        run.Run.Plan.Steps[step].ID,
+		"dag_id":         run.Graph,
 		"map_index":      unmapped,
-		"value":          string(v.Run.Result(step)),
+		"value":          string(run.Run.Result(step)),
 	}
 }
 
@@ -58,8 +58,8 @@
 	if body.Key != resultKey || len(body.Value) == 0 {
 		return nil, badRequest("key is %q and has to be %s, and value is what the step leaves", body.Key, resultKey)
 	}
-	o := runner.Order{Graph: r.dagID(), Run: r.runID(), Step: r.taskID(), Result: body.Value}
-	if _, err := h.order(r, runner.DoPush, o); err != nil {
+	order := runner.Order{Graph: r.dagID(), Run: r.runID(), Step: r.taskID(), Result: body.Value}
+	if _, err := h.execute(r, runner.DoPush, order); err != nil {
 		return nil, err
 	}
 	return response{http.StatusCreated, map[string]any{"key": resultKey, "value": body.Value}}, nil
--- a/internal/graphs/airflow/runlist.go
+++ b/internal/graphs/airflow/runlist.go
@@ -7,7 +7,7 @@
 
 var compareRunIDs = byText(func(v *runView) string { return v.ID })
 
-var runOrders = orders[runView]{
+var runSortFields = sortFields[runView]{
 	"id":             compareRunIDs,
 	"dag_run_id":     compareRunIDs,
 	"run_id":         compareRunIDs,
@@ -21,23 +21,23 @@
 }
 
 func (h *Handler) listRuns(r *request) (any, error) {
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
-	runs, err := h.listedRuns(r)
+	runs, err := h.requestedRuns(r)
 	if err != nil {
 		return nil, err
 	}
-	views, err := r.wantedRuns(runs)
+	views, err := r.filterRuns(runs)
 	if err != nil {
 		return nil, err
 	}
-	return sortedPage(r, p, "dag_runs", views, runOrders, "logical_date")
+	return sortedPage(r, page, "dag_runs", views, runSortFields, "logical_date")
 }
 
-// listedRuns returns the runs of the graph that a request names, or of all graphs of the team.
-func (h *Handler) listedRuns(r *request) ([]runner.RunInfo, error) {
+// requestedRuns returns the runs of the graph that a request names, or of all graphs of the team.
+func (h *Handler) requestedRuns(r *request) ([]runner.RunInfo, error) {
 	id := r.dagID()
 	if id == allDAGs {
 		return h.Reader.Runs(r.Context(), r.team, "")
@@ -48,8 +48,8 @@
 	return h.Reader.Runs(r.Context(), r.team, id)
 }
 
-// wantedRuns returns the runs that pass the filters of a list of runs. Malformed filters are refused only if there are runs.
-func (r *request) wantedRuns(runs []runner.RunInfo) ([]runView, error) {
+// filterRuns returns the runs that pass the filters of a list of runs. Malformed filters are refused only if there are runs.
+func (r *request) filterRuns(runs []runner.RunInfo) ([]runView, error) {
 	views := []runView{}
 	if len(runs) == 0 {
 		return views, nil
@@ -72,26 +72,26 @@
 
 // runWindows reads the bounds of the runs' times.
 func (r *request) runWindows() (runWindows, error) {
-	var w runWindows
-	for _, p := range []struct {
+	var windows runWindows
+	for _, param := range []struct {
 		name   string
 		window *timeWindow
 	}{
-		{"execution_date", &w.execution},
-		{"logical_date", &w.logical},
-		{"start_date", &w.start},
-		{"end_date", &w.end},
+		{"execution_date", &windows.execution},
+		{"logical_date", &windows.logical},
+		{"start_date", &windows.start},
+		{"end_date", &windows.end},
 	} {
-		window, err := r.timeWindow(p.name)
+		window, err := r.timeWindow(param.name)
 		if err != nil {
 			return runWindows{}, err
 		}
-		*p.window = window
+		*param.window = window
 	}
-	return w, nil
+	return windows, nil
 }
 
 // contain reports whether all times of a run are allowed. execution_date is the older name of logical_date.
-func (w *runWindows) contain(i *runner.RunInfo) bool {
-	return w.execution.contains(i.Logical) && w.logical.contains(i.Logical) && w.start.contains(i.Start) && w.end.contains(i.End)
+func (w *runWindows) contain(run *runner.RunInfo) bool {
+	return w.execution.contains(run.Logical) && w.logical.contains(run.Logical) && w.start.contains(run.Start) && w.end.contains(run.End)
 }
--- a/internal/graphs/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -10,43 +10,43 @@
 
 // runView is a run as the API has it.
 type runView struct {
-	ID        string          `json:"dag_run_id"`
-	DAG       string          `json:"dag_id"`
-	Logical   *string         `json:"logical_date"`
-	Execution *string         `json:"execution_date"` // the older name of the logical date
-	Start     *string         `json:"start_date"`
-	End       *string         `json:"end_date"`
-	From      *string         `json:"data_interval_start"`
-	To        *string         `json:"data_interval_end"`
-	State     string          `json:"state"`
-	Type      string          `json:"run_type"`
-	External  bool            `json:"external_trigger"`
-	Conf      json.RawMessage `json:"conf"`
-	Note      *string         `json:"note"`
+	ID            string          `json:"dag_run_id"`
+	DAG           string          `json:"dag_id"`
+	Logical       *string         `json:"logical_date"`
+	Execution     *string         `json:"execution_date"` // the older name of the logical date
+	Start         *string         `json:"start_date"`
+	End           *string         `json:"end_date"`
+	IntervalStart *string         `json:"data_interval_start"`
+	IntervalEnd   *string         `json:"data_interval_end"`
+	State         string          `json:"state"`
+	Type          string          `json:"run_type"`
+	External      bool            `json:"external_trigger"`
+	Conf          json.RawMessage `json:"conf"`
+	Note          *string         `json:"note"`
 }
 
-func viewRun(i *runner.RunInfo) runView {
-	v := runView{
-		ID:        i.ID,
-		DAG:       i.Graph,
-		Logical:   timestamp(i.Logical),
-		Execution: timestamp(i.Logical),
-		Start:     timestamp(i.Start),
-		End:       timestamp(i.End),
-		From:      timestamp(i.From),
-		To:        timestamp(i.To),
-		State:     i.State,
-		Type:      i.Type,
-		External:  i.Type == runner.Manual,
-		Conf:      i.Conf,
+func viewRun(info *runner.RunInfo) runView {
+	view := runView{
+		ID:            info.ID,
+		DAG:           info.Graph,
+		Logical:       timestamp(info.Logical),
+		Execution:     timestamp(info.Logical),
+		Start:         timestamp(info.Start),
+		End:           timestamp(info.End),
+		IntervalStart: timestamp(info.From),
+		IntervalEnd:   timestamp(info.To),
+		State:         info.State,
+		Type:          info.Type,
+		External:      info.Type == runner.Manual,
+		Conf:          info.Conf,
 	}
-	if len(v.Conf) == 0 {
-		v.Conf = json.RawMessage("{}")
+	if len(view.Conf) == 0 {
+		view.Conf = json.RawMessage("{}")
 	}
-	if i.Note != "" {
-		v.Note = &i.Note
+	if info.Note != "" {
+		view.Note = &info.Note
 	}
-	return v
+	return view
 }
 
 // run returns the run that a request names.
@@ -59,22 +59,22 @@
 
 // answerRun returns a run as the API has it.
 func (h *Handler) answerRun(r *request, id string) (any, error) {
-	v, err := h.runNamed(r, id)
+	run, err := h.runNamed(r, id)
 	if err != nil {
 		return nil, err
 	}
-	return viewRun(&v.RunInfo), nil
+	return viewRun(&run.RunInfo), nil
 }
 
 func (h *Handler) getRun(r *request) (any, error) { return h.answerRun(r, r.runID()) }
 
 // getRunDefinition returns the graph as the run has it: the graph may have been registered anew since.
 func (h *Handler) getRunDefinition(r *request) (any, error) {
-	v, err := h.run(r)
+	run, err := h.run(r)
 	if err != nil {
 		return nil, err
 	}
-	return &v.Run.Plan.Graph, nil
+	return &run.Run.Plan.Graph, nil
 }
 
 // postRun begins a run. Without a logical date it is that of now; execution_date goes before logical_date.
@@ -94,7 +94,7 @@
 	if given := cmp.Or(body.Execution, body.Logical); given != nil {
 		logical = *given
 	}
-	o := runner.Order{
+	order := runner.Order{
 		Graph:     r.dagID(),
 		Run:       cmp.Or(body.ID, runner.RunName(runner.Manual, logical)),
 		LogicalMS: logical.UnixMilli(),
@@ -102,12 +102,12 @@
 		Described: body.Described,
 	}
 	if string(body.Conf) != "null" {
-		o.Conf = body.Conf
+		order.Conf = body.Conf
 	}
-	if _, err := h.order(r, runner.DoTrigger, o); err != nil {
+	if _, err := h.execute(r, runner.DoTrigger, order); err != nil {
 		return nil, err
 	}
-	return h.answerRun(r, o.Run)
+	return h.answerRun(r, order.Run)
 }
 
 // patchRun ends a run, or has all of it go again.
@@ -127,7 +127,7 @@
 	default:
 		return nil, badRequest("state is %q; it can be failed, which ends the run, or queued, which has it go again: what jobs did is not rewritten", body.State)
 	}
-	if _, err := h.order(r, verb, runner.Order{Graph: r.dagID(), Run: r.runID(), Below: true}); err != nil {
+	if _, err := h.execute(r, verb, runner.Order{Graph: r.dagID(), Run: r.runID(), Below: true}); err != nil {
 		return nil, err
 	}
 	return h.getRun(r)
@@ -135,6 +135,6 @@
 
 // deleteRun removes a run that is over.
 func (h *Handler) deleteRun(r *request) (any, error) {
-	_, err := h.order(r, runner.DoForget, runner.Order{Graph: r.dagID(), Run: r.runID()})
+	_, err := h.execute(r, runner.DoForget, runner.Order{Graph: r.dagID(), Run: r.runID()})
 	return nil, err
 }
--- a/internal/graphs/airflow/service.go
+++ b/internal/graphs/airflow/service.go
@@ -9,7 +9,7 @@
 )
 
 func serveVersion(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, map[string]any{"version": Level, "git_version": "poppypass"})
+	writeJSON(w, http.StatusOK, map[string]any{"version": AirflowVersion, "git_version": "poppypass"})
 }
 
 func serveSchema(w http.ResponseWriter, _ *http.Request) {
--- a/internal/graphs/airflow/tasks.go
+++ b/internal/graphs/airflow/tasks.go
@@ -34,32 +34,32 @@
 // operators names the kinds of steps as Airflow names its operators.
 var operators = map[dag.Kind]string{dag.KindJob: "JobOperator", dag.KindBranch: "BranchJobOperator", dag.KindEmpty: "EmptyOperator"}
 
-func viewTask(p *dag.Plan, step int) taskView {
-	s := &p.Steps[step]
-	pool, slots, weight := poolClaim(s)
-	v := taskView{
-		ID:            s.ID,
-		DisplayName:   s.ID,
-		Owner:         p.Team,
-		Operator:      operators[s.Kind],
-		Class:         map[string]any{"class_name": operators[s.Kind], "module_path": "poppypass"},
-		Downstream:    stepIDs(p, p.Downstream[step]),
-		Rule:          string(cmp.Or(s.Rule, dag.AllSuccess)),
-		Retries:       s.Retries,
-		RetryDelay:    timeDelta(time.Duration(cmp.Or(s.Delay, dag.DefaultRetryDelay))),
-		Exponential:   s.Exponential,
-		Timeout:       timeDelta(time.Duration(s.Timeout)),
-		DependsOnPast: s.DependsOnPast,
+func viewTask(plan *dag.Plan, step int) taskView {
+	definition := &plan.Steps[step]
+	pool, slots, weight := poolClaim(definition)
+	view := taskView{
+		ID:            definition.ID,
+		DisplayName:   definition.ID,
+		Owner:         plan.Team,
+		Operator:      operators[definition.Kind],
+		Class:         map[string]any{"class_name": operators[definition.Kind], "module_path": "poppypass"},
+		Downstream:    stepIDs(plan, plan.Downstream[step]),
+		Rule:          string(cmp.Or(definition.Rule, dag.AllSuccess)),
+		Retries:       definition.Retries,
+		RetryDelay:    timeDelta(time.Duration(cmp.Or(definition.Delay, dag.DefaultRetryDelay))),
+		Exponential:   definition.Exponential,
+		Timeout:       timeDelta(time.Duration(definition.Timeout)),
+		DependsOnPast: definition.DependsOnPast,
 		Pool:          pool,
 		PoolSlots:     slots,
 		Weight:        weight,
-		Mapped:        s.Map != nil,
-		Upstream:      stepIDs(p, p.Upstream[step]),
+		Mapped:        definition.Map != nil,
+		Upstream:      stepIDs(plan, plan.Upstream[step]),
 	}
-	if s.Job != nil {
-		v.EstimateS = s.Job.EstimateS
+	if definition.Job != nil {
+		view.EstimateS = definition.Job.EstimateS
 	}
-	return v
+	return view
 }
 
 // poolClaim returns the pool whose slots a step takes, how many it takes, and its weight among the steps that wait for them.
@@ -68,10 +68,10 @@
 }
 
 // stepIDs returns the ids of steps of a plan, empty rather than nil.
-func stepIDs(p *dag.Plan, steps []int) []string {
+func stepIDs(plan *dag.Plan, steps []int) []string {
 	ids := []string{}
 	for _, i := range steps {
-		ids = append(ids, p.Steps[i].ID)
+		ids = append(ids, plan.Steps[i].ID)
 	}
 	return ids
 }
@@ -82,28 +82,28 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
 	if r.query.Get("limit") == "" {
-		p.limit = len(plan.Steps)
+		page.limit = len(plan.Steps)
 	}
 	views := []taskView{}
-	for _, i := range itemsOf(p, plan.Order) {
+	for _, i := range itemsOf(page, plan.Order) {
 		views = append(views, viewTask(plan, i))
 	}
 	return listBody("tasks", views, len(plan.Steps)), nil
 }
 
 func (h *Handler) getTask(r *request) (any, error) {
-	_, p, err := h.plan(r)
+	_, plan, err := h.plan(r)
 	if err != nil {
 		return nil, err
 	}
-	step, ok := p.Index[r.taskID()]
+	step, ok := plan.Index[r.taskID()]
 	if !ok {
 		return nil, runner.ErrNone
 	}
-	return viewTask(p, step), nil
+	return viewTask(plan, step), nil
 }
--- a/internal/graphs/airflow/tries.go
+++ b/internal/graphs/airflow/tries.go
@@ -18,72 +18,72 @@
 }
 
 // newestTries returns the newest try of each instance of a run, of those that are kept.
-func newestTries(v *runner.RunView) map[dag.InstanceRef]*runner.Try {
+func newestTries(run *runner.RunView) map[dag.InstanceRef]*runner.Try {
 	newest := map[dag.InstanceRef]*runner.Try{}
-	for i := range v.Tries {
-		t := &v.Tries[i]
+	for i := range run.Tries {
+		t := &run.Tries[i]
 		newest[dag.InstanceRef{Step: t.Step, Index: t.Index}] = t
 	}
 	return newest
 }
 
 // tryTimes returns when a try began and ended; the zero end: it runs.
-func tryTimes(v *runner.RunView, t *runner.Try) (begin, end time.Time) {
-	begin = v.Queued.Add(time.Duration(t.BeginMS) * time.Millisecond)
-	if t.EndMS > 0 {
-		end = v.Queued.Add(time.Duration(t.EndMS) * time.Millisecond)
+func tryTimes(run *runner.RunView, try *runner.Try) (begin, end time.Time) {
+	begin = run.Queued.Add(time.Duration(try.BeginMS) * time.Millisecond)
+	if try.EndMS > 0 {
+		end = run.Queued.Add(time.Duration(try.EndMS) * time.Millisecond)
 	}
 	return begin, end
 }
 
 // listTries returns the tries of a step that are kept, oldest first. Each instance's are numbered from 1.
 func (h *Handler) listTries(r *request) (any, error) {
-	v, step, err := h.step(r)
+	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
 	views := []instanceView{}
-	tries := map[int]int{} // by index of the instance
-	for i := range v.Tries {
-		t := &v.Tries[i]
-		if t.Step != step {
+	numbers := map[int]int{} // by index of the instance
+	for i := range run.Tries {
+		try := &run.Tries[i]
+		if try.Step != step {
 			continue
 		}
-		tries[t.Index]++
-		x := viewInstance(v, dag.InstanceRef{Step: step, Index: t.Index}, t.State)
-		x.Try = tries[t.Index]
-		x.setTimes(tryTimes(v, t))
-		views = append(views, x)
+		numbers[try.Index]++
+		view := viewInstance(run, dag.InstanceRef{Step: step, Index: try.Index}, try.State)
+		view.Try = numbers[try.Index]
+		view.setTimes(tryTimes(run, try))
+		views = append(views, view)
 	}
 	return listBody("task_instances", views, len(views)), nil
 }
 
 // listRunTries returns the tries of all steps of a run that are kept, in the order in which they began.
 func (h *Handler) listRunTries(r *request) (any, error) {
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
-	v, err := h.run(r)
+	run, err := h.run(r)
 	if err != nil {
 		return nil, err
 	}
 	views := []TryView{}
-	for _, t := range itemsOf(p, v.Tries) {
-		views = append(views, viewTry(v, &t))
+	for _, try := range itemsOf(page, run.Tries) {
+		views = append(views, viewTry(run, &try))
 	}
-	return listBody("tries", views, len(v.Tries)), nil
+	return listBody("tries", views, len(run.Tries)), nil
 }
 
-func viewTry(v *runner.RunView, t *runner.Try) TryView {
-	s := &v.Run.Plan.Steps[t.Step]
-	begin, end := tryTimes(v, t)
+func viewTry(run *runner.RunView, try *runner.Try) TryView {
+	step := &run.Run.Plan.Steps[try.Step]
+	begin, end := tryTimes(run, try)
 	return TryView{
-		Task:       s.ID,
-		Index:      mapIndex(s, t.Index),
-		Generation: t.Generation,
+		Task:       step.ID,
+		Index:      mapIndex(step, try.Index),
+		Generation: try.Generation,
 		Start:      timestamp(begin),
 		End:        timestamp(end),
-		State:      t.State.String(),
+		State:      try.State.String(),
 	}
 }
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -49,21 +49,21 @@
 	}
 	l := &loader{}
 	predeclared := l.predeclared()
-	prog, err := compile(name, src, predeclared)
+	program, err := compile(name, src, predeclared)
 	if err != nil {
 		return nil, withPosition(name, err)
 	}
-	if err := run(name, prog, predeclared, limits); err != nil {
+	if err := run(name, program, predeclared, limits); err != nil {
 		return nil, withPosition(name, err)
 	}
 	if len(l.dags) == 0 {
 		return nil, fmt.Errorf("%s: the file describes no DAG", name)
 	}
-	var out []*dag.Graph
+	var graphs []*dag.Graph
 	for _, d := range l.dags {
-		out = append(out, d.graph())
+		graphs = append(graphs, d.graph())
 	}
-	return out, nil
+	return graphs, nil
 }
 
 // compile parses a file, guards its products, and resolves its names.
@@ -80,19 +80,19 @@
 }
 
 // run executes a program within the limits. Its output is discarded.
-func run(name string, prog *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
+func run(name string, program *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(limits.Steps)
 	thread.OnMaxSteps = func(t *starlark.Thread) { t.Cancel(fmt.Sprintf("it takes more than %d steps", limits.Steps)) }
 	done := make(chan struct{})
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watchDone)
 		watch(thread, limits, done)
 	}()
-	_, err := prog.Init(thread, predeclared)
+	_, err := program.Init(thread, predeclared)
 	close(done)
-	<-watched
+	<-watchDone
 	return err
 }
 
@@ -102,7 +102,7 @@
 // watch cancels a file that takes too long, or too much memory, and returns when it did or
 // done is closed. Between two checks one operation may exceed the limit; the largest are
 // bounded one by one (guardProducts, maxRange).
-func watch(t *starlark.Thread, limits Limits, done <-chan struct{}) {
+func watch(thread *starlark.Thread, limits Limits, done <-chan struct{}) {
 	heap := newHeapGrowth()
 	deadline := time.NewTimer(limits.Time)
 	defer deadline.Stop()
@@ -113,11 +113,11 @@
 		case <-done:
 			return
 		case <-deadline.C:
-			t.Cancel(fmt.Sprintf("it takes longer than %v", limits.Time))
+			thread.Cancel(fmt.Sprintf("it takes longer than %v", limits.Time))
 			return
 		case <-check.C:
 			if heap.exceeds(limits.Memory) {
-				t.Cancel(fmt.Sprintf("it takes more than %d MB of memory", limits.Memory>>20))
+				thread.Cancel(fmt.Sprintf("it takes more than %d MB of memory", limits.Memory>>20))
 				return
 			}
 		}
@@ -126,41 +126,41 @@
 
 // heapGrowth measures by how much the process's heap grows.
 type heapGrowth struct {
-	sample []metrics.Sample
-	before uint64 // bytes of the heap at the beginning
+	samples []metrics.Sample
+	initial uint64 // bytes of the heap at the beginning
 }
 
 // newHeapGrowth measures from now on.
 func newHeapGrowth() *heapGrowth {
-	h := &heapGrowth{sample: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
-	h.before = h.size()
+	h := &heapGrowth{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
+	h.initial = h.size()
 	return h
 }
 
 // size returns the bytes of the heap.
 func (h *heapGrowth) size() uint64 {
-	metrics.Read(h.sample)
-	return h.sample[0].Value.Uint64()
+	metrics.Read(h.samples)
+	return h.samples[0].Value.Uint64()
 }
 
 // exceeds reports whether the heap has grown by more than a number of bytes.
 func (h *heapGrowth) exceeds(limit uint64) bool {
 	now := h.size()
-	return now > h.before && now-h.before > limit
+	return now > h.initial && now-h.initial > limit
 }
 
 // withPosition returns an error with its place, in one line.
 func withPosition(name string, err error) error {
-	place, text := positionOf(name, err)
-	if place == "" {
-		place = name
+	position, text := positionOf(name, err)
+	if position == "" {
+		position = name
 	}
-	return fmt.Errorf("%s: %s", place, strings.Join(strings.Fields(text), " "))
+	return fmt.Errorf("%s: %s", position, strings.Join(strings.Fields(text), " "))
 }
 
 // positionOf returns the place and text of an error of parsing, resolving or running a
 // file. The place is empty if it is not known.
-func positionOf(name string, err error) (place, text string) {
+func positionOf(name string, err error) (position, text string) {
 	var evalErr *starlark.EvalError
 	var syntaxErr syntax.Error
 	var resolveErr resolve.ErrorList
--- a/internal/graphs/dagfile/dagvalue.go
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -15,26 +15,26 @@
 // dagValue is a DAG of a file.
 type dagValue struct {
 	fixedValue
-	described dag.Graph // without its steps
-	defaults  map[string]starlark.Value
-	steps     []*stepValue
+	definition dag.Graph // without its steps
+	defaults   map[string]starlark.Value
+	steps      []*stepValue
 }
 
-func (d *dagValue) String() string        { return "DAG(" + d.described.ID + ")" }
+func (d *dagValue) String() string        { return "DAG(" + d.definition.ID + ")" }
 func (d *dagValue) Type() string          { return "DAG" }
-func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.described.ID).Hash() }
+func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.definition.ID).Hash() }
 
 // graph returns the graph that the file made of it. Without a team it belongs to the owner
 // in its default arguments.
 func (d *dagValue) graph() *dag.Graph {
-	g := d.described
-	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && g.Team == "" {
-		g.Team = owner
+	graph := d.definition
+	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && graph.Team == "" {
+		graph.Team = owner
 	}
 	for _, s := range d.steps {
-		g.Steps = append(g.Steps, s.step)
+		graph.Steps = append(graph.Steps, s.step)
 	}
-	return &g
+	return &graph
 }
 
 // addStep adds a step to a DAG, up to dag.MaxSteps.
@@ -72,23 +72,23 @@
 // newDAG is DAG(...). It adds a DAG to the loader.
 func (l *loader) newDAG(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	d := &dagValue{defaults: map[string]starlark.Value{}}
-	g := &d.described
+	g := &d.definition
 	a := dagArgs{starlark.None, starlark.None, starlark.None, starlark.None, starlark.False, starlark.None}
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "dag_id", &g.ID, "team?", &g.Team, "schedule?", &g.Schedule, "description?", &g.Description,
 		"timezone?", &g.Timezone, "start_date?", &a.start, "end_date?", &a.end, "catchup?", &a.catchup, "max_active_runs?", &g.MaxRuns,
 		"max_active_tasks?", &g.MaxTasks, "params?", &a.params, "default_args?", &a.defaults, "tags?", &a.tags); err != nil {
 		return nil, err
 	}
-	if err := d.apply(&a); err != nil {
+	if err := d.applyArgs(&a); err != nil {
 		return nil, err
 	}
 	l.dags = append(l.dags, d)
 	return d, nil
 }
 
-// apply sets what the arguments describe.
-func (d *dagValue) apply(a *dagArgs) error {
-	g := &d.described
+// applyArgs sets what the arguments describe.
+func (d *dagValue) applyArgs(a *dagArgs) error {
+	g := &d.definition
 	g.Catchup = bool(a.catchup.Truth())
 	if err := d.setDates(a); err != nil {
 		return err
@@ -115,7 +115,7 @@
 
 // setDates reads the first and last date, in the time zone of the DAG.
 func (d *dagValue) setDates(a *dagArgs) (err error) {
-	g := &d.described
+	g := &d.definition
 	location := time.UTC
 	if g.Timezone != "" {
 		if location, err = time.LoadLocation(g.Timezone); err != nil {
@@ -135,7 +135,7 @@
 	if !ok {
 		return nil
 	}
-	d.described.Params = map[string]json.RawMessage{}
+	d.definition.Params = map[string]json.RawMessage{}
 	for _, item := range m.Items() {
 		key, isString := starlark.AsString(item[0])
 		if !isString {
@@ -145,7 +145,7 @@
 		if err != nil {
 			return fmt.Errorf("DAG: param %s: %w", key, err)
 		}
-		d.described.Params[key] = raw
+		d.definition.Params[key] = raw
 	}
 	return nil
 }
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -50,7 +50,7 @@
 		}
 		for i := range v.NumField() {
 			field := v.Field(i)
-			if !field.CanSet() || !holdsNodes(v.Type().Field(i).Type) {
+			if !field.CanSet() || !canContainNodes(v.Type().Field(i).Type) {
 				continue
 			}
 			rewrite(field, err)
@@ -65,26 +65,26 @@
 	if !v.CanAddr() {
 		return nil
 	}
-	a, ok := v.Addr().Interface().(*syntax.AssignStmt)
-	if !ok || a.Op != syntax.STAR_EQ {
+	assign, ok := v.Addr().Interface().(*syntax.AssignStmt)
+	if !ok || assign.Op != syntax.STAR_EQ {
 		return nil
 	}
-	x, plain := a.LHS.(*syntax.Ident)
+	x, plain := assign.LHS.(*syntax.Ident)
 	if !plain {
-		return syntax.Error{Pos: a.OpPos, Msg: "x *= y is only allowed for a plain name x"}
+		return syntax.Error{Pos: assign.OpPos, Msg: "x *= y is only allowed for a plain name x"}
 	}
-	product := &syntax.BinaryExpr{X: &syntax.Ident{NamePos: x.NamePos, Name: x.Name}, OpPos: a.OpPos, Op: syntax.STAR, Y: a.RHS}
-	a.Op, a.RHS = syntax.EQ, product
+	product := &syntax.BinaryExpr{X: &syntax.Ident{NamePos: x.NamePos, Name: x.Name}, OpPos: assign.OpPos, Op: syntax.STAR, Y: assign.RHS}
+	assign.Op, assign.RHS = syntax.EQ, product
 	return nil
 }
 
-// holdsNodes reports whether a field can hold nodes: positions, tokens and what the resolver
+// canContainNodes reports whether a field can hold nodes: positions, tokens and what the resolver
 // adds cannot.
-func holdsNodes(t reflect.Type) bool {
-	if t.Kind() == reflect.Slice {
-		t = t.Elem()
+func canContainNodes(fieldType reflect.Type) bool {
+	if fieldType.Kind() == reflect.Slice {
+		fieldType = fieldType.Elem()
 	}
-	return t.Kind() == reflect.Interface && t.NumMethod() > 0 || t.Kind() == reflect.Pointer && t.Elem().Kind() == reflect.Struct
+	return fieldType.Kind() == reflect.Interface && fieldType.NumMethod() > 0 || fieldType.Kind() == reflect.Pointer && fieldType.Elem().Kind() == reflect.Struct
 }
 
 // replaceProduct puts a call of mul in the place of an expression that is a product.
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -13,7 +13,7 @@
 // ...) makes a mapped step.
 type operator struct {
 	fixedValue
-	l       *loader
+	loader  *loader
 	name    string
 	kind    dag.Kind
 	partial []starlark.Tuple // the arguments of partial; nil: not called
@@ -33,19 +33,19 @@
 func (o *operator) Attr(name string) (starlark.Value, error) {
 	switch {
 	case name == "partial" && o.partial == nil:
-		return starlark.NewBuiltin("partial", o.bind), nil
+		return starlark.NewBuiltin("partial", o.bindPartial), nil
 	case name == "expand" && o.partial != nil:
 		return starlark.NewBuiltin("expand", o.expand), nil
 	}
 	return nil, nil
 }
 
-// bind is partial(...): an operator with arguments, which only expand takes.
-func (o *operator) bind(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// bindPartial is partial(...): an operator with arguments, which only expand takes.
+func (o *operator) bindPartial(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
 		return nil, errors.New("partial: name each argument")
 	}
-	return &operator{l: o.l, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
+	return &operator{loader: o.loader, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
 }
 
 // expand is expand(items = ...): a mapped step with the arguments of partial.
@@ -54,23 +54,23 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "items", &items); err != nil {
 		return nil, err
 	}
-	m, err := mapOver(items)
+	mapped, err := mapOver(items)
 	if err != nil {
 		return nil, fmt.Errorf("expand: %w", err)
 	}
-	made, err := (&operator{l: o.l, name: o.name, kind: o.kind}).CallInternal(t, nil, o.partial)
+	step, err := (&operator{loader: o.loader, name: o.name, kind: o.kind}).CallInternal(t, nil, o.partial)
 	if err != nil {
 		return nil, err
 	}
-	made.(*stepValue).step.Map = m
-	return made, nil
+	step.(*stepValue).step.Map = mapped
+	return step, nil
 }
 
 // mapOver returns what a step is mapped over: a list of plain values, or a step's output.
 func mapOver(items starlark.Value) (*dag.Map, error) {
 	switch v := items.(type) {
 	case *output:
-		return &dag.Map{Over: v.of.step.ID}, nil
+		return &dag.Map{Over: v.step.step.ID}, nil
 	case *starlark.List:
 		if v.Len() > dag.MaxMappedInstances {
 			return nil, fmt.Errorf("%d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
@@ -119,10 +119,10 @@
 		}
 	}
 	if d == nil {
-		if len(o.l.dags) == 0 {
+		if len(o.loader.dags) == 0 {
 			return nil, nil, fmt.Errorf("%s: there is no DAG yet", o.name)
 		}
-		d = o.l.dags[len(o.l.dags)-1]
+		d = o.loader.dags[len(o.loader.dags)-1]
 	}
 	return d, rest, nil
 }
--- a/internal/graphs/dagfile/predeclared.go
+++ b/internal/graphs/dagfile/predeclared.go
@@ -24,7 +24,7 @@
 	}
 	builtin("DAG", l.newDAG)
 	for name, kind := range map[string]dag.Kind{"JobOperator": dag.KindJob, "BranchJobOperator": dag.KindBranch, "EmptyOperator": dag.KindEmpty} {
-		names[name] = &operator{l: l, name: name, kind: kind}
+		names[name] = &operator{loader: l, name: name, kind: kind}
 	}
 	builtin("chain", chain)
 	builtin("timedelta", timedelta)
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -68,15 +68,15 @@
 
 // build returns the step that the arguments describe; operator names it in errors.
 func (a *stepArgs) build(operator string) (dag.Step, error) {
-	s := a.step
-	s.Rule = dag.Rule(a.rule)
-	for _, d := range []struct {
+	step := a.step
+	step.Rule = dag.Rule(a.rule)
+	for _, duration := range []struct {
 		name  string
 		value starlark.Value
 		to    *dag.Duration
-	}{{"retry_delay", a.delay, &s.Delay}, {"max_retry_delay", a.maxDelay, &s.MaxDelay}, {"execution_timeout", a.timeout, &s.Timeout}} {
+	}{{"retry_delay", a.delay, &step.Delay}, {"max_retry_delay", a.maxDelay, &step.MaxDelay}, {"execution_timeout", a.timeout, &step.Timeout}} {
 		var err error
-		if *d.to, err = durationOf(d.name, d.value); err != nil {
+		if *duration.to, err = durationOf(duration.name, duration.value); err != nil {
 			return dag.Step{}, err
 		}
 	}
@@ -86,7 +86,7 @@
 	}
 	if a.hasJob() {
 		a.job.Types = types
-		s.Job = &a.job
+		step.Job = &a.job
 	}
-	return s, nil
+	return step, nil
 }
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -32,17 +32,17 @@
 	case "task_id":
 		return starlark.String(s.step.ID), nil
 	case "output":
-		return &output{of: s}, nil
+		return &output{step: s}, nil
 	case "set_upstream":
-		return linker(name, func(other starlark.Value) error { return addDependencies(other, s) }), nil
+		return linkMethod(name, func(other starlark.Value) error { return addDependencies(other, s) }), nil
 	case "set_downstream":
-		return linker(name, func(other starlark.Value) error { return addDependencies(s, other) }), nil
+		return linkMethod(name, func(other starlark.Value) error { return addDependencies(s, other) }), nil
 	}
 	return nil, nil
 }
 
-// linker returns a method of a step that links it with its only argument.
-func linker(name string, link func(other starlark.Value) error) starlark.Value {
+// linkMethod returns a method of a step that links it with its only argument.
+func linkMethod(name string, link func(other starlark.Value) error) starlark.Value {
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var other starlark.Value
 		if err := starlark.UnpackArgs(name, args, kwargs, "other", &other); err != nil {
@@ -71,14 +71,14 @@
 // output is the value that stands for a step's result, which another may be mapped over.
 type output struct {
 	fixedValue
-	of *stepValue
+	step *stepValue
 }
 
-func (o *output) String() string { return "output of " + o.of.step.ID }
+func (o *output) String() string { return "output of " + o.step.step.ID }
 
 func (o *output) Type() string { return "output" }
 
-func (o *output) Hash() (uint32, error) { return o.of.Hash() }
+func (o *output) Hash() (uint32, error) { return o.step.Hash() }
 
 // stepsOf returns the steps of a value: a step, or a list or tuple of them.
 func stepsOf(v starlark.Value) ([]*stepValue, error) {
@@ -89,15 +89,15 @@
 	if !ok {
 		return nil, fmt.Errorf("a %s is no step", v.Type())
 	}
-	var out []*stepValue
+	var steps []*stepValue
 	for e := range starlark.Elements(list) {
 		s, ok := e.(*stepValue)
 		if !ok {
 			return nil, fmt.Errorf("a %s is no step", e.Type())
 		}
-		out = append(out, s)
+		steps = append(steps, s)
 	}
-	return out, nil
+	return steps, nil
 }
 
 // addDependencies makes all steps of one value follow all of another.
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -23,7 +23,7 @@
 func (fixedValue) Truth() starlark.Bool { return true }
 
 // number unpacks an int or float that is finite and not negative.
-type number struct{ p *float64 }
+type number struct{ target *float64 }
 
 // Unpack implements starlark.Unpacker.
 func (n *number) Unpack(v starlark.Value) error {
@@ -31,7 +31,7 @@
 	if !ok || math.IsNaN(f) || math.IsInf(f, 0) || f < 0 {
 		return fmt.Errorf("got %s, want a number from 0 on", v.Type())
 	}
-	*n.p = f
+	*n.target = f
 	return nil
 }
 
@@ -57,14 +57,14 @@
 
 // dateOf reads an argument that is a date, in a time zone unless it has its own; nil for
 // None.
-func dateOf(name string, v starlark.Value, where *time.Location) (*time.Time, error) {
+func dateOf(name string, v starlark.Value, location *time.Location) (*time.Time, error) {
 	if v == starlark.None {
 		return nil, nil
 	}
-	s, ok := starlark.AsString(v)
+	text, ok := starlark.AsString(v)
 	if ok {
 		for _, layout := range []string{time.RFC3339, "2006-01-02T15:04:05", time.DateOnly} {
-			if t, err := time.ParseInLocation(layout, s, where); err == nil {
+			if t, err := time.ParseInLocation(layout, text, location); err == nil {
 				return &t, nil
 			}
 		}
