--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -69,19 +69,19 @@
 	return 0, "", false
 }
 
-// judge returns why a package may not import another one, or nothing.
-func judge(importer, imported string) error {
+// checkImport returns why a package may not import another one, or nothing.
+func checkImport(importer, imported string) error {
 	if within(importer, simulations) {
 		return nil // simulations run whole controllers
 	}
 	if within(imported, simulations) {
 		return fmt.Errorf("%s imports %s: only simulations and tests use simulations", importer, imported)
 	}
-	if may, ok := leaves[importer]; ok {
-		if _, leaf := leaves[imported]; leaf || slices.Contains(may, imported) {
+	if allowed, ok := leaves[importer]; ok {
+		if _, leaf := leaves[imported]; leaf || slices.Contains(allowed, imported) {
 			return nil
 		}
-		return fmt.Errorf("%s imports %s: it is used by lower packages, and may import only %v", importer, imported, may)
+		return fmt.Errorf("%s imports %s: it is used by lower packages, and may import only %v", importer, imported, allowed)
 	}
 	if _, ok := leaves[imported]; ok {
 		return nil
@@ -122,11 +122,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			imported, ours := strings.CutPrefix(imported, module)
-			if !ours {
+			imported, local := strings.CutPrefix(imported, module)
+			if !local {
 				continue
 			}
-			if err := judge(pkg, imported); err != nil {
+			if err := checkImport(pkg, imported); err != nil {
 				t.Errorf("%s: %v", file, err)
 			}
 		}
@@ -195,7 +195,7 @@
 		{"an import without a layer", "internal/controller", "internal/util", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if err := judge(tt.importer, tt.imported); (err == nil) != tt.allowed {
+			if err := checkImport(tt.importer, tt.imported); (err == nil) != tt.allowed {
 				t.Errorf("%s imports %s: %v", tt.importer, tt.imported, err)
 			}
 		})
--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -47,20 +47,20 @@
 func checkLink(t *testing.T, page, target string) {
 	t.Helper()
 	file, anchor, _ := strings.Cut(target, "#")
-	to := page
+	linked := page
 	if file != "" {
 		name, err := url.PathUnescape(file)
 		if err != nil {
 			t.Errorf("%s: link %s: %v", page, target, err)
 			return
 		}
-		to = filepath.Join(filepath.Dir(page), filepath.FromSlash(name))
+		linked = filepath.Join(filepath.Dir(page), filepath.FromSlash(name))
 	}
-	if _, err := os.Stat(to); err != nil {
+	if _, err := os.Stat(linked); err != nil {
 		t.Errorf("%s: link %s leads nowhere", page, target)
 		return
 	}
-	if anchor != "" && !anchorsOf(read(t, to))[anchor] {
+	if anchor != "" && !anchorsOf(read(t, linked))[anchor] {
 		t.Errorf("%s: link %s: there is no such heading", page, target)
 	}
 }
--- a/internal/graphs/airflow/answers.go
+++ b/internal/graphs/airflow/answers.go
@@ -12,16 +12,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// internalError is the body when an answer cannot be encoded.
+// internalError is the body of the answer if the intended body cannot be encoded.
 const internalError = `{"status":500,"title":"Internal Server Error","type":"about:blank"}`
 
-// response is an answer with a status of its own.
+// response is an answer whose status is not the default of 200 or 204.
 type response struct {
 	status int
 	body   any
 }
 
-// writeAnswer answers with what an endpoint returned.
+// writeAnswer writes what an endpoint returned as the answer.
 func writeAnswer(w http.ResponseWriter, body any) {
 	switch v := body.(type) {
 	case nil:
@@ -33,7 +33,7 @@
 	}
 }
 
-// writeJSON answers with JSON in several lines, since the protocol limits the length of a line.
+// writeJSON writes an answer as indented JSON: the protocol limits the length of a line, so the body has several lines.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -42,7 +42,7 @@
 	httpjson.WriteRaw(w, status, raw)
 }
 
-// problem is an error as Airflow's API has it, for the client to read.
+// problem is an error in the form of Airflow's API. Clients receive its text.
 type problem struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
@@ -68,7 +68,7 @@
 	return newProblem(http.StatusServiceUnavailable, "Service Unavailable", format, args...)
 }
 
-// writeError answers with an error. With a 503 it says when to come back.
+// writeError writes an error as the answer. A 503 has a Retry-After header.
 func (h *Handler) writeError(w http.ResponseWriter, err error) {
 	p := h.problemOf(err)
 	if p.Status == http.StatusServiceUnavailable {
@@ -80,11 +80,11 @@
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(p.Status)
-	_, _ = w.Write(raw) // the client may be gone; nothing to do about it
+	_, _ = w.Write(raw) // the client may have disconnected; there is nothing to do about it
 }
 
-// problemOf returns what a client is told of an error: a problem as it is, 404 for runner.ErrNone, and 503 for all others, which
-// come from reading the state.
+// problemOf returns the problem that a client receives for an error: a problem itself, 404 for runner.ErrNone, and 503
+// for all other errors, since they are failures to read the stored state or the leader's answer.
 func (h *Handler) problemOf(err error) *problem {
 	var p *problem
 	switch {
@@ -93,7 +93,7 @@
 	case errors.Is(err, runner.ErrNone):
 		return newProblem(http.StatusNotFound, "Not Found", "it is not known")
 	default:
-		h.Log.Debug("graphs are unreadable", "err", err)
+		h.Log.Debug("reading graphs or the leader's answer failed; answering 503", "err", err)
 		return unavailable("that cannot be read now; ask again")
 	}
 }
--- a/internal/graphs/airflow/backfill.go
+++ b/internal/graphs/airflow/backfill.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// postBackfill begins the runs of past intervals, in the form of Airflow 3.
+// postBackfill starts the runs of past intervals. The body has the form of Airflow 3.
 func (h *Handler) postBackfill(r *request) (any, error) {
 	var body struct {
 		DAG  string    `json:"dag_id"`
@@ -27,7 +27,7 @@
 	}
 	var begun runner.Backfilled
 	if err := json.Unmarshal(answer.body, &begun); err != nil {
-		return nil, fmt.Errorf("decode the answer to a backfill: %w", err)
+		return nil, fmt.Errorf("decode the leader's answer to a backfill: %w", err)
 	}
 	return begun, nil
 }
--- a/internal/graphs/airflow/clearing.go
+++ b/internal/graphs/airflow/clearing.go
@@ -2,13 +2,14 @@
 
 import "poppypass/internal/graphs/runner"
 
-// clearing is the body of a clear: which steps of a run go again. Clients meet the type's name in the message about a malformed body.
+// clearing is the body of a request to clear steps of a run, so that they run again. The type's name is part of the
+// answer to a malformed body (request.read), so it must not change.
 type clearing struct {
-	DryRun      *bool    `json:"dry_run"` // missing: true
+	DryRun      *bool    `json:"dry_run"` // default: true
 	Run         string   `json:"dag_run_id"`
-	Steps       []string `json:"task_ids"`     // none: all
-	OnlyFailed  *bool    `json:"only_failed"`  // missing: true
-	OnlyRunning *bool    `json:"only_running"` // missing: false
+	Steps       []string `json:"task_ids"`     // empty: all steps
+	OnlyFailed  *bool    `json:"only_failed"`  // default: true
+	OnlyRunning *bool    `json:"only_running"` // default: false
 	Downstream  bool     `json:"include_downstream"`
 	Upstream    bool     `json:"include_upstream"`
 	Future      bool     `json:"include_future"`
@@ -19,7 +20,7 @@
 func (c *clearing) isOnlyFailed() bool  { return c.OnlyFailed == nil || *c.OnlyFailed }
 func (c *clearing) isOnlyRunning() bool { return c.OnlyRunning != nil && *c.OnlyRunning }
 
-// checkSupported refuses what Airflow offers and this API does not.
+// checkSupported returns a problem if the request uses options that Airflow has and this API does not support.
 func (c *clearing) checkSupported() error {
 	switch {
 	case c.Run == "":
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// clearRun has all steps of a run go again, or with a dry run lists them.
+// clearRun clears all steps of a run, so that they run again. A dry run only lists them.
 func (h *Handler) clearRun(r *request) (any, error) {
 	var body clearing
 	if err := r.read(&body); err != nil {
@@ -47,7 +48,7 @@
 	return h.getRun(r)
 }
 
-// clearInstances has steps of a run go again, or with a dry run lists those that would.
+// clearInstances clears steps of a run, so that they run again. A dry run only lists them.
 func (h *Handler) clearInstances(r *request) (any, error) {
 	var c clearing
 	if err := r.read(&c); err != nil {
@@ -59,7 +60,7 @@
 	return h.clear(r, &c)
 }
 
-// clear has steps go again unless it is a dry run, and lists them.
+// clear lists the steps that a request selects and, unless it is a dry run, has the leader clear them.
 func (h *Handler) clear(r *request, c *clearing) (any, error) {
 	run, err := h.runNamed(r, c.Run)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return map[string]any{"task_instances": stepReferences(run, steps)}, nil
 }
 
-// stepReference names a step of a run, as the answer to a clear has it.
+// stepReference names a step of a run in the answer to a request to clear steps.
 type stepReference struct {
 	DAG       string  `json:"dag_id"`
 	Run       string  `json:"dag_run_id"`
--- a/internal/graphs/airflow/dags.go
+++ b/internal/graphs/airflow/dags.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// dagView is a graph as the API has it.
+// dagView is a graph in the API's form.
 type dagView struct {
 	ID                string     `json:"dag_id"`
 	DisplayName       string     `json:"dag_display_name"`
@@ -38,7 +38,7 @@
 	Name string `json:"name"`
 }
 
-// detailsView is a graph with what its definition says beside its tasks.
+// detailsView is a graph with the settings of its definition, without its tasks.
 type detailsView struct {
 	dagView
 	Catchup  bool                       `json:"catchup"`
@@ -72,7 +72,8 @@
 	return view
 }
 
-// setNextRun sets the interval of the next run that the schedule begins, and when it does. A paused graph has none.
+// setNextRun sets the interval of the next scheduled run and the time at which that run starts. A paused graph has no
+// next run.
 func (v *dagView) setNextRun(record *runner.GraphRecord, schedule *dag.Schedule, now time.Time) {
 	if record.Paused {
 		return
@@ -87,7 +88,7 @@
 		return
 	}
 	v.NextIntervalStart, v.NextIntervalEnd = timestamp(next.Begin), timestamp(next.End)
-	v.NextLogical, v.NextCreateAfter = timestamp(next.Begin), timestamp(next.End) // a run is named for the begin of its interval, and begins at the end
+	v.NextLogical, v.NextCreateAfter = timestamp(next.Begin), timestamp(next.End) // the logical date is the start of the interval; the run starts at its end
 }
 
 // graph returns the record of the graph that a request names.
@@ -95,7 +96,7 @@
 	return h.Reader.Graph(r.Context(), r.team, r.dagID())
 }
 
-// plan returns the graph that a request names, with its checked definition.
+// plan returns the record of the graph that a request names, and the plan of its validated definition.
 func (h *Handler) plan(r *request) (runner.GraphRecord, *dag.Plan, error) {
 	record, err := h.graph(r)
 	if err != nil {
@@ -138,7 +139,7 @@
 	return strings.Contains(record.ID, pattern) && r.matchesTags(record.Tags)
 }
 
-// matchesTags reports whether a graph has one of the tags that a request lists, if it lists any.
+// matchesTags reports whether a graph has one of the tags that a request lists. A request without tags matches all graphs.
 func (r *request) matchesTags(tags []string) bool {
 	if len(r.query["tags"]) == 0 {
 		return true
--- a/internal/graphs/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -1,11 +1,14 @@
 // Package airflow serves the parts of Airflow's stable REST API that clients of graphs use,
-// below PathAPI: graphs as DAGs, their runs, and the instances of their steps.
+// under the path prefix PathAPI. Graphs are served as DAGs, with their runs and the instances of their steps.
 //
 // Source: Airflow 2's published description of the stable REST API, version 1 (paths, names and
-// meanings of fields, paging, ordering, the form of errors). Beside it, and marked so in
-// docs/operators/graphs.md: graphs are registered by a PUT, since there is no folder of files;
-// results are pushed; backfills; and requests name a team, as the user of basic
-// authentication or as the parameter team. A team sees its own graphs only.
+// meanings of fields, paging, ordering, the form of errors). The following is not part of that API,
+// and docs/operators/graphs.md marks it so:
+//   - A PUT registers a graph, since there is no folder of DAG files.
+//   - A step's job pushes its result by a POST.
+//   - A POST starts a backfill.
+//   - A request names a team, as the user name of basic authentication or as the query parameter team.
+//     A team sees its own graphs only.
 package airflow
 
 import (
@@ -21,28 +24,28 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// PathAPI begins all paths of the API.
+// PathAPI is the prefix of all paths of the API.
 const PathAPI = "/api/v1"
 
-// AirflowVersion is the version of Airflow whose API is followed.
+// AirflowVersion is the version of Airflow whose API this package implements in part.
 const AirflowVersion = "2.10.0"
 
-// Handler answers clients. It is safe for concurrent use.
+// Handler serves the API. It is safe for concurrent use.
 type Handler struct {
 	Reader *runner.Reader
-	// Do has the leader carry out a command.
+	// Do sends a command to the leader and returns the leader's answer.
 	Do func(ctx context.Context, c leader.Command) (status int, body json.RawMessage)
-	// Ask has the leader answer a path and query.
+	// Ask sends a query, given as a path and query string, to the leader and returns the leader's answer.
 	Ask   func(ctx context.Context, uri string) (status int, body json.RawMessage)
 	Clock clockwork.Clock
 	Log   *slog.Logger
 }
 
-// endpoint answers a request of a team with the value that becomes the JSON of the answer (status 200), with a response, which has
-// a status of its own, or with nil (204, no body). Errors are answered as writeError says.
+// endpoint handles a team's request and returns the body of the answer. A value is encoded as JSON and sent with
+// status 200; a response carries its own status; nil is answered with 204 and no body. writeError answers errors.
 type endpoint func(*request) (any, error)
 
-// Routes registers the handler's paths.
+// Routes registers the API's paths with a mux.
 func (h *Handler) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathAPI+"/health", h.serveHealth)
 	mux.HandleFunc("GET "+PathAPI+"/version", serveVersion)
--- a/internal/graphs/airflow/instancelist.go
+++ b/internal/graphs/airflow/instancelist.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// step returns the run and the step that a request names.
+// step returns the run that a request names, and the index of the step that it names.
 func (h *Handler) step(r *request) (run *runner.RunView, step int, err error) {
 	if run, err = h.run(r); err != nil {
 		return nil, 0, err
@@ -51,7 +51,7 @@
 	return r.instancePage(slices.DeleteFunc(instancesOf(run), others))
 }
 
-// instancePage returns the page of the instances that pass a list's filters. Unless ordered otherwise they stay as they are.
+// instancePage returns one page of the instances that pass a request's filters. Without order_by they keep their order.
 func (r *request) instancePage(all []instanceView) (any, error) {
 	page, err := r.page()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil, runner.ErrNone
 }
 
-// mapIndex returns the index that the path names.
+// mapIndex returns the map index in the path; unmapped if there is none.
 func (r *request) mapIndex() (int, error) {
 	text := r.PathValue("index")
 	if text == "" {
--- a/internal/graphs/airflow/instances.go
+++ b/internal/graphs/airflow/instances.go
@@ -7,10 +7,11 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// unmapped is the map index of an instance of a step that is not mapped, and of a mapped step whose instances are not known yet.
+// unmapped is the map index of the instance of a step that is not mapped, and of a mapped step whose instances are not
+// known yet.
 const unmapped = -1
 
-// instanceView is an instance of a step as the API has it.
+// instanceView is an instance of a step in the API's form.
 type instanceView struct {
 	Task        string         `json:"task_id"`
 	DisplayName string         `json:"task_display_name"`
@@ -36,10 +37,10 @@
 	Config      string         `json:"executor_config"`
 	Note        *string        `json:"note"`
 	Rendered    map[string]any `json:"rendered_fields"`
-	Job         *string        `json:"job"` // beside the API: the id of the job that runs the step
+	Job         *string        `json:"job"` // not in Airflow's API: the id of the job that runs the step
 }
 
-// viewInstance returns an instance without its try and its job.
+// viewInstance returns the view of an instance, without the fields that describe its try and its job.
 func viewInstance(run *runner.RunView, ref dag.InstanceRef, state dag.State) instanceView {
 	step := &run.Run.Plan.Steps[ref.Step]
 	pool, slots, weight := poolClaim(step)
@@ -66,7 +67,7 @@
 	return view
 }
 
-// mapIndex returns the index of an instance as the API has it: only those of mapped steps have one.
+// mapIndex returns an instance's map index in the API: its index if the step is mapped, else unmapped.
 func mapIndex(s *dag.Step, index int) int {
 	if s.Map == nil {
 		return unmapped
@@ -74,21 +75,21 @@
 	return index
 }
 
-// tryNumber returns the number of the try that an instance is at or ended with; 0: there was none. What has no job, or whose job was
-// not submitted, has no tries.
+// tryNumber returns the number, from 1 on, of an instance's current or last try; 0 if it has had none. An instance
+// without a job, or whose job was not submitted, has no tries.
 func tryNumber(kind dag.Kind, state dag.State, failures int) int {
 	tried := state > dag.Scheduled && kind != dag.KindEmpty && state != dag.Skipped && state != dag.UpstreamFailed
 	switch {
 	case !tried:
 		return 0
 	case state == dag.Failed && failures > 0:
-		return failures // the last of them ended it
+		return failures // the last failed try is the last try
 	default:
 		return failures + 1
 	}
 }
 
-// setTimes sets when a try began and ended.
+// setTimes sets a try's start, end and duration. A zero end means that the try is still running.
 func (x *instanceView) setTimes(begin, end time.Time) {
 	x.Start, x.End = timestamp(begin), timestamp(end)
 	if !end.IsZero() {
@@ -97,7 +98,7 @@
 	}
 }
 
-// stateName returns the name of the instance's state; empty: it has none yet.
+// stateName returns the name of the instance's state; empty if it has none yet.
 func (x *instanceView) stateName() string {
 	if x.State == nil {
 		return ""
@@ -105,8 +106,8 @@
 	return *x.State
 }
 
-// instancesOf returns the instances of a run's steps, in the plan's order. A step whose instances are not known yet, or that never had
-// any, has one.
+// instancesOf returns the instances of a run's steps, in the plan's order. A step whose instances are not known yet, or
+// that never had any, is represented by one instance with the map index unmapped.
 func instancesOf(run *runner.RunView) []instanceView {
 	newest := newestTries(run)
 	views := []instanceView{}
@@ -125,7 +126,8 @@
 	return views
 }
 
-// viewInstanceWithTry returns an instance with its job and its newest try, if one is kept.
+// viewInstanceWithTry returns the view of an instance with its job, and with the times of its newest try if that is
+// still stored (newest is not nil).
 func viewInstanceWithTry(run *runner.RunView, ref dag.InstanceRef, instance *dag.Instance, newest *runner.Try) instanceView {
 	view := viewInstance(run, ref, instance.State)
 	view.Try = tryNumber(run.Run.Plan.Steps[ref.Step].Kind, instance.State, instance.Failures)
--- a/internal/graphs/airflow/leader.go
+++ b/internal/graphs/airflow/leader.go
@@ -11,14 +11,14 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// leaderResponse is what the leader answers to an order that it carried out. Its status is below 400.
+// leaderResponse is the leader's answer to a command that it carried out. Its status is below 400.
 type leaderResponse struct {
 	status int
 	body   json.RawMessage
 }
 
-// execute has the leader carry out an order of the request's team. What the leader refuses is a problem with the leader's status and
-// reason.
+// execute has the leader carry out a command of the request's team. If the leader refuses, the error is a problem with
+// the leader's status and reason.
 func (h *Handler) execute(r *request, verb string, order runner.Order) (leaderResponse, error) {
 	order.Team = r.team
 	raw, err := json.Marshal(order)
@@ -28,13 +28,13 @@
 	status, body := h.Do(r.Context(), leader.Command{URI: runner.PathOrders + verb, Body: raw})
 	if status >= http.StatusBadRequest {
 		var leaderError wire.Error
-		_ = json.Unmarshal(body, &leaderError) // without a reason the status says it
+		_ = json.Unmarshal(body, &leaderError) // if the body has no reason, the problem still has the status
 		return leaderResponse{}, newProblem(status, http.StatusText(status), "%s", leaderError.Error)
 	}
 	return leaderResponse{status, body}, nil
 }
 
-// askPools has the leader list the pools of the request's team.
+// askPools queries the leader for the pools of the request's team.
 func (h *Handler) askPools(r *request) ([]runner.PoolView, error) {
 	status, body := h.Ask(r.Context(), runner.PathPools+"?team="+url.QueryEscape(r.team))
 	var pools []runner.PoolView
--- a/internal/graphs/airflow/lists.go
+++ b/internal/graphs/airflow/lists.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Page sizes, as in Airflow.
+// Page sizes of Airflow.
 const (
 	defaultLimit = 100
 	maxLimit     = 100
 )
 
-// page is the part of a list that a client asks for.
+// page is the part of a list that a client requests, in items.
 type page struct{ limit, offset int }
 
 // page reads the query parameters limit and offset.
@@ -26,7 +26,7 @@
 	return page{min(limit, maxLimit), offset}, err
 }
 
-// count reads a query parameter that is a number of items.
+// count reads a query parameter that is a number of items. A missing parameter has the value defaultCount.
 func (r *request) count(name string, defaultCount int) (int, error) {
 	text := r.query.Get(name)
 	if text == "" {
@@ -45,16 +45,16 @@
 	return items[from:min(from+p.limit, len(items))]
 }
 
-// listBody is the answer with a list: its items, and the size of the whole list of which they are a page.
+// listBody returns the body of a list: the items of one page under the given name, and the size of the whole list.
 func listBody(name string, items any, total int) map[string]any {
 	return map[string]any{name: items, "total_entries": total}
 }
 
-// sortFields holds how a list can be ordered: a comparison for each name that order_by can have.
+// sortFields maps each name that the query parameter order_by allows for a list to a comparison.
 type sortFields[T any] map[string]func(a, b T) int
 
-// sortByRequest orders items by the query parameter order_by, or without it by the field missing; if that is empty too, the items stay
-// as they are. A dash before the name reverses the order.
+// sortByRequest sorts items by the field in the query parameter order_by, or else by defaultField. If both are empty, the
+// items keep their order. A dash before the name reverses the order.
 func sortByRequest[T any](r *request, items []T, fields sortFields[T], defaultField string) error {
 	name := cmp.Or(r.query.Get("order_by"), defaultField)
 	if name == "" {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// sortedPage is the answer with the page of a list that a request asks for, ordered as it asks.
+// sortedPage sorts a list as a request asks and returns the body with one page of it.
 func sortedPage[T any](r *request, p page, name string, items []T, fields sortFields[T], defaultField string) (any, error) {
 	if err := sortByRequest(r, items, fields, defaultField); err != nil {
 		return nil, err
@@ -82,12 +82,12 @@
 	return listBody(name, itemsOf(p, items), len(items)), nil
 }
 
-// byText orders items by a text.
+// byText compares items by a text.
 func byText[T any](field func(*T) string) func(a, b T) int {
 	return func(a, b T) int { return cmp.Compare(field(&a), field(&b)) }
 }
 
-// byTimestamp orders items by a timestamp; those without one come first.
+// byTimestamp compares items by a timestamp; items without one sort first.
 func byTimestamp[T any](field func(*T) *string) func(a, b T) int {
 	return func(a, b T) int { return compareTimestamps(field(&a), field(&b)) }
 }
--- a/internal/graphs/airflow/pools.go
+++ b/internal/graphs/airflow/pools.go
@@ -2,7 +2,7 @@
 
 import "poppypass/internal/graphs/runner"
 
-// poolView is a pool as the API has it.
+// poolView is a pool in the API's form.
 type poolView struct {
 	Name        string  `json:"name"`
 	Slots       int     `json:"slots"`
@@ -28,7 +28,7 @@
 	}
 }
 
-// pools returns the pools of a request's team, in the leader's order.
+// pools returns the pools of the request's team, in the order of the leader's answer.
 func (h *Handler) pools(r *request) ([]poolView, error) {
 	pools, err := h.askPools(r)
 	if err != nil {
--- a/internal/graphs/airflow/registration.go
+++ b/internal/graphs/airflow/registration.go
@@ -13,15 +13,15 @@
 	"poppypass/internal/platform/wire"
 )
 
-// register is the body of a PUT that names a definition which was uploaded in parts. Without Definition the body is the graph itself.
-// Clients meet the type's name in the message about a malformed body.
+// register is the body of a PUT that registers a definition which was uploaded in parts before. If Definition is empty,
+// the body is the graph itself. The type's name is part of the answer to a malformed body, so it must not change.
 type register struct {
-	Definition string `json:"definition"`
-	Parts      int    `json:"parts"`
+	Definition string `json:"definition"` // the hash of the definition
+	Parts      int    `json:"parts"`      // the number of its parts
 	Paused     *bool  `json:"is_paused"`
 }
 
-// putDAG registers a graph. A graph that was known stays paused or not as it was, unless the body says it.
+// putDAG registers a graph. A graph that is registered already keeps its paused state unless the body has is_paused.
 func (h *Handler) putDAG(r *request) (any, error) {
 	body, err := h.storedDefinition(r)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return response{answer.status, view}, nil
 }
 
-// storedDefinition reads the body of a PUT. If the body is the graph itself, it is stored, and the definition returned is that.
+// storedDefinition reads the body of a PUT. If the body is the graph itself, storedDefinition stores the graph and
+// returns the hash and number of parts of the stored definition.
 func (h *Handler) storedDefinition(r *request) (register, error) {
 	var body register
 	raw, err := httpjson.ReadBody(r.Request, wire.MaxBody)
@@ -60,7 +61,7 @@
 	return body, err
 }
 
-// parseGraph reads and checks a graph. One without a team is the given team's.
+// parseGraph parses and validates a graph. A graph without a team is assigned to the given team.
 func parseGraph(raw []byte, team string) (*dag.Graph, error) {
 	graph, err := dag.ParseJSON("graph", raw)
 	if err != nil {
@@ -73,11 +74,11 @@
 	return graph, err
 }
 
-// putPart stores a part of a definition.
+// putPart stores one part of a definition.
 func (h *Handler) putPart(r *request) (any, error) {
 	part, errPart := strconv.Atoi(r.PathValue("part"))
 	parts, errParts := strconv.Atoi(r.query.Get("of"))
-	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPartMaxBytes+1)) // StorePart refuses what is over tuning.GraphPartMaxBytes
+	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPartMaxBytes+1)) // StorePart refuses more than tuning.GraphPartMaxBytes
 	if errors.Join(errPart, errParts, errBody) != nil {
 		return nil, badRequest("%s", runner.ErrPart)
 	}
@@ -88,7 +89,7 @@
 	return nil, err
 }
 
-// patchDAG pauses a graph or has it go on.
+// patchDAG pauses or resumes a graph.
 func (h *Handler) patchDAG(r *request) (any, error) {
 	var body struct {
 		Paused *bool `json:"is_paused"`
@@ -105,7 +106,7 @@
 	return h.getDAG(r)
 }
 
-// deleteDAG removes a graph and its runs.
+// deleteDAG deletes a graph and its runs.
 func (h *Handler) deleteDAG(r *request) (any, error) {
 	_, err := h.execute(r, runner.DoRemove, runner.Order{Graph: r.dagID()})
 	return nil, err
--- a/internal/graphs/airflow/request.go
+++ b/internal/graphs/airflow/request.go
@@ -14,14 +14,14 @@
 	"poppypass/internal/platform/wire"
 )
 
-// request is one request of a team.
+// request is an HTTP request that names a team.
 type request struct {
 	*http.Request
 	team  string
 	query url.Values
 }
 
-// serve answers a request of a team within tuning.SubmitTimeout.
+// serve has an endpoint handle a request, within tuning.SubmitTimeout. A request without a team is answered with 401.
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request, e endpoint) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
 	defer cancel()
@@ -39,8 +39,8 @@
 	writeAnswer(w, body)
 }
 
-// namedTeam returns the team that the request names, as the user of basic authentication or else with the parameter team; empty:
-// none.
+// namedTeam returns the team that the request names: the user name of basic authentication or else the query
+// parameter team. It is empty if the request names none.
 func (r *request) namedTeam() string {
 	if user, _, _ := r.BasicAuth(); user != "" {
 		return user
@@ -48,14 +48,15 @@
 	return r.query.Get("team")
 }
 
-// The parts of the path; empty where the endpoint's pattern has no such part.
+// The wildcards of the path; empty if the endpoint's pattern has no such wildcard.
 
 func (r *request) dagID() string  { return r.PathValue("dag") }
 func (r *request) runID() string  { return r.PathValue("run") }
 func (r *request) taskID() string { return r.PathValue("task") }
 
-// read reads the request's body into v; no body is an empty object. When the body is malformed, clients are told the message of the
-// JSON decoder, which contains the name of v's type: bodies have an unnamed type, unless their type's name is in answers already.
+// read decodes the request's body into v. An empty body counts as an empty object. The answer to a malformed body
+// contains the JSON decoder's message, and with it the name of v's type. Bodies therefore have unnamed types, apart
+// from the types whose names are already part of answers (clearing, register).
 func (r *request) read(v any) error {
 	raw, err := httpjson.ReadBody(r.Request, wire.MaxBody)
 	if err != nil {
@@ -70,16 +71,17 @@
 	return nil
 }
 
-// allows reports whether a value is one of those that a query parameter lists. A parameter that is missing allows all.
+// allows reports whether a value is one of those that a query parameter lists. A missing parameter allows all values.
 func (r *request) allows(name, value string) bool {
 	listed := r.query[name]
 	return len(listed) == 0 || slices.Contains(listed, value)
 }
 
-// timeWindow is what the query parameters NAME_gte and NAME_lte allow. Both bounds belong to it; nil: there is none.
+// timeWindow is the range of times that the query parameters NAME_gte and NAME_lte allow. Both bounds are inclusive;
+// a nil bound does not restrict.
 type timeWindow struct{ from, to *time.Time }
 
-// timeWindow reads the bounds of a time.
+// timeWindow reads the query parameters NAME_gte and NAME_lte for a name.
 func (r *request) timeWindow(name string) (timeWindow, error) {
 	from, err := r.timeBound(name + "_gte")
 	if err != nil {
@@ -101,12 +103,14 @@
 	return &bound, nil
 }
 
-// parseQueryTime reads a time. A plus that was not escaped in the query has come as a space.
+// parseQueryTime parses a time in the form of RFC 3339. A plus sign that the client did not escape in the query was
+// decoded as a space, which is turned back into a plus.
 func parseQueryTime(text string) (time.Time, error) {
 	return time.Parse(time.RFC3339, strings.Replace(text, " ", "+", 1))
 }
 
-// contains reports whether a time is in the window. The zero time (it has not come yet) is in no window that has a bound.
+// contains reports whether a time is in the window. The zero time stands for an event that has not happened yet; it
+// is in no window that has a bound.
 func (w timeWindow) contains(t time.Time) bool {
 	if w.from == nil && w.to == nil {
 		return true
--- a/internal/graphs/airflow/results.go
+++ b/internal/graphs/airflow/results.go
@@ -7,7 +7,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// resultKey is the only key of a result, as Airflow names what a task returns.
+// resultKey is the only key that results have. It is Airflow's key for the value that a task returns.
 const resultKey = "return_value"
 
 func (h *Handler) listResults(r *request) (any, error) {
@@ -33,7 +33,7 @@
 	return viewResult(run, step), nil
 }
 
-// viewResult returns a step's result as the API has it: the JSON of its value is a string.
+// viewResult returns a step's result in the API's form, where the value is a string that contains JSON.
 func viewResult(run *runner.RunView, step int) map[string]any {
 	return map[string]any{
 		"key":            resultKey,
@@ -46,7 +46,8 @@
 	}
 }
 
-// postResult records, from a step's job, what the step leaves for those that follow, in the form of Airflow 3.
+// postResult stores a step's result, which the step's job sends for the steps downstream. The body has the form of
+// Airflow 3.
 func (h *Handler) postResult(r *request) (any, error) {
 	var body struct {
 		Key   string          `json:"key"`
--- a/internal/graphs/airflow/runlist.go
+++ b/internal/graphs/airflow/runlist.go
@@ -2,7 +2,7 @@
 
 import "poppypass/internal/graphs/runner"
 
-// allDAGs stands for all graphs of a team where a list names its graph.
+// allDAGs is the graph id in a path that means all graphs of the team.
 const allDAGs = "~"
 
 var compareRunIDs = byText(func(v *runView) string { return v.ID })
@@ -36,7 +36,7 @@
 	return sortedPage(r, page, "dag_runs", views, runSortFields, "logical_date")
 }
 
-// requestedRuns returns the runs of the graph that a request names, or of all graphs of the team.
+// requestedRuns returns the runs of the graph that a request names, or of all graphs of the team for allDAGs.
 func (h *Handler) requestedRuns(r *request) ([]runner.RunInfo, error) {
 	id := r.dagID()
 	if id == allDAGs {
@@ -48,7 +48,7 @@
 	return h.Reader.Runs(r.Context(), r.team, id)
 }
 
-// filterRuns returns the runs that pass the filters of a list of runs. Malformed filters are refused only if there are runs.
+// filterRuns returns the runs that pass a request's filters. A malformed filter is an error only if there are runs.
 func (r *request) filterRuns(runs []runner.RunInfo) ([]runView, error) {
 	views := []runView{}
 	if len(runs) == 0 {
@@ -67,10 +67,10 @@
 	return views, nil
 }
 
-// runWindows is what a list of runs allows their times to be.
+// runWindows are the ranges of times that a request's filters allow for runs.
 type runWindows struct{ execution, logical, start, end timeWindow }
 
-// runWindows reads the bounds of the runs' times.
+// runWindows reads the time filters of a list of runs.
 func (r *request) runWindows() (runWindows, error) {
 	var windows runWindows
 	for _, param := range []struct {
@@ -91,7 +91,7 @@
 	return windows, nil
 }
 
-// contain reports whether all times of a run are allowed. execution_date is the older name of logical_date.
+// contain reports whether all times of a run are in their windows. execution_date is the older name of logical_date.
 func (w *runWindows) contain(run *runner.RunInfo) bool {
 	return w.execution.contains(run.Logical) && w.logical.contains(run.Logical) && w.start.contains(run.Start) && w.end.contains(run.End)
 }
--- a/internal/graphs/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// runView is a run as the API has it.
+// runView is a run in the API's form.
 type runView struct {
 	ID            string          `json:"dag_run_id"`
 	DAG           string          `json:"dag_id"`
@@ -49,15 +49,15 @@
 	return view
 }
 
-// run returns the run that a request names.
+// run returns the run that a request's path names.
 func (h *Handler) run(r *request) (*runner.RunView, error) { return h.runNamed(r, r.runID()) }
 
-// runNamed returns a run of the graph that a request names.
+// runNamed returns the run with an id, of the graph that a request's path names.
 func (h *Handler) runNamed(r *request, id string) (*runner.RunView, error) {
 	return h.Reader.Run(r.Context(), r.team, r.dagID(), id)
 }
 
-// answerRun returns a run as the API has it.
+// answerRun returns the run with an id in the API's form.
 func (h *Handler) answerRun(r *request, id string) (any, error) {
 	run, err := h.runNamed(r, id)
 	if err != nil {
@@ -68,7 +68,8 @@
 
 func (h *Handler) getRun(r *request) (any, error) { return h.answerRun(r, r.runID()) }
 
-// getRunDefinition returns the graph as the run has it: the graph may have been registered anew since.
+// getRunDefinition returns the graph's definition that the run uses. It may differ from the current one, since the graph
+// may have been registered again after the run started.
 func (h *Handler) getRunDefinition(r *request) (any, error) {
 	run, err := h.run(r)
 	if err != nil {
@@ -77,15 +78,15 @@
 	return &run.Run.Plan.Graph, nil
 }
 
-// postRun begins a run. Without a logical date it is that of now; execution_date goes before logical_date.
+// postRun starts a run. The logical date defaults to the current time; execution_date takes precedence over logical_date.
 func (h *Handler) postRun(r *request) (any, error) {
 	var body struct {
 		ID        string          `json:"dag_run_id"`
 		Logical   *time.Time      `json:"logical_date"`
-		Execution *time.Time      `json:"execution_date"` // its older name
+		Execution *time.Time      `json:"execution_date"` // the older name of the logical date
 		Conf      json.RawMessage `json:"conf"`
 		Note      string          `json:"note"`
-		Described bool            `json:"described"` // beside the API: whoever triggers it uploaded the steps' descriptions
+		Described bool            `json:"described"` // not in Airflow's API: the client has uploaded the steps' descriptions
 	}
 	if err := r.read(&body); err != nil {
 		return nil, err
@@ -110,7 +111,7 @@
 	return h.answerRun(r, order.Run)
 }
 
-// patchRun ends a run, or has all of it go again.
+// patchRun cancels a run (state failed) or clears all its steps, so that they run again (state queued).
 func (h *Handler) patchRun(r *request) (any, error) {
 	var body struct {
 		State string `json:"state"`
@@ -133,7 +134,7 @@
 	return h.getRun(r)
 }
 
-// deleteRun removes a run that is over.
+// deleteRun deletes a run that has ended.
 func (h *Handler) deleteRun(r *request) (any, error) {
 	_, err := h.execute(r, runner.DoForget, runner.Order{Graph: r.dagID(), Run: r.runID()})
 	return nil, err
--- a/internal/graphs/airflow/schema.go
+++ b/internal/graphs/airflow/schema.go
@@ -2,7 +2,7 @@
 
 import _ "embed"
 
-// schema describes the JSON of a graph (dag.Graph).
+// schema is the JSON schema of a graph (dag.Graph).
 //
 //go:embed schema.json
 var schema []byte
--- a/internal/graphs/airflow/service.go
+++ b/internal/graphs/airflow/service.go
@@ -14,10 +14,10 @@
 
 func serveSchema(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/schema+json")
-	_, _ = w.Write(schema) // the client may be gone; nothing to do about it
+	_, _ = w.Write(schema) // the client may have disconnected; there is nothing to do about it
 }
 
-// componentHealth is the health of the state service or the leader, as the API has it.
+// componentHealth is the health of the state service or the leader, in the API's form.
 type componentHealth struct {
 	Status        string  `json:"status"`
 	LastHeartbeat *string `json:"latest_scheduler_heartbeat,omitempty"`
@@ -28,7 +28,7 @@
 	unhealthy = "unhealthy"
 )
 
-// serveHealth tells, to anybody, whether the state service can be read and the leader answers.
+// serveHealth reports whether the state service can be read and whether the leader answers. It requires no team.
 func (h *Handler) serveHealth(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
 	defer cancel()
--- a/internal/graphs/airflow/tasks.go
+++ b/internal/graphs/airflow/tasks.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// taskView is a step as the API has it.
+// taskView is a step in the API's form.
 type taskView struct {
 	ID                string         `json:"task_id"`
 	DisplayName       string         `json:"task_display_name"`
@@ -27,11 +27,11 @@
 	Weight            int            `json:"priority_weight"`
 	Mapped            bool           `json:"is_mapped"`
 	WaitForDownstream bool           `json:"wait_for_downstream"`
-	EstimateS         float64        `json:"estimate_s"` // beside the API: the owner's estimate of the job's length
+	EstimateS         float64        `json:"estimate_s"` // not in Airflow's API: the owner's estimate of the job's duration, in seconds
 	Upstream          []string       `json:"upstream_task_ids"`
 }
 
-// operators names the kinds of steps as Airflow names its operators.
+// operators maps each kind of step to an operator's name in Airflow's manner.
 var operators = map[dag.Kind]string{dag.KindJob: "JobOperator", dag.KindBranch: "BranchJobOperator", dag.KindEmpty: "EmptyOperator"}
 
 func viewTask(plan *dag.Plan, step int) taskView {
@@ -62,12 +62,13 @@
 	return view
 }
 
-// poolClaim returns the pool whose slots a step takes, how many it takes, and its weight among the steps that wait for them.
+// poolClaim returns the pool whose slots a step occupies, the number of slots, and the step's weight among the steps
+// that wait for slots.
 func poolClaim(s *dag.Step) (pool string, slots, weight int) {
 	return cmp.Or(s.Pool, runner.DefaultPool), max(1, s.PoolSlots), max(1, s.Weight)
 }
 
-// stepIDs returns the ids of steps of a plan, empty rather than nil.
+// stepIDs returns the ids of steps, given as indices into the plan. The result is never nil, so that its JSON is a list.
 func stepIDs(plan *dag.Plan, steps []int) []string {
 	ids := []string{}
 	for _, i := range steps {
@@ -76,7 +77,8 @@
 	return ids
 }
 
-// listTasks returns a graph's steps in the plan's order. Airflow has no pages here: all steps are listed unless a client sets a limit.
+// listTasks returns a graph's steps in the plan's order. Airflow does not page this list, so all steps are listed unless
+// the client sets a limit.
 func (h *Handler) listTasks(r *request) (any, error) {
 	_, plan, err := h.plan(r)
 	if err != nil {
--- a/internal/graphs/airflow/times.go
+++ b/internal/graphs/airflow/times.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timestamp returns a time as the API has it; nil for the zero time.
+// timestamp returns a time in the API's format; nil for the zero time.
 func timestamp(t time.Time) *string {
 	if t.IsZero() {
 		return nil
@@ -14,7 +14,7 @@
 	return &s
 }
 
-// optionalTimestamp is like timestamp for a time that may be missing.
+// optionalTimestamp is like timestamp, and returns nil for a nil time.
 func optionalTimestamp(t *time.Time) *string {
 	if t == nil {
 		return nil
@@ -22,8 +22,8 @@
 	return timestamp(*t)
 }
 
-// compareTimestamps orders timestamps; nil comes first. They are compared as times, since a timestamp leaves out the zeros at the end
-// of its fraction.
+// compareTimestamps orders timestamps; nil sorts first. It compares them as times rather than as texts, since a
+// timestamp omits trailing zeros of its fraction.
 func compareTimestamps(a, b *string) int {
 	switch {
 	case a == nil && b == nil:
@@ -41,10 +41,10 @@
 	return x.Compare(y)
 }
 
-// typedValue is a value with the name of its type, as the API has schedules and durations.
+// typedValue is a JSON object that names its type in __type, as schedules and durations do in the API.
 type typedValue map[string]any
 
-// timeDelta returns a duration as the API has it; nil if there is none.
+// timeDelta returns a duration in the API's form; nil if it is not positive.
 func timeDelta(d time.Duration) typedValue {
 	if d <= 0 {
 		return nil
@@ -58,7 +58,7 @@
 	}
 }
 
-// cronExpression returns a schedule as the API has it.
+// cronExpression returns a cron schedule in the API's form.
 func cronExpression(schedule string) typedValue {
 	return typedValue{"__type": "CronExpression", "value": schedule}
 }
--- a/internal/graphs/airflow/tries.go
+++ b/internal/graphs/airflow/tries.go
@@ -7,17 +7,17 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// TryView is one try of an instance, as a run's list of tries has it (beside the API).
+// TryView is one try of an instance in a run's list of tries. Airflow's API has no such list.
 type TryView struct {
 	Task       string  `json:"task_id"`
 	Index      int     `json:"map_index"`
-	Generation int     `json:"generation"` // how often the step was cleared before
+	Generation int     `json:"generation"` // how often the step was cleared before this try
 	Start      *string `json:"start_date"`
 	End        *string `json:"end_date"`
 	State      string  `json:"state"`
 }
 
-// newestTries returns the newest try of each instance of a run, of those that are kept.
+// newestTries returns the newest try of each instance of a run, among the tries that are still stored.
 func newestTries(run *runner.RunView) map[dag.InstanceRef]*runner.Try {
 	newest := map[dag.InstanceRef]*runner.Try{}
 	for i := range run.Tries {
@@ -27,7 +27,7 @@
 	return newest
 }
 
-// tryTimes returns when a try began and ended; the zero end: it runs.
+// tryTimes returns the start and end of a try; the end is zero while the try is running.
 func tryTimes(run *runner.RunView, try *runner.Try) (begin, end time.Time) {
 	begin = run.Queued.Add(time.Duration(try.BeginMS) * time.Millisecond)
 	if try.EndMS > 0 {
@@ -36,14 +36,15 @@
 	return begin, end
 }
 
-// listTries returns the tries of a step that are kept, oldest first. Each instance's are numbered from 1.
+// listTries returns the tries of a step that are still stored, oldest first. The tries of each instance are numbered
+// from 1.
 func (h *Handler) listTries(r *request) (any, error) {
 	run, step, err := h.step(r)
 	if err != nil {
 		return nil, err
 	}
 	views := []instanceView{}
-	numbers := map[int]int{} // by index of the instance
+	numbers := map[int]int{} // the number of the latest try listed, by the instance's index
 	for i := range run.Tries {
 		try := &run.Tries[i]
 		if try.Step != step {
@@ -58,7 +59,7 @@
 	return listBody("task_instances", views, len(views)), nil
 }
 
-// listRunTries returns the tries of all steps of a run that are kept, in the order in which they began.
+// listRunTries returns the tries of all steps of a run that are still stored, in the order in which they started.
 func (h *Handler) listRunTries(r *request) (any, error) {
 	page, err := r.page()
 	if err != nil {
--- a/internal/graphs/dagfile/dagvalue.go
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -32,7 +32,7 @@
 		graph.Team = owner
 	}
 	for _, s := range d.steps {
-		graph.Steps = append(graph.Steps, s.step)
+		graph.Steps = append(graph.Steps, s.definition)
 	}
 	return &graph
 }
@@ -42,7 +42,7 @@
 	if len(d.steps) >= dag.MaxSteps {
 		return nil, fmt.Errorf("%s: the graph has more than %d steps", operator, dag.MaxSteps)
 	}
-	v := &stepValue{dag: d, step: s}
+	v := &stepValue{dag: d, definition: s}
 	d.steps = append(d.steps, v)
 	return v, nil
 }
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	step.(*stepValue).step.Map = mapped
+	step.(*stepValue).definition.Map = mapped
 	return step, nil
 }
 
@@ -70,7 +70,7 @@
 func mapOver(items starlark.Value) (*dag.Map, error) {
 	switch v := items.(type) {
 	case *output:
-		return &dag.Map{Over: v.step.step.ID}, nil
+		return &dag.Map{Over: v.step.definition.ID}, nil
 	case *starlark.List:
 		if v.Len() > dag.MaxMappedInstances {
 			return nil, fmt.Errorf("%d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -12,15 +12,15 @@
 // stepValue is a step of a file.
 type stepValue struct {
 	fixedValue
-	dag  *dagValue
-	step dag.Step
+	dag        *dagValue
+	definition dag.Step
 }
 
-func (s *stepValue) String() string { return "step " + s.step.ID }
+func (s *stepValue) String() string { return "step " + s.definition.ID }
 
 func (s *stepValue) Type() string { return "step" }
 
-func (s *stepValue) Hash() (uint32, error) { return starlark.String(s.step.ID).Hash() }
+func (s *stepValue) Hash() (uint32, error) { return starlark.String(s.definition.ID).Hash() }
 
 func (s *stepValue) AttrNames() []string {
 	return []string{"output", "set_downstream", "set_upstream", "task_id"}
@@ -30,7 +30,7 @@
 func (s *stepValue) Attr(name string) (starlark.Value, error) {
 	switch name {
 	case "task_id":
-		return starlark.String(s.step.ID), nil
+		return starlark.String(s.definition.ID), nil
 	case "output":
 		return &output{step: s}, nil
 	case "set_upstream":
@@ -74,7 +74,7 @@
 	step *stepValue
 }
 
-func (o *output) String() string { return "output of " + o.step.step.ID }
+func (o *output) String() string { return "output of " + o.step.definition.ID }
 
 func (o *output) Type() string { return "output" }
 
@@ -113,12 +113,12 @@
 	for _, d := range down {
 		for _, u := range up {
 			if u.dag != d.dag {
-				return fmt.Errorf("%s and %s are steps of different DAGs", u.step.ID, d.step.ID)
+				return fmt.Errorf("%s and %s are steps of different DAGs", u.definition.ID, d.definition.ID)
 			}
-			d.step.Upstream = append(d.step.Upstream, u.step.ID)
+			d.definition.Upstream = append(d.definition.Upstream, u.definition.ID)
 		}
-		if len(d.step.Upstream) > dag.MaxEdges {
-			return fmt.Errorf("%s follows more than %d steps", d.step.ID, dag.MaxEdges)
+		if len(d.definition.Upstream) > dag.MaxEdges {
+			return fmt.Errorf("%s follows more than %d steps", d.definition.ID, dag.MaxEdges)
 		}
 	}
 	return nil
--- a/internal/logs_test.go
+++ b/internal/logs_test.go
@@ -40,12 +40,12 @@
 		if level == "" {
 			return true
 		}
-		text, ok := stringOf(args[0])
+		text, ok := stringLiteral(args[0])
 		if !ok {
 			t.Errorf("%s: a log line's text is not constant", fset.Position(call.Pos()))
 			return true
 		}
-		lines = append(lines, logLine{level, text, keysOf(t, fset, args[1:])})
+		lines = append(lines, logLine{level, text, logKeysOf(t, fset, args[1:])})
 		return true
 	})
 	return lines
@@ -61,7 +61,7 @@
 	return false
 }
 
-func stringOf(x ast.Expr) (string, bool) {
+func stringLiteral(x ast.Expr) (string, bool) {
 	lit, ok := x.(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
 		return "", false
@@ -72,11 +72,11 @@
 
 var keyStyle = regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 
-func keysOf(t *testing.T, fset *token.FileSet, args []ast.Expr) string {
+func logKeysOf(t *testing.T, fset *token.FileSet, args []ast.Expr) string {
 	t.Helper()
 	var keys []string
 	for i := 0; i < len(args); i += 2 {
-		key, ok := stringOf(args[i])
+		key, ok := stringLiteral(args[i])
 		if !ok || !keyStyle.MatchString(key) {
 			t.Errorf("%s: the key %q is not a constant in snake case", fset.Position(args[i].Pos()), key)
 		}
