--- a/internal/architecture_test.go
+++ b/internal/architecture_test.go
@@ -1,5 +1,6 @@
-// Package internal_test holds what is true of the whole tree: which package
-// may import which, and that the documents' links lead somewhere.
+// Package internal_test checks rules of the whole source tree: which package
+// may import which, and that the documents agree with the code and their links
+// are valid.
 package internal_test
 
 import (
@@ -17,9 +18,9 @@
 
 const module = "poppypass/"
 
-// layers are the groups of packages from the bottom up, as docs/architecture.md
-// draws them. A package imports packages of its own group and of lower ones.
-// The groups of one line do not import each other.
+// layers are the groups of packages from the lowest layer to the highest, as in
+// docs/architecture.md. A package may import packages of its own group and of
+// lower layers. Groups of the same layer (one line) may not import each other.
 var layers = [][]string{
 	{"internal/platform"},
 	{"internal/clients"},
@@ -31,14 +32,15 @@
 	{"cmd"},
 }
 
-// leaves are packages that stand with their group but are used further down:
-// everybody may import them, and they import only what is listed and each other.
+// leaves are packages that lower layers use, too, although their directory is in
+// a higher layer. All packages may import them. They may import only the listed
+// packages and each other.
 var leaves = map[string][]string{
 	"internal/accounting/charge": {},
 	"internal/accounting/budget": {"internal/platform/tuning", "internal/platform/wire"},
 }
 
-// pure are the groups of packages that hold state and decisions, and reach
+// pure are packages that hold state and make decisions without I/O: they call
 // neither the state service nor the cloud nor another controller.
 var pure = []string{
 	"internal/scheduler/autoscale",
@@ -53,7 +55,7 @@
 
 const simulations = "internal/sim"
 
-// within tells whether a package is the group or lies in it.
+// within reports whether a package is the group itself or below its directory.
 func within(pkg, group string) bool {
 	return pkg == group || strings.HasPrefix(pkg, group+"/")
 }
@@ -69,7 +71,7 @@
 	return 0, "", false
 }
 
-// checkImport returns why a package may not import another one, or nothing.
+// checkImport returns an error with the reason if a package may not import another one.
 func checkImport(importer, imported string) error {
 	if within(importer, simulations) {
 		return nil // simulations run whole controllers
@@ -81,7 +83,7 @@
 		if _, leaf := leaves[imported]; leaf || slices.Contains(allowed, imported) {
 			return nil
 		}
-		return fmt.Errorf("%s imports %s: it is used by lower packages, and may import only %v", importer, imported, allowed)
+		return fmt.Errorf("%s imports %s: lower layers use the importing package, so it may import only %v", importer, imported, allowed)
 	}
 	if _, ok := leaves[imported]; ok {
 		return nil
@@ -97,18 +99,18 @@
 	case to > from:
 		return fmt.Errorf("%s imports %s, which is a higher layer", importer, imported)
 	case to == from && fromGroup != toGroup:
-		return fmt.Errorf("%s imports %s: these groups stand side by side", importer, imported)
+		return fmt.Errorf("%s imports %s: the groups are in the same layer", importer, imported)
 	}
 	for _, p := range pure {
 		if importer == p && (within(imported, "internal/clients") || within(imported, "internal/cluster")) {
-			return fmt.Errorf("%s imports %s: it decides without calling anybody", importer, imported)
+			return fmt.Errorf("%s imports %s: the importing package may not call the state service, the cloud or other controllers", importer, imported)
 		}
 	}
 	return nil
 }
 
-// TestImportsFollowTheLayers holds the import rules between the groups of
-// packages. Test files may import anything.
+// TestImportsFollowTheLayers checks the imports of all packages against the
+// rules above. Test files may import anything.
 func TestImportsFollowTheLayers(t *testing.T) {
 	seen := map[string]bool{}
 	eachSource(t, func(pkg, file string) {
@@ -146,8 +148,8 @@
 	}
 }
 
-// eachSource calls visit for each Go file of the program that is no test, with
-// its package's path in the module.
+// eachSource calls visit for each Go file of the program that is not a test, with
+// the path of its package within the module.
 func eachSource(t *testing.T, visit func(pkg, file string)) {
 	t.Helper()
 	for _, root := range []string{".", "../cmd"} {
@@ -174,23 +176,23 @@
 		name, importer, imported string
 		allowed                  bool
 	}{
-		{"the lowest layer is for all", "cmd/poppypass", "internal/platform/wire", true},
-		{"downwards", "internal/scheduler/leader", "internal/cluster/election", true},
+		{"all may import the lowest layer", "cmd/poppypass", "internal/platform/wire", true},
+		{"a lower layer", "internal/scheduler/leader", "internal/cluster/election", true},
 		{"within a group", "internal/scheduler/leader", "internal/scheduler/jobs", true},
-		{"upwards", "internal/cluster/election", "internal/scheduler/jobs", false},
-		{"upwards from the lowest layer", "internal/platform/config", "internal/clients/cloud", false},
-		{"groups side by side", "internal/graphs/runner", "internal/accounting/ledger", false},
-		{"the commands are the top", "internal/controller", "cmd/poppypass", false},
-		{"a leaf from below", "internal/platform/config", "internal/accounting/budget", true},
-		{"a leaf from a group beside", "internal/graphs/runner", "internal/accounting/charge", true},
-		{"a leaf uses a leaf", "internal/accounting/budget", "internal/accounting/charge", true},
-		{"a leaf uses what it may", "internal/accounting/budget", "internal/platform/wire", true},
-		{"a leaf does not go further", "internal/accounting/budget", "internal/platform/config", false},
-		{"a leaf does not use its group", "internal/accounting/charge", "internal/accounting/ledger", false},
-		{"decisions call nobody", "internal/scheduler/placement", "internal/clients/statestore", false},
-		{"the job store calls nobody", "internal/scheduler/jobs", "internal/cluster/election", false},
-		{"the program does not use simulations", "internal/controller", "internal/sim/fakes", false},
-		{"simulations use everything", "internal/sim/testcluster", "internal/controller", true},
+		{"a higher layer", "internal/cluster/election", "internal/scheduler/jobs", false},
+		{"a higher layer from the lowest layer", "internal/platform/config", "internal/clients/cloud", false},
+		{"another group of the same layer", "internal/graphs/runner", "internal/accounting/ledger", false},
+		{"commands are the highest layer", "internal/controller", "cmd/poppypass", false},
+		{"a leaf from a lower layer", "internal/platform/config", "internal/accounting/budget", true},
+		{"a leaf from another group of its layer", "internal/graphs/runner", "internal/accounting/charge", true},
+		{"a leaf imports a leaf", "internal/accounting/budget", "internal/accounting/charge", true},
+		{"a leaf imports a listed package", "internal/accounting/budget", "internal/platform/wire", true},
+		{"a leaf does not import an unlisted package", "internal/accounting/budget", "internal/platform/config", false},
+		{"a leaf does not import its group", "internal/accounting/charge", "internal/accounting/ledger", false},
+		{"placement decisions do not import the state service's client", "internal/scheduler/placement", "internal/clients/statestore", false},
+		{"the job store does not import the election", "internal/scheduler/jobs", "internal/cluster/election", false},
+		{"the program does not import simulations", "internal/controller", "internal/sim/fakes", false},
+		{"simulations import everything", "internal/sim/testcluster", "internal/controller", true},
 		{"a package without a layer", "internal/util", "internal/platform/wire", false},
 		{"an import without a layer", "internal/controller", "internal/util", false},
 	} {
--- a/internal/docnames_test.go
+++ b/internal/docnames_test.go
@@ -14,8 +14,8 @@
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark)[A-Z]\w*)\(`)
 )
 
-// TestNamedTestsExist holds that each test which a page names as the guard of
-// an argument or incident is there under that name.
+// TestNamedTestsExist checks that each test exists which a page of the documents
+// names, for example as the regression test of an incident.
 func TestNamedTestsExist(t *testing.T) {
 	declared := map[string]bool{}
 	for _, root := range []string{".", "../cmd"} {
@@ -30,16 +30,16 @@
 		for _, m := range namedTest.FindAllStringSubmatch(read(t, page), -1) {
 			named++
 			if !declared[m[1]] {
-				t.Errorf("%s names %s, which is nowhere", page, m[1])
+				t.Errorf("%s names the test %s, which does not exist", page, m[1])
 			}
 		}
 	})
 	if named < 50 {
-		t.Errorf("only %d tests are named", named)
+		t.Errorf("the documents name only %d tests", named)
 	}
 }
 
-// eachFile calls visit for each file below a folder whose name ends so.
+// eachFile calls visit for each file below root whose name has the suffix.
 func eachFile(t *testing.T, root, suffix string, visit func(file string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(file string, d fs.DirEntry, err error) error {
@@ -55,9 +55,9 @@
 
 var namedPath = regexp.MustCompile("`((?:internal|cmd)/[\\w./-]+)`")
 
-// TestNamedFilesExist holds that the files and folders that a page names are
-// there. measurements.md tells of rounds by the names of their time, the road
-// map also of packages to come.
+// TestNamedFilesExist checks that the files and folders which a page names exist.
+// It skips measurements.md, which uses the names that files had at the time of
+// each measurement, and ROADMAP.md, which also names planned packages.
 func TestNamedFilesExist(t *testing.T) {
 	named := 0
 	eachFile(t, "../docs", ".md", func(page string) {
@@ -67,19 +67,19 @@
 		for _, m := range namedPath.FindAllStringSubmatch(read(t, page), -1) {
 			named++
 			if _, err := os.Stat(filepath.Join("..", m[1])); err != nil {
-				t.Errorf("%s names %s, which is nowhere", page, m[1])
+				t.Errorf("%s names the file %s, which does not exist", page, m[1])
 			}
 		}
 	})
 	if named < 10 {
-		t.Errorf("only %d files are named", named)
+		t.Errorf("the documents name only %d files", named)
 	}
 }
 
 var storedKey = regexp.MustCompile(`(?m)^\s*(?:const )?(?:[kK]ey|[pP]refix)\w* += "([a-z]+/[a-z/]*)"`)
 
-// TestStoredKeysHaveAnOwner holds that docs/architecture.md says of each key of
-// the state service who owns it.
+// TestStoredKeysHaveAnOwner checks that docs/architecture.md names the owner of
+// each key in the state service.
 func TestStoredKeysHaveAnOwner(t *testing.T) {
 	page := read(t, "../docs/architecture.md")
 	keys := 0
@@ -87,7 +87,7 @@
 		for _, m := range storedKey.FindAllStringSubmatch(read(t, file), -1) {
 			keys++
 			if !strings.Contains(page, "`"+m[1]) {
-				t.Errorf("%s: docs/architecture.md does not say who owns %s", file, m[1])
+				t.Errorf("%s: docs/architecture.md does not name the owner of the key %s", file, m[1])
 			}
 		}
 	})
--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -17,7 +17,8 @@
 )
 
 // TestLinksOfDocuments checks that each relative link in README.md and docs
-// leads to a file or folder, and to a heading where it names one.
+// refers to an existing file or folder and, if it has an anchor, to an existing
+// heading.
 func TestLinksOfDocuments(t *testing.T) {
 	pages := []string{"../README.md"}
 	err := filepath.WalkDir("../docs", func(file string, d fs.DirEntry, err error) error {
@@ -57,11 +58,11 @@
 		linked = filepath.Join(filepath.Dir(page), filepath.FromSlash(name))
 	}
 	if _, err := os.Stat(linked); err != nil {
-		t.Errorf("%s: link %s leads nowhere", page, target)
+		t.Errorf("%s: the target of link %s does not exist", page, target)
 		return
 	}
 	if anchor != "" && !anchorsOf(read(t, linked))[anchor] {
-		t.Errorf("%s: link %s: there is no such heading", page, target)
+		t.Errorf("%s: the target of link %s has no such heading", page, target)
 	}
 }
 
@@ -81,8 +82,8 @@
 	return targets
 }
 
-// anchorsOf returns the names under which a page's headings can be linked: in
-// lower case, without punctuation, with hyphens for spaces.
+// anchorsOf returns the anchors of a page's headings: the headings in lower case,
+// without punctuation, with hyphens for spaces.
 func anchorsOf(text string) map[string]bool {
 	anchors := map[string]bool{}
 	for _, m := range heading.FindAllStringSubmatch(text, -1) {
@@ -103,9 +104,9 @@
 func TestLinksAndHeadingsAreRead(t *testing.T) {
 	text := "# Why the rules hold\n[a](b.md), [c](d.md#e)\n```\n[no](link.md)\n```\n"
 	if got := strings.Join(linksOf(text), " "); got != "b.md d.md#e" {
-		t.Errorf("links: %s", got)
+		t.Errorf("the links were read as %s", got)
 	}
 	if !anchorsOf(text)["why-the-rules-hold"] {
-		t.Errorf("headings: %v", anchorsOf(text))
+		t.Errorf("the headings' anchors were read as %v", anchorsOf(text))
 	}
 }
--- a/internal/glossary_test.go
+++ b/internal/glossary_test.go
@@ -13,8 +13,8 @@
 	codeSpan  = regexp.MustCompile("`([^`]+)`")
 )
 
-// TestGlossaryHasEveryWordOfTheWire holds that each field, path and word of
-// the protocol is in docs/glossary.md.
+// TestGlossaryHasEveryWordOfTheWire checks that docs/glossary.md explains each
+// field, path and enumerated value of the wire protocol.
 func TestGlossaryHasEveryWordOfTheWire(t *testing.T) {
 	explained := map[string]bool{}
 	for _, m := range codeSpan.FindAllStringSubmatch(read(t, "../docs/glossary.md"), -1) {
@@ -38,6 +38,6 @@
 		}
 	}
 	if words < 100 {
-		t.Errorf("only %d words were found", words)
+		t.Errorf("only %d words of the protocol were found", words)
 	}
 }
--- a/internal/graphs/airflow/branches_test.go
+++ b/internal/graphs/airflow/branches_test.go
@@ -24,10 +24,10 @@
 
 const formatInstances = formatRunPath + "/taskInstances"
 
-// clientRequest is a request of a client.
+// clientRequest is a client's request: the path is without the prefix PathAPI.
 type clientRequest struct{ method, path, body string }
 
-// checkAnswers compares the answers to requests of a team with one golden file.
+// checkAnswers sends requests of formatTeam and compares all their answers with one golden file.
 func checkAnswers(t *testing.T, name string, mux http.Handler, requests []clientRequest) {
 	t.Helper()
 	var all []string
@@ -37,7 +37,8 @@
 	golden.Check(t, name, []byte(strings.Join(all, "\n\n")))
 }
 
-// serveToText returns a request's status, headers and body in one text. Without a team the request has no authentication.
+// serveToText serves a request and returns the request and the answer's status, headers and body as one text. If the
+// team is empty, the request has no authentication.
 func serveToText(mux http.Handler, team string, c clientRequest) string {
 	request := httptest.NewRequest(c.method, PathAPI+c.path, strings.NewReader(c.body))
 	if team != "" {
@@ -59,7 +60,7 @@
 	return strings.Join(append(append(lines, headers...), response.Body.String()), "\n")
 }
 
-// Pages of lists: bounds, and numbers that are none.
+// Paging of lists: limits and offsets in and out of range, and malformed ones.
 func TestPagesOfLists(t *testing.T) {
 	checkAnswers(t, "pages", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?limit=-1", ""},
@@ -76,7 +77,7 @@
 	})
 }
 
-// Orders of lists, up and down, and orders that are not offered.
+// Sorting of lists, ascending and descending, and by fields that are not supported.
 func TestOrdersOfLists(t *testing.T) {
 	checkAnswers(t, "orders", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?order_by=none", ""},
@@ -91,7 +92,7 @@
 	})
 }
 
-// Filters of lists: what they leave out, and bounds that are no times.
+// Filters of lists, and time bounds that are malformed.
 func TestFiltersOfLists(t *testing.T) {
 	checkAnswers(t, "filters", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags?paused=True", ""},
@@ -111,7 +112,7 @@
 	})
 }
 
-// Requests for graphs that are malformed, or name what is not known.
+// Requests for graphs that are malformed or name unknown graphs, steps or definitions.
 func TestRefusedGraphRequests(t *testing.T) {
 	checkAnswers(t, "refused-graphs", newFormatFixture(t).mux, []clientRequest{
 		{"PUT", "/dags/nightly", "{"},
@@ -132,7 +133,7 @@
 	})
 }
 
-// Requests for runs that are malformed, or name what is not known.
+// Requests for runs that are malformed or name unknown runs or steps.
 func TestRefusedRunRequests(t *testing.T) {
 	checkAnswers(t, "refused-runs", newFormatFixture(t).mux, []clientRequest{
 		{"POST", "/dags/nightly/dagRuns", `{"logical_date":"soon"}`},
@@ -159,7 +160,7 @@
 	})
 }
 
-// Instances, tries, results and pools that are not known, and what is listed when there are none.
+// Unknown instances, tries, results and pools, and empty lists of them.
 func TestInstanceBranches(t *testing.T) {
 	checkAnswers(t, "instance-branches", newFormatFixture(t).mux, []clientRequest{
 		{"GET", "/dags/nightly/dagRuns/none/taskInstances", ""},
@@ -183,7 +184,8 @@
 	})
 }
 
-// A request names its team as the user, or else with the parameter, and is refused without one.
+// A request names its team as the user name of basic authentication or else by the query parameter team. A request
+// without a team is refused.
 func TestTeamOfRequest(t *testing.T) {
 	mux := newFormatFixture(t).mux
 	for _, c := range []struct{ name, team, path string }{
@@ -214,7 +216,7 @@
 	}
 }
 
-// routesWithLeaderAnswer returns the handler's routes with a leader that answers every order and query the same.
+// routesWithLeaderAnswer returns the handler's routes with a leader that gives the same answer to every command and query.
 func routesWithLeaderAnswer(t *testing.T, status int, body string) *http.ServeMux {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
@@ -232,7 +234,7 @@
 	return mux
 }
 
-// What clients are told when the leader refuses, cannot be asked or answers what cannot be read.
+// The answers to clients if the leader refuses, is unavailable or gives a malformed answer.
 func TestLeaderRefusalAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -265,7 +267,8 @@
 	}
 }
 
-// While the state service cannot be read, clients are told to come back, and the health says it.
+// While the state service cannot be read, requests are answered with 503 and Retry-After, and the health endpoint
+// reports it as unhealthy.
 func TestStateUnavailableAnswers(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(formatStart)
 	state := fakes.NewStore(clock)
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -43,7 +43,7 @@
 
 const (
 	formatTeam = "vision"
-	// The keys of the team's graph and run: the team's part is a hash of its name.
+	// The keys of the team's graph and run in the state service. They contain a hash of the team's name.
 	formatGraphKey = "graph/dag/5944ae849448011c/nightly"
 	formatRunKey   = "graph/run/5944ae849448011c/nightly/manual__1"
 	formatRunPath  = "/dags/nightly/dagRuns/manual__1"
@@ -51,8 +51,8 @@
 
 var formatStart = time.Date(2026, time.December, 1, 12, 0, 0, 0, time.UTC)
 
-// formatFixture is a handler over a state service that holds a graph and a run of it, and a
-// leader that takes every order and notes it.
+// formatFixture is a handler with a state service that stores one graph and one run of it, and
+// with a leader that accepts and records every command and query.
 type formatFixture struct {
 	mux            *http.ServeMux
 	leaderRequests []string
@@ -98,7 +98,7 @@
 	return fixture
 }
 
-// storeFormatRecords stores the graph and the run as a leader does.
+// storeFormatRecords stores the graph and the run in the form in which a leader stores them.
 func storeFormatRecords(t *testing.T, store *statestore.Client, reader *runner.Reader) {
 	t.Helper()
 	graph := formatDefinition()
@@ -117,8 +117,8 @@
 	}
 }
 
-// formatRun is the stored form of a run whose first step left a result and runs again
-// after a failed try.
+// formatRun returns the stored form of a run whose first step has stored a result and is
+// running again after a failed try.
 func formatRun(t *testing.T, graph *dag.Graph, hash string) map[string]any {
 	t.Helper()
 	plan, err := dag.NewPlan(graph)
@@ -148,7 +148,8 @@
 	}
 }
 
-// exchange gives a request, the orders to the leader that it led to, and the answer.
+// exchange serves a request and returns as one text the request, the commands and queries that the handler sent to the
+// leader, and the answer.
 func (f *formatFixture) exchange(method, path, body string) string {
 	request := httptest.NewRequest(method, PathAPI+path, strings.NewReader(body))
 	request.SetBasicAuth(formatTeam, "")
@@ -159,7 +160,7 @@
 	return strings.Join(append(lines, http.StatusText(answer.Code), answer.Body.String()), "\n")
 }
 
-// Each request of the API, the orders to the leader that it leads to, and its answer.
+// Each request of the API, the commands and queries that it sends to the leader, and its answer.
 func TestRequestFormats(t *testing.T) {
 	fixture := newFormatFixture(t)
 	definition := wire.EncodeRecord(formatDefinition())
--- a/internal/graphs/airflow/lists_test.go
+++ b/internal/graphs/airflow/lists_test.go
@@ -18,8 +18,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// newListRoutes returns the handler's routes over two graphs, one of them paused, and three runs of the other: one whose first step
-// runs, one whose first step failed for good, and one that is queued.
+// newListRoutes returns the handler's routes with two stored graphs. One graph is paused; the other has three runs: one
+// whose first step is running, one whose first step has failed after all its retries, and one that is queued.
 func newListRoutes(t *testing.T) *http.ServeMux {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(formatStart)
@@ -59,7 +59,7 @@
 	return mux
 }
 
-// encodeFailedRun returns the stored form of a run whose first step failed as often as it may.
+// encodeFailedRun returns the stored form of a run whose first step has failed after all its retries.
 func encodeFailedRun(t *testing.T, graph *dag.Graph) json.RawMessage {
 	t.Helper()
 	plan, err := dag.NewPlan(graph)
@@ -85,7 +85,7 @@
 	return raw
 }
 
-// Lists of several runs and graphs: each order, both ways, with pages and filters.
+// Lists of several runs and graphs: sorting by each field, in both directions, with paging and filters.
 func TestListsOfSeveralItems(t *testing.T) {
 	var requests []clientRequest
 	for _, query := range []string{
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -1,8 +1,9 @@
-// Package dagfile reads graphs from files in Starlark, a language like Python, with the
-// names that users of Airflow know: DAG, operators, a >> b, trigger_rule, retries, expand.
+// Package dagfile reads graphs from files in Starlark, a dialect of Python, with the names
+// that users of Airflow know: DAG, operators, a >> b, trigger_rule, retries, expand.
 //
-// A file cannot read files, reach a network or tell the time. Its steps, time and memory
-// are bounded (Limits). The client runs it; the service receives the result, a dag.Graph.
+// A graph file cannot read other files, access a network or read the clock. Its execution
+// steps, time and memory are bounded (Limits). The client runs the file; the service receives
+// only the result, a dag.Graph.
 package dagfile
 
 import (
@@ -20,26 +21,26 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Limits bound the resources that running a file takes.
+// Limits bounds a graph file's size and the resources that running it uses.
 type Limits struct {
-	Bytes  int           // length of the file
-	Steps  uint64        // computation steps of the interpreter
-	Time   time.Duration // elapsed
+	Bytes  int           // size of the file
+	Steps  uint64        // execution steps of the Starlark interpreter
+	Time   time.Duration // elapsed time
 	Memory uint64        // bytes that the process's heap may grow by
 }
 
-// DefaultLimits returns limits that are enough for a graph of 10,000 steps.
+// DefaultLimits returns limits that suffice for a graph of 10,000 steps.
 func DefaultLimits() Limits {
 	return Limits{Bytes: 1 << 20, Steps: 5_000_000, Time: 5 * time.Second, Memory: 64 << 20}
 }
 
-// maxRange bounds the length of range(): built-in functions that count no steps turn its
-// result into lists.
+// maxRange is the maximum length of range(). It needs a limit of its own, because built-in
+// functions that count no execution steps turn its result into lists.
 const maxRange = 100_000
 
-// Load runs a file and returns the graphs that it describes, in their order. The graphs are
-// not validated (dag.NewPlan). An error says in one line what is wrong, with the file, line
-// and column where that is known.
+// Load runs a graph file and returns the graphs that it describes, in the order of the file.
+// The graphs are not validated yet; dag.NewPlan does that. An error is one line that names the
+// file, the line and column if they are known, and the cause.
 func Load(name string, src []byte, limits Limits) ([]*dag.Graph, error) {
 	if len(src) > limits.Bytes {
 		return nil, fmt.Errorf("%s: the file has %d bytes; up to %d are allowed", name, len(src), limits.Bytes)
@@ -66,7 +67,7 @@
 	return graphs, nil
 }
 
-// compile parses a file, guards its products, and resolves its names.
+// compile parses a file, replaces its products by bounded ones (guardProducts), and resolves its names.
 func compile(name string, src []byte, predeclared starlark.StringDict) (*starlark.Program, error) {
 	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
 	f, err := opts.Parse(name, src, 0)
@@ -79,7 +80,7 @@
 	return starlark.FileProgram(f, predeclared.Has)
 }
 
-// run executes a program within the limits. Its output is discarded.
+// run executes a program within the limits. What the program prints is discarded.
 func run(name string, program *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(limits.Steps)
@@ -96,12 +97,13 @@
 	return err
 }
 
-// watchInterval is how often a running file is checked for its use of memory.
+// watchInterval is the interval between two checks of a running file's memory use.
 const watchInterval = time.Millisecond
 
-// watch cancels a file that takes too long, or too much memory, and returns when it did or
-// done is closed. Between two checks one operation may exceed the limit; the largest are
-// bounded one by one (guardProducts, maxRange).
+// watch cancels a file that exceeds the limit of time or memory. It returns when it has
+// cancelled the file or when done is closed. Between two checks, one operation may exceed the
+// memory limit; the operations that could allocate most have bounds of their own
+// (guardProducts, maxRange).
 func watch(thread *starlark.Thread, limits Limits, done <-chan struct{}) {
 	heap := newHeapGrowth()
 	deadline := time.NewTimer(limits.Time)
@@ -124,20 +126,20 @@
 	}
 }
 
-// heapGrowth measures by how much the process's heap grows.
+// heapGrowth measures by how much the process's heap has grown since its creation.
 type heapGrowth struct {
 	samples []metrics.Sample
-	initial uint64 // bytes of the heap at the beginning
+	initial uint64 // the heap's size at the creation, in bytes
 }
 
-// newHeapGrowth measures from now on.
+// newHeapGrowth returns a heapGrowth that starts from the heap's current size.
 func newHeapGrowth() *heapGrowth {
 	h := &heapGrowth{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
 	h.initial = h.size()
 	return h
 }
 
-// size returns the bytes of the heap.
+// size returns the heap's current size in bytes.
 func (h *heapGrowth) size() uint64 {
 	metrics.Read(h.samples)
 	return h.samples[0].Value.Uint64()
@@ -149,7 +151,8 @@
 	return now > h.initial && now-h.initial > limit
 }
 
-// withPosition returns an error with its place, in one line.
+// withPosition returns an error in one line, prefixed with its position, or with the file's name if the position is not
+// known.
 func withPosition(name string, err error) error {
 	position, text := positionOf(name, err)
 	if position == "" {
@@ -158,8 +161,8 @@
 	return fmt.Errorf("%s: %s", position, strings.Join(strings.Fields(text), " "))
 }
 
-// positionOf returns the place and text of an error of parsing, resolving or running a
-// file. The place is empty if it is not known.
+// positionOf returns the position and text of an error of parsing, resolving or running a
+// file. The position is empty if it is not known.
 func positionOf(name string, err error) (position, text string) {
 	var evalErr *starlark.EvalError
 	var syntaxErr syntax.Error
@@ -175,8 +178,8 @@
 	return "", err.Error()
 }
 
-// innermostPosition returns the innermost place of a call stack that lies in the file, not
-// in a built-in function; empty if there is none.
+// innermostPosition returns the innermost position of a call stack that is in the file and
+// not in a built-in function; empty if there is none.
 func innermostPosition(name string, err *starlark.EvalError) string {
 	for i := range len(err.CallStack) {
 		if p := err.CallStack.At(i).Pos; p.Filename() == name && p.Line > 0 {
--- a/internal/graphs/dagfile/dagfile_test.go
+++ b/internal/graphs/dagfile/dagfile_test.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// settlement is a file with each kind of operator, dependency and expansion.
+// settlement is a graph file with each kind of operator, dependency and mapped step.
 const settlement = `
 args = {"owner": "payouts-team", "retries": 2, "retry_delay": timedelta(minutes = 3), "cpus": 2, "memory_gb": 4,
         "image": "settle", "job_class": "settlement", "email": "nobody"}
@@ -28,7 +28,7 @@
 pay.set_downstream(EmptyOperator(task_id = "end"))
 `
 
-// loadSettlement returns the graph of the file above, and its plan.
+// loadSettlement returns the graph that the settlement file describes, and its plan.
 func loadSettlement(t *testing.T) (*dag.Graph, *dag.Plan) {
 	t.Helper()
 	graphs, err := Load("nightly.star", []byte(settlement), DefaultLimits())
@@ -45,7 +45,7 @@
 func TestArgumentsOfADAGSetTheGraph(t *testing.T) {
 	g, _ := loadSettlement(t)
 	if g.Team != "payouts-team" || g.Start.Format(time.RFC3339) != "2026-12-01T00:00:00-05:00" || !g.Catchup || g.MaxRuns != 1 || string(g.Params["owners"]) != `["a","b"]` {
-		t.Errorf("read as %+v", g)
+		t.Errorf("the file was read as %+v", g)
 	}
 }
 
@@ -62,17 +62,17 @@
 	g, p := loadSettlement(t)
 	s := g.Steps[p.Index["settle_2"]]
 	if s.Job.CPUs != 5 || s.Job.Image != "settle" || s.Retries != 0 || s.Delay != dag.Duration(3*time.Minute) || !s.Exponential || g.Steps[p.Index["pay"]].Retries != 2 {
-		t.Errorf("a step is read as %+v", s)
+		t.Errorf("step settle_2 was read as %+v", s)
 	}
 }
 
 func TestExpandMapsAStepOverAListOrAnOutput(t *testing.T) {
 	g, p := loadSettlement(t)
 	if m := g.Steps[p.Index["pages"]].Map; m == nil || m.Over != "collect" || p.Upstream[p.Index["pages"]][0] != p.Index["collect"] {
-		t.Errorf("mapped over a step: %+v", m)
+		t.Errorf("a step mapped over the output of collect was read as %+v", m)
 	}
 	if m := g.Steps[p.Index["marks"]].Map; m == nil || len(m.List) != 2 || string(m.List[1]) != `{"gate":"south"}` {
-		t.Errorf("mapped over a list: %+v", m)
+		t.Errorf("a step mapped over a list was read as %+v", m)
 	}
 }
 
@@ -89,7 +89,7 @@
 	start := *again.Start
 	again.Start = g.Start
 	if !start.Equal(*g.Start) || !reflect.DeepEqual(&again, g) {
-		t.Errorf("after JSON:\n%+v\n%+v", again, *g)
+		t.Errorf("after encoding and decoding:\n%+v\nwant\n%+v", again, *g)
 	}
 }
 
@@ -121,7 +121,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := Load("f.star", []byte(c.src), limits); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("want %q: %v", c.want, err)
+				t.Errorf("want a one-line error that contains %q, got %v", c.want, err)
 			}
 		})
 	}
--- a/internal/graphs/dagfile/dagvalue.go
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -12,11 +12,11 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// dagValue is a DAG of a file.
+// dagValue is a DAG in a file, as a Starlark value.
 type dagValue struct {
 	fixedValue
-	definition dag.Graph // without its steps
-	defaults   map[string]starlark.Value
+	definition dag.Graph                 // without its steps
+	defaults   map[string]starlark.Value // default_args
 	steps      []*stepValue
 }
 
@@ -24,8 +24,8 @@
 func (d *dagValue) Type() string          { return "DAG" }
 func (d *dagValue) Hash() (uint32, error) { return starlark.String(d.definition.ID).Hash() }
 
-// graph returns the graph that the file made of it. Without a team it belongs to the owner
-// in its default arguments.
+// graph returns the graph that the file describes. If no team is given, the graph's team is
+// the owner in default_args.
 func (d *dagValue) graph() *dag.Graph {
 	graph := d.definition
 	if owner, ok := starlark.AsString(d.defaults["owner"]); ok && graph.Team == "" {
@@ -37,7 +37,7 @@
 	return &graph
 }
 
-// addStep adds a step to a DAG, up to dag.MaxSteps.
+// addStep adds a step to a DAG. More than dag.MaxSteps steps are an error.
 func (d *dagValue) addStep(operator string, s dag.Step) (starlark.Value, error) {
 	if len(d.steps) >= dag.MaxSteps {
 		return nil, fmt.Errorf("%s: the graph has more than %d steps", operator, dag.MaxSteps)
@@ -47,9 +47,9 @@
 	return v, nil
 }
 
-// addDefaults adds the default arguments that an operator takes and that are not given.
-// params has the form of starlark.UnpackArgs. default_args may hold what other operators
-// take, or what means nothing here, such as owner.
+// addDefaults adds to kwargs those default arguments that an operator accepts and that kwargs
+// does not contain. params has the form of starlark.UnpackArgs. default_args may also contain
+// arguments of other operators, or arguments without a meaning for steps, such as owner.
 func (d *dagValue) addDefaults(kwargs []starlark.Tuple, params []any) []starlark.Tuple {
 	given := map[string]bool{}
 	for _, kv := range kwargs {
@@ -64,12 +64,12 @@
 	return kwargs
 }
 
-// dagArgs are those arguments of DAG(...) whose form differs from the field of the graph.
+// dagArgs are the arguments of DAG(...) that have another type than the field of the graph.
 type dagArgs struct {
 	start, end, params, defaults, catchup, tags starlark.Value
 }
 
-// newDAG is DAG(...). It adds a DAG to the loader.
+// newDAG implements DAG(...). It adds a DAG to the loader.
 func (l *loader) newDAG(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	d := &dagValue{defaults: map[string]starlark.Value{}}
 	g := &d.definition
@@ -86,7 +86,7 @@
 	return d, nil
 }
 
-// applyArgs sets what the arguments describe.
+// applyArgs sets the DAG's fields and default arguments from the arguments of DAG(...).
 func (d *dagValue) applyArgs(a *dagArgs) error {
 	g := &d.definition
 	g.Catchup = bool(a.catchup.Truth())
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// setDates reads the first and last date, in the time zone of the DAG.
+// setDates sets the start and end date, which are read in the DAG's time zone.
 func (d *dagValue) setDates(a *dagArgs) (err error) {
 	g := &d.definition
 	location := time.UTC
@@ -129,7 +129,7 @@
 	return err
 }
 
-// setParams reads the parameters of runs, a dict of plain values.
+// setParams sets the parameters of runs from a dict of plain values. A value that is no dict is ignored.
 func (d *dagValue) setParams(params starlark.Value) error {
 	m, ok := params.(*starlark.Dict)
 	if !ok {
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	maxRepeat      = 1 << 20 // bytes or elements of a string or list times a number
-	maxProductBits = 1 << 16 // of a product of integers
+	maxRepeat      = 1 << 20 // maximum length of a repeated string (bytes) or sequence (elements)
+	maxProductBits = 1 << 16 // maximum size of a product of integers, in bits
 )
 
-// mulBuiltin is the name by which rewritten products call mul.
+// mulBuiltin is the predeclared name of mul, which rewritten products call.
 const mulBuiltin = "__mul"
 
-// guardProducts replaces each x * y by a call that checks the sizes first: a string times a
-// number could allocate a gigabyte in one step, before watch can cancel the file. x + y at
-// most doubles what is there, which watch notices.
+// guardProducts replaces each x * y by a call of mul, which checks the size of the result
+// first: a string times a number could allocate a gigabyte in one execution step, before watch
+// can cancel the file. x + y needs no such check, because it at most doubles what is allocated
+// already, which watch notices.
 func guardProducts(f *syntax.File) error {
 	var err error
 	for _, stmt := range f.Stmts {
@@ -30,8 +31,8 @@
 
 var exprType = reflect.TypeFor[syntax.Expr]()
 
-// rewrite replaces the products in all fields of a node, and below. It sets err to the last
-// fault that it finds.
+// rewrite replaces the products in all fields of a syntax node and of the nodes below it. If
+// it finds faults, it sets err to the last of them.
 func rewrite(v reflect.Value, err *error) {
 	switch v.Kind() {
 	case reflect.Interface, reflect.Pointer:
@@ -59,8 +60,8 @@
 	}
 }
 
-// expandStarAssign changes x *= y to x = x * y, if the node v is that, so that its product is
-// found. For anything but a plain name x would then be evaluated twice, so it is an error.
+// expandStarAssign changes a node v of the form x *= y to x = x * y, so that rewrite finds the
+// product. If x is not a plain name, that is an error, since x would be evaluated twice.
 func expandStarAssign(v reflect.Value) error {
 	if !v.CanAddr() {
 		return nil
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// canContainNodes reports whether a field can hold nodes: positions, tokens and what the resolver
-// adds cannot.
+// canContainNodes reports whether a field of this type can contain syntax nodes. Positions,
+// tokens and the fields that the resolver sets cannot.
 func canContainNodes(fieldType reflect.Type) bool {
 	if fieldType.Kind() == reflect.Slice {
 		fieldType = fieldType.Elem()
@@ -87,7 +88,7 @@
 	return fieldType.Kind() == reflect.Interface && fieldType.NumMethod() > 0 || fieldType.Kind() == reflect.Pointer && fieldType.Elem().Kind() == reflect.Struct
 }
 
-// replaceProduct puts a call of mul in the place of an expression that is a product.
+// replaceProduct replaces an expression that is a product by a call of mul.
 func replaceProduct(v reflect.Value) {
 	if !v.CanSet() || v.Type() != exprType || v.IsNil() {
 		return
@@ -101,7 +102,7 @@
 	}))
 }
 
-// mul is x * y, if the result is not too large.
+// mul returns x * y, or an error if the result would be too large.
 func mul(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	x, y := args[0], args[1]
 	if err := checkRepeat(x, y); err != nil {
@@ -113,7 +114,8 @@
 	return starlark.Binary(syntax.STAR, x, y)
 }
 
-// checkRepeat bounds the length of a sequence times a number, in either order.
+// checkRepeat returns an error if x * y is a string or other sequence times a number, in either order, and the result
+// would be longer than maxRepeat.
 func checkRepeat(x, y starlark.Value) error {
 	n, ok := x.(starlark.Int)
 	seq := y
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// checkProduct bounds the size of the product of two integers.
+// checkProduct returns an error if x * y is a product of integers that could have more than maxProductBits bits.
 func checkProduct(x, y starlark.Value) error {
 	a, ok := x.(starlark.Int)
 	if !ok {
--- a/internal/graphs/dagfile/limits_test.go
+++ b/internal/graphs/dagfile/limits_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// A file that allocates without end is cancelled by its use of memory: it takes few steps.
+// A file that allocates memory without end takes few execution steps, so the limit of steps does not stop it. The limit
+// of memory does.
 func TestAFileThatAllocatesWithoutEndIsCancelled(t *testing.T) {
 	limits := DefaultLimits()
 	limits.Memory = 16 << 20
 	src := "DAG('g')\nx = []\nfor i in range(100000):\n  x.append(list(range(100000)))\n"
 	if _, err := Load("f.star", []byte(src), limits); err == nil || !strings.Contains(err.Error(), "16 MB") {
-		t.Errorf("ended with %v", err)
+		t.Errorf("want an error that names the limit of 16 MB, got %v", err)
 	}
 }
 
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -9,14 +9,14 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// operator is a callable value that makes steps of a kind. Its partial(...).expand(items =
-// ...) makes a mapped step.
+// operator is a callable Starlark value that makes steps of one kind.
+// partial(...).expand(items = ...) makes a mapped step.
 type operator struct {
 	fixedValue
 	loader  *loader
 	name    string
 	kind    dag.Kind
-	partial []starlark.Tuple // the arguments of partial; nil: not called
+	partial []starlark.Tuple // the arguments of partial(...); nil if it was not called
 }
 
 func (o *operator) String() string { return o.name }
@@ -40,7 +40,7 @@
 	return nil, nil
 }
 
-// bindPartial is partial(...): an operator with arguments, which only expand takes.
+// bindPartial implements partial(...). It returns an operator that stores the arguments for expand and cannot be called.
 func (o *operator) bindPartial(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
 		return nil, errors.New("partial: name each argument")
@@ -48,7 +48,7 @@
 	return &operator{loader: o.loader, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
 }
 
-// expand is expand(items = ...): a mapped step with the arguments of partial.
+// expand implements expand(items = ...). It makes a mapped step with the arguments of partial(...).
 func (o *operator) expand(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var items starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "items", &items); err != nil {
@@ -66,7 +66,7 @@
 	return step, nil
 }
 
-// mapOver returns what a step is mapped over: a list of plain values, or a step's output.
+// mapOver returns the mapping of a step over items, which are a list of plain values or a step's output.
 func mapOver(items starlark.Value) (*dag.Map, error) {
 	switch v := items.(type) {
 	case *output:
@@ -81,7 +81,7 @@
 	return nil, fmt.Errorf("items is a %s; it must be a list or a step's output", items.Type())
 }
 
-// CallInternal makes a step. It implements starlark.Callable.
+// CallInternal implements starlark.Callable. It makes a step.
 func (o *operator) CallInternal(_ *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if o.partial != nil {
 		return nil, errors.New("partial(...) goes with expand(...)")
@@ -92,7 +92,7 @@
 	}
 	a := newStepArgs(o.kind)
 	params := a.params()
-	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, which stands first, has no default
+	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, the first parameter, has no default
 	if err := starlark.UnpackArgs(o.name, args, kwargs, params...); err != nil {
 		return nil, err
 	}
@@ -103,8 +103,8 @@
 	return d.addStep(o.name, s)
 }
 
-// dagOf returns the DAG of a step, the one that is named or the file's last, and the other
-// arguments.
+// dagOf returns the DAG of a step and the arguments other than dag. The DAG is the argument
+// dag, or else the last DAG that the file has described so far.
 func (o *operator) dagOf(kwargs []starlark.Tuple) (*dagValue, []starlark.Tuple, error) {
 	var rest []starlark.Tuple
 	var d *dagValue
--- a/internal/graphs/dagfile/predeclared.go
+++ b/internal/graphs/dagfile/predeclared.go
@@ -11,12 +11,12 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// loader collects the DAGs that a file describes, in their order.
+// loader collects the DAGs that a file describes, in the order of the file.
 type loader struct {
 	dags []*dagValue
 }
 
-// predeclared returns the names that a file may use besides the language's own.
+// predeclared returns the names that a file may use in addition to Starlark's own.
 func (l *loader) predeclared() starlark.StringDict {
 	names := starlark.StringDict{mulBuiltin: starlark.NewBuiltin("*", mul)}
 	builtin := func(name string, fn func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)) {
@@ -52,7 +52,7 @@
 func (n *namespace) Attr(name string) (starlark.Value, error) { return n.attrs[name], nil }
 func (n *namespace) AttrNames() []string                      { return n.attrs.Keys() }
 
-// boundedRange is range(...) of up to maxRange elements.
+// boundedRange implements range(...), with at most maxRange elements.
 func boundedRange(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	v, err := starlark.Call(t, starlark.Universe["range"], args, kwargs)
 	if err == nil && starlark.Len(v) > maxRange {
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// stepArgs are the arguments of an operator. Those whose form differs from the field of the
-// step are kept apart until build.
+// stepArgs are the arguments of an operator. Arguments that have another type than the field
+// of the step are stored separately; build converts them.
 type stepArgs struct {
 	step                     dag.Step
 	job                      dag.Job
@@ -18,13 +18,13 @@
 	types                    starlark.Value // a list of names or None
 }
 
-// newStepArgs returns the defaults of an operator's arguments.
+// newStepArgs returns the arguments of an operator of a kind, set to their defaults.
 func newStepArgs(kind dag.Kind) *stepArgs {
 	return &stepArgs{step: dag.Step{Kind: kind}, delay: starlark.None, maxDelay: starlark.None, timeout: starlark.None, types: starlark.None}
 }
 
-// params returns names and destinations in the form of starlark.UnpackArgs; task_id stands
-// first, and what must be given before what may be.
+// params returns the parameters' names and destinations in the form of starlark.UnpackArgs.
+// task_id is the first parameter, and required parameters precede optional ones.
 func (a *stepArgs) params() []any {
 	params := []any{"task_id", &a.step.ID}
 	if a.hasJob() {
@@ -37,16 +37,16 @@
 	return params
 }
 
-// hasJob reports whether steps of this kind have a job.
+// hasJob reports whether steps of the operator's kind have a job.
 func (a *stepArgs) hasJob() bool { return a.step.Kind != dag.KindEmpty }
 
-// requiredJobParams are those of a job that must be given.
+// requiredJobParams returns the required parameters of a job.
 func (a *stepArgs) requiredJobParams() []any {
 	j := &a.job
 	return []any{"job_class", &j.Class, "cpus", &number{&j.CPUs}, "memory_gb", &number{&j.MemoryGB}, "image", &j.Image}
 }
 
-// stepParams are those that all operators take.
+// stepParams returns the optional parameters that all operators have.
 func (a *stepArgs) stepParams() []any {
 	s := &a.step
 	return []any{
@@ -56,7 +56,7 @@
 	}
 }
 
-// optionalJobParams are those of a job that may be given.
+// optionalJobParams returns the optional parameters of a job.
 func (a *stepArgs) optionalJobParams() []any {
 	j := &a.job
 	return []any{
@@ -66,7 +66,7 @@
 	}
 }
 
-// build returns the step that the arguments describe; operator names it in errors.
+// build returns the step that the arguments describe. operator is the operator's name, for errors.
 func (a *stepArgs) build(operator string) (dag.Step, error) {
 	step := a.step
 	step.Rule = dag.Rule(a.rule)
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// stepValue is a step of a file.
+// stepValue is a step in a file, as a Starlark value.
 type stepValue struct {
 	fixedValue
 	dag        *dagValue
@@ -41,7 +41,8 @@
 	return nil, nil
 }
 
-// linkMethod returns a method of a step that links it with its only argument.
+// linkMethod returns a built-in method of a step with one argument. The method calls link, which adds the dependency
+// between the step and the argument.
 func linkMethod(name string, link func(other starlark.Value) error) starlark.Value {
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		var other starlark.Value
@@ -52,7 +53,7 @@
 	})
 }
 
-// Binary is a >> b and a << b; either side may be a list. It implements starlark.HasBinary.
+// Binary implements starlark.HasBinary for a >> b and a << b. Either side may be a list of steps.
 func (s *stepValue) Binary(op syntax.Token, y starlark.Value, side starlark.Side) (starlark.Value, error) {
 	before, after := starlark.Value(s), y
 	if (op == syntax.LTLT) != (side == starlark.Right) {
@@ -61,14 +62,14 @@
 	switch op {
 	case syntax.GTGT, syntax.LTLT:
 		if side == starlark.Right {
-			return s, addDependencies(before, after) // the right-hand one, so that a >> b >> c is a chain
+			return s, addDependencies(before, after) // the right-hand operand, so that a >> b >> c is a chain
 		}
 		return y, addDependencies(before, after)
 	}
 	return nil, nil
 }
 
-// output is the value that stands for a step's result, which another may be mapped over.
+// output is a Starlark value that represents a step's future result. Another step can be mapped over it.
 type output struct {
 	fixedValue
 	step *stepValue
@@ -80,7 +81,7 @@
 
 func (o *output) Hash() (uint32, error) { return o.step.Hash() }
 
-// stepsOf returns the steps of a value: a step, or a list or tuple of them.
+// stepsOf returns the steps in a value, which is a step or a list or tuple of steps.
 func stepsOf(v starlark.Value) ([]*stepValue, error) {
 	if s, ok := v.(*stepValue); ok {
 		return []*stepValue{s}, nil
@@ -100,7 +101,7 @@
 	return steps, nil
 }
 
-// addDependencies makes all steps of one value follow all of another.
+// addDependencies makes each step in after depend on each step in before.
 func addDependencies(before, after starlark.Value) error {
 	up, err := stepsOf(before)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// chain is chain(a, b, ...): each argument follows the one before.
+// chain implements chain(a, b, ...). Each argument depends on the argument before it.
 func chain(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 	for i := 1; i < len(args); i++ {
 		if err := addDependencies(args[i-1], args[i]); err != nil {
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -12,8 +12,8 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// fixedValue has those methods of starlark.Value that are the same for all values of this
-// package: they are true, and need not be frozen, since no other thread ever reads them.
+// fixedValue has the methods of starlark.Value that are the same for all values of this
+// package. The values are true. Freeze does nothing, since no other Starlark thread reads them.
 type fixedValue struct{}
 
 // Freeze implements starlark.Value.
@@ -22,7 +22,7 @@
 // Truth implements starlark.Value.
 func (fixedValue) Truth() starlark.Bool { return true }
 
-// number unpacks an int or float that is finite and not negative.
+// number unpacks an argument that is a finite, non-negative int or float into target.
 type number struct{ target *float64 }
 
 // Unpack implements starlark.Unpacker.
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// timedelta is timedelta(days, hours, minutes, seconds): a duration in seconds.
+// timedelta implements timedelta(days, hours, minutes, seconds). It returns a duration in seconds.
 func timedelta(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var days, hours, minutes, seconds float64
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs,
@@ -45,8 +45,8 @@
 	return starlark.Float(days*86400 + hours*3600 + minutes*60 + seconds), nil
 }
 
-// datetime is datetime(year, month, day, hour, minute): a date as text, which the DAG reads
-// in its own time zone.
+// datetime implements datetime(year, month, day, hour, minute). It returns the date as a
+// string without a time zone, which DAG(...) reads in its own time zone.
 func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var y, m, d, h, minute int
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
@@ -55,8 +55,8 @@
 	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
 }
 
-// dateOf reads an argument that is a date, in a time zone unless it has its own; nil for
-// None.
+// dateOf returns the date in an argument; nil for None. A date without a time zone is read in
+// location.
 func dateOf(name string, v starlark.Value, location *time.Location) (*time.Time, error) {
 	if v == starlark.None {
 		return nil, nil
@@ -72,7 +72,7 @@
 	return nil, fmt.Errorf("DAG: %s is %v; it must be a date such as 2026-12-01 or datetime(2026, 12, 1)", name, v)
 }
 
-// durationOf reads an argument that is a duration in seconds; 0 for None.
+// durationOf returns the duration in an argument, which is a number of seconds; 0 for None.
 func durationOf(name string, v starlark.Value) (dag.Duration, error) {
 	if v == starlark.None {
 		return 0, nil
@@ -84,10 +84,10 @@
 	return dag.Duration(f * float64(time.Second)), nil
 }
 
-// errNotNames says that a list holds something else than strings.
+// errNotNames is the error for a list with elements that are not strings.
 var errNotNames = errors.New("not a list of names")
 
-// namesOf returns a list of strings; none for a value that is no list.
+// namesOf returns the strings in a list; nil if the value is not a list.
 func namesOf(v starlark.Value) (names []string, err error) {
 	list, ok := v.(*starlark.List)
 	if !ok {
@@ -103,10 +103,11 @@
 	return names, nil
 }
 
-// maxDepth bounds how deeply lists and dicts are nested in a plain value.
+// maxDepth is the maximum depth to which lists and dicts are nested in a plain value.
 const maxDepth = 8
 
-// toJSON returns a plain value as JSON. depth is how deeply it is nested in others.
+// toJSON returns the JSON of a plain value: None, a bool, string or number, or a list or dict of plain values. depth is
+// the number of lists and dicts that contain the value.
 func toJSON(v starlark.Value, depth int) (json.RawMessage, error) {
 	if depth > maxDepth {
 		return nil, errors.New("it is nested too deeply")
@@ -139,8 +140,8 @@
 	return json.Marshal(out)
 }
 
-// listToJSON returns the elements of a list as JSON; the result is not nil even if there are
-// none. depth is that of the elements.
+// listToJSON returns the JSON of a list's elements. The result is never nil, so that an empty
+// list becomes [] rather than null. depth is the depth of the elements.
 func listToJSON(v *starlark.List, depth int) ([]json.RawMessage, error) {
 	list := make([]json.RawMessage, 0, v.Len())
 	for e := range v.Elements() {
@@ -153,7 +154,7 @@
 	return list, nil
 }
 
-// dictToJSON returns the values of a dict as JSON. depth is that of the values.
+// dictToJSON returns the JSON of a dict's values by their keys. depth is the depth of the values.
 func dictToJSON(v *starlark.Dict, depth int) (map[string]json.RawMessage, error) {
 	m := map[string]json.RawMessage{}
 	for _, item := range v.Items() {
--- a/internal/logs_test.go
+++ b/internal/logs_test.go
@@ -12,11 +12,11 @@
 
 var logLevels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
 
-// logLine is a line that the program may log: a row of docs/operators/logs.md.
+// logLine is a line that the program may log, or a row of docs/operators/logs.md.
 type logLine struct{ level, text, keys string }
 
-// logLinesOf returns the log lines of a source file: calls of a slog method on
-// something named log or Log.
+// logLinesOf returns the log lines in a source file: the calls of a slog method
+// on a variable or field named log or Log.
 func logLinesOf(t *testing.T, file string) (lines []logLine) {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -87,8 +87,8 @@
 
 var logRow = regexp.MustCompile("(?m)^\\| (debug|info|warn|error|info or debug) \\| `([^`]+)` \\| ([^|]*?) ?\\| [^|\\n]+ \\| (?:unchanged|`[^`]+`) \\|$")
 
-// TestLogLinesAreListed holds that docs/operators/logs.md lists what the
-// program logs, with its levels and keys, and nothing else.
+// TestLogLinesAreListed checks that docs/operators/logs.md lists exactly the
+// lines that the program logs, with their levels and keys.
 func TestLogLinesAreListed(t *testing.T) {
 	listed := map[logLine]bool{}
 	for _, m := range logRow.FindAllStringSubmatch(read(t, "../docs/operators/logs.md"), -1) {
@@ -100,14 +100,14 @@
 		}
 		for _, l := range logLinesOf(t, file) {
 			if _, ok := listed[l]; !ok {
-				t.Errorf("%s: docs/operators/logs.md lacks | %s | `%s` | %s |", file, l.level, l.text, l.keys)
+				t.Errorf("%s: docs/operators/logs.md lacks the row | %s | `%s` | %s |", file, l.level, l.text, l.keys)
 			}
 			listed[l] = true
 		}
 	})
 	for l, found := range listed {
 		if !found {
-			t.Errorf("docs/operators/logs.md lists what is not logged: | %s | `%s` | %s |", l.level, l.text, l.keys)
+			t.Errorf("docs/operators/logs.md lists a line that the program does not log: | %s | `%s` | %s |", l.level, l.text, l.keys)
 		}
 	}
 	if len(listed) < 50 {
@@ -120,8 +120,8 @@
 	citedMetric = regexp.MustCompile(`\bpoppypass_[a-z_]+`)
 )
 
-// TestCitedLinesAndMetricsExist holds that the log lines and metrics which the
-// operators' pages send their readers to are there.
+// TestCitedLinesAndMetricsExist checks that the log lines and metrics which the
+// operators' pages cite exist.
 func TestCitedLinesAndMetricsExist(t *testing.T) {
 	levels := map[string]string{}
 	for _, m := range logRow.FindAllStringSubmatch(read(t, "../docs/operators/logs.md"), -1) {
@@ -135,7 +135,7 @@
 			for _, m := range codeSpan.FindAllStringSubmatch(cited[2], -1) {
 				lines++
 				if !strings.Contains(levels[m[1]], cited[1]) {
-					t.Errorf("%s: there is no %s line %q", page, cited[1], m[1])
+					t.Errorf("%s: the program has no %s log line %q", page, cited[1], m[1])
 				}
 			}
 		}
