--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -48,8 +48,8 @@
 	if !utf8.Valid(src) {
 		return nil, fmt.Errorf("%s: the file is not UTF-8", name)
 	}
-	l := &loader{}
-	predeclared := l.predeclared()
+	loader := &loader{}
+	predeclared := loader.predeclared()
 	program, err := compile(name, src, predeclared)
 	if err != nil {
 		return nil, withPosition(name, err)
@@ -57,11 +57,11 @@
 	if err := run(name, program, predeclared, limits); err != nil {
 		return nil, withPosition(name, err)
 	}
-	if len(l.dags) == 0 {
+	if len(loader.dags) == 0 {
 		return nil, fmt.Errorf("%s: the file describes no DAG", name)
 	}
 	var graphs []*dag.Graph
-	for _, d := range l.dags {
+	for _, d := range loader.dags {
 		graphs = append(graphs, d.graph())
 	}
 	return graphs, nil
@@ -70,14 +70,14 @@
 // compile parses a file, replaces its products by bounded ones (guardProducts), and resolves its names.
 func compile(name string, src []byte, predeclared starlark.StringDict) (*starlark.Program, error) {
 	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
-	f, err := opts.Parse(name, src, 0)
+	file, err := opts.Parse(name, src, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := guardProducts(f); err != nil {
+	if err := guardProducts(file); err != nil {
 		return nil, err
 	}
-	return starlark.FileProgram(f, predeclared.Has)
+	return starlark.FileProgram(file, predeclared.Has)
 }
 
 // run executes a program within the limits. What the program prints is discarded.
--- a/internal/graphs/dagfile/dagfile_test.go
+++ b/internal/graphs/dagfile/dagfile_test.go
@@ -35,61 +35,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := dag.NewPlan(graphs[0])
+	plan, err := dag.NewPlan(graphs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	return graphs[0], p
+	return graphs[0], plan
 }
 
 func TestArgumentsOfADAGSetTheGraph(t *testing.T) {
-	g, _ := loadSettlement(t)
-	if g.Team != "payouts-team" || g.Start.Format(time.RFC3339) != "2026-12-01T00:00:00-05:00" || !g.Catchup || g.MaxRuns != 1 || string(g.Params["owners"]) != `["a","b"]` {
-		t.Errorf("the file was read as %+v", g)
+	graph, _ := loadSettlement(t)
+	if graph.Team != "payouts-team" || graph.Start.Format(time.RFC3339) != "2026-12-01T00:00:00-05:00" || !graph.Catchup || graph.MaxRuns != 1 || string(graph.Params["owners"]) != `["a","b"]` {
+		t.Errorf("the file was read as %+v", graph)
 	}
 }
 
 func TestArrowsChainsAndMethodsAreDependencies(t *testing.T) {
-	g, p := loadSettlement(t)
+	graph, plan := loadSettlement(t)
 	for id, want := range map[string]string{"settle_1": "collect", "pay": "settle_0 settle_1 settle_2", "join": "pay pages marks", "end": "pay", "marks": "collect"} {
-		if got := strings.Join(g.Steps[p.Index[id]].Upstream, " "); got != want {
+		if got := strings.Join(graph.Steps[plan.Index[id]].Upstream, " "); got != want {
 			t.Errorf("%s follows %q, want %q", id, got, want)
 		}
 	}
 }
 
 func TestArgumentsOfAStepGoBeforeDefaultArguments(t *testing.T) {
-	g, p := loadSettlement(t)
-	s := g.Steps[p.Index["settle_2"]]
-	if s.Job.CPUs != 5 || s.Job.Image != "settle" || s.Retries != 0 || s.Delay != dag.Duration(3*time.Minute) || !s.Exponential || g.Steps[p.Index["pay"]].Retries != 2 {
-		t.Errorf("step settle_2 was read as %+v", s)
+	graph, plan := loadSettlement(t)
+	step := graph.Steps[plan.Index["settle_2"]]
+	if step.Job.CPUs != 5 || step.Job.Image != "settle" || step.Retries != 0 || step.Delay != dag.Duration(3*time.Minute) || !step.Exponential || graph.Steps[plan.Index["pay"]].Retries != 2 {
+		t.Errorf("wrong arguments of steps; settle_2 was read as %+v", step)
 	}
 }
 
 func TestExpandMapsAStepOverAListOrAnOutput(t *testing.T) {
-	g, p := loadSettlement(t)
-	if m := g.Steps[p.Index["pages"]].Map; m == nil || m.Over != "collect" || p.Upstream[p.Index["pages"]][0] != p.Index["collect"] {
+	graph, plan := loadSettlement(t)
+	if m := graph.Steps[plan.Index["pages"]].Map; m == nil || m.Over != "collect" || plan.Upstream[plan.Index["pages"]][0] != plan.Index["collect"] {
 		t.Errorf("a step mapped over the output of collect was read as %+v", m)
 	}
-	if m := g.Steps[p.Index["marks"]].Map; m == nil || len(m.List) != 2 || string(m.List[1]) != `{"gate":"south"}` {
+	if m := graph.Steps[plan.Index["marks"]].Map; m == nil || len(m.List) != 2 || string(m.List[1]) != `{"gate":"south"}` {
 		t.Errorf("a step mapped over a list was read as %+v", m)
 	}
 }
 
 func TestTheGraphOfAFileIsTheSameAfterJSON(t *testing.T) {
-	g, _ := loadSettlement(t)
-	raw, err := json.Marshal(g)
+	graph, _ := loadSettlement(t)
+	raw, err := json.Marshal(graph)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again dag.Graph
-	if err := json.Unmarshal(raw, &again); err != nil {
+	var decoded dag.Graph
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	start := *again.Start
-	again.Start = g.Start
-	if !start.Equal(*g.Start) || !reflect.DeepEqual(&again, g) {
-		t.Errorf("after encoding and decoding:\n%+v\nwant\n%+v", again, *g)
+	start := *decoded.Start
+	decoded.Start = graph.Start
+	if !start.Equal(*graph.Start) || !reflect.DeepEqual(&decoded, graph) {
+		t.Errorf("after encoding and decoding:\n%+v\nwant\n%+v", decoded, *graph)
 	}
 }
 
--- a/internal/graphs/dagfile/dagvalue.go
+++ b/internal/graphs/dagfile/dagvalue.go
@@ -38,13 +38,13 @@
 }
 
 // addStep adds a step to a DAG. More than dag.MaxSteps steps are an error.
-func (d *dagValue) addStep(operator string, s dag.Step) (starlark.Value, error) {
+func (d *dagValue) addStep(operator string, step dag.Step) (starlark.Value, error) {
 	if len(d.steps) >= dag.MaxSteps {
 		return nil, fmt.Errorf("%s: the graph has more than %d steps", operator, dag.MaxSteps)
 	}
-	v := &stepValue{dag: d, definition: s}
-	d.steps = append(d.steps, v)
-	return v, nil
+	value := &stepValue{dag: d, definition: step}
+	d.steps = append(d.steps, value)
+	return value, nil
 }
 
 // addDefaults adds to kwargs those default arguments that an operator accepts and that kwargs
@@ -72,11 +72,11 @@
 // newDAG implements DAG(...). It adds a DAG to the loader.
 func (l *loader) newDAG(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	d := &dagValue{defaults: map[string]starlark.Value{}}
-	g := &d.definition
+	graph := &d.definition
 	a := dagArgs{starlark.None, starlark.None, starlark.None, starlark.None, starlark.False, starlark.None}
-	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "dag_id", &g.ID, "team?", &g.Team, "schedule?", &g.Schedule, "description?", &g.Description,
-		"timezone?", &g.Timezone, "start_date?", &a.start, "end_date?", &a.end, "catchup?", &a.catchup, "max_active_runs?", &g.MaxRuns,
-		"max_active_tasks?", &g.MaxTasks, "params?", &a.params, "default_args?", &a.defaults, "tags?", &a.tags); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "dag_id", &graph.ID, "team?", &graph.Team, "schedule?", &graph.Schedule, "description?", &graph.Description,
+		"timezone?", &graph.Timezone, "start_date?", &a.start, "end_date?", &a.end, "catchup?", &a.catchup, "max_active_runs?", &graph.MaxRuns,
+		"max_active_tasks?", &graph.MaxTasks, "params?", &a.params, "default_args?", &a.defaults, "tags?", &a.tags); err != nil {
 		return nil, err
 	}
 	if err := d.applyArgs(&a); err != nil {
@@ -88,16 +88,16 @@
 
 // applyArgs sets the DAG's fields and default arguments from the arguments of DAG(...).
 func (d *dagValue) applyArgs(a *dagArgs) error {
-	g := &d.definition
-	g.Catchup = bool(a.catchup.Truth())
+	graph := &d.definition
+	graph.Catchup = bool(a.catchup.Truth())
 	if err := d.setDates(a); err != nil {
 		return err
 	}
 	if err := d.setParams(a.params); err != nil {
 		return err
 	}
-	if m, ok := a.defaults.(*starlark.Dict); ok {
-		for _, item := range m.Items() {
+	if dict, ok := a.defaults.(*starlark.Dict); ok {
+		for _, item := range dict.Items() {
 			if key, isString := starlark.AsString(item[0]); isString {
 				d.defaults[key] = item[1]
 			}
@@ -106,7 +106,7 @@
 	if list, ok := a.tags.(*starlark.List); ok {
 		for v := range list.Elements() {
 			if s, isString := starlark.AsString(v); isString {
-				g.Tags = append(g.Tags, s)
+				graph.Tags = append(graph.Tags, s)
 			}
 		}
 	}
@@ -115,28 +115,28 @@
 
 // setDates sets the start and end date, which are read in the DAG's time zone.
 func (d *dagValue) setDates(a *dagArgs) (err error) {
-	g := &d.definition
+	graph := &d.definition
 	location := time.UTC
-	if g.Timezone != "" {
-		if location, err = time.LoadLocation(g.Timezone); err != nil {
-			return fmt.Errorf("DAG: timezone %q is not known", g.Timezone)
+	if graph.Timezone != "" {
+		if location, err = time.LoadLocation(graph.Timezone); err != nil {
+			return fmt.Errorf("DAG: timezone %q is not known", graph.Timezone)
 		}
 	}
-	if g.Start, err = dateOf("start_date", a.start, location); err != nil {
+	if graph.Start, err = dateOf("start_date", a.start, location); err != nil {
 		return err
 	}
-	g.End, err = dateOf("end_date", a.end, location)
+	graph.End, err = dateOf("end_date", a.end, location)
 	return err
 }
 
 // setParams sets the parameters of runs from a dict of plain values. A value that is no dict is ignored.
 func (d *dagValue) setParams(params starlark.Value) error {
-	m, ok := params.(*starlark.Dict)
+	dict, ok := params.(*starlark.Dict)
 	if !ok {
 		return nil
 	}
 	d.definition.Params = map[string]json.RawMessage{}
-	for _, item := range m.Items() {
+	for _, item := range dict.Items() {
 		key, isString := starlark.AsString(item[0])
 		if !isString {
 			return errors.New("DAG: the names of params must be strings")
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -21,9 +21,9 @@
 // first: a string times a number could allocate a gigabyte in one execution step, before watch
 // can cancel the file. x + y needs no such check, because it at most doubles what is allocated
 // already, which watch notices.
-func guardProducts(f *syntax.File) error {
+func guardProducts(file *syntax.File) error {
 	var err error
-	for _, stmt := range f.Stmts {
+	for _, stmt := range file.Stmts {
 		rewrite(reflect.ValueOf(stmt), &err)
 	}
 	return err
@@ -117,18 +117,18 @@
 // checkRepeat returns an error if x * y is a string or other sequence times a number, in either order, and the result
 // would be longer than maxRepeat.
 func checkRepeat(x, y starlark.Value) error {
-	n, ok := x.(starlark.Int)
+	count, ok := x.(starlark.Int)
 	seq := y
 	if !ok {
-		n, ok = y.(starlark.Int)
+		count, ok = y.(starlark.Int)
 		seq = x
 	}
 	size := starlark.Len(seq)
 	if !ok || size <= 0 {
 		return nil
 	}
-	if times, fits := n.Int64(); !fits || times > 0 && times > maxRepeat/int64(size) {
-		return fmt.Errorf("%s * %v is too long; up to %d are allowed", seq.Type(), n, maxRepeat)
+	if times, fits := count.Int64(); !fits || times > 0 && times > maxRepeat/int64(size) {
+		return fmt.Errorf("%s * %v is too long; up to %d are allowed", seq.Type(), count, maxRepeat)
 	}
 	return nil
 }
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -90,17 +90,17 @@
 	if err != nil {
 		return nil, err
 	}
-	a := newStepArgs(o.kind)
-	params := a.params()
+	arguments := newStepArgs(o.kind)
+	params := arguments.params()
 	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, the first parameter, has no default
 	if err := starlark.UnpackArgs(o.name, args, kwargs, params...); err != nil {
 		return nil, err
 	}
-	s, err := a.build(o.name)
+	step, err := arguments.build(o.name)
 	if err != nil {
 		return nil, err
 	}
-	return d.addStep(o.name, s)
+	return d.addStep(o.name, step)
 }
 
 // dagOf returns the DAG of a step and the arguments other than dag. The DAG is the argument
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -42,27 +42,27 @@
 
 // requiredJobParams returns the required parameters of a job.
 func (a *stepArgs) requiredJobParams() []any {
-	j := &a.job
-	return []any{"job_class", &j.Class, "cpus", &number{&j.CPUs}, "memory_gb", &number{&j.MemoryGB}, "image", &j.Image}
+	job := &a.job
+	return []any{"job_class", &job.Class, "cpus", &number{&job.CPUs}, "memory_gb", &number{&job.MemoryGB}, "image", &job.Image}
 }
 
 // stepParams returns the optional parameters that all operators have.
 func (a *stepArgs) stepParams() []any {
-	s := &a.step
+	step := &a.step
 	return []any{
-		"trigger_rule?", &a.rule, "retries?", &s.Retries, "retry_delay?", &a.delay, "retry_exponential_backoff?", &s.Exponential,
-		"max_retry_delay?", &a.maxDelay, "execution_timeout?", &a.timeout, "depends_on_past?", &s.DependsOnPast,
-		"pool?", &s.Pool, "pool_slots?", &s.PoolSlots, "priority_weight?", &s.Weight,
+		"trigger_rule?", &a.rule, "retries?", &step.Retries, "retry_delay?", &a.delay, "retry_exponential_backoff?", &step.Exponential,
+		"max_retry_delay?", &a.maxDelay, "execution_timeout?", &a.timeout, "depends_on_past?", &step.DependsOnPast,
+		"pool?", &step.Pool, "pool_slots?", &step.PoolSlots, "priority_weight?", &step.Weight,
 	}
 }
 
 // optionalJobParams returns the optional parameters of a job.
 func (a *stepArgs) optionalJobParams() []any {
-	j := &a.job
+	job := &a.job
 	return []any{
-		"urgency?", &j.Urgency, "tasks?", &j.Tasks, "gpus?", &number{&j.GPUs}, "image_gb?", &number{&j.ImageGB}, "types?", &a.types,
-		"zone?", &j.Zone, "same_zone?", &j.SameZone, "spread?", &j.Spread, "spot?", &j.Spot, "estimate_s?", &number{&j.EstimateS},
-		"checkpoint_s?", &number{&j.CheckpointS}, "save_s?", &number{&j.SaveS}, "account?", &j.Account,
+		"urgency?", &job.Urgency, "tasks?", &job.Tasks, "gpus?", &number{&job.GPUs}, "image_gb?", &number{&job.ImageGB}, "types?", &a.types,
+		"zone?", &job.Zone, "same_zone?", &job.SameZone, "spread?", &job.Spread, "spot?", &job.Spot, "estimate_s?", &number{&job.EstimateS},
+		"checkpoint_s?", &number{&job.CheckpointS}, "save_s?", &number{&job.SaveS}, "account?", &job.Account,
 	}
 }
 
--- a/internal/graphs/dagfile/steps.go
+++ b/internal/graphs/dagfile/steps.go
@@ -103,23 +103,23 @@
 
 // addDependencies makes each step in after depend on each step in before.
 func addDependencies(before, after starlark.Value) error {
-	up, err := stepsOf(before)
+	upstream, err := stepsOf(before)
 	if err != nil {
 		return err
 	}
-	down, err := stepsOf(after)
+	downstream, err := stepsOf(after)
 	if err != nil {
 		return err
 	}
-	for _, d := range down {
-		for _, u := range up {
-			if u.dag != d.dag {
-				return fmt.Errorf("%s and %s are steps of different DAGs", u.definition.ID, d.definition.ID)
+	for _, dependent := range downstream {
+		for _, dependency := range upstream {
+			if dependency.dag != dependent.dag {
+				return fmt.Errorf("%s and %s are steps of different DAGs", dependency.definition.ID, dependent.definition.ID)
 			}
-			d.definition.Upstream = append(d.definition.Upstream, u.definition.ID)
+			dependent.definition.Upstream = append(dependent.definition.Upstream, dependency.definition.ID)
 		}
-		if len(d.definition.Upstream) > dag.MaxEdges {
-			return fmt.Errorf("%s follows more than %d steps", d.definition.ID, dag.MaxEdges)
+		if len(dependent.definition.Upstream) > dag.MaxEdges {
+			return fmt.Errorf("%s follows more than %d steps", dependent.definition.ID, dag.MaxEdges)
 		}
 	}
 	return nil
--- a/internal/graphs/dagfile/values.go
+++ b/internal/graphs/dagfile/values.go
@@ -48,11 +48,11 @@
 // datetime implements datetime(year, month, day, hour, minute). It returns the date as a
 // string without a time zone, which DAG(...) reads in its own time zone.
 func datetime(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	var y, m, d, h, minute int
-	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &y, "month", &m, "day", &d, "hour?", &h, "minute?", &minute); err != nil {
+	var year, month, day, hour, minute int
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "year", &year, "month", &month, "day", &day, "hour?", &hour, "minute?", &minute); err != nil {
 		return nil, err
 	}
-	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", y, m, d, h, minute)), nil
+	return starlark.String(fmt.Sprintf("%04d-%02d-%02dT%02d:%02d:00", year, month, day, hour, minute)), nil
 }
 
 // dateOf returns the date in an argument; nil for None. A date without a time zone is read in
@@ -156,7 +156,7 @@
 
 // dictToJSON returns the JSON of a dict's values by their keys. depth is the depth of the values.
 func dictToJSON(v *starlark.Dict, depth int) (map[string]json.RawMessage, error) {
-	m := map[string]json.RawMessage{}
+	values := map[string]json.RawMessage{}
 	for _, item := range v.Items() {
 		key, ok := starlark.AsString(item[0])
 		if !ok {
@@ -166,7 +166,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m[key] = raw
+		values[key] = raw
 	}
-	return m, nil
+	return values, nil
 }
