--- a/internal/graphs/airflow/answers.go
+++ b/internal/graphs/airflow/answers.go
@@ -84,7 +84,7 @@
 }
 
 // problemOf returns the problem that a client receives for an error: a problem itself, 404 for runner.ErrNone, and 503
-// for all other errors, since they are failures to read the stored state or the leader's answer.
+// for all other errors, which are failures to read or write stored records or to decode the leader's answer.
 func (h *Handler) problemOf(err error) *problem {
 	var p *problem
 	switch {
@@ -93,7 +93,7 @@
 	case errors.Is(err, runner.ErrNone):
 		return newProblem(http.StatusNotFound, "Not Found", "it is not known")
 	default:
-		h.Log.Debug("reading graphs or the leader's answer failed; answering 503", "err", err)
+		h.Log.Debug("graph request failed; answering 503", "err", err)
 		return unavailable("that cannot be read now; ask again")
 	}
 }
