--- a/internal/graphs/airflow/leader.go
+++ b/internal/graphs/airflow/leader.go
@@ -11,30 +11,30 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// leaderAnswer is what the leader answers to an order that it carried out. Its status is below 400.
-type leaderAnswer struct {
+// leaderResponse is the leader's answer to a command that it carried out. Its status is below 400.
+type leaderResponse struct {
 	status int
 	body   json.RawMessage
 }
 
-// order has the leader carry out an order of the request's team. What the leader refuses is a problem with the leader's status and
-// reason.
-func (h *Handler) order(r *request, verb string, o runner.Order) (leaderAnswer, error) {
-	o.Team = r.team
-	raw, err := json.Marshal(o)
+// execute has the leader carry out a command of the request's team. If the leader refuses, the error is a problem with
+// the leader's status and reason.
+func (h *Handler) execute(r *request, verb string, order runner.Order) (leaderResponse, error) {
+	order.Team = r.team
+	raw, err := json.Marshal(order)
 	if err != nil {
-		return leaderAnswer{}, badRequest("%s", httpjson.OneLine(err))
+		return leaderResponse{}, badRequest("%s", httpjson.OneLine(err))
 	}
 	status, body := h.Do(r.Context(), leader.Command{URI: runner.PathOrders + verb, Body: raw})
 	if status >= http.StatusBadRequest {
-		var refusal wire.Error
-		_ = json.Unmarshal(body, &refusal) // without a reason the status says it
-		return leaderAnswer{}, newProblem(status, http.StatusText(status), "%s", refusal.Error)
+		var leaderError wire.Error
+		_ = json.Unmarshal(body, &leaderError) // if the body has no reason, the problem still has the status
+		return leaderResponse{}, newProblem(status, http.StatusText(status), "%s", leaderError.Error)
 	}
-	return leaderAnswer{status, body}, nil
+	return leaderResponse{status, body}, nil
 }
 
-// askPools has the leader list the pools of the request's team.
+// askPools queries the leader for the pools of the request's team.
 func (h *Handler) askPools(r *request) ([]runner.PoolView, error) {
 	status, body := h.Ask(r.Context(), runner.PathPools+"?team="+url.QueryEscape(r.team))
 	var pools []runner.PoolView
--- a/internal/graphs/airflow/pools.go
+++ b/internal/graphs/airflow/pools.go
@@ -2,7 +2,7 @@
 
 import "poppypass/internal/graphs/runner"
 
-// poolView is a pool as the API has it.
+// poolView is a pool in the API's form.
 type poolView struct {
 	Name        string  `json:"name"`
 	Slots       int     `json:"slots"`
@@ -28,7 +28,7 @@
 	}
 }
 
-// pools returns the pools of a request's team, in the leader's order.
+// pools returns the pools of the request's team, in the order of the leader's answer.
 func (h *Handler) pools(r *request) ([]poolView, error) {
 	pools, err := h.askPools(r)
 	if err != nil {
@@ -41,12 +41,12 @@
 	return views, nil
 }
 
-var poolOrders = orders[poolView]{
+var poolSortFields = sortFields[poolView]{
 	"name": byText(func(v *poolView) string { return v.Name }),
 }
 
 func (h *Handler) listPools(r *request) (any, error) {
-	p, err := r.page()
+	page, err := r.page()
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sortedPage(r, p, "pools", views, poolOrders, "name")
+	return sortedPage(r, page, "pools", views, poolSortFields, "name")
 }
 
 func (h *Handler) getPool(r *request) (any, error) {
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -1,8 +1,9 @@
-// Package dagfile reads graphs from files in Starlark, a language like Python, with the
-// names that users of Airflow know: DAG, operators, a >> b, trigger_rule, retries, expand.
+// Package dagfile reads graphs from files in Starlark, a dialect of Python, with the names
+// that users of Airflow know: DAG, operators, a >> b, trigger_rule, retries, expand.
 //
-// A file cannot read files, reach a network or tell the time. Its steps, time and memory
-// are bounded (Limits). The client runs it; the service receives the result, a dag.Graph.
+// A graph file cannot read other files, access a network or read the clock. Its execution
+// steps, time and memory are bounded (Limits). The client runs the file; the service receives
+// only the result, a dag.Graph.
 package dagfile
 
 import (
@@ -20,26 +21,26 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Limits bound the resources that running a file takes.
+// Limits bounds a graph file's size and the resources that running it uses.
 type Limits struct {
-	Bytes  int           // length of the file
-	Steps  uint64        // computation steps of the interpreter
-	Time   time.Duration // elapsed
+	Bytes  int           // size of the file
+	Steps  uint64        // execution steps of the Starlark interpreter
+	Time   time.Duration // elapsed time
 	Memory uint64        // bytes that the process's heap may grow by
 }
 
-// DefaultLimits returns limits that are enough for a graph of 10,000 steps.
+// DefaultLimits returns limits that suffice for a graph of 10,000 steps.
 func DefaultLimits() Limits {
 	return Limits{Bytes: 1 << 20, Steps: 5_000_000, Time: 5 * time.Second, Memory: 64 << 20}
 }
 
-// maxRange bounds the length of range(): built-in functions that count no steps turn its
-// result into lists.
+// maxRange is the maximum length of range(). It needs a limit of its own, because built-in
+// functions that count no execution steps turn its result into lists.
 const maxRange = 100_000
 
-// Load runs a file and returns the graphs that it describes, in their order. The graphs are
-// not validated (dag.NewPlan). An error says in one line what is wrong, with the file, line
-// and column where that is known.
+// Load runs a graph file and returns the graphs that it describes, in the order of the file.
+// The graphs are not validated yet; dag.NewPlan does that. An error is one line that names the
+// file, the line and column if they are known, and the cause.
 func Load(name string, src []byte, limits Limits) ([]*dag.Graph, error) {
 	if len(src) > limits.Bytes {
 		return nil, fmt.Errorf("%s: the file has %d bytes; up to %d are allowed", name, len(src), limits.Bytes)
@@ -47,62 +48,63 @@
 	if !utf8.Valid(src) {
 		return nil, fmt.Errorf("%s: the file is not UTF-8", name)
 	}
-	l := &loader{}
-	predeclared := l.predeclared()
-	prog, err := compile(name, src, predeclared)
+	loader := &loader{}
+	predeclared := loader.predeclared()
+	program, err := compile(name, src, predeclared)
 	if err != nil {
 		return nil, withPosition(name, err)
 	}
-	if err := run(name, prog, predeclared, limits); err != nil {
+	if err := run(name, program, predeclared, limits); err != nil {
 		return nil, withPosition(name, err)
 	}
-	if len(l.dags) == 0 {
+	if len(loader.dags) == 0 {
 		return nil, fmt.Errorf("%s: the file describes no DAG", name)
 	}
-	var out []*dag.Graph
-	for _, d := range l.dags {
-		out = append(out, d.graph())
+	var graphs []*dag.Graph
+	for _, d := range loader.dags {
+		graphs = append(graphs, d.graph())
 	}
-	return out, nil
+	return graphs, nil
 }
 
-// compile parses a file, guards its products, and resolves its names.
+// compile parses a file, replaces its products by bounded ones (guardProducts), and resolves its names.
 func compile(name string, src []byte, predeclared starlark.StringDict) (*starlark.Program, error) {
 	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}
-	f, err := opts.Parse(name, src, 0)
+	file, err := opts.Parse(name, src, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := guardProducts(f); err != nil {
+	if err := guardProducts(file); err != nil {
 		return nil, err
 	}
-	return starlark.FileProgram(f, predeclared.Has)
+	return starlark.FileProgram(file, predeclared.Has)
 }
 
-// run executes a program within the limits. Its output is discarded.
-func run(name string, prog *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
+// run executes a program within the limits. What the program prints is discarded.
+func run(name string, program *starlark.Program, predeclared starlark.StringDict, limits Limits) error {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(limits.Steps)
 	thread.OnMaxSteps = func(t *starlark.Thread) { t.Cancel(fmt.Sprintf("it takes more than %d steps", limits.Steps)) }
 	done := make(chan struct{})
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watchDone)
 		watch(thread, limits, done)
 	}()
-	_, err := prog.Init(thread, predeclared)
+	_, err := program.Init(thread, predeclared)
 	close(done)
-	<-watched
+	<-watchDone
 	return err
 }
 
-// watchInterval is how often a running file is checked for its use of memory.
+// watchInterval is the interval between two checks of a running file's memory use.
 const watchInterval = time.Millisecond
 
-// watch cancels a file that takes too long, or too much memory, and returns when it did or
-// done is closed. Between two checks one operation may exceed the limit; the largest are
-// bounded one by one (guardProducts, maxRange).
-func watch(t *starlark.Thread, limits Limits, done <-chan struct{}) {
+// watch cancels a file that exceeds the limit of time or memory. It returns when it has
+// cancelled the file or when done is closed. Between two checks, one operation may exceed the
+// memory limit; the operations that could allocate most have bounds of their own
+// (guardProducts, maxRange).
+func watch(thread *starlark.Thread, limits Limits, done <-chan struct{}) {
 	heap := newHeapGrowth()
 	deadline := time.NewTimer(limits.Time)
 	defer deadline.Stop()
@@ -113,54 +115,55 @@
 		case <-done:
 			return
 		case <-deadline.C:
-			t.Cancel(fmt.Sprintf("it takes longer than %v", limits.Time))
+			thread.Cancel(fmt.Sprintf("it takes longer than %v", limits.Time))
 			return
 		case <-check.C:
 			if heap.exceeds(limits.Memory) {
-				t.Cancel(fmt.Sprintf("it takes more than %d MB of memory", limits.Memory>>20))
+				thread.Cancel(fmt.Sprintf("it takes more than %d MB of memory", limits.Memory>>20))
 				return
 			}
 		}
 	}
 }
 
-// heapGrowth measures by how much the process's heap grows.
+// heapGrowth measures by how much the process's heap has grown since its creation.
 type heapGrowth struct {
-	sample []metrics.Sample
-	before uint64 // bytes of the heap at the beginning
+	samples []metrics.Sample
+	initial uint64 // the heap's size at the creation, in bytes
 }
 
-// newHeapGrowth measures from now on.
+// newHeapGrowth returns a heapGrowth that starts from the heap's current size.
 func newHeapGrowth() *heapGrowth {
-	h := &heapGrowth{sample: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
-	h.before = h.size()
+	h := &heapGrowth{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
+	h.initial = h.size()
 	return h
 }
 
-// size returns the bytes of the heap.
+// size returns the heap's current size in bytes.
 func (h *heapGrowth) size() uint64 {
-	metrics.Read(h.sample)
-	return h.sample[0].Value.Uint64()
+	metrics.Read(h.samples)
+	return h.samples[0].Value.Uint64()
 }
 
 // exceeds reports whether the heap has grown by more than a number of bytes.
 func (h *heapGrowth) exceeds(limit uint64) bool {
 	now := h.size()
-	return now > h.before && now-h.before > limit
+	return now > h.initial && now-h.initial > limit
 }
 
-// withPosition returns an error with its place, in one line.
+// withPosition returns an error in one line, prefixed with its position, or with the file's name if the position is not
+// known.
 func withPosition(name string, err error) error {
-	place, text := positionOf(name, err)
-	if place == "" {
-		place = name
+	position, text := positionOf(name, err)
+	if position == "" {
+		position = name
 	}
-	return fmt.Errorf("%s: %s", place, strings.Join(strings.Fields(text), " "))
+	return fmt.Errorf("%s: %s", position, strings.Join(strings.Fields(text), " "))
 }
 
-// positionOf returns the place and text of an error of parsing, resolving or running a
-// file. The place is empty if it is not known.
-func positionOf(name string, err error) (place, text string) {
+// positionOf returns the position and text of an error of parsing, resolving or running a
+// file. The position is empty if it is not known.
+func positionOf(name string, err error) (position, text string) {
 	var evalErr *starlark.EvalError
 	var syntaxErr syntax.Error
 	var resolveErr resolve.ErrorList
@@ -175,8 +178,8 @@
 	return "", err.Error()
 }
 
-// innermostPosition returns the innermost place of a call stack that lies in the file, not
-// in a built-in function; empty if there is none.
+// innermostPosition returns the innermost position of a call stack that is in the file and
+// not in a built-in function; empty if there is none.
 func innermostPosition(name string, err *starlark.EvalError) string {
 	for i := range len(err.CallStack) {
 		if p := err.CallStack.At(i).Pos; p.Filename() == name && p.Line > 0 {
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -9,14 +9,14 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// operator is a callable value that makes steps of a kind. Its partial(...).expand(items =
-// ...) makes a mapped step.
+// operator is a callable Starlark value that makes steps of one kind.
+// partial(...).expand(items = ...) makes a mapped step.
 type operator struct {
 	fixedValue
-	l       *loader
+	loader  *loader
 	name    string
 	kind    dag.Kind
-	partial []starlark.Tuple // the arguments of partial; nil: not called
+	partial []starlark.Tuple // the arguments of partial(...); nil if it was not called
 }
 
 func (o *operator) String() string { return o.name }
@@ -33,44 +33,44 @@
 func (o *operator) Attr(name string) (starlark.Value, error) {
 	switch {
 	case name == "partial" && o.partial == nil:
-		return starlark.NewBuiltin("partial", o.bind), nil
+		return starlark.NewBuiltin("partial", o.bindPartial), nil
 	case name == "expand" && o.partial != nil:
 		return starlark.NewBuiltin("expand", o.expand), nil
 	}
 	return nil, nil
 }
 
-// bind is partial(...): an operator with arguments, which only expand takes.
-func (o *operator) bind(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// bindPartial implements partial(...). It returns an operator that stores the arguments for expand and cannot be called.
+func (o *operator) bindPartial(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
 		return nil, errors.New("partial: name each argument")
 	}
-	return &operator{l: o.l, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
+	return &operator{loader: o.loader, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
 }
 
-// expand is expand(items = ...): a mapped step with the arguments of partial.
+// expand implements expand(items = ...). It makes a mapped step with the arguments of partial(...).
 func (o *operator) expand(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var items starlark.Value
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "items", &items); err != nil {
 		return nil, err
 	}
-	m, err := mapOver(items)
+	mapped, err := mapOver(items)
 	if err != nil {
 		return nil, fmt.Errorf("expand: %w", err)
 	}
-	made, err := (&operator{l: o.l, name: o.name, kind: o.kind}).CallInternal(t, nil, o.partial)
+	step, err := (&operator{loader: o.loader, name: o.name, kind: o.kind}).CallInternal(t, nil, o.partial)
 	if err != nil {
 		return nil, err
 	}
-	made.(*stepValue).step.Map = m
-	return made, nil
+	step.(*stepValue).definition.Map = mapped
+	return step, nil
 }
 
-// mapOver returns what a step is mapped over: a list of plain values, or a step's output.
+// mapOver returns the mapping of a step over items, which are a list of plain values or a step's output.
 func mapOver(items starlark.Value) (*dag.Map, error) {
 	switch v := items.(type) {
 	case *output:
-		return &dag.Map{Over: v.of.step.ID}, nil
+		return &dag.Map{Over: v.step.definition.ID}, nil
 	case *starlark.List:
 		if v.Len() > dag.MaxMappedInstances {
 			return nil, fmt.Errorf("%d items; up to %d are allowed", v.Len(), dag.MaxMappedInstances)
@@ -81,7 +81,7 @@
 	return nil, fmt.Errorf("items is a %s; it must be a list or a step's output", items.Type())
 }
 
-// CallInternal makes a step. It implements starlark.Callable.
+// CallInternal implements starlark.Callable. It makes a step.
 func (o *operator) CallInternal(_ *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if o.partial != nil {
 		return nil, errors.New("partial(...) goes with expand(...)")
@@ -90,21 +90,21 @@
 	if err != nil {
 		return nil, err
 	}
-	a := newStepArgs(o.kind)
-	params := a.params()
-	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, which stands first, has no default
+	arguments := newStepArgs(o.kind)
+	params := arguments.params()
+	kwargs = d.addDefaults(kwargs, params[2:]) // task_id, the first parameter, has no default
 	if err := starlark.UnpackArgs(o.name, args, kwargs, params...); err != nil {
 		return nil, err
 	}
-	s, err := a.build(o.name)
+	step, err := arguments.build(o.name)
 	if err != nil {
 		return nil, err
 	}
-	return d.addStep(o.name, s)
+	return d.addStep(o.name, step)
 }
 
-// dagOf returns the DAG of a step, the one that is named or the file's last, and the other
-// arguments.
+// dagOf returns the DAG of a step and the arguments other than dag. The DAG is the argument
+// dag, or else the last DAG that the file has described so far.
 func (o *operator) dagOf(kwargs []starlark.Tuple) (*dagValue, []starlark.Tuple, error) {
 	var rest []starlark.Tuple
 	var d *dagValue
@@ -119,10 +119,10 @@
 		}
 	}
 	if d == nil {
-		if len(o.l.dags) == 0 {
+		if len(o.loader.dags) == 0 {
 			return nil, nil, fmt.Errorf("%s: there is no DAG yet", o.name)
 		}
-		d = o.l.dags[len(o.l.dags)-1]
+		d = o.loader.dags[len(o.loader.dags)-1]
 	}
 	return d, rest, nil
 }
--- a/internal/graphs/dagfile/stepargs.go
+++ b/internal/graphs/dagfile/stepargs.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// stepArgs are the arguments of an operator. Those whose form differs from the field of the
-// step are kept apart until build.
+// stepArgs are the arguments of an operator. Arguments that have another type than the field
+// of the step are stored separately; build converts them.
 type stepArgs struct {
 	step                     dag.Step
 	job                      dag.Job
@@ -18,13 +18,13 @@
 	types                    starlark.Value // a list of names or None
 }
 
-// newStepArgs returns the defaults of an operator's arguments.
+// newStepArgs returns the arguments of an operator of a kind, set to their defaults.
 func newStepArgs(kind dag.Kind) *stepArgs {
 	return &stepArgs{step: dag.Step{Kind: kind}, delay: starlark.None, maxDelay: starlark.None, timeout: starlark.None, types: starlark.None}
 }
 
-// params returns names and destinations in the form of starlark.UnpackArgs; task_id stands
-// first, and what must be given before what may be.
+// params returns the parameters' names and destinations in the form of starlark.UnpackArgs.
+// task_id is the first parameter, and required parameters precede optional ones.
 func (a *stepArgs) params() []any {
 	params := []any{"task_id", &a.step.ID}
 	if a.hasJob() {
@@ -37,46 +37,46 @@
 	return params
 }
 
-// hasJob reports whether steps of this kind have a job.
+// hasJob reports whether steps of the operator's kind have a job.
 func (a *stepArgs) hasJob() bool { return a.step.Kind != dag.KindEmpty }
 
-// requiredJobParams are those of a job that must be given.
+// requiredJobParams returns the required parameters of a job.
 func (a *stepArgs) requiredJobParams() []any {
-	j := &a.job
-	return []any{"job_class", &j.Class, "cpus", &number{&j.CPUs}, "memory_gb", &number{&j.MemoryGB}, "image", &j.Image}
+	job := &a.job
+	return []any{"job_class", &job.Class, "cpus", &number{&job.CPUs}, "memory_gb", &number{&job.MemoryGB}, "image", &job.Image}
 }
 
-// stepParams are those that all operators take.
+// stepParams returns the optional parameters that all operators have.
 func (a *stepArgs) stepParams() []any {
-	s := &a.step
+	step := &a.step
 	return []any{
-		"trigger_rule?", &a.rule, "retries?", &s.Retries, "retry_delay?", &a.delay, "retry_exponential_backoff?", &s.Exponential,
-		"max_retry_delay?", &a.maxDelay, "execution_timeout?", &a.timeout, "depends_on_past?", &s.DependsOnPast,
-		"pool?", &s.Pool, "pool_slots?", &s.PoolSlots, "priority_weight?", &s.Weight,
+		"trigger_rule?", &a.rule, "retries?", &step.Retries, "retry_delay?", &a.delay, "retry_exponential_backoff?", &step.Exponential,
+		"max_retry_delay?", &a.maxDelay, "execution_timeout?", &a.timeout, "depends_on_past?", &step.DependsOnPast,
+		"pool?", &step.Pool, "pool_slots?", &step.PoolSlots, "priority_weight?", &step.Weight,
 	}
 }
 
-// optionalJobParams are those of a job that may be given.
+// optionalJobParams returns the optional parameters of a job.
 func (a *stepArgs) optionalJobParams() []any {
-	j := &a.job
+	job := &a.job
 	return []any{
-		"urgency?", &j.Urgency, "tasks?", &j.Tasks, "gpus?", &number{&j.GPUs}, "image_gb?", &number{&j.ImageGB}, "types?", &a.types,
-		"zone?", &j.Zone, "same_zone?", &j.SameZone, "spread?", &j.Spread, "spot?", &j.Spot, "estimate_s?", &number{&j.EstimateS},
-		"checkpoint_s?", &number{&j.CheckpointS}, "save_s?", &number{&j.SaveS}, "account?", &j.Account,
+		"urgency?", &job.Urgency, "tasks?", &job.Tasks, "gpus?", &number{&job.GPUs}, "image_gb?", &number{&job.ImageGB}, "types?", &a.types,
+		"zone?", &job.Zone, "same_zone?", &job.SameZone, "spread?", &job.Spread, "spot?", &job.Spot, "estimate_s?", &number{&job.EstimateS},
+		"checkpoint_s?", &number{&job.CheckpointS}, "save_s?", &number{&job.SaveS}, "account?", &job.Account,
 	}
 }
 
-// build returns the step that the arguments describe; operator names it in errors.
+// build returns the step that the arguments describe. operator is the operator's name, for errors.
 func (a *stepArgs) build(operator string) (dag.Step, error) {
-	s := a.step
-	s.Rule = dag.Rule(a.rule)
-	for _, d := range []struct {
+	step := a.step
+	step.Rule = dag.Rule(a.rule)
+	for _, duration := range []struct {
 		name  string
 		value starlark.Value
 		to    *dag.Duration
-	}{{"retry_delay", a.delay, &s.Delay}, {"max_retry_delay", a.maxDelay, &s.MaxDelay}, {"execution_timeout", a.timeout, &s.Timeout}} {
+	}{{"retry_delay", a.delay, &step.Delay}, {"max_retry_delay", a.maxDelay, &step.MaxDelay}, {"execution_timeout", a.timeout, &step.Timeout}} {
 		var err error
-		if *d.to, err = durationOf(d.name, d.value); err != nil {
+		if *duration.to, err = durationOf(duration.name, duration.value); err != nil {
 			return dag.Step{}, err
 		}
 	}
@@ -86,7 +86,7 @@
 	}
 	if a.hasJob() {
 		a.job.Types = types
-		s.Job = &a.job
+		step.Job = &a.job
 	}
-	return s, nil
+	return step, nil
 }
