--- a/internal/scheduler/autoscale/forecast.go
+++ b/internal/scheduler/autoscale/forecast.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// Arrival is a job that was accepted recently, and when.
+// Arrival is a job that arrived recently, and the time of its arrival.
 type Arrival struct {
 	At  time.Time
 	Job *wire.Job
@@ -19,7 +19,8 @@
 
 // Forecast returns the jobs to reserve room for: those that are expected to arrive within the horizon, which is the time
 // until a machine that is rented now can be used. Jobs of each class are expected at the rate and with the resources of
-// its recent arrivals. reserveShare returns the share of a class's expected jobs for which room is reserved; 0: none.
+// its recent arrivals. reserveShare returns the share of a class's expected jobs for which room is reserved; it is 0 if
+// no room is reserved for the class.
 func Forecast(now time.Time, recent []Arrival, horizon time.Duration, reserveShare func(class string) float64) []*placement.PendingJob {
 	byClass, observed := arrivalsByClass(now, recent)
 	var pending []*placement.PendingJob
@@ -40,9 +41,9 @@
 	return pending
 }
 
-// arrivalsByClass groups the arrivals within tuning.ArrivalWindow by class, and returns the time over which their rate
-// is computed. A scheduler that has just started has observed less than a window. The time is at least
-// tuning.ArrivalWindowMin, because jobs that waited for the start say little about future jobs.
+// arrivalsByClass groups the arrivals within tuning.ArrivalWindow by class. observed is the time over which the rate of
+// arrivals is computed. It is shorter than the window if the scheduler has just started, but at least
+// tuning.ArrivalWindowMin, because jobs that waited for the start predict little about future jobs.
 func arrivalsByClass(now time.Time, recent []Arrival) (byClass map[string][]Arrival, observed time.Duration) {
 	byClass = map[string][]Arrival{}
 	var first time.Time
--- a/internal/scheduler/autoscale/plan.go
+++ b/internal/scheduler/autoscale/plan.go
@@ -34,17 +34,18 @@
 	Unavailable func(Offering) bool
 	// InFlight reports whether a request for an offering is in flight. More machines of it are requested only
 	// after the answer. nil: no request is in flight.
-	InFlight      func(Offering) bool
-	MaxPerRequest int              // number of machines that one request may ask for; 0: any number
-	MaxNew        int              // number of machines that may be rented in addition
-	Existing      map[Offering]int // number of machines that are up, booting or requested
-	SpotOnly      bool             // no on-demand machines are rented for work that may run on spot machines
+	InFlight       func(Offering) bool
+	MaxPerRequest  int              // number of machines that one request may ask for; 0: any number
+	MaxNew         int              // number of machines that may be rented in addition
+	ExistingCounts map[Offering]int // number of machines that are up, booting or requested
+	SpotOnly       bool             // no on-demand machines are rented for work that may run on spot machines
 }
 
 // Plan returns the machines to rent for the tasks that fit neither on the existing machines (the caller has placed what
-// fits) nor on booting ones. It plans no more than can be requested now. A job waits for the next plan if its next
-// machine would be of an offering that has a request in flight or whose request is full. When a backlog that needed a
-// thousand machines was planned to its end, this took 92 ms although only the first fifty machines could be requested.
+// fits) nor on booting ones. It plans no more than can be requested now: a job waits for the next plan if its next machine
+// would be of an offering that has a request in flight, or of which MaxPerRequest machines are planned already. Without
+// this limit, planning a backlog that needs a thousand machines takes 92 ms, although only the first fifty machines can
+// be requested.
 func Plan(in *Input) []Rental {
 	placement.Schedule(in.Now, in.Pending, in.Booting, in.Teams)
 	plan := rentalPlan{counts: map[Offering]int{}}
@@ -54,8 +55,8 @@
 	return plan.rentals()
 }
 
-// planFor adds machines for the tasks of a job to the plan, one in each round. Each new machine is filled with tasks of
-// this job and of the jobs behind it in the queue.
+// planFor adds machines for the tasks of a job to the plan, one at a time. Each new machine is filled with tasks of this
+// job and of the jobs behind it in the queue.
 func (in *Input) planFor(p *placement.PendingJob, plan *rentalPlan) {
 	for in.MaxNew > 0 && placement.TasksWithinQuota(p, in.Teams) > 0 {
 		best, found := in.cheapest(p)
@@ -67,7 +68,7 @@
 			return
 		}
 		plan.add(best.Offering)
-		in.Existing[best.Offering]++
+		in.ExistingCounts[best.Offering]++
 		in.MaxNew--
 	}
 }
@@ -99,18 +100,18 @@
 	return out
 }
 
-// option is an offering that could be rented for a job, with what decides between offerings.
+// option is an offering that could be rented for a job, with the values by which offerings are compared.
 type option struct {
 	Offering
 	machineType *wire.MachineType
 	taskCost    float64 // price per hour for each task that the machine would hold
-	inZone      int     // number of machines in the zone, or of the job's tasks there if it is spread over zones
+	countInZone int     // number of machines in the zone, or of the job's tasks there if the job is spread over zones
 }
 
 // cheaperThan compares options by the cost per task. At equal cost, the zone with the fewest machines or tasks is
 // preferred.
 func (o *option) cheaperThan(other *option) bool {
-	return o.taskCost < other.taskCost || o.taskCost == other.taskCost && o.inZone < other.inZone
+	return o.taskCost < other.taskCost || o.taskCost == other.taskCost && o.countInZone < other.countInZone
 }
 
 // machine returns an empty machine of the option.
@@ -119,7 +120,7 @@
 	return &placement.Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: total, Free: total}
 }
 
-// cheapest returns the cheapest option for a job; found is false if no offering suits it.
+// cheapest returns the cheapest option for a job; found is false if no offering suits the job.
 func (in *Input) cheapest(p *placement.PendingJob) (best option, found bool) {
 	tasks, request := float64(placement.TasksWithinQuota(p, in.Teams)), p.Request()
 	for i := range in.Types {
@@ -134,7 +135,7 @@
 				if !in.suits(p, offering) {
 					continue
 				}
-				o := option{offering, t, price(t, spot) / min(capacity, tasks), in.inZone(p, zone)}
+				o := option{offering, t, price(t, spot) / min(capacity, tasks), in.countInZone(p, zone)}
 				if !found || o.cheaperThan(&best) {
 					best, found = o, true
 				}
@@ -150,13 +151,13 @@
 	return p.Allows(o.Type, o.Zone, o.Spot) && !in.Unavailable(o) && (o.Spot || !awaitsSpot)
 }
 
-// inZone counts the machines in a zone, or the job's tasks there if the job is spread over zones.
-func (in *Input) inZone(p *placement.PendingJob, zone string) int {
+// countInZone counts the machines in a zone, or the job's tasks there if the job is spread over zones.
+func (in *Input) countInZone(p *placement.PendingJob, zone string) int {
 	if p.Job.Spread {
 		return p.Zones[zone]
 	}
 	n := 0
-	for o, count := range in.Existing {
+	for o, count := range in.ExistingCounts {
 		if o.Zone == zone {
 			n += count
 		}
@@ -172,7 +173,7 @@
 	return t.Price
 }
 
-// tasksPerMachine returns how many tasks a machine of a type can hold.
+// tasksPerMachine returns how many tasks with a resource request a machine of a type can hold.
 func tasksPerMachine(t *wire.MachineType, request placement.Resources) float64 {
 	const slack = 1e-9 // absorbs rounding
 	n := float64(wire.MaxTasks)
--- a/internal/scheduler/autoscale/plan_test.go
+++ b/internal/scheduler/autoscale/plan_test.go
@@ -13,7 +13,7 @@
 
 func input(pending ...*placement.PendingJob) Input {
 	return Input{
-		Now: now, Pending: pending, Teams: map[string]*placement.Team{"t": {QuotaCPUs: 100}}, MaxNew: 100, Existing: map[Offering]int{},
+		Now: now, Pending: pending, Teams: map[string]*placement.Team{"t": {QuotaCPUs: 100}}, MaxNew: 100, ExistingCounts: map[Offering]int{},
 		Unavailable: func(Offering) bool { return false },
 		Types: []wire.MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, SpotPrice: 0.05, Zones: []string{"a", "b"}},
--- a/internal/scheduler/leader/commands.go
+++ b/internal/scheduler/leader/commands.go
@@ -15,7 +15,7 @@
 )
 
 // sendCommands sends machines the commands for some allocations (starts and stops) at once, instead of waiting for
-// their next heartbeats. The replies to those repeat the commands.
+// their next heartbeats. The replies to the heartbeats repeat the commands.
 func (l *Loop) sendCommands(allocations []*jobs.Allocation) {
 	byMachine := map[string][]*jobs.Allocation{}
 	now := l.env.Clock.Now()
@@ -33,7 +33,8 @@
 	}
 }
 
-// sendCommandsTo sends a machine direct commands, once a command slot is free and if this member may still act by then.
+// sendCommandsTo waits until a command slot is free, and then sends a machine direct commands. It sends nothing if the
+// wait takes tuning.CommandTimeout, if the term ends, or if this member may no longer act as the leader.
 func (l *Loop) sendCommandsTo(name, addr string, req *wire.DirectCommands) {
 	started := l.env.Clock.Now()
 	ctx, cancel := context.WithTimeout(l.termCtx, tuning.CommandTimeout)
@@ -46,7 +47,7 @@
 		}
 	}
 	if ctx.Err() != nil || !l.env.MayAct(l.leadership.Term) {
-		l.post(func() { l.machines.CommandsAnswered(name, req) }) // nothing was sent
+		l.post(func() { l.machines.CommandsAnswered(name, req) }) // nothing was sent, so the starts in it no longer count as unanswered
 		return
 	}
 	hb, err := l.callWorker(ctx, name, addr, req)
@@ -67,8 +68,8 @@
 	}
 }
 
-// commandsUnanswered records that a machine did not answer commands. If a connection was made, they may still arrive.
-// started is when sending them began.
+// commandsUnanswered records that a machine did not answer commands. If a connection was made, the commands may still
+// arrive. started is the time at which this member began to send them.
 func (l *Loop) commandsUnanswered(name string, req *wire.DirectCommands, started time.Time, err error) {
 	if m := l.machines.Machines[name]; m != nil && m.UnansweredCommandAt.Before(started) {
 		m.UnansweredCommandAt = started
@@ -82,7 +83,8 @@
 	l.machines.CommandsUnanswered(name, started)
 }
 
-// neverSent reports whether a request failed before it had a connection. Nothing was sent then that could arrive later.
+// neverSent reports whether a request failed before it had a connection. In that case nothing was sent that could
+// arrive later.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/scheduler/leader/commands_test.go
+++ b/internal/scheduler/leader/commands_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against placing work on a machine that hangs, or died a moment ago. It counts as alive for two and a half
-// heartbeat intervals, and a task that is started on it in that time waits for as long as the machine hangs.
+// Guards against placing work on a machine that hangs, or died a moment ago. Such a machine counts as alive for two and a
+// half heartbeat intervals, and a task that is started on it in that time waits for as long as the machine hangs.
 func TestNothingIsPlacedOnMachineWithUnansweredCommand(t *testing.T) {
 	l, advance := newTwoZoneLoop(t, 1)
 	openMachines := func() string {
--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -17,15 +17,15 @@
 // repeats the transaction unchanged until the outcome is known; the guards ensure that at most one of the tries is
 // applied.
 //
-// If inDoubt is not nil, it is set while the transaction may already be applied. It is cleared when the state
-// service has executed none of the tries so far, as in an outage. It stays set after a success, because the loop
-// has yet to learn of that.
+// If inDoubt is not nil, it is true while the transaction may already be applied. It is set to false when the state
+// service has certainly executed none of the tries so far, as in an outage. After a success it stays true, because the
+// loop has not handled the result yet.
 //
-// The error is errDeposed if another member leads, errChanged if another condition does not hold, or that of the
-// ended term.
+// The error is errDeposed if another member leads, and errChanged if another condition does not hold. If the term
+// ended, it is that of termCtx. Any other error means that the state service rejected the transaction.
 func (l *Loop) commit(t wire.Txn, inDoubt *atomic.Bool) (revision uint64, err error) {
 	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
-	mayBeApplied := false // by an earlier try without an answer
+	mayBeApplied := false // whether an earlier try, which had no answer, may have been applied
 	for pause := tuning.StateRetryPause; ; pause = min(2*pause, tuning.StateRetryPauseMax) {
 		if err := l.termCtx.Err(); err != nil {
 			return 0, err
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -20,8 +20,9 @@
 	budgetS float64   // downtime that moves may still cause, in seconds
 }
 
-// addBudget adds to the downtime budget what the given number of running replicas allows between two rounds of moves: the
-// downtime that all moves together may cause is a share of the time that all replicas run.
+// addBudget increases the downtime budget by what is allowed for one interval between rounds of consolidation. All moves
+// together may cause a downtime of the share tuning.MoveDowntimeShare of the time that all replicas run; replicas is the
+// number of running replicas.
 func (r *replicaMoves) addBudget(replicas int) {
 	allowedS := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
 	r.budgetS = min(r.budgetS+allowedS, max(allowedS, tuning.MoveDowntimeBudgetMax.Seconds()))
@@ -39,16 +40,16 @@
 	shortOfRoom := l.jobsShortOfRoom(now)
 	l.undrainForWaitingJobs(shortOfRoom, draining, now)
 
-	open := l.schedulableMachines(now)
+	schedulable := l.schedulableMachines(now)
 	expected := l.expectedJobs(now)
-	placement.Schedule(now, expected, open, autoscale.UnlimitedTeams(expected)) // occupies the room reserved for them
-	used := l.filterInUse(open)
-	dryRun := placement.NewDryRun(used)
+	placement.Schedule(now, expected, schedulable, autoscale.UnlimitedTeams(expected)) // the expected jobs occupy the room reserved for them
+	inUse := l.filterInUse(schedulable)
+	dryRun := placement.NewDryRun(inUse)
 	undrainIfTasksFitNowhere(dryRun, draining, now)
 	roomForExpected := !slices.ContainsFunc(expected, func(p *placement.PendingJob) bool { return p.Waiting > 0 })
 	// During a partition nothing is drained: the rest of the fleet has to replace the unreachable zone.
 	if len(shortOfRoom) == 0 && roomForExpected && len(l.partitionedZones(now)) == 0 {
-		l.drainSurplus(dryRun, used, now)
+		l.drainSurplus(dryRun, inUse, now)
 	}
 	l.moveReplicas(l.drainingMachines(), now)
 }
@@ -65,9 +66,10 @@
 	return out
 }
 
-// filterInUse returns those of the machines that have tasks. It changes the slice open, which must not be used afterwards.
-func (l *Loop) filterInUse(open []*placement.Machine) []*placement.Machine {
-	return slices.DeleteFunc(open, func(v *placement.Machine) bool { return !l.inUse(v) })
+// filterInUse returns those of the machines that have tasks. It modifies the given slice, which must not be used
+// afterwards.
+func (l *Loop) filterInUse(views []*placement.Machine) []*placement.Machine {
+	return slices.DeleteFunc(views, func(v *placement.Machine) bool { return !l.inUse(v) })
 }
 
 // jobsShortOfRoom returns the jobs that wait for room on machines. Jobs whose team has reached its quota are excluded:
@@ -105,13 +107,13 @@
 	}
 }
 
-// drainSurplus starts to drain machines whose tasks fit on the others in use. It first tries those that save the most
-// money for each task that has to move.
-func (l *Loop) drainSurplus(dryRun *placement.DryRun, used []*placement.Machine, now time.Time) {
+// drainSurplus starts to drain machines whose tasks fit on the other machines in use. It first tries the machines whose
+// return saves the most money for each task that has to move.
+func (l *Loop) drainSurplus(dryRun *placement.DryRun, inUse []*placement.Machine, now time.Time) {
 	savedPerTask := func(v *placement.Machine) float64 {
 		return l.pricePerHour(v) / float64(1+len(l.machines.Machines[v.Name].Allocations))
 	}
-	bySavings := slices.SortedFunc(slices.Values(used), func(a, b *placement.Machine) int {
+	bySavings := slices.SortedFunc(slices.Values(inUse), func(a, b *placement.Machine) int {
 		return cmp.Or(cmp.Compare(savedPerTask(b), savedPerTask(a)), cmp.Compare(a.Name, b.Name))
 	})
 	candidates := bySavings[:min(len(bySavings), max(tuning.ConsolidateCandidatesMin, len(bySavings)/tuning.ConsolidateCandidateDivisor))]
@@ -119,7 +121,7 @@
 		m := l.machines.Machines[v.Name]
 		if dryRun.TryPlace(now, tasksAsPending(m, now), v) {
 			m.Draining = true
-			l.log.Info("draining machine", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
+			l.log.Info("tasks of a machine fit on the other machines in use; draining it", "machine", m.Name, "type", m.Type, "spot", m.Spot, "tasks", len(m.Allocations))
 		}
 	}
 }
@@ -158,7 +160,7 @@
 	l.moves.addBudget(replicas)
 	maxMoves := max(tuning.MovesInFlightMin, replicas/tuning.MovesInFlightDivisor)
 	var moved []*jobs.Allocation
-	var dryRun *placement.DryRun // on the machines in use; created only if a replica can be moved, as mostly none can
+	var dryRun *placement.DryRun // of the machines in use; created for the first movable replica, because mostly there is none
 	for _, m := range draining {
 		if !m.Draining || len(moved) >= maxMoves {
 			continue
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// newFleetOfSmall returns a loop with n small machines that have sent heartbeats. On each runs a replica that uses a
+// newFleetOfSmallMachines returns a loop with n small machines that have sent heartbeats. On each runs a replica that uses a
 // quarter of its CPUs and has run for long enough to be moved.
-func newFleetOfSmall(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
+func newFleetOfSmallMachines(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
 	l, clock := newTestLoop(t)
 	delete(l.machines.Machines, "n-large")
 	delete(l.machines.Machines, "n-small")
@@ -56,13 +56,13 @@
 	return l, clock
 }
 
-// Guards against a fleet that shrinks by only one machine at a time: with hundreds of machines, half of the cost was for
-// unused room.
+// Guards against a fleet that shrinks by only one machine at a time. With hundreds of machines, unused room then made up
+// half of the cost.
 func TestLargeFleetDrainsManyMachinesAtATime(t *testing.T) {
-	l, clock := newFleetOfSmall(t, 160)
+	l, clock := newFleetOfSmallMachines(t, 160)
 	l.consolidate(clock.Now())
 	if got := len(l.drainingMachines()); got != 160/tuning.ConsolidateCandidateDivisor {
-		t.Errorf("%d of 160 machines are drained, want one in tuning.ConsolidateCandidateShare", got)
+		t.Errorf("%d of 160 machines are drained, want one in tuning.ConsolidateCandidateDivisor", got)
 	}
 	moving := 0
 	for _, m := range l.drainingMachines() {
@@ -74,14 +74,14 @@
 	}
 	// If more were moved at a time, more would be down together when the leader dies.
 	if moving != tuning.MovesInFlightMin {
-		t.Errorf("%d replicas are moved at a time, want tuning.MovesInFlight", moving)
+		t.Errorf("%d replicas are moved at a time, want tuning.MovesInFlightMin", moving)
 	}
 }
 
 // Guards against a fleet that never shrinks because some job always waits for its team's quota, and against machines
 // that stay drained although jobs wait for their room.
 func TestOnlyJobsShortOfRoomStopDraining(t *testing.T) {
-	l, clock := newFleetOfSmall(t, 16)
+	l, clock := newFleetOfSmallMachines(t, 16)
 	waiting := wire.Job{ID: "job-900", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 3, CPUs: 3, MemoryGB: 1, Image: "img"}
 	l.env.Teams["t"] = config.Team{Name: "t", CPUsMax: 16} // all of it in use
 	l.addPending(t, waiting)
--- a/internal/scheduler/leader/cycle.go
+++ b/internal/scheduler/leader/cycle.go
@@ -33,7 +33,7 @@
 	return c.changed && !now.Before(c.notBefore) || !now.Before(c.next)
 }
 
-// nothingPending ends a cycle in which no job had tasks to place. Without a change, the next one follows after the
+// nothingPending ends a cycle in which no job had tasks to place. If nothing changes, the next cycle runs after the
 // longest pause.
 func (c *schedulingCycle) nothingPending(now time.Time) { c.next = now.Add(tuning.CycleBackoffMax) }
 
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -32,8 +32,8 @@
 
 	// Workers is the HTTP client for direct commands to workers.
 	Workers *http.Client
-	// CommandSlots is a semaphore for direct commands: it holds one value for each command in flight. Its capacity
-	// is what the sockets allow; if it is nil, the number is not limited.
+	// CommandSlots is a semaphore that holds one value for each direct command in flight. Its capacity is the number
+	// of commands in flight that the sockets allow. If the channel is nil, the number is not limited.
 	CommandSlots chan struct{}
 
 	// Observer receives the events of the loop; it may be nil.
@@ -45,15 +45,17 @@
 	// MayAct reports whether this member may act as the leader of a term now.
 	MayAct func(term uint64) bool
 	// MayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its
-	// zone lease, which renews their worker leases. An error means that the member cannot tell or gave no answer:
-	// it may then have answered any of them.
+	// zone lease. Such an answer renews the lease of the machine's worker. An error means that the member does not know
+	// or gave no answer: it may then have answered any of the machines.
 	MayHaveRenewed func(ctx context.Context, member string, names []string) (renewed []string, err error)
-	// ProbeWorkers asks the other members whether any of them gets an answer from any of the workers at some
-	// addresses. It is nil if there are no other members.
+	// ProbeWorkers asks the other members whether any of them gets an answer from a worker at one of the addresses.
+	// The function is nil if there are no other members.
 	ProbeWorkers func(ctx context.Context, addrs []string) bool
-	// MemoryFull reports whether this process has no memory for more jobs. If it is nil, there is always enough.
+	// MemoryFull reports whether this process has no memory for more jobs. If the function is nil, there is always
+	// enough.
 	MemoryFull func() bool
-	// MemoryInUse returns how many bytes of memory this process uses, without garbage. It is nil if that is not known.
+	// MemoryInUse returns how many bytes of memory this process uses, without garbage. The function is nil if that
+	// number is not known.
 	MemoryInUse func() uint64
 	// MachineTypes returns the machine types; nil while none are known.
 	MachineTypes func() []wire.MachineType
@@ -76,7 +78,7 @@
 	return wire.FindMachineType(e.MachineTypes(), name)
 }
 
-// workerLease is how long a worker may run its tasks after a heartbeat that was answered.
+// workerLease returns how long a worker may run its tasks after a heartbeat that was answered.
 func (e *Env) workerLease() time.Duration { return seconds(e.Settings.Cluster.Workers.LeaseS) }
 
 // maxStartWaitS returns how long jobs of a class may wait for their start, in seconds: the shortest time of all
--- a/internal/scheduler/leader/explain.go
+++ b/internal/scheduler/leader/explain.go
@@ -11,8 +11,9 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// jobIDFromPath returns the job's ID in a path of the form /v2/runs/ID/end.
-func jobIDFromPath(uri, end string) (id string, ok bool) {
+// jobIDFromPath returns the job's ID in a URI whose path has the form /v2/runs/ID/suffix. ok is false for other paths
+// and invalid IDs.
+func jobIDFromPath(uri, suffix string) (id string, ok bool) {
 	u, err := url.Parse(uri)
 	if err != nil {
 		return "", false
@@ -21,11 +22,12 @@
 	if !ok {
 		return "", false
 	}
-	id, ok = strings.CutSuffix(rest, "/"+end)
+	id, ok = strings.CutSuffix(rest, "/"+suffix)
 	return id, ok && wire.ValidJobID(id)
 }
 
-// explain returns why the waiting tasks of a job do not start. The error is ErrUnknownJob.
+// explain returns why the waiting tasks of a job do not start. The error is ErrUnknownJob if the job is neither live nor
+// known to be finished.
 func (l *Loop) explain(id string, now time.Time) (wire.Explanation, error) {
 	if status, finished := l.env.FinalStates.Get(id); finished {
 		return wire.Explanation{JobStatus: status}, nil
--- a/internal/scheduler/leader/forecast.go
+++ b/internal/scheduler/leader/forecast.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// arrivalLog records the jobs that arrived recently. The forecast of future jobs is made from them.
+// arrivalLog records the jobs that arrived recently. The forecast of future jobs is based on them.
 type arrivalLog struct {
 	recent []autoscale.Arrival // arrivals within tuning.ArrivalWindow
 	count  int                 // number of all jobs added in this term
@@ -30,9 +30,9 @@
 	a.recent = slices.DeleteFunc(a.recent, func(a autoscale.Arrival) bool { return now.Sub(a.At) > tuning.ArrivalWindow })
 }
 
-// inInitialBacklog reports whether the very first leader started only moments ago. The jobs that waited for its start
-// say nothing about future jobs: when 70 services arrived at once, room was reserved for 49 more, which was a third of
-// the machines for two minutes.
+// inInitialBacklog reports whether jobs that arrive now belong to the initial backlog: the jobs that waited for the start
+// of the very first leader. They do not predict future jobs. When 70 services of the backlog were counted as usual
+// arrivals, room was reserved for 49 more services, which was a third of the machines for two minutes.
 func (l *Loop) inInitialBacklog(now time.Time) bool {
 	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.InitialBacklogWindow
 }
@@ -62,19 +62,20 @@
 	return l.forecast(now, l.provisioningTime())
 }
 
-// placeholders returns placeholders for jobs that are expected within moments and must start promptly. They reserve
-// room against jobs of lower priority, which would otherwise get the last room and soon be preempted.
+// placeholders returns placeholders for jobs that are expected within tuning.ForecastReserveHorizon and must start
+// promptly. The placeholders reserve room against jobs of lower priority, which would otherwise get the last room and
+// soon be preempted.
 func (l *Loop) placeholders(now time.Time) []*placement.PendingJob {
-	pending := l.forecast(now, min(tuning.ForecastReserveHorizon, l.provisioningTime()))
-	for _, p := range pending {
+	expected := l.forecast(now, min(tuning.ForecastReserveHorizon, l.provisioningTime()))
+	for _, p := range expected {
 		p.Placeholder = true
 	}
-	return pending
+	return expected
 }
 
-// forecastShare returns the share of a class's expected jobs for which room is reserved. It depends on the objectives
-// that demand a start sooner than a machine boots. latencySensitive is true if the class has such an objective of its
-// own.
+// forecastShare returns the share of a class's expected jobs for which room is reserved. The share depends on the
+// objectives that demand a start sooner than a machine boots. latencySensitive is true if the class has such an objective
+// of its own.
 func (l *Loop) forecastShare(class string) (share float64, latencySensitive bool) {
 	provisioning := l.provisioningTime()
 	for _, o := range l.env.Settings.Cluster.Objectives {
--- a/internal/scheduler/leader/forecast_test.go
+++ b/internal/scheduler/leader/forecast_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a forecast that treats all jobs that waited for the scheduler's very first start as usual arrivals:
-// when 70 services arrived at once, a third more machines were rented for such jobs.
+// when 70 services arrived at once, a third more machines were rented for further jobs like them.
 func TestInitialBacklogIsSampledAsArrivals(t *testing.T) {
 	l, clock := newTestLoop(t)
 	l.startedAt = clock.Now()
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -12,7 +12,8 @@
 )
 
 // Heartbeat applies a worker's heartbeat and returns the commands for the reply. If the heartbeat is rejected, the
-// error is that of machines.Registry; otherwise it is ErrLeadershipOver or that of ctx.
+// error is that of machines.Registry. If the loop does not handle the heartbeat, the error is ErrLeadershipOver or that
+// of ctx.
 func (l *Loop) Heartbeat(ctx context.Context, hb *wire.Heartbeat) ([]wire.Command, error) {
 	type result struct {
 		commands []wire.Command
@@ -30,7 +31,7 @@
 	return r.commands, r.err
 }
 
-// handleHeartbeat applies a heartbeat that a worker sent by itself, and returns the commands for the reply.
+// handleHeartbeat applies a heartbeat that a worker sent on its own initiative, and returns the commands for the reply.
 func (l *Loop) handleHeartbeat(hb *wire.Heartbeat) ([]wire.Command, error) {
 	now := l.env.Clock.Now()
 	if !l.loading.done {
@@ -111,8 +112,8 @@
 	l.log.Debug("heartbeat rejected; its content is ignored", "machine", hb.Machine, "reason", reason, "incarnation", hb.Incarnation, "seq", hb.Seq)
 }
 
-// mayForget reports whether a worker may forget an exited attempt that has no allocation: its end is stored, so
-// that no later leader starts the same attempt again.
+// mayForget reports whether a worker may forget an exited attempt that has no allocation. It may if the task's stored
+// record is up to date, or if no live job has the task: then no later leader starts the same attempt again.
 func (l *Loop) mayForget(id machines.AttemptID) bool {
 	j := l.jobs.Jobs[id.Task.Job]
 	if j == nil || id.Task.Index >= len(j.Tasks) {
--- a/internal/scheduler/leader/heartbeats_test.go
+++ b/internal/scheduler/leader/heartbeats_test.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Guards against heartbeats that outgrow the largest request: ends are written late, and a worker of tiny tasks
-// lists each exit until its record is stored.
+// Guards against heartbeats that outgrow the largest request. The ends of tasks are written late, and a worker with many
+// tiny tasks lists each exit in its heartbeats until the record of the end is stored.
 func TestManyRetainedExitsAreWrittenEarly(t *testing.T) {
 	for _, retained := range []int{tuning.UnrecordedExitsMax, tuning.UnrecordedExitsMax + 1} {
 		l, clock := newTestLoop(t)
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -20,7 +20,7 @@
 	ErrLoading = errors.New("the records are being read")
 	// ErrEndInDoubt means that the job's final state may be stored, but this leader does not know that yet.
 	ErrEndInDoubt = errors.New("the final state of the job may already be stored")
-	// ErrTaskUnreachable means that a task of a cancelled job is on a machine to which commands do not get through now.
+	// ErrTaskUnreachable means that a task of a cancelled job is on a machine that commands are unlikely to reach now.
 	ErrTaskUnreachable = errors.New("a task of the job is on an unreachable machine")
 )
 
@@ -77,8 +77,8 @@
 func (l *Loop) finalStateMayBeStored(j *jobs.Job) bool { return j.EndSent() && l.writer.inDoubt.Load() }
 
 // Cancel cancels a job and returns its final state once that is stored. No further task of the job is started, and
-// its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone: a task in a
-// partitioned zone may run on for longer than a user who knows that the job is cancelled may have to wait for its end.
+// its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone. Once a user knows
+// that a job is cancelled, its tasks have to end within a limited time, and a task in a partitioned zone may run longer.
 //
 // While a task is unreachable, the error is ErrTaskUnreachable, and the user has to ask again. The other errors are
 // ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelTimeout at the latest.
@@ -108,7 +108,7 @@
 	return r.state, r.err
 }
 
-// anyUnreachable reports whether any of some allocations is on a machine to which commands are unlikely to get through.
+// anyUnreachable reports whether a command is unlikely to reach the machine of any of the allocations.
 func (l *Loop) anyUnreachable(allocations []*jobs.Allocation) bool {
 	now := l.env.Clock.Now()
 	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.unreachable(l.machines.Machines[a.Machine], now) })
--- a/internal/scheduler/leader/job_requests_test.go
+++ b/internal/scheduler/leader/job_requests_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Guards against polls of a job of the largest size that delay all other requests: the status is answered from
-// memory, without allocations.
+// Guards against polls for the status of a job of the largest size that delay all other requests. The status is answered
+// without allocating memory.
 func TestStatusOfLargeJobAllocatesNothing(t *testing.T) {
 	l, clock := newTestLoop(t)
 	j := l.addPending(t, wire.Job{ID: "job-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: wire.MaxTasks, CPUs: 1, MemoryGB: 1})
--- a/internal/scheduler/leader/kind_preference.go
+++ b/internal/scheduler/leader/kind_preference.go
@@ -12,11 +12,12 @@
 
 // Where spot machines are scarce, arrays run on on-demand machines too. It matters which arrays do. The cloud may take a
 // spot machine back, and a task on it then loses up to its whole run. A job can still end in time if it loses a short
-// task, but not if it loses a long one. So the arrays that would lose the most are tried on on-demand machines first,
-// and the others on spot machines first. The split follows the shares in which arrays use the two kinds now. Tasks that
-// find no room on the preferred kind may go to any machine, so that no room stays unused.
+// task, but not if it loses a long one. So the arrays whose tasks would lose the most work prefer on-demand machines, and
+// the others prefer spot machines. The limit between the two groups depends on the shares of array tasks that run on
+// each kind now (see lossLimitOnSpot). Tasks that find no room on the preferred kind may go to any machine, so that no
+// room stays unused.
 
-// lostWorkS returns how much work a task of an array loses at most if its machine is lost, in seconds.
+// lostWorkS returns the most work, in seconds, that a task of an array may lose with its machine.
 func lostWorkS(j *jobs.Job) float64 {
 	s, _ := j.ExpectedRunS()
 	if j.CheckpointS > 0 {
@@ -28,9 +29,9 @@
 // usesBothKinds reports whether a job is an array whose tasks may run on spot and on on-demand machines.
 func usesBothKinds(j *wire.Job) bool { return j.Kind == wire.KindArray && j.Spot }
 
-// lossLimitOnSpot returns the loss per task, in seconds, above which an array prefers on-demand machines. The limit is
-// set so that the live arrays above it have about the share of all their work that runs on on-demand machines now. It is
-// infinite while none of their tasks run on on-demand machines.
+// lossLimitOnSpot returns the loss per task, in seconds, above which an array prefers on-demand machines. The live arrays
+// above the limit have about as large a share of all arrays' remaining work as the on-demand machines have of the array
+// tasks that run now. The limit is infinite while no array tasks run on on-demand machines.
 func (l *Loop) lossLimitOnSpot() float64 {
 	onSpot, onDemand := l.arrayTasksByKind()
 	switch {
@@ -65,8 +66,8 @@
 	return onSpot, onDemand
 }
 
-// arraysByLoss returns the live arrays that may run on both kinds of machine, those first whose tasks would lose the
-// most, and the remaining work of all of them in CPU seconds.
+// arraysByLoss returns the live arrays that may run on both kinds of machine, in descending order of the work that their
+// tasks may lose. totalWorkS is the remaining work of all these arrays in CPU seconds.
 func (l *Loop) arraysByLoss() (arrays []*jobs.Job, totalWorkS float64) {
 	for _, j := range l.jobs.Jobs {
 		if usesBothKinds(&j.Job) && j.CanStart() {
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -139,7 +139,7 @@
 		}
 		seen[item.Key] = true
 		if err := l.restoreAllocations(item, now); err != nil {
-			// Without this record nobody knows where its tasks may be running.
+			// Without this record, the leader does not know where the record's tasks may be running.
 			l.endTerm(err)
 			return
 		}
@@ -153,7 +153,8 @@
 	l.finishLoading(now)
 }
 
-// restoreAllocations loads a progress record: its tasks may be running on the machines that it names.
+// restoreAllocations loads a progress record and restores its allocations: the tasks may be running on the machines that
+// the record names.
 func (l *Loop) restoreAllocations(item wire.Item, now time.Time) error {
 	allocations, err := l.jobs.LoadProgress(item, now)
 	if err != nil {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// step runs each part that is due, to bring the actual state in line with the desired one. Without the right to act
-// it decides nothing about tasks or the fleet, but it still writes earlier decisions: every transaction is guarded
-// on the leader key, so the state service refuses it once another member leads.
+// step runs each part that is due, to bring the actual state in line with the desired one. While this member may not act
+// as the leader, step decides nothing about tasks or the fleet, but it still writes earlier decisions. That is safe: every
+// transaction is guarded on the leader key, so the state service refuses it once another member leads.
 func (l *Loop) step(now time.Time) {
 	if !l.loading.done || l.termCtx.Err() != nil {
 		return
@@ -146,11 +146,11 @@
 	l.stepImages(now)
 }
 
-// earliestNextRun returns the earliest time at which work that began at started, and ends now, may be done again. The pause
-// is tuning.CyclePauseFactor times as long as the work, and at least minPause; work that took no measurable time needs
-// none. A scheduling cycle over a large cluster takes milliseconds of a share of a processor, and without the pause
-// each of hundreds of heartbeats per second would trigger one. Changes that arrive during the pause share the next
-// cycle.
+// earliestNextRun returns the earliest time at which a piece of work may run again. The work began at started and ends
+// now. The pause is tuning.CyclePauseFactor times as long as the work took, and at least minPause. There is no pause if
+// the work took no measurable time. In a large cluster a scheduling cycle takes milliseconds on a share of a processor,
+// and without the pause it would run for each heartbeat, hundreds of times per second. Changes that arrive during the
+// pause share the next cycle.
 func (l *Loop) earliestNextRun(started time.Time, minPause time.Duration) time.Time {
 	now := l.env.Clock.Now()
 	took := now.Sub(started)
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -18,13 +18,13 @@
 	RecordsWritten(changes int)
 	// StateSize reports the numbers of live jobs and machines, the number of waiting tasks by class, and for how
 	// many seconds the oldest job of each class has waited for its first task to run.
-	StateSize(jobs, machines int, waiting map[string]int, oldestWaitS map[string]float64)
+	StateSize(jobCount, machineCount int, waiting map[string]int, oldestWaitS map[string]float64)
 	// JobArrived reports that a job was accepted in this term.
 	JobArrived(class, team, size string)
 	// JobBegan reports that the first task of a job runs, and the time since the job was accepted.
 	JobBegan(class, team, size string, waited time.Duration)
 	// MissingJobsFound reports how many stored jobs were missing in memory.
-	MissingJobsFound(jobs int)
+	MissingJobsFound(count int)
 	// HeartbeatRejected reports that a heartbeat was not applied, and why.
 	HeartbeatRejected(reason string)
 	// Reachability reports how many machines commands do not reach, and how many live ones have not acknowledged
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// applyOutcomes applies proven ends of attempts.
+// applyOutcomes applies the proven ends of attempts, except of those whose allocation was removed already.
 func (l *Loop) applyOutcomes(outcomes []machines.Outcome, now time.Time) {
 	for _, o := range outcomes {
 		if !o.Allocation.Removed {
@@ -48,12 +48,14 @@
 	case wire.ExitError:
 		l.taskFailed(a, now)
 	case wire.ExitNoRoom:
-		// Something that the leader does not know of uses resources there. Try again after a pause.
+		// The leader counted enough free resources, so something that it does not know of uses them. The machine gets
+		// no tasks for a while.
 		if m != nil {
 			m.RefusalPauseUntil = now.Add(tuning.RefusalPause)
 		}
 	case wire.ExitUnknown:
-		// The worker does not find the job's description, or not yet.
+		// The worker did not find the job's description, perhaps only because it was not available yet. The job's
+		// tasks are tried again after a pause.
 		a.Job.BackoffUntil = now.Add(tuning.FailureBackoff)
 	}
 }
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// pendingJobs returns the jobs with tasks that may be placed now, as placement sees them and, by ID, as the job store
-// holds them.
+// pendingJobs returns the jobs with tasks that may be placed now: pending has the views that placement uses, and byID the
+// jobs of the job store.
 func (l *Loop) pendingJobs(now time.Time) (pending []*placement.PendingJob, byID map[string]*jobs.Job) {
 	var waiting []*jobs.Job
 	probation := map[*jobs.Job]bool{}
@@ -50,8 +50,9 @@
 		Zones: zoneCounts(j), LatencySensitive: latencySensitive,
 	}
 	p.ExpectedRunS, _ = j.ExpectedRunS()
-	// An array whose last tasks were lost does not go to the end of the queue. When it did, such tasks of a team
-	// beyond its guarantee waited 120 s until aging raised their priority, and their nearly finished jobs were late.
+	// An array whose last tasks were lost keeps its place in the queue. At the end of the queue, such tasks of a team
+	// beyond its guarantee would wait 120 s until aging raises their priority, and their nearly finished jobs would be
+	// late.
 	if j.Kind == wire.KindArray {
 		p.EnqueuedAt = j.EnqueuedAt
 	}
@@ -75,8 +76,8 @@
 	p.OnProbation, p.Waiting, p.WaitingSince, p.EnqueuedAt = true, 1, now, now
 }
 
-// zoneCounts returns a copy of the number of a job's tasks that may be running in each zone. It is nil for a job whose
-// placement does not depend on zones.
+// zoneCounts returns, for each zone, the number of a job's tasks that may be running there. The map is a copy. It is nil
+// for a job whose placement does not depend on zones.
 func zoneCounts(j *jobs.Job) map[string]int {
 	if !j.Spread && !j.OneZone {
 		return nil
--- a/internal/scheduler/leader/preempt.go
+++ b/internal/scheduler/leader/preempt.go
@@ -11,22 +11,22 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// preempt stops tasks to make room for jobs within their team's guarantee that found none and have used up half of
-// the wait that their objective allows.
-func (l *Loop) preempt(now time.Time, pending []*placement.PendingJob, open []*placement.Machine, teams map[string]*placement.Team, byID map[string]*jobs.Job) {
+// preempt stops tasks to make room for jobs that are within their team's guarantee, found no room on any machine, and
+// have used up half of the wait that their objective allows.
+func (l *Loop) preempt(now time.Time, pending []*placement.PendingJob, views []*placement.Machine, teams map[string]*placement.Team, byID map[string]*jobs.Job) {
 	preemptors := l.duePreemptors(pending, byID, now)
 	if len(preemptors) == 0 || l.heartbeatsMayBeMissing(now) {
 		return
 	}
-	open = l.allSchedulableMachines(now, open)
-	for _, v := range open {
+	views = l.allSchedulableMachines(now, views)
+	for _, v := range views {
 		v.Victims = victims(l.machines.Machines[v.Name], now)
 	}
 	waitingBefore := make([]int, len(preemptors))
 	for i, p := range preemptors {
 		waitingBefore[i] = p.Waiting
 	}
-	l.stopVictims(placement.Preempt(preemptors, open, teams))
+	l.stopVictims(placement.Preempt(preemptors, views, teams))
 	for i, p := range preemptors {
 		if p.Waiting < waitingBefore[i] {
 			byID[p.Job.ID].PreemptingUntil = now.Add(tuning.PreemptBackoff)
--- a/internal/scheduler/leader/preempt_test.go
+++ b/internal/scheduler/leader/preempt_test.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Guards against tasks that are preempted over and over in a full cluster: on a randomly generated day of a simulation,
-// one task was stopped 19 times, and its job made no progress.
+// Guards against tasks that are preempted over and over in a full cluster: in a simulation with a random workload, one
+// task was stopped 19 times, and its job made no progress.
 func TestTaskIsPreemptedAtMostOnce(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	job := &jobs.Job{Job: wire.Job{ID: "job-1", Priority: wire.PriorityLow, CheckpointS: 10}}
@@ -38,6 +38,6 @@
 	// less urgent work within a guarantee, although less urgent tasks could be preempted instead.
 	job.Priority = wire.PriorityHigh
 	if urgent := victims(m, now); len(urgent) != 1 || urgent[0].Cost != 10+2*tuning.PreemptPriorityCostS {
-		t.Errorf("victims with high priority are %v, want one with a cost of two steps of priority more", urgent)
+		t.Errorf("victims of high priority: %v, want one whose cost is higher by two priority levels", urgent)
 	}
 }
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// reconcileJobs loads the stored jobs that are not in memory. It reports those that should have been in memory to
-// operators.
+// reconcileJobs loads the stored jobs that are not in memory. Operators get a report of how many of them should have been
+// in memory.
 func (l *Loop) reconcileJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	unknown := l.notInMemory(items)
@@ -39,20 +39,20 @@
 		return
 	}
 	l.loadJobs(unknown)
-	found, unreadable := 0, 0
+	missed, unreadable := 0, 0
 	for _, item := range unknown {
 		switch j := l.jobs.Jobs[jobIDOf(item.Key)]; {
 		case j == nil:
 			unreadable++
 		case l.wasMissed(item, j, now):
-			found++
+			missed++
 		}
 	}
-	if found+unreadable == 0 {
+	if missed+unreadable == 0 {
 		return
 	}
-	l.env.observe(func(o Observer) { o.MissingJobsFound(found) })
-	l.log.Error("stored jobs were missing in memory; loaded those that can be decoded", "found", found, "unreadable", unreadable)
+	l.env.observe(func(o Observer) { o.MissingJobsFound(missed) })
+	l.log.Error("stored jobs were missing in memory; found ones are loaded, unreadable ones cannot be decoded", "found", missed, "unreadable", unreadable)
 }
 
 // notInMemory returns the stored jobs of a listing that are not in memory. Jobs that finished after they were
@@ -68,11 +68,11 @@
 	return unknown
 }
 
-// wasMissed reports whether the watch should already have reported a stored job. If the job is newer than the
-// watch's last revision, and was accepted not long ago, it was not missed: with a slow state service the listing
-// overtakes the watch, and operators used to get an error for such jobs. A watch that stays behind for longer than
+// wasMissed reports whether the watch should already have reported a stored job. A job that is newer than the watch's
+// last revision and was accepted within the last JobWatchWait was not missed: with a slow state service the listing
+// overtakes the watch, and operators must not get an error for that. A watch that stays behind for longer than
 // JobWatchWait is an error, unless the whole process was suspended. In that case this member may no longer act, and the
-// listing may be handled before the events that the watch received meanwhile.
+// listing may be handled before the events that the watch received in the meantime.
 func (l *Loop) wasMissed(item wire.Item, j *jobs.Job, now time.Time) bool {
 	return item.Version <= l.loading.watchedRevision || now.Sub(j.EnqueuedAt) > tuning.JobWatchWait && l.env.MayAct(l.leadership.Term)
 }
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -15,36 +15,38 @@
 type recordWriter struct {
 	inFlight     bool          // whether a transaction is in flight
 	inDoubt      atomic.Bool   // whether that transaction may already be applied; set by the goroutine that commits it
-	overdueLimit *rate.Limiter // limits the changes that nobody waits for, once they have waited for tuning.LazyMaxWait
+	overdueLimit *rate.Limiter // limits the rate of overdue changes: lazy ones that have waited for tuning.LazyMaxWait
 }
 
-// newOverdueLimiter returns the limiter of overdue changes, for a state service that allows writeRPS changes per second.
+// newOverdueLimiter returns the limiter of the rate of overdue changes, for a state service that allows writeRPS changes
+// per second.
 func newOverdueLimiter(writeRPS float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(tuning.LazyRateShare*writeRPS), tuning.LazyBurstChanges)
 }
 
-// budget returns how much the next transaction may hold. available is how many changes the rate limit on the state
-// service allows now, and limit how many it allows at the most. ok is false while too few are available.
-func (w *recordWriter) budget(available, limit int, now time.Time) (budget jobs.WriteBudget, ok bool) {
-	if available < min(limit, tuning.WriteBatchMinChanges) {
+// budget returns the write budget of the next transaction. available is the number of changes that the rate limit for the
+// state service allows now, and burst the largest number that it ever allows at once. ok is false while too few changes
+// are available.
+func (w *recordWriter) budget(available, burst int, now time.Time) (budget jobs.WriteBudget, ok bool) {
+	if available < min(burst, tuning.WriteBatchMinChanges) {
 		return budget, false
 	}
-	budget = jobs.WriteBudget{Changes: available, Spare: available - limit/2, Overdue: int(w.overdueLimit.TokensAt(now))}
-	if available >= limit {
-		budget.Changes = 0 // as many as a transaction may hold: no more will ever be available
+	budget = jobs.WriteBudget{Changes: available, Spare: available - burst/2, Overdue: int(w.overdueLimit.TokensAt(now))}
+	if available >= burst {
+		budget.Changes = 0 // 0: as many as a transaction may hold; no more will ever be available
 	}
 	return budget, true
 }
 
-// writeBatch writes the changes of the job store that are due. It assembles the transaction only when the rate
-// limit allows it to be sent at once: a transaction of 24 changes once waited half a second for the limit, and
-// starts of services that arrived meanwhile had to wait until it was written.
+// writeBatch writes the changes of the job store that are due. It assembles the transaction only when the rate limit
+// allows it to be sent at once. Otherwise a transaction of 24 changes could wait half a second for the limit, and starts
+// of services that arrive in the meantime would have to wait until it is written.
 func (l *Loop) writeBatch(now time.Time) {
 	if l.writer.inFlight || !l.jobs.WriteDue(now) {
 		return
 	}
-	available, limit := l.store.AvailableWrites()
-	budget, ok := l.writer.budget(available, limit, now)
+	available, burst := l.store.AvailableWrites()
+	budget, ok := l.writer.budget(available, burst, now)
 	if !ok {
 		return // the next tick tries again
 	}
@@ -66,8 +68,8 @@
 	}()
 }
 
-// batchWritten handles the commit of a batch, whose transaction was begun at started: it sends the machines the starts
-// of tasks that are now stored, and announces the final states of jobs.
+// batchWritten handles the commit of a batch that writeBatch began to write at started. It sends the machines the start
+// commands of the allocations that are now stored, and announces the final states of jobs.
 func (l *Loop) batchWritten(batch *jobs.Batch, revision uint64, started time.Time) {
 	l.writer.inFlight = false
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
--- a/internal/scheduler/leader/retry.go
+++ b/internal/scheduler/leader/retry.go
@@ -14,7 +14,7 @@
 		if err == nil {
 			return true
 		}
-		l.log.Debug("reading from the state service failed; retrying", "err", err)
+		l.log.Debug("reading stored records from the state service failed; retrying", "err", err)
 		l.env.sleep(ctx, pause)
 	}
 	return false
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -51,7 +51,7 @@
 		if reason := rule.reason(m); reason != "" {
 			m.Returning = true
 			names = append(names, m.Name)
-			l.log.Info("returning machine without tasks to the cloud", "machine", m.Name, "reason", reason)
+			l.log.Info("machine has no tasks and is not needed or not usable; returning it to the cloud", "machine", m.Name, "reason", reason)
 		}
 	}
 	l.deleteMachines(names)
@@ -110,8 +110,8 @@
 // silenceUntilReturn returns how long machines may be silent after their lease expiry before they are returned. If many
 // are silent together, they are partitioned rather than dead, and become usable again when the partition ends; the
 // cloud lists the dead ones among them as failed. Machines that have sent no heartbeat but are listed as running count
-// as silent too: after a failover during a partition, 74 such machines of the other zone were returned as never having
-// come up.
+// as silent too. Otherwise a leader that is elected during a partition would return the machines of the zone that it
+// cannot reach as never having come up, 74 in one case.
 func (l *Loop) silenceUntilReturn() time.Duration {
 	silent := 0
 	for _, m := range l.machines.Machines {
@@ -125,20 +125,20 @@
 	return tuning.SilentReturnAfter
 }
 
-// idleMachinesNeeded returns the names of the idle machines that the expected jobs would use, if they first fill the
-// machines in use and then prefer spot and cheap ones.
+// idleMachinesNeeded returns the names of the idle machines that the expected jobs would use. These jobs are assumed to
+// fill the machines in use first, and then to prefer spot machines and cheap ones.
 func (l *Loop) idleMachinesNeeded(now time.Time) map[string]bool {
-	pending := l.expectedJobs(now)
-	candidates := l.inOrderOfUse(l.machinesWithRoomFor(now, pending))
-	teams := autoscale.UnlimitedTeams(pending)
-	placement.Sort(pending, teams, now)
+	expected := l.expectedJobs(now)
+	candidates := l.inOrderOfUse(l.machinesWithRoomFor(now, expected))
+	teams := autoscale.UnlimitedTeams(expected)
+	placement.Sort(expected, teams, now)
 	needed := map[string]bool{}
 	for _, c := range candidates {
-		pending = slices.DeleteFunc(pending, func(p *placement.PendingJob) bool { return p.Waiting == 0 })
-		if len(pending) == 0 {
+		expected = slices.DeleteFunc(expected, func(p *placement.PendingJob) bool { return p.Waiting == 0 })
+		if len(expected) == 0 {
 			break
 		}
-		placed := placement.ScheduleSorted(now, pending, []*placement.Machine{c.Machine}, teams)
+		placed := placement.ScheduleSorted(now, expected, []*placement.Machine{c.Machine}, teams)
 		if len(placed) > 0 && !c.inUse {
 			needed[c.Name] = true
 		}
@@ -154,9 +154,9 @@
 
 // inOrderOfUse returns machines in the order in which expected jobs use them: those with tasks first, then spot
 // machines, then cheap ones.
-func (l *Loop) inOrderOfUse(open []*placement.Machine) []useCandidate {
-	out := make([]useCandidate, len(open))
-	for i, v := range open {
+func (l *Loop) inOrderOfUse(views []*placement.Machine) []useCandidate {
+	out := make([]useCandidate, len(views))
+	for i, v := range views {
 		out[i] = useCandidate{v, l.inUse(v)}
 	}
 	slices.SortFunc(out, func(a, b useCandidate) int {
--- a/internal/scheduler/leader/scale_in_test.go
+++ b/internal/scheduler/leader/scale_in_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Guards against a leader that returns half of the fleet because it is partitioned from it: machines that the cloud lists
+// Guards against a leader that returns half of the fleet because a partition separates them: machines that the cloud lists
 // as running become usable again when the partition ends.
-func TestManySilentMachinesAreKeptDuringAPartition(t *testing.T) {
+func TestManySilentMachinesAreNotReturnedDuringPartition(t *testing.T) {
 	for _, c := range []struct {
 		silent int
 		limit  time.Duration
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -14,10 +14,10 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// rentals holds the requests to rent machines. Only a few are in flight at a time, to stay within the cloud's rate
-// limit; what else is needed is planned anew when one of them is answered. Without this bound, hundreds of small
-// requests once queued behind the rate limit. Their machines counted as booting, and when the requests were finally
-// sent, they no longer matched the need.
+// rentals holds the rent requests. Only a few are in flight at a time, to stay within the cloud's rate limit. When one of
+// them is answered, the machines that are still needed are planned anew. Without this bound, hundreds of small requests
+// can queue behind the rate limit: their machines count as booting, and when the requests are finally sent, they no
+// longer match the need.
 type rentals struct {
 	pending      map[string]autoscale.Rental      // requests in flight, by request name
 	refusedUntil map[autoscale.Offering]time.Time // until when an offering is not requested again for lack of capacity
@@ -66,7 +66,7 @@
 	in := autoscale.Input{
 		Now: now, Teams: l.teams(), Types: l.env.MachineTypes(),
 		Unavailable: func(o autoscale.Offering) bool { return partitioned[o.Zone] || now.Before(l.rentals.refusedUntil[o]) },
-		MaxNew:      l.maxMachines() - len(l.machines.Machines), Existing: map[autoscale.Offering]int{},
+		MaxNew:      l.maxMachines() - len(l.machines.Machines), ExistingCounts: map[autoscale.Offering]int{},
 		Booting: l.bootingMachines(partitioned, now),
 	}
 	pending, _ := l.pendingJobs(now)
@@ -77,10 +77,10 @@
 		}
 	}
 	placement.Sort(in.Pending, in.Teams, now)
-	l.countByOffering(in.Existing)
+	l.countByOffering(in.ExistingCounts)
 	for _, p := range l.rentals.pending {
 		in.MaxNew -= p.Count
-		in.Existing[p.Offering] += p.Count
+		in.ExistingCounts[p.Offering] += p.Count
 	}
 	return in
 }
@@ -96,8 +96,8 @@
 	}
 }
 
-// countByOffering adds the number of machines of each offering to counts. It sums them up in a slice first, which is
-// short: there are few offerings, but thousands of machines.
+// countByOffering adds the number of machines of each offering to counts. It sums the numbers up in a slice first, to
+// avoid a map access for each of thousands of machines. The slice is short, because there are few offerings.
 func (l *Loop) countByOffering(counts map[autoscale.Offering]int) {
 	type count struct {
 		autoscale.Offering
@@ -188,6 +188,6 @@
 		l.rentals.refusedUntil[rental.Offering] = now.Add(tuning.NoCapacityBackoff)
 	}
 	l.cycle.wake()        // one of them may have sent a heartbeat already
-	l.fleet.planSoon(now) // for what is still needed, from another offering if this one was refused
+	l.fleet.planSoon(now) // plan what is still needed, from another offering if this one was refused
 	l.log.Info("rent request answered", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(names))
 }
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -50,8 +50,8 @@
 }
 
 // Guards against rent requests that queue up behind the cloud's rate limit. At the start of a large deployment, every
-// job that arrived requested a machine or two of its own. 390 machines counted as booting although their requests had
-// not been sent, and for minutes nothing was rented for the jobs that waited.
+// job that arrived requested a machine or two of its own. As a result, 390 machines counted as booting although their
+// requests had not been sent, and for minutes nothing was rented for the jobs that waited.
 func TestRentRequestsDoNotPileUp(t *testing.T) {
 	l, clock := newTestLoop(t)
 	for i := range 40 {
@@ -61,7 +61,7 @@
 		})
 		l.scaleOut(clock.Now()) // no request is answered in the meantime
 		if n := len(l.rentals.pending); n > tuning.RentalsInFlightMax {
-			t.Fatalf("%d rent requests in flight after %d jobs, want at most tuning.RentalsInFlight", n, i+1)
+			t.Fatalf("%d rent requests in flight after %d jobs, want at most tuning.RentalsInFlightMax", n, i+1)
 		}
 	}
 	if len(l.rentals.pending) == 0 {
--- a/internal/scheduler/leader/schedule.go
+++ b/internal/scheduler/leader/schedule.go
@@ -19,11 +19,11 @@
 	}
 	candidates := append(slices.Clone(pending), l.placeholders(now)...)
 	teams := l.teams()
-	open := l.machinesWithRoomFor(now, candidates)
+	withRoom := l.machinesWithRoomFor(now, candidates)
 	l.setKindPreferences(pending)
-	placed := l.cycle.reservations.Schedule(now, candidates, open, teams)
+	placed := l.cycle.reservations.Schedule(now, candidates, withRoom, teams)
 	l.allocate(placed, byID, now)
-	l.preempt(now, pending, open, teams, byID)
+	l.preempt(now, pending, withRoom, teams, byID)
 	l.cycle.finish(now, len(placed) > 0)
 }
 
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -30,7 +30,7 @@
 	return "other"
 }
 
-// jobArrived adds a job and its size.
+// jobArrived adds a job, and compares its size with those of the last jobs of its class.
 func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
@@ -82,7 +82,8 @@
 	return out
 }
 
-// reportStateSize reports to an observer how many jobs and machines the loop holds in memory, and what waits.
+// reportStateSize reports to an observer how many jobs and machines are in memory and, by class, how many tasks wait and
+// how long the oldest job has waited.
 func (l *Loop) reportStateSize(o Observer) {
 	waiting := map[string]int{}
 	for _, j := range l.jobs.Jobs {
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -6,8 +6,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// stepDownIfUnreachable gives the leadership up to another member if no worker answers this one, although workers'
-// heartbeats arrive, and another member reaches workers. In that case it is this member's own connection that is cut.
+// stepDownIfUnreachable gives up the leadership if no worker answers this member, although workers' heartbeats arrive and
+// another member reaches workers. In that case this member's own connection is cut.
 func (l *Loop) stepDownIfUnreachable(now time.Time) {
 	probes := &l.probing
 	if l.env.ProbeWorkers == nil || probes.askingPeers || now.Before(probes.nextPeerProbe) || !l.mayBeUnreachable(now) {
@@ -30,7 +30,7 @@
 }
 
 // mayBeUnreachable reports whether at least tuning.UnansweredMachinesMin machines have left commands unanswered, and no
-// machine has answered one for tuning.UnansweredFor.
+// machine has answered any command for tuning.UnansweredFor.
 func (l *Loop) mayBeUnreachable(now time.Time) bool {
 	answered := l.probing.lastAnswered
 	if answered.Before(l.startedAt) {
@@ -39,8 +39,8 @@
 	return len(l.probing.unanswered) >= tuning.UnansweredMachinesMin && now.Sub(answered) >= tuning.UnansweredFor
 }
 
-// unansweredAddresses returns the addresses of machines that left commands unanswered: at most
-// tuning.UnansweredMachinesMin, which the other members are asked to probe. Machines without recent heartbeats are left
+// unansweredAddresses returns the addresses of machines that left commands unanswered, so that the other members can probe
+// these machines. It returns at most tuning.UnansweredMachinesMin addresses. Machines without recent heartbeats are left
 // out: they may be dead, which is no reason to step down.
 func (l *Loop) unansweredAddresses(now time.Time) []string {
 	var addrs []string
--- a/internal/scheduler/leader/step_down_test.go
+++ b/internal/scheduler/leader/step_down_test.go
@@ -11,16 +11,16 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against a leader that receives heartbeats but reaches no worker, and keeps the leadership for as long as it can
-// renew its lease. It steps down if another member reaches workers, and only then.
+// Guards against a leader that receives heartbeats but reaches no worker, and remains the leader for as long as it can
+// renew its lease. It has to step down if another member reaches workers, and only then.
 func TestLeaderThatReachesNoWorkerStepsDown(t *testing.T) {
-	for _, others := range []bool{true, false} {
+	for _, otherReachesWorkers := range []bool{true, false} {
 		l, advance := newTwoZoneLoop(t, 4)
 		ctx, end := context.WithCancelCause(t.Context())
 		l.termCtx, l.endTerm = ctx, end
 		l.env.MayAct = func(uint64) bool { return true }
 		l.env.ProbeWorkers = func(_ context.Context, addrs []string) bool {
-			return others && len(addrs) == tuning.UnansweredMachinesMin
+			return otherReachesWorkers && len(addrs) == tuning.UnansweredMachinesMin
 		}
 		for second := range 20 {
 			advance(time.Second)
@@ -45,8 +45,8 @@
 				break
 			}
 		}
-		if got := errors.Is(context.Cause(ctx), ErrUnreachable); got != others {
-			t.Errorf("another member reaches workers: %v; the leader stepped down: %v", others, got)
+		if got := errors.Is(context.Cause(ctx), ErrUnreachable); got != otherReachesWorkers {
+			t.Errorf("another member reaches workers: %v; the leader stepped down: %v", otherReachesWorkers, got)
 		}
 	}
 }
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -8,21 +8,21 @@
 	"poppypass/internal/platform/wire"
 )
 
-// subsystemWrites is the state of the subsystems' transactions. They and the recordWriter's transactions change
-// different keys, so neither has to wait for the other.
+// subsystemWrites is the state of the subsystems' transactions. These transactions and those of the recordWriter change
+// different keys, so they need not wait for each other.
 type subsystemWrites struct {
-	inFlight bool               // whether a transaction is in flight
-	turn     int                // turns so far; determines which subsystem is next
-	failed   map[Subsystem]bool // subsystems whose records could not be stored
-	chain    transactionChain
+	inFlight  bool               // whether a transaction is in flight
+	turnCount int                // number of turns so far; determines which subsystem is next
+	failed    map[Subsystem]bool // subsystems whose records could not be stored
+	chain     transactionChain
 }
 
 // nextWrite returns the next transaction, and its subsystem; nil if there is nothing to write. The subsystems take
 // turns, because one that always has something to write must not hold up the others.
 func (s *subsystemSet) nextWrite(now time.Time, room int) (Subsystem, *SubsystemWrite) {
 	for range s.active {
-		sub := s.active[s.writes.turn%len(s.active)]
-		s.writes.turn++
+		sub := s.active[s.writes.turnCount%len(s.active)]
+		s.writes.turnCount++
 		if s.writes.failed[sub] {
 			continue
 		}
@@ -38,7 +38,7 @@
 	if l.subsystems.writes.inFlight {
 		return
 	}
-	s, w := l.subsystems.nextWrite(now, l.store.SpareWrites()-1) // one change is the link of the chain
+	s, w := l.subsystems.nextWrite(now, l.store.SpareWrites()-1) // one change of the transaction writes keyChainLink
 	if w == nil {
 		return
 	}
@@ -72,12 +72,13 @@
 	}
 }
 
-// keyChainLink is the key of a record that every transaction of the subsystems changes and is guarded on, so that the
-// transactions form a chain. A transaction that was repeated for lack of an answer may be executed once more,
-// seconds later and after newer transactions of this leader. Guards on the versions of the records that it changes
-// do not prevent that if it deletes records whatever their version is, or creates a record that was deleted in the
-// meantime: a graph that was registered again lost its parts that way. The link on which such a late duplicate is
-// guarded has been replaced by then, so the state service refuses it.
+// keyChainLink is the key of a record, the link, that every transaction of the subsystems changes and is guarded on, so
+// that the transactions form a chain. The chain prevents late duplicates: a transaction that was repeated for lack of an
+// answer may be executed once more, seconds later and after newer transactions of this leader. Guards on the versions of
+// the records that the transaction changes do not prevent that if it deletes records whatever their version is, or
+// creates a record that was deleted in the meantime. A graph that was registered again lost its parts that way. By the
+// time of the late duplicate, newer transactions have replaced the version of the link on which the duplicate is guarded,
+// so the state service refuses it.
 const keyChainLink = "aside/link"
 
 // transactionChain is what the loop knows of the record at keyChainLink. Only the goroutine that commits uses it.
@@ -91,7 +92,7 @@
 // applied.
 type chainLinkRecord struct {
 	Term   uint64 `json:"term"`
-	Number uint64 `json:"n"`
+	Number uint64 `json:"n"` // number of the transaction among those of the subsystems in this term
 }
 
 // commitChained commits a subsystem's transaction as the next link of the chain. Only one is in flight at a time.
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -33,7 +33,7 @@
 			state := fakes.NewStore(clock)
 			t.Cleanup(state.Close)
 			l.store = statestore.New(state.Addr(), 1e6, 1e6)
-			lostAnswers := 0 // transactions whose first answer was lost
+			lostAnswers := 0 // number of transactions whose first answer was lost
 			state.DelayTransactions(func(txn wire.Txn) bool {
 				if txn.Then[len(txn.Then)-1].Delete+txn.Then[len(txn.Then)-1].Put != c.key || lostAnswers > 0 {
 					return false
@@ -57,7 +57,7 @@
 					t.Fatalf("committing a chained transaction: %v", err)
 				}
 			}
-			lostAnswers = 1
+			lostAnswers = 1 // so that the answer to c.before is not lost
 			write(c.before, false)
 			lostAnswers = 0
 			write(c.late, true)
@@ -87,13 +87,13 @@
 			t.Fatal("nothing to write")
 		}
 	}
-	if a.asked != 5 || b.asked != 5 {
-		t.Errorf("the subsystems were asked %d and %d times, want 5 each", a.asked, b.asked)
+	if a.nextWriteCalls != 5 || b.nextWriteCalls != 5 {
+		t.Errorf("the subsystems were asked %d and %d times, want 5 each", a.nextWriteCalls, b.nextWriteCalls)
 	}
 	l.subsystems.writes.failed[a] = true
 	for range 4 {
 		if s, _ := l.subsystems.nextWrite(clock.Now(), 10); s != b {
-			t.Fatal("the turn is not that of the subsystem whose records can be stored")
+			t.Fatal("nextWrite chose the subsystem whose records could not be stored")
 		}
 	}
 }
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -21,16 +21,18 @@
 type Subsystem interface {
 	// Read reads the subsystem's own records. It runs in a goroutine of its own, once the jobs' records are in
 	// memory, and is repeated until it succeeds. The loop's goroutine then calls apply. If Read needs data of the
-	// job store, it passes a function that looks it up to onLoop, which has the loop's goroutine run the function.
+	// job store, it calls onLoop with a function that looks the data up; onLoop has the loop's goroutine run that
+	// function.
 	Read(ctx context.Context, store *statestore.Client, onLoop func(func()) error) (apply func(), err error)
 	// Loaded is called when all jobs are in memory.
 	Loaded(store *jobs.Store, now time.Time)
 	// Admit returns how many of a job's waiting tasks may start now, and the reason why no more may.
 	Admit(j *jobs.Job, now time.Time) (n int, reason string)
-	// LimitStarts lowers counts to what may start together. counts[i] is how many waiting tasks of waiting[i] a
-	// scheduling cycle or a fleet plan may consider; afterwards it is at most what Admit allows for that job.
+	// LimitStarts lowers counts so that all the tasks that are counted may start together. counts[i] is the number of
+	// waiting tasks of waiting[i] that a scheduling cycle or a fleet plan may consider. After the call it is at most
+	// the number that Admit returns for that job.
 	LimitStarts(waiting []*jobs.Job, counts []int, now time.Time)
-	// Placed is called when a task was allocated to a machine: of type typ, and a spot machine if spot is true.
+	// Placed is called when a task was allocated to a machine of type typ. spot is true for a spot machine.
 	Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
 	// Ended is called with the proven end of an attempt, before the job store is updated.
 	Ended(o machines.Outcome, now time.Time)
@@ -43,14 +45,15 @@
 	// does not touch; nil if there is nothing to write. Only one is in flight at a time.
 	NextWrite(now time.Time, room int) *SubsystemWrite
 	// Query answers a query of an operator or user. uri is a path below the subsystem's own, perhaps with a query
-	// string. The error is ErrUnknownPath.
+	// string. The error is ErrUnknownPath if the subsystem does not serve the path.
 	Query(uri string, now time.Time) (Answer, error)
 }
 
 // CommandHandler is a subsystem that also executes commands of users.
 type CommandHandler interface {
 	// Command executes a command. It calls answer once, on the loop's goroutine: at once, or when the outcome is
-	// stored. The error is ErrUnknownPath; answer is not called then.
+	// stored. If the subsystem does not serve the command's path, Command returns ErrUnknownPath and does not call
+	// answer.
 	Command(c Command, now time.Time, answer func(Answer)) error
 }
 
@@ -59,13 +62,13 @@
 
 // Answer is the answer to a query or command.
 type Answer struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Body   any // sent as JSON; a wire.Error if the status is 400 or higher
 }
 
 // Command asks a subsystem to change something. Clients that get no answer may repeat it.
 type Command struct {
-	Method string          `json:"method"` // of HTTP
+	Method string          `json:"method"` // HTTP method
 	URI    string          `json:"uri"`    // path and query
 	Body   json.RawMessage `json:"body,omitempty"`
 }
@@ -82,7 +85,7 @@
 // subsystemSet holds the subsystems that run inside the loop.
 type subsystemSet struct {
 	active   []Subsystem
-	nextTick time.Time
+	nextTick time.Time // when Tick is next called
 	writes   subsystemWrites
 }
 
--- a/internal/scheduler/leader/subsystems_test.go
+++ b/internal/scheduler/leader/subsystems_test.go
@@ -11,12 +11,12 @@
 // busySubsystem always has something to write, and serves one command.
 type busySubsystem struct {
 	Subsystem
-	name  string
-	asked int
+	name           string
+	nextWriteCalls int
 }
 
 func (s *busySubsystem) NextWrite(time.Time, int) *SubsystemWrite {
-	s.asked++
+	s.nextWriteCalls++
 	return &SubsystemWrite{Txn: wire.Txn{Then: []wire.Change{{Put: s.name}}}}
 }
 
--- a/internal/scheduler/leader/team_usage.go
+++ b/internal/scheduler/leader/team_usage.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/scheduler/placement"
 )
 
-// teams returns each team's quota, guarantee and fair share, and the resources that its tasks use. All tasks count that
-// may be running somewhere.
+// teams returns each team's quota, guarantee and fair share, and the resources that its tasks use. Every task that may be
+// running somewhere counts.
 func (l *Loop) teams() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.env.Teams))
 	fairShareCPUs := 0.0 // computed for the first team without a quota
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -93,7 +93,7 @@
 }
 
 // newTwoZoneLoop returns a leader with n machines in each of two zones, each with a running task of a spread service, and
-// a state service with the zone leases of members. The function advances the clock.
+// with a state service that holds the given zone leases of members. The returned function advances the clock.
 func newTwoZoneLoop(t *testing.T, n int, zoneLeases ...string) (*Loop, func(d time.Duration)) {
 	t.Helper()
 	l, clock := newTestLoop(t)
@@ -120,7 +120,8 @@
 	return l, func(d time.Duration) { clock.Advance(d) }
 }
 
-// expireLeasesNow has the loop query the machines whose leases expired, and end what ran there if that is proven.
+// expireLeasesNow has the loop make its queries about the machines whose leases expired, and end the attempts that are
+// proven not to run there any more.
 func (l *Loop) expireLeasesNow() {
 	l.leases.next = time.Time{}
 	for l.expireLeases(l.env.Clock.Now()); l.leases.inFlight; {
@@ -128,8 +129,8 @@
 	}
 }
 
-// maxDeploymentMachines is the largest number of machines that deployments are sized for: the operators' largest has
-// about 4,000, and half as many more on a busy day.
+// maxDeploymentMachines is the largest number of machines for which deployments are sized. The operators' largest
+// deployment has about 4,000 machines, and half as many more under high load.
 const maxDeploymentMachines = 6000
 
 // machineName returns the name of the i-th machine of a test, in the order of the cloud's listing.
