--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -13,9 +13,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// commit brings a transaction to a definite outcome, guarded on the leader key as it was when the term began. It
-// repeats the transaction unchanged until the outcome is known; the guards ensure that at most one of the tries is
-// applied.
+// commit commits a transaction, guarded on the leader key as it was when the term began. It repeats the transaction
+// unchanged until the outcome is known. The guards ensure that at most one of the tries is applied.
 //
 // If inDoubt is not nil, it is true while the transaction may already be applied. It is set to false when the state
 // service has certainly executed none of the tries so far, as in an outage. After a success it stays true, because the
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -20,8 +20,8 @@
 	budgetS float64   // downtime that moves may still cause, in seconds
 }
 
-// addBudget increases the downtime budget by what is allowed for one interval between rounds of consolidation. All moves
-// together may cause a downtime of the share tuning.MoveDowntimeShare of the time that all replicas run; replicas is the
+// addBudget increases the downtime budget by the amount for one interval between rounds of consolidation. The downtime of
+// all moves together may be at most the share tuning.MoveDowntimeShare of the time that all replicas run. replicas is the
 // number of running replicas.
 func (r *replicaMoves) addBudget(replicas int) {
 	allowedS := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// newFleetOfSmallMachines returns a loop with n small machines that have sent heartbeats. On each runs a replica that uses a
-// quarter of its CPUs and has run for long enough to be moved.
+// newFleetOfSmallMachines returns a loop with n small machines that have sent heartbeats. Each machine runs a replica that
+// uses a quarter of its CPUs and has run for long enough to be moved.
 func newFleetOfSmallMachines(t *testing.T, n int) (*Loop, *clockwork.FakeClock) {
 	l, clock := newTestLoop(t)
 	delete(l.machines.Machines, "n-large")
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -38,7 +38,7 @@
 
 	// Observer receives the events of the loop; it may be nil.
 	Observer Observer
-	// AccountsEnabled is true if charges are recorded, by account, and jobs may name the account to charge.
+	// AccountsEnabled is true if charges are recorded by account. Jobs may then name the account to charge.
 	AccountsEnabled bool
 	// Subsystems are the constructors of the subsystems. They are called once for each term.
 	Subsystems []func(log *slog.Logger) (Subsystem, error)
@@ -68,7 +68,7 @@
 	}
 }
 
-// sleep waits for d by the process's clock, or until ctx ends.
+// sleep waits until d has passed on the process's clock, or until ctx ends.
 func (e *Env) sleep(ctx context.Context, d time.Duration) {
 	clock.Sleep(ctx, e.Clock, d)
 }
@@ -92,5 +92,5 @@
 	return withinS, ok
 }
 
-// seconds converts a number of seconds, as settings, records and messages have it, into a duration.
+// seconds converts a number of seconds, the unit of times in settings, records and messages, into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scheduler/leader/kind_preference.go
+++ b/internal/scheduler/leader/kind_preference.go
@@ -31,7 +31,7 @@
 
 // lossLimitOnSpot returns the loss per task, in seconds, above which an array prefers on-demand machines. The live arrays
 // above the limit have about as large a share of all arrays' remaining work as the on-demand machines have of the array
-// tasks that run now. The limit is infinite while no array tasks run on on-demand machines.
+// tasks that run now. The limit is infinite while no array tasks run on on-demand machines, and 0 while all of them do.
 func (l *Loop) lossLimitOnSpot() float64 {
 	onSpot, onDemand := l.arrayTasksByKind()
 	switch {
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -47,8 +47,8 @@
 	l.followJobs(ctx, revision)
 }
 
-// readAll lists the records below a prefix, and repeats that until it succeeds: handle may get an item more than
-// once. The revision is that of the listing. ok is false if ctx ended first.
+// readAll lists the records below a prefix and passes them to handle. It repeats the listing until it succeeds, so handle
+// may get an item more than once. The revision is that of the listing. ok is false if ctx ended first.
 func (l *Loop) readAll(ctx context.Context, prefix string, handle func([]wire.Item) error) (revision uint64, ok bool) {
 	ok = l.retry(ctx, func() (err error) {
 		if revision, err = l.store.Urgent().ListAll(ctx, prefix, handle); err != nil {
@@ -129,7 +129,7 @@
 	l.arrivals.add(j, l.inInitialBacklog(now))
 }
 
-// loadProgress loads all progress records, and the charges that were detached from them. That completes the loading.
+// loadProgress loads all progress records, and the charges that were detached from them. This completes the loading.
 func (l *Loop) loadProgress(progress, detached []wire.Item) {
 	now := l.env.Clock.Now()
 	seen := map[string]bool{}
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -24,7 +24,7 @@
 	// JobBegan reports that the first task of a job runs, and the time since the job was accepted.
 	JobBegan(class, team, size string, waited time.Duration)
 	// MissingJobsFound reports how many stored jobs were missing in memory.
-	MissingJobsFound(count int)
+	MissingJobsFound(jobCount int)
 	// HeartbeatRejected reports that a heartbeat was not applied, and why.
 	HeartbeatRejected(reason string)
 	// Reachability reports how many machines commands do not reach, and how many live ones have not acknowledged
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -110,8 +110,8 @@
 // silenceUntilReturn returns how long machines may be silent after their lease expiry before they are returned. If many
 // are silent together, they are partitioned rather than dead, and become usable again when the partition ends; the
 // cloud lists the dead ones among them as failed. Machines that have sent no heartbeat but are listed as running count
-// as silent too. Otherwise a leader that is elected during a partition would return the machines of the zone that it
-// cannot reach as never having come up, 74 in one case.
+// as silent too. Otherwise a leader that is elected during a partition would conclude that the machines of the zone that
+// it cannot reach never came up, and return them: 74 in one case.
 func (l *Loop) silenceUntilReturn() time.Duration {
 	silent := 0
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -75,10 +75,10 @@
 // keyChainLink is the key of a record, the link, that every transaction of the subsystems changes and is guarded on, so
 // that the transactions form a chain. The chain prevents late duplicates: a transaction that was repeated for lack of an
 // answer may be executed once more, seconds later and after newer transactions of this leader. Guards on the versions of
-// the records that the transaction changes do not prevent that if it deletes records whatever their version is, or
-// creates a record that was deleted in the meantime. A graph that was registered again lost its parts that way. By the
-// time of the late duplicate, newer transactions have replaced the version of the link on which the duplicate is guarded,
-// so the state service refuses it.
+// the records that the transaction changes do not prevent this if the transaction deletes records whatever their version
+// is, or creates a record that was deleted in the meantime. A graph that was registered again lost its parts that way.
+// By the time of the late duplicate, a newer transaction has replaced the version of the link on which the duplicate is
+// guarded, so the state service refuses the duplicate.
 const keyChainLink = "aside/link"
 
 // transactionChain is what the loop knows of the record at keyChainLink. Only the goroutine that commits uses it.
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -32,8 +32,8 @@
 	// waiting tasks of waiting[i] that a scheduling cycle or a fleet plan may consider. After the call it is at most
 	// the number that Admit returns for that job.
 	LimitStarts(waiting []*jobs.Job, counts []int, now time.Time)
-	// Placed is called when a task was allocated to a machine of type typ. spot is true for a spot machine.
-	Placed(a *jobs.Allocation, spot bool, typ *wire.MachineType, now time.Time)
+	// Placed is called when a task was allocated to a machine of the given type. spot is true for a spot machine.
+	Placed(a *jobs.Allocation, spot bool, machineType *wire.MachineType, now time.Time)
 	// Ended is called with the proven end of an attempt, before the job store is updated.
 	Ended(o machines.Outcome, now time.Time)
 	// Finished is called when a job's final state is stored.
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -55,8 +55,8 @@
 }
 
 // newHeartbeat returns the first heartbeat of a machine without tasks.
-func newHeartbeat(machine, typ, zone string) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: machine, Address: "127.0.0.1:1", Type: typ, Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1}
+func newHeartbeat(machine, machineType, zone string) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: machine, Address: "127.0.0.1:1", Type: machineType, Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1}
 }
 
 // register has the machine registry apply a machine's first heartbeat.
