--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -47,8 +47,8 @@
 	l.followJobs(ctx, revision)
 }
 
-// readAll lists the records below a prefix, and repeats that until it succeeds: handle may get an item more than
-// once. The revision is that of the listing. ok is false if ctx ended first.
+// readAll lists the records below a prefix and passes them to handle. It repeats the listing until it succeeds, so handle
+// may get an item more than once. The revision is that of the listing. ok is false if ctx ended first.
 func (l *Loop) readAll(ctx context.Context, prefix string, handle func([]wire.Item) error) (revision uint64, ok bool) {
 	ok = l.retry(ctx, func() (err error) {
 		if revision, err = l.store.Urgent().ListAll(ctx, prefix, handle); err != nil {
@@ -129,7 +129,7 @@
 	l.arrivals.add(j, l.inInitialBacklog(now))
 }
 
-// loadProgress loads all progress records, and the charges that were detached from them. That completes the loading.
+// loadProgress loads all progress records, and the charges that were detached from them. This completes the loading.
 func (l *Loop) loadProgress(progress, detached []wire.Item) {
 	now := l.env.Clock.Now()
 	seen := map[string]bool{}
@@ -139,7 +139,7 @@
 		}
 		seen[item.Key] = true
 		if err := l.restoreAllocations(item, now); err != nil {
-			// Without this record nobody knows where its tasks may be running.
+			// Without this record, the leader does not know where the record's tasks may be running.
 			l.endTerm(err)
 			return
 		}
@@ -153,7 +153,8 @@
 	l.finishLoading(now)
 }
 
-// restoreAllocations loads a progress record: its tasks may be running on the machines that it names.
+// restoreAllocations loads a progress record and restores its allocations: the tasks may be running on the machines that
+// the record names.
 func (l *Loop) restoreAllocations(item wire.Item, now time.Time) error {
 	allocations, err := l.jobs.LoadProgress(item, now)
 	if err != nil {
