--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -44,7 +44,8 @@
 	})
 }
 
-// listPause returns the pause after a reading of the cloud's list that took this long.
+// listPause returns the pause after a reading of the cloud's list that took a given time. The pause is at least as long
+// as the reading.
 func listPause(took time.Duration) time.Duration { return max(tuning.CloudListEvery, took) }
 
 // endProvenGone ends the attempts on machines that a page of the list proves to be gone. A quarter of the machines
@@ -87,8 +88,8 @@
 	l.forgetUnlisted(listed, now)
 }
 
-// reconcileListed brings the registry in line with one machine of the list. failed is true if the machine failed
-// and is not being deleted yet.
+// reconcileListed brings the registry in line with one machine of the list. failed reports whether the machine
+// failed and is not being deleted yet.
 func (l *Loop) reconcileListed(listed wire.ListedMachine, now time.Time) (failed bool) {
 	if l.machines.WasReturned(listed.Name) {
 		return false
@@ -98,7 +99,7 @@
 	case listed.State == wire.MachineFailed:
 		failed = m == nil || !m.Returning
 	case m == nil || m.Type == "":
-		// The machine is unknown, or is known from records only. It is used or returned like any other.
+		// The machine is unknown, or only stored records name it. From now on it is used or returned like any other.
 		rentedAt := now.Add(-seconds(listed.AgeS))
 		l.machines.Register(machines.RentedMachine{Name: listed.Name, Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, RentedAt: rentedAt}, now)
 		if m == nil {
@@ -106,14 +107,14 @@
 		}
 	}
 	if m := l.machines.Machines[listed.Name]; m != nil {
-		l.cycle.wakeIf(!m.Confirmed) // it may be used from now on, as the list proves that it exists
+		l.cycle.wakeIf(!m.Confirmed) // the list proves that the machine exists, so tasks may be placed there
 		m.ListedRunning, m.Confirmed, m.ListedAddress = listed.State == wire.MachineRunning, true, listed.Address
 	}
 	return failed
 }
 
-// forgetUnlisted forgets machines that are not alive, because their lease expired or they never came up, and that
-// several lists in a row lack: the cloud took them back.
+// forgetUnlisted forgets machines that are not alive and that several consecutive lists lack: the cloud took them back.
+// A machine is not alive if its lease expired or it never sent a heartbeat.
 func (l *Loop) forgetUnlisted(listed map[string]bool, now time.Time) {
 	minAge := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.CloudListEvery
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -12,7 +12,7 @@
 // taskFailed decides whether a task's failure counts against its machine or its job. Usually the machine is at
 // fault, and the job avoids it. But as long as no task of the job has worked, the job itself may be faulty. It is
 // then on probation, and its failures count against no machine. Without this rule, two jobs that were submitted
-// with a mistake had healthy machines drained.
+// with a mistake caused healthy machines to be drained.
 func (l *Loop) taskFailed(a *jobs.Allocation, now time.Time) {
 	j := a.Job
 	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidMachineFor)
@@ -31,8 +31,8 @@
 
 // onProbation reports whether all attempts of a job have failed so far. Such a job is tried with one task at a
 // time, after growing pauses. No room is made for it: no machine is rented, no task is stopped, no room is
-// reserved, and it does not hold a machine as the head of the queue. If the job has worked by now, onProbation ends
-// its probation.
+// reserved, and no machine is kept free for it when it is at the head of the queue. If a task of the job has worked by
+// now, onProbation ends the probation.
 func (l *Loop) onProbation(j *jobs.Job, now time.Time) bool {
 	if j.FailedWaves == 0 {
 		return false
@@ -59,9 +59,9 @@
 	}
 }
 
-// taskCompleted records that a task succeeded: its job works, and so does its machine m, which is nil if it is
+// taskCompleted records that a task succeeded: its job works, and so does its machine m. m is nil if the machine is
 // gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. The task may have
-// ended at any time since notRunningAt, when the machine was last heard from before the end became known.
+// ended at any time since notRunningAt, when the newest heartbeat that does not show the end arrived.
 func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
 	if a.Job.FailedWaves > 0 {
 		l.endProbation(a.Job, now)
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -12,8 +12,8 @@
 	next      time.Time // when the fleet is next planned
 	notBefore time.Time // the fleet is not planned before this time, whatever changed
 
-	// spotLossLimitS divides the arrays by the work that a task of theirs may lose with its spot machine, in seconds.
-	// Arrays whose tasks may lose more are tried on on-demand machines first. See kind_preference.go.
+	// spotLossLimitS is a limit, in seconds, on the work that a task of an array may lose with its spot machine. Arrays
+	// whose tasks may lose more are tried on on-demand machines first. See kind_preference.go.
 	spotLossLimitS float64
 }
 
@@ -68,8 +68,8 @@
 	return tuning.UnknownTypeBootTime
 }
 
-// awaitValidLeadership waits until this member may act as the leader of the term (Env.Valid). It returns false if the
-// term ends first. Without it, a leader whose process was suspended could delete machines on which the next leader
+// awaitValidLeadership waits until this member may act as the leader of the term (Env.MayAct). It returns false if the
+// term ends first. Without this wait, a leader whose process was suspended could delete machines on which the next leader
 // has placed tasks since.
 func (l *Loop) awaitValidLeadership() bool {
 	for l.termCtx.Err() == nil && !l.env.MayAct(l.leadership.Term) {
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -7,9 +7,9 @@
 )
 
 // maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by
-// this process's memory. The cloud enforces its own limits by refusing rentals. Memory allows one machine per
-// MachineKB of the runtime's memory target in any case, and more as long as the present machines are seen to need
-// less than that.
+// this process's memory. The cloud enforces its own limits by refusing rentals. Memory always allows one
+// machine for each tuning.MachineKiB of the runtime's memory target without tuning.ProcessMiB. It allows more as long as
+// the present machines use less memory than that.
 func (l *Loop) maxMachines() int {
 	limit := math.MaxInt
 	if n := l.env.Tunables.MaxMachines; n > 0 {
@@ -22,13 +22,13 @@
 	return limit
 }
 
-// machinesFittingIn is how many machines fit into an amount of memory, in MiB, if each needs MachineKB.
+// machinesFittingIn returns how many machines fit into mb MiB of memory if each needs tuning.MachineKiB.
 func machinesFittingIn(mb float64) int { return int(mb * 1024 / tuning.MachineKiB) }
 
-// maxMachinesByMemoryInUse is how many machines there may be by the memory that is in use. targetMB is the
-// runtime's memory target in MiB. The share ReachableMemoryShare of it may be in use. Machines that have sent no heartbeat do
-// not count as using memory yet: for each of them, and for each machine that is still to be rented, MachineKB of
-// the remaining memory is set aside. The result is 0 if the memory in use is not known.
+// maxMachinesByMemoryInUse returns how many machines the memory allows, given how much of it is in use. targetMB is the
+// runtime's memory target in MiB, of which the share tuning.ReachableMemoryShare may be in use. Machines that have sent
+// no heartbeat do not count as using memory yet. For each of them, and for each machine that is still to be rented,
+// tuning.MachineKiB of the remaining memory is set aside. The result is 0 if the memory in use is not known.
 func (l *Loop) maxMachinesByMemoryInUse(targetMB float64) int {
 	if l.env.MemoryInUse == nil {
 		return 0
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -13,12 +13,12 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// keyImages is the key of the record of which machines hold which images: {"z": a zstd frame of CBOR,
-// machines.Images}. No safety rule depends on it. A leader that finds no record, or one that it cannot read, starts
-// without it.
+// keyImages is the key of an imagesRecord, which stores which machines hold which images. Its frame is
+// machines.ImageLocations in CBOR, compressed with zstd. No safety rule depends on the record: a leader that finds none,
+// or one that it cannot read, starts without it.
 const keyImages = "hint/images"
 
-// imagesRecord is stored at keyImages.
+// imagesRecord is the record that is stored at keyImages.
 type imagesRecord struct {
 	Frame []byte `json:"z"`
 }
@@ -28,7 +28,7 @@
 	codec          *charge.Codec                     // nil until it is needed
 	nextWrite      time.Time                         // the record is not written before this time
 	inFlight       bool                              // a write of the record is in flight
-	notYetRestored map[string][]machines.CachedImage // stored by a former leader, by machine; removed at its first heartbeat
+	notYetRestored map[string][]machines.CachedImage // images that a former leader stored, by machine; an entry is removed at the machine's first heartbeat
 }
 
 // loadImages reads the record of the former leader. If that fails, the loop starts without it. It runs outside the
@@ -45,7 +45,7 @@
 	}
 	notYetRestored := images.ByMachine()
 	l.post(func() {
-		l.images.notYetRestored, l.images.codec = notYetRestored, codec // reused, since a codec needs some MB
+		l.images.notYetRestored, l.images.codec = notYetRestored, codec // the codec is reused, since each needs some MB
 		for _, m := range l.machines.Machines {
 			l.restoreImages(m)
 		}
@@ -99,7 +99,7 @@
 	return 0
 }
 
-// writeImages stores the record of images. If that fails, the next write may succeed.
+// writeImages stores the record of images. If that fails, it is not retried before the next write is due.
 func (l *Loop) writeImages(value json.RawMessage) {
 	_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
 	if errors.Is(err, errDeposed) {
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -13,7 +13,7 @@
 
 // interruptionNotices is the state of the spot machines whose heartbeats announce that the cloud will interrupt them.
 type interruptionNotices struct {
-	pending map[string]bool // by machine name: remaining tasks are still to be stopped shortly before the interruption
+	pending map[string]bool // machines, by name, whose remaining tasks are still to be stopped shortly before the interruption
 }
 
 // noticeInterruption drains a machine whose heartbeat announces an interruption by the cloud.
@@ -23,8 +23,8 @@
 }
 
 // drainInterrupted drains a machine that the cloud is about to interrupt. Tasks that can save a checkpoint are
-// stopped with the time to do so. Tasks that will probably end in time run on until shortly before the
-// interruption. The others are stopped at once, so that they can start elsewhere.
+// stopped with the time to do so. Tasks that will probably end in time keep running until shortly before
+// the interruption. The others are stopped at once, so that they can start elsewhere.
 func (l *Loop) drainInterrupted(m *machines.Machine, now time.Time) {
 	timeLeft := m.InterruptionAt.Sub(now) - tuning.InterruptionStopLead
 	var stopped []*jobs.Allocation
@@ -62,10 +62,10 @@
 	}
 }
 
-// worthRunningOn reports whether a task that cannot save a checkpoint should run on until shortly before its machine
-// is interrupted. ran is how long it has run, timeLeft how long it can still run. It weighs the run that is saved if
-// the task ends in time against the time that is lost if it does not. The run time is assumed to be log-normally
-// distributed around the expected run time of the job, given that it is at least ran.
+// worthRunningOn reports whether a task that cannot save a checkpoint should keep running until shortly before its
+// machine is interrupted. ran is how long it has run, timeLeft how long it can still run. The work of the whole run,
+// which is kept if the task ends in time, is weighed against timeLeft, which is lost if the task does not. The run time
+// is assumed to be log-normally distributed around the expected run time of the job, given that it is at least ran.
 func worthRunningOn(j *jobs.Job, ran, timeLeft time.Duration) bool {
 	expectedS, fromRuns := j.ExpectedRunS()
 	if expectedS <= 0 || timeLeft <= 0 {
@@ -75,13 +75,13 @@
 	if fromRuns {
 		sigma = tuning.ObservedLogStdDev
 	}
-	runsLonger := func(s float64) float64 { // the share of tasks that run longer than s seconds
+	runsLonger := func(s float64) float64 { // share of the job's tasks that run longer than s seconds
 		return 0.5 * math.Erfc(math.Log(s/expectedS)/(sigma*math.Sqrt2))
 	}
 	ranS := max(ran.Seconds(), 1)
-	stillRunning := runsLonger(ranS) // the probability of a run at least as long as this one so far
+	stillRunning := runsLonger(ranS) // share of the job's tasks that run longer than this one has run so far
 	if stillRunning < 1e-9 {
-		return true // it has run far longer than estimated and may end at any moment
+		return true // the task has run far longer than expected and may end at any moment
 	}
 	endsInTime := 1 - runsLonger(ranS+timeLeft.Seconds())/stillRunning
 	return endsInTime*max(expectedS, ran.Seconds()) > (1-endsInTime)*timeLeft.Seconds()
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -10,16 +10,17 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// leaseQuery is the state of the query whether followers renewed the leases of machines whose leases expired by the
-// leader's own replies. It reads the records in the key-value store and asks the members that hold zone leases.
+// leaseQuery is the state of the query that finds out whether followers renewed worker leases. It covers the machines
+// whose leases have expired if only the leader's own replies renewed them. The query reads the records in the key-value
+// store and asks the members that hold zone leases.
 type leaseQuery struct {
 	inFlight bool
 	next     time.Time // no query begins before this time
 }
 
 // expireLeases ends the incarnations of machines whose heartbeats nobody has answered for a whole lease: neither
-// this leader nor a follower in its place. Whether a follower did is reported by the records in the key-value store
-// and by the members that may hold zone leases of the machines' zones.
+// this leader nor a follower in its place. The records in the key-value store, and the members that may hold zone leases
+// of the machines' zones, show whether a follower answered.
 func (l *Loop) expireLeases(now time.Time) {
 	if l.leases.inFlight || now.Before(l.leases.next) {
 		return
@@ -36,7 +37,8 @@
 	}()
 }
 
-// expiredByZone returns the names of the machines whose leases expired by this leader's own replies, by zone.
+// expiredByZone returns, by zone, the names of the machines whose leases have expired if only this leader's own replies
+// renewed them.
 func (l *Loop) expiredByZone(now time.Time) map[string][]string {
 	byZone := map[string][]string{}
 	for _, name := range l.machines.ExpiredLeases(now) {
@@ -47,8 +49,8 @@
 }
 
 // leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before
-// asked, the time at which the query began. A query that took longer than RenewedQueryTime has no effect: the
-// records and the members report renewals only that much further back than a lease.
+// the query began, which was at the time asked. A query that took longer than RenewedQueryTimeout has no effect: the
+// records and the members report only renewals of the last lease plus RenewedQueryTimeout.
 func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
 	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadMinInterval)
@@ -56,7 +58,7 @@
 		err = fmt.Errorf("query took too long to be conclusive: %v", took)
 	}
 	if err != nil {
-		l.log.Debug("query for leases renewed by followers failed; retrying, no leases are ended", "err", err)
+		l.log.Debug("query for leases renewed by followers failed; treating no lease as expired until a retry succeeds", "err", err)
 		return
 	}
 	l.applyOutcomes(l.machines.EndExpired(asked, renewed), now)
@@ -64,9 +66,9 @@
 
 // findPossiblyRenewed returns the machines whose leases other members may have renewed within one lease before now.
 // byZone holds the names of the machines in question, by zone. The result holds all machines that a record in the
-// key-value store names, and those for which a member with a lease of their zone does not deny a renewal. The query
-// must not take longer than RenewedQueryTime: only then do the answers of all sources cover the whole lease before
-// it began.
+// key-value store names. It also holds the machines in question for which a member with a lease of their zone does not
+// deny a renewal. The query must not take longer than RenewedQueryTimeout: only then do the records and all answers
+// cover the whole lease before the query began.
 func (l *Loop) findPossiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
 	renewed, zoneLeases, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
@@ -95,7 +97,7 @@
 }
 
 // askFollower asks a member about some machines and returns those whose leases the member may have renewed. If the
-// member does not answer, these are all of them.
+// member does not answer, all of them are returned.
 func (l *Loop) askFollower(ctx context.Context, member string, names []string) []string {
 	ctx, cancel := context.WithTimeout(ctx, tuning.RelayTimeout)
 	defer cancel()
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -19,7 +19,7 @@
 
 // machinesWithRoomFor returns the schedulable machines that may have room for a task of the jobs: of each resource, at
 // least the smallest amount that any of them requests is free. In a large cluster most machines are full, and making a
-// view of each of them was most of the cost of a scheduling cycle.
+// view of each of them took most of the time of a scheduling cycle.
 func (l *Loop) machinesWithRoomFor(now time.Time, pending []*placement.PendingJob) []*placement.Machine {
 	if len(pending) == 0 {
 		return nil
@@ -44,15 +44,15 @@
 
 // isSchedulable reports whether tasks may be placed on a machine now. It must be alive, healthy and reachable, and
 // must not be leaving the fleet. It must run no task that the leader does not know, and must not have refused a
-// task for lack of room just before.
+// task for lack of room within tuning.RefusalPause.
 func (l *Loop) isSchedulable(m *machines.Machine, now time.Time) bool {
 	stays := !m.Returning && !m.Draining && m.InterruptionAt.IsZero()
 	return m.Alive() && stays && !m.Unhealthy && !m.HasOrphans() &&
 		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusalPauseUntil)
 }
 
-// allSchedulableMachines returns the schedulable machines. For a machine that is in seen it returns that view, which
-// already accounts for the tasks placed in this cycle.
+// allSchedulableMachines returns the views of the schedulable machines. If seen has a view of a machine, it returns that
+// one, which already accounts for the tasks placed in this cycle.
 func (l *Loop) allSchedulableMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	known := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
@@ -104,7 +104,7 @@
 
 // freeInS returns a function that estimates in how many seconds a machine has freed the resources that are lacking,
 // as its tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough. The
-// ends are computed at the first call, since for most machines there is none.
+// ends are computed at the first call of the function, since it is never called for most machines.
 func freeInS(m *machines.Machine, now time.Time) func(lacking placement.Resources) float64 {
 	var ends []expectedEnd
 	return func(lacking placement.Resources) float64 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// expectedEnds returns the expected ends of a machine's tasks in the order of time. The first entry is the present,
-// with nothing freed.
+// expectedEnds returns the expected ends of a machine's tasks in the order of time. The first entry is for the present
+// time, with nothing freed.
 func expectedEnds(m *machines.Machine, now time.Time) []expectedEnd {
 	ends := append(make([]expectedEnd, 0, len(m.Allocations)+1), expectedEnd{})
 	for _, a := range m.Allocations {
@@ -153,11 +153,11 @@
 	return afterS, true
 }
 
-// fetchInS returns a function that estimates how many seconds a machine needs to fetch an image of a size in
-// gigabytes. It returns 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at
-// the same time share the machine's fetch rate.
+// fetchInS returns a function that estimates how many seconds a machine needs to fetch an image of gb gigabytes. The
+// estimate is 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at the same time
+// share the machine's fetch rate.
 func fetchInS(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
-	concurrentFetches := 0 // counted at the first call; for full machines there is none
+	concurrentFetches := 0 // counted at the first call, since the function is never called for full machines
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
 			return 0
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -18,27 +18,28 @@
 	return seconds(tuning.SilentHeartbeatIntervals * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
-// unreachable reports whether a command sent to a machine now is unlikely to reach it.
+// unreachable reports whether a command sent to a machine now is unlikely to reach it, because the machine is silent or
+// counts as unreachable.
 func (l *Loop) unreachable(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
 // leftCommandUnanswered reports whether a machine has left a command unanswered that was sent after its last
 // heartbeat. The machine may hang, be partitioned or be dead, even if it is not silent yet. A task placed on it
-// would wait until that ends.
+// would wait until the machine responds again or is known to be gone.
 func leftCommandUnanswered(m *machines.Machine) bool {
 	return m.UnansweredCommandAt.After(m.LastHeartbeat)
 }
 
-// partitionedZones returns the zones in which a share of at least PartitionZoneShare of the machines, and at least PartitionMinMachines
-// of them, have lost contact with the leader. These zones are partitioned from the leader, which cannot use
-// machines rented there.
+// partitionedZones returns the zones that count as partitioned from the leader. In these zones, the share of machines
+// that have lost contact with the leader is at least PartitionZoneShare, and their number at least
+// PartitionMinMachines. The leader cannot use machines that it rents there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
 	type count struct{ silent, all int }
 	counts := map[string]*count{}
 	for _, m := range l.machines.Machines {
 		if m.Incarnation == 0 {
-			continue // it never sent a heartbeat and never had a task
+			continue // the machine never sent a heartbeat and never had a task
 		}
 		c := counts[m.Zone]
 		if c == nil {
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -17,11 +17,11 @@
 // A heartbeat that arrives proves only that messages from the machine reach the leader, not that the leader's
 // messages reach the machine. The leader probes the machines that may not receive its messages:
 //   - machines whose heartbeats show no effect of the leader's replies;
-//   - machines that sent a heartbeat that looks older than an earlier one: it is a copy that the network delayed,
-//     or the worker process was restarted;
+//   - machines that sent a heartbeat that looks older than one received before: either the network delayed a copy
+//     of it, or the worker process was restarted;
 //   - machines that were found unreachable;
-//   - machines whose heartbeats may go to another controller: one that is partitioned from everything but its
-//     workers renews their leases with replies that contain no commands.
+//   - machines whose heartbeats may go to another controller. A controller that is partitioned from everything but
+//     its workers renews their leases with replies that contain no commands.
 //
 // A probe carries the leader's fencing token, which the worker stores. The controller that answers the worker's
 // heartbeats can therefore see that a leader reaches the worker, and redirects the worker to that leader.
@@ -31,11 +31,11 @@
 	next         time.Time     // when suspects are next looked for and probed
 	limiter      *rate.Limiter // limits the rate of probes
 	inFlight     int           // number of probes in flight
-	peakSuspects int           // largest number of suspects since there were last none
+	peakSuspects int           // largest number of suspects since the number was last 0
 
-	unanswered    map[string]bool // machines that left a command or probe unanswered since any machine last answered one
+	unanswered    map[string]bool // machines that left a command or probe unanswered after the newest answer of any machine
 	lastAnswered  time.Time       // when any machine last answered a command or probe; zero: never in this term
-	askingPeers   bool            // the other members are being asked whether they reach the unanswered machines
+	askingPeers   bool            // the other members are being asked whether they get answers from the machines in unanswered
 	nextPeerProbe time.Time       // the other members are not asked before this time
 }
 
@@ -52,17 +52,17 @@
 // commandUnanswered records that a machine left a command or probe unanswered.
 func (p *probing) commandUnanswered(machine string) { p.unanswered[machine] = true }
 
-// setRate limits the rate of probes in proportion to the rate at which this many machines send heartbeats, one
-// every heartbeatS seconds each.
+// setRate sets the limit on the rate of probes. The limit is proportional to the number of heartbeats per second from
+// this many machines, each of which sends one every heartbeatS seconds.
 func (p *probing) setRate(machines int, heartbeatS float64, now time.Time) {
 	perS := max(tuning.ProbesPerSecondMin, tuning.ProbesPerHeartbeat*float64(machines)/max(1, heartbeatS))
 	p.limiter.SetLimitAt(now, rate.Limit(perS))
 	p.limiter.SetBurstAt(now, max(tuning.ProbesInFlightMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 }
 
-// notePeakSuspects records the current number of suspects and returns the largest number since there were last
-// none. The limit on probes in flight follows from this peak. By the current number, ever fewer probes would be
-// allowed as suspects are cleared, and the last suspects would be probed ever more slowly.
+// notePeakSuspects records the current number of suspects and returns the largest number since it was last 0. The
+// limit on probes in flight follows from this peak and not from the current number. Otherwise the limit would fall as
+// suspects are cleared, and the last suspects would be probed more and more slowly.
 func (p *probing) notePeakSuspects(n int) int {
 	if p.peakSuspects = max(p.peakSuspects, n); n == 0 {
 		p.peakSuspects = 0
@@ -95,7 +95,7 @@
 }
 
 // suspects returns the machines that are to be probed now, ordered by rank. It also reports to the observer how
-// many machines are unreachable and how many live machines have not acknowledged anything.
+// many machines are unreachable and how many live machines have not acknowledged any message.
 func (l *Loop) suspects(now time.Time) []suspect {
 	var suspects []suspect
 	unreachable, unproven := 0, 0
@@ -148,9 +148,10 @@
 	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTryTime
 }
 
-// maxProbesInFlight returns how many probes may be in flight for a number of suspects. They suffice to probe all
-// suspects within the share ProbeAllLeaseShare of a worker's lease, at one round per SubsystemTick, but never exceed
-// the share ProbeCommandShareMax of the command slots.
+// maxProbesInFlight returns how many probes may be in flight for a number of suspects. With that many every
+// SubsystemTick, all suspects are probed within the share ProbeAllLeaseShare of a worker's lease, unless this takes
+// more than the share ProbeCommandShareMax of the command slots. The result is at least ProbesInFlightMin, and at
+// least the share ProbeCommandShare of the command slots.
 func (l *Loop) maxProbesInFlight(suspects int) int {
 	commands := float64(cap(l.env.CommandSlots))
 	rounds := max(1, tuning.ProbeAllLeaseShare*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
@@ -200,7 +201,7 @@
 		l.acceptRestart(m, hb, now)
 	default:
 		if err := l.handleDirectAnswer(hb); err != nil {
-			l.log.Debug("answer to a probe rejected", "machine", name, "err", err)
+			l.log.Debug("heartbeat in the answer to a probe rejected; ignoring it", "machine", name, "err", err)
 		}
 		m.SuspectCopy = false // even if the answer is rejected because a newer heartbeat arrived before it
 	}
--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -49,7 +49,7 @@
 		task := listed[AttemptID{Task: taskID, Attempt: command.Attempt}]
 		present := task != nil && task.State != wire.TaskExited
 		switch command.Op {
-		case wire.OpStart: // a task that was started is listed, however it ended, until the worker may forget it
+		case wire.OpStart: // the worker lists a task that it was told to start, even an exited one, until a forget command
 			acknowledged, missed = acknowledged || task != nil, missed || task == nil
 		case wire.OpStop:
 			missed = missed || present && task.State != wire.TaskSaving
@@ -62,7 +62,8 @@
 
 // CommandsFor returns a direct request that starts or stops some of a machine's allocations at once, without waiting
 // for a heartbeat. The starts in it count as unanswered until CommandsAnswered is called. The error is
-// ErrUnknownMachine, ErrUnaddressable or ErrNoCommands; then there is no request, and no start counts as unanswered.
+// ErrUnknownMachine, ErrUnaddressable or ErrNoCommands. With an error, there is no request, and no start counts as
+// unanswered.
 func (r *Registry) CommandsFor(name string, allocations []*jobs.Allocation) (addr string, req *wire.DirectCommands, err error) {
 	m := r.Machines[name]
 	switch {
@@ -89,7 +90,7 @@
 }
 
 // CommandsAnswered records that a direct request will not be executed any more: it was answered, or never sent.
-// Without that, its starts count as unanswered for the rest of the incarnation.
+// Until it is called, the starts of the request count as unanswered, at most for the rest of the incarnation.
 func (r *Registry) CommandsAnswered(name string, req *wire.DirectCommands) {
 	m := r.Machines[name]
 	if m == nil || m.Incarnation != req.Incarnation {
@@ -111,9 +112,9 @@
 }
 
 // CommandsUnanswered records that a direct request, sent at the given time, had no answer, and postpones the
-// machine's lease expiry to at least one lease duration after that time. A start in the request may still arrive. It
-// may even be executed by a worker process that was restarted in the meantime, since that process counts its
-// incarnations from 1 again; but only until the lease of its first incarnation expires.
+// machine's lease expiry to at least one lease duration after that time. A start in the request may still arrive. Even
+// a worker process that was restarted in the meantime may execute it, since that process counts its incarnations from 1
+// again. But it does so only until the lease of its first incarnation expires.
 func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
 	if m == nil || len(m.unansweredStarts) == 0 || m.LeaseExpiry.IsZero() {
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -37,7 +37,7 @@
 }
 
 // processHeartbeat processes a heartbeat. It first checks the order of the machine's messages and the incarnation,
-// then updates the lease and the spot notice, then reconciles the tasks. direct means that the heartbeat is the
+// then updates the spot notice and the lease, then reconciles the tasks. direct means that the heartbeat is the
 // answer to a direct request.
 func (r *Registry) processHeartbeat(hb *wire.Heartbeat, direct bool, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	if err := r.admit(hb, direct); err != nil {
@@ -66,7 +66,7 @@
 		machine.LeaseExpiry = now.Add(r.lease)
 	}
 
-	// The map is not a field of rc, so that it stays on the stack.
+	// The map is not a field of rc, so that it is not allocated on the heap.
 	listed := make(map[AttemptID]*wire.TaskStatus, len(hb.Tasks))
 	rc.processListed(listed, mayForget)
 	rc.dropMissingOrphans(listed)
@@ -114,25 +114,27 @@
 }
 
 // mayPredateRestart reports whether a heartbeat that looks newer may be a delayed copy from before a restart of the
-// machine's worker process, or the first sign of a restart. Its sequence number proves nothing then, and only the
-// machine's answer to a probe shows which of the two it is.
+// machine's worker process, or the first heartbeat after a restart. Its sequence number proves nothing then, and only
+// the machine's answer to a probe shows which of the two it is.
 func (r *Registry) mayPredateRestart(m *Machine, hb *wire.Heartbeat) bool {
 	newIncarnation := hb.Incarnation > m.Incarnation
 	switch {
-	case hb.FencingToken < m.FencingToken: // a worker process never forgets the highest token that it has seen
+	case hb.FencingToken < m.FencingToken:
+		// A running worker process never forgets the highest token that it has seen, so the heartbeat is a delayed copy
+		// or from another process.
 		return true
 	case newIncarnation && !hb.Newer(m.lastBeforeRestart.Incarnation, m.lastBeforeRestart.Seq):
 		// A copy from before a known restart can look newer than all messages since the restart.
 		return true
 	}
 	// Accepting the new incarnation would end the allocations on the machine. But the incarnation may be from before
-	// a restart that this leader never learned of, and the tasks may run in the present process. There is no such
-	// doubt if the worker has this term's token or the machine has acknowledged a message of this term.
+	// a restart that this leader never learned of, and the tasks may run in the present process. This is impossible
+	// if the worker has this term's token or the machine has acknowledged a message of this term.
 	return newIncarnation && len(m.Allocations) > 0 && !r.hasTermToken(hb) && !m.Reachability.EverAcknowledged()
 }
 
 // hasTermToken reports whether a worker had seen this term's fencing token when it sent a heartbeat. Only a message
-// of this term can have carried the token to it. From then on the worker refuses direct requests of leaders of older
+// of this term can have carried the token to the worker. From then on the worker refuses direct requests of leaders of older
 // terms.
 func (r *Registry) hasTermToken(hb *wire.Heartbeat) bool { return hb.FencingToken >= r.term }
 
@@ -178,7 +180,7 @@
 }
 
 // recordInterruption records a heartbeat's spot notice, or that it has none, and reports whether the notice is new.
-// The first heartbeat that a new leader receives may be a delayed copy, and its notice outdated. So until the machine
+// The first heartbeat that a new leader receives may be a delayed copy, and its notice outdated. Therefore, until the machine
 // has acknowledged a message of this term, a notice counts only provisionally, and a heartbeat without a notice does
 // not clear an earlier one.
 func (m *Machine) recordInterruption(hb *wire.Heartbeat, now time.Time) bool {
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -10,7 +10,7 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// imageUsage is how an image is used on a machine.
+// imageUsage records how many allocations of a machine use an image, and when that number last changed.
 type imageUsage struct {
 	gb       float64   // size in gigabytes
 	tasks    int       // number of allocations that use it
@@ -23,7 +23,7 @@
 	usage := m.images[allocation.Job.Image]
 	if usage == nil {
 		if len(m.images) >= tuning.MachineImagesMax {
-			clear(m.images) // no cache has room for so many; images in use are added again by later allocations
+			clear(m.images) // no cache has room for so many; later allocations add the images that are still used
 		}
 		usage = &imageUsage{gb: allocation.Job.ImageGB}
 		m.images[allocation.Job.Image] = usage
@@ -43,8 +43,8 @@
 
 // HasImage reports whether a machine whose image cache has a size of cacheGB gigabytes has an image, as far as its
 // tasks show. It has an image that one of its tasks uses. It also has one that was used before, if the images used
-// since leave room for it in the cache. Without the size (cacheGB is 0), every image that was ever used counts for
-// ever.
+// since leave room for it in the cache. If the size is not known (cacheGB is 0), the machine counts as having every
+// image that it ever used.
 func (m *Machine) HasImage(image string, cacheGB float64) bool {
 	usage := m.images[image]
 	if usage == nil || usage.tasks > 0 || cacheGB <= 0 {
@@ -59,12 +59,13 @@
 	return sumGB <= cacheGB
 }
 
-// ImageLocations is a stored record of which machines have which images in their caches, as far as a leader knows. The next
-// leader reads it, because heartbeats do not contain this. Without it, tasks that start after a failover would fetch
-// images again that another machine with room has cached. It is only a hint: if it is wrong, an image is fetched.
+// ImageLocations is a stored record of which machines have which images in their caches, as far as a leader knows. The
+// next leader reads the record, because heartbeats do not name the images. Without the record, tasks that start after a
+// failover would fetch images that other machines with room have cached. The record is only a hint: if it is wrong, an
+// image is fetched.
 type ImageLocations struct {
 	_        struct{} `cbor:",toarray"`
-	Machines []string // names; CachedImage.On refers to them by index
+	Machines []string // names; CachedImage.MachineBits refers to them by index
 	Images   []CachedImage
 }
 
@@ -73,15 +74,15 @@
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	GB          float64
-	MachineBits []byte // bitmap: bit n%8 of byte n/8 is set if Images.Machines[n] has the image
+	MachineBits []byte // bitmap: bit n%8 of byte n/8 is set if ImageLocations.Machines[n] has the image
 }
 
-// isOn reports whether Images.Machines[n] has the image.
+// isOn reports whether ImageLocations.Machines[n] has the image.
 func (h *CachedImage) isOn(n int) bool {
 	return n/8 < len(h.MachineBits) && h.MachineBits[n/8]&(1<<(n%8)) != 0
 }
 
-// addMachine records that Images.Machines[n] has the image.
+// addMachine records that ImageLocations.Machines[n] has the image.
 func (h *CachedImage) addMachine(n int) {
 	for len(h.MachineBits) <= n/8 {
 		h.MachineBits = append(h.MachineBits, 0)
@@ -89,8 +90,8 @@
 	h.MachineBits[n/8] |= 1 << (n % 8)
 }
 
-// ImageLocations returns which machines have which images. cacheGB returns the cache size of a machine type in gigabytes. The
-// images are sorted by the number of machines that have them, largest first.
+// ImageLocations returns which machines have which images. cacheGB returns the cache size of a machine type in
+// gigabytes. The images are sorted by the number of machines that have them, largest first.
 func (r *Registry) ImageLocations(cacheGB func(typ string) float64) ImageLocations {
 	var images ImageLocations
 	imageIndexes := map[string]int{}  // index in the result, by image name
--- a/internal/scheduler/machines/listing.go
+++ b/internal/scheduler/machines/listing.go
@@ -15,8 +15,8 @@
 // same time and rounded ages make that order uncertain, so the listed machine must have existed for tuning.ListSettledAgeS
 // seconds. Nothing is concluded about the newest machines: they may be missing because the page is out of date.
 //
-// All machines of the registry did exist: a heartbeat of theirs arrived, or an answer to a rent request or a list
-// named them, or a former leader allocated tasks to them, which it does only on machines that sent a heartbeat.
+// Every machine of the registry did exist: the machine sent a heartbeat, or an answer to a rent request or a list named
+// it, or a former leader allocated tasks to it, and leaders do so only if a machine has sent a heartbeat.
 func (r *Registry) ProvenGone(after, last string, listed []wire.ListedMachine) []string {
 	newest := newestOldEnough(listed)
 	if newest == "" {
@@ -35,7 +35,7 @@
 	return gone
 }
 
-// newestOldEnough returns the name of the machine created last among those listed that have existed for at least
+// newestOldEnough returns the name of the newest of the listed machines that have existed for at least
 // tuning.ListSettledAgeS seconds; empty: there is none.
 func newestOldEnough(listed []wire.ListedMachine) string {
 	newest := ""
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -17,7 +17,7 @@
 
 func attemptOf(a *jobs.Allocation) AttemptID { return AttemptID{Task: a.Task(), Attempt: a.Attempt} }
 
-// Resources is an amount that tasks use of a machine or of a team's quota.
+// Resources is the amount of a machine's resources, or of a team's quota, that tasks use.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // Add adds n times b.
@@ -27,7 +27,7 @@
 	a.MemoryGB += n * b.MemoryGB
 }
 
-// DemandOf returns what one task of a job uses.
+// DemandOf returns the resources that one task of a job uses.
 func DemandOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
 // Machine is what the leader knows of a rented machine. Like the Registry it belongs to the leader's loop and is not
@@ -66,9 +66,9 @@
 // Lifecycle is the state of a machine from its rental to its return to the cloud.
 type Lifecycle struct {
 	AddedAt        time.Time // when it was added to the registry
-	RentedAt       time.Time // when it was rented, as far as known
+	RentedAt       time.Time // when it was rented, or when it was added if that is not known
 	IdleSince      time.Time // since when it has had no allocations
-	InterruptionAt time.Time // when the cloud takes it back, by its spot notice; zero: no notice
+	InterruptionAt time.Time // when the cloud takes it back according to its spot notice; zero: no notice
 	Confirmed      bool      // the cloud or a stored record names it; false: only its heartbeats do, perhaps delayed copies
 	RentedThisTerm bool      // rented in this term, so no earlier leader can have returned it
 	ListedRunning  bool      // the cloud lists it as running
@@ -137,7 +137,7 @@
 // HasOrphans reports whether the machine runs tasks that no record allocates to it.
 func (m *Machine) HasOrphans() bool { return len(m.orphans) > 0 }
 
-// Used returns what the tasks that may be on the machine use.
+// Used returns the resources that are used by the tasks that may be on the machine.
 func (m *Machine) Used() Resources {
 	if !m.usedValid {
 		m.used, m.usedValid = Resources{}, true
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -9,13 +9,13 @@
 )
 
 // reconciliation compares the tasks that a heartbeat lists with the allocations of its machine, and collects outcomes
-// and commands. The heartbeat has been admitted and the machine's liveness updated before.
+// and commands. Before, the heartbeat was admitted and the machine's liveness was updated.
 type reconciliation struct {
 	machine           *Machine
 	hb                *wire.Heartbeat
 	direct            bool // the heartbeat is the answer to a direct request
 	now               time.Time
-	newIncarnation    bool      // it is the first message of its incarnation; beginIncarnation has ended the earlier ones
+	newIncarnation    bool      // the heartbeat is the first message of its incarnation; beginIncarnation has ended the earlier ones
 	previousHeartbeat time.Time // when the previous heartbeat arrived; zero: none in this term
 	// hasTermToken is true if the worker has seen this term's fencing token (Registry.hasTermToken), so that it
 	// refuses a direct start of an older leader that arrives late. A heartbeat without the token may be a delayed
@@ -58,9 +58,9 @@
 	}
 }
 
-// forgetExitedOrphan makes the worker forget an exited attempt that has no allocation. But not while the stored record
-// names the attempt, and not while a start of it may still arrive, from an older leader or as an unanswered direct
-// start: a worker that has forgotten the attempt would run it again.
+// forgetExitedOrphan makes the worker forget an exited attempt that has no allocation. The worker must not forget the
+// attempt while the stored record names it, nor while a start of it may still arrive, from an older leader or as an
+// unanswered direct start. A worker that has forgotten the attempt would run it again.
 func (rc *reconciliation) forgetExitedOrphan(id AttemptID, status *wire.TaskStatus, mayForget MayForget) {
 	rc.dropOrphan(id)
 	switch {
@@ -71,7 +71,7 @@
 	}
 }
 
-// stopOrphan stops an attempt that no known record allocates to the machine. It counts as an orphan until it is gone.
+// stopOrphan stops an attempt that no record allocates to the machine. The attempt counts as an orphan until it is gone.
 func (rc *reconciliation) stopOrphan(id AttemptID, status *wire.TaskStatus) {
 	rc.machine.orphans[id] = true
 	rc.stops = append(rc.stops, stopOrphanCommand(status))
@@ -95,8 +95,8 @@
 	rc.addOutcome(Outcome{Allocation: allocation, Reason: status.Reason, Saved: status.Saved, NotRunningAt: rc.previousHeartbeat})
 }
 
-// processPresentAllocation records the state of a task on the machine that it is allocated to, and stops the task if
-// that is wanted. A task that is already saving its checkpoint is stopped again only if its grace period is to be cut
+// processPresentAllocation records the state of a task on the machine to which it is allocated. It stops the task if a
+// stop was requested. A task that is already saving its checkpoint is stopped again only if its grace period is to be cut
 // to zero.
 func (rc *reconciliation) processPresentAllocation(allocation *jobs.Allocation, status *wire.TaskStatus) {
 	if status.State == wire.TaskRunning && allocation.State != wire.TaskRunning {
@@ -123,7 +123,8 @@
 }
 
 // processMissingAllocations processes the machine's allocations that the heartbeat does not list. It repeats the
-// starts of those that are wanted. It concludes that the others are gone if no start of them can arrive any more.
+// starts of those that are still wanted, and concludes that the others are gone if no start of them can arrive any
+// more.
 func (rc *reconciliation) processMissingAllocations(listed map[AttemptID]*wire.TaskStatus) {
 	for id, allocation := range rc.machine.Allocations {
 		switch {
@@ -150,8 +151,8 @@
 // fromEarlierIncarnation reports whether an allocation is of an earlier incarnation than the heartbeat, although the
 // heartbeat is not the first message of its incarnation. This happens after a failover: the former leader recorded
 // allocations of both incarnations and lost leadership before it had written that the task of the earlier one is
-// gone. Since no incarnation begins in this term, beginIncarnation does not end the allocation, and without this
-// check the task would never be started again.
+// gone. Since no new incarnation begins in this term, beginIncarnation does not end the allocation. Without this check
+// the task would never be started again.
 //
 // A heartbeat without this term's token proves nothing here: it may be a copy from before a restart of the worker
 // process, and the task may run in the present process, whose incarnation is the lower one of the allocation.
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -1,11 +1,11 @@
-// Package machines implements the leader's registry of machines. It records what their workers report and until when
-// a task on them may still be alive, and makes the commands that reconcile what runs there with what the job store
-// wants.
+// Package machines implements the leader's registry of machines. It records what the machines' workers report, and until
+// when their tasks may still be alive. It makes the commands that reconcile the tasks on the machines with the tasks that
+// the job store wants there.
 //
 // An allocation counts on its machine until it is proven gone; only then may its task start elsewhere. This package
 // evaluates every proof and returns it as an Outcome. The proofs are a heartbeat (heartbeat.go, reconcile.go), a
 // lease expiry (lease.go), a restart of the machine's worker process (restart.go), and the cloud's statement that the
-// machine no longer exists (listing.go, Registry.MarkLost). docs/design.md has the argument why no task runs twice.
+// machine no longer exists (listing.go, Registry.MarkLost). docs/design.md explains why no task runs twice.
 //
 // The Registry belongs to the leader's loop and is not safe for concurrent use. The package does no I/O.
 package machines
@@ -69,11 +69,11 @@
 type RentedMachine struct {
 	Name, Type, Zone string
 	Spot             bool
-	RentedAt         time.Time // as far as known
+	RentedAt         time.Time // when it was rented, as far as known
 }
 
-// Register adds a machine that the cloud names. If the machine has sent a heartbeat, the type, zone and kind that it
-// reported take precedence.
+// Register adds a machine that the cloud names. If the machine has sent a heartbeat, the type, zone and kind in that
+// heartbeat take precedence.
 func (r *Registry) Register(rented RentedMachine, now time.Time) *Machine {
 	m := r.ensure(rented.Name, now)
 	m.RentedAt, m.Confirmed = rented.RentedAt, true
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -8,8 +8,8 @@
 )
 
 // MessageMark identifies a message of a machine, usually the newest one that was known when a probe was sent.
-// (Incarnation, Seq) only grows within a worker process. So an answer to the probe from the same process is newer than
-// the mark, and an older answer is from another process: the worker was restarted.
+// Within a worker process, (Incarnation, Seq) only grows. An answer to the probe from the same process is therefore newer
+// than the mark. An answer that is not newer is from another process: the worker was restarted.
 type MessageMark struct {
 	Incarnation, Seq uint64
 	Sent             time.Time // when the probe was sent; zero: the mark was not taken for a probe
@@ -42,18 +42,21 @@
 	NotRestarted     RestartVerdict = iota
 	Ambiguous                       // perhaps restarted; a reply to one of its heartbeats may still be on its way
 	ProbeAgain                      // restarted, but the process is not known yet to refuse commands of older leaders
-	DeletionRequired                // restarted, but a direct start may still arrive: only its deletion proves tasks gone
+	DeletionRequired                // restarted, but a direct start may still arrive: only the machine's deletion proves that its tasks are gone
 	ProcessRestarted                // restarted; no earlier task is on the machine, and no earlier start can arrive
 )
 
-// JudgeRestart compares the answer to a probe with the mark that was taken when the probe was sent. A worker drops
-// replies after 4 s (tuning.HeartbeatReplyValidity). Until then, counted from the last heartbeat that was accepted, a
-// reply with a start may be on its way to a new process: the first heartbeat of that process may have been mistaken
-// for one of the former process, and a delayed copy of a later heartbeat of the former process for the second one of
-// the new process.
+// JudgeRestart compares the answer to a probe with the mark that was taken when the probe was sent. An answer that is
+// not newer than the mark shows that the worker was restarted.
 //
-// At ProbeAgain the next probe is addressed to the new process. Its answer shows whether that process has this term's
-// token.
+// The verdict is Ambiguous nevertheless if the probe was sent less than tuning.HeartbeatReplyValidity after the last
+// accepted heartbeat. A worker drops replies only after 4 s, so a reply with a start may still be on its way to the new
+// process. This is possible if the leader made two mistakes: it took the first heartbeat of the new process for one of
+// the former process, and then a delayed copy of a later heartbeat of the former process for the second heartbeat of the
+// new process.
+//
+// If the verdict is ProbeAgain, the next probe is addressed to the new process. Its answer shows whether that process
+// has this term's token.
 func (r *Registry) JudgeRestart(m *Machine, mark MessageMark, hb *wire.Heartbeat) RestartVerdict {
 	switch {
 	case hb.Newer(mark.Incarnation, mark.Seq):
@@ -112,7 +115,7 @@
 }
 
 // recordLastBeforeRestart records the newest message from before a restart. Any heartbeat that is not newer may be a
-// delayed copy. After several restarts, the newest message before any of them counts.
+// delayed copy. After several restarts, the newest of these messages counts.
 func (m *Machine) recordLastBeforeRestart() {
 	newest := &m.lastBeforeRestart
 	if newest.Incarnation < m.Incarnation || newest.Incarnation == m.Incarnation && newest.Seq < m.seq {
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -1,8 +1,8 @@
 // Package reachability detects one-way partitions: machines whose heartbeats arrive while nothing that the leader
 // sends reaches them. A heartbeat proves only that the machine sent it at some time. Replies and commands to the
 // machine may be lost, its heartbeats may be copies that the network delayed by minutes, and its worker process may
-// have been restarted. Two things prove that a machine exists now and is reached: its answer to a probe, and a
-// heartbeat that shows an effect that only a reply of the leader can have had.
+// have been restarted. Two things prove that a machine exists now and that the leader reaches it: its answer to a
+// probe, and a heartbeat that shows an effect that only a reply of the leader can have had.
 //
 // The reasoning is in docs/design/reach.md. The package does no I/O.
 package reachability
@@ -18,11 +18,11 @@
 // message yet.
 type State struct {
 	acknowledgedAt time.Time // when it last acknowledged a message; zero: not yet in this term
-	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last one had, or was to have none
+	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had one, or was to have none
 	failedAt       time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
 
 	unreachableSince time.Time // zero: it does not count as unreachable
-	timesUnreachable int       // how often it was found unreachable, each time within tuning.UnreachableForgetAfter of the last
+	timesUnreachable int       // how often it was found unreachable, each time less than tuning.UnreachableForgetAfter after the previous noWorkUntil
 	noWorkUntil      time.Time // it gets no work before this time because it was unreachable
 
 	nextProbe     time.Time     // it is not probed before this time
@@ -93,14 +93,14 @@
 // AcknowledgedAt returns when the machine last acknowledged a message; zero: never in this term.
 func (s *State) AcknowledgedAt() time.Time { return s.acknowledgedAt }
 
-// Usable reports whether the path to the machine allows that it gets work now: it has acknowledged a message or is
-// trusted, is not unreachable, and the pause after it was unreachable is over. A trusted machine needs no
-// acknowledgment.
+// Usable reports whether the machine may get work now, as far as the path to it is concerned. It must have acknowledged
+// a message, unless it is trusted. It must not be unreachable, and the pause after it was unreachable must be over.
 func (s *State) Usable(now time.Time, trusted bool) bool {
 	return (trusted || s.EverAcknowledged()) && !s.Unreachable() && !now.Before(s.noWorkUntil)
 }
 
-// Suspect reports whether a reply to the machine has had no effect so far, so that the machine is to be probed.
+// Suspect reports whether a reply to the machine had no effect and the machine has acknowledged no message since. Such a
+// machine is to be probed.
 func (s *State) Suspect() bool { return !s.missedSince.IsZero() }
 
 // ProbeDue reports whether the machine may be probed now: no probe is in flight and the pause after the last one is
