--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -27,12 +27,12 @@
 // listMachines reads the cloud's list and reconciles the machine registry with it. It runs outside the loop's
 // goroutine.
 func (l *Loop) listMachines() {
-	begun := l.env.Clock.Now()
+	started := l.env.Clock.Now()
 	pages, err := l.env.Cloud.List(l.termCtx)
 	l.post(func() {
 		now := l.env.Clock.Now()
 		l.listing.inFlight = false
-		l.listing.next = now.Add(listPause(now.Sub(begun)))
+		l.listing.next = now.Add(listPause(now.Sub(started)))
 		if err != nil {
 			l.log.Debug("reading the cloud's list of machines failed; retrying at the next listing", "err", err)
 			return
--- a/internal/scheduler/leader/cloud_listing_test.go
+++ b/internal/scheduler/leader/cloud_listing_test.go
@@ -7,8 +7,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against reading a large list at such a pace that its pages use up the cloud's request rate: the pause
-// after a reading is at least as long as the reading took.
+// Guards against reading a large list so often that its pages use up the cloud's request rate. The pause after a reading
+// is at least as long as the reading took.
 func TestListingLeavesHalfOfTheCloudsRate(t *testing.T) {
 	for _, c := range []struct{ took, pause time.Duration }{
 		{0, tuning.CloudListEvery},
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -80,9 +80,9 @@
 // without a leader, the ends of many tasks of a machine become known late and together. So only the shortest
 // possible run time, up to notRunningAt, counts against the machine.
 func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
-	atLeastS := notRunningAt.Sub(a.RunningSince).Seconds()
-	elsewhere := a.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(a.RunningSince).Seconds()})
-	if m.RelativeSpeed.Note(atLeastS, elsewhere) && !m.Unhealthy {
+	minRunS := notRunningAt.Sub(a.RunningSince).Seconds()
+	otherRunsS := a.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(a.RunningSince).Seconds()})
+	if m.RelativeSpeed.Note(minRunS, otherRunsS) && !m.Unhealthy {
 		m.Unhealthy = true
 		l.log.Info("machine runs tasks more slowly than others; marked as unhealthy", "machine", m.Name, "spot", m.Spot)
 	}
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -32,9 +32,9 @@
 	if !l.fleet.due(now) {
 		return
 	}
-	begun := l.env.Clock.Now()
-	l.planFleet(begun)
-	l.fleet.notBefore = l.earliestNextRun(begun, tuning.ScaleOutPauseMin)
+	started := l.env.Clock.Now()
+	l.planFleet(started)
+	l.fleet.notBefore = l.earliestNextRun(started, tuning.ScaleOutPauseMin)
 }
 
 // planFleet rents the machines that are needed and returns those that are not.
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -15,29 +15,29 @@
 	if n := l.env.Tunables.MaxMachines; n > 0 {
 		limit = n
 	}
-	if mb := l.env.Settings.Cluster.Limits.RAMMB; mb > 0 {
-		targetMB := mb * tuning.MemoryTargetShare
-		limit = min(limit, max(1, machinesFittingIn(targetMB-tuning.ProcessMiB), l.maxMachinesByMemoryInUse(targetMB)))
+	if ramMiB := l.env.Settings.Cluster.Limits.RAMMB; ramMiB > 0 {
+		targetMiB := ramMiB * tuning.MemoryTargetShare
+		limit = min(limit, max(1, machinesFittingIn(targetMiB-tuning.ProcessMiB), l.maxMachinesByMemoryInUse(targetMiB)))
 	}
 	return limit
 }
 
-// machinesFittingIn returns how many machines fit into mb MiB of memory if each needs tuning.MachineKiB.
-func machinesFittingIn(mb float64) int { return int(mb * 1024 / tuning.MachineKiB) }
+// machinesFittingIn returns how many machines fit into mib MiB of memory if each needs tuning.MachineKiB.
+func machinesFittingIn(mib float64) int { return int(mib * 1024 / tuning.MachineKiB) }
 
-// maxMachinesByMemoryInUse returns how many machines the memory allows, given how much of it is in use. targetMB is the
+// maxMachinesByMemoryInUse returns how many machines the memory allows, given how much of it is in use. targetMiB is the
 // runtime's memory target in MiB, of which the share tuning.ReachableMemoryShare may be in use. Machines that have sent
 // no heartbeat do not count as using memory yet. For each of them, and for each machine that is still to be rented,
 // tuning.MachineKiB of the remaining memory is set aside. The result is 0 if the memory in use is not known.
-func (l *Loop) maxMachinesByMemoryInUse(targetMB float64) int {
+func (l *Loop) maxMachinesByMemoryInUse(targetMiB float64) int {
 	if l.env.MemoryInUse == nil {
 		return 0
 	}
-	inUse := 0
+	usingMemory := 0
 	for _, m := range l.machines.Machines {
 		if !m.LastHeartbeat.IsZero() {
-			inUse++
+			usingMemory++
 		}
 	}
-	return inUse + machinesFittingIn(tuning.ReachableMemoryShare*targetMB-float64(l.env.MemoryInUse())/(1<<20))
+	return usingMemory + machinesFittingIn(tuning.ReachableMemoryShare*targetMiB-float64(l.env.MemoryInUse())/(1<<20))
 }
--- a/internal/scheduler/leader/fleet_size_test.go
+++ b/internal/scheduler/leader/fleet_size_test.go
@@ -21,20 +21,20 @@
 	}
 }
 
-// Guards against a fixed memory size per machine. With 64 KiB each, a fleet stopped at 2,965 machines with 322 MB,
-// though each needed 42 KiB, with as much garbage as memory in use. The fleet grows as long as the memory in use
-// leaves room, and no further.
+// Guards against a limit that assumes a fixed memory size per machine. At 64 KiB each, a fleet stopped at 2,965 machines
+// with 322 MB, though each machine needed only 42 KiB, half of which was garbage. The fleet may grow as long as the
+// memory in use leaves room, and no further.
 func TestMachinesAreRentedByTheMemoryInUse(t *testing.T) {
-	const ramMB, processMB = 322, 12
+	const ramMB, processMiB = 322, 12
 	for _, c := range []struct {
-		name         string
-		kbPerMachine float64 // KiB in use for each machine that sends heartbeats
-		least, most  int
+		name          string
+		kibPerMachine float64 // KiB in use for each machine that sends heartbeats
+		least, most   int
 	}{
-		{"half of what each of 4,000 machines was measured to need", 21, maxDeploymentMachines, 7000},
-		{"what each of 4,000 machines was measured to need, with garbage", 42, 3000, 3400},
-		{"as much as MachineKB", 64, 2964, 2964},
-		{"more than MachineKB", 128, 2964, 2964},
+		{"half of what each of 4,000 machines needs", 21, maxDeploymentMachines, 7000},
+		{"what each of 4,000 machines needs, with garbage", 42, 3000, 3400},
+		{"as much as MachineKiB", 64, 2964, 2964},
+		{"more than MachineKiB", 128, 2964, 2964},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, clock := newTestLoop(t)
@@ -46,12 +46,13 @@
 				for len(l.machines.Machines) < limit {
 					l.register(t, newHeartbeat(machineName(len(l.machines.Machines)), "small", "a"))
 				}
-				inUse = processMB + c.kbPerMachine*float64(len(l.machines.Machines))/1024
+				inUse = processMiB + c.kibPerMachine*float64(len(l.machines.Machines))/1024
 			}
 			if n := len(l.machines.Machines); n < c.least || n > c.most {
 				t.Errorf("%d machines with %d MB, want %d to %d", n, ramMB, c.least, c.most)
 			}
-			// Machines that are booting count, though they do not use memory yet.
+			// A booting machine takes one of the places that the limit allows, though it uses no memory yet. Registering it
+			// does not change the limit.
 			before := l.maxMachines()
 			l.machines.Register(machines.RentedMachine{Name: machineName(len(l.machines.Machines)), Type: "small", Zone: "a", RentedAt: clock.Now()}, clock.Now())
 			if got := l.maxMachines(); got != before {
--- a/internal/scheduler/leader/fleet_test.go
+++ b/internal/scheduler/leader/fleet_test.go
@@ -10,7 +10,7 @@
 // Guards against a leader whose process was suspended between a decision and its cloud call: it must not delete
 // machines on which the next leader has placed tasks since.
 func TestNoCloudCallWithoutValidLeadership(t *testing.T) {
-	l, clock := newTestLoop(t) // Env.Valid reports that it may not act
+	l, clock := newTestLoop(t) // Env.MayAct reports that this leader may not act
 	ctx, endTerm := context.WithCancel(t.Context())
 	l.termCtx = ctx
 	mayAct := make(chan bool)
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -70,9 +70,9 @@
 
 // restoreImages applies, once, the images that a former leader stored for a machine.
 func (l *Loop) restoreImages(m *machines.Machine) {
-	if held := l.images.notYetRestored[m.Name]; held != nil {
+	if images := l.images.notYetRestored[m.Name]; images != nil {
 		delete(l.images.notYetRestored, m.Name)
-		m.RestoreImages(held, l.startedAt)
+		m.RestoreImages(images, l.startedAt)
 	}
 }
 
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -36,7 +36,7 @@
 		switch {
 		case running && j.CheckpointS > 0:
 			a.Stop = &jobs.StopRequest{GraceS: (seconds(j.SaveS) + tuning.CheckpointGraceExtra).Seconds(), Reason: charge.Drained}
-		case running && worthRunningOn(a.Job, now.Sub(a.RunningSince), timeLeft):
+		case running && shouldKeepRunning(a.Job, now.Sub(a.RunningSince), timeLeft):
 			continue
 		default:
 			a.Stop = &jobs.StopRequest{Reason: charge.Drained}
@@ -62,27 +62,27 @@
 	}
 }
 
-// worthRunningOn reports whether a task that cannot save a checkpoint should keep running until shortly before its
+// shouldKeepRunning reports whether a task that cannot save a checkpoint should keep running until shortly before its
 // machine is interrupted. ran is how long it has run, timeLeft how long it can still run. The work of the whole run,
 // which is kept if the task ends in time, is weighed against timeLeft, which is lost if the task does not. The run time
 // is assumed to be log-normally distributed around the expected run time of the job, given that it is at least ran.
-func worthRunningOn(j *jobs.Job, ran, timeLeft time.Duration) bool {
-	expectedS, fromRuns := j.ExpectedRunS()
+func shouldKeepRunning(j *jobs.Job, ran, timeLeft time.Duration) bool {
+	expectedS, measured := j.ExpectedRunS()
 	if expectedS <= 0 || timeLeft <= 0 {
 		return false
 	}
 	sigma := tuning.EstimateLogStdDev
-	if fromRuns {
+	if measured {
 		sigma = tuning.ObservedLogStdDev
 	}
-	runsLonger := func(s float64) float64 { // share of the job's tasks that run longer than s seconds
+	shareLongerThan := func(s float64) float64 { // share of the job's tasks that run longer than s seconds
 		return 0.5 * math.Erfc(math.Log(s/expectedS)/(sigma*math.Sqrt2))
 	}
 	ranS := max(ran.Seconds(), 1)
-	stillRunning := runsLonger(ranS) // share of the job's tasks that run longer than this one has run so far
-	if stillRunning < 1e-9 {
+	shareThisLong := shareLongerThan(ranS) // share of the job's tasks that run longer than this one has run so far
+	if shareThisLong < 1e-9 {
 		return true // the task has run far longer than expected and may end at any moment
 	}
-	endsInTime := 1 - runsLonger(ranS+timeLeft.Seconds())/stillRunning
-	return endsInTime*max(expectedS, ran.Seconds()) > (1-endsInTime)*timeLeft.Seconds()
+	probEndsInTime := 1 - shareLongerThan(ranS+timeLeft.Seconds())/shareThisLong
+	return probEndsInTime*max(expectedS, ran.Seconds()) > (1-probEndsInTime)*timeLeft.Seconds()
 }
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -10,7 +10,7 @@
 )
 
 // An interruption notice drains the machine. A task that can save a checkpoint is stopped with time to do so, a
-// task that would not end in time is stopped at once, and a task that ends soon runs on.
+// task that would not end in time is stopped at once, and a task that ends soon keeps running.
 func TestInterruptionNoticeDrainsTheMachine(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -33,8 +33,8 @@
 }
 
 // Guards against stopping tasks half a minute before their machine is interrupted, though half of them would have
-// ended by then. Also guards against tasks that are lost with the machine, which is noticed only when its lease
-// expires.
+// ended by then. Also guards against tasks that are lost with the machine: their loss is noticed only when the
+// machine's lease expires.
 func TestTaskRunsUntilShortlyBeforeInterruption(t *testing.T) {
 	l, clock := newTestLoop(t)
 	m := l.machines.Machines["n-large"]
@@ -56,11 +56,11 @@
 	}
 }
 
-func TestWorthRunningOn(t *testing.T) {
+func TestShouldKeepRunning(t *testing.T) {
 	for _, c := range []struct {
 		estimate float64
 		ran      time.Duration
-		left     time.Duration
+		timeLeft time.Duration
 		want     bool
 	}{
 		{60, 50 * time.Second, 22 * time.Second, true},
@@ -71,8 +71,8 @@
 		{60, 50 * time.Second, 0, false},
 		{0, 50 * time.Second, 22 * time.Second, false}, // a service
 	} {
-		if got := worthRunningOn(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.left); got != c.want {
-			t.Errorf("estimate %v s, ran %v, %v left: worth running on is %v", c.estimate, c.ran, c.left, got)
+		if got := shouldKeepRunning(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.timeLeft); got != c.want {
+			t.Errorf("estimate %v s, ran %v, %v left: should keep running is %v", c.estimate, c.ran, c.timeLeft, got)
 		}
 	}
 }
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -10,8 +10,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// newLoopWith400Machines makes a leader with 400 full machines. They run tasks of 260 arrays, while the other tasks
-// of these arrays and 40 more arrays wait.
+// newLoopWith400Machines makes a leader with 400 full machines. They run up to six tasks of each of 260 arrays. The
+// other tasks of these arrays wait, and so do all tasks of 40 further arrays.
 func newLoopWith400Machines(t testing.TB) (*Loop, []*wire.Heartbeat) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
@@ -44,8 +44,8 @@
 	return l, heartbeats
 }
 
-// BenchmarkHeartbeatAndSchedule measures the work of the leader for one heartbeat at 400 machines, if the heartbeat
-// changes something and a scheduling cycle follows.
+// BenchmarkHeartbeatAndSchedule measures the leader's work for one heartbeat in a fleet of 400 machines, if a scheduling
+// cycle follows.
 func BenchmarkHeartbeatAndSchedule(b *testing.B) {
 	l, heartbeats := newLoopWith400Machines(b)
 	b.ReportAllocs()
@@ -56,7 +56,7 @@
 			b.Fatal(err)
 		}
 		l.step(l.env.Clock.Now())
-		l.schedule(l.env.Clock.Now()) // not part of the step, as Env.Valid reports that this leader may not act
+		l.schedule(l.env.Clock.Now()) // not part of the step, as Env.MayAct reports that this leader may not act
 	}
 }
 
@@ -134,11 +134,11 @@
 	}
 }
 
-// Guards against limits that were made for hundreds of machines: the number of rented machines once stopped at
-// 1,000 while a hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and
+// Guards against limits that suffice only for hundreds of machines: the number of rented machines stopped at 1,000
+// while a hundred jobs waited. Here 100,000 tasks get 10,000 machines, every task is placed and stored, and
 // all machines are returned in the end.
 func TestScalesOutAndInToTenThousandMachines(t *testing.T) {
-	const machines, jobCount, tasks = 10_000, 10, 100_000
+	const machineCount, jobCount, taskCount = 10_000, 10, 100_000
 	l, clock := newTestLoop(t)
 	w := &largeWorkload{Loop: l, t: t}
 	clear(l.machines.Machines)
@@ -149,20 +149,20 @@
 	for i := range jobCount {
 		l.addPending(t, wire.Job{
 			ID: fmt.Sprintf("job-%06d", i), Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: tasks / jobCount, CPUs: 0.4, MemoryGB: 1, Image: "img",
+			Tasks: taskCount / jobCount, CPUs: 0.4, MemoryGB: 1, Image: "img",
 		})
 	}
-	for round := 0; w.stored < tasks; round++ {
-		if round > 2*machines/wire.MaxRent {
-			t.Fatalf("only %d of %d tasks are placed and stored, on %d machines, after %d rental requests", w.stored, tasks, len(l.machines.Machines), w.requests)
+	for iteration := 0; w.stored < taskCount; iteration++ {
+		if iteration > 2*machineCount/wire.MaxRent {
+			t.Fatalf("only %d of %d tasks are placed and stored, on %d machines, after %d rental requests", w.stored, taskCount, len(l.machines.Machines), w.requests)
 		}
 		l.scaleOut(clock.Now())
 		w.rentAll()
 		l.schedule(clock.Now())
-		w.storeAll(uint64(round + 2))
+		w.storeAll(uint64(iteration + 2))
 	}
-	if len(l.machines.Machines) != machines {
-		t.Errorf("%d machines are rented, want %d", len(l.machines.Machines), machines)
+	if len(l.machines.Machines) != machineCount {
+		t.Errorf("%d machines are rented, want %d", len(l.machines.Machines), machineCount)
 	}
 	w.completeAll()
 	clock.Advance(l.env.Tunables.IdleKeep + time.Second)
@@ -170,10 +170,10 @@
 		m.LastHeartbeat = clock.Now()
 	}
 	deletions := 0
-	for ; len(l.machines.Machines) > 0 && deletions <= machines/wire.MaxDelete; deletions++ {
+	for ; len(l.machines.Machines) > 0 && deletions <= machineCount/wire.MaxDelete; deletions++ {
 		w.returnOnce()
 	}
-	if deletions != machines/wire.MaxDelete {
+	if deletions != machineCount/wire.MaxDelete {
 		t.Errorf("%d deletion requests, %d machines are left", deletions, len(l.machines.Machines))
 	}
 }
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -49,19 +49,19 @@
 }
 
 // leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before
-// the query began, which was at the time asked. A query that took longer than RenewedQueryTimeout has no effect: the
+// the query began, which was at queryStarted. A query that took longer than RenewedQueryTimeout has no effect: the
 // records and the members report only renewals of the last lease plus RenewedQueryTimeout.
-func (l *Loop) leaseQueryDone(asked time.Time, renewed map[string]bool, err error) {
+func (l *Loop) leaseQueryDone(queryStarted time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
 	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadMinInterval)
-	if took := now.Sub(asked); err == nil && took > tuning.RenewedQueryTimeout {
+	if took := now.Sub(queryStarted); err == nil && took > tuning.RenewedQueryTimeout {
 		err = fmt.Errorf("query took too long to be conclusive: %v", took)
 	}
 	if err != nil {
 		l.log.Debug("query for leases renewed by followers failed; treating no lease as expired until a retry succeeds", "err", err)
 		return
 	}
-	l.applyOutcomes(l.machines.EndExpired(asked, renewed), now)
+	l.applyOutcomes(l.machines.EndExpired(queryStarted, renewed), now)
 }
 
 // findPossiblyRenewed returns the machines whose leases other members may have renewed within one lease before now.
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against starting tasks of a partitioned zone elsewhere while the member there renews their workers'
+// Guards against starting tasks of a partitioned zone elsewhere while the member in that zone renews their workers'
 // leases. Also guards against machines that stay occupied for ever because some member may have answered their
 // heartbeats.
 func TestTasksOfPartitionedZoneLiveUntilItsMembersDenyRenewal(t *testing.T) {
@@ -55,8 +55,9 @@
 	}
 }
 
-// Guards against ending leases by answers that cover different times: a query that took longer than
-// RenewedQueryTime has no effect, since the sources report renewals only that much further back than a lease.
+// Guards against ending incarnations although the answers to a query do not all cover the whole lease before it. A query
+// that took longer than RenewedQueryTimeout has no effect, since the records and the members report only renewals of the
+// last lease plus RenewedQueryTimeout.
 func TestSlowRenewalQueryEndsNoLease(t *testing.T) {
 	for _, c := range []struct {
 		took  time.Duration
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -35,7 +35,7 @@
 // that have lost contact with the leader is at least PartitionZoneShare, and their number at least
 // PartitionMinMachines. The leader cannot use machines that it rents there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
-	type count struct{ silent, all int }
+	type count struct{ lost, all int }
 	counts := map[string]*count{}
 	for _, m := range l.machines.Machines {
 		if m.Incarnation == 0 {
@@ -48,12 +48,12 @@
 		}
 		c.all++
 		if l.lostContact(m, now) {
-			c.silent++
+			c.lost++
 		}
 	}
 	partitioned := map[string]bool{}
 	for zone, c := range counts {
-		if c.silent >= tuning.PartitionMinMachines && float64(c.silent) >= tuning.PartitionZoneShare*float64(c.all) {
+		if c.lost >= tuning.PartitionMinMachines && float64(c.lost) >= tuning.PartitionZoneShare*float64(c.all) {
 			partitioned[zone] = true
 		}
 	}
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -18,9 +18,9 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// partitionCluster simulates a leader, two zones with one member each that holds its zone's lease, and one worker
-// per zone that runs a task. Each second the workers send heartbeats to the controller that they reach, and the
-// leader ends the leases that it can prove to be over.
+// partitionCluster simulates a leader and two zones. Each zone has one member, which holds the zone's lease, and one
+// worker, which runs a task. Each second the workers send heartbeats to the controller that they reach, and the leader
+// ends the incarnations whose leases it can prove to have expired.
 type partitionCluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
@@ -71,8 +71,8 @@
 	return cluster
 }
 
-// startMember starts a zone's member. The member renews its zone lease in the key-value store, which it does not
-// reach during a partition or an outage.
+// startMember starts a zone's member. The member renews its zone lease in the key-value store, which is out of its reach
+// during a partition or an outage.
 func (c *partitionCluster) startMember(zone string) {
 	c.members[zone] = workerlease.NewZoneLease(&config.Settings{
 		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: partitionLease.Seconds()}},
@@ -125,7 +125,8 @@
 		}
 		if worker.hangs || !worker.diedAt.IsZero() {
 			if worker.diedAt.IsZero() && now.Sub(worker.lastAnswered) > partitionLease {
-				worker.diedAt = now // once it runs again it notices that its lease expired
+				// The lease expires now, although the hanging worker can notice this only once it runs again.
+				worker.diedAt = now
 			}
 			continue
 		}
@@ -175,8 +176,8 @@
 		events        events
 		leaderless    [2]int // first second without a leader, and first second with a leader again
 		survivors     string // the zones whose tasks survive
-		detectWithinS int    // within how many seconds after its end the leader must detect that a task ended
-		detectByS     int    // the second by which the leader must detect it; 0: no limit
+		detectWithinS int    // seconds after the end of a task within which the leader must detect it
+		detectByS     int    // seconds after the start by which the leader must detect it; 0: no limit
 	}{
 		{"the zone without the leader, for less than the zone lease", events{10: partition("b", true), 10 + short: partition("b", false)}, [2]int{}, "ab", 0, 0},
 		{"the zone without the leader, for longer than the zone lease", events{10: partition("b", true), 10 + long: partition("b", false)}, [2]int{}, "a", 15, 340},
@@ -199,7 +200,7 @@
 			for _, m := range cluster.members {
 				m.Renew(t.Context())
 			}
-			begun := cluster.clock.Now()
+			started := cluster.clock.Now()
 			for s := range long + 60 {
 				if event := c.events[s]; event != nil {
 					event(cluster)
@@ -215,10 +216,10 @@
 				}
 				delay := worker.detectedAt.Sub(worker.diedAt)
 				if worker.detectedAt.IsZero() || delay > time.Duration(c.detectWithinS)*time.Second {
-					t.Errorf("zone %s: the end of the task is detected %v after it, or not at all", zone, delay)
+					t.Errorf("zone %s: the end of the task is detected too late, after %v, or not at all", zone, delay)
 				}
-				if detectedAfter := worker.detectedAt.Sub(begun); c.detectByS > 0 && detectedAfter > time.Duration(c.detectByS)*time.Second {
-					t.Errorf("zone %s: the end of the task is detected at %v", zone, detectedAfter)
+				if detectedAfter := worker.detectedAt.Sub(started); c.detectByS > 0 && detectedAfter > time.Duration(c.detectByS)*time.Second {
+					t.Errorf("zone %s: the end of the task is detected too late, %v after the start", zone, detectedAfter)
 				}
 			}
 			if survivors != c.survivors {
@@ -228,8 +229,8 @@
 	}
 }
 
-// A zone all of whose machines are unreachable counts as partitioned: no machines are rented there, and its
-// machines are returned only after a longer time.
+// A zone counts as partitioned if all of its machines are unreachable. No machines are rented there, and its machines
+// are returned only after a longer time.
 func TestZoneOfUnreachableMachinesIsPartitioned(t *testing.T) {
 	l, advance := newTwoZoneLoop(t, 6)
 	l.env.MayAct = func(uint64) bool { return true }
@@ -255,6 +256,6 @@
 		t.Errorf("partitioned zones are %v, want zone b alone", partitioned)
 	}
 	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterPartition {
-		t.Errorf("silent machines are returned after %v, want SilentReturnAfterCut", got)
+		t.Errorf("silent machines are returned after %v, want SilentReturnAfterPartition", got)
 	}
 }
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -98,19 +98,19 @@
 // many machines are unreachable and how many live machines have not acknowledged any message.
 func (l *Loop) suspects(now time.Time) []suspect {
 	var suspects []suspect
-	unreachable, unproven := 0, 0
+	unreachable, unacknowledged := 0, 0
 	for _, m := range l.machines.Machines {
 		if m.Reachability.Unreachable() {
 			unreachable++
 		}
 		if m.Alive() && !m.Reachability.EverAcknowledged() {
-			unproven++
+			unacknowledged++
 		}
 		if rank, ok := l.probeRank(m, now); ok && m.Reachability.ProbeDue(now) {
 			suspects = append(suspects, suspect{m, rank})
 		}
 	}
-	l.env.observe(func(o Observer) { o.Reachability(unreachable, unproven) })
+	l.env.observe(func(o Observer) { o.Reachability(unreachable, unacknowledged) })
 	slices.SortFunc(suspects, func(a, b suspect) int { return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.m.Name, b.m.Name)) })
 	return suspects
 }
@@ -153,15 +153,15 @@
 // more than the share ProbeCommandShareMax of the command slots. The result is at least ProbesInFlightMin, and at
 // least the share ProbeCommandShare of the command slots.
 func (l *Loop) maxProbesInFlight(suspects int) int {
-	commands := float64(cap(l.env.CommandSlots))
-	rounds := max(1, tuning.ProbeAllLeaseShare*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
-	perRound := int(math.Ceil(float64(suspects) / rounds))
-	return max(tuning.ProbesInFlightMin, int(tuning.ProbeCommandShare*commands), min(perRound, int(tuning.ProbeCommandShareMax*commands)))
+	commandSlots := float64(cap(l.env.CommandSlots))
+	ticks := max(1, tuning.ProbeAllLeaseShare*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
+	perTick := int(math.Ceil(float64(suspects) / ticks))
+	return max(tuning.ProbesInFlightMin, int(tuning.ProbeCommandShare*commandSlots), min(perTick, int(tuning.ProbeCommandShareMax*commandSlots)))
 }
 
 // probe asks a machine for a heartbeat, without blocking the loop.
 func (l *Loop) probe(m *machines.Machine, now time.Time) {
-	addr, req, mark, err := l.machines.Probe(m, now)
+	addr, req, mark, err := l.machines.ProbeRequest(m, now)
 	if err != nil {
 		return // the machine has no known address or incarnation, or is being returned
 	}
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -35,7 +35,8 @@
 }
 
 // Guards against a limit on probes in flight that is so low that the last of many suspects is probed only after its
-// lease: one eighth of 400 command slots, every half second, was at most 100 machines per second.
+// lease has expired. With one eighth of 400 command slots, used every half second, at most 100 machines were probed per
+// second.
 func TestEverySuspectMachineIsProbedWithinALease(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -62,9 +63,9 @@
 				l.register(t, hb)
 				l.machines.Machines[machineName(i)].SuspectCopy = true
 			}
-			for begun := clock.Now(); clock.Since(begun) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
+			for started := clock.Now(); clock.Since(started) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
 				if l.probeAll(); l.probing.inFlight > 0 {
-					t.Fatal("the loop ended with probes in flight")
+					t.Fatal("probes are still in flight after probeAll")
 				}
 			}
 			if len(workers.requests) != c.machines {
@@ -86,7 +87,7 @@
 		{"as many as an eighth of the slots can probe", 400, 500, 50},
 		{"more machines", 400, 1500, 150},
 		{"at most half of the command slots", 400, maxDeploymentMachines, 200},
-		{"few sockets", 16, maxDeploymentMachines, 8},
+		{"few command slots", 16, maxDeploymentMachines, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l.env.CommandSlots = make(chan struct{}, c.commandSlots)
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -56,13 +56,13 @@
 	advance(tuning.ProbePauseMax)
 	l.probeAll()
 	if l.mayGetTasks("n-9") {
-		t.Error("gets tasks at once after it was unreachable")
+		t.Error("a machine that was unreachable gets tasks as soon as it answers")
 	}
 	advance(tuning.UnreachablePause)
 	hb.Seq++
 	l.mustHandle(t, hb)
 	if !l.mayGetTasks("n-9") {
-		t.Error("gets no tasks though it acknowledged messages and the pause is over")
+		t.Error("a machine gets no tasks though it acknowledged messages and the pause is over")
 	}
 }
 
@@ -84,8 +84,8 @@
 }
 
 // Guards against losing sight of machines whose leases are renewed by another member that is partitioned from
-// everything but its workers. Such machines got no command, and the ends of their tasks were not seen, for as long
-// as that member's zone lease lasted.
+// everything but its workers. As long as that member's zone lease lasted, such machines got no commands and the leader
+// did not see the ends of their tasks.
 func TestMachinesWithHeartbeatsToOtherMembersAreProbed(t *testing.T) {
 	var probed wire.DirectCommands
 	l, advance := newTwoZoneLoop(t, 1)
@@ -103,7 +103,7 @@
 	})
 	l.probeAll()
 	if probed.FencingToken != 0 {
-		t.Fatal("the machine is probed before it had time to send a heartbeat")
+		t.Fatal("the machine was probed before it had time to send a heartbeat")
 	}
 	advance(l.probeAfter() + time.Second)
 	l.probeAll()
@@ -111,7 +111,7 @@
 		t.Errorf("probe is %+v", probed)
 	}
 	if !a.Removed || j.Done != 1 {
-		t.Error("the end of its task in the answer to the probe is not applied")
+		t.Error("the answer to the probe reports the end of the task, but the leader does not apply it")
 	}
 	// A delayed copy of an earlier heartbeat is still rejected after the answer to the probe.
 	if _, err := l.handleHeartbeat(&wire.Heartbeat{Machine: "n-0", Address: m.ListedAddress, Type: "small", Zone: "a", Incarnation: 1, Seq: 6, FencingToken: 1}); !errors.Is(err, machines.ErrStale) {
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -11,7 +11,7 @@
 
 // Guards against an unanswered direct start that is executed minutes later. The worker is made to know the attempt
 // before the attempt counts as gone, and does not forget it while the start is unanswered.
-func TestAttemptWithAnOpenDirectStartIsStoppedAndNotForgotten(t *testing.T) {
+func TestAttemptWithAnUnansweredDirectStartIsStoppedAndNotForgotten(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 	allocation := newAllocation(1)
@@ -34,7 +34,7 @@
 	if result = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(result.Commands) != 0 {
 		t.Fatalf("commands while a start is unanswered: %v, want none", result.Commands)
 	}
-	f.CommandsAnswered("n-1", req) // its answer arrives now
+	f.CommandsAnswered("n-1", req) // the answer to the request arrives now
 	if result = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(result.Commands) != "forget " {
 		t.Fatalf("commands %v", result.Commands)
 	}
@@ -80,7 +80,7 @@
 		machine  string
 		prepare  func(*Machine, *jobs.Allocation)
 		commands error // of CommandsFor
-		probe    error // of Probe for n-1
+		probe    error // of ProbeRequest for n-1
 	}{
 		{"a request can be sent", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
 		{"the machine is not in the registry", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
@@ -101,12 +101,12 @@
 			if !errors.Is(err, c.commands) || (err == nil) != (addr != "" && req != nil) {
 				t.Errorf("CommandsFor: address %q, request %+v, error %v, want %v", addr, req, err, c.commands)
 			}
-			if open := len(m.unansweredStarts); (open > 0) != (err == nil) {
-				t.Errorf("%d starts count as unanswered after error %v", open, err)
+			if unanswered := len(m.unansweredStarts); (unanswered > 0) != (err == nil) {
+				t.Errorf("%d starts count as unanswered after error %v", unanswered, err)
 			}
-			addr, req, _, err = f.Probe(m, t0)
+			addr, req, _, err = f.ProbeRequest(m, t0)
 			if !errors.Is(err, c.probe) || (err == nil) != (addr != "" && req != nil) {
-				t.Errorf("Probe: address %q, request %+v, error %v, want %v", addr, req, err, c.probe)
+				t.Errorf("ProbeRequest: address %q, request %+v, error %v, want %v", addr, req, err, c.probe)
 			}
 		})
 	}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -98,7 +98,8 @@
 func TestNewIncarnationInADirectAnswerHasItsOwnLease(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	back := 30 * time.Second // long after its lease expired; nothing was concluded, since followers may have renewed it
+	// Long after the machine's lease expired. Nothing was concluded, since followers may have renewed the lease.
+	back := 30 * time.Second
 	if _, err := f.DirectAnswer(heartbeat(2, 9, term), t0.Add(back), mayNotForget); err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +139,7 @@
 	f := newFixture(t)
 	f.receive(heartbeat(3, 40, term), 0, mayNotForget)
 	m := f.Machines["n-1"]
-	_, _, mark, err := f.Probe(m, t0.Add(5*time.Second))
+	_, _, mark, err := f.ProbeRequest(m, t0.Add(5*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +150,7 @@
 	f.AcceptRestart(m, restarted, t0.Add(5*time.Second))
 	f.AddAllocation(newAllocation(1), t0.Add(5*time.Second))
 	if result, err := f.Heartbeat(heartbeat(3, 39, term), t0.Add(6*time.Second), mayNotForget); !errors.Is(err, ErrStale) || len(result.Outcomes) != 0 {
-		t.Errorf("%v, %v", result.Outcomes, err)
+		t.Errorf("copy from before the restart: outcomes %v, error %v; want none and ErrStale", result.Outcomes, err)
 	}
 	if result := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(result.Outcomes) != 0 {
 		t.Errorf("outcomes %v", result.Outcomes)
@@ -190,8 +191,8 @@
 }
 
 // Guards against a copy from before a restart that the leader never learned of: the present process has the lower
-// incarnation, and its tasks counted as gone. A worker never loses its token, so a lower one shows a copy or a
-// restart. A machine that has acknowledged nothing yet is probed.
+// incarnation, and its tasks counted as gone. A worker process never forgets its token, so a lower token shows a copy or
+// a restart. A machine that has acknowledged nothing yet is probed.
 func TestNewIncarnationThatMayBeACopyEndsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -206,9 +207,9 @@
 			f.RestoreAllocation(allocation, t0)
 			result, err := f.Heartbeat(heartbeat(2, 5, term-1), t0.Add(time.Second), mayNotForget)
 			if m := f.Machines["n-1"]; !errors.Is(err, ErrStale) || len(result.Outcomes) != 0 || !m.SuspectCopy {
-				t.Errorf("%v, %v", result.Outcomes, err)
+				t.Errorf("heartbeat that may be a copy: outcomes %v, error %v; want none and ErrStale, and a suspect machine", result.Outcomes, err)
 			}
-			// If the incarnation is new, the machine's direct answer shows it.
+			// If the incarnation really is new, a direct answer of the machine proves it.
 			if result, err := f.DirectAnswer(heartbeat(2, 6, term), t0.Add(2*time.Second), mayNotForget); err != nil || len(result.Outcomes) != 1 {
 				t.Errorf("direct answer: outcomes %v, error %v", result.Outcomes, err)
 			}
@@ -216,8 +217,8 @@
 	}
 }
 
-// Guards against an exit from before a restart that ends an attempt: a recorded attempt is started again in the new
-// process.
+// Guards against an attempt that is ended by a report of its exit from before a restart of the worker process: the
+// recorded attempt is started again in the new process.
 func TestExitWithoutTheTermsTokenCountsOnlyIfCompleted(t *testing.T) {
 	for _, c := range []struct {
 		reason   wire.ExitReason
@@ -234,8 +235,8 @@
 	}
 }
 
-// Guards against a copy from before a restart with the same incarnation: it does not list what runs in the present
-// process.
+// Guards against tasks that count as gone because of a copy from before a restart with the same incarnation. The copy
+// does not list the tasks of the present process.
 func TestTaskMissingFromACopyFromBeforeARestartIsNotGone(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 40, term), 0, mayNotForget)
--- a/internal/scheduler/machines/fixture_test.go
+++ b/internal/scheduler/machines/fixture_test.go
@@ -61,9 +61,9 @@
 
 // ops returns the operations of commands as the protocol names them, each followed by a space.
 func ops(cmds []wire.Command) string {
-	words := ""
+	out := ""
 	for _, c := range cmds {
-		words += string(c.Op) + " "
+		out += string(c.Op) + " "
 	}
-	return words
+	return out
 }
--- a/internal/scheduler/machines/images.go
+++ b/internal/scheduler/machines/images.go
@@ -12,9 +12,9 @@
 
 // imageUsage records how many allocations of a machine use an image, and when that number last changed.
 type imageUsage struct {
-	gb       float64   // size in gigabytes
-	tasks    int       // number of allocations that use it
-	lastUsed time.Time // when an allocation that uses it was last added or removed
+	gb        float64   // size in gigabytes
+	taskCount int       // number of allocations that use it
+	lastUsed  time.Time // when an allocation that uses it was last added or removed
 }
 
 // retainImage records that an allocation uses its image.
@@ -28,7 +28,7 @@
 		usage = &imageUsage{gb: allocation.Job.ImageGB}
 		m.images[allocation.Job.Image] = usage
 	}
-	usage.tasks++
+	usage.taskCount++
 	usage.lastUsed = now
 }
 
@@ -36,7 +36,7 @@
 func (m *Machine) releaseImage(allocation *jobs.Allocation, now time.Time) {
 	m.usedValid = false
 	if usage := m.images[allocation.Job.Image]; usage != nil {
-		usage.tasks = max(0, usage.tasks-1)
+		usage.taskCount = max(0, usage.taskCount-1)
 		usage.lastUsed = now
 	}
 }
@@ -47,12 +47,12 @@
 // image that it ever used.
 func (m *Machine) HasImage(image string, cacheGB float64) bool {
 	usage := m.images[image]
-	if usage == nil || usage.tasks > 0 || cacheGB <= 0 {
+	if usage == nil || usage.taskCount > 0 || cacheGB <= 0 {
 		return usage != nil
 	}
 	sumGB := usage.gb
 	for _, other := range m.images {
-		if other != usage && (other.tasks > 0 || other.lastUsed.After(usage.lastUsed)) {
+		if other != usage && (other.taskCount > 0 || other.lastUsed.After(usage.lastUsed)) {
 			sumGB += other.gb
 		}
 	}
@@ -78,16 +78,16 @@
 }
 
 // isOn reports whether ImageLocations.Machines[n] has the image.
-func (h *CachedImage) isOn(n int) bool {
-	return n/8 < len(h.MachineBits) && h.MachineBits[n/8]&(1<<(n%8)) != 0
+func (i *CachedImage) isOn(n int) bool {
+	return n/8 < len(i.MachineBits) && i.MachineBits[n/8]&(1<<(n%8)) != 0
 }
 
 // addMachine records that ImageLocations.Machines[n] has the image.
-func (h *CachedImage) addMachine(n int) {
-	for len(h.MachineBits) <= n/8 {
-		h.MachineBits = append(h.MachineBits, 0)
+func (i *CachedImage) addMachine(n int) {
+	for len(i.MachineBits) <= n/8 {
+		i.MachineBits = append(i.MachineBits, 0)
 	}
-	h.MachineBits[n/8] |= 1 << (n % 8)
+	i.MachineBits[n/8] |= 1 << (n % 8)
 }
 
 // ImageLocations returns which machines have which images. cacheGB returns the cache size of a machine type in
@@ -125,10 +125,10 @@
 func (i *ImageLocations) ByMachine() map[string][]CachedImage {
 	out := make(map[string][]CachedImage, len(i.Machines))
 	for k := range i.Images {
-		h := &i.Images[k]
+		image := &i.Images[k]
 		for n, name := range i.Machines {
-			if h.isOn(n) {
-				out[name] = append(out[name], CachedImage{Name: h.Name, GB: h.GB})
+			if image.isOn(n) {
+				out[name] = append(out[name], CachedImage{Name: image.Name, GB: image.GB})
 			}
 		}
 	}
@@ -138,9 +138,9 @@
 // RestoreImages records which images the machine had at the given time according to a former leader. It changes
 // nothing about images that tasks of the machine have used in this term.
 func (m *Machine) RestoreImages(images []CachedImage, at time.Time) {
-	for _, h := range images {
-		if m.images[h.Name] == nil {
-			m.images[h.Name] = &imageUsage{gb: h.GB, lastUsed: at}
+	for _, image := range images {
+		if m.images[image.Name] == nil {
+			m.images[image.Name] = &imageUsage{gb: image.GB, lastUsed: at}
 		}
 	}
 }
--- a/internal/scheduler/machines/images_test.go
+++ b/internal/scheduler/machines/images_test.go
@@ -45,13 +45,13 @@
 	use("n-00", "img-3")
 	use("n-00", "img-4")
 	r.Machines["n-00"].images["img-1"].lastUsed = t0.Add(-1)
-	if held := r.ImageLocations(cacheGB); held.Images[0].MachineBits[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
+	if stored := r.ImageLocations(cacheGB); stored.Images[0].MachineBits[0]&1 != 0 && !r.Machines["n-00"].HasImage("img-1", 2) {
 		t.Error("an image is stored for the next leader although its machine has evicted it")
 	}
 }
 
-// Guards against tasks that should start at once and are allocated to a machine that had their image before, where
-// they wait until it is fetched again. A cache evicts the least recently used image.
+// Guards against allocating tasks that should start at once to a machine whose cache has evicted their image, where they
+// wait until the image is fetched again. A cache evicts the least recently used image.
 func TestLeastRecentlyUsedImageLeavesAFullCache(t *testing.T) {
 	f := newFixture(t)
 	use := func(image string, at time.Duration) *jobs.Allocation {
@@ -65,7 +65,7 @@
 	f.RemoveAllocation(use("2", 0), t0.Add(time.Second))
 	f.RemoveAllocation(use("3", 0), t0.Add(2*time.Second))
 	m := f.Machines["n-1"]
-	holds := func(want string) {
+	checkImages := func(want string) {
 		t.Helper()
 		got := ""
 		for _, image := range []string{"1", "2", "3", "4"} {
@@ -77,8 +77,8 @@
 			t.Errorf("machine has images %q, want %q", got, want)
 		}
 	}
-	holds("13")
+	checkImages("13")
 	f.RemoveAllocation(inUse, t0.Add(3*time.Second))
 	f.RemoveAllocation(use("2", 4*time.Second), t0.Add(5*time.Second))
-	holds("12")
+	checkImages("12")
 }
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -95,7 +95,7 @@
 
 // Guards against a task that counts as gone because a direct answer does not list it: a reply to a heartbeat may be
 // on its way to the worker with the start of the task.
-func TestDirectAnswerProvesNothingOfTasksThatItLacks(t *testing.T) {
+func TestDirectAnswerProvesNothingAboutUnlistedTasks(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
 	allocation := newAllocation(1)
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -15,10 +15,10 @@
 	Sent             time.Time // when the probe was sent; zero: the mark was not taken for a probe
 }
 
-// Probe returns a direct request that asks a machine for its heartbeat. The request has no commands, but it carries
+// ProbeRequest returns a direct request that asks a machine for its heartbeat. The request has no commands, but it carries
 // this term's fencing token, which the worker remembers. The answer shows a state of the worker after the request was
 // sent. The error is ErrUnaddressable.
-func (r *Registry) Probe(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, err error) {
+func (r *Registry) ProbeRequest(m *Machine, now time.Time) (addr string, req *wire.DirectCommands, mark MessageMark, err error) {
 	incarnation := m.Incarnation
 	if m.probeIncarnation != 0 {
 		incarnation = m.probeIncarnation
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -53,7 +53,7 @@
 			if !c.unansweredStart {
 				f.CommandsAnswered("n-1", req)
 			}
-			_, _, mark, err := f.Probe(m, t0.Add(c.after))
+			_, _, mark, err := f.ProbeRequest(m, t0.Add(c.after))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -34,7 +34,7 @@
 	job               *jobs.Job
 	attempt           uint64
 	allocation        *jobs.Allocation // according to the present leader
-	recorded          *jobs.Allocation // according to the stored record, written with each allocation and some time after its end
+	recorded          *jobs.Allocation // according to the stored record; written with a new allocation, and some time after an allocation ended
 	completed         bool             // according to the present leader
 	actuallyCompleted bool             // an attempt at it completed on a worker
 }
@@ -356,7 +356,7 @@
 func (s *simulation) probe(name string) {
 	m, w := s.registry.Machines[name], s.worker(name)
 	for range 2 {
-		_, req, mark, err := s.registry.Probe(m, s.now)
+		_, req, mark, err := s.registry.ProbeRequest(m, s.now)
 		if err != nil {
 			return
 		}
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -17,9 +17,9 @@
 // loop and is not safe for concurrent use. The zero value is the state of a machine that has not acknowledged any
 // message yet.
 type State struct {
-	acknowledgedAt time.Time // when it last acknowledged a message; zero: not yet in this term
-	missedSince    time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had one, or was to have none
-	failedAt       time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
+	acknowledgedAt   time.Time // when it last acknowledged a message; zero: not yet in this term
+	missedSince      time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had one, or was to have none
+	unansweredSentAt time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
 
 	unreachableSince time.Time // zero: it does not count as unreachable
 	timesUnreachable int       // how often it was found unreachable, each time less than tuning.UnreachableForgetAfter after the previous noWorkUntil
@@ -39,7 +39,7 @@
 		s.noWorkUntil = now.Add(min(pause, tuning.UnreachablePauseMax))
 	}
 	s.acknowledgedAt = now
-	s.missedSince, s.failedAt, s.unreachableSince = time.Time{}, time.Time{}, time.Time{}
+	s.missedSince, s.unansweredSentAt, s.unreachableSince = time.Time{}, time.Time{}, time.Time{}
 	s.probePause = 0
 	if soon := now.Add(tuning.ProbePause); s.nextProbe.After(soon) {
 		s.nextProbe = soon
@@ -62,8 +62,8 @@
 	if sent.Before(s.acknowledgedAt) {
 		return
 	}
-	if s.failedAt.Before(sent) {
-		s.failedAt = sent
+	if s.unansweredSentAt.Before(sent) {
+		s.unansweredSentAt = sent
 	}
 	s.updateUnreachable(now)
 }
@@ -71,7 +71,7 @@
 // updateUnreachable marks a machine as unreachable if its heartbeats show no effect of a reply and it also left a
 // probe or command unanswered. A slow reply, a lost probe or a delayed copy of a heartbeat alone is not enough.
 func (s *State) updateUnreachable(now time.Time) {
-	if s.Unreachable() || s.missedSince.IsZero() || s.failedAt.IsZero() {
+	if s.Unreachable() || s.missedSince.IsZero() || s.unansweredSentAt.IsZero() {
 		return
 	}
 	if now.Sub(s.noWorkUntil) > tuning.UnreachableForgetAfter {
