--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -8,7 +8,7 @@
 
 // maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by
 // this process's memory. The cloud enforces its own limits by refusing rentals. Memory always allows one
-// machine for each tuning.MachineKiB of the runtime's memory target without tuning.ProcessMiB. It allows more as long as
+// machine for each tuning.MachineKiB of the runtime's memory target minus tuning.ProcessMiB. It allows more as long as
 // the present machines use less memory than that.
 func (l *Loop) maxMachines() int {
 	limit := math.MaxInt
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -84,7 +84,7 @@
 type largeWorkload struct {
 	*Loop
 	t                        *testing.T
-	requests, rented, stored int
+	requests, rented, stored int // numbers of rental requests, rented machines and tasks with a stored allocation
 }
 
 // rentAll answers all pending rentals in full and lets the machines send their first heartbeats.
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -36,11 +36,11 @@
 }
 
 type partitionWorker struct {
-	heartbeat    wire.Heartbeat
-	lastAnswered time.Time // when its last answered heartbeat was sent
-	hangs        bool
-	diedAt       time.Time // when its lease expired; zero: it is alive
-	detectedAt   time.Time // when the leader concluded that its task ended; zero: not yet
+	heartbeat      wire.Heartbeat
+	lastAnsweredAt time.Time // when its last answered heartbeat was sent
+	hangs          bool
+	diedAt         time.Time // when its lease expired; zero: it is alive
+	detectedAt     time.Time // when the leader concluded that its task ended; zero: not yet
 }
 
 const partitionLease = 10 * time.Second
@@ -56,7 +56,7 @@
 	t.Cleanup(cluster.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		cluster.startMember(zone)
-		cluster.workers[zone] = &partitionWorker{lastAnswered: cluster.clock.Now(), heartbeat: wire.Heartbeat{
+		cluster.workers[zone] = &partitionWorker{lastAnsweredAt: cluster.clock.Now(), heartbeat: wire.Heartbeat{
 			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1,
 			Tasks: []wire.TaskStatus{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
 		}}
@@ -120,11 +120,11 @@
 func (c *partitionCluster) advanceSecond(hasLeader bool) {
 	now := c.clock.Now()
 	for zone, worker := range c.workers {
-		if !worker.hangs && worker.diedAt.IsZero() && now.Sub(worker.lastAnswered) > partitionLease {
+		if !worker.hangs && worker.diedAt.IsZero() && now.Sub(worker.lastAnsweredAt) > partitionLease {
 			worker.diedAt = now
 		}
 		if worker.hangs || !worker.diedAt.IsZero() {
-			if worker.diedAt.IsZero() && now.Sub(worker.lastAnswered) > partitionLease {
+			if worker.diedAt.IsZero() && now.Sub(worker.lastAnsweredAt) > partitionLease {
 				// The lease expires now, although the hanging worker can notice this only once it runs again.
 				worker.diedAt = now
 			}
@@ -139,7 +139,7 @@
 			answered = c.members[zone].MayRenew(worker.heartbeat.Machine, zone)
 		}
 		if answered {
-			worker.lastAnswered = now
+			worker.lastAnsweredAt = now
 		}
 	}
 	if hasLeader && !c.partitioned[c.leaderZone] {
@@ -150,7 +150,7 @@
 		if j.Tasks[int(zone[0]-'a')].Allocation == nil && worker.detectedAt.IsZero() {
 			worker.detectedAt = now
 			if worker.diedAt.IsZero() {
-				c.t.Fatalf("zone %s: the task counts as ended %v after the worker's last answered heartbeat, though it may still run", zone, now.Sub(worker.lastAnswered))
+				c.t.Fatalf("zone %s: the task counts as ended %v after the worker's last answered heartbeat, though it may still run", zone, now.Sub(worker.lastAnsweredAt))
 			}
 		}
 	}
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -80,8 +80,9 @@
 	return rc.result, nil
 }
 
-// admit decides whether a heartbeat is news of a machine that still exists, before the heartbeat changes anything. If
-// it rejects the heartbeat, it may mark the machine as to be probed (SuspectCopy).
+// admit decides whether to accept a heartbeat, before it changes anything. The heartbeat must be new and of a machine
+// that still exists, and must not contradict what is known of the machine. If admit rejects the heartbeat, it may mark
+// the machine as to be probed (SuspectCopy).
 func (r *Registry) admit(hb *wire.Heartbeat, direct bool) error {
 	if r.WasReturned(hb.Machine) {
 		return ErrReturned
@@ -149,7 +150,8 @@
 // direct answer, which renews no lease otherwise: if the lease expiry of the former incarnation still applied, tasks
 // that had just been started on the machine would be started elsewhere while they run there.
 func (r *Registry) beginIncarnation(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) []Outcome {
-	// The worker's lease expired although its heartbeats were answered, so the replies did not arrive.
+	// A heartbeat was answered less than half a lease ago, and the worker's lease expired nevertheless: the replies did
+	// not arrive.
 	if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
 		m.Reachability.NoteMissedReply(now)
 	}
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -124,7 +124,8 @@
 
 // RestoreAllocation adds an allocation that a former leader recorded. termStart is the start of this term. Only an
 // answer to a heartbeat renews a machine's lease, and the last answer before this call was sent before termStart,
-// whoever sent it. So the lease expires at most one lease duration after termStart.
+// whoever sent it. So the lease expires at the latest one lease duration after termStart, unless another heartbeat is
+// answered.
 func (r *Registry) RestoreAllocation(allocation *jobs.Allocation, termStart time.Time) {
 	m := r.ensure(allocation.Machine, termStart)
 	m.Allocations[attemptOf(allocation)] = allocation
--- a/internal/scheduler/machines/simulation_test.go
+++ b/internal/scheduler/machines/simulation_test.go
@@ -347,8 +347,8 @@
 
 // probeDue reports whether the leader probes a machine now.
 func (s *simulation) probeDue(m *Machine) bool {
-	quiet := m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && s.now.Sub(m.LastHeartbeat) > simLease/2
-	reason := m.Reachability.Unreachable() || quiet || m.SuspectCopy || m.Reachability.Suspect()
+	silent := m.Incarnation > m.EndedIncarnation && len(m.Allocations) > 0 && s.now.Sub(m.LastHeartbeat) > simLease/2
+	reason := m.Reachability.Unreachable() || silent || m.SuspectCopy || m.Reachability.Suspect()
 	return reason && m.Reachability.ProbeDue(s.now)
 }
 
--- a/internal/scheduler/reachability/reachability_test.go
+++ b/internal/scheduler/reachability/reachability_test.go
@@ -47,10 +47,10 @@
 // probes are respected.
 func TestPausesBeforeWorkAndProbesOverRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now, probed := &State{}, t0, time.Time{}
+		s, now, lastProbe := &State{}, t0, time.Time{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond)
-			wasUnreachable, times := s.Unreachable(), s.timesUnreachable
+			wasUnreachable, timesBefore := s.Unreachable(), s.timesUnreachable
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				s.NoteMissedReply(now)
@@ -58,20 +58,20 @@
 				s.NoteUnanswered(now.Add(-time.Second), now)
 			case 2:
 				s.Acknowledged(now)
-				if pause := s.noWorkUntil.Sub(now); wasUnreachable && times > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
-					t.Fatalf("work after a pause of only %v though the machine was unreachable %d times", pause, times)
+				if pause := s.noWorkUntil.Sub(now); wasUnreachable && timesBefore > 1 && pause < min(2*tuning.UnreachablePause, tuning.UnreachablePauseMax) {
+					t.Fatalf("work after a pause of only %v though the machine was unreachable %d times", pause, timesBefore)
 				}
 			case 3:
 				if s.ProbeDue(now) {
-					if !probed.IsZero() && now.Sub(probed) < tuning.ProbePause {
-						t.Fatalf("probed only %v after the last probe", now.Sub(probed))
+					if !lastProbe.IsZero() && now.Sub(lastProbe) < tuning.ProbePause {
+						t.Fatalf("probed only %v after the last probe", now.Sub(lastProbe))
 					}
 					s.ProbeSent(now)
 					if s.ProbeDue(now) {
 						t.Fatal("a probe is due while another is in flight")
 					}
 					s.ProbeEnded()
-					probed = now
+					lastProbe = now
 				}
 			}
 			if s.Unreachable() && s.Usable(now, true) {
