--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -99,7 +99,7 @@
 	return 0
 }
 
-// writeImages stores the record of images. If that fails, it is not retried before the next write is due.
+// writeImages stores the record of images. A write that fails is not repeated before the next one is due.
 func (l *Loop) writeImages(value json.RawMessage) {
 	_, err := l.commit(wire.Txn{Then: []wire.Change{{Put: keyImages, Value: value}}}, nil)
 	if errors.Is(err, errDeposed) {
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -31,7 +31,7 @@
 		advance(time.Second)
 		hb.Seq++
 		if cmds := l.mustHandle(t, hb); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
-			t.Fatalf("commands %v", cmds)
+			t.Fatalf("commands %v, want one start", cmds)
 		}
 	}
 	if !l.mayGetTasks("n-9") {
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -23,12 +23,12 @@
 	allocation.Stop = &jobs.StopRequest{}
 	result := f.receive(heartbeat(1, 2, term), time.Second, mayForget)
 	if ops(result.Commands) != "start halt " || len(result.Outcomes) != 0 {
-		t.Fatalf("commands %v, outcomes %v", result.Commands, result.Outcomes)
+		t.Fatalf("commands %v, want a start and a stop; outcomes %v, want none", result.Commands, result.Outcomes)
 	}
 	exited := status("job-1/0", 1, wire.TaskExited, wire.ExitStopped)
 	result = f.receive(heartbeat(1, 3, term, exited), 2*time.Second, mayForget)
 	if len(result.Outcomes) != 1 {
-		t.Fatalf("outcomes %v", result.Outcomes)
+		t.Fatalf("outcomes %v, want one", result.Outcomes)
 	}
 	f.RemoveAllocation(allocation, t0)
 	if result = f.receive(heartbeat(1, 4, term, exited), 3*time.Second, mayForget); len(result.Commands) != 0 {
@@ -36,7 +36,7 @@
 	}
 	f.CommandsAnswered("n-1", req) // the answer to the request arrives now
 	if result = f.receive(heartbeat(1, 5, term, exited), 4*time.Second, mayForget); ops(result.Commands) != "forget " {
-		t.Fatalf("commands %v", result.Commands)
+		t.Fatalf("commands after the direct request was answered: %v, want a forget", result.Commands)
 	}
 }
 
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -145,7 +145,7 @@
 	}
 	restarted := heartbeat(1, 2, term)
 	if got := f.JudgeRestart(m, mark, restarted); got != ProcessRestarted {
-		t.Fatalf("verdict %v", got)
+		t.Fatalf("verdict %v, want ProcessRestarted", got)
 	}
 	f.AcceptRestart(m, restarted, t0.Add(5*time.Second))
 	f.AddAllocation(newAllocation(1), t0.Add(5*time.Second))
@@ -153,7 +153,7 @@
 		t.Errorf("copy from before the restart: outcomes %v, error %v; want none and ErrStale", result.Outcomes, err)
 	}
 	if result := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskRunning, "")), 6*time.Second, mayNotForget); len(result.Outcomes) != 0 {
-		t.Errorf("outcomes %v", result.Outcomes)
+		t.Errorf("outcomes %v, want none", result.Outcomes)
 	}
 }
 
@@ -179,11 +179,11 @@
 	allocation := newAllocation(1)
 	f.AddAllocation(allocation, t0)
 	if result := f.receive(heartbeat(1, 2, term), time.Second, mayNotForget); ops(result.Commands) != "start " {
-		t.Fatalf("commands %v", result.Commands)
+		t.Fatalf("commands %v, want a start", result.Commands)
 	}
 	allocation.Stop = &jobs.StopRequest{}
 	if result := f.receive(heartbeat(1, 90, term), 2*time.Second, mayNotForget); len(result.Outcomes) != 0 || ops(result.Commands) != "start halt " {
-		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
+		t.Errorf("outcomes %v, want none; commands %v, want a start and a stop", result.Outcomes, result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 91, term), 2*time.Second+tuning.HeartbeatReplyValidity, mayNotForget); len(result.Outcomes) != 1 {
 		t.Errorf("not gone although no start can arrive any more; commands %v", result.Commands)
@@ -246,7 +246,7 @@
 	allocation.Stop = &jobs.StopRequest{}
 	f.AddAllocation(allocation, t0.Add(5*time.Second))
 	if result := f.receive(heartbeat(1, 39, term), 30*time.Second, mayNotForget); len(result.Outcomes) != 0 || ops(result.Commands) != "start halt " {
-		t.Errorf("outcomes %v, commands %v", result.Outcomes, result.Commands)
+		t.Errorf("outcomes %v, want none; commands %v, want a start and a stop", result.Outcomes, result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 41, term), 60*time.Second, mayNotForget); len(result.Outcomes) != 1 {
 		t.Errorf("not gone although the heartbeat is from after the restart; commands %v", result.Commands)
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -25,7 +25,7 @@
 	f.AddAllocation(allocation, t0)
 	result := f.receive(heartbeat(2, 2, term), time.Second, mayNotForget)
 	if len(result.Outcomes) != 1 || result.Outcomes[0].Allocation != allocation || result.Outcomes[0].Reason != wire.ExitStopped {
-		t.Fatalf("outcomes %v", result.Outcomes)
+		t.Fatalf("outcomes %v, want the allocation of the old incarnation, as stopped", result.Outcomes)
 	}
 }
 
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -9,7 +9,7 @@
 )
 
 // reconciliation compares the tasks that a heartbeat lists with the allocations of its machine, and collects outcomes
-// and commands. Before, the heartbeat was admitted and the machine's liveness was updated.
+// and commands. It begins after the heartbeat was admitted and the machine's liveness was updated.
 type reconciliation struct {
 	machine           *Machine
 	hb                *wire.Heartbeat
--- a/internal/scheduler/machines/reconcile_test.go
+++ b/internal/scheduler/machines/reconcile_test.go
@@ -21,12 +21,12 @@
 	allocation.Committed = true
 	for seq := uint64(3); seq < 5; seq++ {
 		if result := f.receive(heartbeat(1, seq, term), time.Second, mayNotForget); ops(result.Commands) != "start " || len(result.Outcomes) != 0 {
-			t.Fatalf("commands %v, outcomes %v", result.Commands, result.Outcomes)
+			t.Fatalf("commands %v, want a start; outcomes %v, want none", result.Commands, result.Outcomes)
 		}
 	}
 	result := f.receive(heartbeat(1, 5, term, status("job-1/0", 1, wire.TaskRunning, "")), time.Second, mayNotForget)
 	if len(result.Commands) != 0 || allocation.State != wire.TaskRunning {
-		t.Fatalf("commands %v, state %v", result.Commands, allocation.State)
+		t.Fatalf("commands %v, want none; state %v, want running", result.Commands, allocation.State)
 	}
 }
 
@@ -40,7 +40,7 @@
 	// The worker has not seen this term's token yet, so a start by the former leader may still arrive. The same
 	// attempt is started again, which has no effect if the worker knows it.
 	if result := f.receive(heartbeat(3, 1, term-1), 0, mayForget); ops(result.Commands) != "start " || len(result.Outcomes) != 0 {
-		t.Fatalf("commands %v, outcomes %v", result.Commands, result.Outcomes)
+		t.Fatalf("commands %v, want a start; outcomes %v, want none", result.Commands, result.Outcomes)
 	}
 	allocation.Stop = &jobs.StopRequest{}
 	if result := f.receive(heartbeat(3, 2, term-1), 0, mayForget); len(result.Outcomes) != 0 {
@@ -63,7 +63,7 @@
 		t.Fatalf("commands while an older leader's start may arrive: %v, want none", result.Commands)
 	}
 	if result := f.receive(heartbeat(1, 3, term, exited), 0, mayForget); ops(result.Commands) != "forget " {
-		t.Fatalf("commands %v", result.Commands)
+		t.Fatalf("commands %v, want a forget", result.Commands)
 	}
 }
 
@@ -71,7 +71,7 @@
 	f := newFixture(t)
 	result := f.receive(heartbeat(1, 1, term, status("job-9/4", 2, wire.TaskRunning, "")), 0, mayForget)
 	if ops(result.Commands) != "halt " || *result.Commands[0].GraceS != 0 || !result.Machine.HasOrphans() {
-		t.Fatalf("commands %v, orphans %v", result.Commands, result.Machine.HasOrphans())
+		t.Fatalf("commands %v, want a stop without a grace period; machine has orphans: %v, want true", result.Commands, result.Machine.HasOrphans())
 	}
 	if result = f.receive(heartbeat(1, 2, term), time.Second, mayForget); result.Machine.HasOrphans() {
 		t.Error("the orphan still counts after the heartbeat no longer lists it")
@@ -89,7 +89,7 @@
 	}
 	allocation.Stop.GraceS = 0 // its job was cancelled
 	if result := f.receive(heartbeat(1, 3, term, status("job-1/0", 1, wire.TaskSaving, "")), 0, mayNotForget); ops(result.Commands) != "halt " {
-		t.Fatalf("commands %v", result.Commands)
+		t.Fatalf("commands after the grace period was cut to zero: %v, want a stop", result.Commands)
 	}
 }
 
--- a/internal/scheduler/machines/registry_test.go
+++ b/internal/scheduler/machines/registry_test.go
@@ -11,7 +11,7 @@
 	allocation := newAllocation(1)
 	f.AddAllocation(allocation, t0)
 	if outcomes := f.MarkLost("n-1", t0); len(outcomes) != 1 || outcomes[0].Allocation != allocation {
-		t.Fatalf("outcomes %v", outcomes)
+		t.Fatalf("outcomes %v, want that of the allocation", outcomes)
 	}
 	if _, err := f.Heartbeat(heartbeat(1, 2, term), t0, mayNotForget); !errors.Is(err, ErrReturned) {
 		t.Errorf("late heartbeat of a lost machine: error %v, want ErrReturned", err)
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -18,7 +18,7 @@
 // message yet.
 type State struct {
 	acknowledgedAt   time.Time // when it last acknowledged a message; zero: not yet in this term
-	missedSince      time.Time // since when replies to its heartbeats have had no effect; zero: the last reply had one, or was to have none
+	missedSince      time.Time // when a reply to its heartbeats was first seen to have had no effect, since acknowledgedAt; zero: never
 	unansweredSentAt time.Time // when the newest probe or command without an answer was sent; zero: none since acknowledgedAt
 
 	unreachableSince time.Time // zero: it does not count as unreachable
