--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -18,9 +18,9 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// partitionCluster simulates a leader, two zones with one member each that holds its zone's lease, and one worker
-// per zone that runs a task. Each second the workers send heartbeats to the controller that they reach, and the
-// leader ends the leases that it can prove to be over.
+// partitionCluster simulates a leader and two zones. Each zone has one member, which holds the zone's lease, and one
+// worker, which runs a task. Each second the workers send heartbeats to the controller that they reach, and the leader
+// ends the incarnations whose leases it can prove to have expired.
 type partitionCluster struct {
 	t     *testing.T
 	clock *clockwork.FakeClock
@@ -36,11 +36,11 @@
 }
 
 type partitionWorker struct {
-	heartbeat    wire.Heartbeat
-	lastAnswered time.Time // when its last answered heartbeat was sent
-	hangs        bool
-	diedAt       time.Time // when its lease expired; zero: it is alive
-	detectedAt   time.Time // when the leader concluded that its task ended; zero: not yet
+	heartbeat      wire.Heartbeat
+	lastAnsweredAt time.Time // when its last answered heartbeat was sent
+	hangs          bool
+	diedAt         time.Time // when its lease expired; zero: it is alive
+	detectedAt     time.Time // when the leader concluded that its task ended; zero: not yet
 }
 
 const partitionLease = 10 * time.Second
@@ -56,7 +56,7 @@
 	t.Cleanup(cluster.state.Close)
 	for _, zone := range []string{"a", "b"} {
 		cluster.startMember(zone)
-		cluster.workers[zone] = &partitionWorker{lastAnswered: cluster.clock.Now(), heartbeat: wire.Heartbeat{
+		cluster.workers[zone] = &partitionWorker{lastAnsweredAt: cluster.clock.Now(), heartbeat: wire.Heartbeat{
 			Machine: "n-" + zone, Address: "127.0.0.1:1", Type: "small", Zone: zone, Incarnation: 1, Seq: 1, FencingToken: 1,
 			Tasks: []wire.TaskStatus{{Task: "job-1/" + map[string]string{"a": "0", "b": "1"}[zone], Attempt: 1, State: wire.TaskRunning}},
 		}}
@@ -71,8 +71,8 @@
 	return cluster
 }
 
-// startMember starts a zone's member. The member renews its zone lease in the key-value store, which it does not
-// reach during a partition or an outage.
+// startMember starts a zone's member. The member renews its zone lease in the key-value store, which is out of its reach
+// during a partition or an outage.
 func (c *partitionCluster) startMember(zone string) {
 	c.members[zone] = workerlease.NewZoneLease(&config.Settings{
 		Member: "m" + zone, Zone: zone, Cluster: config.Cluster{Workers: config.Workers{LeaseS: partitionLease.Seconds()}},
@@ -120,12 +120,13 @@
 func (c *partitionCluster) advanceSecond(hasLeader bool) {
 	now := c.clock.Now()
 	for zone, worker := range c.workers {
-		if !worker.hangs && worker.diedAt.IsZero() && now.Sub(worker.lastAnswered) > partitionLease {
+		if !worker.hangs && worker.diedAt.IsZero() && now.Sub(worker.lastAnsweredAt) > partitionLease {
 			worker.diedAt = now
 		}
 		if worker.hangs || !worker.diedAt.IsZero() {
-			if worker.diedAt.IsZero() && now.Sub(worker.lastAnswered) > partitionLease {
-				worker.diedAt = now // once it runs again it notices that its lease expired
+			if worker.diedAt.IsZero() && now.Sub(worker.lastAnsweredAt) > partitionLease {
+				// The lease expires now, although the hanging worker can notice this only once it runs again.
+				worker.diedAt = now
 			}
 			continue
 		}
@@ -138,7 +139,7 @@
 			answered = c.members[zone].MayRenew(worker.heartbeat.Machine, zone)
 		}
 		if answered {
-			worker.lastAnswered = now
+			worker.lastAnsweredAt = now
 		}
 	}
 	if hasLeader && !c.partitioned[c.leaderZone] {
@@ -149,7 +150,7 @@
 		if j.Tasks[int(zone[0]-'a')].Allocation == nil && worker.detectedAt.IsZero() {
 			worker.detectedAt = now
 			if worker.diedAt.IsZero() {
-				c.t.Fatalf("zone %s: the task counts as ended %v after the worker's last answered heartbeat, though it may still run", zone, now.Sub(worker.lastAnswered))
+				c.t.Fatalf("zone %s: the task counts as ended %v after the worker's last answered heartbeat, though it may still run", zone, now.Sub(worker.lastAnsweredAt))
 			}
 		}
 	}
@@ -175,8 +176,8 @@
 		events        events
 		leaderless    [2]int // first second without a leader, and first second with a leader again
 		survivors     string // the zones whose tasks survive
-		detectWithinS int    // within how many seconds after its end the leader must detect that a task ended
-		detectByS     int    // the second by which the leader must detect it; 0: no limit
+		detectWithinS int    // seconds after the end of a task within which the leader must detect it
+		detectByS     int    // seconds after the start by which the leader must detect it; 0: no limit
 	}{
 		{"the zone without the leader, for less than the zone lease", events{10: partition("b", true), 10 + short: partition("b", false)}, [2]int{}, "ab", 0, 0},
 		{"the zone without the leader, for longer than the zone lease", events{10: partition("b", true), 10 + long: partition("b", false)}, [2]int{}, "a", 15, 340},
@@ -199,7 +200,7 @@
 			for _, m := range cluster.members {
 				m.Renew(t.Context())
 			}
-			begun := cluster.clock.Now()
+			started := cluster.clock.Now()
 			for s := range long + 60 {
 				if event := c.events[s]; event != nil {
 					event(cluster)
@@ -215,10 +216,10 @@
 				}
 				delay := worker.detectedAt.Sub(worker.diedAt)
 				if worker.detectedAt.IsZero() || delay > time.Duration(c.detectWithinS)*time.Second {
-					t.Errorf("zone %s: the end of the task is detected %v after it, or not at all", zone, delay)
+					t.Errorf("zone %s: the end of the task is detected too late, after %v, or not at all", zone, delay)
 				}
-				if detectedAfter := worker.detectedAt.Sub(begun); c.detectByS > 0 && detectedAfter > time.Duration(c.detectByS)*time.Second {
-					t.Errorf("zone %s: the end of the task is detected at %v", zone, detectedAfter)
+				if detectedAfter := worker.detectedAt.Sub(started); c.detectByS > 0 && detectedAfter > time.Duration(c.detectByS)*time.Second {
+					t.Errorf("zone %s: the end of the task is detected too late, %v after the start", zone, detectedAfter)
 				}
 			}
 			if survivors != c.survivors {
@@ -228,8 +229,8 @@
 	}
 }
 
-// A zone all of whose machines are unreachable counts as partitioned: no machines are rented there, and its
-// machines are returned only after a longer time.
+// A zone counts as partitioned if all of its machines are unreachable. No machines are rented there, and its machines
+// are returned only after a longer time.
 func TestZoneOfUnreachableMachinesIsPartitioned(t *testing.T) {
 	l, advance := newTwoZoneLoop(t, 6)
 	l.env.MayAct = func(uint64) bool { return true }
@@ -255,6 +256,6 @@
 		t.Errorf("partitioned zones are %v, want zone b alone", partitioned)
 	}
 	if got := l.silenceUntilReturn(); got != tuning.SilentReturnAfterPartition {
-		t.Errorf("silent machines are returned after %v, want SilentReturnAfterCut", got)
+		t.Errorf("silent machines are returned after %v, want SilentReturnAfterPartition", got)
 	}
 }
