--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -55,8 +55,8 @@
 var submissionBody = []byte(`{"ref":"job-7","lane":"l","desk":"t","shape":"array","urgency":"standard","seats":1,"cpus":4,"gpus":0,"mem_gb":1,
 	"bundle":"img","image_gb":1,"same_place":false,"apart":false,"standby":true,"ride_s":10,"stub_s":0,"stamp_s":0}`)
 
-// Guards against answers after the user has given up: members that do not answer were asked one after the other, each
-// with a timeout of its own. With five of them that took longer than the 5 s that a user waits.
+// Guards against an answer after the user has given up: members that do not answer were asked one after the other,
+// each with a timeout of its own. With five such members that took longer than the 5 s that a user waits.
 func TestASubmissionAsksNobodyPastItsDeadline(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -10,11 +10,11 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// statusReader reads jobs' states from the state service for polls that the leader does not answer: all polls, while
-// there is no leader or the leader hangs. It reads one batch of polls at a time. The polls that arrive meanwhile form
-// the next batch, and a large batch shares one listing of the live jobs: two reads for each poll used up the rate
-// limit when users polled eight times as often as usual. Each answer is read after its poll arrived, so it is never
-// older than the poll.
+// statusReader reads jobs' states from the state service for polls that the leader does not answer. While there is no
+// leader, or the leader hangs, these are all polls. statusReader reads one batch of polls at a time; the polls that
+// arrive meanwhile form the next batch. A large batch shares one listing of the live jobs: with two reads for each
+// poll, users that poll eight times as often as usual would use up the rate limit. Each answer is read after its poll
+// arrived, so it is never older than the poll.
 type statusReader struct {
 	h *Handler
 
--- a/internal/api/userapi/subsystems.go
+++ b/internal/api/userapi/subsystems.go
@@ -13,8 +13,8 @@
 )
 
 // Query has the leader's subsystems answer a query: a path and query string that are not part of the user protocol.
-// It returns the HTTP status and JSON body of the answer, whether this member leads or the answer is relayed from the
-// leader.
+// It returns the HTTP status and JSON body of the answer. The answer comes from this member if it leads, and is relayed
+// from the leader otherwise.
 func (h *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollTimeout)
 	defer cancel()
--- a/internal/api/workerapi/election_grace.go
+++ b/internal/api/workerapi/election_grace.go
@@ -12,7 +12,7 @@
 // whose lease is renewed waits a whole interval until its next heartbeat; one that is refused tries the next
 // controller a second later. So while leases have time to spare, none is renewed in the first seconds, since a
 // member usually leads by the end of them. Without the grace period and with heartbeats every 10 s, the next leader
-// learned only 10 s after its election of thousands of tasks that had ended, and their machines were idle
+// would learn only 10 s after its election of thousands of tasks that have ended, and their machines would be idle
 // meanwhile.
 type electionGrace struct {
 	length time.Duration
--- a/internal/api/workerapi/election_grace_test.go
+++ b/internal/api/workerapi/election_grace_test.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against workers whose leases are renewed a second before the next leader is elected, so that they do not
-// report to it for ten more, and against leases that expire because no member renews them.
+// Guards against workers whose leases are renewed one second before the next leader is elected, and that therefore do
+// not report to that leader for another 10 s. Also guards against leases that expire because no member renews them.
 func TestLeasesAreRenewedAfterTheElectionGraceOnly(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	long := electionGrace{length: graceLength(config.Workers{HeartbeatS: 10, LeaseS: 42})}
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -30,11 +30,12 @@
 	Acquire(ctx context.Context, machine string) error
 }
 
-// ZoneLease permits such renewals without the state service, for machines of this member's own zone.
+// ZoneLease permits renewals on behalf of the leader without the state service, for machines of this member's own
+// zone.
 type ZoneLease interface {
-	// MayRenew reports whether this member may answer a machine of a zone now.
+	// MayRenew reports whether this member may answer a machine of a zone now. If so, it notes the machine as answered.
 	MayRenew(machine, zone string) bool
-	// Isolated reports whether the state service does not answer this member either.
+	// Isolated reports whether the state service has not answered this member for a while.
 	Isolated() bool
 }
 
@@ -47,7 +48,7 @@
 	Peers     *peers.Peers
 	Leases    LeaseAcquirer
 	ZoneLease ZoneLease
-	// Leader returns the leader's loop while this member has the right to act, nil otherwise.
+	// Leader returns the leader's loop while this member may act as the leader, nil otherwise.
 	Leader func() *leader.Loop
 	// FetchHeartbeat asks a worker for its heartbeat; nil: workers are not queried.
 	FetchHeartbeat FetchHeartbeat
@@ -194,8 +195,8 @@
 	}
 	term := loop.Leadership().Term
 	commands, err := loop.Heartbeat(ctx, hb)
-	// The leader's right to act may have ended while the loop prepared the reply, so it is checked again.
-	if err != nil || !h.elector.Valid(term) {
+	// The term may have become invalid while the loop prepared the reply, so its validity is checked again.
+	if err != nil || !h.elector.MayAct(term) {
 		return wire.HeartbeatReply{}, errNotAnswered
 	}
 	if commands == nil {
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -64,7 +64,7 @@
 
 // Guards against workers of an isolated zone whose leases expire while they search. Of five controllers they
 // reached one, which redirected them to a leader that they could not reach. They then tried the others for 5 s each
-// before they returned. 400 tasks were lost this way in one test run.
+// before they returned. 400 tasks were lost this way.
 func TestALeaseIsRenewedWhileTheLeaderDoesNotAnswer(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	// newPeers makes the given number of other members, all of which refuse connections. Workers try each
@@ -117,8 +117,7 @@
 }
 
 // Guards against workers whose leases expire while members redirect them to a member that does not lead: it ended
-// and was restarted while no member could read the leader key, which still names it. 2,809 tasks were lost this way
-// in one test run.
+// and was restarted while no member could read the leader key, which still named it. 2,809 tasks were lost this way.
 func TestALeaseIsRenewedWhileTheNamedLeaderDoesNotLead(t *testing.T) {
 	for _, c := range []struct {
 		status  int
@@ -153,8 +152,8 @@
 
 func (refusingLeases) Acquire(context.Context, string) error { return workerlease.ErrNotRecorded }
 
-// Guards against workers that are redirected to a member that does not lead, by members that may not renew their
-// leases: they never reached the member of their own zone, which may.
+// Guards against workers that members which may not renew their leases redirect to a member that does not lead. Such
+// workers never reached the member of their own zone, which may renew their leases.
 func TestAWorkerIsNotRedirectedToAMemberThatDoesNotLead(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/api/workerapi/redirects.go
+++ b/internal/api/workerapi/redirects.go
@@ -9,9 +9,9 @@
 	"poppypass/internal/platform/wire"
 )
 
-// redirects remembers which workers were redirected to the leader, to detect those that have lost it. A worker that
-// has seen the leader's fencing token had found the leader before. A worker that was redirected to the leader and
-// returns did not find it.
+// redirects remembers which workers were redirected to the leader, to detect workers that cannot reach the leader any
+// more. A worker that has seen the leader's fencing token had reached the leader before. A worker that was redirected
+// to the leader and returns did not reach it.
 type redirects struct {
 	mu           sync.Mutex
 	redirected   recentWorkers // when each worker was redirected to the leader
@@ -20,13 +20,14 @@
 
 func newRedirects() redirects {
 	return redirects{
-		redirected:   recentWorkers{at: map[string]time.Time{}, ttl: tuning.RedirectMemory},
-		renewedSince: recentWorkers{at: map[string]time.Time{}, ttl: tuning.LeaderRedirectAfter + tuning.RedirectMemory},
+		redirected:   recentWorkers{lastNoted: map[string]time.Time{}, ttl: tuning.RedirectMemory},
+		renewedSince: recentWorkers{lastNoted: map[string]time.Time{}, ttl: tuning.LeaderRedirectAfter + tuning.RedirectMemory},
 	}
 }
 
-// lostLeader reports whether a worker has lost the leader of a term. If not, it notes that the worker is redirected
-// to the leader.
+// lostLeader reports whether a worker cannot reach the leader of a term any more. That is so if the worker has seen
+// the leader's fencing token, or was redirected to the leader recently, and sends its heartbeat here nevertheless.
+// Otherwise lostLeader records that the worker is redirected to the leader now.
 func (r *redirects) lostLeader(hb *wire.Heartbeat, term uint64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,8 +41,9 @@
 	return recentlyRedirected
 }
 
-// retryLeader reports whether a worker whose lease has been renewed here for long is to try the leader again: the
-// worker may reach the leader even if a partition separates this member from the leader.
+// retryLeader reports whether a worker is to try the leader again because its lease has been renewed here for at
+// least tuning.LeaderRedirectAfter: the worker may reach the leader even if a partition separates this member from
+// the leader. The first call for a worker records the beginning of that time.
 func (r *redirects) retryLeader(machine string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,36 +55,36 @@
 	if now.Sub(since) < tuning.LeaderRedirectAfter {
 		return false
 	}
-	delete(r.renewedSince.at, machine)
+	delete(r.renewedSince.lastNoted, machine)
 	return true
 }
 
-// recentWorkers holds when something was noted of each worker. Entries older than the time to live are dropped, so
-// their number is bounded by how many workers report within that time, however many workers there are.
+// recentWorkers records when each worker was last noted. Entries older than ttl are dropped, so their number depends
+// on how many workers report within that time, not on how many workers there are.
 type recentWorkers struct {
-	at      map[string]time.Time // when each worker was last noted, by machine
-	ttl     time.Duration
-	sweepAt int // how many entries there must be before the old ones are dropped
+	lastNoted map[string]time.Time // when each worker was last noted, by machine
+	ttl       time.Duration
+	sweepSize int // number of entries at which the next note drops the expired ones
 }
 
-// notedAt returns when a worker was last noted. ok is false if that was longer ago than the time to live, or never.
+// notedAt returns when a worker was last noted. ok is false if that was longer ago than ttl, or never.
 func (w *recentWorkers) notedAt(machine string, now time.Time) (at time.Time, ok bool) {
-	at, ok = w.at[machine]
+	at, ok = w.lastNoted[machine]
 	return at, ok && now.Sub(at) <= w.ttl
 }
 
-// note notes a worker now.
+// note records that a worker is noted now. It drops expired entries first if there are sweepSize entries.
 func (w *recentWorkers) note(machine string, now time.Time) {
-	sweep(w.at, &w.sweepAt, func(at time.Time) bool { return now.Sub(at) > w.ttl })
-	w.at[machine] = now
+	sweep(w.lastNoted, &w.sweepSize, func(at time.Time) bool { return now.Sub(at) > w.ttl })
+	w.lastNoted[machine] = now
 }
 
-// sweep drops expired entries from a map by worker once it has sweepAt entries. It then sets sweepAt to twice the
+// sweep drops expired entries from a map by worker once it has sweepSize entries. It then sets sweepSize to twice the
 // number of remaining entries, or to tuning.RedirectsSweepMin if that is more.
-func sweep[V any](workers map[string]V, sweepAt *int, expired func(V) bool) {
-	if len(workers) < *sweepAt {
+func sweep[V any](workers map[string]V, sweepSize *int, expired func(V) bool) {
+	if len(workers) < *sweepSize {
 		return
 	}
 	maps.DeleteFunc(workers, func(_ string, v V) bool { return expired(v) })
-	*sweepAt = max(tuning.RedirectsSweepMin, 2*len(workers))
+	*sweepSize = max(tuning.RedirectsSweepMin, 2*len(workers))
 }
--- a/internal/api/workerapi/renewals.go
+++ b/internal/api/workerapi/renewals.go
@@ -23,21 +23,21 @@
 //     the worker itself says otherwise. In addition, each worker whose lease is renewed is queried, in parallel
 //     with the replies to it, whether it is alive. Its first reply does not wait for that query: in a partition,
 //     hundreds of workers report at the same time, and their leases are short.
-//   - Whether a leader reaches the worker although it does not reach this member. A controller that has lost the
-//     state service and all other members cannot distinguish that from a zone that is cut off. If a worker's lease
+//   - Whether a leader reaches the worker although that leader does not reach this member. A controller that has lost
+//     the state service and all other members cannot distinguish that from a zone that is cut off. If a worker's lease
 //     was renewed with one fencing token and the worker then reports a higher one, a leader has given it that token
 //     meanwhile. Such a worker is refused, so that it tries the next controller. If it returns, it found no leader,
 //     and its lease is renewed.
 type renewals struct {
 	lease      time.Duration
 	fetch      FetchHeartbeat // nil: workers are not queried
-	maxQueries int            // how many queries may be in flight at a time, by the member's limit of sockets
+	maxQueries int            // how many queries may be in flight at a time; each uses one of the member's sockets
 	limiter    *rate.Limiter
 
-	mu       sync.Mutex
-	inFlight int // how many queries have no answer yet
-	workers  map[string]*renewedWorker
-	sweepAt  int // how many workers there must be before those whose leases expired are dropped
+	mu        sync.Mutex
+	inFlight  int // how many queries have no answer yet
+	workers   map[string]*renewedWorker
+	sweepSize int // number of workers at which the next add drops those whose leases expired
 }
 
 // renewedWorker is a worker whose lease is renewed here.
@@ -90,7 +90,7 @@
 // add begins to remember a worker. The caller holds the lock.
 func (r *renewals) add(hb *wire.Heartbeat, now time.Time) *renewedWorker {
 	w := &renewedWorker{incarnation: hb.Incarnation, seq: hb.Seq, fencingToken: hb.FencingToken, renewedAt: now, heartbeatAt: now}
-	sweep(r.workers, &r.sweepAt, func(w *renewedWorker) bool { return now.Sub(w.heartbeatAt) > 2*r.lease && !w.queryPending })
+	sweep(r.workers, &r.sweepSize, func(w *renewedWorker) bool { return now.Sub(w.heartbeatAt) > 2*r.lease && !w.queryPending })
 	r.workers[hb.Machine] = w
 	return w
 }
--- a/internal/api/workerapi/renewals_test.go
+++ b/internal/api/workerapi/renewals_test.go
@@ -111,9 +111,10 @@
 	}
 }
 
-// Guards against workers that stay with a controller which has lost the state service and all other members, and so
-// get no commands, while a leader reaches them. The higher fencing token that the leader gave them shows it. A
-// worker that returns found no leader.
+// Guards against workers that stay with a controller that has lost the state service and all other members, and so get
+// no commands although a leader reaches them. The controller recognizes this by the higher fencing token that the
+// leader gave the worker, and does not renew the lease. A worker that returns after that has found no leader, so its
+// lease is renewed.
 func TestALeaseIsNotRenewedWhileALeaderReachesTheWorker(t *testing.T) {
 	for _, leaseS := range []float64{10, 18, 26.5, 42} {
 		f := newRenewalsFixture(t)
@@ -152,8 +153,8 @@
 	return r.inFlight
 }
 
-// Guards against a fixed rate of queries: at 40 a second, 4,000 workers took 100 s, and a copy of a dead worker's
-// heartbeat could count as the worker's own for its whole lease.
+// Guards against a fixed rate of queries: at 40 a second, the queries of 4,000 workers take 100 s, and a copy of a dead
+// worker's heartbeat could count as the worker's own for the whole lease.
 func TestEveryRenewedWorkerIsQueriedWithinALease(t *testing.T) {
 	const heartbeatsInALease, maxQueries = 5, 400
 	for _, c := range []struct {
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -35,10 +35,10 @@
 	case err == nil:
 		return reply, nil
 	case errors.Is(err, errNotLeading):
-		// The named member does not lead, but no other leader is known: it was restarted, and the leader key, which
-		// names its former incarnation, cannot be read. Without this case, members redirected workers to it and it
-		// redirected them again until their leases expired. Such workers never reached the member of their own zone,
-		// so the worker is not redirected here.
+		// The named member does not lead, but no other leader is known: the named member was restarted, and the leader
+		// key, which names its earlier process, cannot be read. If members redirected workers to the named member, it
+		// would redirect them again until their leases expire, and they would never reach the member of their own
+		// zone. So the worker is not redirected here.
 		if reply, ok := h.renew(ctx, hb); ok {
 			return reply, nil
 		}
@@ -77,9 +77,10 @@
 
 // mayTryLeader reports whether a worker whose heartbeat could not be relayed, because of relayErr, may be
 // redirected to the leader. A partition between this member and the leader probably separates the worker from the
-// leader, too. With five controllers, two of which could be reached, a worker that was redirected took 30 s to
-// return, and its lease of 18 s had expired. If the state service does not answer this member either, this member
-// is the one that is cut off, and the workers of its zone with it.
+// leader, too. A worker that is redirected in vain may return only after its lease has expired: with five
+// controllers, of which the worker can reach two, it returns after 30 s, and its lease lasts 18 s. If the state
+// service does not answer this member either, this member is the one that is cut off, and the workers of its zone
+// with it.
 func (h *Handler) mayTryLeader(relayErr error) bool {
 	if !errors.Is(relayErr, errLeaderUnreachable) {
 		return true
@@ -88,7 +89,7 @@
 }
 
 // renew replies to a worker without commands, so that its lease is renewed while the leader is out of reach or
-// between two leaders. The reply repeats the worker's own fencing token, so it claims no right that the worker does
+// between two leaders. The reply repeats the worker's own fencing token, so it claims no term that the worker does
 // not already know. A worker without tasks gets no renewal: it has nothing to lose. ok is false if this member may
 // not renew the lease now.
 func (h *Handler) renew(ctx context.Context, hb *wire.Heartbeat) (reply wire.HeartbeatReply, ok bool) {
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -41,7 +41,7 @@
 	termVersion uint64    // the version of the key that holds the term
 	held        bool      // the leader key exists
 	holder      holder    // its value; empty if the key does not exist or its value cannot be decoded
-	revision    uint64    // the version of the leader key, if held
+	version     uint64    // the version of the leader key, if held
 }
 
 // readLeaderKey reads the term before the leader key. If the leader key is then found vacant, this term and
@@ -52,7 +52,7 @@
 	if k.term, k.termVersion, err = e.readTerm(ctx); err != nil {
 		return k, err
 	}
-	k.holder, k.revision, k.held, err = e.readHolder(ctx)
+	k.holder, k.version, k.held, err = e.readHolder(ctx)
 	return k, err
 }
 
@@ -69,7 +69,7 @@
 	return last.Term, item.Version, nil
 }
 
-func (e *Elector) readHolder(ctx context.Context) (h holder, revision uint64, held bool, err error) {
+func (e *Elector) readHolder(ctx context.Context) (h holder, version uint64, held bool, err error) {
 	item, held, err := e.store.Get(ctx, keyHolder)
 	if err != nil {
 		return holder{}, 0, false, fmt.Errorf("reading the leader key: %w", err)
@@ -92,18 +92,18 @@
 		e.noteHolder(seen.holder.Member, seen.holder.Term)
 	}
 	e.noteStillLeading(seen.holder.Term, seen.sent)
-	e.waitForChange(ctx, seen.revision)
+	e.waitForChange(ctx, seen.version)
 }
 
 // waitForChange returns when the leader key may have changed, or just after earlierProcessConfirmationsUntil. A
 // term that a read finds in force from then on cannot be ended by a confirmation of an earlier process of this
 // member, so this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
-func (e *Elector) waitForChange(ctx context.Context, revision uint64) {
+func (e *Elector) waitForChange(ctx context.Context, version uint64) {
 	wait := tuning.LeaderWatchWait
 	if left := e.earlierProcessConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
 		wait = left + time.Millisecond
 	}
-	result, err := e.store.Watch(ctx, keyHolder, revision, wait)
+	result, err := e.store.Watch(ctx, keyHolder, version, wait)
 	if err != nil {
 		e.pause(ctx, tuning.ElectionRetryPause)
 		return
@@ -111,11 +111,11 @@
 	e.log.Debug("watch of the leader key returned; reading the key again", "events", len(result.Events))
 }
 
-// revokePreviousLease revokes the lease of the leader key when the key names this member although it does not
-// lead. That is safe in both possible cases. Either the key belongs to an earlier process of this member, which has
-// ended, since this process has its addresses; or to a campaign of this process that got no answer, on which nobody
-// acts. Without the revocation the key is held until the lease expires: a process that restarts at once
-// would cause 4 s more without a leader.
+// revokePreviousLease revokes the lease of the leader key when the key names this member although this member does
+// not lead. There are two possible cases, and the revocation is safe in both. Either an earlier process of this
+// member wrote the key; that process has ended, since this process uses its addresses. Or a campaign of this process
+// wrote the key but got no answer, and nobody acts on such a campaign. Without the revocation the key would be held
+// until the lease expires: a process that restarts at once would cause 4 s more without a leader.
 // Every lease has its own number, so a revocation that is executed late affects no other lease.
 func (e *Elector) revokePreviousLease(ctx context.Context, h holder) {
 	e.log.Info("leader key names this member, which does not lead; revoking its lease", "term", h.Term)
@@ -166,15 +166,16 @@
 	return true
 }
 
-// boundByEarlierProcessOnly reports whether this member may not campaign only because an earlier process of it may
-// have voted.
+// boundByEarlierProcessOnly reports whether a vote forbids this member to campaign now, and the only such vote is one
+// that an earlier process of this member may have given.
 func (e *Elector) boundByEarlierProcessOnly() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock.Now().Before(e.boundByVoteUntil) && e.boundByVoteUntil.Equal(e.earlierProcessVotesUntil)
 }
 
-// dropEarlierVotes lifts the restriction by votes of an earlier process, unless this process has voted meanwhile.
+// dropEarlierVotes lifts the restriction that the votes of an earlier process impose, unless this process has voted
+// meanwhile.
 func (e *Elector) dropEarlierVotes() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,7 +216,7 @@
 		return Leadership{}, false
 	}
 	next := holder{Member: e.member, Term: lastTerm + 1, Lease: lease}
-	revision, err := e.takeLeaderKey(ctx, next, termVersion, eligible.guards)
+	version, err := e.takeLeaderKey(ctx, next, termVersion, eligible.guards)
 	if err == nil && eligible.expired(e.clock.Now()) {
 		err = errConfirmationTooOld
 	}
@@ -226,7 +227,7 @@
 	}
 	e.beginTerm(next.Term, lease, sent)
 	e.noteHolder(e.member, next.Term)
-	return Leadership{Term: next.Term, Guard: wire.Condition{Key: keyHolder, Version: revision}}, true
+	return Leadership{Term: next.Term, Guard: wire.Condition{Key: keyHolder, Version: version}}, true
 }
 
 // takeLeaderKey writes the leader key and the next term in one transaction. The transaction fails if the leader key is
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -15,8 +15,8 @@
 	clock, state := newStateService(t)
 	a := startMember(t, "a", state, unreachablePeers, clock)
 	first := <-a.terms
-	if !a.Valid(first.Term) || a.Leader() != "a" {
-		t.Fatalf("after a won its campaign: term valid %v, leader %q; want true, \"a\"", a.Valid(first.Term), a.Leader())
+	if !a.MayAct(first.Term) || a.Leader() != "a" {
+		t.Fatalf("after a won its campaign: term valid %v, leader %q; want true, \"a\"", a.MayAct(first.Term), a.Leader())
 	}
 	b := startMember(t, "b", state, unreachablePeers, clock)
 	a.stop() // as if killed: it does not revoke its lease
@@ -24,7 +24,7 @@
 	clock.Advance(2 * tuning.LeaderLeaseTTL)
 	state.Expire()
 	second := <-b.terms
-	if second.Term <= first.Term || a.Valid(first.Term) || !b.Valid(second.Term) || b.Valid(first.Term) {
+	if second.Term <= first.Term || a.MayAct(first.Term) || !b.MayAct(second.Term) || b.MayAct(first.Term) {
 		t.Errorf("terms %d of a and %d of b: want a later term of b, valid for b alone", first.Term, second.Term)
 	}
 	// The guard makes every transaction fail that the first leader still sends.
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against two leaders after a campaign of unknown outcome: nobody acts
-// on it, and the next campaign, once the lease of the first is gone, has a higher term.
+// Guards against two leaders after a campaign of unknown outcome. Nobody acts on that campaign. The next campaign
+// begins once the first one's lease is gone, and has a higher term.
 func TestCampaignOfUnknownOutcomeIsNotActedOn(t *testing.T) {
 	clock, state := newStateService(t)
 	lostAnswers := 0
@@ -70,7 +70,7 @@
 	started := clock.Now()
 	advanceUntilReceived(t, state, clock, a, a.terms)
 	if elapsed := clock.Since(started); elapsed < tuning.CampaignAfterVacancy || elapsed > tuning.CampaignAfterVacancy+time.Second {
-		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.YieldVacantAfter, and not before", elapsed)
+		t.Errorf("led after %v: it must campaign within 1 s after the leader key was vacant for tuning.CampaignAfterVacancy, and not before", elapsed)
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	elector := newElector(store, unreachablePeers, "a", clock)
 	seen, err := elector.readLeaderKey(t.Context())
-	if err != nil || !seen.held || seen.holder != (holder{}) || seen.revision == 0 {
+	if err != nil || !seen.held || seen.holder != (holder{}) || seen.version == 0 {
 		t.Errorf("undecodable leader key read as %+v (error %v), want it held, with an empty holder and its version", seen, err)
 	}
 }
--- a/internal/cluster/election/confirmation.go
+++ b/internal/cluster/election/confirmation.go
@@ -13,7 +13,7 @@
 	if e.ownTerm != 0 || e.clock.Now().Before(e.boundByVoteUntil) {
 		return false
 	}
-	e.confirmedOverTerm = max(e.confirmedOverTerm, term)
+	e.confirmedEndOfTerm = max(e.confirmedEndOfTerm, term)
 	return true
 }
 
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against a member that is stalled between the confirmation that it gets and its campaign: by
-// then the member that confirmed may not remember its confirmation.
+// Guards against a member that stalls after it got a confirmation and campaigns late: by then the member that
+// confirmed may no longer remember its confirmation.
 func TestOldConfirmationIsNotActedOn(t *testing.T) {
 	clock, state := newStateService(t)
 	if _, err := statestore.New(state.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
@@ -32,7 +32,7 @@
 	}
 }
 
-// Guards against a vote for a leader whose term the voter confirmed to be over, also by a voter that
+// Guards against a vote for a leader whose term the voter has confirmed to be over. That also holds for a voter that
 // was restarted and does not know what it confirmed before.
 func TestConfirmationExcludesLaterVotes(t *testing.T) {
 	clock, state := newStateService(t)
@@ -44,12 +44,12 @@
 	elector.noteStillLeading(5, clock.Now()) // an earlier process of the member may have confirmed just before it ended
 	clock.Advance(voteBindsFor)
 	if got := elector.Vote(t.Context(), 5); got != GrantedWithoutMemory {
-		t.Errorf("just restarted, it answers the vote request with %v, want GrantedWithoutMemory", got)
+		t.Errorf("a member that was just restarted answers the vote request with %v, want GrantedWithoutMemory", got)
 	}
 	clock.Advance(tuning.ConfirmationValidity)
 	elector.noteStillLeading(5, clock.Now())
 	if got := elector.Vote(t.Context(), 5); got != Granted {
-		t.Errorf("having read that the term is still in force, it answers the vote request with %v, want Granted", got)
+		t.Errorf("a member that has read that the term is still in force answers the vote request with %v, want Granted", got)
 	}
 	if elector.ConfirmTermOver(5) {
 		t.Error("confirms although its vote forbids that")
@@ -59,11 +59,11 @@
 		t.Error("does not confirm although its vote has expired")
 	}
 	if got := elector.Vote(t.Context(), 5); got != Refused {
-		t.Errorf("having confirmed that the term is over, it answers the vote request with %v, want Refused", got)
+		t.Errorf("a member that has confirmed that the term is over answers the vote request with %v, want Refused", got)
 	}
 	elector.noteStillLeading(6, clock.Now())
 	if got := elector.Vote(t.Context(), 6); got != Granted {
-		t.Errorf("it answers the vote request of a later term's leader with %v, want Granted", got)
+		t.Errorf("a member answers the vote request of a later term's leader with %v, want Granted", got)
 	}
 }
 
@@ -73,11 +73,11 @@
 	clock, state := newStateService(t)
 	a := startMember(t, "a", state, unreachablePeers, clock)
 	leadership := <-a.terms
-	if a.ConfirmTermOver(leadership.Term-1) || !a.Valid(leadership.Term) {
+	if a.ConfirmTermOver(leadership.Term-1) || !a.MayAct(leadership.Term) {
 		t.Error("confirms or resigns when asked about a term before its own")
 	}
-	if !a.ConfirmTermOver(leadership.Term) || a.Valid(leadership.Term) {
-		t.Error("does not confirm, or still acts as the leader, although its lease was read to be gone")
+	if !a.ConfirmTermOver(leadership.Term) || a.MayAct(leadership.Term) {
+		t.Error("does not confirm, or may still act as the leader, although another member has read that its lease is gone")
 	}
 	<-a.ended
 }
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -54,8 +54,9 @@
 	RequestVotes(ctx context.Context, term uint64) Votes
 	// NobodyLeads reports whether every other member answered that it does not lead.
 	NobodyLeads(ctx context.Context) bool
-	// ConfirmTermOver reports whether one of the other members confirms that no leader of this
-	// term or an earlier one can rely on its vote any more. It is true if there are no other members.
+	// ConfirmTermOver reports whether at least one of the other members confirms that no leader of this
+	// term or an earlier one can rely on that member's vote any more. The result is true if there are no
+	// other members.
 	ConfirmTermOver(ctx context.Context, term uint64) bool
 	// EndLease asks the other members to revoke a lease.
 	EndLease(ctx context.Context, lease uint64)
@@ -102,7 +103,7 @@
 	lease                         uint64        // the lease that the leader key is attached to
 	resigned                      chan struct{} // closed when this member resigns
 	failedRenewals                int           // consecutive failed renewals of the lease
-	failedRenewalsWhenOtherServed int           // failedRenewals when another member was first seen served; 0: not seen
+	failedRenewalsWhenOtherServed int           // value of failedRenewals when the state service was first seen to serve another member; 0: not seen
 	voteRound                     uint64        // number of the current vote round; a round with an older number is void
 	fencing                       fencingLease  // the fencing lease that this leader holds on a silent member
 
@@ -111,13 +112,14 @@
 	leaderTerm              uint64    // the term of leader
 	endedTerm               uint64    // this term and all earlier ones are over
 	leadingTermSinceRestart uint64    // the highest term read in force after earlierProcessConfirmationsUntil
-	vacantSince             time.Time // since when the leader key names nobody; zero: it named a member at the last read
+	vacantSince             time.Time // when the leader key was first read as naming no member; zero: it named one at the last read
 
-	// What this member may not do because of what it did before.
+	// Restrictions on this member's votes, confirmations and campaigns. They follow from what this process, or an
+	// earlier process of this member, did before.
 	campaigning              bool      // a campaign is in progress; if it succeeds, this member leads
 	boundByVoteUntil         time.Time // a vote forbids this member to campaign or confirm before this time
 	earlierProcessVotesUntil time.Time // a vote of an earlier process of this member may be relied on before this time
-	confirmedOverTerm        uint64    // this member confirmed the end of this term: no vote for it or earlier ones
+	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed; it does not vote for a leader of that term or an earlier one
 	deferCampaignUntil       time.Time // no campaign before this time, unless the leader key stays vacant
 }
 
@@ -136,8 +138,9 @@
 }
 
 // withMargin lengthens a duration by a fraction of it, or shortens it if the fraction is negative.
-// The clocks of two members drift apart. A member that is bound for a duration therefore waits longer by
-// tuning.ClockDriftShare, and a member that relies on the duration relies on it for less by tuning.ClockDriftShare.
+// The clocks of two members drift apart. A member that is bound for a duration therefore waits longer by the
+// fraction tuning.ClockDriftShare, and a member that relies on the duration stops relying on it earlier by the same
+// fraction.
 func withMargin(d time.Duration, fraction float64) time.Duration {
 	return time.Duration(float64(d) * (1 + fraction))
 }
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// updateFencing fences off the only member that does not answer, while the state service still serves this leader:
-// in an outage that member cannot vote. A member that answers again is released.
+// updateFencing fences off the silent member if exactly one member is silent, and releases a member that answers
+// again. It acts while the state service still serves this leader, in preparation for an outage: a silent member
+// cannot vote then.
 func (e *Elector) updateFencing(ctx context.Context, leadership Leadership) {
 	silent := e.peers.Silent()
 	fencing, released, ok := e.reviewFencing(leadership.Term, silent)
@@ -127,8 +128,8 @@
 	}
 }
 
-// eligibility is the ground on which a member may campaign: no leader has fenced it off, or another member
-// has confirmed that the last term is over.
+// eligibility is the reason why a member may campaign: no leader has fenced it off, or another member has confirmed
+// that the last term is over.
 type eligibility struct {
 	guards    []wire.Condition // further conditions of the campaign's transaction
 	expiresAt time.Time        // when the confirmation expires; zero: never, since there is none
@@ -139,8 +140,8 @@
 	return !el.expiresAt.IsZero() && !now.Before(el.expiresAt)
 }
 
-// checkEligibility returns the ground on which this member may campaign, given that the leader key was found
-// vacant after the term. The validity of a confirmation counts from before the other members are asked. The error
+// checkEligibility returns the reason why this member may campaign. term is the last term that began; the leader key
+// was found vacant after it. The validity of a confirmation counts from before the other members are asked. The error
 // is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
 func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
 	key := prefixFencing + e.member
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -10,13 +10,12 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Guards against workers that kill their tasks in an outage because one member
-// is silent: if that member was fenced off before, the votes of the others keep the
-// term valid for as long as the fencing lease certainly exists.
+// Guards against workers that kill their tasks in an outage because one member is silent. If that member was fenced
+// off before, the votes of the others extend the term's validity for as long as the fencing lease certainly exists.
 func TestFencedOffMemberDoesNotEndTheTermsValidity(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		silent     []string // before the outage
+		silent     []string // the members that are silent before the outage
 		votes      Votes
 		staysValid bool
 	}{
@@ -34,7 +33,7 @@
 			advanceUntil(t, state, clock, leaderGoroutines, "the leader to check which members are silent", func() bool { return clock.Since(started) > 2*tuning.FencingLeaseRenewEvery })
 			state.Refuse(true)
 			started = clock.Now()
-			advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+			advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.MayAct(leadership.Term) })
 			validFor := clock.Since(started)
 			if c.staysValid && (validFor < tuning.FencingLeaseTTL/2 || validFor > tuning.FencingLeaseTTL) || !c.staysValid && validFor > tuning.LeaderLeaseTTL {
 				t.Errorf("the term became invalid %v after the outage began", validFor)
@@ -43,9 +42,9 @@
 	}
 }
 
-// Guards against a second leader while the first relies on a fencing lease: a member
-// that is fenced off does not campaign without a confirmation while the lease exists,
-// not even if it was fenced off just before its campaign's transaction.
+// Guards against a second leader while the first relies on a fencing lease. A member that is fenced off does not
+// campaign without a confirmation while that lease exists. That holds even if the member was fenced off just before
+// its campaign's transaction.
 func TestFencedOffMemberNeedsAConfirmation(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock)
@@ -128,7 +127,7 @@
 	}
 	elector.noteRenewal(leadership.Term, renewalSent)
 	elector.extendByVotes(leadership.Term, round, sent, votesExcept("b")())
-	if elector.Valid(leadership.Term) {
+	if elector.MayAct(leadership.Term) {
 		t.Error("a void vote round made the term valid")
 	}
 	elector.peers = &fakePeers{} // b answers again
@@ -139,8 +138,8 @@
 }
 
 // Guards against a fencing lease that expires while the leader relies on it. That happened when the first attempt
-// to fence the member off got no answer and was executed after the second: it attached the key to its own lease,
-// which expired earlier.
+// to fence the member off got no answer and was executed after the second attempt: the first attempt then attached
+// the key to its own lease, which expired earlier.
 func TestLateFencingLeaseDoesNotReplaceANewerOne(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(unrevokableStore{statestore.New(state.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock)
--- a/internal/cluster/election/helpers_test.go
+++ b/internal/cluster/election/helpers_test.go
@@ -41,7 +41,7 @@
 	return func() Votes { return Votes{Silent: names} }
 }
 
-// unreachablePeers are two members, b and c, that do not answer vote requests. None of them leads.
+// unreachablePeers are two members, b and c, that do not answer vote requests. Neither of them leads.
 var unreachablePeers = &fakePeers{votes: votesExcept("b", "c"), nobodyLeads: always(true)}
 
 // member is a running elector.
@@ -83,8 +83,8 @@
 	return m.ownTerm != 0
 }
 
-// How many goroutines of an elector wait for the clock: one of a follower; three of a
-// leader, which renew the lease, request votes and maintain the fencing lease.
+// The number of an elector's goroutines that wait for the clock: one if it follows, three if it leads. The three
+// goroutines of a leader renew the lease, request votes and maintain the fencing lease.
 const (
 	followerGoroutines = 1
 	leaderGoroutines   = 3
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -17,9 +17,9 @@
 }
 
 // NoteLeader records who leads according to another member. The state service may refuse only this member, and
-// workers that connect to it must be redirected to the leader nevertheless. No member starts to act as the leader
-// because of it. A leader that learns of a later term this way knows that its own lease is over, even if the state
-// service does not answer it, and resigns.
+// workers that connect to this member must be redirected to the leader nevertheless. No member starts to act as the
+// leader because of what another member says. A leader that learns of a later term this way knows that its own lease
+// is over, even if the state service does not answer it, and resigns.
 func (e *Elector) NoteLeader(name string, term uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/election/knowledge_test.go
+++ b/internal/cluster/election/knowledge_test.go
@@ -8,9 +8,9 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against members that redirect workers to each other in a circle: the state service refused
-// two of three members, one of them the old leader. Both named the old leader for as
-// long as that lasted, while the third member led.
+// Guards against members that redirect workers to each other in a circle. The state service refused two of three
+// members, one of them the former leader. While it did so, both named the former leader, although the third member
+// led.
 func TestLeaderIsLearntFromOtherMembers(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	elector := newElector(nil, unreachablePeers, "a", clock)
@@ -28,7 +28,7 @@
 	clock.Advance(tuning.LeaderLeaseTTL) // renewals are refused: the term is no longer valid, but not over
 	elector.NoteLeader("b", 4)
 	wantLeader("b", 4)
-	if elector.Valid(4) || elector.Valid(3) {
+	if elector.MayAct(4) || elector.MayAct(3) {
 		t.Error("acts as the leader because of another member's answer")
 	}
 	elector.resign() // its own term ends after it learnt of the later one
@@ -49,15 +49,15 @@
 	elector.noteHolder("a", 5)
 	elector.NoteLeader("b", 4)
 	elector.NoteLeader("a", 5)
-	if !elector.Valid(5) {
+	if !elector.MayAct(5) {
 		t.Error("resigns because of its own term or an earlier one")
 	}
 	elector.NoteLeader("b", 6)
-	if name, term := elector.LeaderAndTerm(); elector.Valid(5) || name != "b" || term != 6 {
-		t.Errorf("after it learnt of term 6: own term valid %v, leader %q of term %d; want false, \"b\", 6", elector.Valid(5), name, term)
+	if name, term := elector.LeaderAndTerm(); elector.MayAct(5) || name != "b" || term != 6 {
+		t.Errorf("after it learnt of term 6: own term valid %v, leader %q of term %d; want false, \"b\", 6", elector.MayAct(5), name, term)
 	}
 	elector.extendByVotes(5, elector.voteRound, clock.Now(), Votes{})
-	if elector.Valid(5) {
+	if elector.MayAct(5) {
 		t.Error("votes made the term valid again after the resignation")
 	}
 }
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -14,13 +14,13 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// crashingStore is a store that crashes the member's process at its n-th call. That call is either not executed, or
+// crashingStore is a store that crashes the member's process at one of the store's calls. That call is either not executed, or
 // executed without an answer.
 type crashingStore struct {
 	Store
 	mu                  sync.Mutex
-	callsUntilCrash     int    // calls until the crash, including the one at which the process crashes
-	executeCrashingCall bool   // the call at which the process crashes is executed
+	callsUntilCrash     int    // calls that are left, including the one at which the process crashes; negative: it has crashed
+	executeCrashingCall bool   // whether the call at which the process crashes is executed
 	crash               func() // ends the process
 }
 
@@ -96,8 +96,8 @@
 
 // advanceUntilReceived advances the clock in small steps until ch can be received from, and returns the received value
 // and how long that took. A follower is one goroutine, so none of its calls is in progress while it waits for the
-// clock. Once m leads, the clock is not advanced: some goroutine of a leader always waits for it, and the clock
-// once advanced by seconds before the test's goroutine ran again.
+// clock. Once m leads, the clock is not advanced: some goroutine of a leader always waits for the clock, so the clock
+// could advance by seconds before the test's goroutine runs again.
 func advanceUntilReceived[T any](t *testing.T, state *fakes.Store, clock *clockwork.FakeClock, m *member, ch <-chan T) (received T, elapsed time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second) // a hang is a failure
@@ -131,7 +131,7 @@
 // crashes at each call of a campaign and of its term, with the call executed or not, and is restarted at once. The
 // next process leads within 1.5 s, not only when the lease of the earlier one has expired, and in a higher term.
 func TestRestartedProcessLeadsSoonInAHigherTerm(t *testing.T) {
-	const leadsWithin = 1500 * time.Millisecond // the time that a restarted process waits before it campaigns, plus some pauses
+	const leadsWithin = 1500 * time.Millisecond // covers the wait of a restarted process before it campaigns, and a few pauses
 	for crashAtCall := 1; crashAtCall <= 10; crashAtCall++ {
 		for _, executed := range []bool{false, true} {
 			clock := clockwork.NewFakeClock()
@@ -144,7 +144,7 @@
 			}
 			second, _ := startProcess(t, state, clock, 0, false)
 			leadership, elapsed := advanceUntilReceived(t, state, clock, second, second.terms)
-			if elapsed > leadsWithin || leadership.Term <= term || !second.Valid(leadership.Term) || first.Valid(leadership.Term) {
+			if elapsed > leadsWithin || leadership.Term <= term || !second.MayAct(leadership.Term) || first.MayAct(leadership.Term) {
 				t.Errorf("crashed at call %d (executed: %v): the next process leads after %v in term %d; the earlier term was %d", crashAtCall, executed, elapsed, leadership.Term, term)
 			}
 			second.stop()
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -10,15 +10,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Valid reports whether this controller may act as the leader of the term now.
-func (e *Elector) Valid(term uint64) bool {
+// MayAct reports whether this member may act as the leader of the term now.
+func (e *Elector) MayAct(term uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return term != 0 && e.ownTerm == term && e.clock.Now().Before(e.validUntil)
 }
 
-// termOfOffice is a term of this member with what the goroutine that renews its lease needs.
-type termOfOffice struct {
+// leadershipTerm is a term in which this member leads. It also holds the lease and the channels that the goroutine
+// that renews the lease needs.
+type leadershipTerm struct {
 	Leadership
 	lease    uint64
 	resigned <-chan struct{} // closed when this member resigns
@@ -34,7 +35,7 @@
 func (e *Elector) lead(ctx context.Context, leadership Leadership, work func(context.Context, Leadership)) {
 	e.log.Info("leadership won; starting the leader's work", "term", leadership.Term)
 	workDone := make(chan struct{})
-	office := e.termOf(leadership, workDone)
+	ownTerm := e.newLeadershipTerm(leadership, workDone)
 	workCtx, stopWork := context.WithCancel(ctx)
 	go func() {
 		defer close(workDone)
@@ -44,7 +45,7 @@
 	background.Go(func() { e.requestVotes(workCtx, leadership.Term) })
 	background.Go(func() { e.maintainFencing(workCtx, leadership) })
 
-	e.renewUntilLost(ctx, office)
+	e.renewUntilLost(ctx, ownTerm)
 
 	e.resign()
 	stopWork()
@@ -53,34 +54,34 @@
 	e.log.Info("leadership ended; the leader's work has stopped", "term", leadership.Term)
 }
 
-func (e *Elector) termOf(leadership Leadership, workDone <-chan struct{}) termOfOffice {
+func (e *Elector) newLeadershipTerm(leadership Leadership, workDone <-chan struct{}) leadershipTerm {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return termOfOffice{Leadership: leadership, lease: e.lease, resigned: e.resigned, workDone: workDone}
+	return leadershipTerm{Leadership: leadership, lease: e.lease, resigned: e.resigned, workDone: workDone}
 }
 
-func (e *Elector) renewUntilLost(ctx context.Context, office termOfOffice) {
-	for e.waitInTerm(ctx, office, tuning.LeaderLeaseRenewEvery) {
-		if !e.renewLease(ctx, office) {
+func (e *Elector) renewUntilLost(ctx context.Context, ownTerm leadershipTerm) {
+	for e.waitInTerm(ctx, ownTerm, tuning.LeaderLeaseRenewEvery) {
+		if !e.renewLease(ctx, ownTerm) {
 			return
 		}
 	}
 }
 
 // renewLease retries until the lease is renewed. It returns false when the term is over.
-func (e *Elector) renewLease(ctx context.Context, office termOfOffice) bool {
+func (e *Elector) renewLease(ctx context.Context, ownTerm leadershipTerm) bool {
 	for ctx.Err() == nil {
 		sent := e.clock.Now()
-		err := e.store.RenewLease(ctx, office.lease)
+		err := e.store.RenewLease(ctx, ownTerm.lease)
 		switch {
 		case err == nil:
-			return e.noteRenewal(office.Term, sent)
+			return e.noteRenewal(ownTerm.Term, sent)
 		case errors.Is(err, statestore.ErrLeaseNotFound):
 			return false
 		}
 		e.noteFailedRenewal()
 		e.log.Debug("renewal of the leader's lease failed; retrying", "err", err)
-		if !e.waitInTerm(ctx, office, tuning.ElectionRetryPause) {
+		if !e.waitInTerm(ctx, ownTerm, tuning.ElectionRetryPause) {
 			return false
 		}
 	}
@@ -88,17 +89,17 @@
 }
 
 // waitInTerm waits for a duration. It returns false when the term is over.
-func (e *Elector) waitInTerm(ctx context.Context, office termOfOffice, d time.Duration) bool {
+func (e *Elector) waitInTerm(ctx context.Context, ownTerm leadershipTerm, d time.Duration) bool {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-office.workDone:
+	case <-ownTerm.workDone:
 		// The leader's work ended by itself: revoke the lease so that another member can lead.
-		e.revokeLease(ctx, office.lease)
+		e.revokeLease(ctx, ownTerm.lease)
 		return false
-	case <-office.resigned:
+	case <-ownTerm.resigned:
 		return false
 	case <-timer.Chan():
 		return true
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -17,19 +17,19 @@
 	leadership := <-a.terms
 	state.Refuse(true)
 	started := clock.Now()
-	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.MayAct(leadership.Term) })
 	if clock.Since(started) > tuning.LeaderLeaseTTL {
 		t.Errorf("the term stayed valid for %v without a renewal", clock.Since(started))
 	}
 	state.Refuse(false)
-	advanceUntil(t, state, clock, leaderGoroutines, "the term to be valid again", func() bool { return a.Valid(leadership.Term) })
+	advanceUntil(t, state, clock, leaderGoroutines, "the term to be valid again", func() bool { return a.MayAct(leadership.Term) })
 	if len(a.terms) != 0 || len(a.ended) != 0 {
 		t.Error("the outage ended the term")
 	}
 }
 
-// Guards against a term that stays valid longer than the lease lasts, by the time that the request took: the
-// validity counts from before the request was sent.
+// Guards against a term that stays valid for longer than the lease lasts because the time of the request was not
+// counted: the validity counts from before the request was sent.
 func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
 	for name, renew := range map[string]func(elector *Elector, sent time.Time){
 		"granted": func(elector *Elector, sent time.Time) { elector.beginTerm(5, 1, sent) },
@@ -42,25 +42,25 @@
 			clock.Advance(tuning.LeaseCallTimeout)
 			renew(elector, sent)
 			clock.Advance(tuning.LeaderLeaseTTL - tuning.LeaseCallTimeout - 100*time.Millisecond)
-			if !elector.Valid(5) {
+			if !elector.MayAct(5) {
 				t.Errorf("invalid already %v after the request was sent", clock.Since(sent))
 			}
-			if clock.Advance(100 * time.Millisecond); elector.Valid(5) {
+			if clock.Advance(100 * time.Millisecond); elector.MayAct(5) {
 				t.Errorf("still valid %v after the request was sent", clock.Since(sent))
 			}
 		})
 	}
 }
 
-// Guards against seconds without a leader when the state service refuses only the
-// leader: it resigns, then another member revokes its lease.
+// Guards against seconds without a leader when the state service refuses only the leader. The leader resigns, and
+// then another member revokes the leader's lease.
 func TestLeaderRefusedAloneHandsOver(t *testing.T) {
 	clock, state := newStateService(t)
 	var a *member
 	var leadership Leadership
 	validAtRevocation := make(chan bool, 1)
 	peers := &fakePeers{nobodyLeads: always(true), votes: func() Votes { return Votes{Refused: 1} }}
-	peers.endLease = func(uint64) { validAtRevocation <- a.Valid(leadership.Term) }
+	peers.endLease = func(uint64) { validAtRevocation <- a.MayAct(leadership.Term) }
 	a = startMember(t, "a", state, peers, clock)
 	leadership = <-a.terms
 	state.Refuse(true)
@@ -88,7 +88,7 @@
 	elector.noteRenewal(3, clock.Now())
 	elector.noteFailedRenewal()
 	elector.handOver(t.Context(), 3)
-	if !elector.Valid(3) {
+	if !elector.MayAct(3) {
 		t.Error("resigned at the end of an outage")
 	}
 }
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -34,9 +34,9 @@
 	voteReliedOnFor = withMargin(tuning.VoteValidity, -tuning.ClockDriftShare)
 )
 
-// Vote answers a request for a vote from the leader of a term, which gets no answer from the state service. A member
-// grants its vote only if it is a follower, has no campaign in progress, and the state service does not answer it
-// either. If the state service refuses only the leader, another member should replace that leader.
+// Vote answers the vote request of a leader that gets no answer from the state service; term is the leader's term. A
+// member grants its vote only if it is a follower, has no campaign in progress, and gets no answer from the state
+// service either. If the state service refuses only the leader, another member should replace that leader.
 func (e *Elector) Vote(ctx context.Context, term uint64) Vote {
 	if !e.isFollower() || e.stateServiceAnswers(ctx) {
 		return Refused
@@ -70,7 +70,7 @@
 // may have changed while it queried the state service), has not confirmed that the term is over, and knows of no
 // later term. The caller holds the lock.
 func (e *Elector) mayVote(term uint64) bool {
-	return e.ownTerm == 0 && !e.campaigning && e.confirmedOverTerm < term && !e.knowsLaterTerm(term)
+	return e.ownTerm == 0 && !e.campaigning && e.confirmedEndOfTerm < term && !e.knowsLaterTerm(term)
 }
 
 // bindByVote forbids this member to campaign or confirm while the vote that it grants now is in force. The caller
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against workers that kill their tasks in an outage of the state service: with
-// every other member's vote the leader may continue to answer them; without, it may not.
+// Guards against workers that kill their tasks in an outage of the state service. With the votes of all other members
+// the leader may continue to answer workers; without them it may not.
 func TestVotesKeepTheTermValidInAnOutage(t *testing.T) {
 	clock, state := newStateService(t)
 	var votesGranted atomic.Bool
@@ -27,14 +27,14 @@
 	state.Refuse(true)
 	started := clock.Now()
 	advanceUntil(t, state, clock, leaderGoroutines, "a long outage to pass", func() bool {
-		return clock.Since(started) > 2*tuning.FencingLeaseTTL || !a.Valid(leadership.Term)
+		return clock.Since(started) > 2*tuning.FencingLeaseTTL || !a.MayAct(leadership.Term)
 	})
-	if !a.Valid(leadership.Term) {
+	if !a.MayAct(leadership.Term) {
 		t.Fatalf("the term became invalid %v after the outage began, although all others vote", clock.Since(started))
 	}
 	votesGranted.Store(false)
 	started = clock.Now()
-	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.MayAct(leadership.Term) })
 	if clock.Since(started) > tuning.VoteValidity {
 		t.Errorf("the term stayed valid for %v after the last vote", clock.Since(started))
 	}
@@ -94,7 +94,7 @@
 	leadership := <-a.terms
 	state.Refuse(true)
 	started := clock.Now()
-	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.Valid(leadership.Term) })
+	advanceUntil(t, state, clock, leaderGoroutines, "the end of the term's validity", func() bool { return !a.MayAct(leadership.Term) })
 	if clock.Since(started) > tuning.LeaderLeaseTTL {
 		t.Errorf("the term stayed valid for %v by void vote rounds", clock.Since(started))
 	}
@@ -102,8 +102,8 @@
 
 // Guards against a former leader whose term becomes valid again although another member has led since. A leader
 // was cut off from the state service and all other members, and its lease expired. Then an outage prevented all
-// members from reading who leads, and it got the votes of members that had led themselves or knew of a later
-// leader.
+// members from reading who leads, and the former leader got the votes of members that had led themselves or knew of a
+// later leader.
 func TestTermKnownToBeOverGetsNoVotes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -142,8 +142,9 @@
 	}
 }
 
-// Guards against the same fault when the members that led in between were restarted and do not know of it: their
-// votes may extend a valid term, but not make a lapsed term valid again.
+// Guards against a former leader whose term becomes valid again by the votes of members that led in between but were
+// restarted, so that they do not know of it. Their votes may extend a valid term, but not make a lapsed term valid
+// again.
 func TestVotesWithoutMemoryDoNotRevalidateALapsedTerm(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -167,14 +168,14 @@
 			sent := clock.Now()
 			elector.extendByVotes(5, elector.voteRound, sent, c.votes)
 			clock.Advance(tuning.VoteValidity * 3 / 4)
-			if elector.Valid(5) != c.valid {
-				t.Errorf("the term is valid after the vote round: %v", elector.Valid(5))
+			if elector.MayAct(5) != c.valid {
+				t.Errorf("the term is valid after the vote round: %v", elector.MayAct(5))
 			}
 		})
 	}
 }
 
-// Guards against the same fault when the term lapses while the members are being asked.
+// Guards against a term that lapses while the members are asked and becomes valid again by votes without memory.
 func TestTermThatLapsesDuringAVoteRoundIsNotRevalidated(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	elector := newElector(nil, unreachablePeers, "a", clock)
@@ -182,7 +183,7 @@
 	clock.Advance(tuning.LeaderLeaseTTL - tuning.VoteValidity/4)
 	sent := clock.Now()
 	clock.Advance(tuning.VoteValidity / 2)
-	if elector.extendByVotes(5, elector.voteRound, sent, Votes{WithoutMemory: 1}); elector.Valid(5) {
+	if elector.extendByVotes(5, elector.voteRound, sent, Votes{WithoutMemory: 1}); elector.MayAct(5) {
 		t.Error("votes without memory made a lapsed term valid again")
 	}
 }
@@ -192,7 +193,7 @@
 func TestNoVoteBesideACampaignThatBeganMeanwhile(t *testing.T) {
 	for name, begin := range map[string]func(elector *Elector){
 		"a campaign":       func(elector *Elector) { elector.campaigning = true },
-		"a term of office": func(elector *Elector) { elector.ownTerm = 4 },
+		"a term as leader": func(elector *Elector) { elector.ownTerm = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -31,9 +31,9 @@
 	return &Client{timeout: tuning.RelayTimeout, conns: map[string]*clientConn{}, silent: map[string]bool{}}
 }
 
-// Call sends a request to the peer at addr and waits for its answer. A peer that hangs or is cut off by
-// a partition is marked silent when a call times out whose verb the peer answers from memory. Until
-// the peer answers a ping again, all other calls to it fail at once with ErrSilent. Otherwise every poll
+// Call sends a request to the peer at addr and waits for its answer. If the peer answers the request's verb
+// from memory and the call times out, the peer hangs or is cut off by a partition, and it is marked silent.
+// Until the peer answers a ping again, all other calls to it fail at once with ErrSilent. Otherwise every poll
 // and every heartbeat would wait for the timeout.
 func (c *Client) Call(ctx context.Context, addr string, request Request) (Response, error) {
 	if request.Verb != Ping && c.Silent(addr) {
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -29,7 +29,7 @@
 	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader up to a term can rely on its vote
 	EndLease         = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
 	SubsystemQuery   = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
-	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which workers it may have answered by its zone lease
+	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which machines' workers it may have answered under its zone lease
 	SubsystemCommand = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
 	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether one of the workers at some addresses answers it
 	Ping             = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
@@ -43,7 +43,7 @@
 type Request struct {
 	Verb        Verb
 	Job         string   // the job's ID; in a ping, the sender's name
-	Payload     []byte   // the body that a worker or user sent, unchanged; in a ping, the sender's claim about its zone lease
+	Payload     []byte   // the body that a worker or user sent, unchanged; in a ping, the sender's claim to its zone lease
 	TermOrLease uint64   // the term that a vote or confirmation is about, or the lease to revoke
 	Names       []string // names of machines, or addresses of workers
 }
@@ -55,7 +55,7 @@
 	Payload []byte   // the body for the worker or user; to a ping, the last claim of the ping's sender
 	Leader  string   // to a ping: the member that leads as far as the answering member knows
 	Term    uint64   // to a ping: the term of Leader
-	Names   []string // to MayHaveRenewed: the machines whose workers it may have answered by its zone lease
+	Names   []string // to MayHaveRenewed: the machines whose workers the member may have answered under its zone lease
 }
 
 // Handler answers a request. It is called concurrently. Its ctx ends when the connection is closed.
--- a/internal/cluster/peers/claims.go
+++ b/internal/cluster/peers/claims.go
@@ -2,9 +2,8 @@
 
 import "sync"
 
-// ZoneLease is this member's lease on the workers of its zone. This member's pings carry its claim, so that the
-// other members remember the claim for this member's next process. The answers to that process's pings return the
-// claim.
+// ZoneLease is this member's lease on the workers of its zone. This member's pings carry its claim to that lease. The
+// other members remember the claim, and return it in their answers to the pings of this member's next process.
 type ZoneLease interface {
 	// Claim returns what the other members are to remember; nil: nothing.
 	Claim() []byte
@@ -12,7 +11,8 @@
 	Inherit(claim []byte)
 }
 
-// ShareZoneLease makes pings exchange the claim of a zone lease. It must be called before Run.
+// ShareZoneLease makes this member's pings carry the claim to its zone lease, and passes the claim that an answer
+// returns to Inherit. It must be called before Run.
 func (p *Peers) ShareZoneLease(z ZoneLease) { p.zoneLease = z }
 
 // claims holds each other member's last claim to its zone lease.
@@ -21,8 +21,8 @@
 	byMember map[string][]byte
 }
 
-// ExchangeClaim remembers a member's claim and returns what is remembered of that member. A claim that is empty, or
-// that is from a name that is not among the other members, is not remembered.
+// ExchangeClaim remembers a member's claim and returns the last claim that is remembered of that member, nil if there
+// is none. An empty claim, or one under a name that is not among the other members, is not remembered.
 func (p *Peers) ExchangeClaim(name string, claim []byte) []byte {
 	p.claims.mu.Lock()
 	defer p.claims.mu.Unlock()
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// LeaderUnreachable reports whether the leader has not answered this member for a while. The leader then counts as
-// cut off from this member, since no answer at all arrives. A refused connection does not count as a partition: a
+// LeaderUnreachable reports whether no answer at all arrived to the last tuning.LeaderPingsMissed pings of the
+// leader. The leader then counts as cut off from this member. A refused connection does not count as a partition: a
 // process that ended refuses connections, and a packet filter may refuse those between controllers while it lets
 // workers' connections pass.
 func (p *Peers) LeaderUnreachable(leader string) bool {
@@ -123,8 +123,8 @@
 	return time.Duration(p.members) * tuning.WorkerTryTime
 }
 
-// MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. It may if
-// the worker would be back well within its lease.
+// MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. That is
+// allowed if the worker would return within the share tuning.RedirectLeaseShare of its lease.
 func (p *Peers) MayTryLeader() bool {
 	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.RedirectLeaseShare)
 }
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers makes a member's calls to the other controllers. It asks them for votes and confirmations in
-// elections, who leads, and which machines they answered under their zone leases, and relays to the leader what
-// only the leader can answer. It also monitors which of them can be reached.
+// Package peers makes a member's calls to the other controllers. It requests their votes and confirmations in
+// elections, and asks them who leads and which machines they answered under their zone leases. It relays to the
+// leader the requests that only the leader can answer. It also monitors which of the controllers can be reached.
 package peers
 
 import (
@@ -21,7 +21,8 @@
 	"poppypass/internal/platform/config"
 )
 
-// Peers are the other members. It is safe for concurrent use after SetElector and ShareZoneLease were called.
+// Peers calls the other members and holds what this member knows of them. It is safe for concurrent use once
+// SetElector and ShareZoneLease have been called.
 type Peers struct {
 	client      *peerrpc.Client
 	endpoints   map[string]string // addresses for peer calls, by the other members' names
@@ -36,7 +37,7 @@
 	claims      claims
 }
 
-// New makes the peers that the settings name. SetElector must be called before any method other than those that an
+// New makes the Peers for the other members that the settings name. SetElector must be called before any method other than those that an
 // elector calls, and ShareZoneLease before Run.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -54,7 +54,8 @@
 }
 
 // Guards against a partition of a zone whose machines need more requests than there is time for. All requests
-// together must finish within RelayTimeout; with 400 machines in each, 6,000 machines needed 15.
+// together must finish within tuning.RelayTimeout. With only 400 machines in a request, 6,000 machines would need 15
+// requests.
 func TestMachinesOfAZoneNeedFewRequests(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/internal/cluster/peers/questions_test.go
+++ b/internal/cluster/peers/questions_test.go
@@ -9,8 +9,8 @@
 	"poppypass/internal/cluster/workerlease"
 )
 
-// Guards against a member that cannot tell, or did not say, whether it answered a machine, and that counts as one
-// that did not answer it.
+// Guards against a member that cannot tell, or did not say, whether it answered a machine: it must not count as a
+// member that did not answer the machine.
 func TestOnlyAMemberThatIsSureDeniesRenewals(t *testing.T) {
 	names := []string{"n-1", "n-2"}
 	for _, c := range []struct {
--- a/internal/cluster/peers/relay_test.go
+++ b/internal/cluster/peers/relay_test.go
@@ -37,7 +37,8 @@
 	return p
 }
 
-// Guards against a request that counts as answered although the member only said that it cannot answer.
+// Guards against a request that counts as answered although the member's response only says that the member cannot
+// answer.
 func TestRelayReturnsOnlyAnswersOfTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -11,12 +11,13 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Guards against tasks that count as ended while they run because several members answer their machine one after
-// the other while the leader reads and asks. Each member truthfully said, when it was asked, that it had not
-// answered the machine for a lease, but the machine's lease had been renewed by one member and then by the next.
-// The query takes time, with pauses between its steps; it counts only if all of it took at most RenewedQueryTime.
+// Guards against tasks that count as ended while they run, because several members answer their machine one after
+// the other while the leader reads the records and asks the members. When each member was asked, it truthfully said
+// that it had not answered the machine within a worker lease, but one member after the other had renewed the
+// machine's lease. The leader's query takes time, with pauses between its steps. A conclusion counts only if the whole
+// query took at most tuning.RenewedQueryTimeout.
 func TestNoConclusionFromAnswersOfDifferentTimes(t *testing.T) {
-	concluded, tooLate, handOvers := 0, 0, 0
+	conclusions, lateQueries, handOvers := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
 		h := newFollowerHarness(t)
@@ -39,11 +40,11 @@
 		for _, z := range members {
 			z.Renew(t.Context())
 		}
-		var lastAnswered time.Time // when the machine was last answered in its current session
-		session, answeredBy := 1, -1
+		var lastAnswered time.Time // when the machine was last answered in its current incarnation
+		incarnation, answeredBy := 1, -1
 		answer := func() {
 			if !lastAnswered.IsZero() && h.clock.Since(lastAnswered) >= h.workerLease {
-				session, answeredBy = session+1, -1 // the lease expired: a new session begins
+				incarnation, answeredBy = incarnation+1, -1 // the lease expired: a new incarnation begins
 			}
 			answerer := r.IntN(3)
 			if answerer == 2 && h.tryAcquire("n-1") || answerer < 2 && members[answerer].MayRenew("n-1", "a") {
@@ -67,33 +68,33 @@
 			if r.IntN(2) == 0 {
 				answer()
 			}
-			queryStart, queriedSession := h.clock.Now(), session
+			queryStart, queriedIncarnation := h.clock.Now(), incarnation
 			betweenSteps()
 			renewed, zones, err := ReadAll(t.Context(), h.store)
 			if err != nil {
 				t.Fatal(err)
 			}
-			gone := !renewed["n-1"]
+			unanswered := !renewed["n-1"]
 			for range zones {
 				betweenSteps()
 			}
 			for _, i := range r.Perm(len(members)) {
 				betweenSteps()
 				names, err := members[i].MayHaveRenewed([]string{"n-1"})
-				gone = gone && err == nil && len(names) == 0
+				unanswered = unanswered && err == nil && len(names) == 0
 			}
 			switch {
-			case !gone:
+			case !unanswered:
 			case h.clock.Since(queryStart) > tuning.RenewedQueryTimeout:
-				tooLate++
+				lateQueries++
 			default:
-				if concluded++; session == queriedSession && !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < h.workerLease {
+				if conclusions++; incarnation == queriedIncarnation && !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < h.workerLease {
 					t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(lastAnswered))
 				}
 			}
 		}
 	}
-	if concluded < 100 || tooLate < 50 || handOvers < 100 {
-		t.Errorf("%d conclusions, %d queries that took too long, %d hand-overs between members", concluded, tooLate, handOvers)
+	if conclusions < 100 || lateQueries < 50 || handOvers < 100 {
+		t.Errorf("%d conclusions, %d queries that took too long, %d changes of the answering member; want at least 100, 50 and 100", conclusions, lateQueries, handOvers)
 	}
 }
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -86,7 +86,7 @@
 
 // writePage stores one page. If the outcome of the write is unknown, the whole record is abandoned.
 func (f *FollowerLeases) writePage(ctx context.Context, index int, p *page) error {
-	value, err := json.Marshal(renewedRecord{Machines: slices.Sorted(maps.Keys(p.names))})
+	value, err := json.Marshal(renewalRecord{Machines: slices.Sorted(maps.Keys(p.names))})
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 	f.removeExpired()
 	if slices.ContainsFunc(f.pages, func(p *page) bool { return p.changed }) {
 		if err := f.writeRecord(ctx); err != nil {
-			f.log.Debug("record of machines not updated; expired machines may stay in it for longer", "err", err)
+			f.log.Debug("record of machines not updated; machines whose leases expired may stay in it until the next update", "err", err)
 			return
 		}
 	}
@@ -163,8 +163,8 @@
 
 // removeExpired removes machines whose leases have surely expired. One call changes only as many pages, in
 // rotation, as the member's share of the state service's writes allows, and at least one: with thousands of
-// machines, changing every page at each renewal exceeded that share. A name that stays in the record for longer
-// only makes the leader conclude later that the machine's tasks have ended.
+// machines, changing every page at each renewal would exceed that share. If a name stays in the record for longer,
+// the leader only concludes later that the machine's tasks have ended.
 func (f *FollowerLeases) removeExpired() {
 	expired := f.expiredByPage()
 	remove := expired[nil]
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -23,11 +23,12 @@
 // either, as when two zones are partitioned from each other. The replies contain no commands; they only renew the
 // workers' leases. This is safe for two reasons:
 //
-//   - A machine's name is stored in a record of the state service before the machine's first reply. It stays there
-//     for a worker's lease plus RenewedQueryTime after the last reply, even if this process dies.
-//   - The leader concludes nothing from the expiry of a lease before it has read these records after the expiry,
-//     within RenewedQueryTime of the beginning of its query. A machine that is in none of them was answered by no
-//     follower for a whole lease before that beginning.
+//   - A machine's name is stored in a record of the state service before the first reply to the machine. The name
+//     stays there for the duration of a worker lease plus tuning.RenewedQueryTimeout after the last reply, even if
+//     this process dies.
+//   - The leader concludes nothing from the expiry of a lease before it has read these records. It reads them after
+//     the expiry and within tuning.RenewedQueryTimeout of the beginning of its query. If no record names a machine,
+//     no follower answered the machine within a whole worker lease before that beginning.
 //
 // Each process writes under keys of its own, so that a restarted process cannot remove what an earlier process has
 // written. The goroutine of Run owns the state; any goroutine may call Acquire.
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against a write without an answer that is applied later and removes a name again: nothing more is written
-// under its key.
+// Guards against a write that gets no answer and is executed late, after a newer write: it would remove the name that
+// the newer write added. So after a write without an answer, nothing more is written under its key.
 func TestWriteOfUnknownOutcomeEndsTheRecord(t *testing.T) {
 	h := newFollowerHarness(t)
 	h.tryAcquire("n-1")
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against a record that has room for a few hundred machines only. When a leader dies, the workers of a large
-// fleet report at the same time, and the leases of those for which the record had no room expired.
+// Guards against a record that has room for only a few hundred machines. When a leader dies, the workers of a large
+// fleet report at the same time, and the leases of those for which the record has no room would expire.
 func TestManyMachinesNeedSeveralPages(t *testing.T) {
 	h := newFollowerHarness(t)
 	const machines = 5000
@@ -175,9 +175,9 @@
 	}
 }
 
-// Guards against a record of thousands of machines of which every page is written at each renewal while workers
-// return to the leader one after the other. That exceeded the member's share of the state service's writes, and new
-// machines had to wait.
+// Guards against writing every page of a record of thousands of machines at each renewal while workers return to the
+// leader one after the other. That exceeded the member's share of the state service's writes, and new machines had to
+// wait.
 func TestExpiredMachinesAreRemovedWithinTheShareOfChanges(t *testing.T) {
 	const machines, writeRPS, share = 6000, 50, 0.08
 	h := newFollowerHarness(t)
--- a/internal/cluster/workerlease/formats_test.go
+++ b/internal/cluster/workerlease/formats_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestStoredFormats(t *testing.T) {
-	golden.JSONRoundTrip(t, "record", golden.Fill(new(renewedRecord)))
+	golden.JSONRoundTrip(t, "record", golden.Fill(new(renewalRecord)))
 	golden.JSONRoundTrip(t, "zone-right", golden.Fill(new(ZoneLeaseRecord)))
 	golden.Lines(t, "keys", prefixRenewed)
 }
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -2,7 +2,7 @@
 // the leader. Such a reply to a heartbeat contains no commands and repeats the worker's own fencing token. A member
 // may send it on one of two grounds:
 //
-//   - FollowerLeases: the state service stores the machine's name in a record before the machine's first reply.
+//   - FollowerLeases: the state service stores the machine's name in a record before the first reply to the machine.
 //     This serves two zones that are partitioned from each other, and the time between two leaders.
 //   - ZoneLease: the member holds a lease on the workers of its zone, which it acquired before it was cut off from
 //     everything else.
@@ -26,8 +26,8 @@
 // prefixRenewed is the key prefix of both kinds of records: machines whose leases followers renew, and zone leases.
 const prefixRenewed = "keep/"
 
-// renewedRecord is a stored record. It either names machines or describes a zone lease.
-type renewedRecord struct {
+// renewalRecord is a stored record. It either names machines or describes a zone lease.
+type renewalRecord struct {
 	Machines []string `json:"machines,omitempty"`
 	ZoneLeaseRecord
 }
@@ -43,7 +43,7 @@
 	renewed = map[string]bool{}
 	_, err = store.ListAll(ctx, prefixRenewed, func(items []wire.Item) error {
 		for _, item := range items {
-			var record renewedRecord
+			var record renewalRecord
 			if err := json.Unmarshal(item.Value, &record); err != nil {
 				return fmt.Errorf("decoding record %s: %w", item.Key, err)
 			}
@@ -65,14 +65,14 @@
 	return time.Duration(float64(d) * (1 + tuning.ClockDriftShare))
 }
 
-// expiredAfter returns how long after a reply the worker's lease has expired on every clock.
+// expiredAfter returns the time after a reply by which the worker's lease has expired on every clock.
 func expiredAfter(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
 // renewalReportedFor returns for how long after a reply the record, or the member itself, must report that reply. A
-// leader that asks began its query at most RenewedQueryTime earlier, so each source reports every reply within a
-// worker's lease before the beginning of the query. When each source reported only the lease before the moment at
-// which it was asked, two members that answered a machine one after the other both denied having answered it, and
-// its tasks counted as ended while they ran.
+// leader that asks began its query at most tuning.RenewedQueryTimeout earlier, so each source reports every reply
+// within a worker lease before the beginning of the query. If each source reported only the replies within a worker
+// lease before it was asked itself, two members that answer a machine one after the other could both deny having
+// answered it, and its tasks would count as ended while they run.
 func renewalReportedFor(lease time.Duration) time.Duration {
 	return expiredAfter(lease) + tuning.RenewedQueryTimeout
 }
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -27,21 +27,21 @@
 // else. The replies contain no commands and repeat the worker's own fencing token. This is safe for four reasons:
 //
 //   - The zone lease is a record in the state service, under a lease that the member renews while the state service
-//     answers it. The member answers workers for tuning.ZoneLeaseTTL after it sent the last renewal that succeeded,
-//     and the record outlives the workers' leases that begin by then.
+//     answers it. The member answers workers until tuning.ZoneLeaseTTL after it sent the last successful renewal.
+//     The record outlives all worker leases that begin before that.
 //   - A leader concludes nothing from the expiry of the lease of a machine of that zone before it has read these
 //     records after that expiry. For each record that is still stored, the record's member must also have told the
-//     leader that it did not answer the machine for a whole lease before the leader began to read (see
-//     tuning.RenewedQueryTime). A member that does not say so may have answered the machine, until its record has
-//     expired.
-//   - A restarted process does not speak for the process before it. MayHaveRenewed returns ErrUnsure until a
-//     worker's lease after the start of the new process. By then, every lease that the earlier process renewed has
+//     leader that it did not answer the machine within a whole worker lease before the leader began to read (see
+//     tuning.RenewedQueryTimeout). A member that does not say so may have answered the machine, until its record has
 //     expired.
+//   - A restarted process does not speak for the process before it. MayHaveRenewed returns ErrUnsure until the
+//     duration of a worker lease has passed since the new process started. By then, every lease that the earlier
+//     process renewed has expired.
 //   - A process adopts the zone lease of the process before it, if another member remembers when that lease ends.
-//     The record of the earlier process stays stored until a worker's lease after that end, whichever process
-//     answers. The end is a wall-clock time, so a message that was delayed is still correct. Two clocks
-//     are involved, each of which may be wrong by the largest clock error, so the process treats the end as reached
-//     at the earliest moment that these errors allow.
+//     The record of the earlier process stays stored for at least the duration of a worker lease after that end, so
+//     it covers the replies of both processes. The end is a wall-clock time, so a message that was delayed is still
+//     correct. Two clocks are involved, each of which may be wrong by the largest clock error, so the process treats
+//     the end as reached at the earliest moment that these errors allow.
 //
 // Terms and fencing leases play no part in this: a zone lease permits no command, no write of a record and no
 // campaign. ZoneLease is safe for concurrent use.
@@ -53,7 +53,7 @@
 	zone        string
 	workerLease time.Duration // how long a worker's lease lasts after a reply
 	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are too long for one
-	startedAt   time.Time
+	startedAt   time.Time     // when this process made the ZoneLease; an earlier process may have answered workers before then
 	clockError  time.Duration // how far a wall clock may be from the true time
 
 	mu               sync.Mutex
@@ -100,8 +100,8 @@
 	return z.leaseID != 0 && now.Sub(z.leaseRequestedAt) < z.ttl
 }
 
-// MayHaveRenewed returns those of some machines that this member may have answered under its zone lease within a
-// worker's lease plus RenewedQueryTime before now. The error is ErrUnsure while an earlier process of this member
+// MayHaveRenewed returns which of the named machines this member may have answered under its zone lease within the
+// last worker lease plus tuning.RenewedQueryTimeout. The error is ErrUnsure while an earlier process of this member
 // may have answered others; renewed then holds only the machines that this process answered.
 func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, err error) {
 	z.mu.Lock()
@@ -174,16 +174,16 @@
 	}
 }
 
-// acquire stores a record under a key of its own. The zone lease counts from before the request for the record's
-// lease was sent, and only once the record is surely stored. A record whose write was not confirmed is left until
-// its lease expires.
+// acquire stores a record under a key of its own. The zone lease begins only when the write of the record is
+// confirmed, but its duration is counted from before the request for the record's lease was sent. If the write is
+// not confirmed, the record may be stored nevertheless; it then remains until its lease expires.
 func (z *ZoneLease) acquire(ctx context.Context) error {
 	sent := z.clock.Now()
 	lease, err := z.store.GrantLease(ctx, z.recordTTL())
 	if err != nil {
 		return fmt.Errorf("acquiring a lease for the record: %w", err)
 	}
-	value, err := json.Marshal(renewedRecord{ZoneLeaseRecord: ZoneLeaseRecord{Zone: z.zone, Member: z.member}})
+	value, err := json.Marshal(renewalRecord{ZoneLeaseRecord: ZoneLeaseRecord{Zone: z.zone, Member: z.member}})
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -109,7 +109,7 @@
 	}
 	h.advance(zoneWorkerLease + time.Second)
 	if h.concludes("n-1", true) {
-		t.Error("concluded although the query may have begun up to RenewedQueryTime before the member was asked")
+		t.Error("concluded although the query may have begun up to RenewedQueryTimeout before the member was asked")
 	}
 	h.advance(tuning.RenewedQueryTimeout)
 	if !h.concludes("n-1", true) {
@@ -136,8 +136,8 @@
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 21))
 		h := newZoneHarness(t)
-		var lastAnswered time.Time                                         // when the machine was last answered
-		storeDown, memberCutOff, concluded, answered := false, false, 0, 0 // memberCutOff: from the state service and the leader
+		var lastAnswered time.Time                                          // when the machine was last answered
+		storeDown, memberCutOff, conclusions, answers := false, false, 0, 0 // memberCutOff: the member reaches neither the state service nor the leader
 		for range 800 {
 			switch n := r.IntN(100); {
 			case n < 1:
@@ -155,23 +155,23 @@
 				if lastAnswered.IsZero() || h.clock.Since(lastAnswered) < zoneWorkerLease {
 					if h.MayRenew("n-1", "a") {
 						lastAnswered = h.clock.Now()
-						answered++
+						answers++
 					}
 				}
 			case !storeDown:
 				// The leader itself has not answered the machine for a lease.
 				if h.concludes("n-1", !memberCutOff && r.IntN(3) > 0) {
-					concluded++
+					conclusions++
 					if !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < zoneWorkerLease {
 						t.Fatalf("seed %d: concluded %v after an answer", seed, h.clock.Since(lastAnswered))
 					}
-					lastAnswered = time.Time{} // the machine's next session
+					lastAnswered = time.Time{} // the machine's worker begins a new incarnation, which may be answered again
 				}
 			}
 			h.advance(time.Duration(r.IntN(4000)) * time.Millisecond)
 		}
-		if concluded == 0 || answered == 0 {
-			t.Errorf("seed %d: %d conclusions, %d answers", seed, concluded, answered)
+		if conclusions == 0 || answers == 0 {
+			t.Errorf("seed %d: %d conclusions, %d answers", seed, conclusions, answers)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -89,7 +89,7 @@
 	for _, t := range settings.Cluster.Teams {
 		teams[t.Name] = t
 	}
-	sockets, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
+	fdLimit, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
 	return &leader.Env{
 		Settings:       settings,
 		Tunables:       c.operatorSettings.Tunables(),
@@ -99,9 +99,9 @@
 		Cloud:          c.cloud,
 		Teams:          teams,
 		FinalStates:    jobs.NewFinalStates(max(tuning.FinalStatesMin, int(memoryMB*tuning.FinalStatesPerMiB))),
-		Workers:        httpjson.NewClient(2, 1, int(sockets*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
-		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(sockets*tuning.CommandConnShare))),
-		MayAct:         c.elector.Valid,
+		Workers:        httpjson.NewClient(2, 1, int(fdLimit*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
+		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(fdLimit*tuning.CommandConnShare))),
+		MayAct:         c.elector.MayAct,
 		MayHaveRenewed: c.mayHaveRenewed,
 		ProbeWorkers:   c.peers.ProbeWorkers,
 		MemoryFull:     memory.New(memoryMB, c.clock).Full,
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Guards against the answer that a job does not exist while its state cannot be read: a failed read is no proof of
-// that.
+// Guards against the answer that a job does not exist while the job's state cannot be read: a failed read does not prove
+// that there is no such job.
 func TestAFailedReadIsNoProofThatAJobDoesNotExist(t *testing.T) {
 	h := newHarness(t)
 	if s := h.jobState("job-9"); s != "Not Found" {
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -177,8 +177,8 @@
 }
 
 // Guards against errors in a form that clients of the API cannot parse: malformed requests and requests for what a
-// team may not see are answered in the API's own error form. Listings, filters and runs of empty steps are checked on
-// the way.
+// team may not see are answered in the API's own error form. The test also checks listings, filters and runs of empty
+// steps.
 func TestGraphErrorsHaveTheAPIsForm(t *testing.T) {
 	h, _ := newGraphHarness(t)
 	for i := range 5 {
@@ -264,7 +264,7 @@
 	h.submit("job-1", 3) // uses all CPUs of the team's limit
 	worker := h.worker("n-000001", "a")
 	h.until("the team is at its limit", func() bool { worker.tick(); return worker.running() == 3 })
-	long := func(s map[string]any) map[string]any { s["job"].(map[string]any)["cpus"] = 12; return s }
+	usingAllCPUs := func(s map[string]any) map[string]any { s["job"].(map[string]any)["cpus"] = 12; return s }
 	var want []string
 	for i := range 4 {
 		h.clock.Advance(tuning.Tick)
@@ -275,7 +275,7 @@
 		want = append(want, id)
 		h.clock.Advance(tuning.Tick)
 		name := fmt.Sprint("g", i)
-		h.expectStatus("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{long(jobStep("s")), long(jobStep("t", "s"))}}, 201)
+		h.expectStatus("PUT", "/dags/"+name, map[string]any{"dag_id": name, "tasks": []any{usingAllCPUs(jobStep("s")), usingAllCPUs(jobStep("t", "s"))}}, 201)
 		h.expectStatus("POST", "/dags/"+name+"/dagRuns", map[string]any{"dag_run_id": "one"}, 200)
 		h.until("the step is queued", func() bool {
 			worker.heartbeat()
--- a/internal/controller/late_answers_test.go
+++ b/internal/controller/late_answers_test.go
@@ -16,8 +16,8 @@
 
 // Guards against a leader that reports an older state of a job than another member has reported. The transaction that
 // stores the final state is executed, but its answer is late or lost. Another member that cannot reach the leader
-// reads the final state from the state service, and then the leader answers from its memory. A random history of
-// requests hit this short window and found the fault. In an outage, in which no transaction is executed, the leader
+// reads the final state from the state service, and then the leader answers from its memory. The time in which this
+// happens is short; random histories of requests hit it. In an outage, in which no transaction is executed, the leader
 // does answer from memory.
 func TestALeaderDoesNotAnswerWhileAnEndMayBeStored(t *testing.T) {
 	h := newHarness(t)
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -37,8 +37,8 @@
 }
 
 // mayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its zone
-// lease, which renews their worker leases. The error is workerlease.ErrUnsure if the member cannot tell, or that of
-// the call if it gives no answer.
+// lease. Such an answer renews the lease of the machine's worker. The error is workerlease.ErrUnsure if the member
+// cannot tell, or that of the call if the member gives no answer.
 func (c *Controller) mayHaveRenewed(ctx context.Context, member string, names []string) (renewed []string, err error) {
 	if member == c.settings.Member {
 		return c.zoneLease.MayHaveRenewed(names)
@@ -48,7 +48,7 @@
 
 // leader returns the leader's loop while this member may act as the leader of that loop's term, nil otherwise.
 func (c *Controller) leader() *leader.Loop {
-	if l := c.activeLoop.Load(); l != nil && c.elector.Valid(l.Leadership().Term) {
+	if l := c.activeLoop.Load(); l != nil && c.elector.MayAct(l.Leadership().Term) {
 		return l
 	}
 	return nil
