--- a/internal/api/userapi/cancel.go
+++ b/internal/api/userapi/cancel.go
@@ -73,8 +73,8 @@
 	case !errors.Is(err, leader.ErrUnknownJob) && !errors.Is(err, leader.ErrLoading):
 		return wire.JobStatus{}, errCancelUnconfirmed
 	}
-	// The leader's memory does not hold the job. It learns of accepted jobs with a short delay, so a job that is stored
-	// but unknown to the leader is not cancelled yet, and the user has to ask again.
+	// The leader's memory does not hold the job. The leader learns of accepted jobs with a short delay, so a job that
+	// is stored but unknown to the leader is not cancelled yet, and the user has to ask again.
 	s, err := h.storedStatus(ctx, id, h.store)
 	if err == nil && !s.State.Final() {
 		err = errCancelUnconfirmed
--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// answerBatch reads the states of a batch's jobs and answers their polls. A batch of at least tuning.PollBatchMinJobs jobs
-// reads the live ones by one listing and the final states of the others one by one; a smaller batch reads every job
-// by itself.
+// answerBatch reads the states of a batch's jobs and answers their polls. For a batch of at least
+// tuning.PollBatchMinJobs jobs it reads the live jobs by one listing, and the final states of the others one by one.
+// For a smaller batch it reads every job by itself.
 func (r *statusReader) answerBatch(batch map[string][]chan statusAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollTimeout)
 	defer cancel()
--- a/internal/api/userapi/submit.go
+++ b/internal/api/userapi/submit.go
@@ -36,7 +36,7 @@
 
 // submitAnswer is the answer to a submission.
 type submitAnswer struct {
-	status    int           // HTTP status; 200: the job was known already; 201: it is stored now; from 400: it is refused
+	status    int           // HTTP status; 200: the job was known already; 201: it is stored now; 400 and above: it is refused
 	job       wire.Accepted // set if status is below 400
 	errorText string        // the error text, set if status is 400 or above
 }
@@ -54,9 +54,9 @@
 }
 
 // submitAnywhere has this member store a submission. If that fails or takes longer than tuning.SubmitHedgeDelay, it has
-// another member store it, too: the state service may refuse this member alone, or not answer it. That both store it
-// is safe: the second one finds the job stored. submitAnywhere returns the first conclusive answer, or this member's
-// own if there is none.
+// another member store it, too: the state service may refuse this member alone, or not answer it. It is safe if both
+// try to store the job: the second one finds it stored. submitAnywhere returns the first conclusive answer, or this
+// member's own if there is none.
 func (h *Handler) submitAnywhere(ctx context.Context, body []byte) submitAnswer {
 	ownAnswer := h.startSubmit(ctx, body)
 	if h.peers.Alone() {
@@ -78,8 +78,8 @@
 	}
 }
 
-// startSubmit starts to store a submission by this member. The goroutine ends after tuning.SubmitStoreTimeout at the latest,
-// or with ctx.
+// startSubmit starts a goroutine in which this member stores a submission. The goroutine ends after
+// tuning.SubmitStoreTimeout at the latest, or with ctx.
 func (h *Handler) startSubmit(ctx context.Context, body []byte) <-chan submitAnswer {
 	answer := make(chan submitAnswer, 1) // buffered: the caller may no longer receive
 	go func() {
@@ -90,7 +90,7 @@
 	return answer
 }
 
-// startRelay starts to have another member store a submission. The goroutine ends with ctx.
+// startRelay starts a goroutine that has another member store a submission. The goroutine ends with ctx.
 func (h *Handler) startRelay(ctx context.Context, body []byte) <-chan submitAnswer {
 	answer := make(chan submitAnswer, 1) // buffered: the caller may no longer receive
 	go func() { answer <- h.relaySubmission(ctx, body) }()
--- a/internal/api/workerapi/election_grace.go
+++ b/internal/api/workerapi/election_grace.go
@@ -28,8 +28,8 @@
 	return time.Duration(max(0, spareSeconds) * tuning.ElectionGraceShare * float64(time.Second))
 }
 
-// active reports whether the worker should look for a leader, since one is likely to be elected soon. It notes that
-// a worker asked now.
+// active reports whether the grace period lasts: a leader is likely to be elected soon, so the worker should look for
+// it instead of getting a renewal here. active also records that a heartbeat arrived now.
 func (g *electionGrace) active(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -166,9 +166,9 @@
 	return &hb, nil
 }
 
-// reply answers a heartbeat. A leader that may act replies with commands. A follower names the leader. It renews
-// the worker's lease instead, without commands, if the worker has evidently lost the leader or the leader does not
-// answer this member either.
+// reply answers a heartbeat. A leader that may act replies with commands. A follower names the leader. If the
+// worker evidently cannot reach the leader, or the leader does not answer this member, the follower relays the
+// heartbeat or renews the worker's lease without commands. It also renews the lease if no member is known to lead.
 func (h *Handler) reply(ctx context.Context, body []byte, hb *wire.Heartbeat) (wire.HeartbeatReply, error) {
 	if h.leader() != nil {
 		return h.answerAsLeader(ctx, hb)
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -103,7 +103,7 @@
 	lease                         uint64        // the lease that the leader key is attached to
 	resigned                      chan struct{} // closed when this member resigns
 	failedRenewals                int           // consecutive failed renewals of the lease
-	failedRenewalsWhenOtherServed int           // value of failedRenewals when the state service was first seen to serve another member; 0: not seen
+	failedRenewalsWhenOtherServed int           // failedRenewals when the state service was first seen to serve another member; 0: not seen
 	voteRound                     uint64        // number of the current vote round; a round with an older number is void
 	fencing                       fencingLease  // the fencing lease that this leader holds on a silent member
 
@@ -119,7 +119,7 @@
 	campaigning              bool      // a campaign is in progress; if it succeeds, this member leads
 	boundByVoteUntil         time.Time // a vote forbids this member to campaign or confirm before this time
 	earlierProcessVotesUntil time.Time // a vote of an earlier process of this member may be relied on before this time
-	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed; it does not vote for a leader of that term or an earlier one
+	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed: no vote for its leader or an earlier one's
 	deferCampaignUntil       time.Time // no campaign before this time, unless the leader key stays vacant
 }
 
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -41,8 +41,8 @@
 }
 
 // updateFencing fences off the silent member if exactly one member is silent, and releases a member that answers
-// again. It acts while the state service still serves this leader, in preparation for an outage: a silent member
-// cannot vote then.
+// again. It does so only while the state service still serves this leader. It prepares for an outage, in which the
+// silent member could not vote.
 func (e *Elector) updateFencing(ctx context.Context, leadership Leadership) {
 	silent := e.peers.Silent()
 	fencing, released, ok := e.reviewFencing(leadership.Term, silent)
--- a/internal/cluster/election/restart_test.go
+++ b/internal/cluster/election/restart_test.go
@@ -14,12 +14,12 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// crashingStore is a store that crashes the member's process at one of the store's calls. That call is either not executed, or
-// executed without an answer.
+// crashingStore is a store that crashes the member's process at one of the store's calls. That call is either not
+// executed, or executed without an answer.
 type crashingStore struct {
 	Store
 	mu                  sync.Mutex
-	callsUntilCrash     int    // calls that are left, including the one at which the process crashes; negative: it has crashed
+	callsUntilCrash     int    // calls that are left, including the one at which the process crashes; 0 or less: it has crashed
 	executeCrashingCall bool   // whether the call at which the process crashes is executed
 	crash               func() // ends the process
 }
@@ -27,7 +27,7 @@
 var errCrashed = errors.New("the process has crashed")
 
 // nextCall reports whether this call gets no answer because of the crash, and whether it is executed.
-func (c *crashingStore) nextCall() (last, executed bool) {
+func (c *crashingStore) nextCall() (unanswered, executed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callsUntilCrash--
@@ -42,12 +42,12 @@
 
 func call[T any](c *crashingStore, fn func() (T, error)) (T, error) {
 	var v T
-	last, executed := c.nextCall()
+	unanswered, executed := c.nextCall()
 	var err error
 	if executed {
 		v, err = fn()
 	}
-	if last {
+	if unanswered {
 		c.crash()
 		var none T
 		return none, errCrashed
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -178,8 +178,8 @@
 	e.peers.EndLease(context.WithoutCancel(ctx), lease)
 }
 
-// resignIfOtherServed resigns if at least tuning.YieldAfterFailedRenewals renewals have failed since another member was first seen to
-// be served. It returns the lease that is then to be revoked; ok is false if it did not resign.
+// resignIfOtherServed resigns if at least tuning.YieldAfterFailedRenewals renewals have failed since another member
+// was first seen to be served. It returns the lease that is then to be revoked; ok is false if it did not resign.
 func (e *Elector) resignIfOtherServed(term uint64) (lease uint64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -84,7 +84,7 @@
 // requestVotes extends the term's validity while renewals of the lease fail, as long as the other members vote for this
 // leader. A member that voted neither campaigns nor confirms, so nobody can have taken over, even if the lease has
 // expired. One member may be silent if it was fenced off before: every member that could confirm to it that the
-// term is over has voted, so none does.
+// term is over has voted, so none of them confirms.
 //
 // A leader whose term is valid by votes can answer workers; whatever needs the state service has to wait. A refusal
 // counts as a sign that the state service serves another member and refuses only this one. The leadership is
@@ -156,8 +156,8 @@
 
 // silentMemberIsFencedOff reports whether exactly one member is silent and cannot lead. As long as the fencing lease
 // exists, that member's campaign fails without a confirmation, and it gets none: every other member voted, so it does
-// not confirm while its vote is in force. A member that does not know whether it confirmed before its vote
-// does not suffice, so there must be no vote without memory. The caller holds the lock.
+// not confirm while its vote is in force. The vote of a member that does not know whether it confirmed before does not
+// suffice, so there must be no vote without memory. The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
 	return len(votes.Silent) == 1 && votes.WithoutMemory == 0 && votes.Silent[0] == e.fencing.member
 }
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -22,14 +22,14 @@
 const (
 	JobStatus        = Verb(fb.VerbQuery)      // asks the leader for a job's state
 	CancelJob        = Verb(fb.VerbCancel)     // asks the leader to cancel a job
-	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote: neither to campaign nor to confirm for a while
+	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote, a promise neither to campaign nor to confirm for a while
 	NotLeading       = Verb(fb.VerbNotLeading) // asks a member whether it does not lead
 	Heartbeat        = Verb(fb.VerbReport)     // relays a worker's heartbeat to the leader
 	SubmitJob        = Verb(fb.VerbSubmit)     // relays a job submission to any member
 	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader up to a term can rely on its vote
 	EndLease         = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
 	SubsystemQuery   = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
-	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which machines' workers it may have answered under its zone lease
+	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which machines it may have answered under its zone lease
 	SubsystemCommand = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
 	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether one of the workers at some addresses answers it
 	Ping             = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
@@ -55,7 +55,7 @@
 	Payload []byte   // the body for the worker or user; to a ping, the last claim of the ping's sender
 	Leader  string   // to a ping: the member that leads as far as the answering member knows
 	Term    uint64   // to a ping: the term of Leader
-	Names   []string // to MayHaveRenewed: the machines whose workers the member may have answered under its zone lease
+	Names   []string // to MayHaveRenewed: the machines that the member may have answered under its zone lease
 }
 
 // Handler answers a request. It is called concurrently. Its ctx ends when the connection is closed.
--- a/internal/cluster/peers/election.go
+++ b/internal/cluster/peers/election.go
@@ -10,7 +10,7 @@
 
 var _ election.Peers = (*Peers)(nil)
 
-// The statuses that stand for a vote on the wire. Members of different versions exchange them.
+// The statuses that represent a vote on the wire. Members of different versions exchange them.
 const (
 	statusGranted              = http.StatusOK
 	statusGrantedWithoutMemory = http.StatusAccepted
@@ -28,7 +28,7 @@
 	return peerrpc.Response{Status: statusRefused}
 }
 
-// voteFromStatus returns the vote that a status stands for. A status that VoteResponse does not produce counts as a
+// voteFromStatus returns the vote that a status represents. A status that VoteResponse does not produce counts as a
 // refusal.
 func voteFromStatus(status int) election.Vote {
 	switch status {
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -50,8 +50,8 @@
 	wg.Wait()
 }
 
-// ping sends a member this member's claim to its zone lease. From the answer it adopts what that member remembers
-// of the claim, and which member leads.
+// ping pings another member and sends it this member's claim to its zone lease. From the answer it adopts the claim
+// that the other member remembers, and which member leads.
 func (p *Peers) ping(ctx context.Context, addr string) (peerrpc.Response, error) {
 	resp, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
 	if err == nil {
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -37,8 +37,8 @@
 	claims      claims
 }
 
-// New makes the Peers for the other members that the settings name. SetElector must be called before any method other than those that an
-// elector calls, and ShareZoneLease before Run.
+// New makes the Peers for the other members that the settings name. SetElector must be called before any method other
+// than those that an elector calls, and ShareZoneLease before Run.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
 		client: peerrpc.NewClient(), endpoints: map[string]string{}, member: s.Member, members: len(s.Members),
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -17,7 +17,7 @@
 // machine's lease. The leader's query takes time, with pauses between its steps. A conclusion counts only if the whole
 // query took at most tuning.RenewedQueryTimeout.
 func TestNoConclusionFromAnswersOfDifferentTimes(t *testing.T) {
-	conclusions, lateQueries, handOvers := 0, 0, 0
+	conclusions, lateQueries, answererChanges := 0, 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 34))
 		h := newFollowerHarness(t)
@@ -49,7 +49,7 @@
 			answerer := r.IntN(3)
 			if answerer == 2 && h.tryAcquire("n-1") || answerer < 2 && members[answerer].MayRenew("n-1", "a") {
 				if lastAnswered = h.clock.Now(); answeredBy != answerer {
-					handOvers++
+					answererChanges++
 				}
 				answeredBy = answerer
 			}
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	if conclusions < 100 || lateQueries < 50 || handOvers < 100 {
-		t.Errorf("%d conclusions, %d queries that took too long, %d changes of the answering member; want at least 100, 50 and 100", conclusions, lateQueries, handOvers)
+	if conclusions < 100 || lateQueries < 50 || answererChanges < 100 {
+		t.Errorf("%d conclusions, %d queries that took too long, %d changes of the answering member; want at least 100, 50 and 100", conclusions, lateQueries, answererChanges)
 	}
 }
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -20,7 +20,7 @@
 // written.
 type page struct {
 	version uint64
-	names   map[string]bool // true: stored
+	names   map[string]bool // the names on the page; true: the stored value contains the name
 	bytes   int             // size of the names in the encoded value, with quotes and commas
 	changed bool            // differs from the stored value
 }
@@ -97,7 +97,7 @@
 	})
 	if err != nil {
 		if !errors.Is(err, statestore.ErrNotExecuted) {
-			// The write may still be applied later. It could then undo a further change of this record.
+			// The write may still be executed, and could then undo a later change of this record.
 			f.abandon()
 		}
 		return fmt.Errorf("storing %s: %w", key, err)
@@ -195,8 +195,8 @@
 	return expired
 }
 
-// abandon stops using the record, which stays stored until its lease expires. That is late enough for every machine
-// that was answered under it. The next record gets a new key.
+// abandon stops using the record, which stays stored until its lease expires. By then, the lease of every machine that
+// was answered under the record has expired. The next record gets a new key.
 func (f *FollowerLeases) abandon() {
 	f.leaseID, f.pages = 0, nil
 	clear(f.lastRenewed)
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -65,7 +65,7 @@
 	return time.Duration(float64(d) * (1 + tuning.ClockDriftShare))
 }
 
-// expiredAfter returns the time after a reply by which the worker's lease has expired on every clock.
+// expiredAfter returns how long to wait after a reply until the worker's lease has expired on every clock.
 func expiredAfter(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
 // renewalReportedFor returns for how long after a reply the record, or the member itself, must report that reply. A
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -52,7 +52,7 @@
 	member      string
 	zone        string
 	workerLease time.Duration // how long a worker's lease lasts after a reply
-	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are too long for one
+	ttl         time.Duration // how long the zone lease lasts; 0: workers' leases are so long that no time is left for a zone lease
 	startedAt   time.Time     // when this process made the ZoneLease; an earlier process may have answered workers before then
 	clockError  time.Duration // how far a wall clock may be from the true time
 
@@ -100,8 +100,8 @@
 	return z.leaseID != 0 && now.Sub(z.leaseRequestedAt) < z.ttl
 }
 
-// MayHaveRenewed returns which of the named machines this member may have answered under its zone lease within the
-// last worker lease plus tuning.RenewedQueryTimeout. The error is ErrUnsure while an earlier process of this member
+// MayHaveRenewed returns which of the named machines this member may have answered under its zone lease recently:
+// within the duration of a worker lease plus tuning.RenewedQueryTimeout before now. The error is ErrUnsure while an earlier process of this member
 // may have answered others; renewed then holds only the machines that this process answered.
 func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, err error) {
 	z.mu.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -138,7 +138,7 @@
 }
 
 // setCloudShare sets this member's share of the cloud's rate limit. Followers send the cloud very few requests, so
-// nearly all of it is the leader's.
+// the leader has nearly all of the limit.
 func (c *Controller) setCloudShare(leading bool) {
 	share := c.memberShare(tuning.CloudLeaderRateShare)
 	if leading {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -55,8 +55,8 @@
 	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
 	h.boot()
-	old := worker.hb.FencingToken
-	h.until("the new leader answers", func() bool { return worker.heartbeat() == 200 && worker.hb.FencingToken > old })
+	oldToken := worker.hb.FencingToken
+	h.until("the new leader answers", func() bool { return worker.heartbeat() == 200 && worker.hb.FencingToken > oldToken })
 	if s := h.jobState("job-1"); s != "running" && s != "pending" {
 		t.Errorf("job-1 is %q after the restart, want running or pending", s)
 	}
@@ -135,8 +135,8 @@
 	}
 }
 
-// Guards against the answer that a job does not exist while the job's state cannot be read: a failed read does not prove
-// that there is no such job.
+// Guards against the answer that a job does not exist while the job's state cannot be read: a failed read does not
+// prove that there is no such job.
 func TestAFailedReadIsNoProofThatAJobDoesNotExist(t *testing.T) {
 	h := newHarness(t)
 	if s := h.jobState("job-9"); s != "Not Found" {
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -80,7 +80,7 @@
 	return r
 }
 
-// servePing answers a ping. The response holds who leads by this member's knowledge, status 507 if this member has no
+// servePing answers a ping. The response holds the leader that this member knows of, status 507 if this member has no
 // memory for more jobs, and the claim to a zone lease that this member remembers of the sender. The sender's name is
 // in req.Job; members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
