--- a/internal/api/workerapi/renewals.go
+++ b/internal/api/workerapi/renewals.go
@@ -29,7 +29,7 @@
 //     meanwhile. Such a worker is refused, so that it tries the next controller. If it returns, it found no leader,
 //     and its lease is renewed.
 type renewals struct {
-	lease      time.Duration
+	lease      time.Duration  // how long a worker's lease lasts after a reply
 	fetch      FetchHeartbeat // nil: workers are not queried
 	maxQueries int            // how many queries may be in flight at a time; each uses one of the member's sockets
 	limiter    *rate.Limiter
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -59,8 +59,8 @@
 // readTerm reads the last term that began, 0 if none did, and the version of its key.
 func (e *Elector) readTerm(ctx context.Context) (term, version uint64, err error) {
 	var last termRecord
-	item, known, err := e.store.Get(ctx, keyTerm)
-	if err == nil && known {
+	item, found, err := e.store.Get(ctx, keyTerm)
+	if err == nil && found {
 		err = json.Unmarshal(item.Value, &last)
 	}
 	if err != nil {
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -190,7 +190,7 @@
 
 // Guards against a vote by a member that began a campaign, or became the leader, after it checked that it is a
 // follower.
-func TestNoVoteBesideACampaignThatBeganMeanwhile(t *testing.T) {
+func TestNoVoteAfterACampaignBeganMeanwhile(t *testing.T) {
 	for name, begin := range map[string]func(elector *Elector){
 		"a campaign":       func(elector *Elector) { elector.campaigning = true },
 		"a term as leader": func(elector *Elector) { elector.ownTerm = 4 },
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -15,11 +15,11 @@
 
 // health is what pings have shown about the other members.
 type health struct {
-	mu          sync.Mutex
-	leader      string    // the member whose missed pings are counted
-	missedPings int       // consecutive pings of that member without any answer
-	leaderFull  bool      // the leader answered the last ping that it has no memory for more jobs
-	lastAnswer  time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
+	mu               sync.Mutex
+	leader           string    // the member whose missed pings are counted
+	missedPings      int       // consecutive pings of that member without any answer
+	leaderMemoryFull bool      // the leader answered the last ping that it has no memory for more jobs
+	lastAnswer       time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
 }
 
 // Run pings the other members until ctx ends, to learn whether the leader can be reached and which member they know
@@ -35,7 +35,7 @@
 func (p *Peers) pingAll(ctx context.Context) {
 	leader := p.elector.Leader()
 	if !p.Known(leader) {
-		p.noteLeaderFull(false)
+		p.noteLeaderMemoryFull(false)
 	}
 	var wg sync.WaitGroup
 	for name, addr := range p.endpoints {
@@ -43,7 +43,7 @@
 			resp, err := p.ping(ctx, addr)
 			if name == leader {
 				p.NotePing(leader, Unanswered(err))
-				p.noteLeaderFull(err == nil && resp.Status == http.StatusInsufficientStorage)
+				p.noteLeaderMemoryFull(err == nil && resp.Status == http.StatusInsufficientStorage)
 			}
 		})
 	}
@@ -84,17 +84,17 @@
 	return leader == p.health.leader && p.health.missedPings >= tuning.LeaderPingsMissed
 }
 
-func (p *Peers) noteLeaderFull(full bool) {
+func (p *Peers) noteLeaderMemoryFull(full bool) {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	p.health.leaderFull = full
+	p.health.leaderMemoryFull = full
 }
 
 // LeaderMemoryFull reports whether the leader answered the last ping that it has no memory for more jobs.
 func (p *Peers) LeaderMemoryFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	return p.health.leaderFull
+	return p.health.leaderMemoryFull
 }
 
 func (p *Peers) noteAnswer() {
@@ -120,7 +120,7 @@
 // workerReturnTime returns the longest time that a worker needs if it is redirected to the leader, reaches neither
 // the leader nor any other controller, and returns to this member.
 func (p *Peers) workerReturnTime() time.Duration {
-	return time.Duration(p.members) * tuning.WorkerTryTime
+	return time.Duration(p.otherMemberCount) * tuning.WorkerTryTime
 }
 
 // MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. That is
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -24,24 +24,24 @@
 // Peers calls the other members and holds what this member knows of them. It is safe for concurrent use once
 // SetElector and ShareZoneLease have been called.
 type Peers struct {
-	client      *peerrpc.Client
-	endpoints   map[string]string // addresses for peer calls, by the other members' names
-	member      string
-	members     int
-	workerLease time.Duration
-	clock       clockwork.Clock
-	log         *slog.Logger
-	elector     *election.Elector
-	zoneLease   ZoneLease
-	health      health
-	claims      claims
+	client           *peerrpc.Client
+	endpoints        map[string]string // addresses for peer calls, by the other members' names
+	member           string
+	otherMemberCount int
+	workerLease      time.Duration // how long a worker's lease lasts after a reply
+	clock            clockwork.Clock
+	log              *slog.Logger
+	elector          *election.Elector
+	zoneLease        ZoneLease
+	health           health
+	claims           claims
 }
 
 // New makes the Peers for the other members that the settings name. SetElector must be called before any method other
 // than those that an elector calls, and ShareZoneLease before Run.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
-		client: peerrpc.NewClient(), endpoints: map[string]string{}, member: s.Member, members: len(s.Members),
+		client: peerrpc.NewClient(), endpoints: map[string]string{}, member: s.Member, otherMemberCount: len(s.Members),
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), clock: clock, log: log,
 		claims: claims{byMember: map[string][]byte{}},
 	}
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -178,7 +178,7 @@
 // Guards against writing every page of a record of thousands of machines at each renewal while workers return to the
 // leader one after the other. That exceeded the member's share of the state service's writes, and new machines had to
 // wait.
-func TestExpiredMachinesAreRemovedWithinTheShareOfChanges(t *testing.T) {
+func TestExpiredMachinesAreRemovedWithinTheShareOfWrites(t *testing.T) {
 	const machines, writeRPS, share = 6000, 50, 0.08
 	h := newFollowerHarness(t)
 	h.store = statestore.New(h.state.Addr(), 1e6, writeRPS).WithShare(share)
@@ -194,8 +194,8 @@
 	for renewals := 1; len(h.lastRenewed) > 0; renewals++ {
 		allowedWrites, writesBefore := max(1, h.store.SpareWrites()), len(h.state.Applied())
 		h.renewRecord(t.Context())
-		if changes := len(h.state.Applied()) - writesBefore; changes < 1 || changes > allowedWrites {
-			t.Fatalf("renewal %d wrote %d of %d pages, want between 1 and %d", renewals, changes, pages, allowedWrites)
+		if writes := len(h.state.Applied()) - writesBefore; writes < 1 || writes > allowedWrites {
+			t.Fatalf("renewal %d wrote %d of %d pages, want between 1 and %d", renewals, writes, pages, allowedWrites)
 		}
 		if renewals > pages {
 			t.Fatalf("%d machines are left after %d renewals", len(h.lastRenewed), renewals)
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -119,7 +119,7 @@
 
 // If workers' leases are too long compared with the state service's longest lease, no time is left for a zone
 // lease.
-func TestNoZoneLeaseBesideVeryLongWorkerLeases(t *testing.T) {
+func TestNoZoneLeaseWithVeryLongWorkerLeases(t *testing.T) {
 	h := newZoneHarness(t)
 	h.ZoneLease = NewZoneLease(&config.Settings{
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.StateLeaseMaxTTL.Seconds()}},
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -161,12 +161,12 @@
 
 func TestBadRequestsAreRefused(t *testing.T) {
 	h := newHarness(t)
-	with := func(field string, v any) map[string]any {
+	jobWith := func(field string, v any) map[string]any {
 		j := job("job-1", 1)
 		j[field] = v
 		return j
 	}
-	service := with("shape", "service")
+	service := jobWith("shape", "service")
 	service["seats"] = 4
 	for _, c := range []struct {
 		name, method, path string
@@ -174,10 +174,10 @@
 		want               int
 	}{
 		{"not JSON", "POST", "/v2/runs", "{", 400},
-		{"too long", "POST", "/v2/runs", with("x", strings.Repeat("x", wire.MaxBody)), 400},
-		{"unknown team", "POST", "/v2/runs", with("desk", "nobody"), 422},
-		{"fits no type", "POST", "/v2/runs", with("mem_gb", 65), 422},
-		{"one task beyond the limit", "POST", "/v2/runs", with("cpus", 13), 422},
+		{"too long", "POST", "/v2/runs", jobWith("x", strings.Repeat("x", wire.MaxBody)), 400},
+		{"unknown team", "POST", "/v2/runs", jobWith("desk", "nobody"), 422},
+		{"fits no type", "POST", "/v2/runs", jobWith("mem_gb", 65), 422},
+		{"one task beyond the limit", "POST", "/v2/runs", jobWith("cpus", 13), 422},
 		{"a service beyond the limit", "POST", "/v2/runs", service, 422},
 		{"no such path", "GET", "/v3/runs", nil, 404},
 		{"wrong method", "PUT", "/v2/runs", job("job-1", 1), 405},
@@ -192,7 +192,7 @@
 	}
 	// A job that was accepted once is never refused, even if the submission now breaks the rules.
 	h.submit("job-5", 1)
-	refused := with("cpus", 13)
+	refused := jobWith("cpus", 13)
 	refused["ref"] = "job-5"
 	if status, _ := h.call("POST", "/v2/runs", refused); status != 200 {
 		t.Errorf("an accepted job, submitted again with another description: %d", status)
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -136,9 +136,12 @@
 		_, out := h.call("GET", "/v2/runs/job-1/why", nil)
 		return strings.Contains(fmt.Sprint(out["reasons"]), "budget")
 	})
-	replica := job("job-2", 1)
-	replica["shape"], replica["urgency"], replica["ride_s"] = wire.KindService, wire.PriorityProduction, 0
-	h.until("the production job is accepted", func() bool { status, _ := h.call("POST", "/v2/runs", replica); return status == 201 || status == 200 })
+	productionJob := job("job-2", 1)
+	productionJob["shape"], productionJob["urgency"], productionJob["ride_s"] = wire.KindService, wire.PriorityProduction, 0
+	h.until("the production job is accepted", func() bool {
+		status, _ := h.call("POST", "/v2/runs", productionJob)
+		return status == 201 || status == 200
+	})
 	h.until("the production job runs", func() bool { worker.heartbeat(); return worker.running() == 1 })
 	if worker.starts["job-1/0"] != 0 || h.jobState("job-1") != "pending" {
 		t.Error("job-1 did not wait for its budget")
