--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -10,11 +10,11 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// statusReader reads jobs' states from the state service for polls that the leader does not answer: all polls, while
-// there is no leader or the leader hangs. It reads one batch of polls at a time. The polls that arrive meanwhile form
-// the next batch, and a large batch shares one listing of the live jobs: two reads for each poll used up the rate
-// limit when users polled eight times as often as usual. Each answer is read after its poll arrived, so it is never
-// older than the poll.
+// statusReader reads jobs' states from the state service for polls that the leader does not answer. While there is no
+// leader, or the leader hangs, these are all polls. statusReader reads one batch of polls at a time; the polls that
+// arrive meanwhile form the next batch. A large batch shares one listing of the live jobs: with two reads for each
+// poll, users that poll eight times as often as usual would use up the rate limit. Each answer is read after its poll
+// arrived, so it is never older than the poll.
 type statusReader struct {
 	h *Handler
 
@@ -67,9 +67,9 @@
 	}
 }
 
-// answerBatch reads the states of a batch's jobs and answers their polls. A batch of at least tuning.PollBatchMinJobs jobs
-// reads the live ones by one listing and the final states of the others one by one; a smaller batch reads every job
-// by itself.
+// answerBatch reads the states of a batch's jobs and answers their polls. For a batch of at least
+// tuning.PollBatchMinJobs jobs it reads the live jobs by one listing, and the final states of the others one by one.
+// For a smaller batch it reads every job by itself.
 func (r *statusReader) answerBatch(batch map[string][]chan statusAnswer) {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.PollTimeout)
 	defer cancel()
--- a/internal/api/workerapi/election_grace.go
+++ b/internal/api/workerapi/election_grace.go
@@ -12,7 +12,7 @@
 // whose lease is renewed waits a whole interval until its next heartbeat; one that is refused tries the next
 // controller a second later. So while leases have time to spare, none is renewed in the first seconds, since a
 // member usually leads by the end of them. Without the grace period and with heartbeats every 10 s, the next leader
-// learned only 10 s after its election of thousands of tasks that had ended, and their machines were idle
+// would learn only 10 s after its election of thousands of tasks that have ended, and their machines would be idle
 // meanwhile.
 type electionGrace struct {
 	length time.Duration
@@ -28,8 +28,8 @@
 	return time.Duration(max(0, spareSeconds) * tuning.ElectionGraceShare * float64(time.Second))
 }
 
-// active reports whether the worker should look for a leader, since one is likely to be elected soon. It notes that
-// a worker asked now.
+// active reports whether the grace period lasts: a leader is likely to be elected soon, so the worker should look for
+// it instead of getting a renewal here. active also records that a heartbeat arrived now.
 func (g *electionGrace) active(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -34,9 +34,9 @@
 	voteReliedOnFor = withMargin(tuning.VoteValidity, -tuning.ClockDriftShare)
 )
 
-// Vote answers a request for a vote from the leader of a term, which gets no answer from the state service. A member
-// grants its vote only if it is a follower, has no campaign in progress, and the state service does not answer it
-// either. If the state service refuses only the leader, another member should replace that leader.
+// Vote answers the vote request of a leader that gets no answer from the state service; term is the leader's term. A
+// member grants its vote only if it is a follower, has no campaign in progress, and gets no answer from the state
+// service either. If the state service refuses only the leader, another member should replace that leader.
 func (e *Elector) Vote(ctx context.Context, term uint64) Vote {
 	if !e.isFollower() || e.stateServiceAnswers(ctx) {
 		return Refused
@@ -70,7 +70,7 @@
 // may have changed while it queried the state service), has not confirmed that the term is over, and knows of no
 // later term. The caller holds the lock.
 func (e *Elector) mayVote(term uint64) bool {
-	return e.ownTerm == 0 && !e.campaigning && e.confirmedOverTerm < term && !e.knowsLaterTerm(term)
+	return e.ownTerm == 0 && !e.campaigning && e.confirmedEndOfTerm < term && !e.knowsLaterTerm(term)
 }
 
 // bindByVote forbids this member to campaign or confirm while the vote that it grants now is in force. The caller
@@ -84,7 +84,7 @@
 // requestVotes extends the term's validity while renewals of the lease fail, as long as the other members vote for this
 // leader. A member that voted neither campaigns nor confirms, so nobody can have taken over, even if the lease has
 // expired. One member may be silent if it was fenced off before: every member that could confirm to it that the
-// term is over has voted, so none does.
+// term is over has voted, so none of them confirms.
 //
 // A leader whose term is valid by votes can answer workers; whatever needs the state service has to wait. A refusal
 // counts as a sign that the state service serves another member and refuses only this one. The leadership is
@@ -156,8 +156,8 @@
 
 // silentMemberIsFencedOff reports whether exactly one member is silent and cannot lead. As long as the fencing lease
 // exists, that member's campaign fails without a confirmation, and it gets none: every other member voted, so it does
-// not confirm while its vote is in force. A member that does not know whether it confirmed before its vote
-// does not suffice, so there must be no vote without memory. The caller holds the lock.
+// not confirm while its vote is in force. The vote of a member that does not know whether it confirmed before does not
+// suffice, so there must be no vote without memory. The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
 	return len(votes.Silent) == 1 && votes.WithoutMemory == 0 && votes.Silent[0] == e.fencing.member
 }
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -15,11 +15,11 @@
 
 // health is what pings have shown about the other members.
 type health struct {
-	mu          sync.Mutex
-	leader      string    // the member whose missed pings are counted
-	missedPings int       // consecutive pings of that member without any answer
-	leaderFull  bool      // the leader answered the last ping that it has no memory for more jobs
-	lastAnswer  time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
+	mu               sync.Mutex
+	leader           string    // the member whose missed pings are counted
+	missedPings      int       // consecutive pings of that member without any answer
+	leaderMemoryFull bool      // the leader answered the last ping that it has no memory for more jobs
+	lastAnswer       time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
 }
 
 // Run pings the other members until ctx ends, to learn whether the leader can be reached and which member they know
@@ -35,7 +35,7 @@
 func (p *Peers) pingAll(ctx context.Context) {
 	leader := p.elector.Leader()
 	if !p.Known(leader) {
-		p.noteLeaderFull(false)
+		p.noteLeaderMemoryFull(false)
 	}
 	var wg sync.WaitGroup
 	for name, addr := range p.endpoints {
@@ -43,15 +43,15 @@
 			resp, err := p.ping(ctx, addr)
 			if name == leader {
 				p.NotePing(leader, Unanswered(err))
-				p.noteLeaderFull(err == nil && resp.Status == http.StatusInsufficientStorage)
+				p.noteLeaderMemoryFull(err == nil && resp.Status == http.StatusInsufficientStorage)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// ping sends a member this member's claim to its zone lease. From the answer it adopts what that member remembers
-// of the claim, and which member leads.
+// ping pings another member and sends it this member's claim to its zone lease. From the answer it adopts the claim
+// that the other member remembers, and which member leads.
 func (p *Peers) ping(ctx context.Context, addr string) (peerrpc.Response, error) {
 	resp, err := p.client.Call(ctx, addr, peerrpc.Request{Verb: peerrpc.Ping, Job: p.member, Payload: p.zoneLease.Claim()})
 	if err == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// LeaderUnreachable reports whether the leader has not answered this member for a while. The leader then counts as
-// cut off from this member, since no answer at all arrives. A refused connection does not count as a partition: a
+// LeaderUnreachable reports whether no answer at all arrived to the last tuning.LeaderPingsMissed pings of the
+// leader. The leader then counts as cut off from this member. A refused connection does not count as a partition: a
 // process that ended refuses connections, and a packet filter may refuse those between controllers while it lets
 // workers' connections pass.
 func (p *Peers) LeaderUnreachable(leader string) bool {
@@ -84,17 +84,17 @@
 	return leader == p.health.leader && p.health.missedPings >= tuning.LeaderPingsMissed
 }
 
-func (p *Peers) noteLeaderFull(full bool) {
+func (p *Peers) noteLeaderMemoryFull(full bool) {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	p.health.leaderFull = full
+	p.health.leaderMemoryFull = full
 }
 
 // LeaderMemoryFull reports whether the leader answered the last ping that it has no memory for more jobs.
 func (p *Peers) LeaderMemoryFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	return p.health.leaderFull
+	return p.health.leaderMemoryFull
 }
 
 func (p *Peers) noteAnswer() {
@@ -120,11 +120,11 @@
 // workerReturnTime returns the longest time that a worker needs if it is redirected to the leader, reaches neither
 // the leader nor any other controller, and returns to this member.
 func (p *Peers) workerReturnTime() time.Duration {
-	return time.Duration(p.members) * tuning.WorkerTryTime
+	return time.Duration(p.otherMemberCount) * tuning.WorkerTryTime
 }
 
-// MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. It may if
-// the worker would be back well within its lease.
+// MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. That is
+// allowed if the worker would return within the share tuning.RedirectLeaseShare of its lease.
 func (p *Peers) MayTryLeader() bool {
 	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.RedirectLeaseShare)
 }
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -20,7 +20,7 @@
 // written.
 type page struct {
 	version uint64
-	names   map[string]bool // true: stored
+	names   map[string]bool // the names on the page; true: the stored value contains the name
 	bytes   int             // size of the names in the encoded value, with quotes and commas
 	changed bool            // differs from the stored value
 }
@@ -86,7 +86,7 @@
 
 // writePage stores one page. If the outcome of the write is unknown, the whole record is abandoned.
 func (f *FollowerLeases) writePage(ctx context.Context, index int, p *page) error {
-	value, err := json.Marshal(renewedRecord{Machines: slices.Sorted(maps.Keys(p.names))})
+	value, err := json.Marshal(renewalRecord{Machines: slices.Sorted(maps.Keys(p.names))})
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	})
 	if err != nil {
 		if !errors.Is(err, statestore.ErrNotExecuted) {
-			// The write may still be applied later. It could then undo a further change of this record.
+			// The write may still be executed, and could then undo a later change of this record.
 			f.abandon()
 		}
 		return fmt.Errorf("storing %s: %w", key, err)
@@ -152,7 +152,7 @@
 	f.removeExpired()
 	if slices.ContainsFunc(f.pages, func(p *page) bool { return p.changed }) {
 		if err := f.writeRecord(ctx); err != nil {
-			f.log.Debug("record of machines not updated; expired machines may stay in it for longer", "err", err)
+			f.log.Debug("record of machines not updated; machines whose leases expired may stay in it until the next update", "err", err)
 			return
 		}
 	}
@@ -163,8 +163,8 @@
 
 // removeExpired removes machines whose leases have surely expired. One call changes only as many pages, in
 // rotation, as the member's share of the state service's writes allows, and at least one: with thousands of
-// machines, changing every page at each renewal exceeded that share. A name that stays in the record for longer
-// only makes the leader conclude later that the machine's tasks have ended.
+// machines, changing every page at each renewal would exceed that share. If a name stays in the record for longer,
+// the leader only concludes later that the machine's tasks have ended.
 func (f *FollowerLeases) removeExpired() {
 	expired := f.expiredByPage()
 	remove := expired[nil]
@@ -195,8 +195,8 @@
 	return expired
 }
 
-// abandon stops using the record, which stays stored until its lease expires. That is late enough for every machine
-// that was answered under it. The next record gets a new key.
+// abandon stops using the record, which stays stored until its lease expires. By then, the lease of every machine that
+// was answered under the record has expired. The next record gets a new key.
 func (f *FollowerLeases) abandon() {
 	f.leaseID, f.pages = 0, nil
 	clear(f.lastRenewed)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -89,7 +89,7 @@
 	for _, t := range settings.Cluster.Teams {
 		teams[t.Name] = t
 	}
-	sockets, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
+	fdLimit, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
 	return &leader.Env{
 		Settings:       settings,
 		Tunables:       c.operatorSettings.Tunables(),
@@ -99,9 +99,9 @@
 		Cloud:          c.cloud,
 		Teams:          teams,
 		FinalStates:    jobs.NewFinalStates(max(tuning.FinalStatesMin, int(memoryMB*tuning.FinalStatesPerMiB))),
-		Workers:        httpjson.NewClient(2, 1, int(sockets*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
-		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(sockets*tuning.CommandConnShare))),
-		MayAct:         c.elector.Valid,
+		Workers:        httpjson.NewClient(2, 1, int(fdLimit*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
+		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(fdLimit*tuning.CommandConnShare))),
+		MayAct:         c.elector.MayAct,
 		MayHaveRenewed: c.mayHaveRenewed,
 		ProbeWorkers:   c.peers.ProbeWorkers,
 		MemoryFull:     memory.New(memoryMB, c.clock).Full,
@@ -138,7 +138,7 @@
 }
 
 // setCloudShare sets this member's share of the cloud's rate limit. Followers send the cloud very few requests, so
-// nearly all of it is the leader's.
+// the leader has nearly all of the limit.
 func (c *Controller) setCloudShare(leading bool) {
 	share := c.memberShare(tuning.CloudLeaderRateShare)
 	if leading {
