--- a/internal/platform/config/check.go
+++ b/internal/platform/config/check.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// minTxnOps is the smallest number of operations with which a transaction can record a job's end.
+// minTxnOps is the smallest limit on the operations of a transaction with which a job's end can be stored.
 const minTxnOps = 4
 
 // check returns an error that names the first field that is missing or invalid.
@@ -43,7 +43,7 @@
 			return fmt.Errorf("field members[%d].member is missing", i)
 		}
 		if seen[m.Name] {
-			return fmt.Errorf("field members[%d].member: %q is named twice", i, m.Name)
+			return fmt.Errorf("field members[%d].member: %q is a duplicate", i, m.Name)
 		}
 		seen[m.Name] = true
 		if err := checkAddr(fmt.Sprintf("members[%d].endpoint", i), m.Endpoint); err != nil {
@@ -57,7 +57,7 @@
 	seen := map[string]bool{}
 	for i, t := range s.Cluster.Teams {
 		if t.Name == "" || seen[t.Name] {
-			return fmt.Errorf("field cluster.teams[%d].name is missing or doubled", i)
+			return fmt.Errorf("field cluster.teams[%d].name is missing or a duplicate", i)
 		}
 		seen[t.Name] = true
 		for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
@@ -92,10 +92,10 @@
 		}
 	}
 	if state.ValueKB < tuning.MinValueKB {
-		return fmt.Errorf("field cluster.state.value_kb is under %d, the least that a progress record takes", tuning.MinValueKB)
+		return fmt.Errorf("field cluster.state.value_kb is below %d, the minimum for storing a progress record", tuning.MinValueKB)
 	}
 	if state.TxnOps < minTxnOps {
-		return fmt.Errorf("field cluster.state.txn_ops is under %d, the least that one job's end takes", minTxnOps)
+		return fmt.Errorf("field cluster.state.txn_ops is below %d, the minimum for storing a job's end", minTxnOps)
 	}
 	return nil
 }
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -41,11 +41,11 @@
 		"budget.vision.month.money = 5.5",
 	}
 	golden.Lines(t, "properties-keys", keyIdleKeep, keyMaxMachines, keyLedger, keyLedgerZone, keyMetrics, keyGraphs, keyDescriptions, keyPool, budget.Prefix)
-	operator, err := LoadProperties(testutil.File(t, "operator.properties", strings.Join(lines, "\n")))
+	operatorSettings, err := LoadProperties(testutil.File(t, "operator.properties", strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "properties", operator, &OperatorSettings{
+	golden.Equal(t, "properties", operatorSettings, &OperatorSettings{
 		Tunables:      tuning.Tunables{IdleKeep: 45 * time.Second, MaxMachines: 7},
 		LedgerEnabled: true,
 		Budgets: &budget.Settings{
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -12,7 +12,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// The keys of the operators' properties. Keys of pools and budgets begin with a prefix, keyPool or budget.Prefix.
+// The keys of the operators' properties. The keys of pools begin with keyPool, those of budgets with budget.Prefix.
 const (
 	keyIdleKeep     = "fleet.idle.keep"
 	keyMaxMachines  = "fleet.machines.max"
@@ -27,13 +27,13 @@
 // OperatorSettings holds the settings of the operators' properties file.
 type OperatorSettings struct {
 	Tunables tuning.Tunables
-	// LedgerEnabled is true if charges are recorded.
+	// LedgerEnabled reports whether charges are recorded.
 	LedgerEnabled bool
 	// Budgets is never nil. Without a ledger it contains no budget.
 	Budgets *budget.Settings
 	// MetricsAddr is the address at which metrics are served; empty: none are served.
 	MetricsAddr string
-	// GraphsEnabled is true if graphs of jobs are served.
+	// GraphsEnabled reports whether graphs of jobs are served.
 	GraphsEnabled bool
 	// DescriptionsURL is the URL of the service that describes steps of graphs; empty: only clients describe steps.
 	DescriptionsURL string
@@ -44,8 +44,8 @@
 // Pool identifies a pool of a team.
 type Pool struct{ Team, Name string }
 
-// LoadProperties reads the operators' settings from a file. An empty path gives the defaults. An error says in one line what is
-// wrong.
+// LoadProperties reads the operators' settings from a file. If path is empty, it returns the defaults. The error is a text of
+// one line.
 func LoadProperties(path string) (*OperatorSettings, error) {
 	o := &OperatorSettings{Tunables: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
 	if path == "" {
@@ -70,15 +70,15 @@
 // checkDependencies returns an error if a setting is present without the setting that it requires.
 func (o *OperatorSettings) checkDependencies() error {
 	if !o.GraphsEnabled && (len(o.Pools) > 0 || o.DescriptionsURL != "") {
-		return fmt.Errorf("there are settings of graphs, but %s is not on", keyGraphs)
+		return fmt.Errorf("settings of graphs require %s = on", keyGraphs)
 	}
 	if !o.LedgerEnabled && len(o.Budgets.Budgets) > 0 {
-		return fmt.Errorf("there are budgets, but %s is not on", keyLedger)
+		return fmt.Errorf("budgets require %s = on", keyLedger)
 	}
 	return nil
 }
 
-// set parses the property with a key and stores its value.
+// set parses the property with the given key and stores its value.
 func (o *OperatorSettings) set(key string, p *properties.Properties) (err error) {
 	value := p.GetString(key, "")
 	switch key {
@@ -117,7 +117,7 @@
 	team, pool, _ := strings.Cut(name, ".")
 	slots := p.GetInt(key, -1)
 	if team == "" || pool == "" || slots < 1 {
-		return fmt.Errorf("%s: a pool is %sTEAM.NAME, and a count of slots above 0", key, keyPool)
+		return fmt.Errorf("%s: a pool has the form %sTEAM.NAME = SLOTS, with at least 1 slot", key, keyPool)
 	}
 	o.Pools[Pool{team, pool}] = slots
 	return nil
@@ -149,7 +149,7 @@
 func parseZone(key, value string) (*time.Location, error) {
 	zone, err := time.LoadLocation(value)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %q is not a time zone known here", key, value)
+		return nil, fmt.Errorf("%s: unknown time zone %q", key, value)
 	}
 	return zone, nil
 }
@@ -157,7 +157,7 @@
 func checkURL(key, value string) error {
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return fmt.Errorf("%s: %q is no URL such as http://10.0.0.7:8000/steps", key, value)
+		return fmt.Errorf("%s: %q is not a URL such as http://10.0.0.7:8000/steps", key, value)
 	}
 	return nil
 }
@@ -166,17 +166,17 @@
 func (o *OperatorSettings) Check(s *Settings) error {
 	for pool := range o.Pools {
 		if !s.hasTeam(pool.Team) {
-			return fmt.Errorf("%s%s.%s: no team has that name", keyPool, pool.Team, pool.Name)
+			return fmt.Errorf("%s%s.%s: the settings have no such team", keyPool, pool.Team, pool.Name)
 		}
 	}
 	if o.GraphsEnabled && s.Cluster.State.ValueKB < tuning.GraphMinValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that runs of graphs take", keyGraphs, tuning.GraphMinValueKB)
+		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing runs of graphs", keyGraphs, tuning.GraphMinValueKB)
 	}
 	if !o.LedgerEnabled {
 		return nil
 	}
 	if s.Cluster.State.ValueKB < tuning.LedgerMinValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is under %d, the least that progress records with charges take", keyLedger, tuning.LedgerMinValueKB)
+		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing progress records with charges", keyLedger, tuning.LedgerMinValueKB)
 	}
 	return o.Budgets.Check(s.hasTeam)
 }
--- a/internal/platform/config/operator_settings_test.go
+++ b/internal/platform/config/operator_settings_test.go
@@ -19,9 +19,9 @@
 	if settings, err = LoadProperties(""); err != nil || settings.Tunables != tuning.Defaults() {
 		t.Errorf("without a file: %+v, %v", settings, err)
 	}
-	operator, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
-	if err != nil || !operator.LedgerEnabled || len(operator.Budgets.Budgets) != 1 || operator.MetricsAddr != "127.0.0.1:9" {
-		t.Errorf("loaded as %+v, %v", operator, err)
+	ledgerSettings, err := LoadProperties(testutil.File(t, "p.properties", "ledger = on\nledger.zone = UTC\nbudget.t.month.money = 5\nmetrics.addr = 127.0.0.1:9\n"))
+	if err != nil || !ledgerSettings.LedgerEnabled || len(ledgerSettings.Budgets.Budgets) != 1 || ledgerSettings.MetricsAddr != "127.0.0.1:9" {
+		t.Errorf("loaded as %+v, %v", ledgerSettings, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`name = "t"`, `name = "other"`, "unknown"}, {"value_kb = 16.0", "value_kb = 8.0", "value_kb"},
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := operator.Check(s); err == nil || !strings.Contains(err.Error(), c.want) {
+		if err := ledgerSettings.Check(s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
@@ -48,18 +48,19 @@
 	}
 }
 
-// Guards against changed budgets that have no effect while the program runs, and against an invalid file that changes budgets.
+// Guards against budgets whose change in the file has no effect while the program runs, and against an invalid file that
+// changes budgets.
 func TestChangedBudgetsTakeEffect(t *testing.T) {
 	path := testutil.File(t, "p.properties", "ledger = on\nbudget.t.month.money = 5\n")
 	s, err := Load(testutil.File(t, "s.toml", validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	operator, err := LoadProperties(path)
+	operatorSettings, err := LoadProperties(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := Watch(path, s, operator)
+	w := Watch(path, s, operatorSettings)
 	log := slog.New(slog.DiscardHandler)
 	for _, c := range []struct {
 		text string
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -39,7 +39,7 @@
 type Cluster struct {
 	InitialSize  int         `toml:"initial_size"`
 	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"` // how far a time of day may be from the true one
+	ClockErrorMS float64     `toml:"clock_error_ms"` // largest error of a time of day, in milliseconds
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
 	Workers      Workers     `toml:"workers"`
@@ -48,8 +48,9 @@
 	Limits       Limits      `toml:"limits"`
 }
 
-// Team is a team and its quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). In the file, an amount that is 0 or
-// missing means no guarantee or no limit. Load replaces a limit of 0 by infinity, so no other code has to handle that case.
+// Team is a team and its quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). In the file, a guarantee that is 0 or
+// missing means no guarantee, and a limit that is 0 or missing means no limit. Load replaces a limit of 0 by infinity, so no
+// other code has to handle that case.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -83,7 +84,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud: calls per second, and how far its list of machines may lag, in seconds.
+// Cloud holds the limits of the cloud: calls per second, and by how many seconds its list of machines may be out of date.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
@@ -97,7 +98,7 @@
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// Load reads and checks a settings file. An error says in one line what is wrong.
+// Load reads and checks a settings file. The error is a text of one line.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,8 +118,8 @@
 	return &s, nil
 }
 
-// unlimitedIfZero returns limit, or infinity if it is 0. Without that, every job of a guest team, which has neither guarantee nor
-// limit, was refused as beyond a limit of 0.
+// unlimitedIfZero returns limit, or infinity if limit is 0. Without this replacement, every job of a guest team, which has
+// neither a guarantee nor a limit, was refused as exceeding a limit of 0.
 func unlimitedIfZero(limit float64) float64 {
 	if limit == 0 {
 		return math.Inf(1)
--- a/internal/platform/config/settings_test.go
+++ b/internal/platform/config/settings_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Guards against a guest team, which has no amounts in the file, that gets a limit of 0 instead of no limit.
+// Guards against a guest team, which has no amounts in the file, whose limit is loaded as 0 instead of as no limit.
 func TestATeamWithoutAmountsHasNoLimit(t *testing.T) {
 	s, err := Load(testutil.File(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -15,42 +15,43 @@
 // OperatorSettingsWatcher holds the operators' settings and reloads their budgets when the properties file changes. All other
 // settings keep their values from the start of the program. It is safe for concurrent use.
 type OperatorSettingsWatcher struct {
-	path     string
-	settings *Settings
-	operator *OperatorSettings
-	budgets  atomic.Pointer[budget.Settings]
-	lastRead os.FileInfo // of the file when it was last read
+	path             string
+	settings         *Settings
+	operatorSettings *OperatorSettings
+	budgets          atomic.Pointer[budget.Settings]
+	lastRead         os.FileInfo // of the file when it was last read
 }
 
-// Watch returns a watcher for a properties file that was loaded into operator and checked. An empty path is never read.
-func Watch(path string, s *Settings, operator *OperatorSettings) *OperatorSettingsWatcher {
-	w := &OperatorSettingsWatcher{path: path, settings: s, operator: operator}
+// Watch returns a watcher for a properties file, whose settings were already loaded and checked. An empty path means that
+// there is no file to read.
+func Watch(path string, s *Settings, operatorSettings *OperatorSettings) *OperatorSettingsWatcher {
+	w := &OperatorSettingsWatcher{path: path, settings: s, operatorSettings: operatorSettings}
 	if path != "" {
 		w.lastRead, _ = os.Stat(path) // if this fails, the file counts as changed once it can be read
 	}
-	w.budgets.Store(operator.Budgets)
+	w.budgets.Store(operatorSettings.Budgets)
 	return w
 }
 
 // Tunables returns the tunables.
-func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operator.Tunables }
+func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operatorSettings.Tunables }
 
 // Ledger reports whether charges are recorded.
-func (w *OperatorSettingsWatcher) Ledger() bool { return w.operator.LedgerEnabled }
+func (w *OperatorSettingsWatcher) Ledger() bool { return w.operatorSettings.LedgerEnabled }
 
 // Graphs reports whether graphs are served, and returns the URL of the service that describes their steps; empty: none.
-func (w *OperatorSettingsWatcher) Graphs() (on bool, descriptions string) {
-	return w.operator.GraphsEnabled, w.operator.DescriptionsURL
+func (w *OperatorSettingsWatcher) Graphs() (enabled bool, descriptionsURL string) {
+	return w.operatorSettings.GraphsEnabled, w.operatorSettings.DescriptionsURL
 }
 
 // PoolSlots returns the number of slots of a team's pool; ok is false if the settings have no such pool.
 func (w *OperatorSettingsWatcher) PoolSlots(team, name string) (slots int, ok bool) {
-	slots, ok = w.operator.Pools[Pool{team, name}]
+	slots, ok = w.operatorSettings.Pools[Pool{team, name}]
 	return slots, ok
 }
 
 // MetricsAddr returns the address at which metrics are served; empty: none are served.
-func (w *OperatorSettingsWatcher) MetricsAddr() string { return w.operator.MetricsAddr }
+func (w *OperatorSettingsWatcher) MetricsAddr() string { return w.operatorSettings.MetricsAddr }
 
 // Budgets returns the budgets currently in effect.
 func (w *OperatorSettingsWatcher) Budgets() *budget.Settings { return w.budgets.Load() }
@@ -80,19 +81,19 @@
 		return
 	}
 	w.lastRead = info
-	operator, err := LoadProperties(w.path)
+	operatorSettings, err := LoadProperties(w.path)
 	if err == nil {
-		err = operator.Check(w.settings)
+		err = operatorSettings.Check(w.settings)
 	}
 	if err != nil {
 		log.Error("changed properties file is invalid; ignoring it until it changes again", "err", err)
 		return
 	}
-	if !w.operator.LedgerEnabled {
+	if !w.operatorSettings.LedgerEnabled {
 		return
 	}
-	// The days of charges remain in the time zone that was set when the program started.
-	operator.Budgets.TimeZone = w.operator.Budgets.TimeZone
-	w.budgets.Store(operator.Budgets)
+	// The time zone that determines the days of charges remains the one that was set when the program started.
+	operatorSettings.Budgets.TimeZone = w.operatorSettings.Budgets.TimeZone
+	w.budgets.Store(operatorSettings.Budgets)
 	log.Info("properties file changed; its budgets are in effect, other properties take effect at the next start")
 }
--- a/internal/platform/golden/golden.go
+++ b/internal/platform/golden/golden.go
@@ -69,8 +69,8 @@
 	return raw
 }
 
-// JSONRoundTrip compares the JSON of the value that a pointer refers to with a golden file, and checks that the JSON is decoded to the same
-// value.
+// JSONRoundTrip compares the JSON of the value that a pointer refers to with a golden file. It also checks that the JSON is
+// decoded to the same value.
 func JSONRoundTrip(t *testing.T, name string, value any) {
 	t.Helper()
 	decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
@@ -80,9 +80,9 @@
 	Equal(t, name, decoded, value)
 }
 
-// CBORRoundTrip is like JSONRoundTrip, for a value that is stored as CBOR. Its golden file is in hexadecimal. CBOR arrays contain no field names, so
-// the value must be a literal with the names of its fields instead of a result of Fill, which sets fields by their order. Only
-// then does the test fail if two fields are swapped.
+// CBORRoundTrip is like JSONRoundTrip, for a value that is stored as CBOR. Its golden file is in hexadecimal. CBOR arrays
+// contain no field names, so the test notices two swapped fields only if the value is a literal with the names of its fields.
+// A result of Fill does not suffice, because Fill sets fields by their order.
 func CBORRoundTrip(t *testing.T, name string, value any) {
 	t.Helper()
 	AllFieldsSet(t, name, value)
@@ -109,10 +109,10 @@
 // AllFieldsSet checks that no exported field of a value is zero, at any depth.
 func AllFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
-	complete(t, name, reflect.ValueOf(value))
+	checkAllFieldsSet(t, name, reflect.ValueOf(value))
 }
 
-func complete(t *testing.T, path string, v reflect.Value) {
+func checkAllFieldsSet(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
 		t.Errorf("%s is not set", path)
@@ -120,16 +120,16 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		complete(t, path, v.Elem())
+		checkAllFieldsSet(t, path, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() && v.Type() != timeType {
-				complete(t, path+"."+f.Name, v.Field(i))
+				checkAllFieldsSet(t, path+"."+f.Name, v.Field(i))
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			complete(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			checkAllFieldsSet(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	}
 }
--- a/internal/platform/httpjson/httpjson.go
+++ b/internal/platform/httpjson/httpjson.go
@@ -21,23 +21,24 @@
 // ErrTooLarge means that a response was longer than tuning.MaxResponseBytes.
 var ErrTooLarge = errors.New("the answer is too large")
 
-// NewClient returns a client with at most maxConns connections to a host, of which idleConns stay open between calls, and at most
-// allIdle idle connections to all hosts; 0 means any number. dial is the timeout for opening a connection. The client follows no
-// redirects.
-func NewClient(maxConns, idleConns, allIdle int, dial time.Duration) *http.Client {
-	d := &net.Dialer{Timeout: dial}
+// NewClient returns a client with at most maxConnsPerHost connections to a host. Of these, at most idleConnsPerHost stay open
+// between calls. At most idleConnsTotal idle connections to all hosts stay open. For maxConnsPerHost and idleConnsTotal, 0
+// means any number. dialTimeout is the timeout for opening a connection. The client follows no redirects.
+func NewClient(maxConnsPerHost, idleConnsPerHost, idleConnsTotal int, dialTimeout time.Duration) *http.Client {
+	d := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         d.DialContext,
-		MaxConnsPerHost:     maxConns,
-		MaxIdleConnsPerHost: idleConns,
-		MaxIdleConns:        allIdle,
+		MaxConnsPerHost:     maxConnsPerHost,
+		MaxIdleConnsPerHost: idleConnsPerHost,
+		MaxIdleConns:        idleConnsTotal,
 		IdleConnTimeout:     tuning.IdleTimeout,
 		DisableCompression:  true,
 	}, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
-// Call sends in as JSON, or no body if in is nil. It decodes the response into the value that decode returns for the response's
-// status; if that is nil, the body is ignored. It returns the status, or an error if there was no usable response.
+// Call sends in as JSON, or no body if in is nil. It calls decode with the status of the response, and decodes the body into
+// the value that decode returns, or ignores the body if that value is nil. It returns the status, or an error if there was no
+// usable response.
 func Call(ctx context.Context, c *http.Client, method, url string, in any, decode func(status int) any) (int, error) {
 	var body io.Reader
 	if in != nil {
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory reports when the process approaches the memory limit of its machine, so that it refuses new work before the
-// kernel kills it together with all its work.
+// Package memory reports when the process approaches the memory limit of its machine. The process can then refuse new work before
+// the kernel kills it together with all its work.
 package memory
 
 import (
@@ -28,8 +28,8 @@
 	return &Gauge{clock: clock, limitBytes: uint64(max(0, ramMB) * tuning.MemoryFullShare * (1 << 20)), readUsed: runtimeBytes}
 }
 
-// Full reports whether the process uses at least the share tuning.MemoryFullShare of the machine's memory, so that no more work may be
-// accepted now.
+// Full reports whether the process uses at least the share tuning.MemoryFullShare of the machine's memory. If so, no more work
+// may be accepted now.
 func (g *Gauge) Full() bool {
 	if g.limitBytes == 0 {
 		return false
@@ -42,9 +42,9 @@
 	return g.full
 }
 
-// InUse returns the memory in use, in bytes: all memory of the runtime that is neither free nor released, but of objects only
-// those that the last garbage collection found reachable. Objects allocated since then are not counted, so the result lags by
-// one collection.
+// InUse returns the memory in use, in bytes. It counts all memory of the runtime that is neither free nor released, but of the
+// objects only those that the last garbage collection found reachable. Objects allocated since then are not counted, so the
+// result lags by one collection.
 func InUse() uint64 {
 	v := readMetrics("/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
 		"/memory/classes/heap/unused:bytes", "/memory/classes/heap/objects:bytes", "/gc/heap/live:bytes")
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if usedBytes = 99 << 20; g.Full() {
-		t.Error("the memory was measured again before tuning.MemoryEvery was over")
+		t.Error("the memory was measured again before tuning.MemoryCheckEvery had passed")
 	}
 	if New(0, clock).Full() {
 		t.Error("a gauge without a limit reports full")
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -77,7 +77,7 @@
 	m.jobs.accepted.WithLabelValues(class, team, size).Inc()
 }
 
-// JobBegan counts a job whose first task is running, and records how long the job waited for that.
+// JobBegan counts a job whose first task is running, and records how long the job waited for that task to run.
 func (m *Metrics) JobBegan(class, team, size string, startWait time.Duration) {
 	m.jobs.begun.WithLabelValues(class, team, size).Inc()
 	m.jobs.startWait.WithLabelValues(class, size).Observe(startWait.Seconds())
@@ -86,8 +86,8 @@
 // MissingJobsFound counts stored jobs that the leader had not loaded.
 func (m *Metrics) MissingJobsFound(jobs int) { m.jobs.missingFound.Add(float64(jobs)) }
 
-// StateSize sets the size of the leader's state: the numbers of jobs and machines and, by class, the number of waiting tasks and
-// the seconds for which the oldest job has waited to begin.
+// StateSize sets the size of the leader's state: the number of jobs, the number of machines and, by class, the number of
+// waiting tasks and the seconds for which the oldest job has waited to begin.
 func (m *Metrics) StateSize(jobs, machines int, waiting map[string]int, oldestWait map[string]float64) {
 	m.jobs.oldestWait.Reset()
 	for class, s := range oldestWait {
--- a/internal/platform/metrics/serve.go
+++ b/internal/platform/metrics/serve.go
@@ -13,7 +13,7 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Serve serves the metrics at the path /metrics of an address until ctx ends. It returns nil if it was ended by ctx.
+// Serve serves the metrics at the path /metrics of an address until ctx ends, and then returns nil.
 func (m *Metrics) Serve(ctx context.Context, addr string, log *slog.Logger) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -5,12 +5,12 @@
 // Charges, the ledger and budgets.
 const (
 	// ServiceReservedTime is the running time whose cost a started service replica reserves from its team's
-	// budget. A service has no end, and nobody can forecast further than an hour.
+	// budget. A service has no end, and its cost cannot be forecast further ahead than an hour.
 	ServiceReservedTime = time.Hour
 	// EstimateCorrectionMaxFactor bounds the factor by which owners' run time estimates are corrected. The
 	// estimates are often wrong by half, rarely by more.
 	EstimateCorrectionMaxFactor = 4.0
-	// EstimateLearningRate is the weight, as a share, of one more completed task in that factor.
+	// EstimateLearningRate is the weight, as a share, that one more completed task has in that factor.
 	EstimateLearningRate = 0.1
 	// LedgerMinValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
 	// records that contain charges can be stored.
@@ -19,11 +19,11 @@
 	// are rolled up earlier if there are as many as fit one transaction. A longer time lets more charges
 	// share a transaction.
 	RollUpAfter = 60 * time.Second
-	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up
-	// starts, if that many are due. Each roll-up also writes a segment and a page, so small roll-ups are
-	// expensive: on a day with 13 jobs per second there were 606 roll-ups of two jobs each.
+	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up starts,
+	// if that many are due. Each roll-up also writes a segment and a page, so small roll-ups are expensive:
+	// with 13 jobs per second, 606 roll-ups covered two jobs each.
 	RollUpMinChanges = 12
-	// RollUpMaxBytes bounds, in bytes, what one transaction adds to a segment.
+	// RollUpMaxBytes bounds the bytes that one transaction adds to a segment.
 	RollUpMaxBytes = 6 << 10
 	// SegmentCloseBytes is the size, in bytes, at which a segment is closed. Each roll-up rewrites the open
 	// segment.
@@ -37,16 +37,16 @@
 	CompactCheckEvery = time.Minute
 	// TotalsLogEvery is the interval at which the totals are logged, at debug level.
 	TotalsLogEvery = 10 * time.Second
-	// SegmentsPerCall is the number of segments that a query for a job's charges reads in one call: some
-	// hundred KB.
+	// SegmentsPerCall is the number of segments that a query for a job's charges reads in one call. Together
+	// they have a few hundred KB.
 	SegmentsPerCall = 20
 	// ChargesPerAnswer is the number of charges in one answer. The rest follows on the next page. At some 350
-	// bytes each, an answer stays under half a MB.
+	// bytes for each charge, an answer stays under half a MB.
 	ChargesPerAnswer = 500
 	// ChargesTimeout bounds a query for charges.
 	ChargesTimeout = 4 * time.Second
-	// TotalRowsPerAnswer is the number of rows in one answer about totals. With names of 200 bytes the
-	// answer still fits the bound of a query's answer.
+	// TotalRowsPerAnswer is the number of rows in one answer about totals. With names of 200 bytes the answer
+	// still fits QueryResponseMaxBytes.
 	TotalRowsPerAnswer = 40
 	// MonthlyTotalsAfterDays is the age, in days, at which totals per day are merged into totals per month.
 	// Budgets read the previous month at most.
--- a/internal/platform/tuning/calls.go
+++ b/internal/platform/tuning/calls.go
@@ -4,8 +4,8 @@
 
 // Calls to the key-value store, the cloud, workers and other controllers.
 const (
-	// StateTimeout bounds a call to the key-value store. Most calls take 10 ms, a few take some hundred,
-	// and a user waits 2 to 5 s for the answer that depends on it.
+	// StateTimeout bounds a call to the key-value store. Most calls take 10 ms, a few take several hundred ms.
+	// A user waits 2 to 5 s for an answer that depends on such a call.
 	StateTimeout = 1500 * time.Millisecond
 	// StateRetryPause is the first pause before a call to the key-value store is retried. It doubles with each
 	// retry.
@@ -30,11 +30,12 @@
 	// QueryResponseMaxBytes bounds the answer to an operator's query, in bytes. It must fit PeerFrameMaxBytes.
 	QueryResponseMaxBytes = 64 << 10
 	// MaxResponseBytes is the largest response body, in bytes, that is read from another system. The protocol
-	// bounds no response of a watch; a list page has 512 KiB.
+	// does not bound the response to a watch; a page of a list has 512 KiB.
 	MaxResponseBytes = 4 << 20
 	// LeaderRateShare is the share of the key-value store's rate limits that is guaranteed to the leader's
-	// loop. All members, the leading one too, divide the rest for their users' requests: a submission must
-	// not wait behind hundreds of starts. Each may use more while the store refuses nothing.
+	// loop. The rest is divided among all members, including the leading one, for their users' requests: a
+	// submission must not wait behind hundreds of starts. Each client may use more than its share while the
+	// store refuses nothing.
 	LeaderRateShare = 0.6
 	// RateLimitRecoverTime is how long a client's own rate limit takes to grow from its share to the whole
 	// published limit. Refusals in the meantime show how much the other clients use.
@@ -46,8 +47,9 @@
 	// CloudLeaderRateShare is the leader's share of the cloud's rate limit. Followers only request the machine
 	// types, once a minute.
 	CloudLeaderRateShare = 0.85
-	// RateLimitUsedShare is the share of a published rate limit that is used. The published limit's window and
-	// ours do not start together, so the full rate could exceed the limit.
+	// RateLimitUsedShare is the share of a published rate limit that is used. The windows over which the
+	// server and this client count calls do not start together, so a client that uses the full rate could
+	// exceed the limit.
 	RateLimitUsedShare = 0.9
 	// TypesRefreshEvery is the interval at which the machine types and the spot prices are read again.
 	TypesRefreshEvery = 60 * time.Second
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -19,15 +19,17 @@
 	MemoryFullShare  = 0.85
 	MemoryCheckEvery = 250 * time.Millisecond
 	// ProcessMiB is the memory, in MiB, that a leader uses besides its machines: the program, its libraries,
-	// and a job store of some thousand jobs.
+	// and a job store of a few thousand jobs.
 	ProcessMiB = 24
-	// MachineKiB bounds the memory, in KiB, that one machine uses in the leader: its tasks, its entries in
-	// the views of a scheduling cycle, and the connections between its worker and the leader. With as much
-	// garbage as the runtime allows, a machine uses 47 KiB at 600 to 1,200 machines and 42 KiB at 4,000.
+	// MachineKiB bounds the memory, in KiB, that one machine uses in the leader: its tasks, its entries in the
+	// views of a scheduling cycle, and the connections between its worker and the leader. With as much garbage
+	// as the runtime allows, a machine uses 47 KiB in a fleet of 600 to 1,200 machines and 42 KiB in a fleet
+	// of 4,000.
 	MachineKiB = 64
-	// ReachableMemoryShare is the share of the runtime's soft memory limit that reachable objects may fill while
-	// machines are rented beyond the number that MachineKiB allows. The memory of a machine depends on its
-	// tasks: with a fixed 64 KiB for each, the fleet stopped at 2,965 machines with 322 MB. The remaining
-	// share is for garbage: at 0.7 the collector runs 2.3 times as often as with ample memory.
+	// ReachableMemoryShare is the share of the runtime's soft memory limit that reachable objects may fill
+	// while machines are rented beyond the number that MachineKiB allows. The memory that a machine uses
+	// depends on its tasks. With a fixed 64 KiB for each machine, a leader with 322 MB of memory rented no
+	// more than 2,965 machines. The remaining share is for garbage: at 0.7 the collector runs 2.3 times as
+	// often as with ample memory.
 	ReachableMemoryShare = 0.7
 )
--- a/internal/platform/tuning/election.go
+++ b/internal/platform/tuning/election.go
@@ -22,22 +22,24 @@
 	// VoteValidity bounds how much later another member can become leader if the leader dies during such an
 	// outage.
 	VoteValidity = 1200 * time.Millisecond
-	// ConfirmationValidity is how long a confirmation by another member is valid: within it the candidate must
-	// become leader. That takes three calls to the key-value store, at worst some hundred ms each.
+	// ConfirmationValidity is how long a confirmation by another member is valid. The candidate must become
+	// leader within that time. That takes three calls to the key-value store, each of which takes at worst
+	// several hundred ms.
 	ConfirmationValidity = 3 * time.Second
-	// FencingLeaseTTL is how long a silent member stays fenced off without a renewal. For that long, a
-	// leader with the votes of all other members keeps its workers through an outage of the key-value
+	// FencingLeaseTTL is how long a silent member stays fenced off without a renewal. For that long, a leader
+	// that has the votes of all other members continues to lead its workers through an outage of the key-value
 	// store. Outages last about half a minute. FencingLeaseRenewEvery is the interval between renewals.
 	FencingLeaseTTL        = 40 * time.Second
 	FencingLeaseRenewEvery = 3 * time.Second
-	// YieldAfterFailedRenewals is the number of renewals that must fail, after the key-value store was first seen to
-	// answer another member, before the leader hands over. A single renewal may have been sent before that.
+	// YieldAfterFailedRenewals is the number of renewals that must fail, after the key-value store was first
+	// seen to answer another member, before the leader hands over. With a single failed renewal, its request
+	// may have been sent before that answer.
 	YieldAfterFailedRenewals = 2
 	// CampaignAfterVacancy is how long the leader key must be vacant before a member that leaves the leadership
 	// to others campaigns all the same. Another member's campaign takes three calls, and a member that has
 	// just started waits for VoteValidity.
 	CampaignAfterVacancy = 5 * time.Second
-	// VoteEvery is the interval at which the leader asks for votes. Several rounds may fail while a vote is
+	// VoteEvery is the interval at which the leader asks for votes. Several attempts may fail while a vote is
 	// valid.
 	VoteEvery = 250 * time.Millisecond
 	// VoteProbeTimeout bounds a member's probe of the key-value store before it votes. It must fit RelayTimeout.
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -13,8 +13,8 @@
 	// GraphMinValueKB is the smallest value size limit of the key-value store, in KiB, with which a part and a
 	// run of 10,000 steps can be stored.
 	GraphMinValueKB = 14
-	// GraphDefaultTasks is the default number of steps of a graph that are submitted at a time, and GraphDefaultRuns the
-	// default number of its active runs, both as in Airflow.
+	// GraphDefaultTasks is the default maximum number of steps of a graph that are submitted at a time.
+	// GraphDefaultRuns is the default maximum number of its active runs. Both are as in Airflow.
 	GraphDefaultTasks = 16
 	GraphDefaultRuns  = 16
 	// GraphDefaultPoolSlots is the number of slots of a team's default pool, as in Airflow.
@@ -22,7 +22,7 @@
 	// GraphRetainedRuns is the number of finished runs of a graph that are retained.
 	GraphRetainedRuns = 50
 	// GraphMemoryShare is the share of the memory that graphs and live runs may use. GraphStepBytes is the
-	// approximate memory of a step of a graph, in bytes, and RunStepBytes that of a step of a live run.
+	// approximate memory of one step of a graph, in bytes. RunStepBytes is that of one step of a live run.
 	GraphMemoryShare = 0.15
 	GraphStepBytes   = 1000
 	RunStepBytes     = 200
@@ -33,17 +33,19 @@
 	GraphDeleteAfter = 10 * time.Minute
 	// GraphCleanUpEvery is the interval between checks for runs and graphs to delete.
 	GraphCleanUpEvery = time.Minute
-	// GraphRecordDelay is how long the record of a run may lack that a step's job began to run. Nothing depends on
-	// that entry.
+	// GraphRecordDelay is how long after a step's job began to run the record of the run may lack that fact.
+	// Nothing depends on that entry.
 	GraphRecordDelay = 5 * time.Second
-	// TryBytes is the size, in bytes, of one of a run's newest tries in the run's record. TriesRecordShare is the
-	// share of the record that all of them may fill: 400 tries with values of 16 KiB.
+	// TryBytes is the size, in bytes, of one try in the record of a run, which contains the run's newest
+	// tries. TriesRecordShare is the share of the record that all these tries may fill: 400 tries if a value
+	// may have 16 KiB.
 	TryBytes         = 20
 	TriesRecordShare = 0.5
 	// DescribeBatchSteps is the number of steps that one call describes, and DescribeTimeout bounds that call.
 	DescribeBatchSteps = 100
 	DescribeTimeout    = 5 * time.Second
-	// DescribeRetryPause is the first pause after a failed call. It doubles up to DescribeRetryPauseMax.
+	// DescribeRetryPause is the first pause after a failed call for descriptions. The pause doubles with each
+	// failure up to DescribeRetryPauseMax.
 	DescribeRetryPause    = 500 * time.Millisecond
 	DescribeRetryPauseMax = 30 * time.Second
 	// UserCommandTimeout bounds a user's command to a subsystem. A user waits 5 s, and the command has to be
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -10,29 +10,29 @@
 	// MinValueKB is the smallest value size limit of the key-value store, in KiB, with which a progress
 	// record can be stored.
 	MinValueKB = 8
-	// LazyWriteDelay is how long a lazy change, one that nobody waits for (one finished task of many, or a lost
-	// task), may stay unwritten so that it shares a write with others. In an array some task ends every
-	// second or two. Until the change is written, the workers retain the exits.
+	// LazyWriteDelay is how long a lazy change may stay unwritten so that it shares a write with others. A
+	// change is lazy if nobody waits for it, such as one finished task of many, or a lost task. In an array
+	// some task ends every second or two. Until the change is written, the workers retain the exits.
 	LazyWriteDelay = 2 * time.Second
 	// LazyMaxWait is how long a lazy change waits for spare room under the limit on changes. After that it is
-	// written without spare room, within a rate limit: LazyRateShare is that rate as a share of the limit on
-	// changes, and LazyBurstChanges is its burst in changes. When lazy changes were part of every transaction, they
-	// were two fifths of all changes during a backlog, and starts waited for a second.
+	// written without spare room, within a rate limit. LazyRateShare is the rate of that limit, as a share of
+	// the limit on changes. LazyBurstChanges is its burst, in changes. When lazy changes were part of every
+	// transaction, they were two fifths of all changes during a backlog, and starts waited for a second.
 	LazyMaxWait      = 20 * time.Second
 	LazyRateShare    = 0.125
 	LazyBurstChanges = 4
 	// WriteBatchMinChanges is the number of changes that the write rate limit must allow before a transaction is
 	// assembled. A smaller number makes many requests; a larger one fixes the order of changes too early.
 	WriteBatchMinChanges = 4
-	// UnrecordedExitsMax is the number of ended tasks without a stored record that a heartbeat may list. With
-	// more, their records are written as urgent. At some 80 bytes each they fill a fourth of the largest
-	// heartbeat.
+	// UnrecordedExitsMax is the number of ended tasks without a stored record that a heartbeat may list. If it
+	// lists more, their records are written as urgent. At some 80 bytes each, that many tasks fill a fourth of
+	// the largest heartbeat.
 	UnrecordedExitsMax = 200
 	// TxnTargetBytes is the size, in bytes, from which nothing more is added to a transaction. The protocol
 	// allows 64 KiB.
 	TxnTargetBytes = 48 << 10
 	// TxnMaxBytes bounds the changes of a transaction, in bytes, including the longest record that is added
-	// last: 64 KiB less the transaction's conditions.
+	// last. It is 64 KiB less the size of the transaction's conditions.
 	TxnMaxBytes = 58 << 10
 	// TaskEntryMaxBytes, ChargeMaxBytes and RecordOverheadBytes bound the size, in bytes, of a task's entry, of a charge and
 	// of the rest of a progress record and its transaction. They allow for names of machines and zones of
@@ -43,23 +43,23 @@
 	// DetachChargesMin is the number of charges in a progress record at which they are moved to a record of
 	// their own. At about 25 bytes each they fill up to 3 KB of the progress record.
 	DetachChargesMin = 96
-	// DetachChargesMax is the largest number of charges that are moved to one record, some 7 KB. At
-	// midnight each running task adds one charge.
+	// DetachChargesMax is the largest number of charges that are moved to one record. That many charges have
+	// some 7 KB. At midnight each running task adds one charge.
 	DetachChargesMax = 192
 	// JobEndMaxChunks is the largest number of progress records with new charges that are written in the same
-	// transaction as their job's end. If there are more, they are written before the end, since a
-	// transaction has 64 KiB.
+	// transaction as their job's end. If there are more, they are written before the end, since a transaction
+	// is limited to 64 KiB.
 	JobEndMaxChunks = 4
-	// StartTimeStoreDelay is how long a task must run before its start time alone causes a write. The tasks of most
-	// arrays end within a minute. Without a stored start time, a new leader counts from the task's
-	// placement.
+	// StartTimeStoreDelay is how long a task must have been placed before its start time alone causes a write.
+	// The tasks of most arrays end within a minute. Without a stored start time, a new leader charges the task
+	// from the time of its placement.
 	StartTimeStoreDelay = 10 * time.Second
 	// ReconcileEvery is the interval at which the leader compares the stored jobs with those that it knows.
 	// A job that the leader missed has to begin within minutes. Reading a thousand jobs takes two calls.
 	ReconcileEvery = 30 * time.Second
-	// RememberedJobSizes is the number of the last jobs of a class whose sizes are remembered. LargestJobsQuantile is
-	// the quantile of the sizes above which a job is among the largest, and JobSizesMin the number of sizes
-	// from which the quantile is computed.
+	// RememberedJobSizes is the number of the last jobs of a class whose sizes are remembered.
+	// LargestJobsQuantile is the quantile of these sizes above which a job is among the largest. JobSizesMin
+	// is the smallest number of sizes from which the quantile is computed.
 	RememberedJobSizes  = 200
 	LargestJobsQuantile = 0.9
 	JobSizesMin         = 10
--- a/internal/platform/tuning/placement.go
+++ b/internal/platform/tuning/placement.go
@@ -9,14 +9,14 @@
 	// FairShareOfFleet is the fair share of a job whose team has no quota, as a share of the fleet's CPUs.
 	// Once a job has had its fair share, its remaining tasks are placed after the first tasks of other jobs.
 	FairShareOfFleet = 0.25
-	// FairShareSteps is the number of equal steps in which a job's use of its fair share is counted. The
-	// fair share is what the team's quota admits at a time. Jobs that used fewer steps are placed first.
+	// FairShareSteps is the number of equal steps in which a job's use of its team's quota, or of its fair
+	// share of the fleet if the team has no quota, is counted. Jobs that used fewer steps are placed first.
 	FairShareSteps = 4
-	// StarvingAfter is how long a job may wait for its first task before that task precedes all others of
-	// its priority. Users expect the largest jobs to begin within four minutes. A machine or a part of a
-	// team's quota that is reserved for a job becomes free as running tasks end, mostly within two minutes.
-	// StarvationReservationDivisor is the divisor of the number of machines with room that gives how many may
-	// be reserved for such jobs at a time, at least one.
+	// StarvingAfter is how long a job may wait for its first task before that task precedes all others of its
+	// priority. Users expect the largest jobs to begin within four minutes. A machine or a part of a team's
+	// quota that is reserved for a job becomes free as running tasks end, mostly within two minutes. The
+	// number of machines with room, divided by StarvationReservationDivisor, is the number of machines that
+	// may be reserved for such jobs at a time; at least one may be.
 	StarvingAfter                = 60 * time.Second
 	StarvationReservationDivisor = 8
 	// TaskShapesMax is the number of task shapes for which a scheduling cycle caches the ranked machines.
@@ -35,17 +35,18 @@
 	CycleBackoffMin = 1 * time.Second
 	CycleBackoffMax = 10 * time.Second
 	// CyclePauseFactor is the pause after a scheduling cycle or a scale-out plan, as a multiple of its
-	// duration. Cycles and plans so use at most a seventeenth of the processor each: during a backlog, each
-	// of hundreds of changes per second requests a cycle. A cycle over 1,200 machines needs a millisecond or
-	// two on a share of a core, and the strictest service-level objective for starts is a second.
+	// duration. Cycles and plans therefore use at most a seventeenth of the processor each, although during a
+	// backlog each of hundreds of changes per second requests a cycle. A cycle over 1,200 machines needs a
+	// millisecond or two on a share of a core, and the strictest service-level objective for starts is a
+	// second.
 	CyclePauseFactor = 16
 	// CyclePauseMin and ScaleOutPauseMin are the shortest pauses after a cycle and after a scale-out plan. The
 	// factor alone allows a seventeenth of a core, which is a fifth of the processor of a machine with 0.3 of
 	// a core. A start takes a second or more and a boot 20 s, so the pauses delay neither noticeably.
 	CyclePauseMin    = 20 * time.Millisecond
 	ScaleOutPauseMin = 200 * time.Millisecond
-	// PreemptWaitShare is the share of a class's allowed wait (by its own service-level objective or the
-	// guarantee's) after which other tasks may be preempted for it.
+	// PreemptWaitShare is the share of a class's allowed wait after which other tasks may be preempted for it.
+	// The class's own service-level objective or that of the guarantee sets the allowed wait.
 	PreemptWaitShare = 0.5
 	// PreemptDelayAfterFailover is how long a new leader preempts nothing. Workers find the new leader within
 	// that time.
@@ -54,14 +55,15 @@
 	PreemptBatchTasks = 8
 	// PreemptBackoff is how long a job waits for tasks that were preempted for it before more are preempted.
 	PreemptBackoff = 2 * time.Second
-	// PreemptFreshCostS is the extra cost, in seconds of work, of preempting a task before PreemptMinRun:
-	// its start then does not count.
+	// PreemptFreshCostS is the extra cost, in seconds of work, of preempting a task that has run for less than
+	// PreemptMinRun, because its start then does not count.
 	PreemptFreshCostS = 30.0
 	// PreemptPriorityCostS is the cost, in seconds of work, that each level of a task's priority adds to its
-	// preemption. Of the borrowed resources, those of low-priority work are so reclaimed first.
+	// preemption. Of the borrowed resources, those of low-priority work are therefore reclaimed first.
 	PreemptPriorityCostS = 30.0
-	// PreemptMinRun is how long a task must have run before it may be preempted. A start that is stopped
-	// within 30 s does not count.
+	// PreemptMinRun is how long a task must have run to be preempted without the extra cost PreemptFreshCostS,
+	// and how long a service replica must have run to be moved. A start that is stopped within 30 s does not
+	// count.
 	PreemptMinRun = 31 * time.Second
 	// CheckpointGraceExtra is added to the time that a task needs to save a checkpoint when the task is stopped.
 	CheckpointGraceExtra = 1 * time.Second
--- a/internal/platform/tuning/scaleout.go
+++ b/internal/platform/tuning/scaleout.go
@@ -11,18 +11,19 @@
 	// ArrivalWindowMin is the shortest time over which arrivals are converted to a rate.
 	ArrivalWindowMin = 30 * time.Second
 	// InitialBacklogWindow is how long after the service's very first start the arriving jobs count as the
-	// initial backlog, which waited for the service. Users retry after a second or more.
+	// initial backlog, which are jobs that waited for the service to start. Users retry after a second or
+	// more.
 	InitialBacklogWindow = 5 * time.Second
-	// InitialBacklogDivisor is the divisor for jobs of the initial backlog: one in so many counts in the
-	// forecast. When none counted, the services of the first minute found no room.
+	// InitialBacklogDivisor is the number of jobs of the initial backlog of which one counts in the forecast.
+	// When none of them counted, the services of the first minute found no room.
 	InitialBacklogDivisor = 8
 	// ForecastShareLatencySensitive is the share of the work expected within a boot time for which room is
-	// reserved, for classes that must start sooner than a machine boots. ForecastShareGuaranteed is that
-	// share for all other classes, where a guarantee must be met sooner than a machine boots.
+	// reserved, for classes that must start sooner than a machine boots. ForecastShareGuaranteed is that share
+	// for all other classes, if a guarantee must be met sooner than a machine boots.
 	ForecastShareLatencySensitive = 1.0
 	ForecastShareGuaranteed       = 0.25
-	// ForecastReserveHorizon is how far ahead room is reserved for latency-sensitive work against waiting
-	// work of lower priority. Tasks that end in the meantime make room for the rest.
+	// ForecastReserveHorizon is how far ahead room is reserved for latency-sensitive work against waiting work
+	// of lower priority. Expected work beyond this horizon gets the room of tasks that end in the meantime.
 	ForecastReserveHorizon = 10 * time.Second
 	// ForecastBootExtra is added to the boot time to give the horizon of the forecast. The rental and the
 	// first heartbeat take some seconds.
@@ -30,8 +31,8 @@
 	// AwaitSpotFor is how long work that is not latency-sensitive and may run on spot machines waits for
 	// one, before an on-demand machine is rented for it at several times the price.
 	AwaitSpotFor = 12 * time.Second
-	// RentalsInFlightMax is the largest number of rent requests in flight: enough to use the cloud's rate
-	// limit, few enough that none waits long for the limit.
+	// RentalsInFlightMax is the largest number of rent requests in flight. It is large enough to use the
+	// cloud's rate limit, and small enough that no request waits long for the limit.
 	RentalsInFlightMax = 3
 	// RentDelayAfterFailover is how long a new leader waits before it rents. The machines that it took over send
 	// a heartbeat within that time.
@@ -39,14 +40,14 @@
 	// ConsolidateEvery is the interval between checks for machines to drain. In each check, service
 	// replicas are also moved off draining machines.
 	ConsolidateEvery = 2 * time.Second
-	// ConsolidateCandidatesMin is the smallest number of machines that one check considers for draining, and
-	// ConsolidateCandidateDivisor the divisor of the machines in use that gives the number in a large fleet. A
-	// large fleet has to shrink as fast as a small one, and the tasks of each candidate are tried on all
-	// other machines.
+	// ConsolidateCandidatesMin is the smallest number of machines that one check considers for draining. In a
+	// large fleet the number is that of the machines in use, divided by ConsolidateCandidateDivisor. A large
+	// fleet has to shrink as fast as a small one, and the tasks of each candidate are tried on all other
+	// machines.
 	ConsolidateCandidatesMin    = 3
 	ConsolidateCandidateDivisor = 16
-	// MovesInFlightMin is the smallest number of replicas that may be moved at a time, and MovesInFlightDivisor
-	// the divisor of all replicas that gives the number in a large fleet. Replicas that are being moved wait
+	// MovesInFlightMin is the smallest number of replicas that may be moved at a time. In a large fleet the
+	// number is that of all replicas, divided by MovesInFlightDivisor. Replicas that are being moved wait
 	// longer if the leader dies.
 	MovesInFlightMin     = 2
 	MovesInFlightDivisor = 100
@@ -55,8 +56,9 @@
 	// MoveDowntimeShare is the share of all replicas' time that moves may cost as downtime. The strictest
 	// service-level objectives of replicas allow 0.1 to 0.2 % of downtime.
 	MoveDowntimeShare = 0.003
-	// MoveDowntimeBudgetMax bounds the accumulated downtime budget: it allows one move with a long fetch.
-	// With thousands of replicas the bound is what the budget gains between two checks, if that is more.
+	// MoveDowntimeBudgetMax is the largest downtime budget that accumulates. It is enough for one move with a
+	// long fetch. If the budget gains more than this between two checks, as with thousands of replicas, that
+	// gain is the limit instead.
 	MoveDowntimeBudgetMax = 10 * time.Second
 	// CloudListEvery is the interval at which the cloud's list of machines is read.
 	CloudListEvery = 5 * time.Second
@@ -64,33 +66,35 @@
 	// cloud reported that it has no capacity.
 	NoCapacityBackoff = 10 * time.Second
 	// BootLateFactor is the multiple of the nominal boot time after which a booting machine counts as late and
-	// is replaced. Most machines are up after 1.5 times.
+	// is replaced. Most machines have booted after 1.5 times the nominal boot time.
 	BootLateFactor = 2.0
 	// BootGiveUpFactor is the multiple of the nominal boot time after which a booting machine is deleted.
 	BootGiveUpFactor = 3.0
-	// BootExtra is added to both times, for the lag of the list and for the first heartbeat.
+	// BootExtra is added to the boot times that result from both factors, for the lag of the cloud's list and
+	// for the first heartbeat.
 	BootExtra = 5 * time.Second
 	// UnknownTypeBootTime is the boot time allowed to a machine of a type that the cloud no longer offers.
 	UnknownTypeBootTime = 120 * time.Second
-	// AdoptedMachineWait is how long a new leader waits for the first heartbeat of a machine that it found in the
-	// list, before the machine can count as never up.
+	// AdoptedMachineWait is how long a new leader waits for the first heartbeat of a machine that it found in
+	// the cloud's list, before the machine can count as one that never came up.
 	AdoptedMachineWait = 15 * time.Second
 	// SilentReturnAfter is how long after its lease expired a silent machine is returned.
 	SilentReturnAfter = 20 * time.Second
-	// SilentReturnAfterPartition replaces SilentReturnAfter during a network partition, which rarely lasts a
-	// minute. Silence counts as a partition if at least PartitionMinMachines machines and at least PartitionFleetShare of
-	// all machines are silent.
+	// SilentReturnAfterPartition replaces SilentReturnAfter during a network partition. A partition rarely
+	// lasts a minute. Silence counts as a partition if at least PartitionMinMachines machines and at least
+	// PartitionFleetShare of all machines are silent.
 	SilentReturnAfterPartition = 90 * time.Second
 	PartitionMinMachines       = 3
 	PartitionFleetShare        = 0.05
 	// PartitionZoneShare is the share of a zone's machines that must have become silent together for the zone to
 	// count as partitioned. Fewer are failures of single machines.
 	PartitionZoneShare = 0.6
-	// ForgetReturnedAfter is how long the name of a returned machine is remembered, so that late messages of the
-	// machine are recognized.
+	// ForgetReturnedAfter is how long the name of a returned machine is remembered, so that late messages of
+	// the machine are recognized.
 	ForgetReturnedAfter = 15 * time.Minute
-	// ListSettledAgeS is the age, in seconds, that a listed machine must have for the list to prove that unlisted
-	// machines created before it are gone. Several machines are created at once, and ages are rounded.
+	// ListSettledAgeS is the age, in seconds, that a listed machine must have for the list to prove that
+	// unlisted machines created before it are gone. The order of younger machines is uncertain, because
+	// several machines are created at once and ages are rounded.
 	ListSettledAgeS = 2.0
 	// MissedListingsMin is the number of consecutive lists that must lack a silent machine before it counts as
 	// interrupted by the cloud.
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -4,9 +4,9 @@
 
 // Followers that renew workers' leases on behalf of the leader.
 const (
-	// RedirectMemory is how long a follower remembers that it redirected a worker to the leader. A worker
-	// that returns sooner did not find the leader: it waits 4 s for an answer and 1 s until it tries the
-	// next node, twice.
+	// RedirectMemory is how long a follower remembers that it redirected a worker to the leader. A worker that
+	// returns sooner did not find the leader. It returns after trying two controllers: for each of them it
+	// waits 4 s for an answer and 1 s until it tries the next.
 	RedirectMemory = 15 * time.Second
 	// RedirectsSweepMin is the number of remembered workers at which the follower first removes expired entries.
 	// After that it does so whenever their number has doubled since the last removal.
@@ -14,7 +14,8 @@
 	// FollowerLeaseRenewEvery is the interval at which a follower renews its stored record of the machines whose
 	// heartbeats it answers.
 	FollowerLeaseRenewEvery = 1 * time.Second
-	// FollowerLeaseBatchDelay is how long the first of several workers waits for others to share a write.
+	// FollowerLeaseBatchDelay is how long the first of several workers waits, so that one write of the record
+	// covers them all.
 	FollowerLeaseBatchDelay = 100 * time.Millisecond
 	// FollowerLeaseExtra is added to twice a worker's lease to give the time to live of that record.
 	FollowerLeaseExtra = 10 * time.Second
@@ -23,22 +24,22 @@
 	FollowerLeaseTimeout = 2 * time.Second
 	// HeartbeatLateFactor is the longest pause between a worker's heartbeats, as a multiple of the heartbeat
 	// interval. WorkerSearchTime is how long a worker may have searched for a controller before its heartbeat
-	// arrives, and how long no worker may have asked before a new search begins. ElectionGraceShare is the share
-	// of what a lease leaves beyond both times, during which workers are redirected instead of having their
-	// leases renewed.
+	// arrives. If no worker has asked for WorkerSearchTime, the next request begins a new search. A lease
+	// leaves some time beyond both the longest pause and the search. ElectionGraceShare is the share of that
+	// time during which workers are redirected instead of having their leases renewed.
 	HeartbeatLateFactor = 1.25
 	WorkerSearchTime    = 15 * time.Second
 	ElectionGraceShare  = 0.25
-	// RenewedQueryLeaseShare is the share of a worker's lease within which a follower queries every worker whose
-	// lease it renews, to confirm that the worker is alive. The number of these workers over that time gives
-	// the rate of queries. RenewedQueriesPerSecondMin is the lowest rate, in queries per second: a fixed rate of
-	// 40 needed 100 s for 4,000 workers, longer than their leases. A query costs about as much as a
-	// heartbeat, and a worker sends several heartbeats in half a lease.
+	// RenewedQueryLeaseShare is the share of a worker's lease within which a follower queries every worker
+	// whose lease it renews, to confirm that the worker is alive. The number of these workers, divided by that
+	// time, is the rate of queries. RenewedQueriesPerSecondMin is the lowest rate, in queries per second. A
+	// fixed rate of 40 needed 100 s for 4,000 workers, longer than their leases. A query costs about as much
+	// as a heartbeat, and a worker sends several heartbeats in half a lease.
 	RenewedQueryLeaseShare     = 0.5
 	RenewedQueriesPerSecondMin = 40.0
-	// RenewedQueryAnswerTime is the longest time that a live worker takes to answer such a query. The rate times
-	// this time is the number of queries in flight, but at least RenewedQueriesInFlightMin and at most the number
-	// of commands that the member may have in flight.
+	// RenewedQueryAnswerTime is the longest time that a live worker takes to answer such a query. The number
+	// of queries in flight is the rate multiplied by this time, but at least RenewedQueriesInFlightMin and at
+	// most the number of commands that the member may have in flight.
 	RenewedQueryAnswerTime    = 250 * time.Millisecond
 	RenewedQueriesInFlightMin = 32
 	// LeaderRedirectAfter is how long a follower answers a worker, without commands, before it redirects the
@@ -53,20 +54,21 @@
 	// the key-value store does not answer either, the member is unhealthy. A process that gets little CPU
 	// time misses a few pings.
 	IsolatedAfter = 6 * time.Second
-	// ZoneLeaseTTL is how long a member that reaches neither the leader nor the key-value store continues
-	// to answer the workers of its own zone. Most partitions of a zone last about a minute. During one of
-	// 170 s, jobs fared better with 300 s than with 120 s, arrays included. If the member fails together
-	// with its zone, machines that the cloud does not list as failed count as alive for as long.
+	// ZoneLeaseTTL is how long a member that reaches neither the leader nor the key-value store continues to
+	// answer the workers of its own zone. Most partitions of a zone last about a minute. During a partition of
+	// 170 s, jobs including arrays fared better with a time to live of 300 s than with 120 s. If the member
+	// fails together with its zone, the zone's machines count as alive for this time, except those that the
+	// cloud lists as failed.
 	ZoneLeaseTTL = 300 * time.Second
-	// ZoneLeaseRenewEvery is the interval at which the zone lease is renewed. A partition can find the lease
-	// shortened by at most this time.
+	// ZoneLeaseRenewEvery is the interval at which the zone lease is renewed. At the beginning of a partition,
+	// at most this much of the lease's time to live has elapsed.
 	ZoneLeaseRenewEvery = 5 * time.Second
 	// StateLeaseMaxTTL is the longest lease that the key-value store grants.
 	StateLeaseMaxTTL = 600 * time.Second
-	// RenewedNamesMaxBytes bounds the machine names in one query between members, in bytes; a message is
-	// a little larger. NameOverheadBytes is the overhead of a name besides its own length: its vector entry,
-	// length, terminator and alignment. All queries together must complete within RelayTimeout: with 400
-	// names in each, 6,000 machines needed 15 queries in sequence.
+	// RenewedNamesMaxBytes bounds the machine names in one query between members, in bytes. The message is a
+	// little larger. NameOverheadBytes is the overhead of a name besides its own length: its vector entry,
+	// length, terminator and alignment. All queries together must complete within RelayTimeout. With 400 names
+	// in each query, 6,000 machines needed 15 queries in sequence.
 	RenewedNamesMaxBytes = 64 << 10
 	NameOverheadBytes    = 12
 	// WorkerTryTime is how long a worker spends on a controller that does not answer: 4 s for the answer and
@@ -75,12 +77,14 @@
 	// RedirectLeaseShare is the share of a worker's lease within which the worker must be able to return if it
 	// is redirected to a leader that does not answer this member.
 	RedirectLeaseShare = 0.8
-	// RenewedQueryTimeout bounds how long the leader may take to read these records and to query the members
-	// once. If it takes longer, the leader concludes nothing. The members' answers cover this time in
-	// addition to a lease, so that all of them cover the whole lease before the leader began. The bound has
-	// room for a key-value store that answers in half a second and for several pages of records. A dead
-	// machine that a follower answered is detected later by this time.
+	// RenewedQueryTimeout bounds one query of the leader for leases that other members renewed. In it the
+	// leader reads the stored records of followers and of zone leases, and asks the members that hold zone
+	// leases. If the query takes longer, the leader concludes nothing from it. The records and the members
+	// report renewals for this time in addition to a lease, so that all of them cover the whole lease before
+	// the query began. The bound is long enough for a key-value store that answers in half a second, and for
+	// several pages of records. It delays by this time the detection of a dead machine that a follower
+	// answered.
 	RenewedQueryTimeout = 3 * time.Second
-	// RenewedReadMinInterval is the shortest time between two readings of these records by the leader.
+	// RenewedReadMinInterval is the shortest time between two such queries of the leader.
 	RenewedReadMinInterval = 500 * time.Millisecond
 )
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -22,19 +22,21 @@
 	SlowLogLikelihoodRatio = 9.0
 	SlowPeersMin           = 5
 	RememberedRuns         = 16
-	// ObservedRunsMin is the number of completed tasks from which a job's expected run time is computed from them
-	// instead of the owner's estimate. ObservedLogStdDev is the standard deviation of the logarithm of the job's
-	// run times in that case.
+	// ObservedRunsMin is the number of completed tasks of a job from which on its expected run time is
+	// computed from these tasks instead of the owner's estimate. ObservedLogStdDev is the standard deviation
+	// of the logarithm of the job's run times in that case.
 	ObservedRunsMin   = 3
 	ObservedLogStdDev = 0.25
-	// FailureBackoff is the first pause of a job whose task failed. It doubles with each further failure.
+	// FailureBackoff is the first pause of a job whose task failed. It doubles with each further wave of
+	// failures (see jobs.Store.MarkFailed). Once the job has failed on FaultyJobMachines machines, it doubles
+	// with each further failure.
 	FailureBackoff = 2 * time.Second
 	// FailureBackoffMax bounds the pause of a job whose task failed.
 	FailureBackoffMax = 60 * time.Second
 	// FaultyJobMachines is the number of machines on which a job must fail before it avoids none of them.
 	FaultyJobMachines = 3
-	// HealthyRunAfter is how long a task must have run for its job not to be blamed for failures. Tasks of a
-	// faulty job fail when they start.
+	// HealthyRunAfter is how long a task must have run to prove that its job is not the cause of failures.
+	// Tasks of a faulty job fail when they start.
 	HealthyRunAfter = 5 * time.Second
 	// RefusalPause is how long a machine that refused a task for lack of room gets no tasks.
 	RefusalPause = 2 * time.Second
@@ -42,13 +44,13 @@
 	// cache holds.
 	MachineImagesMax = 256
 	// ImagesStoreEvery is the interval at which the locations of cached images are stored, if the write rate
-	// limit has room for ImagesSpareChangesMin more changes. An image whose location the next leader does not know is
-	// fetched once more, which delays a start by a second or two.
+	// limit has room for ImagesSpareChangesMin more changes. If the next leader does not know the location of
+	// an image, the image is fetched once more, which delays a start by a second or two.
 	ImagesStoreEvery      = 10 * time.Second
 	ImagesSpareChangesMin = 4
-	// AvoidMachineFor is how long a job avoids a machine on which its task failed. AvoidMachineMaxWait is how long a job with
-	// no placed task may wait while only such machines have room: a machine that may fail is better than
-	// none.
+	// AvoidMachineFor is how long a job avoids a machine on which its task failed. AvoidMachineMaxWait is how
+	// long a job with no placed task may wait while only such machines have room. After that it may use them,
+	// since a machine that may fail is better than none.
 	AvoidMachineFor     = 300 * time.Second
 	AvoidMachineMaxWait = 60 * time.Second
 )
--- a/internal/platform/wire/cloud.go
+++ b/internal/platform/wire/cloud.go
@@ -68,7 +68,7 @@
 	AgeS    float64      `json:"age_s"` // time since the machine was created
 }
 
-// MachinePage is a page of the cloud's list.
+// MachinePage is one page of the cloud's list of machines.
 type MachinePage struct {
 	Machines []ListedMachine `json:"stalls"`
 	More     bool            `json:"has_next"` // another page follows
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -10,7 +10,7 @@
 	"unicode"
 )
 
-// Paths that users call. A constant with the prefix End is the last path element of a request about one job.
+// Paths that users call. The constants EndCancel, EndExplain and EndCharges are the last path elements of requests about one job.
 const (
 	PathJobs   = "/v2/runs"
 	PathHealth = "/up"
@@ -83,8 +83,8 @@
 	SaveS       float64  `json:"stamp_s"`     // time that a task needs to save a checkpoint
 	DeadlineS   *float64 `json:"departure_s"` // nil: no deadline
 
-	// Account is the account that the team bills for the job. The protocol has no such field, so it is only read if charges are
-	// recorded.
+	// Account is the account that the team bills for the job. The protocol has no such field, so it is read only if charges
+	// are recorded.
 	Account string `json:"account,omitempty"`
 }
 
@@ -112,8 +112,8 @@
 	DeadlineS   *float64  `json:"departure_s"`
 }
 
-// ReadAccount sets the account that a job is billed to from the job's submission. The protocol has no such field, so ReadAccount
-// is called only if charges are recorded.
+// ReadAccount reads the account that pays for the job from the body of the job's submission, and sets j.Account. The protocol
+// has no such field, so ReadAccount is called only if charges are recorded.
 func (j *Job) ReadAccount(body []byte) error {
 	var d struct {
 		Account *json.RawMessage `json:"account"`
@@ -145,7 +145,7 @@
 
 const maxNameBytes = 200 // length, in bytes, of the longest name (team, class, image, type, zone) in a job
 
-// ParseJob parses and checks a submission. An error says in one line what is malformed.
+// ParseJob parses and checks a submission. The error names in one line what is malformed.
 func ParseJob(body []byte) (*Job, error) {
 	if b := bytes.TrimSpace(body); len(b) == 0 || b[0] != '{' {
 		return nil, errors.New("the body is not a JSON object")
@@ -196,7 +196,7 @@
 	return j, nil
 }
 
-// zone returns the only zone allowed, or an empty string if any zone is.
+// zone returns the only zone allowed, or an empty string if all zones are allowed.
 func (d *jobDraft) zone() (string, error) {
 	if d.Zone == nil {
 		return "", nil
@@ -207,7 +207,7 @@
 	return *d.Zone, nil
 }
 
-// types returns the machine types allowed, or nil if all are.
+// types returns the machine types allowed, or nil if all types are allowed.
 func (d *jobDraft) types() ([]string, error) {
 	if d.Types == nil {
 		return nil, nil
@@ -313,10 +313,10 @@
 	Error string `json:"error"`
 }
 
-// Explanation is the answer to the question what a job waits for, with the reasons as text.
+// Explanation is the answer to a user's question what a job waits for, with the reasons as text.
 type Explanation struct {
 	JobStatus
 	Waiting     int      `json:"waiting"` // number of tasks that wait to be placed
-	NotAdmitted int      `json:"held"`    // number of these that may not start now even if there is room
+	NotAdmitted int      `json:"held"`    // number of the waiting tasks that may not start now even if there is room
 	Reasons     []string `json:"reasons"`
 }
--- a/internal/platform/wire/state.go
+++ b/internal/platform/wire/state.go
@@ -36,8 +36,8 @@
 	Version uint64 `json:"stamp"`
 }
 
-// Change is one write of a transaction. Put is the key to store Value under, attached to Lease unless that is 0; Delete is the
-// key to delete.
+// Change is one write of a transaction. It stores Value under the key Put, attached to Lease unless Lease is 0, or it deletes
+// the key Delete.
 type Change struct {
 	Put    string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -51,8 +51,8 @@
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TxnResult is the answer to a transaction. Failed holds the keys whose conditions did not hold; if there are any, nothing was
-// changed.
+// TxnResult is the answer to a transaction. Failed holds the keys whose conditions did not hold. If it is not empty, nothing
+// was changed.
 type TxnResult struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed,omitempty"`
@@ -82,12 +82,12 @@
 	Events   []Event `json:"events"`
 }
 
-// EncodeRecord encodes a record for the state service. It panics if the record cannot be encoded, which is a programming error:
-// no type of a record has a field that JSON cannot represent.
+// EncodeRecord encodes a record for the state service. It panics if the record cannot be encoded. That would be a programming
+// error, because no record type has a field that JSON cannot represent.
 func EncodeRecord(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("records are always encodable: %v", err))
+		panic(fmt.Sprintf("cannot encode a record as JSON: %v", err))
 	}
 	return raw
 }
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Paths between workers and controllers.
+// Paths between workers and controllers. Workers call PathHeartbeat; controllers call the other two.
 const (
 	PathHeartbeat       = "/agent/beat"
 	PathCommands        = "/do"
@@ -24,7 +24,7 @@
 	TaskExited   TaskState = "exited"
 )
 
-// ExitReason is why a task ended.
+// ExitReason is the reason why a task ended.
 type ExitReason string
 
 // The reasons for which a task ends. A worker refuses a start with ExitNoRoom if the machine lacks room, with ExitBusy if another
@@ -48,9 +48,9 @@
 	OpForget Op = "forget"
 )
 
-// Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation is
-// the epoch of the worker's process; Seq grows with each heartbeat of an incarnation. FencingToken is the highest fencing token
-// that the worker has received.
+// Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation
+// identifies the worker's process; a later process has a higher one. Seq grows with each heartbeat of an incarnation.
+// FencingToken is the highest fencing token that the worker has received.
 type Heartbeat struct {
 	Machine      string       `json:"stall"`
 	Address      string       `json:"address"`
@@ -119,13 +119,13 @@
 	Commands     []Command `json:"calls"`
 }
 
-// Redirect tells a worker which controller is the leader.
+// Redirect names the controller that is the leader.
 type Redirect struct {
 	ReportTo string `json:"conductor,omitempty"`
 }
 
-// DirectCommands is a request to a worker, in addition to the replies to its heartbeats. Incarnation is the one that the commands
-// are meant for.
+// DirectCommands is a request that sends commands to a worker outside the replies to its heartbeats. Incarnation is the
+// incarnation of the worker for which the commands are meant.
 type DirectCommands struct {
 	FencingToken uint64    `json:"baton"`
 	Incarnation  uint64    `json:"shift"`
--- a/internal/scheduler/jobs/backoff.go
+++ b/internal/scheduler/jobs/backoff.go
@@ -7,10 +7,10 @@
 	"poppypass/internal/platform/wire"
 )
 
-// MarkFailed records that a task of a job failed. Failures during the job's backoff count as one wave with the
-// failure that began it: all running tasks of a job that was submitted with a mistake fail at once. The number
-// of waves is stored, so that a new leader continues the backoff instead of starting all the job's tasks
-// again.
+// MarkFailed records that a task of a job failed. A failure outside a backoff begins a new wave of failures
+// and a longer backoff. Failures during a backoff belong to the wave that began it, because all running tasks
+// of a job that was submitted with a mistake fail at once. The number of waves is stored, so that a new leader
+// continues the backoff instead of starting all the job's tasks again.
 func (s *Store) MarkFailed(j *Job, now time.Time) {
 	j.Failures++
 	if now.Before(j.BackoffUntil) {
@@ -18,25 +18,26 @@
 	}
 	j.FailedWaves++
 	j.BackoffUntil = now.Add(backoff(j.FailedWaves))
-	s.queue.markDirty(failedWavesChunk(j), now)
+	s.queue.markDirty(failureWavesChunk(j), now)
 	s.queue.scheduleFlush(now)
 }
 
-// ResetBackoff records that a task of the job ran well: the job itself is not the cause of its failures. It
-// ends the job's backoff.
+// ResetBackoff ends the job's backoff. It is called when a task of the job ran well, which shows that the job
+// itself is not the cause of its failures.
 func (s *Store) ResetBackoff(j *Job, now time.Time) {
 	if j.FailedWaves > 0 {
 		j.FailedWaves = 0
 		j.BackoffUntil = time.Time{}
-		s.queue.markDirty(failedWavesChunk(j), now)
+		s.queue.markDirty(failureWavesChunk(j), now)
 	}
 }
 
-// failedWavesChunk returns the chunk whose record contains the job's number of failed waves.
-func failedWavesChunk(j *Job) chunkRef { return chunkRef{j, 0} }
+// failureWavesChunk returns the chunk whose record contains the job's number of waves of failures.
+func failureWavesChunk(j *Job) chunkRef { return chunkRef{j, 0} }
 
-// HasHealthyRun reports whether a task of the job has completed or has been running for HealthyRunAfter. Tasks of a
-// job that was submitted with a mistake fail as soon as they start.
+// HasHealthyRun reports whether a task of the job has completed or has been running for HealthyRunAfter.
+// Either shows that the job works, because tasks of a job that was submitted with a mistake fail as soon as
+// they start.
 func (j *Job) HasHealthyRun(now time.Time) bool {
 	if j.Done > 0 {
 		return true
--- a/internal/scheduler/jobs/backoff_test.go
+++ b/internal/scheduler/jobs/backoff_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against a new leader that starts all tasks of a job that has only ever failed, on as many machines,
-// because the number of failed waves was not stored.
-func TestFailedWavesAreStored(t *testing.T) {
+// because the number of waves of failures was not stored.
+func TestFailureWavesAreStored(t *testing.T) {
 	kv := newKVStore(t)
 	kv.accept("job-1", 2*tuning.ChunkTasks)
 	s, _ := kv.load(12)
@@ -24,12 +24,12 @@
 	kv.flush(s)
 	s, _ = kv.load(12)
 	if j := s.Jobs["job-1"]; j.FailedWaves != 3 || j.BackoffUntil.Sub(t0) != 4*tuning.FailureBackoff {
-		t.Errorf("a new leader loads %d failed waves and a backoff of %v, want 3 and 4 times ErrorPause", j.FailedWaves, j.BackoffUntil.Sub(t0))
+		t.Errorf("a new leader loads %d waves of failures and a backoff of %v, want 3 waves and 4 times FailureBackoff", j.FailedWaves, j.BackoffUntil.Sub(t0))
 	}
 	s.ResetBackoff(s.Jobs["job-1"], t0)
 	s.queue.scheduleFlush(t0)
 	kv.flush(s)
 	if s, _ = kv.load(12); s.Jobs["job-1"].FailedWaves != 0 {
-		t.Error("a new leader loads failed waves of a job whose task ran well since")
+		t.Error("a new leader loads waves of failures of a job whose task has run well since")
 	}
 }
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -6,16 +6,18 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Batch is one transaction of the store's changes.
+// Batch is one transaction that writes changes of a Store, and the effects that follow once it is committed.
 type Batch struct {
 	Txn wire.Txn
 	// Counts classifies the transaction's changes by purpose.
 	Counts BatchCounts
 
-	chunks      []chunkRef        // whose progress records the transaction writes
-	allocations []*Allocation     // that the transaction commits
-	ends        []jobEnd          // of jobs that the transaction ends
-	detached    []DetachedCharges // Version 0: the transaction writes the record, so its revision is the version
+	chunks      []chunkRef    // chunks whose progress records the transaction writes
+	allocations []*Allocation // allocations that the transaction commits
+	ends        []jobEnd      // jobs that the transaction ends
+	// records of charges that the transaction detaches. Version is 0 if the transaction writes the record:
+	// its version is then the revision of the transaction.
+	detached []DetachedCharges
 }
 
 // BatchCounts counts the changes of a transaction by purpose.
@@ -42,14 +44,14 @@
 type WriteBudget struct {
 	Changes int // all changes in the transaction; 0: as many as one transaction may hold
 	Spare   int // changes among them that nobody waits for
-	Overdue int // like Spare, for records that have been dirty for LazyMaxWait or longer; the larger one applies to them
+	Overdue int // like Spare, for records that have been dirty for at least LazyMaxWait; the larger limit applies to them
 }
 
-// NextBatch builds the next transaction, or returns nil if there is nothing to write. Only one transaction
-// may be in flight at a time. Changes that somebody waits for come first: otherwise the finished tasks of
-// large arrays would use up the write limit, and starts would wait behind them. It is best called
-// when the transaction may be sent at once: the order of changes that have to wait for the write limit is then
-// decided as late as possible.
+// NextBatch builds the next transaction, or returns nil if there is nothing to write. Only one transaction may
+// be in flight at a time. Changes that somebody waits for are written first. Otherwise the finished tasks of
+// large arrays would use up the write limit, and starts would wait behind them. NextBatch is best called when
+// the transaction may be sent at once: changes that have to wait for the write limit then remain in the queue,
+// and their order is decided as late as possible.
 func (s *Store) NextBatch(now time.Time, budget WriteBudget) *Batch {
 	b := newBatchBuilder(s, now, budget)
 	s.queue.sort()
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// Guards against a transaction with more changes than may be sent at once: a production start that arrives
-// while it waits to be sent would wait behind all of it.
+// Guards against a transaction with more changes than may be sent at once. While it waits to be sent, a
+// production start that arrives would have to wait behind all its changes.
 func TestBatchHoldsNoMoreChangesThanItsBudget(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 9 {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Guards against overdue progress that uses up the write limit: whether a record is overdue depends on its own
-// age, and overdue records stay within their budget.
+// Guards against overdue progress that uses up the write limit. Whether a record is overdue depends on how
+// long that record has been dirty, and all overdue records together stay within their budget.
 func TestOverdueProgressStaysWithinItsBudget(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 6 {
--- a/internal/scheduler/jobs/batchbuilder.go
+++ b/internal/scheduler/jobs/batchbuilder.go
@@ -55,21 +55,22 @@
 	return b.hasRoom(changes) && (b.changes() == 0 || b.bytes+bytes <= tuning.TxnMaxBytes)
 }
 
-// put stores a value under a key on the condition that the key has a version; 0: that the key does not exist.
+// put adds a change that stores a value under a key, on the condition that the key has the given version.
+// Version 0 means that the key does not exist.
 func (b *batchBuilder) put(key string, version uint64, value json.RawMessage) {
 	b.require(key, version)
 	b.batch.Txn.Then = append(b.batch.Txn.Then, wire.Change{Put: key, Value: value})
 	b.bytes += len(value) + 2*len(key) + changeOverhead
 }
 
-// deleteKey deletes a key on the condition that it has a version.
+// deleteKey adds a change that deletes a key, on the condition that the key has the given version.
 func (b *batchBuilder) deleteKey(key string, version uint64) {
 	b.require(key, version)
 	b.batch.Txn.Then = append(b.batch.Txn.Then, wire.Change{Delete: key})
 	b.bytes += 2*len(key) + changeOverhead
 }
 
-// require adds the condition that a key has a version; 0: that the key does not exist.
+// require adds the condition that a key has the given version. Version 0 means that the key does not exist.
 func (b *batchBuilder) require(key string, version uint64) {
 	b.batch.Txn.If = append(b.batch.Txn.If, wire.Condition{Key: key, Version: version})
 }
@@ -109,6 +110,6 @@
 
 // maxBytes returns the maximum size of a chunk's write in a transaction, in bytes.
 func (r chunkRef) maxBytes() int {
-	from, to := r.tasks()
+	from, to := r.taskRange()
 	return tuning.TaskEntryMaxBytes*(to-from) + tuning.ChargeMaxBytes*len(r.chunk().pack.Charges) + tuning.RecordOverheadBytes
 }
--- a/internal/scheduler/jobs/batchends.go
+++ b/internal/scheduler/jobs/batchends.go
@@ -6,8 +6,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// minEndChanges is the number of changes for which there must be room before a job's end is added: its final
-// state, its job record and one progress record.
+// minEndChanges is the number of changes for which a batch must have room before a job's end is added to it:
+// the job's final state, the job record and one progress record.
 const minEndChanges = 3
 
 // addNextEnd adds the first queued end, and reports whether there was room for it.
@@ -71,7 +71,7 @@
 }
 
 // deleteOrDetachChunk handles a chunk of a job that ends. A record with charges becomes a record of detached
-// charges. Any other is deleted in this transaction or, without room, in a later one.
+// charges. Any other record is deleted in this transaction, or in a later one if this one has no room.
 func (b *batchBuilder) deleteOrDetachChunk(ref chunkRef) {
 	c := ref.chunk()
 	dirty := c.dirty
@@ -88,7 +88,7 @@
 }
 
 // detachWholeRecord turns the progress record of an ending job into a record of detached charges under the
-// same key. It is written only if the chunk is dirty: otherwise the stored record already contains all
+// same key. The record is written only if the chunk is dirty; otherwise the stored record already contains all
 // charges.
 func (b *batchBuilder) detachWholeRecord(ref chunkRef, dirty bool) {
 	c := ref.chunk()
--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -18,19 +18,19 @@
 			if b.changes() >= before+b.budget.lazy(age) || !b.hasRoomFor(ref) {
 				break
 			}
-			if age < tuning.LazyWriteDelay { // written for a start after it was queued, and changed again since
+			if age < tuning.LazyWriteDelay { // the chunk was written with a start while it was queued, and has changed again since
 				q.lazy = append(q.lazy[1:], ref)
 				continue
 			}
 		}
-		q.lazy, c.queued = q.lazy[1:], false
+		q.lazy, c.inLazyQueue = q.lazy[1:], false
 		b.writeProgress(ref)
 	}
 	b.batch.Counts.Progress = b.changes() - before
 }
 
-// lazy returns how many changes that nobody waits for one transaction may contain, for a next change
-// that has waited for some time.
+// lazy returns the maximum number of lazy changes, which nobody waits for, in one transaction. waited is how
+// long the next lazy change has waited.
 func (w WriteBudget) lazy(waited time.Duration) int {
 	if waited >= tuning.LazyMaxWait {
 		return max(w.Spare, w.Overdue)
@@ -64,8 +64,8 @@
 	b.batch.allocations = append(b.batch.allocations, uncommitted...)
 }
 
-// detachCharges moves charges of a chunk that is about to be written to records of their own, if there are
-// many. It leaves room for the chunk's own record.
+// detachCharges moves charges of a chunk to records of their own if the chunk has many. It is called before
+// the chunk's own record is written, and leaves room for it.
 func (b *batchBuilder) detachCharges(c *progressChunk) {
 	for b.hasRoom(2) {
 		d, value, ok := c.detachOldCharges()
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -14,10 +14,11 @@
 // attempts are in the progress record of their chunk: the write that records an attempt's end also records
 // its charge. When a record has many charges, such a write also moves some of them to a record of their own,
 // whose key is made from the first of these charges and must not exist yet. When the job ends, its progress
-// records that contain charges are not deleted. Records of both sorts are detached charges: they do not change
-// any more, until the ledger accounts for them and deletes them in one transaction.
+// records that contain charges are not deleted. The separate records and the remaining progress records of ended
+// jobs are called detached charges. They no longer change. The ledger accounts for the charges of a record and
+// deletes the record in one transaction.
 //
-// So each charge is in exactly one record at any time. Every transaction that moves a charge has the condition
+// Each charge is therefore in exactly one record at any time. Every transaction that moves a charge has the condition
 // that the record from which it moves still has its known version.
 
 // DetachedCharges is a stored record of charges that the Store no longer changes.
@@ -39,18 +40,18 @@
 // leader's loop as the call that records the attempt's end, or as the change of Allocation.ChargedFrom at a
 // day's end, so that one transaction stores both.
 func (s *Store) AddCharges(a *Allocation, parts []charge.Charge, now time.Time) {
-	c := a.chunk().chunk()
+	c := a.chunkRef().chunk()
 	for _, part := range parts {
 		part.KindIndex = c.pack.KindIndex(a.Kind)
 		c.pack.Charges = append(c.pack.Charges, part)
 	}
-	s.queue.markDirty(a.chunk(), now)
+	s.queue.markDirty(a.chunkRef(), now)
 	s.queue.scheduleFlush(now)
 }
 
-// MarkRunning records that a task was seen running. That time is stored with the next write of the task's
-// record. No write is made for it alone until the allocation has been known for StartTimeStoreDelay, so a shorter
-// task costs no extra write.
+// MarkRunning records the time at which a task was first seen running. The time is stored with the next write
+// of the task's record. A write for this time alone is made only once the allocation has been known for
+// StartTimeStoreDelay, so a shorter task costs no extra write.
 func (s *Store) MarkRunning(a *Allocation, now time.Time) {
 	if !s.Metered || !a.ChargedFrom.IsZero() {
 		return
@@ -71,7 +72,7 @@
 		a := s.newlyRunning[0]
 		s.newlyRunning = s.newlyRunning[1:]
 		if !a.Removed && !a.chargedFromStored {
-			s.queue.markDirty(a.chunk(), now)
+			s.queue.markDirty(a.chunkRef(), now)
 			s.queue.scheduleFlush(now)
 		}
 	}
@@ -95,8 +96,8 @@
 	return out
 }
 
-// DecodeCharges returns the charges in a progress record or a record of detached charges;
-// nil if it holds none. The error is a *RecordError.
+// DecodeCharges returns the charges in a progress record or a record of detached charges, or nil if the record
+// contains none. The error is a *RecordError.
 func DecodeCharges(item wire.Item) (*charge.Pack, error) {
 	var r detachedRecord
 	if err := json.Unmarshal(item.Value, &r); err != nil {
@@ -125,9 +126,9 @@
 	return nil
 }
 
-// detachOldCharges moves the oldest of a chunk's charges to a record of their own, if there are at least
-// DetachChargesMin; ok is false otherwise. value is that record's encoded value. The chunk must be written in the
-// same transaction.
+// detachOldCharges moves the oldest of a chunk's charges to a record of their own, and returns that record and
+// its encoded value. The chunk must be written in the same transaction. If the chunk has fewer than
+// DetachChargesMin charges, nothing changes and ok is false.
 func (c *progressChunk) detachOldCharges() (d DetachedCharges, value json.RawMessage, ok bool) {
 	n := min(len(c.pack.Charges), tuning.DetachChargesMax)
 	if n < tuning.DetachChargesMin {
--- a/internal/scheduler/jobs/job.go
+++ b/internal/scheduler/jobs/job.go
@@ -14,17 +14,17 @@
 	Tasks           []Task
 	Done            int                  // number of tasks that are done
 	Allocated       int                  // number of tasks that are allocated
-	WaitingSince    time.Time            // since when at least one task has waited without interruption
+	WaitingSince    time.Time            // start of the current period in which at least one task has always been waiting
 	EnqueuedAt      time.Time            // when the job was accepted, by the monotonic clock
 	BackoffUntil    time.Time            // after failures, no task is allocated before this time
-	PreemptingUntil time.Time            // until then, tasks preempted for this job may still be stopping
-	Failures        int                  // failed tasks that this leader has seen
-	FailedWaves     int                  // waves of failures since a task last ran well; see MarkFailed
+	PreemptingUntil time.Time            // until this time, tasks preempted for this job may still be stopping
+	Failures        int                  // number of task failures that this leader has seen
+	FailedWaves     int                  // number of waves of failures since a task last ran well; see MarkFailed
 	AvoidMachines   map[string]time.Time // machines on which a task of the job failed, and until when to avoid them
-	recentRuns      []CompletedRun       // of the last tasks that completed, at most RememberedRuns
+	recentRuns      []CompletedRun       // runs of the tasks that completed last, at most RememberedRuns
 	medianRunS      float64              // the median of recentRuns in seconds, once there are ObservedRunsMin of them
 
-	version         uint64 // of the stored job record
+	version         uint64 // version of the stored job record
 	chunks          []progressChunk
 	cancelWanted    bool                  // cancellation is requested
 	cancelled       bool                  // the stored job record says that the job is cancelled
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -24,16 +24,16 @@
 var (
 	// ErrMalformedKey reports a record key that is not in its expected format.
 	ErrMalformedKey = errors.New("malformed key")
-	// ErrWrongJob reports a job record whose job has another ID than its key, or a number of tasks that is
+	// ErrWrongJob reports a job record whose job ID differs from the ID in the key, or whose number of tasks is
 	// never accepted.
-	ErrWrongJob = errors.New("no valid job with the ID in the key")
+	ErrWrongJob = errors.New("job ID differs from the key, or the number of tasks is not allowed")
 	// ErrMalformedProgress reports a progress record with invalid task ranges, or with tasks that its job
 	// does not have.
 	ErrMalformedProgress = errors.New("malformed progress")
 )
 
-// LoadJob adds a stored job and returns it. If the job is already loaded, it returns that one unchanged. wall
-// is the current time of day. The error is a *RecordError.
+// LoadJob adds a stored job and returns it. A job that is already loaded is returned unchanged. wall is the
+// current time of day. The error is a *RecordError.
 func (s *Store) LoadJob(item wire.Item, now, wall time.Time) (*Job, error) {
 	var record JobRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -96,8 +96,8 @@
 	if err := chunk.loadCharges(record.Charges); err != nil {
 		s.chargeErrors = append(s.chargeErrors, &RecordError{item.Key, err})
 	}
-	if record.FailedWaves > 0 {
-		j.FailedWaves = record.FailedWaves
+	if record.FailureWaves > 0 {
+		j.FailedWaves = record.FailureWaves
 		j.BackoffUntil = now.Add(backoff(j.FailedWaves))
 	}
 	j.loadDone(done)
@@ -126,8 +126,8 @@
 	}
 }
 
-// loadEntries adds the entries of a progress record, which are of tasks that are not done, and returns the
-// allocations among them.
+// loadEntries loads attempt numbers and allocations from the entries of a progress record, and returns the
+// allocations. It ignores entries of done tasks and of tasks that the job does not have.
 func (j *Job) loadEntries(chunk *progressChunk, entries []taskEntry, now time.Time) []*Allocation {
 	var loaded []*Allocation
 	for _, entry := range entries {
@@ -168,9 +168,9 @@
 	}
 }
 
-// TakeChargeErrors returns the errors since the last call of records whose charges could not be decoded. The task
-// progress in such a record is used all the same, so the job's tasks are not affected. Each error is a
-// *RecordError.
+// TakeChargeErrors returns the errors of records whose charges could not be decoded, as far as they occurred
+// since the last call. Each error is a *RecordError. The task progress in such a record is used all the same,
+// so the job's tasks are not affected.
 func (s *Store) TakeChargeErrors() []error {
 	out := s.chargeErrors
 	s.chargeErrors = nil
--- a/internal/scheduler/jobs/progress.go
+++ b/internal/scheduler/jobs/progress.go
@@ -12,14 +12,14 @@
 // progressChunk is the progress of ChunkTasks consecutive tasks of a job, which share one stored record, and
 // the state of writing that record.
 type progressChunk struct {
-	version    uint64      // of the stored record; 0: no record is stored
-	dirty      bool        // the stored record is out of date
-	dirtySince time.Time   // valid while dirty
-	queued     bool        // the chunk is in writeQueue.lazy
-	urgent     bool        // somebody waits for the write, mostly an allocation whose task cannot start before
-	writing    bool        // the record is in a batch whose commit is not confirmed yet
-	pack       charge.Pack // charges of ended attempts, and the machine kinds that entries refer to
-	baseMS     int64       // time of day that the record's times are relative to, in Unix milliseconds; 0: unset
+	version     uint64      // of the stored record; 0: no record is stored
+	dirty       bool        // the stored record is out of date
+	dirtySince  time.Time   // valid while dirty
+	inLazyQueue bool        // the chunk is in writeQueue.lazy
+	urgent      bool        // somebody waits for the write, mostly because a newly allocated task cannot start before it
+	writing     bool        // the record is in a batch whose commit is not confirmed yet
+	pack        charge.Pack // charges of ended attempts, and the machine kinds that entries refer to
+	baseMS      int64       // time of day that the record's times are relative to, in Unix milliseconds; 0: unset
 }
 
 // chunkRef refers to a progress chunk of a job.
@@ -28,15 +28,15 @@
 	index int // in Job.chunks
 }
 
-// chunkOf returns the chunk that contains a task, given by its index.
-func chunkOf(j *Job, task int) chunkRef { return chunkRef{j, task / tuning.ChunkTasks} }
+// chunkRefOf returns the chunk that contains a task, given by its index.
+func chunkRefOf(j *Job, task int) chunkRef { return chunkRef{j, task / tuning.ChunkTasks} }
 
 func (r chunkRef) chunk() *progressChunk { return &r.job.chunks[r.index] }
 
 func (r chunkRef) key() string { return keyProgress(r.job.ID, r.index) }
 
-// tasks returns the range of the chunk's task indexes; to is exclusive.
-func (r chunkRef) tasks() (from, to int) {
+// taskRange returns the range of the chunk's task indexes; to is exclusive.
+func (r chunkRef) taskRange() (from, to int) {
 	from = r.index * tuning.ChunkTasks
 	return from, min(len(r.job.Tasks), from+tuning.ChunkTasks)
 }
@@ -46,7 +46,7 @@
 	c := r.chunk()
 	record, uncommitted := r.encodeTasks(metered)
 	if r.index == 0 {
-		record.FailedWaves = r.job.FailedWaves
+		record.FailureWaves = r.job.FailedWaves
 	}
 	// These fields are set last: encoding the entries may set the base time and add machine kinds.
 	if record.BaseMS = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
@@ -59,7 +59,7 @@
 func (r chunkRef) encodeTasks(metered bool) (record progressRecord, uncommitted []*Allocation) {
 	c := r.chunk()
 	var done []int
-	from, to := r.tasks()
+	from, to := r.taskRange()
 	for i := from; i < to; i++ {
 		t := &r.job.Tasks[i]
 		a := t.Allocation
@@ -83,8 +83,8 @@
 	return record, uncommitted
 }
 
-// encodeTimes adds to a stored entry what the charge of its attempt is computed from. Times are stored as
-// milliseconds after the record's base, and as at least 1, since 0 means that the time is absent.
+// encodeTimes adds to a stored entry the values from which the charge of its attempt is computed. Times are
+// stored as milliseconds after the record's base, and as at least 1, since 0 means that the time is absent.
 func (c *progressChunk) encodeTimes(e *taskEntry, a *Allocation) {
 	if c.baseMS == 0 {
 		c.baseMS = a.AllocatedAt.UnixMilli() - 1
--- a/internal/scheduler/jobs/queue.go
+++ b/internal/scheduler/jobs/queue.go
@@ -18,7 +18,7 @@
 	ends   []*Job           // jobs whose end is to be written
 	stale  []wire.Condition // records of finished jobs, to be deleted
 
-	flushAt  time.Time // from when lazy changes are to be written; zero: not scheduled
+	flushAt  time.Time // time from which lazy changes are written; zero: not scheduled
 	writeNow bool      // an urgent change waits
 }
 
@@ -47,8 +47,8 @@
 
 // pushLazy adds a chunk to the lazy queue, unless it is already there.
 func (q *writeQueue) pushLazy(ref chunkRef) {
-	if c := ref.chunk(); !c.queued {
-		c.queued = true
+	if c := ref.chunk(); !c.inLazyQueue {
+		c.inLazyQueue = true
 		q.lazy = append(q.lazy, ref)
 	}
 }
@@ -102,7 +102,8 @@
 	return len(q.urgent) == 0 || len(q.ends) > 0 && q.ends[0].endPriority() > q.urgent[0].job.Priority.Level()
 }
 
-// updateDue updates writeNow and flushAt after a batch is built, by the changes that are still queued.
+// updateDue is called after a batch is built. It sets writeNow and flushAt according to the changes that
+// remain queued.
 func (q *writeQueue) updateDue() {
 	q.writeNow = len(q.ends)+len(q.urgent) > 0
 	if len(q.lazy)+len(q.stale) == 0 {
@@ -112,8 +113,8 @@
 
 // endPriority returns the priority level of the write of a job's end. A cancellation has the level of
 // production jobs because its user waits for it. Starts of production jobs are still written before it: each
-// cancellation needs three changes and its tasks are already being stopped, and simultaneous cancellations
-// that were written first delayed those starts.
+// cancellation needs three changes, and its tasks are already being stopped. When many simultaneous
+// cancellations were written first, they delayed those starts.
 func (j *Job) endPriority() int {
 	if j.cancelWanted {
 		return wire.PriorityProduction.Level()
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -66,9 +66,9 @@
 // progressRecord is the stored progress of ChunkTasks tasks of a job. Done tasks are stored as ranges. Every
 // other task that was ever allocated has an entry, so that no attempt number is used twice.
 type progressRecord struct {
-	Done        string      `json:"d,omitempty"`
-	Tasks       []taskEntry `json:"t,omitempty"`
-	FailedWaves int         `json:"f,omitempty"` // of the whole job; only in the record of its first chunk
+	Done         string      `json:"d,omitempty"`
+	Tasks        []taskEntry `json:"t,omitempty"`
+	FailureWaves int         `json:"f,omitempty"` // number of waves of failures of the whole job (see MarkFailed); only in the record of its first chunk
 
 	BaseMS  int64  `json:"b,omitempty"` // time of day that the entries' times are relative to, in Unix milliseconds
 	Charges []byte `json:"c,omitempty"` // an encoded charge.Pack
@@ -78,11 +78,11 @@
 type taskEntry struct {
 	Index       int    `json:"i"`
 	Attempt     uint64 `json:"a"`
-	Machine     string `json:"m,omitempty"` // the machine on which the task may be; empty: on none
+	Machine     string `json:"m,omitempty"` // the machine on which the task may be; empty: none
 	Incarnation uint64 `json:"s,omitempty"`
 	Zone        string `json:"z,omitempty"`
 
-	AllocatedMS   int64 `json:"p,omitempty"` // when it was allocated, in milliseconds after the record's base
+	AllocatedMS   int64 `json:"p,omitempty"` // when the task was allocated, in milliseconds after the record's base
 	ChargedFromMS int64 `json:"r,omitempty"` // see Allocation.ChargedFrom; in milliseconds after the record's base
 	ChargedParts  int   `json:"q,omitempty"` // number of parts of the attempt that are already charged
 	Kind          int   `json:"k,omitempty"` // index of the machine's kind in the charge pack, plus 1; 0: none
--- a/internal/scheduler/jobs/runtimes.go
+++ b/internal/scheduler/jobs/runtimes.go
@@ -32,9 +32,9 @@
 	return elsewhere
 }
 
-// ExpectedRunS returns the expected run time of a task of the job, in seconds. Once ObservedRunsMin tasks completed,
-// it is the median of the recent runs, since run times differ little within a job; measured is true then.
-// Before, it is the owner's estimate.
+// ExpectedRunS returns the expected run time of a task of the job, in seconds. Once ObservedRunsMin tasks have
+// completed, it is the median of the recent runs, because run times differ little within a job, and measured
+// is true. Until then it is the owner's estimate, and measured is false.
 func (j *Job) ExpectedRunS() (seconds float64, measured bool) {
 	if len(j.recentRuns) < tuning.ObservedRunsMin {
 		return j.EstimateS, false
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -26,7 +26,7 @@
 	txnOps int // maximum number of changes in one transaction
 	queue  writeQueue
 
-	newlyRunning []*Allocation     // first seen running, in that order; ChargedFrom may not be stored yet
+	newlyRunning []*Allocation     // allocations in the order in which they were first seen running; their ChargedFrom may not be stored yet
 	detached     []DetachedCharges // not yet returned by TakeDetached
 	chargeErrors []error           // not yet returned by TakeChargeErrors
 }
@@ -44,8 +44,8 @@
 		KnownSince: now, AllocatedAt: now,
 	}
 	j.allocate(a)
-	s.queue.markDirty(a.chunk(), now)
-	s.queue.markUrgent(a.chunk())
+	s.queue.markDirty(a.chunkRef(), now)
+	s.queue.markUrgent(a.chunkRef())
 	return a
 }
 
@@ -76,7 +76,7 @@
 
 // markReleased queues the writes that follow from the end of an allocation.
 func (s *Store) markReleased(a *Allocation, now time.Time) {
-	s.queue.markDirty(a.chunk(), now)
+	s.queue.markDirty(a.chunkRef(), now)
 	s.queue.scheduleFlush(now)
 	s.queueEndIfFinished(a.Job)
 }
@@ -112,18 +112,19 @@
 }
 
 // FlushSoon marks a task's record as urgent if it is dirty. It is called when a worker reports many ended
-// tasks that it must retain until their ends are stored: without it, the worker's heartbeat could exceed the
-// size limit of a request.
+// tasks. The worker must retain each of them until its end is stored, and without the early write the worker's
+// heartbeat could exceed the size limit of a request.
 func (s *Store) FlushSoon(j *Job, index int) {
-	if ref := chunkOf(j, index); !j.endPending && ref.chunk().dirty {
+	if ref := chunkRefOf(j, index); !j.endPending && ref.chunk().dirty {
 		s.queue.markUrgent(ref)
 	}
 }
 
 // Persisted reports whether the stored record of a task is up to date with memory.
 func (s *Store) Persisted(j *Job, index int) bool {
-	c := chunkOf(j, index).chunk()
-	// While the write of the job's end is pending, no stored record says that its last tasks ended. If
-	// workers forgot them now and the leader changed in an outage, the next leader would run them again.
+	c := chunkRefOf(j, index).chunk()
+	// While the write of the job's end is pending, no stored record says that the job's last tasks ended. If
+	// the workers forgot these tasks now and the leader changed in an outage, the next leader would run them
+	// again.
 	return !c.dirty && !c.writing && !j.endPending
 }
--- a/internal/scheduler/jobs/store_test.go
+++ b/internal/scheduler/jobs/store_test.go
@@ -19,7 +19,7 @@
 	if len(startable) != 1 || startable[0] != a || !a.Committed {
 		t.Fatalf("allocations to start: %v, want the committed one", startable)
 	}
-	// A new leader loads the allocation with all fields that it needs to account for it.
+	// A new leader loads the allocation with all fields that identify the attempt and its worker.
 	_, allocations := kv.load(12)
 	if len(allocations) != 1 || allocations[0].Machine != "n-1" || allocations[0].Incarnation != 1 || allocations[0].Attempt != 1 || allocations[0].Zone != "a" || !allocations[0].Committed {
 		t.Fatalf("allocations that a new leader loads: %+v", allocations)
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against a cancellation that is reported while a task of the job runs in a partitioned zone, where it
-// may continue to run for longer than users wait for its end.
+// Guards against a cancellation that is reported while a task of the job runs in a partitioned zone. There the
+// task may continue to run for longer than users wait for its end.
 func TestCancellationIsStoredOnceAllTasksAreGone(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 3)
 	var reported []wire.JobState
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against a cancellation that overtakes the last task's end: the final state that is stored first is the
-// one that everybody is told.
+// Guards against a cancellation that overtakes the last task's end: the final state that is stored first is
+// the one that is reported to everybody.
 func TestCancellationOfAJobWhoseEndIsBeingStoredReportsThatEnd(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
--- a/internal/scheduler/jobs/task.go
+++ b/internal/scheduler/jobs/task.go
@@ -46,18 +46,20 @@
 	// The times and the machine kind from which the attempt's charge is computed. They are stored only
 	// while Store.Metered is set.
 
-	Kind              charge.Kind
-	AllocatedAt       time.Time // time of day when this or an earlier leader made the allocation
-	ChargedFrom       time.Time // start of the uncharged time: first seen running, or the last day's end; zero: not seen running
-	ChargedParts      int       // number of parts of the attempt that are already charged
-	chargedFromStored bool      // the record contains ChargedFrom
+	Kind        charge.Kind
+	AllocatedAt time.Time // time of day when this or an earlier leader made the allocation
+	// start of the time that is not charged yet: when the task was first seen running, or the end of the
+	// last day that was charged; zero: the task was never seen running
+	ChargedFrom       time.Time
+	ChargedParts      int  // number of parts of the attempt that are already charged
+	chargedFromStored bool // the record contains ChargedFrom
 }
 
 // Task returns the ID of the allocated task.
 func (a *Allocation) Task() wire.TaskID { return wire.TaskID{Job: a.Job.ID, Index: a.Index} }
 
-// chunk returns the progress chunk that contains the allocated task.
-func (a *Allocation) chunk() chunkRef { return chunkOf(a.Job, a.Index) }
+// chunkRef returns the progress chunk that contains the allocated task.
+func (a *Allocation) chunkRef() chunkRef { return chunkRefOf(a.Job, a.Index) }
 
 // StopRequest requests that an allocated task is stopped.
 type StopRequest struct {
--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -14,14 +14,14 @@
 
 // Schedule runs one scheduling cycle. It tries the jobs in order, and places as many waiting tasks of each
 // as fit its team's quota and the machines. A job that cannot place any more tasks does not block the jobs
-// behind it. A job that has waited for long reserves a machine against them, so that small tasks do not
-// fill every machine before its large task fits.
+// behind it. But once it has waited for long, it reserves a machine against these jobs, so that their small
+// tasks do not fill every machine before its large task fits.
 //
 // Within a priority, tasks that fit their team's guarantee are placed before tasks that a team borrows
-// beyond it. Otherwise room that was preempted from one borrower would go to the next borrower, because
-// that has waited longer. Jobs that have waited too long for their first task are tried even earlier, with
-// one task each. Placeholders are tried last: they reserve room against lower priorities only, and for a
-// limited time (see BackfillReservations).
+// beyond it. Otherwise room that was preempted from one borrower would go to another borrower that has waited
+// longer. Jobs that have waited too long for their first task are tried even earlier, with one task each.
+// Placeholders are tried last: they reserve room against lower priorities only, and for a limited time (see
+// BackfillReservations).
 //
 // Schedule sorts pending. It changes the jobs' waiting counts and zones, the machines' free resources and
 // the teams' use.
@@ -119,7 +119,7 @@
 		return
 	}
 	request := job.Request()
-	var ranking *machineRanking // built when first needed, since building it examines all machines
+	var ranking *machineRanking // built when first needed, because building it examines all machines
 	for job.Waiting > 0 && team.admits(job) && (ph != guaranteedPhase || team.withinGuarantee(request)) {
 		if ranking == nil {
 			ranking = c.rankings.forJob(job, kind)
@@ -152,7 +152,7 @@
 func (c *cycle) place(job *PendingJob, machine *Machine, request Resources, team *Team) {
 	job.assign(machine, request, team)
 	if job.Placeholder {
-		c.reservations.placeholders = true
+		c.reservations.placeholdersPlaced = true
 		return
 	}
 	c.placed = append(c.placed, Placement{job, machine})
@@ -166,10 +166,10 @@
 	if job.Placeholder {
 		return
 	}
-	if c.reservations.placeholders {
-		c.reservations.displaced = true
+	if c.reservations.placeholdersPlaced {
+		c.reservations.blockedAfterPlaceholders = true
 	}
-	if c.reservations.allowed && !c.reservations.head && c.now.Sub(job.WaitingSince) >= tuning.HeadReservationAfter {
-		c.reservations.head = job.reserveMachine(c.machines, job.Request())
+	if c.reservations.allowed && !c.reservations.headReserved && c.now.Sub(job.WaitingSince) >= tuning.HeadReservationAfter {
+		c.reservations.headReserved = job.reserveMachine(c.machines, job.Request())
 	}
 }
--- a/internal/scheduler/placement/cycle_test.go
+++ b/internal/scheduler/placement/cycle_test.go
@@ -29,7 +29,7 @@
 		{"the longest wait goes first",
 			[]*PendingJob{pendingJob("a", wire.PriorityNormal, time.Second, 1, 4), pendingJob("b", wire.PriorityNormal, 2*time.Second, 1, 4)},
 			machineList{machine("m", "a", false, 4)}, 100, "b:m"},
-		{"after the aging step a job rises by one priority",
+		{"after PriorityAgingAfter a job's priority rises by one level",
 			[]*PendingJob{pendingJob("a", wire.PriorityHigh, 0, 1, 4), pendingJob("b", wire.PriorityNormal, tuning.PriorityAgingAfter, 1, 4)},
 			machineList{machine("m", "a", false, 4)}, 100, "b:m"},
 		{"most free room wins", []*PendingJob{pendingJob("a", wire.PriorityHigh, 0, 1, 4)},
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against room that is preempted from a team that borrows and then goes to the next borrower, because
-// that has waited longer. In one case over a thousand tasks were preempted in turn to place the same few.
+// Guards against room that is preempted from one borrowing team only to go to another borrower, because that
+// one has waited longer. In one case over a thousand tasks were preempted in turn to place the same few.
 func TestGuaranteedWorkGoesBeforeBorrowed(t *testing.T) {
 	borrower, owner := pendingJob("b", wire.PriorityHigh, 9*time.Second, 3, 4), pendingJob("o", wire.PriorityHigh, 0, 3, 4)
 	owner.Job.Team = "owner"
--- a/internal/scheduler/placement/dryrun.go
+++ b/internal/scheduler/placement/dryrun.go
@@ -6,7 +6,7 @@
 // are not valid job IDs.
 const (
 	excludedFromDryRun = "\x00" // while TryPlace tries to move the machine's tasks to other machines
-	removedFromDryRun  = "\x01" // after all of them fitted on other machines
+	removedFromDryRun  = "\x01" // after all the machine's tasks fitted on other machines
 )
 
 // DryRun finds where tasks would be placed, without starting them. It ranks the machines once and reuses the
@@ -18,8 +18,8 @@
 	placed       []Placement       // in the current call of TryPlace
 }
 
-// NewDryRun starts a dry run. Tasks that fit reduce the machines' free resources; nothing else may change
-// these during the dry run.
+// NewDryRun starts a dry run. Tasks that fit reduce the machines' free resources. Nothing else may change the
+// free resources during the dry run.
 func NewDryRun(machines []*Machine) *DryRun {
 	return &DryRun{rankings: newRankings(machines)}
 }
@@ -27,13 +27,13 @@
 // BestMachine returns the machine on which one more task of a job would be placed, or nil if there is none.
 func (d *DryRun) BestMachine(p *PendingJob) *Machine { return d.rankings.forJob(p, AnyKind).best(p) }
 
-// TryPlace reports whether all waiting tasks of the pending jobs fit on the machines other than without
-// (nil: on all machines). Quotas do not apply. If all tasks fit, they use up their room and without is
-// removed from the dry run. Otherwise nothing changes except the order of pending and the jobs' waiting
+// TryPlace reports whether all waiting tasks of the pending jobs fit on the machines without the excluded one;
+// nil excludes none. Quotas do not apply. If all tasks fit, they use up their room, and the excluded machine
+// is removed from the dry run. Otherwise nothing changes except the order of pending and the jobs' waiting
 // counts and zones.
-func (d *DryRun) TryPlace(now time.Time, pending []*PendingJob, without *Machine) bool {
-	if without != nil {
-		without.reservedFor = excludedFromDryRun
+func (d *DryRun) TryPlace(now time.Time, pending []*PendingJob, excluded *Machine) bool {
+	if excluded != nil {
+		excluded.reservedFor = excludedFromDryRun
 	}
 	team, teams := unlimitedTeam(), map[string]*Team{}
 	for _, p := range pending {
@@ -46,8 +46,8 @@
 		d.undo()
 		mark = ""
 	}
-	if without != nil {
-		without.reservedFor = mark
+	if excluded != nil {
+		excluded.reservedFor = mark
 	}
 	return fit
 }
@@ -73,8 +73,9 @@
 	return true
 }
 
-// undo gives back the room that the current call has used up. The rankings that it used may have ranked
-// these machines while they had less room, and so too low. Each machine is therefore inserted again.
+// undo gives back the room that the current call of TryPlace has used up. The rankings that the call used may
+// contain the affected machines with less room than they have now, and so rank them too low. Each affected
+// machine is therefore inserted into these rankings again.
 func (d *DryRun) undo() {
 	for _, placement := range d.placed {
 		placement.Machine.Free.Add(placement.Pending.Request())
--- a/internal/scheduler/placement/dryrun_test.go
+++ b/internal/scheduler/placement/dryrun_test.go
@@ -15,7 +15,7 @@
 // was placed before.
 func TestDryRunMatchesFreshCycles(t *testing.T) {
 	for seed := range uint64(500) {
-		simulate := func(tryPlace func(r *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool) (out string) {
+		simulate := func(tryPlace func(r *rand.Rand, machines []*Machine, pending []*PendingJob, excluded *Machine) bool) (out string) {
 			r := rand.New(rand.NewPCG(seed, 2))
 			var machines []*Machine
 			for i := range 2 + r.IntN(20) {
@@ -29,13 +29,13 @@
 					pending = append(pending, pendingJob(fmt.Sprint("job-", round, "-", i), wire.PriorityNormal, time.Duration(i)*time.Second, 1+r.IntN(4), float64(1+r.IntN(4)),
 						func(j *wire.Job) { j.Spread, j.Spot = r.IntN(3) == 0, r.IntN(2) == 0 }))
 				}
-				var without *Machine
+				var excluded *Machine
 				if i := r.IntN(len(machines)); r.IntN(2) == 0 && len(machines) > 1 {
-					without = machines[i]
+					excluded = machines[i]
 				}
-				fits := tryPlace(r, machines, pending, without)
-				if fits && without != nil {
-					machines = slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without })
+				fits := tryPlace(r, machines, pending, excluded)
+				if fits && excluded != nil {
+					machines = slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == excluded })
 				}
 				out += fmt.Sprint(fits, " ")
 			}
@@ -45,18 +45,18 @@
 			return out
 		}
 		var dryRun *DryRun
-		got := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+		got := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, excluded *Machine) bool {
 			if dryRun == nil {
 				dryRun = NewDryRun(machines)
 			}
-			return dryRun.TryPlace(now, pending, without)
+			return dryRun.TryPlace(now, pending, excluded)
 		})
-		want := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, without *Machine) bool {
+		want := simulate(func(_ *rand.Rand, machines []*Machine, pending []*PendingJob, excluded *Machine) bool {
 			waiting, teams := 0, map[string]*Team{"t": {QuotaCPUs: math.Inf(1), QuotaGPUs: math.Inf(1)}}
 			for _, p := range pending {
 				waiting += p.Waiting
 			}
-			placed := Schedule(now, pending, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == without }), teams)
+			placed := Schedule(now, pending, slices.DeleteFunc(slices.Clone(machines), func(m *Machine) bool { return m == excluded }), teams)
 			if len(placed) == waiting {
 				return true
 			}
--- a/internal/scheduler/placement/machine.go
+++ b/internal/scheduler/placement/machine.go
@@ -31,8 +31,8 @@
 	return math.Round(m.FetchS(image, gb))
 }
 
-// freeInS returns the seconds until the machine has room for a task: +Inf if it never has, 0 if that is not
-// known.
+// freeInS returns the estimated seconds until the machine has room for a task: +Inf if it never will, 0 if
+// there is no estimate.
 func (m *Machine) freeInS(request Resources) float64 {
 	if m.FreeInS == nil {
 		return 0
--- a/internal/scheduler/placement/pending.go
+++ b/internal/scheduler/placement/pending.go
@@ -24,15 +24,15 @@
 	Preference       KindPreference            // the kind of machine that is tried first
 	LatencySensitive bool                      // its tasks should start sooner than a new machine boots
 	AwaitSpot        bool                      // no on-demand machine may be rented for it yet
-	OnProbation      bool                      // its tasks have only ever failed: no room is made for it
+	OnProbation      bool                      // all its attempts have failed so far: no room is made for it
 	// Placeholder marks expected work that is not submitted yet. It reserves room against lower priorities,
 	// and its tasks are never started.
 	Placeholder bool
 }
 
-// KindPreference is the kind of machine, spot or on-demand, that is tried first for a job. While spot
-// machines are scarce, the jobs that would lose most on one prefer on-demand machines, and all others
-// prefer spot machines. Tasks that find no room on the preferred kind are then tried on any.
+// KindPreference is the kind of machine, spot or on-demand, that is tried first for a job. While spot machines
+// are scarce, the jobs that would lose most on a spot machine prefer on-demand machines, and all others prefer
+// spot machines. Tasks that find no room on the preferred kind are then tried on any kind.
 type KindPreference int
 
 // The kinds of machine that a job can prefer.
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -41,8 +41,8 @@
 	chosen     []Victim
 }
 
-// victimSet is the tasks to preempt on a machine for one task of a job: the cheapest ones, as many as are
-// needed to make room.
+// victimSet holds the tasks to preempt on a machine for one task of a job. It contains the cheapest tasks, as
+// many as are needed to make room.
 type victimSet struct {
 	sufficient bool    // the machine has room once the victims have ended
 	cost       float64 // in seconds of lost work
@@ -129,8 +129,8 @@
 	}
 }
 
-// release subtracts a victim from its team's use. If the team stops borrowing by that, stored victim sets may
-// contain tasks that may not be preempted any more.
+// release subtracts a victim from its team's use. If that ends the team's borrowing, stored victim sets may
+// contain tasks that may no longer be preempted.
 func (p *preemption) release(v *Victim) {
 	team := p.teams[v.Job.Team]
 	if team == nil {
@@ -174,9 +174,9 @@
 	return victims, cost, free.Fits(request)
 }
 
-// mayPreempt reports whether a task of another job may be preempted for this one: it has a lower priority,
-// or its team is another one that borrows. Service replicas are not preempted for a guarantee alone, because
-// the end of a replica is an outage to its users.
+// mayPreempt reports whether a task of another job may be preempted for this one: the victim has a lower
+// priority, or it belongs to another team that uses more than its guarantee. Service replicas are not
+// preempted for a guarantee alone, because the end of a replica is an outage to its users.
 func (p *PendingJob) mayPreempt(victim *wire.Job, teams map[string]*Team) bool {
 	if victim.Priority.Level() < p.Job.Priority.Level() {
 		return true
--- a/internal/scheduler/placement/queue.go
+++ b/internal/scheduler/placement/queue.go
@@ -28,11 +28,11 @@
 	return team != nil && job.Started > 0 && team.FairShareCPUs > 0 && float64(job.Started+1)*job.Job.CPUs > team.FairShareCPUs
 }
 
-// fairShareUsed returns how much of its team's quota a job has used with the tasks that it has started and
+// fairShareUsed returns how much of its team's quota a job uses, counting the tasks that it has started and
 // the next one, in steps of 1/tuning.FairShareSteps. Jobs that have used fewer steps go first. A large array
 // therefore lets the team's other jobs start, instead of filling every free slot again as its own tasks end.
-// For a team without a quota, a share of the fleet (Team.FairShareCPUs) replaces the quota. Without that,
-// hundreds of tiny jobs of a guest waited three minutes behind the guest's array of 25,000 tasks.
+// For a team without a quota, a share of the fleet (Team.FairShareCPUs) replaces the quota. Without that
+// share, hundreds of tiny jobs of a guest waited three minutes behind the guest's array of 25,000 tasks.
 func fairShareUsed(job *PendingJob, teams map[string]*Team) int {
 	team := teams[job.Job.Team]
 	if team == nil {
--- a/internal/scheduler/placement/quota.go
+++ b/internal/scheduler/placement/quota.go
@@ -4,14 +4,15 @@
 
 // Team is the view of a team's quota, guarantee and use. A cycle adds the tasks that it places to the use.
 type Team struct {
-	// UsedCPUs and UsedGPUs are occupied by all tasks that may be running on any machine.
+	// UsedCPUs and UsedGPUs are the team's use: the CPUs and GPUs of all its tasks that may be running on any
+	// machine.
 	UsedCPUs, UsedGPUs float64
 	// QuotaCPUs and QuotaGPUs are the upper limit of the team's use; +Inf: no limit.
 	QuotaCPUs, QuotaGPUs float64
 	// GuaranteedCPUs and GuaranteedGPUs are the team's guarantee. Use beyond them is borrowed: other teams may
 	// take it back by preemption.
 	GuaranteedCPUs, GuaranteedGPUs float64
-	// PermanentUse is the part of the use that does not end by itself, which is that of service replicas.
+	// PermanentUse is the part of the use that does not end by itself: the use of service replicas.
 	PermanentUse Resources
 	// FairShareCPUs is how many CPUs one job of a team without a quota may use before other jobs go ahead of
 	// its next tasks; 0: any number.
--- a/internal/scheduler/placement/ranking.go
+++ b/internal/scheduler/placement/ranking.go
@@ -44,8 +44,8 @@
 //
 // The criteria are, in this order:
 //   - Spot machines first. Work that may run on spot machines leaves on-demand machines to work that may not.
-//   - For latency-sensitive work, the shortest time in whole seconds until the machine has the image: it
-//     has the image already, fetches fast or has little to fetch.
+//   - For latency-sensitive work, the shortest time in whole seconds until the machine has the image. The time
+//     is short if the machine has the image already, fetches fast or has little to fetch.
 //   - The lowest price (for on-demand machines, only if the work must not run on spot machines). A machine
 //     stays rented while tasks run on it, so this empties the expensive machines, which can then be
 //     returned.
--- a/internal/scheduler/placement/reservations.go
+++ b/internal/scheduler/placement/reservations.go
@@ -7,15 +7,15 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// BackfillReservations runs scheduling cycles and limits for how long reservations may delay other jobs.
-// Machines and parts of quotas are reserved for jobs that need more than is free, and room is reserved for
-// expected work, while other jobs wait that could start there. BackfillReservations stores since when
-// anything has been reserved. After tuning.ReservationMaxTime one cycle reserves nothing, so that no job waits
-// longer than that while a machine has room for it. Reservations after that cycle start a new period. The
-// zero value is ready for use.
+// BackfillReservations runs scheduling cycles, and limits how long reservations may delay other jobs. A cycle
+// reserves machines and parts of quotas for jobs that need more than is free, and it reserves room for
+// expected work. Other jobs that could start there have to wait. BackfillReservations stores the time since
+// which every cycle has reserved something. When that time is tuning.ReservationMaxTime ago, one cycle
+// reserves nothing, so that no job waits longer than that while a machine has room for it. Reservations after
+// that cycle start a new period. The zero value is ready for use.
 type BackfillReservations struct{ since time.Time }
 
-// Schedule does the same as the function Schedule, with that limit.
+// Schedule runs a scheduling cycle like the function Schedule, and limits the duration of reservations.
 func (b *BackfillReservations) Schedule(now time.Time, pending []*PendingJob, machines []*Machine, teams map[string]*Team) []Placement {
 	Sort(pending, teams, now)
 	expired := !b.since.IsZero() && now.Sub(b.since) >= tuning.ReservationMaxTime
@@ -31,23 +31,24 @@
 
 // reservations records what one cycle has reserved against other jobs.
 type reservations struct {
-	allowed          bool // whether the cycle may reserve anything
-	head             bool // the first blocked job that had waited for long has reserved a machine
-	starvingMachines int  // number of machines reserved for starving jobs
-	quota            bool // a part of a team's quota is reserved for a starving job
-	placeholders     bool // placeholders have reserved room
-	displaced        bool // a job found no room after placeholders had reserved some
+	allowed                  bool // whether the cycle may reserve anything
+	headReserved             bool // the first blocked job that has waited for long has reserved a machine
+	starvingMachines         int  // number of machines reserved for starving jobs
+	quotaReserved            bool // a part of a team's quota is reserved for a starving job
+	placeholdersPlaced       bool // placeholders have reserved room
+	blockedAfterPlaceholders bool // a job found no room after placeholders had reserved room
 }
 
 // blocksOthers reports whether something was reserved that another job may need.
 func (r *reservations) blocksOthers() bool {
-	return r.head || r.starvingMachines > 0 || r.quota || r.displaced
+	return r.headReserved || r.starvingMachines > 0 || r.quotaReserved || r.blockedAfterPlaceholders
 }
 
 // reserveMachine reserves the machine that will have room for a task soonest, by the estimated ends of the
 // tasks on it. Of machines with equal estimates, or without estimates, it reserves the one with the most free
-// CPUs. It reports whether it reserved one. A machine that never has room, because of its service replicas, is
-// not reserved: such a reservation once closed a machine to all other jobs for as long as its replicas ran.
+// CPUs. It reports whether it reserved a machine. A machine that never has room, because its service replicas
+// do not end, is not reserved: such a reservation would close the machine to all other jobs for as long as its
+// replicas run.
 func (p *PendingJob) reserveMachine(machines []*Machine, request Resources) bool {
 	var best *Machine
 	soonest := math.Inf(1)
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -40,7 +40,7 @@
 		return ranking
 	}
 	if len(r.byShape) >= tuning.TaskShapesMax {
-		clear(r.byShape) // with so many shapes few are needed again
+		clear(r.byShape) // with so many shapes, few of the rankings are needed again
 	}
 	ranking := newMachineRanking(shape, job.Job.Types, r.machines)
 	r.byShape[shape] = ranking
--- a/internal/scheduler/placement/starvation.go
+++ b/internal/scheduler/placement/starvation.go
@@ -10,24 +10,25 @@
 
 // Within a priority, the order of the queue favours jobs with little work: the longest wait per CPU second
 // goes first, and a job that has had its fair share goes last. A large job can therefore starve. Each machine
-// that becomes free may be too small for its task and be filled by small ones, small jobs may use up its
-// team's quota, or it may be behind them in every cycle. The wait for the first task is therefore bounded.
+// that becomes free may be too small for its task and be filled by small tasks, small jobs may use up its
+// team's quota, or small jobs may precede it in every cycle. The wait for the first task is therefore bounded.
 //
 // A job that has waited for tuning.StarvingAfter without any task placed is starving. Before anything else
-// of its priority is placed, it gets one task. If no task fits, a machine and the part of its team's quota
-// that the task requests are reserved against the jobs behind it until one fits. They are reserved only if
-// tasks that end by themselves will free them, and for at most tuning.ReservationMaxTime at a time (see
-// BackfillReservations). Once it has that task, the job counts as started and the usual order applies again,
-// so each large job delays small jobs by the time of one task only.
+// of its priority is placed, one task of that job is placed. If the task does not fit, a machine and the part of
+// the team's quota that the task requests are reserved against the jobs behind it until it fits. They are
+// reserved only if tasks that end by themselves will free them, and for at most tuning.ReservationMaxTime at a
+// time (see BackfillReservations). Once the task is placed, the job counts as started and the usual order applies
+// again, so each large job delays small jobs by the time of one task only.
 
 // Starving reports whether the job has waited too long for its first task.
 func (p *PendingJob) Starving(now time.Time) bool {
 	return p.Started == 0 && !p.Placeholder && !p.OnProbation && p.Waiting > 0 && now.Sub(p.enqueuedAt()) >= tuning.StarvingAfter
 }
 
-// starvingIn returns the indexes of the starving jobs at the indexes lo <= i < hi: those that request the most
-// CPUs in all first, and of equals those enqueued first. Small jobs are favoured by the usual order, and large
-// jobs are few, so one task for each costs little.
+// starvingIn returns the indexes of the starving jobs at the indexes lo <= i < hi. Jobs whose tasks request
+// more CPUs in total come first; jobs with the same total are ordered by the time at which they were enqueued.
+// Large jobs come first because the usual order favours small ones. Large jobs are few, so placing one task of
+// each first delays the other jobs little.
 func starvingIn(pending []*PendingJob, lo, hi int, now time.Time) []int {
 	var starving []int
 	for i := lo; i < hi; i++ {
@@ -65,13 +66,13 @@
 }
 
 // reserveForStarving reserves a part of the team's quota and a machine at the same time, because waiting for
-// one after the other takes as long as both waits together. Quota is reserved for one job of a team at a
-// time, and the machines that may be reserved are shared by the starving jobs of all teams: a
-// tuning.StarvationReservationDivisor-th of the cycle's machines, at least one.
+// one after the other takes as long as both waits together. Quota is reserved for one job of a team at a time.
+// The number of machines that may be reserved for the starving jobs of all teams together is the number of the
+// cycle's machines divided by tuning.StarvationReservationDivisor, but at least one.
 func (c *cycle) reserveForStarving(job *PendingJob, request Resources, team *Team) {
 	if team.reservedFor == "" {
 		team.reservedFor, team.reserved = job.Job.ID, request
-		c.reservations.quota = true
+		c.reservations.quotaReserved = true
 	}
 	if team.reservedFor != job.Job.ID || c.reservations.starvingMachines >= max(1, len(c.machines)/tuning.StarvationReservationDivisor) {
 		return
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -11,8 +11,8 @@
 )
 
 // Guards against jobs that wait for ever although a machine has room, because that room is reserved for a job
-// that can never use it: a task requests a whole machine, or most of its team's quota, a part of which service
-// replicas occupy. Also guards against any other reservation without an end.
+// that can never use it. Such a job's task requests a whole machine, or most of its team's quota, and service
+// replicas occupy a part of either. Also guards against any other reservation without an end.
 func TestNoJobWaitsLongDespiteFreeRoom(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -45,7 +45,7 @@
 			sim.step()
 		}
 		if sim.longestAvoidableWait >= 90*time.Second {
-			t.Errorf("seed %d: a job waited for %v although a machine and its quota had room", seed, sim.longestAvoidableWait)
+			t.Errorf("seed %d: a job waited for %v although a machine had room and its team's quota admitted it", seed, sim.longestAvoidableWait)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 			}
 		}
 		if sim.longestAvoidableWait >= 90*time.Second {
-			t.Errorf("seed %d: a job waited for %v although a machine and its quota had room", seed, sim.longestAvoidableWait)
+			t.Errorf("seed %d: a job waited for %v although a machine had room and its team's quota admitted it", seed, sim.longestAvoidableWait)
 		}
 		// The reservations for large jobs leave little of the machines' time unused.
 		if utilisation := sim.completedCPUSeconds / (600 * 160); utilisation < 0.85 {
