--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -44,8 +44,8 @@
 // Pool identifies a pool of a team.
 type Pool struct{ Team, Name string }
 
-// LoadProperties reads the operators' settings from a file. If path is empty, it returns the defaults. The error is a text of
-// one line.
+// LoadProperties reads the operators' settings from a file. If path is empty, it returns the defaults. The text of an error is
+// one line and says what is wrong.
 func LoadProperties(path string) (*OperatorSettings, error) {
 	o := &OperatorSettings{Tunables: tuning.Defaults(), Budgets: &budget.Settings{}, Pools: map[Pool]int{}}
 	if path == "" {
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -98,7 +98,7 @@
 	FDLimit  int     `toml:"fd_limit"`
 }
 
-// Load reads and checks a settings file. The error is a text of one line.
+// Load reads and checks a settings file. The text of an error is one line and says what is wrong.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/platform/tuning/election.go
+++ b/internal/platform/tuning/election.go
@@ -32,8 +32,8 @@
 	FencingLeaseTTL        = 40 * time.Second
 	FencingLeaseRenewEvery = 3 * time.Second
 	// YieldAfterFailedRenewals is the number of renewals that must fail, after the key-value store was first
-	// seen to answer another member, before the leader hands over. With a single failed renewal, its request
-	// may have been sent before that answer.
+	// seen to answer another member, before the leader hands over. A single failure does not suffice, because
+	// that renewal may have been sent before the store answered the other member.
 	YieldAfterFailedRenewals = 2
 	// CampaignAfterVacancy is how long the leader key must be vacant before a member that leaves the leadership
 	// to others campaigns all the same. Another member's campaign takes three calls, and a member that has
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -33,8 +33,8 @@
 	GraphDeleteAfter = 10 * time.Minute
 	// GraphCleanUpEvery is the interval between checks for runs and graphs to delete.
 	GraphCleanUpEvery = time.Minute
-	// GraphRecordDelay is how long after a step's job began to run the record of the run may lack that fact.
-	// Nothing depends on that entry.
+	// GraphRecordDelay is the longest time for which the record of a run may lack the fact that a step's job
+	// began to run. Nothing depends on that entry.
 	GraphRecordDelay = 5 * time.Second
 	// TryBytes is the size, in bytes, of one try in the record of a run, which contains the run's newest
 	// tries. TriesRecordShare is the share of the record that all these tries may fill: 400 tries if a value
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -50,9 +50,9 @@
 	// transaction as their job's end. If there are more, they are written before the end, since a transaction
 	// is limited to 64 KiB.
 	JobEndMaxChunks = 4
-	// StartTimeStoreDelay is how long a task must have been placed before its start time alone causes a write.
-	// The tasks of most arrays end within a minute. Without a stored start time, a new leader charges the task
-	// from the time of its placement.
+	// StartTimeStoreDelay is how long ago a task must have been placed before its start time alone causes a
+	// write. The tasks of most arrays end within a minute. Without a stored start time, a new leader charges
+	// the task from the time of its placement.
 	StartTimeStoreDelay = 10 * time.Second
 	// ReconcileEvery is the interval at which the leader compares the stored jobs with those that it knows.
 	// A job that the leader missed has to begin within minutes. Reading a thousand jobs takes two calls.
--- a/internal/platform/tuning/users.go
+++ b/internal/platform/tuning/users.go
@@ -33,8 +33,8 @@
 	SubmitTimeout = 4 * time.Second
 	// PollTimeout bounds the search for the answer to a poll. A user waits 2 s.
 	PollTimeout = 1800 * time.Millisecond
-	// PollBatchMinJobs is the number of jobs, polled at the same time, from which on one listing of the live
-	// jobs replaces single reads. A listing costs as much as a few single reads.
+	// PollBatchMinJobs is the smallest number of jobs polled at the same time for which one listing of the
+	// live jobs replaces single reads. A listing costs as much as a few single reads.
 	PollBatchMinJobs = 8
 	// IdleTimeout is the idle time after which a connection is closed. Users poll every 5 s, and workers
 	// send a heartbeat every few seconds.
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -24,9 +24,9 @@
 	FollowerLeaseTimeout = 2 * time.Second
 	// HeartbeatLateFactor is the longest pause between a worker's heartbeats, as a multiple of the heartbeat
 	// interval. WorkerSearchTime is how long a worker may have searched for a controller before its heartbeat
-	// arrives. If no worker has asked for WorkerSearchTime, the next request begins a new search. A lease
-	// leaves some time beyond both the longest pause and the search. ElectionGraceShare is the share of that
-	// time during which workers are redirected instead of having their leases renewed.
+	// arrives. After WorkerSearchTime without any request of a worker, the next request begins a new search. A
+	// lease leaves some time beyond both the longest pause and the search. ElectionGraceShare is the share of
+	// that time during which workers are redirected instead of having their leases renewed.
 	HeartbeatLateFactor = 1.25
 	WorkerSearchTime    = 15 * time.Second
 	ElectionGraceShare  = 0.25
@@ -77,13 +77,12 @@
 	// RedirectLeaseShare is the share of a worker's lease within which the worker must be able to return if it
 	// is redirected to a leader that does not answer this member.
 	RedirectLeaseShare = 0.8
-	// RenewedQueryTimeout bounds one query of the leader for leases that other members renewed. In it the
-	// leader reads the stored records of followers and of zone leases, and asks the members that hold zone
+	// RenewedQueryTimeout bounds one query of the leader for leases that other members renewed. In this query
+	// the leader reads the stored records of followers and of zone leases, and asks the members that hold zone
 	// leases. If the query takes longer, the leader concludes nothing from it. The records and the members
 	// report renewals for this time in addition to a lease, so that all of them cover the whole lease before
 	// the query began. The bound is long enough for a key-value store that answers in half a second, and for
-	// several pages of records. It delays by this time the detection of a dead machine that a follower
-	// answered.
+	// several pages of records. A dead machine that a follower answered is detected later by as much time.
 	RenewedQueryTimeout = 3 * time.Second
 	// RenewedReadMinInterval is the shortest time between two such queries of the leader.
 	RenewedReadMinInterval = 500 * time.Millisecond
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -22,9 +22,9 @@
 	SlowLogLikelihoodRatio = 9.0
 	SlowPeersMin           = 5
 	RememberedRuns         = 16
-	// ObservedRunsMin is the number of completed tasks of a job from which on its expected run time is
-	// computed from these tasks instead of the owner's estimate. ObservedLogStdDev is the standard deviation
-	// of the logarithm of the job's run times in that case.
+	// ObservedRunsMin is the number of completed tasks that a job needs before its expected run time is
+	// computed from them instead of the owner's estimate. ObservedLogStdDev is the standard deviation of the
+	// logarithm of the job's run times in that case.
 	ObservedRunsMin   = 3
 	ObservedLogStdDev = 0.25
 	// FailureBackoff is the first pause of a job whose task failed. It doubles with each further wave of
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -145,7 +145,7 @@
 
 const maxNameBytes = 200 // length, in bytes, of the longest name (team, class, image, type, zone) in a job
 
-// ParseJob parses and checks a submission. The error names in one line what is malformed.
+// ParseJob parses and checks a submission. The text of an error is one line and says what is malformed.
 func ParseJob(body []byte) (*Job, error) {
 	if b := bytes.TrimSpace(body); len(b) == 0 || b[0] != '{' {
 		return nil, errors.New("the body is not a JSON object")
@@ -313,7 +313,7 @@
 	Error string `json:"error"`
 }
 
-// Explanation is the answer to a user's question what a job waits for, with the reasons as text.
+// Explanation is the answer to a user who asks what a job waits for, with the reasons as text.
 type Explanation struct {
 	JobStatus
 	Waiting     int      `json:"waiting"` // number of tasks that wait to be placed
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -15,8 +15,8 @@
 	chunks      []chunkRef    // chunks whose progress records the transaction writes
 	allocations []*Allocation // allocations that the transaction commits
 	ends        []jobEnd      // jobs that the transaction ends
-	// records of charges that the transaction detaches. Version is 0 if the transaction writes the record:
-	// its version is then the revision of the transaction.
+	// detached holds the records of charges that the transaction detaches. Version is 0 if the transaction
+	// writes the record; the record's version is then the revision of the transaction.
 	detached []DetachedCharges
 }
 
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// Guards against a transaction with more changes than may be sent at once. While it waits to be sent, a
-// production start that arrives would have to wait behind all its changes.
+// Guards against a transaction with more changes than may be sent at once. A production start that arrives
+// while the transaction waits to be sent would have to wait behind all these changes.
 func TestBatchHoldsNoMoreChangesThanItsBudget(t *testing.T) {
 	kv := newKVStore(t)
 	for i := range 9 {
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -96,8 +96,8 @@
 	if err := chunk.loadCharges(record.Charges); err != nil {
 		s.chargeErrors = append(s.chargeErrors, &RecordError{item.Key, err})
 	}
-	if record.FailureWaves > 0 {
-		j.FailedWaves = record.FailureWaves
+	if record.FailedWaves > 0 {
+		j.FailedWaves = record.FailedWaves
 		j.BackoffUntil = now.Add(backoff(j.FailedWaves))
 	}
 	j.loadDone(done)
--- a/internal/scheduler/jobs/progress.go
+++ b/internal/scheduler/jobs/progress.go
@@ -46,7 +46,7 @@
 	c := r.chunk()
 	record, uncommitted := r.encodeTasks(metered)
 	if r.index == 0 {
-		record.FailureWaves = r.job.FailedWaves
+		record.FailedWaves = r.job.FailedWaves
 	}
 	// These fields are set last: encoding the entries may set the base time and add machine kinds.
 	if record.BaseMS = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -66,9 +66,9 @@
 // progressRecord is the stored progress of ChunkTasks tasks of a job. Done tasks are stored as ranges. Every
 // other task that was ever allocated has an entry, so that no attempt number is used twice.
 type progressRecord struct {
-	Done         string      `json:"d,omitempty"`
-	Tasks        []taskEntry `json:"t,omitempty"`
-	FailureWaves int         `json:"f,omitempty"` // number of waves of failures of the whole job (see MarkFailed); only in the record of its first chunk
+	Done        string      `json:"d,omitempty"`
+	Tasks       []taskEntry `json:"t,omitempty"`
+	FailedWaves int         `json:"f,omitempty"` // number of waves of failures of the whole job (see MarkFailed); only in the record of its first chunk
 
 	BaseMS  int64  `json:"b,omitempty"` // time of day that the entries' times are relative to, in Unix milliseconds
 	Charges []byte `json:"c,omitempty"` // an encoded charge.Pack
--- a/internal/scheduler/jobs/task.go
+++ b/internal/scheduler/jobs/task.go
@@ -48,8 +48,8 @@
 
 	Kind        charge.Kind
 	AllocatedAt time.Time // time of day when this or an earlier leader made the allocation
-	// start of the time that is not charged yet: when the task was first seen running, or the end of the
-	// last day that was charged; zero: the task was never seen running
+	// ChargedFrom is the start of the time that is not charged yet: when the task was first seen running, or
+	// the end of the last day that was charged. Zero means that the task was never seen running.
 	ChargedFrom       time.Time
 	ChargedParts      int  // number of parts of the attempt that are already charged
 	chargedFromStored bool // the record contains ChargedFrom
