--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// fan is a graph of a first step, n behind it and a last one.
+// fan returns a graph of a first step, n steps downstream of it and a last step downstream of these.
 func fan(t testing.TB, n int) *dag.Plan {
 	steps := []dag.Step{step("first")}
 	var all []string
@@ -20,6 +20,7 @@
 	return graphOf(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 10_000, 10_000 }, append(steps, step("last", all...))...)
 }
 
+// heap returns the bytes of live objects on the heap.
 func heap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -27,13 +28,13 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkTakeOver has a new leader read 1,000 live runs of 30 steps.
+// BenchmarkTakeOver measures how long a new leader takes to read 1,000 live runs of 30 steps, and their memory.
 func BenchmarkTakeOver(b *testing.B) {
 	w := newWorld(b)
 	defer w.close()
 	p := fan(b, 28)
 	if a := w.register(p); a.status != 201 {
-		b.Fatalf("%+v", a)
+		b.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
 		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
@@ -50,18 +51,19 @@
 	b.ReportMetric(float64(len(w.graphs.runs)), "runs")
 }
 
-// BenchmarkEvents ends steps of a graph of 10,000, each of which is stored.
+// BenchmarkEvents measures the end of one step's job in a graph of 10,000 steps, and the encoding of the transactions
+// that follow.
 func BenchmarkEvents(b *testing.B) {
 	w := newWorld(b)
 	defer w.close()
 	p := fan(b, dag.MaxSteps-2)
 	if a := w.register(p); a.status != 201 {
-		b.Fatalf("%+v", a)
+		b.Fatalf("registering the graph: %+v", a)
 	}
 	next := func() bool {
 		write := w.graphs.NextWrite(w.clock.Now(), 1000)
 		if write != nil {
-			write.Done(1) // what is measured is the deciding, not the store
+			write.Done(1) // not committed: the store is not part of the measurement
 		}
 		return write != nil
 	}
@@ -84,7 +86,7 @@
 	}
 }
 
-// BenchmarkLargestGraph registers a graph of 10,000 steps and begins a run of it.
+// BenchmarkLargestGraph measures the registration of a graph of 10,000 steps and the start of a run, and their memory.
 func BenchmarkLargestGraph(b *testing.B) {
 	p := fan(b, dag.MaxSteps-2)
 	for b.Loop() {
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -18,44 +18,45 @@
 type graph struct {
 	rec      GraphRecord
 	key      string
-	version  uint64
-	dirty    bool
-	onStored []func() // once it is stored
-	deleting bool     // it is being dropped
+	version  uint64   // of the stored record; 0 if it is not stored yet
+	dirty    bool     // it has changes that are not stored
+	onStored []func() // called when it is stored
+	deleting bool     // it is being deleted
 
 	sched             *dag.Schedule
-	last              time.Time // end of the newest interval that has a run
-	dueAt             time.Time // no run is due before
-	hasPastDependents bool      // it has steps that depend on the run before
-	history           []*entry  // its runs, by logical date
-	line              waitLine  // runs that wait until fewer steps are submitted
-	active            int       // instances of steps that are submitted and not over
-	started           int       // live runs that go on
+	last              time.Time // end of the newest data interval that has a run
+	dueAt             time.Time // no run is due before this time
+	hasPastDependents bool      // it has steps that depend on the previous run
+	history           []*entry  // its live and finished runs, by logical date
+	line              waitLine  // runs that wait until fewer than MaxTasks steps are submitted
+	active            int       // submitted, unfinished instances of steps
+	started           int       // live runs that have started; at most MaxRuns
 }
 
-// entry is a run of a graph, live or over.
+// entry is a run of a graph, live or finished.
 type entry struct {
 	key      string
 	id       string
-	logical  int64
-	due      bool // it covers an interval, which has one run
-	def      string
-	live     *liveRun        // nil: it is over, and stored
-	failed   map[string]bool // of one that is over: steps that depend on the past and did not end well
-	deleting bool            // its records are being dropped
+	logical  int64           // logical date, as a Unix time in milliseconds
+	due      bool            // it covers a data interval; each interval has at most one run
+	def      string          // hash of its definition
+	live     *liveRun        // nil if the run is finished, and stored as that
+	failed   map[string]bool // IDs of its failedPastDependents, if it is finished
+	deleting bool            // its record is being deleted
 }
 
-// responder tells whoever gave a command. A status of 400 and more comes with a reason.
+// responder sends the answer to a command. An answer with status 400 or higher contains the reason.
 type responder func(leader.Answer)
 
+// refuse answers with an error status and a reason.
 func (a responder) refuse(status int, format string, args ...any) {
 	a(leader.Answer{Status: status, Body: wire.Error{Error: fmt.Sprintf(format, args...)}})
 }
 
-// succeed answers with a status below 400, and an empty object.
+// succeed answers with a status below 400 and an empty object.
 func (a responder) succeed(status int) { a(leader.Answer{Status: status, Body: struct{}{}}) }
 
-// register has a graph refer to a definition from now on. Runs that go on keep theirs.
+// register sets the definition of a graph. Existing runs continue with theirs.
 func (g *Graphs) register(o *Order, p *dag.Plan, tell responder) {
 	if p.Team != o.Team || p.ID != o.Graph {
 		tell.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
@@ -86,23 +87,24 @@
 		paused = *o.Paused
 	}
 	gr.define(p, o.Def, paused)
-	gr.touchAll(g) // its limits may be others
+	gr.touchAll(g) // its limits may have changed
 	g.defs[o.Def].refs++
 	g.storeGraph(gr, func() { tell.succeed(status) })
 }
 
-// define records what a graph says from now on.
+// define updates a graph's record and schedule from a definition.
 func (gr *graph) define(p *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
 		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Timezone,
 		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphDefaultTasks),
 		Tags: p.Tags, Steps: len(p.Steps),
 	}
-	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // it was checked
+	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // NewPlan has validated it
 	gr.dueAt = time.Time{}
 	gr.hasPastDependents = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
 }
 
+// storeGraph marks a graph as changed. told, if not nil, is called when the graph is stored.
 func (g *Graphs) storeGraph(gr *graph, told func()) {
 	gr.dirty = true
 	if told != nil {
@@ -110,7 +112,7 @@
 	}
 }
 
-// storeGraphs puts graphs that changed into a transaction.
+// storeGraphs adds changed graphs to a transaction.
 func (g *Graphs) storeGraphs(b *batch) {
 	for _, gr := range g.graphs {
 		if !gr.dirty || gr.deleting {
@@ -118,7 +120,7 @@
 		}
 		value, err := json.Marshal(gr.rec)
 		if err != nil || len(value) > b.value {
-			g.log.Error("a graph cannot be stored", "graph", gr.rec.ID, "bytes", len(value), "err", err)
+			g.log.Error("record of a graph is too long or cannot be encoded; its change is not stored", "graph", gr.rec.ID, "bytes", len(value), "err", err)
 			gr.dirty = false
 			continue
 		}
@@ -138,7 +140,7 @@
 	}
 }
 
-// pause stops a graph's steps from being submitted and its schedule, or has both go on.
+// pause pauses a graph, or resumes it. While it is paused, no scheduled runs are created and no steps submitted.
 func (g *Graphs) pause(gr *graph, paused bool, tell responder) {
 	if gr.rec.Paused != paused {
 		gr.rec.Paused = paused
@@ -147,7 +149,7 @@
 	g.storeGraph(gr, func() { tell.succeed(http.StatusOK) })
 }
 
-// touchAll has it looked at what each of a graph's runs can submit.
+// touchAll enqueues all live runs of a graph.
 func (gr *graph) touchAll(g *Graphs) {
 	for _, e := range gr.history {
 		if e.live != nil {
@@ -156,7 +158,7 @@
 	}
 }
 
-// remove drops a graph and its runs, if none of them is live.
+// remove deletes a graph and its runs. It is refused while a run is live.
 func (g *Graphs) remove(gr *graph, tell responder) {
 	if slices.ContainsFunc(gr.history, func(e *entry) bool { return e.live != nil }) {
 		tell.refuse(http.StatusConflict, "runs of the graph are not over; cancel them first")
@@ -168,7 +170,7 @@
 			g.deleteRun(gr, e, nil)
 		}
 	}
-	// Its own record goes last: whoever leads next would not find its runs otherwise.
+	// The graph's own record is deleted last: a new leader only finds runs whose graph is stored.
 	g.enqueueDeletions(func() {
 		delete(g.graphs, gr.key)
 		g.releaseDefinition(gr.rec.Def)
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -17,16 +17,18 @@
 	"poppypass/internal/platform/wire"
 )
 
-// definition is a definition: a graph as it was uploaded, under the hash of what it says.
+// definition is the leader's entry for a stored definition: a graph as it was uploaded. It is identified by the
+// hash of its content.
 type definition struct {
-	plan   *dag.Plan // nil: it is stored, and nothing needed it yet
-	packed []byte    // its stored form, while a new leader reads
-	parts  int       // records
-	refs   int       // graphs and runs that refer to it
-	idle   time.Time // since when none does; zero: it was not looked at since
+	plan   *dag.Plan // nil if it is not decoded
+	packed []byte    // compressed form, while the records are being read
+	parts  int       // number of its records
+	refs   int       // number of graphs and runs that refer to it
+	idle   time.Time // when cleanUp first found it unreferenced; zero if it is in use or was not checked since
 }
 
-// put registers a graph whose definition is stored, or another definition of it.
+// put registers a graph whose definition is stored, or replaces the definition of a registered graph. It reads the
+// definition first if it is not in memory.
 func (g *Graphs) put(o *Order, tell responder) {
 	if d := g.defs[o.Def]; d != nil && d.plan != nil {
 		g.register(o, d.plan, tell)
@@ -46,7 +48,7 @@
 		if err == nil {
 			err = g.examine(plan)
 		}
-		_ = g.ask(func() { // fails when the leadership is over, and with it whoever waits
+		_ = g.ask(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
 			g.fetching = ""
 			var bad *badGraph
 			switch {
@@ -65,7 +67,7 @@
 	}()
 }
 
-// learn keeps the plan of a definition.
+// learn stores the plan of a definition in memory.
 func (g *Graphs) learn(hash string, parts int, p *dag.Plan) {
 	if g.defs[hash] == nil {
 		g.defs[hash] = &definition{parts: parts}
@@ -76,29 +78,29 @@
 	}
 }
 
-// dropping reports whether parts of a definition are about to go: it must not be referred to then.
+// dropping reports whether parts of a definition are about to be deleted. No graph may refer to it then.
 func (g *Graphs) dropping(hash string) bool {
 	prefix := PrefixDef + hash + "/"
 	return slices.ContainsFunc(g.deletions, func(d deletion) bool { return strings.HasPrefix(d.key, prefix) })
 }
 
-// sweep looks for definitions that were uploaded and never registered: they go like others
-// that nothing refers to.
+// sweep lists the stored definitions and adds those that were uploaded but never registered, so that cleanUp
+// deletes them like others that are unreferenced.
 func (g *Graphs) sweep() {
 	go func() {
 		defs, have := map[string]*definition{}, map[string]int{}
 		_, err := g.store.ListAll(g.ended, PrefixDef, func(items []wire.Item) error {
 			gather(defs, have, items)
 			for _, d := range defs {
-				d.packed = nil // their names are enough
+				d.packed = nil // only hashes and part counts are needed
 			}
 			return nil
 		})
 		if err != nil {
-			g.log.Debug("definitions cannot be listed", "err", err)
+			g.log.Debug("listing definitions failed; retrying at the next sweep", "err", err)
 			return
 		}
-		_ = g.ask(func() { // fails when the leadership is over
+		_ = g.ask(func() { // fails only when the leadership has ended
 			for hash, d := range defs {
 				if g.defs[hash] == nil && !g.dropping(hash) {
 					g.defs[hash] = &definition{parts: max(d.parts, have[hash])}
@@ -108,8 +110,9 @@
 	}()
 }
 
-// deleteInvalid drops a definition that is not what its name says, or no graph that could run:
-// one that cannot be read must not block a good one.
+// deleteInvalid deletes a definition whose content does not match its hash, or that is not a graph that can run.
+// While it is stored, a valid definition with the same hash cannot be uploaded, because existing parts are not
+// overwritten.
 func (g *Graphs) deleteInvalid(hash string, parts int) {
 	if d := g.defs[hash]; d != nil && (d.plan != nil || d.refs > 0) {
 		return
@@ -118,12 +121,13 @@
 	g.enqueueDeletions(nil, partKeys(hash, parts)...)
 }
 
-// badGraph is a definition that can never be registered.
+// badGraph is the error of a definition that can never be registered.
 type badGraph struct{ text string }
 
 func (e *badGraph) Error() string { return e.text }
 
-// fetch reads a definition.
+// fetch reads the n parts of a definition from the store. The error is errParts if one is missing, and a *badGraph if
+// the content is invalid.
 func fetch(ctx context.Context, store *statestore.Client, hash string, n int) (*dag.Plan, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -151,7 +155,8 @@
 	return plan, nil
 }
 
-// examine says why a graph can never run here, in one line. It is safe for concurrent use.
+// examine returns a *badGraph, with a text of one line, if a graph can never run in this cluster. It is safe for
+// concurrent use.
 func (g *Graphs) examine(p *dag.Plan) error {
 	r := dag.NewRun(p, "check")
 	for i := range p.Steps {
@@ -184,15 +189,17 @@
 	return nil
 }
 
-// noSource says what cannot be done without a source of descriptions.
+// noSource returns the error text for something that requires Config.Source, when there is none.
 func noSource(what string) string {
 	return what + ", and the service knows nowhere to have its steps described (graphs.descriptions)"
 }
 
+// releaseDefinition removes a reference to a definition.
 func (g *Graphs) releaseDefinition(hash string) {
 	if d := g.defs[hash]; d != nil {
 		d.refs--
 	}
 }
 
+// planBytes returns the estimated memory of a plan, in bytes.
 func planBytes(p *dag.Plan) int { return len(p.Steps) * tuning.GraphStepBytes }
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -14,38 +14,38 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Source makes the descriptions of steps' jobs known to workers, before the jobs are
-// submitted: in the protocol whoever submits a job uploads what a worker is to run for it.
-// It is asked again for a step whose submission is not known to have come about, and must take that.
+// Source makes the descriptions of steps' jobs available to workers before the jobs are submitted. In the protocol
+// the submitter of a job uploads what a worker is to run for it. The same step may be described more than once, if
+// it is not known whether its job was submitted; an implementation must accept that.
 type Source interface {
-	// Describe describes jobs. ErrRefused tells that one of them never can be; after any other
-	// error it is asked again.
+	// Describe describes jobs. An error that wraps ErrRefused means that at least one of them can never be
+	// described. After any other error the call is retried.
 	Describe(ctx context.Context, steps []Description) error
 }
 
-// ErrRefused is the error of a Source for what it will never describe.
-var ErrRefused = errors.New("the step cannot be described")
+// ErrRefused is the error of a Source for a step that it will never describe.
+var ErrRefused = errors.New("the description of the step is refused")
 
-// Description is what there is to know of a step whose job is to be described.
+// Description is everything that is known of a step's job before it is submitted.
 type Description struct {
-	Job        string                     `json:"job"` // its id
+	Job        string                     `json:"job"` // its ID
 	Team       string                     `json:"team"`
 	Graph      string                     `json:"dag_id"`
 	Run        string                     `json:"dag_run_id"`
 	Step       string                     `json:"task_id"`
-	Index      int                        `json:"map_index"` // -1: the step is not mapped
+	Index      int                        `json:"map_index"` // -1 if the step is not mapped
 	Element    json.RawMessage            `json:"element,omitempty"`
-	Generation int                        `json:"generation"` // how often it was cleared
+	Generation int                        `json:"generation"` // number of times that the step was cleared
 	Image      string                     `json:"image"`
 	Logical    time.Time                  `json:"logical_date"`
 	From       *time.Time                 `json:"data_interval_start,omitempty"`
 	To         *time.Time                 `json:"data_interval_end,omitempty"`
-	Params     map[string]json.RawMessage `json:"params,omitempty"`  // the graph's, with the run's conf over them
-	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps that it follows
+	Params     map[string]json.RawMessage `json:"params,omitempty"`  // the graph's, overridden by the run's conf
+	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps directly upstream, by step ID
 }
 
-// Foreseen returns the descriptions of a run's first generation, as far as they can be named
-// before it begins: not those of steps that are mapped over what another step leaves.
+// Foreseen returns the descriptions of a run's first generation that are known before the run starts: all except
+// those of steps that are mapped over the result of another step.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
 	r, m := dag.NewRun(p, id), &meta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
@@ -64,7 +64,7 @@
 	return out
 }
 
-// describe makes the description of an instance's job.
+// describe returns the description of an instance's job.
 func describe(r *dag.Run, m *meta, at dag.InstanceRef) Description {
 	s := &r.Plan.Steps[at.Step]
 	d := Description{
@@ -91,14 +91,14 @@
 	return d
 }
 
-// describer has steps described, one call at a time.
+// describer is the queue of steps to describe. One call is in flight at a time.
 type describer struct {
 	queue []pickedStep
-	busy  bool
-	pause time.Duration // after a call that failed
+	busy  bool          // whether a call is in flight
+	pause time.Duration // before the next call; 0 unless the last one failed
 }
 
-// describe has the next steps described.
+// describe starts a call for the next steps of the queue, if none is in flight.
 func (g *Graphs) describe() {
 	d := &g.source
 	if d.busy || len(d.queue) == 0 {
@@ -110,7 +110,7 @@
 		p := d.queue[0]
 		d.queue = d.queue[1:]
 		if !p.run.run.IsReadyWithJob(p.at, p.id) {
-			g.releaseSlots(p.run, p.at.Step) // cleared or cancelled meanwhile
+			g.releaseSlots(p.run, p.at.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
 		batch, texts = append(batch, p), append(texts, describe(p.run.run, &p.run.meta, p.at))
@@ -129,12 +129,12 @@
 			}
 		}
 		refused, err := describeAll(g.ended, g.cfg.Source, texts)
-		_ = g.ask(func() { g.described(batch, refused, err) }) // fails when the leadership is over
+		_ = g.ask(func() { g.described(batch, refused, err) }) // fails only when the leadership has ended
 	}()
 }
 
-// describeAll describes steps, and returns those that were refused, by index: a batch that
-// is refused is halved until it is known which.
+// describeAll describes steps, and returns the errors of those that were refused, by index. A refused batch is
+// halved until the refused steps are identified.
 func describeAll(ctx context.Context, s Source, texts []Description) (refused map[int]error, err error) {
 	refused = map[int]error{}
 	var try func(from, to int) error
@@ -158,21 +158,21 @@
 	return refused, try(0, len(texts))
 }
 
-// described handles the result of a call.
+// described handles the result of describeAll.
 func (g *Graphs) described(batch []pickedStep, refused map[int]error, err error) {
 	d := &g.source
 	d.busy = false
 	if err != nil {
 		d.pause = min(max(2*d.pause, tuning.DescribeRetryPause), tuning.DescribeRetryPauseMax)
 		d.queue = append(batch, d.queue...)
-		g.log.Warn("steps cannot be described now", "steps", len(batch), "again_in", d.pause, "err", err)
+		g.log.Warn("describing steps failed; retrying after a pause", "steps", len(batch), "again_in", d.pause, "err", err)
 		g.describe()
 		return
 	}
 	d.pause = 0
 	for i, p := range batch {
 		if why := refused[i]; why != nil {
-			g.log.Error("a step has failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
+			g.log.Error("description of a step was refused; marking the step failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
 			g.releaseSlots(p.run, p.at.Step)
 			if p.run.run.IsReadyWithJob(p.at, p.id) {
 				p.run.run.JobCancelled(p.at)
@@ -186,8 +186,8 @@
 	g.describe()
 }
 
-// HTTPSource describes steps by a POST of a JSON array to an operator's URL: 2xx says that
-// workers find them, 4xx but 408 and 429 that they never will.
+// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx means that
+// workers find the descriptions; 4xx, except for 408 and 429, means that at least one of them is refused.
 type HTTPSource struct {
 	URL    string
 	Client *http.Client
@@ -202,7 +202,7 @@
 	case status < http.StatusMultipleChoices:
 		return nil
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-		return fmt.Errorf("%w: the source answered %d", ErrRefused, status)
+		return fmt.Errorf("%w: the source of descriptions answered with status %d", ErrRefused, status)
 	}
-	return fmt.Errorf("the source answered %d", status)
+	return fmt.Errorf("the source of descriptions answered with status %d", status)
 }
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -29,7 +29,7 @@
 	)
 }
 
-// Orders ride in commands to the leader, descriptions go to the operators' source.
+// Orders are the bodies of commands to the leader. Descriptions are sent to the operators' source of descriptions.
 func TestMessageFormats(t *testing.T) {
 	golden.JSONRoundTrip(t, "order", golden.Fill(new(Order)))
 	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(Backfilled)))
@@ -38,6 +38,7 @@
 	golden.Lines(t, "orders", PathOrders, PathPools, DoPut, DoPause, DoRemove, DoTrigger, DoBackfill, DoCancel, DoClear, DoForget, DoPush)
 }
 
+// formatPlan returns a plan with a plain step and a mapped step, whose jobs have every field set.
 func formatPlan(t *testing.T) *dag.Plan {
 	t.Helper()
 	job := &dag.Job{Class: "train", Urgency: "urgent", Tasks: 3, CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "img-07", ImageGB: 4.5, Types: []string{"large"}, Zone: "a", SameZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, Account: "grant-7"}
@@ -65,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if len(parts) != 1 {
-		t.Fatalf("%d parts", len(parts))
+		t.Fatalf("definition has %d parts, want 1", len(parts))
 	}
 	golden.Lines(t, "definition-hash", hash)
 	golden.Hex(t, "definition", parts[0])
@@ -103,7 +104,7 @@
 	golden.Equal(t, "run-of-graph", readTries(codec, &record), run.tries)
 }
 
-// The job of a step, and what its source is told of it.
+// The stored job of a step and the description of the step.
 func TestJobOfAStep(t *testing.T) {
 	run := dag.NewRun(formatPlan(t), "manual__1")
 	at := dag.InstanceRef{Step: 0}
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -1,14 +1,14 @@
-// Package runner runs graphs of steps on the same core as every other job: when a step is
-// ready, it is submitted as a job of its graph's team, and what becomes of that job is the
-// step's state. It joins the leader's loop as a subsystem; package dag decides.
+// Package runner runs graphs of steps as jobs of the scheduler. When a step is ready, it is submitted as a job of
+// its graph's team, and the outcome of that job determines the step's state. The package is a subsystem of the
+// leader's loop. Package dag decides which steps are ready.
 //
-// Exactly once: the write that records a step as submitted is the transaction that
-// stores its job, guarded on both. So a step is submitted or it is ready, whoever leads
-// next, and its job's id is the same for all. What became of the job is in its own
-// records, which a new leader compares with the runs before it goes on.
+// Each step is submitted exactly once: the same transaction stores the step's job and records in the run that the
+// step is submitted, and it is guarded on both records. So after a failover a step is either submitted or ready,
+// and every leader computes the same job ID for it. The job's own records hold its outcome. A new leader compares
+// them with the runs before it schedules anything.
 //
-// Only the leader writes graphs and runs; any member stores definitions, which are named by
-// what they say, and reads all of it (Reader).
+// Only the leader writes graphs and runs. Any member stores definitions, whose keys contain the hash of their
+// content, and reads all records (Reader).
 package runner
 
 import (
@@ -30,63 +30,64 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Config is what the graphs find in their process.
+// Config is the configuration of Graphs, and the functions of the process that it calls.
 type Config struct {
 	Clock   clockwork.Clock
-	TxnOps  int     // changes in one transaction
-	ValueKB float64 // the longest value of the state service, in KiB
-	Bytes   int     // that graphs and live runs may take in memory; 0: any number
-	// Impossible says why a job can never run, or nothing. It is safe for concurrent use.
+	TxnOps  int     // largest number of changes in a transaction
+	ValueKB float64 // largest size of a value in the state service, in KiB
+	Bytes   int     // memory limit of graphs and live runs, in bytes; 0: no limit
+	// Impossible returns the reason why a job can never run; empty if it can. It is safe for concurrent use.
 	Impossible func(*wire.Job) string
-	// Jitter returns a share from 0 to 1, by which rests before retries differ.
+	// Jitter returns a random number from 0 to 1, which spreads the delays before retries.
 	Jitter func() float64
-	// Source makes the descriptions of steps known to workers; nil: only clients do.
+	// Source makes the descriptions of steps available to workers; nil if only clients do that.
 	Source Source
-	// Pools returns the slots of a team's pool. It is safe for concurrent use.
+	// Pools returns the number of slots of a team's pool, and whether it is configured. It is safe for concurrent
+	// use.
 	Pools func(team, name string) (slots int, ok bool)
 }
 
-// Graphs are the graphs and live runs of one leadership. It implements leader.Subsystem and
-// leader.CommandHandler.
+// Graphs is the subsystem that manages the graphs and live runs of one term of the leader. It implements
+// leader.Subsystem and leader.CommandHandler. Only the loop's goroutine uses it, except where noted.
 type Graphs struct {
 	cfg      Config
 	log      *slog.Logger
 	codec    *charge.Codec
 	jobStore *jobs.Store
 
-	ended context.Context    // of the leadership
-	ask   func(func()) error // has the loop do something
+	ended context.Context    // the term's; done when the leadership ends
+	ask   func(func()) error // runs a function on the loop's goroutine
 	store *statestore.Client
-	read  bool
+	read  bool // whether the stored records are loaded
 
 	defs           map[string]*definition // by hash
 	graphs         map[string]*graph      // by key
-	runs           map[string]*liveRun    // those that are not over, by key
-	byJob          map[string]stepJob     // steps whose jobs are not over
-	notSeenRunning map[string]stepJob     // those of them that were not seen to run
-	withTimeout    map[string]stepJob     // those that run, and may not for ever
+	runs           map[string]*liveRun    // by key
+	byJob          map[string]stepJob     // unfinished jobs of steps, by job ID
+	notSeenRunning map[string]stepJob     // subset of byJob whose current attempt was not seen running
+	withTimeout    map[string]stepJob     // subset of byJob that is running and whose step has a timeout
 	pools          map[poolKey]*pool      //
-	todo           []*liveRun             // runs with something to store or to submit
-	deletions      []deletion             // records that are to go
-	bytes          int                    // that graphs and runs take
-	nextCleanUp    time.Time              // when definitions are looked at next
+	todo           []*liveRun             // runs that may have something to store or to submit, in queue order
+	deletions      []deletion             // records to delete, in this order
+	bytes          int                    // estimated memory of plans and live runs, in bytes
+	nextCleanUp    time.Time              // time of the next cleanUp
 	source         describer              //
-	fetching       string                 // the definition that is being read; empty: none
-	lastSweep      time.Time              // when definitions were looked for last
-	storeLater     map[*liveRun]struct{}  // runs with something that may wait to be stored
+	fetching       string                 // hash of the definition that is being read; empty if none
+	lastSweep      time.Time              // time of the last listing of definitions; zero if none
+	storeLater     map[*liveRun]struct{}  // runs with a change that may be stored after tuning.GraphRecordDelay
 
-	cancels map[string]struct{} // jobs that are to be cancelled
-	stops   []*jobs.Allocation  // of those that were, for the loop to stop
+	cancels map[string]struct{} // IDs of jobs to cancel
+	stops   []*jobs.Allocation  // allocations of cancelled jobs, which the next Tick returns
 }
 
-// stepJob is a step's job that is not over.
+// stepJob is an unfinished job of a step.
 type stepJob struct {
 	run        *liveRun
-	at         dag.InstanceRef
-	generation int
+	at         dag.InstanceRef // Step is -1 if the step was cleared since
+	generation int             // of the step when the job was submitted
 }
 
-// current reports whether it is the job of the present generation of its step.
+// current reports whether the job belongs to the current generation of its step.
 func (w stepJob) current() bool {
 	return w.at.Step >= 0 && w.generation == w.run.run.Generation(w.at.Step)
 }
@@ -96,7 +97,7 @@
 	return &instances[w.at.Index]
 }
 
-// New makes the graphs of a leadership.
+// New creates the subsystem for one term.
 func New(cfg Config, log *slog.Logger) (*Graphs, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
@@ -108,10 +109,10 @@
 	}, nil
 }
 
-// Loaded receives the job store, once its records are loaded.
+// Loaded receives the job store when its records are loaded.
 func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.jobStore = book }
 
-// Admit has a step's job rest before its next try.
+// Admit admits no task of a step's job during the delay before its next try, or while the job is being cancelled.
 func (g *Graphs) Admit(j *jobs.Job, now time.Time) (int, string) {
 	w, ok := g.byJob[j.ID]
 	if !ok || !w.current() {
@@ -127,7 +128,7 @@
 	return j.Waiting(), ""
 }
 
-// LimitStarts lowers the counts of jobs that rest.
+// LimitStarts lowers the counts of waiting jobs to what Admit allows.
 func (g *Graphs) LimitStarts(waiting []*jobs.Job, counts []int, now time.Time) {
 	if len(g.byJob) == 0 {
 		return
@@ -139,10 +140,10 @@
 	}
 }
 
-// Placed is nothing to graphs.
+// Placed does nothing.
 func (g *Graphs) Placed(*jobs.Allocation, bool, *wire.MachineType, time.Time) {}
 
-// Ended counts a step's failed attempts.
+// Ended counts the failed attempts of a step's job.
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Allocation.Job.ID
 	w, ok := g.byJob[id]
@@ -167,8 +168,8 @@
 	}
 	x := w.run
 	if early, pending := x.pending[id]; pending {
-		// The transaction that stores the job has no answer yet: whether this job is ours
-		// is known with that.
+		// The transaction that stores the job is unanswered. Only its answer shows whether this is the step's
+		// job or one of another submitter with the same ID.
 		if early == "" {
 			x.pending[id] = state
 		}
@@ -193,12 +194,12 @@
 		x.run.JobCancelled(w.at)
 	} else if err := x.run.JobDone(w.at); err != nil {
 		end = dag.Failed
-		g.log.Info("a step has failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
+		g.log.Info("job of a step is done but its result is missing or invalid; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
 	}
 	x.ended(w.at, now, end)
 	g.cancelUnneeded(x)
 	if x.graph.hasPastDependents {
-		// The same step of the runs behind it may wait for this.
+		// The same step of the next run may wait for this one.
 		for _, e := range x.graph.history {
 			if e.live != nil && len(e.live.waitingForPast) > 0 {
 				g.enqueueRun(e.live)
@@ -207,7 +208,7 @@
 	}
 }
 
-// cancelUnneeded cancels the jobs that a run has no use for any more.
+// cancelUnneeded cancels the jobs that a run no longer needs.
 func (g *Graphs) cancelUnneeded(x *liveRun) {
 	for _, id := range x.run.TakeCancellations() {
 		g.cancels[id] = struct{}{}
@@ -215,12 +216,12 @@
 	g.cancelKnownJobs()
 }
 
-// cancelKnownJobs cancels the jobs that the job store knows by now: it hears of one that was just
-// stored a moment later.
+// cancelKnownJobs cancels those jobs of g.cancels that are in the job store. The job store learns of a newly stored
+// job a moment after its transaction.
 func (g *Graphs) cancelKnownJobs() {
 	for id := range g.cancels {
 		if _, ok := g.byJob[id]; !ok {
-			delete(g.cancels, id) // it is over
+			delete(g.cancels, id) // the job has finished
 		} else if j := g.jobStore.Jobs[id]; j != nil {
 			delete(g.cancels, id)
 			g.jobStore.Cancel(j, func(wire.JobState) {})
@@ -229,13 +230,13 @@
 	}
 }
 
-// markDirty has a run stored.
+// markDirty marks a run as changed, so that it is stored.
 func (g *Graphs) markDirty(x *liveRun) {
 	x.dirty = true
 	g.enqueueRun(x)
 }
 
-// enqueueRun has it looked at what a run can submit.
+// enqueueRun adds a run to the queue of runs that may have something to store or to submit.
 func (g *Graphs) enqueueRun(x *liveRun) {
 	if !x.queued && !x.finished {
 		x.queued = true
@@ -243,7 +244,7 @@
 	}
 }
 
-// Tick looks which steps run, and for how long, which runs are due, and what may go.
+// Tick detects steps that began to run or timed out, creates scheduled runs that are due, and cleans up.
 func (g *Graphs) Tick(now time.Time) []*jobs.Allocation {
 	if !g.read {
 		return nil
@@ -285,7 +286,7 @@
 	return stops
 }
 
-// enqueueStoreLater has a run stored within a while, or with what is stored of it before.
+// enqueueStoreLater has a run stored within tuning.GraphRecordDelay, or earlier with its next other change.
 func (g *Graphs) enqueueStoreLater(x *liveRun, now time.Time) {
 	if _, ok := g.storeLater[x]; !ok {
 		x.lateAt = now
@@ -293,8 +294,8 @@
 	}
 }
 
-// NextWrite returns the next transaction of the graphs: graphs, runs with the jobs of steps that
-// are ready, and records that are to go, as many as it takes.
+// NextWrite returns the next transaction: changed graphs, changed runs with the jobs of their ready steps, and
+// deletions, as many as fit.
 func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	b := &batch{most: min(room, g.cfg.TxnOps), value: int(g.cfg.ValueKB * 1024)}
 	if !g.read || b.most < 2 {
@@ -318,32 +319,33 @@
 	}}
 }
 
-// batch gathers one transaction.
+// batch collects one transaction.
 type batch struct {
 	txn   wire.Txn
-	most  int // changes
-	value int // bytes of the longest value
-	size  int // bytes of what is in it
-	done  []func(revision uint64)
-	undo  []func() // if a condition did not hold
+	most  int                     // largest number of changes
+	value int                     // largest size of a value, in bytes
+	size  int                     // approximate size so far, in bytes
+	done  []func(revision uint64) // called when the transaction is committed
+	undo  []func()                // called if a condition does not hold
 }
 
-// fits reports whether some more changes of some bytes can go with it.
+// fits reports whether the batch has room for a number of changes with a total size in bytes.
 func (b *batch) fits(changes, bytes int) bool {
 	return len(b.txn.Then)+changes <= b.most && (b.size == 0 || b.size+bytes <= tuning.TxnTargetBytes)
 }
 
+// put adds a change that stores value at key if the record there has the given version; 0 if there must be none.
 func (b *batch) put(key string, version uint64, value []byte) {
 	b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
 	b.txn.Then = append(b.txn.Then, wire.Change{Put: key, Value: value})
 	b.size += len(value) + 2*len(key)
 }
 
-// PathPools asks for a team's pools, as PoolViews.
+// PathPools is the path of the query for a team's pools. The answer is a list of PoolView.
 const PathPools = "/graphs/pools"
 
-// Query answers what only the leader knows; the rest is answered from what is stored (Reader). The error is
-// leader.ErrUnknownPath.
+// Query answers queries for state that only the leader has. Reader answers the others from the stored records. The
+// error is leader.ErrUnknownPath.
 func (g *Graphs) Query(uri string, _ time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -18,6 +18,8 @@
 
 func TestMain(m *testing.M) { os.Exit(testutil.FixedSeed(m)) }
 
+// A run with a step that fails once succeeds, over a change of leaders during the delay before the step's retry. Its ID
+// cannot be used again, not even with a new leader.
 func TestAGraphFromItsBeginToItsEnd(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -26,17 +28,17 @@
 	p := check(t, step("first"), flaky, step("last", "flaky"))
 	w.begin(p, "one")
 	if len(w.live()) != 1 {
-		t.Fatalf("submitted are %v", w.live())
+		t.Fatalf("submitted jobs are %v, want one", w.live())
 	}
 	w.end(w.place(w.live()[0]), wire.ExitDone)
 	w.settle()
 	id := w.live()[0]
 	w.end(w.place(id), wire.ExitError)
 	w.settle()
-	// It rests before its next try, while the last step waits; a new leader knows that.
+	// A new leader also waits for the retry delay, and does not submit the last step.
 	w.lead()
 	if w.place(id) != nil || len(w.live()) != 1 {
-		t.Fatalf("does not rest: %v", w.live())
+		t.Fatalf("the step is retried before its delay is over; submitted jobs are %v", w.live())
 	}
 	w.clock.Advance(time.Minute)
 	w.end(w.place(id), wire.ExitDone)
@@ -44,14 +46,15 @@
 	w.end(w.place(w.live()[0]), wire.ExitDone)
 	w.settle()
 	if r := w.run(p, "one"); r.RunState() != dag.RunSuccess || len(w.live()) != 0 || len(w.graphs.runs) != 0 {
-		t.Errorf("the run is %v, %d runs are live", r.RunState(), len(w.graphs.runs))
+		t.Errorf("the run is %v, want success; %d runs are live", r.RunState(), len(w.graphs.runs))
 	}
 	w.ordered(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
 	w.lead()
 	w.ordered(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
 }
 
-// Its tries are used up: the core would go on, so the graph cancels the job.
+// The job of a step is cancelled when the step's tries are used up or it times out. Otherwise the scheduler would retry
+// it forever.
 func TestAStepThatFailsForGood(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -77,16 +80,16 @@
 	}
 	w.settle()
 	if r := w.run(p, "one"); r.RunState() != dag.RunFailed {
-		t.Errorf("the run is %v", r.RunState())
+		t.Errorf("the run is %v, want failed", r.RunState())
 	}
 	for _, id := range ids {
 		if item, ok := w.state.Value(jobs.KeyFinalState(id)); !ok || !strings.Contains(string(item.Value), string(wire.StateCancelled)) {
-			t.Errorf("%s is not cancelled: %s", id, item.Value)
+			t.Errorf("final state of job %s is %q, want cancelled", id, item.Value)
 		}
 	}
 }
 
-// The largest graph is stored in parts and submitted a few steps at a time.
+// The largest graph is stored in several parts, and its steps are submitted up to the default limit.
 func TestTheLargestGraphIsStored(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -99,19 +102,19 @@
 	p := check(t, steps...)
 	w.begin(p, "one")
 	if n := len(w.live()); n != 16 {
-		t.Errorf("%d steps are submitted at once", n)
+		t.Errorf("%d steps are submitted at once, want 16", n)
 	}
 	if n := len(w.list(PrefixDef)); n < 2 {
-		t.Errorf("it is stored in %d parts", n)
+		t.Errorf("the definition is stored in %d parts, want at least 2", n)
 	}
 	w.lead()
 	if len(w.graphs.byJob) != 16 {
-		t.Errorf("a new leader knows %d steps", len(w.graphs.byJob))
+		t.Errorf("a new leader has %d submitted steps, want 16", len(w.graphs.byJob))
 	}
 }
 
-// The property: with leaders that die at any write, answered or not, every step of every
-// run comes to one end, and no task of a step completes twice.
+// Property: even if leaders fail at any write, answered or not, every step of a run ends, and its state agrees with the
+// final state of its job.
 func TestEveryStepEndsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorldWith(t, Config{Source: sourceFunc(describes)})
@@ -137,7 +140,7 @@
 			case 8:
 				o := Order{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Below: true}
 				if w.order(DoClear, o); w.graphs.runs[keyRun("the team", "g", "one")] == nil {
-					w.answered() // the run is over, and read first
+					w.answered() // the run is finished, so it is read first
 				}
 			case 9:
 				if rapid.IntRange(0, 4).Draw(rt, "cancel") == 0 {
@@ -152,7 +155,7 @@
 			case 2:
 				w.next(true)
 			case 3:
-				// The book's write is applied, and its leader never knows.
+				// The job store's transaction is committed, but the leader fails before its answer.
 				if b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
 					w.commit(b.Txn)
 					w.lead()
@@ -178,7 +181,7 @@
 				}
 			}
 		}
-		for range 20 * n { // to the end
+		for range 20 * n { // until the run is finished
 			w.clock.Advance(2 * time.Second)
 			w.settle()
 			for _, id := range w.live() {
@@ -194,7 +197,7 @@
 		w.settle()
 		r := w.run(p, "one")
 		if r.RunState() == dag.RunRunning || len(w.live()) != 0 || len(w.graphs.byJob) != 0 {
-			rt.Fatalf("the run is %v; live are %v and %d steps", r.RunState(), w.live(), len(w.graphs.byJob))
+			rt.Fatalf("the run has not finished: it is %v, jobs %v are live and %d steps submitted", r.RunState(), w.live(), len(w.graphs.byJob))
 		}
 		for i := range p.Steps {
 			id := r.JobID(dag.InstanceRef{Step: i})
@@ -204,7 +207,7 @@
 			case state == dag.Success && (!ended || !strings.Contains(string(item.Value), string(wire.StateDone))),
 				state == dag.Failed && (!ended || !strings.Contains(string(item.Value), string(wire.StateCancelled))),
 				(state == dag.Skipped || state == dag.UpstreamFailed) && ended:
-				rt.Fatalf("step %d is %v, its job %q", i, state, item.Value)
+				rt.Fatalf("step %d is %v, but the final state of its job is %q", i, state, item.Value)
 			}
 		}
 	})
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -12,50 +12,49 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// PathOrders begins the URI of each command (leader.Command): what is to be done follows,
-// and the body is an Order. Whoever has no answer may give one again: all of them are so made
-// that twice is as good as once.
+// PathOrders is the prefix of the URI of each command (leader.Command). A command's name follows it, and the body is
+// an Order. A client that gets no answer may repeat a command: executing one twice does no harm.
 const PathOrders = "/graphs/"
 
-// What can be ordered.
+// The names of the commands.
 const (
-	DoPut      = "put"      // register a graph whose definition is stored: 201, or 200 if it was known
-	DoPause    = "pause"    // or have it go on
-	DoRemove   = "remove"   // drop a graph and its runs
-	DoTrigger  = "trigger"  // begin a run: 201, or 409 if there is one of that id
-	DoBackfill = "backfill" // begin the runs of past intervals
-	DoCancel   = "cancel"   // end a run
-	DoClear    = "clear"    // have steps of a run go again
-	DoForget   = "forget"   // drop a run that is over
-	DoPush     = "push"     // what a step leaves for those that follow
+	DoPut      = "put"      // register a graph whose definition is stored: 201, or 200 if the graph is registered already
+	DoPause    = "pause"    // pause a graph, or resume it
+	DoRemove   = "remove"   // delete a graph and its runs
+	DoTrigger  = "trigger"  // create a run: 201, or 409 if there is one with that ID
+	DoBackfill = "backfill" // create the runs of past data intervals
+	DoCancel   = "cancel"   // cancel a run
+	DoClear    = "clear"    // clear steps of a run, so that they run again
+	DoForget   = "forget"   // delete a finished run
+	DoPush     = "push"     // set the result of a step, which steps downstream read (XCom in Airflow)
 )
 
-// Order is a command of a team. Fields that a command does not need are ignored.
+// Order is the body of a team's command. Fields that a command does not use are ignored.
 type Order struct {
 	Team  string `json:"team"`
 	Graph string `json:"graph"`
 	Run   string `json:"run,omitempty"`
 
-	Def    string `json:"def,omitempty"` // the hash of a definition
+	Def    string `json:"def,omitempty"` // hash of the definition
 	Parts  int    `json:"parts,omitempty"`
 	Paused *bool  `json:"paused,omitempty"`
 
 	LogicalMS int64           `json:"logical_ms,omitempty"`
 	Conf      json.RawMessage `json:"conf,omitempty"`
 	Note      string          `json:"note,omitempty"`
-	Described bool            `json:"described,omitempty"` // the steps' descriptions are uploaded
+	Described bool            `json:"described,omitempty"` // the client has uploaded the steps' descriptions
 
-	From time.Time `json:"from,omitzero"` // intervals that begin from here
-	To   time.Time `json:"to,omitzero"`   // up to here
+	From time.Time `json:"from,omitzero"` // start of the first data interval at the earliest
+	To   time.Time `json:"to,omitzero"`   // start of the last data interval at the latest
 
-	Steps      []string        `json:"steps,omitempty"` // none: all
-	Below      bool            `json:"below,omitempty"` // and those that follow them
+	Steps      []string        `json:"steps,omitempty"` // empty: all
+	Below      bool            `json:"below,omitempty"` // also those downstream of them
 	OnlyFailed bool            `json:"only_failed,omitempty"`
 	Step       string          `json:"step,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Command carries out a command. The error is leader.ErrUnknownPath.
+// Command executes a command. The error is leader.ErrUnknownPath.
 func (g *Graphs) Command(c leader.Command, now time.Time, tell func(leader.Answer)) error {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
@@ -84,7 +83,8 @@
 		g.put(o, tell)
 		return
 	}
-	// Whether another team has a graph of that name is nobody's business: both are none.
+	// A graph of another team and one that does not exist get the same answer, so that a team cannot find out the
+	// names of others' graphs.
 	gr := g.graphs[keyGraph(o.Team, o.Graph)]
 	if gr == nil || gr.deleting {
 		tell.refuse(http.StatusNotFound, "no such graph")
@@ -127,13 +127,13 @@
 	g.createRun(gr, o.Run, m, now, tell)
 }
 
-// Backfilled answers a backfill.
+// Backfilled is the answer to a backfill.
 type Backfilled struct {
-	Begun int `json:"begun"`
-	Known int `json:"known"` // intervals that had a run
+	Begun int `json:"begun"` // runs that were created
+	Known int `json:"known"` // intervals that had a run already, or whose run was refused
 }
 
-// backfill begins the runs of past intervals; those that have one are passed over.
+// backfill creates the runs of past data intervals. Intervals that have a run are skipped.
 func (g *Graphs) backfill(gr *graph, o *Order, now time.Time, tell responder) {
 	d := g.defs[gr.rec.Def]
 	if d == nil || d.plan == nil {
@@ -180,7 +180,7 @@
 	}
 }
 
-// executeOnRun carries out what is about one run.
+// executeOnRun executes a command on one run.
 func (g *Graphs) executeOnRun(verb string, gr *graph, o *Order, now time.Time, tell responder) {
 	var e *entry
 	for _, x := range gr.history {
@@ -211,7 +211,7 @@
 	}
 	switch verb {
 	case DoCancel:
-		tell.succeed(http.StatusOK) // it is over: nothing is left to end
+		tell.succeed(http.StatusOK) // the run is finished already
 	case DoPush:
 		tell.refuse(http.StatusConflict, "the run is over")
 	case DoForget:
@@ -221,7 +221,7 @@
 	}
 }
 
-// revive reads a run that is over, and has steps of it go again.
+// revive reads a finished run, makes it live again and clears steps of it.
 func (g *Graphs) revive(gr *graph, e *entry, o *Order, tell responder) {
 	d := g.defs[e.def]
 	switch {
@@ -237,7 +237,7 @@
 		var rec runRecord
 		item, ok, err := g.store.Get(g.ended, e.key)
 		if err == nil && !ok {
-			err = errors.New("it is gone")
+			err = errors.New("the record does not exist")
 		}
 		if err == nil {
 			err = json.Unmarshal(item.Value, &rec)
@@ -245,18 +245,18 @@
 		if err == nil && plan == nil {
 			plan, err = fetch(g.ended, g.store, e.def, parts)
 		}
-		_ = g.ask(func() { // fails when the leadership is over, and with it whoever waits
+		_ = g.ask(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
 			var r *dag.Run
 			if err == nil {
 				r, err = decodeRun(g.codec, &rec, plan)
 			}
 			switch {
 			case err != nil:
-				g.log.Warn("a run cannot be read", "run", e.key, "err", err)
+				g.log.Warn("reading a finished run failed; its steps are not cleared", "run", e.key, "err", err)
 				tell.refuse(http.StatusServiceUnavailable, "the run cannot be read now; ask again")
 			case e.deleting:
 				tell.refuse(http.StatusNotFound, "no such run")
-			case e.live != nil: // another clear was sooner
+			case e.live != nil: // another clear command was faster
 				g.clear(e.live, o, tell)
 			default:
 				g.learn(e.def, d.parts, plan)
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -8,15 +8,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
+// poolKey identifies a pool.
 type poolKey struct{ team, name string }
 
-// pool bounds how many steps of a team's graphs are submitted at a time.
+// pool limits how many steps of a team's graphs are submitted at a time.
 type pool struct {
 	slots, used int
-	line        waitLine
+	line        waitLine // runs with ready steps for which too few slots are free
 }
 
-// slots returns how many slots a team's pool has.
+// slots returns the number of slots of a team's pool, and whether the pool exists.
 func (g *Graphs) slots(team, name string) (int, bool) {
 	if g.cfg.Pools != nil {
 		if n, ok := g.cfg.Pools(team, name); ok {
@@ -30,17 +31,18 @@
 func (g *Graphs) pool(p *dag.Plan, step int) *pool {
 	key := poolKey{p.Team, cmp.Or(p.Steps[step].Pool, DefaultPool)}
 	if g.pools[key] == nil {
-		n, _ := g.slots(key.team, key.name) // one that is not configured any more keeps the default
+		n, _ := g.slots(key.team, key.name) // a pool that is no longer configured has the default number
 		g.pools[key] = &pool{slots: n}
 	}
 	return g.pools[key]
 }
 
-// waitLine is where runs wait for room, in the order in which they came.
+// waitLine is a queue of runs that wait for free slots, first come first served.
 type waitLine struct{ runs []*liveRun }
 
-// update says whether a run waits. One that took something goes behind the others; one
-// that waits for nothing any more leaves, and if there is room the next is looked at.
+// update adds a run to the queue if it waits, and removes it if it does not. A run that waits and took slots moves
+// behind the others. If the run does not wait and room says that slots are free, the first run of the queue is
+// enqueued.
 func (l *waitLine) update(g *Graphs, x *liveRun, waits, took, room bool) {
 	i := slices.Index(l.runs, x)
 	if i >= 0 && (took || !waits) {
@@ -54,28 +56,30 @@
 	}
 }
 
-// wakeFirst has the first in line looked at.
+// wakeFirst enqueues the first waiting run, so that it is checked whether its steps can be submitted.
 func (l *waitLine) wakeFirst(g *Graphs) {
 	if len(l.runs) > 0 {
 		g.enqueueRun(l.runs[0])
 	}
 }
 
+// slotsOf returns the number of slots that a step occupies.
 func slotsOf(p *dag.Plan, step int) int { return max(1, p.Steps[step].PoolSlots) }
 
-// fits reports whether a step's slots are free. A step that wants more than there are is alone.
+// fits reports whether enough slots are free for a step. A step that needs more slots than the pool has may use the
+// pool alone.
 func (p *pool) fits(x *liveRun, step int) bool {
 	return p.used == 0 || p.used+slotsOf(x.run.Plan, step) <= p.slots
 }
 
-// takeSlots takes a step's slots.
+// takeSlots allocates a step's slots.
 func (g *Graphs) takeSlots(x *liveRun, step int) {
 	x.active++
 	x.graph.active++
 	g.pool(x.run.Plan, step).used += slotsOf(x.run.Plan, step)
 }
 
-// releaseSlots frees a step's slots, and has whoever waits for them looked at.
+// releaseSlots frees a step's slots, and enqueues the step's run and the first runs that wait for them.
 func (g *Graphs) releaseSlots(x *liveRun, step int) {
 	p := g.pool(x.run.Plan, step)
 	x.active--
@@ -86,6 +90,7 @@
 	g.enqueueRun(x)
 }
 
+// lines returns the queues of all pools.
 func (g *Graphs) lines() (out []*waitLine) {
 	for _, p := range g.pools {
 		out = append(out, &p.line)
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -14,23 +14,23 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// loader holds what a new leader reads.
+// loader holds the records that a new leader reads.
 type loader struct {
 	codec  *charge.Codec
 	log    *slog.Logger
 	defs   map[string]*definition
 	graphs map[string]*graph
-	runs   []*liveRun
+	runs   []*liveRun // those that are not finished
 }
 
-// Read reads graphs and the runs that are not over, and what became of their jobs meanwhile.
+// Read reads definitions, graphs and runs, and the final states of jobs that finished in the meantime.
 func (g *Graphs) Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (func(), error) {
 	l := &loader{codec: g.codec, log: g.log, defs: map[string]*definition{}, graphs: map[string]*graph{}}
 	if err := l.read(ctx, store); err != nil {
 		return nil, err
 	}
-	// From here on the loop is told what becomes of these jobs. One that is not live any more
-	// has ended: its end is stored for ever.
+	// From here on Finished is called for these jobs. A job that is no longer in the job store has finished, and
+	// its final state is stored for good.
 	var ended []string
 	if err := ask(func() {
 		g.ended, g.ask, g.store = ctx, ask, store
@@ -60,7 +60,7 @@
 			}
 		}
 		for _, x := range l.runs {
-			for _, id := range x.run.JobsBeingCancelled() { // what a former leader was about to cancel
+			for _, id := range x.run.JobsBeingCancelled() { // jobs that the previous leader was about to cancel
 				g.cancels[id] = struct{}{}
 			}
 			if x.run.RunState() != dag.RunRunning && x.active == 0 {
@@ -70,11 +70,12 @@
 		}
 		g.cancelKnownJobs()
 		g.read = true
-		g.log.Info("graphs loaded", "graphs", len(g.graphs), "runs", len(g.runs), "steps", len(g.byJob))
+		g.log.Info("graphs and live runs loaded", "graphs", len(g.graphs), "runs", len(g.runs), "steps", len(g.byJob))
 	}, nil
 }
 
-// install records what was read, and returns the jobs of steps that are not live.
+// install replaces the state of g by what was read. It returns the IDs of those jobs of steps that are cancelled or
+// no longer in the job store, so they may have a final state.
 func (g *Graphs) install(l *loader) (ended []string) {
 	g.defs, g.graphs, g.runs, g.bytes = l.defs, l.graphs, map[string]*liveRun{}, 0
 	clear(g.byJob)
@@ -121,8 +122,7 @@
 	return ended
 }
 
-// read reads all records. One that cannot be read must not hold up the
-// others: it rests.
+// read reads all records. A record that cannot be decoded must not block the others, so it is logged and left out.
 func (l *loader) read(ctx context.Context, store *statestore.Client) error {
 	have := map[string]int{}
 	if _, err := store.ListAll(ctx, PrefixDef, func(items []wire.Item) error {
@@ -133,13 +133,13 @@
 	}
 	for hash, d := range l.defs {
 		if have[hash] != d.parts {
-			d.packed, d.parts = nil, max(d.parts, have[hash]) // a part is missing
+			d.packed, d.parts = nil, max(d.parts, have[hash]) // incomplete; the count covers all parts, so that cleanUp deletes them
 		}
 	}
 	if _, err := store.ListAll(ctx, PrefixGraph, func(items []wire.Item) error {
 		for _, item := range items {
 			if err := l.graph(item); err != nil {
-				l.log.Error("a graph is unreadable and rests", "record", item.Key, "err", err)
+				l.log.Error("decoding a graph failed; ignoring the graph in this term", "record", item.Key, "err", err)
 			}
 		}
 		return nil
@@ -149,7 +149,7 @@
 	_, err := store.ListAll(ctx, PrefixRun, func(items []wire.Item) error {
 		for _, item := range items {
 			if err := l.run(item); err != nil {
-				l.log.Error("a run is unreadable and rests", "record", item.Key, "err", err)
+				l.log.Error("decoding a run failed; ignoring the run in this term", "record", item.Key, "err", err)
 			}
 		}
 		return nil
@@ -167,7 +167,7 @@
 	return d.plan, err
 }
 
-// load makes the plan of a definition, if that was not done.
+// load decodes the plan of a definition, if it is not decoded.
 func (d *definition) load(c *charge.Codec, hash string) error {
 	if d.plan != nil {
 		return nil
@@ -182,6 +182,7 @@
 	return err
 }
 
+// graph adds a stored graph.
 func (l *loader) graph(item wire.Item) error {
 	var rec GraphRecord
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
@@ -201,6 +202,7 @@
 	return nil
 }
 
+// run adds a stored run, whose graph is already added.
 func (l *loader) run(item wire.Item) error {
 	var rec runRecord
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
@@ -208,11 +210,11 @@
 	}
 	gr := l.graphs[keyGraph(rec.Team, rec.Graph)]
 	if gr == nil {
-		return errors.New("its graph is not known")
+		return errors.New("the run's graph is not registered or could not be decoded")
 	}
 	e := &entry{key: item.Key, id: rec.ID, logical: rec.LogicalMS, due: rec.ToMS != 0, def: rec.Def}
 	if rec.over() && !gr.hasPastDependents {
-		l.refer(gr, e) // its definition is not read for that
+		l.refer(gr, e) // the definition need not be decoded for a finished run
 		return nil
 	}
 	p, err := l.plan(rec.Def)
@@ -235,7 +237,7 @@
 	return nil
 }
 
-// refer takes a run into its graph's history.
+// refer adds a run to its graph's history, and counts its reference to its definition.
 func (l *loader) refer(gr *graph, e *entry) {
 	if d := l.defs[e.def]; d != nil {
 		d.refs++
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -13,25 +13,26 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Reader reads what is stored of graphs; any member can. It is safe for concurrent use,
-// and reads one definition at a time: the largest takes some MB.
+// Reader reads the stored records of graphs and stores definitions. Any member may use it. It is safe for concurrent
+// use. It decodes one definition at a time, because the largest needs some MB of memory.
 type Reader struct {
 	store *statestore.Client
-	turn  chan struct{} // held by whoever uses what follows
-	codec *charge.Codec
-	hash  string // of the newest plan
-	plan  *dag.Plan
+	turn  chan struct{} // lock of capacity 1 that guards the fields below
+	codec *charge.Codec // nil until it is first needed
+	hash  string        // of the definition of plan
+	plan  *dag.Plan     // the plan that was read last
 }
 
-// ErrNone says that there is no such graph or run of the team.
+// ErrNone means that the team has no such graph or run.
 var ErrNone = errors.New("it is not known")
 
-// NewReader makes a reader of a state service.
+// NewReader returns a Reader of a state service.
 func NewReader(store *statestore.Client) *Reader {
 	return &Reader{store: store, turn: make(chan struct{}, 1)}
 }
 
-// enter waits for the reader's turn.
+// enter acquires the lock r.turn and creates the codec if there is none. The caller releases the lock by receiving
+// from r.turn.
 func (r *Reader) enter(ctx context.Context) error {
 	select {
 	case r.turn <- struct{}{}:
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// get reads a record into v.
+// get decodes a record into v. The error is ErrNone if there is no such record.
 func (r *Reader) get(ctx context.Context, key string, v any) error {
 	item, ok, err := r.store.Get(ctx, key)
 	switch {
@@ -60,7 +61,7 @@
 	return json.Unmarshal(item.Value, v)
 }
 
-// Graphs returns a team's graphs, by name.
+// Graphs returns a team's graphs, sorted by ID.
 func (r *Reader) Graphs(ctx context.Context, team string) (out []GraphRecord, err error) {
 	_, err = r.store.ListAll(ctx, PrefixGraph+ofTeam(team), func(items []wire.Item) error {
 		for _, item := range items {
@@ -74,7 +75,7 @@
 	return out, err
 }
 
-// Graph returns a team's graph, or ErrNone.
+// Graph returns a team's graph. The error is ErrNone if there is no such graph.
 func (r *Reader) Graph(ctx context.Context, team, id string) (rec GraphRecord, err error) {
 	if !dag.ValidName(id) {
 		return rec, ErrNone
@@ -83,15 +84,16 @@
 	return rec, err
 }
 
-// RunInfo is what is known of a run without its definition.
+// RunInfo is the part of a run that can be decoded without its definition.
 type RunInfo struct {
 	Graph, ID, State, Type, Note string
-	Def                          string // the hash of its definition
+	Def                          string // hash of its definition
 	Logical, Queued              time.Time
-	From, To, Start, End         time.Time // zero: none
+	From, To, Start, End         time.Time // zero if there is none; From and To are the data interval
 	Conf                         json.RawMessage
 }
 
+// timeOf converts a Unix time in milliseconds. It returns the zero time for 0.
 func timeOf(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -99,6 +101,7 @@
 	return time.UnixMilli(ms).UTC()
 }
 
+// info returns the RunInfo of a record. A run that has not started yet is "queued".
 func (r *runRecord) info() RunInfo {
 	i := RunInfo{
 		Graph: r.Graph, ID: r.ID, State: r.State, Type: r.Type, Note: r.Note, Def: r.Def, Logical: timeOf(r.LogicalMS), Queued: timeOf(r.QueuedMS),
@@ -110,7 +113,7 @@
 	return i
 }
 
-// Runs returns the runs of a team's graph; with an empty name those of all its graphs.
+// Runs returns the runs of a team's graph, or those of all its graphs if id is empty.
 func (r *Reader) Runs(ctx context.Context, team, id string) (out []RunInfo, err error) {
 	prefix := PrefixRun + ofTeam(team)
 	if id != "" {
@@ -132,10 +135,10 @@
 type RunView struct {
 	RunInfo
 	Run   *dag.Run
-	Tries []Try // the newest; times count from Queued
+	Tries []Try // the newest ones; times are relative to Queued
 }
 
-// Run returns a run of a team's graph, or ErrNone.
+// Run returns a run of a team's graph. The error is ErrNone if there is no such run.
 func (r *Reader) Run(ctx context.Context, team, graph, id string) (*RunView, error) {
 	if !dag.ValidName(graph) || !validRun(id) {
 		return nil, ErrNone
@@ -159,7 +162,7 @@
 	return &RunView{RunInfo: rec.info(), Run: run, Tries: readTries(r.codec, &rec)}, nil
 }
 
-// Plan returns a definition.
+// Plan returns the plan of a stored definition.
 func (r *Reader) Plan(ctx context.Context, hash string) (*dag.Plan, error) {
 	if err := r.enter(ctx); err != nil {
 		return nil, err
@@ -186,7 +189,7 @@
 	return d.plan, nil
 }
 
-// Store stores a graph's definition, and returns its hash and how many parts it has.
+// Store stores a graph's definition, and returns its hash and its number of parts.
 func (r *Reader) Store(ctx context.Context, g *dag.Graph) (hash string, n int, err error) {
 	if err := r.enter(ctx); err != nil {
 		return "", 0, err
@@ -204,10 +207,11 @@
 	return hash, len(parts), nil
 }
 
-// ErrPart says that something is no part of a definition.
+// ErrPart means that the arguments of StorePart do not describe a valid part of a definition.
 var ErrPart = errors.New("that is no part of a graph")
 
-// StorePart stores a part of a definition, if it is not there.
+// StorePart stores part n (from 0) of a definition of as many parts as of says, unless it is stored already. zstd is
+// the part's compressed content.
 func (r *Reader) StorePart(ctx context.Context, hash string, n, of int, zstd []byte) error {
 	if !validHash(hash) || n < 0 || n >= of || of > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
 		return ErrPart
@@ -220,7 +224,7 @@
 	_, err = r.store.Commit(ctx, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Change{{Put: key, Value: value}}})
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
-		return nil // it is there: its name says what it holds
+		return nil // the part is stored already; the hash in its key identifies its content
 	}
 	return err
 }
@@ -229,6 +233,6 @@
 type PoolView struct {
 	Name  string `json:"name"`
 	Slots int    `json:"slots"`
-	Used  int    `json:"used"` // by steps that are submitted and not over
-	Waits int    `json:"waits"`
+	Used  int    `json:"used"`  // slots of submitted, unfinished steps
+	Waits int    `json:"waits"` // ready steps that wait for slots
 }
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -17,32 +17,33 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// Keys of the state service. Any member writes definitions, only the leader the others.
+// Prefixes of keys in the state service. Any member writes definitions; only the leader writes the others.
 const (
-	// PrefixDef holds definitions, compressed and in parts, under the hash of what they
-	// say: they never change.
+	// PrefixDef is the prefix of definitions, which are stored compressed and in parts. The hash of the content
+	// follows, so a definition never changes.
 	PrefixDef = "graph/def/"
-	// PrefixGraph holds the graphs that teams registered.
+	// PrefixGraph is the prefix of the registered graphs of all teams.
 	PrefixGraph = "graph/dag/"
-	// PrefixRun holds runs, each with the states of all its steps.
+	// PrefixRun is the prefix of runs. Each record contains the states of all steps of its run.
 	PrefixRun = "graph/run/"
 )
 
-// DefaultPool is the pool of a step that names none.
+// DefaultPool is the name of the pool of a step that names none.
 const DefaultPool = "default_pool"
 
-// The types of runs, by Airflow's names.
+// The types of runs, with Airflow's names.
 const (
 	Manual    = "manual"
 	Scheduled = "scheduled"
 	Backfill  = "backfill"
 )
 
-// RunName is the id of a run that has no other, as Airflow gives it.
+// RunName returns the default ID of a run of some type with some logical date, in Airflow's format.
 func RunName(kind string, logical time.Time) string {
 	return kind + "__" + logical.UTC().Format("2006-01-02T15:04:05.999999-07:00")
 }
 
+// partKeys returns the keys of the n parts of a definition.
 func partKeys(hash string, n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
@@ -51,7 +52,8 @@
 	return keys
 }
 
-// ofTeam is a team's part of a key: its name may hold what a key may not.
+// ofTeam returns a team's part of a key, with a slash at the end. It is a hash, because a team's name may contain
+// characters that a key may not.
 func ofTeam(team string) string {
 	sum := sha256.Sum256([]byte(team))
 	return hex.EncodeToString(sum[:8]) + "/"
@@ -59,27 +61,27 @@
 
 func keyGraph(team, graph string) string { return PrefixGraph + ofTeam(team) + graph }
 
-// runEscapes are for what a run's id may hold and a graph's may not.
+// runEscapes escapes the characters that a run's ID may contain and a key may not.
 var runEscapes = strings.NewReplacer(":", ",c", "+", ",p")
 
 func keyRun(team, graph, run string) string {
 	return PrefixRun + ofTeam(team) + graph + "/" + runEscapes.Replace(run)
 }
 
-// validRun reports whether a run's id is one.
+// validRun reports whether id is a valid ID of a run.
 func validRun(id string) bool {
 	return dag.ValidName(strings.NewReplacer(":", "", "+", "").Replace(id))
 }
 
-// GraphRecord is a graph that a team registered, as it is stored.
+// GraphRecord is the stored form of a graph that a team registered.
 type GraphRecord struct {
 	Team   string `json:"team"`
 	ID     string `json:"id"`
-	Def    string `json:"def"` // the hash of its definition
+	Def    string `json:"def"` // hash of its definition
 	Paused bool   `json:"paused,omitempty"`
-	LastMS int64  `json:"last_ms,omitempty"` // end of the newest interval that has a run
+	LastMS int64  `json:"last_ms,omitempty"` // end of the newest data interval that has a run
 
-	// Of its definition, for those who list graphs.
+	// Copied from its definition, so that graphs can be listed without decoding it.
 	Description string     `json:"description,omitempty"`
 	Schedule    string     `json:"schedule,omitempty"`
 	Zone        string     `json:"zone,omitempty"`
@@ -92,30 +94,31 @@
 	Steps       int        `json:"steps"`
 }
 
-// partRecord is a part of a definition.
+// partRecord is the stored form of a part of a definition.
 type partRecord struct {
-	Parts int    `json:"parts"` // there are
-	Zstd  []byte `json:"z"`
+	Parts int    `json:"parts"` // number of parts of the definition
+	Zstd  []byte `json:"z"`     // part of the compressed definition
 }
 
-// runRecord is a run.
+// runRecord is the stored form of a run.
 type runRecord struct {
 	Team  string `json:"team"`
 	Graph string `json:"graph"`
 	ID    string `json:"id"`
-	Def   string `json:"def"` // the hash of its definition
+	Def   string `json:"def"` // hash of its definition
 	State string `json:"state"`
 	meta
-	// Open says that jobs of it are not over, whatever its state.
+	// Open is true if jobs of the run are not finished, whatever its state is.
 	Open bool   `json:"open,omitempty"`
-	Zstd []byte `json:"z"` // of dag.Run's stored form
-	// Tries are the newest tries of its steps, compressed.
+	Zstd []byte `json:"z"` // stored form of a dag.Run, compressed
+	// Tries is the list of the newest tries of its steps, encoded and compressed.
 	Tries []byte `json:"tries,omitempty"`
 }
 
+// over reports whether the run is finished: it has ended, and so have all its jobs.
 func (r *runRecord) over() bool { return r.State != dag.RunRunning.String() && !r.Open }
 
-// Pack returns a definition's stored form: its hash, and its parts.
+// Pack returns the hash of a definition, and its compressed form in parts of at most tuning.GraphPartMaxBytes.
 func Pack(c *charge.Codec, g *dag.Graph) (hash string, parts [][]byte, err error) {
 	raw, err := json.Marshal(g)
 	if err != nil {
@@ -133,20 +136,22 @@
 	return hashOf(raw), parts, nil
 }
 
+// hashOf returns the hash that identifies a definition.
 func hashOf(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:16])
 }
 
-// validHash reports whether a text is the hash of a definition.
+// validHash reports whether s has the form of a definition's hash.
 func validHash(s string) bool {
 	raw, err := hex.DecodeString(s)
 	return err == nil && len(raw) == 16 && s == strings.ToLower(s)
 }
 
+// errParts means that not all parts of a definition are stored.
 var errParts = errors.New("a part of the graph is missing")
 
-// unpack reads a definition.
+// unpack decodes a compressed definition and checks its hash.
 func unpack(c *charge.Codec, hash string, packed []byte) (*dag.Plan, error) {
 	var raw []byte
 	if err := c.Decode(packed, &raw); err != nil {
@@ -162,14 +167,15 @@
 	return dag.NewPlan(g)
 }
 
-// gather collects parts of definitions, by hash, in the order of their keys. One that
-// lacks a part has none: its client never came back.
+// gather adds records of parts to defs, and counts them in have, both by hash. Items are sorted by key, so the parts
+// of a definition are in order. If have is less than definition.parts, the definition is incomplete: its client
+// did not finish the upload.
 func gather(defs map[string]*definition, have map[string]int, items []wire.Item) {
 	for _, item := range items {
 		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDef), "/")
 		var r partRecord
 		if json.Unmarshal(item.Value, &r) != nil {
-			continue // what it is a part of lacks it
+			continue // the definition is incomplete then
 		}
 		if defs[hash] == nil {
 			defs[hash] = &definition{}
@@ -180,7 +186,8 @@
 	}
 }
 
-// runValue is a run's record, of up to limit bytes: the oldest tries go before that.
+// runValue encodes a run's record. To stay within limit bytes, it discards the oldest tries, and if necessary all. If
+// the record is still longer, runValue returns it nevertheless.
 func runValue(c *charge.Codec, x *liveRun, limit int) (json.RawMessage, error) {
 	rec := runRecord{
 		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.def, State: x.run.RunState().String(), meta: x.meta,
@@ -200,6 +207,7 @@
 	return value, err
 }
 
+// decodeRun decodes the states of a run's steps.
 func decodeRun(c *charge.Codec, rec *runRecord, p *dag.Plan) (*dag.Run, error) {
 	var raw []byte
 	if err := c.Decode(rec.Zstd, &raw); err != nil {
@@ -208,7 +216,7 @@
 	return dag.DecodeRun(p, raw)
 }
 
-// jobOf is the job of an instance, and its stored record.
+// jobOf returns the job of an instance, and the job's stored record with nowMS as the time when it was accepted.
 func jobOf(r *dag.Run, at dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
 	p := r.Plan
 	d := p.Steps[at.Step].Job
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// deleteRun drops a run that is over.
+// deleteRun deletes a finished run. then, if not nil, is called when its record is deleted.
 func (g *Graphs) deleteRun(gr *graph, e *entry, then func()) {
 	e.deleting = true
 	g.enqueueDeletions(func() {
@@ -20,7 +20,7 @@
 	}, e.key)
 }
 
-// applyRetention drops the oldest of the runs that are over, beyond those that are kept.
+// applyRetention deletes finished runs of a graph, except for the newest tuning.GraphRetainedRuns.
 func (g *Graphs) applyRetention(gr *graph) {
 	over := 0
 	for i := len(gr.history) - 1; i >= 0; i-- {
@@ -32,11 +32,11 @@
 	}
 }
 
-// cleanUp forgets plans of which only runs that are over are left, and drops definitions that
-// nothing refers to for a while.
+// cleanUp removes from memory the plans that only finished runs refer to, and deletes definitions that have been
+// unreferenced for tuning.GraphDeleteAfter. At the same interval it has sweep look for unregistered uploads.
 func (g *Graphs) cleanUp(now time.Time) {
 	if g.lastSweep.IsZero() {
-		g.lastSweep = now // a new leader has just read all of them
+		g.lastSweep = now // Read has just listed all definitions
 	} else if now.Sub(g.lastSweep) >= tuning.GraphDeleteAfter {
 		g.lastSweep = now
 		g.sweep()
@@ -65,13 +65,13 @@
 	}
 }
 
-// deletion is a record that is to go; then is called once it is gone.
+// deletion is a record to delete. then, if not nil, is called when it is deleted.
 type deletion struct {
 	key  string
 	then func()
 }
 
-// enqueueDeletions has records go, in this order.
+// enqueueDeletions has records deleted in the given order. then, if not nil, is called when all are deleted.
 func (g *Graphs) enqueueDeletions(then func(), keys ...string) {
 	for i, key := range keys {
 		d := deletion{key: key}
@@ -82,7 +82,7 @@
 	}
 }
 
-// putDeletions puts what is to go into a transaction.
+// putDeletions adds pending deletions to a transaction.
 func (g *Graphs) putDeletions(b *batch) {
 	n := 0
 	for n < len(g.deletions) && b.fits(1, 0) {
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -13,45 +13,46 @@
 	"poppypass/internal/platform/wire"
 )
 
-// liveRun is a run that is not over.
+// liveRun is a run in the leader's memory: one that is not finished, or whose end is not stored yet.
 type liveRun struct {
 	run      *dag.Run
 	graph    *graph
 	key      string
-	def      string
+	def      string // hash of its definition
 	meta     meta
-	version  uint64 // 0: it was not stored yet
-	onStored []func()
-	entry    *entry
-
-	queued   bool // it is in the list of those to look at
-	dirty    bool // it is not stored as it is
-	lateAt   time.Time
-	finished bool // it is over, and stored
-	suspect  bool // a condition on one of its jobs did not hold: they are stored one by one
-	size     int  // bytes of its newest record
-	active   int  // jobs that are submitted and not over
-
-	waitingForPool map[*pool][]dag.InstanceRef // ready, and their pool is full
-	waitingForPast []dag.InstanceRef           // ready, and the run before has not done the step
-	picked         []pickedStep                // described, with their slots taken
-	pending        map[string]wire.JobState    // on their way to the store, with what became of them meanwhile
-	tries          []Try                       // the newest, in the order in which they began
+	version  uint64   // of the stored record; 0 if it is not stored yet
+	onStored []func() // called when it is stored
+	entry    *entry   // in the graph's history
+
+	queued   bool      // it is in Graphs.todo
+	dirty    bool      // it has changes that are not stored
+	lateAt   time.Time // when it was added to Graphs.storeLater
+	finished bool      // it has ended and is stored as that
+	suspect  bool      // a transaction with some of its jobs failed a condition, so its jobs are submitted one by one
+	size     int       // size of its newest record, in bytes
+	active   int       // submitted, unfinished jobs
+
+	waitingForPool map[*pool][]dag.InstanceRef // ready instances that wait for slots of a pool
+	waitingForPast []dag.InstanceRef           // ready instances that wait for the same step of the previous run
+	picked         []pickedStep                // described instances that hold slots and are to be submitted
+	pending        map[string]wire.JobState    // jobs in an unanswered transaction, by ID, with their final states if known
+	tries          []Try                       // the newest ones, in the order in which they began
 }
 
+// newLiveRun creates a live run, which is not yet added to its graph's history or to Graphs.runs.
 func newLiveRun(gr *graph, r *dag.Run, key, def string, m meta) *liveRun {
 	return &liveRun{
 		run: r, graph: gr, key: key, def: def, meta: m, waitingForPool: map[*pool][]dag.InstanceRef{}, pending: map[string]wire.JobState{},
 	}
 }
 
-// addLive takes a run in among those that are live.
+// addLive adds a run to the live runs.
 func (g *Graphs) addLive(x *liveRun) {
 	g.bytes += len(x.run.Plan.Steps) * tuning.RunStepBytes
 	g.runs[x.key] = x
 }
 
-// createRun begins a run of a graph. tell is told once it is stored, or why it is not.
+// createRun creates a run of a graph. It answers with 201 when the run is stored, or at once if it refuses the run.
 func (g *Graphs) createRun(gr *graph, id string, m meta, now time.Time, tell responder) {
 	d := g.defs[gr.rec.Def]
 	key := keyRun(gr.rec.Team, gr.rec.ID, id)
@@ -72,7 +73,7 @@
 	g.markDirty(x)
 }
 
-// refusalOf returns the status and reason with which a new run is refused; 0: it is not.
+// refusalOf returns the status and reason with which a new run is refused; status 0 if it is not refused.
 func (g *Graphs) refusalOf(gr *graph, d *definition, key, id string, m *meta) (status int, why string) {
 	switch {
 	case gr.deleting:
@@ -102,7 +103,7 @@
 	return 0, ""
 }
 
-// insertRun takes a run into a graph's history.
+// insertRun adds a run to a graph's history.
 func (gr *graph) insertRun(e *entry) {
 	i, _ := slices.BinarySearchFunc(gr.history, e, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.logical, b.logical), cmp.Compare(a.id, b.id))
@@ -110,8 +111,8 @@
 	gr.history = slices.Insert(gr.history, i, e)
 }
 
-// mayProceed reports whether a run goes on: its graph is not paused, and no more of its runs go
-// on than may.
+// mayProceed reports whether steps of a run may be submitted: the graph is not paused, and the run has started. It
+// starts the run if fewer runs than the graph's limit have started.
 func (g *Graphs) mayProceed(x *liveRun, now time.Time) bool {
 	gr := x.graph
 	if gr.rec.Paused {
@@ -128,7 +129,8 @@
 	return true
 }
 
-// finish takes a run out of those that are live once it is over and stored as that.
+// finish removes a run from the live runs if it has ended, its jobs have finished and its record is stored. It
+// enqueues the graph's next run that has not started.
 func (g *Graphs) finish(x *liveRun) {
 	if x.finished || x.run.RunState() == dag.RunRunning || x.active > 0 || x.dirty || len(x.pending) > 0 {
 		return
@@ -151,7 +153,8 @@
 	g.applyRetention(gr)
 }
 
-// failedPastDependents names the steps that depend on the past and did not end well.
+// failedPastDependents returns the IDs of a run's steps that depend on the past and neither succeeded nor were
+// skipped. They block the same steps of the next run.
 func failedPastDependents(r *dag.Run) map[string]bool {
 	var out map[string]bool
 	for i := range r.Plan.Steps {
@@ -166,10 +169,10 @@
 	return out
 }
 
-// cancelRun ends a run: nothing more of it begins.
+// cancelRun cancels a run and its jobs. No more of its steps are submitted.
 func (g *Graphs) cancelRun(x *liveRun, now time.Time, tell responder) {
 	x.run.Cancel()
-	if x.meta.StartMS == 0 { // it never went on
+	if x.meta.StartMS == 0 { // it was waiting to start
 		x.meta.StartMS = now.UnixMilli()
 		x.graph.started++
 	}
@@ -178,7 +181,7 @@
 	g.markDirty(x)
 }
 
-// clear has steps of a run go again.
+// clear resets steps of a live run, so that they run again as new jobs.
 func (g *Graphs) clear(x *liveRun, o *Order, tell responder) {
 	steps, err := x.run.StepsToClear(o.Steps, o.Below, o.OnlyFailed)
 	if err != nil {
@@ -192,11 +195,11 @@
 	g.markDirty(x)
 }
 
-// detachOrphans has jobs of earlier generations no longer take slots.
+// detachOrphans releases the slots of unfinished jobs of earlier generations.
 func (x *liveRun) detachOrphans(g *Graphs) {
 	for _, id := range x.run.Orphans() {
 		if w, ok := g.byJob[id]; ok && w.at.Step >= 0 {
-			x.active++ // until it is over, the run is live
+			x.active++ // releaseSlots decrements it, but the run stays live until the job has finished
 			g.releaseSlots(x, w.at.Step)
 			w.at = dag.InstanceRef{Step: -1}
 			g.byJob[id] = w
@@ -206,7 +209,7 @@
 	}
 }
 
-// push records what a step leaves for those that follow.
+// push sets the result of a step, which steps downstream read.
 func (g *Graphs) push(x *liveRun, o *Order, tell responder) {
 	i, ok := x.run.Plan.Index[o.Step]
 	if !ok {
@@ -221,16 +224,16 @@
 	g.markDirty(x)
 }
 
-// meta is what is known of a run beside the states of its steps.
+// meta is the part of a run's record that does not concern single steps.
 type meta struct {
 	Type      string          `json:"type"` // manual, scheduled or backfill
 	LogicalMS int64           `json:"logical_ms"`
-	FromMS    int64           `json:"from_ms,omitempty"` // the interval that it stands for
-	ToMS      int64           `json:"to_ms,omitempty"`
+	FromMS    int64           `json:"from_ms,omitempty"` // start of the data interval; 0 if there is none
+	ToMS      int64           `json:"to_ms,omitempty"`   // end of the data interval; 0 if there is none
 	QueuedMS  int64           `json:"queued_ms"`
-	StartMS   int64           `json:"start_ms,omitempty"` // 0: it waits for others of its graph
-	EndMS     int64           `json:"end_ms,omitempty"`
+	StartMS   int64           `json:"start_ms,omitempty"` // 0 if it waits to start: the graph is paused or has too many started runs
+	EndMS     int64           `json:"end_ms,omitempty"`   // 0 if it has not ended
 	Conf      json.RawMessage `json:"conf,omitempty"`
 	Note      string          `json:"note,omitempty"`
-	Described bool            `json:"described,omitempty"` // whoever triggered it described its steps
+	Described bool            `json:"described,omitempty"` // the client that triggered it has described its steps
 }
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// A pool and max_active_tasks bound what is submitted over all runs, and whoever waits gets
-// its turn as steps end.
+// A pool and max_active_tasks limit the submitted steps of all runs together, max_active_runs limits the started runs,
+// and waiting steps are submitted as others end.
 func TestPoolsAndLimitsOverAllRuns(t *testing.T) {
 	w := newWorldWith(t, Config{Pools: func(team, name string) (int, bool) { return 3, team == "the team" && name == "db" }})
 	w.lead()
@@ -56,25 +56,25 @@
 			}
 		}
 		if n := len(w.live()); n > 4 || slots > 3 || w.graphs.graphs[keyGraph("the team", "g")].started > 2 {
-			t.Fatalf("round %d: %d steps are submitted, %d slots are taken", round, n, slots)
+			t.Fatalf("round %d: limits exceeded: %d steps are submitted, %d slots are used", round, n, slots)
 		}
 		if round == 3 {
-			w.lead() // a new leader counts the same
+			w.lead() // a new leader restores the same counts
 		}
 		w.finish()
 	}
 	for _, id := range []string{"one", "two", "three"} {
 		if r := w.run(p, id); r.RunState() != dag.RunSuccess {
-			t.Errorf("%s: %v", id, counts(r))
+			t.Errorf("run %s has not succeeded: its steps are %v", id, counts(r))
 		}
 	}
 	if a := w.register(graphOf(t, func(g *dag.Graph) { g.ID = "other" }, func() dag.Step { s := step("s"); s.Pool = "theirs"; return s }())); a.status != http.StatusBadRequest || !strings.Contains(a.text, `no pool "theirs"`) {
-		t.Errorf("a pool of nobody: %+v", a)
+		t.Errorf("registering a graph with an unknown pool: %+v", a)
 	}
 }
 
-// A step that depends on the past waits for the same step of the run before, over a change
-// of leaders too; one that failed there holds it up until it is cleared.
+// A step that depends on the past waits for the same step of the previous run, also after a change of leaders. If that
+// step failed, it waits until the failed step is cleared and succeeds.
 func TestAStepThatDependsOnThePast(t *testing.T) {
 	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
 	w.lead()
@@ -87,27 +87,27 @@
 	w.clock.Advance(time.Second)
 	w.ordered(DoTrigger, Order{Run: "two"}, http.StatusCreated)
 	if got := w.live(); len(got) != 1 {
-		t.Fatalf("submitted are %v", got)
+		t.Fatalf("submitted jobs are %v, want one", got)
 	}
-	w.end(w.place(first), wire.ExitError) // its only try
+	w.end(w.place(first), wire.ExitError) // the step has no retries
 	w.settle()
 	w.lead()
 	w.settle()
 	if got := w.live(); len(got) != 0 || w.run(p, "one").RunState() != dag.RunFailed {
-		t.Fatalf("after the failure submitted are %v", got)
+		t.Fatalf("after the failure in the previous run, submitted jobs are %v, want none", got)
 	}
 	w.order(DoClear, Order{Run: "one"})
-	w.answered() // the run is over, and read first
+	w.answered() // the run is finished, so it is read first
 	w.settle()
 	w.finish()
 	w.finish()
 	if one, two := w.run(p, "one"), w.run(p, "two"); one.RunState() != dag.RunSuccess || two.RunState() != dag.RunSuccess {
-		t.Errorf("%v, %v", counts(one), counts(two))
+		t.Errorf("not both runs have succeeded: their steps are %v and %v", counts(one), counts(two))
 	}
 }
 
-// A clear meets a run in flight: the old job is cancelled, by the next leader if this one dies
-// before, and how it ends is nothing to the step's next generation.
+// When a running step is cleared, its old job is cancelled, by the next leader if this one fails before that. The end of
+// the old job does not change the state of the step's next generation.
 func TestAClearInFlight(t *testing.T) {
 	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
 	w.lead()
@@ -121,25 +121,26 @@
 	w.lead()
 	w.settle()
 	if got := w.live(); len(got) != 2 {
-		t.Fatalf("live are %v", got)
+		t.Fatalf("live jobs are %v, want the old one and the new one", got)
 	}
 	if j := w.book.Jobs[old]; !j.Cancelled() {
-		t.Error("the old job goes on")
+		t.Error("the old job is not cancelled")
 	}
 	w.end(w.book.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
 	w.settle()
 	if r := w.run(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
-		t.Errorf("the old job's end changed the step: %v", counts(r))
+		t.Errorf("the end of the old job changed the state of the step: steps are %v", counts(r))
 	}
 	w.finish()
 	w.finish()
 	if r := w.run(p, "one"); r.RunState() != dag.RunSuccess || len(r.Orphans()) != 0 || len(w.graphs.runs) != 0 {
-		t.Errorf("%v, orphans %v", counts(r), r.Orphans())
+		t.Errorf("the run has not finished: its steps are %v, its orphans %v", counts(r), r.Orphans())
 	}
 }
 
-// Runs that are due begin once, whenever the leader dies; a pause holds them up, and without
-// catch-up the newest interval alone has its run afterwards.
+// Each data interval gets one scheduled run, even if the leader fails after it stored the runs. No runs are created
+// while the graph is paused. After a pause, the interval that ended in the meantime gets its run, and a clock that is
+// set back creates no further one. A backfill skips intervals that have a run.
 func TestScheduledRuns(t *testing.T) {
 	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
 	w.lead()
@@ -147,18 +148,18 @@
 	start := w.clock.Now()
 	p := graphOf(t, func(g *dag.Graph) { g.Schedule, g.Start, g.Catchup, g.MaxRuns = "@hourly", &start, true, 2 }, step("s"))
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("registering the graph: %+v", a)
 	}
 	w.clock.Advance(3 * time.Hour)
 	w.graphs.Tick(w.clock.Now())
-	w.next(true) // the runs are stored, the mark is not
+	w.next(true) // the runs are stored, the graph's LastMS is not
 	w.lead()
 	for range 4 {
 		w.settle()
 		w.finish()
 	}
 	if got := len(w.list(PrefixRun)); got != 3 {
-		t.Errorf("%d runs for three hours", got)
+		t.Errorf("%d runs for three hours, want 3", got)
 	}
 	w.ordered(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
 	w.clock.Advance(time.Hour)
@@ -166,53 +167,55 @@
 	w.lead()
 	w.settle()
 	if got := len(w.list(PrefixRun)); got != 3 {
-		t.Errorf("%d runs while it is paused", got)
+		t.Errorf("%d runs while the graph is paused, want 3", got)
 	}
 	w.ordered(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
 	w.finish()
-	w.clock.Advance(-time.Hour) // the clock steps back
+	w.clock.Advance(-time.Hour) // the clock is set back
 	w.settle()
 	if got := len(w.list(PrefixRun)); got != 4 {
-		t.Errorf("%d runs", got)
+		t.Errorf("%d runs after the pause, want 4", got)
 	}
 	text := w.ordered(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
 	if got := len(w.list(PrefixRun)); text != "" || got != 9 {
-		t.Errorf("%d runs after a backfill of six hours, one of which had its run: %s", got, text)
+		t.Errorf("%d runs after a backfill of six hours, one of which had a run, want 9: %s", got, text)
 	}
 }
 
+// ptr returns a pointer to a copy of v.
 func ptr[T any](v T) *T { return &v }
 
-// Without a source of descriptions, what the service would have to name itself is refused.
+// Without a source of descriptions, everything is refused for which the service would have to describe steps itself: a
+// schedule, a backfill, and a step that is mapped over the result of another.
 func TestWithoutASource(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
 	start := w.clock.Now()
 	if a := w.register(graphOf(t, func(g *dag.Graph) { g.Schedule, g.Start = "@daily", &start }, step("s"))); a.status != http.StatusBadRequest || !strings.Contains(a.text, "graphs.descriptions") {
-		t.Errorf("a schedule: %+v", a)
+		t.Errorf("registering a graph with a schedule: %+v", a)
 	}
 	over := step("b")
 	over.Map = &dag.Map{Over: "a"}
 	p := check(t, step("a"), over)
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("registering the graph: %+v", a)
 	}
 	for verb, o := range map[string]Order{DoTrigger: {Run: "one", Described: true}, DoBackfill: {From: start, To: start}} {
 		if text := w.ordered(verb, o, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
-			t.Errorf("%s: %q", verb, text)
+			t.Errorf("command %s is refused with %q, which does not name the missing setting", verb, text)
 		}
 	}
 }
 
-// Steps are described before they are submitted: again after a failure, and one that is
-// refused fails without the others.
+// Steps are described before they are submitted. A failed call is retried, and a refused step fails without affecting
+// the others.
 func TestASourceThatFailsAndRefuses(t *testing.T) {
 	calls, failing := 0, true
 	var last []Description
 	w := newWorldWith(t, Config{Source: sourceFunc(func(steps []Description) error {
 		calls++
 		if last = steps; failing {
-			return errors.New("it is down")
+			return errors.New("the source is down")
 		}
 		for _, s := range steps {
 			if s.Step == "bad" {
@@ -225,12 +228,12 @@
 	defer w.close()
 	p := graphOf(t, func(g *dag.Graph) { g.Params = map[string]json.RawMessage{"a": []byte("1"), "b": []byte("2")} }, step("good"), step("bad"), step("also"))
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("registering the graph: %+v", a)
 	}
 	w.order(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
 	w.settle()
 	if calls != 1 || len(w.live()) != 0 {
-		t.Fatalf("%d calls, live are %v", calls, w.live())
+		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, w.live())
 	}
 	failing = false
 	if err := w.clock.BlockUntilContext(t.Context(), 1); err != nil {
@@ -240,14 +243,15 @@
 	w.answered()
 	w.settle()
 	if got := w.live(); len(got) != 2 || counts(w.run(p, "one"))["failed"] != 1 {
-		t.Errorf("live are %v, %v", got, counts(w.run(p, "one")))
+		t.Errorf("live jobs are %v, want two; steps are %v, want one failed", got, counts(w.run(p, "one")))
 	}
 	if d := last[0]; string(d.Params["a"]) != "1" || string(d.Params["b"]) != "3" || d.Run != "one" || d.Index != -1 {
-		t.Errorf("described as %+v", d)
+		t.Errorf("wrong description: %+v", d)
 	}
 }
 
-// Results pass from step to step: a list that a step leaves has the next one mapped over it.
+// A step is mapped over the list that an upstream step sets as its result. Only such a step may set a result, and the
+// result survives a change of leaders.
 func TestResultsPassBetweenSteps(t *testing.T) {
 	var got []string
 	w := newWorldWith(t, Config{Source: sourceFunc(func(steps []Description) error {
@@ -264,16 +268,16 @@
 	w.begin(p, "one")
 	w.ordered(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
 	w.ordered(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
-	w.lead() // it is stored
+	w.lead() // the new leader has the stored result
 	w.settle()
 	w.finish()
 	if len(w.live()) != 3 || len(got) != 3 || got[2] != "each/2 9" {
-		t.Errorf("live are %v, described %v", w.live(), got)
+		t.Errorf("live jobs are %v, descriptions are %v, want three of each", w.live(), got)
 	}
 }
 
-// An id is a hash that others can work out: a job of that id that is none of ours fails its
-// step, and nothing else.
+// Job IDs are hashes that others can compute. If another submitter's job with the ID of a step's job is stored, that
+// step fails, and no other.
 func TestAJobOfTheSameIDIsThere(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -285,7 +289,7 @@
 	}
 	w.commit(wire.Txn{Then: []wire.Change{{Put: jobs.KeyJob(taken), Value: value}}})
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("registering the graph: %+v", a)
 	}
 	a := w.order(DoTrigger, Order{Run: "one", Described: true})
 	conflicts := 0
@@ -300,11 +304,11 @@
 	}
 	r := w.run(p, "one")
 	if a.status != http.StatusCreated || conflicts != 2 || counts(r)["queued"] != 1 || counts(r)["failed"] != 1 || len(w.graphs.byJob) != 1 {
-		t.Errorf("%+v, %d conflicts, %v, %d jobs", a, conflicts, counts(r), len(w.graphs.byJob))
+		t.Errorf("answered with %+v after %d conflicts, want 201 after 2; steps are %v with %d jobs, want one queued and one failed", a, conflicts, counts(r), len(w.graphs.byJob))
 	}
 }
 
-// Old runs and definitions that nothing refers to go.
+// Old finished runs and unreferenced definitions are deleted.
 func TestWhatIsOverIsDropped(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -314,10 +318,10 @@
 		w.finish()
 	}
 	if got := len(w.list(PrefixRun)); got != tuning.GraphRetainedRuns {
-		t.Errorf("%d runs are kept", got)
+		t.Errorf("%d runs are stored, want as many as are retained", got)
 	}
 	if _, there := w.state.Value(keyRun("the team", "g", "run4")); there {
-		t.Error("the oldest run is kept")
+		t.Error("the oldest run is not deleted")
 	}
 	w.begin(check(t, step("s"), step("t")), "newer")
 	w.ordered(DoForget, Order{Run: "newer"}, http.StatusConflict)
@@ -325,7 +329,7 @@
 	w.ordered(DoForget, Order{Run: "newer"}, http.StatusNoContent)
 	w.ordered(DoForget, Order{Run: "newer"}, http.StatusNotFound)
 	if n := len(w.list(PrefixDef)); n != 2 {
-		t.Errorf("%d definitions", n)
+		t.Errorf("%d definitions are stored, want 2", n)
 	}
 	w.lead()
 	w.ordered(DoRemove, Order{}, http.StatusNoContent)
@@ -335,41 +339,42 @@
 		w.settle()
 	}
 	if left := w.list("graph/"); len(left) != 0 {
-		t.Errorf("left are %d records, such as %s", len(left), left[0].Key)
+		t.Errorf("%d records are left, the first at %s", len(left), left[0].Key)
 	}
 }
 
-// Guards against uploads that nobody registers and that stay for ever, and against a definition that
-// is registered while its parts are about to go.
+// Guards against uploads that are never registered and stay stored forever, and against the registration of a
+// definition while its parts are about to be deleted.
 func TestUploadsThatNobodyRegisters(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
-	w.settle() // a first look at what may go
+	w.settle() // the first cleanUp; from now on the interval to the first sweep counts
 	p := check(t, step("s"))
 	o := w.upload(p)
 	w.clock.Advance(tuning.GraphDeleteAfter)
 	w.graphs.Tick(w.clock.Now())
-	w.answered() // it is found
+	w.answered() // the sweep has found the definition
 	for range 2 {
 		w.clock.Advance(tuning.GraphDeleteAfter)
 		w.graphs.Tick(w.clock.Now())
 	}
 	if !w.graphs.dropping(o.Def) {
-		t.Fatal("it stays")
+		t.Fatal("the unregistered definition is not being deleted")
 	}
 	if a := w.order(DoPut, o); a.status != http.StatusServiceUnavailable {
-		t.Errorf("registered while it goes: %+v", a)
+		t.Errorf("registered while its parts are about to be deleted: %+v", a)
 	}
 	w.settle()
 	if left := w.list(PrefixDef); len(left) != 0 {
-		t.Errorf("%d parts are left", len(left))
+		t.Errorf("%d parts are left, want none", len(left))
 	}
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Errorf("%+v", a)
+		t.Errorf("registering the definition after its deletion: %+v", a)
 	}
 }
 
-// A definition that is not what its name says must not block a good one.
+// A stored definition that does not match its hash is deleted, so that it does not block a valid one with that hash. A
+// definition of one team cannot be registered by another.
 func TestASpoiltDefinition(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -382,24 +387,24 @@
 	w.answered()
 	w.settle()
 	if _, there := w.state.Value(key); a.status != http.StatusBadRequest || there {
-		t.Errorf("%+v, still there: %v", a, there)
+		t.Errorf("registering a corrupt definition: %+v, want 400; still stored: %v", a, there)
 	}
 	a = w.order(DoPut, o)
 	w.answered()
 	if w.settle(); a.status != http.StatusConflict {
-		t.Errorf("%+v", a)
+		t.Errorf("registering the deleted definition without an upload: %+v, want 409", a)
 	}
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Errorf("%+v", a)
+		t.Errorf("registering the definition after another upload: %+v", a)
 	}
 	other := w.upload(p)
 	other.Team = "others"
 	if a := w.order(DoPut, other); a.status != http.StatusForbidden {
-		t.Errorf("another team registers it: %+v", a)
+		t.Errorf("registered by another team: %+v, want 403", a)
 	}
 }
 
-// Whether another team has a graph of that name is not told.
+// Commands on a graph of another team get the same answer as commands on a graph that does not exist.
 func TestAnotherTeamsGraph(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
@@ -407,28 +412,29 @@
 	for _, verb := range []string{DoTrigger, DoCancel, DoClear, DoPause, DoRemove, DoForget, DoPush, DoBackfill} {
 		theirs := w.ordered(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
 		if none := w.ordered(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
-			t.Errorf("%s: %q and %q", verb, theirs, none)
+			t.Errorf("command %s is refused with %q for another team's graph, with %q for one that does not exist", verb, theirs, none)
 		}
 	}
 	if err := w.graphs.Command(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil); !errors.Is(err, leader.ErrUnknownPath) {
-		t.Errorf("orders that are not its own: %v", err)
+		t.Errorf("command at an unknown path: %v, want ErrUnknownPath", err)
 	}
 	reader := NewReader(w.store)
 	if _, err := reader.Run(t.Context(), "others", "g", "one"); !errors.Is(err, ErrNone) {
-		t.Errorf("read by another team: %v", err)
+		t.Errorf("run read by another team: %v, want ErrNone", err)
 	}
 	if v, err := reader.Run(t.Context(), "the team", "g", "one"); err != nil || v.State != "running" || counts(v.Run)["queued"] != 1 {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("run read by its team: %+v, %v", v, err)
 	}
 }
 
-// All controllers die with 1,000 runs live: the next leader has all of them, and each goes on.
+// Guards against runs that are lost if all controllers fail: the next leader reads 1,000 live runs and submits their
+// steps as others end.
 func TestAThousandLiveRunsAreTakenOver(t *testing.T) {
 	w := newWorld(t)
 	defer w.close()
 	p := graphOf(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 600, 500 }, step("a"), step("b", "a"))
 	if a := w.register(p); a.status != http.StatusCreated {
-		t.Fatalf("%+v", a)
+		t.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
 		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
@@ -439,14 +445,14 @@
 	w.lead()
 	gr := w.graphs.graphs[keyGraph("the team", "g")]
 	if len(w.graphs.runs) != 1000 || len(w.graphs.byJob) != 128 || gr.started != 600 || gr.active != 128 {
-		t.Fatalf("%d runs, %d steps, %d go on, %d are submitted", len(w.graphs.runs), len(w.graphs.byJob), gr.started, gr.active)
+		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(w.graphs.runs), len(w.graphs.byJob), gr.started, gr.active)
 	}
-	// Each end has one more step submitted, of whichever run stands first in line.
+	// For each step that ends, one more is submitted: of the first run that waits.
 	for round := range 20 {
 		w.end(w.place(w.live()[round]), wire.ExitDone)
 		w.settle()
 		if n := len(w.graphs.byJob); n != 128 {
-			t.Fatalf("round %d: %d steps are submitted", round, n)
+			t.Fatalf("round %d: %d steps are submitted, want 128", round, n)
 		}
 	}
 }
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -8,7 +8,7 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// schedule begins the runs that are due.
+// schedule creates the scheduled runs that are due.
 func (g *Graphs) schedule(now time.Time) {
 	for _, gr := range g.graphs {
 		if gr.sched == nil || gr.rec.Paused || gr.deleting || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.dueAt) {
@@ -34,7 +34,8 @@
 	}
 }
 
-// beginDue begins the run of an interval, and reports whether its turn is over.
+// beginDue creates the scheduled run of a data interval. It returns false if that is to be retried because memory is
+// short.
 func (g *Graphs) beginDue(gr *graph, due dag.Interval, now time.Time) bool {
 	m := meta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
 	stored := func() {
@@ -45,13 +46,13 @@
 	g.createRun(gr, RunName(Scheduled, due.Begin), m, now, func(a leader.Answer) {
 		switch {
 		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
-			// The mark moves once the run is stored: a leader that dies in between leaves
-			// the next one to find the run there.
+			// LastMS is updated only when the run is stored. If this leader fails in between, the next one finds
+			// that the interval has a run.
 			stored()
 		case a.Status == http.StatusServiceUnavailable:
-			ok = false // there is no memory: it is asked again
+			ok = false // the memory limit is reached; the next tick retries
 		default:
-			g.log.Error("a run that is due cannot begin", "graph", gr.rec.ID, "interval", due.Begin, "reason", a.Body)
+			g.log.Error("creating a scheduled run was refused; skipping its interval", "graph", gr.rec.ID, "interval", due.Begin, "reason", a.Body)
 			stored()
 		}
 	})
@@ -61,6 +62,7 @@
 	return ok
 }
 
+// liveRuns returns the number of live runs, whether they have started or not.
 func (gr *graph) liveRuns() (n int) {
 	for _, e := range gr.history {
 		if e.live != nil {
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -11,15 +11,15 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// pickedStep is an instance that is to be submitted.
+// pickedStep is an instance that holds slots and is to be described and submitted.
 type pickedStep struct {
 	run *liveRun
 	at  dag.InstanceRef
-	id  string // its job's
+	id  string // of its job; differs from the run's if the step was cleared since
 }
 
-// pickReady takes slots for what is ready of a run, and has it described. What finds no room
-// waits in line.
+// pickReady allocates slots to ready instances of a run, and has them described. If slots are missing, the run joins
+// the queues of the pools or of the graph.
 func (g *Graphs) pickReady(x *liveRun, now time.Time) {
 	if !g.mayProceed(x, now) {
 		return
@@ -28,7 +28,7 @@
 	g.recheckPast(x)
 	g.pickWaitingForPool(x)
 	g.pickNext(x)
-	took := x.graph.active != before // each pick takes a slot, and nothing here gives one back
+	took := x.graph.active != before // each picked instance increments active, and nothing here decrements it
 	for _, p := range g.pools {
 		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
 	}
@@ -39,7 +39,8 @@
 // hasRoom reports whether one more step of the graph may be submitted.
 func (gr *graph) hasRoom() bool { return gr.active < gr.rec.MaxTasks }
 
-// recheckPast has the steps that waited for the run before wait for their pools, where that one has done them.
+// recheckPast moves instances that waited for the previous run to the queues of their pools, if that run has done
+// the step.
 func (g *Graphs) recheckPast(x *liveRun) {
 	waits := x.waitingForPast
 	x.waitingForPast = nil
@@ -54,7 +55,7 @@
 	}
 }
 
-// pickWaitingForPool picks the steps that waited for a pool which has room now.
+// pickWaitingForPool picks the instances that waited for a pool and for which it has free slots now.
 func (g *Graphs) pickWaitingForPool(x *liveRun) {
 	for p, refs := range x.waitingForPool {
 		for len(refs) > 0 && x.graph.hasRoom() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
@@ -69,7 +70,8 @@
 	}
 }
 
-// pickNext picks steps that became ready since, or has them wait for what they lack.
+// pickNext picks instances that became ready since the last call, or has them wait for their pool or the previous
+// run.
 func (g *Graphs) pickNext(x *liveRun) {
 	for x.graph.hasRoom() {
 		refs := x.run.TakeReady(1)
@@ -81,14 +83,15 @@
 		case x.run.Plan.Steps[at.Step].DependsOnPast && !g.previousRunDone(x, at.Step):
 			x.waitingForPast = append(x.waitingForPast, at)
 		case len(x.waitingForPool[p]) > 0 || !p.fits(x, at.Step):
-			g.waitForPool(x, at) // behind those that wait for the pool already
+			g.waitForPool(x, at) // behind instances that already wait for the pool
 		default:
 			g.pickStep(x, at)
 		}
 	}
 }
 
-// pickStep takes a step's slots, and has it described unless that is done already.
+// pickStep allocates slots to an instance, and has it described unless the client has done that or there is no
+// source of descriptions.
 func (g *Graphs) pickStep(x *liveRun, at dag.InstanceRef) {
 	g.takeSlots(x, at.Step)
 	p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
@@ -99,18 +102,21 @@
 	}
 }
 
-// mappedAtRunTime reports whether nobody can name a step's jobs before those that it follows are done.
+// mappedAtRunTime reports whether a step is mapped over the result of another step, so that its jobs are unknown
+// until that step is done.
 func mappedAtRunTime(p *dag.Plan, step int) bool {
 	m := p.Steps[step].Map
 	return m != nil && m.Over != ""
 }
 
+// waitForPool adds an instance to those that wait for slots of its pool.
 func (g *Graphs) waitForPool(x *liveRun, at dag.InstanceRef) {
 	p := g.pool(x.run.Plan, at.Step)
 	x.waitingForPool[p] = append(x.waitingForPool[p], at)
 }
 
-// previousRunDone reports whether the run before, by logical date, has done a step, if it had it.
+// previousRunDone reports whether a step succeeded or was skipped in the previous run by logical date. It is true if
+// there is no previous run or that run has no such step.
 func (g *Graphs) previousRunDone(x *liveRun, step int) bool {
 	i := slices.Index(x.graph.history, x.entry)
 	if i <= 0 {
@@ -128,7 +134,7 @@
 	return state == dag.Success || state == dag.Skipped
 }
 
-// storeRuns puts runs into a transaction, each with the jobs of its steps that are ready.
+// storeRuns adds runs to a transaction, each with the jobs of its picked instances.
 func (g *Graphs) storeRuns(b *batch, now time.Time) {
 	for n := len(g.todo); n > 0 && b.fits(2, tuning.RecordOverheadBytes); n-- {
 		x := g.todo[0]
@@ -136,18 +142,18 @@
 		x.queued = false
 		g.pickReady(x, now)
 		if !g.storeRun(x, b, now) {
-			// The next look begins with it; the others' turn comes behind it.
+			// The next transaction begins with this run; the other runs stay queued behind it.
 			x.queued = true
 			g.todo = append([]*liveRun{x}, g.todo...)
 			return
 		}
 		if len(x.picked) > 0 {
-			g.enqueueRun(x) // a run of 10,000 ready steps must not hold up the others
+			g.enqueueRun(x) // it goes to the end of the queue, so that a run of 10,000 ready steps does not block the others
 		}
 	}
 }
 
-// storeRun puts a run into a transaction, and reports whether it fitted.
+// storeRun adds a run to a transaction if it has changes. It returns false if the transaction has no room for it.
 func (g *Graphs) storeRun(x *liveRun, b *batch, now time.Time) bool {
 	if !x.dirty && len(x.picked) == 0 {
 		return true
@@ -163,25 +169,25 @@
 	x.noteEnd(now)
 	value, ok := g.encodeRun(x, b.value)
 	if !ok {
-		return true // it rests until a leader reads what was stored
+		return true // it is not stored; the next leader continues from the last stored record
 	}
 	g.putRun(x, b, value, taken)
 	return true
 }
 
-// submitPicked puts the jobs of as many picked steps as there is room for into a transaction, and returns those. While a
-// run is suspect, one job goes at a time.
+// submitPicked adds the jobs of picked instances to a transaction, as many as fit, and returns these instances. For a
+// suspect run it adds only one.
 func (g *Graphs) submitPicked(x *liveRun, b *batch, now time.Time) (taken []pickedStep) {
 	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordOverheadBytes) && (!x.suspect || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
 		if !x.run.IsReadyWithJob(p.at, p.id) {
-			g.releaseSlots(x, p.at.Step) // cleared or cancelled meanwhile
+			g.releaseSlots(x, p.at.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
 		_, value, err := jobOf(x.run, p.at, now.UnixMilli())
 		if err != nil || len(value) > b.value {
-			g.log.Error("a step cannot be submitted", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
+			g.log.Error("record of a step's job is too long or cannot be encoded; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
 			g.releaseSlots(x, p.at.Step)
 			x.run.JobCancelled(p.at)
 			continue
@@ -189,7 +195,8 @@
 		x.run.JobSubmitted(p.at)
 		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
 		b.put(jobs.KeyJob(p.id), 0, value)
-		// What hears of the job first, its end or this transaction's, must find it.
+		// The job may finish before this transaction is answered, so it is registered here: jobFinished must
+		// find it.
 		g.byJob[p.id] = stepJob{x, p.at, x.run.Generation(p.at.Step)}
 		g.notSeenRunning[p.id] = g.byJob[p.id]
 		x.pending[p.id] = ""
@@ -198,7 +205,7 @@
 	return taken
 }
 
-// noteEnd sets when the run ended, or that it goes on.
+// noteEnd sets the time when the run ended, or resets it if the run is running again.
 func (x *liveRun) noteEnd(now time.Time) {
 	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
 		x.meta.EndMS = now.UnixMilli()
@@ -207,22 +214,22 @@
 	}
 }
 
-// encodeRun returns a run's record of at most so many bytes. A run whose record is longer is cancelled; ok is false if it
-// is too long even then.
+// encodeRun returns a run's record of at most the given number of bytes. A run whose record is longer is cancelled; ok
+// is false if it is too long even then.
 func (g *Graphs) encodeRun(x *liveRun, most int) (value json.RawMessage, ok bool) {
 	value, err := runValue(g.codec, x, most)
 	if err == nil && len(value) <= most {
 		return value, true
 	}
-	g.log.Error("a run has become too large and is cancelled", "run", x.key, "bytes", len(value), "err", err)
+	g.log.Error("record of a run is too long or cannot be encoded; cancelling the run", "run", x.key, "bytes", len(value), "err", err)
 	x.run.Cancel()
 	g.cancelUnneeded(x)
 	value, err = runValue(g.codec, x, most)
 	return value, err == nil && len(value) <= most
 }
 
-// putRun puts a run's record into a transaction that submits some steps, with what follows once the transaction is stored,
-// or if it is not.
+// putRun adds a run's record to a transaction that submits the instances in taken, with callbacks for the case that the
+// transaction is committed and for the case that a condition does not hold.
 func (g *Graphs) putRun(x *liveRun, b *batch, value json.RawMessage, taken []pickedStep) {
 	x.size = len(value)
 	told, late := x.onStored, x.lateAt
@@ -247,8 +254,7 @@
 	})
 }
 
-// endPending ends the submitted steps whose jobs' ends were heard of before the transaction that submitted them had its
-// answer.
+// endPending handles the jobs of a committed transaction that finished before its answer arrived.
 func (g *Graphs) endPending(x *liveRun, taken []pickedStep) {
 	for _, p := range taken {
 		state := x.pending[p.id]
@@ -259,23 +265,23 @@
 	}
 }
 
-// withdraw takes back a submission that was not stored, since a job of that id is there
-// that is none of ours: an id is a hash that others can work out. Alone in its
-// transaction, the step has failed; otherwise it is tried alone.
+// withdraw reverts a submission whose transaction failed a condition, because another submitter's job with that ID is
+// stored: job IDs are hashes that others can compute. If the job was alone in its transaction, the step fails.
+// Otherwise the step becomes ready again, and the run's jobs are submitted one by one to identify the job.
 func (g *Graphs) withdraw(p pickedStep, alone bool) {
 	x := p.run
 	orphan := g.byJob[p.id].at.Step < 0
 	delete(x.pending, p.id)
 	delete(g.byJob, p.id)
 	delete(g.notSeenRunning, p.id)
-	if orphan { // it was cleared meanwhile
+	if orphan { // the step was cleared in the meantime
 		x.active--
 		x.run.OrphanFinished(p.id)
 		return
 	}
 	g.releaseSlots(x, p.at.Step)
 	if alone {
-		g.log.Error("a step's job cannot be stored: there is one of its id", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
+		g.log.Error("another job with the ID of a step's job exists; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
 		x.run.JobCancelled(p.at)
 		return
 	}
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -7,26 +7,26 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Try is one try of an instance of a step: from when its job was seen to run until it was
-// seen to end. What nobody saw, since no one led, has no try.
+// Try is one try of an instance of a step, from when the leader saw its job running until it saw the attempt end. There
+// is no Try for an attempt that began and ended while there was no leader.
 type Try struct {
 	_          struct{} `cbor:",toarray"`
 	Step       int
 	Index      int
 	Generation int
-	BeginMS    int64 // from the time when the run was queued
-	EndMS      int64 // the same; 0: it runs
+	BeginMS    int64 // in milliseconds since the run was queued
+	EndMS      int64 // in milliseconds since the run was queued; 0 if it is running
 	State      dag.State
 }
 
-// begun records that an instance runs.
+// begun records the begin of a try of an instance.
 func (x *liveRun) begun(at dag.InstanceRef, now time.Time) {
 	x.tries = append(x.tries, Try{
 		Step: at.Step, Index: at.Index, Generation: x.run.Generation(at.Step), BeginMS: now.UnixMilli() - x.meta.QueuedMS, State: dag.Running,
 	})
 }
 
-// ended records how the newest try of an instance ended, if it was seen to begin.
+// ended records the end of the newest try of an instance, unless its begin was not seen.
 func (x *liveRun) ended(at dag.InstanceRef, now time.Time, state dag.State) {
 	for i := len(x.tries) - 1; i >= 0; i-- {
 		if t := &x.tries[i]; t.Step == at.Step && t.Index == at.Index {
@@ -38,7 +38,8 @@
 	}
 }
 
-// readTries returns a stored run's tries; none, if they cannot be read: nothing hangs on them.
+// readTries decodes the tries of a stored run. It returns none if they cannot be decoded, because they are only
+// displayed.
 func readTries(c *charge.Codec, rec *runRecord) (tries []Try) {
 	if len(rec.Tries) > 0 && c.Decode(rec.Tries, &tries) != nil {
 		return nil
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -21,8 +21,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// world is a leader's book and graphs over a stand-in of the state service, and workers
-// that the test drives.
+// world is a leader's job store and graphs on a fake state service. The test takes the place of the leader's loop and
+// of the workers.
 type world struct {
 	t      testing.TB
 	clock  *clockwork.FakeClock
@@ -31,19 +31,20 @@
 	book   *jobs.Store
 	graphs *Graphs
 	cfg    Config
-	known  map[string]bool // jobs that the job store loaded
-	ends   map[string]int  // tasks that completed, by job: it must be once
-	asked  chan func()     // what goroutines have the loop do
-	stop   func()          // ends the leadership
+	known  map[string]bool // keys of the jobs that the job store has loaded
+	ends   map[string]int  // number of completed tasks, by job ID
+	asked  chan func()     // functions to run on the loop's goroutine
+	stop   func()          // ends the term
 }
 
+// newWorld creates a world with a leader.
 func newWorld(t testing.TB) *world {
 	w := newWorldWith(t, Config{})
 	w.lead()
 	return w
 }
 
-// newWorldWith makes a world that nobody leads yet.
+// newWorldWith creates a world without a leader.
 func newWorldWith(t testing.TB, cfg Config) *world {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC))
 	state := fakes.NewStore(clock)
@@ -56,6 +57,7 @@
 	w.state.Close()
 }
 
+// commit commits a transaction and returns its revision.
 func (w *world) commit(txn wire.Txn) uint64 {
 	w.t.Helper()
 	revision, err := w.store.Commit(context.Background(), txn)
@@ -65,6 +67,7 @@
 	return revision
 }
 
+// list returns the stored records with a key prefix.
 func (w *world) list(prefix string) (out []wire.Item) {
 	if _, err := w.store.ListAll(context.Background(), prefix, func(items []wire.Item) error {
 		out = append(out, items...)
@@ -75,7 +78,7 @@
 	return out
 }
 
-// lead begins with a new leader.
+// lead replaces the leader by a new one, which reads the stored records.
 func (w *world) lead() {
 	w.t.Helper()
 	w.stop()
@@ -110,18 +113,18 @@
 	take()
 }
 
-// answered does what a goroutine asks for.
+// answered waits for a function that a goroutine wants to run on the loop's goroutine, and runs it.
 func (w *world) answered() {
 	w.t.Helper()
 	select {
 	case fn := <-w.asked:
 		fn()
 	case <-time.After(time.Minute):
-		w.t.Fatal("no goroutine asked for anything")
+		w.t.Fatal("no goroutine submitted a function to the loop within a minute")
 	}
 }
 
-// watch has the job store load jobs that were stored.
+// watch loads newly stored jobs into the job store.
 func (w *world) watch() {
 	for _, item := range w.list(jobs.PrefixJob) {
 		if !w.known[item.Key] {
@@ -133,7 +136,8 @@
 	}
 }
 
-// next does one of the graphs' transactions.
+// next commits the next transaction of the graphs, if there is one. If answered is false, the leader does not learn
+// that it is committed.
 func (w *world) next(answered bool) bool {
 	write := w.graphs.NextWrite(w.clock.Now(), 1000)
 	if write == nil {
@@ -146,7 +150,7 @@
 	return true
 }
 
-// flush stores the job store's changes.
+// flush commits the job store's changes.
 func (w *world) flush() {
 	for b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil; b = w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}) {
 		_, over := w.book.MarkCommitted(b, w.commit(b.Txn))
@@ -156,7 +160,7 @@
 	}
 }
 
-// settle does all that is due.
+// settle commits transactions and runs periodic work until nothing more is due.
 func (w *world) settle() {
 	for more := true; more; {
 		w.flush()
@@ -169,15 +173,15 @@
 	}
 }
 
-// sourceFunc is a source of descriptions.
+// sourceFunc is a Source that calls a function.
 type sourceFunc func([]Description) error
 
 func (f sourceFunc) Describe(_ context.Context, steps []Description) error { return f(steps) }
 
-// describes takes any description.
+// describes accepts every description.
 func describes([]Description) error { return nil }
 
-// place has the first waiting task of a job run.
+// place starts the first waiting task of a job, and returns its allocation; nil if no task may start.
 func (w *world) place(id string) *jobs.Allocation {
 	j := w.book.Jobs[id]
 	if j == nil || !j.CanStart() || j.NextWaiting(0) < 0 {
@@ -193,7 +197,7 @@
 	return p
 }
 
-// end ends a task's attempt.
+// end ends a task's attempt, unless it has ended already.
 func (w *world) end(p *jobs.Allocation, why wire.ExitReason) {
 	if p.Removed {
 		return
@@ -207,7 +211,7 @@
 	w.book.MarkLost(p, w.clock.Now())
 }
 
-// finish has all that runs or may run be done.
+// finish completes the first task of all jobs that run or may start.
 func (w *world) finish() {
 	for _, id := range w.live() {
 		pl := w.place(id)
@@ -221,13 +225,13 @@
 	w.settle()
 }
 
-// answers returns what was answered to an order: the status, 0 if nothing was.
+// answers is the answer to a command.
 type answers struct {
-	status int
-	text   string
+	status int    // 0 if there is no answer yet
+	text   string // reason, if the command was refused
 }
 
-// order sends an order, and does what it takes until it is answered.
+// order sends a command, whose answer may arrive later.
 func (w *world) order(verb string, o Order) *answers {
 	w.t.Helper()
 	if o.Team == "" {
@@ -243,30 +247,31 @@
 	a := &answers{}
 	if err := w.graphs.Command(leader.Command{URI: PathOrders + verb, Body: raw}, w.clock.Now(), func(got leader.Answer) {
 		if a.status != 0 {
-			w.t.Errorf("%s is answered twice", verb)
+			w.t.Errorf("command %s is answered twice", verb)
 		}
 		a.status = got.Status
 		if e, ok := got.Body.(wire.Error); ok {
 			a.text = e.Error
 		}
 	}); err != nil {
-		w.t.Fatal("the order is nobody's:", err)
+		w.t.Fatal("the command is unknown:", err)
 	}
 	return a
 }
 
-// ordered sends an order that needs no goroutine, and settles.
+// ordered sends a command that starts no goroutine, settles, and checks the status of the answer. It returns the
+// reason if the command was refused.
 func (w *world) ordered(verb string, o Order, want int) string {
 	w.t.Helper()
 	a := w.order(verb, o)
 	w.settle()
 	if a.status != want {
-		w.t.Fatalf("%s %+v: %d %s, want %d", verb, o, a.status, a.text, want)
+		w.t.Fatalf("command %s %+v: answered with %d %q, want %d", verb, o, a.status, a.text, want)
 	}
 	return a.text
 }
 
-// upload stores a definition, as any member does.
+// upload stores a definition, and returns the command that registers it.
 func (w *world) upload(p *dag.Plan) Order {
 	w.t.Helper()
 	hash, n, err := NewReader(w.store).Store(w.t.Context(), &p.Graph)
@@ -276,7 +281,7 @@
 	return Order{Team: p.Team, Graph: p.ID, Def: hash, Parts: n}
 }
 
-// register registers a graph.
+// register uploads and registers a graph.
 func (w *world) register(p *dag.Plan) *answers {
 	w.t.Helper()
 	a := w.order(DoPut, w.upload(p))
@@ -287,19 +292,19 @@
 	return a
 }
 
-// begin registers a graph and begins a run of it.
+// begin registers a graph and triggers a run of it.
 func (w *world) begin(p *dag.Plan, run string) {
 	w.t.Helper()
 	if a := w.register(p); a.status >= http.StatusBadRequest || a.status == 0 {
-		w.t.Fatalf("registering: %+v", a)
+		w.t.Fatalf("registering the graph: %+v", a)
 	}
 	w.ordered(DoTrigger, Order{Run: run, Described: true}, http.StatusCreated)
 }
 
-// live names the jobs that wait or run.
+// live returns the sorted IDs of the unfinished jobs.
 func (w *world) live() []string { return slices.Sorted(maps.Keys(w.book.Jobs)) }
 
-// run returns a run as it is stored.
+// run returns a run from its stored record.
 func (w *world) run(p *dag.Plan, id string) *dag.Run {
 	w.t.Helper()
 	item, ok := w.state.Value(keyRun(p.Team, p.ID, id))
@@ -317,10 +322,12 @@
 	return r
 }
 
+// step returns a step with a small job, downstream of the given steps.
 func step(id string, up ...string) dag.Step {
 	return dag.Step{ID: id, Kind: dag.KindJob, Job: &dag.Job{Class: "c", CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 10}, Upstream: up}
 }
 
+// graphOf returns the plan of a graph of these steps, after change, if not nil, has modified the graph.
 func graphOf(t testing.TB, change func(*dag.Graph), steps ...dag.Step) *dag.Plan {
 	t.Helper()
 	d := &dag.Graph{ID: "g", Team: "the team", Steps: steps}
@@ -334,6 +341,7 @@
 	return p
 }
 
+// check returns the plan of a graph of these steps.
 func check(t testing.TB, steps ...dag.Step) *dag.Plan {
 	t.Helper()
 	return graphOf(t, nil, steps...)
