--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -9,54 +9,54 @@
 	"poppypass/internal/platform/wire"
 )
 
-// fan returns a graph of a first step, n steps downstream of it and a last step downstream of these.
-func fan(t testing.TB, n int) *dag.Plan {
+// fanOutPlan returns a graph of a first step, n steps downstream of it and a last step downstream of these.
+func fanOutPlan(t testing.TB, n int) *dag.Plan {
 	steps := []dag.Step{step("first")}
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprint("s", i))
 		steps = append(steps, step(all[i], "first"))
 	}
-	return graphOf(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 10_000, 10_000 }, append(steps, step("last", all...))...)
+	return newPlanWith(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 10_000, 10_000 }, append(steps, step("last", all...))...)
 }
 
-// heap returns the bytes of live objects on the heap.
-func heap() float64 {
+// heapBytes returns the bytes of live objects on the heap.
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkTakeOver measures how long a new leader takes to read 1,000 live runs of 30 steps, and their memory.
-func BenchmarkTakeOver(b *testing.B) {
-	w := newWorld(b)
+// BenchmarkFailover measures how long a new leader takes to read 1,000 live runs of 30 steps, and their memory.
+func BenchmarkFailover(b *testing.B) {
+	w := newHarness(b)
 	defer w.close()
-	p := fan(b, 28)
+	p := fanOutPlan(b, 28)
 	if a := w.register(p); a.status != 201 {
 		b.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		w.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
 	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		write.Done(w.commit(write.Txn))
 	}
 	w.graphs = nil
-	before := heap()
+	before := heapBytes()
 	for b.Loop() {
-		w.lead()
+		w.changeLeader()
 	}
-	b.ReportMetric((heap()-before)/1000, "B/run")
+	b.ReportMetric((heapBytes()-before)/1000, "B/run")
 	b.ReportMetric(float64(len(w.graphs.runs)), "runs")
 }
 
-// BenchmarkEvents measures the end of one step's job in a graph of 10,000 steps, and the encoding of the transactions
+// BenchmarkJobFinished measures the end of one step's job in a graph of 10,000 steps, and the encoding of the transactions
 // that follow.
-func BenchmarkEvents(b *testing.B) {
-	w := newWorld(b)
+func BenchmarkJobFinished(b *testing.B) {
+	w := newHarness(b)
 	defer w.close()
-	p := fan(b, dag.MaxSteps-2)
+	p := fanOutPlan(b, dag.MaxSteps-2)
 	if a := w.register(p); a.status != 201 {
 		b.Fatalf("registering the graph: %+v", a)
 	}
@@ -69,7 +69,7 @@
 	}
 	runs := 0
 	begin := func() {
-		w.order(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
+		w.send(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
 		runs++
 		for next() {
 		}
@@ -88,12 +88,12 @@
 
 // BenchmarkLargestGraph measures the registration of a graph of 10,000 steps and the start of a run, and their memory.
 func BenchmarkLargestGraph(b *testing.B) {
-	p := fan(b, dag.MaxSteps-2)
+	p := fanOutPlan(b, dag.MaxSteps-2)
 	for b.Loop() {
-		w := newWorld(b)
-		before := heap()
-		w.begin(p, "one")
-		b.ReportMetric((heap()-before)/(1<<20), "MB")
+		w := newHarness(b)
+		before := heapBytes()
+		w.registerAndTrigger(p, "one")
+		b.ReportMetric((heapBytes()-before)/(1<<20), "MB")
 		w.close()
 	}
 }
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -23,26 +23,26 @@
 	onStored []func() // called when it is stored
 	deleting bool     // it is being deleted
 
-	sched             *dag.Schedule
-	last              time.Time // end of the newest data interval that has a run
-	dueAt             time.Time // no run is due before this time
-	hasPastDependents bool      // it has steps that depend on the previous run
-	history           []*entry  // its live and finished runs, by logical date
-	line              waitLine  // runs that wait until fewer than MaxTasks steps are submitted
-	active            int       // submitted, unfinished instances of steps
-	started           int       // live runs that have started; at most MaxRuns
+	schedule          *dag.Schedule
+	lastIntervalEnd   time.Time   // end of the newest data interval that has a run
+	notDueBefore      time.Time   // no run is due before this time
+	hasPastDependents bool        // it has steps that depend on the previous run
+	history           []*runEntry // its live and finished runs, by logical date
+	waitQueue         waitQueue   // runs that wait until fewer than MaxTasks steps are submitted
+	activeInstances   int         // submitted, unfinished instances of steps
+	startedRuns       int         // live runs that have started; at most MaxRuns
 }
 
-// entry is a run of a graph, live or finished.
-type entry struct {
-	key      string
-	id       string
-	logical  int64           // logical date, as a Unix time in milliseconds
-	due      bool            // it covers a data interval; each interval has at most one run
-	def      string          // hash of its definition
-	live     *liveRun        // nil if the run is finished, and stored as that
-	failed   map[string]bool // IDs of its failedPastDependents, if it is finished
-	deleting bool            // its record is being deleted
+// runEntry is a run of a graph, live or finished.
+type runEntry struct {
+	key                  string
+	id                   string
+	logicalMS            int64           // logical date, as a Unix time in milliseconds
+	hasInterval          bool            // it covers a data interval; each interval has at most one run
+	defHash              string          // hash of its definition
+	live                 *liveRun        // nil if the run is finished, and stored as that
+	failedPastDependents map[string]bool // IDs of its failedPastDependents, if it is finished
+	deleting             bool            // its record is being deleted
 }
 
 // responder sends the answer to a command. An answer with status 400 or higher contains the reason.
@@ -72,7 +72,7 @@
 	case gr != nil && gr.deleting:
 		tell.refuse(http.StatusConflict, "the graph is being dropped; ask again")
 		return
-	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
+	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
 		tell.refuse(http.StatusServiceUnavailable, "there is no memory for more graphs now; ask again")
 		return
 	case gr == nil:
@@ -86,21 +86,21 @@
 	if o.Paused != nil {
 		paused = *o.Paused
 	}
-	gr.define(p, o.Def, paused)
-	gr.touchAll(g) // its limits may have changed
-	g.defs[o.Def].refs++
+	gr.setDefinition(p, o.Def, paused)
+	gr.enqueueRuns(g) // its limits may have changed
+	g.definitions[o.Def].refs++
 	g.storeGraph(gr, func() { tell.succeed(status) })
 }
 
-// define updates a graph's record and schedule from a definition.
-func (gr *graph) define(p *dag.Plan, hash string, paused bool) {
+// setDefinition updates a graph's record and schedule from a definition.
+func (gr *graph) setDefinition(p *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
 		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Timezone,
 		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphDefaultTasks),
 		Tags: p.Tags, Steps: len(p.Steps),
 	}
-	gr.sched, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // NewPlan has validated it
-	gr.dueAt = time.Time{}
+	gr.schedule, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // NewPlan has validated it
+	gr.notDueBefore = time.Time{}
 	gr.hasPastDependents = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
 }
 
@@ -119,7 +119,7 @@
 			continue
 		}
 		value, err := json.Marshal(gr.rec)
-		if err != nil || len(value) > b.value {
+		if err != nil || len(value) > b.maxValueBytes {
 			g.log.Error("record of a graph is too long or cannot be encoded; its change is not stored", "graph", gr.rec.ID, "bytes", len(value), "err", err)
 			gr.dirty = false
 			continue
@@ -130,27 +130,27 @@
 		told := gr.onStored
 		gr.dirty, gr.onStored = false, nil
 		b.put(gr.key, gr.version, value)
-		b.done = append(b.done, func(revision uint64) {
+		b.onCommitted = append(b.onCommitted, func(revision uint64) {
 			gr.version = revision
 			for _, fn := range told {
 				fn()
 			}
 		})
-		b.undo = append(b.undo, func() { gr.dirty, gr.onStored = true, append(told, gr.onStored...) })
+		b.onConflict = append(b.onConflict, func() { gr.dirty, gr.onStored = true, append(told, gr.onStored...) })
 	}
 }
 
-// pause pauses a graph, or resumes it. While it is paused, no scheduled runs are created and no steps submitted.
-func (g *Graphs) pause(gr *graph, paused bool, tell responder) {
+// setPaused pauses a graph, or resumes it. While it is paused, no scheduled runs are created and no steps submitted.
+func (g *Graphs) setPaused(gr *graph, paused bool, tell responder) {
 	if gr.rec.Paused != paused {
 		gr.rec.Paused = paused
-		gr.touchAll(g)
+		gr.enqueueRuns(g)
 	}
 	g.storeGraph(gr, func() { tell.succeed(http.StatusOK) })
 }
 
-// touchAll enqueues all live runs of a graph.
-func (gr *graph) touchAll(g *Graphs) {
+// enqueueRuns enqueues all live runs of a graph.
+func (gr *graph) enqueueRuns(g *Graphs) {
 	for _, e := range gr.history {
 		if e.live != nil {
 			g.enqueueRun(e.live)
@@ -158,9 +158,9 @@
 	}
 }
 
-// remove deletes a graph and its runs. It is refused while a run is live.
-func (g *Graphs) remove(gr *graph, tell responder) {
-	if slices.ContainsFunc(gr.history, func(e *entry) bool { return e.live != nil }) {
+// deleteGraph deletes a graph and its runs. It is refused while a run is live.
+func (g *Graphs) deleteGraph(gr *graph, tell responder) {
+	if slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.live != nil }) {
 		tell.refuse(http.StatusConflict, "runs of the graph are not over; cancel them first")
 		return
 	}
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -20,17 +20,17 @@
 // definition is the leader's entry for a stored definition: a graph as it was uploaded. It is identified by the
 // hash of its content.
 type definition struct {
-	plan   *dag.Plan // nil if it is not decoded
-	packed []byte    // compressed form, while the records are being read
-	parts  int       // number of its records
-	refs   int       // number of graphs and runs that refer to it
-	idle   time.Time // when cleanUp first found it unreferenced; zero if it is in use or was not checked since
+	plan              *dag.Plan // nil if it is not decoded
+	compressed        []byte    // compressed form, while the records are being read
+	parts             int       // number of its records
+	refs              int       // number of graphs and runs that refer to it
+	unreferencedSince time.Time // when cleanUp first found it unreferenced; zero if it is in use or was not checked since
 }
 
-// put registers a graph whose definition is stored, or replaces the definition of a registered graph. It reads the
+// fetchAndRegister registers a graph whose definition is stored, or replaces the definition of a registered graph. It reads the
 // definition first if it is not in memory.
-func (g *Graphs) put(o *Order, tell responder) {
-	if d := g.defs[o.Def]; d != nil && d.plan != nil {
+func (g *Graphs) fetchAndRegister(o *Order, tell responder) {
+	if d := g.definitions[o.Def]; d != nil && d.plan != nil {
 		g.register(o, d.plan, tell)
 		return
 	}
@@ -38,61 +38,61 @@
 		tell.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphMaxParts)
 		return
 	}
-	if g.fetching != "" || g.dropping(o.Def) {
+	if g.fetchingHash != "" || g.isBeingDeleted(o.Def) {
 		tell.refuse(http.StatusServiceUnavailable, "another graph is being read, or this one's old parts go; ask again")
 		return
 	}
-	g.fetching = o.Def
+	g.fetchingHash = o.Def
 	go func() {
-		plan, err := fetch(g.ended, g.store, o.Def, o.Parts)
+		plan, err := fetch(g.termCtx, g.store, o.Def, o.Parts)
 		if err == nil {
-			err = g.examine(plan)
+			err = g.validatePlan(plan)
 		}
-		_ = g.ask(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
-			g.fetching = ""
-			var bad *badGraph
+		_ = g.runOnLoop(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
+			g.fetchingHash = ""
+			var bad *invalidGraphError
 			switch {
 			case errors.As(err, &bad):
 				g.deleteInvalid(o.Def, o.Parts)
 				tell.refuse(http.StatusBadRequest, "%s", bad.text)
-			case errors.Is(err, errParts):
+			case errors.Is(err, errMissingPart):
 				tell.refuse(http.StatusConflict, "a part of the graph is not stored; upload it again")
 			case err != nil:
 				tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
 			default:
-				g.learn(o.Def, o.Parts, plan)
+				g.cachePlan(o.Def, o.Parts, plan)
 				g.register(o, plan, tell)
 			}
 		})
 	}()
 }
 
-// learn stores the plan of a definition in memory.
-func (g *Graphs) learn(hash string, parts int, p *dag.Plan) {
-	if g.defs[hash] == nil {
-		g.defs[hash] = &definition{parts: parts}
+// cachePlan stores the plan of a definition in memory.
+func (g *Graphs) cachePlan(hash string, parts int, p *dag.Plan) {
+	if g.definitions[hash] == nil {
+		g.definitions[hash] = &definition{parts: parts}
 	}
-	if d := g.defs[hash]; d.plan == nil {
+	if d := g.definitions[hash]; d.plan == nil {
 		d.plan = p
-		g.bytes += planBytes(p)
+		g.memoryBytes += planBytes(p)
 	}
 }
 
-// dropping reports whether parts of a definition are about to be deleted. No graph may refer to it then.
-func (g *Graphs) dropping(hash string) bool {
+// isBeingDeleted reports whether parts of a definition are about to be deleted. No graph may refer to it then.
+func (g *Graphs) isBeingDeleted(hash string) bool {
 	prefix := PrefixDef + hash + "/"
 	return slices.ContainsFunc(g.deletions, func(d deletion) bool { return strings.HasPrefix(d.key, prefix) })
 }
 
-// sweep lists the stored definitions and adds those that were uploaded but never registered, so that cleanUp
+// addUnregistered lists the stored definitions and adds those that were uploaded but never registered, so that cleanUp
 // deletes them like others that are unreferenced.
-func (g *Graphs) sweep() {
+func (g *Graphs) addUnregistered() {
 	go func() {
 		defs, have := map[string]*definition{}, map[string]int{}
-		_, err := g.store.ListAll(g.ended, PrefixDef, func(items []wire.Item) error {
-			gather(defs, have, items)
+		_, err := g.store.ListAll(g.termCtx, PrefixDef, func(items []wire.Item) error {
+			collectParts(defs, have, items)
 			for _, d := range defs {
-				d.packed = nil // only hashes and part counts are needed
+				d.compressed = nil // only hashes and part counts are needed
 			}
 			return nil
 		})
@@ -100,10 +100,10 @@
 			g.log.Debug("listing definitions failed; retrying at the next sweep", "err", err)
 			return
 		}
-		_ = g.ask(func() { // fails only when the leadership has ended
+		_ = g.runOnLoop(func() { // fails only when the leadership has ended
 			for hash, d := range defs {
-				if g.defs[hash] == nil && !g.dropping(hash) {
-					g.defs[hash] = &definition{parts: max(d.parts, have[hash])}
+				if g.definitions[hash] == nil && !g.isBeingDeleted(hash) {
+					g.definitions[hash] = &definition{parts: max(d.parts, have[hash])}
 				}
 			}
 		})
@@ -114,19 +114,19 @@
 // While it is stored, a valid definition with the same hash cannot be uploaded, because existing parts are not
 // overwritten.
 func (g *Graphs) deleteInvalid(hash string, parts int) {
-	if d := g.defs[hash]; d != nil && (d.plan != nil || d.refs > 0) {
+	if d := g.definitions[hash]; d != nil && (d.plan != nil || d.refs > 0) {
 		return
 	}
-	delete(g.defs, hash)
+	delete(g.definitions, hash)
 	g.enqueueDeletions(nil, partKeys(hash, parts)...)
 }
 
-// badGraph is the error of a definition that can never be registered.
-type badGraph struct{ text string }
+// invalidGraphError is the error of a definition that can never be registered.
+type invalidGraphError struct{ text string }
 
-func (e *badGraph) Error() string { return e.text }
+func (e *invalidGraphError) Error() string { return e.text }
 
-// fetch reads the n parts of a definition from the store. The error is errParts if one is missing, and a *badGraph if
+// fetch reads the n parts of a definition from the store. The error is errMissingPart if one is missing, and a *invalidGraphError if
 // the content is invalid.
 func fetch(ctx context.Context, store *statestore.Client, hash string, n int) (*dag.Plan, error) {
 	codec, err := charge.NewCodec()
@@ -141,33 +141,33 @@
 		}
 		var r partRecord
 		if !ok {
-			return nil, errParts
+			return nil, errMissingPart
 		}
 		if json.Unmarshal(item.Value, &r) != nil || r.Parts != n {
-			return nil, &badGraph{"the parts of the graph do not belong together"}
+			return nil, &invalidGraphError{"the parts of the graph do not belong together"}
 		}
 		packed = append(packed, r.Zstd...)
 	}
-	plan, err := unpack(codec, hash, packed)
+	plan, err := decodeDefinition(codec, hash, packed)
 	if err != nil {
-		return nil, &badGraph{strings.Join(strings.Fields(err.Error()), " ")}
+		return nil, &invalidGraphError{strings.Join(strings.Fields(err.Error()), " ")}
 	}
 	return plan, nil
 }
 
-// examine returns a *badGraph, with a text of one line, if a graph can never run in this cluster. It is safe for
+// validatePlan returns a *invalidGraphError, with a text of one line, if a graph can never run in this cluster. It is safe for
 // concurrent use.
-func (g *Graphs) examine(p *dag.Plan) error {
+func (g *Graphs) validatePlan(p *dag.Plan) error {
 	r := dag.NewRun(p, "check")
 	for i := range p.Steps {
 		s := &p.Steps[i]
 		if _, ok := g.slots(p.Team, s.Pool); !ok {
-			return &badGraph{fmt.Sprintf("step %s: the team has no pool %q", s.ID, s.Pool)}
+			return &invalidGraphError{fmt.Sprintf("step %s: the team has no pool %q", s.ID, s.Pool)}
 		}
 		if s.Job == nil {
 			continue
 		}
-		j, value, err := jobOf(r, dag.InstanceRef{Step: i}, 0)
+		j, value, err := instanceJob(r, dag.InstanceRef{Step: i}, 0)
 		if err == nil {
 			err = j.Check()
 		}
@@ -180,23 +180,23 @@
 			err = errors.New("its job's description is too long")
 		}
 		if err != nil {
-			return &badGraph{fmt.Sprintf("step %s: %s", s.ID, err)}
+			return &invalidGraphError{fmt.Sprintf("step %s: %s", s.ID, err)}
 		}
 	}
 	if g.cfg.Source == nil && p.Start != nil && p.Schedule != "" && p.Schedule != "None" {
-		return &badGraph{noSource("it has a schedule and a start_date")}
+		return &invalidGraphError{noSourceText("it has a schedule and a start_date")}
 	}
 	return nil
 }
 
-// noSource returns the error text for something that requires Config.Source, when there is none.
-func noSource(what string) string {
+// noSourceText returns the error text for something that requires Config.Source, when there is none.
+func noSourceText(what string) string {
 	return what + ", and the service knows nowhere to have its steps described (graphs.descriptions)"
 }
 
 // releaseDefinition removes a reference to a definition.
 func (g *Graphs) releaseDefinition(hash string) {
-	if d := g.defs[hash]; d != nil {
+	if d := g.definitions[hash]; d != nil {
 		d.refs--
 	}
 }
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -47,7 +47,7 @@
 // Foreseen returns the descriptions of a run's first generation that are known before the run starts: all except
 // those of steps that are mapped over the result of another step.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
-	r, m := dag.NewRun(p, id), &meta{LogicalMS: logical.UnixMilli(), Conf: conf}
+	r, m := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
 		s := &p.Steps[i]
 		if s.Job == nil || mappedAtRunTime(p, i) {
@@ -65,7 +65,7 @@
 }
 
 // describe returns the description of an instance's job.
-func describe(r *dag.Run, m *meta, at dag.InstanceRef) Description {
+func describe(r *dag.Run, m *runMeta, at dag.InstanceRef) Description {
 	s := &r.Plan.Steps[at.Step]
 	d := Description{
 		Job: r.JobID(at), Team: r.Plan.Team, Graph: r.Plan.ID, Run: r.ID, Step: s.ID, Index: -1, Generation: r.Generation(at.Step),
@@ -91,45 +91,45 @@
 	return d
 }
 
-// describer is the queue of steps to describe. One call is in flight at a time.
-type describer struct {
-	queue []pickedStep
-	busy  bool          // whether a call is in flight
-	pause time.Duration // before the next call; 0 unless the last one failed
+// describeQueue is the queue of steps to describe. One call is in flight at a time.
+type describeQueue struct {
+	steps    []pickedStep
+	inFlight bool          // whether a call is in flight
+	pause    time.Duration // before the next call; 0 unless the last one failed
 }
 
 // describe starts a call for the next steps of the queue, if none is in flight.
 func (g *Graphs) describe() {
-	d := &g.source
-	if d.busy || len(d.queue) == 0 {
+	d := &g.describeQueue
+	if d.inFlight || len(d.steps) == 0 {
 		return
 	}
 	var batch []pickedStep
 	var texts []Description
-	for len(d.queue) > 0 && len(batch) < tuning.DescribeBatchSteps {
-		p := d.queue[0]
-		d.queue = d.queue[1:]
-		if !p.run.run.IsReadyWithJob(p.at, p.id) {
-			g.releaseSlots(p.run, p.at.Step) // the step was cleared or cancelled in the meantime
+	for len(d.steps) > 0 && len(batch) < tuning.DescribeBatchSteps {
+		p := d.steps[0]
+		d.steps = d.steps[1:]
+		if !p.run.run.IsReadyWithJob(p.ref, p.jobID) {
+			g.releaseSlots(p.run, p.ref.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
-		batch, texts = append(batch, p), append(texts, describe(p.run.run, &p.run.meta, p.at))
+		batch, texts = append(batch, p), append(texts, describe(p.run.run, &p.run.meta, p.ref))
 	}
 	if len(batch) == 0 {
 		return
 	}
-	d.busy = true
+	d.inFlight = true
 	pause := d.pause
 	go func() {
 		if pause > 0 {
 			select {
 			case <-g.cfg.Clock.After(pause):
-			case <-g.ended.Done():
+			case <-g.termCtx.Done():
 				return
 			}
 		}
-		refused, err := describeAll(g.ended, g.cfg.Source, texts)
-		_ = g.ask(func() { g.described(batch, refused, err) }) // fails only when the leadership has ended
+		refused, err := describeAll(g.termCtx, g.cfg.Source, texts)
+		_ = g.runOnLoop(func() { g.described(batch, refused, err) }) // fails only when the leadership has ended
 	}()
 }
 
@@ -160,11 +160,11 @@
 
 // described handles the result of describeAll.
 func (g *Graphs) described(batch []pickedStep, refused map[int]error, err error) {
-	d := &g.source
-	d.busy = false
+	d := &g.describeQueue
+	d.inFlight = false
 	if err != nil {
 		d.pause = min(max(2*d.pause, tuning.DescribeRetryPause), tuning.DescribeRetryPauseMax)
-		d.queue = append(batch, d.queue...)
+		d.steps = append(batch, d.steps...)
 		g.log.Warn("describing steps failed; retrying after a pause", "steps", len(batch), "again_in", d.pause, "err", err)
 		g.describe()
 		return
@@ -172,10 +172,10 @@
 	d.pause = 0
 	for i, p := range batch {
 		if why := refused[i]; why != nil {
-			g.log.Error("description of a step was refused; marking the step failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.at.Step].ID, "err", why)
-			g.releaseSlots(p.run, p.at.Step)
-			if p.run.run.IsReadyWithJob(p.at, p.id) {
-				p.run.run.JobCancelled(p.at)
+			g.log.Error("description of a step was refused; marking the step failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.ref.Step].ID, "err", why)
+			g.releaseSlots(p.run, p.ref.Step)
+			if p.run.run.IsReadyWithJob(p.ref, p.jobID) {
+				p.run.run.JobCancelled(p.ref)
 				g.markDirty(p.run)
 			}
 			continue
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -70,7 +70,7 @@
 	}
 	golden.Lines(t, "definition-hash", hash)
 	golden.Hex(t, "definition", parts[0])
-	again, err := unpack(codec, hash, parts[0])
+	again, err := decodeDefinition(codec, hash, parts[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,10 +84,10 @@
 	}
 	plan := formatPlan(t)
 	run := &liveRun{
-		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), def: "00112233445566778899aabbccddeeff", active: 1,
-		meta: *golden.Fill(new(meta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
+		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), defHash: "00112233445566778899aabbccddeeff", activeJobs: 1,
+		meta: *golden.Fill(new(runMeta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
 	}
-	value, err := runValue(codec, run, 16<<10)
+	value, err := encodeRunRecord(codec, run, 16<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,13 +105,13 @@
 }
 
 // The stored job of a step and the description of the step.
-func TestJobOfAStep(t *testing.T) {
+func TestJobOfStep(t *testing.T) {
 	run := dag.NewRun(formatPlan(t), "manual__1")
 	at := dag.InstanceRef{Step: 0}
-	_, value, err := jobOf(run, at, formatTime.UnixMilli())
+	_, value, err := instanceJob(run, at, formatTime.UnixMilli())
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "job-of-step", value)
-	golden.JSONEncoding(t, "description-of-step", describe(run, golden.Fill(new(meta)), at))
+	golden.JSONEncoding(t, "description-of-step", describe(run, golden.Fill(new(runMeta)), at))
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -55,46 +55,46 @@
 	codec    *charge.Codec
 	jobStore *jobs.Store
 
-	ended context.Context    // the term's; done when the leadership ends
-	ask   func(func()) error // runs a function on the loop's goroutine
-	store *statestore.Client
-	read  bool // whether the stored records are loaded
+	termCtx   context.Context    // the term's; done when the leadership ends
+	runOnLoop func(func()) error // runs a function on the loop's goroutine
+	store     *statestore.Client
+	loaded    bool // whether the stored records are loaded
 
-	defs           map[string]*definition // by hash
+	definitions    map[string]*definition // by hash
 	graphs         map[string]*graph      // by key
 	runs           map[string]*liveRun    // by key
 	byJob          map[string]stepJob     // unfinished jobs of steps, by job ID
 	notSeenRunning map[string]stepJob     // subset of byJob whose current attempt was not seen running
 	withTimeout    map[string]stepJob     // subset of byJob that is running and whose step has a timeout
 	pools          map[poolKey]*pool      //
-	todo           []*liveRun             // runs that may have something to store or to submit, in queue order
+	runQueue       []*liveRun             // runs that may have something to store or to submit, in queue order
 	deletions      []deletion             // records to delete, in this order
-	bytes          int                    // estimated memory of plans and live runs, in bytes
+	memoryBytes    int                    // estimated memory of plans and live runs, in bytes
 	nextCleanUp    time.Time              // time of the next cleanUp
-	source         describer              //
-	fetching       string                 // hash of the definition that is being read; empty if none
-	lastSweep      time.Time              // time of the last listing of definitions; zero if none
+	describeQueue  describeQueue          //
+	fetchingHash   string                 // hash of the definition that is being read; empty if none
+	lastListing    time.Time              // time of the last listing of definitions; zero if none
 	storeLater     map[*liveRun]struct{}  // runs with a change that may be stored after tuning.GraphRecordDelay
 
-	cancels map[string]struct{} // IDs of jobs to cancel
-	stops   []*jobs.Allocation  // allocations of cancelled jobs, which the next Tick returns
+	jobsToCancel      map[string]struct{} // IDs of jobs to cancel
+	allocationsToStop []*jobs.Allocation  // allocations of cancelled jobs, which the next Tick returns
 }
 
 // stepJob is an unfinished job of a step.
 type stepJob struct {
 	run        *liveRun
-	at         dag.InstanceRef // Step is -1 if the step was cleared since
+	ref        dag.InstanceRef // Step is -1 if the step was cleared since
 	generation int             // of the step when the job was submitted
 }
 
 // current reports whether the job belongs to the current generation of its step.
 func (w stepJob) current() bool {
-	return w.at.Step >= 0 && w.generation == w.run.run.Generation(w.at.Step)
+	return w.ref.Step >= 0 && w.generation == w.run.run.Generation(w.ref.Step)
 }
 
 func (w stepJob) instance() *dag.Instance {
-	_, instances := w.run.run.StepState(w.at.Step)
-	return &instances[w.at.Index]
+	_, instances := w.run.run.StepState(w.ref.Step)
+	return &instances[w.ref.Index]
 }
 
 // New creates the subsystem for one term.
@@ -104,8 +104,8 @@
 		return nil, err
 	}
 	return &Graphs{
-		cfg: cfg, log: log, codec: codec, defs: map[string]*definition{}, graphs: map[string]*graph{}, runs: map[string]*liveRun{},
-		byJob: map[string]stepJob{}, notSeenRunning: map[string]stepJob{}, withTimeout: map[string]stepJob{}, pools: map[poolKey]*pool{}, storeLater: map[*liveRun]struct{}{}, cancels: map[string]struct{}{},
+		cfg: cfg, log: log, codec: codec, definitions: map[string]*definition{}, graphs: map[string]*graph{}, runs: map[string]*liveRun{},
+		byJob: map[string]stepJob{}, notSeenRunning: map[string]stepJob{}, withTimeout: map[string]stepJob{}, pools: map[poolKey]*pool{}, storeLater: map[*liveRun]struct{}{}, jobsToCancel: map[string]struct{}{},
 	}, nil
 }
 
@@ -150,8 +150,8 @@
 	if !ok || !w.current() || o.Reason != wire.ExitError || o.Allocation.Job.Cancelled() {
 		return
 	}
-	w.run.ended(w.at, now, dag.Failed)
-	w.run.run.AttemptFailed(w.at, now, g.cfg.Jitter())
+	w.run.tryEnded(w.ref, now, dag.Failed)
+	w.run.run.AttemptFailed(w.ref, now, g.cfg.Jitter())
 	delete(g.withTimeout, id)
 	g.notSeenRunning[id] = w
 	g.markDirty(w.run)
@@ -167,21 +167,21 @@
 		return
 	}
 	x := w.run
-	if early, pending := x.pending[id]; pending {
+	if early, pending := x.unansweredJobs[id]; pending {
 		// The transaction that stores the job is unanswered. Only its answer shows whether this is the step's
 		// job or one of another submitter with the same ID.
 		if early == "" {
-			x.pending[id] = state
+			x.unansweredJobs[id] = state
 		}
 		return
 	}
 	delete(g.byJob, id)
 	delete(g.notSeenRunning, id)
 	delete(g.withTimeout, id)
-	if w.at.Step >= 0 {
-		g.releaseSlots(x, w.at.Step)
+	if w.ref.Step >= 0 {
+		g.releaseSlots(x, w.ref.Step)
 	} else {
-		x.active--
+		x.activeJobs--
 	}
 	g.markDirty(x)
 	if !w.current() {
@@ -191,12 +191,12 @@
 	end := dag.Success
 	if state != wire.StateDone {
 		end = dag.Failed
-		x.run.JobCancelled(w.at)
-	} else if err := x.run.JobDone(w.at); err != nil {
+		x.run.JobCancelled(w.ref)
+	} else if err := x.run.JobDone(w.ref); err != nil {
 		end = dag.Failed
 		g.log.Info("job of a step is done but its result is missing or invalid; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
 	}
-	x.ended(w.at, now, end)
+	x.tryEnded(w.ref, now, end)
 	g.cancelUnneeded(x)
 	if x.graph.hasPastDependents {
 		// The same step of the next run may wait for this one.
@@ -211,7 +211,7 @@
 // cancelUnneeded cancels the jobs that a run no longer needs.
 func (g *Graphs) cancelUnneeded(x *liveRun) {
 	for _, id := range x.run.TakeCancellations() {
-		g.cancels[id] = struct{}{}
+		g.jobsToCancel[id] = struct{}{}
 	}
 	g.cancelKnownJobs()
 }
@@ -219,13 +219,13 @@
 // cancelKnownJobs cancels those jobs of g.cancels that are in the job store. The job store learns of a newly stored
 // job a moment after its transaction.
 func (g *Graphs) cancelKnownJobs() {
-	for id := range g.cancels {
+	for id := range g.jobsToCancel {
 		if _, ok := g.byJob[id]; !ok {
-			delete(g.cancels, id) // the job has finished
+			delete(g.jobsToCancel, id) // the job has finished
 		} else if j := g.jobStore.Jobs[id]; j != nil {
-			delete(g.cancels, id)
+			delete(g.jobsToCancel, id)
 			g.jobStore.Cancel(j, func(wire.JobState) {})
-			g.stops = append(g.stops, j.StopAll(charge.Cancelled)...)
+			g.allocationsToStop = append(g.allocationsToStop, j.StopAll(charge.Cancelled)...)
 		}
 	}
 }
@@ -238,15 +238,15 @@
 
 // enqueueRun adds a run to the queue of runs that may have something to store or to submit.
 func (g *Graphs) enqueueRun(x *liveRun) {
-	if !x.queued && !x.finished {
-		x.queued = true
-		g.todo = append(g.todo, x)
+	if !x.inQueue && !x.finished {
+		x.inQueue = true
+		g.runQueue = append(g.runQueue, x)
 	}
 }
 
 // Tick detects steps that began to run or timed out, creates scheduled runs that are due, and cleans up.
 func (g *Graphs) Tick(now time.Time) []*jobs.Allocation {
-	if !g.read {
+	if !g.loaded {
 		return nil
 	}
 	for id, w := range g.notSeenRunning {
@@ -254,42 +254,42 @@
 		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().RetryAt) || j.Status().Running == 0 {
 			continue
 		}
-		w.run.run.TaskRunning(w.at, now)
-		w.run.begun(w.at, now)
+		w.run.run.TaskRunning(w.ref, now)
+		w.run.tryBegan(w.ref, now)
 		g.enqueueStoreLater(w.run, now)
 		delete(g.notSeenRunning, id)
-		if w.run.run.Plan.Steps[w.at.Step].Timeout > 0 {
+		if w.run.run.Plan.Steps[w.ref.Step].Timeout > 0 {
 			g.withTimeout[id] = w
 		}
 	}
 	for _, w := range g.withTimeout {
-		if w.current() && w.run.run.CancelIfTimedOut(w.at, now) {
+		if w.current() && w.run.run.CancelIfTimedOut(w.ref, now) {
 			g.markDirty(w.run)
 			g.cancelUnneeded(w.run)
 		}
 	}
 	for x := range g.storeLater {
-		if now.Sub(x.lateAt) >= tuning.GraphRecordDelay {
+		if now.Sub(x.storeLaterSince) >= tuning.GraphRecordDelay {
 			delete(g.storeLater, x)
 			g.markDirty(x)
 		}
 	}
 	g.cancelKnownJobs()
-	g.schedule(now)
+	g.createDueRuns(now)
 	if !now.Before(g.nextCleanUp) {
 		g.nextCleanUp = now.Add(tuning.GraphCleanUpEvery)
 		g.cleanUp(now)
 	}
 	g.describe()
-	stops := g.stops
-	g.stops = nil
+	stops := g.allocationsToStop
+	g.allocationsToStop = nil
 	return stops
 }
 
 // enqueueStoreLater has a run stored within tuning.GraphRecordDelay, or earlier with its next other change.
 func (g *Graphs) enqueueStoreLater(x *liveRun, now time.Time) {
 	if _, ok := g.storeLater[x]; !ok {
-		x.lateAt = now
+		x.storeLaterSince = now
 		g.storeLater[x] = struct{}{}
 	}
 }
@@ -297,8 +297,8 @@
 // NextWrite returns the next transaction: changed graphs, changed runs with the jobs of their ready steps, and
 // deletions, as many as fit.
 func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
-	b := &batch{most: min(room, g.cfg.TxnOps), value: int(g.cfg.ValueKB * 1024)}
-	if !g.read || b.most < 2 {
+	b := &batch{maxChanges: min(room, g.cfg.TxnOps), maxValueBytes: int(g.cfg.ValueKB * 1024)}
+	if !g.loaded || b.maxChanges < 2 {
 		return nil
 	}
 	g.storeGraphs(b)
@@ -309,11 +309,11 @@
 		return nil
 	}
 	return &leader.SubsystemWrite{Txn: b.txn, Done: func(revision uint64) {
-		for _, fn := range b.done {
+		for _, fn := range b.onCommitted {
 			fn(revision)
 		}
 	}, Conflict: func() {
-		for _, fn := range b.undo {
+		for _, fn := range b.onConflict {
 			fn()
 		}
 	}}
@@ -321,24 +321,24 @@
 
 // batch collects one transaction.
 type batch struct {
-	txn   wire.Txn
-	most  int                     // largest number of changes
-	value int                     // largest size of a value, in bytes
-	size  int                     // approximate size so far, in bytes
-	done  []func(revision uint64) // called when the transaction is committed
-	undo  []func()                // called if a condition does not hold
+	txn           wire.Txn
+	maxChanges    int                     // largest number of changes
+	maxValueBytes int                     // largest size of a value, in bytes
+	bytes         int                     // approximate size so far, in bytes
+	onCommitted   []func(revision uint64) // called when the transaction is committed
+	onConflict    []func()                // called if a condition does not hold
 }
 
 // fits reports whether the batch has room for a number of changes with a total size in bytes.
 func (b *batch) fits(changes, bytes int) bool {
-	return len(b.txn.Then)+changes <= b.most && (b.size == 0 || b.size+bytes <= tuning.TxnTargetBytes)
+	return len(b.txn.Then)+changes <= b.maxChanges && (b.bytes == 0 || b.bytes+bytes <= tuning.TxnTargetBytes)
 }
 
 // put adds a change that stores value at key if the record there has the given version; 0 if there must be none.
 func (b *batch) put(key string, version uint64, value []byte) {
 	b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
 	b.txn.Then = append(b.txn.Then, wire.Change{Put: key, Value: value})
-	b.size += len(value) + 2*len(key)
+	b.bytes += len(value) + 2*len(key)
 }
 
 // PathPools is the path of the query for a team's pools. The answer is a list of PoolView.
@@ -351,7 +351,7 @@
 	if err != nil || u.Path != PathPools {
 		return leader.Answer{}, leader.ErrUnknownPath
 	}
-	if !g.read {
+	if !g.loaded {
 		return leader.Answer{Status: http.StatusServiceUnavailable, Body: wire.Error{Error: "the graphs are being read"}}, nil
 	}
 	out := []PoolView{}
@@ -360,7 +360,7 @@
 			continue
 		}
 		v := PoolView{Name: key.name, Slots: p.slots, Used: p.used}
-		for _, x := range p.line.runs {
+		for _, x := range p.waitQueue.runs {
 			v.Waits += len(x.waitingForPool[p])
 		}
 		out = append(out, v)
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -20,66 +20,66 @@
 
 // A run with a step that fails once succeeds, over a change of leaders during the delay before the step's retry. Its ID
 // cannot be used again, not even with a new leader.
-func TestAGraphFromItsBeginToItsEnd(t *testing.T) {
-	w := newWorld(t)
+func TestRunWithRetrySucceedsOverFailover(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	flaky := step("flaky", "first")
 	flaky.Retries, flaky.Delay = 1, dag.Duration(time.Minute)
-	p := check(t, step("first"), flaky, step("last", "flaky"))
-	w.begin(p, "one")
-	if len(w.live()) != 1 {
-		t.Fatalf("submitted jobs are %v, want one", w.live())
+	p := newPlan(t, step("first"), flaky, step("last", "flaky"))
+	w.registerAndTrigger(p, "one")
+	if len(w.liveJobs()) != 1 {
+		t.Fatalf("submitted jobs are %v, want one", w.liveJobs())
 	}
-	w.end(w.place(w.live()[0]), wire.ExitDone)
+	w.endAttempt(w.startTask(w.liveJobs()[0]), wire.ExitDone)
 	w.settle()
-	id := w.live()[0]
-	w.end(w.place(id), wire.ExitError)
+	id := w.liveJobs()[0]
+	w.endAttempt(w.startTask(id), wire.ExitError)
 	w.settle()
 	// A new leader also waits for the retry delay, and does not submit the last step.
-	w.lead()
-	if w.place(id) != nil || len(w.live()) != 1 {
-		t.Fatalf("the step is retried before its delay is over; submitted jobs are %v", w.live())
+	w.changeLeader()
+	if w.startTask(id) != nil || len(w.liveJobs()) != 1 {
+		t.Fatalf("the step is retried before its delay is over; submitted jobs are %v", w.liveJobs())
 	}
 	w.clock.Advance(time.Minute)
-	w.end(w.place(id), wire.ExitDone)
+	w.endAttempt(w.startTask(id), wire.ExitDone)
 	w.settle()
-	w.end(w.place(w.live()[0]), wire.ExitDone)
+	w.endAttempt(w.startTask(w.liveJobs()[0]), wire.ExitDone)
 	w.settle()
-	if r := w.run(p, "one"); r.RunState() != dag.RunSuccess || len(w.live()) != 0 || len(w.graphs.runs) != 0 {
+	if r := w.storedRun(p, "one"); r.RunState() != dag.RunSuccess || len(w.liveJobs()) != 0 || len(w.graphs.runs) != 0 {
 		t.Errorf("the run is %v, want success; %d runs are live", r.RunState(), len(w.graphs.runs))
 	}
-	w.ordered(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
-	w.lead()
-	w.ordered(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	w.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	w.changeLeader()
+	w.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
 }
 
 // The job of a step is cancelled when the step's tries are used up or it times out. Otherwise the scheduler would retry
 // it forever.
-func TestAStepThatFailsForGood(t *testing.T) {
-	w := newWorld(t)
+func TestFailedAndTimedOutStepsAreCancelled(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	late := step("late")
 	late.Timeout = dag.Duration(time.Minute)
-	p := check(t, step("bad"), late, step("never", "bad"))
-	w.begin(p, "one")
-	ids := w.live()
+	p := newPlan(t, step("bad"), late, step("never", "bad"))
+	w.registerAndTrigger(p, "one")
+	ids := w.liveJobs()
 	for _, id := range ids {
-		if pl := w.place(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.InstanceRef{}) {
-			w.end(pl, wire.ExitError)
+		if pl := w.startTask(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.InstanceRef{}) {
+			w.endAttempt(pl, wire.ExitError)
 		}
 	}
 	w.settle()
 	w.clock.Advance(time.Minute)
 	w.settle()
-	for _, id := range w.live() {
-		for i := range w.book.Jobs[id].Tasks {
-			if pl := w.book.Jobs[id].Tasks[i].Allocation; pl != nil {
-				w.end(pl, wire.ExitStopped)
+	for _, id := range w.liveJobs() {
+		for i := range w.jobStore.Jobs[id].Tasks {
+			if pl := w.jobStore.Jobs[id].Tasks[i].Allocation; pl != nil {
+				w.endAttempt(pl, wire.ExitStopped)
 			}
 		}
 	}
 	w.settle()
-	if r := w.run(p, "one"); r.RunState() != dag.RunFailed {
+	if r := w.storedRun(p, "one"); r.RunState() != dag.RunFailed {
 		t.Errorf("the run is %v, want failed", r.RunState())
 	}
 	for _, id := range ids {
@@ -90,8 +90,8 @@
 }
 
 // The largest graph is stored in several parts, and its steps are submitted up to the default limit.
-func TestTheLargestGraphIsStored(t *testing.T) {
-	w := newWorld(t)
+func TestLargestGraphIsStoredInParts(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	var steps []dag.Step
 	for i := range dag.MaxSteps {
@@ -99,15 +99,15 @@
 		s.Job.EstimateS = float64(i * 31 % 977)
 		steps = append(steps, s)
 	}
-	p := check(t, steps...)
-	w.begin(p, "one")
-	if n := len(w.live()); n != 16 {
+	p := newPlan(t, steps...)
+	w.registerAndTrigger(p, "one")
+	if n := len(w.liveJobs()); n != 16 {
 		t.Errorf("%d steps are submitted at once, want 16", n)
 	}
 	if n := len(w.list(PrefixDef)); n < 2 {
 		t.Errorf("the definition is stored in %d parts, want at least 2", n)
 	}
-	w.lead()
+	w.changeLeader()
 	if len(w.graphs.byJob) != 16 {
 		t.Errorf("a new leader has %d submitted steps, want 16", len(w.graphs.byJob))
 	}
@@ -115,10 +115,10 @@
 
 // Property: even if leaders fail at any write, answered or not, every step of a run ends, and its state agrees with the
 // final state of its job.
-func TestEveryStepEndsOnce(t *testing.T) {
+func TestEveryStepEndsDespiteFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorldWith(t, Config{Source: sourceFunc(describes)})
-		w.lead()
+		w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+		w.changeLeader()
 		defer w.close()
 		n := rapid.IntRange(1, 6).Draw(rt, "steps")
 		var steps []dag.Step
@@ -133,49 +133,49 @@
 			}
 			steps = append(steps, s)
 		}
-		p := check(t, steps...)
-		w.begin(p, "one")
+		p := newPlan(t, steps...)
+		w.registerAndTrigger(p, "one")
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 8:
 				o := Order{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Below: true}
-				if w.order(DoClear, o); w.graphs.runs[keyRun("the team", "g", "one")] == nil {
-					w.answered() // the run is finished, so it is read first
+				if w.send(DoClear, o); w.graphs.runs[keyRun("the team", "g", "one")] == nil {
+					w.runLoopFunc() // the run is finished, so it is read first
 				}
 			case 9:
 				if rapid.IntRange(0, 4).Draw(rt, "cancel") == 0 {
-					w.order(DoCancel, Order{Run: "one"})
+					w.send(DoCancel, Order{Run: "one"})
 				}
 			case 0:
-				w.lead()
+				w.changeLeader()
 			case 1:
-				if w.next(false) {
-					w.lead()
+				if w.commitNext(false) {
+					w.changeLeader()
 				}
 			case 2:
-				w.next(true)
+				w.commitNext(true)
 			case 3:
 				// The job store's transaction is committed, but the leader fails before its answer.
-				if b := w.book.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
+				if b := w.jobStore.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
 					w.commit(b.Txn)
-					w.lead()
+					w.changeLeader()
 				}
 			case 4:
 				w.clock.Advance(time.Second)
 				w.graphs.Tick(w.clock.Now())
-				if w.graphs.source.busy {
-					w.answered()
+				if w.graphs.describeQueue.inFlight {
+					w.runLoopFunc()
 				}
 			default:
-				for _, id := range w.live() {
-					pl := w.place(id)
+				for _, id := range w.liveJobs() {
+					pl := w.startTask(id)
 					if pl == nil {
-						if j := w.book.Jobs[id]; j != nil && j.Tasks[0].Allocation != nil {
+						if j := w.jobStore.Jobs[id]; j != nil && j.Tasks[0].Allocation != nil {
 							pl = j.Tasks[0].Allocation
 						}
 					}
 					if pl != nil {
-						w.end(pl, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"))
+						w.endAttempt(pl, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"))
 						break
 					}
 				}
@@ -184,20 +184,20 @@
 		for range 20 * n { // until the run is finished
 			w.clock.Advance(2 * time.Second)
 			w.settle()
-			for _, id := range w.live() {
-				pl := w.place(id)
-				if pl == nil && w.book.Jobs[id] != nil {
-					pl = w.book.Jobs[id].Tasks[0].Allocation
+			for _, id := range w.liveJobs() {
+				pl := w.startTask(id)
+				if pl == nil && w.jobStore.Jobs[id] != nil {
+					pl = w.jobStore.Jobs[id].Tasks[0].Allocation
 				}
 				if pl != nil {
-					w.end(pl, wire.ExitDone)
+					w.endAttempt(pl, wire.ExitDone)
 				}
 			}
 		}
 		w.settle()
-		r := w.run(p, "one")
-		if r.RunState() == dag.RunRunning || len(w.live()) != 0 || len(w.graphs.byJob) != 0 {
-			rt.Fatalf("the run has not finished: it is %v, jobs %v are live and %d steps submitted", r.RunState(), w.live(), len(w.graphs.byJob))
+		r := w.storedRun(p, "one")
+		if r.RunState() == dag.RunRunning || len(w.liveJobs()) != 0 || len(w.graphs.byJob) != 0 {
+			rt.Fatalf("the run has not finished: it is %v, jobs %v are live and %d steps submitted", r.RunState(), w.liveJobs(), len(w.graphs.byJob))
 		}
 		for i := range p.Steps {
 			id := r.JobID(dag.InstanceRef{Step: i})
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -66,7 +66,7 @@
 		say.refuse(http.StatusBadRequest, "the command is malformed")
 		return nil
 	}
-	if !g.read {
+	if !g.loaded {
 		say.refuse(http.StatusServiceUnavailable, "the graphs are being read; ask again")
 		return nil
 	}
@@ -80,7 +80,7 @@
 			tell.refuse(http.StatusBadRequest, "the definition is no hash")
 			return
 		}
-		g.put(o, tell)
+		g.fetchAndRegister(o, tell)
 		return
 	}
 	// A graph of another team and one that does not exist get the same answer, so that a team cannot find out the
@@ -92,9 +92,9 @@
 	}
 	switch verb {
 	case DoPause:
-		g.pause(gr, o.Paused != nil && *o.Paused, tell)
+		g.setPaused(gr, o.Paused != nil && *o.Paused, tell)
 	case DoRemove:
-		g.remove(gr, tell)
+		g.deleteGraph(gr, tell)
 	case DoTrigger:
 		g.trigger(gr, o, now, tell)
 	case DoBackfill:
@@ -123,7 +123,7 @@
 	if o.Run == "" {
 		o.Run = RunName(Manual, logical)
 	}
-	m := meta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: o.Conf, Note: o.Note, Described: o.Described}
+	m := runMeta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: o.Conf, Note: o.Note, Described: o.Described}
 	g.createRun(gr, o.Run, m, now, tell)
 }
 
@@ -135,24 +135,24 @@
 
 // backfill creates the runs of past data intervals. Intervals that have a run are skipped.
 func (g *Graphs) backfill(gr *graph, o *Order, now time.Time, tell responder) {
-	d := g.defs[gr.rec.Def]
+	d := g.definitions[gr.rec.Def]
 	if d == nil || d.plan == nil {
 		tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
 		return
 	}
 	if g.cfg.Source == nil {
-		tell.refuse(http.StatusConflict, "%s", noSource("a backfill begins runs by itself"))
+		tell.refuse(http.StatusConflict, "%s", noSourceText("a backfill begins runs by itself"))
 		return
 	}
 	if o.To.After(now) {
 		o.To = now
 	}
-	intervals, err := d.plan.Backfill(gr.sched, o.From, o.To)
+	intervals, err := d.plan.Backfill(gr.schedule, o.From, o.To)
 	if err != nil {
 		tell.refuse(http.StatusBadRequest, "%s", err)
 		return
 	}
-	if need := len(intervals) * len(d.plan.Steps) * tuning.RunStepBytes; g.cfg.Bytes > 0 && g.bytes+need > g.cfg.Bytes {
+	if need := len(intervals) * len(d.plan.Steps) * tuning.RunStepBytes; g.cfg.Bytes > 0 && g.memoryBytes+need > g.cfg.Bytes {
 		tell.refuse(http.StatusServiceUnavailable, "there is no memory for %d more runs now; ask again, or for fewer", len(intervals))
 		return
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	for _, i := range intervals {
-		m := meta{Type: Backfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
+		m := runMeta{Type: Backfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
 		g.createRun(gr, RunName(Backfill, i.Begin), m, now, func(a leader.Answer) {
 			if a.Status == http.StatusCreated {
 				out.Begun++
@@ -182,7 +182,7 @@
 
 // executeOnRun executes a command on one run.
 func (g *Graphs) executeOnRun(verb string, gr *graph, o *Order, now time.Time, tell responder) {
-	var e *entry
+	var e *runEntry
 	for _, x := range gr.history {
 		if x.id == o.Run && !x.deleting {
 			e = x
@@ -193,7 +193,7 @@
 		return
 	}
 	if verb == DoClear && g.cfg.Source == nil {
-		tell.refuse(http.StatusConflict, "%s", noSource("a clear has steps go again under new jobs"))
+		tell.refuse(http.StatusConflict, "%s", noSourceText("a clear has steps go again under new jobs"))
 		return
 	}
 	if x := e.live; x != nil {
@@ -201,9 +201,9 @@
 		case DoCancel:
 			g.cancelRun(x, now, tell)
 		case DoClear:
-			g.clear(x, o, tell)
+			g.clearSteps(x, o, tell)
 		case DoPush:
-			g.push(x, o, tell)
+			g.setResult(x, o, tell)
 		default:
 			tell.refuse(http.StatusConflict, "the run is not over; cancel it first")
 		}
@@ -217,25 +217,25 @@
 	case DoForget:
 		g.deleteRun(gr, e, func() { tell.succeed(http.StatusNoContent) })
 	case DoClear:
-		g.revive(gr, e, o, tell)
+		g.reopenRun(gr, e, o, tell)
 	}
 }
 
-// revive reads a finished run, makes it live again and clears steps of it.
-func (g *Graphs) revive(gr *graph, e *entry, o *Order, tell responder) {
-	d := g.defs[e.def]
+// reopenRun reads a finished run, makes it live again and clears steps of it.
+func (g *Graphs) reopenRun(gr *graph, e *runEntry, o *Order, tell responder) {
+	d := g.definitions[e.defHash]
 	switch {
 	case d == nil:
 		tell.refuse(http.StatusConflict, "what the run is a run of is not stored any more")
 		return
-	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
+	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
 		tell.refuse(http.StatusServiceUnavailable, "there is no memory for more runs now; ask again")
 		return
 	}
 	plan, parts := d.plan, d.parts
 	go func() {
 		var rec runRecord
-		item, ok, err := g.store.Get(g.ended, e.key)
+		item, ok, err := g.store.Get(g.termCtx, e.key)
 		if err == nil && !ok {
 			err = errors.New("the record does not exist")
 		}
@@ -243,9 +243,9 @@
 			err = json.Unmarshal(item.Value, &rec)
 		}
 		if err == nil && plan == nil {
-			plan, err = fetch(g.ended, g.store, e.def, parts)
+			plan, err = fetch(g.termCtx, g.store, e.defHash, parts)
 		}
-		_ = g.ask(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
+		_ = g.runOnLoop(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
 			var r *dag.Run
 			if err == nil {
 				r, err = decodeRun(g.codec, &rec, plan)
@@ -257,15 +257,15 @@
 			case e.deleting:
 				tell.refuse(http.StatusNotFound, "no such run")
 			case e.live != nil: // another clear command was faster
-				g.clear(e.live, o, tell)
+				g.clearSteps(e.live, o, tell)
 			default:
-				g.learn(e.def, d.parts, plan)
-				x := newLiveRun(gr, r, e.key, e.def, rec.meta)
+				g.cachePlan(e.defHash, d.parts, plan)
+				x := newLiveRun(gr, r, e.key, e.defHash, rec.runMeta)
 				g.addLive(x)
 				x.version, x.entry, x.tries = item.Version, e, readTries(g.codec, &rec)
 				x.meta.StartMS, x.meta.EndMS = 0, 0
-				e.live, e.failed = x, nil
-				g.clear(x, o, tell)
+				e.live, e.failedPastDependents = x, nil
+				g.clearSteps(x, o, tell)
 				g.markDirty(x)
 			}
 		})
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -14,7 +14,7 @@
 // pool limits how many steps of a team's graphs are submitted at a time.
 type pool struct {
 	slots, used int
-	line        waitLine // runs with ready steps for which too few slots are free
+	waitQueue   waitQueue // runs with ready steps for which too few slots are free
 }
 
 // slots returns the number of slots of a team's pool, and whether the pool exists.
@@ -37,13 +37,13 @@
 	return g.pools[key]
 }
 
-// waitLine is a queue of runs that wait for free slots, first come first served.
-type waitLine struct{ runs []*liveRun }
+// waitQueue is a queue of runs that wait for free slots, first come first served.
+type waitQueue struct{ runs []*liveRun }
 
 // update adds a run to the queue if it waits, and removes it if it does not. A run that waits and took slots moves
 // behind the others. If the run does not wait and room says that slots are free, the first run of the queue is
 // enqueued.
-func (l *waitLine) update(g *Graphs, x *liveRun, waits, took, room bool) {
+func (l *waitQueue) update(g *Graphs, x *liveRun, waits, took, room bool) {
 	i := slices.Index(l.runs, x)
 	if i >= 0 && (took || !waits) {
 		l.runs = slices.Delete(l.runs, i, i+1)
@@ -52,48 +52,48 @@
 		l.runs = append(l.runs, x)
 	}
 	if !waits && room {
-		l.wakeFirst(g)
+		l.enqueueFirst(g)
 	}
 }
 
-// wakeFirst enqueues the first waiting run, so that it is checked whether its steps can be submitted.
-func (l *waitLine) wakeFirst(g *Graphs) {
+// enqueueFirst enqueues the first waiting run, so that it is checked whether its steps can be submitted.
+func (l *waitQueue) enqueueFirst(g *Graphs) {
 	if len(l.runs) > 0 {
 		g.enqueueRun(l.runs[0])
 	}
 }
 
-// slotsOf returns the number of slots that a step occupies.
-func slotsOf(p *dag.Plan, step int) int { return max(1, p.Steps[step].PoolSlots) }
+// slotsNeeded returns the number of slots that a step occupies.
+func slotsNeeded(p *dag.Plan, step int) int { return max(1, p.Steps[step].PoolSlots) }
 
 // fits reports whether enough slots are free for a step. A step that needs more slots than the pool has may use the
 // pool alone.
 func (p *pool) fits(x *liveRun, step int) bool {
-	return p.used == 0 || p.used+slotsOf(x.run.Plan, step) <= p.slots
+	return p.used == 0 || p.used+slotsNeeded(x.run.Plan, step) <= p.slots
 }
 
-// takeSlots allocates a step's slots.
-func (g *Graphs) takeSlots(x *liveRun, step int) {
-	x.active++
-	x.graph.active++
-	g.pool(x.run.Plan, step).used += slotsOf(x.run.Plan, step)
+// allocateSlots allocates a step's slots.
+func (g *Graphs) allocateSlots(x *liveRun, step int) {
+	x.activeJobs++
+	x.graph.activeInstances++
+	g.pool(x.run.Plan, step).used += slotsNeeded(x.run.Plan, step)
 }
 
 // releaseSlots frees a step's slots, and enqueues the step's run and the first runs that wait for them.
 func (g *Graphs) releaseSlots(x *liveRun, step int) {
 	p := g.pool(x.run.Plan, step)
-	x.active--
-	x.graph.active--
-	p.used -= slotsOf(x.run.Plan, step)
-	p.line.wakeFirst(g)
-	x.graph.line.wakeFirst(g)
+	x.activeJobs--
+	x.graph.activeInstances--
+	p.used -= slotsNeeded(x.run.Plan, step)
+	p.waitQueue.enqueueFirst(g)
+	x.graph.waitQueue.enqueueFirst(g)
 	g.enqueueRun(x)
 }
 
-// lines returns the queues of all pools.
-func (g *Graphs) lines() (out []*waitLine) {
+// poolQueues returns the queues of all pools.
+func (g *Graphs) poolQueues() (out []*waitQueue) {
 	for _, p := range g.pools {
-		out = append(out, &p.line)
+		out = append(out, &p.waitQueue)
 	}
 	return out
 }
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -33,7 +33,7 @@
 	// its final state is stored for good.
 	var ended []string
 	if err := ask(func() {
-		g.ended, g.ask, g.store = ctx, ask, store
+		g.termCtx, g.runOnLoop, g.store = ctx, ask, store
 		ended = g.install(l)
 	}); err != nil {
 		return nil, err
@@ -61,15 +61,15 @@
 		}
 		for _, x := range l.runs {
 			for _, id := range x.run.JobsBeingCancelled() { // jobs that the previous leader was about to cancel
-				g.cancels[id] = struct{}{}
+				g.jobsToCancel[id] = struct{}{}
 			}
-			if x.run.RunState() != dag.RunRunning && x.active == 0 {
+			if x.run.RunState() != dag.RunRunning && x.activeJobs == 0 {
 				x.dirty = true
 			}
 			g.enqueueRun(x)
 		}
 		g.cancelKnownJobs()
-		g.read = true
+		g.loaded = true
 		g.log.Info("graphs and live runs loaded", "graphs", len(g.graphs), "runs", len(g.runs), "steps", len(g.byJob))
 	}, nil
 }
@@ -77,25 +77,25 @@
 // install replaces the state of g by what was read. It returns the IDs of those jobs of steps that are cancelled or
 // no longer in the job store, so they may have a final state.
 func (g *Graphs) install(l *loader) (ended []string) {
-	g.defs, g.graphs, g.runs, g.bytes = l.defs, l.graphs, map[string]*liveRun{}, 0
+	g.definitions, g.graphs, g.runs, g.memoryBytes = l.defs, l.graphs, map[string]*liveRun{}, 0
 	clear(g.byJob)
 	clear(g.notSeenRunning)
 	clear(g.withTimeout)
 	clear(g.pools)
-	for _, d := range g.defs {
-		d.packed = nil
+	for _, d := range g.definitions {
+		d.compressed = nil
 		if d.plan != nil {
-			g.bytes += planBytes(d.plan)
+			g.memoryBytes += planBytes(d.plan)
 		}
 	}
 	open := func(x *liveRun, id string, at dag.InstanceRef) {
-		w := stepJob{run: x, at: at}
+		w := stepJob{run: x, ref: at}
 		if at.Step >= 0 {
 			w.generation = x.run.Generation(at.Step)
-			g.takeSlots(x, at.Step)
+			g.allocateSlots(x, at.Step)
 			g.notSeenRunning[id] = w
 		} else {
-			x.active++
+			x.activeJobs++
 		}
 		g.byJob[id] = w
 		if j := g.jobStore.Jobs[id]; j == nil || j.Cancelled() {
@@ -105,7 +105,7 @@
 	for _, x := range l.runs {
 		g.addLive(x)
 		if x.meta.StartMS != 0 {
-			x.graph.started++
+			x.graph.startedRuns++
 		}
 		for i := range x.run.Plan.Steps {
 			_, instances := x.run.StepState(i)
@@ -126,19 +126,19 @@
 func (l *loader) read(ctx context.Context, store *statestore.Client) error {
 	have := map[string]int{}
 	if _, err := store.ListAll(ctx, PrefixDef, func(items []wire.Item) error {
-		gather(l.defs, have, items)
+		collectParts(l.defs, have, items)
 		return nil
 	}); err != nil {
 		return err
 	}
 	for hash, d := range l.defs {
 		if have[hash] != d.parts {
-			d.packed, d.parts = nil, max(d.parts, have[hash]) // incomplete; the count covers all parts, so that cleanUp deletes them
+			d.compressed, d.parts = nil, max(d.parts, have[hash]) // incomplete; the count covers all parts, so that cleanUp deletes them
 		}
 	}
 	if _, err := store.ListAll(ctx, PrefixGraph, func(items []wire.Item) error {
 		for _, item := range items {
-			if err := l.graph(item); err != nil {
+			if err := l.addGraph(item); err != nil {
 				l.log.Error("decoding a graph failed; ignoring the graph in this term", "record", item.Key, "err", err)
 			}
 		}
@@ -148,7 +148,7 @@
 	}
 	_, err := store.ListAll(ctx, PrefixRun, func(items []wire.Item) error {
 		for _, item := range items {
-			if err := l.run(item); err != nil {
+			if err := l.addRun(item); err != nil {
 				l.log.Error("decoding a run failed; ignoring the run in this term", "record", item.Key, "err", err)
 			}
 		}
@@ -161,49 +161,49 @@
 func (l *loader) plan(hash string) (*dag.Plan, error) {
 	d := l.defs[hash]
 	if d == nil {
-		return nil, errParts
+		return nil, errMissingPart
 	}
-	err := d.load(l.codec, hash)
+	err := d.decodePlan(l.codec, hash)
 	return d.plan, err
 }
 
-// load decodes the plan of a definition, if it is not decoded.
-func (d *definition) load(c *charge.Codec, hash string) error {
+// decodePlan decodes the plan of a definition, if it is not decoded.
+func (d *definition) decodePlan(c *charge.Codec, hash string) error {
 	if d.plan != nil {
 		return nil
 	}
-	if d.packed == nil {
-		return errParts
+	if d.compressed == nil {
+		return errMissingPart
 	}
-	plan, err := unpack(c, hash, d.packed)
+	plan, err := decodeDefinition(c, hash, d.compressed)
 	if err == nil {
-		d.plan, d.packed = plan, nil
+		d.plan, d.compressed = plan, nil
 	}
 	return err
 }
 
-// graph adds a stored graph.
-func (l *loader) graph(item wire.Item) error {
+// addGraph adds a stored graph.
+func (l *loader) addGraph(item wire.Item) error {
 	var rec GraphRecord
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
 		return err
 	}
 	p, err := l.plan(rec.Def)
 	if p == nil || err != nil {
-		return errors.Join(errParts, err)
+		return errors.Join(errMissingPart, err)
 	}
 	gr := &graph{key: item.Key, version: item.Version, rec: rec}
-	gr.define(p, rec.Def, rec.Paused)
+	gr.setDefinition(p, rec.Def, rec.Paused)
 	if rec.LastMS != 0 {
-		gr.last = time.UnixMilli(rec.LastMS)
+		gr.lastIntervalEnd = time.UnixMilli(rec.LastMS)
 	}
 	l.defs[rec.Def].refs++
 	l.graphs[item.Key] = gr
 	return nil
 }
 
-// run adds a stored run, whose graph is already added.
-func (l *loader) run(item wire.Item) error {
+// addRun adds a stored run, whose graph is already added.
+func (l *loader) addRun(item wire.Item) error {
 	var rec runRecord
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
 		return err
@@ -212,9 +212,9 @@
 	if gr == nil {
 		return errors.New("the run's graph is not registered or could not be decoded")
 	}
-	e := &entry{key: item.Key, id: rec.ID, logical: rec.LogicalMS, due: rec.ToMS != 0, def: rec.Def}
-	if rec.over() && !gr.hasPastDependents {
-		l.refer(gr, e) // the definition need not be decoded for a finished run
+	e := &runEntry{key: item.Key, id: rec.ID, logicalMS: rec.LogicalMS, hasInterval: rec.ToMS != 0, defHash: rec.Def}
+	if rec.finished() && !gr.hasPastDependents {
+		l.addRunEntry(gr, e) // the definition need not be decoded for a finished run
 		return nil
 	}
 	p, err := l.plan(rec.Def)
@@ -225,21 +225,21 @@
 	if err != nil {
 		return err
 	}
-	if rec.over() {
-		e.failed = failedPastDependents(r)
+	if rec.finished() {
+		e.failedPastDependents = failedPastDependents(r)
 	} else {
-		x := newLiveRun(gr, r, item.Key, rec.Def, rec.meta)
-		x.version, x.entry, x.size, x.tries = item.Version, e, len(item.Value), readTries(l.codec, &rec)
+		x := newLiveRun(gr, r, item.Key, rec.Def, rec.runMeta)
+		x.version, x.entry, x.recordBytes, x.tries = item.Version, e, len(item.Value), readTries(l.codec, &rec)
 		e.live = x
 		l.runs = append(l.runs, x)
 	}
-	l.refer(gr, e)
+	l.addRunEntry(gr, e)
 	return nil
 }
 
-// refer adds a run to its graph's history, and counts its reference to its definition.
-func (l *loader) refer(gr *graph, e *entry) {
-	if d := l.defs[e.def]; d != nil {
+// addRunEntry adds a run to its graph's history, and counts its reference to its definition.
+func (l *loader) addRunEntry(gr *graph, e *runEntry) {
+	if d := l.defs[e.defHash]; d != nil {
 		d.refs++
 	}
 	gr.insertRun(e)
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -17,7 +17,7 @@
 // use. It decodes one definition at a time, because the largest needs some MB of memory.
 type Reader struct {
 	store *statestore.Client
-	turn  chan struct{} // lock of capacity 1 that guards the fields below
+	lock  chan struct{} // lock of capacity 1 that guards the fields below
 	codec *charge.Codec // nil until it is first needed
 	hash  string        // of the definition of plan
 	plan  *dag.Plan     // the plan that was read last
@@ -28,21 +28,21 @@
 
 // NewReader returns a Reader of a state service.
 func NewReader(store *statestore.Client) *Reader {
-	return &Reader{store: store, turn: make(chan struct{}, 1)}
+	return &Reader{store: store, lock: make(chan struct{}, 1)}
 }
 
-// enter acquires the lock r.turn and creates the codec if there is none. The caller releases the lock by receiving
+// acquire acquires the lock r.turn and creates the codec if there is none. The caller releases the lock by receiving
 // from r.turn.
-func (r *Reader) enter(ctx context.Context) error {
+func (r *Reader) acquire(ctx context.Context) error {
 	select {
-	case r.turn <- struct{}{}:
+	case r.lock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	if r.codec == nil {
 		var err error
 		if r.codec, err = charge.NewCodec(); err != nil {
-			<-r.turn
+			<-r.lock
 			return err
 		}
 	}
@@ -63,7 +63,7 @@
 
 // Graphs returns a team's graphs, sorted by ID.
 func (r *Reader) Graphs(ctx context.Context, team string) (out []GraphRecord, err error) {
-	_, err = r.store.ListAll(ctx, PrefixGraph+ofTeam(team), func(items []wire.Item) error {
+	_, err = r.store.ListAll(ctx, PrefixGraph+teamPrefix(team), func(items []wire.Item) error {
 		for _, item := range items {
 			var rec GraphRecord
 			if json.Unmarshal(item.Value, &rec) == nil && rec.Team == team {
@@ -115,7 +115,7 @@
 
 // Runs returns the runs of a team's graph, or those of all its graphs if id is empty.
 func (r *Reader) Runs(ctx context.Context, team, id string) (out []RunInfo, err error) {
-	prefix := PrefixRun + ofTeam(team)
+	prefix := PrefixRun + teamPrefix(team)
 	if id != "" {
 		prefix += id + "/"
 	}
@@ -140,7 +140,7 @@
 
 // Run returns a run of a team's graph. The error is ErrNone if there is no such run.
 func (r *Reader) Run(ctx context.Context, team, graph, id string) (*RunView, error) {
-	if !dag.ValidName(graph) || !validRun(id) {
+	if !dag.ValidName(graph) || !validRunID(id) {
 		return nil, ErrNone
 	}
 	var rec runRecord
@@ -151,10 +151,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := r.enter(ctx); err != nil {
+	if err := r.acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer func() { <-r.turn }()
+	defer func() { <-r.lock }()
 	run, err := decodeRun(r.codec, &rec, plan)
 	if err != nil {
 		return nil, err
@@ -164,25 +164,25 @@
 
 // Plan returns the plan of a stored definition.
 func (r *Reader) Plan(ctx context.Context, hash string) (*dag.Plan, error) {
-	if err := r.enter(ctx); err != nil {
+	if err := r.acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer func() { <-r.turn }()
+	defer func() { <-r.lock }()
 	if r.hash == hash {
 		return r.plan, nil
 	}
 	defs, have := map[string]*definition{}, map[string]int{}
 	if _, err := r.store.ListAll(ctx, PrefixDef+hash+"/", func(items []wire.Item) error {
-		gather(defs, have, items)
+		collectParts(defs, have, items)
 		return nil
 	}); err != nil {
 		return nil, err
 	}
 	d := defs[hash]
 	if d == nil || have[hash] != d.parts {
-		return nil, errParts
+		return nil, errMissingPart
 	}
-	if err := d.load(r.codec, hash); err != nil {
+	if err := d.decodePlan(r.codec, hash); err != nil {
 		return nil, err
 	}
 	r.hash, r.plan = hash, d.plan
@@ -191,10 +191,10 @@
 
 // Store stores a graph's definition, and returns its hash and its number of parts.
 func (r *Reader) Store(ctx context.Context, g *dag.Graph) (hash string, n int, err error) {
-	if err := r.enter(ctx); err != nil {
+	if err := r.acquire(ctx); err != nil {
 		return "", 0, err
 	}
-	defer func() { <-r.turn }()
+	defer func() { <-r.lock }()
 	hash, parts, err := Pack(r.codec, g)
 	if err != nil {
 		return "", 0, err
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -52,24 +52,24 @@
 	return keys
 }
 
-// ofTeam returns a team's part of a key, with a slash at the end. It is a hash, because a team's name may contain
+// teamPrefix returns a team's part of a key, with a slash at the end. It is a hash, because a team's name may contain
 // characters that a key may not.
-func ofTeam(team string) string {
+func teamPrefix(team string) string {
 	sum := sha256.Sum256([]byte(team))
 	return hex.EncodeToString(sum[:8]) + "/"
 }
 
-func keyGraph(team, graph string) string { return PrefixGraph + ofTeam(team) + graph }
+func keyGraph(team, graph string) string { return PrefixGraph + teamPrefix(team) + graph }
 
 // runEscapes escapes the characters that a run's ID may contain and a key may not.
 var runEscapes = strings.NewReplacer(":", ",c", "+", ",p")
 
 func keyRun(team, graph, run string) string {
-	return PrefixRun + ofTeam(team) + graph + "/" + runEscapes.Replace(run)
+	return PrefixRun + teamPrefix(team) + graph + "/" + runEscapes.Replace(run)
 }
 
-// validRun reports whether id is a valid ID of a run.
-func validRun(id string) bool {
+// validRunID reports whether id is a valid ID of a run.
+func validRunID(id string) bool {
 	return dag.ValidName(strings.NewReplacer(":", "", "+", "").Replace(id))
 }
 
@@ -107,7 +107,7 @@
 	ID    string `json:"id"`
 	Def   string `json:"def"` // hash of its definition
 	State string `json:"state"`
-	meta
+	runMeta
 	// Open is true if jobs of the run are not finished, whatever its state is.
 	Open bool   `json:"open,omitempty"`
 	Zstd []byte `json:"z"` // stored form of a dag.Run, compressed
@@ -115,8 +115,8 @@
 	Tries []byte `json:"tries,omitempty"`
 }
 
-// over reports whether the run is finished: it has ended, and so have all its jobs.
-func (r *runRecord) over() bool { return r.State != dag.RunRunning.String() && !r.Open }
+// finished reports whether the run is finished: it has ended, and so have all its jobs.
+func (r *runRecord) finished() bool { return r.State != dag.RunRunning.String() && !r.Open }
 
 // Pack returns the hash of a definition, and its compressed form in parts of at most tuning.GraphPartMaxBytes.
 func Pack(c *charge.Codec, g *dag.Graph) (hash string, parts [][]byte, err error) {
@@ -148,11 +148,11 @@
 	return err == nil && len(raw) == 16 && s == strings.ToLower(s)
 }
 
-// errParts means that not all parts of a definition are stored.
-var errParts = errors.New("a part of the graph is missing")
+// errMissingPart means that not all parts of a definition are stored.
+var errMissingPart = errors.New("a part of the graph is missing")
 
-// unpack decodes a compressed definition and checks its hash.
-func unpack(c *charge.Codec, hash string, packed []byte) (*dag.Plan, error) {
+// decodeDefinition decodes a compressed definition and checks its hash.
+func decodeDefinition(c *charge.Codec, hash string, packed []byte) (*dag.Plan, error) {
 	var raw []byte
 	if err := c.Decode(packed, &raw); err != nil {
 		return nil, err
@@ -167,10 +167,10 @@
 	return dag.NewPlan(g)
 }
 
-// gather adds records of parts to defs, and counts them in have, both by hash. Items are sorted by key, so the parts
+// collectParts adds records of parts to defs, and counts them in have, both by hash. Items are sorted by key, so the parts
 // of a definition are in order. If have is less than definition.parts, the definition is incomplete: its client
 // did not finish the upload.
-func gather(defs map[string]*definition, have map[string]int, items []wire.Item) {
+func collectParts(defs map[string]*definition, have map[string]int, items []wire.Item) {
 	for _, item := range items {
 		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDef), "/")
 		var r partRecord
@@ -180,18 +180,18 @@
 		if defs[hash] == nil {
 			defs[hash] = &definition{}
 		}
-		defs[hash].packed = append(defs[hash].packed, r.Zstd...)
+		defs[hash].compressed = append(defs[hash].compressed, r.Zstd...)
 		defs[hash].parts = r.Parts
 		have[hash]++
 	}
 }
 
-// runValue encodes a run's record. To stay within limit bytes, it discards the oldest tries, and if necessary all. If
-// the record is still longer, runValue returns it nevertheless.
-func runValue(c *charge.Codec, x *liveRun, limit int) (json.RawMessage, error) {
+// encodeRunRecord encodes a run's record. To stay within limit bytes, it discards the oldest tries, and if necessary all. If
+// the record is still longer, encodeRunRecord returns it nevertheless.
+func encodeRunRecord(c *charge.Codec, x *liveRun, limit int) (json.RawMessage, error) {
 	rec := runRecord{
-		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.def, State: x.run.RunState().String(), meta: x.meta,
-		Open: x.active > 0, Zstd: c.Encode(x.run.Encode()),
+		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.defHash, State: x.run.RunState().String(), runMeta: x.meta,
+		Open: x.activeJobs > 0, Zstd: c.Encode(x.run.Encode()),
 	}
 	if n := int(tuning.TriesRecordShare*float64(limit)) / tuning.TryBytes; len(x.tries) > n {
 		x.tries = slices.Clone(x.tries[len(x.tries)-n:])
@@ -216,8 +216,8 @@
 	return dag.DecodeRun(p, raw)
 }
 
-// jobOf returns the job of an instance, and the job's stored record with nowMS as the time when it was accepted.
-func jobOf(r *dag.Run, at dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
+// instanceJob returns the job of an instance, and the job's stored record with nowMS as the time when it was accepted.
+func instanceJob(r *dag.Run, at dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
 	p := r.Plan
 	d := p.Steps[at.Step].Job
 	j := wire.Job{
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -9,11 +9,11 @@
 )
 
 // deleteRun deletes a finished run. then, if not nil, is called when its record is deleted.
-func (g *Graphs) deleteRun(gr *graph, e *entry, then func()) {
+func (g *Graphs) deleteRun(gr *graph, e *runEntry, then func()) {
 	e.deleting = true
 	g.enqueueDeletions(func() {
-		gr.history = slices.DeleteFunc(gr.history, func(x *entry) bool { return x == e })
-		g.releaseDefinition(e.def)
+		gr.history = slices.DeleteFunc(gr.history, func(x *runEntry) bool { return x == e })
+		g.releaseDefinition(e.defHash)
 		if then != nil {
 			then()
 		}
@@ -35,31 +35,31 @@
 // cleanUp removes from memory the plans that only finished runs refer to, and deletes definitions that have been
 // unreferenced for tuning.GraphDeleteAfter. At the same interval it has sweep look for unregistered uploads.
 func (g *Graphs) cleanUp(now time.Time) {
-	if g.lastSweep.IsZero() {
-		g.lastSweep = now // Read has just listed all definitions
-	} else if now.Sub(g.lastSweep) >= tuning.GraphDeleteAfter {
-		g.lastSweep = now
-		g.sweep()
+	if g.lastListing.IsZero() {
+		g.lastListing = now // Read has just listed all definitions
+	} else if now.Sub(g.lastListing) >= tuning.GraphDeleteAfter {
+		g.lastListing = now
+		g.addUnregistered()
 	}
 	used := map[string]bool{}
 	for _, gr := range g.graphs {
 		used[gr.rec.Def] = true
 	}
 	for _, x := range g.runs {
-		used[x.def] = true
+		used[x.defHash] = true
 	}
-	for hash, d := range g.defs {
+	for hash, d := range g.definitions {
 		if d.plan != nil && !used[hash] {
-			g.bytes -= planBytes(d.plan)
+			g.memoryBytes -= planBytes(d.plan)
 			d.plan = nil
 		}
 		switch {
-		case d.refs > 0 || hash == g.fetching:
-			d.idle = time.Time{}
-		case d.idle.IsZero():
-			d.idle = now
-		case now.Sub(d.idle) >= tuning.GraphDeleteAfter:
-			delete(g.defs, hash)
+		case d.refs > 0 || hash == g.fetchingHash:
+			d.unreferencedSince = time.Time{}
+		case d.unreferencedSince.IsZero():
+			d.unreferencedSince = now
+		case now.Sub(d.unreferencedSince) >= tuning.GraphDeleteAfter:
+			delete(g.definitions, hash)
 			g.enqueueDeletions(nil, partKeys(hash, d.parts)...)
 		}
 	}
@@ -87,11 +87,11 @@
 	n := 0
 	for n < len(g.deletions) && b.fits(1, 0) {
 		b.txn.Then = append(b.txn.Then, wire.Change{Delete: g.deletions[n].key})
-		b.size += 2 * len(g.deletions[n].key)
+		b.bytes += 2 * len(g.deletions[n].key)
 		n++
 	}
 	if n > 0 {
-		b.done = append(b.done, func(uint64) {
+		b.onCommitted = append(b.onCommitted, func(uint64) {
 			gone := g.deletions[:n]
 			g.deletions = g.deletions[n:]
 			for _, d := range gone {
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -18,45 +18,45 @@
 	run      *dag.Run
 	graph    *graph
 	key      string
-	def      string // hash of its definition
-	meta     meta
-	version  uint64   // of the stored record; 0 if it is not stored yet
-	onStored []func() // called when it is stored
-	entry    *entry   // in the graph's history
-
-	queued   bool      // it is in Graphs.todo
-	dirty    bool      // it has changes that are not stored
-	lateAt   time.Time // when it was added to Graphs.storeLater
-	finished bool      // it has ended and is stored as that
-	suspect  bool      // a transaction with some of its jobs failed a condition, so its jobs are submitted one by one
-	size     int       // size of its newest record, in bytes
-	active   int       // submitted, unfinished jobs
+	defHash  string // hash of its definition
+	meta     runMeta
+	version  uint64    // of the stored record; 0 if it is not stored yet
+	onStored []func()  // called when it is stored
+	entry    *runEntry // in the graph's history
+
+	inQueue         bool      // it is in Graphs.todo
+	dirty           bool      // it has changes that are not stored
+	storeLaterSince time.Time // when it was added to Graphs.storeLater
+	finished        bool      // it has ended and is stored as that
+	submitOneByOne  bool      // a transaction with some of its jobs failed a condition, so its jobs are submitted one by one
+	recordBytes     int       // size of its newest record, in bytes
+	activeJobs      int       // submitted, unfinished jobs
 
 	waitingForPool map[*pool][]dag.InstanceRef // ready instances that wait for slots of a pool
 	waitingForPast []dag.InstanceRef           // ready instances that wait for the same step of the previous run
 	picked         []pickedStep                // described instances that hold slots and are to be submitted
-	pending        map[string]wire.JobState    // jobs in an unanswered transaction, by ID, with their final states if known
+	unansweredJobs map[string]wire.JobState    // jobs in an unanswered transaction, by ID, with their final states if known
 	tries          []Try                       // the newest ones, in the order in which they began
 }
 
 // newLiveRun creates a live run, which is not yet added to its graph's history or to Graphs.runs.
-func newLiveRun(gr *graph, r *dag.Run, key, def string, m meta) *liveRun {
+func newLiveRun(gr *graph, r *dag.Run, key, def string, m runMeta) *liveRun {
 	return &liveRun{
-		run: r, graph: gr, key: key, def: def, meta: m, waitingForPool: map[*pool][]dag.InstanceRef{}, pending: map[string]wire.JobState{},
+		run: r, graph: gr, key: key, defHash: def, meta: m, waitingForPool: map[*pool][]dag.InstanceRef{}, unansweredJobs: map[string]wire.JobState{},
 	}
 }
 
 // addLive adds a run to the live runs.
 func (g *Graphs) addLive(x *liveRun) {
-	g.bytes += len(x.run.Plan.Steps) * tuning.RunStepBytes
+	g.memoryBytes += len(x.run.Plan.Steps) * tuning.RunStepBytes
 	g.runs[x.key] = x
 }
 
 // createRun creates a run of a graph. It answers with 201 when the run is stored, or at once if it refuses the run.
-func (g *Graphs) createRun(gr *graph, id string, m meta, now time.Time, tell responder) {
-	d := g.defs[gr.rec.Def]
+func (g *Graphs) createRun(gr *graph, id string, m runMeta, now time.Time, tell responder) {
+	d := g.definitions[gr.rec.Def]
 	key := keyRun(gr.rec.Team, gr.rec.ID, id)
-	if status, why := g.refusalOf(gr, d, key, id, &m); status != 0 {
+	if status, why := g.refusal(gr, d, key, id, &m); status != 0 {
 		tell.refuse(status, "%s", why)
 		return
 	}
@@ -67,62 +67,62 @@
 	x := newLiveRun(gr, dag.NewRun(d.plan, id), key, gr.rec.Def, m)
 	g.addLive(x)
 	d.refs++
-	x.entry = &entry{key: key, id: id, logical: m.LogicalMS, due: m.ToMS != 0, def: x.def, live: x}
+	x.entry = &runEntry{key: key, id: id, logicalMS: m.LogicalMS, hasInterval: m.ToMS != 0, defHash: x.defHash, live: x}
 	gr.insertRun(x.entry)
 	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusCreated) })
 	g.markDirty(x)
 }
 
-// refusalOf returns the status and reason with which a new run is refused; status 0 if it is not refused.
-func (g *Graphs) refusalOf(gr *graph, d *definition, key, id string, m *meta) (status int, why string) {
+// refusal returns the status and reason with which a new run is refused; status 0 if it is not refused.
+func (g *Graphs) refusal(gr *graph, d *definition, key, id string, m *runMeta) (status int, why string) {
 	switch {
 	case gr.deleting:
 		return http.StatusNotFound, "no such graph"
 	case d == nil || d.plan == nil:
 		return http.StatusServiceUnavailable, "the graph cannot be read now; ask again"
-	case !validRun(id) || len(key) > tuning.MaxKeyBytes:
+	case !validRunID(id) || len(key) > tuning.MaxKeyBytes:
 		return http.StatusBadRequest, "dag_run_id is too long, or no name of letters, digits and _-.:+"
-	case slices.ContainsFunc(gr.history, func(e *entry) bool { return e.key == key }):
+	case slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.key == key }):
 		return http.StatusConflict, "the run exists already"
-	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *entry) bool { return e.due && e.logical == m.LogicalMS }):
+	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.hasInterval && e.logicalMS == m.LogicalMS }):
 		return http.StatusConflict, "the interval has a run already"
 	case len(m.Conf) > tuning.GraphConfMaxBytes:
 		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConfMaxBytes)
-	case g.cfg.Bytes > 0 && g.bytes > g.cfg.Bytes:
+	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
 		return http.StatusServiceUnavailable, "there is no memory for more runs now; ask again"
 	case g.cfg.Source != nil:
 		return 0, ""
 	case !m.Described:
-		return http.StatusConflict, noSource("the run's steps were not described by whoever triggers it")
+		return http.StatusConflict, noSourceText("the run's steps were not described by whoever triggers it")
 	}
 	for i := range d.plan.Steps {
 		if mappedAtRunTime(d.plan, i) {
-			return http.StatusConflict, noSource("step " + d.plan.Steps[i].ID + " is mapped over what another step leaves")
+			return http.StatusConflict, noSourceText("step " + d.plan.Steps[i].ID + " is mapped over what another step leaves")
 		}
 	}
 	return 0, ""
 }
 
 // insertRun adds a run to a graph's history.
-func (gr *graph) insertRun(e *entry) {
-	i, _ := slices.BinarySearchFunc(gr.history, e, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.logical, b.logical), cmp.Compare(a.id, b.id))
+func (gr *graph) insertRun(e *runEntry) {
+	i, _ := slices.BinarySearchFunc(gr.history, e, func(a, b *runEntry) int {
+		return cmp.Or(cmp.Compare(a.logicalMS, b.logicalMS), cmp.Compare(a.id, b.id))
 	})
 	gr.history = slices.Insert(gr.history, i, e)
 }
 
-// mayProceed reports whether steps of a run may be submitted: the graph is not paused, and the run has started. It
+// startIfAllowed reports whether steps of a run may be submitted: the graph is not paused, and the run has started. It
 // starts the run if fewer runs than the graph's limit have started.
-func (g *Graphs) mayProceed(x *liveRun, now time.Time) bool {
+func (g *Graphs) startIfAllowed(x *liveRun, now time.Time) bool {
 	gr := x.graph
 	if gr.rec.Paused {
 		return false
 	}
 	if x.meta.StartMS == 0 {
-		if gr.started >= gr.rec.MaxRuns {
+		if gr.startedRuns >= gr.rec.MaxRuns {
 			return false
 		}
-		gr.started++
+		gr.startedRuns++
 		x.meta.StartMS = now.UnixMilli()
 		x.dirty = true
 	}
@@ -132,22 +132,22 @@
 // finish removes a run from the live runs if it has ended, its jobs have finished and its record is stored. It
 // enqueues the graph's next run that has not started.
 func (g *Graphs) finish(x *liveRun) {
-	if x.finished || x.run.RunState() == dag.RunRunning || x.active > 0 || x.dirty || len(x.pending) > 0 {
+	if x.finished || x.run.RunState() == dag.RunRunning || x.activeJobs > 0 || x.dirty || len(x.unansweredJobs) > 0 {
 		return
 	}
 	gr := x.graph
 	x.finished = true
 	delete(g.runs, x.key)
 	delete(g.storeLater, x)
-	g.bytes -= len(x.run.Plan.Steps) * tuning.RunStepBytes
-	x.entry.live, x.entry.failed = nil, failedPastDependents(x.run)
+	g.memoryBytes -= len(x.run.Plan.Steps) * tuning.RunStepBytes
+	x.entry.live, x.entry.failedPastDependents = nil, failedPastDependents(x.run)
 	if x.meta.StartMS != 0 {
-		gr.started--
+		gr.startedRuns--
 	}
-	for _, l := range append([]*waitLine{&gr.line}, g.lines()...) {
+	for _, l := range append([]*waitQueue{&gr.waitQueue}, g.poolQueues()...) {
 		l.runs = slices.DeleteFunc(l.runs, func(y *liveRun) bool { return y == x })
 	}
-	if i := slices.IndexFunc(gr.history, func(e *entry) bool { return e.live != nil && e.live.meta.StartMS == 0 }); i >= 0 {
+	if i := slices.IndexFunc(gr.history, func(e *runEntry) bool { return e.live != nil && e.live.meta.StartMS == 0 }); i >= 0 {
 		g.enqueueRun(gr.history[i].live)
 	}
 	g.applyRetention(gr)
@@ -174,15 +174,15 @@
 	x.run.Cancel()
 	if x.meta.StartMS == 0 { // it was waiting to start
 		x.meta.StartMS = now.UnixMilli()
-		x.graph.started++
+		x.graph.startedRuns++
 	}
 	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
 	g.cancelUnneeded(x)
 	g.markDirty(x)
 }
 
-// clear resets steps of a live run, so that they run again as new jobs.
-func (g *Graphs) clear(x *liveRun, o *Order, tell responder) {
+// clearSteps resets steps of a live run, so that they run again as new jobs.
+func (g *Graphs) clearSteps(x *liveRun, o *Order, tell responder) {
 	steps, err := x.run.StepsToClear(o.Steps, o.Below, o.OnlyFailed)
 	if err != nil {
 		tell.refuse(http.StatusBadRequest, "%s", err)
@@ -198,10 +198,10 @@
 // detachOrphans releases the slots of unfinished jobs of earlier generations.
 func (x *liveRun) detachOrphans(g *Graphs) {
 	for _, id := range x.run.Orphans() {
-		if w, ok := g.byJob[id]; ok && w.at.Step >= 0 {
-			x.active++ // releaseSlots decrements it, but the run stays live until the job has finished
-			g.releaseSlots(x, w.at.Step)
-			w.at = dag.InstanceRef{Step: -1}
+		if w, ok := g.byJob[id]; ok && w.ref.Step >= 0 {
+			x.activeJobs++ // releaseSlots decrements it, but the run stays live until the job has finished
+			g.releaseSlots(x, w.ref.Step)
+			w.ref = dag.InstanceRef{Step: -1}
 			g.byJob[id] = w
 			delete(g.notSeenRunning, id)
 			delete(g.withTimeout, id)
@@ -209,8 +209,8 @@
 	}
 }
 
-// push sets the result of a step, which steps downstream read.
-func (g *Graphs) push(x *liveRun, o *Order, tell responder) {
+// setResult sets the result of a step, which steps downstream read.
+func (g *Graphs) setResult(x *liveRun, o *Order, tell responder) {
 	i, ok := x.run.Plan.Index[o.Step]
 	if !ok {
 		tell.refuse(http.StatusNotFound, "no such step")
@@ -224,8 +224,8 @@
 	g.markDirty(x)
 }
 
-// meta is the part of a run's record that does not concern single steps.
-type meta struct {
+// runMeta is the part of a run's record that does not concern single steps.
+type runMeta struct {
 	Type      string          `json:"type"` // manual, scheduled or backfill
 	LogicalMS int64           `json:"logical_ms"`
 	FromMS    int64           `json:"from_ms,omitempty"` // start of the data interval; 0 if there is none
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -28,9 +28,9 @@
 
 // A pool and max_active_tasks limit the submitted steps of all runs together, max_active_runs limits the started runs,
 // and waiting steps are submitted as others end.
-func TestPoolsAndLimitsOverAllRuns(t *testing.T) {
-	w := newWorldWith(t, Config{Pools: func(team, name string) (int, bool) { return 3, team == "the team" && name == "db" }})
-	w.lead()
+func TestPoolsAndLimitsApplyToAllRuns(t *testing.T) {
+	w := newHarnessWithoutLeader(t, Config{Pools: func(team, name string) (int, bool) { return 3, team == "the team" && name == "db" }})
+	w.changeLeader()
 	defer w.close()
 	var steps []dag.Step
 	for i := range 6 {
@@ -43,97 +43,97 @@
 		}
 		steps = append(steps, s)
 	}
-	p := graphOf(t, func(g *dag.Graph) { g.MaxTasks, g.MaxRuns = 4, 2 }, steps...)
-	w.begin(p, "one")
-	w.ordered(DoTrigger, Order{Run: "two", Described: true}, http.StatusCreated)
-	w.ordered(DoTrigger, Order{Run: "three", Described: true}, http.StatusCreated)
-	for round := 0; len(w.live()) > 0; round++ {
+	p := newPlanWith(t, func(g *dag.Graph) { g.MaxTasks, g.MaxRuns = 4, 2 }, steps...)
+	w.registerAndTrigger(p, "one")
+	w.sendAndSettle(DoTrigger, Order{Run: "two", Described: true}, http.StatusCreated)
+	w.sendAndSettle(DoTrigger, Order{Run: "three", Described: true}, http.StatusCreated)
+	for round := 0; len(w.liveJobs()) > 0; round++ {
 		slots := 0
 		for id := range w.graphs.byJob {
-			at := w.graphs.byJob[id].at
+			at := w.graphs.byJob[id].ref
 			if p.Steps[at.Step].Pool == "db" {
-				slots += slotsOf(p, at.Step)
+				slots += slotsNeeded(p, at.Step)
 			}
 		}
-		if n := len(w.live()); n > 4 || slots > 3 || w.graphs.graphs[keyGraph("the team", "g")].started > 2 {
+		if n := len(w.liveJobs()); n > 4 || slots > 3 || w.graphs.graphs[keyGraph("the team", "g")].startedRuns > 2 {
 			t.Fatalf("round %d: limits exceeded: %d steps are submitted, %d slots are used", round, n, slots)
 		}
 		if round == 3 {
-			w.lead() // a new leader restores the same counts
+			w.changeLeader() // a new leader restores the same counts
 		}
-		w.finish()
+		w.completeJobs()
 	}
 	for _, id := range []string{"one", "two", "three"} {
-		if r := w.run(p, id); r.RunState() != dag.RunSuccess {
+		if r := w.storedRun(p, id); r.RunState() != dag.RunSuccess {
 			t.Errorf("run %s has not succeeded: its steps are %v", id, counts(r))
 		}
 	}
-	if a := w.register(graphOf(t, func(g *dag.Graph) { g.ID = "other" }, func() dag.Step { s := step("s"); s.Pool = "theirs"; return s }())); a.status != http.StatusBadRequest || !strings.Contains(a.text, `no pool "theirs"`) {
+	if a := w.register(newPlanWith(t, func(g *dag.Graph) { g.ID = "other" }, func() dag.Step { s := step("s"); s.Pool = "theirs"; return s }())); a.status != http.StatusBadRequest || !strings.Contains(a.text, `no pool "theirs"`) {
 		t.Errorf("registering a graph with an unknown pool: %+v", a)
 	}
 }
 
 // A step that depends on the past waits for the same step of the previous run, also after a change of leaders. If that
 // step failed, it waits until the failed step is cleared and succeeds.
-func TestAStepThatDependsOnThePast(t *testing.T) {
-	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
-	w.lead()
+func TestStepThatDependsOnPast(t *testing.T) {
+	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	w.changeLeader()
 	defer w.close()
 	s := step("s")
 	s.DependsOnPast = true
-	p := check(t, s)
-	w.begin(p, "one")
-	first := w.live()[0]
+	p := newPlan(t, s)
+	w.registerAndTrigger(p, "one")
+	first := w.liveJobs()[0]
 	w.clock.Advance(time.Second)
-	w.ordered(DoTrigger, Order{Run: "two"}, http.StatusCreated)
-	if got := w.live(); len(got) != 1 {
+	w.sendAndSettle(DoTrigger, Order{Run: "two"}, http.StatusCreated)
+	if got := w.liveJobs(); len(got) != 1 {
 		t.Fatalf("submitted jobs are %v, want one", got)
 	}
-	w.end(w.place(first), wire.ExitError) // the step has no retries
+	w.endAttempt(w.startTask(first), wire.ExitError) // the step has no retries
 	w.settle()
-	w.lead()
+	w.changeLeader()
 	w.settle()
-	if got := w.live(); len(got) != 0 || w.run(p, "one").RunState() != dag.RunFailed {
+	if got := w.liveJobs(); len(got) != 0 || w.storedRun(p, "one").RunState() != dag.RunFailed {
 		t.Fatalf("after the failure in the previous run, submitted jobs are %v, want none", got)
 	}
-	w.order(DoClear, Order{Run: "one"})
-	w.answered() // the run is finished, so it is read first
+	w.send(DoClear, Order{Run: "one"})
+	w.runLoopFunc() // the run is finished, so it is read first
 	w.settle()
-	w.finish()
-	w.finish()
-	if one, two := w.run(p, "one"), w.run(p, "two"); one.RunState() != dag.RunSuccess || two.RunState() != dag.RunSuccess {
+	w.completeJobs()
+	w.completeJobs()
+	if one, two := w.storedRun(p, "one"), w.storedRun(p, "two"); one.RunState() != dag.RunSuccess || two.RunState() != dag.RunSuccess {
 		t.Errorf("not both runs have succeeded: their steps are %v and %v", counts(one), counts(two))
 	}
 }
 
 // When a running step is cleared, its old job is cancelled, by the next leader if this one fails before that. The end of
 // the old job does not change the state of the step's next generation.
-func TestAClearInFlight(t *testing.T) {
-	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
-	w.lead()
+func TestClearOfRunningStep(t *testing.T) {
+	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	w.changeLeader()
 	defer w.close()
-	p := check(t, step("a"), step("b", "a"))
-	w.begin(p, "one")
-	old := w.live()[0]
-	w.place(old)
-	w.order(DoClear, Order{Run: "one", Below: true})
-	w.next(true) // the new generation is stored, the cancellation of the old job is not
-	w.lead()
+	p := newPlan(t, step("a"), step("b", "a"))
+	w.registerAndTrigger(p, "one")
+	old := w.liveJobs()[0]
+	w.startTask(old)
+	w.send(DoClear, Order{Run: "one", Below: true})
+	w.commitNext(true) // the new generation is stored, the cancellation of the old job is not
+	w.changeLeader()
 	w.settle()
-	if got := w.live(); len(got) != 2 {
+	if got := w.liveJobs(); len(got) != 2 {
 		t.Fatalf("live jobs are %v, want the old one and the new one", got)
 	}
-	if j := w.book.Jobs[old]; !j.Cancelled() {
+	if j := w.jobStore.Jobs[old]; !j.Cancelled() {
 		t.Error("the old job is not cancelled")
 	}
-	w.end(w.book.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
+	w.endAttempt(w.jobStore.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
 	w.settle()
-	if r := w.run(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
+	if r := w.storedRun(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
 		t.Errorf("the end of the old job changed the state of the step: steps are %v", counts(r))
 	}
-	w.finish()
-	w.finish()
-	if r := w.run(p, "one"); r.RunState() != dag.RunSuccess || len(r.Orphans()) != 0 || len(w.graphs.runs) != 0 {
+	w.completeJobs()
+	w.completeJobs()
+	if r := w.storedRun(p, "one"); r.RunState() != dag.RunSuccess || len(r.Orphans()) != 0 || len(w.graphs.runs) != 0 {
 		t.Errorf("the run has not finished: its steps are %v, its orphans %v", counts(r), r.Orphans())
 	}
 }
@@ -142,41 +142,41 @@
 // while the graph is paused. After a pause, the interval that ended in the meantime gets its run, and a clock that is
 // set back creates no further one. A backfill skips intervals that have a run.
 func TestScheduledRuns(t *testing.T) {
-	w := newWorldWith(t, Config{Source: sourceFunc(describes)})
-	w.lead()
+	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	w.changeLeader()
 	defer w.close()
 	start := w.clock.Now()
-	p := graphOf(t, func(g *dag.Graph) { g.Schedule, g.Start, g.Catchup, g.MaxRuns = "@hourly", &start, true, 2 }, step("s"))
+	p := newPlanWith(t, func(g *dag.Graph) { g.Schedule, g.Start, g.Catchup, g.MaxRuns = "@hourly", &start, true, 2 }, step("s"))
 	if a := w.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
 	w.clock.Advance(3 * time.Hour)
 	w.graphs.Tick(w.clock.Now())
-	w.next(true) // the runs are stored, the graph's LastMS is not
-	w.lead()
+	w.commitNext(true) // the runs are stored, the graph's LastMS is not
+	w.changeLeader()
 	for range 4 {
 		w.settle()
-		w.finish()
+		w.completeJobs()
 	}
 	if got := len(w.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs for three hours, want 3", got)
 	}
-	w.ordered(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
+	w.sendAndSettle(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
 	w.clock.Advance(time.Hour)
 	w.settle()
-	w.lead()
+	w.changeLeader()
 	w.settle()
 	if got := len(w.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs while the graph is paused, want 3", got)
 	}
-	w.ordered(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
-	w.finish()
+	w.sendAndSettle(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
+	w.completeJobs()
 	w.clock.Advance(-time.Hour) // the clock is set back
 	w.settle()
 	if got := len(w.list(PrefixRun)); got != 4 {
 		t.Errorf("%d runs after the pause, want 4", got)
 	}
-	text := w.ordered(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
+	text := w.sendAndSettle(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
 	if got := len(w.list(PrefixRun)); text != "" || got != 9 {
 		t.Errorf("%d runs after a backfill of six hours, one of which had a run, want 9: %s", got, text)
 	}
@@ -187,21 +187,21 @@
 
 // Without a source of descriptions, everything is refused for which the service would have to describe steps itself: a
 // schedule, a backfill, and a step that is mapped over the result of another.
-func TestWithoutASource(t *testing.T) {
-	w := newWorld(t)
+func TestRefusalsWithoutSource(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	start := w.clock.Now()
-	if a := w.register(graphOf(t, func(g *dag.Graph) { g.Schedule, g.Start = "@daily", &start }, step("s"))); a.status != http.StatusBadRequest || !strings.Contains(a.text, "graphs.descriptions") {
+	if a := w.register(newPlanWith(t, func(g *dag.Graph) { g.Schedule, g.Start = "@daily", &start }, step("s"))); a.status != http.StatusBadRequest || !strings.Contains(a.text, "graphs.descriptions") {
 		t.Errorf("registering a graph with a schedule: %+v", a)
 	}
 	over := step("b")
 	over.Map = &dag.Map{Over: "a"}
-	p := check(t, step("a"), over)
+	p := newPlan(t, step("a"), over)
 	if a := w.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
 	for verb, o := range map[string]Order{DoTrigger: {Run: "one", Described: true}, DoBackfill: {From: start, To: start}} {
-		if text := w.ordered(verb, o, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
+		if text := w.sendAndSettle(verb, o, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
 			t.Errorf("command %s is refused with %q, which does not name the missing setting", verb, text)
 		}
 	}
@@ -209,10 +209,10 @@
 
 // Steps are described before they are submitted. A failed call is retried, and a refused step fails without affecting
 // the others.
-func TestASourceThatFailsAndRefuses(t *testing.T) {
+func TestSourceFailsAndRefuses(t *testing.T) {
 	calls, failing := 0, true
 	var last []Description
-	w := newWorldWith(t, Config{Source: sourceFunc(func(steps []Description) error {
+	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
 		calls++
 		if last = steps; failing {
 			return errors.New("the source is down")
@@ -224,64 +224,64 @@
 		}
 		return nil
 	})})
-	w.lead()
+	w.changeLeader()
 	defer w.close()
-	p := graphOf(t, func(g *dag.Graph) { g.Params = map[string]json.RawMessage{"a": []byte("1"), "b": []byte("2")} }, step("good"), step("bad"), step("also"))
+	p := newPlanWith(t, func(g *dag.Graph) { g.Params = map[string]json.RawMessage{"a": []byte("1"), "b": []byte("2")} }, step("good"), step("bad"), step("also"))
 	if a := w.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	w.order(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
+	w.send(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
 	w.settle()
-	if calls != 1 || len(w.live()) != 0 {
-		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, w.live())
+	if calls != 1 || len(w.liveJobs()) != 0 {
+		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, w.liveJobs())
 	}
 	failing = false
 	if err := w.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	w.clock.Advance(tuning.DescribeRetryPause)
-	w.answered()
+	w.runLoopFunc()
 	w.settle()
-	if got := w.live(); len(got) != 2 || counts(w.run(p, "one"))["failed"] != 1 {
-		t.Errorf("live jobs are %v, want two; steps are %v, want one failed", got, counts(w.run(p, "one")))
+	if got := w.liveJobs(); len(got) != 2 || counts(w.storedRun(p, "one"))["failed"] != 1 {
+		t.Errorf("live jobs are %v, want two; steps are %v, want one failed", got, counts(w.storedRun(p, "one")))
 	}
 	if d := last[0]; string(d.Params["a"]) != "1" || string(d.Params["b"]) != "3" || d.Run != "one" || d.Index != -1 {
 		t.Errorf("wrong description: %+v", d)
 	}
 }
 
-// A step is mapped over the list that an upstream step sets as its result. Only such a step may set a result, and the
-// result survives a change of leaders.
+// A step is mapped over the list that an upstream step sets as its result. A mapped step cannot set a
+// result. The result survives a change of leaders.
 func TestResultsPassBetweenSteps(t *testing.T) {
 	var got []string
-	w := newWorldWith(t, Config{Source: sourceFunc(func(steps []Description) error {
+	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
 		for _, s := range steps {
 			got = append(got, fmt.Sprintf("%s/%d %s", s.Step, s.Index, s.Element))
 		}
 		return nil
 	})})
-	w.lead()
+	w.changeLeader()
 	defer w.close()
 	over := step("each", "list")
 	over.Map = &dag.Map{Over: "list"}
-	p := check(t, step("list"), over)
-	w.begin(p, "one")
-	w.ordered(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
-	w.ordered(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
-	w.lead() // the new leader has the stored result
+	p := newPlan(t, step("list"), over)
+	w.registerAndTrigger(p, "one")
+	w.sendAndSettle(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
+	w.sendAndSettle(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
+	w.changeLeader() // the new leader has the stored result
 	w.settle()
-	w.finish()
-	if len(w.live()) != 3 || len(got) != 3 || got[2] != "each/2 9" {
-		t.Errorf("live jobs are %v, descriptions are %v, want three of each", w.live(), got)
+	w.completeJobs()
+	if len(w.liveJobs()) != 3 || len(got) != 3 || got[2] != "each/2 9" {
+		t.Errorf("live jobs are %v, descriptions are %v, want three of each", w.liveJobs(), got)
 	}
 }
 
 // Job IDs are hashes that others can compute. If another submitter's job with the ID of a step's job is stored, that
 // step fails, and no other.
-func TestAJobOfTheSameIDIsThere(t *testing.T) {
-	w := newWorld(t)
+func TestJobIDTakenByAnotherSubmitter(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
-	p := check(t, step("a"), step("b"))
+	p := newPlan(t, step("a"), step("b"))
 	taken := dag.NewRun(p, "one").JobID(dag.InstanceRef{Step: 1})
 	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: taken, Class: "c", Team: "others", Kind: wire.KindArray, Tasks: 1, CPUs: 1}})
 	if err != nil {
@@ -291,7 +291,7 @@
 	if a := w.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	a := w.order(DoTrigger, Order{Run: "one", Described: true})
+	a := w.send(DoTrigger, Order{Run: "one", Described: true})
 	conflicts := 0
 	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		if revision, err := w.store.Commit(t.Context(), write.Txn); err == nil {
@@ -300,22 +300,22 @@
 			conflicts++
 			write.Conflict()
 		}
-		w.watch()
+		w.loadNewJobs()
 	}
-	r := w.run(p, "one")
+	r := w.storedRun(p, "one")
 	if a.status != http.StatusCreated || conflicts != 2 || counts(r)["queued"] != 1 || counts(r)["failed"] != 1 || len(w.graphs.byJob) != 1 {
 		t.Errorf("answered with %+v after %d conflicts, want 201 after 2; steps are %v with %d jobs, want one queued and one failed", a, conflicts, counts(r), len(w.graphs.byJob))
 	}
 }
 
 // Old finished runs and unreferenced definitions are deleted.
-func TestWhatIsOverIsDropped(t *testing.T) {
-	w := newWorld(t)
+func TestRetention(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	for i := range tuning.GraphRetainedRuns + 5 {
 		w.clock.Advance(time.Second)
-		w.begin(check(t, step("s")), fmt.Sprint("run", i))
-		w.finish()
+		w.registerAndTrigger(newPlan(t, step("s")), fmt.Sprint("run", i))
+		w.completeJobs()
 	}
 	if got := len(w.list(PrefixRun)); got != tuning.GraphRetainedRuns {
 		t.Errorf("%d runs are stored, want as many as are retained", got)
@@ -323,17 +323,17 @@
 	if _, there := w.state.Value(keyRun("the team", "g", "run4")); there {
 		t.Error("the oldest run is not deleted")
 	}
-	w.begin(check(t, step("s"), step("t")), "newer")
-	w.ordered(DoForget, Order{Run: "newer"}, http.StatusConflict)
-	w.finish()
-	w.ordered(DoForget, Order{Run: "newer"}, http.StatusNoContent)
-	w.ordered(DoForget, Order{Run: "newer"}, http.StatusNotFound)
+	w.registerAndTrigger(newPlan(t, step("s"), step("t")), "newer")
+	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusConflict)
+	w.completeJobs()
+	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNoContent)
+	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNotFound)
 	if n := len(w.list(PrefixDef)); n != 2 {
 		t.Errorf("%d definitions are stored, want 2", n)
 	}
-	w.lead()
-	w.ordered(DoRemove, Order{}, http.StatusNoContent)
-	w.ordered(DoTrigger, Order{}, http.StatusNotFound)
+	w.changeLeader()
+	w.sendAndSettle(DoRemove, Order{}, http.StatusNoContent)
+	w.sendAndSettle(DoTrigger, Order{}, http.StatusNotFound)
 	for range 3 {
 		w.clock.Advance(tuning.GraphDeleteAfter)
 		w.settle()
@@ -345,23 +345,23 @@
 
 // Guards against uploads that are never registered and stay stored forever, and against the registration of a
 // definition while its parts are about to be deleted.
-func TestUploadsThatNobodyRegisters(t *testing.T) {
-	w := newWorld(t)
+func TestUnregisteredUploadsAreDeleted(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
 	w.settle() // the first cleanUp; from now on the interval to the first sweep counts
-	p := check(t, step("s"))
+	p := newPlan(t, step("s"))
 	o := w.upload(p)
 	w.clock.Advance(tuning.GraphDeleteAfter)
 	w.graphs.Tick(w.clock.Now())
-	w.answered() // the sweep has found the definition
+	w.runLoopFunc() // the sweep has found the definition
 	for range 2 {
 		w.clock.Advance(tuning.GraphDeleteAfter)
 		w.graphs.Tick(w.clock.Now())
 	}
-	if !w.graphs.dropping(o.Def) {
+	if !w.graphs.isBeingDeleted(o.Def) {
 		t.Fatal("the unregistered definition is not being deleted")
 	}
-	if a := w.order(DoPut, o); a.status != http.StatusServiceUnavailable {
+	if a := w.send(DoPut, o); a.status != http.StatusServiceUnavailable {
 		t.Errorf("registered while its parts are about to be deleted: %+v", a)
 	}
 	w.settle()
@@ -375,22 +375,22 @@
 
 // A stored definition that does not match its hash is deleted, so that it does not block a valid one with that hash. A
 // definition of one team cannot be registered by another.
-func TestASpoiltDefinition(t *testing.T) {
-	w := newWorld(t)
+func TestCorruptDefinitionIsDeleted(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
-	p := check(t, step("s"))
+	p := newPlan(t, step("s"))
 	o := w.upload(p)
-	w.ordered(DoPut, Order{Def: "x", Parts: 1}, http.StatusBadRequest)
+	w.sendAndSettle(DoPut, Order{Def: "x", Parts: 1}, http.StatusBadRequest)
 	key := partKeys(o.Def, 1)[0]
 	w.commit(wire.Txn{Then: []wire.Change{{Put: key, Value: []byte(`{"parts":1,"z":"AAAA"}`)}}})
-	a := w.order(DoPut, o)
-	w.answered()
+	a := w.send(DoPut, o)
+	w.runLoopFunc()
 	w.settle()
 	if _, there := w.state.Value(key); a.status != http.StatusBadRequest || there {
 		t.Errorf("registering a corrupt definition: %+v, want 400; still stored: %v", a, there)
 	}
-	a = w.order(DoPut, o)
-	w.answered()
+	a = w.send(DoPut, o)
+	w.runLoopFunc()
 	if w.settle(); a.status != http.StatusConflict {
 		t.Errorf("registering the deleted definition without an upload: %+v, want 409", a)
 	}
@@ -399,19 +399,19 @@
 	}
 	other := w.upload(p)
 	other.Team = "others"
-	if a := w.order(DoPut, other); a.status != http.StatusForbidden {
+	if a := w.send(DoPut, other); a.status != http.StatusForbidden {
 		t.Errorf("registered by another team: %+v, want 403", a)
 	}
 }
 
 // Commands on a graph of another team get the same answer as commands on a graph that does not exist.
-func TestAnotherTeamsGraph(t *testing.T) {
-	w := newWorld(t)
+func TestGraphOfAnotherTeam(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
-	w.begin(check(t, step("s")), "one")
+	w.registerAndTrigger(newPlan(t, step("s")), "one")
 	for _, verb := range []string{DoTrigger, DoCancel, DoClear, DoPause, DoRemove, DoForget, DoPush, DoBackfill} {
-		theirs := w.ordered(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
-		if none := w.ordered(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
+		theirs := w.sendAndSettle(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
+		if none := w.sendAndSettle(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
 			t.Errorf("command %s is refused with %q for another team's graph, with %q for one that does not exist", verb, theirs, none)
 		}
 	}
@@ -429,27 +429,27 @@
 
 // Guards against runs that are lost if all controllers fail: the next leader reads 1,000 live runs and submits their
 // steps as others end.
-func TestAThousandLiveRunsAreTakenOver(t *testing.T) {
-	w := newWorld(t)
+func TestFailoverWithThousandLiveRuns(t *testing.T) {
+	w := newHarness(t)
 	defer w.close()
-	p := graphOf(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 600, 500 }, step("a"), step("b", "a"))
+	p := newPlanWith(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 600, 500 }, step("a"), step("b", "a"))
 	if a := w.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		w.order(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		w.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
 	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
 		write.Done(w.commit(write.Txn))
 	}
-	w.lead()
+	w.changeLeader()
 	gr := w.graphs.graphs[keyGraph("the team", "g")]
-	if len(w.graphs.runs) != 1000 || len(w.graphs.byJob) != 128 || gr.started != 600 || gr.active != 128 {
-		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(w.graphs.runs), len(w.graphs.byJob), gr.started, gr.active)
+	if len(w.graphs.runs) != 1000 || len(w.graphs.byJob) != 128 || gr.startedRuns != 600 || gr.activeInstances != 128 {
+		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(w.graphs.runs), len(w.graphs.byJob), gr.startedRuns, gr.activeInstances)
 	}
 	// For each step that ends, one more is submitted: of the first run that waits.
 	for round := range 20 {
-		w.end(w.place(w.live()[round]), wire.ExitDone)
+		w.endAttempt(w.startTask(w.liveJobs()[round]), wire.ExitDone)
 		w.settle()
 		if n := len(w.graphs.byJob); n != 128 {
 			t.Fatalf("round %d: %d steps are submitted, want 128", round, n)
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -8,13 +8,13 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// schedule creates the scheduled runs that are due.
-func (g *Graphs) schedule(now time.Time) {
+// createDueRuns creates the scheduled runs that are due.
+func (g *Graphs) createDueRuns(now time.Time) {
 	for _, gr := range g.graphs {
-		if gr.sched == nil || gr.rec.Paused || gr.deleting || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.dueAt) {
+		if gr.schedule == nil || gr.rec.Paused || gr.deleting || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.notDueBefore) {
 			continue
 		}
-		d := g.defs[gr.rec.Def]
+		d := g.definitions[gr.rec.Def]
 		if d == nil || d.plan == nil {
 			continue
 		}
@@ -22,22 +22,22 @@
 		if free <= 0 {
 			continue
 		}
-		due := d.plan.Due(gr.sched, gr.last, now, free)
+		due := d.plan.Due(gr.schedule, gr.lastIntervalEnd, now, free)
 		for _, interval := range due {
-			if !g.beginDue(gr, interval, now) {
+			if !g.createScheduledRun(gr, interval, now) {
 				break
 			}
 		}
-		if next := gr.sched.Next(now); len(due) == 0 && !next.IsZero() {
-			gr.dueAt = next // no interval ends before the schedule fires
+		if next := gr.schedule.Next(now); len(due) == 0 && !next.IsZero() {
+			gr.notDueBefore = next // no interval ends before the schedule fires
 		}
 	}
 }
 
-// beginDue creates the scheduled run of a data interval. It returns false if that is to be retried because memory is
+// createScheduledRun creates the scheduled run of a data interval. It returns false if that is to be retried because memory is
 // short.
-func (g *Graphs) beginDue(gr *graph, due dag.Interval, now time.Time) bool {
-	m := meta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
+func (g *Graphs) createScheduledRun(gr *graph, due dag.Interval, now time.Time) bool {
+	m := runMeta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
 	stored := func() {
 		gr.rec.LastMS = max(gr.rec.LastMS, m.ToMS)
 		g.storeGraph(gr, nil)
@@ -57,7 +57,7 @@
 		}
 	})
 	if ok {
-		gr.last = due.End
+		gr.lastIntervalEnd = due.End
 	}
 	return ok
 }
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -13,31 +13,31 @@
 
 // pickedStep is an instance that holds slots and is to be described and submitted.
 type pickedStep struct {
-	run *liveRun
-	at  dag.InstanceRef
-	id  string // of its job; differs from the run's if the step was cleared since
+	run   *liveRun
+	ref   dag.InstanceRef
+	jobID string // of its job; differs from the run's if the step was cleared since
 }
 
 // pickReady allocates slots to ready instances of a run, and has them described. If slots are missing, the run joins
 // the queues of the pools or of the graph.
 func (g *Graphs) pickReady(x *liveRun, now time.Time) {
-	if !g.mayProceed(x, now) {
+	if !g.startIfAllowed(x, now) {
 		return
 	}
-	before := x.graph.active
+	before := x.graph.activeInstances
 	g.recheckPast(x)
 	g.pickWaitingForPool(x)
 	g.pickNext(x)
-	took := x.graph.active != before // each picked instance increments active, and nothing here decrements it
+	took := x.graph.activeInstances != before // each picked instance increments active, and nothing here decrements it
 	for _, p := range g.pools {
-		p.line.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
+		p.waitQueue.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
 	}
 	gr := x.graph
-	gr.line.update(g, x, !gr.hasRoom() && (x.run.ReadyCount() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
+	gr.waitQueue.update(g, x, !gr.hasRoom() && (x.run.ReadyCount() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
 }
 
 // hasRoom reports whether one more step of the graph may be submitted.
-func (gr *graph) hasRoom() bool { return gr.active < gr.rec.MaxTasks }
+func (gr *graph) hasRoom() bool { return gr.activeInstances < gr.rec.MaxTasks }
 
 // recheckPast moves instances that waited for the previous run to the queues of their pools, if that run has done
 // the step.
@@ -93,12 +93,12 @@
 // pickStep allocates slots to an instance, and has it described unless the client has done that or there is no
 // source of descriptions.
 func (g *Graphs) pickStep(x *liveRun, at dag.InstanceRef) {
-	g.takeSlots(x, at.Step)
-	p := pickedStep{run: x, at: at, id: x.run.JobID(at)}
+	g.allocateSlots(x, at.Step)
+	p := pickedStep{run: x, ref: at, jobID: x.run.JobID(at)}
 	if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
 		x.picked = append(x.picked, p)
 	} else {
-		g.source.queue = append(g.source.queue, p)
+		g.describeQueue.steps = append(g.describeQueue.steps, p)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 	before, name := x.graph.history[i-1], x.run.Plan.Steps[step].ID
 	if before.live == nil {
-		return !before.failed[name]
+		return !before.failedPastDependents[name]
 	}
 	j, ok := before.live.run.Plan.Index[name]
 	if !ok {
@@ -136,15 +136,15 @@
 
 // storeRuns adds runs to a transaction, each with the jobs of its picked instances.
 func (g *Graphs) storeRuns(b *batch, now time.Time) {
-	for n := len(g.todo); n > 0 && b.fits(2, tuning.RecordOverheadBytes); n-- {
-		x := g.todo[0]
-		g.todo = g.todo[1:]
-		x.queued = false
+	for n := len(g.runQueue); n > 0 && b.fits(2, tuning.RecordOverheadBytes); n-- {
+		x := g.runQueue[0]
+		g.runQueue = g.runQueue[1:]
+		x.inQueue = false
 		g.pickReady(x, now)
 		if !g.storeRun(x, b, now) {
 			// The next transaction begins with this run; the other runs stay queued behind it.
-			x.queued = true
-			g.todo = append([]*liveRun{x}, g.todo...)
+			x.inQueue = true
+			g.runQueue = append([]*liveRun{x}, g.runQueue...)
 			return
 		}
 		if len(x.picked) > 0 {
@@ -158,16 +158,16 @@
 	if !x.dirty && len(x.picked) == 0 {
 		return true
 	}
-	if !b.fits(2, x.size+tuning.RecordOverheadBytes) || x.suspect && len(b.txn.Then) > 0 {
+	if !b.fits(2, x.recordBytes+tuning.RecordOverheadBytes) || x.submitOneByOne && len(b.txn.Then) > 0 {
 		return false
 	}
 	taken := g.submitPicked(x, b, now)
 	g.cancelUnneeded(x)
-	if x.suspect && len(x.picked) == 0 && len(taken) == 0 {
-		x.suspect = false
+	if x.submitOneByOne && len(x.picked) == 0 && len(taken) == 0 {
+		x.submitOneByOne = false
 	}
-	x.noteEnd(now)
-	value, ok := g.encodeRun(x, b.value)
+	x.updateEnd(now)
+	value, ok := g.encodeRun(x, b.maxValueBytes)
 	if !ok {
 		return true // it is not stored; the next leader continues from the last stored record
 	}
@@ -178,35 +178,35 @@
 // submitPicked adds the jobs of picked instances to a transaction, as many as fit, and returns these instances. For a
 // suspect run it adds only one.
 func (g *Graphs) submitPicked(x *liveRun, b *batch, now time.Time) (taken []pickedStep) {
-	for len(x.picked) > 0 && b.fits(2, x.size+2*tuning.RecordOverheadBytes) && (!x.suspect || len(taken) == 0) {
+	for len(x.picked) > 0 && b.fits(2, x.recordBytes+2*tuning.RecordOverheadBytes) && (!x.submitOneByOne || len(taken) == 0) {
 		p := x.picked[0]
 		x.picked = x.picked[1:]
-		if !x.run.IsReadyWithJob(p.at, p.id) {
-			g.releaseSlots(x, p.at.Step) // the step was cleared or cancelled in the meantime
+		if !x.run.IsReadyWithJob(p.ref, p.jobID) {
+			g.releaseSlots(x, p.ref.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
-		_, value, err := jobOf(x.run, p.at, now.UnixMilli())
-		if err != nil || len(value) > b.value {
-			g.log.Error("record of a step's job is too long or cannot be encoded; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id, "err", err)
-			g.releaseSlots(x, p.at.Step)
-			x.run.JobCancelled(p.at)
+		_, value, err := instanceJob(x.run, p.ref, now.UnixMilli())
+		if err != nil || len(value) > b.maxValueBytes {
+			g.log.Error("record of a step's job is too long or cannot be encoded; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.jobID, "err", err)
+			g.releaseSlots(x, p.ref.Step)
+			x.run.JobCancelled(p.ref)
 			continue
 		}
-		x.run.JobSubmitted(p.at)
-		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.id)})
-		b.put(jobs.KeyJob(p.id), 0, value)
+		x.run.JobSubmitted(p.ref)
+		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.jobID)})
+		b.put(jobs.KeyJob(p.jobID), 0, value)
 		// The job may finish before this transaction is answered, so it is registered here: jobFinished must
 		// find it.
-		g.byJob[p.id] = stepJob{x, p.at, x.run.Generation(p.at.Step)}
-		g.notSeenRunning[p.id] = g.byJob[p.id]
-		x.pending[p.id] = ""
+		g.byJob[p.jobID] = stepJob{x, p.ref, x.run.Generation(p.ref.Step)}
+		g.notSeenRunning[p.jobID] = g.byJob[p.jobID]
+		x.unansweredJobs[p.jobID] = ""
 		taken = append(taken, p)
 	}
 	return taken
 }
 
-// noteEnd sets the time when the run ended, or resets it if the run is running again.
-func (x *liveRun) noteEnd(now time.Time) {
+// updateEnd sets the time when the run ended, or resets it if the run is running again.
+func (x *liveRun) updateEnd(now time.Time) {
 	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
 		x.meta.EndMS = now.UnixMilli()
 	} else if x.run.RunState() == dag.RunRunning {
@@ -217,74 +217,74 @@
 // encodeRun returns a run's record of at most the given number of bytes. A run whose record is longer is cancelled; ok
 // is false if it is too long even then.
 func (g *Graphs) encodeRun(x *liveRun, most int) (value json.RawMessage, ok bool) {
-	value, err := runValue(g.codec, x, most)
+	value, err := encodeRunRecord(g.codec, x, most)
 	if err == nil && len(value) <= most {
 		return value, true
 	}
 	g.log.Error("record of a run is too long or cannot be encoded; cancelling the run", "run", x.key, "bytes", len(value), "err", err)
 	x.run.Cancel()
 	g.cancelUnneeded(x)
-	value, err = runValue(g.codec, x, most)
+	value, err = encodeRunRecord(g.codec, x, most)
 	return value, err == nil && len(value) <= most
 }
 
 // putRun adds a run's record to a transaction that submits the instances in taken, with callbacks for the case that the
 // transaction is committed and for the case that a condition does not hold.
 func (g *Graphs) putRun(x *liveRun, b *batch, value json.RawMessage, taken []pickedStep) {
-	x.size = len(value)
-	told, late := x.onStored, x.lateAt
+	x.recordBytes = len(value)
+	told, late := x.onStored, x.storeLaterSince
 	x.dirty, x.onStored = false, nil
 	delete(g.storeLater, x)
 	b.put(x.key, x.version, value)
-	b.done = append(b.done, func(revision uint64) {
+	b.onCommitted = append(b.onCommitted, func(revision uint64) {
 		x.version = revision
 		for _, fn := range told {
 			fn()
 		}
-		g.endPending(x, taken)
+		g.finishEarlyJobs(x, taken)
 		g.finish(x)
 	})
-	b.undo = append(b.undo, func() {
-		x.lateAt, x.onStored = late, append(told, x.onStored...)
-		alone := x.suspect
+	b.onConflict = append(b.onConflict, func() {
+		x.storeLaterSince, x.onStored = late, append(told, x.onStored...)
+		alone := x.submitOneByOne
 		for _, p := range taken {
-			g.withdraw(p, alone)
+			g.revertSubmission(p, alone)
 		}
 		g.markDirty(x)
 	})
 }
 
-// endPending handles the jobs of a committed transaction that finished before its answer arrived.
-func (g *Graphs) endPending(x *liveRun, taken []pickedStep) {
+// finishEarlyJobs handles the jobs of a committed transaction that finished before its answer arrived.
+func (g *Graphs) finishEarlyJobs(x *liveRun, taken []pickedStep) {
 	for _, p := range taken {
-		state := x.pending[p.id]
-		delete(x.pending, p.id)
+		state := x.unansweredJobs[p.jobID]
+		delete(x.unansweredJobs, p.jobID)
 		if state != "" {
-			g.jobFinished(p.id, state, g.cfg.Clock.Now())
+			g.jobFinished(p.jobID, state, g.cfg.Clock.Now())
 		}
 	}
 }
 
-// withdraw reverts a submission whose transaction failed a condition, because another submitter's job with that ID is
+// revertSubmission reverts a submission whose transaction failed a condition, because another submitter's job with that ID is
 // stored: job IDs are hashes that others can compute. If the job was alone in its transaction, the step fails.
 // Otherwise the step becomes ready again, and the run's jobs are submitted one by one to identify the job.
-func (g *Graphs) withdraw(p pickedStep, alone bool) {
+func (g *Graphs) revertSubmission(p pickedStep, alone bool) {
 	x := p.run
-	orphan := g.byJob[p.id].at.Step < 0
-	delete(x.pending, p.id)
-	delete(g.byJob, p.id)
-	delete(g.notSeenRunning, p.id)
+	orphan := g.byJob[p.jobID].ref.Step < 0
+	delete(x.unansweredJobs, p.jobID)
+	delete(g.byJob, p.jobID)
+	delete(g.notSeenRunning, p.jobID)
 	if orphan { // the step was cleared in the meantime
-		x.active--
-		x.run.OrphanFinished(p.id)
+		x.activeJobs--
+		x.run.OrphanFinished(p.jobID)
 		return
 	}
-	g.releaseSlots(x, p.at.Step)
+	g.releaseSlots(x, p.ref.Step)
 	if alone {
-		g.log.Error("another job with the ID of a step's job exists; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.id)
-		x.run.JobCancelled(p.at)
+		g.log.Error("another job with the ID of a step's job exists; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.jobID)
+		x.run.JobCancelled(p.ref)
 		return
 	}
-	x.suspect = true
-	x.run.SubmissionFailed(p.at)
+	x.submitOneByOne = true
+	x.run.SubmissionFailed(p.ref)
 }
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -19,15 +19,15 @@
 	State      dag.State
 }
 
-// begun records the begin of a try of an instance.
-func (x *liveRun) begun(at dag.InstanceRef, now time.Time) {
+// tryBegan records the begin of a try of an instance.
+func (x *liveRun) tryBegan(at dag.InstanceRef, now time.Time) {
 	x.tries = append(x.tries, Try{
 		Step: at.Step, Index: at.Index, Generation: x.run.Generation(at.Step), BeginMS: now.UnixMilli() - x.meta.QueuedMS, State: dag.Running,
 	})
 }
 
-// ended records the end of the newest try of an instance, unless its begin was not seen.
-func (x *liveRun) ended(at dag.InstanceRef, now time.Time, state dag.State) {
+// tryEnded records the end of the newest try of an instance, unless its begin was not seen.
+func (x *liveRun) tryEnded(at dag.InstanceRef, now time.Time, state dag.State) {
 	for i := len(x.tries) - 1; i >= 0; i-- {
 		if t := &x.tries[i]; t.Step == at.Step && t.Index == at.Index {
 			if t.EndMS == 0 {
