--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -30,38 +30,38 @@
 
 // BenchmarkFailover measures how long a new leader takes to read 1,000 live runs of 30 steps, and their memory.
 func BenchmarkFailover(b *testing.B) {
-	w := newHarness(b)
-	defer w.close()
+	h := newHarness(b)
+	defer h.close()
 	p := fanOutPlan(b, 28)
-	if a := w.register(p); a.status != 201 {
+	if a := h.register(p); a.status != 201 {
 		b.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		w.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		h.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
-	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
-		write.Done(w.commit(write.Txn))
+	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
+		write.Done(h.commit(write.Txn))
 	}
-	w.graphs = nil
+	h.graphs = nil
 	before := heapBytes()
 	for b.Loop() {
-		w.changeLeader()
+		h.changeLeader()
 	}
 	b.ReportMetric((heapBytes()-before)/1000, "B/run")
-	b.ReportMetric(float64(len(w.graphs.runs)), "runs")
+	b.ReportMetric(float64(len(h.graphs.runs)), "runs")
 }
 
-// BenchmarkJobFinished measures the end of one step's job in a graph of 10,000 steps, and the encoding of the transactions
-// that follow.
+// BenchmarkJobFinished measures the handling of one finished job of a run of 10,000 steps, and the encoding of the
+// transaction that follows.
 func BenchmarkJobFinished(b *testing.B) {
-	w := newHarness(b)
-	defer w.close()
+	h := newHarness(b)
+	defer h.close()
 	p := fanOutPlan(b, dag.MaxSteps-2)
-	if a := w.register(p); a.status != 201 {
+	if a := h.register(p); a.status != 201 {
 		b.Fatalf("registering the graph: %+v", a)
 	}
 	next := func() bool {
-		write := w.graphs.NextWrite(w.clock.Now(), 1000)
+		write := h.graphs.NextWrite(h.clock.Now(), 1000)
 		if write != nil {
 			write.Done(1) // not committed: the store is not part of the measurement
 		}
@@ -69,17 +69,17 @@
 	}
 	runs := 0
 	begin := func() {
-		w.send(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
+		h.send(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
 		runs++
 		for next() {
 		}
 	}
 	for b.Loop() {
-		if len(w.graphs.byJob) == 0 {
+		if len(h.graphs.byJob) == 0 {
 			begin()
 		}
-		for id := range w.graphs.byJob {
-			w.graphs.jobFinished(id, wire.StateDone, w.clock.Now())
+		for id := range h.graphs.byJob {
+			h.graphs.jobFinished(id, wire.StateDone, h.clock.Now())
 			break
 		}
 		next()
@@ -90,10 +90,10 @@
 func BenchmarkLargestGraph(b *testing.B) {
 	p := fanOutPlan(b, dag.MaxSteps-2)
 	for b.Loop() {
-		w := newHarness(b)
+		h := newHarness(b)
 		before := heapBytes()
-		w.registerAndTrigger(p, "one")
+		h.registerAndTrigger(p, "one")
 		b.ReportMetric((heapBytes()-before)/(1<<20), "MB")
-		w.close()
+		h.close()
 	}
 }
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -41,7 +41,7 @@
 	hasInterval          bool            // it covers a data interval; each interval has at most one run
 	defHash              string          // hash of its definition
 	live                 *liveRun        // nil if the run is finished, and stored as that
-	failedPastDependents map[string]bool // IDs of its failedPastDependents, if it is finished
+	failedPastDependents map[string]bool // if it is finished: result of failedPastDependents
 	deleting             bool            // its record is being deleted
 }
 
@@ -57,23 +57,23 @@
 func (a responder) succeed(status int) { a(leader.Answer{Status: status, Body: struct{}{}}) }
 
 // register sets the definition of a graph. Existing runs continue with theirs.
-func (g *Graphs) register(o *Order, p *dag.Plan, tell responder) {
-	if p.Team != o.Team || p.ID != o.Graph {
-		tell.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
+func (g *Graphs) register(cmd *Order, plan *dag.Plan, respond responder) {
+	if plan.Team != cmd.Team || plan.ID != cmd.Graph {
+		respond.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
 		return
 	}
-	key := keyGraph(o.Team, o.Graph)
+	key := keyGraph(cmd.Team, cmd.Graph)
 	gr := g.graphs[key]
 	status := http.StatusOK
 	switch {
 	case len(key) > tuning.MaxKeyBytes:
-		tell.refuse(http.StatusBadRequest, "the graph's name is too long")
+		respond.refuse(http.StatusBadRequest, "the graph's name is too long")
 		return
 	case gr != nil && gr.deleting:
-		tell.refuse(http.StatusConflict, "the graph is being dropped; ask again")
+		respond.refuse(http.StatusConflict, "the graph is being dropped; ask again")
 		return
 	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
-		tell.refuse(http.StatusServiceUnavailable, "there is no memory for more graphs now; ask again")
+		respond.refuse(http.StatusServiceUnavailable, "there is no memory for more graphs now; ask again")
 		return
 	case gr == nil:
 		gr = &graph{key: key}
@@ -83,32 +83,32 @@
 		g.releaseDefinition(gr.rec.Def)
 	}
 	paused := gr.rec.Paused
-	if o.Paused != nil {
-		paused = *o.Paused
+	if cmd.Paused != nil {
+		paused = *cmd.Paused
 	}
-	gr.setDefinition(p, o.Def, paused)
+	gr.setDefinition(plan, cmd.Def, paused)
 	gr.enqueueRuns(g) // its limits may have changed
-	g.definitions[o.Def].refs++
-	g.storeGraph(gr, func() { tell.succeed(status) })
+	g.definitions[cmd.Def].refs++
+	g.storeGraph(gr, func() { respond.succeed(status) })
 }
 
 // setDefinition updates a graph's record and schedule from a definition.
-func (gr *graph) setDefinition(p *dag.Plan, hash string, paused bool) {
+func (gr *graph) setDefinition(plan *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
-		Team: p.Team, ID: p.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: p.Description, Schedule: p.Schedule, Zone: p.Timezone,
-		Start: p.Start, End: p.End, Catchup: p.Catchup, MaxRuns: cmp.Or(p.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(p.MaxTasks, tuning.GraphDefaultTasks),
-		Tags: p.Tags, Steps: len(p.Steps),
+		Team: plan.Team, ID: plan.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: plan.Description, Schedule: plan.Schedule, Zone: plan.Timezone,
+		Start: plan.Start, End: plan.End, Catchup: plan.Catchup, MaxRuns: cmp.Or(plan.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(plan.MaxTasks, tuning.GraphDefaultTasks),
+		Tags: plan.Tags, Steps: len(plan.Steps),
 	}
-	gr.schedule, _ = dag.ParseSchedule(p.Schedule, p.Timezone) // NewPlan has validated it
+	gr.schedule, _ = dag.ParseSchedule(plan.Schedule, plan.Timezone) // NewPlan has validated it
 	gr.notDueBefore = time.Time{}
-	gr.hasPastDependents = slices.ContainsFunc(p.Steps, func(s dag.Step) bool { return s.DependsOnPast })
+	gr.hasPastDependents = slices.ContainsFunc(plan.Steps, func(s dag.Step) bool { return s.DependsOnPast })
 }
 
-// storeGraph marks a graph as changed. told, if not nil, is called when the graph is stored.
-func (g *Graphs) storeGraph(gr *graph, told func()) {
+// storeGraph marks a graph as changed. onStored, if not nil, is called when the graph is stored.
+func (g *Graphs) storeGraph(gr *graph, onStored func()) {
 	gr.dirty = true
-	if told != nil {
-		gr.onStored = append(gr.onStored, told)
+	if onStored != nil {
+		gr.onStored = append(gr.onStored, onStored)
 	}
 }
 
@@ -127,26 +127,26 @@
 		if !b.fits(1, len(value)) {
 			return
 		}
-		told := gr.onStored
+		onStored := gr.onStored
 		gr.dirty, gr.onStored = false, nil
 		b.put(gr.key, gr.version, value)
 		b.onCommitted = append(b.onCommitted, func(revision uint64) {
 			gr.version = revision
-			for _, fn := range told {
+			for _, fn := range onStored {
 				fn()
 			}
 		})
-		b.onConflict = append(b.onConflict, func() { gr.dirty, gr.onStored = true, append(told, gr.onStored...) })
+		b.onConflict = append(b.onConflict, func() { gr.dirty, gr.onStored = true, append(onStored, gr.onStored...) })
 	}
 }
 
 // setPaused pauses a graph, or resumes it. While it is paused, no scheduled runs are created and no steps submitted.
-func (g *Graphs) setPaused(gr *graph, paused bool, tell responder) {
+func (g *Graphs) setPaused(gr *graph, paused bool, respond responder) {
 	if gr.rec.Paused != paused {
 		gr.rec.Paused = paused
 		gr.enqueueRuns(g)
 	}
-	g.storeGraph(gr, func() { tell.succeed(http.StatusOK) })
+	g.storeGraph(gr, func() { respond.succeed(http.StatusOK) })
 }
 
 // enqueueRuns enqueues all live runs of a graph.
@@ -159,9 +159,9 @@
 }
 
 // deleteGraph deletes a graph and its runs. It is refused while a run is live.
-func (g *Graphs) deleteGraph(gr *graph, tell responder) {
+func (g *Graphs) deleteGraph(gr *graph, respond responder) {
 	if slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.live != nil }) {
-		tell.refuse(http.StatusConflict, "runs of the graph are not over; cancel them first")
+		respond.refuse(http.StatusConflict, "runs of the graph are not over; cancel them first")
 		return
 	}
 	gr.deleting = true
@@ -174,6 +174,6 @@
 	g.enqueueDeletions(func() {
 		delete(g.graphs, gr.key)
 		g.releaseDefinition(gr.rec.Def)
-		tell.succeed(http.StatusNoContent)
+		respond.succeed(http.StatusNoContent)
 	}, gr.key)
 }
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -27,54 +27,54 @@
 	unreferencedSince time.Time // when cleanUp first found it unreferenced; zero if it is in use or was not checked since
 }
 
-// fetchAndRegister registers a graph whose definition is stored, or replaces the definition of a registered graph. It reads the
-// definition first if it is not in memory.
-func (g *Graphs) fetchAndRegister(o *Order, tell responder) {
-	if d := g.definitions[o.Def]; d != nil && d.plan != nil {
-		g.register(o, d.plan, tell)
+// fetchAndRegister registers a graph whose definition is stored, or replaces the definition of a registered graph. It
+// reads the definition first if it is not in memory.
+func (g *Graphs) fetchAndRegister(cmd *Order, respond responder) {
+	if d := g.definitions[cmd.Def]; d != nil && d.plan != nil {
+		g.register(cmd, d.plan, respond)
 		return
 	}
-	if o.Parts < 1 || o.Parts > tuning.GraphMaxParts {
-		tell.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphMaxParts)
+	if cmd.Parts < 1 || cmd.Parts > tuning.GraphMaxParts {
+		respond.refuse(http.StatusBadRequest, "a graph has 1 to %d parts", tuning.GraphMaxParts)
 		return
 	}
-	if g.fetchingHash != "" || g.isBeingDeleted(o.Def) {
-		tell.refuse(http.StatusServiceUnavailable, "another graph is being read, or this one's old parts go; ask again")
+	if g.fetchingHash != "" || g.isBeingDeleted(cmd.Def) {
+		respond.refuse(http.StatusServiceUnavailable, "another graph is being read, or this one's old parts go; ask again")
 		return
 	}
-	g.fetchingHash = o.Def
+	g.fetchingHash = cmd.Def
 	go func() {
-		plan, err := fetch(g.termCtx, g.store, o.Def, o.Parts)
+		plan, err := fetch(g.termCtx, g.store, cmd.Def, cmd.Parts)
 		if err == nil {
 			err = g.validatePlan(plan)
 		}
-		_ = g.runOnLoop(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
+		_ = g.runOnLoop(func() { // fails only when the leadership has ended; the client gets no answer then
 			g.fetchingHash = ""
-			var bad *invalidGraphError
+			var invalid *invalidGraphError
 			switch {
-			case errors.As(err, &bad):
-				g.deleteInvalid(o.Def, o.Parts)
-				tell.refuse(http.StatusBadRequest, "%s", bad.text)
+			case errors.As(err, &invalid):
+				g.deleteInvalid(cmd.Def, cmd.Parts)
+				respond.refuse(http.StatusBadRequest, "%s", invalid.text)
 			case errors.Is(err, errMissingPart):
-				tell.refuse(http.StatusConflict, "a part of the graph is not stored; upload it again")
+				respond.refuse(http.StatusConflict, "a part of the graph is not stored; upload it again")
 			case err != nil:
-				tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
+				respond.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
 			default:
-				g.cachePlan(o.Def, o.Parts, plan)
-				g.register(o, plan, tell)
+				g.cachePlan(cmd.Def, cmd.Parts, plan)
+				g.register(cmd, plan, respond)
 			}
 		})
 	}()
 }
 
 // cachePlan stores the plan of a definition in memory.
-func (g *Graphs) cachePlan(hash string, parts int, p *dag.Plan) {
+func (g *Graphs) cachePlan(hash string, parts int, plan *dag.Plan) {
 	if g.definitions[hash] == nil {
 		g.definitions[hash] = &definition{parts: parts}
 	}
 	if d := g.definitions[hash]; d.plan == nil {
-		d.plan = p
-		g.memoryBytes += planBytes(p)
+		d.plan = plan
+		g.memoryBytes += planBytes(plan)
 	}
 }
 
@@ -88,22 +88,22 @@
 // deletes them like others that are unreferenced.
 func (g *Graphs) addUnregistered() {
 	go func() {
-		defs, have := map[string]*definition{}, map[string]int{}
+		definitions, partCounts := map[string]*definition{}, map[string]int{}
 		_, err := g.store.ListAll(g.termCtx, PrefixDef, func(items []wire.Item) error {
-			collectParts(defs, have, items)
-			for _, d := range defs {
+			collectParts(definitions, partCounts, items)
+			for _, d := range definitions {
 				d.compressed = nil // only hashes and part counts are needed
 			}
 			return nil
 		})
 		if err != nil {
-			g.log.Debug("listing definitions failed; retrying at the next sweep", "err", err)
+			g.log.Debug("listing the stored definitions failed; unregistered ones are not deleted until the next listing", "err", err)
 			return
 		}
 		_ = g.runOnLoop(func() { // fails only when the leadership has ended
-			for hash, d := range defs {
+			for hash, d := range definitions {
 				if g.definitions[hash] == nil && !g.isBeingDeleted(hash) {
-					g.definitions[hash] = &definition{parts: max(d.parts, have[hash])}
+					g.definitions[hash] = &definition{parts: max(d.parts, partCounts[hash])}
 				}
 			}
 		})
@@ -126,14 +126,14 @@
 
 func (e *invalidGraphError) Error() string { return e.text }
 
-// fetch reads the n parts of a definition from the store. The error is errMissingPart if one is missing, and a *invalidGraphError if
-// the content is invalid.
+// fetch reads the n parts of a definition from the store. The error is errMissingPart if one is missing, and an
+// *invalidGraphError if the content is invalid.
 func fetch(ctx context.Context, store *statestore.Client, hash string, n int) (*dag.Plan, error) {
 	codec, err := charge.NewCodec()
 	if err != nil {
 		return nil, err
 	}
-	var packed []byte
+	var compressed []byte
 	for _, key := range partKeys(hash, n) {
 		item, ok, err := store.Get(ctx, key)
 		if err != nil {
@@ -146,34 +146,34 @@
 		if json.Unmarshal(item.Value, &r) != nil || r.Parts != n {
 			return nil, &invalidGraphError{"the parts of the graph do not belong together"}
 		}
-		packed = append(packed, r.Zstd...)
+		compressed = append(compressed, r.Zstd...)
 	}
-	plan, err := decodeDefinition(codec, hash, packed)
+	plan, err := decodeDefinition(codec, hash, compressed)
 	if err != nil {
 		return nil, &invalidGraphError{strings.Join(strings.Fields(err.Error()), " ")}
 	}
 	return plan, nil
 }
 
-// validatePlan returns a *invalidGraphError, with a text of one line, if a graph can never run in this cluster. It is safe for
-// concurrent use.
-func (g *Graphs) validatePlan(p *dag.Plan) error {
-	r := dag.NewRun(p, "check")
-	for i := range p.Steps {
-		s := &p.Steps[i]
-		if _, ok := g.slots(p.Team, s.Pool); !ok {
+// validatePlan returns an *invalidGraphError, with a text of one line, if a graph can never run in this cluster. It is
+// safe for concurrent use.
+func (g *Graphs) validatePlan(plan *dag.Plan) error {
+	run := dag.NewRun(plan, "check")
+	for i := range plan.Steps {
+		s := &plan.Steps[i]
+		if _, ok := g.slots(plan.Team, s.Pool); !ok {
 			return &invalidGraphError{fmt.Sprintf("step %s: the team has no pool %q", s.ID, s.Pool)}
 		}
 		if s.Job == nil {
 			continue
 		}
-		j, value, err := instanceJob(r, dag.InstanceRef{Step: i}, 0)
+		j, value, err := instanceJob(run, dag.InstanceRef{Step: i}, 0)
 		if err == nil {
 			err = j.Check()
 		}
 		if err == nil && g.cfg.Impossible != nil {
-			if why := g.cfg.Impossible(&j); why != "" {
-				err = errors.New(why)
+			if reason := g.cfg.Impossible(&j); reason != "" {
+				err = errors.New(reason)
 			}
 		}
 		if err == nil && len(value) > int(g.cfg.ValueKB*1024) {
@@ -183,7 +183,7 @@
 			return &invalidGraphError{fmt.Sprintf("step %s: %s", s.ID, err)}
 		}
 	}
-	if g.cfg.Source == nil && p.Start != nil && p.Schedule != "" && p.Schedule != "None" {
+	if g.cfg.Source == nil && plan.Start != nil && plan.Schedule != "" && plan.Schedule != "None" {
 		return &invalidGraphError{noSourceText("it has a schedule and a start_date")}
 	}
 	return nil
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -47,7 +47,7 @@
 // Foreseen returns the descriptions of a run's first generation that are known before the run starts: all except
 // those of steps that are mapped over the result of another step.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
-	r, m := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
+	run, meta := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
 		s := &p.Steps[i]
 		if s.Job == nil || mappedAtRunTime(p, i) {
@@ -58,34 +58,34 @@
 			n = len(s.Map.List)
 		}
 		for k := range n {
-			out = append(out, describe(r, m, dag.InstanceRef{Step: i, Index: k}))
+			out = append(out, describe(run, meta, dag.InstanceRef{Step: i, Index: k}))
 		}
 	}
 	return out
 }
 
 // describe returns the description of an instance's job.
-func describe(r *dag.Run, m *runMeta, at dag.InstanceRef) Description {
-	s := &r.Plan.Steps[at.Step]
+func describe(run *dag.Run, meta *runMeta, ref dag.InstanceRef) Description {
+	s := &run.Plan.Steps[ref.Step]
 	d := Description{
-		Job: r.JobID(at), Team: r.Plan.Team, Graph: r.Plan.ID, Run: r.ID, Step: s.ID, Index: -1, Generation: r.Generation(at.Step),
-		Image: s.Job.Image, Logical: timeOf(m.LogicalMS), Params: map[string]json.RawMessage{}, Results: map[string]json.RawMessage{},
+		Job: run.JobID(ref), Team: run.Plan.Team, Graph: run.Plan.ID, Run: run.ID, Step: s.ID, Index: -1, Generation: run.Generation(ref.Step),
+		Image: s.Job.Image, Logical: timeOf(meta.LogicalMS), Params: map[string]json.RawMessage{}, Results: map[string]json.RawMessage{},
 	}
 	if s.Map != nil {
-		d.Index, d.Element = at.Index, r.Element(at)
+		d.Index, d.Element = ref.Index, run.Element(ref)
 	}
-	if m.ToMS != 0 {
-		from, to := timeOf(m.FromMS), timeOf(m.ToMS)
+	if meta.ToMS != 0 {
+		from, to := timeOf(meta.FromMS), timeOf(meta.ToMS)
 		d.From, d.To = &from, &to
 	}
-	maps.Copy(d.Params, r.Plan.Params)
+	maps.Copy(d.Params, run.Plan.Params)
 	var conf map[string]json.RawMessage
-	if len(m.Conf) > 0 && json.Unmarshal(m.Conf, &conf) == nil {
+	if len(meta.Conf) > 0 && json.Unmarshal(meta.Conf, &conf) == nil {
 		maps.Copy(d.Params, conf)
 	}
-	for _, j := range r.Plan.Upstream[at.Step] {
-		if result := r.Result(j); result != nil {
-			d.Results[r.Plan.Steps[j].ID] = result
+	for _, j := range run.Plan.Upstream[ref.Step] {
+		if result := run.Result(j); result != nil {
+			d.Results[run.Plan.Steps[j].ID] = result
 		}
 	}
 	return d
@@ -100,26 +100,26 @@
 
 // describe starts a call for the next steps of the queue, if none is in flight.
 func (g *Graphs) describe() {
-	d := &g.describeQueue
-	if d.inFlight || len(d.steps) == 0 {
+	queue := &g.describeQueue
+	if queue.inFlight || len(queue.steps) == 0 {
 		return
 	}
 	var batch []pickedStep
-	var texts []Description
-	for len(d.steps) > 0 && len(batch) < tuning.DescribeBatchSteps {
-		p := d.steps[0]
-		d.steps = d.steps[1:]
-		if !p.run.run.IsReadyWithJob(p.ref, p.jobID) {
-			g.releaseSlots(p.run, p.ref.Step) // the step was cleared or cancelled in the meantime
+	var descriptions []Description
+	for len(queue.steps) > 0 && len(batch) < tuning.DescribeBatchSteps {
+		picked := queue.steps[0]
+		queue.steps = queue.steps[1:]
+		if !picked.run.run.IsReadyWithJob(picked.ref, picked.jobID) {
+			g.releaseSlots(picked.run, picked.ref.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
-		batch, texts = append(batch, p), append(texts, describe(p.run.run, &p.run.meta, p.ref))
+		batch, descriptions = append(batch, picked), append(descriptions, describe(picked.run.run, &picked.run.meta, picked.ref))
 	}
 	if len(batch) == 0 {
 		return
 	}
-	d.inFlight = true
-	pause := d.pause
+	queue.inFlight = true
+	pause := queue.pause
 	go func() {
 		if pause > 0 {
 			select {
@@ -128,19 +128,19 @@
 				return
 			}
 		}
-		refused, err := describeAll(g.termCtx, g.cfg.Source, texts)
+		refused, err := describeAll(g.termCtx, g.cfg.Source, descriptions)
 		_ = g.runOnLoop(func() { g.described(batch, refused, err) }) // fails only when the leadership has ended
 	}()
 }
 
 // describeAll describes steps, and returns the errors of those that were refused, by index. A refused batch is
 // halved until the refused steps are identified.
-func describeAll(ctx context.Context, s Source, texts []Description) (refused map[int]error, err error) {
+func describeAll(ctx context.Context, s Source, descriptions []Description) (refused map[int]error, err error) {
 	refused = map[int]error{}
 	var try func(from, to int) error
 	try = func(from, to int) error {
-		call, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
-		err := s.Describe(call, texts[from:to])
+		callCtx, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
+		err := s.Describe(callCtx, descriptions[from:to])
 		cancel()
 		switch {
 		case !errors.Is(err, ErrRefused):
@@ -155,33 +155,33 @@
 		}
 		return try(middle, to)
 	}
-	return refused, try(0, len(texts))
+	return refused, try(0, len(descriptions))
 }
 
 // described handles the result of describeAll.
 func (g *Graphs) described(batch []pickedStep, refused map[int]error, err error) {
-	d := &g.describeQueue
-	d.inFlight = false
+	queue := &g.describeQueue
+	queue.inFlight = false
 	if err != nil {
-		d.pause = min(max(2*d.pause, tuning.DescribeRetryPause), tuning.DescribeRetryPauseMax)
-		d.steps = append(batch, d.steps...)
-		g.log.Warn("describing steps failed; retrying after a pause", "steps", len(batch), "again_in", d.pause, "err", err)
+		queue.pause = min(max(2*queue.pause, tuning.DescribeRetryPause), tuning.DescribeRetryPauseMax)
+		queue.steps = append(batch, queue.steps...)
+		g.log.Warn("describing steps failed; retrying after a pause", "steps", len(batch), "again_in", queue.pause, "err", err)
 		g.describe()
 		return
 	}
-	d.pause = 0
-	for i, p := range batch {
-		if why := refused[i]; why != nil {
-			g.log.Error("description of a step was refused; marking the step failed", "graph", p.run.graph.rec.ID, "run", p.run.run.ID, "step", p.run.run.Plan.Steps[p.ref.Step].ID, "err", why)
-			g.releaseSlots(p.run, p.ref.Step)
-			if p.run.run.IsReadyWithJob(p.ref, p.jobID) {
-				p.run.run.JobCancelled(p.ref)
-				g.markDirty(p.run)
+	queue.pause = 0
+	for i, picked := range batch {
+		if refusal := refused[i]; refusal != nil {
+			g.log.Error("description of a step was refused; marking the step failed", "graph", picked.run.graph.rec.ID, "run", picked.run.run.ID, "step", picked.run.run.Plan.Steps[picked.ref.Step].ID, "err", refusal)
+			g.releaseSlots(picked.run, picked.ref.Step)
+			if picked.run.run.IsReadyWithJob(picked.ref, picked.jobID) {
+				picked.run.run.JobCancelled(picked.ref)
+				g.markDirty(picked.run)
 			}
 			continue
 		}
-		p.run.picked = append(p.run.picked, p)
-		g.enqueueRun(p.run)
+		picked.run.picked = append(picked.run.picked, picked)
+		g.enqueueRun(picked.run)
 	}
 	g.describe()
 }
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	plan := formatPlan(t)
-	run := &liveRun{
+	live := &liveRun{
 		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), defHash: "00112233445566778899aabbccddeeff", activeJobs: 1,
 		meta: *golden.Fill(new(runMeta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
 	}
-	value, err := encodeRunRecord(codec, run, 16<<10)
+	value, err := encodeRunRecord(codec, live, 16<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,17 +101,17 @@
 		t.Fatal(err)
 	}
 	golden.Hex(t, "run-of-graph-states", again.Encode())
-	golden.Equal(t, "run-of-graph", readTries(codec, &record), run.tries)
+	golden.Equal(t, "run-of-graph", readTries(codec, &record), live.tries)
 }
 
 // The stored job of a step and the description of the step.
 func TestJobOfStep(t *testing.T) {
 	run := dag.NewRun(formatPlan(t), "manual__1")
-	at := dag.InstanceRef{Step: 0}
-	_, value, err := instanceJob(run, at, formatTime.UnixMilli())
+	ref := dag.InstanceRef{Step: 0}
+	_, value, err := instanceJob(run, ref, formatTime.UnixMilli())
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "job-of-step", value)
-	golden.JSONEncoding(t, "description-of-step", describe(run, golden.Fill(new(runMeta)), at))
+	golden.JSONEncoding(t, "description-of-step", describe(run, golden.Fill(new(runMeta)), ref))
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -55,7 +55,7 @@
 	codec    *charge.Codec
 	jobStore *jobs.Store
 
-	termCtx   context.Context    // the term's; done when the leadership ends
+	termCtx   context.Context    // done when the leadership ends
 	runOnLoop func(func()) error // runs a function on the loop's goroutine
 	store     *statestore.Client
 	loaded    bool // whether the stored records are loaded
@@ -66,12 +66,12 @@
 	byJob          map[string]stepJob     // unfinished jobs of steps, by job ID
 	notSeenRunning map[string]stepJob     // subset of byJob whose current attempt was not seen running
 	withTimeout    map[string]stepJob     // subset of byJob that is running and whose step has a timeout
-	pools          map[poolKey]*pool      //
+	pools          map[poolKey]*pool      // pools that steps have used in this term
 	runQueue       []*liveRun             // runs that may have something to store or to submit, in queue order
 	deletions      []deletion             // records to delete, in this order
 	memoryBytes    int                    // estimated memory of plans and live runs, in bytes
 	nextCleanUp    time.Time              // time of the next cleanUp
-	describeQueue  describeQueue          //
+	describeQueue  describeQueue          // steps to describe before they are submitted
 	fetchingHash   string                 // hash of the definition that is being read; empty if none
 	lastListing    time.Time              // time of the last listing of definitions; zero if none
 	storeLater     map[*liveRun]struct{}  // runs with a change that may be stored after tuning.GraphRecordDelay
@@ -88,13 +88,14 @@
 }
 
 // current reports whether the job belongs to the current generation of its step.
-func (w stepJob) current() bool {
-	return w.ref.Step >= 0 && w.generation == w.run.run.Generation(w.ref.Step)
+func (s stepJob) current() bool {
+	return s.ref.Step >= 0 && s.generation == s.run.run.Generation(s.ref.Step)
 }
 
-func (w stepJob) instance() *dag.Instance {
-	_, instances := w.run.run.StepState(w.ref.Step)
-	return &instances[w.ref.Index]
+// instance returns the state of the job's instance. The job must be current.
+func (s stepJob) instance() *dag.Instance {
+	_, instances := s.run.run.StepState(s.ref.Step)
+	return &instances[s.ref.Index]
 }
 
 // New creates the subsystem for one term.
@@ -110,20 +111,20 @@
 }
 
 // Loaded receives the job store when its records are loaded.
-func (g *Graphs) Loaded(book *jobs.Store, _ time.Time) { g.jobStore = book }
+func (g *Graphs) Loaded(store *jobs.Store, _ time.Time) { g.jobStore = store }
 
 // Admit admits no task of a step's job during the delay before its next try, or while the job is being cancelled.
 func (g *Graphs) Admit(j *jobs.Job, now time.Time) (int, string) {
-	w, ok := g.byJob[j.ID]
-	if !ok || !w.current() {
+	job, ok := g.byJob[j.ID]
+	if !ok || !job.current() {
 		return j.Waiting(), ""
 	}
-	x := w.instance()
-	if x.Cancelling {
+	inst := job.instance()
+	if inst.Cancelling {
 		return 0, "the step's tries are used up, or its time is over"
 	}
-	if now.Before(x.RetryAt) {
-		return 0, "the step rests before its next try, until " + x.RetryAt.UTC().Format(time.RFC3339)
+	if now.Before(inst.RetryAt) {
+		return 0, "the step rests before its next try, until " + inst.RetryAt.UTC().Format(time.RFC3339)
 	}
 	return j.Waiting(), ""
 }
@@ -146,61 +147,62 @@
 // Ended counts the failed attempts of a step's job.
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Allocation.Job.ID
-	w, ok := g.byJob[id]
-	if !ok || !w.current() || o.Reason != wire.ExitError || o.Allocation.Job.Cancelled() {
+	job, ok := g.byJob[id]
+	if !ok || !job.current() || o.Reason != wire.ExitError || o.Allocation.Job.Cancelled() {
 		return
 	}
-	w.run.tryEnded(w.ref, now, dag.Failed)
-	w.run.run.AttemptFailed(w.ref, now, g.cfg.Jitter())
+	job.run.tryEnded(job.ref, now, dag.Failed)
+	job.run.run.AttemptFailed(job.ref, now, g.cfg.Jitter())
 	delete(g.withTimeout, id)
-	g.notSeenRunning[id] = w
-	g.markDirty(w.run)
-	g.cancelUnneeded(w.run)
+	g.notSeenRunning[id] = job
+	g.markDirty(job.run)
+	g.cancelUnneeded(job.run)
 }
 
 // Finished records the final state of a step's job.
 func (g *Graphs) Finished(o jobs.FinishedJob, now time.Time) { g.jobFinished(o.Job.ID, o.State, now) }
 
+// jobFinished updates the run of a finished job. It ignores jobs that are not known to belong to a step.
 func (g *Graphs) jobFinished(id string, state wire.JobState, now time.Time) {
-	w, ok := g.byJob[id]
+	job, ok := g.byJob[id]
 	if !ok {
 		return
 	}
-	x := w.run
-	if early, pending := x.unansweredJobs[id]; pending {
+	live := job.run
+	if known, pending := live.unansweredJobs[id]; pending {
 		// The transaction that stores the job is unanswered. Only its answer shows whether this is the step's
 		// job or one of another submitter with the same ID.
-		if early == "" {
-			x.unansweredJobs[id] = state
+		if known == "" {
+			live.unansweredJobs[id] = state
 		}
 		return
 	}
 	delete(g.byJob, id)
 	delete(g.notSeenRunning, id)
 	delete(g.withTimeout, id)
-	if w.ref.Step >= 0 {
-		g.releaseSlots(x, w.ref.Step)
+	if job.ref.Step >= 0 {
+		g.releaseSlots(live, job.ref.Step)
 	} else {
-		x.activeJobs--
+		live.activeJobs--
 	}
-	g.markDirty(x)
-	if !w.current() {
-		x.run.OrphanFinished(id)
+	g.markDirty(live)
+	if !job.current() {
+		live.run.OrphanFinished(id)
 		return
 	}
-	end := dag.Success
+	tryState := dag.Success
 	if state != wire.StateDone {
-		end = dag.Failed
-		x.run.JobCancelled(w.ref)
-	} else if err := x.run.JobDone(w.ref); err != nil {
-		end = dag.Failed
-		g.log.Info("job of a step is done but its result is missing or invalid; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "err", err)
+		tryState = dag.Failed
+		live.run.JobCancelled(job.ref)
+	} else if err := live.run.JobDone(job.ref); err != nil {
+		tryState = dag.Failed
+		g.log.Info("job of a step is done but its result is missing or invalid; marking the step failed", "graph", live.graph.rec.ID, "run", live.run.ID, "err", err)
 	}
-	x.tryEnded(w.ref, now, end)
-	g.cancelUnneeded(x)
-	if x.graph.hasPastDependents {
+	live.tryEnded(job.ref, now, tryState)
+	g.cancelUnneeded(live)
+	if live.graph.hasPastDependents {
 		// The same step of the next run may wait for this one.
-		for _, e := range x.graph.history {
+		for _, e := range live.graph.history {
 			if e.live != nil && len(e.live.waitingForPast) > 0 {
 				g.enqueueRun(e.live)
 			}
@@ -209,14 +211,14 @@
 }
 
 // cancelUnneeded cancels the jobs that a run no longer needs.
-func (g *Graphs) cancelUnneeded(x *liveRun) {
-	for _, id := range x.run.TakeCancellations() {
+func (g *Graphs) cancelUnneeded(live *liveRun) {
+	for _, id := range live.run.TakeCancellations() {
 		g.jobsToCancel[id] = struct{}{}
 	}
 	g.cancelKnownJobs()
 }
 
-// cancelKnownJobs cancels those jobs of g.cancels that are in the job store. The job store learns of a newly stored
+// cancelKnownJobs cancels those of g.jobsToCancel that are in the job store. The job store learns of a newly stored
 // job a moment after its transaction.
 func (g *Graphs) cancelKnownJobs() {
 	for id := range g.jobsToCancel {
@@ -231,16 +233,16 @@
 }
 
 // markDirty marks a run as changed, so that it is stored.
-func (g *Graphs) markDirty(x *liveRun) {
-	x.dirty = true
-	g.enqueueRun(x)
+func (g *Graphs) markDirty(live *liveRun) {
+	live.dirty = true
+	g.enqueueRun(live)
 }
 
 // enqueueRun adds a run to the queue of runs that may have something to store or to submit.
-func (g *Graphs) enqueueRun(x *liveRun) {
-	if !x.inQueue && !x.finished {
-		x.inQueue = true
-		g.runQueue = append(g.runQueue, x)
+func (g *Graphs) enqueueRun(live *liveRun) {
+	if !live.inQueue && !live.finished {
+		live.inQueue = true
+		g.runQueue = append(g.runQueue, live)
 	}
 }
 
@@ -249,29 +251,29 @@
 	if !g.loaded {
 		return nil
 	}
-	for id, w := range g.notSeenRunning {
+	for id, job := range g.notSeenRunning {
 		j := g.jobStore.Jobs[id]
-		if j == nil || j.Allocated == 0 || !w.current() || now.Before(w.instance().RetryAt) || j.Status().Running == 0 {
+		if j == nil || j.Allocated == 0 || !job.current() || now.Before(job.instance().RetryAt) || j.Status().Running == 0 {
 			continue
 		}
-		w.run.run.TaskRunning(w.ref, now)
-		w.run.tryBegan(w.ref, now)
-		g.enqueueStoreLater(w.run, now)
+		job.run.run.TaskRunning(job.ref, now)
+		job.run.tryBegan(job.ref, now)
+		g.enqueueStoreLater(job.run, now)
 		delete(g.notSeenRunning, id)
-		if w.run.run.Plan.Steps[w.ref.Step].Timeout > 0 {
-			g.withTimeout[id] = w
+		if job.run.run.Plan.Steps[job.ref.Step].Timeout > 0 {
+			g.withTimeout[id] = job
 		}
 	}
-	for _, w := range g.withTimeout {
-		if w.current() && w.run.run.CancelIfTimedOut(w.ref, now) {
-			g.markDirty(w.run)
-			g.cancelUnneeded(w.run)
+	for _, job := range g.withTimeout {
+		if job.current() && job.run.run.CancelIfTimedOut(job.ref, now) {
+			g.markDirty(job.run)
+			g.cancelUnneeded(job.run)
 		}
 	}
-	for x := range g.storeLater {
-		if now.Sub(x.storeLaterSince) >= tuning.GraphRecordDelay {
-			delete(g.storeLater, x)
-			g.markDirty(x)
+	for live := range g.storeLater {
+		if now.Sub(live.storeLaterSince) >= tuning.GraphRecordDelay {
+			delete(g.storeLater, live)
+			g.markDirty(live)
 		}
 	}
 	g.cancelKnownJobs()
@@ -287,10 +289,10 @@
 }
 
 // enqueueStoreLater has a run stored within tuning.GraphRecordDelay, or earlier with its next other change.
-func (g *Graphs) enqueueStoreLater(x *liveRun, now time.Time) {
-	if _, ok := g.storeLater[x]; !ok {
-		x.storeLaterSince = now
-		g.storeLater[x] = struct{}{}
+func (g *Graphs) enqueueStoreLater(live *liveRun, now time.Time) {
+	if _, ok := g.storeLater[live]; !ok {
+		live.storeLaterSince = now
+		g.storeLater[live] = struct{}{}
 	}
 }
 
@@ -360,8 +362,8 @@
 			continue
 		}
 		v := PoolView{Name: key.name, Slots: p.slots, Used: p.used}
-		for _, x := range p.waitQueue.runs {
-			v.Waits += len(x.waitingForPool[p])
+		for _, live := range p.waitQueue.runs {
+			v.Waits += len(live.waitingForPool[p])
 		}
 		out = append(out, v)
 	}
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -21,69 +21,69 @@
 // A run with a step that fails once succeeds, over a change of leaders during the delay before the step's retry. Its ID
 // cannot be used again, not even with a new leader.
 func TestRunWithRetrySucceedsOverFailover(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
+	h := newHarness(t)
+	defer h.close()
 	flaky := step("flaky", "first")
 	flaky.Retries, flaky.Delay = 1, dag.Duration(time.Minute)
-	p := newPlan(t, step("first"), flaky, step("last", "flaky"))
-	w.registerAndTrigger(p, "one")
-	if len(w.liveJobs()) != 1 {
-		t.Fatalf("submitted jobs are %v, want one", w.liveJobs())
+	plan := newPlan(t, step("first"), flaky, step("last", "flaky"))
+	h.registerAndTrigger(plan, "one")
+	if len(h.liveJobs()) != 1 {
+		t.Fatalf("submitted jobs are %v, want one", h.liveJobs())
 	}
-	w.endAttempt(w.startTask(w.liveJobs()[0]), wire.ExitDone)
-	w.settle()
-	id := w.liveJobs()[0]
-	w.endAttempt(w.startTask(id), wire.ExitError)
-	w.settle()
+	h.endAttempt(h.startTask(h.liveJobs()[0]), wire.ExitDone)
+	h.settle()
+	id := h.liveJobs()[0]
+	h.endAttempt(h.startTask(id), wire.ExitError)
+	h.settle()
 	// A new leader also waits for the retry delay, and does not submit the last step.
-	w.changeLeader()
-	if w.startTask(id) != nil || len(w.liveJobs()) != 1 {
-		t.Fatalf("the step is retried before its delay is over; submitted jobs are %v", w.liveJobs())
+	h.changeLeader()
+	if h.startTask(id) != nil || len(h.liveJobs()) != 1 {
+		t.Fatalf("the step is retried before its delay is over; submitted jobs are %v", h.liveJobs())
 	}
-	w.clock.Advance(time.Minute)
-	w.endAttempt(w.startTask(id), wire.ExitDone)
-	w.settle()
-	w.endAttempt(w.startTask(w.liveJobs()[0]), wire.ExitDone)
-	w.settle()
-	if r := w.storedRun(p, "one"); r.RunState() != dag.RunSuccess || len(w.liveJobs()) != 0 || len(w.graphs.runs) != 0 {
-		t.Errorf("the run is %v, want success; %d runs are live", r.RunState(), len(w.graphs.runs))
+	h.clock.Advance(time.Minute)
+	h.endAttempt(h.startTask(id), wire.ExitDone)
+	h.settle()
+	h.endAttempt(h.startTask(h.liveJobs()[0]), wire.ExitDone)
+	h.settle()
+	if r := h.storedRun(plan, "one"); r.RunState() != dag.RunSuccess || len(h.liveJobs()) != 0 || len(h.graphs.runs) != 0 {
+		t.Errorf("the run is %v, want success; %d runs are live", r.RunState(), len(h.graphs.runs))
 	}
-	w.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
-	w.changeLeader()
-	w.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	h.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	h.changeLeader()
+	h.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
 }
 
 // The job of a step is cancelled when the step's tries are used up or it times out. Otherwise the scheduler would retry
 // it forever.
 func TestFailedAndTimedOutStepsAreCancelled(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	late := step("late")
-	late.Timeout = dag.Duration(time.Minute)
-	p := newPlan(t, step("bad"), late, step("never", "bad"))
-	w.registerAndTrigger(p, "one")
-	ids := w.liveJobs()
+	h := newHarness(t)
+	defer h.close()
+	slow := step("late")
+	slow.Timeout = dag.Duration(time.Minute)
+	plan := newPlan(t, step("bad"), slow, step("never", "bad"))
+	h.registerAndTrigger(plan, "one")
+	ids := h.liveJobs()
 	for _, id := range ids {
-		if pl := w.startTask(id); id == w.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.InstanceRef{}) {
-			w.endAttempt(pl, wire.ExitError)
+		if alloc := h.startTask(id); id == h.graphs.runs[keyRun("the team", "g", "one")].run.JobID(dag.InstanceRef{}) {
+			h.endAttempt(alloc, wire.ExitError)
 		}
 	}
-	w.settle()
-	w.clock.Advance(time.Minute)
-	w.settle()
-	for _, id := range w.liveJobs() {
-		for i := range w.jobStore.Jobs[id].Tasks {
-			if pl := w.jobStore.Jobs[id].Tasks[i].Allocation; pl != nil {
-				w.endAttempt(pl, wire.ExitStopped)
+	h.settle()
+	h.clock.Advance(time.Minute)
+	h.settle()
+	for _, id := range h.liveJobs() {
+		for i := range h.jobStore.Jobs[id].Tasks {
+			if alloc := h.jobStore.Jobs[id].Tasks[i].Allocation; alloc != nil {
+				h.endAttempt(alloc, wire.ExitStopped)
 			}
 		}
 	}
-	w.settle()
-	if r := w.storedRun(p, "one"); r.RunState() != dag.RunFailed {
+	h.settle()
+	if r := h.storedRun(plan, "one"); r.RunState() != dag.RunFailed {
 		t.Errorf("the run is %v, want failed", r.RunState())
 	}
 	for _, id := range ids {
-		if item, ok := w.state.Value(jobs.KeyFinalState(id)); !ok || !strings.Contains(string(item.Value), string(wire.StateCancelled)) {
+		if item, ok := h.state.Value(jobs.KeyFinalState(id)); !ok || !strings.Contains(string(item.Value), string(wire.StateCancelled)) {
 			t.Errorf("final state of job %s is %q, want cancelled", id, item.Value)
 		}
 	}
@@ -91,8 +91,8 @@
 
 // The largest graph is stored in several parts, and its steps are submitted up to the default limit.
 func TestLargestGraphIsStoredInParts(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
+	h := newHarness(t)
+	defer h.close()
 	var steps []dag.Step
 	for i := range dag.MaxSteps {
 		s := step(fmt.Sprintf("a-step-with-a-name-%d", i*7919%dag.MaxSteps))
@@ -100,16 +100,16 @@
 		steps = append(steps, s)
 	}
 	p := newPlan(t, steps...)
-	w.registerAndTrigger(p, "one")
-	if n := len(w.liveJobs()); n != 16 {
+	h.registerAndTrigger(p, "one")
+	if n := len(h.liveJobs()); n != 16 {
 		t.Errorf("%d steps are submitted at once, want 16", n)
 	}
-	if n := len(w.list(PrefixDef)); n < 2 {
+	if n := len(h.list(PrefixDef)); n < 2 {
 		t.Errorf("the definition is stored in %d parts, want at least 2", n)
 	}
-	w.changeLeader()
-	if len(w.graphs.byJob) != 16 {
-		t.Errorf("a new leader has %d submitted steps, want 16", len(w.graphs.byJob))
+	h.changeLeader()
+	if len(h.graphs.byJob) != 16 {
+		t.Errorf("a new leader has %d submitted steps, want 16", len(h.graphs.byJob))
 	}
 }
 
@@ -117,9 +117,9 @@
 // final state of its job.
 func TestEveryStepEndsDespiteFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
-		w.changeLeader()
-		defer w.close()
+		h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+		h.changeLeader()
+		defer h.close()
 		n := rapid.IntRange(1, 6).Draw(rt, "steps")
 		var steps []dag.Step
 		for i := range n {
@@ -133,76 +133,76 @@
 			}
 			steps = append(steps, s)
 		}
-		p := newPlan(t, steps...)
-		w.registerAndTrigger(p, "one")
+		plan := newPlan(t, steps...)
+		h.registerAndTrigger(plan, "one")
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 8:
-				o := Order{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Below: true}
-				if w.send(DoClear, o); w.graphs.runs[keyRun("the team", "g", "one")] == nil {
-					w.runLoopFunc() // the run is finished, so it is read first
+				cmd := Order{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Below: true}
+				if h.send(DoClear, cmd); h.graphs.runs[keyRun("the team", "g", "one")] == nil {
+					h.runLoopFunc() // the run is finished, so it is read first
 				}
 			case 9:
 				if rapid.IntRange(0, 4).Draw(rt, "cancel") == 0 {
-					w.send(DoCancel, Order{Run: "one"})
+					h.send(DoCancel, Order{Run: "one"})
 				}
 			case 0:
-				w.changeLeader()
+				h.changeLeader()
 			case 1:
-				if w.commitNext(false) {
-					w.changeLeader()
+				if h.commitNext(false) {
+					h.changeLeader()
 				}
 			case 2:
-				w.commitNext(true)
+				h.commitNext(true)
 			case 3:
 				// The job store's transaction is committed, but the leader fails before its answer.
-				if b := w.jobStore.NextBatch(w.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
-					w.commit(b.Txn)
-					w.changeLeader()
+				if b := h.jobStore.NextBatch(h.clock.Now().Add(time.Hour), jobs.WriteBudget{Spare: 1000}); b != nil {
+					h.commit(b.Txn)
+					h.changeLeader()
 				}
 			case 4:
-				w.clock.Advance(time.Second)
-				w.graphs.Tick(w.clock.Now())
-				if w.graphs.describeQueue.inFlight {
-					w.runLoopFunc()
+				h.clock.Advance(time.Second)
+				h.graphs.Tick(h.clock.Now())
+				if h.graphs.describeQueue.inFlight {
+					h.runLoopFunc()
 				}
 			default:
-				for _, id := range w.liveJobs() {
-					pl := w.startTask(id)
-					if pl == nil {
-						if j := w.jobStore.Jobs[id]; j != nil && j.Tasks[0].Allocation != nil {
-							pl = j.Tasks[0].Allocation
+				for _, id := range h.liveJobs() {
+					alloc := h.startTask(id)
+					if alloc == nil {
+						if j := h.jobStore.Jobs[id]; j != nil && j.Tasks[0].Allocation != nil {
+							alloc = j.Tasks[0].Allocation
 						}
 					}
-					if pl != nil {
-						w.endAttempt(pl, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"))
+					if alloc != nil {
+						h.endAttempt(alloc, rapid.SampledFrom([]wire.ExitReason{wire.ExitDone, wire.ExitError, wire.ExitStopped}).Draw(rt, "why"))
 						break
 					}
 				}
 			}
 		}
 		for range 20 * n { // until the run is finished
-			w.clock.Advance(2 * time.Second)
-			w.settle()
-			for _, id := range w.liveJobs() {
-				pl := w.startTask(id)
-				if pl == nil && w.jobStore.Jobs[id] != nil {
-					pl = w.jobStore.Jobs[id].Tasks[0].Allocation
+			h.clock.Advance(2 * time.Second)
+			h.settle()
+			for _, id := range h.liveJobs() {
+				alloc := h.startTask(id)
+				if alloc == nil && h.jobStore.Jobs[id] != nil {
+					alloc = h.jobStore.Jobs[id].Tasks[0].Allocation
 				}
-				if pl != nil {
-					w.endAttempt(pl, wire.ExitDone)
+				if alloc != nil {
+					h.endAttempt(alloc, wire.ExitDone)
 				}
 			}
 		}
-		w.settle()
-		r := w.storedRun(p, "one")
-		if r.RunState() == dag.RunRunning || len(w.liveJobs()) != 0 || len(w.graphs.byJob) != 0 {
-			rt.Fatalf("the run has not finished: it is %v, jobs %v are live and %d steps submitted", r.RunState(), w.liveJobs(), len(w.graphs.byJob))
+		h.settle()
+		run := h.storedRun(plan, "one")
+		if run.RunState() == dag.RunRunning || len(h.liveJobs()) != 0 || len(h.graphs.byJob) != 0 {
+			rt.Fatalf("the run has not finished: it is %v, jobs %v are live and %d steps submitted", run.RunState(), h.liveJobs(), len(h.graphs.byJob))
 		}
-		for i := range p.Steps {
-			id := r.JobID(dag.InstanceRef{Step: i})
-			item, ended := w.state.Value(jobs.KeyFinalState(id))
-			state, _ := r.StepState(i)
+		for i := range plan.Steps {
+			id := run.JobID(dag.InstanceRef{Step: i})
+			item, ended := h.state.Value(jobs.KeyFinalState(id))
+			state, _ := run.StepState(i)
 			switch {
 			case state == dag.Success && (!ended || !strings.Contains(string(item.Value), string(wire.StateDone))),
 				state == dag.Failed && (!ended || !strings.Contains(string(item.Value), string(wire.StateCancelled))),
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -55,76 +55,78 @@
 }
 
 // Command executes a command. The error is leader.ErrUnknownPath.
-func (g *Graphs) Command(c leader.Command, now time.Time, tell func(leader.Answer)) error {
+func (g *Graphs) Command(c leader.Command, now time.Time, reply func(leader.Answer)) error {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
 		return leader.ErrUnknownPath
 	}
-	var o Order
-	say := responder(tell)
-	if err := json.Unmarshal(c.Body, &o); err != nil || o.Team == "" {
-		say.refuse(http.StatusBadRequest, "the command is malformed")
+	var cmd Order
+	respond := responder(reply)
+	if err := json.Unmarshal(c.Body, &cmd); err != nil || cmd.Team == "" {
+		respond.refuse(http.StatusBadRequest, "the command is malformed")
 		return nil
 	}
 	if !g.loaded {
-		say.refuse(http.StatusServiceUnavailable, "the graphs are being read; ask again")
+		respond.refuse(http.StatusServiceUnavailable, "the graphs are being read; ask again")
 		return nil
 	}
-	g.execute(verb, &o, now, say)
+	g.execute(verb, &cmd, now, respond)
 	return nil
 }
 
-func (g *Graphs) execute(verb string, o *Order, now time.Time, tell responder) {
+// execute executes the command with the name verb.
+func (g *Graphs) execute(verb string, cmd *Order, now time.Time, respond responder) {
 	if verb == DoPut {
-		if !validHash(o.Def) {
-			tell.refuse(http.StatusBadRequest, "the definition is no hash")
+		if !validHash(cmd.Def) {
+			respond.refuse(http.StatusBadRequest, "the definition is no hash")
 			return
 		}
-		g.fetchAndRegister(o, tell)
+		g.fetchAndRegister(cmd, respond)
 		return
 	}
 	// A graph of another team and one that does not exist get the same answer, so that a team cannot find out the
 	// names of others' graphs.
-	gr := g.graphs[keyGraph(o.Team, o.Graph)]
+	gr := g.graphs[keyGraph(cmd.Team, cmd.Graph)]
 	if gr == nil || gr.deleting {
-		tell.refuse(http.StatusNotFound, "no such graph")
+		respond.refuse(http.StatusNotFound, "no such graph")
 		return
 	}
 	switch verb {
 	case DoPause:
-		g.setPaused(gr, o.Paused != nil && *o.Paused, tell)
+		g.setPaused(gr, cmd.Paused != nil && *cmd.Paused, respond)
 	case DoRemove:
-		g.deleteGraph(gr, tell)
+		g.deleteGraph(gr, respond)
 	case DoTrigger:
-		g.trigger(gr, o, now, tell)
+		g.trigger(gr, cmd, now, respond)
 	case DoBackfill:
-		g.backfill(gr, o, now, tell)
+		g.backfill(gr, cmd, now, respond)
 	case DoCancel, DoClear, DoForget, DoPush:
-		g.executeOnRun(verb, gr, o, now, tell)
+		g.executeOnRun(verb, gr, cmd, now, respond)
 	default:
-		tell.refuse(http.StatusNotFound, "no such command")
+		respond.refuse(http.StatusNotFound, "no such command")
 	}
 }
 
-func (g *Graphs) trigger(gr *graph, o *Order, now time.Time, tell responder) {
+// trigger creates a run outside the graph's schedule.
+func (g *Graphs) trigger(gr *graph, cmd *Order, now time.Time, respond responder) {
 	var conf map[string]json.RawMessage
-	if len(o.Conf) > 0 && json.Unmarshal(o.Conf, &conf) != nil {
-		tell.refuse(http.StatusBadRequest, "conf is no JSON object")
+	if len(cmd.Conf) > 0 && json.Unmarshal(cmd.Conf, &conf) != nil {
+		respond.refuse(http.StatusBadRequest, "conf is no JSON object")
 		return
 	}
-	if len(o.Note) > tuning.GraphConfMaxBytes {
-		tell.refuse(http.StatusBadRequest, "the note has %d bytes; up to %d are allowed", len(o.Note), tuning.GraphConfMaxBytes)
+	if len(cmd.Note) > tuning.GraphConfMaxBytes {
+		respond.refuse(http.StatusBadRequest, "the note has %d bytes; up to %d are allowed", len(cmd.Note), tuning.GraphConfMaxBytes)
 		return
 	}
 	logical := now
-	if o.LogicalMS != 0 {
-		logical = time.UnixMilli(o.LogicalMS)
+	if cmd.LogicalMS != 0 {
+		logical = time.UnixMilli(cmd.LogicalMS)
 	}
-	if o.Run == "" {
-		o.Run = RunName(Manual, logical)
+	if cmd.Run == "" {
+		cmd.Run = RunName(Manual, logical)
 	}
-	m := runMeta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: o.Conf, Note: o.Note, Described: o.Described}
-	g.createRun(gr, o.Run, m, now, tell)
+	m := runMeta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: cmd.Conf, Note: cmd.Note, Described: cmd.Described}
+	g.createRun(gr, cmd.Run, m, now, respond)
 }
 
 // Backfilled is the answer to a backfill.
@@ -134,33 +136,33 @@
 }
 
 // backfill creates the runs of past data intervals. Intervals that have a run are skipped.
-func (g *Graphs) backfill(gr *graph, o *Order, now time.Time, tell responder) {
-	d := g.definitions[gr.rec.Def]
-	if d == nil || d.plan == nil {
-		tell.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
+func (g *Graphs) backfill(gr *graph, cmd *Order, now time.Time, respond responder) {
+	def := g.definitions[gr.rec.Def]
+	if def == nil || def.plan == nil {
+		respond.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
 		return
 	}
 	if g.cfg.Source == nil {
-		tell.refuse(http.StatusConflict, "%s", noSourceText("a backfill begins runs by itself"))
+		respond.refuse(http.StatusConflict, "%s", noSourceText("a backfill begins runs by itself"))
 		return
 	}
-	if o.To.After(now) {
-		o.To = now
+	if cmd.To.After(now) {
+		cmd.To = now
 	}
-	intervals, err := d.plan.Backfill(gr.schedule, o.From, o.To)
+	intervals, err := def.plan.Backfill(gr.schedule, cmd.From, cmd.To)
 	if err != nil {
-		tell.refuse(http.StatusBadRequest, "%s", err)
+		respond.refuse(http.StatusBadRequest, "%s", err)
 		return
 	}
-	if need := len(intervals) * len(d.plan.Steps) * tuning.RunStepBytes; g.cfg.Bytes > 0 && g.memoryBytes+need > g.cfg.Bytes {
-		tell.refuse(http.StatusServiceUnavailable, "there is no memory for %d more runs now; ask again, or for fewer", len(intervals))
+	if needed := len(intervals) * len(def.plan.Steps) * tuning.RunStepBytes; g.cfg.Bytes > 0 && g.memoryBytes+needed > g.cfg.Bytes {
+		respond.refuse(http.StatusServiceUnavailable, "there is no memory for %d more runs now; ask again, or for fewer", len(intervals))
 		return
 	}
 	var out Backfilled
-	open := len(intervals)
-	over := func() {
-		if open == 0 {
-			tell(leader.Answer{Status: http.StatusOK, Body: out})
+	unanswered := len(intervals)
+	answerIfDone := func() {
+		if unanswered == 0 {
+			respond(leader.Answer{Status: http.StatusOK, Body: out})
 		}
 	}
 	for _, i := range intervals {
@@ -171,71 +173,71 @@
 			} else {
 				out.Known++
 			}
-			open--
-			over()
+			unanswered--
+			answerIfDone()
 		})
 	}
 	if len(intervals) == 0 {
-		over()
+		answerIfDone()
 	}
 }
 
 // executeOnRun executes a command on one run.
-func (g *Graphs) executeOnRun(verb string, gr *graph, o *Order, now time.Time, tell responder) {
-	var e *runEntry
-	for _, x := range gr.history {
-		if x.id == o.Run && !x.deleting {
-			e = x
+func (g *Graphs) executeOnRun(verb string, gr *graph, cmd *Order, now time.Time, respond responder) {
+	var entry *runEntry
+	for _, e := range gr.history {
+		if e.id == cmd.Run && !e.deleting {
+			entry = e
 		}
 	}
-	if e == nil {
-		tell.refuse(http.StatusNotFound, "no such run")
+	if entry == nil {
+		respond.refuse(http.StatusNotFound, "no such run")
 		return
 	}
 	if verb == DoClear && g.cfg.Source == nil {
-		tell.refuse(http.StatusConflict, "%s", noSourceText("a clear has steps go again under new jobs"))
+		respond.refuse(http.StatusConflict, "%s", noSourceText("a clear has steps go again under new jobs"))
 		return
 	}
-	if x := e.live; x != nil {
+	if live := entry.live; live != nil {
 		switch verb {
 		case DoCancel:
-			g.cancelRun(x, now, tell)
+			g.cancelRun(live, now, respond)
 		case DoClear:
-			g.clearSteps(x, o, tell)
+			g.clearSteps(live, cmd, respond)
 		case DoPush:
-			g.setResult(x, o, tell)
+			g.setResult(live, cmd, respond)
 		default:
-			tell.refuse(http.StatusConflict, "the run is not over; cancel it first")
+			respond.refuse(http.StatusConflict, "the run is not over; cancel it first")
 		}
 		return
 	}
 	switch verb {
 	case DoCancel:
-		tell.succeed(http.StatusOK) // the run is finished already
+		respond.succeed(http.StatusOK) // the run is finished already
 	case DoPush:
-		tell.refuse(http.StatusConflict, "the run is over")
+		respond.refuse(http.StatusConflict, "the run is over")
 	case DoForget:
-		g.deleteRun(gr, e, func() { tell.succeed(http.StatusNoContent) })
+		g.deleteRun(gr, entry, func() { respond.succeed(http.StatusNoContent) })
 	case DoClear:
-		g.reopenRun(gr, e, o, tell)
+		g.reopenRun(gr, entry, cmd, respond)
 	}
 }
 
 // reopenRun reads a finished run, makes it live again and clears steps of it.
-func (g *Graphs) reopenRun(gr *graph, e *runEntry, o *Order, tell responder) {
-	d := g.definitions[e.defHash]
+func (g *Graphs) reopenRun(gr *graph, entry *runEntry, cmd *Order, respond responder) {
+	def := g.definitions[entry.defHash]
 	switch {
-	case d == nil:
-		tell.refuse(http.StatusConflict, "what the run is a run of is not stored any more")
+	case def == nil:
+		respond.refuse(http.StatusConflict, "what the run is a run of is not stored any more")
 		return
 	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
-		tell.refuse(http.StatusServiceUnavailable, "there is no memory for more runs now; ask again")
+		respond.refuse(http.StatusServiceUnavailable, "there is no memory for more runs now; ask again")
 		return
 	}
-	plan, parts := d.plan, d.parts
+	plan, parts := def.plan, def.parts
 	go func() {
 		var rec runRecord
-		item, ok, err := g.store.Get(g.termCtx, e.key)
+		item, ok, err := g.store.Get(g.termCtx, entry.key)
 		if err == nil && !ok {
 			err = errors.New("the record does not exist")
 		}
@@ -243,30 +245,30 @@
 			err = json.Unmarshal(item.Value, &rec)
 		}
 		if err == nil && plan == nil {
-			plan, err = fetch(g.termCtx, g.store, e.defHash, parts)
+			plan, err = fetch(g.termCtx, g.store, entry.defHash, parts)
 		}
-		_ = g.runOnLoop(func() { // fails only when the leadership has ended, and the command's caller gets no answer then
-			var r *dag.Run
+		_ = g.runOnLoop(func() { // fails only when the leadership has ended; the client gets no answer then
+			var run *dag.Run
 			if err == nil {
-				r, err = decodeRun(g.codec, &rec, plan)
+				run, err = decodeRun(g.codec, &rec, plan)
 			}
 			switch {
 			case err != nil:
-				g.log.Warn("reading a finished run failed; its steps are not cleared", "run", e.key, "err", err)
-				tell.refuse(http.StatusServiceUnavailable, "the run cannot be read now; ask again")
-			case e.deleting:
-				tell.refuse(http.StatusNotFound, "no such run")
-			case e.live != nil: // another clear command was faster
-				g.clearSteps(e.live, o, tell)
+				g.log.Warn("reading a finished run failed; its steps are not cleared", "run", entry.key, "err", err)
+				respond.refuse(http.StatusServiceUnavailable, "the run cannot be read now; ask again")
+			case entry.deleting:
+				respond.refuse(http.StatusNotFound, "no such run")
+			case entry.live != nil: // another clear command was faster
+				g.clearSteps(entry.live, cmd, respond)
 			default:
-				g.cachePlan(e.defHash, d.parts, plan)
-				x := newLiveRun(gr, r, e.key, e.defHash, rec.runMeta)
-				g.addLive(x)
-				x.version, x.entry, x.tries = item.Version, e, readTries(g.codec, &rec)
-				x.meta.StartMS, x.meta.EndMS = 0, 0
-				e.live, e.failedPastDependents = x, nil
-				g.clearSteps(x, o, tell)
-				g.markDirty(x)
+				g.cachePlan(entry.defHash, def.parts, plan)
+				live := newLiveRun(gr, run, entry.key, entry.defHash, rec.runMeta)
+				g.addLive(live)
+				live.version, live.entry, live.tries = item.Version, entry, readTries(g.codec, &rec)
+				live.meta.StartMS, live.meta.EndMS = 0, 0
+				entry.live, entry.failedPastDependents = live, nil
+				g.clearSteps(live, cmd, respond)
+				g.markDirty(live)
 			}
 		})
 	}()
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -37,29 +37,30 @@
 	return g.pools[key]
 }
 
-// waitQueue is a queue of runs that wait for free slots, first come first served.
+// waitQueue is a queue of runs that wait for slots of a pool or for the graph's limit, first come first served.
 type waitQueue struct{ runs []*liveRun }
 
 // update adds a run to the queue if it waits, and removes it if it does not. A run that waits and took slots moves
-// behind the others. If the run does not wait and room says that slots are free, the first run of the queue is
-// enqueued.
-func (l *waitQueue) update(g *Graphs, x *liveRun, waits, took, room bool) {
-	i := slices.Index(l.runs, x)
-	if i >= 0 && (took || !waits) {
-		l.runs = slices.Delete(l.runs, i, i+1)
+// behind the others. If the run does not wait and there is room for more steps, the first run of the queue is
+// enqueued in Graphs.runQueue.
+func (q *waitQueue) update(g *Graphs, live *liveRun, waits, allocated, room bool) {
+	i := slices.Index(q.runs, live)
+	if i >= 0 && (allocated || !waits) {
+		q.runs = slices.Delete(q.runs, i, i+1)
 	}
-	if waits && (i < 0 || took) {
-		l.runs = append(l.runs, x)
+	if waits && (i < 0 || allocated) {
+		q.runs = append(q.runs, live)
 	}
 	if !waits && room {
-		l.enqueueFirst(g)
+		q.enqueueFirst(g)
 	}
 }
 
-// enqueueFirst enqueues the first waiting run, so that it is checked whether its steps can be submitted.
-func (l *waitQueue) enqueueFirst(g *Graphs) {
-	if len(l.runs) > 0 {
-		g.enqueueRun(l.runs[0])
+// enqueueFirst enqueues the first waiting run in Graphs.runQueue, so that it is checked whether its steps can be
+// submitted.
+func (q *waitQueue) enqueueFirst(g *Graphs) {
+	if len(q.runs) > 0 {
+		g.enqueueRun(q.runs[0])
 	}
 }
 
@@ -68,26 +69,26 @@
 
 // fits reports whether enough slots are free for a step. A step that needs more slots than the pool has may use the
 // pool alone.
-func (p *pool) fits(x *liveRun, step int) bool {
-	return p.used == 0 || p.used+slotsNeeded(x.run.Plan, step) <= p.slots
+func (p *pool) fits(live *liveRun, step int) bool {
+	return p.used == 0 || p.used+slotsNeeded(live.run.Plan, step) <= p.slots
 }
 
 // allocateSlots allocates a step's slots.
-func (g *Graphs) allocateSlots(x *liveRun, step int) {
-	x.activeJobs++
-	x.graph.activeInstances++
-	g.pool(x.run.Plan, step).used += slotsNeeded(x.run.Plan, step)
+func (g *Graphs) allocateSlots(live *liveRun, step int) {
+	live.activeJobs++
+	live.graph.activeInstances++
+	g.pool(live.run.Plan, step).used += slotsNeeded(live.run.Plan, step)
 }
 
 // releaseSlots frees a step's slots, and enqueues the step's run and the first runs that wait for them.
-func (g *Graphs) releaseSlots(x *liveRun, step int) {
-	p := g.pool(x.run.Plan, step)
-	x.activeJobs--
-	x.graph.activeInstances--
-	p.used -= slotsNeeded(x.run.Plan, step)
+func (g *Graphs) releaseSlots(live *liveRun, step int) {
+	p := g.pool(live.run.Plan, step)
+	live.activeJobs--
+	live.graph.activeInstances--
+	p.used -= slotsNeeded(live.run.Plan, step)
 	p.waitQueue.enqueueFirst(g)
-	x.graph.waitQueue.enqueueFirst(g)
-	g.enqueueRun(x)
+	live.graph.waitQueue.enqueueFirst(g)
+	g.enqueueRun(live)
 }
 
 // poolQueues returns the queues of all pools.
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -16,30 +16,30 @@
 
 // loader holds the records that a new leader reads.
 type loader struct {
-	codec  *charge.Codec
-	log    *slog.Logger
-	defs   map[string]*definition
-	graphs map[string]*graph
-	runs   []*liveRun // those that are not finished
+	codec       *charge.Codec
+	log         *slog.Logger
+	definitions map[string]*definition
+	graphs      map[string]*graph
+	runs        []*liveRun // those that are not finished
 }
 
 // Read reads definitions, graphs and runs, and the final states of jobs that finished in the meantime.
-func (g *Graphs) Read(ctx context.Context, store *statestore.Client, ask func(func()) error) (func(), error) {
-	l := &loader{codec: g.codec, log: g.log, defs: map[string]*definition{}, graphs: map[string]*graph{}}
+func (g *Graphs) Read(ctx context.Context, store *statestore.Client, onLoop func(func()) error) (func(), error) {
+	l := &loader{codec: g.codec, log: g.log, definitions: map[string]*definition{}, graphs: map[string]*graph{}}
 	if err := l.read(ctx, store); err != nil {
 		return nil, err
 	}
 	// From here on Finished is called for these jobs. A job that is no longer in the job store has finished, and
 	// its final state is stored for good.
-	var ended []string
-	if err := ask(func() {
-		g.termCtx, g.runOnLoop, g.store = ctx, ask, store
-		ended = g.install(l)
+	var finishedJobs []string
+	if err := onLoop(func() {
+		g.termCtx, g.runOnLoop, g.store = ctx, onLoop, store
+		finishedJobs = g.install(l)
 	}); err != nil {
 		return nil, err
 	}
-	states := map[string]wire.JobState{}
-	for _, id := range ended {
+	finalStates := map[string]wire.JobState{}
+	for _, id := range finishedJobs {
 		item, ok, err := store.Get(ctx, jobs.KeyFinalState(id))
 		if err != nil {
 			return nil, err
@@ -49,24 +49,24 @@
 			if err := json.Unmarshal(item.Value, &e); err != nil {
 				return nil, err
 			}
-			states[id] = e.State
+			finalStates[id] = e.State
 		}
 	}
 	return func() {
 		now := g.cfg.Clock.Now()
-		for _, id := range ended {
-			if state, ok := states[id]; ok || g.jobStore.Jobs[id] == nil {
+		for _, id := range finishedJobs {
+			if state, ok := finalStates[id]; ok || g.jobStore.Jobs[id] == nil {
 				g.jobFinished(id, state, now)
 			}
 		}
-		for _, x := range l.runs {
-			for _, id := range x.run.JobsBeingCancelled() { // jobs that the previous leader was about to cancel
+		for _, live := range l.runs {
+			for _, id := range live.run.JobsBeingCancelled() { // jobs that the previous leader was about to cancel
 				g.jobsToCancel[id] = struct{}{}
 			}
-			if x.run.RunState() != dag.RunRunning && x.activeJobs == 0 {
-				x.dirty = true
+			if live.run.RunState() != dag.RunRunning && live.activeJobs == 0 {
+				live.dirty = true
 			}
-			g.enqueueRun(x)
+			g.enqueueRun(live)
 		}
 		g.cancelKnownJobs()
 		g.loaded = true
@@ -76,8 +76,8 @@
 
 // install replaces the state of g by what was read. It returns the IDs of those jobs of steps that are cancelled or
 // no longer in the job store, so they may have a final state.
-func (g *Graphs) install(l *loader) (ended []string) {
-	g.definitions, g.graphs, g.runs, g.memoryBytes = l.defs, l.graphs, map[string]*liveRun{}, 0
+func (g *Graphs) install(l *loader) (finishedJobs []string) {
+	g.definitions, g.graphs, g.runs, g.memoryBytes = l.definitions, l.graphs, map[string]*liveRun{}, 0
 	clear(g.byJob)
 	clear(g.notSeenRunning)
 	clear(g.withTimeout)
@@ -88,52 +88,53 @@
 			g.memoryBytes += planBytes(d.plan)
 		}
 	}
-	open := func(x *liveRun, id string, at dag.InstanceRef) {
-		w := stepJob{run: x, ref: at}
-		if at.Step >= 0 {
-			w.generation = x.run.Generation(at.Step)
-			g.allocateSlots(x, at.Step)
-			g.notSeenRunning[id] = w
+	addJob := func(live *liveRun, id string, ref dag.InstanceRef) {
+		job := stepJob{run: live, ref: ref}
+		if ref.Step >= 0 {
+			job.generation = live.run.Generation(ref.Step)
+			g.allocateSlots(live, ref.Step)
+			g.notSeenRunning[id] = job
 		} else {
-			x.activeJobs++
+			live.activeJobs++
 		}
-		g.byJob[id] = w
+		g.byJob[id] = job
 		if j := g.jobStore.Jobs[id]; j == nil || j.Cancelled() {
-			ended = append(ended, id)
+			finishedJobs = append(finishedJobs, id)
 		}
 	}
-	for _, x := range l.runs {
-		g.addLive(x)
-		if x.meta.StartMS != 0 {
-			x.graph.startedRuns++
+	for _, live := range l.runs {
+		g.addLive(live)
+		if live.meta.StartMS != 0 {
+			live.graph.startedRuns++
 		}
-		for i := range x.run.Plan.Steps {
-			_, instances := x.run.StepState(i)
+		for i := range live.run.Plan.Steps {
+			_, instances := live.run.StepState(i)
 			for k := range instances {
 				if s := instances[k].State; s == dag.Queued || s == dag.Running || s == dag.UpForRetry {
-					open(x, x.run.JobID(dag.InstanceRef{Step: i, Index: k}), dag.InstanceRef{Step: i, Index: k})
+					addJob(live, live.run.JobID(dag.InstanceRef{Step: i, Index: k}), dag.InstanceRef{Step: i, Index: k})
 				}
 			}
 		}
-		for _, id := range x.run.Orphans() {
-			open(x, id, dag.InstanceRef{Step: -1})
+		for _, id := range live.run.Orphans() {
+			addJob(live, id, dag.InstanceRef{Step: -1})
 		}
 	}
-	return ended
+	return finishedJobs
 }
 
 // read reads all records. A record that cannot be decoded must not block the others, so it is logged and left out.
 func (l *loader) read(ctx context.Context, store *statestore.Client) error {
-	have := map[string]int{}
+	partCounts := map[string]int{}
 	if _, err := store.ListAll(ctx, PrefixDef, func(items []wire.Item) error {
-		collectParts(l.defs, have, items)
+		collectParts(l.definitions, partCounts, items)
 		return nil
 	}); err != nil {
 		return err
 	}
-	for hash, d := range l.defs {
-		if have[hash] != d.parts {
-			d.compressed, d.parts = nil, max(d.parts, have[hash]) // incomplete; the count covers all parts, so that cleanUp deletes them
+	for hash, d := range l.definitions {
+		if partCounts[hash] != d.parts {
+			// The definition is incomplete. The larger count is used, so that cleanUp deletes all its parts.
+			d.compressed, d.parts = nil, max(d.parts, partCounts[hash])
 		}
 	}
 	if _, err := store.ListAll(ctx, PrefixGraph, func(items []wire.Item) error {
@@ -159,23 +160,23 @@
 
 // plan returns the plan of a definition.
 func (l *loader) plan(hash string) (*dag.Plan, error) {
-	d := l.defs[hash]
-	if d == nil {
+	def := l.definitions[hash]
+	if def == nil {
 		return nil, errMissingPart
 	}
-	err := d.decodePlan(l.codec, hash)
-	return d.plan, err
+	err := def.decodePlan(l.codec, hash)
+	return def.plan, err
 }
 
 // decodePlan decodes the plan of a definition, if it is not decoded.
-func (d *definition) decodePlan(c *charge.Codec, hash string) error {
+func (d *definition) decodePlan(codec *charge.Codec, hash string) error {
 	if d.plan != nil {
 		return nil
 	}
 	if d.compressed == nil {
 		return errMissingPart
 	}
-	plan, err := decodeDefinition(c, hash, d.compressed)
+	plan, err := decodeDefinition(codec, hash, d.compressed)
 	if err == nil {
 		d.plan, d.compressed = plan, nil
 	}
@@ -188,16 +189,16 @@
 	if err := json.Unmarshal(item.Value, &rec); err != nil {
 		return err
 	}
-	p, err := l.plan(rec.Def)
-	if p == nil || err != nil {
+	plan, err := l.plan(rec.Def)
+	if plan == nil || err != nil {
 		return errors.Join(errMissingPart, err)
 	}
 	gr := &graph{key: item.Key, version: item.Version, rec: rec}
-	gr.setDefinition(p, rec.Def, rec.Paused)
+	gr.setDefinition(plan, rec.Def, rec.Paused)
 	if rec.LastMS != 0 {
 		gr.lastIntervalEnd = time.UnixMilli(rec.LastMS)
 	}
-	l.defs[rec.Def].refs++
+	l.definitions[rec.Def].refs++
 	l.graphs[item.Key] = gr
 	return nil
 }
@@ -212,34 +213,34 @@
 	if gr == nil {
 		return errors.New("the run's graph is not registered or could not be decoded")
 	}
-	e := &runEntry{key: item.Key, id: rec.ID, logicalMS: rec.LogicalMS, hasInterval: rec.ToMS != 0, defHash: rec.Def}
+	entry := &runEntry{key: item.Key, id: rec.ID, logicalMS: rec.LogicalMS, hasInterval: rec.ToMS != 0, defHash: rec.Def}
 	if rec.finished() && !gr.hasPastDependents {
-		l.addRunEntry(gr, e) // the definition need not be decoded for a finished run
+		l.addRunEntry(gr, entry) // the definition need not be decoded for a finished run
 		return nil
 	}
 	p, err := l.plan(rec.Def)
 	if err != nil {
 		return err
 	}
-	r, err := decodeRun(l.codec, &rec, p)
+	run, err := decodeRun(l.codec, &rec, p)
 	if err != nil {
 		return err
 	}
 	if rec.finished() {
-		e.failedPastDependents = failedPastDependents(r)
+		entry.failedPastDependents = failedPastDependents(run)
 	} else {
-		x := newLiveRun(gr, r, item.Key, rec.Def, rec.runMeta)
-		x.version, x.entry, x.recordBytes, x.tries = item.Version, e, len(item.Value), readTries(l.codec, &rec)
-		e.live = x
-		l.runs = append(l.runs, x)
+		live := newLiveRun(gr, run, item.Key, rec.Def, rec.runMeta)
+		live.version, live.entry, live.recordBytes, live.tries = item.Version, entry, len(item.Value), readTries(l.codec, &rec)
+		entry.live = live
+		l.runs = append(l.runs, live)
 	}
-	l.addRunEntry(gr, e)
+	l.addRunEntry(gr, entry)
 	return nil
 }
 
 // addRunEntry adds a run to its graph's history, and counts its reference to its definition.
 func (l *loader) addRunEntry(gr *graph, e *runEntry) {
-	if d := l.defs[e.defHash]; d != nil {
+	if d := l.definitions[e.defHash]; d != nil {
 		d.refs++
 	}
 	gr.insertRun(e)
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -31,8 +31,8 @@
 	return &Reader{store: store, lock: make(chan struct{}, 1)}
 }
 
-// acquire acquires the lock r.turn and creates the codec if there is none. The caller releases the lock by receiving
-// from r.turn.
+// acquire acquires r.lock, and creates the codec if there is none. The caller releases the lock by receiving from
+// r.lock.
 func (r *Reader) acquire(ctx context.Context) error {
 	select {
 	case r.lock <- struct{}{}:
@@ -171,22 +171,22 @@
 	if r.hash == hash {
 		return r.plan, nil
 	}
-	defs, have := map[string]*definition{}, map[string]int{}
+	definitions, partCounts := map[string]*definition{}, map[string]int{}
 	if _, err := r.store.ListAll(ctx, PrefixDef+hash+"/", func(items []wire.Item) error {
-		collectParts(defs, have, items)
+		collectParts(definitions, partCounts, items)
 		return nil
 	}); err != nil {
 		return nil, err
 	}
-	d := defs[hash]
-	if d == nil || have[hash] != d.parts {
+	def := definitions[hash]
+	if def == nil || partCounts[hash] != def.parts {
 		return nil, errMissingPart
 	}
-	if err := d.decodePlan(r.codec, hash); err != nil {
+	if err := def.decodePlan(r.codec, hash); err != nil {
 		return nil, err
 	}
-	r.hash, r.plan = hash, d.plan
-	return d.plan, nil
+	r.hash, r.plan = hash, def.plan
+	return def.plan, nil
 }
 
 // Store stores a graph's definition, and returns its hash and its number of parts.
@@ -212,11 +212,11 @@
 
 // StorePart stores part n (from 0) of a definition of as many parts as of says, unless it is stored already. zstd is
 // the part's compressed content.
-func (r *Reader) StorePart(ctx context.Context, hash string, n, of int, zstd []byte) error {
-	if !validHash(hash) || n < 0 || n >= of || of > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
+func (r *Reader) StorePart(ctx context.Context, hash string, n, parts int, zstd []byte) error {
+	if !validHash(hash) || n < 0 || n >= parts || parts > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
 		return ErrPart
 	}
-	value, err := json.Marshal(partRecord{Parts: of, Zstd: zstd})
+	value, err := json.Marshal(partRecord{Parts: parts, Zstd: zstd})
 	if err != nil {
 		return err
 	}
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -59,11 +59,13 @@
 	return hex.EncodeToString(sum[:8]) + "/"
 }
 
+// keyGraph returns the key of a graph.
 func keyGraph(team, graph string) string { return PrefixGraph + teamPrefix(team) + graph }
 
 // runEscapes escapes the characters that a run's ID may contain and a key may not.
 var runEscapes = strings.NewReplacer(":", ",c", "+", ",p")
 
+// keyRun returns the key of a run.
 func keyRun(team, graph, run string) string {
 	return PrefixRun + teamPrefix(team) + graph + "/" + runEscapes.Replace(run)
 }
@@ -119,16 +121,16 @@
 func (r *runRecord) finished() bool { return r.State != dag.RunRunning.String() && !r.Open }
 
 // Pack returns the hash of a definition, and its compressed form in parts of at most tuning.GraphPartMaxBytes.
-func Pack(c *charge.Codec, g *dag.Graph) (hash string, parts [][]byte, err error) {
+func Pack(codec *charge.Codec, g *dag.Graph) (hash string, parts [][]byte, err error) {
 	raw, err := json.Marshal(g)
 	if err != nil {
 		return "", nil, fmt.Errorf("graph %s: %w", g.ID, err)
 	}
-	packed := c.Encode(raw)
-	for len(packed) > 0 {
-		n := min(len(packed), tuning.GraphPartMaxBytes)
-		parts = append(parts, packed[:n])
-		packed = packed[n:]
+	compressed := codec.Encode(raw)
+	for len(compressed) > 0 {
+		n := min(len(compressed), tuning.GraphPartMaxBytes)
+		parts = append(parts, compressed[:n])
+		compressed = compressed[n:]
 	}
 	if len(parts) > tuning.GraphMaxParts {
 		return "", nil, fmt.Errorf("graph %s: it takes %d parts of %d bytes; up to %d are allowed", g.ID, len(parts), tuning.GraphPartMaxBytes, tuning.GraphMaxParts)
@@ -152,9 +154,9 @@
 var errMissingPart = errors.New("a part of the graph is missing")
 
 // decodeDefinition decodes a compressed definition and checks its hash.
-func decodeDefinition(c *charge.Codec, hash string, packed []byte) (*dag.Plan, error) {
+func decodeDefinition(codec *charge.Codec, hash string, compressed []byte) (*dag.Plan, error) {
 	var raw []byte
-	if err := c.Decode(packed, &raw); err != nil {
+	if err := codec.Decode(compressed, &raw); err != nil {
 		return nil, err
 	}
 	if hashOf(raw) != hash {
@@ -167,66 +169,66 @@
 	return dag.NewPlan(g)
 }
 
-// collectParts adds records of parts to defs, and counts them in have, both by hash. Items are sorted by key, so the parts
-// of a definition are in order. If have is less than definition.parts, the definition is incomplete: its client
-// did not finish the upload.
-func collectParts(defs map[string]*definition, have map[string]int, items []wire.Item) {
+// collectParts adds records of parts to definitions, and counts them in partCounts, both by hash. Items are sorted by key, so
+// the parts of a definition are in order. If the count differs from definition.parts, the definition is incomplete:
+// its client did not finish the upload.
+func collectParts(definitions map[string]*definition, partCounts map[string]int, items []wire.Item) {
 	for _, item := range items {
 		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDef), "/")
 		var r partRecord
 		if json.Unmarshal(item.Value, &r) != nil {
 			continue // the definition is incomplete then
 		}
-		if defs[hash] == nil {
-			defs[hash] = &definition{}
+		if definitions[hash] == nil {
+			definitions[hash] = &definition{}
 		}
-		defs[hash].compressed = append(defs[hash].compressed, r.Zstd...)
-		defs[hash].parts = r.Parts
-		have[hash]++
+		definitions[hash].compressed = append(definitions[hash].compressed, r.Zstd...)
+		definitions[hash].parts = r.Parts
+		partCounts[hash]++
 	}
 }
 
-// encodeRunRecord encodes a run's record. To stay within limit bytes, it discards the oldest tries, and if necessary all. If
-// the record is still longer, encodeRunRecord returns it nevertheless.
-func encodeRunRecord(c *charge.Codec, x *liveRun, limit int) (json.RawMessage, error) {
+// encodeRunRecord encodes a run's record. To stay within limit bytes, it discards the oldest tries, and if necessary
+// all of them. If the record is still longer, encodeRunRecord returns it nevertheless.
+func encodeRunRecord(codec *charge.Codec, live *liveRun, limit int) (json.RawMessage, error) {
 	rec := runRecord{
-		Team: x.graph.rec.Team, Graph: x.graph.rec.ID, ID: x.run.ID, Def: x.defHash, State: x.run.RunState().String(), runMeta: x.meta,
-		Open: x.activeJobs > 0, Zstd: c.Encode(x.run.Encode()),
+		Team: live.graph.rec.Team, Graph: live.graph.rec.ID, ID: live.run.ID, Def: live.defHash, State: live.run.RunState().String(), runMeta: live.meta,
+		Open: live.activeJobs > 0, Zstd: codec.Encode(live.run.Encode()),
 	}
-	if n := int(tuning.TriesRecordShare*float64(limit)) / tuning.TryBytes; len(x.tries) > n {
-		x.tries = slices.Clone(x.tries[len(x.tries)-n:])
+	if n := int(tuning.TriesRecordShare*float64(limit)) / tuning.TryBytes; len(live.tries) > n {
+		live.tries = slices.Clone(live.tries[len(live.tries)-n:])
 	}
-	if len(x.tries) > 0 {
-		rec.Tries = c.Encode(x.tries)
+	if len(live.tries) > 0 {
+		rec.Tries = codec.Encode(live.tries)
 	}
 	value, err := json.Marshal(rec)
 	if err == nil && len(value) > limit && rec.Tries != nil {
-		rec.Tries, x.tries = nil, nil
+		rec.Tries, live.tries = nil, nil
 		value, err = json.Marshal(rec)
 	}
 	return value, err
 }
 
 // decodeRun decodes the states of a run's steps.
-func decodeRun(c *charge.Codec, rec *runRecord, p *dag.Plan) (*dag.Run, error) {
+func decodeRun(codec *charge.Codec, rec *runRecord, plan *dag.Plan) (*dag.Run, error) {
 	var raw []byte
-	if err := c.Decode(rec.Zstd, &raw); err != nil {
+	if err := codec.Decode(rec.Zstd, &raw); err != nil {
 		return nil, fmt.Errorf("run %s of %s: %w", rec.ID, rec.Graph, err)
 	}
-	return dag.DecodeRun(p, raw)
+	return dag.DecodeRun(plan, raw)
 }
 
 // instanceJob returns the job of an instance, and the job's stored record with nowMS as the time when it was accepted.
-func instanceJob(r *dag.Run, at dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
+func instanceJob(r *dag.Run, ref dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
 	p := r.Plan
-	d := p.Steps[at.Step].Job
+	dagJob := p.Steps[ref.Step].Job
 	j := wire.Job{
-		ID: r.JobID(at), Class: d.Class, Team: p.Team, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: max(1, d.Tasks),
-		CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB, Image: d.Image, ImageGB: d.ImageGB, Types: d.Types, Zone: d.Zone,
-		OneZone: d.SameZone, Spread: d.Spread, Spot: d.Spot, EstimateS: d.EstimateS, CheckpointS: d.CheckpointS, SaveS: d.SaveS, Account: d.Account,
+		ID: r.JobID(ref), Class: dagJob.Class, Team: p.Team, Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: max(1, dagJob.Tasks),
+		CPUs: dagJob.CPUs, GPUs: dagJob.GPUs, MemoryGB: dagJob.MemoryGB, Image: dagJob.Image, ImageGB: dagJob.ImageGB, Types: dagJob.Types, Zone: dagJob.Zone,
+		OneZone: dagJob.SameZone, Spread: dagJob.Spread, Spot: dagJob.Spot, EstimateS: dagJob.EstimateS, CheckpointS: dagJob.CheckpointS, SaveS: dagJob.SaveS, Account: dagJob.Account,
 	}
-	if d.Urgency != "" {
-		j.Priority = wire.Priority(d.Urgency)
+	if dagJob.Urgency != "" {
+		j.Priority = wire.Priority(dagJob.Urgency)
 	}
 	value, err := json.Marshal(jobs.JobRecord{Job: j, AcceptedAtMS: nowMS})
 	return j, value, err
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -9,23 +9,23 @@
 )
 
 // deleteRun deletes a finished run. then, if not nil, is called when its record is deleted.
-func (g *Graphs) deleteRun(gr *graph, e *runEntry, then func()) {
-	e.deleting = true
+func (g *Graphs) deleteRun(gr *graph, entry *runEntry, then func()) {
+	entry.deleting = true
 	g.enqueueDeletions(func() {
-		gr.history = slices.DeleteFunc(gr.history, func(x *runEntry) bool { return x == e })
-		g.releaseDefinition(e.defHash)
+		gr.history = slices.DeleteFunc(gr.history, func(e *runEntry) bool { return e == entry })
+		g.releaseDefinition(entry.defHash)
 		if then != nil {
 			then()
 		}
-	}, e.key)
+	}, entry.key)
 }
 
 // applyRetention deletes finished runs of a graph, except for the newest tuning.GraphRetainedRuns.
 func (g *Graphs) applyRetention(gr *graph) {
-	over := 0
+	finished := 0
 	for i := len(gr.history) - 1; i >= 0; i-- {
 		if e := gr.history[i]; e.live == nil && !e.deleting {
-			if over++; over > tuning.GraphRetainedRuns {
+			if finished++; finished > tuning.GraphRetainedRuns {
 				g.deleteRun(gr, e, nil)
 			}
 		}
@@ -33,7 +33,8 @@
 }
 
 // cleanUp removes from memory the plans that only finished runs refer to, and deletes definitions that have been
-// unreferenced for tuning.GraphDeleteAfter. At the same interval it has sweep look for unregistered uploads.
+// unreferenced for tuning.GraphDeleteAfter. At the same interval it calls
+// addUnregistered.
 func (g *Graphs) cleanUp(now time.Time) {
 	if g.lastListing.IsZero() {
 		g.lastListing = now // Read has just listed all definitions
@@ -41,26 +42,26 @@
 		g.lastListing = now
 		g.addUnregistered()
 	}
-	used := map[string]bool{}
+	inUse := map[string]bool{}
 	for _, gr := range g.graphs {
-		used[gr.rec.Def] = true
+		inUse[gr.rec.Def] = true
 	}
-	for _, x := range g.runs {
-		used[x.defHash] = true
+	for _, live := range g.runs {
+		inUse[live.defHash] = true
 	}
-	for hash, d := range g.definitions {
-		if d.plan != nil && !used[hash] {
-			g.memoryBytes -= planBytes(d.plan)
-			d.plan = nil
+	for hash, def := range g.definitions {
+		if def.plan != nil && !inUse[hash] {
+			g.memoryBytes -= planBytes(def.plan)
+			def.plan = nil
 		}
 		switch {
-		case d.refs > 0 || hash == g.fetchingHash:
-			d.unreferencedSince = time.Time{}
-		case d.unreferencedSince.IsZero():
-			d.unreferencedSince = now
-		case now.Sub(d.unreferencedSince) >= tuning.GraphDeleteAfter:
+		case def.refs > 0 || hash == g.fetchingHash:
+			def.unreferencedSince = time.Time{}
+		case def.unreferencedSince.IsZero():
+			def.unreferencedSince = now
+		case now.Sub(def.unreferencedSince) >= tuning.GraphDeleteAfter:
 			delete(g.definitions, hash)
-			g.enqueueDeletions(nil, partKeys(hash, d.parts)...)
+			g.enqueueDeletions(nil, partKeys(hash, def.parts)...)
 		}
 	}
 }
@@ -92,9 +93,9 @@
 	}
 	if n > 0 {
 		b.onCommitted = append(b.onCommitted, func(uint64) {
-			gone := g.deletions[:n]
+			deleted := g.deletions[:n]
 			g.deletions = g.deletions[n:]
-			for _, d := range gone {
+			for _, d := range deleted {
 				if d.then != nil {
 					d.then()
 				}
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -24,7 +24,7 @@
 	onStored []func()  // called when it is stored
 	entry    *runEntry // in the graph's history
 
-	inQueue         bool      // it is in Graphs.todo
+	inQueue         bool      // it is in Graphs.runQueue
 	dirty           bool      // it has changes that are not stored
 	storeLaterSince time.Time // when it was added to Graphs.storeLater
 	finished        bool      // it has ended and is stored as that
@@ -47,57 +47,57 @@
 }
 
 // addLive adds a run to the live runs.
-func (g *Graphs) addLive(x *liveRun) {
-	g.memoryBytes += len(x.run.Plan.Steps) * tuning.RunStepBytes
-	g.runs[x.key] = x
+func (g *Graphs) addLive(live *liveRun) {
+	g.memoryBytes += len(live.run.Plan.Steps) * tuning.RunStepBytes
+	g.runs[live.key] = live
 }
 
 // createRun creates a run of a graph. It answers with 201 when the run is stored, or at once if it refuses the run.
-func (g *Graphs) createRun(gr *graph, id string, m runMeta, now time.Time, tell responder) {
-	d := g.definitions[gr.rec.Def]
+func (g *Graphs) createRun(gr *graph, id string, meta runMeta, now time.Time, respond responder) {
+	def := g.definitions[gr.rec.Def]
 	key := keyRun(gr.rec.Team, gr.rec.ID, id)
-	if status, why := g.refusal(gr, d, key, id, &m); status != 0 {
-		tell.refuse(status, "%s", why)
+	if status, reason := g.refusal(gr, def, key, id, &meta); status != 0 {
+		respond.refuse(status, "%s", reason)
 		return
 	}
-	m.QueuedMS = now.UnixMilli()
-	if m.LogicalMS == 0 {
-		m.LogicalMS = m.QueuedMS
-	}
-	x := newLiveRun(gr, dag.NewRun(d.plan, id), key, gr.rec.Def, m)
-	g.addLive(x)
-	d.refs++
-	x.entry = &runEntry{key: key, id: id, logicalMS: m.LogicalMS, hasInterval: m.ToMS != 0, defHash: x.defHash, live: x}
-	gr.insertRun(x.entry)
-	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusCreated) })
-	g.markDirty(x)
+	meta.QueuedMS = now.UnixMilli()
+	if meta.LogicalMS == 0 {
+		meta.LogicalMS = meta.QueuedMS
+	}
+	live := newLiveRun(gr, dag.NewRun(def.plan, id), key, gr.rec.Def, meta)
+	g.addLive(live)
+	def.refs++
+	live.entry = &runEntry{key: key, id: id, logicalMS: meta.LogicalMS, hasInterval: meta.ToMS != 0, defHash: live.defHash, live: live}
+	gr.insertRun(live.entry)
+	live.onStored = append(live.onStored, func() { respond.succeed(http.StatusCreated) })
+	g.markDirty(live)
 }
 
 // refusal returns the status and reason with which a new run is refused; status 0 if it is not refused.
-func (g *Graphs) refusal(gr *graph, d *definition, key, id string, m *runMeta) (status int, why string) {
+func (g *Graphs) refusal(gr *graph, def *definition, key, id string, meta *runMeta) (status int, reason string) {
 	switch {
 	case gr.deleting:
 		return http.StatusNotFound, "no such graph"
-	case d == nil || d.plan == nil:
+	case def == nil || def.plan == nil:
 		return http.StatusServiceUnavailable, "the graph cannot be read now; ask again"
 	case !validRunID(id) || len(key) > tuning.MaxKeyBytes:
 		return http.StatusBadRequest, "dag_run_id is too long, or no name of letters, digits and _-.:+"
 	case slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.key == key }):
 		return http.StatusConflict, "the run exists already"
-	case m.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.hasInterval && e.logicalMS == m.LogicalMS }):
+	case meta.ToMS != 0 && slices.ContainsFunc(gr.history, func(e *runEntry) bool { return e.hasInterval && e.logicalMS == meta.LogicalMS }):
 		return http.StatusConflict, "the interval has a run already"
-	case len(m.Conf) > tuning.GraphConfMaxBytes:
-		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(m.Conf), tuning.GraphConfMaxBytes)
+	case len(meta.Conf) > tuning.GraphConfMaxBytes:
+		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(meta.Conf), tuning.GraphConfMaxBytes)
 	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
 		return http.StatusServiceUnavailable, "there is no memory for more runs now; ask again"
 	case g.cfg.Source != nil:
 		return 0, ""
-	case !m.Described:
+	case !meta.Described:
 		return http.StatusConflict, noSourceText("the run's steps were not described by whoever triggers it")
 	}
-	for i := range d.plan.Steps {
-		if mappedAtRunTime(d.plan, i) {
-			return http.StatusConflict, noSourceText("step " + d.plan.Steps[i].ID + " is mapped over what another step leaves")
+	for i := range def.plan.Steps {
+		if mappedAtRunTime(def.plan, i) {
+			return http.StatusConflict, noSourceText("step " + def.plan.Steps[i].ID + " is mapped over what another step leaves")
 		}
 	}
 	return 0, ""
@@ -113,39 +113,39 @@
 
 // startIfAllowed reports whether steps of a run may be submitted: the graph is not paused, and the run has started. It
 // starts the run if fewer runs than the graph's limit have started.
-func (g *Graphs) startIfAllowed(x *liveRun, now time.Time) bool {
-	gr := x.graph
+func (g *Graphs) startIfAllowed(live *liveRun, now time.Time) bool {
+	gr := live.graph
 	if gr.rec.Paused {
 		return false
 	}
-	if x.meta.StartMS == 0 {
+	if live.meta.StartMS == 0 {
 		if gr.startedRuns >= gr.rec.MaxRuns {
 			return false
 		}
 		gr.startedRuns++
-		x.meta.StartMS = now.UnixMilli()
-		x.dirty = true
+		live.meta.StartMS = now.UnixMilli()
+		live.dirty = true
 	}
 	return true
 }
 
 // finish removes a run from the live runs if it has ended, its jobs have finished and its record is stored. It
 // enqueues the graph's next run that has not started.
-func (g *Graphs) finish(x *liveRun) {
-	if x.finished || x.run.RunState() == dag.RunRunning || x.activeJobs > 0 || x.dirty || len(x.unansweredJobs) > 0 {
+func (g *Graphs) finish(live *liveRun) {
+	if live.finished || live.run.RunState() == dag.RunRunning || live.activeJobs > 0 || live.dirty || len(live.unansweredJobs) > 0 {
 		return
 	}
-	gr := x.graph
-	x.finished = true
-	delete(g.runs, x.key)
-	delete(g.storeLater, x)
-	g.memoryBytes -= len(x.run.Plan.Steps) * tuning.RunStepBytes
-	x.entry.live, x.entry.failedPastDependents = nil, failedPastDependents(x.run)
-	if x.meta.StartMS != 0 {
+	gr := live.graph
+	live.finished = true
+	delete(g.runs, live.key)
+	delete(g.storeLater, live)
+	g.memoryBytes -= len(live.run.Plan.Steps) * tuning.RunStepBytes
+	live.entry.live, live.entry.failedPastDependents = nil, failedPastDependents(live.run)
+	if live.meta.StartMS != 0 {
 		gr.startedRuns--
 	}
-	for _, l := range append([]*waitQueue{&gr.waitQueue}, g.poolQueues()...) {
-		l.runs = slices.DeleteFunc(l.runs, func(y *liveRun) bool { return y == x })
+	for _, q := range append([]*waitQueue{&gr.waitQueue}, g.poolQueues()...) {
+		q.runs = slices.DeleteFunc(q.runs, func(other *liveRun) bool { return other == live })
 	}
 	if i := slices.IndexFunc(gr.history, func(e *runEntry) bool { return e.live != nil && e.live.meta.StartMS == 0 }); i >= 0 {
 		g.enqueueRun(gr.history[i].live)
@@ -155,54 +155,54 @@
 
 // failedPastDependents returns the IDs of a run's steps that depend on the past and neither succeeded nor were
 // skipped. They block the same steps of the next run.
-func failedPastDependents(r *dag.Run) map[string]bool {
+func failedPastDependents(run *dag.Run) map[string]bool {
 	var out map[string]bool
-	for i := range r.Plan.Steps {
-		state, _ := r.StepState(i)
-		if r.Plan.Steps[i].DependsOnPast && state != dag.Success && state != dag.Skipped {
+	for i := range run.Plan.Steps {
+		state, _ := run.StepState(i)
+		if run.Plan.Steps[i].DependsOnPast && state != dag.Success && state != dag.Skipped {
 			if out == nil {
 				out = map[string]bool{}
 			}
-			out[r.Plan.Steps[i].ID] = true
+			out[run.Plan.Steps[i].ID] = true
 		}
 	}
 	return out
 }
 
 // cancelRun cancels a run and its jobs. No more of its steps are submitted.
-func (g *Graphs) cancelRun(x *liveRun, now time.Time, tell responder) {
-	x.run.Cancel()
-	if x.meta.StartMS == 0 { // it was waiting to start
-		x.meta.StartMS = now.UnixMilli()
-		x.graph.startedRuns++
-	}
-	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
-	g.cancelUnneeded(x)
-	g.markDirty(x)
+func (g *Graphs) cancelRun(live *liveRun, now time.Time, respond responder) {
+	live.run.Cancel()
+	if live.meta.StartMS == 0 { // it was waiting to start
+		live.meta.StartMS = now.UnixMilli()
+		live.graph.startedRuns++
+	}
+	live.onStored = append(live.onStored, func() { respond.succeed(http.StatusOK) })
+	g.cancelUnneeded(live)
+	g.markDirty(live)
 }
 
 // clearSteps resets steps of a live run, so that they run again as new jobs.
-func (g *Graphs) clearSteps(x *liveRun, o *Order, tell responder) {
-	steps, err := x.run.StepsToClear(o.Steps, o.Below, o.OnlyFailed)
+func (g *Graphs) clearSteps(live *liveRun, cmd *Order, respond responder) {
+	steps, err := live.run.StepsToClear(cmd.Steps, cmd.Below, cmd.OnlyFailed)
 	if err != nil {
-		tell.refuse(http.StatusBadRequest, "%s", err)
+		respond.refuse(http.StatusBadRequest, "%s", err)
 		return
 	}
-	x.run.Clear(steps)
-	x.detachOrphans(g)
-	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
-	g.cancelUnneeded(x)
-	g.markDirty(x)
+	live.run.Clear(steps)
+	live.detachOrphans(g)
+	live.onStored = append(live.onStored, func() { respond.succeed(http.StatusOK) })
+	g.cancelUnneeded(live)
+	g.markDirty(live)
 }
 
 // detachOrphans releases the slots of unfinished jobs of earlier generations.
-func (x *liveRun) detachOrphans(g *Graphs) {
-	for _, id := range x.run.Orphans() {
-		if w, ok := g.byJob[id]; ok && w.ref.Step >= 0 {
-			x.activeJobs++ // releaseSlots decrements it, but the run stays live until the job has finished
-			g.releaseSlots(x, w.ref.Step)
-			w.ref = dag.InstanceRef{Step: -1}
-			g.byJob[id] = w
+func (live *liveRun) detachOrphans(g *Graphs) {
+	for _, id := range live.run.Orphans() {
+		if job, ok := g.byJob[id]; ok && job.ref.Step >= 0 {
+			live.activeJobs++ // releaseSlots decrements it, but the run stays live until the job has finished
+			g.releaseSlots(live, job.ref.Step)
+			job.ref = dag.InstanceRef{Step: -1}
+			g.byJob[id] = job
 			delete(g.notSeenRunning, id)
 			delete(g.withTimeout, id)
 		}
@@ -210,18 +210,18 @@
 }
 
 // setResult sets the result of a step, which steps downstream read.
-func (g *Graphs) setResult(x *liveRun, o *Order, tell responder) {
-	i, ok := x.run.Plan.Index[o.Step]
+func (g *Graphs) setResult(live *liveRun, cmd *Order, respond responder) {
+	i, ok := live.run.Plan.Index[cmd.Step]
 	if !ok {
-		tell.refuse(http.StatusNotFound, "no such step")
+		respond.refuse(http.StatusNotFound, "no such step")
 		return
 	}
-	if err := x.run.SetResult(i, o.Result); err != nil {
-		tell.refuse(http.StatusConflict, "%s", err)
+	if err := live.run.SetResult(i, cmd.Result); err != nil {
+		respond.refuse(http.StatusConflict, "%s", err)
 		return
 	}
-	x.onStored = append(x.onStored, func() { tell.succeed(http.StatusOK) })
-	g.markDirty(x)
+	live.onStored = append(live.onStored, func() { respond.succeed(http.StatusOK) })
+	g.markDirty(live)
 }
 
 // runMeta is the part of a run's record that does not concern single steps.
@@ -231,7 +231,7 @@
 	FromMS    int64           `json:"from_ms,omitempty"` // start of the data interval; 0 if there is none
 	ToMS      int64           `json:"to_ms,omitempty"`   // end of the data interval; 0 if there is none
 	QueuedMS  int64           `json:"queued_ms"`
-	StartMS   int64           `json:"start_ms,omitempty"` // 0 if it waits to start: the graph is paused or has too many started runs
+	StartMS   int64           `json:"start_ms,omitempty"` // 0 if it waits to start (startIfAllowed)
 	EndMS     int64           `json:"end_ms,omitempty"`   // 0 if it has not ended
 	Conf      json.RawMessage `json:"conf,omitempty"`
 	Note      string          `json:"note,omitempty"`
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -16,8 +16,8 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// counts returns how many steps of a run are in each state.
-func counts(r *dag.Run) map[string]int {
+// countByState returns how many steps of a run are in each state.
+func countByState(r *dag.Run) map[string]int {
 	out := map[string]int{}
 	for i := range r.Plan.Steps {
 		s, _ := r.StepState(i)
@@ -29,9 +29,9 @@
 // A pool and max_active_tasks limit the submitted steps of all runs together, max_active_runs limits the started runs,
 // and waiting steps are submitted as others end.
 func TestPoolsAndLimitsApplyToAllRuns(t *testing.T) {
-	w := newHarnessWithoutLeader(t, Config{Pools: func(team, name string) (int, bool) { return 3, team == "the team" && name == "db" }})
-	w.changeLeader()
-	defer w.close()
+	h := newHarnessWithoutLeader(t, Config{Pools: func(team, name string) (int, bool) { return 3, team == "the team" && name == "db" }})
+	h.changeLeader()
+	defer h.close()
 	var steps []dag.Step
 	for i := range 6 {
 		s := step(fmt.Sprint("s", i))
@@ -43,32 +43,32 @@
 		}
 		steps = append(steps, s)
 	}
-	p := newPlanWith(t, func(g *dag.Graph) { g.MaxTasks, g.MaxRuns = 4, 2 }, steps...)
-	w.registerAndTrigger(p, "one")
-	w.sendAndSettle(DoTrigger, Order{Run: "two", Described: true}, http.StatusCreated)
-	w.sendAndSettle(DoTrigger, Order{Run: "three", Described: true}, http.StatusCreated)
-	for round := 0; len(w.liveJobs()) > 0; round++ {
+	plan := newPlanWith(t, func(g *dag.Graph) { g.MaxTasks, g.MaxRuns = 4, 2 }, steps...)
+	h.registerAndTrigger(plan, "one")
+	h.sendAndSettle(DoTrigger, Order{Run: "two", Described: true}, http.StatusCreated)
+	h.sendAndSettle(DoTrigger, Order{Run: "three", Described: true}, http.StatusCreated)
+	for round := 0; len(h.liveJobs()) > 0; round++ {
 		slots := 0
-		for id := range w.graphs.byJob {
-			at := w.graphs.byJob[id].ref
-			if p.Steps[at.Step].Pool == "db" {
-				slots += slotsNeeded(p, at.Step)
+		for id := range h.graphs.byJob {
+			ref := h.graphs.byJob[id].ref
+			if plan.Steps[ref.Step].Pool == "db" {
+				slots += slotsNeeded(plan, ref.Step)
 			}
 		}
-		if n := len(w.liveJobs()); n > 4 || slots > 3 || w.graphs.graphs[keyGraph("the team", "g")].startedRuns > 2 {
+		if n := len(h.liveJobs()); n > 4 || slots > 3 || h.graphs.graphs[keyGraph("the team", "g")].startedRuns > 2 {
 			t.Fatalf("round %d: limits exceeded: %d steps are submitted, %d slots are used", round, n, slots)
 		}
 		if round == 3 {
-			w.changeLeader() // a new leader restores the same counts
+			h.changeLeader() // a new leader restores the same counts
 		}
-		w.completeJobs()
+		h.completeJobs()
 	}
 	for _, id := range []string{"one", "two", "three"} {
-		if r := w.storedRun(p, id); r.RunState() != dag.RunSuccess {
-			t.Errorf("run %s has not succeeded: its steps are %v", id, counts(r))
+		if r := h.storedRun(plan, id); r.RunState() != dag.RunSuccess {
+			t.Errorf("run %s has not succeeded: its steps are %v", id, countByState(r))
 		}
 	}
-	if a := w.register(newPlanWith(t, func(g *dag.Graph) { g.ID = "other" }, func() dag.Step { s := step("s"); s.Pool = "theirs"; return s }())); a.status != http.StatusBadRequest || !strings.Contains(a.text, `no pool "theirs"`) {
+	if a := h.register(newPlanWith(t, func(g *dag.Graph) { g.ID = "other" }, func() dag.Step { s := step("s"); s.Pool = "theirs"; return s }())); a.status != http.StatusBadRequest || !strings.Contains(a.text, `no pool "theirs"`) {
 		t.Errorf("registering a graph with an unknown pool: %+v", a)
 	}
 }
@@ -76,65 +76,65 @@
 // A step that depends on the past waits for the same step of the previous run, also after a change of leaders. If that
 // step failed, it waits until the failed step is cleared and succeeds.
 func TestStepThatDependsOnPast(t *testing.T) {
-	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
-	w.changeLeader()
-	defer w.close()
+	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h.changeLeader()
+	defer h.close()
 	s := step("s")
 	s.DependsOnPast = true
-	p := newPlan(t, s)
-	w.registerAndTrigger(p, "one")
-	first := w.liveJobs()[0]
-	w.clock.Advance(time.Second)
-	w.sendAndSettle(DoTrigger, Order{Run: "two"}, http.StatusCreated)
-	if got := w.liveJobs(); len(got) != 1 {
+	plan := newPlan(t, s)
+	h.registerAndTrigger(plan, "one")
+	first := h.liveJobs()[0]
+	h.clock.Advance(time.Second)
+	h.sendAndSettle(DoTrigger, Order{Run: "two"}, http.StatusCreated)
+	if got := h.liveJobs(); len(got) != 1 {
 		t.Fatalf("submitted jobs are %v, want one", got)
 	}
-	w.endAttempt(w.startTask(first), wire.ExitError) // the step has no retries
-	w.settle()
-	w.changeLeader()
-	w.settle()
-	if got := w.liveJobs(); len(got) != 0 || w.storedRun(p, "one").RunState() != dag.RunFailed {
+	h.endAttempt(h.startTask(first), wire.ExitError) // the step has no retries
+	h.settle()
+	h.changeLeader()
+	h.settle()
+	if got := h.liveJobs(); len(got) != 0 || h.storedRun(plan, "one").RunState() != dag.RunFailed {
 		t.Fatalf("after the failure in the previous run, submitted jobs are %v, want none", got)
 	}
-	w.send(DoClear, Order{Run: "one"})
-	w.runLoopFunc() // the run is finished, so it is read first
-	w.settle()
-	w.completeJobs()
-	w.completeJobs()
-	if one, two := w.storedRun(p, "one"), w.storedRun(p, "two"); one.RunState() != dag.RunSuccess || two.RunState() != dag.RunSuccess {
-		t.Errorf("not both runs have succeeded: their steps are %v and %v", counts(one), counts(two))
+	h.send(DoClear, Order{Run: "one"})
+	h.runLoopFunc() // the run is finished, so it is read first
+	h.settle()
+	h.completeJobs()
+	h.completeJobs()
+	if one, two := h.storedRun(plan, "one"), h.storedRun(plan, "two"); one.RunState() != dag.RunSuccess || two.RunState() != dag.RunSuccess {
+		t.Errorf("not both runs have succeeded: their steps are %v and %v", countByState(one), countByState(two))
 	}
 }
 
-// When a running step is cleared, its old job is cancelled, by the next leader if this one fails before that. The end of
-// the old job does not change the state of the step's next generation.
+// When a running step is cleared, its old job is cancelled, by the next leader if this one fails before that. The end
+// of the old job does not change the state of the step's next generation.
 func TestClearOfRunningStep(t *testing.T) {
-	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
-	w.changeLeader()
-	defer w.close()
-	p := newPlan(t, step("a"), step("b", "a"))
-	w.registerAndTrigger(p, "one")
-	old := w.liveJobs()[0]
-	w.startTask(old)
-	w.send(DoClear, Order{Run: "one", Below: true})
-	w.commitNext(true) // the new generation is stored, the cancellation of the old job is not
-	w.changeLeader()
-	w.settle()
-	if got := w.liveJobs(); len(got) != 2 {
+	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h.changeLeader()
+	defer h.close()
+	plan := newPlan(t, step("a"), step("b", "a"))
+	h.registerAndTrigger(plan, "one")
+	old := h.liveJobs()[0]
+	h.startTask(old)
+	h.send(DoClear, Order{Run: "one", Below: true})
+	h.commitNext(true) // the new generation is stored, the cancellation of the old job is not
+	h.changeLeader()
+	h.settle()
+	if got := h.liveJobs(); len(got) != 2 {
 		t.Fatalf("live jobs are %v, want the old one and the new one", got)
 	}
-	if j := w.jobStore.Jobs[old]; !j.Cancelled() {
+	if j := h.jobStore.Jobs[old]; !j.Cancelled() {
 		t.Error("the old job is not cancelled")
 	}
-	w.endAttempt(w.jobStore.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
-	w.settle()
-	if r := w.storedRun(p, "one"); counts(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
-		t.Errorf("the end of the old job changed the state of the step: steps are %v", counts(r))
+	h.endAttempt(h.jobStore.Jobs[old].Tasks[0].Allocation, wire.ExitStopped)
+	h.settle()
+	if r := h.storedRun(plan, "one"); countByState(r)["queued"] != 1 || r.RunState() != dag.RunRunning {
+		t.Errorf("the end of the old job changed the state of the step: steps are %v", countByState(r))
 	}
-	w.completeJobs()
-	w.completeJobs()
-	if r := w.storedRun(p, "one"); r.RunState() != dag.RunSuccess || len(r.Orphans()) != 0 || len(w.graphs.runs) != 0 {
-		t.Errorf("the run has not finished: its steps are %v, its orphans %v", counts(r), r.Orphans())
+	h.completeJobs()
+	h.completeJobs()
+	if r := h.storedRun(plan, "one"); r.RunState() != dag.RunSuccess || len(r.Orphans()) != 0 || len(h.graphs.runs) != 0 {
+		t.Errorf("the run has not finished: its steps are %v, its orphans %v", countByState(r), r.Orphans())
 	}
 }
 
@@ -142,42 +142,42 @@
 // while the graph is paused. After a pause, the interval that ended in the meantime gets its run, and a clock that is
 // set back creates no further one. A backfill skips intervals that have a run.
 func TestScheduledRuns(t *testing.T) {
-	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
-	w.changeLeader()
-	defer w.close()
-	start := w.clock.Now()
+	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h.changeLeader()
+	defer h.close()
+	start := h.clock.Now()
 	p := newPlanWith(t, func(g *dag.Graph) { g.Schedule, g.Start, g.Catchup, g.MaxRuns = "@hourly", &start, true, 2 }, step("s"))
-	if a := w.register(p); a.status != http.StatusCreated {
+	if a := h.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	w.clock.Advance(3 * time.Hour)
-	w.graphs.Tick(w.clock.Now())
-	w.commitNext(true) // the runs are stored, the graph's LastMS is not
-	w.changeLeader()
+	h.clock.Advance(3 * time.Hour)
+	h.graphs.Tick(h.clock.Now())
+	h.commitNext(true) // the runs are stored, the graph's LastMS is not
+	h.changeLeader()
 	for range 4 {
-		w.settle()
-		w.completeJobs()
+		h.settle()
+		h.completeJobs()
 	}
-	if got := len(w.list(PrefixRun)); got != 3 {
+	if got := len(h.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs for three hours, want 3", got)
 	}
-	w.sendAndSettle(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
-	w.clock.Advance(time.Hour)
-	w.settle()
-	w.changeLeader()
-	w.settle()
-	if got := len(w.list(PrefixRun)); got != 3 {
+	h.sendAndSettle(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
+	h.clock.Advance(time.Hour)
+	h.settle()
+	h.changeLeader()
+	h.settle()
+	if got := len(h.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs while the graph is paused, want 3", got)
 	}
-	w.sendAndSettle(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
-	w.completeJobs()
-	w.clock.Advance(-time.Hour) // the clock is set back
-	w.settle()
-	if got := len(w.list(PrefixRun)); got != 4 {
+	h.sendAndSettle(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
+	h.completeJobs()
+	h.clock.Advance(-time.Hour) // the clock is set back
+	h.settle()
+	if got := len(h.list(PrefixRun)); got != 4 {
 		t.Errorf("%d runs after the pause, want 4", got)
 	}
-	text := w.sendAndSettle(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
-	if got := len(w.list(PrefixRun)); text != "" || got != 9 {
+	text := h.sendAndSettle(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
+	if got := len(h.list(PrefixRun)); text != "" || got != 9 {
 		t.Errorf("%d runs after a backfill of six hours, one of which had a run, want 9: %s", got, text)
 	}
 }
@@ -188,20 +188,20 @@
 // Without a source of descriptions, everything is refused for which the service would have to describe steps itself: a
 // schedule, a backfill, and a step that is mapped over the result of another.
 func TestRefusalsWithoutSource(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	start := w.clock.Now()
-	if a := w.register(newPlanWith(t, func(g *dag.Graph) { g.Schedule, g.Start = "@daily", &start }, step("s"))); a.status != http.StatusBadRequest || !strings.Contains(a.text, "graphs.descriptions") {
+	h := newHarness(t)
+	defer h.close()
+	start := h.clock.Now()
+	if a := h.register(newPlanWith(t, func(g *dag.Graph) { g.Schedule, g.Start = "@daily", &start }, step("s"))); a.status != http.StatusBadRequest || !strings.Contains(a.text, "graphs.descriptions") {
 		t.Errorf("registering a graph with a schedule: %+v", a)
 	}
-	over := step("b")
-	over.Map = &dag.Map{Over: "a"}
-	p := newPlan(t, step("a"), over)
-	if a := w.register(p); a.status != http.StatusCreated {
+	mapped := step("b")
+	mapped.Map = &dag.Map{Over: "a"}
+	p := newPlan(t, step("a"), mapped)
+	if a := h.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	for verb, o := range map[string]Order{DoTrigger: {Run: "one", Described: true}, DoBackfill: {From: start, To: start}} {
-		if text := w.sendAndSettle(verb, o, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
+	for verb, cmd := range map[string]Order{DoTrigger: {Run: "one", Described: true}, DoBackfill: {From: start, To: start}} {
+		if text := h.sendAndSettle(verb, cmd, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
 			t.Errorf("command %s is refused with %q, which does not name the missing setting", verb, text)
 		}
 	}
@@ -211,10 +211,10 @@
 // the others.
 func TestSourceFailsAndRefuses(t *testing.T) {
 	calls, failing := 0, true
-	var last []Description
-	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
+	var described []Description
+	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
 		calls++
-		if last = steps; failing {
+		if described = steps; failing {
 			return errors.New("the source is down")
 		}
 		for _, s := range steps {
@@ -224,28 +224,28 @@
 		}
 		return nil
 	})})
-	w.changeLeader()
-	defer w.close()
-	p := newPlanWith(t, func(g *dag.Graph) { g.Params = map[string]json.RawMessage{"a": []byte("1"), "b": []byte("2")} }, step("good"), step("bad"), step("also"))
-	if a := w.register(p); a.status != http.StatusCreated {
+	h.changeLeader()
+	defer h.close()
+	plan := newPlanWith(t, func(g *dag.Graph) { g.Params = map[string]json.RawMessage{"a": []byte("1"), "b": []byte("2")} }, step("good"), step("bad"), step("also"))
+	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	w.send(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
-	w.settle()
-	if calls != 1 || len(w.liveJobs()) != 0 {
-		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, w.liveJobs())
+	h.send(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
+	h.settle()
+	if calls != 1 || len(h.liveJobs()) != 0 {
+		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, h.liveJobs())
 	}
 	failing = false
-	if err := w.clock.BlockUntilContext(t.Context(), 1); err != nil {
+	if err := h.clock.BlockUntilContext(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	w.clock.Advance(tuning.DescribeRetryPause)
-	w.runLoopFunc()
-	w.settle()
-	if got := w.liveJobs(); len(got) != 2 || counts(w.storedRun(p, "one"))["failed"] != 1 {
-		t.Errorf("live jobs are %v, want two; steps are %v, want one failed", got, counts(w.storedRun(p, "one")))
+	h.clock.Advance(tuning.DescribeRetryPause)
+	h.runLoopFunc()
+	h.settle()
+	if got := h.liveJobs(); len(got) != 2 || countByState(h.storedRun(plan, "one"))["failed"] != 1 {
+		t.Errorf("live jobs are %v, want two; steps are %v, want one failed", got, countByState(h.storedRun(plan, "one")))
 	}
-	if d := last[0]; string(d.Params["a"]) != "1" || string(d.Params["b"]) != "3" || d.Run != "one" || d.Index != -1 {
+	if d := described[0]; string(d.Params["a"]) != "1" || string(d.Params["b"]) != "3" || d.Run != "one" || d.Index != -1 {
 		t.Errorf("wrong description: %+v", d)
 	}
 }
@@ -254,91 +254,91 @@
 // result. The result survives a change of leaders.
 func TestResultsPassBetweenSteps(t *testing.T) {
 	var got []string
-	w := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
+	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
 		for _, s := range steps {
 			got = append(got, fmt.Sprintf("%s/%d %s", s.Step, s.Index, s.Element))
 		}
 		return nil
 	})})
-	w.changeLeader()
-	defer w.close()
-	over := step("each", "list")
-	over.Map = &dag.Map{Over: "list"}
-	p := newPlan(t, step("list"), over)
-	w.registerAndTrigger(p, "one")
-	w.sendAndSettle(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
-	w.sendAndSettle(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
-	w.changeLeader() // the new leader has the stored result
-	w.settle()
-	w.completeJobs()
-	if len(w.liveJobs()) != 3 || len(got) != 3 || got[2] != "each/2 9" {
-		t.Errorf("live jobs are %v, descriptions are %v, want three of each", w.liveJobs(), got)
+	h.changeLeader()
+	defer h.close()
+	mapped := step("each", "list")
+	mapped.Map = &dag.Map{Over: "list"}
+	p := newPlan(t, step("list"), mapped)
+	h.registerAndTrigger(p, "one")
+	h.sendAndSettle(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
+	h.sendAndSettle(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
+	h.changeLeader() // the new leader has the stored result
+	h.settle()
+	h.completeJobs()
+	if len(h.liveJobs()) != 3 || len(got) != 3 || got[2] != "each/2 9" {
+		t.Errorf("live jobs are %v, descriptions are %v, want three of each", h.liveJobs(), got)
 	}
 }
 
 // Job IDs are hashes that others can compute. If another submitter's job with the ID of a step's job is stored, that
 // step fails, and no other.
 func TestJobIDTakenByAnotherSubmitter(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	p := newPlan(t, step("a"), step("b"))
-	taken := dag.NewRun(p, "one").JobID(dag.InstanceRef{Step: 1})
-	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: taken, Class: "c", Team: "others", Kind: wire.KindArray, Tasks: 1, CPUs: 1}})
+	h := newHarness(t)
+	defer h.close()
+	plan := newPlan(t, step("a"), step("b"))
+	takenID := dag.NewRun(plan, "one").JobID(dag.InstanceRef{Step: 1})
+	value, err := json.Marshal(jobs.JobRecord{Job: wire.Job{ID: takenID, Class: "c", Team: "others", Kind: wire.KindArray, Tasks: 1, CPUs: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.commit(wire.Txn{Then: []wire.Change{{Put: jobs.KeyJob(taken), Value: value}}})
-	if a := w.register(p); a.status != http.StatusCreated {
+	h.commit(wire.Txn{Then: []wire.Change{{Put: jobs.KeyJob(takenID), Value: value}}})
+	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	a := w.send(DoTrigger, Order{Run: "one", Described: true})
+	a := h.send(DoTrigger, Order{Run: "one", Described: true})
 	conflicts := 0
-	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
-		if revision, err := w.store.Commit(t.Context(), write.Txn); err == nil {
+	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
+		if revision, err := h.store.Commit(t.Context(), write.Txn); err == nil {
 			write.Done(revision)
 		} else {
 			conflicts++
 			write.Conflict()
 		}
-		w.loadNewJobs()
+		h.loadNewJobs()
 	}
-	r := w.storedRun(p, "one")
-	if a.status != http.StatusCreated || conflicts != 2 || counts(r)["queued"] != 1 || counts(r)["failed"] != 1 || len(w.graphs.byJob) != 1 {
-		t.Errorf("answered with %+v after %d conflicts, want 201 after 2; steps are %v with %d jobs, want one queued and one failed", a, conflicts, counts(r), len(w.graphs.byJob))
+	r := h.storedRun(plan, "one")
+	if a.status != http.StatusCreated || conflicts != 2 || countByState(r)["queued"] != 1 || countByState(r)["failed"] != 1 || len(h.graphs.byJob) != 1 {
+		t.Errorf("answered with %+v after %d conflicts, want 201 after 2; steps are %v with %d jobs, want one queued and one failed", a, conflicts, countByState(r), len(h.graphs.byJob))
 	}
 }
 
 // Old finished runs and unreferenced definitions are deleted.
 func TestRetention(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
+	h := newHarness(t)
+	defer h.close()
 	for i := range tuning.GraphRetainedRuns + 5 {
-		w.clock.Advance(time.Second)
-		w.registerAndTrigger(newPlan(t, step("s")), fmt.Sprint("run", i))
-		w.completeJobs()
+		h.clock.Advance(time.Second)
+		h.registerAndTrigger(newPlan(t, step("s")), fmt.Sprint("run", i))
+		h.completeJobs()
 	}
-	if got := len(w.list(PrefixRun)); got != tuning.GraphRetainedRuns {
+	if got := len(h.list(PrefixRun)); got != tuning.GraphRetainedRuns {
 		t.Errorf("%d runs are stored, want as many as are retained", got)
 	}
-	if _, there := w.state.Value(keyRun("the team", "g", "run4")); there {
+	if _, exists := h.state.Value(keyRun("the team", "g", "run4")); exists {
 		t.Error("the oldest run is not deleted")
 	}
-	w.registerAndTrigger(newPlan(t, step("s"), step("t")), "newer")
-	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusConflict)
-	w.completeJobs()
-	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNoContent)
-	w.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNotFound)
-	if n := len(w.list(PrefixDef)); n != 2 {
+	h.registerAndTrigger(newPlan(t, step("s"), step("t")), "newer")
+	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusConflict)
+	h.completeJobs()
+	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNoContent)
+	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNotFound)
+	if n := len(h.list(PrefixDef)); n != 2 {
 		t.Errorf("%d definitions are stored, want 2", n)
 	}
-	w.changeLeader()
-	w.sendAndSettle(DoRemove, Order{}, http.StatusNoContent)
-	w.sendAndSettle(DoTrigger, Order{}, http.StatusNotFound)
+	h.changeLeader()
+	h.sendAndSettle(DoRemove, Order{}, http.StatusNoContent)
+	h.sendAndSettle(DoTrigger, Order{}, http.StatusNotFound)
 	for range 3 {
-		w.clock.Advance(tuning.GraphDeleteAfter)
-		w.settle()
+		h.clock.Advance(tuning.GraphDeleteAfter)
+		h.settle()
 	}
-	if left := w.list("graph/"); len(left) != 0 {
+	if left := h.list("graph/"); len(left) != 0 {
 		t.Errorf("%d records are left, the first at %s", len(left), left[0].Key)
 	}
 }
@@ -346,29 +346,29 @@
 // Guards against uploads that are never registered and stay stored forever, and against the registration of a
 // definition while its parts are about to be deleted.
 func TestUnregisteredUploadsAreDeleted(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	w.settle() // the first cleanUp; from now on the interval to the first sweep counts
-	p := newPlan(t, step("s"))
-	o := w.upload(p)
-	w.clock.Advance(tuning.GraphDeleteAfter)
-	w.graphs.Tick(w.clock.Now())
-	w.runLoopFunc() // the sweep has found the definition
+	h := newHarness(t)
+	defer h.close()
+	h.settle() // the first cleanUp; from now on the interval to the first sweep counts
+	plan := newPlan(t, step("s"))
+	cmd := h.upload(plan)
+	h.clock.Advance(tuning.GraphDeleteAfter)
+	h.graphs.Tick(h.clock.Now())
+	h.runLoopFunc() // the sweep has found the definition
 	for range 2 {
-		w.clock.Advance(tuning.GraphDeleteAfter)
-		w.graphs.Tick(w.clock.Now())
+		h.clock.Advance(tuning.GraphDeleteAfter)
+		h.graphs.Tick(h.clock.Now())
 	}
-	if !w.graphs.isBeingDeleted(o.Def) {
+	if !h.graphs.isBeingDeleted(cmd.Def) {
 		t.Fatal("the unregistered definition is not being deleted")
 	}
-	if a := w.send(DoPut, o); a.status != http.StatusServiceUnavailable {
+	if a := h.send(DoPut, cmd); a.status != http.StatusServiceUnavailable {
 		t.Errorf("registered while its parts are about to be deleted: %+v", a)
 	}
-	w.settle()
-	if left := w.list(PrefixDef); len(left) != 0 {
+	h.settle()
+	if left := h.list(PrefixDef); len(left) != 0 {
 		t.Errorf("%d parts are left, want none", len(left))
 	}
-	if a := w.register(p); a.status != http.StatusCreated {
+	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Errorf("registering the definition after its deletion: %+v", a)
 	}
 }
@@ -376,53 +376,53 @@
 // A stored definition that does not match its hash is deleted, so that it does not block a valid one with that hash. A
 // definition of one team cannot be registered by another.
 func TestCorruptDefinitionIsDeleted(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	p := newPlan(t, step("s"))
-	o := w.upload(p)
-	w.sendAndSettle(DoPut, Order{Def: "x", Parts: 1}, http.StatusBadRequest)
-	key := partKeys(o.Def, 1)[0]
-	w.commit(wire.Txn{Then: []wire.Change{{Put: key, Value: []byte(`{"parts":1,"z":"AAAA"}`)}}})
-	a := w.send(DoPut, o)
-	w.runLoopFunc()
-	w.settle()
-	if _, there := w.state.Value(key); a.status != http.StatusBadRequest || there {
-		t.Errorf("registering a corrupt definition: %+v, want 400; still stored: %v", a, there)
-	}
-	a = w.send(DoPut, o)
-	w.runLoopFunc()
-	if w.settle(); a.status != http.StatusConflict {
+	h := newHarness(t)
+	defer h.close()
+	plan := newPlan(t, step("s"))
+	cmd := h.upload(plan)
+	h.sendAndSettle(DoPut, Order{Def: "x", Parts: 1}, http.StatusBadRequest)
+	key := partKeys(cmd.Def, 1)[0]
+	h.commit(wire.Txn{Then: []wire.Change{{Put: key, Value: []byte(`{"parts":1,"z":"AAAA"}`)}}})
+	a := h.send(DoPut, cmd)
+	h.runLoopFunc()
+	h.settle()
+	if _, exists := h.state.Value(key); a.status != http.StatusBadRequest || exists {
+		t.Errorf("registering a corrupt definition: %+v, want 400; still stored: %v", a, exists)
+	}
+	a = h.send(DoPut, cmd)
+	h.runLoopFunc()
+	if h.settle(); a.status != http.StatusConflict {
 		t.Errorf("registering the deleted definition without an upload: %+v, want 409", a)
 	}
-	if a := w.register(p); a.status != http.StatusCreated {
+	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Errorf("registering the definition after another upload: %+v", a)
 	}
-	other := w.upload(p)
+	other := h.upload(plan)
 	other.Team = "others"
-	if a := w.send(DoPut, other); a.status != http.StatusForbidden {
+	if a := h.send(DoPut, other); a.status != http.StatusForbidden {
 		t.Errorf("registered by another team: %+v, want 403", a)
 	}
 }
 
 // Commands on a graph of another team get the same answer as commands on a graph that does not exist.
 func TestGraphOfAnotherTeam(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
-	w.registerAndTrigger(newPlan(t, step("s")), "one")
+	h := newHarness(t)
+	defer h.close()
+	h.registerAndTrigger(newPlan(t, step("s")), "one")
 	for _, verb := range []string{DoTrigger, DoCancel, DoClear, DoPause, DoRemove, DoForget, DoPush, DoBackfill} {
-		theirs := w.sendAndSettle(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
-		if none := w.sendAndSettle(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
+		theirs := h.sendAndSettle(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
+		if none := h.sendAndSettle(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
 			t.Errorf("command %s is refused with %q for another team's graph, with %q for one that does not exist", verb, theirs, none)
 		}
 	}
-	if err := w.graphs.Command(leader.Command{URI: "/elsewhere"}, w.clock.Now(), nil); !errors.Is(err, leader.ErrUnknownPath) {
+	if err := h.graphs.Command(leader.Command{URI: "/elsewhere"}, h.clock.Now(), nil); !errors.Is(err, leader.ErrUnknownPath) {
 		t.Errorf("command at an unknown path: %v, want ErrUnknownPath", err)
 	}
-	reader := NewReader(w.store)
+	reader := NewReader(h.store)
 	if _, err := reader.Run(t.Context(), "others", "g", "one"); !errors.Is(err, ErrNone) {
 		t.Errorf("run read by another team: %v, want ErrNone", err)
 	}
-	if v, err := reader.Run(t.Context(), "the team", "g", "one"); err != nil || v.State != "running" || counts(v.Run)["queued"] != 1 {
+	if v, err := reader.Run(t.Context(), "the team", "g", "one"); err != nil || v.State != "running" || countByState(v.Run)["queued"] != 1 {
 		t.Errorf("run read by its team: %+v, %v", v, err)
 	}
 }
@@ -430,28 +430,28 @@
 // Guards against runs that are lost if all controllers fail: the next leader reads 1,000 live runs and submits their
 // steps as others end.
 func TestFailoverWithThousandLiveRuns(t *testing.T) {
-	w := newHarness(t)
-	defer w.close()
+	h := newHarness(t)
+	defer h.close()
 	p := newPlanWith(t, func(g *dag.Graph) { g.MaxRuns, g.MaxTasks = 600, 500 }, step("a"), step("b", "a"))
-	if a := w.register(p); a.status != http.StatusCreated {
+	if a := h.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		w.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		h.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
 	}
-	for write := w.graphs.NextWrite(w.clock.Now(), 1000); write != nil; write = w.graphs.NextWrite(w.clock.Now(), 1000) {
-		write.Done(w.commit(write.Txn))
+	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
+		write.Done(h.commit(write.Txn))
 	}
-	w.changeLeader()
-	gr := w.graphs.graphs[keyGraph("the team", "g")]
-	if len(w.graphs.runs) != 1000 || len(w.graphs.byJob) != 128 || gr.startedRuns != 600 || gr.activeInstances != 128 {
-		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(w.graphs.runs), len(w.graphs.byJob), gr.startedRuns, gr.activeInstances)
+	h.changeLeader()
+	gr := h.graphs.graphs[keyGraph("the team", "g")]
+	if len(h.graphs.runs) != 1000 || len(h.graphs.byJob) != 128 || gr.startedRuns != 600 || gr.activeInstances != 128 {
+		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(h.graphs.runs), len(h.graphs.byJob), gr.startedRuns, gr.activeInstances)
 	}
 	// For each step that ends, one more is submitted: of the first run that waits.
 	for round := range 20 {
-		w.endAttempt(w.startTask(w.liveJobs()[round]), wire.ExitDone)
-		w.settle()
-		if n := len(w.graphs.byJob); n != 128 {
+		h.endAttempt(h.startTask(h.liveJobs()[round]), wire.ExitDone)
+		h.settle()
+		if n := len(h.graphs.byJob); n != 128 {
 			t.Fatalf("round %d: %d steps are submitted, want 128", round, n)
 		}
 	}
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -14,15 +14,15 @@
 		if gr.schedule == nil || gr.rec.Paused || gr.deleting || gr.version == 0 || gr.rec.Start == nil || now.Before(gr.notDueBefore) {
 			continue
 		}
-		d := g.definitions[gr.rec.Def]
-		if d == nil || d.plan == nil {
+		def := g.definitions[gr.rec.Def]
+		if def == nil || def.plan == nil {
 			continue
 		}
 		free := gr.rec.MaxRuns - gr.liveRuns()
 		if free <= 0 {
 			continue
 		}
-		due := d.plan.Due(gr.schedule, gr.lastIntervalEnd, now, free)
+		due := def.plan.Due(gr.schedule, gr.lastIntervalEnd, now, free)
 		for _, interval := range due {
 			if !g.createScheduledRun(gr, interval, now) {
 				break
@@ -34,26 +34,26 @@
 	}
 }
 
-// createScheduledRun creates the scheduled run of a data interval. It returns false if that is to be retried because memory is
-// short.
+// createScheduledRun creates the scheduled run of a data interval. It returns false if the memory limit or another
+// temporary condition prevents that, and the caller is to retry later.
 func (g *Graphs) createScheduledRun(gr *graph, due dag.Interval, now time.Time) bool {
-	m := runMeta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
-	stored := func() {
-		gr.rec.LastMS = max(gr.rec.LastMS, m.ToMS)
+	meta := runMeta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
+	recordInterval := func() {
+		gr.rec.LastMS = max(gr.rec.LastMS, meta.ToMS)
 		g.storeGraph(gr, nil)
 	}
 	ok := true
-	g.createRun(gr, RunName(Scheduled, due.Begin), m, now, func(a leader.Answer) {
+	g.createRun(gr, RunName(Scheduled, due.Begin), meta, now, func(a leader.Answer) {
 		switch {
 		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
 			// LastMS is updated only when the run is stored. If this leader fails in between, the next one finds
 			// that the interval has a run.
-			stored()
+			recordInterval()
 		case a.Status == http.StatusServiceUnavailable:
 			ok = false // the memory limit is reached; the next tick retries
 		default:
 			g.log.Error("creating a scheduled run was refused; skipping its interval", "graph", gr.rec.ID, "interval", due.Begin, "reason", a.Body)
-			stored()
+			recordInterval()
 		}
 	})
 	if ok {
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -15,25 +15,26 @@
 type pickedStep struct {
 	run   *liveRun
 	ref   dag.InstanceRef
-	jobID string // of its job; differs from the run's if the step was cleared since
+	jobID string // of the instance's job when it was picked; clearing the step changes the ID
 }
 
 // pickReady allocates slots to ready instances of a run, and has them described. If slots are missing, the run joins
 // the queues of the pools or of the graph.
-func (g *Graphs) pickReady(x *liveRun, now time.Time) {
-	if !g.startIfAllowed(x, now) {
+func (g *Graphs) pickReady(live *liveRun, now time.Time) {
+	if !g.startIfAllowed(live, now) {
 		return
 	}
-	before := x.graph.activeInstances
-	g.recheckPast(x)
-	g.pickWaitingForPool(x)
-	g.pickNext(x)
-	took := x.graph.activeInstances != before // each picked instance increments active, and nothing here decrements it
+	activeBefore := live.graph.activeInstances
+	g.recheckPast(live)
+	g.pickWaitingForPool(live)
+	g.pickNext(live)
+	// Each picked instance increments activeInstances, and nothing between the two reads decrements it.
+	allocated := live.graph.activeInstances != activeBefore
 	for _, p := range g.pools {
-		p.waitQueue.update(g, x, len(x.waitingForPool[p]) > 0, took, p.used < p.slots)
+		p.waitQueue.update(g, live, len(live.waitingForPool[p]) > 0, allocated, p.used < p.slots)
 	}
-	gr := x.graph
-	gr.waitQueue.update(g, x, !gr.hasRoom() && (x.run.ReadyCount() > 0 || len(x.waitingForPool) > 0), took, gr.hasRoom())
+	gr := live.graph
+	gr.waitQueue.update(g, live, !gr.hasRoom() && (live.run.ReadyCount() > 0 || len(live.waitingForPool) > 0), allocated, gr.hasRoom())
 }
 
 // hasRoom reports whether one more step of the graph may be submitted.
@@ -41,64 +42,64 @@
 
 // recheckPast moves instances that waited for the previous run to the queues of their pools, if that run has done
 // the step.
-func (g *Graphs) recheckPast(x *liveRun) {
-	waits := x.waitingForPast
-	x.waitingForPast = nil
-	for _, at := range waits {
+func (g *Graphs) recheckPast(live *liveRun) {
+	waiting := live.waitingForPast
+	live.waitingForPast = nil
+	for _, ref := range waiting {
 		switch {
-		case !x.run.IsReady(at):
-		case !g.previousRunDone(x, at.Step):
-			x.waitingForPast = append(x.waitingForPast, at)
+		case !live.run.IsReady(ref):
+		case !g.previousRunDone(live, ref.Step):
+			live.waitingForPast = append(live.waitingForPast, ref)
 		default:
-			g.waitForPool(x, at)
+			g.waitForPool(live, ref)
 		}
 	}
 }
 
 // pickWaitingForPool picks the instances that waited for a pool and for which it has free slots now.
-func (g *Graphs) pickWaitingForPool(x *liveRun) {
-	for p, refs := range x.waitingForPool {
-		for len(refs) > 0 && x.graph.hasRoom() && (!x.run.IsReady(refs[0]) || p.fits(x, refs[0].Step)) {
-			if x.run.IsReady(refs[0]) {
-				g.pickStep(x, refs[0])
+func (g *Graphs) pickWaitingForPool(live *liveRun) {
+	for p, refs := range live.waitingForPool {
+		for len(refs) > 0 && live.graph.hasRoom() && (!live.run.IsReady(refs[0]) || p.fits(live, refs[0].Step)) {
+			if live.run.IsReady(refs[0]) {
+				g.pickStep(live, refs[0])
 			}
 			refs = refs[1:]
 		}
-		if x.waitingForPool[p] = refs; len(refs) == 0 {
-			delete(x.waitingForPool, p)
+		if live.waitingForPool[p] = refs; len(refs) == 0 {
+			delete(live.waitingForPool, p)
 		}
 	}
 }
 
 // pickNext picks instances that became ready since the last call, or has them wait for their pool or the previous
 // run.
-func (g *Graphs) pickNext(x *liveRun) {
-	for x.graph.hasRoom() {
-		refs := x.run.TakeReady(1)
+func (g *Graphs) pickNext(live *liveRun) {
+	for live.graph.hasRoom() {
+		refs := live.run.TakeReady(1)
 		if len(refs) == 0 {
 			return
 		}
-		at := refs[0]
-		switch p := g.pool(x.run.Plan, at.Step); {
-		case x.run.Plan.Steps[at.Step].DependsOnPast && !g.previousRunDone(x, at.Step):
-			x.waitingForPast = append(x.waitingForPast, at)
-		case len(x.waitingForPool[p]) > 0 || !p.fits(x, at.Step):
-			g.waitForPool(x, at) // behind instances that already wait for the pool
+		ref := refs[0]
+		switch p := g.pool(live.run.Plan, ref.Step); {
+		case live.run.Plan.Steps[ref.Step].DependsOnPast && !g.previousRunDone(live, ref.Step):
+			live.waitingForPast = append(live.waitingForPast, ref)
+		case len(live.waitingForPool[p]) > 0 || !p.fits(live, ref.Step):
+			g.waitForPool(live, ref) // behind instances that already wait for the pool
 		default:
-			g.pickStep(x, at)
+			g.pickStep(live, ref)
 		}
 	}
 }
 
 // pickStep allocates slots to an instance, and has it described unless the client has done that or there is no
 // source of descriptions.
-func (g *Graphs) pickStep(x *liveRun, at dag.InstanceRef) {
-	g.allocateSlots(x, at.Step)
-	p := pickedStep{run: x, ref: at, jobID: x.run.JobID(at)}
-	if g.cfg.Source == nil || x.meta.Described && x.run.Generation(at.Step) == 0 && !mappedAtRunTime(x.run.Plan, at.Step) {
-		x.picked = append(x.picked, p)
+func (g *Graphs) pickStep(live *liveRun, ref dag.InstanceRef) {
+	g.allocateSlots(live, ref.Step)
+	picked := pickedStep{run: live, ref: ref, jobID: live.run.JobID(ref)}
+	if g.cfg.Source == nil || live.meta.Described && live.run.Generation(ref.Step) == 0 && !mappedAtRunTime(live.run.Plan, ref.Step) {
+		live.picked = append(live.picked, picked)
 	} else {
-		g.describeQueue.steps = append(g.describeQueue.steps, p)
+		g.describeQueue.steps = append(g.describeQueue.steps, picked)
 	}
 }
 
@@ -110,181 +111,182 @@
 }
 
 // waitForPool adds an instance to those that wait for slots of its pool.
-func (g *Graphs) waitForPool(x *liveRun, at dag.InstanceRef) {
-	p := g.pool(x.run.Plan, at.Step)
-	x.waitingForPool[p] = append(x.waitingForPool[p], at)
+func (g *Graphs) waitForPool(live *liveRun, ref dag.InstanceRef) {
+	p := g.pool(live.run.Plan, ref.Step)
+	live.waitingForPool[p] = append(live.waitingForPool[p], ref)
 }
 
 // previousRunDone reports whether a step succeeded or was skipped in the previous run by logical date. It is true if
 // there is no previous run or that run has no such step.
-func (g *Graphs) previousRunDone(x *liveRun, step int) bool {
-	i := slices.Index(x.graph.history, x.entry)
+func (g *Graphs) previousRunDone(live *liveRun, step int) bool {
+	i := slices.Index(live.graph.history, live.entry)
 	if i <= 0 {
 		return true
 	}
-	before, name := x.graph.history[i-1], x.run.Plan.Steps[step].ID
-	if before.live == nil {
-		return !before.failedPastDependents[name]
+	previous, name := live.graph.history[i-1], live.run.Plan.Steps[step].ID
+	if previous.live == nil {
+		return !previous.failedPastDependents[name]
 	}
-	j, ok := before.live.run.Plan.Index[name]
+	j, ok := previous.live.run.Plan.Index[name]
 	if !ok {
 		return true
 	}
-	state, _ := before.live.run.StepState(j)
+	state, _ := previous.live.run.StepState(j)
 	return state == dag.Success || state == dag.Skipped
 }
 
 // storeRuns adds runs to a transaction, each with the jobs of its picked instances.
 func (g *Graphs) storeRuns(b *batch, now time.Time) {
 	for n := len(g.runQueue); n > 0 && b.fits(2, tuning.RecordOverheadBytes); n-- {
-		x := g.runQueue[0]
+		live := g.runQueue[0]
 		g.runQueue = g.runQueue[1:]
-		x.inQueue = false
-		g.pickReady(x, now)
-		if !g.storeRun(x, b, now) {
+		live.inQueue = false
+		g.pickReady(live, now)
+		if !g.storeRun(live, b, now) {
 			// The next transaction begins with this run; the other runs stay queued behind it.
-			x.inQueue = true
-			g.runQueue = append([]*liveRun{x}, g.runQueue...)
+			live.inQueue = true
+			g.runQueue = append([]*liveRun{live}, g.runQueue...)
 			return
 		}
-		if len(x.picked) > 0 {
-			g.enqueueRun(x) // it goes to the end of the queue, so that a run of 10,000 ready steps does not block the others
+		if len(live.picked) > 0 {
+			g.enqueueRun(live) // at the end, so that a run of 10,000 ready steps does not block the others
 		}
 	}
 }
 
 // storeRun adds a run to a transaction if it has changes. It returns false if the transaction has no room for it.
-func (g *Graphs) storeRun(x *liveRun, b *batch, now time.Time) bool {
-	if !x.dirty && len(x.picked) == 0 {
+func (g *Graphs) storeRun(live *liveRun, b *batch, now time.Time) bool {
+	if !live.dirty && len(live.picked) == 0 {
 		return true
 	}
-	if !b.fits(2, x.recordBytes+tuning.RecordOverheadBytes) || x.submitOneByOne && len(b.txn.Then) > 0 {
+	if !b.fits(2, live.recordBytes+tuning.RecordOverheadBytes) || live.submitOneByOne && len(b.txn.Then) > 0 {
 		return false
 	}
-	taken := g.submitPicked(x, b, now)
-	g.cancelUnneeded(x)
-	if x.submitOneByOne && len(x.picked) == 0 && len(taken) == 0 {
-		x.submitOneByOne = false
+	submitted := g.submitPicked(live, b, now)
+	g.cancelUnneeded(live)
+	if live.submitOneByOne && len(live.picked) == 0 && len(submitted) == 0 {
+		live.submitOneByOne = false
 	}
-	x.updateEnd(now)
-	value, ok := g.encodeRun(x, b.maxValueBytes)
+	live.updateEnd(now)
+	value, ok := g.encodeRun(live, b.maxValueBytes)
 	if !ok {
 		return true // it is not stored; the next leader continues from the last stored record
 	}
-	g.putRun(x, b, value, taken)
+	g.putRun(live, b, value, submitted)
 	return true
 }
 
-// submitPicked adds the jobs of picked instances to a transaction, as many as fit, and returns these instances. For a
-// suspect run it adds only one.
-func (g *Graphs) submitPicked(x *liveRun, b *batch, now time.Time) (taken []pickedStep) {
-	for len(x.picked) > 0 && b.fits(2, x.recordBytes+2*tuning.RecordOverheadBytes) && (!x.submitOneByOne || len(taken) == 0) {
-		p := x.picked[0]
-		x.picked = x.picked[1:]
-		if !x.run.IsReadyWithJob(p.ref, p.jobID) {
-			g.releaseSlots(x, p.ref.Step) // the step was cleared or cancelled in the meantime
+// submitPicked adds the jobs of picked instances to a transaction, as many as fit, and returns these instances. If
+// submitOneByOne is set, it adds only one.
+func (g *Graphs) submitPicked(live *liveRun, b *batch, now time.Time) (submitted []pickedStep) {
+	for len(live.picked) > 0 && b.fits(2, live.recordBytes+2*tuning.RecordOverheadBytes) && (!live.submitOneByOne || len(submitted) == 0) {
+		picked := live.picked[0]
+		live.picked = live.picked[1:]
+		if !live.run.IsReadyWithJob(picked.ref, picked.jobID) {
+			g.releaseSlots(live, picked.ref.Step) // the step was cleared or cancelled in the meantime
 			continue
 		}
-		_, value, err := instanceJob(x.run, p.ref, now.UnixMilli())
+		_, value, err := instanceJob(live.run, picked.ref, now.UnixMilli())
 		if err != nil || len(value) > b.maxValueBytes {
-			g.log.Error("record of a step's job is too long or cannot be encoded; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.jobID, "err", err)
-			g.releaseSlots(x, p.ref.Step)
-			x.run.JobCancelled(p.ref)
+			g.log.Error("record of a step's job is too long or cannot be encoded; marking the step failed", "graph", live.graph.rec.ID, "run", live.run.ID, "job", picked.jobID, "err", err)
+			g.releaseSlots(live, picked.ref.Step)
+			live.run.JobCancelled(picked.ref)
 			continue
 		}
-		x.run.JobSubmitted(p.ref)
-		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(p.jobID)})
-		b.put(jobs.KeyJob(p.jobID), 0, value)
+		live.run.JobSubmitted(picked.ref)
+		b.txn.If = append(b.txn.If, wire.Condition{Key: jobs.KeyFinalState(picked.jobID)})
+		b.put(jobs.KeyJob(picked.jobID), 0, value)
 		// The job may finish before this transaction is answered, so it is registered here: jobFinished must
 		// find it.
-		g.byJob[p.jobID] = stepJob{x, p.ref, x.run.Generation(p.ref.Step)}
-		g.notSeenRunning[p.jobID] = g.byJob[p.jobID]
-		x.unansweredJobs[p.jobID] = ""
-		taken = append(taken, p)
+		g.byJob[picked.jobID] = stepJob{live, picked.ref, live.run.Generation(picked.ref.Step)}
+		g.notSeenRunning[picked.jobID] = g.byJob[picked.jobID]
+		live.unansweredJobs[picked.jobID] = ""
+		submitted = append(submitted, picked)
 	}
-	return taken
+	return submitted
 }
 
 // updateEnd sets the time when the run ended, or resets it if the run is running again.
-func (x *liveRun) updateEnd(now time.Time) {
-	if x.run.RunState() != dag.RunRunning && x.meta.EndMS == 0 {
-		x.meta.EndMS = now.UnixMilli()
-	} else if x.run.RunState() == dag.RunRunning {
-		x.meta.EndMS = 0
+func (live *liveRun) updateEnd(now time.Time) {
+	if live.run.RunState() != dag.RunRunning && live.meta.EndMS == 0 {
+		live.meta.EndMS = now.UnixMilli()
+	} else if live.run.RunState() == dag.RunRunning {
+		live.meta.EndMS = 0
 	}
 }
 
 // encodeRun returns a run's record of at most the given number of bytes. A run whose record is longer is cancelled; ok
 // is false if it is too long even then.
-func (g *Graphs) encodeRun(x *liveRun, most int) (value json.RawMessage, ok bool) {
-	value, err := encodeRunRecord(g.codec, x, most)
-	if err == nil && len(value) <= most {
+func (g *Graphs) encodeRun(live *liveRun, maxBytes int) (value json.RawMessage, ok bool) {
+	value, err := encodeRunRecord(g.codec, live, maxBytes)
+	if err == nil && len(value) <= maxBytes {
 		return value, true
 	}
-	g.log.Error("record of a run is too long or cannot be encoded; cancelling the run", "run", x.key, "bytes", len(value), "err", err)
-	x.run.Cancel()
-	g.cancelUnneeded(x)
-	value, err = encodeRunRecord(g.codec, x, most)
-	return value, err == nil && len(value) <= most
+	g.log.Error("record of a run is too long or cannot be encoded; cancelling the run", "run", live.key, "bytes", len(value), "err", err)
+	live.run.Cancel()
+	g.cancelUnneeded(live)
+	value, err = encodeRunRecord(g.codec, live, maxBytes)
+	return value, err == nil && len(value) <= maxBytes
 }
 
-// putRun adds a run's record to a transaction that submits the instances in taken, with callbacks for the case that the
-// transaction is committed and for the case that a condition does not hold.
-func (g *Graphs) putRun(x *liveRun, b *batch, value json.RawMessage, taken []pickedStep) {
-	x.recordBytes = len(value)
-	told, late := x.onStored, x.storeLaterSince
-	x.dirty, x.onStored = false, nil
-	delete(g.storeLater, x)
-	b.put(x.key, x.version, value)
+// putRun adds a run's record to a transaction that submits the given instances, with callbacks for the cases
+// that the transaction is committed and that a condition does not hold.
+func (g *Graphs) putRun(live *liveRun, b *batch, value json.RawMessage, submitted []pickedStep) {
+	live.recordBytes = len(value)
+	onStored, storeLaterSince := live.onStored, live.storeLaterSince
+	live.dirty, live.onStored = false, nil
+	delete(g.storeLater, live)
+	b.put(live.key, live.version, value)
 	b.onCommitted = append(b.onCommitted, func(revision uint64) {
-		x.version = revision
-		for _, fn := range told {
+		live.version = revision
+		for _, fn := range onStored {
 			fn()
 		}
-		g.finishEarlyJobs(x, taken)
-		g.finish(x)
+		g.finishEarlyJobs(live, submitted)
+		g.finish(live)
 	})
 	b.onConflict = append(b.onConflict, func() {
-		x.storeLaterSince, x.onStored = late, append(told, x.onStored...)
-		alone := x.submitOneByOne
-		for _, p := range taken {
-			g.revertSubmission(p, alone)
+		live.storeLaterSince, live.onStored = storeLaterSince, append(onStored, live.onStored...)
+		oneByOne := live.submitOneByOne
+		for _, p := range submitted {
+			g.revertSubmission(p, oneByOne)
 		}
-		g.markDirty(x)
+		g.markDirty(live)
 	})
 }
 
 // finishEarlyJobs handles the jobs of a committed transaction that finished before its answer arrived.
-func (g *Graphs) finishEarlyJobs(x *liveRun, taken []pickedStep) {
-	for _, p := range taken {
-		state := x.unansweredJobs[p.jobID]
-		delete(x.unansweredJobs, p.jobID)
+func (g *Graphs) finishEarlyJobs(live *liveRun, submitted []pickedStep) {
+	for _, picked := range submitted {
+		state := live.unansweredJobs[picked.jobID]
+		delete(live.unansweredJobs, picked.jobID)
 		if state != "" {
-			g.jobFinished(p.jobID, state, g.cfg.Clock.Now())
+			g.jobFinished(picked.jobID, state, g.cfg.Clock.Now())
 		}
 	}
 }
 
-// revertSubmission reverts a submission whose transaction failed a condition, because another submitter's job with that ID is
-// stored: job IDs are hashes that others can compute. If the job was alone in its transaction, the step fails.
-// Otherwise the step becomes ready again, and the run's jobs are submitted one by one to identify the job.
-func (g *Graphs) revertSubmission(p pickedStep, alone bool) {
-	x := p.run
-	orphan := g.byJob[p.jobID].ref.Step < 0
-	delete(x.unansweredJobs, p.jobID)
-	delete(g.byJob, p.jobID)
-	delete(g.notSeenRunning, p.jobID)
+// revertSubmission reverts a submission whose transaction failed a condition, because another submitter's job with the
+// ID of one of its jobs is stored: job IDs are hashes that others can compute. If the job was the only one in its
+// transaction, its instance fails. Otherwise the instance becomes ready again, and the run's jobs are submitted one
+// by one to find the one with the conflict.
+func (g *Graphs) revertSubmission(picked pickedStep, oneByOne bool) {
+	live := picked.run
+	orphan := g.byJob[picked.jobID].ref.Step < 0
+	delete(live.unansweredJobs, picked.jobID)
+	delete(g.byJob, picked.jobID)
+	delete(g.notSeenRunning, picked.jobID)
 	if orphan { // the step was cleared in the meantime
-		x.activeJobs--
-		x.run.OrphanFinished(p.jobID)
+		live.activeJobs--
+		live.run.OrphanFinished(picked.jobID)
 		return
 	}
-	g.releaseSlots(x, p.ref.Step)
-	if alone {
-		g.log.Error("another job with the ID of a step's job exists; marking the step failed", "graph", x.graph.rec.ID, "run", x.run.ID, "job", p.jobID)
-		x.run.JobCancelled(p.ref)
+	g.releaseSlots(live, picked.ref.Step)
+	if oneByOne {
+		g.log.Error("another job with the ID of a step's job exists; marking the step failed", "graph", live.graph.rec.ID, "run", live.run.ID, "job", picked.jobID)
+		live.run.JobCancelled(picked.ref)
 		return
 	}
-	x.submitOneByOne = true
-	x.run.SubmissionFailed(p.ref)
+	live.submitOneByOne = true
+	live.run.SubmissionFailed(picked.ref)
 }
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -19,19 +19,19 @@
 	State      dag.State
 }
 
-// tryBegan records the begin of a try of an instance.
-func (x *liveRun) tryBegan(at dag.InstanceRef, now time.Time) {
-	x.tries = append(x.tries, Try{
-		Step: at.Step, Index: at.Index, Generation: x.run.Generation(at.Step), BeginMS: now.UnixMilli() - x.meta.QueuedMS, State: dag.Running,
+// tryBegan records the start of a try of an instance.
+func (live *liveRun) tryBegan(ref dag.InstanceRef, now time.Time) {
+	live.tries = append(live.tries, Try{
+		Step: ref.Step, Index: ref.Index, Generation: live.run.Generation(ref.Step), BeginMS: now.UnixMilli() - live.meta.QueuedMS, State: dag.Running,
 	})
 }
 
-// tryEnded records the end of the newest try of an instance, unless its begin was not seen.
-func (x *liveRun) tryEnded(at dag.InstanceRef, now time.Time, state dag.State) {
-	for i := len(x.tries) - 1; i >= 0; i-- {
-		if t := &x.tries[i]; t.Step == at.Step && t.Index == at.Index {
+// tryEnded records the end of the newest try of an instance, unless its start was not seen.
+func (live *liveRun) tryEnded(ref dag.InstanceRef, now time.Time, state dag.State) {
+	for i := len(live.tries) - 1; i >= 0; i-- {
+		if t := &live.tries[i]; t.Step == ref.Step && t.Index == ref.Index {
 			if t.EndMS == 0 {
-				t.EndMS, t.State = max(1, now.UnixMilli()-x.meta.QueuedMS), state
+				t.EndMS, t.State = max(1, now.UnixMilli()-live.meta.QueuedMS), state
 			}
 			return
 		}
@@ -40,8 +40,8 @@
 
 // readTries decodes the tries of a stored run. It returns none if they cannot be decoded, because they are only
 // displayed.
-func readTries(c *charge.Codec, rec *runRecord) (tries []Try) {
-	if len(rec.Tries) > 0 && c.Decode(rec.Tries, &tries) != nil {
+func readTries(codec *charge.Codec, rec *runRecord) (tries []Try) {
+	if len(rec.Tries) > 0 && codec.Decode(rec.Tries, &tries) != nil {
 		return nil
 	}
 	return tries
