--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -80,7 +80,7 @@
 
 // isBeingDeleted reports whether parts of a definition are about to be deleted. No graph may refer to it then.
 func (g *Graphs) isBeingDeleted(hash string) bool {
-	prefix := PrefixDef + hash + "/"
+	prefix := PrefixDefinition + hash + "/"
 	return slices.ContainsFunc(g.deletions, func(d deletion) bool { return strings.HasPrefix(d.key, prefix) })
 }
 
@@ -89,7 +89,7 @@
 func (g *Graphs) addUnregistered() {
 	go func() {
 		definitions, partCounts := map[string]*definition{}, map[string]int{}
-		_, err := g.store.ListAll(g.termCtx, PrefixDef, func(items []wire.Item) error {
+		_, err := g.store.ListAll(g.termCtx, PrefixDefinition, func(items []wire.Item) error {
 			collectParts(definitions, partCounts, items)
 			for _, d := range definitions {
 				d.compressed = nil // only hashes and part counts are needed
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -14,16 +14,16 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// Source makes the descriptions of steps' jobs available to workers before the jobs are submitted. In the protocol
-// the submitter of a job uploads what a worker is to run for it. The same step may be described more than once, if
-// it is not known whether its job was submitted; an implementation must accept that.
-type Source interface {
+// DescriptionSource makes the descriptions of steps' jobs available to workers before the jobs are submitted. In the
+// protocol the submitter of a job uploads what a worker is to run for it. The same step may be described more than
+// once, if it is not known whether its job was submitted; an implementation must accept that.
+type DescriptionSource interface {
 	// Describe describes jobs. An error that wraps ErrRefused means that at least one of them can never be
 	// described. After any other error the call is retried.
 	Describe(ctx context.Context, steps []Description) error
 }
 
-// ErrRefused is the error of a Source for a step that it will never describe.
+// ErrRefused is the error of a DescriptionSource for a step that it will never describe.
 var ErrRefused = errors.New("the description of the step is refused")
 
 // Description is everything that is known of a step's job before it is submitted.
@@ -135,7 +135,7 @@
 
 // describeAll describes steps, and returns the errors of those that were refused, by index. A refused batch is
 // halved until the refused steps are identified.
-func describeAll(ctx context.Context, s Source, descriptions []Description) (refused map[int]error, err error) {
+func describeAll(ctx context.Context, s DescriptionSource, descriptions []Description) (refused map[int]error, err error) {
 	refused = map[int]error{}
 	var try func(from, to int) error
 	try = func(from, to int) error {
@@ -193,7 +193,7 @@
 	Client *http.Client
 }
 
-// Describe implements Source.
+// Describe implements DescriptionSource.
 func (s *HTTPSource) Describe(ctx context.Context, steps []Description) error {
 	status, err := httpjson.Call(ctx, s.Client, http.MethodPost, s.URL, steps, func(int) any { return nil })
 	switch {
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -22,10 +22,10 @@
 
 func TestStoredKeys(t *testing.T) {
 	golden.Lines(t, "keys",
-		PrefixDef, PrefixGraph, PrefixRun,
+		PrefixDefinition, PrefixGraph, PrefixRun,
 		keyGraph("vision", "nightly"), keyRun("vision", "nightly", "manual__2026-12-01T12:00:00+00:00"),
 		strings.Join(partKeys("00112233445566778899aabbccddeeff", 2), "\n"),
-		RunName(Manual, formatTime), RunName(Scheduled, formatTime), RunName(Backfill, formatTime), DefaultPool,
+		RunName(Manual, formatTime), RunName(RunTypeScheduled, formatTime), RunName(RunTypeBackfill, formatTime), DefaultPool,
 	)
 }
 
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -40,8 +40,8 @@
 	Impossible func(*wire.Job) string
 	// Jitter returns a random number from 0 to 1, which spreads the delays before retries.
 	Jitter func() float64
-	// Source makes the descriptions of steps available to workers; nil if only clients do that.
-	Source Source
+	// Source describes the steps of runs to workers. It is nil if only the clients that trigger runs do that.
+	Source DescriptionSource
 	// Pools returns the number of slots of a team's pool, and whether it is configured. It is safe for concurrent
 	// use.
 	Pools func(team, name string) (slots int, ok bool)
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -104,7 +104,7 @@
 	if n := len(h.liveJobs()); n != 16 {
 		t.Errorf("%d steps are submitted at once, want 16", n)
 	}
-	if n := len(h.list(PrefixDef)); n < 2 {
+	if n := len(h.list(PrefixDefinition)); n < 2 {
 		t.Errorf("the definition is stored in %d parts, want at least 2", n)
 	}
 	h.changeLeader()
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -166,8 +166,8 @@
 		}
 	}
 	for _, i := range intervals {
-		m := runMeta{Type: Backfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
-		g.createRun(gr, RunName(Backfill, i.Begin), m, now, func(a leader.Answer) {
+		m := runMeta{Type: RunTypeBackfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
+		g.createRun(gr, RunName(RunTypeBackfill, i.Begin), m, now, func(a leader.Answer) {
 			if a.Status == http.StatusCreated {
 				out.Begun++
 			} else {
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -125,7 +125,7 @@
 // read reads all records. A record that cannot be decoded must not block the others, so it is logged and left out.
 func (l *loader) read(ctx context.Context, store *statestore.Client) error {
 	partCounts := map[string]int{}
-	if _, err := store.ListAll(ctx, PrefixDef, func(items []wire.Item) error {
+	if _, err := store.ListAll(ctx, PrefixDefinition, func(items []wire.Item) error {
 		collectParts(l.definitions, partCounts, items)
 		return nil
 	}); err != nil {
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -172,7 +172,7 @@
 		return r.plan, nil
 	}
 	definitions, partCounts := map[string]*definition{}, map[string]int{}
-	if _, err := r.store.ListAll(ctx, PrefixDef+hash+"/", func(items []wire.Item) error {
+	if _, err := r.store.ListAll(ctx, PrefixDefinition+hash+"/", func(items []wire.Item) error {
 		collectParts(definitions, partCounts, items)
 		return nil
 	}); err != nil {
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -19,9 +19,9 @@
 
 // Prefixes of keys in the state service. Any member writes definitions; only the leader writes the others.
 const (
-	// PrefixDef is the prefix of definitions, which are stored compressed and in parts. The hash of the content
+	// PrefixDefinition is the prefix of definitions, which are stored compressed and in parts. The hash of the content
 	// follows, so a definition never changes.
-	PrefixDef = "graph/def/"
+	PrefixDefinition = "graph/def/"
 	// PrefixGraph is the prefix of the registered graphs of all teams.
 	PrefixGraph = "graph/dag/"
 	// PrefixRun is the prefix of runs. Each record contains the states of all steps of its run.
@@ -33,9 +33,9 @@
 
 // The types of runs, with Airflow's names.
 const (
-	Manual    = "manual"
-	Scheduled = "scheduled"
-	Backfill  = "backfill"
+	Manual           = "manual"
+	RunTypeScheduled = "scheduled"
+	RunTypeBackfill  = "backfill"
 )
 
 // RunName returns the default ID of a run of some type with some logical date, in Airflow's format.
@@ -47,7 +47,7 @@
 func partKeys(hash string, n int) []string {
 	keys := make([]string, n)
 	for i := range keys {
-		keys[i] = fmt.Sprintf("%s%s/%04d", PrefixDef, hash, i)
+		keys[i] = fmt.Sprintf("%s%s/%04d", PrefixDefinition, hash, i)
 	}
 	return keys
 }
@@ -174,7 +174,7 @@
 // its client did not finish the upload.
 func collectParts(definitions map[string]*definition, partCounts map[string]int, items []wire.Item) {
 	for _, item := range items {
-		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDef), "/")
+		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDefinition), "/")
 		var r partRecord
 		if json.Unmarshal(item.Value, &r) != nil {
 			continue // the definition is incomplete then
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -328,7 +328,7 @@
 	h.completeJobs()
 	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNoContent)
 	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNotFound)
-	if n := len(h.list(PrefixDef)); n != 2 {
+	if n := len(h.list(PrefixDefinition)); n != 2 {
 		t.Errorf("%d definitions are stored, want 2", n)
 	}
 	h.changeLeader()
@@ -365,7 +365,7 @@
 		t.Errorf("registered while its parts are about to be deleted: %+v", a)
 	}
 	h.settle()
-	if left := h.list(PrefixDef); len(left) != 0 {
+	if left := h.list(PrefixDefinition); len(left) != 0 {
 		t.Errorf("%d parts are left, want none", len(left))
 	}
 	if a := h.register(plan); a.status != http.StatusCreated {
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -37,13 +37,13 @@
 // createScheduledRun creates the scheduled run of a data interval. It returns false if the memory limit or another
 // temporary condition prevents that, and the caller is to retry later.
 func (g *Graphs) createScheduledRun(gr *graph, due dag.Interval, now time.Time) bool {
-	meta := runMeta{Type: Scheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
+	meta := runMeta{Type: RunTypeScheduled, LogicalMS: due.Begin.UnixMilli(), FromMS: due.Begin.UnixMilli(), ToMS: due.End.UnixMilli()}
 	recordInterval := func() {
 		gr.rec.LastMS = max(gr.rec.LastMS, meta.ToMS)
 		g.storeGraph(gr, nil)
 	}
 	ok := true
-	g.createRun(gr, RunName(Scheduled, due.Begin), meta, now, func(a leader.Answer) {
+	g.createRun(gr, RunName(RunTypeScheduled, due.Begin), meta, now, func(a leader.Answer) {
 		switch {
 		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
 			// LastMS is updated only when the run is stored. If this leader fails in between, the next one finds
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// sourceFunc is a Source that calls a function.
+// sourceFunc is a DescriptionSource that calls a function.
 type sourceFunc func([]Description) error
 
 func (f sourceFunc) Describe(_ context.Context, steps []Description) error { return f(steps) }
