--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// noSourceText returns the error text for something that requires Config.Source, when there is none.
+// noSourceText returns the error text for something that requires a source of descriptions, when there is none.
 func noSourceText(what string) string {
 	return what + ", and the service knows nowhere to have its steps described (graphs.descriptions)"
 }
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -44,8 +44,8 @@
 	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps directly upstream, by step ID
 }
 
-// Foreseen returns the descriptions of a run's first generation that are known before the run starts: all except
-// those of steps that are mapped over the result of another step.
+// Foreseen returns the descriptions of a run's first generation that are known before the run starts: all
+// except those of steps that are mapped over the result of another step.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
 	run, meta := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
@@ -186,8 +186,8 @@
 	g.describe()
 }
 
-// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx means that
-// workers find the descriptions; 4xx, except for 408 and 429, means that at least one of them is refused.
+// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx
+// means that workers find the descriptions; 4xx, except for 408 and 429, means that at least one of them is refused.
 type HTTPSource struct {
 	URL    string
 	Client *http.Client
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -29,7 +29,8 @@
 	)
 }
 
-// Orders are the bodies of commands to the leader. Descriptions are sent to the operators' source of descriptions.
+// The bodies of commands to the leader and of its answers, and the descriptions that are sent to the operators' source
+// of descriptions.
 func TestMessageFormats(t *testing.T) {
 	golden.JSONRoundTrip(t, "order", golden.Fill(new(Order)))
 	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(Backfilled)))
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -12,8 +12,9 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// PathOrders is the prefix of the URI of each command (leader.Command). A command's name follows it, and the body is
-// an Order. A client that gets no answer may repeat a command: executing one twice does no harm.
+// PathOrders is the prefix of the URI of each command (leader.Command). A command's name follows it, and the body
+// contains the command's parameters. A client that gets no answer may repeat a command: executing one twice does no
+// harm.
 const PathOrders = "/graphs/"
 
 // The names of the commands.
