--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -24,7 +24,7 @@
 }
 
 // ErrRefused is the error of a DescriptionSource for a step that it will never describe.
-var ErrRefused = errors.New("the description of the step is refused")
+var ErrRefused = errors.New("the step cannot be described")
 
 // Description is everything that is known of a step's job before it is submitted.
 type Description struct {
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -250,8 +250,8 @@
 	}
 }
 
-// A step is mapped over the list that an upstream step sets as its result. A mapped step cannot set a
-// result. The result survives a change of leaders.
+// A step is mapped over the list that an upstream step sets as its result. A mapped step cannot set a result. The
+// result survives a change of leaders.
 func TestResultsPassBetweenSteps(t *testing.T) {
 	var got []string
 	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
@@ -348,12 +348,12 @@
 func TestUnregisteredUploadsAreDeleted(t *testing.T) {
 	h := newHarness(t)
 	defer h.close()
-	h.settle() // the first cleanUp; from now on the interval to the first sweep counts
+	h.settle() // the first cleanUp sets the start of the interval to the first listing
 	plan := newPlan(t, step("s"))
 	cmd := h.upload(plan)
 	h.clock.Advance(tuning.GraphDeleteAfter)
 	h.graphs.Tick(h.clock.Now())
-	h.runLoopFunc() // the sweep has found the definition
+	h.runLoopFunc() // the listing has found the definition
 	for range 2 {
 		h.clock.Advance(tuning.GraphDeleteAfter)
 		h.graphs.Tick(h.clock.Now())
