--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -108,7 +108,7 @@
 	store.Refuse(true)
 	for _, c := range []struct {
 		id   string
-		want int // exit status: whether a retry may succeed
+		want int // exit status, which says whether a retry may succeed
 	}{{"job-9", exitTemporaryFailure}, {"x", 1}} {
 		_, err := runCommand("job", "--addr", bind, "cancel", c.id)
 		if err == nil || exitStatus(err) != c.want || strings.Contains(err.Error(), "\n") {
--- a/cmd/poppypass/graph_client.go
+++ b/cmd/poppypass/graph_client.go
@@ -90,7 +90,7 @@
 }
 
 // register uploads a graph and registers it. A graph that exceeds the size of a request is uploaded in several
-// parts. If paused is nil, a registered graph remains paused or not paused as before.
+// parts. If paused is nil, the paused state of a graph that is already registered does not change.
 func (a *graphAPI) register(ctx context.Context, plan *dag.Plan, paused *bool) error {
 	codec, err := charge.NewCodec()
 	if err != nil {
--- a/cmd/poppypass/graph_run.go
+++ b/cmd/poppypass/graph_run.go
@@ -21,10 +21,10 @@
 	Date  *time.Time `json:"logical_date"`
 }
 
-// run reads a run with its definition and the instances and tries of its steps. dagID and run are the IDs of the
+// run reads a run with its definition and the instances and tries of its steps. dagID and runID are the IDs of the
 // graph and the run.
-func (a *graphAPI) run(ctx context.Context, dagID, run string) (*dagview.Run, error) {
-	path := []string{"dags", dagID, "dagRuns", run}
+func (a *graphAPI) run(ctx context.Context, dagID, runID string) (*dagview.Run, error) {
+	path := []string{"dags", dagID, "dagRuns", runID}
 	var response runResponse
 	if err := a.read(ctx, &response, path...); err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	view := &dagview.Run{Plan: plan, ID: run, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
+	view := &dagview.Run{Plan: plan, ID: runID, State: response.State, Start: timeOrZero(response.Start), End: timeOrZero(response.End), Now: time.Now()}
 	if view.Instances, err = a.instances(ctx, plan, path); err != nil {
 		return nil, err
 	}
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -16,8 +16,8 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// trigger contains the flags of the trigger command.
-type trigger struct {
+// triggerFlags contains the flags of the trigger command.
+type triggerFlags struct {
 	runID, conf, note string
 	descriptions      string // the URL to which the descriptions of the steps are uploaded first; empty: no upload
 	described         bool   // the descriptions are already uploaded
@@ -25,7 +25,7 @@
 
 func graphTriggerCommand() *cobra.Command {
 	var api graphAPI
-	var flags trigger
+	var flags triggerFlags
 	command := &cobra.Command{
 		Use: "trigger DAG", Short: "Begin a run of a graph", Args: cobra.ExactArgs(1),
 		Long: "Begin a run of a graph. Where the service has nowhere to have steps described\n(graphs.descriptions), --descriptions uploads those of all its steps first, or\n--described says that this was done.",
@@ -49,7 +49,7 @@
 
 // trigger starts a run of a graph, after uploading the descriptions of its steps if requested. dagID is the ID of
 // the graph.
-func (a *graphAPI) trigger(ctx context.Context, dagID string, flags *trigger) (*runResponse, error) {
+func (a *graphAPI) trigger(ctx context.Context, dagID string, flags *triggerFlags) (*runResponse, error) {
 	now := time.Now().UTC()
 	runID := flags.runID
 	if runID == "" {
--- a/cmd/poppypass/ledger_verify.go
+++ b/cmd/poppypass/ledger_verify.go
@@ -25,7 +25,8 @@
 	if err != nil {
 		return err
 	}
-	// The command uses a tenth of the request rate limit and leaves the rest to the controllers.
+	// The command's own rate limits guarantee it a tenth of the published limits. Beyond that it uses only what the
+	// controllers leave.
 	reader, err := ledger.NewReader(statestore.New(settings.External.State, settings.Cluster.State.RPS, settings.Cluster.State.WriteRPS).WithShare(0.1))
 	if err != nil {
 		return err
@@ -40,8 +41,8 @@
 		}
 	}
 	if n := len(result.Discrepancies); n > 0 {
-		return fmt.Errorf("%d discrepancies found in %d charges of %d jobs", n, result.Charges, result.Jobs)
+		return fmt.Errorf("%d discrepancies found in %d charges of %d jobs", n, result.ChargeCount, result.JobCount)
 	}
-	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d segments with %d charges of %d jobs: all totals are right\n", result.Segments, result.Charges, result.Jobs)
+	_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d segments with %d charges of %d jobs: all totals are right\n", result.SegmentCount, result.ChargeCount, result.JobCount)
 	return err
 }
--- a/internal/accounting/budget/admission.go
+++ b/internal/accounting/budget/admission.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// exempt reports whether a task is exempt from budgets. Production tasks are, unless the
+// exempt reports whether a task is exempt from budgets. Production tasks are exempt unless the
 // team's policy sets LimitProduction.
 func (tr *Tracker) exempt(t *Task) bool {
 	return t.Production && !tr.settings.policy(t.Scope.Team).LimitProduction
 }
 
-// Admit returns how many of a number of identical waiting tasks may start now. If these are not
-// all of them, reason says why.
+// Admit returns how many of the given number of identical waiting tasks may start now. If not all
+// of them may start, reason says why.
 func (tr *Tracker) Admit(t *Task, waiting int) (n int, reason string) {
 	if tr.exempt(t) {
 		return waiting, ""
@@ -31,7 +31,7 @@
 // given amount. If no task of the budget is live and the budget is not spent, one task may always
 // start: otherwise a task that is expected to use more than the whole budget would never run.
 func (bal *Balance) startable(perTask, limit float64) int {
-	remaining := limit - bal.Used - bal.Running - bal.Reserved
+	remaining := limit - bal.Charged - bal.Uncharged - bal.Reserved
 	n := 0
 	switch {
 	case remaining <= 0:
@@ -40,7 +40,7 @@
 	default:
 		n = int(min(math.Floor(remaining/perTask), math.MaxInt32))
 	}
-	if n == 0 && bal.liveTasks == 0 && bal.Used < limit {
+	if n == 0 && bal.liveTaskCount == 0 && bal.Charged < limit {
 		n = 1
 	}
 	return n
@@ -48,7 +48,7 @@
 
 // explainBlocked returns the reason why a budget prevents waiting tasks of a job from starting.
 // perTask and total are the expected usage of one and of all of these tasks; limit is the admission
-// limit. All three are in the ledger's units.
+// limit. These three are in the ledger's units.
 func (bal *Balance) explainBlocked(perTask, total, limit float64) string {
 	scale := bal.Unit.scale()
 	text := fmt.Sprintf("the budget of %s (%s, %s) is spent or reserved: %.6g used and %.6g reserved of %.6g",
@@ -82,16 +82,16 @@
 // SaveReservations saves the current reservations; restore undoes all later Reserve calls.
 func (tr *Tracker) SaveReservations() (restore func()) {
 	type reservation struct {
-		reserved  float64
-		liveTasks int
+		reserved      float64
+		liveTaskCount int
 	}
 	saved := make([]reservation, len(tr.balances))
 	for i, bal := range tr.balances {
-		saved[i] = reservation{bal.Reserved, bal.liveTasks}
+		saved[i] = reservation{bal.Reserved, bal.liveTaskCount}
 	}
 	return func() {
 		for i, bal := range tr.balances {
-			bal.Reserved, bal.liveTasks = saved[i].reserved, saved[i].liveTasks
+			bal.Reserved, bal.liveTaskCount = saved[i].reserved, saved[i].liveTaskCount
 		}
 	}
 }
--- a/internal/accounting/budget/balance.go
+++ b/internal/accounting/budget/balance.go
@@ -6,25 +6,26 @@
 	"poppypass/internal/accounting/charge"
 )
 
-// Balance is the state of one budget in its current period. Its amounts are in the ledger's
-// units: millionths of core-seconds, or of the currency.
+// Balance is the state of one budget in its current period. The budget's Amount is in the budget's
+// unit. All other amounts are in the ledger's units: millionths of core-seconds or of the currency.
 type Balance struct {
 	Budget
-	Limit        float64   // including what was carried over
-	Used         float64   // charged in the current period
-	Running      float64   // used by live tasks but not charged yet
-	Reserved     float64   // what live tasks are expected to use in addition
-	From, To     time.Time // the current period; To is zero for a period without end
-	liveTasks    int       // number of live tasks that count in this budget
-	warnedPeriod time.Time // the beginning of the last period in which Warnings returned this balance
+	Limit         float64   // Amount plus what was carried over from the previous period
+	Charged       float64   // charged in the current period
+	Uncharged     float64   // used by live tasks but not charged yet
+	Reserved      float64   // what live tasks are expected to use in addition
+	From, To      time.Time // beginning of the current period and of the next one; both are zero for a period without end
+	liveTaskCount int       // number of live tasks that count in this budget
+	warnedPeriod  time.Time // the beginning of the last period in which Warnings returned this balance
 }
 
 // spent returns what was used in the current period, charged or not.
-func (bal *Balance) spent() float64 { return bal.Used + bal.Running }
+func (bal *Balance) spent() float64 { return bal.Charged + bal.Uncharged }
 
-// reserve counts n more live tasks. perTask is the expected usage of one task.
+// reserve counts n more live tasks and reserves their expected usage. perTask is the expected usage
+// of one task.
 func (bal *Balance) reserve(n int, perTask Usage) {
-	bal.liveTasks += n
+	bal.liveTaskCount += n
 	bal.Reserved += float64(n) * perTask.amountFor(bal.Unit)
 }
 
@@ -36,7 +37,7 @@
 	for _, bal := range tr.balances {
 		tr.resetBalance(bal, now)
 	}
-	for _, t := range tr.live {
+	for _, t := range tr.liveTasks {
 		expected := tr.estimates.expected(t)
 		for _, bal := range tr.balancesOf(t) {
 			bal.addLiveTask(t, expected, now)
@@ -44,13 +45,14 @@
 	}
 }
 
-// resetBalance sets the current period, its limit and the charged usage, without any live tasks.
+// resetBalance sets a balance to the current period, its limit and its charged usage, without any
+// live tasks.
 func (tr *Tracker) resetBalance(bal *Balance, now time.Time) {
 	bal.From, bal.To = bal.Period.bounds(now, tr.settings.Location())
 	bal.Limit = bal.Amount * bal.Unit.scale()
 	bal.Limit += tr.carriedOver(bal)
-	bal.Used = tr.usageBetween(bal.Scope, bal.From, bal.To).amountFor(bal.Unit)
-	bal.Running, bal.Reserved, bal.liveTasks = 0, 0, 0
+	bal.Charged = tr.usageBetween(bal.Scope, bal.From, bal.To).amountFor(bal.Unit)
+	bal.Uncharged, bal.Reserved, bal.liveTaskCount = 0, 0, 0
 }
 
 // carriedOver returns the part of the previous period's unused amount that is added to the
@@ -69,8 +71,8 @@
 // rest of its expected usage.
 func (bal *Balance) addLiveTask(t *Task, expected Usage, now time.Time) {
 	used := bal.usedSoFar(t, now).amountFor(bal.Unit)
-	bal.liveTasks++
-	bal.Running += used
+	bal.liveTaskCount++
+	bal.Uncharged += used
 	bal.Reserved += max(0, expected.amountFor(bal.Unit)-used)
 }
 
@@ -80,7 +82,7 @@
 	}
 	since := t.RunningSince
 	if since.Before(bal.From) {
-		since = bal.From // earlier usage counts in the previous period
+		since = bal.From // earlier usage counts in earlier periods
 	}
 	run := max(0, now.Sub(since))
 	return Usage{Core: t.MilliCores * run.Milliseconds(), Money: charge.Cost(t.Rate, run)}
--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -55,7 +55,7 @@
 	return []Scope{s, {Team: s.Team}}
 }
 
-// Budget is an amount that a scope may use in each period.
+// Budget is an amount, in the given unit, that a scope may use in each period.
 type Budget struct {
 	Scope
 	Period Period
--- a/internal/accounting/budget/estimates.go
+++ b/internal/accounting/budget/estimates.go
@@ -10,7 +10,7 @@
 // estimates contains run times and rates learned from earlier tasks, by job class.
 type estimates struct {
 	runRatio map[string]float64 // run time of completed tasks, as a multiple of their owners' estimates
-	lastRate map[string]int64   // rate of the most recently placed task, in millionths an hour
+	lastRate map[string]int64   // rate of the most recently placed task, in millionths of the currency per hour
 }
 
 func newEstimates() estimates {
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -13,7 +13,7 @@
 		return nil
 	}
 	var refs []any
-	for ref, t := range tr.live {
+	for ref, t := range tr.liveTasks {
 		if !tr.exempt(t) && slices.ContainsFunc(tr.balancesOf(t), func(bal *Balance) bool { return slices.Contains(toDrain, bal) }) {
 			refs = append(refs, ref)
 		}
--- a/internal/accounting/budget/overspend_test.go
+++ b/internal/accounting/budget/overspend_test.go
@@ -9,9 +9,9 @@
 
 func TestWarningsReturnANearlySpentBudgetOnceAPeriod(t *testing.T) {
 	for _, c := range []struct {
-		period    string
-		nextDay   int // expected warnings on the next day, after as much usage on that day as on the first
-		nextMonth int // expected warnings in the next month, likewise
+		period            string
+		nextDayWarnings   int // expected number of warnings on the next day, after as much usage on that day as on the first
+		nextMonthWarnings int // expected number of warnings in the next month, after the same usage
 	}{
 		{"day", 1, 1}, {"month", 0, 1}, {"ever", 0, 0},
 	} {
@@ -35,11 +35,11 @@
 			if n := warnings(now, 1); n != 0 {
 				t.Errorf("%d more warnings in the same period", n)
 			}
-			if n := warnings(now.AddDate(0, 0, 1), 6); n != c.nextDay {
-				t.Errorf("%d warnings on the next day, want %d", n, c.nextDay)
+			if n := warnings(now.AddDate(0, 0, 1), 6); n != c.nextDayWarnings {
+				t.Errorf("%d warnings on the next day, want %d", n, c.nextDayWarnings)
 			}
-			if n := warnings(now.AddDate(0, 1, 0), 6); n != c.nextMonth {
-				t.Errorf("%d warnings in the next month, want %d", n, c.nextMonth)
+			if n := warnings(now.AddDate(0, 1, 0), 6); n != c.nextMonthWarnings {
+				t.Errorf("%d warnings in the next month, want %d", n, c.nextMonthWarnings)
 			}
 		})
 	}
--- a/internal/accounting/budget/properties.go
+++ b/internal/accounting/budget/properties.go
@@ -17,7 +17,7 @@
 // PropertyError means that a property set by an operator is invalid.
 type PropertyError struct {
 	Key     string
-	Problem string // one line
+	Problem string // what is wrong, in one line
 }
 
 // Error returns the key and the problem in one line.
@@ -30,11 +30,11 @@
 // Set adds one property, whose key begins with Prefix, to the settings:
 //
 //	budget.TEAM[/ACCOUNT].PERIOD.UNIT = AMOUNT      budget.fraud-desk.month.core-hours = 500
-//	budget.TEAM.carry-over = SHARE                  0 to 1
-//	budget.TEAM.warn-at = SHARE                     above 0, to 1
-//	budget.TEAM.when-spent = finish | drain
-//	budget.TEAM.drain-at = SHARE                    above 0, to 1
-//	budget.TEAM.production = spared | held
+//	budget.TEAM.carry-over = SHARE                  from 0 to 1
+//	budget.TEAM.warn-at = SHARE                     above 0, up to 1
+//	budget.TEAM.when-spent = finish | drain         let running tasks finish, or stop them with time to save a checkpoint
+//	budget.TEAM.drain-at = SHARE                    above 0, up to 1
+//	budget.TEAM.production = spared | held          production tasks are exempt from budgets, or budgets apply to them too
 //
 // The error is a *PropertyError. After an error the settings must not be used.
 func (s *Settings) Set(key, value string) error {
--- a/internal/accounting/budget/settings.go
+++ b/internal/accounting/budget/settings.go
@@ -11,13 +11,14 @@
 	// CarryOver is the share, from 0 to 1, of a period's unused amount that is added to the next
 	// period.
 	CarryOver float64
-	// WarnAt is the used share at which a budget counts as nearly spent.
+	// WarnAt is the used share of a budget, above 0 and up to 1, at which the budget counts as nearly
+	// spent.
 	WarnAt float64
 	// DrainWhenSpent means that running tasks are stopped, with time to save a checkpoint, once
 	// the DrainAt share of a budget is used. Otherwise running tasks may finish.
 	DrainWhenSpent bool
-	// DrainAt is the used share of a budget at which draining begins. It applies only if
-	// DrainWhenSpent is set; from then on no more tasks start either.
+	// DrainAt is the used share of a budget, above 0 and up to 1, at which draining begins and from
+	// which on no more tasks start. It applies only if DrainWhenSpent is set.
 	DrainAt float64
 	// LimitProduction means that budgets also apply to production tasks (property value "held").
 	// Otherwise production tasks are exempt ("spared").
@@ -52,8 +53,8 @@
 // ErrUnknownTeam means that a setting refers to a team that does not exist.
 var ErrUnknownTeam = errors.New("the team is unknown")
 
-// Check verifies that the teams of all budgets and policies exist, which teamExists reports
-// for a team. The error wraps ErrUnknownTeam and identifies the invalid setting in one line.
+// Check verifies that the teams of all budgets and policies exist. teamExists reports whether a
+// team exists. The error wraps ErrUnknownTeam and identifies the invalid setting in one line.
 func (s *Settings) Check(teamExists func(team string) bool) error {
 	for _, b := range s.Budgets {
 		if !teamExists(b.Team) {
--- a/internal/accounting/budget/split_test.go
+++ b/internal/accounting/budget/split_test.go
@@ -7,7 +7,7 @@
 	"poppypass/internal/accounting/charge"
 )
 
-func TestSplitByDayKeepsRunTimeMoneyAndOutcome(t *testing.T) {
+func TestSplitByDayPreservesRunTimeMoneyAndOutcome(t *testing.T) {
 	zone := time.FixedZone("UTC+3", 3*3600)
 	c := charge.Charge{StartMS: time.Date(2026, 12, 1, 20, 0, 0, 0, zone).UnixMilli(), RunMS: 50 * 3600_000, Money: 1_000_003, Outcome: charge.Done, Flags: charge.ProgressSaved}
 	parts := charge.SplitByDay(c, zone)
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -13,13 +13,14 @@
 	Production   bool
 	Class        string
 	MilliCores   int64
-	Rate         int64     // millionths of the currency an hour; 0: the task is not placed yet
+	Rate         int64     // millionths of the currency per hour; 0: the task is not placed yet
 	MaxRate      int64     // the rate on the most expensive machine type, in the same unit
 	EstimateS    float64   // the owner's estimate of the run time, in seconds; 0: a service, which never ends by itself
 	RunningSince time.Time // zero: the task is not running yet
 }
 
-// TaskOf returns the description of a task of the job that is not placed yet.
+// TaskOf returns the description of a task of the job before the task is placed: Rate, MaxRate and
+// RunningSince are not set.
 func TaskOf(j *wire.Job) *Task {
 	return &Task{
 		Scope: Scope{j.Team, j.Account}, Production: j.Priority == wire.PriorityProduction, Class: j.Class,
@@ -33,7 +34,7 @@
 type Tracker struct {
 	settings  *Settings
 	usage     map[Scope]map[string]Usage // charged usage by day or, for old days, by month
-	live      map[any]*Task              // by the caller's reference
+	liveTasks map[any]*Task              // by the caller's reference
 	estimates estimates
 	balances  []*Balance
 	byScope   map[Scope][]*Balance
@@ -42,7 +43,7 @@
 // NewTracker returns a tracker without budgets, charges and tasks.
 func NewTracker() *Tracker {
 	return &Tracker{
-		settings: &Settings{}, usage: map[Scope]map[string]Usage{}, live: map[any]*Task{},
+		settings: &Settings{}, usage: map[Scope]map[string]Usage{}, liveTasks: map[any]*Task{},
 		estimates: newEstimates(), byScope: map[Scope][]*Balance{},
 	}
 }
@@ -87,7 +88,7 @@
 
 // StartTask adds a live task and reserves its expected usage.
 func (tr *Tracker) StartTask(ref any, t *Task) {
-	tr.live[ref] = t
+	tr.liveTasks[ref] = t
 	tr.estimates.learnRate(t)
 	for _, bal := range tr.balancesOf(t) {
 		bal.reserve(1, tr.estimates.expected(t))
@@ -97,20 +98,21 @@
 // MarkRunning records that a live task has been running since the given time. It does nothing for
 // an unknown reference.
 func (tr *Tracker) MarkRunning(ref any, since time.Time) {
-	if t := tr.live[ref]; t != nil {
+	if t := tr.liveTasks[ref]; t != nil {
 		t.RunningSince = since
 	}
 }
 
-// EndTask removes a live task. completed means that it completed after the given run time. The caller
-// reports its usage separately with AddCharge. The reservation of the task remains until the next
-// Recompute: a budget that delays other tasks too long is preferable to one that is overspent.
+// EndTask removes a live task. completed reports whether the task completed, after the given run
+// time. The caller reports the task's usage separately with AddCharge. The reservation of the task
+// remains until the next Recompute: a budget that delays other tasks too long is preferable to one
+// that is overspent.
 func (tr *Tracker) EndTask(ref any, completed bool, run time.Duration) {
-	t := tr.live[ref]
+	t := tr.liveTasks[ref]
 	if t == nil {
 		return
 	}
-	delete(tr.live, ref)
+	delete(tr.liveTasks, ref)
 	if completed {
 		tr.estimates.learnRun(t, run)
 	}
--- a/internal/accounting/charge/amounts.go
+++ b/internal/accounting/charge/amounts.go
@@ -13,7 +13,7 @@
 	Memory    int64
 	Money     int64
 	RunMS     int64
-	ByOutcome [outcomeCount]int64 // number of charges by outcome; each one other than Continues is the end of an attempt
+	ByOutcome [outcomeCount]int64 // number of charges by outcome; a charge with an outcome other than Continues is the last of its attempt
 }
 
 // AmountsOf returns the amounts of one charge of a job with these traits.
@@ -51,7 +51,8 @@
 // CoreHours returns the core time in core-hours. Use it for display only: the conversion to floating point rounds.
 func (a *Amounts) CoreHours() float64 { return float64(a.Core) / 1e6 / 3600 }
 
-// Cost returns the cost of a run time in millionths of the currency, rounded. rate is in millionths an hour.
+// Cost returns the cost of a run time, in millionths of the currency, rounded. rate is in millionths of the
+// currency per hour.
 func Cost(rate int64, run time.Duration) int64 {
 	return int64(math.Round(float64(rate) * run.Hours()))
 }
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -19,7 +19,7 @@
 	Type string
 	Zone string
 	Spot bool
-	Rate int64 // the task's share of the machine's price, in millionths of the currency an hour, at the time of the allocation
+	Rate int64 // the task's share of the machine's price at the time of the allocation, in millionths of the currency per hour
 }
 
 // JobTraits are the properties that all charges of a job share.
@@ -74,7 +74,7 @@
 	Charges []Charge
 }
 
-// KindIndex returns the index of a kind in p.Kinds. It appends the kind if it is not in there yet.
+// KindIndex returns the index of a kind in p.Kinds. It appends the kind if p.Kinds does not contain it yet.
 func (p *Pack) KindIndex(k Kind) int {
 	for i := range p.Kinds {
 		if p.Kinds[i] == k {
--- a/internal/accounting/charge/days.go
+++ b/internal/accounting/charge/days.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// DayOf returns the date, such as 2026-12-02, of a Unix time in milliseconds.
+// DayOf returns the date, such as 2026-12-02, of a Unix time in milliseconds, in the time zone loc.
 func DayOf(ms int64, loc *time.Location) string {
 	return time.UnixMilli(ms).In(loc).Format(time.DateOnly)
 }
 
-// NextDay returns the beginning of the next day after a time. Both are Unix times in milliseconds.
+// NextDay returns the beginning of the day after the one that contains the time ms, in the time zone loc.
+// Both times are Unix times in milliseconds.
 func NextDay(ms int64, loc *time.Location) int64 {
 	t := time.UnixMilli(ms).In(loc)
 	return time.Date(t.Year(), t.Month(), t.Day()+1, 0, 0, 0, 0, loc).UnixMilli()
--- a/internal/accounting/charge/days_test.go
+++ b/internal/accounting/charge/days_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestSplitByDayKeepsTimeAndMoneyExactly(t *testing.T) {
+func TestSplitByDayPreservesTimeAndMoneyExactly(t *testing.T) {
 	berlin, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
 		t.Fatal(err)
@@ -15,11 +15,11 @@
 	}
 	const hour = int64(time.Hour / time.Millisecond)
 	for _, c := range []struct {
-		name  string
-		loc   *time.Location
-		start int64
-		run   int64
-		runs  []int64 // run times of the parts
+		name       string
+		loc        *time.Location
+		startMS    int64
+		runMS      int64
+		partRunsMS []int64 // run times of the parts
 	}{
 		{"within a day", time.UTC, at(time.UTC, 10, 3), 5 * hour, []int64{5 * hour}},
 		{"up to midnight", time.UTC, at(time.UTC, 10, 20), 4 * hour, []int64{4 * hour}},
@@ -29,16 +29,16 @@
 		{"zero run time", time.UTC, at(time.UTC, 10, 0), 0, []int64{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			whole := Charge{Task: 1, Attempt: 2, Part: 3, StartMS: c.start, RunMS: c.run, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
+			whole := Charge{Task: 1, Attempt: 2, Part: 3, StartMS: c.startMS, RunMS: c.runMS, Money: 1_000_003, Outcome: Done, Flags: ProgressSaved | UpperBound}
 			parts := SplitByDay(whole, c.loc)
-			if len(parts) != len(c.runs) {
-				t.Fatalf("%d parts, want %d: %+v", len(parts), len(c.runs), parts)
+			if len(parts) != len(c.partRunsMS) {
+				t.Fatalf("%d parts, want %d: %+v", len(parts), len(c.partRunsMS), parts)
 			}
-			next, money := c.start, int64(0)
+			next, money := c.startMS, int64(0)
 			for i, p := range parts {
 				last := i == len(parts)-1
-				if p.StartMS != next || p.RunMS != c.runs[i] || p.Part != 3+i {
-					t.Errorf("part %d begins at %d and runs %d, want %d and %d: %+v", i, p.StartMS, p.RunMS, next, c.runs[i], p)
+				if p.StartMS != next || p.RunMS != c.partRunsMS[i] || p.Part != 3+i {
+					t.Errorf("part %d begins at %d ms and runs for %d ms, want %d and %d: %+v", i, p.StartMS, p.RunMS, next, c.partRunsMS[i], p)
 				}
 				if (p.Outcome == Done) != last || (p.Flags&ProgressSaved != 0) != last || p.Flags&UpperBound == 0 {
 					t.Errorf("part %d has outcome %v and flags %b", i, p.Outcome, p.Flags)
--- a/internal/accounting/charge/outcome.go
+++ b/internal/accounting/charge/outcome.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Outcome is how an attempt ended, or the part of it that a charge covers. Stored charges
-// contain the numbers; HTTP responses and metrics contain the names. New outcomes are therefore
-// appended at the end.
+// Outcome is how an attempt ended, or how the part of an attempt that a charge covers ended.
+// Stored charges contain the numbers; HTTP responses and metrics contain the names. New outcomes
+// are therefore appended at the end.
 type Outcome uint8
 
 // The outcomes of attempts.
 const (
-	Continues  Outcome = iota // the attempt continues: this part ends only because its day ended
+	Continues  Outcome = iota // the attempt continues in the next part: this part ends only because its day ended
 	Done                      // completed
 	Failed                    // exited with an error
 	Refused                   // refused by the worker; the task never ran
--- a/internal/accounting/ledger/attempts.go
+++ b/internal/accounting/ledger/attempts.go
@@ -24,10 +24,10 @@
 // Ended charges an attempt that has ended.
 func (l *Ledger) Ended(o machines.Outcome, now time.Time) {
 	a := o.Allocation
-	delete(l.live, a)
+	delete(l.liveAllocations, a)
 	c, started := chargeFor(&o, now, l.currentRate(a))
-	seenDone := c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0
-	l.budgets.EndTask(a, seenDone, time.Duration(c.RunMS)*time.Millisecond)
+	completed := c.Outcome == charge.Done && c.Flags&charge.UpperBound == 0
+	l.budgets.EndTask(a, completed, time.Duration(c.RunMS)*time.Millisecond)
 	if started {
 		l.recordCharges(a, charge.SplitByDay(c, l.location), now)
 	}
@@ -36,8 +36,8 @@
 // Finished does nothing: the ledger charges for attempts, not for jobs.
 func (l *Ledger) Finished(jobs.FinishedJob, time.Time) {}
 
-// currentRate returns the rate of an attempt's task at the current prices, in millionths of money per hour; 0 if the
-// machine type is unknown.
+// currentRate returns the rate of an attempt's task at the current prices, in millionths of the currency per hour; 0 if
+// the machine type is unknown.
 func (l *Ledger) currentRate(a *jobs.Allocation) int64 {
 	return Rate(&a.Job.Job, wire.FindMachineType(l.cfg.MachineTypes(), a.Kind.Type), a.Kind.Spot)
 }
@@ -47,7 +47,7 @@
 func (l *Ledger) chargeDayEnd(now time.Time) {
 	end := l.dayEnd
 	l.dayEnd = l.endOfDay(now)
-	for a := range l.live {
+	for a := range l.liveAllocations {
 		if a.ChargedFrom.IsZero() || !a.ChargedFrom.Before(end) {
 			continue
 		}
--- a/internal/accounting/ledger/bench_test.go
+++ b/internal/accounting/ledger/bench_test.go
@@ -13,7 +13,7 @@
 // charge enlarges its record.
 func BenchmarkRecordCharge(b *testing.B) {
 	tl := newTestLeader(b)
-	tl.submit(jobArray("job-1", 1))
+	tl.submit(arrayJob("job-1", 1))
 	a := tl.allocateAndRun("job-1")
 	c := charge.Charge{Attempt: 1, StartMS: testStart.UnixMilli(), RunMS: 50_000, Money: 11_111, Outcome: charge.Done}
 	b.ReportAllocs()
--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -39,7 +39,7 @@
 
 // addLive adds an attempt that has not ended and reserves its expected usage in its team's budgets.
 func (l *Ledger) addLive(a *jobs.Allocation) {
-	l.live[a] = true
+	l.liveAllocations[a] = true
 	task := budget.TaskOf(&a.Job.Job)
 	task.Rate, task.RunningSince = a.Kind.Rate, a.ChargedFrom
 	l.budgets.StartTask(a, task)
@@ -112,7 +112,7 @@
 	if !l.budgets.HasBudgets() {
 		return nil
 	}
-	for a := range l.live {
+	for a := range l.liveAllocations {
 		if !a.ChargedFrom.IsZero() {
 			l.budgets.MarkRunning(a, a.ChargedFrom)
 		}
--- a/internal/accounting/ledger/budgets_test.go
+++ b/internal/accounting/ledger/budgets_test.go
@@ -36,7 +36,7 @@
 // reserves the task's expected usage, so it counts for the next starts of the same cycle.
 func TestStartedTasksOfAnArrayReserveTheirBudget(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "1"}) // 3,600 core-seconds: 180 tasks of 2 cores for 10 s
-	tl.submit(jobArray("job-1", 10_000))
+	tl.submit(arrayJob("job-1", 10_000))
 	var allocated []*jobs.Allocation
 	for a := tl.allocate("job-1"); a != nil; a = tl.allocate("job-1") {
 		allocated = append(allocated, a)
@@ -74,7 +74,7 @@
 		n++
 	}
 	if n < 90 || n > 100 {
-		t.Errorf("%d more tasks started, want about 90", n)
+		t.Errorf("%d more tasks started, want 90 to 100", n)
 	}
 	// A new leader computes the same usage.
 	tl.commitAll()
@@ -91,7 +91,7 @@
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.05"}) // 180 core-seconds: 9 tasks
 	var waiting []*jobs.Job
 	for i, priority := range []wire.Priority{wire.PriorityLow, wire.PriorityNormal, wire.PriorityHigh, wire.PriorityProduction} {
-		j := jobArray(fmt.Sprintf("job-%d", i), 4)
+		j := arrayJob(fmt.Sprintf("job-%d", i), 4)
 		j.Priority = priority
 		waiting = append(waiting, tl.submit(j))
 	}
@@ -106,7 +106,7 @@
 
 func TestSpentBudgetLetsTasksStartInTheNextPeriod(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.01", "budget.t.carry-over": "0.5"}) // 36 core-seconds
-	j := jobArray("job-1", 100)
+	j := arrayJob("job-1", 100)
 	j.EstimateS = 3600 // one task alone exceeds the budget
 	tl.submit(j)
 	a := tl.allocateAndRun("job-1")
@@ -130,7 +130,7 @@
 
 func TestDrainingBudgetStopsRunningTasksOnceAtItsThreshold(t *testing.T) {
 	tl := newTestLeaderWithBudgets(t, map[string]string{"budget.t.day.core-hours": "0.1", "budget.t.when-spent": "drain", "budget.t.drain-at": "0.5"})
-	batchJob := jobArray("job-1", 1)
+	batchJob := arrayJob("job-1", 1)
 	batchJob.EstimateS, batchJob.CheckpointS, batchJob.SaveS = 60, 10, 4
 	tl.submit(batchJob)
 	serviceJob := wire.Job{ID: "job-2", Class: "s", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 1}
--- a/internal/accounting/ledger/charging_test.go
+++ b/internal/accounting/ledger/charging_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tl := newTestLeader(t)
-			tl.submit(jobArray("job-1", 1))
+			tl.submit(arrayJob("job-1", 1))
 			a := tl.allocateAndRun("job-1")
 			tl.clock.Advance(30 * time.Second)
 			c.end(tl, a)
@@ -58,25 +58,25 @@
 // although the task continues to run.
 func TestDayEndSplitsTheChargeOfARunningTask(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.submit(jobArray("job-1", 1))
+	tl.submit(arrayJob("job-1", 1))
 	a := tl.allocateAndRun("job-1")
 	tl.clock.Advance(13*time.Hour - time.Second) // from noon to one hour after midnight
 	tl.ledger.Tick(tl.now())
 	tl.rollUpAll()
-	day := func(day string) int64 {
+	chargedMS := func(day string) int64 {
 		return tl.ledger.totals(Query{From: day, To: day, By: []string{"day"}}, tl.now()).Sum.RunMS
 	}
-	if got := day("2026-12-01"); got != 12*3600_000-1000 {
+	if got := chargedMS("2026-12-01"); got != 12*3600_000-1000 {
 		t.Errorf("the first day is charged for %d ms, want 12 h less 1 s", got)
 	}
-	if got := day("2026-12-02"); got != 0 {
+	if got := chargedMS("2026-12-02"); got != 0 {
 		t.Errorf("the second day is charged for %d ms while the task runs, want none", got)
 	}
 	tl.newTerm() // the new leader continues to charge from the end of the day
 	tl.clock.Advance(time.Hour)
 	tl.end(tl.allocations[attemptIDOf(a)], wire.ExitDone, false)
 	tl.checkAgainstTruth()
-	if got := day("2026-12-02"); got != 2*3600_000 {
+	if got := chargedMS("2026-12-02"); got != 2*3600_000 {
 		t.Errorf("the second day is charged for %d ms, want 2 h", got)
 	}
 	if got := tl.ledger.totals(Query{By: []string{"day"}}, tl.now()).Sum.Attempts; got != 1 {
--- a/internal/accounting/ledger/compact.go
+++ b/internal/accounting/ledger/compact.go
@@ -66,7 +66,7 @@
 }
 
 // merged returns copies of two pages with rows moved from the second to the first: all rows if they fit, otherwise
-// those whose keys the first has.
+// only the rows whose keys the first page has, too.
 func merged(into, from *page) (mergedInto, mergedFrom *page) {
 	mergedInto, mergedFrom = into.clone(), from.clone()
 	for key, sum := range from.rows {
--- a/internal/accounting/ledger/compact_test.go
+++ b/internal/accounting/ledger/compact_test.go
@@ -14,7 +14,7 @@
 func TestCompactionAndFoldingKeepTheTotals(t *testing.T) {
 	tl := newTestLeader(t)
 	for i := range 400 {
-		j := jobArray(fmt.Sprintf("job-%d", i), 1)
+		j := arrayJob(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("an account with a long name, number %d", i%150)
 		tl.submit(j)
 		a := tl.allocateAndRun(j.ID)
@@ -34,10 +34,10 @@
 	tl.rollUpAll()
 	tl.checkAgainstTruth()
 	if after := len(tl.itemsWithPrefix(PrefixPage)); after >= before {
-		t.Errorf("compaction left %d pages as %d, want fewer", before, after)
+		t.Errorf("compaction turned %d pages into %d, want fewer pages", before, after)
 	}
 	if len(tl.ledger.closedPages) >= tuning.CompactAfterPages { // below that number, pages are not compacted
-		tl.checkRowsAreInOneClosedPage()
+		tl.checkEachKeyIsInOneClosedPage()
 	}
 	tl.clock.Advance((tuning.MonthlyTotalsAfterDays + 40) * 24 * time.Hour)
 	tl.ledger.nextCompactCheck = time.Time{}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (tl *testLeader) checkRowsAreInOneClosedPage() {
+func (tl *testLeader) checkEachKeyIsInOneClosedPage() {
 	tl.t.Helper()
 	pages := map[RowKey]int{}
 	for _, p := range tl.ledger.closedPages {
--- a/internal/accounting/ledger/failover_test.go
+++ b/internal/accounting/ledger/failover_test.go
@@ -24,11 +24,12 @@
 			}
 		},
 	}
-	// Try all sequences of four steps, with repetition. The job ends after each sequence.
+	// Try all sequences of four steps, with repetition. The base-n digits of order are the indexes of the steps. The job
+	// ends after each sequence.
 	n := len(steps)
 	for order := range n * n * n * n {
 		tl := newTestLeader(t)
-		tl.submit(jobArray("job-1", 2))
+		tl.submit(arrayJob("job-1", 2))
 		a, b := tl.allocateAndRun("job-1"), tl.allocateAndRun("job-1")
 		tl.clock.Advance(20 * time.Second)
 		tl.end(a, wire.ExitError, false) // the task is retried
@@ -59,7 +60,7 @@
 // A failover loses no run time: a task's start time is stored once the task has run for StartTimeStoreDelay.
 func TestStartTimeSurvivesAFailover(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.submit(jobArray("job-1", 1))
+	tl.submit(arrayJob("job-1", 1))
 	a := tl.allocate("job-1")
 	tl.commitAll()
 	tl.clock.Advance(5 * time.Second) // the time to fetch the image
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -34,8 +34,8 @@
 	OnCharge func(team, outcome string, sum charge.Amounts)
 }
 
-// Ledger is the ledger during one leader's term. It implements leader.Subsystem: the loop's goroutine makes all calls
-// except Read.
+// Ledger records charges, rolls them up and enforces budgets during one leader's term. It implements leader.Subsystem:
+// the loop's goroutine makes all calls except Read.
 type Ledger struct {
 	cfg           Config
 	log           *slog.Logger
@@ -48,17 +48,17 @@
 	loaded           bool                   // the last segment and the totals are in memory, so roll-ups may start
 	openSegment      segment                // the segment that roll-ups write to
 	openPage         *page                  // the page that roll-ups write to
-	closedPages      map[int]*page          // by number
+	closedPages      map[int]*page          // the full pages, to which roll-ups no longer write, by number
 	detached         []jobs.DetachedCharges // records that are not rolled up yet
 	detachedSince    time.Time              // start of the wait for the next roll-up; see rollUpDue
 	nextCompactCheck time.Time              // time of the next check whether totals can be folded or compacted
 	nextTotalsLog    time.Time
 
-	live           map[*jobs.Allocation]bool // allocations whose attempts have not ended
-	dayEnd         time.Time                 // end of the current day
-	budgets        *budget.Tracker
-	budgetSettings *budget.Settings // settings that the tracker applies
-	stats          Stats
+	liveAllocations map[*jobs.Allocation]bool // allocations whose attempts have not ended
+	dayEnd          time.Time                 // end of the current day
+	budgets         *budget.Tracker
+	budgetSettings  *budget.Settings // settings that the tracker applies
+	stats           Stats
 }
 
 // Stats counts what the ledger did in the current term.
@@ -79,12 +79,12 @@
 	return &Ledger{
 		cfg: cfg, log: log, maxTxnOps: cfg.MaxTxnOps, maxValueBytes: int(cfg.MaxValueKB * 1024), codec: codec,
 		location: cfg.Budgets().Location(), openPage: newPage(0), closedPages: map[int]*page{},
-		live: map[*jobs.Allocation]bool{}, budgets: budget.NewTracker(),
+		liveAllocations: map[*jobs.Allocation]bool{}, budgets: budget.NewTracker(),
 	}, nil
 }
 
 // Loaded prepares the ledger once all jobs are in memory. It adds the charges that are not rolled up yet to the
-// budgets' usage, and reserves the expected usage of the live tasks of earlier leaders.
+// budgets' usage, and reserves the expected usage of the live tasks that earlier leaders placed.
 func (l *Ledger) Loaded(store *jobs.Store, now time.Time) {
 	l.store = store
 	store.Metered = true
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -15,24 +15,24 @@
 // transaction, and a task that fails repeatedly until its charges exceed the size limit of its record.
 func TestManyChargesOfAJobFitTheStateService(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.submit(jobArray("job-1", 40*tuning.ChunkTasks))
+	tl.submit(arrayJob("job-1", 40*tuning.ChunkTasks))
 	for tl.allocate("job-1") != nil {
 	}
 	tl.commitAll()
 	for _, a := range tl.allocations {
-		tl.attempts[attemptIDOf(a)].began = tl.now()
+		tl.attempts[attemptIDOf(a)].beganAt = tl.now()
 	}
 	tl.heartbeat()
 	tl.clock.Advance(time.Minute)
 	for _, a := range tl.allocations {
-		tl.attempts[attemptIDOf(a)].ended, tl.attempts[attemptIDOf(a)].reason = tl.now(), wire.ExitDone
+		tl.attempts[attemptIDOf(a)].endedAt, tl.attempts[attemptIDOf(a)].reason = tl.now(), wire.ExitDone
 	}
 	tl.heartbeat()
 	tl.checkAgainstTruth()
 	if _, ended := tl.items[jobs.KeyFinalState("job-1")]; !ended {
 		t.Fatal("the job has no final state")
 	}
-	tl.submit(jobArray("job-2", 1))
+	tl.submit(arrayJob("job-2", 1))
 	for range 3 * tuning.DetachChargesMin {
 		a := tl.allocateAndRun("job-2")
 		tl.clock.Advance(time.Second)
@@ -53,7 +53,7 @@
 	tl.maxTxnOps = 40
 	tl.newTerm()
 	for i := range 30 {
-		j := jobArray(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
+		j := arrayJob(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
 		j.Class = strings.Repeat("a long name of a class ", 8)
 		tl.submit(j)
 	}
@@ -66,12 +66,12 @@
 		tl.heartbeat() // forgets the allocations that were removed
 		tl.clock.Advance(time.Second)
 		for _, k := range tl.sortedAttempts() {
-			tl.attempts[k].began = tl.now()
+			tl.attempts[k].beganAt = tl.now()
 		}
 		tl.heartbeat()
 		tl.clock.Advance(time.Minute)
 		for _, k := range tl.sortedAttempts() {
-			if tl.attempts[k].ended, tl.attempts[k].reason = tl.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
+			if tl.attempts[k].endedAt, tl.attempts[k].reason = tl.now(), wire.ExitDone; round < 2 && k.task%8 < 5 {
 				tl.attempts[k].reason = wire.ExitStopped
 			}
 		}
--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -24,10 +24,11 @@
 //     If an earlier leader placed the task and no record contains its start, the time begins with the placement.
 //     If the task ended while there was no leader, the time ends when a leader first sees the end.
 
-// Rate returns a task's share of a machine's price, in millionths of money per hour; 0 for an unknown type. It is the
-// price times the task's dominant share: the largest of its shares of the machine's processors, memory and GPUs, because
-// that much of the machine is unavailable to others. Equal tasks that fill a machine together pay its price. Idle
-// resources are charged to nobody. Tasks of opposite shapes that share a machine can together pay more than its price.
+// Rate returns a task's share of a machine's price, in millionths of the currency per hour; 0 for an unknown type. The
+// rate is the price times the task's dominant share: the largest of its shares of the machine's processors, memory and
+// GPUs, because that much of the machine is unavailable to others. Equal tasks that fill a machine together pay its
+// price. Idle resources are charged to nobody. Tasks that share a machine can together pay more than its price if their
+// dominant shares are of different resources, such as processors and memory.
 func Rate(j *wire.Job, typ *wire.MachineType, spot bool) int64 {
 	if typ == nil {
 		return 0
--- a/internal/accounting/ledger/property_test.go
+++ b/internal/accounting/ledger/property_test.go
@@ -53,7 +53,7 @@
 	var live []*jobs.Allocation
 	for _, id := range r.sortedAttempts() {
 		a := r.allocations[id]
-		if truth := r.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() && !a.Removed {
+		if truth := r.attempts[attemptIDOf(a)]; truth != nil && truth.endedAt.IsZero() && !a.Removed {
 			live = append(live, a)
 		}
 	}
@@ -65,7 +65,7 @@
 
 func (r *randomRun) submitJob(rt *rapid.T) {
 	r.submitted++
-	j := jobArray(fmt.Sprintf("job-%d", r.submitted), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
+	j := arrayJob(fmt.Sprintf("job-%d", r.submitted), rapid.SampledFrom([]int{1, 3, 70, 200}).Draw(rt, "tasks"))
 	j.Account = rapid.SampledFrom([]string{"", "a", "b"}).Draw(rt, "account")
 	r.submit(j)
 }
@@ -94,7 +94,7 @@
 }
 
 func (r *randomRun) refuseOne(rt *rapid.T) {
-	if a := r.pick(rt); a != nil && r.attempts[attemptIDOf(a)].began.IsZero() {
+	if a := r.pick(rt); a != nil && r.attempts[attemptIDOf(a)].beganAt.IsZero() {
 		r.end(a, wire.ExitNoRoom, false)
 	}
 }
--- a/internal/accounting/ledger/reader.go
+++ b/internal/accounting/ledger/reader.go
@@ -29,14 +29,15 @@
 // ChargesPage is one page of a job's charges.
 type ChargesPage struct {
 	Charges []ChargeView `json:"charges"`
-	// Next is the value of after that returns the next page; empty: this is the last page. Charges of a job that has
-	// just ended may appear again on a later page if they are rolled up meanwhile. Duplicates have the same task,
-	// attempt and part.
+	// Next is the value of the parameter after that requests the next page; empty: this is the last page. Charges of a
+	// job that has just ended may appear again on a later page if they are rolled up meanwhile. Duplicates have the same
+	// task, attempt and part.
 	Next string `json:"next,omitempty"`
 }
 
-// JobCharges returns one page of a job's charges: on the first page those that are still in the job's own records, and
-// on each page those in some segments. after is the Next of the previous page; it is empty for the first.
+// JobCharges returns one page of a job's charges. Each page contains the charges in some segments; the first page also
+// contains those that are still in the job's own records. after is the Next of the previous page; it is empty for the
+// first page.
 func (r *Reader) JobCharges(ctx context.Context, id, after string) (ChargesPage, error) {
 	page := ChargesPage{Charges: []ChargeView{}}
 	if after == "" {
@@ -46,8 +47,8 @@
 			}
 		}
 	}
-	// The segments are read after the records, so no charge is missed: one that was no longer in them had already been
-	// moved to a segment.
+	// The segments are read after the job's records, so no charge is missed: a charge that was no longer in the records
+	// had already been moved to a segment.
 	if err := r.addFromSegments(ctx, &page, id, after); err != nil {
 		return page, err
 	}
--- a/internal/accounting/ledger/records.go
+++ b/internal/accounting/ledger/records.go
@@ -44,8 +44,8 @@
 
 // segmentRecord is the stored form of a segment.
 type segmentRecord struct {
-	Charges int    `json:"charges"` // number of charges in Zstd
-	Zstd    []byte `json:"z"`       // the zstd-compressed CBOR encoding of a []charge.Pack
+	ChargeCount int    `json:"charges"` // number of charges in Zstd
+	Zstd        []byte `json:"z"`       // the zstd-compressed CBOR encoding of a []charge.Pack
 }
 
 // pageRecord is the stored form of a page.
@@ -79,8 +79,8 @@
 			}
 		}
 	}
-	if n := countCharges(packs); n != record.Charges {
-		return nil, &ChargeCountError{Actual: n, Stated: record.Charges}
+	if n := countCharges(packs); n != record.ChargeCount {
+		return nil, &ChargeCountError{Actual: n, Stated: record.ChargeCount}
 	}
 	return packs, nil
 }
@@ -107,7 +107,7 @@
 }
 
 func segmentValue(codec *charge.Codec, packs []charge.Pack) json.RawMessage {
-	return wire.EncodeRecord(segmentRecord{Charges: countCharges(packs), Zstd: codec.Encode(packs)})
+	return wire.EncodeRecord(segmentRecord{ChargeCount: countCharges(packs), Zstd: codec.Encode(packs)})
 }
 
 func pageValue(codec *charge.Codec, rows []Row) json.RawMessage {
--- a/internal/accounting/ledger/records_test.go
+++ b/internal/accounting/ledger/records_test.go
@@ -17,7 +17,7 @@
 	}
 	unknownKind := fullPack()
 	unknownKind.Charges[0].KindIndex = len(unknownKind.Kinds)
-	wrongCount := segmentRecord{Charges: 2, Zstd: codec.Encode([]charge.Pack{fullPack()})}
+	wrongCount := segmentRecord{ChargeCount: 2, Zstd: codec.Encode([]charge.Pack{fullPack()})}
 	for _, c := range []struct {
 		name, text string
 		value      json.RawMessage
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -23,7 +23,7 @@
 const rollUpOverhead = 2
 
 // putIfUnchanged adds a write of a record to a transaction, on the condition that the record still has the given
-// version; 0: that it does not exist.
+// version. Version 0 means that the record does not exist.
 func putIfUnchanged(txn *wire.Txn, key string, version uint64, value []byte) {
 	txn.If = append(txn.If, wire.Condition{Key: key, Version: version})
 	txn.Then = append(txn.Then, wire.Change{Put: key, Value: value})
@@ -71,7 +71,7 @@
 		return false
 	}
 	if maxChanges < min(l.maxTxnOps, len(l.detached)+rollUpOverhead, tuning.RollUpMinChanges) {
-		return false // leave the few changes that the write rate limit allows to other writers
+		return false // the write rate limit allows only a few changes now; they are left to other writers
 	}
 	fillsTxn := len(l.detached) >= l.maxTxnOps-rollUpOverhead
 	return fillsTxn || now.Sub(l.detachedSince) >= tuning.RollUpAfter
@@ -93,8 +93,8 @@
 	return batch
 }
 
-// segmentWith returns a copy of the open segment, or a new segment if that is full, with the charges of some records
-// added, and its stored form. It does not change the ledger's open segment.
+// segmentWith adds the charges of some records to a copy of the open segment, or to a new segment if the open one is
+// full. It returns that segment and its stored form. It does not change the ledger's open segment.
 func (l *Ledger) segmentWith(batch []jobs.DetachedCharges) (seg segment, value []byte) {
 	seg = l.openSegment
 	if seg.bytes >= tuning.SegmentCloseBytes {
@@ -115,7 +115,8 @@
 	return seg, value
 }
 
-// pageWith returns a copy of the open page, or a new page if that is full, with the amounts of some records added.
+// pageWith returns a copy of the open page, or a new page if the open one is full, with the amounts of some records
+// added.
 func (l *Ledger) pageWith(batch []jobs.DetachedCharges) *page {
 	p := l.openPage.clone()
 	if p.full() {
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -14,8 +14,8 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// jobArray returns a job with the given number of tasks, each with an estimated run time of 10 s.
-func jobArray(id string, tasks int) wire.Job {
+// arrayJob returns a job with the given number of tasks, each with an estimated run time of 10 s.
+func arrayJob(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Class: "c", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, Image: "img", EstimateS: 10}
 }
 
--- a/internal/accounting/ledger/testworkers_test.go
+++ b/internal/accounting/ledger/testworkers_test.go
@@ -20,25 +20,25 @@
 
 // attemptTruth is the ground truth about an attempt that was started.
 type attemptTruth struct {
-	began, ended time.Time       // zero: not yet
-	reason       wire.ExitReason // of the end, as the worker reports it
-	lost         bool            // the machine was lost, or its worker's incarnation is over
+	beganAt, endedAt time.Time       // zero: not yet
+	reason           wire.ExitReason // of the end, as the worker reports it
+	lost             bool            // the machine was lost, or its worker's incarnation is over
 }
 
 func attemptIDOf(a *jobs.Allocation) attemptID { return attemptID{a.Job.ID, a.Index, a.Attempt} }
 
-// run makes the worker of a started attempt run it, and sends heartbeats.
+// run makes a started attempt run on its worker, and then reports all attempts to the leader.
 func (tl *testLeader) run(a *jobs.Allocation) {
-	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.began.IsZero() && truth.ended.IsZero() {
-		truth.began = tl.now()
+	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.beganAt.IsZero() && truth.endedAt.IsZero() {
+		truth.beganAt = tl.now()
 	}
 	tl.heartbeat()
 }
 
-// end makes an attempt end at its worker, and sends heartbeats.
+// end makes an attempt end on its worker, and then reports all attempts to the leader.
 func (tl *testLeader) end(a *jobs.Allocation, reason wire.ExitReason, lost bool) {
-	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.ended.IsZero() {
-		truth.ended, truth.reason, truth.lost = tl.now(), reason, lost
+	if truth := tl.attempts[attemptIDOf(a)]; truth != nil && truth.endedAt.IsZero() {
+		truth.endedAt, truth.reason, truth.lost = tl.now(), reason, lost
 	}
 	tl.heartbeat()
 }
@@ -62,11 +62,11 @@
 		if truth == nil {
 			continue
 		}
-		if !truth.began.IsZero() && truth.ended.IsZero() && a.State == "" {
+		if !truth.beganAt.IsZero() && truth.endedAt.IsZero() && a.State == "" {
 			a.State = wire.TaskRunning
 			tl.store.MarkRunning(a, now)
 		}
-		if truth.ended.IsZero() {
+		if truth.endedAt.IsZero() {
 			continue
 		}
 		tl.ledger.Ended(machines.Outcome{Allocation: a, Reason: truth.reason, Lost: truth.lost}, now)
--- a/internal/accounting/ledger/tick.go
+++ b/internal/accounting/ledger/tick.go
@@ -30,12 +30,12 @@
 	l.nextTotalsLog = now.Add(tuning.TotalsLogEvery)
 	totals := l.totals(Query{By: []string{"team"}}, now)
 	running := 0
-	for a := range l.live {
+	for a := range l.liveAllocations {
 		if !a.ChargedFrom.IsZero() {
 			running++
 		}
 	}
-	l.log.Debug("ledger totals", "attempts", totals.Sum.Attempts, "core_us", totals.Sum.CoreMicroS, "money_u", totals.Sum.MoneyMicro, "done", totals.Sum.Ends["done"],
+	l.log.Debug("totals of all charges", "attempts", totals.Sum.Attempts, "core_us", totals.Sum.CoreMicroS, "money_u", totals.Sum.MoneyMicro, "done", totals.Sum.Ends["done"],
 		"lost", totals.Sum.Ends["lost"], "running", running, "running_core_us", totals.Running.CoreMicroS, "running_money_u", totals.Running.MoneyMicro,
 		"lefts", len(l.detached), "roll_ups", l.stats.RollUps, "changes", l.stats.Changes)
 }
--- a/internal/accounting/ledger/totals.go
+++ b/internal/accounting/ledger/totals.go
@@ -101,11 +101,11 @@
 	return total
 }
 
-// runningAmounts returns the usage, not charged yet, of the running tasks that a query includes.
+// runningAmounts returns the usage that is not charged yet, of those running tasks that a query includes.
 func (l *Ledger) runningAmounts(q Query, now time.Time) charge.Amounts {
 	today := charge.DayOf(now.UnixMilli(), l.location)
 	running := NewAggregation(q)
-	for a := range l.live {
+	for a := range l.liveAllocations {
 		if a.ChargedFrom.IsZero() {
 			continue
 		}
--- a/internal/accounting/ledger/truth_test.go
+++ b/internal/accounting/ledger/truth_test.go
@@ -73,14 +73,14 @@
 		tl.checkRunTime(id, parts, truth)
 	}
 	for id, truth := range tl.attempts {
-		if !truth.ended.IsZero() && len(stored[id]) == 0 {
+		if !truth.endedAt.IsZero() && len(stored[id]) == 0 {
 			tl.t.Fatalf("%v ended but is not charged", id)
 		}
 	}
 	tl.checkSums(sum)
 }
 
-// checkParts checks that the parts of an attempt are contiguous, that each lies within one day, and that only the last
+// checkParts checks that the parts of an attempt are contiguous, that each is within one day, and that only the last
 // part of an attempt that ended has an outcome.
 func (tl *testLeader) checkParts(id attemptID, parts []charge.Charge, truth *attemptTruth) {
 	tl.t.Helper()
@@ -88,7 +88,7 @@
 		if c.Part != i {
 			tl.t.Fatalf("%v: got part %d, want part %d", id, c.Part, i)
 		}
-		if last := i == len(parts)-1; last && !truth.ended.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
+		if last := i == len(parts)-1; last && !truth.endedAt.IsZero() == (c.Outcome == charge.Continues) || !last && c.Outcome != charge.Continues {
 			tl.t.Fatalf("%v: part %d of %d has the outcome %v", id, i, len(parts), c.Outcome)
 		}
 		if i > 0 && parts[i-1].EndMS() != c.StartMS {
@@ -104,7 +104,7 @@
 // bound.
 func (tl *testLeader) checkRunTime(id attemptID, parts []charge.Charge, truth *attemptTruth) {
 	tl.t.Helper()
-	if truth.ended.IsZero() {
+	if truth.endedAt.IsZero() {
 		return
 	}
 	run, upperBound := int64(0), false
@@ -113,8 +113,8 @@
 		upperBound = upperBound || c.Flags&charge.UpperBound != 0
 	}
 	want := int64(0)
-	if !truth.began.IsZero() {
-		want = truth.ended.Sub(truth.began).Milliseconds()
+	if !truth.beganAt.IsZero() {
+		want = truth.endedAt.Sub(truth.beganAt).Milliseconds()
 	}
 	if run != want && !upperBound || run < want {
 		tl.t.Fatalf("%v ran %d ms but is charged for %d ms (upper bound: %v)", id, want, run, upperBound)
--- a/internal/accounting/ledger/verify.go
+++ b/internal/accounting/ledger/verify.go
@@ -10,10 +10,10 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Verification is the result of a verification.
+// Verification is the result of Reader.Verify.
 type Verification struct {
-	Segments, Jobs, Charges int      // numbers of those that were read
-	Discrepancies           []string // one line for each fault that was found
+	SegmentCount, JobCount, ChargeCount int      // numbers of segments, jobs and charges that were read
+	Discrepancies                       []string // one line for each fault that was found
 }
 
 // Verify reads all segments and totals, recomputes the totals from the charges in the segments, and compares them with
@@ -31,8 +31,8 @@
 	}
 }
 
-// verifyOnce verifies the ledger once. Totals and segments that were read at different times need not match, so the
-// result is valid only if stable is true: no page of totals changed while the segments were read.
+// verifyOnce verifies the ledger once. The result is valid only if stable is true, which means that no page of totals
+// changed while the segments were read. Otherwise the totals need not match the segments.
 func (r *Reader) verifyOnce(ctx context.Context, zone *time.Location) (result *Verification, stable bool, err error) {
 	v := newVerifier(zone)
 	before, err := r.readTotals(ctx, v.addTotal)
@@ -49,7 +49,7 @@
 	}
 	v.checkParts()
 	v.compareTotals()
-	v.result.Jobs = len(v.jobs)
+	v.result.JobCount = len(v.jobs)
 	after, err := r.readTotals(ctx, func(RowKey, charge.Amounts) {})
 	return &v.result, maps.Equal(before, after), err
 }
@@ -79,7 +79,7 @@
 	zone         *time.Location
 	result       Verification
 	stored       rowSums                    // the stored totals
-	foldedMonths map[string]bool            // months of which stored totals have rows per month
+	foldedMonths map[string]bool            // months for which the stored totals have rows per month
 	recomputed   rowSums                    // the totals computed from the charges
 	parts        map[chargeID]charge.Charge // the charges in the segments
 	jobs         map[string]bool            // jobs with charges, by ID
@@ -135,7 +135,7 @@
 		v.report("%v", err)
 		return
 	}
-	v.result.Segments++
+	v.result.SegmentCount++
 	for i := range packs {
 		v.addPack(&packs[i])
 	}
@@ -150,7 +150,7 @@
 			v.report("%s/%d, attempt %d, part %d is charged twice", id.job, id.task, id.attempt, id.part)
 		}
 		v.parts[id] = c
-		v.result.Charges++
+		v.result.ChargeCount++
 	}
 	for key, sum := range RowsOf(pack, v.zone) {
 		v.recomputed.add(v.folded(key), sum)
--- a/internal/accounting/ledger/verify_test.go
+++ b/internal/accounting/ledger/verify_test.go
@@ -23,7 +23,7 @@
 	tl := newTestLeader(t)
 	tl.makeTwoSegments()
 	codec := tl.ledger.codec
-	if v := verifyItems(t, tl.items); len(v.Discrepancies) != 0 || v.Jobs != 60 || v.Charges < 60 {
+	if v := verifyItems(t, tl.items); len(v.Discrepancies) != 0 || v.JobCount != 60 || v.ChargeCount < 60 {
 		t.Fatalf("verifying the intact ledger gave %+v, want no discrepancies, 60 jobs and at least 60 charges", v)
 	}
 	segment := tl.itemsWithPrefix(PrefixSegment)[0]
@@ -109,7 +109,7 @@
 func (tl *testLeader) makeTwoSegments() {
 	tl.t.Helper()
 	for i := range 60 {
-		j := jobArray(fmt.Sprintf("job-%d", i), 1)
+		j := arrayJob(fmt.Sprintf("job-%d", i), 1)
 		j.Account = fmt.Sprintf("account %d with a long name, so that there are some pages of totals", i)
 		tl.submit(j)
 		a := tl.allocateAndRun(j.ID)
--- a/internal/accounting/statement/statement_test.go
+++ b/internal/accounting/statement/statement_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// The submitted job contains the account's name. It must not become markup of the page.
+// The account's name is chosen by the user who submits a job. The name must not become markup of the page.
 func TestDefaultPageEscapesAccountsAndLinksNoResources(t *testing.T) {
 	page, err := render("", true)
 	if err != nil || strings.Contains(page, "<owner>") || !strings.Contains(page, "&lt;owner&gt;") || strings.Contains(page, "http") {
--- a/internal/clients/cloud/client.go
+++ b/internal/clients/cloud/client.go
@@ -32,7 +32,7 @@
 
 // Client calls the cloud. It is safe for concurrent use.
 type Client struct {
-	base           string
+	baseURL        string
 	callsPerSecond float64 // the cloud's published limit, which all controllers share
 	http           *http.Client
 	limiter        *rate.Limiter // enforces this controller's share of callsPerSecond
@@ -42,7 +42,7 @@
 // second.
 func New(addr string, rps float64) *Client {
 	c := &Client{
-		base: "http://" + addr, callsPerSecond: rps,
+		baseURL: "http://" + addr, callsPerSecond: rps,
 		http:    httpjson.NewClient(8, 4, 0, tuning.CloudTimeout),
 		limiter: rate.NewLimiter(1, 1),
 	}
@@ -65,5 +65,5 @@
 	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, err
 	}
-	return httpjson.Call(ctx, c.http, method, c.base+path, in, decode)
+	return httpjson.Call(ctx, c.http, method, c.baseURL+path, in, decode)
 }
--- a/internal/clients/cloud/machines.go
+++ b/internal/clients/cloud/machines.go
@@ -75,7 +75,7 @@
 // Last, as they were at one moment. That moment may be earlier than that of the previous page.
 type ListPage struct {
 	After    string
-	Last     string // empty for the last page: no upper bound
+	Last     string // name of the last machine on the page; empty on the last page, which has no upper bound
 	Machines []wire.ListedMachine
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// listPage reads the page of the list that begins behind the name after.
+// listPage reads the page of the list that begins with the first machine whose name is greater than after.
 func (c *Client) listPage(ctx context.Context, after string) (page wire.MachinePage, err error) {
 	const operation = "list machines"
 	query := url.Values{"page": {strconv.Itoa(wire.MaxList)}}
--- a/internal/clients/cloud/machines_test.go
+++ b/internal/clients/cloud/machines_test.go
@@ -69,7 +69,7 @@
 				}
 			}
 			if listed != machines || after != "" {
-				t.Errorf("listed %d machines, and the last page ends with %q; want all machines and no end", listed, after)
+				t.Errorf("listed %d machines, and the last page ends with %q; want all machines and an empty name", listed, after)
 			}
 		})
 	}
--- a/internal/clients/statestore/client.go
+++ b/internal/clients/statestore/client.go
@@ -2,7 +2,7 @@
 // controllers have.
 //
 // The error of a failed call says whether the call may have been executed: ErrNotExecuted means that it certainly was
-// not, ErrOutcomeUnknown that it may have been or may still be executed.
+// not; ErrOutcomeUnknown means that it may have been executed or may still be.
 package statestore
 
 import (
@@ -18,11 +18,11 @@
 
 // Client calls the key-value store. It is safe for concurrent use.
 type Client struct {
-	base            string
+	baseURL         string
 	callsPerSecond  float64 // the published limit on calls, which all controllers share
 	writesPerSecond float64 // the published limit on changes of keys, which all controllers share
 	http            *http.Client
-	watches         *http.Client // separate, since a watch occupies its connection until it is answered
+	watchHTTP       *http.Client // separate, since a watch occupies its connection until it is answered
 	callLimit       *rateLimit
 	writeLimit      *rateLimit
 	priority        priority
@@ -42,9 +42,9 @@
 // calls and in changes of keys per second.
 func New(addr string, rps, writeRPS float64) *Client {
 	c := &Client{
-		base: "http://" + addr, callsPerSecond: rps, writesPerSecond: writeRPS,
+		baseURL: "http://" + addr, callsPerSecond: rps, writesPerSecond: writeRPS,
 		http:      httpjson.NewClient(16, 8, 0, tuning.StateTimeout),
-		watches:   httpjson.NewClient(4, 2, 0, tuning.StateTimeout),
+		watchHTTP: httpjson.NewClient(4, 2, 0, tuning.StateTimeout),
 		pauseBusy: pauseBusy,
 	}
 	return c.WithShare(1)
@@ -61,8 +61,8 @@
 }
 
 // Urgent returns a view of the client for the few calls that must not wait for its own rate limits: those of elections
-// and the reads of a new leader. Without it, users' polls that arrived while there was no leader used up the limit, and
-// the election had to wait behind them.
+// and the reads of a new leader. If such calls had to wait, users' polls that arrive while there is no leader would use
+// up the limit and delay the election.
 func (c *Client) Urgent() *Client { return c.withPriority(urgentPriority) }
 
 // LowPriority returns a view of the client for calls that must leave room for others: they fail at once with
@@ -86,7 +86,7 @@
 	return int(c.writeLimit.limiter.Tokens()), c.writeLimit.limiter.Burst()
 }
 
-// waitCall waits until the client's own rate limit allows one more call. The error is an ErrNotExecuted.
+// waitCall waits until the client's own rate limit allows one more call. The error wraps ErrNotExecuted.
 func (c *Client) waitCall(ctx context.Context) error {
 	if c.priority == urgentPriority {
 		return nil
@@ -127,7 +127,7 @@
 	if r.http == nil {
 		r.http = c.http
 	}
-	status, err := httpjson.Call(ctx, r.http, r.method, c.base+r.path, r.body, r.decode)
+	status, err := httpjson.Call(ctx, r.http, r.method, c.baseURL+r.path, r.body, r.decode)
 	switch {
 	case err != nil:
 		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
@@ -140,7 +140,7 @@
 	return status, nil
 }
 
-// limitFor returns the rate limit that is exceeded if the service refuses a call of a path.
+// limitFor returns the rate limit that is exceeded if the service refuses a call to a path because of its limits.
 func (c *Client) limitFor(path string) *rateLimit {
 	if path == wire.PathTxn {
 		return c.writeLimit
--- a/internal/clients/statestore/errors.go
+++ b/internal/clients/statestore/errors.go
@@ -10,7 +10,7 @@
 	// ErrNotExecuted means that a request was certainly not executed: the service refused it, or the client did not
 	// send it.
 	ErrNotExecuted = errors.New("state service did not execute the request")
-	// ErrBusy means that the service refused a request because of its rate limits. It is an ErrNotExecuted.
+	// ErrBusy means that the service refused a request because of its rate limits. It wraps ErrNotExecuted.
 	ErrBusy = fmt.Errorf("%w: too many requests", ErrNotExecuted)
 	// ErrOutcomeUnknown means that a request may have been executed or may still be.
 	ErrOutcomeUnknown = errors.New("no usable answer from the state service; the request may have been executed")
--- a/internal/clients/statestore/lease.go
+++ b/internal/clients/statestore/lease.go
@@ -11,8 +11,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Calls that concern leases bypass the client's own rate limits: a delayed renewal would let the lease expire, and with
-// it the right to act.
+// Calls that concern leases bypass the client's own rate limits: a delayed renewal would let the lease expire, and its
+// holder would lose the right to act.
 
 // GrantLease creates a lease and returns its ID. The lease expires after ttl unless it is renewed.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
--- a/internal/clients/statestore/ratelimit.go
+++ b/internal/clients/statestore/ratelimit.go
@@ -10,24 +10,24 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// rateLimit is this controller's own rate limit on one kind of call. All controllers share the service's published
-// limit, and each may use what the others leave. A refusal by the service halves the rate, but not below this
-// controller's guaranteed share. While nothing is refused, the rate grows back to the whole published limit. Fixed
-// shares left those of idle and dead members unused: of 15 submissions per second, four in ten had to be repeated
-// although the service was used to only a quarter of its limit.
+// rateLimit is this controller's own rate limit on calls or on changes of keys. All controllers share the service's
+// published limit, and each may use what the others leave. A refusal by the service halves the rate, but not below this
+// controller's guaranteed share. While nothing is refused, the rate grows back to the whole published limit. The shares
+// are not fixed, because the shares of idle and dead members would then stay unused: with fixed shares and 15 submissions
+// per second, four in ten submissions had to be repeated although the service was used to only a quarter of its limit.
 //
 // It is safe for concurrent use.
 type rateLimit struct {
-	minRate, maxRate float64 // bounds of the rate, in calls per second: the guaranteed share and the usable published limit
+	minRate, maxRate float64 // bounds of the rate, in calls or changes per second: the guaranteed share and the usable published limit
 	limiter          *rate.Limiter
 
 	mu       sync.Mutex
-	baseRate float64   // the rate at the time of the last refusal, in calls per second
+	baseRate float64   // the rate at baseTime, in calls or changes per second
 	baseTime time.Time // time of the last refusal; before the first one, of creation
 }
 
-// newRateLimit returns a rate limit with a guaranteed share (a fraction) of the published limit, which is in calls per
-// second. It begins at the guaranteed rate and with a full burst.
+// newRateLimit returns a rate limit with a guaranteed share (a fraction) of the published limit, which is in calls or
+// changes per second. The rate limit begins at the guaranteed rate and with a full burst.
 func newRateLimit(published, share float64, now time.Time) *rateLimit {
 	maxRate := published * tuning.RateLimitUsedShare
 	minRate := maxRate * share
@@ -35,13 +35,13 @@
 	return &rateLimit{minRate: minRate, maxRate: maxRate, baseRate: minRate, baseTime: now, limiter: rate.NewLimiter(rate.Limit(minRate), min(burst, max(1, int(maxRate))))}
 }
 
-// currentRate returns the rate that is allowed at the time now, in calls per second.
+// currentRate returns the rate that is allowed at the time now, in calls or changes per second.
 func (r *rateLimit) currentRate(now time.Time) float64 {
 	growth := (r.maxRate - r.minRate) * now.Sub(r.baseTime).Seconds() / tuning.RateLimitRecoverTime.Seconds()
 	return min(r.maxRate, r.baseRate+max(0, growth))
 }
 
-// recordRefusal halves the rate after the service refused a call because of its limit.
+// recordRefusal halves the rate, but not below minRate, after the service refused a call because of its limit.
 func (r *rateLimit) recordRefusal(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +49,7 @@
 	r.limiter.SetLimitAt(now, rate.Limit(r.baseRate))
 }
 
-// wait waits until n more calls are allowed.
+// wait waits until n more calls or changes are allowed.
 func (r *rateLimit) wait(ctx context.Context, n int) error {
 	r.mu.Lock()
 	now := time.Now()
--- a/internal/clients/statestore/read.go
+++ b/internal/clients/statestore/read.go
@@ -28,7 +28,7 @@
 	return item, false, unexpectedStatus(status)
 }
 
-// List reads one page of at most page items whose keys have a prefix, beginning behind the key after.
+// List reads at most page items whose keys have a prefix, beginning with the first key greater than after.
 func (c *Client) List(ctx context.Context, prefix, after string, page int) (result wire.ItemPage, err error) {
 	query := url.Values{"starts": {prefix}, "page": {strconv.Itoa(page)}}
 	if after != "" {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Watch waits until a key with the prefix changes after the revision after, or until the time wait is over. It returns
-// the changes. After ErrCompacted the caller must list the keys again.
+// Watch waits until a key with the prefix changes at a revision later than after, but at most for the duration wait. It
+// returns the changes. After ErrCompacted the caller must list the keys again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (result wire.WatchResult, err error) {
 	if err := c.waitCall(ctx); err != nil {
 		return result, err
@@ -75,7 +75,7 @@
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	status, err := c.call(ctx, request{
-		http: c.watches, timeout: wait + tuning.WatchGrace,
+		http: c.watchHTTP, timeout: wait + tuning.WatchGrace,
 		method: http.MethodGet, path: wire.PathWatch + "?" + query.Encode(), decode: httpjson.IfOK(&result),
 	})
 	switch {
--- a/internal/clients/statestore/statestore_test.go
+++ b/internal/clients/statestore/statestore_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestFailedReadsAreNeverMissingKeys(t *testing.T) {
+func TestFailedReadIsNotAMissingKey(t *testing.T) {
 	if _, ok, err := newClientAnswering(t, 404, `{"ledger":3}`).Get(t.Context(), "a"); ok || err != nil {
 		t.Errorf("Get of a key that does not exist: found %v, error %v", ok, err)
 	}
@@ -91,7 +91,7 @@
 }
 
 // Guards against an election, or a submission, that waits behind users' polls that arrived while there was no leader.
-// All of them share the client's own rate limit.
+// Elections, submissions and polls share the client's own rate limit.
 func TestLowPriorityCallsLeaveRoomAndUrgentOnesDoNotWait(t *testing.T) {
 	c := newClientAnswering(t, 200, `{"path":"a","data":1,"stamp":1}`)
 	c.callLimit = &rateLimit{limiter: rate.NewLimiter(rate.Every(time.Hour), 4)}
@@ -153,7 +153,7 @@
 
 // Guards against a submission that is answered with 503 because other clients used up the limit for a moment: the
 // transaction is retried.
-func TestRefusedTransactionWaitsForAnotherTurn(t *testing.T) {
+func TestRefusedTransactionIsRetried(t *testing.T) {
 	refusals := 2
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if refusals--; refusals >= 0 {
--- a/internal/clients/statestore/txn.go
+++ b/internal/clients/statestore/txn.go
@@ -77,7 +77,7 @@
 	return 0, unexpectedStatus(status)
 }
 
-// waitWrites waits until the client's own rate limit allows n more changes. The error is an ErrNotExecuted.
+// waitWrites waits until the client's own rate limit allows n more changes. The error wraps ErrNotExecuted.
 func (c *Client) waitWrites(ctx context.Context, n int) error {
 	if n == 0 || c.priority == urgentPriority {
 		return nil
