--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -1,7 +1,7 @@
 // Package budget decides which tasks a team may still start. A team or one of its accounts
 // has budgets of core-hours or money for a day, a week, a month or a period without end.
 // Each budget is compared with the sum of three amounts: what was charged, what running
-// tasks have used so far, and what those tasks are expected to use in addition. The package
+// tasks have used so far, and what placed tasks are expected to use in addition. The package
 // does no I/O: the caller reports charges and tasks to a Tracker, which is not safe for
 // concurrent use.
 package budget
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -32,7 +32,7 @@
 }
 
 // Warnings returns the balances whose usage has reached the warning threshold. It returns each
-// balance only once a period.
+// balance at most once per period.
 func (tr *Tracker) Warnings() []*Balance {
 	var out []*Balance
 	for _, bal := range tr.balances {
--- a/internal/accounting/budget/overspend_test.go
+++ b/internal/accounting/budget/overspend_test.go
@@ -74,7 +74,7 @@
 				"budget.t.month.core-hours": "10", "budget.t.when-spent": "drain", "budget.t.production": c.policy,
 			}), now)
 			production := &Task{Scope: Scope{Team: "t"}, Production: true, Class: "c", MilliCores: 1000, EstimateS: 3600}
-			tr.StartTask("one", production)
+			tr.AddTask("one", production)
 			tr.AddCharge(Scope{Team: "t"}, "2026-12-01", Usage{Core: 10 * coreHour})
 			tr.Recompute(now)
 			if n, reason := tr.Admit(production, 5); n != c.admitted || (reason != "") != c.reasonIsGiven {
--- a/internal/accounting/budget/tracker.go
+++ b/internal/accounting/budget/tracker.go
@@ -29,8 +29,9 @@
 }
 
 // Tracker maintains the balances of all budgets from the charges and live tasks that the caller
-// reports. The caller identifies a live task by a reference of any type that can be a map key. A
-// Tracker is not safe for concurrent use.
+// reports. A live task is one that has been placed and has not ended; it may not run yet. The caller
+// identifies a live task by a reference of any type that can be a map key. A Tracker is not safe for
+// concurrent use.
 type Tracker struct {
 	settings  *Settings
 	usage     map[Scope]map[string]Usage // charged usage by day or, for old days, by month
@@ -86,8 +87,8 @@
 // must not be modified.
 func (tr *Tracker) TeamUsage(team string) map[string]Usage { return tr.usage[Scope{Team: team}] }
 
-// StartTask adds a live task and reserves its expected usage.
-func (tr *Tracker) StartTask(ref any, t *Task) {
+// AddTask adds a live task and reserves its expected usage.
+func (tr *Tracker) AddTask(ref any, t *Task) {
 	tr.liveTasks[ref] = t
 	tr.estimates.learnRate(t)
 	for _, bal := range tr.balancesOf(t) {
--- a/internal/accounting/budget/tracker_test.go
+++ b/internal/accounting/budget/tracker_test.go
@@ -24,7 +24,7 @@
 	}
 	cheap := task("a")
 	cheap.Rate = 125_000
-	tr.StartTask("one", cheap)
+	tr.AddTask("one", cheap)
 	if n, _ := tr.Admit(task("a"), 100); n != 7 {
 		t.Errorf("admitted %d tasks with the class's rate known, want 7", n)
 	}
--- a/internal/accounting/budget/view.go
+++ b/internal/accounting/budget/view.go
@@ -13,9 +13,9 @@
 	Period   Period     `json:"period"`
 	Unit     Unit       `json:"unit"`
 	Amount   float64    `json:"amount"`
-	Limit    float64    `json:"limit"`    // including what was carried over
+	Limit    float64    `json:"limit"`    // Amount plus what was carried over from the previous period
 	Used     float64    `json:"used"`     // charged, plus what running tasks have used so far
-	Reserved float64    `json:"reserved"` // what running tasks are expected to use in addition
+	Reserved float64    `json:"reserved"` // what live tasks are expected to use in addition
 	From     *time.Time `json:"from,omitempty"`
 	To       *time.Time `json:"to,omitempty"`
 	State    string     `json:"state"` // open, nearly-spent or spent
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -41,13 +41,13 @@
 // starts when the previous one ends. (Job, task, attempt, part) identifies a charge.
 type Charge struct {
 	_         struct{} `cbor:",toarray"`
-	Task      int
+	Task      int      // index of the task within its job
 	Attempt   uint64
-	Part      int
+	Part      int   // number of the part, from 0
 	KindIndex int   // index into Pack.Kinds
 	StartMS   int64 // Unix time in milliseconds
 	RunMS     int64 // run time in milliseconds
-	Money     int64
+	Money     int64 // millionths of the currency
 	Outcome   Outcome
 	Flags     Flag
 }
--- a/internal/accounting/ledger/budgets.go
+++ b/internal/accounting/ledger/budgets.go
@@ -42,7 +42,7 @@
 	l.liveAllocations[a] = true
 	task := budget.TaskOf(&a.Job.Job)
 	task.Rate, task.RunningSince = a.Kind.Rate, a.ChargedFrom
-	l.budgets.StartTask(a, task)
+	l.budgets.AddTask(a, task)
 }
 
 // waitingTask returns the description of a waiting task of a job for the budgets. Its MaxRate is the highest rate on
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -49,7 +49,7 @@
 	openSegment      segment                // the segment that roll-ups write to
 	openPage         *page                  // the page that roll-ups write to
 	closedPages      map[int]*page          // the full pages, to which roll-ups no longer write, by number
-	detached         []jobs.DetachedCharges // records that are not rolled up yet
+	detached         []jobs.DetachedCharges // charges in records of their own that are not rolled up yet, in the order in which they were added
 	detachedSince    time.Time              // start of the wait for the next roll-up; see rollUpDue
 	nextCompactCheck time.Time              // time of the next check whether totals can be folded or compacted
 	nextTotalsLog    time.Time
