--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -48,7 +48,7 @@
 	loaded           bool                   // the last segment and the totals are in memory, so roll-ups may start
 	openSegment      segment                // the segment that roll-ups write to
 	openPage         *page                  // the page that roll-ups write to
-	closedPages      map[int]*page          // the full pages, to which roll-ups no longer write, by number
+	closedPages      map[int]*page          // the pages to which roll-ups no longer write, by number
 	detached         []jobs.DetachedCharges // charges in records of their own that are not rolled up yet, in the order in which they were added
 	detachedSince    time.Time              // start of the wait for the next roll-up; see rollUpDue
 	nextCompactCheck time.Time              // time of the next check whether totals can be folded or compacted
