--- a/internal/accounting/budget/budget.go
+++ b/internal/accounting/budget/budget.go
@@ -1,7 +1,7 @@
 // Package budget decides which tasks a team may still start. A team or one of its accounts
 // has budgets of core-hours or money for a day, a week, a month or a period without end.
 // Each budget is compared with the sum of three amounts: what was charged, what running
-// tasks have used so far, and what those tasks are expected to use in addition. The package
+// tasks have used so far, and what placed tasks are expected to use in addition. The package
 // does no I/O: the caller reports charges and tasks to a Tracker, which is not safe for
 // concurrent use.
 package budget
@@ -55,7 +55,7 @@
 	return []Scope{s, {Team: s.Team}}
 }
 
-// Budget is an amount that a scope may use in each period.
+// Budget is an amount, in the given unit, that a scope may use in each period.
 type Budget struct {
 	Scope
 	Period Period
--- a/internal/accounting/budget/overspend.go
+++ b/internal/accounting/budget/overspend.go
@@ -13,7 +13,7 @@
 		return nil
 	}
 	var refs []any
-	for ref, t := range tr.live {
+	for ref, t := range tr.liveTasks {
 		if !tr.exempt(t) && slices.ContainsFunc(tr.balancesOf(t), func(bal *Balance) bool { return slices.Contains(toDrain, bal) }) {
 			refs = append(refs, ref)
 		}
@@ -32,7 +32,7 @@
 }
 
 // Warnings returns the balances whose usage has reached the warning threshold. It returns each
-// balance only once a period.
+// balance at most once per period.
 func (tr *Tracker) Warnings() []*Balance {
 	var out []*Balance
 	for _, bal := range tr.balances {
--- a/internal/accounting/charge/charge.go
+++ b/internal/accounting/charge/charge.go
@@ -19,7 +19,7 @@
 	Type string
 	Zone string
 	Spot bool
-	Rate int64 // the task's share of the machine's price, in millionths of the currency an hour, at the time of the allocation
+	Rate int64 // the task's share of the machine's price at the time of the allocation, in millionths of the currency per hour
 }
 
 // JobTraits are the properties that all charges of a job share.
@@ -41,13 +41,13 @@
 // starts when the previous one ends. (Job, task, attempt, part) identifies a charge.
 type Charge struct {
 	_         struct{} `cbor:",toarray"`
-	Task      int
+	Task      int      // index of the task within its job
 	Attempt   uint64
-	Part      int
+	Part      int   // number of the part, from 0
 	KindIndex int   // index into Pack.Kinds
 	StartMS   int64 // Unix time in milliseconds
 	RunMS     int64 // run time in milliseconds
-	Money     int64
+	Money     int64 // millionths of the currency
 	Outcome   Outcome
 	Flags     Flag
 }
@@ -74,7 +74,7 @@
 	Charges []Charge
 }
 
-// KindIndex returns the index of a kind in p.Kinds. It appends the kind if it is not in there yet.
+// KindIndex returns the index of a kind in p.Kinds. It appends the kind if p.Kinds does not contain it yet.
 func (p *Pack) KindIndex(k Kind) int {
 	for i := range p.Kinds {
 		if p.Kinds[i] == k {
