--- a/internal/graphs/airflow/answers.go
+++ b/internal/graphs/airflow/answers.go
@@ -21,7 +21,7 @@
 	body   any
 }
 
-// writeAnswer writes what an endpoint returned as the answer.
+// writeAnswer answers a request with the value that an endpoint returned.
 func writeAnswer(w http.ResponseWriter, body any) {
 	switch v := body.(type) {
 	case nil:
@@ -83,8 +83,9 @@
 	_, _ = w.Write(raw) // the client may have disconnected; there is nothing to do about it
 }
 
-// problemOf returns the problem that a client receives for an error: a problem itself, 404 for runner.ErrNone, and 503
-// for all other errors, which are failures to read or write stored records or to decode the leader's answer.
+// problemOf returns the problem that a client receives for an error. A problem is returned unchanged, and runner.ErrNone
+// becomes a 404. Any other error becomes a 503: it is a failure to read or write stored records or to decode the leader's
+// answer.
 func (h *Handler) problemOf(err error) *problem {
 	var p *problem
 	switch {
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -160,7 +160,7 @@
 	return strings.Join(append(lines, http.StatusText(answer.Code), answer.Body.String()), "\n")
 }
 
-// Each request of the API, the commands and queries that it sends to the leader, and its answer.
+// Each request of the API sends the golden commands and queries to the leader and gets the golden answer.
 func TestRequestFormats(t *testing.T) {
 	fixture := newFormatFixture(t)
 	definition := wire.EncodeRecord(formatDefinition())
--- a/internal/graphs/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -1,9 +1,9 @@
 // Package airflow serves the parts of Airflow's stable REST API that clients of graphs use,
 // under the path prefix PathAPI. Graphs are served as DAGs, with their runs and the instances of their steps.
 //
-// Source: Airflow 2's published description of the stable REST API, version 1 (paths, names and
-// meanings of fields, paging, ordering, the form of errors). The following is not part of that API,
-// and docs/operators/graphs.md marks it so:
+// The paths, the names and meanings of fields, paging, ordering and the form of errors follow
+// Airflow 2's published description of the stable REST API, version 1. The following additions are
+// not part of that API, and docs/operators/graphs.md marks them as such:
 //   - A PUT registers a graph, since there is no folder of DAG files.
 //   - A step's job pushes its result by a POST.
 //   - A POST starts a backfill.
--- a/internal/graphs/airflow/instancelist.go
+++ b/internal/graphs/airflow/instancelist.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/graphs/runner"
 )
 
-// step returns the run that a request names, and the index of the step that it names.
+// step returns the run and the index of the step that a request names.
 func (h *Handler) step(r *request) (run *runner.RunView, step int, err error) {
 	if run, err = h.run(r); err != nil {
 		return nil, 0, err
@@ -51,7 +51,8 @@
 	return r.instancePage(slices.DeleteFunc(instancesOf(run), others))
 }
 
-// instancePage returns one page of the instances that pass a request's filters. Without order_by they keep their order.
+// instancePage returns one page of the instances that pass a request's filters. Without order_by, the
+// order of the instances does not change.
 func (r *request) instancePage(all []instanceView) (any, error) {
 	page, err := r.page()
 	if err != nil {
--- a/internal/graphs/airflow/registration.go
+++ b/internal/graphs/airflow/registration.go
@@ -13,7 +13,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// register is the body of a PUT that registers a definition which was uploaded in parts before. If Definition is empty,
+// register is the body of a PUT that registers a definition that was already uploaded in parts. If Definition is empty,
 // the body is the graph itself. The type's name is part of the answer to a malformed body, so it must not change.
 type register struct {
 	Definition string `json:"definition"` // the hash of the definition
--- a/internal/graphs/airflow/request.go
+++ b/internal/graphs/airflow/request.go
@@ -48,7 +48,8 @@
 	return r.query.Get("team")
 }
 
-// The wildcards of the path; empty if the endpoint's pattern has no such wildcard.
+// The following methods return the values of the path's wildcards. A value is empty if the endpoint's pattern lacks that
+// wildcard.
 
 func (r *request) dagID() string  { return r.PathValue("dag") }
 func (r *request) runID() string  { return r.PathValue("run") }
@@ -109,8 +110,8 @@
 	return time.Parse(time.RFC3339, strings.Replace(text, " ", "+", 1))
 }
 
-// contains reports whether a time is in the window. The zero time stands for an event that has not happened yet; it
-// is in no window that has a bound.
+// contains reports whether a time is in the window. The zero time means that the event has not happened yet; a window
+// with a bound does not contain it.
 func (w timeWindow) contains(t time.Time) bool {
 	if w.from == nil && w.to == nil {
 		return true
--- a/internal/graphs/dag/advance.go
+++ b/internal/graphs/dag/advance.go
@@ -37,8 +37,8 @@
 func (r *Run) makeMappedReady(i int) {
 	list, known := r.mapElements(i)
 	if !known {
-		// The trigger rule lets the step start although the step that provides the list has not succeeded.
-		// Once that one has ended, there will be no list.
+		// The trigger rule lets the step start although the step that provides the list has not succeeded. If
+		// that other step has ended, it will never provide a list, so this step cannot run.
 		if r.nodes[r.Plan.Index[r.Plan.Steps[i].Map.Over]].state.Final() {
 			r.finishStep(i, UpstreamFailed)
 		}
--- a/internal/graphs/dag/attempts.go
+++ b/internal/graphs/dag/attempts.go
@@ -31,8 +31,8 @@
 }
 
 // AttemptFailed records that an attempt of an instance's job failed. The next try waits for the retry delay.
-// Once the retries are used up, the job is to be cancelled, and the instance fails when that is done. jitter,
-// from 0 to 1, spreads the delays (Retry.DelayBefore).
+// Once the retries are used up, AttemptFailed requests the cancellation of the job instead, and the instance
+// fails when the job is cancelled. jitter, from 0 to 1, spreads the delays (Retry.DelayBefore).
 func (r *Run) AttemptFailed(ref InstanceRef, now time.Time, jitter float64) {
 	inst := r.instance(ref)
 	if inst == nil || inst.State.Final() || inst.State == Scheduled || inst.Cancelling {
@@ -115,7 +115,7 @@
 }
 
 // cancelJob requests the cancellation of an instance's job, which the scheduler would otherwise retry
-// indefinitely. The instance does not end here but when its job ends: a job that completes before its
+// indefinitely. The instance does not end yet; it ends with its job. A job that completes before its
 // cancellation is stored has succeeded, and its step must not be recorded as failed.
 func (r *Run) cancelJob(ref InstanceRef) {
 	inst := r.instance(ref)
@@ -131,7 +131,7 @@
 }
 
 // JobsBeingCancelled returns the IDs of all jobs whose cancellation was requested and that have not ended. A
-// new leader cancels them again, because the former leader may not have got to it.
+// new leader cancels them again, because the former leader may have stopped before it cancelled them.
 func (r *Run) JobsBeingCancelled() (jobs []string) {
 	jobs = slices.Clone(r.orphans)
 	for i := range r.nodes {
--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -12,7 +12,7 @@
 }
 
 // Cancel cancels the run: no more jobs are started, and cancellation of the jobs that have not ended is
-// requested. The run ends when the last of them has.
+// requested. The run ends when the last of these jobs has ended.
 func (r *Run) Cancel() {
 	if r.unfinished == 0 {
 		return
@@ -32,8 +32,8 @@
 	r.rebuildDerivedState()
 }
 
-// cancelInstances skips those instances of a step whose jobs are not submitted, and requests the cancellation
-// of the jobs that are.
+// cancelInstances cancels the instances of a step that have not ended. It skips an instance whose job is not
+// submitted yet, and requests the cancellation of a submitted job.
 func (r *Run) cancelInstances(i int) {
 	n := &r.nodes[i]
 	for k := range n.instances {
@@ -75,7 +75,7 @@
 	return out, nil
 }
 
-// namedSteps returns the steps with the given IDs, or all steps if there are none.
+// namedSteps returns the steps with the given IDs, or all steps if names is empty.
 func (r *Run) namedSteps(names []string) ([]int, error) {
 	if len(names) == 0 {
 		return slices.Clone(r.Plan.Order), nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// rebuildDerivedState computes, from the states of all instances, what events otherwise update incrementally:
-// the counts of upstream states and the queue of ready instances.
+// rebuildDerivedState computes the counts of upstream states and the queue of ready instances from the states
+// of all instances. Events otherwise update them incrementally.
 func (r *Run) rebuildDerivedState() {
 	for i := range r.nodes {
 		r.nodes[i].upstream = r.countUpstream(i)
--- a/internal/graphs/dag/errors_test.go
+++ b/internal/graphs/dag/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Callers distinguish errors by their types.
+// Callers distinguish the errors of a run by their types.
 func TestErrorsOfRunsHaveTypes(t *testing.T) {
 	r := NewRun(newTestPlan(t, step("a"), changed(step("pick"), func(s *Step) { s.Kind = KindBranch })), "run")
 	var result *ResultError
--- a/internal/graphs/dag/intervals.go
+++ b/internal/graphs/dag/intervals.go
@@ -66,7 +66,7 @@
 	return Interval{begin, end}, !end.IsZero()
 }
 
-// firstBegin returns the begin of the first interval that Due and NextDue consider. It is zero if the
+// firstBegin returns the start of the first interval that Due and NextDue consider. It is zero if the
 // schedule never fires.
 func (p *Plan) firstBegin(s *Schedule, last, now time.Time) time.Time {
 	begin := last
--- a/internal/graphs/dag/intervals_test.go
+++ b/internal/graphs/dag/intervals_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// day returns the begin of a day of December 2026, in UTC.
+// day returns the start of a day of December 2026, in UTC.
 func day(d int) time.Time { return time.Date(2026, 12, d, 0, 0, 0, 0, time.UTC) }
 
 // dailyPlan returns the plan of a graph that starts on 1 December 2026, and a daily schedule.
--- a/internal/graphs/dag/order.go
+++ b/internal/graphs/dag/order.go
@@ -33,8 +33,8 @@
 }
 
 // findCycle returns the steps of a cycle, with the first one repeated at the end. pendingUpstream contains
-// the counts that the topological sort ended with. Every step with a count above zero has such a step
-// upstream, so a walk upstream from any of them returns to a step that it has visited.
+// the counts that the topological sort ended with. Each step with a count above zero has a step with a count
+// above zero directly upstream, so a walk upstream along these steps returns to a step that it has visited.
 func (p *Plan) findCycle(pendingUpstream []int) []int {
 	isPending := func(i int) bool { return pendingUpstream[i] > 0 }
 	current := slices.IndexFunc(pendingUpstream, func(n int) bool { return n > 0 })
--- a/internal/graphs/dag/plan.go
+++ b/internal/graphs/dag/plan.go
@@ -82,11 +82,11 @@
 	return edges, nil
 }
 
-// CriticalPath returns the IDs of the chain of steps that takes longest by their owners' estimates, and how
-// long it takes. Time spent waiting or fetching images is not included.
+// CriticalPath returns the step IDs of the chain of steps that takes longest by their owners' estimates, and
+// the duration of that chain. Time spent waiting or fetching images is not included.
 func (p *Plan) CriticalPath() (path []string, length time.Duration) {
 	finish := make([]time.Duration, len(p.Steps)) // by step: the earliest time at which it can end, from the start of the run
-	previous := make([]int, len(p.Steps))         // by step: the upstream step that ends last; -1: it has none
+	previous := make([]int, len(p.Steps))         // by step: the upstream step that ends last; -1: no upstream step
 	last := -1
 	for _, i := range p.Order {
 		var begin time.Duration
--- a/internal/graphs/dag/random_test.go
+++ b/internal/graphs/dag/random_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// In random runs of random graphs, the counts that events update equal a recount, no step waits
-// whose trigger rule has decided, a final state changes only by a clear, a run that is encoded and
-// decoded has the same states, and each run ends.
+// In random runs of random graphs, the following holds after each event: the counts that events
+// update equal a recount, no step still waits after its trigger rule has decided, and a final state
+// changes only by a clear. A run that is encoded and decoded has the same states, and each run ends.
 func TestRandomRunsStayConsistentAndEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, err := NewPlan(drawGraph(t))
@@ -153,7 +153,7 @@
 			picked = append(picked, p.Steps[j].ID)
 		}
 	}
-	result, _ := json.Marshal(picked) // a list of strings cannot fail
+	result, _ := json.Marshal(picked) // cannot fail: it is a list of strings
 	return result
 }
 
@@ -186,7 +186,7 @@
 	r := x.run
 	for range 4 * len(r.nodes) * 4 {
 		for _, ref := range append(x.started, r.runReady(x.now)...) {
-			_ = r.finishJob(ref, json.RawMessage(`[]`)) // a branch picks nothing with it
+			_ = r.finishJob(ref, json.RawMessage(`[]`)) // with an empty list, a branch picks no step
 		}
 		x.started = nil
 		for i := range r.nodes {
--- a/internal/graphs/dag/ready.go
+++ b/internal/graphs/dag/ready.go
@@ -8,8 +8,8 @@
 	return inst != nil && inst.State == Scheduled && !r.cancelled
 }
 
-// IsReadyWithJob reports whether an instance is ready and its job has the given ID, so that neither was the
-// step cleared nor the run cancelled since the ID was computed.
+// IsReadyWithJob reports whether an instance is ready and its job has the given ID. If so, the step was not
+// cleared since the ID was computed, and the run is not cancelled.
 func (r *Run) IsReadyWithJob(ref InstanceRef, id string) bool {
 	return r.IsReady(ref) && r.JobID(ref) == id
 }
@@ -28,8 +28,8 @@
 	return out
 }
 
-// ReadyCount returns an upper bound on the number of instances that TakeReady can still return. Some of those
-// counted may have been cancelled since they became ready.
+// ReadyCount returns an upper bound on the number of instances that TakeReady can still return. It also counts
+// instances that were cancelled after they became ready.
 func (r *Run) ReadyCount() int { return r.ready.Len() }
 
 // enqueue adds an instance to the queue of ready instances.
--- a/internal/graphs/dag/results.go
+++ b/internal/graphs/dag/results.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// mapElements returns the list that a mapped step is mapped over. known is false as long as there is no valid
-// list, which can be for good.
+// mapElements returns the list that a mapped step is mapped over. known is false while there is no valid list;
+// there may never be one.
 func (r *Run) mapElements(i int) (list []json.RawMessage, known bool) {
 	m := r.Plan.Steps[i].Map
 	if m.Over == "" {
--- a/internal/graphs/dag/rules.go
+++ b/internal/graphs/dag/rules.go
@@ -30,7 +30,7 @@
 // Rules returns the names of all trigger rules.
 func Rules() []string { return slices.Clone(rules) }
 
-// Known reports whether r is a trigger rule. An empty Rule is.
+// Known reports whether r is a trigger rule. The empty Rule counts as one.
 func (r Rule) Known() bool { return r == "" || slices.Contains(rules, string(r)) }
 
 // UpstreamCounts counts the instances of a step's directly upstream steps, by final state. A mapped step
--- a/internal/graphs/dag/run.go
+++ b/internal/graphs/dag/run.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Instance is an instance of a step: the only one, or for a mapped step the one of a single list element. All
-// tries of an instance are attempts of the same job, which the scheduler retries until the job is done or
-// cancelled. The run counts the failed attempts.
+// Instance is an instance of a step. A mapped step has one instance for each list element, any other step has
+// one. All tries of an instance are attempts of the same job, which the scheduler retries until the job is done
+// or cancelled. The run counts the failed attempts.
 type Instance struct {
 	State      State
 	Failures   int       // failed attempts of its job since the step was last cleared
@@ -19,7 +19,7 @@
 	Cancelling bool      // cancellation of its job is requested; the instance ends when the job does
 }
 
-// finish sets the final state s and resets what only an unfinished instance has.
+// finish sets the final state s and clears the fields that only an unfinished instance uses.
 func (inst *Instance) finish(s State) {
 	inst.State, inst.RetryAt, inst.StartedAt, inst.Cancelling = s, time.Time{}, time.Time{}, false
 }
--- a/internal/graphs/dag/run_test.go
+++ b/internal/graphs/dag/run_test.go
@@ -47,17 +47,17 @@
 	r := flakyRun(t)
 	failMiddle(t, r)
 	r.runReady(noon)
-	_ = r.JobDone(r.ref("cleanup")) // it has no result
+	_ = r.JobDone(r.ref("cleanup")) // cannot fail: the step is not a branch
 	if r.RunState() != RunSuccess {
 		t.Errorf("the run is %v, want success: the only step without downstream steps is done", r.RunState())
 	}
 }
 
-func TestAClearRunsAStepAndItsFollowersAsNewJobs(t *testing.T) {
+func TestAClearRunsAStepAndItsDownstreamStepsAsNewJobs(t *testing.T) {
 	r := flakyRun(t)
 	failMiddle(t, r)
 	r.runReady(noon)
-	_ = r.JobDone(r.ref("cleanup")) // it has no result
+	_ = r.JobDone(r.ref("cleanup")) // cannot fail: the step is not a branch
 	before := r.JobID(r.ref("middle"))
 	r.clearFrom(t, "middle")
 	if got := r.stateNames(); got["first"] != "success" || got["middle"] != "scheduled" || got["last"] != "none" || got["cleanup"] != "none" || r.RunState() != RunRunning {
@@ -70,7 +70,7 @@
 
 // branchPlan returns a plan in which pick is a branch to left or right, and join is downstream of
 // both. mapped has an instance, with a timeout of an hour, for each element of the result of join.
-// last runs if one of these fails.
+// last runs if one of these instances fails.
 func branchPlan(t *testing.T) *Plan {
 	t.Helper()
 	pick := changed(step("pick"), func(s *Step) { s.Kind = KindBranch })
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	r.runReady(noon)
-	_ = r.JobDone(r.ref("left")) // it has no result
+	_ = r.JobDone(r.ref("left")) // cannot fail: the step is not a branch
 	return r
 }
 
@@ -109,13 +109,13 @@
 	return r, refs
 }
 
-func TestABranchSkipsTheFollowersThatItDoesNotPick(t *testing.T) {
+func TestABranchSkipsTheDownstreamStepsThatItDoesNotPick(t *testing.T) {
 	if got := pickedRun(t).stateNames(); got["right"] != "skipped" || got["join"] != "scheduled" {
 		t.Fatalf("states after the branch: %v", got)
 	}
 }
 
-func TestABranchThatPicksNoFollowerFails(t *testing.T) {
+func TestABranchThatPicksNoDownstreamStepFails(t *testing.T) {
 	r := NewRun(branchPlan(t), "other")
 	r.runReady(noon)
 	if err := r.finishJob(r.ref("pick"), json.RawMessage(`["join"]`)); err == nil || r.stateNames()["pick"] != "failed" {
@@ -137,11 +137,12 @@
 	}
 }
 
-// Only instances that run longer than the step's timeout time out, each once. An instance ends as its
-// job does: one whose job was done before the cancellation was stored has succeeded.
+// An instance times out only if it runs for longer than the step's timeout, and only once. An
+// instance ends as its job does: if the job was done before its cancellation was stored, the
+// instance has succeeded.
 func TestInstancesThatRunForTooLongAreCancelled(t *testing.T) {
 	r, refs := mappedRun(t)
-	_ = r.JobDone(refs[0]) // it has no result
+	_ = r.JobDone(refs[0]) // cannot fail: the step is not a branch
 	for k, ref := range refs {
 		if r.CancelIfTimedOut(ref, noon.Add(time.Minute)) {
 			t.Error("timed out after a minute, though the timeout is an hour")
@@ -201,7 +202,7 @@
 		r := NewRun(p, "run")
 		for refs := r.runReady(noon); len(refs) > 0; refs = r.runReady(noon) {
 			for _, ref := range refs {
-				_ = r.JobDone(ref) // it has no result
+				_ = r.JobDone(ref) // cannot fail: the step is not a branch
 			}
 		}
 		if r.RunState() != RunSuccess {
--- a/internal/graphs/dag/runcodec.go
+++ b/internal/graphs/dag/runcodec.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// storedRun is the stored form of a run, in CBOR. It has one byte for the state of each step, in the order of
-// the graph's steps, and further entries only for steps that have more than a state, which most do not. What
-// can be derived from these (the counts of upstream states, the queue of ready instances) is not stored.
+// storedRun is the stored form of a run, in CBOR. States has one byte for each step, in the order of the graph's
+// steps. Steps has an entry only for a step that needs more than its state, which most steps do not. The counts
+// of upstream states and the queue of ready instances are not stored, because they can be derived.
 type storedRun struct {
 	_         struct{} `cbor:",toarray"`
 	Format    int
@@ -96,7 +96,7 @@
 	return false
 }
 
-// encodeStep returns the stored form of what a step has in addition to its state.
+// encodeStep returns the storedStep of a step.
 func (r *Run) encodeStep(i int) storedStep {
 	n := &r.nodes[i]
 	stored := storedStep{Step: i, Generation: n.generation, Result: n.result}
@@ -154,9 +154,9 @@
 		if n.state, err = r.decodeState(stored[i]); err != nil {
 			return err
 		}
-		// A step that is ready or running has one instance unless its storedStep says otherwise. A step that
-		// ended with its job had one too, but does not need it any more: without instances it counts once in
-		// the steps downstream, just the same.
+		// A step that is ready or running has one instance unless its storedStep says otherwise. The instance
+		// of a step that ended with its job is not restored: in the counts of the steps downstream, a step
+		// without instances counts once, as a step with one instance does.
 		if n.state != None && !n.state.Final() {
 			n.instances = []Instance{{State: n.state}}
 		}
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// decodeState converts a stored byte to a state. A number without a state is an error.
+// decodeState converts a stored byte to a state. A byte that is not the number of a state is an error.
 func (r *Run) decodeState(b byte) (State, error) {
 	if int(b) >= stateCount {
 		return None, fmt.Errorf("%w %s of %s has an unknown state", ErrStoredRun, r.ID, r.Plan.ID)
--- a/internal/graphs/dag/schedule.go
+++ b/internal/graphs/dag/schedule.go
@@ -10,7 +10,7 @@
 )
 
 // Schedule says when a graph's data intervals begin and end. A run is due at the end of its interval, and its
-// logical date is the interval's begin, as in Airflow. A Schedule is immutable.
+// logical date is the interval's start, as in Airflow. A Schedule is immutable.
 //
 // Daylight saving time: a schedule that names hours fires once a day for each of them. If the clock jumps
 // over such a time, the schedule fires at the first moment after the gap. If the time occurs twice, it fires
--- a/internal/graphs/dag/state.go
+++ b/internal/graphs/dag/state.go
@@ -31,7 +31,7 @@
 // MarshalText encodes the state as its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Final reports whether a step in this state keeps it until it is cleared.
+// Final reports whether the state is final: a step in a final state changes only when it is cleared.
 func (s State) Final() bool { return s >= Success && s < stateCount }
 
 // failed reports whether the state is Failed or UpstreamFailed.
--- a/internal/graphs/dagfile/dagfile.go
+++ b/internal/graphs/dagfile/dagfile.go
@@ -126,10 +126,10 @@
 	}
 }
 
-// heapGrowth measures by how much the process's heap has grown since its creation.
+// heapGrowth measures by how much the process's heap has grown since newHeapGrowth was called.
 type heapGrowth struct {
 	samples []metrics.Sample
-	initial uint64 // the heap's size at the creation, in bytes
+	initial uint64 // the heap's size in bytes when the heapGrowth was created
 }
 
 // newHeapGrowth returns a heapGrowth that starts from the heap's current size.
--- a/internal/graphs/dagfile/dagfile_test.go
+++ b/internal/graphs/dagfile/dagfile_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestArgumentsOfAStepGoBeforeDefaultArguments(t *testing.T) {
+func TestArgumentsOfAStepOverrideDefaultArguments(t *testing.T) {
 	graph, plan := loadSettlement(t)
 	step := graph.Steps[plan.Index["settle_2"]]
 	if step.Job.CPUs != 5 || step.Job.Image != "settle" || step.Retries != 0 || step.Delay != dag.Duration(3*time.Minute) || !step.Exponential || graph.Steps[plan.Index["pay"]].Retries != 2 {
--- a/internal/graphs/dagfile/guard.go
+++ b/internal/graphs/dagfile/guard.go
@@ -32,7 +32,7 @@
 var exprType = reflect.TypeFor[syntax.Expr]()
 
 // rewrite replaces the products in all fields of a syntax node and of the nodes below it. If
-// it finds faults, it sets err to the last of them.
+// it finds assignments that are not allowed, it sets err to the error of the last of them.
 func rewrite(v reflect.Value, err *error) {
 	switch v.Kind() {
 	case reflect.Interface, reflect.Pointer:
--- a/internal/graphs/dagfile/operators.go
+++ b/internal/graphs/dagfile/operators.go
@@ -43,7 +43,7 @@
 // bindPartial implements partial(...). It returns an operator that stores the arguments for expand and cannot be called.
 func (o *operator) bindPartial(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if len(args) > 0 {
-		return nil, errors.New("partial: name each argument")
+		return nil, errors.New("partial: all arguments must be given by name")
 	}
 	return &operator{loader: o.loader, name: o.name, kind: o.kind, partial: append([]starlark.Tuple{}, kwargs...)}, nil
 }
@@ -84,7 +84,7 @@
 // CallInternal implements starlark.Callable. It makes a step.
 func (o *operator) CallInternal(_ *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if o.partial != nil {
-		return nil, errors.New("partial(...) goes with expand(...)")
+		return nil, errors.New("partial(...) must be followed by expand(...)")
 	}
 	d, kwargs, err := o.dagOf(kwargs)
 	if err != nil {
--- a/internal/graphs/dagview/dagview.go
+++ b/internal/graphs/dagview/dagview.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// writeSize writes the numbers of a graph's steps and edges.
+// writeSize writes how many steps and edges a graph has, and how many of the steps are jobs or mapped.
 func writeSize(b *strings.Builder, p *dag.Plan) {
 	edges, jobs, mapped := 0, 0, 0
 	for i := range p.Steps {
--- a/internal/graphs/dagview/dot.go
+++ b/internal/graphs/dagview/dot.go
@@ -8,8 +8,8 @@
 	"poppypass/internal/graphs/dag"
 )
 
-// Dot writes a graph in the DOT language. The IDs of graphs and steps need no escaping there except quotes
-// around them (dag.ValidName).
+// Dot writes a graph in the DOT language. The IDs of graphs and steps are quoted and need no escaping
+// (dag.ValidName).
 func Dot(w io.Writer, p *dag.Plan) error { return writeDot(w, p, nil) }
 
 // writeDot writes a graph in the DOT language. extraAttrs, if not nil, returns further attributes of a step,
--- a/internal/graphs/dagview/gantt.go
+++ b/internal/graphs/dagview/gantt.go
@@ -53,7 +53,7 @@
 	rowOf              map[dag.InstanceRef]int // index into rows, by instance
 }
 
-// newChart returns a chart of the first maxBars tries of a run, ordered by their begin.
+// newChart returns a chart of the first maxBars tries of a run, ordered by their start.
 func newChart(r *Run) *chart {
 	c := &chart{height: chartTop, run: r, rowOf: map[dag.InstanceRef]int{}}
 	if len(r.Tries) == 0 {
@@ -70,8 +70,8 @@
 	return c
 }
 
-// setAxis sets the range of the time axis: from the begin of the first try to the last end, at least a
-// second. tries must be sorted by begin.
+// setAxis sets the range of the time axis: from the start of the first try to the latest end of a try, and at
+// least one second. tries must be sorted by start.
 func (c *chart) setAxis(tries []Try) {
 	c.axisStart, c.axisEnd = tries[0].Begin, tries[0].Begin.Add(time.Second)
 	for i := range tries {
--- a/internal/graphs/dagview/layout.go
+++ b/internal/graphs/dagview/layout.go
@@ -93,11 +93,11 @@
 
 // summarize returns a summary of each step's instances, by step.
 func (r *Run) summarize() []stepSummary {
-	attention := func(state string) int { return slices.Index(statesBySeverity, state) }
+	severity := func(state string) int { return slices.Index(statesBySeverity, state) }
 	out := make([]stepSummary, len(r.Plan.Steps))
 	for _, inst := range r.Instances {
 		s := &out[inst.Step]
-		if attention(inst.State) >= attention(s.worst) {
+		if severity(inst.State) >= severity(s.worst) {
 			s.worst = inst.State
 		}
 		if len(s.lines) < maxTitleLines {
--- a/internal/graphs/dagview/run_test.go
+++ b/internal/graphs/dagview/run_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// countElements counts the elements of a page. The keys are the ID of the last svg element begun so far
-// and the name of the element.
+// countElements counts the elements of a page. A key consists of the ID of the svg element that was
+// opened last, a space, and the name of the counted elements.
 func countElements(t *testing.T, html string) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
