--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -29,12 +29,12 @@
 	submissionInterval = 2 * time.Second
 )
 
-// comparison is the state of one run of the program.
+// comparison compares a cluster's ledger with the run times that its workers measured.
 type comparison struct {
 	program      string
 	duration     time.Duration // how long jobs are submitted
 	killEvery    time.Duration // interval at which the leader is killed
-	loseMachines bool          // whether machines are lost, too
+	loseMachines bool          // whether machines are also lost
 	cluster      *testcluster.Cluster
 
 	mu            sync.Mutex
@@ -58,9 +58,9 @@
 	}
 }
 
-// task returns how long an attempt runs, how it ends and its team. The first two are pseudo-random, with the task
-// and the attempt as the seed.
-func (l *comparison) task(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
+// planAttempt returns how long an attempt runs, how it ends and its team. The run time and the exit reason are pseudo-random,
+// with the task and the attempt as the seed.
+func (l *comparison) planAttempt(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, task, attempt)
 	r := rand.New(rand.NewPCG(hash.Sum64(), 1))
@@ -90,7 +90,7 @@
 	l.cluster = &testcluster.Cluster{
 		Program: l.program, Members: 3, Teams: teams, CPUs: 64, Machines: 24, HeartbeatEvery: 2 * time.Second, WorkerLease: 10 * time.Second,
 		Type:       wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.8, SpotPrice: 0.3, BootS: 1, Zones: []string{"a", "b"}},
-		Properties: "ledger = on\nfleet.idle.keep = 20s\n", AttemptPlanner: l.task, OnEnd: l.recordAttempt,
+		Properties: "ledger = on\nfleet.idle.keep = 20s\n", AttemptPlanner: l.planAttempt, OnEnd: l.recordAttempt,
 	}
 	defer l.cluster.Close()
 	if err := l.cluster.Start(ctx); err != nil {
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Cloud is a fake cloud. It rents out any machines that are requested, up to Capacity machines at a time. It is safe for
+// Cloud is a fake cloud. It grants every request for machines, as long as at most Capacity machines exist. It is safe for
 // concurrent use.
 type Cloud struct {
 	srv *httptest.Server
@@ -29,7 +29,7 @@
 	listLimit         int                  // largest number of machines in a list; negative: no limit
 }
 
-// NewCloud starts a cloud on a loopback address with a capacity of that many machines, of the given types.
+// NewCloud starts a cloud on a loopback address. It rents out machines of the given types, up to capacity at a time.
 func NewCloud(capacity int, types ...wire.MachineType) *Cloud {
 	c := &Cloud{Types: types, Capacity: capacity, namesByRequest: map[string][]string{}, listLimit: -1}
 	mux := http.NewServeMux()
--- a/internal/sim/fakes/store.go
+++ b/internal/sim/fakes/store.go
@@ -18,7 +18,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Store is a fake of the consensus-backed key-value store, in memory. Its leases expire by the clock that NewStore gets.
+// Store is an in-memory fake of the consensus-backed key-value store. Its leases expire by the clock given to NewStore.
 // It is safe for concurrent use.
 type Store struct {
 	clock clockwork.Clock
@@ -28,19 +28,19 @@
 	mu              sync.Mutex
 	revision        uint64 // grows by one with each transaction that changes keys
 	keys            map[string]wire.Item
-	leases          map[uint64]*lease        // by lease ID
-	nextID          uint64                   // ID of the last lease granted
-	events          []wire.Event             // all changes so far, oldest first
-	wake            chan struct{}            // closed, and replaced, whenever the waiting watches must check again
-	refuse          bool                     // whether every request is answered with 503
-	refusedTxns     int                      // number of transactions refused while refuse was set
-	loseAnswer      func(wire.Txn) bool      // selects transactions to execute without an answer; nil: none
-	delayTxn        func(wire.Txn) bool      // selects transactions to delay until Deliver; nil: none
-	requestDelay    func() time.Duration     // delay before the next request is executed; nil: none
-	requestHandling func(*http.Request) Fate // decides how a request is handled; nil: all are answered
-	delayedRequests []func()                 // execute the requests, other than transactions, that Deliver is to execute
-	delayedTxns     []wire.Txn               // transactions that Deliver is to execute
-	applied         []wire.Txn               // transactions whose conditions held, oldest first
+	leases          map[uint64]*lease                   // by lease ID
+	nextID          uint64                              // ID of the last lease granted
+	events          []wire.Event                        // all changes so far, oldest first
+	wake            chan struct{}                       // closed and replaced whenever the waiting watches must check for events again
+	refuse          bool                                // whether every request is answered with 503
+	refusedTxns     int                                 // number of transactions refused while refuse was set
+	loseAnswer      func(wire.Txn) bool                 // selects transactions to execute without an answer; nil: none
+	delayTxn        func(wire.Txn) bool                 // selects transactions to delay until Deliver; nil: none
+	requestDelay    func() time.Duration                // delay before the next request is executed; nil: none
+	requestHandling func(*http.Request) RequestHandling // decides how a request is handled; nil: all are answered
+	delayedRequests []func()                            // each executes a delayed request that is not a transaction; called by Deliver
+	delayedTxns     []wire.Txn                          // transactions that Deliver is to execute
+	applied         []wire.Txn                          // transactions whose conditions held, oldest first
 	endpoints       []*Endpoint
 }
 
--- a/internal/sim/fakes/store_faults.go
+++ b/internal/sim/fakes/store_faults.go
@@ -14,7 +14,7 @@
 // Endpoint is an additional address of the store for a single caller, so that requests of this caller alone can be
 // refused.
 type Endpoint struct {
-	s      *Store // the store that it belongs to
+	s      *Store // the store that the endpoint belongs to
 	srv    *httptest.Server
 	refuse bool // guarded by s.mu
 }
@@ -50,21 +50,21 @@
 	e.s.wakeWatches()
 }
 
-// Fate says whether a request is executed and answered.
-type Fate int
+// RequestHandling says whether a request is executed and answered.
+type RequestHandling int
 
 const (
 	// Answered requests are executed and answered.
-	Answered Fate = iota
+	Answered RequestHandling = iota
 	// Unanswered requests are executed, but their answer is lost.
 	Unanswered
 	// Delayed requests get no answer. Deliver executes them later.
 	Delayed
 )
 
-// SetFate makes fn decide about requests other than transactions and watches, that is, about reads and lease requests.
-// With nil, all of them are answered.
-func (s *Store) SetFate(fn func(*http.Request) Fate) {
+// SetRequestHandling makes fn decide about requests other than transactions and watches, that is, about reads and lease
+// requests. With nil, all of them are answered.
+func (s *Store) SetRequestHandling(fn func(*http.Request) RequestHandling) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestHandling = fn
@@ -98,7 +98,7 @@
 	s.requestDelay = fn
 }
 
-// waitBeforeExecution makes a request wait as DelayAnswers demands.
+// waitBeforeExecution makes a request wait for the delay that DelayAnswers has set.
 func (s *Store) waitBeforeExecution(r *http.Request) {
 	s.mu.Lock()
 	delay := s.requestDelay
--- a/internal/sim/fakes/worker.go
+++ b/internal/sim/fakes/worker.go
@@ -48,7 +48,7 @@
 	lastAnswered time.Time // when the last answered heartbeat was sent
 }
 
-// runningAttempt is an attempt that runs.
+// runningAttempt is an attempt that has not ended.
 type runningAttempt struct {
 	startedAt time.Time
 	endTimer  *time.Timer // ends the attempt after its planned run time
@@ -252,7 +252,7 @@
 	w.lastAnswered = time.Now()
 }
 
-// kill kills all tasks.
+// kill is killAll for a caller that does not hold the lock.
 func (w *Worker) kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/sim/faults/cancellation_test.go
+++ b/internal/sim/faults/cancellation_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// Guards against violations when the state service answers slowly while users cancel and poll, and leaders are
-// refused by it or stop.
+// Guards against violations while the state service answers slowly. Meanwhile users cancel and poll, and leaders
+// stop or are refused by the state service.
 func TestCancellationsWithASlowStore(t *testing.T) {
 	simulate(t, 21, func(sim *simulation) {
 		sim.setPollOnChange(true)
@@ -62,8 +62,8 @@
 
 // Guards against answers with an older state than an earlier answer. Right after a job is accepted, ends or is
 // confirmed as cancelled, users poll all controllers repeatedly within milliseconds and repeat the submission; some
-// cancel at once. Meanwhile the leader stops, is refused by the state service or isolated, and answers to
-// transactions are lost or transactions delayed.
+// cancel at once. Meanwhile the leader stops, is refused by the state service or is isolated, and transactions are
+// delayed or their answers are lost.
 func TestUserAnswersNeverRegress(t *testing.T) {
 	simulate(t, 1, func(sim *simulation) {
 		sim.setPollOnChange(true)
@@ -91,7 +91,7 @@
 
 // Guards against cancellations that are lost or confirmed too early during a handover of the leadership. A
 // cancellation may reach the old leader, be relayed to it as it steps down, be written without an answer, or be
-// repeated at the next leader before and after that has loaded its records.
+// repeated at the next leader before and after that leader has loaded its records.
 func TestCancellationsDuringAHandover(t *testing.T) {
 	simulate(t, 4, func(sim *simulation) {
 		sim.setPollOnChange(true)
--- a/internal/sim/faults/capacity_test.go
+++ b/internal/sim/faults/capacity_test.go
@@ -55,8 +55,8 @@
 	return sum
 }
 
-// serviceCPUsInUse returns the number of CPUs that a team's replicas use, which do not end by themselves. Services
-// whose users want them cancelled do not count. The caller holds sim.mu.
+// serviceCPUsInUse returns the number of CPUs that the replicas of a team's services use. Replicas do not end by
+// themselves. Services whose users want them cancelled do not count. The caller holds sim.mu.
 func (sim *simulation) serviceCPUsInUse(team string) float64 {
 	sum := 0.0
 	for _, j := range sim.jobs {
--- a/internal/sim/faults/failover_test.go
+++ b/internal/sim/faults/failover_test.go
@@ -45,8 +45,8 @@
 				sim.restart(sim.leaderOrAny(), 0.2, 2)
 				continue
 			}
-			// A leader that restarts at once may still be named by the leader key; so a new term identifies a new
-			// leader.
+			// Only a new term identifies a new leader, because the leader key may still name a leader that restarts
+			// at once.
 			sim.waitFor("a new leader", time.Minute, func() bool { _, term := sim.observeLeaderKey(); return term > lastTerm && sim.leader() != nil })
 			lastTerm = sim.highestTerm
 			sim.restart(sim.awaitLeader(), 0.2, 2)
@@ -66,7 +66,7 @@
 		sim.awaitRunning(8)
 		for round := range 4 {
 			first := sim.awaitLeader()
-			first.endpoint.Refuse(true) // until it has handed over, however short of CPU the host is
+			first.endpoint.Refuse(true) // until it has handed over, however long that takes on a host that is short of CPU
 			sim.waitFor("another controller leads", time.Minute, func() bool { n := sim.leader(); return n != nil && n != first })
 			first.endpoint.Refuse(false)
 			sim.cancel(fmt.Sprintf("job-%d", round))
@@ -151,14 +151,14 @@
 	})
 }
 
-// Guards against the loss of a zone's tasks. The only controller of the zone is the leader, stops during an outage
-// of the state service and restarts within seconds, and nobody can be elected. The tasks must survive, since the
-// other members remember its zone lease.
+// Guards against the loss of a zone's tasks. The only controller of the zone is the leader. It stops during an
+// outage of the state service and restarts within seconds, while nobody can be elected. The tasks must survive,
+// since the other members remember its zone lease.
 func TestAZonesOnlyMemberRestartsInAnOutage(t *testing.T) {
 	t.Parallel()
 	sim := newSimulation(t, deployments["lease 10, three"], 26+*seedShift)
 	only := sim.nodes[1] // the only controller of zone b
-	sim.paced = true     // workers keep their tasks only with answers within a lease, which a host short of CPU does not give
+	sim.paced = true     // workers keep their tasks only if they get answers within a lease; an unpaced host that is short of CPU answers too late
 	for i := range 8 {
 		sim.submit(fmt.Sprintf("job-%d", i), jobSpec{tasks: 2, kind: []string{"array", "service"}[i%2], runS: 600, zone: []string{"a", "b"}[i%2]})
 	}
@@ -239,7 +239,7 @@
 				for i := range 2 {
 					sim.cancel(fmt.Sprintf("job-%d", 2*round+i))
 				}
-				sim.advance(time.Duration(6+sim.rng.IntN(6)) * time.Second) // as long as the state service may refuse only the leader
+				sim.advance(time.Duration(6+sim.rng.IntN(6)) * time.Second) // the state service may refuse only the leader for about this long
 				sim.recordEvent("the state service is down")
 				sim.state.Refuse(true)
 				sim.advance(seconds(outageFactor * params.cancelS))
--- a/internal/sim/faults/injection_test.go
+++ b/internal/sim/faults/injection_test.go
@@ -156,7 +156,7 @@
 func loseRequests(sim *simulation, _ *node) {
 	sim.recordEvent("lease requests and reads are lost or delayed")
 	sim.startFault(sim.randomSeconds(5, 40), func() {
-		sim.state.SetFate(func(r *http.Request) fakes.Fate {
+		sim.state.SetRequestHandling(func(r *http.Request) fakes.RequestHandling {
 			switch rand.IntN(6) {
 			case 0:
 				return fakes.Unanswered
@@ -167,7 +167,7 @@
 			}
 			return fakes.Answered
 		})
-	}, func() { sim.state.SetFate(nil) })
+	}, func() { sim.state.SetRequestHandling(nil) })
 }
 
 func impairMachines(sim *simulation, _ *node) {
--- a/internal/sim/faults/link_test.go
+++ b/internal/sim/faults/link_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// link is a TCP proxy that stands for the network path from one process to another. It can be paused or cut.
+// link is a TCP proxy that simulates the network path from one process to another. It can be paused or cut.
 type link struct {
 	listener     net.Listener
 	mu           sync.Mutex
--- a/internal/sim/faults/machines_test.go
+++ b/internal/sim/faults/machines_test.go
@@ -177,7 +177,7 @@
 				sim.submit(fmt.Sprintf("job-%d", 3*round+i), jobSpec{tasks: 6, cpus: 8, runS: 10})
 			}
 			sim.advance(sim.randomSeconds(2, 8))
-			sim.impair(sim.randomWorkers(), disconnected, sim.randomLeases(0.5, 0.9)) // they run on, and the next leader has no heartbeat of them
+			sim.impair(sim.randomWorkers(), disconnected, sim.randomLeases(0.5, 0.9)) // they run on, and the next leader gets no heartbeat from them
 			sim.restartLeader()
 			if round%4 < 2 {
 				sim.state.DelayTransactions(nil) // the next leader's transactions are executed at once
--- a/internal/sim/faults/messages_test.go
+++ b/internal/sim/faults/messages_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// Guards against commands that arrive after newer ones, from a leader that has since stopped, been deposed, or
-// still leads: a start whose job was cancelled meanwhile, or whose task ran elsewhere. Most direct commands are
+// Guards against commands that arrive after newer ones, whether their leader has stopped, was deposed or still
+// leads: a start whose job was cancelled meanwhile, or whose task ran elsewhere. Most direct commands are
 // left unanswered and executed once, up to 16 s later or as the next leader acts. Answers to heartbeats take
 // seconds, and copies of heartbeats arrive in between. Teams are at their limits, so that the quota of a task that
 // is wrongly assumed to have ended is used at once.
@@ -197,8 +197,8 @@
 }
 
 // Guards against wrong conclusions of a new leader from old heartbeats. Copies of heartbeats of the present and
-// earlier incarnations and attempts reach every controller just as the leader starts, as the first that it receives
-// of a machine, before and after it has loaded its records.
+// earlier incarnations and attempts reach every controller just as the leader starts, before and after the leader
+// has loaded its records. For the leader they are the first heartbeats from a machine.
 func TestOldHeartbeatsReachANewLeader(t *testing.T) {
 	simulate(t, 6, func(sim *simulation) {
 		sim.nextLeaderCopyPercent = 60
@@ -208,8 +208,8 @@
 		submitJobs(12)
 		sim.awaitRunning(10)
 		for round := range 9 {
-			// Tasks of some unreachable machines are cancelled. By an old heartbeat that lacks them they would seem
-			// to have ended.
+			// Tasks of some unreachable machines are cancelled. An old heartbeat that lacks these tasks would make
+			// them seem to have ended.
 			ids := sim.jobIDs(func(j *job) bool { return !j.cancelWanted && sim.tasksRunning(j.id) > 0 })
 			ids = ids[:(len(ids)+1)/2]
 			sim.impair(sim.workersRunning(ids...), []int{disconnected, hung, disconnected, receivesNothing}[round%4], sim.randomLeases(0.7, 1.5))
--- a/internal/sim/faults/node_test.go
+++ b/internal/sim/faults/node_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// errorReporter is a controller's log handler. It reports each logged error as a violation: however many
-// transactions are late, lost or of unknown outcome, a leader must never find that records which nobody else wrote
-// have changed, and step down.
+// errorReporter is a controller's log handler. It reports each logged error as a violation. However many
+// transactions are late, lost or of unknown outcome, a leader must never step down because it finds changes in
+// records that nobody else wrote.
 type errorReporter struct {
 	slog.Handler
 	sim    *simulation
--- a/internal/sim/faults/random_test.go
+++ b/internal/sim/faults/random_test.go
@@ -98,5 +98,5 @@
 	sim.waitFor("every other job runs or its team is at its limit", 5*time.Minute, sim.allJobs(func(j *job) bool {
 		return j.accepted && (j.cancelWanted || j.done || sim.tasksRunning(j.id) > 0 || sim.cpusInUse(j.team, true)+j.cpus > teamLimits[j.team])
 	}))
-	awaitCancellations() // users may have requested others meanwhile
+	awaitCancellations() // users may have requested more cancellations meanwhile
 }
--- a/internal/sim/faults/scenario_test.go
+++ b/internal/sim/faults/scenario_test.go
@@ -36,7 +36,7 @@
 	sim.restart(sim.awaitLeader(), 1, 4)
 }
 
-// awaitRunning waits until at least that many tasks run.
+// awaitRunning waits until at least the given number of tasks run.
 func (sim *simulation) awaitRunning(least int) {
 	sim.t.Helper()
 	sim.waitFor("enough tasks run", 5*time.Minute, sim.locked(func() bool {
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -104,7 +104,8 @@
 	heartbeatAnswerTime = time.Second
 )
 
-// simulationCount is the number of simulations started in this process. It gives each one its own addresses.
+// simulationCount is the number of simulations started in this process. Each simulation derives its own addresses
+// from it.
 var simulationCount atomic.Int32
 
 // teamLimits holds each team's limit in CPUs; typeCPUs holds the number of CPUs of each machine type.
@@ -267,7 +268,8 @@
 	return resp.StatusCode
 }
 
-// anyNode returns a random controller, after ten failed attempts even one that is down.
+// anyNode returns a random controller that is up. If all of up to eleven random choices are down, it returns the
+// last of them.
 func (sim *simulation) anyNode() *node {
 	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	for range 10 {
--- a/internal/sim/faults/workers_test.go
+++ b/internal/sim/faults/workers_test.go
@@ -224,8 +224,8 @@
 	w.sim.mu.Lock()
 	defer w.sim.mu.Unlock()
 	w.catchUp()
-	// A worker that only one controller reaches answers queries of all: a query does not name its sender, and the
-	// controller that renews the worker's lease sends queries.
+	// Even a worker that only one controller can reach answers the queries of all controllers: a query does not name
+	// its sender, and the controller that renews the worker's lease needs the answers to its queries.
 	if w.unresponsive() || w.sim.now().Before(w.receivesNothingUntil) {
 		panic(http.ErrAbortHandler)
 	}
@@ -316,8 +316,8 @@
 	})
 }
 
-// latency returns the random one-way latency of a message: zero for half of them, else up to maxLatency. The caller
-// holds sim.mu.
+// latency returns the random one-way latency of a message: zero for half of the messages, else up to maxLatency.
+// The caller holds sim.mu.
 func (sim *simulation) latency() time.Duration {
 	if sim.maxLatency <= 0 || sim.rng.IntN(2) == 0 {
 		return 0
--- a/internal/sim/intake/main.go
+++ b/internal/sim/intake/main.go
@@ -28,12 +28,12 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// loadTest is the state of one run of the program.
+// loadTest holds the settings and the measurements of the load test.
 type loadTest struct {
 	program        string
 	workers        int           // number of workers
 	sockets        int           // the controller's limit of open files
-	memoryMB       float64       // the controller's memory limit, in MiB
+	memoryMiB      float64       // the controller's memory limit, in MiB
 	heartbeatEvery time.Duration // mean interval between a worker's heartbeats
 	duration       time.Duration // how long the test runs
 	addr           string        // address of the controller's worker API
@@ -52,7 +52,7 @@
 	cmd.Flags().StringVar(&l.program, "program", "target/poppypass", "the program to run")
 	cmd.Flags().IntVar(&l.workers, "workers", 10_000, "how many workers report")
 	cmd.Flags().IntVar(&l.sockets, "sockets", 3851, "the controller's limit of sockets")
-	cmd.Flags().Float64Var(&l.memoryMB, "memory", 322, "the controller's memory in MiB")
+	cmd.Flags().Float64Var(&l.memoryMiB, "memory", 322, "the controller's memory in MiB")
 	cmd.Flags().DurationVar(&l.heartbeatEvery, "every", 5*time.Second, "how often each reports")
 	cmd.Flags().DurationVar(&l.duration, "for", time.Minute, "how long")
 	if err := cmd.ExecuteContext(context.Background()); err != nil {
@@ -83,7 +83,7 @@
 	settings := fmt.Sprintf("member = \"m0\"\ndomain = \"a\"\nbind = %q\nmesh_addr = %q\n[outside]\ncloud = %q\nstate = %q\n"+
 		"[[cluster.teams]]\nname = \"t\"\n[cluster.workers]\nreport_s = %g\nlease_s = 26.5\ncancel_s = 51.5\n"+
 		"[cluster.state]\nrps = 500.0\nwrite_rps = 180.0\nvalue_kb = 16.0\ntxn_ops = 40\n[cluster.cloud]\nrps = 12.0\nlist_lag_s = 6.0\n"+
-		"[cluster.limits]\nram_mb = %g\nfd_limit = %d\n", l.addr, peerAddr, cloud.Addr(), state.Addr(), l.heartbeatEvery.Seconds(), l.memoryMB, l.sockets)
+		"[cluster.limits]\nram_mb = %g\nfd_limit = %d\n", l.addr, peerAddr, cloud.Addr(), state.Addr(), l.heartbeatEvery.Seconds(), l.memoryMiB, l.sockets)
 	settingsPath := filepath.Join(dir, "settings.toml")
 	if err := os.WriteFile(settingsPath, []byte(settings), 0o600); err != nil {
 		return err
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -29,7 +29,7 @@
 	"poppypass/internal/sim/testcluster"
 )
 
-// loadTest is the state of one run of the program.
+// loadTest holds the settings and the measurements of the load test.
 type loadTest struct {
 	program   string
 	duration  time.Duration // how long jobs are submitted
@@ -40,7 +40,7 @@
 
 	mu        sync.Mutex
 	readyAt   map[string]time.Time // by job ID: when the job began to wait; for a step, when its description arrived
-	kind      map[string]string    // by job ID: plain, service, first step or later step; a first step becomes ready at any time, as plain jobs do
+	kind      map[string]string    // by job ID: plain, service, first step or later step. First steps are counted separately because they become ready at any time, as plain jobs do.
 	startedAt map[string]time.Time // by job ID: when its first attempt started
 	doneCount map[string]int       // by job ID: number of attempts that were done
 	attempts  int                  // number of attempts
@@ -195,7 +195,7 @@
 	var runs []string
 	startedAt := time.Now()
 	for n := 0; time.Since(startedAt) < l.duration; n++ {
-		if n%8 == 0 { // by default a graph has as many steps as there are plain jobs per graph
+		if n%8 == 0 { // one graph for every eight plain jobs; by default a graph has eight steps, too
 			id := fmt.Sprint("g", n/8)
 			if err := l.callAPI(ctx, http.MethodPut, "/dags/"+id, l.graphDefinition(id), nil); err != nil {
 				return err
@@ -259,7 +259,7 @@
 		}
 		waits[l.kind[id]] = append(waits[l.kind[id]], first.Sub(readyAt))
 	}
-	fmt.Printf("runs %v; %d jobs, %d attempts, %d never done, %d done twice; the leader was killed %d times; at most %.0f MB in a controller\n",
+	fmt.Printf("runs %v; %d jobs, %d attempts, %d never done, %d done twice; the leader was killed %d times; peak memory of a controller %.0f MiB\n",
 		states, len(l.readyAt), l.attempts, neverDone, doneTwice, l.cluster.LeaderKills, l.cluster.PeakMiB())
 	for _, kind := range []string{"plain", "first step", "later step", "service"} {
 		sorted := waits[kind]
--- a/internal/sim/testcluster/cluster.go
+++ b/internal/sim/testcluster/cluster.go
@@ -49,8 +49,8 @@
 	stopWorker map[string]context.CancelFunc // ends the worker of a machine; by machine name
 }
 
-// Start starts the fakes, the controllers and the workers. Controllers and workers end when ctx ends; Close removes the
-// rest.
+// Start starts the fakes, the controllers and the workers. Controllers and workers end when ctx ends. Close removes the
+// configuration files.
 func (c *Cluster) Start(ctx context.Context) (err error) {
 	if c.dir, err = os.MkdirTemp("", "testcluster"); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	}
 	c.processes = make([]*exec.Cmd, c.Members)
 	for i := range c.Members {
-		if err := c.start(ctx, i); err != nil {
+		if err := c.startController(ctx, i); err != nil {
 			return err
 		}
 	}
@@ -106,8 +106,8 @@
 	return b.String()
 }
 
-// start starts the controller of member i.
-func (c *Cluster) start(ctx context.Context, i int) error {
+// startController starts the controller of member i.
+func (c *Cluster) startController(ctx context.Context, i int) error {
 	propertiesPath := filepath.Join(c.dir, "operator.properties")
 	settingsPath := filepath.Join(c.dir, fmt.Sprintf("m%d.toml", i))
 	if err := os.WriteFile(propertiesPath, []byte(c.Properties), 0o600); err != nil {
@@ -137,7 +137,7 @@
 	_ = c.processes[i].Process.Kill()
 	_ = c.processes[i].Wait() // it was killed
 	c.LeaderKills++
-	return c.start(ctx, i)
+	return c.startController(ctx, i)
 }
 
 // leader returns the index of the member that leads, or -1 if there is none.
