--- a/internal/graphs/dag/clear.go
+++ b/internal/graphs/dag/clear.go
@@ -32,8 +32,8 @@
 	r.rebuildDerivedState()
 }
 
-// cancelInstances cancels the instances of a step that have not ended. It skips an instance whose job is not
-// submitted yet, and requests the cancellation of a submitted job.
+// cancelInstances cancels the instances of a step that have not ended. An instance whose job is not submitted
+// yet becomes Skipped; if its job is submitted, cancellation of the job is requested.
 func (r *Run) cancelInstances(i int) {
 	n := &r.nodes[i]
 	for k := range n.instances {
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// Cloud is a fake cloud. It grants every request for machines, as long as at most Capacity machines exist. It is safe for
+// Cloud is a fake cloud. It rents out whatever machines are requested, up to Capacity machines at a time. It is safe for
 // concurrent use.
 type Cloud struct {
 	srv *httptest.Server
