--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// planAttempt returns how long an attempt runs, how it ends and its team. The run time and the exit reason are pseudo-random,
-// with the task and the attempt as the seed.
+// planAttempt returns how long an attempt runs, how it ends and its team. The run time and the exit reason are
+// pseudo-random, with the task and the attempt as the seed.
 func (l *comparison) planAttempt(task string, attempt uint64) (time.Duration, wire.ExitReason, string) {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, task, attempt)
--- a/internal/sim/faults/messages_test.go
+++ b/internal/sim/faults/messages_test.go
@@ -155,7 +155,7 @@
 }
 
 // testUncertainTransactions leaves the outcome of transactions unknown to their callers, in one subtest for each
-// kind of key. The inject function sets which transactions the state service treats so; nil ends that.
+// kind of key. The inject function sets which transactions the state service treats this way; nil ends it.
 func testUncertainTransactions(t *testing.T, inject func(*simulation, func(wire.Txn) bool)) {
 	for _, prefix := range []string{jobs.PrefixJob, jobs.PrefixProgress, jobs.PrefixFinalState, "lead/", "fence/", "keep/", ""} {
 		t.Run("key "+prefix, func(t *testing.T) {
