--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -9,7 +9,8 @@
 	"poppypass/internal/platform/wire"
 )
 
-// fanOutPlan returns a graph of a first step, n steps downstream of it and a last step downstream of these.
+// fanOutPlan returns the plan of a graph with a first step, n steps downstream of it, and a last step downstream of
+// these.
 func fanOutPlan(t testing.TB, n int) *dag.Plan {
 	steps := []dag.Step{step("first")}
 	var all []string
@@ -68,7 +69,7 @@
 		return write != nil
 	}
 	runs := 0
-	begin := func() {
+	triggerRun := func() {
 		h.send(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
 		runs++
 		for next() {
@@ -76,7 +77,7 @@
 	}
 	for b.Loop() {
 		if len(h.graphs.byJob) == 0 {
-			begin()
+			triggerRun()
 		}
 		for id := range h.graphs.byJob {
 			h.graphs.jobFinished(id, wire.StateDone, h.clock.Now())
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -27,7 +27,7 @@
 	lastIntervalEnd   time.Time   // end of the newest data interval that has a run
 	notDueBefore      time.Time   // no run is due before this time
 	hasPastDependents bool        // it has steps that depend on the previous run
-	history           []*runEntry // its live and finished runs, by logical date
+	history           []*runEntry // its live and finished runs, sorted by logical date
 	waitQueue         waitQueue   // runs that wait until fewer than MaxTasks steps are submitted
 	activeInstances   int         // submitted, unfinished instances of steps
 	startedRuns       int         // live runs that have started; at most MaxRuns
@@ -40,8 +40,8 @@
 	logicalMS            int64           // logical date, as a Unix time in milliseconds
 	hasInterval          bool            // it covers a data interval; each interval has at most one run
 	defHash              string          // hash of its definition
-	live                 *liveRun        // nil if the run is finished, and stored as that
-	failedPastDependents map[string]bool // if it is finished: result of failedPastDependents
+	live                 *liveRun        // nil if the run is finished and stored as finished
+	failedPastDependents map[string]bool // the result of failedPastDependents; nil while the run is live
 	deleting             bool            // its record is being deleted
 }
 
@@ -56,7 +56,8 @@
 // succeed answers with a status below 400 and an empty object.
 func (a responder) succeed(status int) { a(leader.Answer{Status: status, Body: struct{}{}}) }
 
-// register sets the definition of a graph. Existing runs continue with theirs.
+// register sets the definition of a graph, and creates the graph if it is new. Existing runs continue with the
+// definitions with which they were created.
 func (g *Graphs) register(cmd *Order, plan *dag.Plan, respond responder) {
 	if plan.Team != cmd.Team || plan.ID != cmd.Graph {
 		respond.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
@@ -170,7 +171,7 @@
 			g.deleteRun(gr, e, nil)
 		}
 	}
-	// The graph's own record is deleted last: a new leader only finds runs whose graph is stored.
+	// The graph's own record is deleted last, because a new leader ignores runs whose graph is not stored.
 	g.enqueueDeletions(func() {
 		delete(g.graphs, gr.key)
 		g.releaseDefinition(gr.rec.Def)
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -21,10 +21,10 @@
 // hash of its content.
 type definition struct {
 	plan              *dag.Plan // nil if it is not decoded
-	compressed        []byte    // compressed form, while the records are being read
-	parts             int       // number of its records
+	compressed        []byte    // compressed content; only set while the records are being read
+	parts             int       // number of its parts; each is a record
 	refs              int       // number of graphs and runs that refer to it
-	unreferencedSince time.Time // when cleanUp first found it unreferenced; zero if it is in use or was not checked since
+	unreferencedSince time.Time // when cleanUp first found it unreferenced; zero if it was in use at the last cleanUp, or not checked yet
 }
 
 // fetchAndRegister registers a graph whose definition is stored, or replaces the definition of a registered graph. It
@@ -85,7 +85,7 @@
 }
 
 // addUnregistered lists the stored definitions and adds those that were uploaded but never registered, so that cleanUp
-// deletes them like others that are unreferenced.
+// deletes them as it does other unreferenced definitions.
 func (g *Graphs) addUnregistered() {
 	go func() {
 		definitions, partCounts := map[string]*definition{}, map[string]int{}
@@ -110,7 +110,7 @@
 	}()
 }
 
-// deleteInvalid deletes a definition whose content does not match its hash, or that is not a graph that can run.
+// deleteInvalid deletes a definition whose content does not match its hash, or whose graph can never run.
 // While it is stored, a valid definition with the same hash cannot be uploaded, because existing parts are not
 // overwritten.
 func (g *Graphs) deleteInvalid(hash string, parts int) {
@@ -121,7 +121,7 @@
 	g.enqueueDeletions(nil, partKeys(hash, parts)...)
 }
 
-// invalidGraphError is the error of a definition that can never be registered.
+// invalidGraphError means that a definition can never be registered.
 type invalidGraphError struct{ text string }
 
 func (e *invalidGraphError) Error() string { return e.text }
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -16,19 +16,20 @@
 
 // DescriptionSource makes the descriptions of steps' jobs available to workers before the jobs are submitted. In the
 // protocol the submitter of a job uploads what a worker is to run for it. The same step may be described more than
-// once, if it is not known whether its job was submitted; an implementation must accept that.
+// once, for example by a new leader if the previous one failed before it submitted the step's job. An implementation
+// must accept that.
 type DescriptionSource interface {
 	// Describe describes jobs. An error that wraps ErrRefused means that at least one of them can never be
 	// described. After any other error the call is retried.
 	Describe(ctx context.Context, steps []Description) error
 }
 
-// ErrRefused is the error of a DescriptionSource for a step that it will never describe.
+// ErrRefused means that a DescriptionSource will never describe a step.
 var ErrRefused = errors.New("the step cannot be described")
 
-// Description is everything that is known of a step's job before it is submitted.
+// Description is everything that is known about a step's job before the job is submitted.
 type Description struct {
-	Job        string                     `json:"job"` // its ID
+	Job        string                     `json:"job"` // the job's ID
 	Team       string                     `json:"team"`
 	Graph      string                     `json:"dag_id"`
 	Run        string                     `json:"dag_run_id"`
@@ -44,8 +45,8 @@
 	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps directly upstream, by step ID
 }
 
-// Foreseen returns the descriptions of a run's first generation that are known before the run starts: all
-// except those of steps that are mapped over the result of another step.
+// Foreseen returns those descriptions of a run's first generation that are known before the run starts. These are all
+// except the descriptions of steps that are mapped over the result of another step.
 func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
 	run, meta := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
@@ -135,12 +136,12 @@
 
 // describeAll describes steps, and returns the errors of those that were refused, by index. A refused batch is
 // halved until the refused steps are identified.
-func describeAll(ctx context.Context, s DescriptionSource, descriptions []Description) (refused map[int]error, err error) {
+func describeAll(ctx context.Context, source DescriptionSource, descriptions []Description) (refused map[int]error, err error) {
 	refused = map[int]error{}
-	var try func(from, to int) error
-	try = func(from, to int) error {
+	var describeRange func(from, to int) error
+	describeRange = func(from, to int) error {
 		callCtx, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
-		err := s.Describe(callCtx, descriptions[from:to])
+		err := source.Describe(callCtx, descriptions[from:to])
 		cancel()
 		switch {
 		case !errors.Is(err, ErrRefused):
@@ -150,12 +151,12 @@
 			return nil
 		}
 		middle := (from + to) / 2
-		if err := try(from, middle); err != nil {
+		if err := describeRange(from, middle); err != nil {
 			return err
 		}
-		return try(middle, to)
+		return describeRange(middle, to)
 	}
-	return refused, try(0, len(descriptions))
+	return refused, describeRange(0, len(descriptions))
 }
 
 // described handles the result of describeAll.
@@ -186,8 +187,9 @@
 	g.describe()
 }
 
-// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx
-// means that workers find the descriptions; 4xx, except for 408 and 429, means that at least one of them is refused.
+// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx means that the
+// descriptions are available to workers. Status 4xx, except for 408 and 429, means that at least one of them is
+// refused.
 type HTTPSource struct {
 	URL    string
 	Client *http.Client
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -11,7 +11,7 @@
 	"poppypass/internal/platform/golden"
 )
 
-var formatTime = time.Date(2026, time.December, 1, 12, 0, 0, 123_000_000, time.UTC)
+var exampleTime = time.Date(2026, time.December, 1, 12, 0, 0, 123_000_000, time.UTC)
 
 func TestStoredFormats(t *testing.T) {
 	golden.JSONRoundTrip(t, "graph", golden.Fill(new(GraphRecord)))
@@ -25,12 +25,12 @@
 		PrefixDefinition, PrefixGraph, PrefixRun,
 		keyGraph("vision", "nightly"), keyRun("vision", "nightly", "manual__2026-12-01T12:00:00+00:00"),
 		strings.Join(partKeys("00112233445566778899aabbccddeeff", 2), "\n"),
-		RunName(Manual, formatTime), RunName(RunTypeScheduled, formatTime), RunName(RunTypeBackfill, formatTime), DefaultPool,
+		RunName(Manual, exampleTime), RunName(RunTypeScheduled, exampleTime), RunName(RunTypeBackfill, exampleTime), DefaultPool,
 	)
 }
 
-// The bodies of commands to the leader and of its answers, and the descriptions that are sent to the operators' source
-// of descriptions.
+// Guards the formats of messages: the bodies of commands to the leader and of its answers, and the descriptions that
+// are sent to the operator's source of descriptions.
 func TestMessageFormats(t *testing.T) {
 	golden.JSONRoundTrip(t, "order", golden.Fill(new(Order)))
 	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(Backfilled)))
@@ -39,8 +39,8 @@
 	golden.Lines(t, "orders", PathOrders, PathPools, DoPut, DoPause, DoRemove, DoTrigger, DoBackfill, DoCancel, DoClear, DoForget, DoPush)
 }
 
-// formatPlan returns a plan with a plain step and a mapped step, whose jobs have every field set.
-func formatPlan(t *testing.T) *dag.Plan {
+// examplePlan returns a plan with a plain step and a mapped step, whose jobs have every field set.
+func examplePlan(t *testing.T) *dag.Plan {
 	t.Helper()
 	job := &dag.Job{Class: "train", Urgency: "urgent", Tasks: 3, CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "img-07", ImageGB: 4.5, Types: []string{"large"}, Zone: "a", SameZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, Account: "grant-7"}
 	plan, err := dag.NewPlan(&dag.Graph{
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := formatPlan(t)
+	plan := examplePlan(t)
 	hash, parts, err := Pack(codec, &plan.Graph)
 	if err != nil {
 		t.Fatal(err)
@@ -71,11 +71,11 @@
 	}
 	golden.Lines(t, "definition-hash", hash)
 	golden.Hex(t, "definition", parts[0])
-	again, err := decodeDefinition(codec, hash, parts[0])
+	decoded, err := decodeDefinition(codec, hash, parts[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "definition", again, plan)
+	golden.Equal(t, "definition", decoded, plan)
 }
 
 func TestStoredRun(t *testing.T) {
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := formatPlan(t)
+	plan := examplePlan(t)
 	live := &liveRun{
 		graph: &graph{rec: GraphRecord{Team: "vision", ID: "nightly"}}, run: dag.NewRun(plan, "manual__1"), defHash: "00112233445566778899aabbccddeeff", activeJobs: 1,
 		meta: *golden.Fill(new(runMeta)), tries: []Try{{Step: 1, Index: 1, Generation: 3, BeginMS: 4, EndMS: 5, State: dag.Success}},
@@ -97,19 +97,19 @@
 	if err := json.Unmarshal(value, &record); err != nil {
 		t.Fatal(err)
 	}
-	again, err := decodeRun(codec, &record, plan)
+	decoded, err := decodeRun(codec, &record, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Hex(t, "run-of-graph-states", again.Encode())
+	golden.Hex(t, "run-of-graph-states", decoded.Encode())
 	golden.Equal(t, "run-of-graph", readTries(codec, &record), live.tries)
 }
 
-// The stored job of a step and the description of the step.
+// Guards the formats of the stored job of a step and of the step's description.
 func TestJobOfStep(t *testing.T) {
-	run := dag.NewRun(formatPlan(t), "manual__1")
+	run := dag.NewRun(examplePlan(t), "manual__1")
 	ref := dag.InstanceRef{Step: 0}
-	_, value, err := instanceJob(run, ref, formatTime.UnixMilli())
+	_, value, err := instanceJob(run, ref, exampleTime.UnixMilli())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -2,13 +2,13 @@
 // its graph's team, and the outcome of that job determines the step's state. The package is a subsystem of the
 // leader's loop. Package dag decides which steps are ready.
 //
-// Each step is submitted exactly once: the same transaction stores the step's job and records in the run that the
-// step is submitted, and it is guarded on both records. So after a failover a step is either submitted or ready,
-// and every leader computes the same job ID for it. The job's own records hold its outcome. A new leader compares
-// them with the runs before it schedules anything.
+// Each step is submitted exactly once. A single transaction stores the step's job and marks the step as submitted in
+// the run's record. It is committed only if the run's record is unchanged and the job is not stored yet. So after a
+// failover a step is either submitted or ready, and every leader computes the same job ID for it. The outcome of a job
+// is stored in the job's own records. A new leader compares these with the runs before it schedules anything.
 //
-// Only the leader writes graphs and runs. Any member stores definitions, whose keys contain the hash of their
-// content, and reads all records (Reader).
+// Only the leader writes graphs and runs. Any member may store definitions, because the key of a definition contains
+// the hash of its content. Any member may read all records (Reader).
 package runner
 
 import (
@@ -30,7 +30,7 @@
 	"poppypass/internal/scheduler/machines"
 )
 
-// Config is the configuration of Graphs, and the functions of the process that it calls.
+// Config is the configuration of Graphs, and the functions that it calls.
 type Config struct {
 	Clock   clockwork.Clock
 	TxnOps  int     // largest number of changes in a transaction
@@ -40,7 +40,8 @@
 	Impossible func(*wire.Job) string
 	// Jitter returns a random number from 0 to 1, which spreads the delays before retries.
 	Jitter func() float64
-	// Source describes the steps of runs to workers. It is nil if only the clients that trigger runs do that.
+	// Source describes the steps of runs to workers. If it is nil, the clients that trigger runs have to describe all
+	// steps.
 	Source DescriptionSource
 	// Pools returns the number of slots of a team's pool, and whether it is configured. It is safe for concurrent
 	// use.
@@ -83,8 +84,8 @@
 // stepJob is an unfinished job of a step.
 type stepJob struct {
 	run        *liveRun
-	ref        dag.InstanceRef // Step is -1 if the step was cleared since
-	generation int             // of the step when the job was submitted
+	ref        dag.InstanceRef // Step is -1 if the step was cleared after the job was submitted
+	generation int             // the step's generation when the job was submitted
 }
 
 // current reports whether the job belongs to the current generation of its step.
@@ -113,7 +114,8 @@
 // Loaded receives the job store when its records are loaded.
 func (g *Graphs) Loaded(store *jobs.Store, _ time.Time) { g.jobStore = store }
 
-// Admit admits no task of a step's job during the delay before its next try, or while the job is being cancelled.
+// Admit returns how many waiting tasks of a job may start. No task of a step's job may start during the delay before
+// the step's next try, or while the job is being cancelled; Admit then also returns the reason.
 func (g *Graphs) Admit(j *jobs.Job, now time.Time) (int, string) {
 	job, ok := g.byJob[j.ID]
 	if !ok || !job.current() {
@@ -144,7 +146,7 @@
 // Placed does nothing.
 func (g *Graphs) Placed(*jobs.Allocation, bool, *wire.MachineType, time.Time) {}
 
-// Ended counts the failed attempts of a step's job.
+// Ended records a failed attempt of a step's job in the run of the step. It ignores attempts that ended otherwise.
 func (g *Graphs) Ended(o machines.Outcome, now time.Time) {
 	id := o.Allocation.Job.ID
 	job, ok := g.byJob[id]
@@ -169,10 +171,10 @@
 		return
 	}
 	live := job.run
-	if known, pending := live.unansweredJobs[id]; pending {
+	if recorded, pending := live.unansweredJobs[id]; pending {
 		// The transaction that stores the job is unanswered. Only its answer shows whether this is the step's
 		// job or one of another submitter with the same ID.
-		if known == "" {
+		if recorded == "" {
 			live.unansweredJobs[id] = state
 		}
 		return
@@ -218,8 +220,8 @@
 	g.cancelKnownJobs()
 }
 
-// cancelKnownJobs cancels those of g.jobsToCancel that are in the job store. The job store learns of a newly stored
-// job a moment after its transaction.
+// cancelKnownJobs cancels those of g.jobsToCancel that are in the job store. A new job is added to the job store a
+// moment after the transaction that stores it. Until then the job remains in g.jobsToCancel.
 func (g *Graphs) cancelKnownJobs() {
 	for id := range g.jobsToCancel {
 		if _, ok := g.byJob[id]; !ok {
@@ -246,7 +248,8 @@
 	}
 }
 
-// Tick detects steps that began to run or timed out, creates scheduled runs that are due, and cleans up.
+// Tick detects steps that began to run or timed out, creates scheduled runs that are due, and cleans up. It returns
+// the allocations of cancelled jobs, whose tasks are to be stopped.
 func (g *Graphs) Tick(now time.Time) []*jobs.Allocation {
 	if !g.loaded {
 		return nil
@@ -288,7 +291,7 @@
 	return stops
 }
 
-// enqueueStoreLater has a run stored within tuning.GraphRecordDelay, or earlier with its next other change.
+// enqueueStoreLater has a run stored after tuning.GraphRecordDelay, or earlier together with another change of it.
 func (g *Graphs) enqueueStoreLater(live *liveRun, now time.Time) {
 	if _, ok := g.storeLater[live]; !ok {
 		live.storeLaterSince = now
@@ -296,8 +299,8 @@
 	}
 }
 
-// NextWrite returns the next transaction: changed graphs, changed runs with the jobs of their ready steps, and
-// deletions, as many as fit.
+// NextWrite returns the next transaction, with at most room changes; nil if there is nothing to write. It contains
+// changed graphs, changed runs with the jobs of their ready steps, and deletions, as many as fit.
 func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
 	b := &batch{maxChanges: min(room, g.cfg.TxnOps), maxValueBytes: int(g.cfg.ValueKB * 1024)}
 	if !g.loaded || b.maxChanges < 2 {
@@ -321,7 +324,7 @@
 	}}
 }
 
-// batch collects one transaction.
+// batch is a transaction to which changes are being added.
 type batch struct {
 	txn           wire.Txn
 	maxChanges    int                     // largest number of changes
@@ -331,12 +334,14 @@
 	onConflict    []func()                // called if a condition does not hold
 }
 
-// fits reports whether the batch has room for a number of changes with a total size in bytes.
+// fits reports whether the batch has room for a number of changes with a total size in bytes. An empty batch has room
+// for any size.
 func (b *batch) fits(changes, bytes int) bool {
 	return len(b.txn.Then)+changes <= b.maxChanges && (b.bytes == 0 || b.bytes+bytes <= tuning.TxnTargetBytes)
 }
 
-// put adds a change that stores value at key if the record there has the given version; 0 if there must be none.
+// put adds a change that stores value at key, on the condition that the stored record has the given version. Version
+// 0 means that there is no record.
 func (b *batch) put(key string, version uint64, value []byte) {
 	b.txn.If = append(b.txn.If, wire.Condition{Key: key, Version: version})
 	b.txn.Then = append(b.txn.Then, wire.Change{Put: key, Value: value})
@@ -346,8 +351,8 @@
 // PathPools is the path of the query for a team's pools. The answer is a list of PoolView.
 const PathPools = "/graphs/pools"
 
-// Query answers queries for state that only the leader has. Reader answers the others from the stored records. The
-// error is leader.ErrUnknownPath.
+// Query answers queries for state that only the leader has in memory: the pools (PathPools). Everything else can be
+// read from the stored records with a Reader. The only possible error is leader.ErrUnknownPath.
 func (g *Graphs) Query(uri string, _ time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -45,17 +45,17 @@
 	Note      string          `json:"note,omitempty"`
 	Described bool            `json:"described,omitempty"` // the client has uploaded the steps' descriptions
 
-	From time.Time `json:"from,omitzero"` // start of the first data interval at the earliest
-	To   time.Time `json:"to,omitzero"`   // start of the last data interval at the latest
+	From time.Time `json:"from,omitzero"` // earliest start of a data interval
+	To   time.Time `json:"to,omitzero"`   // latest start of a data interval
 
 	Steps      []string        `json:"steps,omitempty"` // empty: all
-	Below      bool            `json:"below,omitempty"` // also those downstream of them
+	Below      bool            `json:"below,omitempty"` // also all steps downstream of Steps
 	OnlyFailed bool            `json:"only_failed,omitempty"`
 	Step       string          `json:"step,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Command executes a command. The error is leader.ErrUnknownPath.
+// Command executes a command. The only possible error is leader.ErrUnknownPath.
 func (g *Graphs) Command(c leader.Command, now time.Time, reply func(leader.Answer)) error {
 	verb, ok := strings.CutPrefix(c.URI, PathOrders)
 	if !ok {
@@ -259,7 +259,7 @@
 				respond.refuse(http.StatusServiceUnavailable, "the run cannot be read now; ask again")
 			case entry.deleting:
 				respond.refuse(http.StatusNotFound, "no such run")
-			case entry.live != nil: // another clear command was faster
+			case entry.live != nil: // another clear command has made the run live in the meantime
 				g.clearSteps(entry.live, cmd, respond)
 			default:
 				g.cachePlan(entry.defHash, def.parts, plan)
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -13,7 +13,7 @@
 
 // pool limits how many steps of a team's graphs are submitted at a time.
 type pool struct {
-	slots, used int
+	slots, used int       // number of slots in total, and of those that submitted steps occupy
 	waitQueue   waitQueue // runs with ready steps for which too few slots are free
 }
 
@@ -40,9 +40,9 @@
 // waitQueue is a queue of runs that wait for slots of a pool or for the graph's limit, first come first served.
 type waitQueue struct{ runs []*liveRun }
 
-// update adds a run to the queue if it waits, and removes it if it does not. A run that waits and took slots moves
-// behind the others. If the run does not wait and there is room for more steps, the first run of the queue is
-// enqueued in Graphs.runQueue.
+// update adds a run to the queue if it waits, and removes it if it does not. A run that was allocated slots and still
+// waits moves to the end of the queue. If the run does not wait and there is room for more steps, the first run of the
+// queue is enqueued in Graphs.runQueue.
 func (q *waitQueue) update(g *Graphs, live *liveRun, waits, allocated, room bool) {
 	i := slices.Index(q.runs, live)
 	if i >= 0 && (allocated || !waits) {
@@ -56,8 +56,7 @@
 	}
 }
 
-// enqueueFirst enqueues the first waiting run in Graphs.runQueue, so that it is checked whether its steps can be
-// submitted.
+// enqueueFirst enqueues the first waiting run in Graphs.runQueue, so that the next write submits its steps if they fit.
 func (q *waitQueue) enqueueFirst(g *Graphs) {
 	if len(q.runs) > 0 {
 		g.enqueueRun(q.runs[0])
@@ -80,7 +79,8 @@
 	g.pool(live.run.Plan, step).used += slotsNeeded(live.run.Plan, step)
 }
 
-// releaseSlots frees a step's slots, and enqueues the step's run and the first runs that wait for them.
+// releaseSlots frees a step's slots. It enqueues in Graphs.runQueue the step's run, the first run that waits for the
+// pool, and the first run that waits for the graph's limit.
 func (g *Graphs) releaseSlots(live *liveRun, step int) {
 	p := g.pool(live.run.Plan, step)
 	live.activeJobs--
--- a/internal/graphs/runner/read.go
+++ b/internal/graphs/runner/read.go
@@ -23,7 +23,8 @@
 	runs        []*liveRun // those that are not finished
 }
 
-// Read reads definitions, graphs and runs, and the final states of jobs that finished in the meantime.
+// Read reads definitions, graphs and runs, and the final states of jobs that have finished since their runs were
+// stored. It returns a function that completes the loading on the loop's goroutine.
 func (g *Graphs) Read(ctx context.Context, store *statestore.Client, onLoop func(func()) error) (func(), error) {
 	l := &loader{codec: g.codec, log: g.log, definitions: map[string]*definition{}, graphs: map[string]*graph{}}
 	if err := l.read(ctx, store); err != nil {
@@ -74,8 +75,8 @@
 	}, nil
 }
 
-// install replaces the state of g by what was read. It returns the IDs of those jobs of steps that are cancelled or
-// no longer in the job store, so they may have a final state.
+// install replaces the state of g by what was read. It returns the IDs of the steps' jobs that may have a final state,
+// because they are cancelled or no longer in the job store.
 func (g *Graphs) install(l *loader) (finishedJobs []string) {
 	g.definitions, g.graphs, g.runs, g.memoryBytes = l.definitions, l.graphs, map[string]*liveRun{}, 0
 	clear(g.byJob)
@@ -168,7 +169,7 @@
 	return def.plan, err
 }
 
-// decodePlan decodes the plan of a definition, if it is not decoded.
+// decodePlan decodes the plan of a definition, unless it is decoded already.
 func (d *definition) decodePlan(codec *charge.Codec, hash string) error {
 	if d.plan != nil {
 		return nil
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -17,7 +17,7 @@
 // use. It decodes one definition at a time, because the largest needs some MB of memory.
 type Reader struct {
 	store *statestore.Client
-	lock  chan struct{} // lock of capacity 1 that guards the fields below
+	lock  chan struct{} // channel of capacity 1, used as a lock for the fields below
 	codec *charge.Codec // nil until it is first needed
 	hash  string        // of the definition of plan
 	plan  *dag.Plan     // the plan that was read last
@@ -210,8 +210,8 @@
 // ErrPart means that the arguments of StorePart do not describe a valid part of a definition.
 var ErrPart = errors.New("that is no part of a graph")
 
-// StorePart stores part n (from 0) of a definition of as many parts as of says, unless it is stored already. zstd is
-// the part's compressed content.
+// StorePart stores part n (from 0) of a definition that has the given number of parts, unless the part is stored
+// already. zstd is the part's compressed content.
 func (r *Reader) StorePart(ctx context.Context, hash string, n, parts int, zstd []byte) error {
 	if !validHash(hash) || n < 0 || n >= parts || parts > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
 		return ErrPart
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -28,7 +28,7 @@
 	PrefixRun = "graph/run/"
 )
 
-// DefaultPool is the name of the pool of a step that names none.
+// DefaultPool is the name of the pool of steps that do not specify one.
 const DefaultPool = "default_pool"
 
 // The types of runs, with Airflow's names.
@@ -38,7 +38,7 @@
 	RunTypeBackfill  = "backfill"
 )
 
-// RunName returns the default ID of a run of some type with some logical date, in Airflow's format.
+// RunName returns the default ID of a run with the given type and logical date, in Airflow's format.
 func RunName(kind string, logical time.Time) string {
 	return kind + "__" + logical.UTC().Format("2006-01-02T15:04:05.999999-07:00")
 }
@@ -110,10 +110,10 @@
 	Def   string `json:"def"` // hash of its definition
 	State string `json:"state"`
 	runMeta
-	// Open is true if jobs of the run are not finished, whatever its state is.
+	// Open is true if jobs of the run are not finished. They may still be unfinished after the run has ended.
 	Open bool   `json:"open,omitempty"`
 	Zstd []byte `json:"z"` // stored form of a dag.Run, compressed
-	// Tries is the list of the newest tries of its steps, encoded and compressed.
+	// Tries is the list of the newest tries of the run's steps, encoded and compressed.
 	Tries []byte `json:"tries,omitempty"`
 }
 
@@ -169,9 +169,9 @@
 	return dag.NewPlan(g)
 }
 
-// collectParts adds records of parts to definitions, and counts them in partCounts, both by hash. Items are sorted by key, so
-// the parts of a definition are in order. If the count differs from definition.parts, the definition is incomplete:
-// its client did not finish the upload.
+// collectParts adds records of parts to definitions, and counts them in partCounts. Both maps are by hash. Items are
+// sorted by key, so the parts of a definition are in order. If the count differs from definition.parts, the definition
+// is incomplete, because its client did not finish the upload.
 func collectParts(definitions map[string]*definition, partCounts map[string]int, items []wire.Item) {
 	for _, item := range items {
 		hash, _, _ := strings.Cut(strings.TrimPrefix(item.Key, PrefixDefinition), "/")
@@ -218,7 +218,8 @@
 	return dag.DecodeRun(plan, raw)
 }
 
-// instanceJob returns the job of an instance, and the job's stored record with nowMS as the time when it was accepted.
+// instanceJob returns the job of an instance, and the job's stored record. nowMS is the time when the job is accepted, as
+// a Unix time in milliseconds.
 func instanceJob(r *dag.Run, ref dag.InstanceRef, nowMS int64) (wire.Job, json.RawMessage, error) {
 	p := r.Plan
 	dagJob := p.Steps[ref.Step].Job
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -33,8 +33,7 @@
 }
 
 // cleanUp removes from memory the plans that only finished runs refer to, and deletes definitions that have been
-// unreferenced for tuning.GraphDeleteAfter. At the same interval it calls
-// addUnregistered.
+// unreferenced for tuning.GraphDeleteAfter. Once every tuning.GraphDeleteAfter it also calls addUnregistered.
 func (g *Graphs) cleanUp(now time.Time) {
 	if g.lastListing.IsZero() {
 		g.lastListing = now // Read has just listed all definitions
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -27,7 +27,7 @@
 	inQueue         bool      // it is in Graphs.runQueue
 	dirty           bool      // it has changes that are not stored
 	storeLaterSince time.Time // when it was added to Graphs.storeLater
-	finished        bool      // it has ended and is stored as that
+	finished        bool      // it and its jobs have ended, and its record says so
 	submitOneByOne  bool      // a transaction with some of its jobs failed a condition, so its jobs are submitted one by one
 	recordBytes     int       // size of its newest record, in bytes
 	activeJobs      int       // submitted, unfinished jobs
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -318,7 +318,7 @@
 		h.completeJobs()
 	}
 	if got := len(h.list(PrefixRun)); got != tuning.GraphRetainedRuns {
-		t.Errorf("%d runs are stored, want as many as are retained", got)
+		t.Errorf("%d runs are stored, want tuning.GraphRetainedRuns", got)
 	}
 	if _, exists := h.state.Value(keyRun("the team", "g", "run4")); exists {
 		t.Error("the oldest run is not deleted")
@@ -348,7 +348,7 @@
 func TestUnregisteredUploadsAreDeleted(t *testing.T) {
 	h := newHarness(t)
 	defer h.close()
-	h.settle() // the first cleanUp sets the start of the interval to the first listing
+	h.settle() // the first cleanUp starts the interval until the next listing
 	plan := newPlan(t, step("s"))
 	cmd := h.upload(plan)
 	h.clock.Advance(tuning.GraphDeleteAfter)
@@ -362,7 +362,7 @@
 		t.Fatal("the unregistered definition is not being deleted")
 	}
 	if a := h.send(DoPut, cmd); a.status != http.StatusServiceUnavailable {
-		t.Errorf("registered while its parts are about to be deleted: %+v", a)
+		t.Errorf("registering a definition whose parts are about to be deleted: %+v, want 503", a)
 	}
 	h.settle()
 	if left := h.list(PrefixDefinition); len(left) != 0 {
@@ -400,7 +400,7 @@
 	other := h.upload(plan)
 	other.Team = "others"
 	if a := h.send(DoPut, other); a.status != http.StatusForbidden {
-		t.Errorf("registered by another team: %+v, want 403", a)
+		t.Errorf("registering the definition of another team: %+v, want 403", a)
 	}
 }
 
@@ -447,7 +447,7 @@
 	if len(h.graphs.runs) != 1000 || len(h.graphs.byJob) != 128 || gr.startedRuns != 600 || gr.activeInstances != 128 {
 		t.Fatalf("the new leader has %d runs, %d jobs, %d started runs and %d active steps", len(h.graphs.runs), len(h.graphs.byJob), gr.startedRuns, gr.activeInstances)
 	}
-	// For each step that ends, one more is submitted: of the first run that waits.
+	// Each time a step ends, one step of the first waiting run is submitted.
 	for round := range 20 {
 		h.endAttempt(h.startTask(h.liveJobs()[round]), wire.ExitDone)
 		h.settle()
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -42,7 +42,7 @@
 		gr.rec.LastMS = max(gr.rec.LastMS, meta.ToMS)
 		g.storeGraph(gr, nil)
 	}
-	ok := true
+	handled := true
 	g.createRun(gr, RunName(RunTypeScheduled, due.Begin), meta, now, func(a leader.Answer) {
 		switch {
 		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
@@ -50,16 +50,16 @@
 			// that the interval has a run.
 			recordInterval()
 		case a.Status == http.StatusServiceUnavailable:
-			ok = false // the memory limit is reached; the next tick retries
+			handled = false // the memory limit is reached; the next tick retries
 		default:
 			g.log.Error("creating a scheduled run was refused; skipping its interval", "graph", gr.rec.ID, "interval", due.Begin, "reason", a.Body)
 			recordInterval()
 		}
 	})
-	if ok {
+	if handled {
 		gr.lastIntervalEnd = due.End
 	}
-	return ok
+	return handled
 }
 
 // liveRuns returns the number of live runs, whether they have started or not.
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -15,7 +15,7 @@
 type pickedStep struct {
 	run   *liveRun
 	ref   dag.InstanceRef
-	jobID string // of the instance's job when it was picked; clearing the step changes the ID
+	jobID string // ID of the instance's job when it was picked; clearing the step changes the ID
 }
 
 // pickReady allocates slots to ready instances of a run, and has them described. If slots are missing, the run joins
@@ -40,8 +40,8 @@
 // hasRoom reports whether one more step of the graph may be submitted.
 func (gr *graph) hasRoom() bool { return gr.activeInstances < gr.rec.MaxTasks }
 
-// recheckPast moves instances that waited for the previous run to the queues of their pools, if that run has done
-// the step.
+// recheckPast moves instances that wait for the previous run to those that wait for their pools, if the same step
+// succeeded or was skipped in that run.
 func (g *Graphs) recheckPast(live *liveRun) {
 	waiting := live.waitingForPast
 	live.waitingForPast = nil
@@ -71,8 +71,8 @@
 	}
 }
 
-// pickNext picks instances that became ready since the last call, or has them wait for their pool or the previous
-// run.
+// pickNext picks instances that became ready since the last call, or adds them to those that wait for their pool or
+// the previous run.
 func (g *Graphs) pickNext(live *liveRun) {
 	for live.graph.hasRoom() {
 		refs := live.run.TakeReady(1)
--- a/internal/graphs/runner/tries.go
+++ b/internal/graphs/runner/tries.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// tryEnded records the end of the newest try of an instance, unless its start was not seen.
+// tryEnded records the end of the newest try of an instance. It does nothing if the start of that try was not recorded.
 func (live *liveRun) tryEnded(ref dag.InstanceRef, now time.Time, state dag.State) {
 	for i := len(live.tries) - 1; i >= 0; i-- {
 		if t := &live.tries[i]; t.Step == ref.Step && t.Index == ref.Index {
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -21,8 +21,8 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// harness is a leader's job store and graphs on a fake state service. The test takes the place of the leader's loop and
-// of the workers.
+// harness is a leader's job store and graphs on a fake state service. The test acts as the leader's loop and as the
+// workers.
 type harness struct {
 	t              testing.TB
 	clock          *clockwork.FakeClock
