--- a/cmd/poppypass/commands_test.go
+++ b/cmd/poppypass/commands_test.go
@@ -25,8 +25,8 @@
 	}{
 		{"no --config flag", nil, "config"},
 		{"a file that does not exist", []string{"--config", "none.toml"}, "none.toml"},
-		{"a missing field", []string{"--config", testutil.File(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
-		{"invalid properties", []string{"--config", validSettings, "--properties", testutil.File(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
+		{"a missing field", []string{"--config", testutil.TempFile(t, "s.toml", `member = "m0"`)}, "field bind is missing"},
+		{"invalid properties", []string{"--config", validSettings, "--properties", testutil.TempFile(t, "p.properties", "fleet.idle.kep=3s")}, "fleet.idle.kep"},
 	} {
 		for _, verb := range []string{"check", "serve"} {
 			if _, err := runCommand(append([]string{verb}, c.args...)...); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	propertiesFile := testutil.File(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
+	propertiesFile := testutil.TempFile(t, "own.properties", "ledger = on\nbudget.t.month.core-hours = 7\n")
 	startController(t, loaded, propertiesFile, store, cloud)
 	// runUntil repeats a job command until its output contains the given text. It fails after a minute, so
 	// that a hang is a test failure.
@@ -72,7 +72,7 @@
 	if out, err := runCommand("ledger", "verify", "--config", settingsFile, "--properties", propertiesFile); err != nil || !strings.Contains(out, "all totals are right") {
 		t.Errorf("verify printed %q, error %v", out, err)
 	}
-	jobFile := testutil.File(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
+	jobFile := testutil.TempFile(t, "job.json", `{"ref":"job-1","lane":"l","desk":"t","shape":"array","urgency":"low","seats":2,
 		"cpus":1,"gpus":0,"mem_gb":1,"bundle":"i","image_gb":1,"same_place":false,"apart":false,"standby":false,
 		"ride_s":1,"stub_s":0,"stamp_s":0}`)
 	runUntil(`"pending"`, "submit", jobFile)
@@ -116,7 +116,7 @@
 		}
 	}
 	store.Refuse(false)
-	if _, err := runCommand("job", "--addr", bind, "submit", testutil.File(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
+	if _, err := runCommand("job", "--addr", bind, "submit", testutil.TempFile(t, "bad.json", `{"ref":"job-3"}`)); err == nil || !strings.Contains(err.Error(), `"lane" is missing`) {
 		t.Errorf("submission of an invalid job returned error %v", err)
 	}
 }
--- a/cmd/poppypass/graph_backfill.go
+++ b/cmd/poppypass/graph_backfill.go
@@ -21,11 +21,11 @@
 		if err != nil {
 			return err
 		}
-		var result runner.Backfilled
+		var result runner.BackfillResult
 		if err := api.request(cmd.Context(), http.MethodPost, map[string]any{"dag_id": args[0], "from_date": first, "to_date": last}, &result, nil, "backfills"); err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d runs begun, %d intervals had one\n", result.Begun, result.Known)
+		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d runs begun, %d intervals had one\n", result.Created, result.Skipped)
 		return err
 	})
 	command.Flags().StringVar(&from, "from", "", "the first interval's begin")
--- a/cmd/poppypass/graph_check_test.go
+++ b/cmd/poppypass/graph_check_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestGraphsAreCheckedAndPrinted(t *testing.T) {
-	file := testutil.File(t, "nightly.star", `
+	file := testutil.TempFile(t, "nightly.star", `
 DAG("nightly", schedule = "@daily", start_date = "2026-12-01", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"})
 JobOperator(task_id = "a", estimate_s = 60) >> [JobOperator(task_id = "b", estimate_s = 30), EmptyOperator(task_id = "c")]
 `)
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rechecked, err := runCommand("graph", "check", testutil.File(t, "nightly.json", out), "--output", "json"); err != nil || rechecked != out {
+	if rechecked, err := runCommand("graph", "check", testutil.TempFile(t, "nightly.json", out), "--output", "json"); err != nil || rechecked != out {
 		t.Errorf("check of the JSON output printed %q, error %v", rechecked, err)
 	}
 	for _, c := range []struct{ name, text, want string }{
@@ -36,7 +36,7 @@
 		{"g.json", "{\"dag_id\": 3}", "g.json:1:13: "},
 		{"g.json", "{} {}", "follows"},
 	} {
-		if out, err := runCommand("graph", "check", testutil.File(t, c.name, c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if out, err := runCommand("graph", "check", testutil.TempFile(t, c.name, c.text)); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("check of %s printed %q, error %v", c.text, out, err)
 		}
 	}
--- a/cmd/poppypass/graph_commands_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -32,7 +32,7 @@
 			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
 		},
 	}
-	startController(t, settings, testutil.File(t, "own.properties", properties), store, cloud)
+	startController(t, settings, testutil.TempFile(t, "own.properties", properties), store, cloud)
 	return settings.Bind
 }
 
@@ -61,7 +61,7 @@
 	}))
 	defer descriptionServer.Close()
 	addr := serveGraphs(t, "graphs = on\n")
-	file := testutil.File(t, "g.star", `
+	file := testutil.TempFile(t, "g.star", `
 DAG("g", default_args = {"cpus": 1, "memory_gb": 1, "image": "i", "job_class": "c"}, tags = ["x"])
 EmptyOperator(task_id = "begin") >> JobOperator(task_id = "work", estimate_s = 60) >> JobOperator(task_id = "end", estimate_s = 30)
 `)
@@ -146,7 +146,7 @@
 		fmt.Fprintf(&b, `{"task_id":"a-step-with-a-name-%d","kind":"job","job":{"class":"c","cpus":1,"memory_gb":1,"image":"i","estimate_s":%d}}`, i*7919%10_000, 1+i*31%977)
 	}
 	b.WriteString("]}")
-	file := testutil.File(t, "large.json", b.String())
+	file := testutil.TempFile(t, "large.json", b.String())
 	if out, err := runGraphCommand(t, addr, "submit", file); err != nil || !strings.Contains(out, "10000 steps") {
 		t.Fatalf("submit printed %q, error %v", out, err)
 	}
--- a/cmd/poppypass/graph_trigger.go
+++ b/cmd/poppypass/graph_trigger.go
@@ -53,7 +53,7 @@
 	now := time.Now().UTC()
 	runID := flags.runID
 	if runID == "" {
-		runID = runner.RunName(runner.Manual, now)
+		runID = runner.DefaultRunID(runner.RunTypeManual, now)
 	}
 	if flags.conf != "" && !json.Valid([]byte(flags.conf)) {
 		return nil, errors.New("--conf is not JSON")
@@ -81,8 +81,8 @@
 // uploadDescriptions uploads the descriptions of those steps of a run that are known before it begins, in
 // batches. The run may be triggered afterwards.
 func uploadDescriptions(ctx context.Context, plan *dag.Plan, runID, url string, conf json.RawMessage, logicalDate time.Time) error {
-	steps := runner.Foreseen(plan, runID, conf, logicalDate)
-	source := &runner.HTTPSource{URL: url, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
+	steps := runner.DescriptionsBeforeStart(plan, runID, conf, logicalDate)
+	source := &runner.HTTPDescriptionSource{URL: url, Client: httpjson.NewClient(1, 1, 0, clientTimeout)}
 	for start := 0; start < len(steps); start += tuning.DescribeBatchSteps {
 		batchCtx, cancel := context.WithTimeout(ctx, tuning.DescribeTimeout)
 		err := source.Describe(batchCtx, steps[start:min(len(steps), start+tuning.DescribeBatchSteps)])
--- a/cmd/poppypass/helpers_test.go
+++ b/cmd/poppypass/helpers_test.go
@@ -29,7 +29,7 @@
 // writeSettings writes a settings file for member m0 and returns its path.
 func writeSettings(t *testing.T, bind, state, cloud string) string {
 	t.Helper()
-	return testutil.File(t, "settings.toml", fmt.Sprintf(`
+	return testutil.TempFile(t, "settings.toml", fmt.Sprintf(`
 member = "m0"
 bind = %q
 mesh_addr = %q
--- a/cmd/poppypass/job.go
+++ b/cmd/poppypass/job.go
@@ -19,8 +19,8 @@
 	command.AddCommand(
 		jobSubmitCommand(&api),
 		jobRequestCommand(&api, "get ID", "Show a job's state", http.MethodGet, ""),
-		jobRequestCommand(&api, "why ID", "Say what a job's tasks wait for", http.MethodGet, "/"+wire.EndExplain),
-		jobRequestCommand(&api, "cancel ID", "Cancel a job", http.MethodPost, "/"+wire.EndCancel),
+		jobRequestCommand(&api, "why ID", "Say what a job's tasks wait for", http.MethodGet, "/"+wire.PathEndExplain),
+		jobRequestCommand(&api, "cancel ID", "Cancel a job", http.MethodPost, "/"+wire.PathEndCancel),
 	)
 	return command
 }
--- a/cmd/poppypass/ledger.go
+++ b/cmd/poppypass/ledger.go
@@ -57,7 +57,7 @@
 	seen := map[chargeKey]bool{} // while a charge is rolled up, a later page may contain it again
 	for after := ""; ; {
 		var page ledger.ChargesPage
-		if err := a.get(ctx, wire.PathJobs+"/"+url.PathEscape(job)+"/"+wire.EndCharges+"?after="+url.QueryEscape(after), &page); err != nil {
+		if err := a.get(ctx, wire.PathJobs+"/"+url.PathEscape(job)+"/"+wire.PathEndCharges+"?after="+url.QueryEscape(after), &page); err != nil {
 			return nil, err
 		}
 		for _, c := range page.Charges {
--- a/internal/accounting/ledger/handler.go
+++ b/internal/accounting/ledger/handler.go
@@ -24,12 +24,12 @@
 	readerMu sync.Mutex
 }
 
-// Routes registers the handler's paths with mux.
-func (h *Handler) Routes(mux *http.ServeMux) {
+// RegisterRoutes registers the handler's paths with mux.
+func (h *Handler) RegisterRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathTotals, h.serveTotals)
 	mux.HandleFunc("GET "+PathBudgets, h.relayToLeader)
 	mux.HandleFunc("GET "+PathStats, h.relayToLeader)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndCharges, h.serveCharges)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.PathEndCharges, h.serveCharges)
 }
 
 // relayToLeader serves a request with the leader's answer.
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -15,7 +15,7 @@
 // transaction, and a task that fails repeatedly until its charges exceed the size limit of its record.
 func TestManyChargesOfAJobFitTheStateService(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.submit(arrayJob("job-1", 40*tuning.ChunkTasks))
+	tl.submit(arrayJob("job-1", 40*tuning.TasksPerChunk))
 	for tl.allocate("job-1") != nil {
 	}
 	tl.commitAll()
@@ -53,7 +53,7 @@
 	tl.maxTxnOps = 40
 	tl.newTerm()
 	for i := range 30 {
-		j := arrayJob(fmt.Sprintf("job-%d", i), 2*tuning.ChunkTasks)
+		j := arrayJob(fmt.Sprintf("job-%d", i), 2*tuning.TasksPerChunk)
 		j.Class = strings.Repeat("a long name of a class ", 8)
 		tl.submit(j)
 	}
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -33,8 +33,8 @@
 // ZoneLease permits renewals on behalf of the leader without the state service, for machines of this member's own
 // zone.
 type ZoneLease interface {
-	// MayRenew reports whether this member may answer a machine of a zone now. If so, it notes the machine as answered.
-	MayRenew(machine, zone string) bool
+	// TryRenew reports whether this member may answer a machine of a zone now. If so, it notes the machine as answered.
+	TryRenew(machine, zone string) bool
 	// Isolated reports whether the state service has not answered this member for a while.
 	Isolated() bool
 }
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -29,7 +29,7 @@
 
 func (grantingLeases) Acquire(context.Context, string) error { return nil }
 
-func (grantingLeases) MayRenew(string, string) bool { return false }
+func (grantingLeases) TryRenew(string, string) bool { return false }
 func (grantingLeases) Isolated() bool               { return false }
 
 // newFollower makes the handler of a member that does not lead.
@@ -79,7 +79,7 @@
 	p := newPeers(4)
 	h := newFollower(clock, p, grantingLeases{})
 	hb := &wire.Heartbeat{Machine: "n-1", Incarnation: 1, FencingToken: 3, Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}}
-	for range tuning.LeaderPingsMissed {
+	for range tuning.LeaderPingsMissedMin {
 		if p.LeaderUnreachable("m0") {
 			t.Error("fewer missed pings than LeaderPingsMissed count as a partition")
 		}
@@ -100,7 +100,7 @@
 		clock.Advance(tuning.LeaderRedirectAfter)
 	}
 	h.peers = newPeers(1)
-	for range tuning.LeaderPingsMissed {
+	for range tuning.LeaderPingsMissedMin {
 		h.peers.NotePing("m0", true)
 	}
 	if !renewed() {
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.FollowerLeaseTimeout)
 	defer cancel()
-	if !h.zoneLease.MayRenew(hb.Machine, hb.Zone) {
+	if !h.zoneLease.TryRenew(hb.Machine, hb.Zone) {
 		if err := h.leases.Acquire(ctx, hb.Machine); err != nil {
 			return reply, false
 		}
--- a/internal/clients/statestore/lease.go
+++ b/internal/clients/statestore/lease.go
@@ -31,7 +31,7 @@
 // revoked.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	status, err := c.call(ctx, request{
-		timeout: tuning.LeaseCallTimeout, method: http.MethodPost, path: leasePath(lease) + "/" + wire.EndRenew,
+		timeout: tuning.LeaseCallTimeout, method: http.MethodPost, path: leasePath(lease) + "/" + wire.PathEndRenew,
 		decode: httpjson.IfOK(nil),
 	})
 	switch {
--- a/internal/clients/statestore/read.go
+++ b/internal/clients/statestore/read.go
@@ -47,7 +47,7 @@
 	var revision uint64
 	after := ""
 	for first := true; ; first = false {
-		result, err := c.List(ctx, prefix, after, tuning.LoadPageKeys)
+		result, err := c.List(ctx, prefix, after, tuning.KeysPerLoadPage)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -149,7 +149,7 @@
 		t.Fatal("the campaign failed")
 	}
 	state.DelayTransactions(func(txn wire.Txn) bool { return txn.Then[0].Put == prefixFencing+"b" })
-	if elector.updateFencing(t.Context(), leadership); elector.fencing.member != "" || state.HeldTransactions() != 1 {
+	if elector.updateFencing(t.Context(), leadership); elector.fencing.member != "" || state.UndeliveredRequests() != 1 {
 		t.Fatal("relies on a fencing lease although the transaction got no answer")
 	}
 	state.DelayTransactions(nil)
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -74,14 +74,14 @@
 	}
 }
 
-// LeaderUnreachable reports whether no answer at all arrived to the last tuning.LeaderPingsMissed pings of the
+// LeaderUnreachable reports whether no answer at all arrived to the last tuning.LeaderPingsMissedMin pings of the
 // leader. The leader then counts as cut off from this member. A refused connection does not count as a partition: a
 // process that ended refuses connections, and a packet filter may refuse those between controllers while it lets
 // workers' connections pass.
 func (p *Peers) LeaderUnreachable(leader string) bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	return leader == p.health.leader && p.health.missedPings >= tuning.LeaderPingsMissed
+	return leader == p.health.leader && p.health.missedPings >= tuning.LeaderPingsMissedMin
 }
 
 func (p *Peers) noteLeaderMemoryFull(full bool) {
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -47,7 +47,7 @@
 				incarnation, answeredBy = incarnation+1, -1 // the lease expired: a new incarnation begins
 			}
 			answerer := r.IntN(3)
-			if answerer == 2 && h.tryAcquire("n-1") || answerer < 2 && members[answerer].MayRenew("n-1", "a") {
+			if answerer == 2 && h.tryAcquire("n-1") || answerer < 2 && members[answerer].TryRenew("n-1", "a") {
 				if lastAnswered = h.clock.Now(); answeredBy != answerer {
 					answererChanges++
 				}
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -59,7 +59,7 @@
 func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
 		store: store, clock: clock, log: log, member: s.Member, maxValueKB: s.Cluster.State.ValueKB,
-		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.InboxMessages),
+		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.InboxCapacity),
 		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
 }
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -83,8 +83,8 @@
 	return z.ttl + z.reportedFor() + tuning.FollowerLeaseExtra
 }
 
-// MayRenew reports whether a machine of a zone may be answered now. If so, it notes the machine as answered.
-func (z *ZoneLease) MayRenew(machine, zone string) bool {
+// TryRenew reports whether a machine of a zone may be answered now. If so, it notes the machine as answered.
+func (z *ZoneLease) TryRenew(machine, zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	now := z.clock.Now()
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -71,16 +71,16 @@
 
 func TestZoneLeaseOutlastsAPartition(t *testing.T) {
 	h := newZoneHarness(t)
-	if h.MayRenew("n-1", "a") {
+	if h.TryRenew("n-1", "a") {
 		t.Error("answers before the zone lease is recorded")
 	}
 	h.Renew(t.Context())
-	if !h.MayRenew("n-1", "a") || h.MayRenew("n-2", "b") {
+	if !h.TryRenew("n-1", "a") || h.TryRenew("n-2", "b") {
 		t.Error("answers another zone's machines, or not its own")
 	}
 	h.state.Refuse(true) // the zone is cut off
 	partitionedAt := h.clock.Now()
-	for h.MayRenew("n-1", "a") {
+	for h.TryRenew("n-1", "a") {
 		h.advance(time.Second)
 		h.Renew(t.Context())
 		if wantIsolated := h.clock.Since(partitionedAt) > 2*tuning.ZoneLeaseRenewEvery; h.Isolated() != wantIsolated {
@@ -91,7 +91,7 @@
 		t.Errorf("answers for %v after it was cut off", d)
 	}
 	h.state.Refuse(false)
-	if h.Renew(t.Context()); !h.MayRenew("n-1", "a") || h.Isolated() {
+	if h.Renew(t.Context()); !h.TryRenew("n-1", "a") || h.Isolated() {
 		t.Error("does not answer after the partition")
 	}
 }
@@ -102,7 +102,7 @@
 	h := newZoneHarness(t)
 	h.Renew(t.Context())
 	h.advance(time.Minute)
-	h.MayRenew("n-1", "a")
+	h.TryRenew("n-1", "a")
 	h.restart()
 	if h.concludes("n-1", true) {
 		t.Error("concluded although the restarted member cannot know what its earlier process answered")
@@ -125,7 +125,7 @@
 		Member: "m1", Zone: "a", Cluster: config.Cluster{Workers: config.Workers{LeaseS: tuning.StateLeaseMaxTTL.Seconds()}},
 	}, h.store, h.clock, h.log)
 	h.Run(t.Context()) // returns at once
-	if h.MayRenew("n-1", "a") {
+	if h.TryRenew("n-1", "a") {
 		t.Error("answers without a zone lease")
 	}
 }
@@ -153,7 +153,7 @@
 				}
 			case n < 80:
 				if lastAnswered.IsZero() || h.clock.Since(lastAnswered) < zoneWorkerLease {
-					if h.MayRenew("n-1", "a") {
+					if h.TryRenew("n-1", "a") {
 						lastAnswered = h.clock.Now()
 						answers++
 					}
@@ -190,19 +190,19 @@
 	h.restart()
 	h.clockError = clockError
 	h.Renew(t.Context())
-	if h.MayRenew("n-1", "a") || h.Claim() != nil {
+	if h.TryRenew("n-1", "a") || h.Claim() != nil {
 		t.Error("answers without any zone lease")
 	}
 	for _, unusable := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
-		if h.Inherit([]byte(unusable)); h.MayRenew("n-1", "a") {
+		if h.Inherit([]byte(unusable)); h.TryRenew("n-1", "a") {
 			t.Errorf("answers after it inherited %q", unusable)
 		}
 	}
 	h.Inherit(claim)
-	if h.MayRenew("n-2", "b") {
+	if h.TryRenew("n-2", "b") {
 		t.Error("answers another zone's machine")
 	}
-	for h.MayRenew("n-1", "a") {
+	for h.TryRenew("n-1", "a") {
 		if h.advance(time.Second); h.clock.Now().After(leaseEnd) {
 			t.Fatal("answers beyond the end of its earlier process's zone lease")
 		}
@@ -219,7 +219,7 @@
 	if !h.concludes("n-1", true) || h.concludes("n-1", false) {
 		t.Error("not concluded a lease after the last answer, or concluded without the member's answer while the record is stored")
 	}
-	if h.Renew(t.Context()); !h.MayRenew("n-1", "a") || h.Claim() == nil {
+	if h.Renew(t.Context()); !h.TryRenew("n-1", "a") || h.Claim() == nil {
 		t.Error("has no zone lease of its own once the state service answers again")
 	}
 }
@@ -232,10 +232,10 @@
 	const remaining = time.Minute
 	h.Inherit(wire.EncodeRecord(claim{Zone: "a", UntilMS: h.clock.Now().Add(remaining).UnixMilli()}))
 	h.advance(remaining - 2*h.clockError - 10*time.Millisecond)
-	if !h.MayRenew("n-1", "a") {
+	if !h.TryRenew("n-1", "a") {
 		t.Error("ends too early")
 	}
-	if h.advance(10 * time.Millisecond); h.MayRenew("n-1", "a") {
+	if h.advance(10 * time.Millisecond); h.TryRenew("n-1", "a") {
 		t.Error("answers though the lease may have ended by the clock that gave its end")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,7 +75,7 @@
 	c.peers.SetElector(c.elector)
 	c.store = store.WithShare(c.memberShare(tuning.LeaderRateShare))
 	c.catalog = &instancetypes.Catalog{
-		Cloud: c.cloud, Store: c.store, ValueKB: settings.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
+		Cloud: c.cloud, Store: c.store, MaxValueKB: settings.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
 	}
 	c.followerLeases = workerlease.NewFollowerLeases(settings, c.store, c.clock, c.log)
 	c.zoneLease = workerlease.NewZoneLease(settings, c.store, c.clock, c.log)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -205,12 +205,12 @@
 	h.cloud.LoseRentAnswers(2)
 	h.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
-		h.until("the cloud has got the rental request", func() bool { return len(h.cloud.Rents()) >= n })
+		h.until("the cloud has got the rental request", func() bool { return len(h.cloud.RentRequests()) >= n })
 		h.advanceWhenIdle(tuning.CloudRetryPause)
 	}
-	h.until("the cloud has got the request that it answers", func() bool { return len(h.cloud.Rents()) >= 3 })
+	h.until("the cloud has got the request that it answers", func() bool { return len(h.cloud.RentRequests()) >= 3 })
 	names := map[string]bool{}
-	for _, r := range h.cloud.Rents() {
+	for _, r := range h.cloud.RentRequests() {
 		names[r.Request] = true
 	}
 	if len(names) != 1 || len(h.cloud.Machines()) != 1 {
@@ -226,7 +226,7 @@
 	h.stop()
 	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
-	h.cloud.Refuse(true)
+	h.cloud.RefuseMachineTypes(true)
 	h.boot()
 	h.submit("job-1", 1)
 	worker := h.worker("n-000001", "a")
--- a/internal/controller/late_answers_test.go
+++ b/internal/controller/late_answers_test.go
@@ -48,9 +48,9 @@
 		return len(worker.hb.Tasks) == 1
 	})
 	h.state.Refuse(true)
-	refused := h.state.Refused()
+	refused := h.state.RefusedTransactions()
 	finish("job-2")
-	h.until("the state service has refused the final state", func() bool { return h.state.Refused() > refused })
+	h.until("the state service has refused the final state", func() bool { return h.state.RefusedTransactions() > refused })
 	h.until("the leader answers polls of job-2", func() bool { return h.jobState("job-2") != "Service Unavailable" })
 	if s := h.jobState("job-2"); s != "running" && s != "pending" {
 		t.Errorf("job-2 is reported as %s in the outage, want running or pending", s)
@@ -63,8 +63,8 @@
 	h := newHarness(t)
 	h.until("there is a leader", func() bool { return h.c.leader() != nil })
 	h.state.DelayTransactions(func(txn wire.Txn) bool { return txn.Then[0].Put == jobs.KeyJob("job-1") })
-	if status, _ := h.call("POST", "/v2/runs", job("job-1", 1)); status != http.StatusServiceUnavailable || h.state.HeldTransactions() != 1 {
-		t.Fatalf("the submission got status %d, and %d transactions are delayed; want 503 and 1", status, h.state.HeldTransactions())
+	if status, _ := h.call("POST", "/v2/runs", job("job-1", 1)); status != http.StatusServiceUnavailable || h.state.UndeliveredRequests() != 1 {
+		t.Fatalf("the submission got status %d, and %d transactions are delayed; want 503 and 1", status, h.state.UndeliveredRequests())
 	}
 	h.state.DelayTransactions(nil)
 	h.submit("job-1", 1)
@@ -104,14 +104,14 @@
 	h.boot()
 	worker := h.worker("n-000001", "a")
 	h.until("heartbeats are answered", func() bool { return worker.heartbeat() == http.StatusOK })
-	h.state.DelayAnswers(func() time.Duration { return time.Hour }) // no renewal is answered
+	h.state.DelayRequests(func() time.Duration { return time.Hour }) // no renewal is answered
 	stall := func() { h.clock.Advance(tuning.LeaderLeaseTTL) }
 	observer.onReply.Store(&stall)
 	if status := worker.heartbeat(); status != http.StatusServiceUnavailable {
 		t.Errorf("the heartbeat got status %d after the leader's lease expired, want 503", status)
 	}
 	observer.onReply.Store(nil)
-	h.state.DelayAnswers(nil)
+	h.state.DelayRequests(nil)
 	h.clock.Advance(time.Hour)
 	h.until("heartbeats are answered again", func() bool { return worker.heartbeat() == http.StatusOK })
 }
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -21,7 +21,7 @@
 	h.stop()
 	h.clock.Advance(2 * tuning.LeaderLeaseTTL)
 	h.state.Expire()
-	h.properties = testutil.File(t, "own.properties", properties)
+	h.properties = testutil.TempFile(t, "own.properties", properties)
 	h.boot()
 	return h
 }
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -94,15 +94,15 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathJobs, c.userAPI.ServeSubmit)
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", c.userAPI.ServeStatus)
-	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.EndCancel, c.userAPI.ServeCancel)
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.EndExplain, c.userAPI.ServeExplanation)
+	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/"+wire.PathEndCancel, c.userAPI.ServeCancel)
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}/"+wire.PathEndExplain, c.userAPI.ServeExplanation)
 	mux.HandleFunc("GET "+wire.PathHealth, c.userAPI.ServeHealth)
 	mux.HandleFunc("POST "+wire.PathHeartbeat, c.workerAPI.ServeHeartbeat)
 	if c.ledger != nil {
-		c.ledger.Routes(mux)
+		c.ledger.RegisterRoutes(mux)
 	}
 	if c.graphs != nil {
-		c.graphs.Routes(mux)
+		c.graphs.RegisterRoutes(mux)
 	}
 	return mux
 }
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -25,7 +25,7 @@
 	if enabled, descriptionsURL := c.operatorSettings.Graphs(); enabled {
 		c.addGraphs(descriptionsURL)
 	}
-	if c.operatorSettings.Ledger() {
+	if c.operatorSettings.LedgerEnabled() {
 		return c.addLedger()
 	}
 	return nil
@@ -59,19 +59,19 @@
 func (c *Controller) addGraphs(descriptionsURL string) {
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
-		Clock:      c.clock,
-		TxnOps:     cluster.State.TxnOps - 1, // the leader's guard condition counts as an operation too
-		ValueKB:    cluster.State.ValueKB,
-		Bytes:      int(cluster.Limits.RAMMB * tuning.GraphMemoryShare * (1 << 20)),
-		Impossible: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
-		Jitter:     rand.Float64,
-		Pools:      c.operatorSettings.PoolSlots,
+		Clock:            c.clock,
+		MaxTxnChanges:    cluster.State.TxnOps - 1, // the leader's guard condition counts as an operation too
+		MaxValueKiB:      cluster.State.ValueKB,
+		MaxMemoryBytes:   int(cluster.Limits.RAMMB * tuning.GraphMemoryShare * (1 << 20)),
+		ImpossibleReason: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
+		Jitter:           rand.Float64,
+		Pools:            c.operatorSettings.PoolSlots,
 	}
 	if descriptionsURL != "" {
-		cfg.Source = &runner.HTTPSource{URL: descriptionsURL, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
+		cfg.DescriptionSource = &runner.HTTPDescriptionSource{URL: descriptionsURL, Client: httpjson.NewClient(1, 1, 1, tuning.DescribeTimeout)}
 	}
 	c.graphs = &airflow.Handler{
-		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log, Do: c.commandLeader, Ask: c.queryLeader,
+		Reader: runner.NewReader(c.store.LowPriority()), Clock: c.clock, Log: c.log, SendCommand: c.commandLeader, SendQuery: c.queryLeader,
 	}
 	c.env.Subsystems = append(c.env.Subsystems, func(log *slog.Logger) (leader.Subsystem, error) { return runner.New(cfg, log) })
 }
--- a/internal/graphs/airflow/answers.go
+++ b/internal/graphs/airflow/answers.go
@@ -83,7 +83,7 @@
 	_, _ = w.Write(raw) // the client may have disconnected; there is nothing to do about it
 }
 
-// problemOf returns the problem that a client receives for an error. A problem is returned unchanged, and runner.ErrNone
+// problemOf returns the problem that a client receives for an error. A problem is returned unchanged, and runner.ErrNotFound
 // becomes a 404. Any other error becomes a 503: it is a failure to read or write stored records or to decode the leader's
 // answer.
 func (h *Handler) problemOf(err error) *problem {
@@ -91,7 +91,7 @@
 	switch {
 	case errors.As(err, &p):
 		return p
-	case errors.Is(err, runner.ErrNone):
+	case errors.Is(err, runner.ErrNotFound):
 		return newProblem(http.StatusNotFound, "Not Found", "it is not known")
 	default:
 		h.Log.Debug("graph request failed; answering 503", "err", err)
--- a/internal/graphs/airflow/backfill.go
+++ b/internal/graphs/airflow/backfill.go
@@ -21,11 +21,11 @@
 	if body.From.IsZero() || body.To.Before(body.From) {
 		return nil, badRequest("from_date is missing, or behind to_date")
 	}
-	answer, err := h.execute(r, runner.DoBackfill, runner.Order{Graph: body.DAG, From: body.From, To: body.To})
+	answer, err := h.execute(r, runner.CommandBackfill, runner.Command{Graph: body.DAG, From: body.From, To: body.To})
 	if err != nil {
 		return nil, err
 	}
-	var begun runner.Backfilled
+	var begun runner.BackfillResult
 	if err := json.Unmarshal(answer.body, &begun); err != nil {
 		return nil, fmt.Errorf("decode the leader's answer to a backfill: %w", err)
 	}
--- a/internal/graphs/airflow/branches_test.go
+++ b/internal/graphs/airflow/branches_test.go
@@ -225,11 +225,11 @@
 	store := statestore.New(state.Addr(), 1e6, 1e6)
 	h := &Handler{
 		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Do:  func(context.Context, leader.Command) (int, json.RawMessage) { return status, json.RawMessage(body) },
-		Ask: func(context.Context, string) (int, json.RawMessage) { return status, json.RawMessage(body) },
+		SendCommand: func(context.Context, leader.Command) (int, json.RawMessage) { return status, json.RawMessage(body) },
+		SendQuery:   func(context.Context, string) (int, json.RawMessage) { return status, json.RawMessage(body) },
 	}
 	mux := http.NewServeMux()
-	h.Routes(mux)
+	h.RegisterRoutes(mux)
 	storeFormatRecords(t, store, h.Reader)
 	return mux
 }
@@ -276,12 +276,12 @@
 	state.Close()
 	h := &Handler{
 		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Ask: func(context.Context, string) (int, json.RawMessage) {
+		SendQuery: func(context.Context, string) (int, json.RawMessage) {
 			return http.StatusServiceUnavailable, nil
 		},
 	}
 	mux := http.NewServeMux()
-	h.Routes(mux)
+	h.RegisterRoutes(mux)
 	checkAnswers(t, "state-unavailable", mux, []clientRequest{
 		{"GET", "/dags", ""},
 		{"GET", formatRunPath, ""},
--- a/internal/graphs/airflow/clearing.go
+++ b/internal/graphs/airflow/clearing.go
@@ -71,8 +71,8 @@
 		return nil, badRequest("%s", err)
 	}
 	if !c.isDryRun() {
-		order := runner.Order{Graph: r.dagID(), Run: c.Run, Steps: c.Steps, Below: c.Downstream, OnlyFailed: c.isOnlyFailed()}
-		if _, err := h.execute(r, runner.DoClear, order); err != nil {
+		order := runner.Command{Graph: r.dagID(), Run: c.Run, Steps: c.Steps, Downstream: c.Downstream, OnlyFailed: c.isOnlyFailed()}
+		if _, err := h.execute(r, runner.CommandClear, order); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/graphs/airflow/formats_test.go
+++ b/internal/graphs/airflow/formats_test.go
@@ -84,16 +84,16 @@
 	fixture := &formatFixture{mux: http.NewServeMux()}
 	handler := &Handler{
 		Reader: runner.NewReader(store), Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Do: func(_ context.Context, c leader.Command) (int, json.RawMessage) {
+		SendCommand: func(_ context.Context, c leader.Command) (int, json.RawMessage) {
 			fixture.leaderRequests = append(fixture.leaderRequests, c.URI+" "+string(c.Body))
 			return http.StatusOK, json.RawMessage(`{"begun":1,"known":2}`)
 		},
-		Ask: func(_ context.Context, uri string) (int, json.RawMessage) {
+		SendQuery: func(_ context.Context, uri string) (int, json.RawMessage) {
 			fixture.leaderRequests = append(fixture.leaderRequests, uri)
-			return http.StatusOK, wire.EncodeRecord([]runner.PoolView{{Name: "gpu", Slots: 4, Used: 1, Waits: 2}})
+			return http.StatusOK, wire.EncodeRecord([]runner.PoolView{{Name: "gpu", Slots: 4, Used: 1, Waiting: 2}})
 		},
 	}
-	handler.Routes(fixture.mux)
+	handler.RegisterRoutes(fixture.mux)
 	storeFormatRecords(t, store, handler.Reader)
 	return fixture
 }
@@ -102,7 +102,7 @@
 func storeFormatRecords(t *testing.T, store *statestore.Client, reader *runner.Reader) {
 	t.Helper()
 	graph := formatDefinition()
-	hash, _, err := reader.Store(t.Context(), graph)
+	hash, _, err := reader.StoreDefinition(t.Context(), graph)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/graphs/airflow/handler.go
+++ b/internal/graphs/airflow/handler.go
@@ -33,20 +33,20 @@
 // Handler serves the API. It is safe for concurrent use.
 type Handler struct {
 	Reader *runner.Reader
-	// Do sends a command to the leader and returns the leader's answer.
-	Do func(ctx context.Context, c leader.Command) (status int, body json.RawMessage)
-	// Ask sends a query, given as a path and query string, to the leader and returns the leader's answer.
-	Ask   func(ctx context.Context, uri string) (status int, body json.RawMessage)
-	Clock clockwork.Clock
-	Log   *slog.Logger
+	// SendCommand sends a command to the leader and returns the leader's answer.
+	SendCommand func(ctx context.Context, c leader.Command) (status int, body json.RawMessage)
+	// SendQuery sends a query, given as a path and query string, to the leader and returns the leader's answer.
+	SendQuery func(ctx context.Context, uri string) (status int, body json.RawMessage)
+	Clock     clockwork.Clock
+	Log       *slog.Logger
 }
 
 // endpoint handles a team's request and returns the body of the answer. A value is encoded as JSON and sent with
 // status 200; a response carries its own status; nil is answered with 204 and no body. writeError answers errors.
 type endpoint func(*request) (any, error)
 
-// Routes registers the API's paths with a mux.
-func (h *Handler) Routes(mux *http.ServeMux) {
+// RegisterRoutes registers the API's paths with a mux.
+func (h *Handler) RegisterRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+PathAPI+"/health", h.serveHealth)
 	mux.HandleFunc("GET "+PathAPI+"/version", serveVersion)
 	mux.HandleFunc("GET "+PathAPI+"/schema", serveSchema)
--- a/internal/graphs/airflow/instancelist.go
+++ b/internal/graphs/airflow/instancelist.go
@@ -16,7 +16,7 @@
 	}
 	step, ok := run.Run.Plan.Index[r.taskID()]
 	if !ok {
-		return nil, 0, runner.ErrNone
+		return nil, 0, runner.ErrNotFound
 	}
 	return run, step, nil
 }
@@ -82,7 +82,7 @@
 	if index < 0 {
 		return nil, newProblem(http.StatusNotFound, "Task instance is mapped", "the step is mapped; name a map_index")
 	}
-	return nil, runner.ErrNone
+	return nil, runner.ErrNotFound
 }
 
 // mapIndex returns the map index in the path; unmapped if there is none.
@@ -93,7 +93,7 @@
 	}
 	index, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, runner.ErrNone
+		return 0, runner.ErrNotFound
 	}
 	return index, nil
 }
--- a/internal/graphs/airflow/lists_test.go
+++ b/internal/graphs/airflow/lists_test.go
@@ -30,7 +30,7 @@
 	storeFormatRecords(t, store, h.Reader)
 
 	graph := formatDefinition()
-	hash, _, err := h.Reader.Store(t.Context(), graph)
+	hash, _, err := h.Reader.StoreDefinition(t.Context(), graph)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	mux := http.NewServeMux()
-	h.Routes(mux)
+	h.RegisterRoutes(mux)
 	return mux
 }
 
--- a/internal/graphs/airflow/pools.go
+++ b/internal/graphs/airflow/pools.go
@@ -24,7 +24,7 @@
 		Used:      p.Used,
 		Queued:    p.Used,
 		Open:      max(0, p.Slots-p.Used),
-		Scheduled: p.Waits,
+		Scheduled: p.Waiting,
 	}
 }
 
@@ -67,5 +67,5 @@
 			return v, nil
 		}
 	}
-	return nil, runner.ErrNone
+	return nil, runner.ErrNotFound
 }
--- a/internal/graphs/airflow/registration.go
+++ b/internal/graphs/airflow/registration.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, err
 	}
-	order := runner.Order{Graph: r.dagID(), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}
-	answer, err := h.execute(r, runner.DoPut, order)
+	order := runner.Command{Graph: r.dagID(), Def: body.Definition, Parts: body.Parts, Paused: body.Paused}
+	answer, err := h.execute(r, runner.CommandRegister, order)
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return body, badRequest("%s", httpjson.OneLine(err))
 	}
-	body.Definition, body.Parts, err = h.Reader.Store(r.Context(), graph)
+	body.Definition, body.Parts, err = h.Reader.StoreDefinition(r.Context(), graph)
 	return body, err
 }
 
@@ -80,10 +80,10 @@
 	parts, errParts := strconv.Atoi(r.query.Get("of"))
 	raw, errBody := io.ReadAll(io.LimitReader(r.Body, tuning.GraphPartMaxBytes+1)) // StorePart refuses more than tuning.GraphPartMaxBytes
 	if errors.Join(errPart, errParts, errBody) != nil {
-		return nil, badRequest("%s", runner.ErrPart)
+		return nil, badRequest("%s", runner.ErrInvalidPart)
 	}
 	err := h.Reader.StorePart(r.Context(), r.PathValue("hash"), part, parts, raw)
-	if errors.Is(err, runner.ErrPart) {
+	if errors.Is(err, runner.ErrInvalidPart) {
 		return nil, badRequest("%s", err)
 	}
 	return nil, err
@@ -100,7 +100,7 @@
 	if body.Paused == nil {
 		return nil, badRequest("is_paused is missing: nothing else of a DAG can be changed by this")
 	}
-	if _, err := h.execute(r, runner.DoPause, runner.Order{Graph: r.dagID(), Paused: body.Paused}); err != nil {
+	if _, err := h.execute(r, runner.CommandPause, runner.Command{Graph: r.dagID(), Paused: body.Paused}); err != nil {
 		return nil, err
 	}
 	return h.getDAG(r)
@@ -108,6 +108,6 @@
 
 // deleteDAG deletes a graph and its runs.
 func (h *Handler) deleteDAG(r *request) (any, error) {
-	_, err := h.execute(r, runner.DoRemove, runner.Order{Graph: r.dagID()})
+	_, err := h.execute(r, runner.CommandDeleteGraph, runner.Command{Graph: r.dagID()})
 	return nil, err
 }
--- a/internal/graphs/airflow/results.go
+++ b/internal/graphs/airflow/results.go
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	if r.PathValue("key") != resultKey || run.Run.Result(step) == nil {
-		return nil, runner.ErrNone
+		return nil, runner.ErrNotFound
 	}
 	return viewResult(run, step), nil
 }
@@ -59,8 +59,8 @@
 	if body.Key != resultKey || len(body.Value) == 0 {
 		return nil, badRequest("key is %q and has to be %s, and value is what the step leaves", body.Key, resultKey)
 	}
-	order := runner.Order{Graph: r.dagID(), Run: r.runID(), Step: r.taskID(), Result: body.Value}
-	if _, err := h.execute(r, runner.DoPush, order); err != nil {
+	order := runner.Command{Graph: r.dagID(), Run: r.runID(), Step: r.taskID(), Result: body.Value}
+	if _, err := h.execute(r, runner.CommandSetResult, order); err != nil {
 		return nil, err
 	}
 	return response{http.StatusCreated, map[string]any{"key": resultKey, "value": body.Value}}, nil
--- a/internal/graphs/airflow/runs.go
+++ b/internal/graphs/airflow/runs.go
@@ -37,7 +37,7 @@
 		IntervalEnd:   timestamp(info.To),
 		State:         info.State,
 		Type:          info.Type,
-		External:      info.Type == runner.Manual,
+		External:      info.Type == runner.RunTypeManual,
 		Conf:          info.Conf,
 	}
 	if len(view.Conf) == 0 {
@@ -95,9 +95,9 @@
 	if given := cmp.Or(body.Execution, body.Logical); given != nil {
 		logical = *given
 	}
-	order := runner.Order{
+	order := runner.Command{
 		Graph:     r.dagID(),
-		Run:       cmp.Or(body.ID, runner.RunName(runner.Manual, logical)),
+		Run:       cmp.Or(body.ID, runner.DefaultRunID(runner.RunTypeManual, logical)),
 		LogicalMS: logical.UnixMilli(),
 		Note:      body.Note,
 		Described: body.Described,
@@ -105,7 +105,7 @@
 	if string(body.Conf) != "null" {
 		order.Conf = body.Conf
 	}
-	if _, err := h.execute(r, runner.DoTrigger, order); err != nil {
+	if _, err := h.execute(r, runner.CommandTrigger, order); err != nil {
 		return nil, err
 	}
 	return h.answerRun(r, order.Run)
@@ -122,13 +122,13 @@
 	var verb string
 	switch body.State {
 	case "failed":
-		verb = runner.DoCancel
+		verb = runner.CommandCancelRun
 	case "queued":
-		verb = runner.DoClear
+		verb = runner.CommandClear
 	default:
 		return nil, badRequest("state is %q; it can be failed, which ends the run, or queued, which has it go again: what jobs did is not rewritten", body.State)
 	}
-	if _, err := h.execute(r, verb, runner.Order{Graph: r.dagID(), Run: r.runID(), Below: true}); err != nil {
+	if _, err := h.execute(r, verb, runner.Command{Graph: r.dagID(), Run: r.runID(), Downstream: true}); err != nil {
 		return nil, err
 	}
 	return h.getRun(r)
@@ -136,6 +136,6 @@
 
 // deleteRun deletes a run that has ended.
 func (h *Handler) deleteRun(r *request) (any, error) {
-	_, err := h.execute(r, runner.DoForget, runner.Order{Graph: r.dagID(), Run: r.runID()})
+	_, err := h.execute(r, runner.CommandDeleteRun, runner.Command{Graph: r.dagID(), Run: r.runID()})
 	return nil, err
 }
--- a/internal/graphs/airflow/service.go
+++ b/internal/graphs/airflow/service.go
@@ -45,7 +45,7 @@
 }
 
 func (h *Handler) leaderHealth(ctx context.Context) componentHealth {
-	if status, _ := h.Ask(ctx, runner.PathPools); status != http.StatusOK {
+	if status, _ := h.SendQuery(ctx, runner.PathPools); status != http.StatusOK {
 		return componentHealth{Status: unhealthy}
 	}
 	return componentHealth{Status: healthy, LastHeartbeat: timestamp(h.Clock.Now())}
--- a/internal/graphs/airflow/tasks.go
+++ b/internal/graphs/airflow/tasks.go
@@ -105,7 +105,7 @@
 	}
 	step, ok := plan.Index[r.taskID()]
 	if !ok {
-		return nil, runner.ErrNone
+		return nil, runner.ErrNotFound
 	}
 	return viewTask(plan, step), nil
 }
--- a/internal/graphs/runner/bench_test.go
+++ b/internal/graphs/runner/bench_test.go
@@ -38,7 +38,7 @@
 		b.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		h.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		h.send(CommandTrigger, Command{Run: fmt.Sprint("run", i), Described: true})
 	}
 	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
 		write.Done(h.commit(write.Txn))
@@ -70,7 +70,7 @@
 	}
 	runs := 0
 	triggerRun := func() {
-		h.send(DoTrigger, Order{Run: fmt.Sprint("run", runs), Described: true})
+		h.send(CommandTrigger, Command{Run: fmt.Sprint("run", runs), Described: true})
 		runs++
 		for next() {
 		}
--- a/internal/graphs/runner/dags.go
+++ b/internal/graphs/runner/dags.go
@@ -58,7 +58,7 @@
 
 // register sets the definition of a graph, and creates the graph if it is new. Existing runs continue with the
 // definitions with which they were created.
-func (g *Graphs) register(cmd *Order, plan *dag.Plan, respond responder) {
+func (g *Graphs) register(cmd *Command, plan *dag.Plan, respond responder) {
 	if plan.Team != cmd.Team || plan.ID != cmd.Graph {
 		respond.refuse(http.StatusForbidden, "the graph's team and dag_id are not those that it is registered under")
 		return
@@ -73,7 +73,7 @@
 	case gr != nil && gr.deleting:
 		respond.refuse(http.StatusConflict, "the graph is being dropped; ask again")
 		return
-	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
+	case g.cfg.MaxMemoryBytes > 0 && g.memoryBytes > g.cfg.MaxMemoryBytes:
 		respond.refuse(http.StatusServiceUnavailable, "there is no memory for more graphs now; ask again")
 		return
 	case gr == nil:
@@ -97,7 +97,7 @@
 func (gr *graph) setDefinition(plan *dag.Plan, hash string, paused bool) {
 	gr.rec = GraphRecord{
 		Team: plan.Team, ID: plan.ID, Def: hash, Paused: paused, LastMS: gr.rec.LastMS, Description: plan.Description, Schedule: plan.Schedule, Zone: plan.Timezone,
-		Start: plan.Start, End: plan.End, Catchup: plan.Catchup, MaxRuns: cmp.Or(plan.MaxRuns, tuning.GraphDefaultRuns), MaxTasks: cmp.Or(plan.MaxTasks, tuning.GraphDefaultTasks),
+		Start: plan.Start, End: plan.End, Catchup: plan.Catchup, MaxRuns: cmp.Or(plan.MaxRuns, tuning.GraphDefaultMaxActiveRuns), MaxTasks: cmp.Or(plan.MaxTasks, tuning.GraphDefaultMaxActiveTasks),
 		Tags: plan.Tags, Steps: len(plan.Steps),
 	}
 	gr.schedule, _ = dag.ParseSchedule(plan.Schedule, plan.Timezone) // NewPlan has validated it
--- a/internal/graphs/runner/definitions.go
+++ b/internal/graphs/runner/definitions.go
@@ -29,7 +29,7 @@
 
 // fetchAndRegister registers a graph whose definition is stored, or replaces the definition of a registered graph. It
 // reads the definition first if it is not in memory.
-func (g *Graphs) fetchAndRegister(cmd *Order, respond responder) {
+func (g *Graphs) fetchAndRegister(cmd *Command, respond responder) {
 	if d := g.definitions[cmd.Def]; d != nil && d.plan != nil {
 		g.register(cmd, d.plan, respond)
 		return
@@ -171,19 +171,19 @@
 		if err == nil {
 			err = j.Check()
 		}
-		if err == nil && g.cfg.Impossible != nil {
-			if reason := g.cfg.Impossible(&j); reason != "" {
+		if err == nil && g.cfg.ImpossibleReason != nil {
+			if reason := g.cfg.ImpossibleReason(&j); reason != "" {
 				err = errors.New(reason)
 			}
 		}
-		if err == nil && len(value) > int(g.cfg.ValueKB*1024) {
+		if err == nil && len(value) > int(g.cfg.MaxValueKiB*1024) {
 			err = errors.New("its job's description is too long")
 		}
 		if err != nil {
 			return &invalidGraphError{fmt.Sprintf("step %s: %s", s.ID, err)}
 		}
 	}
-	if g.cfg.Source == nil && plan.Start != nil && plan.Schedule != "" && plan.Schedule != "None" {
+	if g.cfg.DescriptionSource == nil && plan.Start != nil && plan.Schedule != "" && plan.Schedule != "None" {
 		return &invalidGraphError{noSourceText("it has a schedule and a start_date")}
 	}
 	return nil
--- a/internal/graphs/runner/describe.go
+++ b/internal/graphs/runner/describe.go
@@ -45,9 +45,9 @@
 	Results    map[string]json.RawMessage `json:"results,omitempty"` // of the steps directly upstream, by step ID
 }
 
-// Foreseen returns those descriptions of a run's first generation that are known before the run starts. These are all
+// DescriptionsBeforeStart returns those descriptions of a run's first generation that are known before the run starts. These are all
 // except the descriptions of steps that are mapped over the result of another step.
-func Foreseen(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
+func DescriptionsBeforeStart(p *dag.Plan, id string, conf json.RawMessage, logical time.Time) (out []Description) {
 	run, meta := dag.NewRun(p, id), &runMeta{LogicalMS: logical.UnixMilli(), Conf: conf}
 	for i := range p.Steps {
 		s := &p.Steps[i]
@@ -129,7 +129,7 @@
 				return
 			}
 		}
-		refused, err := describeAll(g.termCtx, g.cfg.Source, descriptions)
+		refused, err := describeAll(g.termCtx, g.cfg.DescriptionSource, descriptions)
 		_ = g.runOnLoop(func() { g.described(batch, refused, err) }) // fails only when the leadership has ended
 	}()
 }
@@ -187,16 +187,16 @@
 	g.describe()
 }
 
-// HTTPSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx means that the
+// HTTPDescriptionSource describes steps by a POST of a JSON array to a URL that the operator provides. Status 2xx means that the
 // descriptions are available to workers. Status 4xx, except for 408 and 429, means that at least one of them is
 // refused.
-type HTTPSource struct {
+type HTTPDescriptionSource struct {
 	URL    string
 	Client *http.Client
 }
 
 // Describe implements DescriptionSource.
-func (s *HTTPSource) Describe(ctx context.Context, steps []Description) error {
+func (s *HTTPDescriptionSource) Describe(ctx context.Context, steps []Description) error {
 	status, err := httpjson.Call(ctx, s.Client, http.MethodPost, s.URL, steps, func(int) any { return nil })
 	switch {
 	case err != nil:
--- a/internal/graphs/runner/formats_test.go
+++ b/internal/graphs/runner/formats_test.go
@@ -25,18 +25,18 @@
 		PrefixDefinition, PrefixGraph, PrefixRun,
 		keyGraph("vision", "nightly"), keyRun("vision", "nightly", "manual__2026-12-01T12:00:00+00:00"),
 		strings.Join(partKeys("00112233445566778899aabbccddeeff", 2), "\n"),
-		RunName(Manual, exampleTime), RunName(RunTypeScheduled, exampleTime), RunName(RunTypeBackfill, exampleTime), DefaultPool,
+		DefaultRunID(RunTypeManual, exampleTime), DefaultRunID(RunTypeScheduled, exampleTime), DefaultRunID(RunTypeBackfill, exampleTime), DefaultPool,
 	)
 }
 
 // Guards the formats of messages: the bodies of commands to the leader and of its answers, and the descriptions that
 // are sent to the operator's source of descriptions.
 func TestMessageFormats(t *testing.T) {
-	golden.JSONRoundTrip(t, "order", golden.Fill(new(Order)))
-	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(Backfilled)))
+	golden.JSONRoundTrip(t, "order", golden.Fill(new(Command)))
+	golden.JSONRoundTrip(t, "backfilled", golden.Fill(new(BackfillResult)))
 	golden.JSONRoundTrip(t, "pool", golden.Fill(new(PoolView)))
 	golden.JSONRoundTrip(t, "description", golden.Fill(new(Description)))
-	golden.Lines(t, "orders", PathOrders, PathPools, DoPut, DoPause, DoRemove, DoTrigger, DoBackfill, DoCancel, DoClear, DoForget, DoPush)
+	golden.Lines(t, "orders", PathCommands, PathPools, CommandRegister, CommandPause, CommandDeleteGraph, CommandTrigger, CommandBackfill, CommandCancelRun, CommandClear, CommandDeleteRun, CommandSetResult)
 }
 
 // examplePlan returns a plan with a plain step and a mapped step, whose jobs have every field set.
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -32,17 +32,17 @@
 
 // Config is the configuration of Graphs, and the functions that it calls.
 type Config struct {
-	Clock   clockwork.Clock
-	TxnOps  int     // largest number of changes in a transaction
-	ValueKB float64 // largest size of a value in the state service, in KiB
-	Bytes   int     // memory limit of graphs and live runs, in bytes; 0: no limit
-	// Impossible returns the reason why a job can never run; empty if it can. It is safe for concurrent use.
-	Impossible func(*wire.Job) string
+	Clock          clockwork.Clock
+	MaxTxnChanges  int     // largest number of changes in a transaction
+	MaxValueKiB    float64 // largest size of a value in the state service, in KiB
+	MaxMemoryBytes int     // memory limit of graphs and live runs, in bytes; 0: no limit
+	// ImpossibleReason returns the reason why a job can never run; empty if it can. It is safe for concurrent use.
+	ImpossibleReason func(*wire.Job) string
 	// Jitter returns a random number from 0 to 1, which spreads the delays before retries.
 	Jitter func() float64
-	// Source describes the steps of runs to workers. If it is nil, the clients that trigger runs have to describe all
+	// DescriptionSource describes the steps of runs to workers. If it is nil, the clients that trigger runs have to describe all
 	// steps.
-	Source DescriptionSource
+	DescriptionSource DescriptionSource
 	// Pools returns the number of slots of a team's pool, and whether it is configured. It is safe for concurrent
 	// use.
 	Pools func(team, name string) (slots int, ok bool)
@@ -302,7 +302,7 @@
 // NextWrite returns the next transaction, with at most room changes; nil if there is nothing to write. It contains
 // changed graphs, changed runs with the jobs of their ready steps, and deletions, as many as fit.
 func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
-	b := &batch{maxChanges: min(room, g.cfg.TxnOps), maxValueBytes: int(g.cfg.ValueKB * 1024)}
+	b := &batch{maxChanges: min(room, g.cfg.MaxTxnChanges), maxValueBytes: int(g.cfg.MaxValueKiB * 1024)}
 	if !g.loaded || b.maxChanges < 2 {
 		return nil
 	}
@@ -368,7 +368,7 @@
 		}
 		v := PoolView{Name: key.name, Slots: p.slots, Used: p.used}
 		for _, live := range p.waitQueue.runs {
-			v.Waits += len(live.waitingForPool[p])
+			v.Waiting += len(live.waitingForPool[p])
 		}
 		out = append(out, v)
 	}
--- a/internal/graphs/runner/graphs_test.go
+++ b/internal/graphs/runner/graphs_test.go
@@ -48,9 +48,9 @@
 	if r := h.storedRun(plan, "one"); r.RunState() != dag.RunSuccess || len(h.liveJobs()) != 0 || len(h.graphs.runs) != 0 {
 		t.Errorf("the run is %v, want success; %d runs are live", r.RunState(), len(h.graphs.runs))
 	}
-	h.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	h.sendAndSettle(CommandTrigger, Command{Run: "one", Described: true}, http.StatusConflict)
 	h.changeLeader()
-	h.sendAndSettle(DoTrigger, Order{Run: "one", Described: true}, http.StatusConflict)
+	h.sendAndSettle(CommandTrigger, Command{Run: "one", Described: true}, http.StatusConflict)
 }
 
 // The job of a step is cancelled when the step's tries are used up or it times out. Otherwise the scheduler would retry
@@ -117,7 +117,7 @@
 // final state of its job.
 func TestEveryStepEndsDespiteFailovers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+		h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(acceptAll)})
 		h.changeLeader()
 		defer h.close()
 		n := rapid.IntRange(1, 6).Draw(rt, "steps")
@@ -138,13 +138,13 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
 			switch rapid.IntRange(0, 9).Draw(rt, "event") {
 			case 8:
-				cmd := Order{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Below: true}
-				if h.send(DoClear, cmd); h.graphs.runs[keyRun("the team", "g", "one")] == nil {
+				cmd := Command{Run: "one", Steps: []string{fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(rt, "clear"))}, Downstream: true}
+				if h.send(CommandClear, cmd); h.graphs.runs[keyRun("the team", "g", "one")] == nil {
 					h.runLoopFunc() // the run is finished, so it is read first
 				}
 			case 9:
 				if rapid.IntRange(0, 4).Draw(rt, "cancel") == 0 {
-					h.send(DoCancel, Order{Run: "one"})
+					h.send(CommandCancelRun, Command{Run: "one"})
 				}
 			case 0:
 				h.changeLeader()
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -12,26 +12,26 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// PathOrders is the prefix of the URI of each command (leader.Command). A command's name follows it, and the body
+// PathCommands is the prefix of the URI of each command (leader.Command). A command's name follows it, and the body
 // contains the command's parameters. A client that gets no answer may repeat a command: executing one twice does no
 // harm.
-const PathOrders = "/graphs/"
+const PathCommands = "/graphs/"
 
 // The names of the commands.
 const (
-	DoPut      = "put"      // register a graph whose definition is stored: 201, or 200 if the graph is registered already
-	DoPause    = "pause"    // pause a graph, or resume it
-	DoRemove   = "remove"   // delete a graph and its runs
-	DoTrigger  = "trigger"  // create a run: 201, or 409 if there is one with that ID
-	DoBackfill = "backfill" // create the runs of past data intervals
-	DoCancel   = "cancel"   // cancel a run
-	DoClear    = "clear"    // clear steps of a run, so that they run again
-	DoForget   = "forget"   // delete a finished run
-	DoPush     = "push"     // set the result of a step, which steps downstream read (XCom in Airflow)
+	CommandRegister    = "put"      // register a graph whose definition is stored: 201, or 200 if the graph is registered already
+	CommandPause       = "pause"    // pause a graph, or resume it
+	CommandDeleteGraph = "remove"   // delete a graph and its runs
+	CommandTrigger     = "trigger"  // create a run: 201, or 409 if there is one with that ID
+	CommandBackfill    = "backfill" // create the runs of past data intervals
+	CommandCancelRun   = "cancel"   // cancel a run
+	CommandClear       = "clear"    // clear steps of a run, so that they run again
+	CommandDeleteRun   = "forget"   // delete a finished run
+	CommandSetResult   = "push"     // set the result of a step, which steps downstream read (XCom in Airflow)
 )
 
-// Order is the body of a team's command. Fields that a command does not use are ignored.
-type Order struct {
+// Command is the body of a team's command. Fields that a command does not use are ignored.
+type Command struct {
 	Team  string `json:"team"`
 	Graph string `json:"graph"`
 	Run   string `json:"run,omitempty"`
@@ -49,7 +49,7 @@
 	To   time.Time `json:"to,omitzero"`   // latest start of a data interval
 
 	Steps      []string        `json:"steps,omitempty"` // empty: all
-	Below      bool            `json:"below,omitempty"` // also all steps downstream of Steps
+	Downstream bool            `json:"below,omitempty"` // also all steps downstream of Steps
 	OnlyFailed bool            `json:"only_failed,omitempty"`
 	Step       string          `json:"step,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
@@ -57,11 +57,11 @@
 
 // Command executes a command. The only possible error is leader.ErrUnknownPath.
 func (g *Graphs) Command(c leader.Command, now time.Time, reply func(leader.Answer)) error {
-	verb, ok := strings.CutPrefix(c.URI, PathOrders)
+	verb, ok := strings.CutPrefix(c.URI, PathCommands)
 	if !ok {
 		return leader.ErrUnknownPath
 	}
-	var cmd Order
+	var cmd Command
 	respond := responder(reply)
 	if err := json.Unmarshal(c.Body, &cmd); err != nil || cmd.Team == "" {
 		respond.refuse(http.StatusBadRequest, "the command is malformed")
@@ -76,8 +76,8 @@
 }
 
 // execute executes the command with the name verb.
-func (g *Graphs) execute(verb string, cmd *Order, now time.Time, respond responder) {
-	if verb == DoPut {
+func (g *Graphs) execute(verb string, cmd *Command, now time.Time, respond responder) {
+	if verb == CommandRegister {
 		if !validHash(cmd.Def) {
 			respond.refuse(http.StatusBadRequest, "the definition is no hash")
 			return
@@ -93,15 +93,15 @@
 		return
 	}
 	switch verb {
-	case DoPause:
+	case CommandPause:
 		g.setPaused(gr, cmd.Paused != nil && *cmd.Paused, respond)
-	case DoRemove:
+	case CommandDeleteGraph:
 		g.deleteGraph(gr, respond)
-	case DoTrigger:
+	case CommandTrigger:
 		g.trigger(gr, cmd, now, respond)
-	case DoBackfill:
+	case CommandBackfill:
 		g.backfill(gr, cmd, now, respond)
-	case DoCancel, DoClear, DoForget, DoPush:
+	case CommandCancelRun, CommandClear, CommandDeleteRun, CommandSetResult:
 		g.executeOnRun(verb, gr, cmd, now, respond)
 	default:
 		respond.refuse(http.StatusNotFound, "no such command")
@@ -109,7 +109,7 @@
 }
 
 // trigger creates a run outside the graph's schedule.
-func (g *Graphs) trigger(gr *graph, cmd *Order, now time.Time, respond responder) {
+func (g *Graphs) trigger(gr *graph, cmd *Command, now time.Time, respond responder) {
 	var conf map[string]json.RawMessage
 	if len(cmd.Conf) > 0 && json.Unmarshal(cmd.Conf, &conf) != nil {
 		respond.refuse(http.StatusBadRequest, "conf is no JSON object")
@@ -124,26 +124,26 @@
 		logical = time.UnixMilli(cmd.LogicalMS)
 	}
 	if cmd.Run == "" {
-		cmd.Run = RunName(Manual, logical)
+		cmd.Run = DefaultRunID(RunTypeManual, logical)
 	}
-	m := runMeta{Type: Manual, LogicalMS: logical.UnixMilli(), Conf: cmd.Conf, Note: cmd.Note, Described: cmd.Described}
+	m := runMeta{Type: RunTypeManual, LogicalMS: logical.UnixMilli(), Conf: cmd.Conf, Note: cmd.Note, Described: cmd.Described}
 	g.createRun(gr, cmd.Run, m, now, respond)
 }
 
-// Backfilled is the answer to a backfill.
-type Backfilled struct {
-	Begun int `json:"begun"` // runs that were created
-	Known int `json:"known"` // intervals that had a run already, or whose run was refused
+// BackfillResult is the answer to a backfill.
+type BackfillResult struct {
+	Created int `json:"begun"` // runs that were created
+	Skipped int `json:"known"` // intervals that had a run already, or whose run was refused
 }
 
 // backfill creates the runs of past data intervals. Intervals that have a run are skipped.
-func (g *Graphs) backfill(gr *graph, cmd *Order, now time.Time, respond responder) {
+func (g *Graphs) backfill(gr *graph, cmd *Command, now time.Time, respond responder) {
 	def := g.definitions[gr.rec.Def]
 	if def == nil || def.plan == nil {
 		respond.refuse(http.StatusServiceUnavailable, "the graph cannot be read now; ask again")
 		return
 	}
-	if g.cfg.Source == nil {
+	if g.cfg.DescriptionSource == nil {
 		respond.refuse(http.StatusConflict, "%s", noSourceText("a backfill begins runs by itself"))
 		return
 	}
@@ -155,11 +155,11 @@
 		respond.refuse(http.StatusBadRequest, "%s", err)
 		return
 	}
-	if needed := len(intervals) * len(def.plan.Steps) * tuning.RunStepBytes; g.cfg.Bytes > 0 && g.memoryBytes+needed > g.cfg.Bytes {
+	if needed := len(intervals) * len(def.plan.Steps) * tuning.RunStepBytes; g.cfg.MaxMemoryBytes > 0 && g.memoryBytes+needed > g.cfg.MaxMemoryBytes {
 		respond.refuse(http.StatusServiceUnavailable, "there is no memory for %d more runs now; ask again, or for fewer", len(intervals))
 		return
 	}
-	var out Backfilled
+	var out BackfillResult
 	unanswered := len(intervals)
 	answerIfDone := func() {
 		if unanswered == 0 {
@@ -168,11 +168,11 @@
 	}
 	for _, i := range intervals {
 		m := runMeta{Type: RunTypeBackfill, LogicalMS: i.Begin.UnixMilli(), FromMS: i.Begin.UnixMilli(), ToMS: i.End.UnixMilli()}
-		g.createRun(gr, RunName(RunTypeBackfill, i.Begin), m, now, func(a leader.Answer) {
+		g.createRun(gr, DefaultRunID(RunTypeBackfill, i.Begin), m, now, func(a leader.Answer) {
 			if a.Status == http.StatusCreated {
-				out.Begun++
+				out.Created++
 			} else {
-				out.Known++
+				out.Skipped++
 			}
 			unanswered--
 			answerIfDone()
@@ -184,7 +184,7 @@
 }
 
 // executeOnRun executes a command on one run.
-func (g *Graphs) executeOnRun(verb string, gr *graph, cmd *Order, now time.Time, respond responder) {
+func (g *Graphs) executeOnRun(verb string, gr *graph, cmd *Command, now time.Time, respond responder) {
 	var entry *runEntry
 	for _, e := range gr.history {
 		if e.id == cmd.Run && !e.deleting {
@@ -195,17 +195,17 @@
 		respond.refuse(http.StatusNotFound, "no such run")
 		return
 	}
-	if verb == DoClear && g.cfg.Source == nil {
+	if verb == CommandClear && g.cfg.DescriptionSource == nil {
 		respond.refuse(http.StatusConflict, "%s", noSourceText("a clear has steps go again under new jobs"))
 		return
 	}
 	if live := entry.live; live != nil {
 		switch verb {
-		case DoCancel:
+		case CommandCancelRun:
 			g.cancelRun(live, now, respond)
-		case DoClear:
+		case CommandClear:
 			g.clearSteps(live, cmd, respond)
-		case DoPush:
+		case CommandSetResult:
 			g.setResult(live, cmd, respond)
 		default:
 			respond.refuse(http.StatusConflict, "the run is not over; cancel it first")
@@ -213,25 +213,25 @@
 		return
 	}
 	switch verb {
-	case DoCancel:
+	case CommandCancelRun:
 		respond.succeed(http.StatusOK) // the run is finished already
-	case DoPush:
+	case CommandSetResult:
 		respond.refuse(http.StatusConflict, "the run is over")
-	case DoForget:
+	case CommandDeleteRun:
 		g.deleteRun(gr, entry, func() { respond.succeed(http.StatusNoContent) })
-	case DoClear:
+	case CommandClear:
 		g.reopenRun(gr, entry, cmd, respond)
 	}
 }
 
 // reopenRun reads a finished run, makes it live again and clears steps of it.
-func (g *Graphs) reopenRun(gr *graph, entry *runEntry, cmd *Order, respond responder) {
+func (g *Graphs) reopenRun(gr *graph, entry *runEntry, cmd *Command, respond responder) {
 	def := g.definitions[entry.defHash]
 	switch {
 	case def == nil:
 		respond.refuse(http.StatusConflict, "what the run is a run of is not stored any more")
 		return
-	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
+	case g.cfg.MaxMemoryBytes > 0 && g.memoryBytes > g.cfg.MaxMemoryBytes:
 		respond.refuse(http.StatusServiceUnavailable, "there is no memory for more runs now; ask again")
 		return
 	}
--- a/internal/graphs/runner/reader.go
+++ b/internal/graphs/runner/reader.go
@@ -23,8 +23,8 @@
 	plan  *dag.Plan     // the plan that was read last
 }
 
-// ErrNone means that the team has no such graph or run.
-var ErrNone = errors.New("it is not known")
+// ErrNotFound means that the team has no such graph or run.
+var ErrNotFound = errors.New("it is not known")
 
 // NewReader returns a Reader of a state service.
 func NewReader(store *statestore.Client) *Reader {
@@ -49,14 +49,14 @@
 	return nil
 }
 
-// get decodes a record into v. The error is ErrNone if there is no such record.
+// get decodes a record into v. The error is ErrNotFound if there is no such record.
 func (r *Reader) get(ctx context.Context, key string, v any) error {
 	item, ok, err := r.store.Get(ctx, key)
 	switch {
 	case err != nil:
 		return err
 	case !ok:
-		return ErrNone
+		return ErrNotFound
 	}
 	return json.Unmarshal(item.Value, v)
 }
@@ -75,10 +75,10 @@
 	return out, err
 }
 
-// Graph returns a team's graph. The error is ErrNone if there is no such graph.
+// Graph returns a team's graph. The error is ErrNotFound if there is no such graph.
 func (r *Reader) Graph(ctx context.Context, team, id string) (rec GraphRecord, err error) {
 	if !dag.ValidName(id) {
-		return rec, ErrNone
+		return rec, ErrNotFound
 	}
 	err = r.get(ctx, keyGraph(team, id), &rec)
 	return rec, err
@@ -138,10 +138,10 @@
 	Tries []Try // the newest ones; times are relative to Queued
 }
 
-// Run returns a run of a team's graph. The error is ErrNone if there is no such run.
+// Run returns a run of a team's graph. The error is ErrNotFound if there is no such run.
 func (r *Reader) Run(ctx context.Context, team, graph, id string) (*RunView, error) {
 	if !dag.ValidName(graph) || !validRunID(id) {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
 	var rec runRecord
 	if err := r.get(ctx, keyRun(team, graph, id), &rec); err != nil {
@@ -189,8 +189,8 @@
 	return def.plan, nil
 }
 
-// Store stores a graph's definition, and returns its hash and its number of parts.
-func (r *Reader) Store(ctx context.Context, g *dag.Graph) (hash string, n int, err error) {
+// StoreDefinition stores a graph's definition, and returns its hash and its number of parts.
+func (r *Reader) StoreDefinition(ctx context.Context, g *dag.Graph) (hash string, n int, err error) {
 	if err := r.acquire(ctx); err != nil {
 		return "", 0, err
 	}
@@ -207,14 +207,14 @@
 	return hash, len(parts), nil
 }
 
-// ErrPart means that the arguments of StorePart do not describe a valid part of a definition.
-var ErrPart = errors.New("that is no part of a graph")
+// ErrInvalidPart means that the arguments of StorePart do not describe a valid part of a definition.
+var ErrInvalidPart = errors.New("that is no part of a graph")
 
 // StorePart stores part n (from 0) of a definition that has the given number of parts, unless the part is stored
 // already. zstd is the part's compressed content.
 func (r *Reader) StorePart(ctx context.Context, hash string, n, parts int, zstd []byte) error {
 	if !validHash(hash) || n < 0 || n >= parts || parts > tuning.GraphMaxParts || len(zstd) == 0 || len(zstd) > tuning.GraphPartMaxBytes {
-		return ErrPart
+		return ErrInvalidPart
 	}
 	value, err := json.Marshal(partRecord{Parts: parts, Zstd: zstd})
 	if err != nil {
@@ -231,8 +231,8 @@
 
 // PoolView is a team's pool.
 type PoolView struct {
-	Name  string `json:"name"`
-	Slots int    `json:"slots"`
-	Used  int    `json:"used"`  // slots of submitted, unfinished steps
-	Waits int    `json:"waits"` // ready steps that wait for slots
+	Name    string `json:"name"`
+	Slots   int    `json:"slots"`
+	Used    int    `json:"used"`  // slots of submitted, unfinished steps
+	Waiting int    `json:"waits"` // ready steps that wait for slots
 }
--- a/internal/graphs/runner/records.go
+++ b/internal/graphs/runner/records.go
@@ -33,13 +33,13 @@
 
 // The types of runs, with Airflow's names.
 const (
-	Manual           = "manual"
+	RunTypeManual    = "manual"
 	RunTypeScheduled = "scheduled"
 	RunTypeBackfill  = "backfill"
 )
 
-// RunName returns the default ID of a run with the given type and logical date, in Airflow's format.
-func RunName(kind string, logical time.Time) string {
+// DefaultRunID returns the default ID of a run with the given type and logical date, in Airflow's format.
+func DefaultRunID(kind string, logical time.Time) string {
 	return kind + "__" + logical.UTC().Format("2006-01-02T15:04:05.999999-07:00")
 }
 
--- a/internal/graphs/runner/retention.go
+++ b/internal/graphs/runner/retention.go
@@ -20,12 +20,12 @@
 	}, entry.key)
 }
 
-// applyRetention deletes finished runs of a graph, except for the newest tuning.GraphRetainedRuns.
+// applyRetention deletes finished runs of a graph, except for the newest tuning.GraphRetainedRunsMax.
 func (g *Graphs) applyRetention(gr *graph) {
 	finished := 0
 	for i := len(gr.history) - 1; i >= 0; i-- {
 		if e := gr.history[i]; e.live == nil && !e.deleting {
-			if finished++; finished > tuning.GraphRetainedRuns {
+			if finished++; finished > tuning.GraphRetainedRunsMax {
 				g.deleteRun(gr, e, nil)
 			}
 		}
--- a/internal/graphs/runner/runs.go
+++ b/internal/graphs/runner/runs.go
@@ -88,9 +88,9 @@
 		return http.StatusConflict, "the interval has a run already"
 	case len(meta.Conf) > tuning.GraphConfMaxBytes:
 		return http.StatusBadRequest, fmt.Sprintf("conf has %d bytes; up to %d are allowed", len(meta.Conf), tuning.GraphConfMaxBytes)
-	case g.cfg.Bytes > 0 && g.memoryBytes > g.cfg.Bytes:
+	case g.cfg.MaxMemoryBytes > 0 && g.memoryBytes > g.cfg.MaxMemoryBytes:
 		return http.StatusServiceUnavailable, "there is no memory for more runs now; ask again"
-	case g.cfg.Source != nil:
+	case g.cfg.DescriptionSource != nil:
 		return 0, ""
 	case !meta.Described:
 		return http.StatusConflict, noSourceText("the run's steps were not described by whoever triggers it")
@@ -182,8 +182,8 @@
 }
 
 // clearSteps resets steps of a live run, so that they run again as new jobs.
-func (g *Graphs) clearSteps(live *liveRun, cmd *Order, respond responder) {
-	steps, err := live.run.StepsToClear(cmd.Steps, cmd.Below, cmd.OnlyFailed)
+func (g *Graphs) clearSteps(live *liveRun, cmd *Command, respond responder) {
+	steps, err := live.run.StepsToClear(cmd.Steps, cmd.Downstream, cmd.OnlyFailed)
 	if err != nil {
 		respond.refuse(http.StatusBadRequest, "%s", err)
 		return
@@ -210,7 +210,7 @@
 }
 
 // setResult sets the result of a step, which steps downstream read.
-func (g *Graphs) setResult(live *liveRun, cmd *Order, respond responder) {
+func (g *Graphs) setResult(live *liveRun, cmd *Command, respond responder) {
 	i, ok := live.run.Plan.Index[cmd.Step]
 	if !ok {
 		respond.refuse(http.StatusNotFound, "no such step")
--- a/internal/graphs/runner/runs_test.go
+++ b/internal/graphs/runner/runs_test.go
@@ -45,8 +45,8 @@
 	}
 	plan := newPlanWith(t, func(g *dag.Graph) { g.MaxTasks, g.MaxRuns = 4, 2 }, steps...)
 	h.registerAndTrigger(plan, "one")
-	h.sendAndSettle(DoTrigger, Order{Run: "two", Described: true}, http.StatusCreated)
-	h.sendAndSettle(DoTrigger, Order{Run: "three", Described: true}, http.StatusCreated)
+	h.sendAndSettle(CommandTrigger, Command{Run: "two", Described: true}, http.StatusCreated)
+	h.sendAndSettle(CommandTrigger, Command{Run: "three", Described: true}, http.StatusCreated)
 	for round := 0; len(h.liveJobs()) > 0; round++ {
 		slots := 0
 		for id := range h.graphs.byJob {
@@ -76,7 +76,7 @@
 // A step that depends on the past waits for the same step of the previous run, also after a change of leaders. If that
 // step failed, it waits until the failed step is cleared and succeeds.
 func TestStepThatDependsOnPast(t *testing.T) {
-	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(acceptAll)})
 	h.changeLeader()
 	defer h.close()
 	s := step("s")
@@ -85,7 +85,7 @@
 	h.registerAndTrigger(plan, "one")
 	first := h.liveJobs()[0]
 	h.clock.Advance(time.Second)
-	h.sendAndSettle(DoTrigger, Order{Run: "two"}, http.StatusCreated)
+	h.sendAndSettle(CommandTrigger, Command{Run: "two"}, http.StatusCreated)
 	if got := h.liveJobs(); len(got) != 1 {
 		t.Fatalf("submitted jobs are %v, want one", got)
 	}
@@ -96,7 +96,7 @@
 	if got := h.liveJobs(); len(got) != 0 || h.storedRun(plan, "one").RunState() != dag.RunFailed {
 		t.Fatalf("after the failure in the previous run, submitted jobs are %v, want none", got)
 	}
-	h.send(DoClear, Order{Run: "one"})
+	h.send(CommandClear, Command{Run: "one"})
 	h.runLoopFunc() // the run is finished, so it is read first
 	h.settle()
 	h.completeJobs()
@@ -109,14 +109,14 @@
 // When a running step is cleared, its old job is cancelled, by the next leader if this one fails before that. The end
 // of the old job does not change the state of the step's next generation.
 func TestClearOfRunningStep(t *testing.T) {
-	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(acceptAll)})
 	h.changeLeader()
 	defer h.close()
 	plan := newPlan(t, step("a"), step("b", "a"))
 	h.registerAndTrigger(plan, "one")
 	old := h.liveJobs()[0]
 	h.startTask(old)
-	h.send(DoClear, Order{Run: "one", Below: true})
+	h.send(CommandClear, Command{Run: "one", Downstream: true})
 	h.commitNext(true) // the new generation is stored, the cancellation of the old job is not
 	h.changeLeader()
 	h.settle()
@@ -142,7 +142,7 @@
 // while the graph is paused. After a pause, the interval that ended in the meantime gets its run, and a clock that is
 // set back creates no further one. A backfill skips intervals that have a run.
 func TestScheduledRuns(t *testing.T) {
-	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(acceptAll)})
+	h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(acceptAll)})
 	h.changeLeader()
 	defer h.close()
 	start := h.clock.Now()
@@ -161,7 +161,7 @@
 	if got := len(h.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs for three hours, want 3", got)
 	}
-	h.sendAndSettle(DoPause, Order{Paused: ptr(true)}, http.StatusOK)
+	h.sendAndSettle(CommandPause, Command{Paused: ptr(true)}, http.StatusOK)
 	h.clock.Advance(time.Hour)
 	h.settle()
 	h.changeLeader()
@@ -169,14 +169,14 @@
 	if got := len(h.list(PrefixRun)); got != 3 {
 		t.Errorf("%d runs while the graph is paused, want 3", got)
 	}
-	h.sendAndSettle(DoPause, Order{Paused: ptr(false)}, http.StatusOK)
+	h.sendAndSettle(CommandPause, Command{Paused: ptr(false)}, http.StatusOK)
 	h.completeJobs()
 	h.clock.Advance(-time.Hour) // the clock is set back
 	h.settle()
 	if got := len(h.list(PrefixRun)); got != 4 {
 		t.Errorf("%d runs after the pause, want 4", got)
 	}
-	text := h.sendAndSettle(DoBackfill, Order{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
+	text := h.sendAndSettle(CommandBackfill, Command{From: start.Add(-5 * time.Hour), To: start}, http.StatusOK)
 	if got := len(h.list(PrefixRun)); text != "" || got != 9 {
 		t.Errorf("%d runs after a backfill of six hours, one of which had a run, want 9: %s", got, text)
 	}
@@ -200,7 +200,7 @@
 	if a := h.register(p); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	for verb, cmd := range map[string]Order{DoTrigger: {Run: "one", Described: true}, DoBackfill: {From: start, To: start}} {
+	for verb, cmd := range map[string]Command{CommandTrigger: {Run: "one", Described: true}, CommandBackfill: {From: start, To: start}} {
 		if text := h.sendAndSettle(verb, cmd, http.StatusConflict); !strings.Contains(text, "graphs.descriptions") {
 			t.Errorf("command %s is refused with %q, which does not name the missing setting", verb, text)
 		}
@@ -212,7 +212,7 @@
 func TestSourceFailsAndRefuses(t *testing.T) {
 	calls, failing := 0, true
 	var described []Description
-	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
+	h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(func(steps []Description) error {
 		calls++
 		if described = steps; failing {
 			return errors.New("the source is down")
@@ -230,7 +230,7 @@
 	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	h.send(DoTrigger, Order{Run: "one", Conf: []byte(`{"b":3}`)})
+	h.send(CommandTrigger, Command{Run: "one", Conf: []byte(`{"b":3}`)})
 	h.settle()
 	if calls != 1 || len(h.liveJobs()) != 0 {
 		t.Fatalf("after a failed call: %d calls, want 1; live jobs are %v, want none", calls, h.liveJobs())
@@ -254,7 +254,7 @@
 // result survives a change of leaders.
 func TestResultsPassBetweenSteps(t *testing.T) {
 	var got []string
-	h := newHarnessWithoutLeader(t, Config{Source: sourceFunc(func(steps []Description) error {
+	h := newHarnessWithoutLeader(t, Config{DescriptionSource: sourceFunc(func(steps []Description) error {
 		for _, s := range steps {
 			got = append(got, fmt.Sprintf("%s/%d %s", s.Step, s.Index, s.Element))
 		}
@@ -266,8 +266,8 @@
 	mapped.Map = &dag.Map{Over: "list"}
 	p := newPlan(t, step("list"), mapped)
 	h.registerAndTrigger(p, "one")
-	h.sendAndSettle(DoPush, Order{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
-	h.sendAndSettle(DoPush, Order{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
+	h.sendAndSettle(CommandSetResult, Command{Run: "one", Step: "each", Result: []byte("1")}, http.StatusConflict)
+	h.sendAndSettle(CommandSetResult, Command{Run: "one", Step: "list", Result: []byte("[7,8,9]")}, http.StatusOK)
 	h.changeLeader() // the new leader has the stored result
 	h.settle()
 	h.completeJobs()
@@ -291,7 +291,7 @@
 	if a := h.register(plan); a.status != http.StatusCreated {
 		t.Fatalf("registering the graph: %+v", a)
 	}
-	a := h.send(DoTrigger, Order{Run: "one", Described: true})
+	a := h.send(CommandTrigger, Command{Run: "one", Described: true})
 	conflicts := 0
 	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
 		if revision, err := h.store.Commit(t.Context(), write.Txn); err == nil {
@@ -312,28 +312,28 @@
 func TestRetention(t *testing.T) {
 	h := newHarness(t)
 	defer h.close()
-	for i := range tuning.GraphRetainedRuns + 5 {
+	for i := range tuning.GraphRetainedRunsMax + 5 {
 		h.clock.Advance(time.Second)
 		h.registerAndTrigger(newPlan(t, step("s")), fmt.Sprint("run", i))
 		h.completeJobs()
 	}
-	if got := len(h.list(PrefixRun)); got != tuning.GraphRetainedRuns {
+	if got := len(h.list(PrefixRun)); got != tuning.GraphRetainedRunsMax {
 		t.Errorf("%d runs are stored, want tuning.GraphRetainedRuns", got)
 	}
 	if _, exists := h.state.Value(keyRun("the team", "g", "run4")); exists {
 		t.Error("the oldest run is not deleted")
 	}
 	h.registerAndTrigger(newPlan(t, step("s"), step("t")), "newer")
-	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusConflict)
+	h.sendAndSettle(CommandDeleteRun, Command{Run: "newer"}, http.StatusConflict)
 	h.completeJobs()
-	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNoContent)
-	h.sendAndSettle(DoForget, Order{Run: "newer"}, http.StatusNotFound)
+	h.sendAndSettle(CommandDeleteRun, Command{Run: "newer"}, http.StatusNoContent)
+	h.sendAndSettle(CommandDeleteRun, Command{Run: "newer"}, http.StatusNotFound)
 	if n := len(h.list(PrefixDefinition)); n != 2 {
 		t.Errorf("%d definitions are stored, want 2", n)
 	}
 	h.changeLeader()
-	h.sendAndSettle(DoRemove, Order{}, http.StatusNoContent)
-	h.sendAndSettle(DoTrigger, Order{}, http.StatusNotFound)
+	h.sendAndSettle(CommandDeleteGraph, Command{}, http.StatusNoContent)
+	h.sendAndSettle(CommandTrigger, Command{}, http.StatusNotFound)
 	for range 3 {
 		h.clock.Advance(tuning.GraphDeleteAfter)
 		h.settle()
@@ -361,7 +361,7 @@
 	if !h.graphs.isBeingDeleted(cmd.Def) {
 		t.Fatal("the unregistered definition is not being deleted")
 	}
-	if a := h.send(DoPut, cmd); a.status != http.StatusServiceUnavailable {
+	if a := h.send(CommandRegister, cmd); a.status != http.StatusServiceUnavailable {
 		t.Errorf("registering a definition whose parts are about to be deleted: %+v, want 503", a)
 	}
 	h.settle()
@@ -380,16 +380,16 @@
 	defer h.close()
 	plan := newPlan(t, step("s"))
 	cmd := h.upload(plan)
-	h.sendAndSettle(DoPut, Order{Def: "x", Parts: 1}, http.StatusBadRequest)
+	h.sendAndSettle(CommandRegister, Command{Def: "x", Parts: 1}, http.StatusBadRequest)
 	key := partKeys(cmd.Def, 1)[0]
 	h.commit(wire.Txn{Then: []wire.Change{{Put: key, Value: []byte(`{"parts":1,"z":"AAAA"}`)}}})
-	a := h.send(DoPut, cmd)
+	a := h.send(CommandRegister, cmd)
 	h.runLoopFunc()
 	h.settle()
 	if _, exists := h.state.Value(key); a.status != http.StatusBadRequest || exists {
 		t.Errorf("registering a corrupt definition: %+v, want 400; still stored: %v", a, exists)
 	}
-	a = h.send(DoPut, cmd)
+	a = h.send(CommandRegister, cmd)
 	h.runLoopFunc()
 	if h.settle(); a.status != http.StatusConflict {
 		t.Errorf("registering the deleted definition without an upload: %+v, want 409", a)
@@ -399,7 +399,7 @@
 	}
 	other := h.upload(plan)
 	other.Team = "others"
-	if a := h.send(DoPut, other); a.status != http.StatusForbidden {
+	if a := h.send(CommandRegister, other); a.status != http.StatusForbidden {
 		t.Errorf("registering the definition of another team: %+v, want 403", a)
 	}
 }
@@ -409,9 +409,9 @@
 	h := newHarness(t)
 	defer h.close()
 	h.registerAndTrigger(newPlan(t, step("s")), "one")
-	for _, verb := range []string{DoTrigger, DoCancel, DoClear, DoPause, DoRemove, DoForget, DoPush, DoBackfill} {
-		theirs := h.sendAndSettle(verb, Order{Team: "others", Run: "one"}, http.StatusNotFound)
-		if none := h.sendAndSettle(verb, Order{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
+	for _, verb := range []string{CommandTrigger, CommandCancelRun, CommandClear, CommandPause, CommandDeleteGraph, CommandDeleteRun, CommandSetResult, CommandBackfill} {
+		theirs := h.sendAndSettle(verb, Command{Team: "others", Run: "one"}, http.StatusNotFound)
+		if none := h.sendAndSettle(verb, Command{Team: "others", Graph: "none", Run: "one"}, http.StatusNotFound); theirs != none {
 			t.Errorf("command %s is refused with %q for another team's graph, with %q for one that does not exist", verb, theirs, none)
 		}
 	}
@@ -419,7 +419,7 @@
 		t.Errorf("command at an unknown path: %v, want ErrUnknownPath", err)
 	}
 	reader := NewReader(h.store)
-	if _, err := reader.Run(t.Context(), "others", "g", "one"); !errors.Is(err, ErrNone) {
+	if _, err := reader.Run(t.Context(), "others", "g", "one"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("run read by another team: %v, want ErrNone", err)
 	}
 	if v, err := reader.Run(t.Context(), "the team", "g", "one"); err != nil || v.State != "running" || countByState(v.Run)["queued"] != 1 {
@@ -437,7 +437,7 @@
 		t.Fatalf("registering the graph: %+v", a)
 	}
 	for i := range 1000 {
-		h.send(DoTrigger, Order{Run: fmt.Sprint("run", i), Described: true})
+		h.send(CommandTrigger, Command{Run: fmt.Sprint("run", i), Described: true})
 	}
 	for write := h.graphs.NextWrite(h.clock.Now(), 1000); write != nil; write = h.graphs.NextWrite(h.clock.Now(), 1000) {
 		write.Done(h.commit(write.Txn))
--- a/internal/graphs/runner/schedule.go
+++ b/internal/graphs/runner/schedule.go
@@ -43,7 +43,7 @@
 		g.storeGraph(gr, nil)
 	}
 	handled := true
-	g.createRun(gr, RunName(RunTypeScheduled, due.Begin), meta, now, func(a leader.Answer) {
+	g.createRun(gr, DefaultRunID(RunTypeScheduled, due.Begin), meta, now, func(a leader.Answer) {
 		switch {
 		case a.Status == http.StatusCreated || a.Status == http.StatusConflict:
 			// LastMS is updated only when the run is stored. If this leader fails in between, the next one finds
--- a/internal/graphs/runner/submit.go
+++ b/internal/graphs/runner/submit.go
@@ -96,7 +96,7 @@
 func (g *Graphs) pickStep(live *liveRun, ref dag.InstanceRef) {
 	g.allocateSlots(live, ref.Step)
 	picked := pickedStep{run: live, ref: ref, jobID: live.run.JobID(ref)}
-	if g.cfg.Source == nil || live.meta.Described && live.run.Generation(ref.Step) == 0 && !mappedAtRunTime(live.run.Plan, ref.Step) {
+	if g.cfg.DescriptionSource == nil || live.meta.Described && live.run.Generation(ref.Step) == 0 && !mappedAtRunTime(live.run.Plan, ref.Step) {
 		live.picked = append(live.picked, picked)
 	} else {
 		g.describeQueue.steps = append(g.describeQueue.steps, picked)
--- a/internal/graphs/runner/world_test.go
+++ b/internal/graphs/runner/world_test.go
@@ -48,7 +48,7 @@
 func newHarnessWithoutLeader(t testing.TB, cfg Config) *harness {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC))
 	state := fakes.NewStore(clock)
-	cfg.Clock, cfg.TxnOps, cfg.ValueKB, cfg.Jitter = clock, 12, 16, func() float64 { return 0 }
+	cfg.Clock, cfg.MaxTxnChanges, cfg.MaxValueKiB, cfg.Jitter = clock, 12, 16, func() float64 { return 0 }
 	return &harness{t: t, clock: clock, state: state, store: statestore.New(state.Addr(), 1e6, 1e6), completedTasks: map[string]int{}, cfg: cfg, endTerm: func() {}}
 }
 
@@ -232,7 +232,7 @@
 }
 
 // send sends a command, whose answer may arrive later.
-func (h *harness) send(verb string, cmd Order) *answer {
+func (h *harness) send(verb string, cmd Command) *answer {
 	h.t.Helper()
 	if cmd.Team == "" {
 		cmd.Team = "the team"
@@ -245,7 +245,7 @@
 		h.t.Fatal(err)
 	}
 	a := &answer{}
-	if err := h.graphs.Command(leader.Command{URI: PathOrders + verb, Body: raw}, h.clock.Now(), func(reply leader.Answer) {
+	if err := h.graphs.Command(leader.Command{URI: PathCommands + verb, Body: raw}, h.clock.Now(), func(reply leader.Answer) {
 		if a.status != 0 {
 			h.t.Errorf("command %s is answered twice", verb)
 		}
@@ -261,7 +261,7 @@
 
 // sendAndSettle sends a command that starts no goroutine, settles, and checks the status of the answer. It returns the
 // reason if the command was refused.
-func (h *harness) sendAndSettle(verb string, cmd Order, want int) string {
+func (h *harness) sendAndSettle(verb string, cmd Command, want int) string {
 	h.t.Helper()
 	a := h.send(verb, cmd)
 	h.settle()
@@ -272,19 +272,19 @@
 }
 
 // upload stores a definition, and returns the command that registers it.
-func (h *harness) upload(plan *dag.Plan) Order {
+func (h *harness) upload(plan *dag.Plan) Command {
 	h.t.Helper()
-	hash, n, err := NewReader(h.store).Store(h.t.Context(), &plan.Graph)
+	hash, n, err := NewReader(h.store).StoreDefinition(h.t.Context(), &plan.Graph)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return Order{Team: plan.Team, Graph: plan.ID, Def: hash, Parts: n}
+	return Command{Team: plan.Team, Graph: plan.ID, Def: hash, Parts: n}
 }
 
 // register uploads and registers a graph.
 func (h *harness) register(p *dag.Plan) *answer {
 	h.t.Helper()
-	a := h.send(DoPut, h.upload(p))
+	a := h.send(CommandRegister, h.upload(p))
 	for h.graphs.fetchingHash != "" {
 		h.runLoopFunc()
 	}
@@ -298,7 +298,7 @@
 	if a := h.register(p); a.status >= http.StatusBadRequest || a.status == 0 {
 		h.t.Fatalf("registering the graph: %+v", a)
 	}
-	h.sendAndSettle(DoTrigger, Order{Run: run, Described: true}, http.StatusCreated)
+	h.sendAndSettle(CommandTrigger, Command{Run: run, Described: true}, http.StatusCreated)
 }
 
 // liveJobs returns the sorted IDs of the unfinished jobs.
--- a/internal/platform/config/formats_test.go
+++ b/internal/platform/config/formats_test.go
@@ -41,7 +41,7 @@
 		"budget.vision.month.money = 5.5",
 	}
 	golden.Lines(t, "properties-keys", keyIdleKeep, keyMaxMachines, keyLedger, keyLedgerZone, keyMetrics, keyGraphs, keyDescriptions, keyPool, budget.Prefix)
-	operatorSettings, err := LoadProperties(testutil.File(t, "operator.properties", strings.Join(lines, "\n")))
+	operatorSettings, err := LoadProperties(testutil.TempFile(t, "operator.properties", strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/config/settings_test.go
+++ b/internal/platform/config/settings_test.go
@@ -41,7 +41,7 @@
 `
 
 func TestValidSettingsAreLoaded(t *testing.T) {
-	s, err := Load(testutil.File(t, "s.toml", validSettings))
+	s, err := Load(testutil.TempFile(t, "s.toml", validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 
 // Guards against a guest team, which has no amounts in the file, whose limit is loaded as 0 instead of as no limit.
 func TestATeamWithoutAmountsHasNoLimit(t *testing.T) {
-	s, err := Load(testutil.File(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
+	s, err := Load(testutil.TempFile(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		{`[outside]`, `[outside`, "not valid TOML"},
 	} {
 		text := strings.Replace(validSettings, c.old, c.new, 1)
-		if _, err := Load(testutil.File(t, "s.toml", text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Load(testutil.TempFile(t, "s.toml", text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q instead of %q: %v", c.new, c.old, err)
 		}
 	}
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -36,8 +36,8 @@
 // Tunables returns the tunables.
 func (w *OperatorSettingsWatcher) Tunables() tuning.Tunables { return w.operatorSettings.Tunables }
 
-// Ledger reports whether charges are recorded.
-func (w *OperatorSettingsWatcher) Ledger() bool { return w.operatorSettings.LedgerEnabled }
+// LedgerEnabled reports whether charges are recorded.
+func (w *OperatorSettingsWatcher) LedgerEnabled() bool { return w.operatorSettings.LedgerEnabled }
 
 // Graphs reports whether graphs are served, and returns the URL of the service that describes their steps; empty: none.
 func (w *OperatorSettingsWatcher) Graphs() (enabled bool, descriptionsURL string) {
--- a/internal/platform/metrics/formats_test.go
+++ b/internal/platform/metrics/formats_test.go
@@ -16,7 +16,7 @@
 	m.FailoverDone(time.Second)
 	m.CycleDone(time.Second)
 	m.HeartbeatHandled(time.Second)
-	m.TaskStarted("train")
+	m.TaskAllocated("train")
 	m.AttemptEnded("train", "done")
 	m.RecordsWritten(1)
 	m.JobArrived("train", "vision", "largest")
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -61,8 +61,8 @@
 	m.machines.heartbeat.Observe(duration.Seconds())
 }
 
-// TaskStarted counts an attempt that was placed.
-func (m *Metrics) TaskStarted(class string) { m.jobs.started.WithLabelValues(class).Inc() }
+// TaskAllocated counts an attempt that was placed.
+func (m *Metrics) TaskAllocated(class string) { m.jobs.started.WithLabelValues(class).Inc() }
 
 // AttemptEnded counts an attempt that has ended, by its outcome.
 func (m *Metrics) AttemptEnded(class, outcome string) {
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -9,8 +9,8 @@
 	// SubsystemTick is the interval at which the leader's loop lets its subsystems do what is due, such as
 	// checking budgets and rolling up charges.
 	SubsystemTick = 500 * time.Millisecond
-	// InboxMessages is the number of messages that the queue of the leader's loop holds.
-	InboxMessages = 1024
+	// InboxCapacity is the number of messages that the queue of the leader's loop holds.
+	InboxCapacity = 1024
 	// MemoryTargetShare is the share of the machine's memory that is the Go runtime's soft memory limit.
 	MemoryTargetShare = 0.65
 	// MemoryFullShare is the share of the machine's memory above which no more jobs are accepted. The runtime
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -13,14 +13,14 @@
 	// GraphMinValueKB is the smallest value size limit of the key-value store, in KiB, with which a part and a
 	// run of 10,000 steps can be stored.
 	GraphMinValueKB = 14
-	// GraphDefaultTasks is the default maximum number of steps of a graph that are submitted at a time.
-	// GraphDefaultRuns is the default maximum number of its active runs. Both are as in Airflow.
-	GraphDefaultTasks = 16
-	GraphDefaultRuns  = 16
+	// GraphDefaultMaxActiveTasks is the default maximum number of steps of a graph that are submitted at a time.
+	// GraphDefaultMaxActiveRuns is the default maximum number of its active runs. Both are as in Airflow.
+	GraphDefaultMaxActiveTasks = 16
+	GraphDefaultMaxActiveRuns  = 16
 	// GraphDefaultPoolSlots is the number of slots of a team's default pool, as in Airflow.
 	GraphDefaultPoolSlots = 128
-	// GraphRetainedRuns is the number of finished runs of a graph that are retained.
-	GraphRetainedRuns = 50
+	// GraphRetainedRunsMax is the number of finished runs of a graph that are retained.
+	GraphRetainedRunsMax = 50
 	// GraphMemoryShare is the share of the memory that graphs and live runs may use. GraphStepBytes is the
 	// approximate memory of one step of a graph, in bytes. RunStepBytes is that of one step of a live run.
 	GraphMemoryShare = 0.15
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -4,9 +4,9 @@
 
 // Jobs and their records.
 const (
-	// ChunkTasks is the number of tasks that share one progress record. A task needs up to about 90 bytes,
+	// TasksPerChunk is the number of tasks that share one progress record. A task needs up to about 90 bytes,
 	// so a full record stays under 6 KiB.
-	ChunkTasks = 64
+	TasksPerChunk = 64
 	// MinValueKB is the smallest value size limit of the key-value store, in KiB, with which a progress
 	// record can be stored.
 	MinValueKB = 8
@@ -57,14 +57,14 @@
 	// ReconcileEvery is the interval at which the leader compares the stored jobs with those that it knows.
 	// A job that the leader missed has to begin within minutes. Reading a thousand jobs takes two calls.
 	ReconcileEvery = 30 * time.Second
-	// RememberedJobSizes is the number of the last jobs of a class whose sizes are remembered.
+	// RememberedJobSizesMax is the number of the last jobs of a class whose sizes are remembered.
 	// LargestJobsQuantile is the quantile of these sizes above which a job is among the largest. JobSizesMin
 	// is the smallest number of sizes from which the quantile is computed.
-	RememberedJobSizes  = 200
-	LargestJobsQuantile = 0.9
-	JobSizesMin         = 10
+	RememberedJobSizesMax = 200
+	LargestJobsQuantile   = 0.9
+	JobSizesMin           = 10
 	// JobWatchWait is how long one watch request of the leader waits for new jobs.
 	JobWatchWait = 10 * time.Second
-	// LoadPageKeys is the number of keys that a new leader reads in one call.
-	LoadPageKeys = 500
+	// KeysPerLoadPage is the number of keys that a new leader reads in one call.
+	KeysPerLoadPage = 500
 )
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -45,11 +45,11 @@
 	// LeaderRedirectAfter is how long a follower answers a worker, without commands, before it redirects the
 	// worker to the leader once more. A worker that does not find the leader loses about 5 s of its lease.
 	LeaderRedirectAfter = 20 * time.Second
-	// LeaderPingEvery is the interval at which a follower pings the leader. LeaderPingsMissed is the number
+	// LeaderPingEvery is the interval at which a follower pings the leader. LeaderPingsMissedMin is the number
 	// of consecutive unanswered pings that count as a partition: a process that gets little CPU time may
 	// miss one.
-	LeaderPingEvery   = 1 * time.Second
-	LeaderPingsMissed = 2
+	LeaderPingEvery      = 1 * time.Second
+	LeaderPingsMissedMin = 2
 	// IsolatedAfter is how long no other member may have answered for this member to count as isolated. If
 	// the key-value store does not answer either, the member is unhealthy. A process that gets little CPU
 	// time misses a few pings.
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -12,29 +12,29 @@
 	// SilentHeartbeatIntervals is the number of heartbeat intervals without a heartbeat after which a machine gets
 	// no new tasks.
 	SilentHeartbeatIntervals = 2.5
-	// FaultyMachineJobs is the number of jobs that must fail on a machine before the machine is avoided.
-	FaultyMachineJobs = 2
+	// FaultyMachineJobsMin is the number of jobs that must fail on a machine before the machine is avoided.
+	FaultyMachineJobsMin = 2
 	// SlowFactor is the slowdown that the detection of slow machines tests for, as a multiple of the run
 	// time on other machines. SlowLogLikelihoodRatio is the log-likelihood ratio, for that slowdown against none, at
 	// which a machine counts as slow. SlowPeersMin is the smallest number of tasks of the same job with which a
-	// run is compared, and RememberedRuns the number of runs of a job that are remembered.
+	// run is compared, and RememberedRunsMax the number of runs of a job that are remembered.
 	SlowFactor             = 3.0
 	SlowLogLikelihoodRatio = 9.0
 	SlowPeersMin           = 5
-	RememberedRuns         = 16
+	RememberedRunsMax      = 16
 	// ObservedRunsMin is the number of completed tasks that a job needs before its expected run time is
 	// computed from them instead of the owner's estimate. ObservedLogStdDev is the standard deviation of the
 	// logarithm of the job's run times in that case.
 	ObservedRunsMin   = 3
 	ObservedLogStdDev = 0.25
 	// FailureBackoff is the first pause of a job whose task failed. It doubles with each further wave of
-	// failures (see jobs.Store.MarkFailed). Once the job has failed on FaultyJobMachines machines, it doubles
+	// failures (see jobs.Store.MarkFailed). Once the job has failed on FaultyJobMachinesMin machines, it doubles
 	// with each further failure.
 	FailureBackoff = 2 * time.Second
 	// FailureBackoffMax bounds the pause of a job whose task failed.
 	FailureBackoffMax = 60 * time.Second
-	// FaultyJobMachines is the number of machines on which a job must fail before it avoids none of them.
-	FaultyJobMachines = 3
+	// FaultyJobMachinesMin is the number of machines on which a job must fail before it avoids none of them.
+	FaultyJobMachinesMin = 3
 	// HealthyRunAfter is how long a task must have run to prove that its job is not the cause of failures.
 	// Tasks of a faulty job fail when they start.
 	HealthyRunAfter = 5 * time.Second
--- a/internal/platform/wire/formats_test.go
+++ b/internal/platform/wire/formats_test.go
@@ -60,10 +60,10 @@
 
 func TestPaths(t *testing.T) {
 	golden.Lines(t, "paths",
-		PathJobs, PathHealth, EndCancel, EndExplain, EndCharges,
+		PathJobs, PathHealth, PathEndCancel, PathEndExplain, PathEndCharges,
 		PathHeartbeat, PathCommands, PathWorkerHeartbeat,
 		PathMachineTypes, PathMachines, PathDelete,
-		PathKV, PathTxn, PathLeases, EndRenew, PathWatch,
+		PathKV, PathTxn, PathLeases, PathEndRenew, PathWatch,
 	)
 }
 
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -10,13 +10,13 @@
 	"unicode"
 )
 
-// Paths that users call. The constants EndCancel, EndExplain and EndCharges are the last path elements of requests about one job.
+// Paths that users call. The constants PathEndCancel, PathEndExplain and PathEndCharges are the last path elements of requests about one job.
 const (
-	PathJobs   = "/v2/runs"
-	PathHealth = "/up"
-	EndCancel  = "cancel"
-	EndExplain = "why"     // an extension of the protocol: what a job waits for
-	EndCharges = "charges" // an extension of the protocol: what a job's attempts used
+	PathJobs       = "/v2/runs"
+	PathHealth     = "/up"
+	PathEndCancel  = "cancel"
+	PathEndExplain = "why"     // an extension of the protocol: what a job waits for
+	PathEndCharges = "charges" // an extension of the protocol: what a job's attempts used
 )
 
 // MaxBody is the largest request body that the protocol allows, in bytes.
--- a/internal/platform/wire/state.go
+++ b/internal/platform/wire/state.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Paths of the state service. EndRenew is the last element of the path that renews a lease.
+// Paths of the state service. PathEndRenew is the last element of the path that renews a lease.
 const (
-	PathKV     = "/kv"
-	PathTxn    = "/commit"
-	PathLeases = "/grants"
-	EndRenew   = "touch"
-	PathWatch  = "/watch"
+	PathKV       = "/kv"
+	PathTxn      = "/commit"
+	PathLeases   = "/grants"
+	PathEndRenew = "touch"
+	PathWatch    = "/watch"
 )
 
 // Item is a key of the state service with its value. Version changes with each write of the key. Lease is the lease that the key
--- a/internal/scheduler/jobs/backoff.go
+++ b/internal/scheduler/jobs/backoff.go
@@ -16,8 +16,8 @@
 	if now.Before(j.BackoffUntil) {
 		return
 	}
-	j.FailedWaves++
-	j.BackoffUntil = now.Add(backoff(j.FailedWaves))
+	j.FailureWaves++
+	j.BackoffUntil = now.Add(backoff(j.FailureWaves))
 	s.queue.markDirty(failureWavesChunk(j), now)
 	s.queue.scheduleFlush(now)
 }
@@ -25,8 +25,8 @@
 // ResetBackoff ends the job's backoff. It is called when a task of the job ran well, which shows that the job
 // itself is not the cause of its failures.
 func (s *Store) ResetBackoff(j *Job, now time.Time) {
-	if j.FailedWaves > 0 {
-		j.FailedWaves = 0
+	if j.FailureWaves > 0 {
+		j.FailureWaves = 0
 		j.BackoffUntil = time.Time{}
 		s.queue.markDirty(failureWavesChunk(j), now)
 	}
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -74,7 +74,7 @@
 	s, _ := kv.load(txnOps)
 	j := s.Jobs["job-7"]
 	var allocations []*Allocation
-	for i := range 20 * tuning.ChunkTasks {
+	for i := range 20 * tuning.TasksPerChunk {
 		allocations = append(allocations, s.Allocate(j, i, fmt.Sprintf("n-%06d-with-a-long-name", i), "a-zone-with-a-long-name", 1<<40, t0))
 	}
 	for batch := s.NextBatch(later, WriteBudget{Spare: 1000}); batch != nil; batch = s.NextBatch(later, WriteBudget{Spare: 1000}) {
--- a/internal/scheduler/jobs/formats_test.go
+++ b/internal/scheduler/jobs/formats_test.go
@@ -74,5 +74,5 @@
 		t.Fatal(err)
 	}
 	golden.Equal(t, "ranges", decoded, done)
-	golden.Lines(t, "chunk-size", strconv.Itoa(tuning.ChunkTasks))
+	golden.Lines(t, "chunk-size", strconv.Itoa(tuning.TasksPerChunk))
 }
--- a/internal/scheduler/jobs/job.go
+++ b/internal/scheduler/jobs/job.go
@@ -19,9 +19,9 @@
 	BackoffUntil    time.Time            // after failures, no task is allocated before this time
 	PreemptingUntil time.Time            // until this time, tasks preempted for this job may still be stopping
 	Failures        int                  // number of task failures that this leader has seen
-	FailedWaves     int                  // number of waves of failures since a task last ran well; see MarkFailed
+	FailureWaves    int                  // number of waves of failures since a task last ran well; see MarkFailed
 	AvoidMachines   map[string]time.Time // machines on which a task of the job failed, and until when to avoid them
-	recentRuns      []CompletedRun       // runs of the tasks that completed last, at most RememberedRuns
+	recentRuns      []CompletedRun       // runs of the tasks that completed last, at most RememberedRunsMax
 	medianRunS      float64              // the median of recentRuns in seconds, once there are ObservedRunsMin of them
 
 	version         uint64 // version of the stored job record
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -59,7 +59,7 @@
 		Job: record.Job, AcceptedAt: acceptedAt, Tasks: make([]Task, record.Job.Tasks),
 		WaitingSince: now.Add(-waited), EnqueuedAt: now.Add(-waited),
 		version: version, cancelled: record.Cancelled,
-		chunks:          make([]progressChunk, (record.Job.Tasks+tuning.ChunkTasks-1)/tuning.ChunkTasks),
+		chunks:          make([]progressChunk, (record.Job.Tasks+tuning.TasksPerChunk-1)/tuning.TasksPerChunk),
 		allocatedByZone: map[string]int{}, AvoidMachines: map[string]time.Time{},
 	}
 	for n := range j.chunks {
@@ -96,9 +96,9 @@
 	if err := chunk.loadCharges(record.Charges); err != nil {
 		s.chargeErrors = append(s.chargeErrors, &RecordError{item.Key, err})
 	}
-	if record.FailedWaves > 0 {
-		j.FailedWaves = record.FailedWaves
-		j.BackoffUntil = now.Add(backoff(j.FailedWaves))
+	if record.FailureWaves > 0 {
+		j.FailureWaves = record.FailureWaves
+		j.BackoffUntil = now.Add(backoff(j.FailureWaves))
 	}
 	j.loadDone(done)
 	return j.loadEntries(chunk, record.Tasks, now), nil
--- a/internal/scheduler/jobs/progress.go
+++ b/internal/scheduler/jobs/progress.go
@@ -9,7 +9,7 @@
 	"poppypass/internal/platform/wire"
 )
 
-// progressChunk is the progress of ChunkTasks consecutive tasks of a job, which share one stored record, and
+// progressChunk is the progress of TasksPerChunk consecutive tasks of a job, which share one stored record, and
 // the state of writing that record.
 type progressChunk struct {
 	version     uint64      // of the stored record; 0: no record is stored
@@ -29,7 +29,7 @@
 }
 
 // chunkRefOf returns the chunk that contains a task, given by its index.
-func chunkRefOf(j *Job, task int) chunkRef { return chunkRef{j, task / tuning.ChunkTasks} }
+func chunkRefOf(j *Job, task int) chunkRef { return chunkRef{j, task / tuning.TasksPerChunk} }
 
 func (r chunkRef) chunk() *progressChunk { return &r.job.chunks[r.index] }
 
@@ -37,8 +37,8 @@
 
 // taskRange returns the range of the chunk's task indexes; to is exclusive.
 func (r chunkRef) taskRange() (from, to int) {
-	from = r.index * tuning.ChunkTasks
-	return from, min(len(r.job.Tasks), from+tuning.ChunkTasks)
+	from = r.index * tuning.TasksPerChunk
+	return from, min(len(r.job.Tasks), from+tuning.TasksPerChunk)
 }
 
 // encode returns the chunk's encoded record and the allocations in it that are not committed yet.
@@ -46,7 +46,7 @@
 	c := r.chunk()
 	record, uncommitted := r.encodeTasks(metered)
 	if r.index == 0 {
-		record.FailedWaves = r.job.FailedWaves
+		record.FailureWaves = r.job.FailureWaves
 	}
 	// These fields are set last: encoding the entries may set the base time and add machine kinds.
 	if record.BaseMS = c.baseMS; len(c.pack.Charges)+len(c.pack.Kinds) > 0 {
--- a/internal/scheduler/jobs/records.go
+++ b/internal/scheduler/jobs/records.go
@@ -42,7 +42,7 @@
 func parseProgressKey(key string) (id string, chunk int, ok bool) {
 	id, num, found := strings.Cut(strings.TrimPrefix(key, PrefixProgress), "/")
 	chunk, err := strconv.Atoi(num)
-	return id, chunk, found && err == nil && chunk >= 0 && chunk <= wire.MaxTasks/tuning.ChunkTasks
+	return id, chunk, found && err == nil && chunk >= 0 && chunk <= wire.MaxTasks/tuning.TasksPerChunk
 }
 
 // JobRecord is the stored form of an accepted job.
@@ -63,12 +63,12 @@
 	return wire.JobStatus{ID: id, State: f.State, Done: f.Done}
 }
 
-// progressRecord is the stored progress of ChunkTasks tasks of a job. Done tasks are stored as ranges. Every
+// progressRecord is the stored progress of TasksPerChunk tasks of a job. Done tasks are stored as ranges. Every
 // other task that was ever allocated has an entry, so that no attempt number is used twice.
 type progressRecord struct {
-	Done        string      `json:"d,omitempty"`
-	Tasks       []taskEntry `json:"t,omitempty"`
-	FailedWaves int         `json:"f,omitempty"` // number of waves of failures of the whole job (see MarkFailed); only in the record of its first chunk
+	Done         string      `json:"d,omitempty"`
+	Tasks        []taskEntry `json:"t,omitempty"`
+	FailureWaves int         `json:"f,omitempty"` // number of waves of failures of the whole job (see MarkFailed); only in the record of its first chunk
 
 	BaseMS  int64  `json:"b,omitempty"` // time of day that the entries' times are relative to, in Unix milliseconds
 	Charges []byte `json:"c,omitempty"` // an encoded charge.Pack
--- a/internal/scheduler/jobs/runtimes.go
+++ b/internal/scheduler/jobs/runtimes.go
@@ -22,7 +22,7 @@
 			elsewhere = append(elsewhere, other.Seconds)
 		}
 	}
-	if j.recentRuns = append(j.recentRuns, run); len(j.recentRuns) > tuning.RememberedRuns {
+	if j.recentRuns = append(j.recentRuns, run); len(j.recentRuns) > tuning.RememberedRunsMax {
 		j.recentRuns = j.recentRuns[1:]
 	}
 	if len(j.recentRuns) >= tuning.ObservedRunsMin {
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -24,8 +24,8 @@
 		return
 	}
 	l.blameMachines(j)
-	if n := len(j.AvoidMachines); n >= tuning.FaultyJobMachines {
-		j.BackoffUntil = now.Add(min(tuning.FailureBackoff<<min(j.Failures-tuning.FaultyJobMachines, 10), tuning.FailureBackoffMax))
+	if n := len(j.AvoidMachines); n >= tuning.FaultyJobMachinesMin {
+		j.BackoffUntil = now.Add(min(tuning.FailureBackoff<<min(j.Failures-tuning.FaultyJobMachinesMin, 10), tuning.FailureBackoffMax))
 	}
 }
 
@@ -34,7 +34,7 @@
 // reserved, and no machine is kept free for it when it is at the head of the queue. If a task of the job has worked by
 // now, onProbation ends the probation.
 func (l *Loop) onProbation(j *jobs.Job, now time.Time) bool {
-	if j.FailedWaves == 0 {
+	if j.FailureWaves == 0 {
 		return false
 	}
 	if j.HasHealthyRun(now) {
@@ -63,7 +63,7 @@
 // gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. The task may have
 // ended at any time since notRunningAt, when the newest heartbeat that does not show the end arrived.
 func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
-	if a.Job.FailedWaves > 0 {
+	if a.Job.FailureWaves > 0 {
 		l.endProbation(a.Job, now)
 	}
 	if m == nil {
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -14,7 +14,7 @@
 // A machine becomes unhealthy when several jobs fail on it that work elsewhere, and no task completes on it.
 func TestMachineOnWhichSeveralJobsFailIsUnhealthy(t *testing.T) {
 	l, clock := newTestLoop(t)
-	for i := range tuning.FaultyMachineJobs {
+	for i := range tuning.FaultyMachineJobsMin {
 		if l.machines.Machines["n-large"].Unhealthy {
 			t.Fatalf("the machine is unhealthy after only %d failed jobs", i)
 		}
@@ -22,7 +22,7 @@
 		retry := l.addRunning(t, fmt.Sprintf("job-%d", i), "n-small", 1)
 		clock.Advance(tuning.HealthyRunAfter)
 		l.pendingJobs(clock.Now())
-		if retry.Job.FailedWaves != 0 {
+		if retry.Job.FailureWaves != 0 {
 			t.Error("a job that works is still on probation")
 		}
 	}
@@ -69,8 +69,8 @@
 			l.machines.AddAllocation(a, clock.Now())
 		}
 		l.endAttempt(a, wire.ExitError)
-		if j.FailedWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.FailureBackoffMax {
-			t.Errorf("%d failed waves and a pause of %v, want 9 and the longest pause", j.FailedWaves, j.BackoffUntil.Sub(clock.Now()))
+		if j.FailureWaves != 9 || j.BackoffUntil.Sub(clock.Now()) != tuning.FailureBackoffMax {
+			t.Errorf("%d failed waves and a pause of %v, want 9 and the longest pause", j.FailureWaves, j.BackoffUntil.Sub(clock.Now()))
 		}
 	}
 	for name, m := range l.machines.Machines {
@@ -79,8 +79,8 @@
 		}
 	}
 	clock.Advance(tuning.FailureBackoffMax)
-	if l.scaleOut(clock.Now()); len(l.rentals.pending) != 0 {
-		t.Errorf("machines are rented for jobs on probation: %v", l.rentals.pending)
+	if l.scaleOut(clock.Now()); len(l.rentals.inFlight) != 0 {
+		t.Errorf("machines are rented for jobs on probation: %v", l.rentals.inFlight)
 	}
 	if short := l.jobsShortOfRoom(clock.Now()); len(short) != 0 {
 		t.Errorf("room is made for jobs on probation: %+v", short)
--- a/internal/scheduler/leader/heartbeats_test.go
+++ b/internal/scheduler/leader/heartbeats_test.go
@@ -39,7 +39,7 @@
 		if got, want := batch != nil, retained > tuning.UnrecordedExitsMax; got != want {
 			t.Errorf("a worker retains %d exits: their ends are written early: %v", retained, got)
 		}
-		if batch != nil && len(batch.Txn.Then) != (retained+tuning.ChunkTasks-1)/tuning.ChunkTasks {
+		if batch != nil && len(batch.Txn.Then) != (retained+tuning.TasksPerChunk-1)/tuning.TasksPerChunk {
 			t.Errorf("%d records are written", len(batch.Txn.Then))
 		}
 	}
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -111,5 +111,5 @@
 // anyUnreachable reports whether a command is unlikely to reach the machine of any of the allocations.
 func (l *Loop) anyUnreachable(allocations []*jobs.Allocation) bool {
 	now := l.env.Clock.Now()
-	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.unreachable(l.machines.Machines[a.Machine], now) })
+	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.silentOrUnreachable(l.machines.Machines[a.Machine], now) })
 }
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -89,7 +89,7 @@
 
 // rentAll answers all pending rentals in full and lets the machines send their first heartbeats.
 func (w *largeWorkload) rentAll() {
-	for name, p := range w.rentals.pending {
+	for name, p := range w.rentals.inFlight {
 		w.requests++
 		var names []string
 		for range p.Count {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -66,7 +66,7 @@
 		leadership:    leadership,
 		log:           env.Log.With("term", leadership.Term),
 		startedAt:     now,
-		inbox:         make(chan func(), tuning.InboxMessages),
+		inbox:         make(chan func(), tuning.InboxCapacity),
 		store:         env.Store.WithShare(tuning.LeaderRateShare),
 		jobs:          jobs.NewStore(env.Settings.Cluster.State.TxnOps),
 		machines:      machines.New(leadership.Term, env.Settings.Cluster.Workers.LeaseS),
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -10,8 +10,8 @@
 	CycleDone(took time.Duration)
 	// HeartbeatHandled reports the time from the arrival of a heartbeat until its answer.
 	HeartbeatHandled(took time.Duration)
-	// TaskStarted reports that a task was allocated to a machine.
-	TaskStarted(class string)
+	// TaskAllocated reports that a task was allocated to a machine.
+	TaskAllocated(class string)
 	// AttemptEnded reports that an attempt at a task is proven to have ended, and how it ended.
 	AttemptEnded(class, ending string)
 	// RecordsWritten reports the number of changes in a committed transaction.
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -18,9 +18,9 @@
 	return seconds(tuning.SilentHeartbeatIntervals * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
-// unreachable reports whether a command sent to a machine now is unlikely to reach it, because the machine is silent or
+// silentOrUnreachable reports whether a command sent to a machine now is unlikely to reach it, because the machine is silent or
 // counts as unreachable.
-func (l *Loop) unreachable(m *machines.Machine, now time.Time) bool {
+func (l *Loop) silentOrUnreachable(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
 
--- a/internal/scheduler/leader/partitions_test.go
+++ b/internal/scheduler/leader/partitions_test.go
@@ -136,7 +136,7 @@
 			_, err := c.loop.handleHeartbeat(&worker.heartbeat)
 			answered = err == nil
 		} else if !c.down[zone] {
-			answered = c.members[zone].MayRenew(worker.heartbeat.Machine, zone)
+			answered = c.members[zone].TryRenew(worker.heartbeat.Machine, zone)
 		}
 		if answered {
 			worker.lastAnsweredAt = now
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -63,12 +63,12 @@
 }
 
 // avoidsMachines reports whether a job avoids the machines on which its tasks failed. A job that failed on
-// tuning.FaultyJobMachines machines or more avoids none, because it fails everywhere. A job without any allocated task
+// tuning.FaultyJobMachinesMin machines or more avoids none, because it fails everywhere. A job without any allocated task
 // avoids none either once it has waited for tuning.AvoidMachineMaxWait, possibly while such a machine had room.
 func avoidsMachines(j *jobs.Job, now time.Time) bool {
 	waitedLong := j.Allocated == 0 && now.Sub(j.WaitingSince) >= tuning.AvoidMachineMaxWait
 	failedOn := len(j.AvoidMachines)
-	return failedOn > 0 && failedOn < tuning.FaultyJobMachines && !waitedLong
+	return failedOn > 0 && failedOn < tuning.FaultyJobMachinesMin && !waitedLong
 }
 
 // limitToOneTask limits a job on probation to one task, which is queued behind all others.
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -28,15 +28,15 @@
 
 // probing is the loop's state of probes in flight and of answered and unanswered commands.
 type probing struct {
-	next         time.Time     // when suspects are next looked for and probed
-	limiter      *rate.Limiter // limits the rate of probes
-	inFlight     int           // number of probes in flight
-	peakSuspects int           // largest number of suspects since the number was last 0
+	next           time.Time     // when suspects are next looked for and probed
+	limiter        *rate.Limiter // limits the rate of probes
+	probesInFlight int           // number of probes in flight
+	peakSuspects   int           // largest number of suspects since the number was last 0
 
-	unanswered    map[string]bool // machines that left a command or probe unanswered after the newest answer of any machine
-	lastAnswered  time.Time       // when any machine last answered a command or probe; zero: never in this term
-	askingPeers   bool            // the other members are being asked whether they get answers from the machines in unanswered
-	nextPeerProbe time.Time       // the other members are not asked before this time
+	unanswered     map[string]bool // machines that left a command or probe unanswered after the newest answer of any machine
+	lastAnsweredAt time.Time       // when any machine last answered a command or probe; zero: never in this term
+	askingPeers    bool            // the other members are being asked whether they get answers from the machines in unanswered
+	nextPeerProbe  time.Time       // the other members are not asked before this time
 }
 
 func newProbing() probing {
@@ -45,7 +45,7 @@
 
 // commandAnswered records that a machine answered a command or probe.
 func (p *probing) commandAnswered(now time.Time) {
-	p.lastAnswered = now
+	p.lastAnsweredAt = now
 	clear(p.unanswered)
 }
 
@@ -86,7 +86,7 @@
 	suspects := l.suspects(now)
 	maxInFlight := l.maxProbesInFlight(l.probing.notePeakSuspects(len(suspects)))
 	for _, s := range suspects {
-		if l.probing.inFlight >= maxInFlight || !l.probing.limiter.AllowN(now, 1) {
+		if l.probing.probesInFlight >= maxInFlight || !l.probing.limiter.AllowN(now, 1) {
 			break
 		}
 		l.probe(s.m, now)
@@ -166,7 +166,7 @@
 		return // the machine has no known address or incarnation, or is being returned
 	}
 	m.Reachability.ProbeSent(now)
-	l.probing.inFlight++
+	l.probing.probesInFlight++
 	name := m.Name
 	go func() {
 		ctx, cancel := context.WithTimeout(l.termCtx, tuning.CommandTimeout)
@@ -179,7 +179,7 @@
 // probeAnswered applies the result of a probe: the heartbeat with which the machine answered, or an error. mark is
 // the newest message of the machine that was known when the probe was sent.
 func (l *Loop) probeAnswered(name string, mark machines.MessageMark, hb *wire.Heartbeat, err error) {
-	l.probing.inFlight--
+	l.probing.probesInFlight--
 	m, now := l.machines.Machines[name], l.env.Clock.Now()
 	if m == nil {
 		return
--- a/internal/scheduler/leader/probing_bench_test.go
+++ b/internal/scheduler/leader/probing_bench_test.go
@@ -65,7 +65,7 @@
 		m.SuspectCopy = true
 	}
 	l.stepProbing(l.env.Clock.Now())
-	if most := 400 / 8; l.probing.inFlight == 0 || l.probing.inFlight > most {
-		t.Errorf("%d probes in flight, want 1 to %d", l.probing.inFlight, most)
+	if most := 400 / 8; l.probing.probesInFlight == 0 || l.probing.probesInFlight > most {
+		t.Errorf("%d probes in flight, want 1 to %d", l.probing.probesInFlight, most)
 	}
 }
--- a/internal/scheduler/leader/probing_limits_test.go
+++ b/internal/scheduler/leader/probing_limits_test.go
@@ -64,7 +64,7 @@
 				l.machines.Machines[machineName(i)].SuspectCopy = true
 			}
 			for started := clock.Now(); clock.Since(started) < seconds(c.leaseS); clock.Advance(tuning.SubsystemTick) {
-				if l.probeAll(); l.probing.inFlight > 0 {
+				if l.probeAll(); l.probing.probesInFlight > 0 {
 					t.Fatal("probes are still in flight after probeAll")
 				}
 			}
--- a/internal/scheduler/leader/probing_test.go
+++ b/internal/scheduler/leader/probing_test.go
@@ -44,13 +44,13 @@
 	if partitioned := l.partitionedZones(l.env.Clock.Now()); len(partitioned) != 0 {
 		t.Errorf("zones count as partitioned because of one unreachable machine: %v", partitioned)
 	}
-	failedWaves := a.Job.FailedWaves
+	failedWaves := a.Job.FailureWaves
 	// No reply reached the machine, so its incarnation ended: the task is proven gone and is to start elsewhere.
 	advance(time.Second)
 	hb.Incarnation, hb.Seq = 2, hb.Seq+1
 	l.mustHandle(t, hb)
-	if !a.Removed || a.Job.FailedWaves != failedWaves {
-		t.Errorf("allocation removed: %v, failed waves of the job: %d", a.Removed, a.Job.FailedWaves)
+	if !a.Removed || a.Job.FailureWaves != failedWaves {
+		t.Errorf("allocation removed: %v, failed waves of the job: %d", a.Removed, a.Job.FailureWaves)
 	}
 	answers = true
 	advance(tuning.ProbePauseMax)
--- a/internal/scheduler/leader/queries.go
+++ b/internal/scheduler/leader/queries.go
@@ -26,7 +26,7 @@
 	if !l.loading.done {
 		return loadingAnswer
 	}
-	if id, ok := jobIDFromPath(uri, wire.EndExplain); ok {
+	if id, ok := jobIDFromPath(uri, wire.PathEndExplain); ok {
 		return l.queryExplanation(id, now)
 	}
 	for _, s := range l.subsystems.active {
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -19,22 +19,22 @@
 // can queue behind the rate limit: their machines count as booting, and when the requests are finally sent, they no
 // longer match the need.
 type rentals struct {
-	pending      map[string]autoscale.Rental      // requests in flight, by request name
+	inFlight     map[string]autoscale.Rental      // requests in flight, by request name
 	refusedUntil map[autoscale.Offering]time.Time // until when an offering is not requested again for lack of capacity
 	requestCount int                              // number of requests made in this term, which is part of their names
 }
 
 func newRentals() rentals {
-	return rentals{pending: map[string]autoscale.Rental{}, refusedUntil: map[autoscale.Offering]time.Time{}}
+	return rentals{inFlight: map[string]autoscale.Rental{}, refusedUntil: map[autoscale.Offering]time.Time{}}
 }
 
 // full reports whether as many requests are in flight as are allowed.
-func (r *rentals) full() bool { return len(r.pending) >= tuning.RentalsInFlightMax }
+func (r *rentals) full() bool { return len(r.inFlight) >= tuning.RentalsInFlightMax }
 
 // offeringsInFlight returns the offerings of the requests in flight.
 func (r *rentals) offeringsInFlight() map[autoscale.Offering]bool {
 	out := map[autoscale.Offering]bool{}
-	for _, rental := range r.pending {
+	for _, rental := range r.inFlight {
 		out[rental.Offering] = true
 	}
 	return out
@@ -78,7 +78,7 @@
 	}
 	placement.Sort(in.Pending, in.Teams, now)
 	l.countByOffering(in.ExistingCounts)
-	for _, p := range l.rentals.pending {
+	for _, p := range l.rentals.inFlight {
 		in.MaxNew -= p.Count
 		in.ExistingCounts[p.Offering] += p.Count
 	}
@@ -129,7 +129,7 @@
 			out = append(out, &v)
 		}
 	}
-	for name, rental := range l.rentals.pending {
+	for name, rental := range l.rentals.inFlight {
 		for i := range rental.Count {
 			v, ok := l.machineView(&machines.Machine{Name: fmt.Sprint(name, "/", i), Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot})
 			if ok {
@@ -154,7 +154,7 @@
 	// The name contains the term, so that neither another controller nor this one in another term ever uses it again.
 	l.rentals.requestCount++
 	name := fmt.Sprintf("pp-%d-%d", l.leadership.Term, l.rentals.requestCount)
-	l.rentals.pending[name] = rental
+	l.rentals.inFlight[name] = rental
 	go l.rentUntilAnswered(name, rental)
 }
 
@@ -177,7 +177,7 @@
 // machinesRented registers the machines that a rent request yielded, and has the fleet planned again.
 func (l *Loop) machinesRented(name string, rental autoscale.Rental, names []string) {
 	now := l.env.Clock.Now()
-	delete(l.rentals.pending, name)
+	delete(l.rentals.inFlight, name)
 	for _, m := range names {
 		if !l.machines.WasReturned(m) {
 			rented := machines.RentedMachine{Name: m, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, RentedAt: now}
--- a/internal/scheduler/leader/scale_out_test.go
+++ b/internal/scheduler/leader/scale_out_test.go
@@ -37,7 +37,7 @@
 	l.addPending(t, wire.Job{ID: "job-2", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: 40, CPUs: 4, MemoryGB: 1})
 	l.scaleOut(now)
 	zones := map[string]int{}
-	for _, rental := range l.rentals.pending {
+	for _, rental := range l.rentals.inFlight {
 		zones[rental.Zone] += rental.Count
 	}
 	if zones["a"] == 0 || zones["b"] != 0 {
@@ -60,11 +60,11 @@
 			Tasks: 2, CPUs: 0.5 + float64(i%7)*8, MemoryGB: 1, Image: "img", Spot: i%2 == 0,
 		})
 		l.scaleOut(clock.Now()) // no request is answered in the meantime
-		if n := len(l.rentals.pending); n > tuning.RentalsInFlightMax {
+		if n := len(l.rentals.inFlight); n > tuning.RentalsInFlightMax {
 			t.Fatalf("%d rent requests in flight after %d jobs, want at most tuning.RentalsInFlightMax", n, i+1)
 		}
 	}
-	if len(l.rentals.pending) == 0 {
+	if len(l.rentals.inFlight) == 0 {
 		t.Error("no machine is requested")
 	}
 }
--- a/internal/scheduler/leader/schedule.go
+++ b/internal/scheduler/leader/schedule.go
@@ -54,7 +54,7 @@
 	for _, s := range l.subsystems.active {
 		s.Placed(a, m.Spot, l.env.machineType(m.Type), now)
 	}
-	l.env.observe(func(o Observer) { o.TaskStarted(j.Class) })
+	l.env.observe(func(o Observer) { o.TaskAllocated(j.Class) })
 	l.log.Debug("task allocated", "task", a.Task().String(), "attempt", a.Attempt, "class", j.Class, "machine", m.Name,
 		"type", m.Type, "spot", m.Spot, "waited_s", now.Sub(j.WaitingSince).Seconds())
 }
--- a/internal/scheduler/leader/service_levels.go
+++ b/internal/scheduler/leader/service_levels.go
@@ -34,7 +34,7 @@
 func (s *serviceLevels) jobArrived(j *jobs.Job) *liveJob {
 	size := j.CPUs * float64(j.Job.Tasks)
 	last := append(s.sizes[j.Class], size)
-	if len(last) > tuning.RememberedJobSizes {
+	if len(last) > tuning.RememberedJobSizesMax {
 		last = last[1:]
 	}
 	s.sizes[j.Class] = last
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -32,7 +32,7 @@
 // mayBeUnreachable reports whether at least tuning.UnansweredMachinesMin machines have left commands unanswered, and no
 // machine has answered any command for tuning.UnansweredFor.
 func (l *Loop) mayBeUnreachable(now time.Time) bool {
-	answered := l.probing.lastAnswered
+	answered := l.probing.lastAnsweredAt
 	if answered.Before(l.startedAt) {
 		answered = l.startedAt
 	}
--- a/internal/scheduler/leader/subsystem_writes_test.go
+++ b/internal/scheduler/leader/subsystem_writes_test.go
@@ -61,7 +61,7 @@
 			write(c.before, false)
 			lostAnswers = 0
 			write(c.late, true)
-			if lostAnswers != 1 || state.HeldTransactions() != 1 {
+			if lostAnswers != 1 || state.UndeliveredRequests() != 1 {
 				t.Fatalf("%d transactions lost their answers, want one that the state service holds", lostAnswers)
 			}
 			write(c.after, false)
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -163,7 +163,7 @@
 // probeAll has the loop probe its suspects, and waits until all probes have ended.
 func (l *Loop) probeAll() {
 	l.probing.next = time.Time{}
-	for l.stepProbing(l.env.Clock.Now()); l.probing.inFlight > 0; {
+	for l.stepProbing(l.env.Clock.Now()); l.probing.probesInFlight > 0; {
 		select {
 		case fn := <-l.inbox:
 			fn()
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -149,13 +149,13 @@
 }
 
 // NoteFailure counts a failed task of a job that works elsewhere. The machine is unhealthy once tasks of
-// tuning.FaultyMachineJobs such jobs have failed on it.
+// tuning.FaultyMachineJobsMin such jobs have failed on it.
 func (m *Machine) NoteFailure(job string) {
 	if m.failedJobs == nil {
 		m.failedJobs = map[string]bool{}
 	}
 	m.failedJobs[job] = true
-	m.Unhealthy = m.Unhealthy || len(m.failedJobs) >= tuning.FaultyMachineJobs
+	m.Unhealthy = m.Unhealthy || len(m.failedJobs) >= tuning.FaultyMachineJobsMin
 }
 
 // NoteCompletion records that a task completed on the machine. Earlier failures no longer count against it.
--- a/internal/sim/billing/main.go
+++ b/internal/sim/billing/main.go
@@ -100,7 +100,7 @@
 	for id := 1; time.Since(startedAt) < l.duration; id++ {
 		l.submit(ctx, id)
 		if id%9 == 0 {
-			l.cluster.Send(ctx, http.MethodPost, fmt.Sprintf("%s/job-%d/%s", wire.PathJobs, id-3, wire.EndCancel), nil)
+			l.cluster.Send(ctx, http.MethodPost, fmt.Sprintf("%s/job-%d/%s", wire.PathJobs, id-3, wire.PathEndCancel), nil)
 		}
 		if l.loseMachines && id%15 == 0 {
 			l.cluster.LoseMachine()
--- a/internal/sim/fakes/cloud.go
+++ b/internal/sim/fakes/cloud.go
@@ -88,15 +88,15 @@
 	c.machines = slices.DeleteFunc(c.machines, func(m wire.ListedMachine) bool { return m.Name == name })
 }
 
-// Refuse sets whether the cloud answers requests for its machine types with 503.
-func (c *Cloud) Refuse(refuse bool) {
+// RefuseMachineTypes sets whether the cloud answers requests for its machine types with 503.
+func (c *Cloud) RefuseMachineTypes(refuse bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refuseTypes = refuse
 }
 
-// Rents returns all rent requests so far, repeated ones included.
-func (c *Cloud) Rents() []wire.RentRequest {
+// RentRequests returns all rent requests so far, repeated ones included.
+func (c *Cloud) RentRequests() []wire.RentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]wire.RentRequest(nil), c.rentRequests...)
--- a/internal/sim/fakes/store.go
+++ b/internal/sim/fakes/store.go
@@ -52,7 +52,7 @@
 	mux.HandleFunc("GET /kv", s.list)
 	mux.HandleFunc("POST "+wire.PathTxn, s.commit)
 	mux.HandleFunc("POST "+wire.PathLeases, s.grant)
-	mux.HandleFunc("POST "+wire.PathLeases+"/{id}/"+wire.EndRenew, s.renew)
+	mux.HandleFunc("POST "+wire.PathLeases+"/{id}/"+wire.PathEndRenew, s.renew)
 	mux.HandleFunc("DELETE "+wire.PathLeases+"/{id}", s.revoke)
 	s.mux = mux
 	s.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, nil) }))
@@ -89,7 +89,7 @@
 		r = r.Clone(context.WithoutCancel(r.Context()))
 		r.Body = io.NopCloser(bytes.NewReader(raw))
 		execute := func() { s.mux.ServeHTTP(httptest.NewRecorder(), r) }
-		if requestHandling == Unanswered {
+		if requestHandling == AnswerLost {
 			execute()
 		} else {
 			s.mu.Lock()
--- a/internal/sim/fakes/store_faults.go
+++ b/internal/sim/fakes/store_faults.go
@@ -56,8 +56,8 @@
 const (
 	// Answered requests are executed and answered.
 	Answered RequestHandling = iota
-	// Unanswered requests are executed, but their answer is lost.
-	Unanswered
+	// AnswerLost requests are executed, but their answer is lost.
+	AnswerLost
 	// Delayed requests get no answer. Deliver executes them later.
 	Delayed
 )
@@ -90,15 +90,15 @@
 	s.loseAnswer = fn
 }
 
-// DelayAnswers makes each request other than a watch wait, by the store's clock, for the duration that fn returns before
+// DelayRequests makes each request other than a watch wait, by the store's clock, for the duration that fn returns before
 // it is executed. The request is executed even if its caller has given up meanwhile. With nil, no request waits.
-func (s *Store) DelayAnswers(fn func() time.Duration) {
+func (s *Store) DelayRequests(fn func() time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestDelay = fn
 }
 
-// waitBeforeExecution makes a request wait for the delay that DelayAnswers has set.
+// waitBeforeExecution makes a request wait for the delay that DelayRequests has set.
 func (s *Store) waitBeforeExecution(r *http.Request) {
 	s.mu.Lock()
 	delay := s.requestDelay
@@ -149,15 +149,15 @@
 	return applied
 }
 
-// Refused returns how many transactions the store has refused while Refuse(true) was in effect.
-func (s *Store) Refused() int {
+// RefusedTransactions returns how many transactions the store has refused while Refuse(true) was in effect.
+func (s *Store) RefusedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refusedTxns
 }
 
-// HeldTransactions returns the number of transactions and other requests that Deliver is to execute.
-func (s *Store) HeldTransactions() int {
+// UndeliveredRequests returns the number of transactions and other requests that Deliver is to execute.
+func (s *Store) UndeliveredRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.delayedTxns) + len(s.delayedRequests)
--- a/internal/sim/fakes/store_inspect.go
+++ b/internal/sim/fakes/store_inspect.go
@@ -15,8 +15,8 @@
 	return item, ok
 }
 
-// Holder returns the name and the term of the member that the leader key names as the leader; "" if there is none.
-func (s *Store) Holder() (member string, term uint64) {
+// LeaderAndTerm returns the name and the term of the member that the leader key names as the leader; "" if there is none.
+func (s *Store) LeaderAndTerm() (member string, term uint64) {
 	var holder struct {
 		Member string
 		Term   uint64
--- a/internal/sim/faults/cancellation_test.go
+++ b/internal/sim/faults/cancellation_test.go
@@ -41,7 +41,7 @@
 	simulate(t, 21, func(sim *simulation) {
 		sim.setPollOnChange(true)
 		for round, maxDelay := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 6 * time.Second} {
-			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.rng.Int64N(int64(maxDelay))) })
+			sim.state.DelayRequests(func() time.Duration { return time.Duration(sim.rng.Int64N(int64(maxDelay))) })
 			for i := range 6 {
 				sim.submit(fmt.Sprintf("job-%d", 6*round+i), jobSpec{tasks: 1 + i%2, runS: sim.randomSeconds(3, 20).Seconds(), kind: []string{"array", "service"}[i/3]})
 				sim.advance(sim.randomSeconds(1, 3))
@@ -55,7 +55,7 @@
 			}
 			sim.advance(sim.randomSeconds(5, 15))
 		}
-		sim.state.DelayAnswers(nil)
+		sim.state.DelayRequests(nil)
 		sim.endFaultsAndCheck()
 	})
 }
--- a/internal/sim/faults/injection_test.go
+++ b/internal/sim/faults/injection_test.go
@@ -32,7 +32,7 @@
 		f.end()
 		return true
 	})
-	if sim.state.HeldTransactions() > 0 && (all || sim.rng.IntN(16) == 0) {
+	if sim.state.UndeliveredRequests() > 0 && (all || sim.rng.IntN(16) == 0) {
 		executed := sim.state.Deliver()
 		sim.recordEvent("%d delayed transactions are executed", len(executed))
 	}
@@ -159,7 +159,7 @@
 		sim.state.SetRequestHandling(func(r *http.Request) fakes.RequestHandling {
 			switch rand.IntN(6) {
 			case 0:
-				return fakes.Unanswered
+				return fakes.AnswerLost
 			case 1:
 				if r.Method != http.MethodGet {
 					return fakes.Delayed
@@ -254,8 +254,8 @@
 	maxDelay := sim.randomSeconds(0.1, 4)
 	sim.recordEvent("the state service takes up to %v for an answer", maxDelay)
 	sim.startFault(sim.randomSeconds(5, 30), func() {
-		sim.state.DelayAnswers(func() time.Duration { return time.Duration(rand.Int64N(int64(maxDelay))) })
-	}, func() { sim.state.DelayAnswers(nil) })
+		sim.state.DelayRequests(func() time.Duration { return time.Duration(rand.Int64N(int64(maxDelay))) })
+	}, func() { sim.state.DelayRequests(nil) })
 }
 
 // slowLinks delays heartbeats, their answers and direct commands by up to several seconds each.
--- a/internal/sim/faults/load_test.go
+++ b/internal/sim/faults/load_test.go
@@ -15,8 +15,8 @@
 		maxDelay := 1500 * time.Millisecond
 		slowLinks(sim, nil)
 		sim.startFault(60*time.Second, func() {
-			sim.state.DelayAnswers(func() time.Duration { return time.Duration(sim.rng.Int64N(int64(maxDelay))) })
-		}, func() { sim.state.DelayAnswers(nil) })
+			sim.state.DelayRequests(func() time.Duration { return time.Duration(sim.rng.Int64N(int64(maxDelay))) })
+		}, func() { sim.state.DelayRequests(nil) })
 		for i := range 60 {
 			sim.submit(fmt.Sprintf("job-%d", i), jobSpec{
 				tasks: 1 + i%5, cpus: []float64{2, 4, 8}[i%3], runS: sim.randomSeconds(5, 25).Seconds(), checkpointS: float64(40 * (i % 2)),
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -162,7 +162,7 @@
 		for _, n := range sim.nodes {
 			n.kill()
 		}
-		sim.state.DelayAnswers(nil)
+		sim.state.DelayRequests(nil)
 		sim.clock.Advance(time.Minute) // requests that still wait in the state service proceed
 		for _, w := range sim.workers {
 			w.server.CloseClientConnections()
@@ -189,7 +189,7 @@
 // observeLeaderKey returns the controller that the leader key names, nil if none, and its term. When the term is
 // new, it also delivers the messages that are meant to arrive late at a new leader or after it has acted.
 func (sim *simulation) observeLeaderKey() (holder *node, term uint64) {
-	member, term := sim.state.Holder()
+	member, term := sim.state.LeaderAndTerm()
 	if i := slices.IndexFunc(sim.nodes, func(n *node) bool { return n.name == member }); i >= 0 {
 		holder = sim.nodes[i]
 	}
--- a/internal/sim/pipelines/main.go
+++ b/internal/sim/pipelines/main.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	hash, parts, err := runner.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6)).Store(ctx, d)
+	hash, parts, err := runner.NewReader(statestore.New(l.cluster.State.Addr(), 1e6, 1e6)).StoreDefinition(ctx, d)
 	if err != nil {
 		return err
 	}
--- a/internal/sim/testcluster/cluster.go
+++ b/internal/sim/testcluster/cluster.go
@@ -142,7 +142,7 @@
 
 // leader returns the index of the member that leads, or -1 if there is none.
 func (c *Cluster) leader() int {
-	member, _ := c.State.Holder()
+	member, _ := c.State.LeaderAndTerm()
 	var i int
 	if _, err := fmt.Sscanf(member, "m%d", &i); err != nil {
 		return -1
--- a/internal/sim/testutil/testutil.go
+++ b/internal/sim/testutil/testutil.go
@@ -23,8 +23,8 @@
 	return addr
 }
 
-// File writes text to a temporary file and returns its path. The file is removed when the test ends.
-func File(t testing.TB, name, text string) string {
+// TempFile writes text to a temporary file and returns its path. The file is removed when the test ends.
+func TempFile(t testing.TB, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
