--- a/internal/platform/clock/clock.go
+++ b/internal/platform/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock adds to clockwork clocks a sleep that ends with a context.
+// Package clock provides a sleep on a clockwork clock that ends early when a context is done.
 package clock
 
 import (
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -89,7 +89,7 @@
 	case keyLedger:
 		o.LedgerEnabled, err = parseSwitch(key, value)
 	case keyLedgerZone:
-		o.Budgets.TimeZone, err = parseZone(key, value)
+		o.Budgets.TimeZone, err = parseTimeZone(key, value)
 	case keyMetrics:
 		o.MetricsAddr, err = value, checkAddr(key, value)
 	case keyGraphs:
@@ -146,7 +146,7 @@
 	return value == "on", nil
 }
 
-func parseZone(key, value string) (*time.Location, error) {
+func parseTimeZone(key, value string) (*time.Location, error) {
 	zone, err := time.LoadLocation(value)
 	if err != nil {
 		return nil, fmt.Errorf("%s: unknown time zone %q", key, value)
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -67,8 +67,8 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers holds the times of workers, in seconds: the heartbeat interval, the length of a lease, and the time for a
-// cancellation.
+// Workers holds the times of workers, in seconds: the heartbeat interval, the duration of a lease, and the time allowed for a
+// cancellation, which is checked but not used.
 type Workers struct {
 	HeartbeatS float64 `toml:"report_s"`
 	LeaseS     float64 `toml:"lease_s"`
@@ -84,7 +84,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud: calls per second, and by how many seconds its list of machines may be out of date.
+// Cloud holds the limits of the cloud: calls per second, and by how many seconds the cloud's list of machines may be out of date.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
@@ -119,7 +119,7 @@
 }
 
 // unlimitedIfZero returns limit, or infinity if limit is 0. Without this replacement, every job of a guest team, which has
-// neither a guarantee nor a limit, was refused as exceeding a limit of 0.
+// neither a guarantee nor a limit, would be refused as exceeding a limit of 0.
 func unlimitedIfZero(limit float64) float64 {
 	if limit == 0 {
 		return math.Inf(1)
--- a/internal/platform/config/settings_test.go
+++ b/internal/platform/config/settings_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a guest team, which has no amounts in the file, whose limit is loaded as 0 instead of as no limit.
-func TestATeamWithoutAmountsHasNoLimit(t *testing.T) {
+// Guards against a guest team, which has no quota in the file, whose limit is loaded as 0 instead of as no limit.
+func TestTeamWithoutQuotaHasNoLimit(t *testing.T) {
 	s, err := Load(testutil.TempFile(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -56,8 +56,8 @@
 // Budgets returns the budgets currently in effect.
 func (w *OperatorSettingsWatcher) Budgets() *budget.Settings { return w.budgets.Load() }
 
-// Run checks the file every tuning.PropertiesCheckEvery until ctx ends and applies its budgets when it has changed. An invalid file
-// changes nothing.
+// Run checks every tuning.PropertiesCheckEvery, until ctx ends, whether the file has changed. If so, it applies the file's
+// budgets. An invalid file changes nothing.
 func (w *OperatorSettingsWatcher) Run(ctx context.Context, clock clockwork.Clock, log *slog.Logger) {
 	if w.path == "" {
 		return
--- a/internal/platform/memory/memory.go
+++ b/internal/platform/memory/memory.go
@@ -23,9 +23,9 @@
 	full       bool
 }
 
-// New returns a gauge for a machine with ramMB MiB of memory. If ramMB is 0, the gauge never reports full.
-func New(ramMB float64, clock clockwork.Clock) *Gauge {
-	return &Gauge{clock: clock, limitBytes: uint64(max(0, ramMB) * tuning.MemoryFullShare * (1 << 20)), readUsed: runtimeBytes}
+// New returns a gauge for a machine with memoryMiB MiB of memory. If memoryMiB is 0, the gauge never reports full.
+func New(memoryMiB float64, clock clockwork.Clock) *Gauge {
+	return &Gauge{clock: clock, limitBytes: uint64(max(0, memoryMiB) * tuning.MemoryFullShare * (1 << 20)), readUsed: runtimeBytes}
 }
 
 // Full reports whether the process uses at least the share tuning.MemoryFullShare of the machine's memory. If so, no more work
--- a/internal/platform/memory/memory_test.go
+++ b/internal/platform/memory/memory_test.go
@@ -15,13 +15,13 @@
 	var usedBytes uint64
 	g.readUsed = func() uint64 { return usedBytes }
 	for _, c := range []struct {
-		mb   uint64
-		full bool
+		usedMiB uint64
+		full    bool
 	}{{10, false}, {84, false}, {86, true}, {120, true}, {50, false}} {
-		usedBytes = c.mb << 20
+		usedBytes = c.usedMiB << 20
 		clock.Advance(tuning.MemoryCheckEvery)
 		if g.Full() != c.full {
-			t.Errorf("%d of 100 MiB used: Full returned %v", c.mb, !c.full)
+			t.Errorf("%d of 100 MiB used: Full returned %v", c.usedMiB, !c.full)
 		}
 	}
 	if usedBytes = 99 << 20; g.Full() {
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -56,7 +56,7 @@
 // CycleDone records the duration of a scheduling cycle.
 func (m *Metrics) CycleDone(duration time.Duration) { m.loop.cycle.Observe(duration.Seconds()) }
 
-// HeartbeatHandled records how long a heartbeat waited to be processed.
+// HeartbeatHandled records how long a heartbeat waited for the leader's answer.
 func (m *Metrics) HeartbeatHandled(duration time.Duration) {
 	m.machines.heartbeat.Observe(duration.Seconds())
 }
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -10,7 +10,8 @@
 	// EstimateCorrectionMaxFactor bounds the factor by which owners' run time estimates are corrected. The
 	// estimates are often wrong by half, rarely by more.
 	EstimateCorrectionMaxFactor = 4.0
-	// EstimateLearningRate is the weight, as a share, that one more completed task has in that factor.
+	// EstimateLearningRate is the weight, between 0 and 1, of one more completed task in the factor by which
+	// owners' run time estimates are corrected.
 	EstimateLearningRate = 0.1
 	// LedgerMinValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
 	// records that contain charges can be stored.
@@ -19,9 +20,10 @@
 	// are rolled up earlier if there are as many as fit one transaction. A longer time lets more charges
 	// share a transaction.
 	RollUpAfter = 60 * time.Second
-	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up starts,
-	// if that many are due. Each roll-up also writes a segment and a page, so small roll-ups are expensive:
-	// with 13 jobs per second, 606 roll-ups covered two jobs each.
+	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up starts.
+	// If all due charges can be rolled up with fewer changes, or if a transaction cannot hold that many, a smaller
+	// number suffices. Each roll-up also writes a segment and a page, so small roll-ups are expensive. Without
+	// this minimum, at 13 jobs per second, a roll-up covers only two jobs.
 	RollUpMinChanges = 12
 	// RollUpMaxBytes bounds the bytes that one transaction adds to a segment.
 	RollUpMaxBytes = 6 << 10
--- a/internal/platform/tuning/controller.go
+++ b/internal/platform/tuning/controller.go
@@ -28,7 +28,7 @@
 	MachineKiB = 64
 	// ReachableMemoryShare is the share of the runtime's soft memory limit that reachable objects may fill
 	// while machines are rented beyond the number that MachineKiB allows. The memory that a machine uses
-	// depends on its tasks. With a fixed 64 KiB for each machine, a leader with 322 MB of memory rented no
+	// depends on its tasks. With a fixed 64 KiB for each machine, a leader with 322 MB of memory would rent no
 	// more than 2,965 machines. The remaining share is for garbage: at 0.7 the collector runs 2.3 times as
 	// often as with ample memory.
 	ReachableMemoryShare = 0.7
--- a/internal/platform/tuning/election.go
+++ b/internal/platform/tuning/election.go
@@ -11,7 +11,7 @@
 	// LeaderLeaseRenewEvery is the interval between renewals. Three renewals may fail within LeaderLeaseTTL.
 	LeaderLeaseRenewEvery = 1 * time.Second
 	// LeaseCallTimeout bounds a call that grants, renews or revokes a lease, so that another renewal can follow
-	// one without an answer.
+	// an unanswered one.
 	LeaseCallTimeout = 1 * time.Second
 	// ElectionRetryPause is the pause after a failed step of the election.
 	ElectionRetryPause = 250 * time.Millisecond
@@ -23,8 +23,8 @@
 	// outage.
 	VoteValidity = 1200 * time.Millisecond
 	// ConfirmationValidity is how long a confirmation by another member is valid. The candidate must become
-	// leader within that time. That takes three calls to the key-value store, each of which takes at worst
-	// several hundred ms.
+	// leader within that time. Becoming leader takes three calls to the key-value store, each of which takes at
+	// worst several hundred ms.
 	ConfirmationValidity = 3 * time.Second
 	// FencingLeaseTTL is how long a silent member stays fenced off without a renewal. For that long, a leader
 	// that has the votes of all other members continues to lead its workers through an outage of the key-value
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -8,13 +8,13 @@
 	// of 16 KiB, and three parts fit a transaction.
 	GraphPartMaxBytes = 10 << 10
 	// GraphMaxParts is the largest number of parts of a graph. A graph of 10,000 steps with names of 40 bytes
-	// has some 20.
+	// has some 20 parts.
 	GraphMaxParts = 64
 	// GraphMinValueKB is the smallest value size limit of the key-value store, in KiB, with which a part and a
 	// run of 10,000 steps can be stored.
 	GraphMinValueKB = 14
 	// GraphDefaultMaxActiveTasks is the default maximum number of steps of a graph that are submitted at a time.
-	// GraphDefaultMaxActiveRuns is the default maximum number of its active runs. Both are as in Airflow.
+	// GraphDefaultMaxActiveRuns is the default maximum number of a graph's active runs. Both are as in Airflow.
 	GraphDefaultMaxActiveTasks = 16
 	GraphDefaultMaxActiveRuns  = 16
 	// GraphDefaultPoolSlots is the number of slots of a team's default pool, as in Airflow.
@@ -34,7 +34,7 @@
 	// GraphCleanUpEvery is the interval between checks for runs and graphs to delete.
 	GraphCleanUpEvery = time.Minute
 	// GraphRecordDelay is the longest time for which the record of a run may lack the fact that a step's job
-	// began to run. Nothing depends on that entry.
+	// began to run. Nothing depends on that fact.
 	GraphRecordDelay = 5 * time.Second
 	// TryBytes is the size, in bytes, of one try in the record of a run, which contains the run's newest
 	// tries. TriesRecordShare is the share of the record that all these tries may fill: 400 tries if a value
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -15,9 +15,10 @@
 	// some task ends every second or two. Until the change is written, the workers retain the exits.
 	LazyWriteDelay = 2 * time.Second
 	// LazyMaxWait is how long a lazy change waits for spare room under the limit on changes. After that it is
-	// written without spare room, within a rate limit. LazyRateShare is the rate of that limit, as a share of
-	// the limit on changes. LazyBurstChanges is its burst, in changes. When lazy changes were part of every
-	// transaction, they were two fifths of all changes during a backlog, and starts waited for a second.
+	// written even if there is no spare room. Such writes have a rate limit of their own: LazyRateShare is its
+	// rate, as a share of the limit on changes, and LazyBurstChanges is its burst, in changes. If lazy changes
+	// were part of every transaction, they would be two fifths of all changes during a backlog, and starts
+	// would wait for a second.
 	LazyMaxWait      = 20 * time.Second
 	LazyRateShare    = 0.125
 	LazyBurstChanges = 4
@@ -43,16 +44,18 @@
 	// DetachChargesMin is the number of charges in a progress record at which they are moved to a record of
 	// their own. At about 25 bytes each they fill up to 3 KB of the progress record.
 	DetachChargesMin = 96
-	// DetachChargesMax is the largest number of charges that are moved to one record. That many charges have
-	// some 7 KB. At midnight each running task adds one charge.
+	// DetachChargesMax is the largest number of charges that are moved to one record, where they take some
+	// 7 KB. It exceeds DetachChargesMin because a progress record may get many charges at once: at midnight
+	// each running task adds one charge.
 	DetachChargesMax = 192
 	// JobEndMaxChunks is the largest number of progress records with new charges that are written in the same
 	// transaction as their job's end. If there are more, they are written before the end, since a transaction
 	// is limited to 64 KiB.
 	JobEndMaxChunks = 4
-	// StartTimeStoreDelay is how long ago a task must have been placed before its start time alone causes a
-	// write. The tasks of most arrays end within a minute. Without a stored start time, a new leader charges
-	// the task from the time of its placement.
+	// StartTimeStoreDelay is the time after a task's placement from which its start time alone causes a write.
+	// If an earlier leader placed the task, the time is counted from the failover. The tasks of most arrays end
+	// within a minute. Without a stored start time, a new leader charges the task from the time of its
+	// placement.
 	StartTimeStoreDelay = 10 * time.Second
 	// ReconcileEvery is the interval at which the leader compares the stored jobs with those that it knows.
 	// A job that the leader missed has to begin within minutes. Reading a thousand jobs takes two calls.
--- a/internal/platform/tuning/placement.go
+++ b/internal/platform/tuning/placement.go
@@ -40,13 +40,15 @@
 	// millisecond or two on a share of a core, and the strictest service-level objective for starts is a
 	// second.
 	CyclePauseFactor = 16
-	// CyclePauseMin and ScaleOutPauseMin are the shortest pauses after a cycle and after a scale-out plan. The
-	// factor alone allows a seventeenth of a core, which is a fifth of the processor of a machine with 0.3 of
-	// a core. A start takes a second or more and a boot 20 s, so the pauses delay neither noticeably.
+	// CyclePauseMin and ScaleOutPauseMin are the shortest pauses after a cycle and after a scale-out plan. With
+	// CyclePauseFactor alone, each of the two could use a seventeenth of a core, which is a fifth of the
+	// processor of a machine with 0.3 of a core. The start of a task takes a second or more, and the boot of a
+	// machine takes 20 s, so these pauses cause no noticeable delay.
 	CyclePauseMin    = 20 * time.Millisecond
 	ScaleOutPauseMin = 200 * time.Millisecond
-	// PreemptWaitShare is the share of a class's allowed wait after which other tasks may be preempted for it.
-	// The class's own service-level objective or that of the guarantee sets the allowed wait.
+	// PreemptWaitShare is the share of a class's allowed wait after which other tasks may be preempted for the
+	// class. The allowed wait is the shortest time in the service-level objectives that apply to the class: its
+	// own objective for the wait, and the objective for guarantees, which applies to every class.
 	PreemptWaitShare = 0.5
 	// PreemptDelayAfterFailover is how long a new leader preempts nothing. Workers find the new leader within
 	// that time.
@@ -56,14 +58,14 @@
 	// PreemptBackoff is how long a job waits for tasks that were preempted for it before more are preempted.
 	PreemptBackoff = 2 * time.Second
 	// PreemptFreshCostS is the extra cost, in seconds of work, of preempting a task that has run for less than
-	// PreemptMinRun, because its start then does not count.
+	// PreemptMinRun, because its start then does not count as a start.
 	PreemptFreshCostS = 30.0
 	// PreemptPriorityCostS is the cost, in seconds of work, that each level of a task's priority adds to its
 	// preemption. Of the borrowed resources, those of low-priority work are therefore reclaimed first.
 	PreemptPriorityCostS = 30.0
 	// PreemptMinRun is how long a task must have run to be preempted without the extra cost PreemptFreshCostS,
 	// and how long a service replica must have run to be moved. A start that is stopped within 30 s does not
-	// count.
+	// count as a start.
 	PreemptMinRun = 31 * time.Second
 	// CheckpointGraceExtra is added to the time that a task needs to save a checkpoint when the task is stopped.
 	CheckpointGraceExtra = 1 * time.Second
--- a/internal/platform/tuning/reachability.go
+++ b/internal/platform/tuning/reachability.go
@@ -6,8 +6,9 @@
 const (
 	// UnreachablePause is how long a machine that was unreachable for commands gets no tasks after it is
 	// reachable again. The pause doubles each time the machine becomes unreachable again, up to
-	// UnreachablePauseMax. It is reset UnreachableForgetAfter after the last pause ended. Each interruption of
-	// the connection can cost the tasks a lease.
+	// UnreachablePauseMax. If the machine becomes unreachable more than UnreachableForgetAfter after the last
+	// pause ended, the next pause is UnreachablePause again. There is a pause because each interruption of the
+	// connection can cost the worker its lease, and with it the machine's tasks.
 	UnreachablePause       = 5 * time.Second
 	UnreachablePauseMax    = time.Minute
 	UnreachableForgetAfter = 15 * time.Minute
@@ -18,7 +19,7 @@
 	// ProbeCommandShare is the share of the allowed commands in flight that probes may always use. The
 	// commands of a scheduling cycle must not wait behind probes of hundreds of dead machines, each of which
 	// takes CommandTimeout. If many machines are suspect, probes may use up to ProbeCommandShareMax, as far as
-	// is needed to probe all of them within ProbeAllLeaseShare, a share of the workers' lease.
+	// is needed to probe all of them within ProbeAllLeaseShare, a share of the duration of a worker's lease.
 	// ProbesInFlightMin is the number of probes in flight that is always allowed.
 	ProbeCommandShare    = 0.125
 	ProbeCommandShareMax = 0.5
--- a/internal/platform/tuning/scaleout.go
+++ b/internal/platform/tuning/scaleout.go
@@ -10,12 +10,11 @@
 	ArrivalWindow = 120 * time.Second
 	// ArrivalWindowMin is the shortest time over which arrivals are converted to a rate.
 	ArrivalWindowMin = 30 * time.Second
-	// InitialBacklogWindow is how long after the service's very first start the arriving jobs count as the
-	// initial backlog, which are jobs that waited for the service to start. Users retry after a second or
-	// more.
+	// InitialBacklogWindow is how long, after the service's very first start, arriving jobs count as part of
+	// the initial backlog: the jobs that waited for the service to start. Users retry after a second or more.
 	InitialBacklogWindow = 5 * time.Second
-	// InitialBacklogDivisor is the number of jobs of the initial backlog of which one counts in the forecast.
-	// When none of them counted, the services of the first minute found no room.
+	// InitialBacklogDivisor is the number of jobs of the initial backlog that count as one arrival in the
+	// forecast. If none of them counted, the services that arrive in the first minute would find no room.
 	InitialBacklogDivisor = 8
 	// ForecastShareLatencySensitive is the share of the work expected within a boot time for which room is
 	// reserved, for classes that must start sooner than a machine boots. ForecastShareGuaranteed is that share
@@ -40,21 +39,22 @@
 	// ConsolidateEvery is the interval between checks for machines to drain. In each check, service
 	// replicas are also moved off draining machines.
 	ConsolidateEvery = 2 * time.Second
-	// ConsolidateCandidatesMin is the smallest number of machines that one check considers for draining. In a
-	// large fleet the number is that of the machines in use, divided by ConsolidateCandidateDivisor. A large
-	// fleet has to shrink as fast as a small one, and the tasks of each candidate are tried on all other
-	// machines.
+	// ConsolidateCandidatesMin is the smallest limit on the number of machines that one check considers for
+	// draining. In a large fleet the limit is the number of machines in use, divided by
+	// ConsolidateCandidateDivisor, because a large fleet has to shrink as fast as a small one. There is a limit
+	// because the tasks of each candidate are tried on all other machines.
 	ConsolidateCandidatesMin    = 3
 	ConsolidateCandidateDivisor = 16
-	// MovesInFlightMin is the smallest number of replicas that may be moved at a time. In a large fleet the
-	// number is that of all replicas, divided by MovesInFlightDivisor. Replicas that are being moved wait
-	// longer if the leader dies.
+	// MovesInFlightMin is the smallest limit on the number of replicas that one check moves. In a large fleet
+	// the limit is the number of all replicas, divided by MovesInFlightDivisor. There is a limit because
+	// replicas that are being moved wait longer if the leader dies.
 	MovesInFlightMin     = 2
 	MovesInFlightDivisor = 100
 	// MoveDowntime is how long a moved replica is down, besides the fetch of its image.
 	MoveDowntime = 300 * time.Millisecond
-	// MoveDowntimeShare is the share of all replicas' time that moves may cost as downtime. The strictest
-	// service-level objectives of replicas allow 0.1 to 0.2 % of downtime.
+	// MoveDowntimeShare is the share of the time of all replicas that the downtime of all moves together may
+	// take. It is an average over the replicas of all services, and larger than the 0.1 to 0.2 % of downtime
+	// that the strictest service-level objectives of replicas allow.
 	MoveDowntimeShare = 0.003
 	// MoveDowntimeBudgetMax is the largest downtime budget that accumulates. It is enough for one move with a
 	// long fetch. If the budget gains more than this between two checks, as with thousands of replicas, that
@@ -70,15 +70,16 @@
 	BootLateFactor = 2.0
 	// BootGiveUpFactor is the multiple of the nominal boot time after which a booting machine is deleted.
 	BootGiveUpFactor = 3.0
-	// BootExtra is added to the boot times that result from both factors, for the lag of the cloud's list and
-	// for the first heartbeat.
+	// BootExtra is added to the times that result from BootLateFactor and BootGiveUpFactor, for the lag of the
+	// cloud's list and for the first heartbeat.
 	BootExtra = 5 * time.Second
 	// UnknownTypeBootTime is the boot time allowed to a machine of a type that the cloud no longer offers.
 	UnknownTypeBootTime = 120 * time.Second
 	// AdoptedMachineWait is how long a new leader waits for the first heartbeat of a machine that it found in
 	// the cloud's list, before the machine can count as one that never came up.
 	AdoptedMachineWait = 15 * time.Second
-	// SilentReturnAfter is how long after its lease expired a silent machine is returned.
+	// SilentReturnAfter is how long a machine may be silent after its lease expired, or be unreachable, before
+	// it is returned.
 	SilentReturnAfter = 20 * time.Second
 	// SilentReturnAfterPartition replaces SilentReturnAfter during a network partition. A partition rarely
 	// lasts a minute. Silence counts as a partition if at least PartitionMinMachines machines and at least
@@ -96,7 +97,7 @@
 	// unlisted machines created before it are gone. The order of younger machines is uncertain, because
 	// several machines are created at once and ages are rounded.
 	ListSettledAgeS = 2.0
-	// MissedListingsMin is the number of consecutive lists that must lack a silent machine before it counts as
-	// interrupted by the cloud.
+	// MissedListingsMin is the number of consecutive listings of the cloud's machines in which a silent machine
+	// must be missing before it counts as interrupted by the cloud.
 	MissedListingsMin = 3
 )
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -17,24 +17,26 @@
 	// FollowerLeaseBatchDelay is how long the first of several workers waits, so that one write of the record
 	// covers them all.
 	FollowerLeaseBatchDelay = 100 * time.Millisecond
-	// FollowerLeaseExtra is added to twice a worker's lease to give the time to live of that record.
+	// FollowerLeaseExtra is added to twice the duration of a worker's lease to give the time to live of a
+	// follower's stored record. It is also a part of the time to live of a stored zone lease.
 	FollowerLeaseExtra = 10 * time.Second
-	// FollowerLeaseTimeout is how long a heartbeat may wait for the record to be written. A worker waits 4 s,
-	// and the follower has already tried to relay the heartbeat to the leader.
+	// FollowerLeaseTimeout is how long a heartbeat may wait for the follower's record to be written. A worker
+	// waits 4 s, and the follower has already tried to relay the heartbeat to the leader.
 	FollowerLeaseTimeout = 2 * time.Second
 	// HeartbeatLateFactor is the longest pause between a worker's heartbeats, as a multiple of the heartbeat
 	// interval. WorkerSearchTime is how long a worker may have searched for a controller before its heartbeat
-	// arrives. After WorkerSearchTime without any request of a worker, the next request begins a new search. A
-	// lease leaves some time beyond both the longest pause and the search. ElectionGraceShare is the share of
-	// that time during which workers are redirected instead of having their leases renewed.
+	// arrives. After WorkerSearchTime without a request of any worker, the next request begins a new search. If a
+	// worker's lease lasts longer than the longest pause and the search together, ElectionGraceShare is the
+	// share of the remaining time during which workers are redirected instead of having their leases renewed.
 	HeartbeatLateFactor = 1.25
 	WorkerSearchTime    = 15 * time.Second
 	ElectionGraceShare  = 0.25
-	// RenewedQueryLeaseShare is the share of a worker's lease within which a follower queries every worker
-	// whose lease it renews, to confirm that the worker is alive. The number of these workers, divided by that
-	// time, is the rate of queries. RenewedQueriesPerSecondMin is the lowest rate, in queries per second. A
-	// fixed rate of 40 needed 100 s for 4,000 workers, longer than their leases. A query costs about as much
-	// as a heartbeat, and a worker sends several heartbeats in half a lease.
+	// RenewedQueryLeaseShare is the share of the duration of a worker's lease within which a follower queries
+	// every worker whose lease it renews, to confirm that the worker is alive. The rate of queries is the number
+	// of these workers, divided by that time. RenewedQueriesPerSecondMin is the lowest rate, in queries per
+	// second. At a fixed rate of 40 per second, querying 4,000 workers would take 100 s, longer than their
+	// leases last. A query costs about as much as a heartbeat, and a worker sends several heartbeats within half
+	// the duration of its lease.
 	RenewedQueryLeaseShare     = 0.5
 	RenewedQueriesPerSecondMin = 40.0
 	// RenewedQueryAnswerTime is the longest time that a live worker takes to answer such a query. The number
@@ -55,9 +57,10 @@
 	// time misses a few pings.
 	IsolatedAfter = 6 * time.Second
 	// ZoneLeaseTTL is how long a member that reaches neither the leader nor the key-value store continues to
-	// answer the workers of its own zone. Most partitions of a zone last about a minute. During a partition of
-	// 170 s, jobs including arrays fared better with a time to live of 300 s than with 120 s. If the member
-	// fails together with its zone, the zone's machines count as alive for this time, except those that the
+	// answer the workers of its own zone. Most partitions of a zone last about a minute, but some take longer.
+	// In a partition of 170 s, a member with a time to live of 120 s stops answering before the partition ends;
+	// with 300 s it does not, which is better for jobs of all kinds, including arrays. If the member fails
+	// together with its zone, however, the zone's machines count as alive for this time, except those that the
 	// cloud lists as failed.
 	ZoneLeaseTTL = 300 * time.Second
 	// ZoneLeaseRenewEvery is the interval at which the zone lease is renewed. At the beginning of a partition,
@@ -68,22 +71,23 @@
 	// RenewedNamesMaxBytes bounds the machine names in one query between members, in bytes. The message is a
 	// little larger. NameOverheadBytes is the overhead of a name besides its own length: its vector entry,
 	// length, terminator and alignment. All queries together must complete within RelayTimeout. With 400 names
-	// in each query, 6,000 machines needed 15 queries in sequence.
+	// in each query, 6,000 machines would need 15 queries in sequence.
 	RenewedNamesMaxBytes = 64 << 10
 	NameOverheadBytes    = 12
 	// WorkerTryTime is how long a worker spends on a controller that does not answer: 4 s for the answer and
 	// 1 s until it tries the next.
 	WorkerTryTime = 5 * time.Second
-	// RedirectLeaseShare is the share of a worker's lease within which the worker must be able to return if it
-	// is redirected to a leader that does not answer this member.
+	// RedirectLeaseShare is the share of the duration of a worker's lease within which the worker must be able
+	// to return if it is redirected to a leader that does not answer this member.
 	RedirectLeaseShare = 0.8
 	// RenewedQueryTimeout bounds one query of the leader for leases that other members renewed. In this query
 	// the leader reads the stored records of followers and of zone leases, and asks the members that hold zone
 	// leases. If the query takes longer, the leader concludes nothing from it. The records and the members
-	// report renewals for this time in addition to a lease, so that all of them cover the whole lease before
-	// the query began. The bound is long enough for a key-value store that answers in half a second, and for
-	// several pages of records. A dead machine that a follower answered is detected later by as much time.
+	// report renewals for the duration of a worker's lease plus RenewedQueryTimeout, so that each report covers
+	// at least the duration of a lease before the query began. RenewedQueryTimeout is long enough for a
+	// key-value store that answers in half a second, and for several pages of records. It is also the additional
+	// time after which a dead machine that a follower answered is detected.
 	RenewedQueryTimeout = 3 * time.Second
-	// RenewedReadMinInterval is the shortest time between two such queries of the leader.
+	// RenewedReadMinInterval is the shortest time between two queries of the leader for renewed leases.
 	RenewedReadMinInterval = 500 * time.Millisecond
 )
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -4,10 +4,11 @@
 
 // Workers: heartbeats, failures, slow machines and images.
 const (
-	// LeaseMargin is added to a worker's lease before its tasks count as ended.
+	// LeaseMargin is added to the duration of a worker's lease before the worker's tasks count as ended.
 	LeaseMargin = 100 * time.Millisecond
-	// HeartbeatReplyValidity is how long after a heartbeat arrived a worker may still execute its reply. Workers
-	// drop replies after 4 s, by a clock that may run slow.
+	// HeartbeatReplyValidity is the time after the arrival of a heartbeat within which the worker may still
+	// execute the commands of the reply. Workers drop replies after 4 s, but a worker's clock may run slow, so
+	// this time is a little longer.
 	HeartbeatReplyValidity = 4100 * time.Millisecond
 	// SilentHeartbeatIntervals is the number of heartbeat intervals without a heartbeat after which a machine gets
 	// no new tasks.
@@ -17,7 +18,7 @@
 	// SlowFactor is the slowdown that the detection of slow machines tests for, as a multiple of the run
 	// time on other machines. SlowLogLikelihoodRatio is the log-likelihood ratio, for that slowdown against none, at
 	// which a machine counts as slow. SlowPeersMin is the smallest number of tasks of the same job with which a
-	// run is compared, and RememberedRunsMax the number of runs of a job that are remembered.
+	// run is compared, and RememberedRunsMax the largest number of runs of a job that are remembered.
 	SlowFactor             = 3.0
 	SlowLogLikelihoodRatio = 9.0
 	SlowPeersMin           = 5
--- a/internal/platform/wire/job.go
+++ b/internal/platform/wire/job.go
@@ -25,7 +25,7 @@
 // MaxTasks is the largest number of tasks in one job.
 const MaxTasks = 100_000
 
-// Kind is the kind of a job: an array of tasks that complete, or a service whose replicas run until they are cancelled.
+// Kind is the kind of a job: an array of tasks that complete, or a service whose replicas run until the service is cancelled.
 type Kind string
 
 // The kinds of jobs.
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Newer reports whether the heartbeat is newer than a message of the same machine with an incarnation and a sequence number.
+// Newer reports whether the heartbeat is newer than a message of the same machine with the given incarnation and sequence number.
 func (h *Heartbeat) Newer(incarnation, seq uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Seq > seq
 }
