--- a/internal/scheduler/autoscale/forecast.go
+++ b/internal/scheduler/autoscale/forecast.go
@@ -27,9 +27,9 @@
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		arrivals := byClass[class]
 		expected := float64(len(arrivals)) * horizon.Seconds() / observed.Seconds() * reserveShare(class)
-		// If many arrays are expected, most of them find the room of arrays that end in the meantime. So room is
+		// If many arrays are expected, most of them can use the room of arrays that end in the meantime. So room is
 		// reserved only for the number by which arrivals may exceed ends, which grows as the square root of the
-		// arrivals. Service replicas do not end, so all expected ones count.
+		// number of arrivals. Services do not end, so room is reserved for all that are expected.
 		if arrivals[0].Job.Kind == wire.KindArray {
 			expected = min(expected, math.Sqrt(expected))
 		}
@@ -42,8 +42,9 @@
 }
 
 // arrivalsByClass groups the arrivals within tuning.ArrivalWindow by class. observed is the time over which the rate of
-// arrivals is computed. It is shorter than the window if the scheduler has just started, but at least
-// tuning.ArrivalWindowMin, because jobs that waited for the start predict little about future jobs.
+// arrivals is computed: the time since the first of these arrivals, which is shorter than the window if, for example, the
+// scheduler has just started. It is at least tuning.ArrivalWindowMin. Otherwise the jobs that had waited for the
+// scheduler to start would give a high rate, although they predict little about future jobs.
 func arrivalsByClass(now time.Time, recent []Arrival) (byClass map[string][]Arrival, observed time.Duration) {
 	byClass = map[string][]Arrival{}
 	var first time.Time
--- a/internal/scheduler/autoscale/forecast_test.go
+++ b/internal/scheduler/autoscale/forecast_test.go
@@ -31,8 +31,8 @@
 	if got := tasks(30*time.Second, 0.3); !reflect.DeepEqual(got, []int{12}) {
 		t.Errorf("expected jobs for a share of 0.3 have %v tasks, want those of the last arrival", got)
 	}
-	// If many arrays are expected, most of them find the room of arrays that end. If nine are expected, room is reserved
-	// for three.
+	// If many arrays are expected, most of them can use the room of arrays that end in the meantime. Room is reserved
+	// only for the square root of the number: for three of the nine arrays that are expected here.
 	many := make([]Arrival, 0, 36)
 	for i := range 36 {
 		many = append(many, Arrival{At: now.Add(time.Duration(i-36) * 10 * time.Second / 3), Job: &wire.Job{ID: "job-1", Team: "t", Class: "c", Kind: wire.KindArray, Tasks: 1}})
--- a/internal/scheduler/autoscale/plan.go
+++ b/internal/scheduler/autoscale/plan.go
@@ -1,6 +1,6 @@
-// Package autoscale decides about scale-out: which machines to rent for the tasks that found no room (Plan), and for
-// which expected work room is reserved (Forecast). It does no I/O and has no state. Nothing here is safe for concurrent
-// use with the same input.
+// Package autoscale decides about scale-out: which machines to rent for the tasks that found no room (Plan), and which
+// expected jobs to reserve room for (Forecast). It does no I/O and has no state. Nothing here is safe for concurrent use
+// with the same input.
 package autoscale
 
 import (
@@ -79,10 +79,10 @@
 	return in.InFlight != nil && in.InFlight(o) || in.MaxPerRequest > 0 && planned >= in.MaxPerRequest
 }
 
-// rentalPlan holds the machines that a plan rents, with their offerings in the order in which they were first needed.
+// rentalPlan holds the machines that a plan rents, as the number of machines of each offering.
 type rentalPlan struct {
-	offerings []Offering
-	counts    map[Offering]int
+	offerings []Offering       // in the order in which they were first needed
+	counts    map[Offering]int // number of machines to rent
 }
 
 func (p *rentalPlan) add(offering Offering) {
@@ -114,7 +114,7 @@
 	return o.taskCost < other.taskCost || o.taskCost == other.taskCost && o.countInZone < other.countInZone
 }
 
-// machine returns an empty machine of the option.
+// machine returns a machine without tasks, as the option describes it.
 func (o *option) machine() *placement.Machine {
 	total := placement.Resources{CPUs: o.machineType.CPUs, GPUs: o.machineType.GPUs, MemoryGB: o.machineType.MemoryGB}
 	return &placement.Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Total: total, Free: total}
--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -49,7 +49,7 @@
 func listPause(took time.Duration) time.Duration { return max(tuning.CloudListEvery, took) }
 
 // endProvenGone ends the attempts on machines that a page of the list proves to be gone. A quarter of the machines
-// that the cloud interrupts get no notice. Without this, their tasks waited until the machines' leases expired.
+// that the cloud interrupts get no notice. Without this check, their tasks would wait until the machines' leases expire.
 func (l *Loop) endProvenGone(page cloud.ListPage) {
 	var gone []string
 	for _, name := range l.machines.ProvenGone(page.After, page.Last, page.Machines) {
@@ -113,8 +113,8 @@
 	return failed
 }
 
-// forgetUnlisted forgets machines that are not alive and that several consecutive lists lack: the cloud took them back.
-// A machine is not alive if its lease expired or it never sent a heartbeat.
+// forgetUnlisted forgets machines without tasks that are not alive and are missing from several consecutive lists, because
+// the cloud has taken them back. A machine is not alive if its lease expired or it never sent a heartbeat.
 func (l *Loop) forgetUnlisted(listed map[string]bool, now time.Time) {
 	minAge := seconds(2*l.env.Settings.Cluster.Cloud.ListLagS) + tuning.CloudListEvery
 	for _, m := range l.machines.Machines {
--- a/internal/scheduler/leader/commands.go
+++ b/internal/scheduler/leader/commands.go
@@ -47,7 +47,7 @@
 		}
 	}
 	if ctx.Err() != nil || !l.env.MayAct(l.leadership.Term) {
-		l.post(func() { l.machines.CommandsAnswered(name, req) }) // nothing was sent, so the starts in it no longer count as unanswered
+		l.post(func() { l.machines.CommandsAnswered(name, req) }) // the request was never sent, so its starts cannot arrive later
 		return
 	}
 	hb, err := l.callWorker(ctx, name, addr, req)
--- a/internal/scheduler/leader/commit.go
+++ b/internal/scheduler/leader/commit.go
@@ -21,7 +21,7 @@
 // loop has not handled the result yet.
 //
 // The error is errDeposed if another member leads, and errChanged if another condition does not hold. If the term
-// ended, it is that of termCtx. Any other error means that the state service rejected the transaction.
+// ended, the error is that of termCtx. Any other error means that the state service rejected the transaction.
 func (l *Loop) commit(t wire.Txn, inDoubt *atomic.Bool) (revision uint64, err error) {
 	t.If = append([]wire.Condition{l.leadership.Guard}, t.If...)
 	mayBeApplied := false // whether an earlier try, which had no answer, may have been applied
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -16,15 +16,15 @@
 
 // replicaMoves is the state for moving service replicas off machines that are being drained.
 type replicaMoves struct {
-	next    time.Time // when the next round of consolidation is due
+	next    time.Time // when consolidation is next due
 	budgetS float64   // downtime that moves may still cause, in seconds
 }
 
-// addBudget increases the downtime budget by the amount for one interval between rounds of consolidation. The downtime of
-// all moves together may be at most the share tuning.MoveDowntimeShare of the time that all replicas run. replicas is the
-// number of running replicas.
-func (r *replicaMoves) addBudget(replicas int) {
-	allowedS := float64(replicas) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
+// addBudget increases the downtime budget by the amount for an interval of tuning.ConsolidateEvery. The downtime of all
+// moves together may be at most the share tuning.MoveDowntimeShare of the time that all replicas run. replicaCount is the
+// number of replicas that are allocated to machines.
+func (r *replicaMoves) addBudget(replicaCount int) {
+	allowedS := float64(replicaCount) * tuning.ConsolidateEvery.Seconds() * tuning.MoveDowntimeShare
 	r.budgetS = min(r.budgetS+allowedS, max(allowedS, tuning.MoveDowntimeBudgetMax.Seconds()))
 }
 
@@ -72,8 +72,9 @@
 	return slices.DeleteFunc(views, func(v *placement.Machine) bool { return !l.inUse(v) })
 }
 
-// jobsShortOfRoom returns the jobs that wait for room on machines. Jobs whose team has reached its quota are excluded:
-// they wait for the team's own tasks to end, so more machines would not help them.
+// jobsShortOfRoom returns the jobs that wait for room on machines. It excludes jobs on probation, for which no room is
+// made. It also excludes jobs whose team has reached its quota: they can start only after other tasks of the team have
+// ended, so more machines would not help them.
 func (l *Loop) jobsShortOfRoom(now time.Time) []*placement.PendingJob {
 	pending, _ := l.pendingJobs(now)
 	teams := l.teams()
@@ -156,9 +157,9 @@
 // moveReplicas stops replicas on machines that are being drained, as far as the downtime budget allows. The next
 // scheduling cycle places them on other machines.
 func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
-	replicas := l.runningReplicas()
-	l.moves.addBudget(replicas)
-	maxMoves := max(tuning.MovesInFlightMin, replicas/tuning.MovesInFlightDivisor)
+	replicaCount := l.countAllocatedReplicas()
+	l.moves.addBudget(replicaCount)
+	maxMoves := max(tuning.MovesInFlightMin, replicaCount/tuning.MovesInFlightDivisor)
 	var moved []*jobs.Allocation
 	var dryRun *placement.DryRun // of the machines in use; created for the first movable replica, because mostly there is none
 	for _, m := range draining {
@@ -184,8 +185,8 @@
 	l.sendCommands(moved)
 }
 
-// runningReplicas counts the replicas of all services that are allocated to a machine.
-func (l *Loop) runningReplicas() int {
+// countAllocatedReplicas counts the replicas of all services that are allocated to a machine.
+func (l *Loop) countAllocatedReplicas() int {
 	n := 0
 	for _, j := range l.jobs.Jobs {
 		if j.Kind == wire.KindService {
@@ -196,7 +197,7 @@
 }
 
 // movable reports whether an allocation is a service replica that may be moved. Replicas that started recently are not
-// moved yet, because a start that is stopped within 30 s does not count as a start.
+// moved yet, because a replica that is stopped within 30 s of its start does not count as started.
 func movable(a *jobs.Allocation, now time.Time) bool {
 	return a.Job.Kind == wire.KindService && a.Stop == nil && a.State == wire.TaskRunning && now.Sub(a.RunningSince) >= tuning.PreemptMinRun
 }
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -44,9 +44,9 @@
 	Subsystems []func(log *slog.Logger) (Subsystem, error)
 	// MayAct reports whether this member may act as the leader of a term now.
 	MayAct func(term uint64) bool
-	// MayHaveRenewed asks a member, this one or another, which of the named machines it may have answered under its
-	// zone lease. Such an answer renews the lease of the machine's worker. An error means that the member does not know
-	// or gave no answer: it may then have answered any of the machines.
+	// MayHaveRenewed asks a member, this one or another, which of the named machines the member may have answered under
+	// its zone lease. Such an answer renews the lease of the machine's worker. An error means that the member does not
+	// know or gave no answer to this question: it may then have answered any of the machines.
 	MayHaveRenewed func(ctx context.Context, member string, names []string) (renewed []string, err error)
 	// ProbeWorkers asks the other members whether any of them gets an answer from a worker at one of the addresses.
 	// The function is nil if there are no other members.
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -11,8 +11,8 @@
 
 // taskFailed decides whether a task's failure counts against its machine or its job. Usually the machine is at
 // fault, and the job avoids it. But as long as no task of the job has worked, the job itself may be faulty. It is
-// then on probation, and its failures count against no machine. Without this rule, two jobs that were submitted
-// with a mistake caused healthy machines to be drained.
+// then on probation, and its failures count against no machine. Without this rule, as few as two jobs that were
+// submitted with a mistake would cause healthy machines to be drained.
 func (l *Loop) taskFailed(a *jobs.Allocation, now time.Time) {
 	j := a.Job
 	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidMachineFor)
@@ -60,9 +60,9 @@
 }
 
 // taskCompleted records that a task succeeded: its job works, and so does its machine m. m is nil if the machine is
-// gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. The task may have
-// ended at any time since notRunningAt, when the newest heartbeat that does not show the end arrived.
-func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
+// gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. endedAfter is the time of
+// the machine's newest heartbeat that does not show the task's end: the task may have ended at any time since then.
+func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, endedAfter, now time.Time) {
 	if a.Job.FailureWaves > 0 {
 		l.endProbation(a.Job, now)
 	}
@@ -73,14 +73,14 @@
 	if a.Job.Kind != wire.KindArray || a.RunningSince.IsZero() || a.Inherited {
 		return // its run time is not known, or not comparable
 	}
-	l.compareSpeed(a, m, notRunningAt, now)
+	l.compareSpeed(a, m, endedAfter, now)
 }
 
-// compareSpeed compares a task's run time with those of its job on other machines. After a partition, or a time
-// without a leader, the ends of many tasks of a machine become known late and together. So only the shortest
-// possible run time, up to notRunningAt, counts against the machine.
-func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, notRunningAt, now time.Time) {
-	minRunS := notRunningAt.Sub(a.RunningSince).Seconds()
+// compareSpeed compares a task's run time with the run times of its job's tasks on other machines. After a partition,
+// or a time without a leader, the ends of many tasks of a machine become known late and together. So only the shortest
+// possible run time, up to endedAfter, counts against the machine.
+func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, endedAfter, now time.Time) {
+	minRunS := endedAfter.Sub(a.RunningSince).Seconds()
 	otherRunsS := a.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(a.RunningSince).Seconds()})
 	if m.RelativeSpeed.Note(minRunS, otherRunsS) && !m.Unhealthy {
 		m.Unhealthy = true
--- a/internal/scheduler/leader/fleet.go
+++ b/internal/scheduler/leader/fleet.go
@@ -60,7 +60,7 @@
 }
 
 // maxBootTime is how long a machine of a type may take until its first heartbeat: factor times its nominal boot time,
-// plus BootExtra.
+// plus tuning.BootExtra. For a type that is not known it is tuning.UnknownTypeBootTime.
 func (l *Loop) maxBootTime(typ string, factor float64) time.Duration {
 	if t := l.env.machineType(typ); t != nil {
 		return time.Duration(t.BootS*factor*float64(time.Second)) + tuning.BootExtra
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -7,9 +7,9 @@
 )
 
 // maxMachines is the largest number of machines that may be rented. It is bounded by the operators' setting and by
-// this process's memory. The cloud enforces its own limits by refusing rentals. Memory always allows one
-// machine for each tuning.MachineKiB of the runtime's memory target minus tuning.ProcessMiB. It allows more as long as
-// the present machines use less memory than that.
+// this process's memory. The cloud enforces its own limits by refusing rentals. The memory for machines is the runtime's
+// memory target less tuning.ProcessMiB. It always allows one machine for each tuning.MachineKiB, and more as long as the
+// present machines use less than tuning.MachineKiB each.
 func (l *Loop) maxMachines() int {
 	limit := math.MaxInt
 	if n := l.env.Tunables.MaxMachines; n > 0 {
--- a/internal/scheduler/leader/forecast.go
+++ b/internal/scheduler/leader/forecast.go
@@ -31,8 +31,8 @@
 }
 
 // inInitialBacklog reports whether jobs that arrive now belong to the initial backlog: the jobs that waited for the start
-// of the very first leader. They do not predict future jobs. When 70 services of the backlog were counted as usual
-// arrivals, room was reserved for 49 more services, which was a third of the machines for two minutes.
+// of the very first leader. They do not predict future jobs. For example, if 70 services of the backlog counted as usual
+// arrivals, room would be reserved for 49 more services: a third of the machines for two minutes.
 func (l *Loop) inInitialBacklog(now time.Time) bool {
 	return l.leadership.Term == 1 && now.Sub(l.startedAt) < tuning.InitialBacklogWindow
 }
--- a/internal/scheduler/leader/heartbeats.go
+++ b/internal/scheduler/leader/heartbeats.go
@@ -76,7 +76,7 @@
 	l.applyOutcomes(r.Outcomes, now)
 	l.restoreImages(r.Machine)
 	if r.Machine.InterruptionAt.After(now) {
-		l.noticeInterruption(r.Machine, now)
+		l.handleInterruptionNotice(r.Machine, now)
 	}
 	l.cycle.wakeIf(r.Changed)
 }
@@ -112,8 +112,8 @@
 	l.log.Debug("heartbeat rejected; its content is ignored", "machine", hb.Machine, "reason", reason, "incarnation", hb.Incarnation, "seq", hb.Seq)
 }
 
-// mayForget reports whether a worker may forget an exited attempt that has no allocation. It may if the task's stored
-// record is up to date, or if no live job has the task: then no later leader starts the same attempt again.
+// mayForget reports whether a worker may forget an exited attempt that has no allocation. The worker may if the task's
+// stored record is up to date, or if no live job has the task: then no later leader starts the same attempt again.
 func (l *Loop) mayForget(id machines.AttemptID) bool {
 	j := l.jobs.Jobs[id.Task.Job]
 	if j == nil || id.Task.Index >= len(j.Tasks) {
--- a/internal/scheduler/leader/interruptions.go
+++ b/internal/scheduler/leader/interruptions.go
@@ -16,8 +16,8 @@
 	pending map[string]bool // machines, by name, whose remaining tasks are still to be stopped shortly before the interruption
 }
 
-// noticeInterruption drains a machine whose heartbeat announces an interruption by the cloud.
-func (l *Loop) noticeInterruption(m *machines.Machine, now time.Time) {
+// handleInterruptionNotice drains a machine whose heartbeat announces an interruption by the cloud.
+func (l *Loop) handleInterruptionNotice(m *machines.Machine, now time.Time) {
 	l.interruptions.pending[m.Name] = true
 	l.drainInterrupted(m, now)
 }
@@ -64,8 +64,8 @@
 
 // shouldKeepRunning reports whether a task that cannot save a checkpoint should keep running until shortly before its
 // machine is interrupted. ran is how long it has run, timeLeft how long it can still run. The work of the whole run,
-// which is kept if the task ends in time, is weighed against timeLeft, which is lost if the task does not. The run time
-// is assumed to be log-normally distributed around the expected run time of the job, given that it is at least ran.
+// which is kept if the task ends in time, is weighed against timeLeft, which is lost if it does not end in time. The run
+// time is assumed to be log-normally distributed around the expected run time of the job, given that it is at least ran.
 func shouldKeepRunning(j *jobs.Job, ran, timeLeft time.Duration) bool {
 	expectedS, measured := j.ExpectedRunS()
 	if expectedS <= 0 || timeLeft <= 0 {
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -98,7 +98,7 @@
 		l.jobs.Cancel(j, func(s wire.JobState) { answer(result{state: s}) })
 		stopped := j.StopAll(charge.Cancelled)
 		l.sendCommands(stopped)
-		if l.anyUnreachable(stopped) {
+		if l.anySilentOrUnreachable(stopped) {
 			answer(result{err: ErrTaskUnreachable})
 		}
 	})
@@ -108,8 +108,8 @@
 	return r.state, r.err
 }
 
-// anyUnreachable reports whether a command is unlikely to reach the machine of any of the allocations.
-func (l *Loop) anyUnreachable(allocations []*jobs.Allocation) bool {
+// anySilentOrUnreachable reports whether a command is unlikely to reach the machine of any of the allocations.
+func (l *Loop) anySilentOrUnreachable(allocations []*jobs.Allocation) bool {
 	now := l.env.Clock.Now()
 	return slices.ContainsFunc(allocations, func(a *jobs.Allocation) bool { return l.silentOrUnreachable(l.machines.Machines[a.Machine], now) })
 }
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -107,8 +107,8 @@
 func (w *largeWorkload) storeAll(revision uint64) {
 	next := func() *jobs.Batch { return w.jobs.NextBatch(w.env.Clock.Now(), jobs.WriteBudget{Spare: 1000}) }
 	for batch := next(); batch != nil; batch = next() {
-		start, _ := w.jobs.MarkCommitted(batch, revision)
-		w.stored += len(start)
+		startable, _ := w.jobs.MarkCommitted(batch, revision)
+		w.stored += len(startable)
 	}
 }
 
--- a/internal/scheduler/leader/lease_expiry.go
+++ b/internal/scheduler/leader/lease_expiry.go
@@ -10,17 +10,17 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// leaseQuery is the state of the query that finds out whether followers renewed worker leases. It covers the machines
-// whose leases have expired if only the leader's own replies renewed them. The query reads the records in the key-value
-// store and asks the members that hold zone leases.
+// leaseQuery is the state of the query that finds out whether followers renewed worker leases. The query covers the
+// machines whose leases have expired unless a follower renewed them. It reads the records in the key-value store and asks
+// the members that hold zone leases.
 type leaseQuery struct {
 	inFlight bool
 	next     time.Time // no query begins before this time
 }
 
-// expireLeases ends the incarnations of machines whose heartbeats nobody has answered for a whole lease: neither
-// this leader nor a follower in its place. The records in the key-value store, and the members that may hold zone leases
-// of the machines' zones, show whether a follower answered.
+// expireLeases ends the incarnations of machines whose heartbeats nobody has answered for the duration of a lease:
+// neither this leader nor a follower in its place. The records in the key-value store, and the members that may hold
+// zone leases of the machines' zones, show whether a follower answered.
 func (l *Loop) expireLeases(now time.Time) {
 	if l.leases.inFlight || now.Before(l.leases.next) {
 		return
@@ -37,8 +37,7 @@
 	}()
 }
 
-// expiredByZone returns, by zone, the names of the machines whose leases have expired if only this leader's own replies
-// renewed them.
+// expiredByZone returns, by zone, the names of the machines whose leases have expired unless a follower renewed them.
 func (l *Loop) expiredByZone(now time.Time) map[string][]string {
 	byZone := map[string][]string{}
 	for _, name := range l.machines.ExpiredLeases(now) {
@@ -48,9 +47,10 @@
 	return byZone
 }
 
-// leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within one lease before
-// the query began, which was at queryStarted. A query that took longer than RenewedQueryTimeout has no effect: the
-// records and the members report only renewals of the last lease plus RenewedQueryTimeout.
+// leaseQueryDone ends the incarnations of the machines whose leases nobody can have renewed within the duration of a
+// lease before queryStarted, when the query began. A query that took longer than tuning.RenewedQueryTimeout has no
+// effect: the records and the members report renewals only for the duration of a lease plus that timeout. After a longer
+// query, they may no longer report all renewals within the duration of a lease before the query began.
 func (l *Loop) leaseQueryDone(queryStarted time.Time, renewed map[string]bool, err error) {
 	now := l.env.Clock.Now()
 	l.leases.inFlight, l.leases.next = false, now.Add(tuning.RenewedReadMinInterval)
@@ -64,11 +64,11 @@
 	l.applyOutcomes(l.machines.EndExpired(queryStarted, renewed), now)
 }
 
-// findPossiblyRenewed returns the machines whose leases other members may have renewed within one lease before now.
-// byZone holds the names of the machines in question, by zone. The result holds all machines that a record in the
-// key-value store names. It also holds the machines in question for which a member with a lease of their zone does not
-// deny a renewal. The query must not take longer than RenewedQueryTimeout: only then do the records and all answers
-// cover the whole lease before the query began.
+// findPossiblyRenewed returns the machines whose leases other members may have renewed within the duration of a lease
+// before now. byZone holds the names of the machines in question, by zone. The result holds all machines that a record in
+// the key-value store names. It also holds the machines in question for which a member with a lease of their zone does
+// not deny a renewal. The query must not take longer than tuning.RenewedQueryTimeout: only then do the records and all
+// answers cover the whole duration of a lease before the query began.
 func (l *Loop) findPossiblyRenewed(ctx context.Context, byZone map[string][]string) (map[string]bool, error) {
 	renewed, zoneLeases, err := workerlease.ReadAll(ctx, l.store)
 	if err != nil {
--- a/internal/scheduler/leader/lease_expiry_test.go
+++ b/internal/scheduler/leader/lease_expiry_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Guards against ending incarnations although the answers to a query do not all cover the whole lease before it. A query
-// that took longer than RenewedQueryTimeout has no effect, since the records and the members report only renewals of the
-// last lease plus RenewedQueryTimeout.
+// Guards against ending incarnations although the answers to a query do not all cover the whole duration of a lease before
+// the query began. A query that took longer than tuning.RenewedQueryTimeout has no effect, since the records and the
+// members report renewals only for the duration of a lease plus that timeout.
 func TestSlowRenewalQueryEndsNoLease(t *testing.T) {
 	for _, c := range []struct {
 		took  time.Duration
--- a/internal/scheduler/leader/load.go
+++ b/internal/scheduler/leader/load.go
@@ -15,7 +15,7 @@
 
 // loadState tracks which stored records are in memory.
 type loadState struct {
-	done            bool   // all records are loaded; until then nothing is placed, and no attempt counts as ended
+	done            bool   // whether all records are loaded; until then nothing is placed, and no attempt counts as ended
 	watchedRevision uint64 // the revision up to which the watch has reported new jobs
 }
 
@@ -98,7 +98,8 @@
 // jobIDOf returns the job's ID in the key of a stored job.
 func jobIDOf(key string) string { return key[len(jobs.PrefixJob):] }
 
-// loadJobs loads stored jobs. It skips those that are in memory already or are finished.
+// loadJobs loads stored jobs. It skips those that are in memory already and, once all records are loaded, those that have
+// finished.
 func (l *Loop) loadJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	for _, item := range items {
@@ -109,7 +110,7 @@
 		loaded := l.jobs.Jobs[id] != nil
 		j, err := l.jobs.LoadJob(item, now, now)
 		if err != nil {
-			l.log.Error("stored job cannot be decoded; skipping it", "err", err)
+			l.log.Error("stored job cannot be loaded; skipping it", "err", err)
 			continue
 		}
 		if !loaded {
@@ -125,7 +126,7 @@
 	if l.loading.done {
 		l.env.observe(func(o Observer) { o.JobArrived(j.Class, j.Team, size) })
 	}
-	l.fleet.planSoon(now) // rent machines at once if it fits on none
+	l.fleet.planSoon(now) // rent machines at once if the job fits on none
 	l.arrivals.add(j, l.inInitialBacklog(now))
 }
 
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -51,8 +51,8 @@
 		!l.silent(m, now) && !leftCommandUnanswered(m) && m.Usable(l.leadership.Term, now) && !now.Before(m.RefusalPauseUntil)
 }
 
-// allSchedulableMachines returns the views of the schedulable machines. If seen has a view of a machine, it returns that
-// one, which already accounts for the tasks placed in this cycle.
+// allSchedulableMachines returns the views of the schedulable machines. For a machine that has a view in seen, that view
+// is returned, because it already accounts for the tasks placed in this cycle.
 func (l *Loop) allSchedulableMachines(now time.Time, seen []*placement.Machine) []*placement.Machine {
 	seenByName := make(map[string]*placement.Machine, len(seen))
 	for _, v := range seen {
@@ -102,9 +102,9 @@
 	freed  placement.Resources // resources freed by this end and all earlier ones
 }
 
-// freeInS returns a function that estimates in how many seconds a machine has freed the resources that are lacking,
-// as its tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough. The
-// ends are computed at the first call of the function, since it is never called for most machines.
+// freeInS returns a function that estimates in how many seconds a machine will have freed the resources that are
+// lacking, as its tasks end by themselves or by a stop command. The result is infinite if these tasks never free enough.
+// The ends are computed at the first call of the function, since it is never called for most machines.
 func freeInS(m *machines.Machine, now time.Time) func(lacking placement.Resources) float64 {
 	var ends []expectedEnd
 	return func(lacking placement.Resources) float64 {
--- a/internal/scheduler/leader/observer.go
+++ b/internal/scheduler/leader/observer.go
@@ -29,5 +29,5 @@
 	HeartbeatRejected(reason string)
 	// Reachability reports how many machines commands do not reach, and how many live ones have not acknowledged
 	// any message of this term yet.
-	Reachability(unreachable, unproven int)
+	Reachability(unreachable, unacknowledged int)
 }
--- a/internal/scheduler/leader/partitions.go
+++ b/internal/scheduler/leader/partitions.go
@@ -18,8 +18,8 @@
 	return seconds(tuning.SilentHeartbeatIntervals * l.env.Settings.Cluster.Workers.HeartbeatS)
 }
 
-// silentOrUnreachable reports whether a command sent to a machine now is unlikely to reach it, because the machine is silent or
-// counts as unreachable.
+// silentOrUnreachable reports whether a command sent to a machine now is unlikely to reach it, because the machine is
+// silent or counts as unreachable.
 func (l *Loop) silentOrUnreachable(m *machines.Machine, now time.Time) bool {
 	return l.silent(m, now) || m.Reachability.Unreachable()
 }
@@ -32,8 +32,8 @@
 }
 
 // partitionedZones returns the zones that count as partitioned from the leader. In these zones, the share of machines
-// that have lost contact with the leader is at least PartitionZoneShare, and their number at least
-// PartitionMinMachines. The leader cannot use machines that it rents there.
+// that have lost contact with the leader is at least tuning.PartitionZoneShare, and their number at
+// least tuning.PartitionMinMachines. The leader cannot use machines that it rents there.
 func (l *Loop) partitionedZones(now time.Time) map[string]bool {
 	type count struct{ lost, all int }
 	counts := map[string]*count{}
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -50,9 +50,9 @@
 		Zones: zoneCounts(j), LatencySensitive: latencySensitive,
 	}
 	p.ExpectedRunS, _ = j.ExpectedRunS()
-	// An array whose last tasks were lost keeps its place in the queue. At the end of the queue, such tasks of a team
-	// beyond its guarantee would wait 120 s until aging raises their priority, and their nearly finished jobs would be
-	// late.
+	// An array whose last tasks were lost keeps its place in the queue. At the end of the queue, these tasks would wait
+	// 120 s until aging raises their priority, if their team uses more than its guarantee. The nearly finished array
+	// would then be late.
 	if j.Kind == wire.KindArray {
 		p.EnqueuedAt = j.EnqueuedAt
 	}
--- a/internal/scheduler/leader/preempt.go
+++ b/internal/scheduler/leader/preempt.go
@@ -62,7 +62,7 @@
 		a := v.Ref.(*jobs.Allocation)
 		a.Stop = &jobs.StopRequest{Reason: charge.Preempted}
 		stopped = append(stopped, a)
-		l.log.Debug("task preempted", "task", a.Task().String(), "class", a.Job.Class, "machine", a.Machine,
+		l.log.Debug("task chosen for preemption; stopping it", "task", a.Task().String(), "class", a.Job.Class, "machine", a.Machine,
 			"cost_s", v.Cost, "for", v.Preemptor.ID, "for_class", v.Preemptor.Class)
 	}
 	l.sendCommands(stopped)
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -33,7 +33,7 @@
 	probesInFlight int           // number of probes in flight
 	peakSuspects   int           // largest number of suspects since the number was last 0
 
-	unanswered     map[string]bool // machines that left a command or probe unanswered after the newest answer of any machine
+	unanswered     map[string]bool // machines that left a command or probe unanswered since any machine last answered one
 	lastAnsweredAt time.Time       // when any machine last answered a command or probe; zero: never in this term
 	askingPeers    bool            // the other members are being asked whether they get answers from the machines in unanswered
 	nextPeerProbe  time.Time       // the other members are not asked before this time
@@ -52,10 +52,10 @@
 // commandUnanswered records that a machine left a command or probe unanswered.
 func (p *probing) commandUnanswered(machine string) { p.unanswered[machine] = true }
 
-// setRate sets the limit on the rate of probes. The limit is proportional to the number of heartbeats per second from
-// this many machines, each of which sends one every heartbeatS seconds.
-func (p *probing) setRate(machines int, heartbeatS float64, now time.Time) {
-	perS := max(tuning.ProbesPerSecondMin, tuning.ProbesPerHeartbeat*float64(machines)/max(1, heartbeatS))
+// setRate sets the limit on the rate of probes. machineCount machines send a heartbeat every heartbeatS seconds each. The
+// limit is proportional to the number of heartbeats per second from all of them, but at least tuning.ProbesPerSecondMin.
+func (p *probing) setRate(machineCount int, heartbeatS float64, now time.Time) {
+	perS := max(tuning.ProbesPerSecondMin, tuning.ProbesPerHeartbeat*float64(machineCount)/max(1, heartbeatS))
 	p.limiter.SetLimitAt(now, rate.Limit(perS))
 	p.limiter.SetBurstAt(now, max(tuning.ProbesInFlightMin, int(perS*tuning.SubsystemTick.Seconds())+1))
 }
@@ -148,14 +148,15 @@
 	return seconds(tuning.HeartbeatLateFactor*l.env.Settings.Cluster.Workers.HeartbeatS) + tuning.WorkerTryTime
 }
 
-// maxProbesInFlight returns how many probes may be in flight for a number of suspects. With that many every
-// SubsystemTick, all suspects are probed within the share ProbeAllLeaseShare of a worker's lease, unless this takes
-// more than the share ProbeCommandShareMax of the command slots. The result is at least ProbesInFlightMin, and at
-// least the share ProbeCommandShare of the command slots.
-func (l *Loop) maxProbesInFlight(suspects int) int {
+// maxProbesInFlight returns how many probes may be in flight for a number of suspects. If that many probes are sent every
+// tuning.SubsystemTick, all suspects are probed within the share tuning.ProbeAllLeaseShare of the duration of a worker's
+// lease. If this takes more than the share tuning.ProbeCommandShareMax of the command slots, the result is limited to
+// that share. It is at least tuning.ProbesInFlightMin, and at least the share tuning.ProbeCommandShare of the command
+// slots.
+func (l *Loop) maxProbesInFlight(suspectCount int) int {
 	commandSlots := float64(cap(l.env.CommandSlots))
 	ticks := max(1, tuning.ProbeAllLeaseShare*l.env.Settings.Cluster.Workers.LeaseS/tuning.SubsystemTick.Seconds())
-	perTick := int(math.Ceil(float64(suspects) / ticks))
+	perTick := int(math.Ceil(float64(suspectCount) / ticks))
 	return max(tuning.ProbesInFlightMin, int(tuning.ProbeCommandShare*commandSlots), min(perTick, int(tuning.ProbeCommandShareMax*commandSlots)))
 }
 
--- a/internal/scheduler/leader/reconcile.go
+++ b/internal/scheduler/leader/reconcile.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// reconcileJobs loads the stored jobs that are not in memory. Operators get a report of how many of them should have been
-// in memory.
+// reconcileJobs loads the stored jobs that are not in memory. It counts those that should have been in memory, and those
+// that cannot be loaded. If there are any, it reports the first number to the observer and logs both as an error.
 func (l *Loop) reconcileJobs(items []wire.Item) {
 	now := l.env.Clock.Now()
 	unknown := l.notInMemory(items)
@@ -52,7 +52,7 @@
 		return
 	}
 	l.env.observe(func(o Observer) { o.MissingJobsFound(missed) })
-	l.log.Error("stored jobs were missing in memory; found ones are loaded, unreadable ones cannot be decoded", "found", missed, "unreadable", unreadable)
+	l.log.Error("stored jobs were missing in memory; loaded all but the unreadable ones", "found", missed, "unreadable", unreadable)
 }
 
 // notInMemory returns the stored jobs of a listing that are not in memory. Jobs that finished after they were
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -75,11 +75,11 @@
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
 	l.log.Debug("transaction of job records committed", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
 		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(started).Milliseconds())
-	start, finished := l.jobs.MarkCommitted(batch, revision)
+	startable, finished := l.jobs.MarkCommitted(batch, revision)
 	for _, f := range finished {
 		l.jobFinished(f)
 	}
-	l.sendCommands(start)
+	l.sendCommands(startable)
 }
 
 // jobFinished informs the other parts of the loop that a job's final state is stored.
--- a/internal/scheduler/leader/scale_in.go
+++ b/internal/scheduler/leader/scale_in.go
@@ -14,7 +14,7 @@
 )
 
 // deletions holds the machines that are returned to the cloud. One request is in flight at a time, and machines added
-// meanwhile wait for the next one, so that deletions use little of the cloud's rate limit.
+// meanwhile wait for the next request, so that deletions use little of the cloud's rate limit.
 type deletions struct {
 	inFlight bool
 	queue    []string // names of the machines for the following requests
@@ -111,15 +111,15 @@
 // are silent together, they are partitioned rather than dead, and become usable again when the partition ends; the
 // cloud lists the dead ones among them as failed. Machines that have sent no heartbeat but are listed as running count
 // as silent too. Otherwise a leader that is elected during a partition would conclude that the machines of the zone that
-// it cannot reach never came up, and return them: 74 in one case.
+// it cannot reach never came up, and would return them (74 machines in one case).
 func (l *Loop) silenceUntilReturn() time.Duration {
-	silent := 0
+	silentCount := 0
 	for _, m := range l.machines.Machines {
 		if m.Reachability.Unreachable() || !m.Alive() && (m.ListedRunning || m.Incarnation > 0) {
-			silent++
+			silentCount++
 		}
 	}
-	if silent >= tuning.PartitionMinMachines && float64(silent) >= tuning.PartitionFleetShare*float64(len(l.machines.Machines)) {
+	if silentCount >= tuning.PartitionMinMachines && float64(silentCount) >= tuning.PartitionFleetShare*float64(len(l.machines.Machines)) {
 		return tuning.SilentReturnAfterPartition
 	}
 	return tuning.SilentReturnAfter
--- a/internal/scheduler/leader/scale_out.go
+++ b/internal/scheduler/leader/scale_out.go
@@ -21,7 +21,7 @@
 type rentals struct {
 	inFlight     map[string]autoscale.Rental      // requests in flight, by request name
 	refusedUntil map[autoscale.Offering]time.Time // until when an offering is not requested again for lack of capacity
-	requestCount int                              // number of requests made in this term, which is part of their names
+	requestCount int                              // number of requests made in this term; the name of a request contains its number
 }
 
 func newRentals() rentals {
@@ -187,7 +187,7 @@
 	if len(names) < rental.Count {
 		l.rentals.refusedUntil[rental.Offering] = now.Add(tuning.NoCapacityBackoff)
 	}
-	l.cycle.wake()        // one of them may have sent a heartbeat already
-	l.fleet.planSoon(now) // plan what is still needed, from another offering if this one was refused
-	l.log.Info("rent request answered", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(names))
+	l.cycle.wake()        // one of the machines may have sent a heartbeat already
+	l.fleet.planSoon(now) // plan what is still needed, from another offering if this offering was refused
+	l.log.Info("rent request answered; registering the machines it yielded and planning the fleet again", "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(names))
 }
--- a/internal/scheduler/leader/step_down.go
+++ b/internal/scheduler/leader/step_down.go
@@ -13,7 +13,7 @@
 	if l.env.ProbeWorkers == nil || probes.askingPeers || now.Before(probes.nextPeerProbe) || !l.mayBeUnreachable(now) {
 		return
 	}
-	addrs := l.unansweredAddresses(now)
+	addrs := l.unresponsiveAddresses(now)
 	if len(addrs) < tuning.UnansweredMachinesMin {
 		return
 	}
@@ -39,10 +39,10 @@
 	return len(l.probing.unanswered) >= tuning.UnansweredMachinesMin && now.Sub(answered) >= tuning.UnansweredFor
 }
 
-// unansweredAddresses returns the addresses of machines that left commands unanswered, so that the other members can probe
-// these machines. It returns at most tuning.UnansweredMachinesMin addresses. Machines without recent heartbeats are left
-// out: they may be dead, which is no reason to step down.
-func (l *Loop) unansweredAddresses(now time.Time) []string {
+// unresponsiveAddresses returns the addresses of machines that left commands unanswered, so that the other members can
+// probe these machines. It returns at most tuning.UnansweredMachinesMin addresses. Machines without recent heartbeats are
+// left out: they may be dead, which is no reason to step down.
+func (l *Loop) unresponsiveAddresses(now time.Time) []string {
 	var addrs []string
 	for name := range l.probing.unanswered {
 		m := l.machines.Machines[name]
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -72,13 +72,16 @@
 	}
 }
 
-// keyChainLink is the key of a record, the link, that every transaction of the subsystems changes and is guarded on, so
-// that the transactions form a chain. The chain prevents late duplicates: a transaction that was repeated for lack of an
-// answer may be executed once more, seconds later and after newer transactions of this leader. Guards on the versions of
-// the records that the transaction changes do not prevent this if the transaction deletes records whatever their version
-// is, or creates a record that was deleted in the meantime. A graph that was registered again lost its parts that way.
-// By the time of the late duplicate, a newer transaction has replaced the version of the link on which the duplicate is
-// guarded, so the state service refuses the duplicate.
+// keyChainLink is the key of a record, the link, that makes the subsystems' transactions form a chain. Each transaction
+// writes the link, on the condition that the link still has the version that the previous transaction wrote.
+//
+// The chain prevents late duplicates. A transaction that was repeated for lack of an answer may be executed once more,
+// seconds later and after newer transactions of this leader. By then a newer transaction has changed the version of the
+// link, so the condition fails and the state service refuses the duplicate.
+//
+// Conditions on the versions of the other records that a transaction changes do not suffice: the transaction may delete
+// records whatever their version is, or create a record that was deleted in the meantime. For example, a late duplicate
+// of a graph's deletion would delete the parts of a graph that has been registered again since.
 const keyChainLink = "aside/link"
 
 // transactionChain is what the loop knows of the record at keyChainLink. Only the goroutine that commits uses it.
