--- a/internal/scheduler/leader/kind_preference.go
+++ b/internal/scheduler/leader/kind_preference.go
@@ -30,9 +30,9 @@
 func usesBothKinds(j *wire.Job) bool { return j.Kind == wire.KindArray && j.Spot }
 
 // lossLimitOnSpot returns the loss per task, in seconds, above which an array prefers on-demand machines. The limit is
-// chosen so that two shares are about equal: the arrays above the limit have the first share of the remaining work of all
-// live arrays, and the on-demand machines have the second share of the array tasks that run now. The limit is infinite
-// while no array tasks run on on-demand machines, and 0 while all of them do.
+// chosen so that two shares are about equal: the share of the live arrays' remaining work that is in arrays above the
+// limit, and the share of the running array tasks that are on on-demand machines. The limit is infinite while no array
+// tasks run on on-demand machines, and 0 while all of them do.
 func (l *Loop) lossLimitOnSpot() float64 {
 	onSpot, onDemand := l.arrayTasksByKind()
 	switch {
