--- a/internal/api/userapi/handler.go
+++ b/internal/api/userapi/handler.go
@@ -58,8 +58,8 @@
 
 // ServeHealth answers the health check of the load balancer. A member is healthy once it knows the machine types. An
 // outage of the state service alone does not make it unhealthy: the load balancer would remove all members for
-// minutes. A member that no other member answers either cannot serve any user, so its users are better served by
-// another member.
+// minutes. A member that gets no answer from any other member either cannot serve any user, so its users are better
+// served by another member.
 func (h *Handler) ServeHealth(w http.ResponseWriter, _ *http.Request) {
 	if h.isolated() {
 		httpjson.WriteUnavailable(w, "neither the state service nor any other controller answers")
@@ -85,8 +85,8 @@
 
 // refuseIfIsolated answers with 503 at once and closes the connection if this member is isolated and so cannot serve
 // any user. With a new connection the load balancer routes the user to another member. On an open connection the user
-// would stay with this member, and its polls would fail for as long as the isolation lasts. It reports whether it
-// answered the request.
+// would stay with this member, and its polls would fail for as long as the isolation lasts.
+// refuseIfIsolated reports whether it answered the request.
 func (h *Handler) refuseIfIsolated(w http.ResponseWriter) bool {
 	if !h.isolated() {
 		return false
--- a/internal/api/userapi/relayed.go
+++ b/internal/api/userapi/relayed.go
@@ -11,7 +11,8 @@
 )
 
 // AnswerRelayedJobRequest answers a poll or a cancellation that another member relays to the leader. The status is
-// 503 if this member does not lead.
+// 503 if this member does not lead or if no job can have the given ID, and 400 if the verb is neither JobStatus nor
+// CancelJob.
 func (h *Handler) AnswerRelayedJobRequest(ctx context.Context, req peerrpc.Request) peerrpc.Response {
 	if !wire.ValidJobID(req.Job) || h.leader() == nil {
 		return peerrpc.Response{Status: http.StatusServiceUnavailable}
@@ -48,7 +49,8 @@
 	return h.answerAsLeader(func(l *leader.Loop) (int, json.RawMessage) { return queryLoop(ctx, l, uri) })
 }
 
-// AnswerRelayedCommand executes a command that another member relays to the leader.
+// AnswerRelayedCommand executes a command that another member relays to the leader. A command that cannot be decoded
+// gets the answer of a member that does not lead.
 func (h *Handler) AnswerRelayedCommand(ctx context.Context, payload []byte) peerrpc.Response {
 	var c leader.Command
 	if json.Unmarshal(payload, &c) != nil {
--- a/internal/api/userapi/status.go
+++ b/internal/api/userapi/status.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// status returns a job's state. The source is a remembered final state, or the memory of the leader (this member or
-// another one, which is asked) while it may act, or otherwise a new read of the state service. The error is
-// errNoSuchJob or errStatusUnknown.
+// status returns a job's state from the first of these sources that has an answer: a remembered final state; the
+// memory of this member, if it may act as the leader, or else the other member that leads; a new read of the state
+// service. The error is errNoSuchJob or errStatusUnknown.
 func (h *Handler) status(ctx context.Context, id string, read statusReadFunc) (wire.JobStatus, error) {
 	if s, err := h.statusInMemory(ctx, id); err == nil {
 		return s, nil
--- a/internal/api/userapi/submit.go
+++ b/internal/api/userapi/submit.go
@@ -41,8 +41,8 @@
 	errorText string        // the error text, set if status is 400 or above
 }
 
-// conclusive reports whether the answer is the same at every member. Only 503 is not: another member may be able to
-// store the job.
+// conclusive reports whether the answer is the same at every member. Only 503 is not conclusive: another member
+// may be able to store the job.
 func (s submitAnswer) conclusive() bool { return s.status != http.StatusServiceUnavailable }
 
 func accepted(status int, id string, state wire.JobState) submitAnswer {
--- a/internal/api/userapi/subsystems.go
+++ b/internal/api/userapi/subsystems.go
@@ -12,9 +12,9 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// Query has the leader's subsystems answer a query: a path and query string that are not part of the user protocol.
-// It returns the HTTP status and JSON body of the answer. The answer comes from this member if it leads, and is relayed
-// from the leader otherwise.
+// Query passes a query to the leader's subsystems and returns the HTTP status and JSON body of the answer. uri is the
+// query: a path and query string that are not part of the user protocol. If this member does not lead, it relays the
+// query to the leader.
 func (h *Handler) Query(ctx context.Context, uri string) (status int, body json.RawMessage) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.PollTimeout)
 	defer cancel()
@@ -58,8 +58,9 @@
 	return encodeAnswer(l.Query(ctx, uri))
 }
 
-// encodeAnswer returns the status and the JSON of a subsystem's answer, bounded to tuning.QueryResponseMaxBytes bytes so
-// that it fits a message between members.
+// encodeAnswer returns the status and the JSON of a subsystem's answer. If the JSON is longer than
+// tuning.QueryResponseMaxBytes bytes and so might not fit into a message between members, it returns status 413 and an
+// error text instead.
 func encodeAnswer(a leader.Answer, err error) (int, json.RawMessage) {
 	if err != nil {
 		return http.StatusServiceUnavailable, errorBody("the leader cannot be asked now")
--- a/internal/api/workerapi/election_grace.go
+++ b/internal/api/workerapi/election_grace.go
@@ -8,34 +8,35 @@
 	"poppypass/internal/platform/tuning"
 )
 
-// electionGrace is a period at the beginning of a search for a leader in which no lease is renewed here. A worker
-// whose lease is renewed waits a whole interval until its next heartbeat; one that is refused tries the next
-// controller a second later. So while leases have time to spare, none is renewed in the first seconds, since a
-// member usually leads by the end of them. Without the grace period and with heartbeats every 10 s, the next leader
-// would learn only 10 s after its election of thousands of tasks that have ended, and their machines would be idle
-// meanwhile.
+// electionGrace is the grace period at the beginning of the workers' search for a leader. This member renews no lease
+// during that period, because a member usually leads by the end of it. A worker whose lease is renewed waits a whole
+// interval until its next heartbeat; a worker that is refused tries the next controller a second later. Without the
+// grace period and with heartbeats every 10 s, the next leader would learn only 10 s after its election of thousands of
+// tasks that have ended, and their machines would be idle meanwhile. If leases have no time to spare, the length of the
+// grace period is 0.
 type electionGrace struct {
 	length time.Duration
 
-	mu                        sync.Mutex
-	firstRequest, lastRequest time.Time // when the first and the last heartbeat of the current search arrived
+	mu                                sync.Mutex
+	firstHeartbeatAt, lastHeartbeatAt time.Time // when the first and the last heartbeat of the current search arrived
 }
 
-// graceLength returns for how long workers may be refused: a share of the time that a lease leaves beyond the
-// longest pause between heartbeats and the search for a controller.
+// graceLength returns the length of the grace period, in which workers are refused. It is a share of the spare time of a
+// worker's lease: the duration of the lease, less the longest pause between heartbeats, less the time for the search
+// for a controller.
 func graceLength(w config.Workers) time.Duration {
 	spareSeconds := w.LeaseS - tuning.HeartbeatLateFactor*w.HeartbeatS - tuning.WorkerSearchTime.Seconds()
 	return time.Duration(max(0, spareSeconds) * tuning.ElectionGraceShare * float64(time.Second))
 }
 
-// active reports whether the grace period lasts: a leader is likely to be elected soon, so the worker should look for
-// it instead of getting a renewal here. active also records that a heartbeat arrived now.
+// active reports whether the grace period still lasts: a leader is likely to be elected soon, so the worker should look
+// for that leader instead of getting a renewal here. active also records that a heartbeat arrived now.
 func (g *electionGrace) active(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.lastRequest) > tuning.WorkerSearchTime {
-		g.firstRequest = now
+	if now.Sub(g.lastHeartbeatAt) > tuning.WorkerSearchTime {
+		g.firstHeartbeatAt = now
 	}
-	g.lastRequest = now
-	return now.Sub(g.firstRequest) < g.length
+	g.lastHeartbeatAt = now
+	return now.Sub(g.firstHeartbeatAt) < g.length
 }
--- a/internal/api/workerapi/handler.go
+++ b/internal/api/workerapi/handler.go
@@ -117,14 +117,14 @@
 	}
 	reply, err := h.reply(r.Context(), body, hb)
 	if err != nil {
-		writeNoReply(w, err)
+		writeRedirectOrUnavailable(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, reply)
 }
 
-// writeNoReply answers a heartbeat that gets no reply here: with the name of the leader, or with 503.
-func writeNoReply(w http.ResponseWriter, err error) {
+// writeRedirectOrUnavailable answers a heartbeat that gets no reply here: with the name of the leader, or with 503.
+func writeRedirectOrUnavailable(w http.ResponseWriter, err error) {
 	var redirect *redirectError
 	if errors.As(err, &redirect) {
 		httpjson.Write(w, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: redirect.leader})
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -124,7 +124,7 @@
 		renewed bool // otherwise the worker is redirected to the named member
 	}{
 		{http.StatusMisdirectedRequest, true},
-		{http.StatusServiceUnavailable, false}, // it leads, and rejects the heartbeat
+		{http.StatusServiceUnavailable, false}, // the named member leads, but does not answer the heartbeat
 	} {
 		clock := clockwork.NewFakeClock()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,8 +152,8 @@
 
 func (refusingLeases) Acquire(context.Context, string) error { return workerlease.ErrNotRecorded }
 
-// Guards against workers that members which may not renew their leases redirect to a member that does not lead. Such
-// workers never reached the member of their own zone, which may renew their leases.
+// Guards against redirects to a member that does not lead. Members that may not renew a worker's lease redirected the
+// worker to it, and the worker never reached the member of its own zone, which may renew the lease.
 func TestAWorkerIsNotRedirectedToAMemberThatDoesNotLead(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/api/workerapi/redirects.go
+++ b/internal/api/workerapi/redirects.go
@@ -73,14 +73,16 @@
 	return at, ok && now.Sub(at) <= w.ttl
 }
 
-// note records that a worker is noted now. It drops expired entries first if there are sweepSize entries.
+// note sets the time at which a worker was last noted to now. If there are at least sweepSize entries, it first drops
+// the expired ones.
 func (w *recentWorkers) note(machine string, now time.Time) {
 	sweep(w.lastNoted, &w.sweepSize, func(at time.Time) bool { return now.Sub(at) > w.ttl })
 	w.lastNoted[machine] = now
 }
 
-// sweep drops expired entries from a map by worker once it has sweepSize entries. It then sets sweepSize to twice the
-// number of remaining entries, or to tuning.RedirectsSweepMin if that is more.
+// sweep deletes the expired entries of a map whose keys are the names of the workers' machines. It does nothing while
+// the map has fewer than sweepSize entries. After deleting, it sets sweepSize to twice the number of remaining entries,
+// or to tuning.RedirectsSweepMin if that is more.
 func sweep[V any](workers map[string]V, sweepSize *int, expired func(V) bool) {
 	if len(workers) < *sweepSize {
 		return
--- a/internal/api/workerapi/renewals.go
+++ b/internal/api/workerapi/renewals.go
@@ -18,16 +18,17 @@
 // renewals is what this member knows of the workers whose leases it renews on behalf of the leader. It
 // answers two questions:
 //
-//   - Whether a heartbeat comes from the worker itself, now, or is a copy that the network delayed: a dead machine
-//     must not count as alive because of a copy. A heartbeat that is no newer than an earlier one is a copy, unless
-//     the worker itself says otherwise. In addition, each worker whose lease is renewed is queried, in parallel
-//     with the replies to it, whether it is alive. Its first reply does not wait for that query: in a partition,
-//     hundreds of workers report at the same time, and their leases are short.
-//   - Whether a leader reaches the worker although that leader does not reach this member. A controller that has lost
-//     the state service and all other members cannot distinguish that from a zone that is cut off. If a worker's lease
-//     was renewed with one fencing token and the worker then reports a higher one, a leader has given it that token
-//     meanwhile. Such a worker is refused, so that it tries the next controller. If it returns, it found no leader,
-//     and its lease is renewed.
+//   - Does a heartbeat come from the worker itself, now, or is it a copy that the network delayed? A dead machine must
+//     not count as alive because of a copy. A heartbeat that is no newer than an earlier one is a copy, unless the
+//     worker's answer to a query shows that its machine was restarted. In addition, this member asks each worker whose
+//     lease it renews whether the worker is alive, in parallel with its replies to the worker. The first reply to a
+//     worker does not wait for the answer: in a partition, hundreds of workers report at the same time, and their
+//     leases are short.
+//   - Does a leader reach the worker although that leader does not reach this member? A controller that has lost the
+//     state service and all other members cannot tell whether only the controller or its whole zone is cut off. If a
+//     worker's lease was renewed with one fencing token and the worker then reports a higher one, a leader has given
+//     the worker that token meanwhile. Such a worker is refused, so that it tries the next controller. If it returns,
+//     it found no leader, and its lease is renewed.
 type renewals struct {
 	lease      time.Duration  // how long a worker's lease lasts after a reply
 	fetch      FetchHeartbeat // nil: workers are not queried
@@ -77,8 +78,8 @@
 	return allowed
 }
 
-// lookup returns what is known of a worker. It is nil if nothing is known or if the lease that was renewed here has
-// expired, unless the worker did not answer the last query. The caller holds the lock.
+// lookup returns what is known of a worker, nil if nothing is known. After the lease that was renewed here has expired,
+// it returns only a worker that did not answer the last query. The caller holds the lock.
 func (r *renewals) lookup(machine string, now time.Time) *renewedWorker {
 	w := r.workers[machine]
 	if w != nil && now.Sub(w.renewedAt) > r.lease && !w.lastQueryFailed {
@@ -154,7 +155,7 @@
 }
 
 // queryRate returns how many queries per second, and how many at a time, are needed to query every worker whose
-// lease is renewed here within RenewedQueryLeaseShare of a lease. The caller holds the lock.
+// lease is renewed here within the share tuning.RenewedQueryLeaseShare of a lease's duration. The caller holds the lock.
 func (r *renewals) queryRate() (perSecond float64, maxInFlight int) {
 	windowSeconds := max(1, tuning.RenewedQueryLeaseShare*r.lease.Seconds())
 	perSecond = max(tuning.RenewedQueriesPerSecondMin, float64(len(r.workers))/windowSeconds)
--- a/internal/api/workerapi/without_leader.go
+++ b/internal/api/workerapi/without_leader.go
@@ -55,8 +55,8 @@
 	return wire.HeartbeatReply{}, redirect
 }
 
-// relay has the leader answer a heartbeat through the peer transport. The error is one of those above, or that of a
-// failed call if the leader may still be reachable.
+// relay has the leader answer a heartbeat through the peer transport. The error is errNotLeading,
+// errLeaderRefused or errLeaderUnreachable, or that of a failed call if the leader may still be reachable.
 func (h *Handler) relay(ctx context.Context, body []byte, leaderName string) (reply wire.HeartbeatReply, err error) {
 	if h.peers.LeaderUnreachable(leaderName) {
 		return reply, errLeaderUnreachable
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -36,7 +36,7 @@
 
 // leaderKey is the leader key and the term, as they were read.
 type leaderKey struct {
-	sent        time.Time // when the first read was sent
+	sentAt      time.Time // when the first read was sent
 	term        uint64    // the last term that began; 0 if none did
 	termVersion uint64    // the version of the key that holds the term
 	held        bool      // the leader key exists
@@ -47,7 +47,7 @@
 // readLeaderKey reads the term before the leader key. If the leader key is then found vacant, this term and
 // all earlier ones are over.
 func (e *Elector) readLeaderKey(ctx context.Context) (leaderKey, error) {
-	k := leaderKey{sent: e.clock.Now()}
+	k := leaderKey{sentAt: e.clock.Now()}
 	var err error
 	if k.term, k.termVersion, err = e.readTerm(ctx); err != nil {
 		return k, err
@@ -91,13 +91,14 @@
 	} else {
 		e.noteHolder(seen.holder.Member, seen.holder.Term)
 	}
-	e.noteStillLeading(seen.holder.Term, seen.sent)
+	e.noteStillLeading(seen.holder.Term, seen.sentAt)
 	e.waitForChange(ctx, seen.version)
 }
 
-// waitForChange returns when the leader key may have changed, or just after earlierProcessConfirmationsUntil. A
-// term that a read finds in force from then on cannot be ended by a confirmation of an earlier process of this
-// member, so this member can answer a vote request for it with Granted instead of GrantedWithoutMemory.
+// waitForChange returns when the leader key may have changed. If earlierProcessConfirmationsUntil is near, it returns
+// just after that time at the latest, so that the leader key is read again. No confirmation of an earlier process of
+// this member can end a term that this read or a later one finds in force. So this member can answer a vote request for
+// that term with Granted instead of GrantedWithoutMemory.
 func (e *Elector) waitForChange(ctx context.Context, version uint64) {
 	wait := tuning.LeaderWatchWait
 	if left := e.earlierProcessConfirmationsUntil.Sub(e.clock.Now()); left >= 0 && left < wait {
@@ -118,7 +119,7 @@
 // until the lease expires: a process that restarts at once would cause 4 s more without a leader.
 // Every lease has its own number, so a revocation that is executed late affects no other lease.
 func (e *Elector) revokePreviousLease(ctx context.Context, h holder) {
-	e.log.Info("leader key names this member, which does not lead; revoking its lease", "term", h.Term)
+	e.log.Info("leader key names this member although this member does not lead; revoking the key's lease", "term", h.Term)
 	if err := e.store.RevokeLease(ctx, h.Lease); err != nil {
 		e.log.Debug("lease of the leader key could not be revoked; retrying", "err", err)
 	}
@@ -148,8 +149,8 @@
 	e.lead(ctx, leadership, work)
 }
 
-// mayCampaign reports whether a campaign may begin, and records that it begins. It may not while a vote
-// forbids it, nor while this member leaves the leadership to others (see DeferCampaign).
+// mayCampaign reports whether a campaign may begin. If so, it records that the campaign begins. No campaign may begin
+// while a vote forbids it or while this member leaves the leadership to others (see DeferCampaign).
 func (e *Elector) mayCampaign(ctx context.Context) bool {
 	// Only a leader relies on votes. If nobody leads, the votes that an earlier
 	// process of this member may have given no longer bind it.
@@ -206,10 +207,10 @@
 
 // campaign tries once to become the leader of the term after lastTerm. If the outcome of its transaction is
 // unknown, it revokes the lease and reports failure: a transaction that is executed later then attaches the leader
-// key to a revoked lease, and nobody acts on it. It also fails if the eligibility has expired when the transaction
-// succeeds, because the member that confirmed may no longer remember its confirmation by then.
+// key to a revoked lease, and nobody acts on it. The campaign also fails if the eligibility has expired when the
+// transaction succeeds, because the member that confirmed may no longer remember its confirmation by then.
 func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligible eligibility) (Leadership, bool) {
-	sent := e.clock.Now()
+	sentAt := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, tuning.LeaderLeaseTTL)
 	if err != nil {
 		e.log.Debug("lease for a campaign not granted; campaign abandoned", "err", err)
@@ -225,13 +226,14 @@
 		e.revokeLease(ctx, lease)
 		return Leadership{}, false
 	}
-	e.beginTerm(next.Term, lease, sent)
+	e.beginTerm(next.Term, lease, sentAt)
 	e.noteHolder(e.member, next.Term)
 	return Leadership{Term: next.Term, Guard: wire.Condition{Key: keyHolder, Version: version}}, true
 }
 
 // takeLeaderKey writes the leader key and the next term in one transaction. The transaction fails if the leader key is
-// held, the term has changed since it was read, or a guard does not hold. It returns the version of the leader key.
+// held, the term has changed since it was read, or a guard does not hold. takeLeaderKey returns the version of the
+// leader key.
 func (e *Elector) takeLeaderKey(ctx context.Context, next holder, termVersion uint64, guards []wire.Condition) (uint64, error) {
 	termValue, err := json.Marshal(termRecord{Term: next.Term})
 	if err != nil {
--- a/internal/cluster/election/campaign_test.go
+++ b/internal/cluster/election/campaign_test.go
@@ -27,7 +27,7 @@
 	if second.Term <= first.Term || a.MayAct(first.Term) || !b.MayAct(second.Term) || b.MayAct(first.Term) {
 		t.Errorf("terms %d of a and %d of b: want a later term of b, valid for b alone", first.Term, second.Term)
 	}
-	// The guard makes every transaction fail that the first leader still sends.
+	// Because of the guard, every transaction that the first leader still sends fails.
 	_, err := statestore.New(state.Addr(), 1e6, 1e6).Commit(t.Context(), wire.Txn{
 		If: []wire.Condition{first.Guard}, Then: []wire.Change{{Put: "run/x", Value: json.RawMessage("1")}},
 	})
--- a/internal/cluster/election/confirmation.go
+++ b/internal/cluster/election/confirmation.go
@@ -17,10 +17,10 @@
 	return true
 }
 
-// NotLeading reports whether this member does not lead. It answers a member that has just started. An earlier process
-// of that member may have voted for this one, and the new process does not know of that vote. So an open vote round,
-// which may rely on it, becomes void.
-func (e *Elector) NotLeading() bool {
+// ConfirmNotLeading answers a member that has just started. It reports whether this member does not lead, and makes an
+// open vote round of this member void. The round may rely on a vote of an earlier process of the member that asks, and
+// the new process of that member does not know of that vote.
+func (e *Elector) ConfirmNotLeading() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.voteRound++
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -111,7 +111,7 @@
 	leader                  string    // the member that leads; "" if unknown
 	leaderTerm              uint64    // the term of leader
 	endedTerm               uint64    // this term and all earlier ones are over
-	leadingTermSinceRestart uint64    // the highest term read in force after earlierProcessConfirmationsUntil
+	leadingTermSinceRestart uint64    // the highest term that a read sent at or after earlierProcessConfirmationsUntil found in force
 	vacantSince             time.Time // when the leader key was first read as naming no member; zero: it named one at the last read
 
 	// Restrictions on this member's votes, confirmations and campaigns. They follow from what this process, or an
@@ -119,7 +119,7 @@
 	campaigning              bool      // a campaign is in progress; if it succeeds, this member leads
 	boundByVoteUntil         time.Time // a vote forbids this member to campaign or confirm before this time
 	earlierProcessVotesUntil time.Time // a vote of an earlier process of this member may be relied on before this time
-	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed: no vote for its leader or an earlier one's
+	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed: no vote for the leader of this term or of an earlier one
 	deferCampaignUntil       time.Time // no campaign before this time, unless the leader key stays vacant
 }
 
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -19,11 +19,11 @@
 var errNotConfirmed = errors.New("member is fenced off, and no other member confirms that the last term is over")
 
 // fencingLease is the leader's lease on the key of the member that it has fenced off. The leader may rely on
-// it until fencingReliedOnFor after sent.
+// it until fencingReliedOnFor after sentAt.
 type fencingLease struct {
 	member string    // the member that is fenced off; "": none
 	lease  uint64    // the lease that the member's key is attached to
-	sent   time.Time // when the request that granted or last renewed the lease was sent
+	sentAt time.Time // when the request that granted or last renewed the lease was sent
 }
 
 // fencingReliedOnFor is how long the leader may rely on a fencing lease after it sent the request that granted or
@@ -55,7 +55,7 @@
 		if err := e.acquireFencing(ctx, leadership, silent[0]); err != nil {
 			e.log.Debug("silent member could not be fenced off; retrying", "member", silent[0], "err", err)
 		}
-	case e.clock.Since(fencing.sent) >= tuning.FencingLeaseRenewEvery:
+	case e.clock.Since(fencing.sentAt) >= tuning.FencingLeaseRenewEvery:
 		e.renewFencing(ctx, fencing)
 	}
 }
@@ -88,7 +88,7 @@
 	if err != nil {
 		return fmt.Errorf("reading %s: %w", key, err)
 	}
-	sent := e.clock.Now()
+	sentAt := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, tuning.FencingLeaseTTL)
 	if err != nil {
 		return fmt.Errorf("granting a lease for %s: %w", key, err)
@@ -101,7 +101,7 @@
 		return fmt.Errorf("storing %s: %w", key, err)
 	}
 	e.log.Info("silent member fenced off; it cannot lead without another member's confirmation", "member", member)
-	e.noteFencing(leadership.Term, fencingLease{member, lease, sent})
+	e.noteFencing(leadership.Term, fencingLease{member, lease, sentAt})
 	return nil
 }
 
@@ -116,7 +116,7 @@
 // renewFencing renews a fencing lease and counts its duration from when the request was sent. The leader stops relying
 // on a lease that the state service does not know.
 func (e *Elector) renewFencing(ctx context.Context, fencing fencingLease) {
-	fencing.sent = e.clock.Now()
+	fencing.sentAt = e.clock.Now()
 	err := e.store.RenewLease(ctx, fencing.lease)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,7 +141,7 @@
 }
 
 // checkEligibility returns the reason why this member may campaign. term is the last term that began; the leader key
-// was found vacant after it. The validity of a confirmation counts from before the other members are asked. The error
+// was read after that term and found vacant. The validity of a confirmation counts from before the other members are asked. The error
 // is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
 func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
 	key := prefixFencing + e.member
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -121,12 +121,12 @@
 	renewalSent := clock.Now()
 	elector.noteFailedRenewal()
 	clock.Advance(2 * tuning.LeaderLeaseTTL) // the process is stalled, and its lease may expire
-	round, sent, needed := elector.beginVoteRound(leadership.Term)
+	round, sentAt, needed := elector.beginVoteRound(leadership.Term)
 	if !needed {
 		t.Fatal("a leader whose renewals fail does not ask for votes")
 	}
 	elector.noteRenewal(leadership.Term, renewalSent)
-	elector.extendByVotes(leadership.Term, round, sent, votesExcept("b")())
+	elector.extendByVotes(leadership.Term, round, sentAt, votesExcept("b")())
 	if elector.MayAct(leadership.Term) {
 		t.Error("a void vote round made the term valid")
 	}
@@ -168,10 +168,10 @@
 	if applied := state.Deliver(); len(applied) != 0 {
 		t.Error("the first attempt was executed after the second")
 	}
-	for clock.Since(elector.fencing.sent) < fencingReliedOnFor-tuning.LeaderLeaseRenewEvery {
+	for clock.Since(elector.fencing.sentAt) < fencingReliedOnFor-tuning.LeaderLeaseRenewEvery {
 		advance(tuning.LeaderLeaseRenewEvery)
 		if _, ok := state.Value(prefixFencing + "b"); !ok {
-			t.Fatalf("the fencing lease is gone %v after it was acquired, but the leader relies on it for %v", clock.Since(elector.fencing.sent), fencingReliedOnFor)
+			t.Fatalf("the fencing lease is gone %v after it was acquired, but the leader relies on it for %v", clock.Since(elector.fencing.sentAt), fencingReliedOnFor)
 		}
 	}
 }
--- a/internal/cluster/election/knowledge.go
+++ b/internal/cluster/election/knowledge.go
@@ -50,13 +50,13 @@
 	e.leader, e.leaderTerm = "", 0
 }
 
-// noteStillLeading records that a read sent at the given time found a term in force. If the read was sent at or after
-// earlierProcessConfirmationsUntil, no campaign that relied on a confirmation by an earlier process of this member can
-// have followed the term: such a campaign has failed by then.
-func (e *Elector) noteStillLeading(term uint64, sent time.Time) {
+// noteStillLeading records that a read sent at the given time found a term in force. From
+// earlierProcessConfirmationsUntil on, no member acts on a confirmation of an earlier process of this member. So if the
+// read was sent at that time or later, no such confirmation can end the term.
+func (e *Elector) noteStillLeading(term uint64, sentAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !sent.Before(e.earlierProcessConfirmationsUntil) {
+	if !sentAt.Before(e.earlierProcessConfirmationsUntil) {
 		e.leadingTermSinceRestart = max(e.leadingTermSinceRestart, term)
 	}
 }
--- a/internal/cluster/election/term.go
+++ b/internal/cluster/election/term.go
@@ -71,11 +71,11 @@
 // renewLease retries until the lease is renewed. It returns false when the term is over.
 func (e *Elector) renewLease(ctx context.Context, ownTerm leadershipTerm) bool {
 	for ctx.Err() == nil {
-		sent := e.clock.Now()
+		sentAt := e.clock.Now()
 		err := e.store.RenewLease(ctx, ownTerm.lease)
 		switch {
 		case err == nil:
-			return e.noteRenewal(ownTerm.Term, sent)
+			return e.noteRenewal(ownTerm.Term, sentAt)
 		case errors.Is(err, statestore.ErrLeaseNotFound):
 			return false
 		}
@@ -88,7 +88,7 @@
 	return true // ctx has ended: the caller's next wait returns false
 }
 
-// waitInTerm waits for a duration. It returns false when the term is over.
+// waitInTerm waits for a duration. It returns false as soon as ctx ends, the leader's work ends or this member resigns.
 func (e *Elector) waitInTerm(ctx context.Context, ownTerm leadershipTerm, d time.Duration) bool {
 	timer := e.clock.NewTimer(d)
 	defer timer.Stop()
@@ -106,36 +106,36 @@
 	}
 }
 
-// beginTerm begins a term of this member and makes it valid. sent is when the request that granted
+// beginTerm begins a term of this member and makes it valid. sentAt is when the request that granted
 // the lease was sent: the lease cannot have begun earlier. The clock may run fast or slow, so the
 // validity is shorter than the lease by the clock drift.
-func (e *Elector) beginTerm(term, lease uint64, sent time.Time) {
+func (e *Elector) beginTerm(term, lease uint64, sentAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ownTerm, e.lease, e.resigned = term, lease, make(chan struct{})
 	e.campaigning, e.fencing = false, fencingLease{}
-	e.extendByRenewal(sent)
+	e.extendByRenewal(sentAt)
 }
 
 // noteRenewal records that the lease was renewed by a request sent at the given time. It returns false if this
 // member resigned meanwhile. From now on the term's validity depends on the lease alone, so the fencing lease may
 // be revoked. An open vote round may rely on the fencing lease, therefore it becomes void.
-func (e *Elector) noteRenewal(term uint64, sent time.Time) bool {
+func (e *Elector) noteRenewal(term uint64, sentAt time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ownTerm != term {
 		return false
 	}
 	e.voteRound++
-	e.extendByRenewal(sent)
+	e.extendByRenewal(sentAt)
 	return true
 }
 
 // extendByRenewal makes the term valid for the lease's duration, less the clock drift, counted from when the request
 // was sent. The caller holds the lock.
-func (e *Elector) extendByRenewal(sent time.Time) {
+func (e *Elector) extendByRenewal(sentAt time.Time) {
 	e.failedRenewals, e.failedRenewalsWhenOtherServed = 0, 0
-	e.validUntil = sent.Add(withMargin(tuning.LeaderLeaseTTL, -tuning.ClockDriftShare))
+	e.validUntil = sentAt.Add(withMargin(tuning.LeaderLeaseTTL, -tuning.ClockDriftShare))
 }
 
 func (e *Elector) noteFailedRenewal() {
--- a/internal/cluster/election/term_test.go
+++ b/internal/cluster/election/term_test.go
@@ -31,22 +31,25 @@
 // Guards against a term that stays valid for longer than the lease lasts because the time of the request was not
 // counted: the validity counts from before the request was sent.
 func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
-	for name, renew := range map[string]func(elector *Elector, sent time.Time){
-		"granted": func(elector *Elector, sent time.Time) { elector.beginTerm(5, 1, sent) },
-		"renewed": func(elector *Elector, sent time.Time) { elector.beginTerm(5, 1, sent); elector.noteRenewal(5, sent) },
+	for name, renew := range map[string]func(elector *Elector, sentAt time.Time){
+		"granted": func(elector *Elector, sentAt time.Time) { elector.beginTerm(5, 1, sentAt) },
+		"renewed": func(elector *Elector, sentAt time.Time) {
+			elector.beginTerm(5, 1, sentAt)
+			elector.noteRenewal(5, sentAt)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			elector := newElector(nil, unreachablePeers, "a", clock)
-			sent := clock.Now()
+			sentAt := clock.Now()
 			clock.Advance(tuning.LeaseCallTimeout)
-			renew(elector, sent)
+			renew(elector, sentAt)
 			clock.Advance(tuning.LeaderLeaseTTL - tuning.LeaseCallTimeout - 100*time.Millisecond)
 			if !elector.MayAct(5) {
-				t.Errorf("invalid already %v after the request was sent", clock.Since(sent))
+				t.Errorf("invalid already %v after the request was sent", clock.Since(sentAt))
 			}
 			if clock.Advance(100 * time.Millisecond); elector.MayAct(5) {
-				t.Errorf("still valid %v after the request was sent", clock.Since(sent))
+				t.Errorf("still valid %v after the request was sent", clock.Since(sentAt))
 			}
 		})
 	}
--- a/internal/cluster/election/votes.go
+++ b/internal/cluster/election/votes.go
@@ -92,7 +92,7 @@
 func (e *Elector) requestVotes(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		e.pause(ctx, tuning.VoteEvery)
-		round, sent, needed := e.beginVoteRound(term)
+		round, sentAt, needed := e.beginVoteRound(term)
 		if !needed {
 			continue
 		}
@@ -101,13 +101,13 @@
 			e.handOver(ctx, term)
 			continue
 		}
-		e.extendByVotes(term, round, sent, votes)
+		e.extendByVotes(term, round, sentAt, votes)
 	}
 }
 
 // beginVoteRound begins a vote round, which makes earlier rounds void. It reports whether votes are needed: this
 // member still leads in the term, and renewals fail.
-func (e *Elector) beginVoteRound(term uint64) (round uint64, sent time.Time, needed bool) {
+func (e *Elector) beginVoteRound(term uint64) (round uint64, sentAt time.Time, needed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.voteRound++
@@ -116,31 +116,31 @@
 
 // extendByVotes extends the validity of a term by the votes of a round that began at the given time, unless the round
 // is void.
-func (e *Elector) extendByVotes(term, round uint64, sent time.Time, votes Votes) {
+func (e *Elector) extendByVotes(term, round uint64, sentAt time.Time, votes Votes) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.voteRound != round || e.ownTerm != term {
 		return
 	}
-	if until, ok := e.votesSuffice(sent, votes); ok && until.After(e.validUntil) {
+	if until, ok := e.votesSuffice(sentAt, votes); ok && until.After(e.validUntil) {
 		e.validUntil = until
 	}
 }
 
 // votesSuffice reports whether votes, none of them a refusal, prove that nobody takes over, and until when. The caller
 // holds the lock.
-func (e *Elector) votesSuffice(sent time.Time, votes Votes) (until time.Time, ok bool) {
+func (e *Elector) votesSuffice(sentAt time.Time, votes Votes) (until time.Time, ok bool) {
 	if e.othersMayHaveLed(votes) {
 		return time.Time{}, false
 	}
-	until = sent.Add(voteReliedOnFor)
+	until = sentAt.Add(voteReliedOnFor)
 	if len(votes.Silent) == 0 {
 		return until, true
 	}
 	if !e.silentMemberIsFencedOff(votes) {
 		return time.Time{}, false
 	}
-	if fencedUntil := e.fencing.sent.Add(fencingReliedOnFor); until.After(fencedUntil) {
+	if fencedUntil := e.fencing.sentAt.Add(fencingReliedOnFor); until.After(fencedUntil) {
 		until = fencedUntil
 	}
 	return until, true
@@ -148,16 +148,16 @@
 
 // othersMayHaveLed reports whether another member may have led, and stopped leading again, since the term's validity
 // lapsed. It guards against this fault: a leader that had been cut off from everyone made its term valid again by the
-// votes of members that did not know of the leaders in between, because they had been restarted. Members that have run
-// since then know whether they led, and refuse if they did. The caller holds the lock.
+// votes of members that did not know of the leaders in between, because they had been restarted. A member that
+// has not been restarted since then knows whether it led, and refuses if it did. The caller holds the lock.
 func (e *Elector) othersMayHaveLed(votes Votes) bool {
 	return votes.WithoutMemory > 0 && !e.clock.Now().Before(e.validUntil)
 }
 
 // silentMemberIsFencedOff reports whether exactly one member is silent and cannot lead. As long as the fencing lease
-// exists, that member's campaign fails without a confirmation, and it gets none: every other member voted, so it does
-// not confirm while its vote is in force. The vote of a member that does not know whether it confirmed before does not
-// suffice, so there must be no vote without memory. The caller holds the lock.
+// exists, that member's campaign fails without a confirmation, and nobody confirms: every other member voted, and a
+// member does not confirm while its vote is in force. The vote of a member that does not know whether it confirmed
+// before does not suffice, so there must be no vote without memory. The caller holds the lock.
 func (e *Elector) silentMemberIsFencedOff(votes Votes) bool {
 	return len(votes.Silent) == 1 && votes.WithoutMemory == 0 && votes.Silent[0] == e.fencing.member
 }
--- a/internal/cluster/election/votes_test.go
+++ b/internal/cluster/election/votes_test.go
@@ -84,7 +84,7 @@
 	ready := make(chan struct{})
 	peers := &fakePeers{nobodyLeads: always(true), votes: func() Votes {
 		<-ready
-		if a.NotLeading() { // a restarted member asks during the round
+		if a.ConfirmNotLeading() { // a restarted member asks during the round
 			return Votes{Refused: 1}
 		}
 		return Votes{}
@@ -165,8 +165,8 @@
 			if c.lapsed {
 				clock.Advance(tuning.VoteValidity)
 			}
-			sent := clock.Now()
-			elector.extendByVotes(5, elector.voteRound, sent, c.votes)
+			sentAt := clock.Now()
+			elector.extendByVotes(5, elector.voteRound, sentAt, c.votes)
 			clock.Advance(tuning.VoteValidity * 3 / 4)
 			if elector.MayAct(5) != c.valid {
 				t.Errorf("the term is valid after the vote round: %v", elector.MayAct(5))
@@ -181,9 +181,9 @@
 	elector := newElector(nil, unreachablePeers, "a", clock)
 	elector.beginTerm(5, 1, clock.Now())
 	clock.Advance(tuning.LeaderLeaseTTL - tuning.VoteValidity/4)
-	sent := clock.Now()
+	sentAt := clock.Now()
 	clock.Advance(tuning.VoteValidity / 2)
-	if elector.extendByVotes(5, elector.voteRound, sent, Votes{WithoutMemory: 1}); elector.MayAct(5) {
+	if elector.extendByVotes(5, elector.voteRound, sentAt, Votes{WithoutMemory: 1}); elector.MayAct(5) {
 		t.Error("votes without memory made a lapsed term valid again")
 	}
 }
--- a/internal/cluster/peerrpc/client.go
+++ b/internal/cluster/peerrpc/client.go
@@ -31,10 +31,10 @@
 	return &Client{timeout: tuning.RelayTimeout, conns: map[string]*clientConn{}, silent: map[string]bool{}}
 }
 
-// Call sends a request to the peer at addr and waits for its answer. If the peer answers the request's verb
-// from memory and the call times out, the peer hangs or is cut off by a partition, and it is marked silent.
-// Until the peer answers a ping again, all other calls to it fail at once with ErrSilent. Otherwise every poll
-// and every heartbeat would wait for the timeout.
+// Call sends a request to the peer at addr and waits for its answer. If a call times out although its verb
+// is one that peers answer from memory, the peer hangs or is cut off by a partition. Call then marks it as silent.
+// Until a silent peer answers a ping again, calls to it with other verbs fail at once with ErrSilent. Otherwise every
+// poll and every heartbeat would wait for the timeout.
 func (c *Client) Call(ctx context.Context, addr string, request Request) (Response, error) {
 	if request.Verb != Ping && c.Silent(addr) {
 		return Response{}, ErrSilent
--- a/internal/cluster/peers/health.go
+++ b/internal/cluster/peers/health.go
@@ -18,8 +18,8 @@
 	mu               sync.Mutex
 	leader           string    // the member whose missed pings are counted
 	missedPings      int       // consecutive pings of that member without any answer
-	leaderMemoryFull bool      // the leader answered the last ping that it has no memory for more jobs
-	lastAnswer       time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
+	leaderMemoryFull bool      // the leader's answer to the last ping said that it has no memory for more jobs
+	lastAnswerAt     time.Time // when any other member last answered a ping, or when Run began; zero: Run has not begun
 }
 
 // Run pings the other members until ctx ends, to learn whether the leader can be reached and which member they know
@@ -90,7 +90,7 @@
 	p.health.leaderMemoryFull = full
 }
 
-// LeaderMemoryFull reports whether the leader answered the last ping that it has no memory for more jobs.
+// LeaderMemoryFull reports whether the leader's answer to the last ping said that it has no memory for more jobs.
 func (p *Peers) LeaderMemoryFull() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
@@ -100,7 +100,7 @@
 func (p *Peers) noteAnswer() {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	p.health.lastAnswer = p.clock.Now()
+	p.health.lastAnswerAt = p.clock.Now()
 }
 
 // Isolated reports whether there are other members and none of them has answered for longer than
@@ -108,7 +108,7 @@
 func (p *Peers) Isolated() bool {
 	p.health.mu.Lock()
 	defer p.health.mu.Unlock()
-	return !p.health.lastAnswer.IsZero() && p.clock.Since(p.health.lastAnswer) > tuning.IsolatedAfter
+	return !p.health.lastAnswerAt.IsZero() && p.clock.Since(p.health.lastAnswerAt) > tuning.IsolatedAfter
 }
 
 // Unanswered reports whether a call failed because no answer at all arrived.
@@ -124,7 +124,7 @@
 }
 
 // MayTryLeader reports whether a worker may be redirected to a leader that does not answer this member. That is
-// allowed if the worker would return within the share tuning.RedirectLeaseShare of its lease.
+// allowed if the worker would return within the share tuning.RedirectLeaseShare of its lease's duration.
 func (p *Peers) MayTryLeader() bool {
 	return p.workerReturnTime() < time.Duration(float64(p.workerLease)*tuning.RedirectLeaseShare)
 }
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -51,7 +51,7 @@
 	return p
 }
 
-// SetElector sets this member's elector.
+// SetElector sets this member's elector. The elector is created with the Peers, so it cannot be an argument of New.
 func (p *Peers) SetElector(e *election.Elector) { p.elector = e }
 
 // Alone reports whether there are no other members.
--- a/internal/cluster/peers/peers_test.go
+++ b/internal/cluster/peers/peers_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Guards against a partition of a zone whose machines need more requests than there is time for. All requests
-// together must finish within tuning.RelayTimeout. With only 400 machines in a request, 6,000 machines would need 15
-// requests.
+// Guards against more requests than there is time for when a member is asked about the machines of a partitioned zone.
+// All requests together must finish within tuning.RelayTimeout. With only 400 machines in a request, 6,000 machines
+// would need 15 requests.
 func TestMachinesOfAZoneNeedFewRequests(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/internal/cluster/peers/questions.go
+++ b/internal/cluster/peers/questions.go
@@ -12,8 +12,8 @@
 )
 
 // MayHaveRenewed asks a member which of the named machines it may have answered under its zone lease recently: within
-// the duration of a worker lease plus tuning.RenewedQueryTimeout before it is asked. The error is workerlease.ErrUnsure if the member answers that it
-// cannot tell, or that of the call if the member does not answer.
+// the duration of a worker lease plus tuning.RenewedQueryTimeout before it is asked. The error is workerlease.ErrUnsure
+// if the member answers that it cannot tell, or that of the call if the member does not answer.
 func (p *Peers) MayHaveRenewed(ctx context.Context, member string, machines []string) (renewed []string, err error) {
 	for batch := range machineBatches(machines) {
 		resp, err := p.Call(ctx, member, peerrpc.Request{Verb: peerrpc.MayHaveRenewed, Names: batch})
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -75,12 +75,12 @@
 	if f.leaseID != 0 {
 		return nil
 	}
-	sent := f.clock.Now()
+	sentAt := f.clock.Now()
 	lease, err := f.store.GrantLease(ctx, f.recordTTL())
 	if err != nil {
 		return fmt.Errorf("acquiring a lease for the record: %w", err)
 	}
-	f.leaseID, f.leaseRequestedAt = lease, sent
+	f.leaseID, f.leaseRequestedAt = lease, sentAt
 	return nil
 }
 
@@ -112,7 +112,7 @@
 // addName adds a name to the first page that has room for it, or to a new page.
 func (f *FollowerLeases) addName(name string) {
 	size := nameBytes(name)
-	capacity := int(f.maxValueKB*1024) - len(`{"machines":[]}`)
+	capacity := int(f.maxValueKiB*1024) - len(`{"machines":[]}`)
 	i := slices.IndexFunc(f.pages, func(p *page) bool { return p.bytes+size <= capacity })
 	if i < 0 {
 		i = len(f.pages)
@@ -142,9 +142,9 @@
 // renewRecord renews the record's lease while there are machines to record, and removes machines whose leases have
 // surely expired since their last reply.
 func (f *FollowerLeases) renewRecord(ctx context.Context) {
-	sent := f.clock.Now()
+	sentAt := f.clock.Now()
 	if err := f.store.RenewLease(ctx, f.leaseID); err == nil {
-		f.leaseRequestedAt = sent
+		f.leaseRequestedAt = sentAt
 	} else if !f.outlivesLeaseFrom(f.clock.Now()) {
 		f.abandon()
 		return
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -28,7 +28,7 @@
 //     this process dies.
 //   - The leader concludes nothing from the expiry of a lease before it has read these records. It reads them after
 //     the expiry and within tuning.RenewedQueryTimeout of the beginning of its query. If no record names a machine,
-//     no follower answered the machine within a whole worker lease before that beginning.
+//     no follower answered the machine within the duration of a worker lease before that beginning.
 //
 // Each process writes under keys of its own, so that a restarted process cannot remove what an earlier process has
 // written. The goroutine of Run owns the state; any goroutine may call Acquire.
@@ -38,7 +38,7 @@
 	log         *slog.Logger
 	member      string
 	workerLease time.Duration // how long a worker's lease lasts after a reply
-	maxValueKB  float64       // the largest value that the state service stores, in KB
+	maxValueKiB float64       // the largest value that the state service stores, in KiB
 	requests    chan acquireRequest
 
 	leaseID          uint64               // the lease of this process's record; 0: there is no record
@@ -58,7 +58,7 @@
 // NewFollowerLeases makes the follower leases of a member. Run must be called to serve them.
 func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
-		store: store, clock: clock, log: log, member: s.Member, maxValueKB: s.Cluster.State.ValueKB,
+		store: store, clock: clock, log: log, member: s.Member, maxValueKiB: s.Cluster.State.ValueKB,
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.InboxCapacity),
 		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
--- a/internal/cluster/workerlease/workerlease.go
+++ b/internal/cluster/workerlease/workerlease.go
@@ -1,6 +1,6 @@
 // Package workerlease lets a member renew workers' leases on behalf of the leader while the workers cannot reach
-// the leader. Such a reply to a heartbeat contains no commands and repeats the worker's own fencing token. A member
-// may send it on one of two grounds:
+// the leader. The reply that renews such a lease contains no commands and repeats the worker's own fencing token. A
+// member may send it on one of two grounds:
 //
 //   - FollowerLeases: the state service stores the machine's name in a record before the first reply to the machine.
 //     This serves two zones that are partitioned from each other, and the time between two leaders.
@@ -9,7 +9,7 @@
 //
 // Before a leader concludes from the expiry of a worker's lease that the worker's tasks have ended, it reads the
 // records of both kinds with ReadAll and asks the members that hold zone leases. docs/design.md argues why the
-// leader then concludes nothing while such a reply may be in force.
+// leader then concludes nothing while a lease that such a reply renewed may still last.
 package workerlease
 
 import (
@@ -69,10 +69,11 @@
 func expiredAfter(lease time.Duration) time.Duration { return WithDrift(lease) + tuning.LeaseMargin }
 
 // renewalReportedFor returns for how long after a reply the record, or the member itself, must report that reply. A
-// leader that asks began its query at most tuning.RenewedQueryTimeout earlier, so each source reports every reply
-// within a worker lease before the beginning of the query. If each source reported only the replies within a worker
-// lease before it was asked itself, two members that answer a machine one after the other could both deny having
-// answered it, and its tasks would count as ended while they run.
+// source is asked at most tuning.RenewedQueryTimeout after the beginning of the leader's query. So each source reports
+// every reply that was sent after a common time: the beginning of the query less the duration of a worker lease. If
+// each source instead subtracted that duration from the time at which the source itself is asked, two members that
+// answer a machine one after the other could both deny having answered it, and the machine's tasks would count as ended
+// while they run.
 func renewalReportedFor(lease time.Duration) time.Duration {
 	return expiredAfter(lease) + tuning.RenewedQueryTimeout
 }
--- a/internal/cluster/workerlease/zonelease.go
+++ b/internal/cluster/workerlease/zonelease.go
@@ -31,12 +31,12 @@
 //     The record outlives all worker leases that begin before that.
 //   - A leader concludes nothing from the expiry of the lease of a machine of that zone before it has read these
 //     records after that expiry. For each record that is still stored, the record's member must also have told the
-//     leader that it did not answer the machine within a whole worker lease before the leader began to read (see
-//     tuning.RenewedQueryTimeout). A member that does not say so may have answered the machine, until its record has
-//     expired.
-//   - A restarted process does not speak for the process before it. MayHaveRenewed returns ErrUnsure until the
-//     duration of a worker lease has passed since the new process started. By then, every lease that the earlier
-//     process renewed has expired.
+//     leader that it did not answer the machine within the duration of a worker lease before the leader began to read,
+//     nor since then (see tuning.RenewedQueryTimeout). Until its record has expired, a member that does not say so
+//     counts as one that may have answered the machine.
+//   - A restarted process does not speak for the process before it. MayHaveRenewed returns ErrUnsure until
+//     reportedFor, which is more than the duration of a worker lease, has passed since the new process started. By
+//     then, every lease that the earlier process renewed has expired.
 //   - A process adopts the zone lease of the process before it, if another member remembers when that lease ends.
 //     The record of the earlier process stays stored for at least the duration of a worker lease after that end, so
 //     it covers the replies of both processes. The end is a wall-clock time, so a message that was delayed is still
@@ -101,8 +101,9 @@
 }
 
 // MayHaveRenewed returns which of the named machines this member may have answered under its zone lease recently:
-// within the duration of a worker lease plus tuning.RenewedQueryTimeout before now. The error is ErrUnsure while an earlier process of this member
-// may have answered others; renewed then holds only the machines that this process answered.
+// within the duration of a worker lease plus tuning.RenewedQueryTimeout before now. The error is ErrUnsure while an
+// earlier process of this member may have answered others; renewed then holds only the machines that this process
+// answered.
 func (z *ZoneLease) MayHaveRenewed(names []string) (renewed []string, err error) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -162,13 +163,13 @@
 		}
 		return
 	}
-	sent := z.clock.Now()
+	sentAt := z.clock.Now()
 	err := z.store.RenewLease(ctx, lease)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	switch {
 	case err == nil:
-		z.leaseRequestedAt = sent
+		z.leaseRequestedAt = sentAt
 	case errors.Is(err, statestore.ErrLeaseNotFound):
 		z.leaseID = 0 // the record's lease expired; the zone lease, which is shorter, ended long before
 	}
@@ -178,7 +179,7 @@
 // confirmed, but its duration is counted from before the request for the record's lease was sent. If the write is
 // not confirmed, the record may be stored nevertheless; it then remains until its lease expires.
 func (z *ZoneLease) acquire(ctx context.Context) error {
-	sent := z.clock.Now()
+	sentAt := z.clock.Now()
 	lease, err := z.store.GrantLease(ctx, z.recordTTL())
 	if err != nil {
 		return fmt.Errorf("acquiring a lease for the record: %w", err)
@@ -196,6 +197,6 @@
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.leaseID, z.leaseRequestedAt = lease, sent
+	z.leaseID, z.leaseRequestedAt = lease, sentAt
 	return nil
 }
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -131,7 +131,8 @@
 }
 
 // Under any combination of faults (partitions and outages of any length, restarts, members that the leader cannot
-// ask), no leader concludes that a machine's tasks have ended within a lease after the machine was answered.
+// ask), no leader concludes that a machine's tasks have ended within the duration of a
+// lease after the machine was answered.
 func TestNoConclusionWithinALeaseOfAnAnswer(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 21))
@@ -159,7 +160,7 @@
 					}
 				}
 			case !storeDown:
-				// The leader itself has not answered the machine for a lease.
+				// The leader itself has not answered the machine for the duration of a lease.
 				if h.concludes("n-1", !memberCutOff && r.IntN(3) > 0) {
 					conclusions++
 					if !lastAnswered.IsZero() && h.clock.Since(lastAnswered) < zoneWorkerLease {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -128,7 +128,8 @@
 	})
 }
 
-// isolated reports whether neither the state service nor any other member answers this one.
+// isolated reports whether neither the state service nor any other member answers this one. It is false if there are no
+// other members.
 func (c *Controller) isolated() bool { return c.zoneLease.Isolated() && c.peers.Isolated() }
 
 // memberShare returns the share of a common rate limit that each member may use. The leader's loop has a share of its
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -136,7 +136,7 @@
 	return endErr
 }
 
-// operatorSettings loads the operators' settings.
+// operatorSettings returns a watcher that holds the settings of the harness's properties file. The watcher does not run.
 func (h *harness) operatorSettings() *config.OperatorSettingsWatcher {
 	properties, err := config.LoadProperties(h.properties)
 	if err != nil {
--- a/internal/controller/ledger_test.go
+++ b/internal/controller/ledger_test.go
@@ -100,7 +100,7 @@
 		return err.Error()
 	}
 	defer resp.Body.Close()
-	raw, _ := io.ReadAll(resp.Body) // a missing part fails the caller's check
+	raw, _ := io.ReadAll(resp.Body) // if a part of the body could not be read, the caller's check of the body fails
 	return string(raw)
 }
 
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -30,7 +30,7 @@
 	case peerrpc.Ping:
 		return c.servePing(req)
 	case peerrpc.NotLeading:
-		return okOrConflict(c.elector.NotLeading())
+		return okOrConflict(c.elector.ConfirmNotLeading())
 	case peerrpc.MayHaveRenewed:
 		return c.serveMayHaveRenewed(req.Names)
 	case peerrpc.ProbeWorkers:
@@ -80,9 +80,10 @@
 	return r
 }
 
-// servePing answers a ping. The response holds the leader that this member knows of, status 507 if this member has no
-// memory for more jobs, and the claim to a zone lease that this member remembers of the sender. The sender's name is
-// in req.Job; members of earlier versions send no name.
+// servePing answers a ping. If the ping contains the sender's claim to its zone lease, this member remembers the claim
+// first. The response contains the leader that this member knows of and the sender's last claim that this member
+// remembers. The status is 507 if this member has no memory for more jobs, and 200 otherwise. The sender's name is in
+// req.Job; members of earlier versions send no name.
 func (c *Controller) servePing(req peerrpc.Request) peerrpc.Response {
 	name, term := c.elector.LeaderAndTerm()
 	status := http.StatusOK
