--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -119,7 +119,7 @@
 	campaigning              bool      // a campaign is in progress; if it succeeds, this member leads
 	boundByVoteUntil         time.Time // a vote forbids this member to campaign or confirm before this time
 	earlierProcessVotesUntil time.Time // a vote of an earlier process of this member may be relied on before this time
-	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed: no vote for the leader of this term or of an earlier one
+	confirmedEndOfTerm       uint64    // the last term whose end this member confirmed; this member votes for no leader of a term up to this one
 	deferCampaignUntil       time.Time // no campaign before this time, unless the leader key stays vacant
 }
 
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -141,8 +141,8 @@
 }
 
 // checkEligibility returns the reason why this member may campaign. term is the last term that began; the leader key
-// was read after that term and found vacant. The validity of a confirmation counts from before the other members are asked. The error
-// is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
+// was read after that term and found vacant. The validity of a confirmation counts from before the other members are
+// asked. The error is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
 func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
 	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
--- a/internal/cluster/peerrpc/formats_test.go
+++ b/internal/cluster/peerrpc/formats_test.go
@@ -15,7 +15,7 @@
 		name string
 		verb Verb
 	}{
-		{"query", JobStatus}, {"cancel", CancelJob}, {"promise", RequestVote}, {"not-leading", NotLeading}, {"report", Heartbeat},
+		{"query", JobStatus}, {"cancel", CancelJob}, {"promise", RequestVote}, {"not-leading", ConfirmNotLeading}, {"report", Heartbeat},
 		{"submit", SubmitJob}, {"vouch", ConfirmTermOver}, {"yield", EndLease}, {"show", SubsystemQuery}, {"kept", MayHaveRenewed}, {"do", SubsystemCommand}, {"reach", ProbeWorkers}, {"ping", Ping},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cluster/peerrpc/peerrpc.go
+++ b/internal/cluster/peerrpc/peerrpc.go
@@ -20,19 +20,19 @@
 
 // The verbs. The names in the generated code and the numbers never change: members of different versions exchange them.
 const (
-	JobStatus        = Verb(fb.VerbQuery)      // asks the leader for a job's state
-	CancelJob        = Verb(fb.VerbCancel)     // asks the leader to cancel a job
-	RequestVote      = Verb(fb.VerbPromise)    // asks a member for its vote, a promise neither to campaign nor to confirm for a while
-	NotLeading       = Verb(fb.VerbNotLeading) // asks a member whether it does not lead
-	Heartbeat        = Verb(fb.VerbReport)     // relays a worker's heartbeat to the leader
-	SubmitJob        = Verb(fb.VerbSubmit)     // relays a job submission to any member
-	ConfirmTermOver  = Verb(fb.VerbVouch)      // asks a member to confirm that no leader up to a term can rely on its vote
-	EndLease         = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
-	SubsystemQuery   = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
-	MayHaveRenewed   = Verb(fb.VerbKept)       // asks a member which machines it may have answered under its zone lease
-	SubsystemCommand = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
-	ProbeWorkers     = Verb(fb.VerbReach)      // asks a member whether one of the workers at some addresses answers it
-	Ping             = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
+	JobStatus         = Verb(fb.VerbQuery)      // asks the leader for a job's state
+	CancelJob         = Verb(fb.VerbCancel)     // asks the leader to cancel a job
+	RequestVote       = Verb(fb.VerbPromise)    // asks a member for its vote, a promise neither to campaign nor to confirm for a while
+	ConfirmNotLeading = Verb(fb.VerbNotLeading) // asks a member whether it does not lead
+	Heartbeat         = Verb(fb.VerbReport)     // relays a worker's heartbeat to the leader
+	SubmitJob         = Verb(fb.VerbSubmit)     // relays a job submission to any member
+	ConfirmTermOver   = Verb(fb.VerbVouch)      // asks a member to confirm that no leader up to a term can rely on its vote
+	EndLease          = Verb(fb.VerbYield)      // asks a member to revoke the lease of a leader that has resigned
+	SubsystemQuery    = Verb(fb.VerbShow)       // asks the leader for a subsystem's data under a path
+	MayHaveRenewed    = Verb(fb.VerbKept)       // asks a member which machines it may have answered under its zone lease
+	SubsystemCommand  = Verb(fb.VerbDo)         // sends a command to a subsystem of the leader
+	ProbeWorkers      = Verb(fb.VerbReach)      // asks a member whether one of the workers at some addresses answers it
+	Ping              = Verb(fb.VerbPing)       // checks that a member answers, and asks it who leads
 )
 
 // answeredFromMemory reports whether a peer answers the verb from memory. The answer to another verb may wait for
--- a/internal/cluster/peers/election.go
+++ b/internal/cluster/peers/election.go
@@ -62,7 +62,7 @@
 
 // NobodyLeads asks all other members whether they do not lead. It is true only if each of them says so.
 func (p *Peers) NobodyLeads(ctx context.Context) bool {
-	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.NotLeading})
+	answers := p.askAll(ctx, peerrpc.Request{Verb: peerrpc.ConfirmNotLeading})
 	for range p.endpoints {
 		if (<-answers).status != http.StatusOK {
 			return false
--- a/internal/cluster/workerlease/conclusions_test.go
+++ b/internal/cluster/workerlease/conclusions_test.go
@@ -14,8 +14,8 @@
 // Guards against tasks that count as ended while they run, because several members answer their machine one after
 // the other while the leader reads the records and asks the members. When each member was asked, it truthfully said
 // that it had not answered the machine within the duration of a worker lease, but one member after the other had
-// renewed the machine's lease. The leader's query takes time, with pauses between its steps. A conclusion counts only if the whole
-// query took at most tuning.RenewedQueryTimeout.
+// renewed the machine's lease. The leader's query takes time, with pauses between its steps. A conclusion counts only if
+// the whole query took at most tuning.RenewedQueryTimeout.
 func TestNoConclusionFromAnswersOfDifferentTimes(t *testing.T) {
 	conclusions, lateQueries, answererChanges := 0, 0, 0
 	for seed := range uint64(150) {
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -131,8 +131,8 @@
 }
 
 // Under any combination of faults (partitions and outages of any length, restarts, members that the leader cannot
-// ask), no leader concludes that a machine's tasks have ended within the duration of a
-// lease after the machine was answered.
+// ask), no leader concludes that a machine's tasks have ended within the duration of a lease after the machine was
+// answered.
 func TestNoConclusionWithinALeaseOfAnAnswer(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 21))
--- a/internal/controller/peer_requests.go
+++ b/internal/controller/peer_requests.go
@@ -29,7 +29,7 @@
 		return okOrConflict(c.store.Urgent().RevokeLease(ctx, req.TermOrLease) == nil)
 	case peerrpc.Ping:
 		return c.servePing(req)
-	case peerrpc.NotLeading:
+	case peerrpc.ConfirmNotLeading:
 		return okOrConflict(c.elector.ConfirmNotLeading())
 	case peerrpc.MayHaveRenewed:
 		return c.serveMayHaveRenewed(req.Names)
