--- a/internal/cluster/peers/relay_test.go
+++ b/internal/cluster/peers/relay_test.go
@@ -56,7 +56,7 @@
 			p.elector.NoteLeader("m0", 3)
 			resp, err := p.Relay(t.Context(), peerrpc.Request{Verb: peerrpc.JobStatus, Job: "job-1"})
 			if !errors.Is(err, c.err) || err == nil && resp.Status != c.status {
-				t.Errorf("answered %d: %d, %v; want %v", c.status, resp.Status, err, c.err)
+				t.Errorf("the member answered %d: Relay returned status %d and error %v, want error %v", c.status, resp.Status, err, c.err)
 			}
 		})
 	}
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -64,10 +64,10 @@
 	}
 	h.state.Refuse(true)
 	if h.tryAcquire("n-2") {
-		t.Error("answers a machine that it could not record")
+		t.Error("the member answers a machine that it could not record")
 	}
 	if !h.tryAcquire("n-1") {
-		t.Error("does not answer the machine that is recorded")
+		t.Error("the member does not answer the machine that is recorded")
 	}
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	if h.tryAcquire("n-1") {
-		t.Error("answers after the end of its record")
+		t.Error("the member answers a machine after the end of its record")
 	}
 }
 
@@ -100,7 +100,7 @@
 	h.clock.Advance(tuning.RenewedQueryTimeout)
 	h.tryAcquire("n-2")
 	if h.renewRecord(t.Context()); !h.recorded("n-1") {
-		t.Error("removed while a leader that began its query within the machine's lease may still read")
+		t.Error("the machine was removed while a leader that began its query within the machine's lease may still read the record")
 	}
 	h.clock.Advance(time.Second)
 	if h.renewRecord(t.Context()); h.recorded("n-1") || !h.recorded("n-2") {
@@ -116,7 +116,7 @@
 	firstLease := h.leaseID
 	h.state.LoseAnswers(func(wire.Txn) bool { return true })
 	if h.tryAcquire("n-2") {
-		t.Error("answers a machine although the write of its name was not confirmed")
+		t.Error("the member answers a machine although the write of its name was not confirmed")
 	}
 	h.state.LoseAnswers(nil)
 	if !h.tryAcquire("n-3") || h.leaseID == firstLease {
--- a/internal/cluster/workerlease/zonelease_test.go
+++ b/internal/cluster/workerlease/zonelease_test.go
@@ -72,11 +72,11 @@
 func TestZoneLeaseOutlastsAPartition(t *testing.T) {
 	h := newZoneHarness(t)
 	if h.TryRenew("n-1", "a") {
-		t.Error("answers before the zone lease is recorded")
+		t.Error("the member answers a machine before its zone lease is recorded")
 	}
 	h.Renew(t.Context())
 	if !h.TryRenew("n-1", "a") || h.TryRenew("n-2", "b") {
-		t.Error("answers another zone's machines, or not its own")
+		t.Error("the member answers another zone's machine, or does not answer its own zone's machine")
 	}
 	h.state.Refuse(true) // the zone is cut off
 	partitionedAt := h.clock.Now()
@@ -84,15 +84,15 @@
 		h.advance(time.Second)
 		h.Renew(t.Context())
 		if wantIsolated := h.clock.Since(partitionedAt) > 2*tuning.ZoneLeaseRenewEvery; h.Isolated() != wantIsolated {
-			t.Fatalf("isolated %v after %v", h.Isolated(), h.clock.Since(partitionedAt))
+			t.Fatalf("Isolated() is %v when the partition has lasted %v", h.Isolated(), h.clock.Since(partitionedAt))
 		}
 	}
 	if d := h.clock.Since(partitionedAt); d != tuning.ZoneLeaseTTL {
-		t.Errorf("answers for %v after it was cut off", d)
+		t.Errorf("the member answers a machine for %v after it was cut off, want tuning.ZoneLeaseTTL", d)
 	}
 	h.state.Refuse(false)
 	if h.Renew(t.Context()); !h.TryRenew("n-1", "a") || h.Isolated() {
-		t.Error("does not answer after the partition")
+		t.Error("after the partition the member does not answer, or counts as isolated")
 	}
 }
 
@@ -126,7 +126,7 @@
 	}, h.store, h.clock, h.log)
 	h.Run(t.Context()) // returns at once
 	if h.TryRenew("n-1", "a") {
-		t.Error("answers without a zone lease")
+		t.Error("the member answers a machine without a zone lease")
 	}
 }
 
@@ -192,25 +192,25 @@
 	h.clockError = clockError
 	h.Renew(t.Context())
 	if h.TryRenew("n-1", "a") || h.Claim() != nil {
-		t.Error("answers without any zone lease")
+		t.Error("the member answers a machine, or claims a zone lease, although it holds none")
 	}
 	for _, unusable := range []string{"", "{", "{}", `{"zone":"b","until_ms":9999999999999}`} {
 		if h.Inherit([]byte(unusable)); h.TryRenew("n-1", "a") {
-			t.Errorf("answers after it inherited %q", unusable)
+			t.Errorf("the member answers a machine after it inherited %q", unusable)
 		}
 	}
 	h.Inherit(claim)
 	if h.TryRenew("n-2", "b") {
-		t.Error("answers another zone's machine")
+		t.Error("the member answers another zone's machine")
 	}
 	for h.TryRenew("n-1", "a") {
 		if h.advance(time.Second); h.clock.Now().After(leaseEnd) {
-			t.Fatal("answers beyond the end of its earlier process's zone lease")
+			t.Fatal("the member answers a machine after the end of its earlier process's zone lease")
 		}
 		h.Inherit(claim) // a copy that arrives late changes nothing
 	}
 	if left := leaseEnd.Sub(h.clock.Now()); left < 0 || left > 2*time.Second {
-		t.Errorf("stops %v before the end", left)
+		t.Errorf("the member stops answering %v before the end of its earlier process's zone lease", left)
 	}
 	h.state.Refuse(false)
 	if h.concludes("n-1", true) || h.concludes("n-1", false) {
@@ -218,10 +218,10 @@
 	}
 	h.advance(zoneWorkerLease + tuning.RenewedQueryTimeout + time.Second)
 	if !h.concludes("n-1", true) || h.concludes("n-1", false) {
-		t.Error("not concluded a lease after the last answer, or concluded without the member's answer while the record is stored")
+		t.Error("not concluded once the lease of the last answer has expired, or concluded without the member's answer while the record is stored")
 	}
 	if h.Renew(t.Context()); !h.TryRenew("n-1", "a") || h.Claim() == nil {
-		t.Error("has no zone lease of its own once the state service answers again")
+		t.Error("the member has no zone lease of its own once the state service answers again")
 	}
 }
 
@@ -234,9 +234,9 @@
 	h.Inherit(wire.EncodeRecord(claim{Zone: "a", UntilMS: h.clock.Now().Add(remaining).UnixMilli()}))
 	h.advance(remaining - 2*h.clockError - 10*time.Millisecond)
 	if !h.TryRenew("n-1", "a") {
-		t.Error("ends too early")
+		t.Error("the inherited zone lease ends too early")
 	}
 	if h.advance(10 * time.Millisecond); h.TryRenew("n-1", "a") {
-		t.Error("answers though the lease may have ended by the clock that gave its end")
+		t.Error("the member answers a machine although the lease may have ended by the clock that gave its end")
 	}
 }
