--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -44,7 +44,9 @@
 type WriteBudget struct {
 	Changes int // all changes in the transaction; 0: as many as one transaction may hold
 	Spare   int // changes among them that nobody waits for
-	Overdue int // like Spare, for records that have been dirty for at least LazyMaxWait; the larger limit applies to them
+	// Overdue is like Spare, for records that have been dirty for at least LazyMaxWait. The larger of Spare and
+	// Overdue applies to them.
+	Overdue int
 }
 
 // NextBatch builds the next transaction, or returns nil if there is nothing to write. Only one transaction may
@@ -61,7 +63,7 @@
 		b.deleteStaleRecords()
 	}
 	s.queue.updateDue()
-	if b.changes() == 0 {
+	if b.changeCount() == 0 {
 		return nil
 	}
 	return b.batch
--- a/internal/scheduler/jobs/batchbuilder.go
+++ b/internal/scheduler/jobs/batchbuilder.go
@@ -36,23 +36,23 @@
 	}
 }
 
-// changes returns the number of gathered changes.
-func (b *batchBuilder) changes() int { return len(b.batch.Txn.Then) }
+// changeCount returns the number of gathered changes.
+func (b *batchBuilder) changeCount() int { return len(b.batch.Txn.Then) }
 
 // hasRoom reports whether n more changes fit.
 func (b *batchBuilder) hasRoom(n int) bool {
-	return b.changes()+n <= b.maxChanges && b.bytes < tuning.TxnTargetBytes
+	return b.changeCount()+n <= b.maxChanges && b.bytes < tuning.TxnTargetBytes
 }
 
 // hasRoomFor reports whether the records of chunks fit, judged by their maximum size. hasRoom alone does not
 // suffice: a record with charges can be long enough to make a transaction exceed its size limit.
 func (b *batchBuilder) hasRoomFor(refs ...chunkRef) bool {
-	changes, bytes := 0, 0
+	changeCount, bytes := 0, 0
 	for _, r := range refs {
-		changes += r.minChanges(b.txnOps)
+		changeCount += r.minChanges(b.txnOps)
 		bytes += r.maxBytes()
 	}
-	return b.hasRoom(changes) && (b.changes() == 0 || b.bytes+bytes <= tuning.TxnMaxBytes)
+	return b.hasRoom(changeCount) && (b.changeCount() == 0 || b.bytes+bytes <= tuning.TxnMaxBytes)
 }
 
 // put adds a change that stores a value under a key, on the condition that the key has the given version.
@@ -79,13 +79,13 @@
 func (b *batchBuilder) addStartsAndEnds() {
 	q, counts := b.queue, &b.batch.Counts
 	for more := true; more && len(q.ends)+len(q.urgent) > 0; {
-		before := b.changes()
+		before := b.changeCount()
 		if q.endGoesFirst() {
 			more = b.addNextEnd()
-			counts.Ends += b.changes() - before
+			counts.Ends += b.changeCount() - before
 		} else {
 			more = b.addNextStart()
-			counts.Starts += b.changes() - before
+			counts.Starts += b.changeCount() - before
 		}
 	}
 }
--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -9,13 +9,13 @@
 // addProgress adds dirty chunks that nobody waits for, in the order in which they were queued, within the
 // budget for them.
 func (b *batchBuilder) addProgress() {
-	q, before := b.queue, b.changes()
+	q, before := b.queue, b.changeCount()
 	for n := len(q.lazy); n > 0; n-- {
 		ref := q.lazy[0]
 		c := ref.chunk()
 		if c.dirty && !ref.job.ended {
 			age := b.now.Sub(c.dirtySince)
-			if b.changes() >= before+b.budget.lazy(age) || !b.hasRoomFor(ref) {
+			if b.changeCount() >= before+b.budget.maxLazyChanges(age) || !b.hasRoomFor(ref) {
 				break
 			}
 			if age < tuning.LazyWriteDelay { // the chunk was written with a start while it was queued, and has changed again since
@@ -26,12 +26,12 @@
 		q.lazy, c.inLazyQueue = q.lazy[1:], false
 		b.writeProgress(ref)
 	}
-	b.batch.Counts.Progress = b.changes() - before
+	b.batch.Counts.Progress = b.changeCount() - before
 }
 
-// lazy returns the maximum number of lazy changes, which nobody waits for, in one transaction. waited is how
-// long the next lazy change has waited.
-func (w WriteBudget) lazy(waited time.Duration) int {
+// maxLazyChanges returns the maximum number of lazy changes, which nobody waits for, in one transaction. waited
+// is how long the next lazy change has waited.
+func (w WriteBudget) maxLazyChanges(waited time.Duration) int {
 	if waited >= tuning.LazyMaxWait {
 		return max(w.Spare, w.Overdue)
 	}
@@ -40,13 +40,13 @@
 
 // deleteStaleRecords deletes records that finished jobs left behind, within the spare budget.
 func (b *batchBuilder) deleteStaleRecords() {
-	q, before := b.queue, b.changes()
-	for len(q.stale) > 0 && b.hasRoom(1) && b.changes() < before+b.budget.Spare {
+	q, before := b.queue, b.changeCount()
+	for len(q.stale) > 0 && b.hasRoom(1) && b.changeCount() < before+b.budget.Spare {
 		stale := q.stale[0]
 		q.stale = q.stale[1:]
 		b.deleteKey(stale.Key, stale.Version)
 	}
-	b.batch.Counts.Garbage = b.changes() - before
+	b.batch.Counts.Garbage = b.changeCount() - before
 }
 
 // writeProgress adds the write of a chunk's record, unless the record is up to date or the job has ended.
@@ -65,7 +65,7 @@
 }
 
 // detachCharges moves charges of a chunk to records of their own if the chunk has many. It is called before
-// the chunk's own record is written, and leaves room for it.
+// the chunk's own record is written, and leaves room for that record.
 func (b *batchBuilder) detachCharges(c *progressChunk) {
 	for b.hasRoom(2) {
 		d, value, ok := c.detachOldCharges()
--- a/internal/scheduler/jobs/charges.go
+++ b/internal/scheduler/jobs/charges.go
@@ -19,7 +19,7 @@
 // deletes the record in one transaction.
 //
 // Each charge is therefore in exactly one record at any time. Every transaction that moves a charge has the condition
-// that the record from which it moves still has its known version.
+// that the record from which the charge is moved still has its known version.
 
 // DetachedCharges is a stored record of charges that the Store no longer changes.
 type DetachedCharges struct {
--- a/internal/scheduler/jobs/load.go
+++ b/internal/scheduler/jobs/load.go
@@ -25,7 +25,7 @@
 	// ErrMalformedKey reports a record key that is not in its expected format.
 	ErrMalformedKey = errors.New("malformed key")
 	// ErrWrongJob reports a job record whose job ID differs from the ID in the key, or whose number of tasks is
-	// never accepted.
+	// not between 1 and wire.MaxTasks.
 	ErrWrongJob = errors.New("job ID differs from the key, or the number of tasks is not allowed")
 	// ErrMalformedProgress reports a progress record with invalid task ranges, or with tasks that its job
 	// does not have.
--- a/internal/scheduler/jobs/queue.go
+++ b/internal/scheduler/jobs/queue.go
@@ -88,8 +88,8 @@
 }
 
 // sort puts the urgent changes in order of the jobs' priorities, so that starts of high-priority jobs do not
-// wait behind hundreds of tiny jobs. Within a priority, starts come before ends. Cancellations, which users
-// wait for, come after the starts of the highest priority only.
+// wait behind hundreds of tiny jobs. Within a priority, starts come before ends. Users wait for cancellations,
+// so these count as ends of the highest priority (endPriority), and only starts of that priority precede them.
 func (q *writeQueue) sort() {
 	slices.SortStableFunc(q.ends, func(x, y *Job) int { return cmp.Compare(y.endPriority(), x.endPriority()) })
 	// Records of ending jobs need no write of their own: the job's end deletes or detaches them.
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -81,8 +81,8 @@
 	s.queueEndIfFinished(a.Job)
 }
 
-// Cancel requests the cancellation of a job. No more of its tasks are started. The cancellation is stored
-// once all its tasks are proven gone. fn is called with the job's final state once that is stored.
+// Cancel requests the cancellation of a job. No more of the job's tasks are started. The cancellation is stored
+// once all its tasks are proven gone. fn is called with the job's final state once that state is stored.
 func (s *Store) Cancel(j *Job, fn func(wire.JobState)) {
 	if j.cancelled {
 		fn(wire.StateCancelled)
--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -90,7 +90,8 @@
 }
 
 // CommandsAnswered records that a direct request will not be executed any more: it was answered, or never sent.
-// Until it is called, the starts of the request count as unanswered, at most for the rest of the incarnation.
+// Until CommandsAnswered is called, the starts of the request count as unanswered, at most for the rest of the
+// incarnation.
 func (r *Registry) CommandsAnswered(name string, req *wire.DirectCommands) {
 	m := r.Machines[name]
 	if m == nil || m.Incarnation != req.Incarnation {
@@ -113,8 +114,8 @@
 
 // CommandsUnanswered records that a direct request, sent at the given time, had no answer, and postpones the
 // machine's lease expiry to at least one lease duration after that time. A start in the request may still arrive. Even
-// a worker process that was restarted in the meantime may execute it, since that process counts its incarnations from 1
-// again. But it does so only until the lease of its first incarnation expires.
+// a worker process that was restarted in the meantime may execute the start, since that process counts its
+// incarnations from 1 again. But the process executes it only until the lease of its first incarnation expires.
 func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
 	m := r.Machines[name]
 	if m == nil || len(m.unansweredStarts) == 0 || m.LeaseExpiry.IsZero() {
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -63,10 +63,10 @@
 			}
 			f.CommandsUnanswered("n-1", t0.Add(5*time.Second))
 			if outcomes := f.expire(11 * time.Second); len(outcomes) != c.want {
-				t.Fatalf("outcomes %v a lease after the last heartbeat, want %d", outcomes, c.want)
+				t.Fatalf("outcomes %v one lease duration after the last heartbeat, want %d", outcomes, c.want)
 			}
 			if outcomes := f.expire(16 * time.Second); len(outcomes) != 1-c.want {
-				t.Errorf("outcomes %v a lease after the start was sent, want %d", outcomes, 1-c.want)
+				t.Errorf("outcomes %v one lease duration after the start was sent, want %d", outcomes, 1-c.want)
 			}
 		})
 	}
@@ -79,8 +79,8 @@
 		name     string
 		machine  string
 		prepare  func(*Machine, *jobs.Allocation)
-		commands error // of CommandsFor
-		probe    error // of ProbeRequest for n-1
+		commands error // the error wanted from CommandsFor
+		probe    error // the error wanted from ProbeRequest for n-1
 	}{
 		{"a request can be sent", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
 		{"the machine is not in the registry", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -171,8 +171,9 @@
 	f.receive(heartbeat(1, 8, term, status("job-1/0", 1, wire.TaskRunning, "")), 3*time.Second, mayNotForget)
 }
 
-// Guards against a task that counts as gone while the reply with its start is on its way. The next heartbeat may be a
-// copy from before a restart of the worker process, with a higher sequence number.
+// Guards against concluding that a task is gone while a reply with its start may still arrive. A heartbeat that does
+// not list the task proves nothing then, even with a higher sequence number: it may be a delayed copy from before a
+// restart of the worker process.
 func TestTaskIsNotGoneWhileAReplyWithItsStartMayArrive(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
@@ -190,9 +191,9 @@
 	}
 }
 
-// Guards against a copy from before a restart that the leader never learned of: the present process has the lower
-// incarnation, and its tasks counted as gone. A worker process never forgets its token, so a lower token shows a copy or
-// a restart. A machine that has acknowledged nothing yet is probed.
+// Guards against a copy from before a restart that the leader never learned of. The copy has a higher incarnation than
+// the present process, whose tasks then counted as gone. A worker process never forgets its token, so a lower token
+// shows a copy or a restart. A machine that has acknowledged nothing yet is probed.
 func TestNewIncarnationThatMayBeACopyEndsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -217,8 +218,9 @@
 	}
 }
 
-// Guards against an attempt that is ended by a report of its exit from before a restart of the worker process: the
-// recorded attempt is started again in the new process.
+// Guards against ending an attempt because of a report of its exit from before a restart of the worker process, after
+// which the same recorded attempt is started again. Without this term's token, a heartbeat ends an attempt only if the
+// task completed.
 func TestExitWithoutTheTermsTokenCountsOnlyIfCompleted(t *testing.T) {
 	for _, c := range []struct {
 		reason   wire.ExitReason
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -29,9 +29,9 @@
 }
 
 // DirectAnswer processes the heartbeat with which a worker answered a direct request. Such an answer renews no lease,
-// and no commands can be sent in reply to it. It proves nothing about tasks that it does not list, because the reply
-// to an ordinary heartbeat, with a start, may still be on its way to the worker. But it is not a delayed copy, and it
-// proves that requests reach the machine. The errors are those of Heartbeat.
+// and no commands can be sent in reply to it. It proves nothing about a task that it does not list: the reply to an
+// ordinary heartbeat may still be on its way to the worker and contain a start of that task. But a direct answer is not
+// a delayed copy, and it proves that requests reach the machine. The errors are those of Heartbeat.
 func (r *Registry) DirectAnswer(hb *wire.Heartbeat, now time.Time, mayForget MayForget) (HeartbeatResult, error) {
 	return r.processHeartbeat(hb, true, now, mayForget)
 }
@@ -146,12 +146,12 @@
 }
 
 // beginIncarnation records the first message of a new incarnation and ends the earlier ones. The new incarnation may
-// have begun just now, so its lease may last a full lease duration from now. That also applies if the message is a
-// direct answer, which renews no lease otherwise: if the lease expiry of the former incarnation still applied, tasks
-// that had just been started on the machine would be started elsewhere while they run there.
+// have begun just now, so its lease may last a full lease duration from now. This is also true if the message is a
+// direct answer, although direct answers renew no lease otherwise. If the lease expiry of the former incarnation still
+// applied, tasks that had just been started on the machine would be started elsewhere while they run there.
 func (r *Registry) beginIncarnation(m *Machine, hb *wire.Heartbeat, direct bool, now time.Time) []Outcome {
-	// A heartbeat was answered less than half a lease ago, and the worker's lease expired nevertheless: the replies did
-	// not arrive.
+	// A heartbeat was answered less than half a lease duration ago, and the worker's lease expired nevertheless: the
+	// replies did not arrive.
 	if !direct && now.Sub(m.LastHeartbeat) < r.lease/2 {
 		m.Reachability.NoteMissedReply(now)
 	}
--- a/internal/scheduler/machines/histories_test.go
+++ b/internal/scheduler/machines/histories_test.go
@@ -15,8 +15,8 @@
 
 // Guards against tasks that run twice, that count as completed although they are not, or that never complete. Random
 // histories have workers that hang, die or restart, one-way partitions in both directions, copies of heartbeats and
-// direct commands that are delayed by up to five leases, and failovers. Once all faults have ended, each live machine
-// must be usable again and each task must complete within a stated time.
+// direct commands that are delayed by up to five lease durations, and failovers. Once all faults have ended, each live
+// machine must be usable again and each task must complete within a stated time.
 func TestNoTaskRunsTwiceOverRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{t: t, now: t0}
@@ -37,8 +37,9 @@
 		for _, w := range s.workers {
 			w.hangsUntil, w.unreachableUntil, w.silentUntil = time.Time{}, time.Time{}, time.Time{}
 		}
-		// Messages in flight arrive within five leases. A machine that was unreachable repeatedly waits longest for
-		// tasks.
+		// Messages in flight arrive within five lease durations. A machine that was unreachable repeatedly waits
+		// longest for tasks: its recovery is noticed up to ProbePauseMax late, and after that it gets no tasks for up to
+		// UnreachablePauseMax.
 		for quietUntil := s.now.Add(5*simLease + tuning.UnreachablePauseMax + tuning.ProbePauseMax); s.now.Before(quietUntil); {
 			s.step()
 		}
--- a/internal/scheduler/machines/lease.go
+++ b/internal/scheduler/machines/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ExpiredLeases returns the names of the machines whose leases have expired if only leaders renewed them. A follower
+// ExpiredLeases returns the names of the machines whose leases have expired as far as this leader knows. A follower
 // may have renewed such a lease on behalf of the leader, so the leader must query the followers before it ends an
 // incarnation (EndExpired). ExpiredLeases also forgets the machines that were returned long ago.
 func (r *Registry) ExpiredLeases(now time.Time) []string {
--- a/internal/scheduler/machines/listing.go
+++ b/internal/scheduler/machines/listing.go
@@ -53,7 +53,9 @@
 // so those prove nothing.
 func createdBefore(name, other string) bool { return len(name) == len(other) && name < other }
 
-// covers reports whether a page with the names after `after` up to and including last is certain to cover a name.
+// covers reports whether a page of the cloud's list certainly covers a name. The page covers the names after `after`,
+// up to and including last. If `after` or last is empty, the page has no bound on that side. The order of two names of
+// different lengths is unknown (createdBefore), so it may be uncertain whether a name is within the bounds.
 func covers(after, last, name string) bool {
 	return (after == "" || createdBefore(after, name)) && (last == "" || name == last || createdBefore(name, last))
 }
--- a/internal/scheduler/machines/machine.go
+++ b/internal/scheduler/machines/machine.go
@@ -80,7 +80,7 @@
 // Health is how reliably a machine runs tasks and answers commands.
 type Health struct {
 	Unhealthy           bool            // tasks of several jobs failed on it, or it is slow
-	failedJobs          map[string]bool // jobs that work elsewhere and had a task fail here since a task last completed here
+	failedJobs          map[string]bool // jobs, by ID, that have run well and had a task fail on it since a task last completed on it
 	UnansweredCommandAt time.Time       // when the newest command that had no answer was sent
 	RefusalPauseUntil   time.Time       // until when it gets no tasks, because it refused one for lack of room
 	RelativeSpeed       RelativeSpeed   // how fast it runs tasks, compared with other machines
@@ -148,8 +148,8 @@
 	return m.used
 }
 
-// NoteFailure counts a failed task of a job that works elsewhere. The machine is unhealthy once tasks of
-// tuning.FaultyMachineJobsMin such jobs have failed on it.
+// NoteFailure records that a task of a job that has run well failed on the machine. The machine is unhealthy once
+// tasks of tuning.FaultyMachineJobsMin such jobs have failed on it.
 func (m *Machine) NoteFailure(job string) {
 	if m.failedJobs == nil {
 		m.failedJobs = map[string]bool{}
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -150,9 +150,9 @@
 
 // fromEarlierIncarnation reports whether an allocation is of an earlier incarnation than the heartbeat, although the
 // heartbeat is not the first message of its incarnation. This happens after a failover: the former leader recorded
-// allocations of both incarnations and lost leadership before it had written that the task of the earlier one is
-// gone. Since no new incarnation begins in this term, beginIncarnation does not end the allocation. Without this check
-// the task would never be started again.
+// allocations of both incarnations and lost leadership before it had written that the task of the earlier incarnation
+// is gone. Since no new incarnation begins in this term, beginIncarnation does not end the allocation. Without this
+// check the task would never be started again.
 //
 // A heartbeat without this term's token proves nothing here: it may be a copy from before a restart of the worker
 // process, and the task may run in the present process, whose incarnation is the lower one of the allocation.
@@ -165,7 +165,7 @@
 //   - A direct start of it is unanswered.
 //   - A start of it was sent in a reply less than tuning.HeartbeatReplyValidity ago. Workers drop replies after 4 s; the
 //     constant adds the drift of their clocks. Within that time the heartbeat may also be a delayed copy from before
-//     a restart of the worker process that is not known yet.
+//     a restart of the worker process, if this leader does not know of the restart yet.
 //   - The heartbeat may be a delayed copy from before a known restart. It does not prove that the task is not on the
 //     machine now.
 func (rc *reconciliation) startMayArrive(id AttemptID, allocation *jobs.Allocation) bool {
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -84,20 +84,23 @@
 // Without AcceptRestart, the heartbeats of a machine that is back soon after a restart would be rejected as delayed
 // copies until its new process had sent as many heartbeats as the former one.
 func (r *Registry) AcceptRestart(m *Machine, hb *wire.Heartbeat, now time.Time) []Outcome {
-	outcomes := m.allocationsNotIn(hb)
+	outcomes := m.outcomesOfUnlisted(hb)
 	clear(m.orphans)
 	clear(m.images)
 	m.recordLastBeforeRestart()
 	m.Incarnation, m.seq, m.FencingToken = hb.Incarnation, hb.Seq, hb.FencingToken
 	m.EndedIncarnation, m.probeIncarnation = hb.Incarnation-1, 0
 	m.SuspectCopy, m.lastReply, m.InterruptionAt = false, reply{}, time.Time{}
-	m.LeaseExpiry = now.Add(r.lease) // no leader answered a heartbeat of this process before now
+	// No leader has answered a heartbeat of this process yet, so nobody has renewed its lease. Without a renewal the
+	// lease ends one lease duration from now at the latest.
+	m.LeaseExpiry = now.Add(r.lease)
 	m.Reachability.Acknowledged(now)
 	return outcomes
 }
 
-// allocationsNotIn returns the outcomes, as lost, of the allocations whose attempts a heartbeat does not list.
-func (m *Machine) allocationsNotIn(hb *wire.Heartbeat) []Outcome {
+// outcomesOfUnlisted returns the outcomes of the allocations whose attempts a heartbeat does not list. All of these
+// attempts count as lost.
+func (m *Machine) outcomesOfUnlisted(hb *wire.Heartbeat) []Outcome {
 	listed := make(map[AttemptID]bool, len(hb.Tasks))
 	for i := range hb.Tasks {
 		status := &hb.Tasks[i]
--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -14,14 +14,14 @@
 
 // Schedule runs one scheduling cycle. It tries the jobs in order, and places as many waiting tasks of each
 // as fit its team's quota and the machines. A job that cannot place any more tasks does not block the jobs
-// behind it. But once it has waited for long, it reserves a machine against these jobs, so that their small
-// tasks do not fill every machine before its large task fits.
+// behind it. But a job that has waited for a long time reserves a machine against the jobs behind it, so that
+// their small tasks do not fill every machine before the large task of the waiting job fits.
 //
-// Within a priority, tasks that fit their team's guarantee are placed before tasks that a team borrows
-// beyond it. Otherwise room that was preempted from one borrower would go to another borrower that has waited
-// longer. Jobs that have waited too long for their first task are tried even earlier, with one task each.
-// Placeholders are tried last: they reserve room against lower priorities only, and for a limited time (see
-// BackfillReservations).
+// Within a priority, tasks that fit their team's guarantee are placed before tasks for which a team borrows
+// beyond its guarantee. Otherwise room that was preempted from one borrowing team would go to another one that
+// has waited longer. Jobs that have waited too long for their first task are tried even earlier, with one task
+// each. Placeholders are tried last: they reserve room against lower priorities only, and for a limited time
+// (see BackfillReservations).
 //
 // Schedule sorts pending. It changes the jobs' waiting counts and zones, the machines' free resources and
 // the teams' use.
@@ -41,7 +41,7 @@
 
 const (
 	guaranteedPhase  phase = iota // tasks that fit their team's guarantee
-	borrowingPhase                // tasks that a team borrows beyond its guarantee
+	borrowingPhase                // tasks for which a team borrows beyond its guarantee
 	placeholderPhase              // placeholders for expected work
 )
 
--- a/internal/scheduler/placement/doc.go
+++ b/internal/scheduler/placement/doc.go
@@ -8,7 +8,7 @@
 //
 // A cycle tries the jobs in the order of their effective priority (queue.go). Within a priority, jobs that
 // have waited too long for their first task go first (starvation.go). Three phases follow (cycle.go): tasks
-// that fit their team's guarantee, tasks that a team borrows beyond its guarantee, and placeholders for
+// that fit their team's guarantee, tasks for which a team borrows beyond its guarantee, and placeholders for
 // expected work. The machines are ranked per task shape (ranking.go) and stored in heaps, one per zone
 // (search.go, heap.go).
 package placement
--- a/internal/scheduler/placement/heap.go
+++ b/internal/scheduler/placement/heap.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// push adds an entry.
+// push adds an entry and restores the heap order.
 func (h *zoneHeap) push(c candidate) {
 	h.entries = append(h.entries, c)
 	for k := len(h.entries) - 1; k > 0 && h.before(k, (k-1)/2); k = (k - 1) / 2 {
--- a/internal/scheduler/placement/preempt.go
+++ b/internal/scheduler/placement/preempt.go
@@ -93,9 +93,9 @@
 			return -1
 		}
 		updated := p.victimSetOn(p.machines[i], job, request)
-		holds := updated.sufficient && updated.cost == p.victimSets[i].cost
+		unchanged := updated.sufficient && updated.cost == p.victimSets[i].cost
 		p.victimSets[i] = updated
-		if holds {
+		if unchanged {
 			return i
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// release subtracts a victim from its team's use. If that ends the team's borrowing, stored victim sets may
-// contain tasks that may no longer be preempted.
+// release subtracts a victim's resources from its team's use. If the team then no longer borrows, stored victim
+// sets are out of date: they may contain tasks that were preemptible only because the team borrowed.
 func (p *preemption) release(v *Victim) {
 	team := p.teams[v.Job.Team]
 	if team == nil {
--- a/internal/scheduler/placement/starvation_test.go
+++ b/internal/scheduler/placement/starvation_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against quota that remains reserved for a starving job after its first task fits, and against quota
-// that is reserved against other teams.
+// Guards against two errors. Quota remains reserved for a starving job although the job's first task fits now,
+// or the reservation also keeps tasks of other teams from starting.
 func TestQuotaReservationForStarvingJob(t *testing.T) {
 	starving := pendingJob("starving", wire.PriorityNormal, tuning.StarvingAfter, 1, 8)
 	small := pendingJob("small", wire.PriorityNormal, 0, 4, 1)
