--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -15,7 +15,7 @@
 		c := ref.chunk()
 		if c.dirty && !ref.job.ended {
 			age := b.now.Sub(c.dirtySince)
-			if b.changeCount() >= before+b.budget.maxLazyChanges(age) || !b.hasRoomFor(ref) {
+			if b.changeCount() >= before+b.budget.lazy(age) || !b.hasRoomFor(ref) {
 				break
 			}
 			if age < tuning.LazyWriteDelay { // the chunk was written with a start while it was queued, and has changed again since
@@ -29,9 +29,9 @@
 	b.batch.Counts.Progress = b.changeCount() - before
 }
 
-// maxLazyChanges returns the maximum number of lazy changes, which nobody waits for, in one transaction. waited
-// is how long the next lazy change has waited.
-func (w WriteBudget) maxLazyChanges(waited time.Duration) int {
+// lazy returns the maximum number of lazy changes, which nobody waits for, in one transaction. waited is how
+// long the next lazy change has waited.
+func (w WriteBudget) lazy(waited time.Duration) int {
 	if waited >= tuning.LazyMaxWait {
 		return max(w.Spare, w.Overdue)
 	}
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -47,7 +47,7 @@
 	for _, c := range []struct {
 		name     string
 		answered bool
-		want     int // number of outcomes one lease after the last heartbeat
+		want     int // number of outcomes one lease duration after the last heartbeat
 	}{{"unanswered", false, 0}, {"answered before", true, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/scheduler/machines/heartbeat_test.go
+++ b/internal/scheduler/machines/heartbeat_test.go
@@ -31,7 +31,7 @@
 
 // Guards against a lasting spot notice from a delayed copy. Until the machine has acknowledged a message of this
 // term, a notice counts provisionally and a heartbeat without a notice does not clear it. The first heartbeat after
-// the acknowledgment replaces it.
+// the acknowledgment replaces the notice.
 func TestSpotNoticeBeforeTheFirstAcknowledgmentIsProvisional(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(newAllocation(1), t0)
--- a/internal/scheduler/machines/restart_test.go
+++ b/internal/scheduler/machines/restart_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a start by the former leader that arrives after its task counts as gone and its job as cancelled.
-// That a heartbeat does not list a task proves nothing until the worker has seen this term's token.
+// Until the worker has seen this term's token, a heartbeat that does not list the task proves nothing.
 func TestMissingTaskProvesNothingBeforeTheTermsToken(t *testing.T) {
 	f := newFixture(t)
 	allocation := newAllocation(1)
