--- a/internal/scheduler/machines/commands.go
+++ b/internal/scheduler/machines/commands.go
@@ -116,12 +116,12 @@
 // machine's lease expiry to at least one lease duration after that time. A start in the request may still arrive. Even
 // a worker process that was restarted in the meantime may execute the start, since that process counts its
 // incarnations from 1 again. But the process executes it only until the lease of its first incarnation expires.
-func (r *Registry) CommandsUnanswered(name string, sent time.Time) {
+func (r *Registry) CommandsUnanswered(name string, sentAt time.Time) {
 	m := r.Machines[name]
 	if m == nil || len(m.unansweredStarts) == 0 || m.LeaseExpiry.IsZero() {
 		return
 	}
-	if expiry := sent.Add(r.lease); m.LeaseExpiry.Before(expiry) {
+	if expiry := sentAt.Add(r.lease); m.LeaseExpiry.Before(expiry) {
 		m.LeaseExpiry = expiry
 	}
 }
--- a/internal/scheduler/machines/lease.go
+++ b/internal/scheduler/machines/lease.go
@@ -16,14 +16,14 @@
 	return expired
 }
 
-// EndExpired ends the incarnations whose leases had expired by queryStarted, and returns the outcomes of their
-// allocations. queryStarted is when the leader began to query which machines' leases followers renew on its behalf.
+// EndExpired ends the incarnations whose leases had expired by queryStartedAt, and returns the outcomes of their
+// allocations. queryStartedAt is when the leader began to query which machines' leases followers renew on its behalf.
 // renewed holds the machines whose leases followers may have renewed; the leader queries these again later. For any
-// other machine, no follower answered a heartbeat for a full lease duration before queryStarted, so nobody can have
+// other machine, no follower answered a heartbeat for a full lease duration before queryStartedAt, so nobody can have
 // renewed its lease.
-func (r *Registry) EndExpired(queryStarted time.Time, renewed map[string]bool) []Outcome {
+func (r *Registry) EndExpired(queryStartedAt time.Time, renewed map[string]bool) []Outcome {
 	var outcomes []Outcome
-	for _, name := range r.ExpiredLeases(queryStarted) {
+	for _, name := range r.ExpiredLeases(queryStartedAt) {
 		if renewed[name] {
 			continue
 		}
--- a/internal/scheduler/reachability/reachability.go
+++ b/internal/scheduler/reachability/reachability.go
@@ -56,14 +56,14 @@
 	s.updateUnreachable(now)
 }
 
-// NoteUnanswered records that a probe or command got no answer. sent is when it was sent. The failure is ignored if the
-// machine has acknowledged a message since then.
-func (s *State) NoteUnanswered(sent, now time.Time) {
-	if sent.Before(s.acknowledgedAt) {
+// NoteUnanswered records that a probe or command, sent at sentAt, got no answer. The failure is ignored if the machine
+// has acknowledged a message since sentAt.
+func (s *State) NoteUnanswered(sentAt, now time.Time) {
+	if sentAt.Before(s.acknowledgedAt) {
 		return
 	}
-	if s.unansweredSentAt.Before(sent) {
-		s.unansweredSentAt = sent
+	if s.unansweredSentAt.Before(sentAt) {
+		s.unansweredSentAt = sentAt
 	}
 	s.updateUnreachable(now)
 }
