--- a/internal/accounting/ledger/query.go
+++ b/internal/accounting/ledger/query.go
@@ -103,8 +103,8 @@
 	Budgets []budget.View `json:"budgets"`
 }
 
-// Query answers the queries that can be answered from memory: for stats, budgets and totals. The error is
-// leader.ErrUnknownPath.
+// Query answers the queries that can be answered from memory: for stats, budgets and totals. For any other path the
+// error is leader.ErrUnknownPath; there are no other errors.
 func (l *Ledger) Query(uri string, now time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil {
--- a/internal/graphs/runner/orders.go
+++ b/internal/graphs/runner/orders.go
@@ -55,7 +55,8 @@
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Command executes a command. The only possible error is leader.ErrUnknownPath.
+// Command executes a command. The error is leader.ErrUnknownPath if the path is not below PathCommands, and nil
+// otherwise: replies report all other failures.
 func (g *Graphs) Command(c leader.Command, now time.Time, reply func(leader.Answer)) error {
 	verb, ok := strings.CutPrefix(c.URI, PathCommands)
 	if !ok {
--- a/internal/platform/wire/worker.go
+++ b/internal/platform/wire/worker.go
@@ -49,8 +49,9 @@
 )
 
 // Heartbeat is a worker's status: its machine, its spot interruption notice if there is one, and its tasks. Incarnation
-// identifies the worker's process; a later process has a higher one. Seq grows with each heartbeat of an incarnation.
-// FencingToken is the highest fencing token that the worker has received.
+// starts at 1 in each worker process and increases each time the worker's lease expires; all its tasks are then gone. A worker
+// process that was restarted counts from 1 again. Seq grows with each heartbeat of an incarnation. FencingToken is the highest
+// fencing token that the worker process has received.
 type Heartbeat struct {
 	Machine      string       `json:"stall"`
 	Address      string       `json:"address"`
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// Newer reports whether the heartbeat is newer than a message of the same machine with the given incarnation and sequence number.
+// Newer reports whether the heartbeat is newer than a message of the same worker process with the given incarnation and sequence
+// number.
 func (h *Heartbeat) Newer(incarnation, seq uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Seq > seq
 }
--- a/internal/scheduler/placement/queue.go
+++ b/internal/scheduler/placement/queue.go
@@ -32,7 +32,7 @@
 // the next one, in steps of 1/tuning.FairShareSteps. Jobs that have used fewer steps go first. A large array
 // therefore lets the team's other jobs start, instead of filling every free slot again as its own tasks end.
 // For a team without a quota, a share of the fleet (Team.FairShareCPUs) replaces the quota. Without that
-// share, hundreds of tiny jobs of a guest waited three minutes behind the guest's array of 25,000 tasks.
+// share, hundreds of tiny jobs of such a team waited three minutes behind the team's array of 25,000 tasks.
 func fairShareUsed(job *PendingJob, teams map[string]*Team) int {
 	team := teams[job.Job.Team]
 	if team == nil {
--- a/internal/scheduler/placement/queue_test.go
+++ b/internal/scheduler/placement/queue_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against hundreds of tiny jobs that wait for minutes behind a huge array of the same guest. Without a
-// quota the array never had its fair share, and it rose above the tiny jobs by aging.
+// Guards against hundreds of tiny jobs that wait for minutes behind a huge array of the same team. The team has
+// no quota, so the array never had its fair share, and it rose above the tiny jobs by aging.
 func TestArrayWithoutQuotaYieldsAfterFairShare(t *testing.T) {
 	for _, c := range []struct {
 		name    string
