--- a/internal/accounting/ledger/meter.go
+++ b/internal/accounting/ledger/meter.go
@@ -107,8 +107,8 @@
 		return now, 0
 	}
 	from = a.AllocatedAt
-	if o.NotRunningAt.After(from) {
-		from = o.NotRunningAt
+	if o.LastHeartbeatWithoutExit.After(from) {
+		from = o.LastHeartbeatWithoutExit
 	}
 	return from, charge.UpperBound
 }
--- a/internal/graphs/runner/graphs.go
+++ b/internal/graphs/runner/graphs.go
@@ -299,10 +299,10 @@
 	}
 }
 
-// NextWrite returns the next transaction, with at most room changes; nil if there is nothing to write. It contains
-// changed graphs, changed runs with the jobs of their ready steps, and deletions, as many as fit.
-func (g *Graphs) NextWrite(now time.Time, room int) *leader.SubsystemWrite {
-	b := &batch{maxChanges: min(room, g.cfg.MaxTxnChanges), maxValueBytes: int(g.cfg.MaxValueKiB * 1024)}
+// NextWrite returns the next transaction, with at most maxChanges changes; nil if there is nothing to write. It
+// contains changed graphs, changed runs with the jobs of their ready steps, and deletions, as many as fit.
+func (g *Graphs) NextWrite(now time.Time, maxChanges int) *leader.SubsystemWrite {
+	b := &batch{maxChanges: min(maxChanges, g.cfg.MaxTxnChanges), maxValueBytes: int(g.cfg.MaxValueKiB * 1024)}
 	if !g.loaded || b.maxChanges < 2 {
 		return nil
 	}
@@ -352,7 +352,8 @@
 const PathPools = "/graphs/pools"
 
 // Query answers queries for state that only the leader has in memory: the pools (PathPools). Everything else can be
-// read from the stored records with a Reader. The only possible error is leader.ErrUnknownPath.
+// read from the stored records with a Reader. For any other path the error is leader.ErrUnknownPath; there are no other
+// errors.
 func (g *Graphs) Query(uri string, _ time.Time) (leader.Answer, error) {
 	u, err := url.Parse(uri)
 	if err != nil || u.Path != PathPools {
--- a/internal/graphs/runner/pools.go
+++ b/internal/graphs/runner/pools.go
@@ -43,7 +43,7 @@
 // update adds a run to the queue if it waits, and removes it if it does not. A run that was allocated slots and still
 // waits moves to the end of the queue. If the run does not wait and there is room for more steps, the first run of the
 // queue is enqueued in Graphs.runQueue.
-func (q *waitQueue) update(g *Graphs, live *liveRun, waits, allocated, room bool) {
+func (q *waitQueue) update(g *Graphs, live *liveRun, waits, allocated, hasRoom bool) {
 	i := slices.Index(q.runs, live)
 	if i >= 0 && (allocated || !waits) {
 		q.runs = slices.Delete(q.runs, i, i+1)
@@ -51,7 +51,7 @@
 	if waits && (i < 0 || allocated) {
 		q.runs = append(q.runs, live)
 	}
-	if !waits && room {
+	if !waits && hasRoom {
 		q.enqueueFirst(g)
 	}
 }
--- a/internal/platform/metrics/collectors.go
+++ b/internal/platform/metrics/collectors.go
@@ -59,18 +59,18 @@
 
 // machineMetrics are the metrics of machines and their heartbeats.
 type machineMetrics struct {
-	known       prometheus.Gauge
-	unreachable prometheus.Gauge
-	unconfirmed prometheus.Gauge
-	heartbeat   prometheus.Histogram
-	rejected    *prometheus.CounterVec
+	known          prometheus.Gauge
+	unreachable    prometheus.Gauge
+	unacknowledged prometheus.Gauge
+	heartbeat      prometheus.Histogram
+	rejected       *prometheus.CounterVec
 }
 
 func newMachineMetrics(f promauto.Factory) machineMetrics {
 	return machineMetrics{
-		known:       gauge(f, "poppypass_machines", "Machines that the leader knows."),
-		unreachable: gauge(f, "poppypass_machines_deaf", "Machines that report but do not hear the leader."),
-		unconfirmed: gauge(f, "poppypass_machines_unproven", "Machines that report and have not yet proved to hear this leader."),
+		known:          gauge(f, "poppypass_machines", "Machines that the leader knows."),
+		unreachable:    gauge(f, "poppypass_machines_deaf", "Machines that report but do not hear the leader."),
+		unacknowledged: gauge(f, "poppypass_machines_unproven", "Machines that report and have not yet proved to hear this leader."),
 		heartbeat: histogram(f, "poppypass_report_seconds", "How long a worker's report waits for the leader's answer.",
 			prometheus.ExponentialBuckets(0.0001, 2, 16)),
 		rejected: counters(f, "poppypass_reports_set_aside_total",
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -104,11 +104,11 @@
 // HeartbeatRejected counts a heartbeat that was not applied, by reason.
 func (m *Metrics) HeartbeatRejected(reason string) { m.machines.rejected.WithLabelValues(reason).Inc() }
 
-// Reachability sets how many machines send heartbeats but do not receive the leader's replies (unreachable), and how many have not
-// yet acknowledged a reply of this leader (unconfirmed).
-func (m *Metrics) Reachability(unreachable, unconfirmed int) {
+// Reachability sets how many machines the leader's commands do not reach, and how many live ones have not yet acknowledged any
+// message of this term.
+func (m *Metrics) Reachability(unreachable, unacknowledged int) {
 	m.machines.unreachable.Set(float64(unreachable))
-	m.machines.unconfirmed.Set(float64(unconfirmed))
+	m.machines.unacknowledged.Set(float64(unacknowledged))
 }
 
 // Charged counts a charge of the ledger, by outcome, and adds its amounts. Core time is in millionths of a core second, money in
--- a/internal/platform/tuning/scaleout.go
+++ b/internal/platform/tuning/scaleout.go
@@ -45,11 +45,11 @@
 	// because the tasks of each candidate are tried on all other machines.
 	ConsolidateCandidatesMin    = 3
 	ConsolidateCandidateDivisor = 16
-	// MovesInFlightMin is the smallest limit on the number of replicas that one check moves. In a large fleet
-	// the limit is the number of all replicas, divided by MovesInFlightDivisor. There is a limit because
+	// MovesPerCheckMin is the smallest limit on the number of replicas that one check moves. In a large fleet
+	// the limit is the number of all replicas, divided by MovesPerCheckDivisor. There is a limit because
 	// replicas that are being moved wait longer if the leader dies.
-	MovesInFlightMin     = 2
-	MovesInFlightDivisor = 100
+	MovesPerCheckMin     = 2
+	MovesPerCheckDivisor = 100
 	// MoveDowntime is how long a moved replica is down, besides the fetch of its image.
 	MoveDowntime = 300 * time.Millisecond
 	// MoveDowntimeShare is the share of the time of all replicas that the downtime of all moves together may
--- a/internal/scheduler/jobs/batch.go
+++ b/internal/scheduler/jobs/batch.go
@@ -22,10 +22,10 @@
 
 // BatchCounts counts the changes of a transaction by purpose.
 type BatchCounts struct {
-	Starts   int // writes of urgent progress records, mostly of allocations whose tasks wait to be started
-	Ends     int // writes and deletions that belong to ends of jobs
-	Progress int // writes of lazy progress records, which nobody waits for
-	Garbage  int // deletions of records that finished jobs left behind
+	Starts         int // writes of urgent progress records, mostly of allocations whose tasks wait to be started
+	Ends           int // writes and deletions that belong to ends of jobs
+	Progress       int // writes of lazy progress records, which nobody waits for
+	StaleDeletions int // deletions of records that finished jobs left behind
 }
 
 // jobEnd is the end of one job in a batch.
--- a/internal/scheduler/jobs/batchprogress.go
+++ b/internal/scheduler/jobs/batchprogress.go
@@ -46,7 +46,7 @@
 		q.stale = q.stale[1:]
 		b.deleteKey(stale.Key, stale.Version)
 	}
-	b.batch.Counts.Garbage = b.changeCount() - before
+	b.batch.Counts.StaleDeletions = b.changeCount() - before
 }
 
 // writeProgress adds the write of a chunk's record, unless the record is up to date or the job has ended.
--- a/internal/scheduler/leader/consolidation.go
+++ b/internal/scheduler/leader/consolidation.go
@@ -159,7 +159,7 @@
 func (l *Loop) moveReplicas(draining []*machines.Machine, now time.Time) {
 	replicaCount := l.countAllocatedReplicas()
 	l.moves.addBudget(replicaCount)
-	maxMoves := max(tuning.MovesInFlightMin, replicaCount/tuning.MovesInFlightDivisor)
+	maxMoves := max(tuning.MovesPerCheckMin, replicaCount/tuning.MovesPerCheckDivisor)
 	var moved []*jobs.Allocation
 	var dryRun *placement.DryRun // of the machines in use; created for the first movable replica, because mostly there is none
 	for _, m := range draining {
--- a/internal/scheduler/leader/consolidation_test.go
+++ b/internal/scheduler/leader/consolidation_test.go
@@ -72,9 +72,9 @@
 			}
 		}
 	}
-	// If more were moved at a time, more would be down together when the leader dies.
-	if moving != tuning.MovesInFlightMin {
-		t.Errorf("%d replicas are moved at a time, want tuning.MovesInFlightMin", moving)
+	// If one check moved more, more would be down together when the leader dies.
+	if moving != tuning.MovesPerCheckMin {
+		t.Errorf("%d replicas are moved in one check, want tuning.MovesPerCheckMin", moving)
 	}
 }
 
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -60,9 +60,10 @@
 }
 
 // taskCompleted records that a task succeeded: its job works, and so does its machine m. m is nil if the machine is
-// gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail. endedAfter is the time of
-// the machine's newest heartbeat that does not show the task's end: the task may have ended at any time since then.
-func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, endedAfter, now time.Time) {
+// gone. A machine that runs everything slowly becomes unhealthy like one on which jobs fail.
+// lastHeartbeatWithoutExit is when the machine's newest heartbeat arrived that does not show the task's exit: the task
+// may have ended at any time since then.
+func (l *Loop) taskCompleted(a *jobs.Allocation, m *machines.Machine, lastHeartbeatWithoutExit, now time.Time) {
 	if a.Job.FailureWaves > 0 {
 		l.endProbation(a.Job, now)
 	}
@@ -73,14 +74,14 @@
 	if a.Job.Kind != wire.KindArray || a.RunningSince.IsZero() || a.Inherited {
 		return // its run time is not known, or not comparable
 	}
-	l.compareSpeed(a, m, endedAfter, now)
+	l.compareSpeed(a, m, lastHeartbeatWithoutExit, now)
 }
 
 // compareSpeed compares a task's run time with the run times of its job's tasks on other machines. After a partition,
 // or a time without a leader, the ends of many tasks of a machine become known late and together. So only the shortest
-// possible run time, up to endedAfter, counts against the machine.
-func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, endedAfter, now time.Time) {
-	minRunS := endedAfter.Sub(a.RunningSince).Seconds()
+// possible run time, up to lastHeartbeatWithoutExit, counts against the machine.
+func (l *Loop) compareSpeed(a *jobs.Allocation, m *machines.Machine, lastHeartbeatWithoutExit, now time.Time) {
+	minRunS := lastHeartbeatWithoutExit.Sub(a.RunningSince).Seconds()
 	otherRunsS := a.Job.RecordRun(jobs.CompletedRun{Machine: m.Name, Type: m.Type, Seconds: now.Sub(a.RunningSince).Seconds()})
 	if m.RelativeSpeed.Note(minRunS, otherRunsS) && !m.Unhealthy {
 		m.Unhealthy = true
--- a/internal/scheduler/leader/outcomes.go
+++ b/internal/scheduler/leader/outcomes.go
@@ -31,7 +31,7 @@
 	m := l.machines.Machines[a.Machine]
 	if o.Reason == wire.ExitDone {
 		l.jobs.MarkDone(a, now)
-		l.taskCompleted(a, m, o.NotRunningAt, now)
+		l.taskCompleted(a, m, o.LastHeartbeatWithoutExit, now)
 		return
 	}
 	l.jobs.MarkLost(a, now)
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -211,7 +211,7 @@
 // probeFailed records that a machine did not answer a probe.
 func (l *Loop) probeFailed(m *machines.Machine, mark machines.MessageMark, now time.Time) {
 	wasUnreachable := m.Reachability.Unreachable()
-	m.Reachability.NoteUnanswered(mark.Sent, now)
+	m.Reachability.NoteUnanswered(mark.SentAt, now)
 	l.probing.commandUnanswered(m.Name)
 	if m.Reachability.Unreachable() && !wasUnreachable {
 		l.log.Info("machine unreachable: heartbeats arrive but it answers no commands; placing no tasks there", "machine", m.Name, "zone", m.Zone, "tasks", len(m.Allocations))
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -74,7 +74,7 @@
 	l.writer.inFlight = false
 	l.env.observe(func(o Observer) { o.RecordsWritten(len(batch.Txn.Then)) })
 	l.log.Debug("transaction of job records committed", "starts", batch.Counts.Starts, "ends", batch.Counts.Ends, "progress", batch.Counts.Progress,
-		"garbage", batch.Counts.Garbage, "took_ms", l.env.Clock.Since(started).Milliseconds())
+		"garbage", batch.Counts.StaleDeletions, "took_ms", l.env.Clock.Since(started).Milliseconds())
 	startable, finished := l.jobs.MarkCommitted(batch, revision)
 	for _, f := range finished {
 		l.jobFinished(f)
--- a/internal/scheduler/leader/subsystem_writes.go
+++ b/internal/scheduler/leader/subsystem_writes.go
@@ -17,16 +17,16 @@
 	chain     transactionChain
 }
 
-// nextWrite returns the next transaction, and its subsystem; nil if there is nothing to write. The subsystems take
-// turns, because one that always has something to write must not hold up the others.
-func (s *subsystemSet) nextWrite(now time.Time, room int) (Subsystem, *SubsystemWrite) {
+// nextWrite returns the next transaction, with at most maxChanges changes, and its subsystem; nil if there is nothing
+// to write. The subsystems take turns, because one that always has something to write must not hold up the others.
+func (s *subsystemSet) nextWrite(now time.Time, maxChanges int) (Subsystem, *SubsystemWrite) {
 	for range s.active {
 		sub := s.active[s.writes.turnCount%len(s.active)]
 		s.writes.turnCount++
 		if s.writes.failed[sub] {
 			continue
 		}
-		if w := sub.NextWrite(now, room); w != nil {
+		if w := sub.NextWrite(now, maxChanges); w != nil {
 			return sub, w
 		}
 	}
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -41,9 +41,9 @@
 	// Tick does the periodic work that is due. It is called about every tuning.SubsystemTick, and returns the
 	// allocations whose tasks are to be stopped.
 	Tick(now time.Time) []*jobs.Allocation
-	// NextWrite returns the subsystem's next transaction, with at most room changes, on keys that the job store
-	// does not touch; nil if there is nothing to write. Only one is in flight at a time.
-	NextWrite(now time.Time, room int) *SubsystemWrite
+	// NextWrite returns the subsystem's next transaction, with at most maxChanges changes, on keys that the job
+	// store does not touch; nil if there is nothing to write. Only one is in flight at a time.
+	NextWrite(now time.Time, maxChanges int) *SubsystemWrite
 	// Query answers a query of an operator or user. uri is a path below the subsystem's own, perhaps with a query
 	// string. The error is ErrUnknownPath if the subsystem does not serve the path.
 	Query(uri string, now time.Time) (Answer, error)
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -92,7 +92,7 @@
 	if mayBeCopy && status.Reason != wire.ExitDone {
 		return
 	}
-	rc.addOutcome(Outcome{Allocation: allocation, Reason: status.Reason, Saved: status.Saved, NotRunningAt: rc.previousHeartbeat})
+	rc.addOutcome(Outcome{Allocation: allocation, Reason: status.Reason, Saved: status.Saved, LastHeartbeatWithoutExit: rc.previousHeartbeat})
 }
 
 // processPresentAllocation records the state of a task on the machine to which it is allocated. It stops the task if a
@@ -143,7 +143,7 @@
 		case rc.startMayArrive(id, allocation):
 			rc.startAndStop(allocation)
 		default:
-			rc.addOutcome(Outcome{Allocation: allocation, Reason: wire.ExitStopped, NotRunningAt: rc.now})
+			rc.addOutcome(Outcome{Allocation: allocation, Reason: wire.ExitStopped, LastHeartbeatWithoutExit: rc.now})
 		}
 	}
 }
--- a/internal/scheduler/machines/registry.go
+++ b/internal/scheduler/machines/registry.go
@@ -158,10 +158,10 @@
 	Reason     wire.ExitReason // why the task ended; wire.ExitStopped if Lost
 	Saved      bool            // the task saved a checkpoint when it was stopped
 	Lost       bool            // nobody saw the end: the machine's incarnation is over, or the machine is gone
-	// NotRunningAt is when the machine's newest heartbeat arrived that does not show the task's exit; zero: unknown.
-	// If the task was never reported as running, it had not started by then. If it was reported as running, it had
-	// not exited by then, so it may have been running at NotRunningAt.
-	NotRunningAt time.Time
+	// LastHeartbeatWithoutExit is when the machine's newest heartbeat arrived that does not show the task's exit;
+	// zero: unknown. A task that was never reported as running had not started by then. A task that was reported as
+	// running had not exited by then.
+	LastHeartbeatWithoutExit time.Time
 }
 
 // lostOutcome returns the outcome of an allocation whose end nobody saw.
--- a/internal/scheduler/machines/restart.go
+++ b/internal/scheduler/machines/restart.go
@@ -12,7 +12,7 @@
 // than the mark. An answer that is not newer is from another process: the worker was restarted.
 type MessageMark struct {
 	Incarnation, Seq uint64
-	Sent             time.Time // when the probe was sent; zero: the mark was not taken for a probe
+	SentAt           time.Time // when the probe was sent; zero: the mark was not taken for a probe
 }
 
 // ProbeRequest returns a direct request that asks a machine for its heartbeat. The request has no commands, but it carries
@@ -61,7 +61,7 @@
 	switch {
 	case hb.Newer(mark.Incarnation, mark.Seq):
 		return NotRestarted
-	case mark.Sent.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyValidity:
+	case mark.SentAt.Sub(m.LastHeartbeat) < tuning.HeartbeatReplyValidity:
 		return Ambiguous
 	case len(m.unansweredStarts) > 0:
 		return DeletionRequired
