--- a/cmd/poppypass/graph_commands_test.go
+++ b/cmd/poppypass/graph_commands_test.go
@@ -26,10 +26,10 @@
 	store := fakes.NewStore(clock)
 	cloud := fakes.NewCloud(10, wire.MachineType{Name: "g8", CPUs: 16, MemoryGB: 64, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a"}})
 	settings := &config.Settings{
-		Member: "m0", Bind: testutil.FreeAddr(t), MeshAddr: testutil.FreeAddr(t), External: config.ExternalAddresses{Cloud: cloud.Addr(), State: store.Addr()},
+		Member: "m0", Bind: testutil.FreeAddr(t), PeerAddr: testutil.FreeAddr(t), External: config.ExternalAddresses{Cloud: cloud.Addr(), State: store.Addr()},
 		Cluster: config.Cluster{
 			Teams: []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-			State: config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
+			State: config.StateLimits{RPS: 1e6, WriteRPS: 1e6, MaxValueKiB: 16, MaxTxnOps: 12}, Cloud: config.CloudLimits{RPS: 1e6},
 		},
 	}
 	startController(t, settings, testutil.TempFile(t, "own.properties", properties), store, cloud)
--- a/cmd/poppypass/serve.go
+++ b/cmd/poppypass/serve.go
@@ -81,8 +81,8 @@
 	if err != nil {
 		return err
 	}
-	if ramMB := settings.Cluster.Limits.RAMMB; ramMB > 0 {
-		debug.SetMemoryLimit(int64(ramMB * tuning.MemoryTargetShare * (1 << 20)))
+	if memoryMiB := settings.Cluster.Limits.MemoryMiB; memoryMiB > 0 {
+		debug.SetMemoryLimit(int64(memoryMiB * tuning.MemoryTargetShare * (1 << 20)))
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/accounting/ledger/ledger.go
+++ b/internal/accounting/ledger/ledger.go
@@ -23,9 +23,9 @@
 
 // Config configures a ledger.
 type Config struct {
-	Clock      clockwork.Clock
-	MaxTxnOps  int     // maximum number of changes in one transaction
-	MaxValueKB float64 // maximum size of a value in the state service, in KiB
+	Clock         clockwork.Clock
+	MaxTxnChanges int     // maximum number of changes in one transaction
+	MaxValueKiB   float64 // maximum size of a value in the state service, in KiB
 	// MachineTypes returns the cloud's machine types; nil while they are unknown.
 	MachineTypes func() []wire.MachineType
 	// Budgets returns the operators' current budget settings.
@@ -39,7 +39,7 @@
 type Ledger struct {
 	cfg           Config
 	log           *slog.Logger
-	maxTxnOps     int
+	maxTxnChanges int
 	maxValueBytes int
 	codec         *charge.Codec
 	location      *time.Location // time zone in which days begin
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	return &Ledger{
-		cfg: cfg, log: log, maxTxnOps: cfg.MaxTxnOps, maxValueBytes: int(cfg.MaxValueKB * 1024), codec: codec,
+		cfg: cfg, log: log, maxTxnChanges: cfg.MaxTxnChanges, maxValueBytes: int(cfg.MaxValueKiB * 1024), codec: codec,
 		location: cfg.Budgets().Location(), openPage: newPage(0), closedPages: map[int]*page{},
 		liveAllocations: map[*jobs.Allocation]bool{}, budgets: budget.NewTracker(),
 	}, nil
--- a/internal/accounting/ledger/limits_test.go
+++ b/internal/accounting/ledger/limits_test.go
@@ -50,7 +50,7 @@
 // leader whose transaction is refused as malformed steps down, and the next leader would send the same transaction.
 func TestManyJobsThatEndTogetherFitTheirTransactions(t *testing.T) {
 	tl := newTestLeader(t)
-	tl.maxTxnOps = 40
+	tl.maxTxnChanges = 40
 	tl.newTerm()
 	for i := range 30 {
 		j := arrayJob(fmt.Sprintf("job-%d", i), 2*tuning.TasksPerChunk)
--- a/internal/accounting/ledger/rollup.go
+++ b/internal/accounting/ledger/rollup.go
@@ -40,7 +40,7 @@
 	if !l.rollUpDue(now, maxChanges) {
 		return nil
 	}
-	batch := l.rollUpBatch(min(l.maxTxnOps, maxChanges) - rollUpOverhead)
+	batch := l.rollUpBatch(min(l.maxTxnChanges, maxChanges) - rollUpOverhead)
 	seg, segValue := l.segmentWith(batch)
 	pg := l.pageWith(batch)
 	var txn wire.Txn
@@ -67,13 +67,13 @@
 // fill a transaction, or if RollUpAfter has passed since the last roll-up or since the first record was added after it,
 // whichever is later.
 func (l *Ledger) rollUpDue(now time.Time, maxChanges int) bool {
-	if min(l.maxTxnOps, maxChanges) <= rollUpOverhead || len(l.detached) == 0 {
+	if min(l.maxTxnChanges, maxChanges) <= rollUpOverhead || len(l.detached) == 0 {
 		return false
 	}
-	if maxChanges < min(l.maxTxnOps, len(l.detached)+rollUpOverhead, tuning.RollUpMinChanges) {
+	if maxChanges < min(l.maxTxnChanges, len(l.detached)+rollUpOverhead, tuning.RollUpMinChanges) {
 		return false // the write rate limit allows only a few changes now; they are left to other writers
 	}
-	fillsTxn := len(l.detached) >= l.maxTxnOps-rollUpOverhead
+	fillsTxn := len(l.detached) >= l.maxTxnChanges-rollUpOverhead
 	return fillsTxn || now.Sub(l.detachedSince) >= tuning.RollUpAfter
 }
 
--- a/internal/accounting/ledger/testleader_test.go
+++ b/internal/accounting/ledger/testleader_test.go
@@ -22,12 +22,12 @@
 // testLeader is a leader's job store and ledger, with an in-memory state service and simulated workers that the test
 // controls. It records when each attempt really ran, as the ground truth for its charge.
 type testLeader struct {
-	t         testing.TB
-	clock     *clockwork.FakeClock
-	items     map[string]wire.Item // the stored records, by key
-	revision  uint64
-	maxTxnOps int
-	settings  *budget.Settings // the operators' current budgets
+	t             testing.TB
+	clock         *clockwork.FakeClock
+	items         map[string]wire.Item // the stored records, by key
+	revision      uint64
+	maxTxnChanges int
+	settings      *budget.Settings // the operators' current budgets
 
 	store           *jobs.Store
 	ledger          *Ledger
@@ -44,7 +44,7 @@
 
 func newTestLeader(t testing.TB) *testLeader {
 	tl := &testLeader{
-		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, maxTxnOps: 12, settings: &budget.Settings{},
+		t: t, clock: clockwork.NewFakeClockAt(testStart), items: map[string]wire.Item{}, maxTxnChanges: 12, settings: &budget.Settings{},
 		attempts: map[attemptID]*attemptTruth{},
 	}
 	tl.newTerm()
@@ -57,10 +57,10 @@
 func (tl *testLeader) newTerm() {
 	tl.t.Helper()
 	now := tl.now()
-	tl.store, tl.allocations = jobs.NewStore(tl.maxTxnOps), map[attemptID]*jobs.Allocation{}
+	tl.store, tl.allocations = jobs.NewStore(tl.maxTxnChanges), map[attemptID]*jobs.Allocation{}
 	var err error
 	if tl.ledger, err = New(Config{
-		Clock: tl.clock, MaxTxnOps: tl.maxTxnOps, MaxValueKB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
+		Clock: tl.clock, MaxTxnChanges: tl.maxTxnChanges, MaxValueKiB: 16, MachineTypes: func() []wire.MachineType { return []wire.MachineType{smallType} },
 		Budgets: func() *budget.Settings { return tl.settings },
 	}, slog.New(slog.DiscardHandler)); err != nil {
 		tl.t.Fatal(err)
--- a/internal/accounting/ledger/teststore_test.go
+++ b/internal/accounting/ledger/teststore_test.go
@@ -19,7 +19,7 @@
 			tl.t.Fatalf("a condition does not hold: %s has version %d, want %d", c.Key, tl.items[c.Key].Version, c.Version)
 		}
 	}
-	if len(txn.Then) > tl.maxTxnOps || len(txn.If) >= 4*tl.maxTxnOps {
+	if len(txn.Then) > tl.maxTxnChanges || len(txn.If) >= 4*tl.maxTxnChanges {
 		tl.t.Fatalf("a transaction has %d changes and %d conditions", len(txn.Then), len(txn.If))
 	}
 	tl.revision++
--- a/internal/api/userapi/cancel_test.go
+++ b/internal/api/userapi/cancel_test.go
@@ -25,7 +25,7 @@
 	clock := clockwork.NewFakeClock()
 	l := leader.New(&leader.Env{
 		Settings: &config.Settings{Member: "m0", Cluster: config.Cluster{
-			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16},
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.StateLimits{RPS: 100, WriteRPS: 100, MaxTxnOps: 12, MaxValueKiB: 16},
 		}},
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Store: statestore.New(state, 1e6, 1e6), FinalStates: jobs.NewFinalStates(8),
 		MachineTypes: func() []wire.MachineType { return nil },
--- a/internal/api/userapi/handler_test.go
+++ b/internal/api/userapi/handler_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	log := slog.New(slog.DiscardHandler)
-	s := &config.Settings{Member: "m0", Members: members, Cluster: config.Cluster{State: config.State{ValueKB: 16, TxnOps: 12}}}
+	s := &config.Settings{Member: "m0", Members: members, Cluster: config.Cluster{State: config.StateLimits{MaxValueKiB: 16, MaxTxnOps: 12}}}
 	store := statestore.New(state, 1e6, 1e6)
 	p := peers.New(s, clock, log)
 	p.SetElector(election.New(store, p, s.Member, clock, log))
--- a/internal/api/userapi/store_job.go
+++ b/internal/api/userapi/store_job.go
@@ -71,7 +71,7 @@
 		return errMemoryFull
 	}
 	value, err := json.Marshal(jobs.JobRecord{Job: *job, AcceptedAtMS: h.clock.Now().UnixMilli()})
-	if err != nil || float64(len(value)) > h.settings.Cluster.State.ValueKB*1024 {
+	if err != nil || float64(len(value)) > h.settings.Cluster.State.MaxValueKiB*1024 {
 		return errTooLong
 	}
 	_, err = h.store.Commit(ctx, wire.Txn{
--- a/internal/clients/instancetypes/catalog.go
+++ b/internal/clients/instancetypes/catalog.go
@@ -22,11 +22,11 @@
 
 // Catalog caches the machine types that were last read from the cloud. It is safe for concurrent use.
 type Catalog struct {
-	Cloud      *cloud.Client
-	Store      *statestore.Client
-	MaxValueKB float64 // largest value that the state service stores, in KiB
-	Clock      clockwork.Clock
-	Log        *slog.Logger
+	Cloud       *cloud.Client
+	Store       *statestore.Client
+	MaxValueKiB float64 // largest value that the state service stores, in KiB
+	Clock       clockwork.Clock
+	Log         *slog.Logger
 	// Guard returns the condition that makes a transaction fail unless this member leads. ok is false if it does not
 	// lead.
 	Guard func() (guard wire.Condition, ok bool)
@@ -77,7 +77,7 @@
 		return
 	}
 	value, err := json.Marshal(types)
-	if err != nil || float64(len(value)) > c.MaxValueKB*1024 {
+	if err != nil || float64(len(value)) > c.MaxValueKiB*1024 {
 		return
 	}
 	if _, err := c.Store.Commit(ctx, wire.Txn{
--- a/internal/clients/instancetypes/formats_test.go
+++ b/internal/clients/instancetypes/formats_test.go
@@ -18,7 +18,7 @@
 	t.Cleanup(state.Close)
 	types := golden.Fill(new([]wire.MachineType))
 	leaderCatalog := &Catalog{
-		Store: statestore.New(state.Addr(), 1e6, 1e6), MaxValueKB: 16, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Store: statestore.New(state.Addr(), 1e6, 1e6), MaxValueKiB: 16, Clock: clock, Log: slog.New(slog.DiscardHandler),
 		Guard: func() (wire.Condition, bool) { return wire.Condition{Key: "lead/holder"}, true },
 	}
 	leaderCatalog.Set(*types)
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -58,7 +58,7 @@
 // NewFollowerLeases makes the follower leases of a member. Run must be called to serve them.
 func NewFollowerLeases(s *config.Settings, store *statestore.Client, clock clockwork.Clock, log *slog.Logger) *FollowerLeases {
 	return &FollowerLeases{
-		store: store, clock: clock, log: log, member: s.Member, maxValueKiB: s.Cluster.State.ValueKB,
+		store: store, clock: clock, log: log, member: s.Member, maxValueKiB: s.Cluster.State.MaxValueKiB,
 		workerLease: time.Duration(s.Cluster.Workers.LeaseS * float64(time.Second)), requests: make(chan acquireRequest, tuning.InboxCapacity),
 		lastRenewed: map[string]time.Time{}, pageOf: map[string]*page{},
 	}
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -30,7 +30,7 @@
 	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	f := NewFollowerLeases(&config.Settings{
-		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.State{ValueKB: 16}},
+		Member: "m1", Cluster: config.Cluster{Workers: config.Workers{LeaseS: 10}, State: config.StateLimits{MaxValueKiB: 16}},
 	}, statestore.New(state.Addr(), 1e6, 1e6), clock, slog.New(slog.DiscardHandler))
 	return &followerHarness{t, clock, state, f}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,7 +75,7 @@
 	c.peers.SetElector(c.elector)
 	c.store = store.WithShare(c.memberShare(tuning.LeaderRateShare))
 	c.catalog = &instancetypes.Catalog{
-		Cloud: c.cloud, Store: c.store, MaxValueKB: settings.Cluster.State.ValueKB, Clock: c.clock, Log: c.log, Guard: c.guard,
+		Cloud: c.cloud, Store: c.store, MaxValueKiB: settings.Cluster.State.MaxValueKiB, Clock: c.clock, Log: c.log, Guard: c.guard,
 	}
 	c.followerLeases = workerlease.NewFollowerLeases(settings, c.store, c.clock, c.log)
 	c.zoneLease = workerlease.NewZoneLease(settings, c.store, c.clock, c.log)
@@ -89,7 +89,7 @@
 	for _, t := range settings.Cluster.Teams {
 		teams[t.Name] = t
 	}
-	fdLimit, memoryMB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.RAMMB
+	fdLimit, memoryMiB := float64(settings.Cluster.Limits.FDLimit), settings.Cluster.Limits.MemoryMiB
 	return &leader.Env{
 		Settings:       settings,
 		Tunables:       c.operatorSettings.Tunables(),
@@ -98,13 +98,13 @@
 		Store:          c.store,
 		Cloud:          c.cloud,
 		Teams:          teams,
-		FinalStates:    jobs.NewFinalStates(max(tuning.FinalStatesMin, int(memoryMB*tuning.FinalStatesPerMiB))),
+		FinalStates:    jobs.NewFinalStates(max(tuning.FinalStatesMin, int(memoryMiB*tuning.FinalStatesPerMiB))),
 		Workers:        httpjson.NewClient(2, 1, int(fdLimit*tuning.IdleWorkerConnShare), tuning.CommandTimeout),
 		CommandSlots:   make(chan struct{}, max(tuning.CommandConnsMin, int(fdLimit*tuning.CommandConnShare))),
 		MayAct:         c.elector.MayAct,
 		MayHaveRenewed: c.mayHaveRenewed,
 		ProbeWorkers:   c.peers.ProbeWorkers,
-		MemoryFull:     memory.New(memoryMB, c.clock).Full,
+		MemoryFull:     memory.New(memoryMiB, c.clock).Full,
 		MemoryInUse:    memory.InUse,
 		MachineTypes:   c.catalog.Types,
 	}
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -96,11 +96,11 @@
 	h.t.Helper()
 	h.addr = testutil.FreeAddr(h.t)
 	s := &config.Settings{
-		Member: "m0", Bind: h.addr, MeshAddr: testutil.FreeAddr(h.t), External: config.ExternalAddresses{Cloud: h.cloud.Addr(), State: h.state.Addr()},
+		Member: "m0", Bind: h.addr, PeerAddr: testutil.FreeAddr(h.t), External: config.ExternalAddresses{Cloud: h.cloud.Addr(), State: h.state.Addr()},
 		Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "t", CPUs: 8, CPUsMax: 12}},
 			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
-			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}, Cloud: config.Cloud{RPS: 1e6},
+			State:   config.StateLimits{RPS: 1e6, WriteRPS: 1e6, MaxValueKiB: 16, MaxTxnOps: 12}, Cloud: config.CloudLimits{RPS: 1e6},
 		},
 	}
 	var err error
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -24,7 +24,7 @@
 		return fmt.Errorf("cannot listen for users and workers (setting bind): %w", err)
 	}
 	defer userListener.Close()
-	peerListener, err := net.Listen("tcp", c.settings.MeshAddr)
+	peerListener, err := net.Listen("tcp", c.settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("cannot listen for peers (setting mesh_addr): %w", err)
 	}
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -35,11 +35,11 @@
 func (c *Controller) addLedger() error {
 	state := c.settings.Cluster.State
 	cfg := ledger.Config{
-		Clock:        c.clock,
-		MaxTxnOps:    state.TxnOps - 1, // the leader's guard condition counts as an operation too
-		MaxValueKB:   state.ValueKB,
-		MachineTypes: c.catalog.Types,
-		Budgets:      c.operatorSettings.Budgets,
+		Clock:         c.clock,
+		MaxTxnChanges: state.MaxTxnOps - 1, // the leader's guard condition counts as an operation too
+		MaxValueKiB:   state.MaxValueKiB,
+		MachineTypes:  c.catalog.Types,
+		Budgets:       c.operatorSettings.Budgets,
 	}
 	if c.metrics != nil {
 		cfg.OnCharge = c.metrics.Charged
@@ -60,9 +60,9 @@
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
 		Clock:            c.clock,
-		MaxTxnChanges:    cluster.State.TxnOps - 1, // the leader's guard condition counts as an operation too
-		MaxValueKiB:      cluster.State.ValueKB,
-		MaxMemoryBytes:   int(cluster.Limits.RAMMB * tuning.GraphMemoryShare * (1 << 20)),
+		MaxTxnChanges:    cluster.State.MaxTxnOps - 1, // the leader's guard condition counts as an operation too
+		MaxValueKiB:      cluster.State.MaxValueKiB,
+		MaxMemoryBytes:   int(cluster.Limits.MemoryMiB * tuning.GraphMemoryShare * (1 << 20)),
 		ImpossibleReason: func(j *wire.Job) string { return c.userAPI.InfeasibleReason(j) },
 		Jitter:           rand.Float64,
 		Pools:            c.operatorSettings.PoolSlots,
--- a/internal/platform/config/check.go
+++ b/internal/platform/config/check.go
@@ -27,7 +27,7 @@
 
 func (s *Settings) checkAddresses() error {
 	for _, a := range []struct{ name, addr string }{
-		{"bind", s.Bind}, {"mesh_addr", s.MeshAddr}, {"outside.cloud", s.External.Cloud}, {"outside.state", s.External.State},
+		{"bind", s.Bind}, {"mesh_addr", s.PeerAddr}, {"outside.cloud", s.External.Cloud}, {"outside.state", s.External.State},
 	} {
 		if err := checkAddr(a.name, a.addr); err != nil {
 			return err
@@ -83,18 +83,18 @@
 		{"cluster.workers.cancel_s", workers.CancelS},
 		{"cluster.state.rps", state.RPS},
 		{"cluster.state.write_rps", state.WriteRPS},
-		{"cluster.state.value_kb", state.ValueKB},
-		{"cluster.state.txn_ops", float64(state.TxnOps)},
+		{"cluster.state.value_kb", state.MaxValueKiB},
+		{"cluster.state.txn_ops", float64(state.MaxTxnOps)},
 		{"cluster.cloud.rps", cloud.RPS},
 	} {
 		if !(n.v > 0) { // also true for NaN
 			return fmt.Errorf("field %s is missing or not above 0", n.name)
 		}
 	}
-	if state.ValueKB < tuning.MinValueKB {
-		return fmt.Errorf("field cluster.state.value_kb is below %d, the minimum for storing a progress record", tuning.MinValueKB)
+	if state.MaxValueKiB < tuning.MinValueKiB {
+		return fmt.Errorf("field cluster.state.value_kb is below %d, the minimum for storing a progress record", tuning.MinValueKiB)
 	}
-	if state.TxnOps < minTxnOps {
+	if state.MaxTxnOps < minTxnOps {
 		return fmt.Errorf("field cluster.state.txn_ops is below %d, the minimum for storing a job's end", minTxnOps)
 	}
 	return nil
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -169,14 +169,14 @@
 			return fmt.Errorf("%s%s.%s: the settings have no such team", keyPool, pool.Team, pool.Name)
 		}
 	}
-	if o.GraphsEnabled && s.Cluster.State.ValueKB < tuning.GraphMinValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing runs of graphs", keyGraphs, tuning.GraphMinValueKB)
+	if o.GraphsEnabled && s.Cluster.State.MaxValueKiB < tuning.GraphMinValueKiB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing runs of graphs", keyGraphs, tuning.GraphMinValueKiB)
 	}
 	if !o.LedgerEnabled {
 		return nil
 	}
-	if s.Cluster.State.ValueKB < tuning.LedgerMinValueKB {
-		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing progress records with charges", keyLedger, tuning.LedgerMinValueKB)
+	if s.Cluster.State.MaxValueKiB < tuning.LedgerMinValueKiB {
+		return fmt.Errorf("%s: field cluster.state.value_kb is below %d, the minimum for storing progress records with charges", keyLedger, tuning.LedgerMinValueKiB)
 	}
 	return o.Budgets.Check(s.hasTeam)
 }
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -16,7 +16,7 @@
 	Member   string            `toml:"member"`    // name of this controller
 	Zone     string            `toml:"domain"`    // zone in which this controller runs
 	Bind     string            `toml:"bind"`      // address that serves users and workers
-	MeshAddr string            `toml:"mesh_addr"` // address that serves the other controllers
+	PeerAddr string            `toml:"mesh_addr"` // address that serves the other controllers
 	Members  []Member          `toml:"members"`   // the other controllers
 	External ExternalAddresses `toml:"outside"`
 	Cluster  Cluster           `toml:"cluster"`
@@ -37,15 +37,15 @@
 
 // Cluster describes the deployment.
 type Cluster struct {
-	InitialSize  int         `toml:"initial_size"`
-	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"` // largest error of a time of day, in milliseconds
-	Teams        []Team      `toml:"teams"`
-	Objectives   []Objective `toml:"objectives"`
-	Workers      Workers     `toml:"workers"`
-	State        State       `toml:"state"`
-	Cloud        Cloud       `toml:"cloud"`
-	Limits       Limits      `toml:"limits"`
+	InitialSize  int              `toml:"initial_size"`
+	Zones        []string         `toml:"zones"`
+	ClockErrorMS float64          `toml:"clock_error_ms"` // largest error of a time of day, in milliseconds
+	Teams        []Team           `toml:"teams"`
+	Objectives   []Objective      `toml:"objectives"`
+	Workers      Workers          `toml:"workers"`
+	State        StateLimits      `toml:"state"`
+	Cloud        CloudLimits      `toml:"cloud"`
+	Limits       ControllerLimits `toml:"limits"`
 }
 
 // Team is a team and its quota: a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). In the file, a guarantee that is 0 or
@@ -75,27 +75,28 @@
 	CancelS    float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service: calls and changes per second, the size of a value in KiB, and the number of
-// operations in a transaction.
-type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+// StateLimits holds the limits of the state service: calls and changes per second, the largest size of a value in KiB, and the
+// largest number of operations in a transaction.
+type StateLimits struct {
+	RPS         float64 `toml:"rps"`
+	WriteRPS    float64 `toml:"write_rps"`
+	MaxValueKiB float64 `toml:"value_kb"`
+	MaxTxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud: calls per second, and by how many seconds the cloud's list of machines may be out of date.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud: calls per second, and by how many seconds the cloud's list of machines may be out
+// of date.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits holds the limits of the controller's own machine: its share of the CPU, its memory in MiB, and its number of file
-// descriptors.
-type Limits struct {
-	CPUShare float64 `toml:"cpu_share"`
-	RAMMB    float64 `toml:"ram_mb"`
-	FDLimit  int     `toml:"fd_limit"`
+// ControllerLimits holds the limits of the controller's own machine: its share of the CPU, its memory in MiB, and its number of
+// file descriptors.
+type ControllerLimits struct {
+	CPUShare  float64 `toml:"cpu_share"`
+	MemoryMiB float64 `toml:"ram_mb"`
+	FDLimit   int     `toml:"fd_limit"`
 }
 
 // Load reads and checks a settings file. The text of an error is one line and says what is wrong.
@@ -118,8 +119,8 @@
 	return &s, nil
 }
 
-// unlimitedIfZero returns limit, or infinity if limit is 0. Without this replacement, every job of a guest team, which has
-// neither a guarantee nor a limit, would be refused as exceeding a limit of 0.
+// unlimitedIfZero returns limit, or infinity if limit is 0. Without this replacement, every job of a team without a
+// limit in the file would be refused as exceeding a limit of 0.
 func unlimitedIfZero(limit float64) float64 {
 	if limit == 0 {
 		return math.Inf(1)
--- a/internal/platform/config/settings_test.go
+++ b/internal/platform/config/settings_test.go
@@ -45,19 +45,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Member != "m0" || s.Members[0].Endpoint != "127.0.0.2:8081" || s.Cluster.Teams[0].CPUsMax != 8 || s.Cluster.State.TxnOps != 12 {
+	if s.Member != "m0" || s.Members[0].Endpoint != "127.0.0.2:8081" || s.Cluster.Teams[0].CPUsMax != 8 || s.Cluster.State.MaxTxnOps != 12 {
 		t.Errorf("loaded as %+v", s)
 	}
 }
 
-// Guards against a guest team, which has no quota in the file, whose limit is loaded as 0 instead of as no limit.
+// Guards against a team without a quota in the file whose limit is loaded as 0 instead of as no limit.
 func TestTeamWithoutQuotaHasNoLimit(t *testing.T) {
 	s, err := Load(testutil.TempFile(t, "s.toml", validSettings+"[[cluster.teams]]\nname = \"guest\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if guest := s.Cluster.Teams[1]; guest.CPUs != 0 || !math.IsInf(guest.CPUsMax, 1) || !math.IsInf(guest.GPUsMax, 1) {
-		t.Errorf("the guest team was loaded as %+v", guest)
+		t.Errorf("the team without a quota was loaded as %+v", guest)
 	}
 }
 
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -13,9 +13,9 @@
 	// EstimateLearningRate is the weight, between 0 and 1, of one more completed task in the factor by which
 	// owners' run time estimates are corrected.
 	EstimateLearningRate = 0.1
-	// LedgerMinValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
+	// LedgerMinValueKiB is the smallest value size limit of the key-value store, in KiB, with which progress
 	// records that contain charges can be stored.
-	LedgerMinValueKB = 14
+	LedgerMinValueKiB = 14
 	// RollUpAfter is how long charges stay in the records of their jobs before they are rolled up. Charges
 	// are rolled up earlier if there are as many as fit one transaction. A longer time lets more charges
 	// share a transaction.
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -10,9 +10,9 @@
 	// GraphMaxParts is the largest number of parts of a graph. A graph of 10,000 steps with names of 40 bytes
 	// has some 20 parts.
 	GraphMaxParts = 64
-	// GraphMinValueKB is the smallest value size limit of the key-value store, in KiB, with which a part and a
+	// GraphMinValueKiB is the smallest value size limit of the key-value store, in KiB, with which a part and a
 	// run of 10,000 steps can be stored.
-	GraphMinValueKB = 14
+	GraphMinValueKiB = 14
 	// GraphDefaultMaxActiveTasks is the default maximum number of steps of a graph that are submitted at a time.
 	// GraphDefaultMaxActiveRuns is the default maximum number of a graph's active runs. Both are as in Airflow.
 	GraphDefaultMaxActiveTasks = 16
--- a/internal/platform/tuning/jobs.go
+++ b/internal/platform/tuning/jobs.go
@@ -7,9 +7,9 @@
 	// TasksPerChunk is the number of tasks that share one progress record. A task needs up to about 90 bytes,
 	// so a full record stays under 6 KiB.
 	TasksPerChunk = 64
-	// MinValueKB is the smallest value size limit of the key-value store, in KiB, with which a progress
+	// MinValueKiB is the smallest value size limit of the key-value store, in KiB, with which a progress
 	// record can be stored.
-	MinValueKB = 8
+	MinValueKiB = 8
 	// LazyWriteDelay is how long a lazy change may stay unwritten so that it shares a write with others. A
 	// change is lazy if nobody waits for it, such as one finished task of many, or a lost task. In an array
 	// some task ends every second or two. Until the change is written, the workers retain the exits.
--- a/internal/scheduler/jobs/batch_test.go
+++ b/internal/scheduler/jobs/batch_test.go
@@ -68,10 +68,10 @@
 }
 
 func TestRecordsAndBatchesOfTheLargestJobStayWithinLimits(t *testing.T) {
-	const txnOps = 12
+	const maxTxnChanges = 12
 	kv := newKVStore(t)
 	kv.accept("job-7", wire.MaxTasks)
-	s, _ := kv.load(txnOps)
+	s, _ := kv.load(maxTxnChanges)
 	j := s.Jobs["job-7"]
 	var allocations []*Allocation
 	for i := range 20 * tuning.TasksPerChunk {
@@ -80,12 +80,12 @@
 	for batch := s.NextBatch(later, WriteBudget{Spare: 1000}); batch != nil; batch = s.NextBatch(later, WriteBudget{Spare: 1000}) {
 		size := 0
 		for _, c := range batch.Txn.Then {
-			if len(c.Value) > tuning.MinValueKB<<10 {
-				t.Fatalf("a record has %d bytes, want at most MinValueKB", len(c.Value))
+			if len(c.Value) > tuning.MinValueKiB<<10 {
+				t.Fatalf("a record has %d bytes, want at most MinValueKiB", len(c.Value))
 			}
 			size += len(c.Value)
 		}
-		if len(batch.Txn.Then) > txnOps || len(batch.Txn.If) > 4*txnOps-1 || size > 60<<10 {
+		if len(batch.Txn.Then) > maxTxnChanges || len(batch.Txn.If) > 4*maxTxnChanges-1 || size > 60<<10 {
 			t.Fatalf("a transaction exceeds its limits: %d changes, %d conditions and %d bytes", len(batch.Txn.Then), len(batch.Txn.If), size)
 		}
 		s.MarkCommitted(batch, kv.apply(batch.Txn))
@@ -94,7 +94,7 @@
 		s.MarkDone(a, t0)
 	}
 	kv.flush(s)
-	reloaded, _ := kv.load(txnOps)
+	reloaded, _ := kv.load(maxTxnChanges)
 	reloadedJob := reloaded.Jobs["job-7"]
 	if reloadedJob.Done != len(allocations) || reloadedJob.NextWaiting(0) != len(allocations) {
 		t.Fatalf("a new leader loads %d done tasks and first waiting task %d, want both to be the number of completed tasks", reloadedJob.Done, reloadedJob.NextWaiting(0))
--- a/internal/scheduler/jobs/batchbuilder.go
+++ b/internal/scheduler/jobs/batchbuilder.go
@@ -14,24 +14,24 @@
 
 // batchBuilder gathers changes into one transaction, within the limits on its changes and bytes.
 type batchBuilder struct {
-	queue        *writeQueue
-	metered      bool
-	txnOps       int // maximum number of changes in any transaction
-	now          time.Time
-	budget       WriteBudget
-	maxChanges   int             // maximum number of changes in this transaction, by txnOps and the budget
-	bytes        int             // estimated encoded size of the gathered changes and their conditions
-	requiredJobs map[string]bool // IDs of jobs whose record's version is already a condition
-	batch        *Batch
+	queue         *writeQueue
+	metered       bool
+	maxTxnChanges int // maximum number of changes in any transaction
+	now           time.Time
+	budget        WriteBudget
+	maxChanges    int             // maximum number of changes in this transaction, by maxTxnChanges and the budget
+	bytes         int             // estimated encoded size of the gathered changes and their conditions
+	requiredJobs  map[string]bool // IDs of jobs whose record's version is already a condition
+	batch         *Batch
 }
 
 func newBatchBuilder(s *Store, now time.Time, budget WriteBudget) *batchBuilder {
-	maxChanges := s.txnOps
+	maxChanges := s.maxTxnChanges
 	if budget.Changes > 0 {
 		maxChanges = min(maxChanges, budget.Changes)
 	}
 	return &batchBuilder{
-		queue: &s.queue, metered: s.Metered, txnOps: s.txnOps, now: now, budget: budget,
+		queue: &s.queue, metered: s.Metered, maxTxnChanges: s.maxTxnChanges, now: now, budget: budget,
 		maxChanges: maxChanges, requiredJobs: map[string]bool{}, batch: &Batch{},
 	}
 }
@@ -49,7 +49,7 @@
 func (b *batchBuilder) hasRoomFor(refs ...chunkRef) bool {
 	changeCount, bytes := 0, 0
 	for _, r := range refs {
-		changeCount += r.minChanges(b.txnOps)
+		changeCount += r.minChanges(b.maxTxnChanges)
 		bytes += r.maxBytes()
 	}
 	return b.hasRoom(changeCount) && (b.changeCount() == 0 || b.bytes+bytes <= tuning.TxnMaxBytes)
--- a/internal/scheduler/jobs/kvstore_test.go
+++ b/internal/scheduler/jobs/kvstore_test.go
@@ -62,9 +62,9 @@
 }
 
 // load returns a store with all records, as a new leader loads them, and the allocations in them.
-func (kv *kvStore) load(txnOps int) (*Store, []*Allocation) {
+func (kv *kvStore) load(maxTxnChanges int) (*Store, []*Allocation) {
 	kv.t.Helper()
-	s := NewStore(txnOps)
+	s := NewStore(maxTxnChanges)
 	var allocations []*Allocation
 	for key, item := range kv.items {
 		if strings.HasPrefix(key, PrefixJob) {
--- a/internal/scheduler/jobs/store.go
+++ b/internal/scheduler/jobs/store.go
@@ -23,16 +23,18 @@
 	// charges are computed.
 	Metered bool
 
-	txnOps int // maximum number of changes in one transaction
-	queue  writeQueue
+	maxTxnChanges int // maximum number of changes in one transaction
+	queue         writeQueue
 
 	newlyRunning []*Allocation     // allocations in the order in which they were first seen running; their ChargedFrom may not be stored yet
 	detached     []DetachedCharges // not yet returned by TakeDetached
 	chargeErrors []error           // not yet returned by TakeChargeErrors
 }
 
-// NewStore returns an empty store. txnOps is the maximum number of changes in one transaction.
-func NewStore(txnOps int) *Store { return &Store{Jobs: map[string]*Job{}, txnOps: txnOps} }
+// NewStore returns an empty store. maxTxnChanges is the maximum number of changes in one transaction.
+func NewStore(maxTxnChanges int) *Store {
+	return &Store{Jobs: map[string]*Job{}, maxTxnChanges: maxTxnChanges}
+}
 
 // Allocate assigns a waiting task to a machine under a new attempt number. The task may be started once the
 // allocation is committed.
--- a/internal/scheduler/leader/fleet_size.go
+++ b/internal/scheduler/leader/fleet_size.go
@@ -15,8 +15,8 @@
 	if n := l.env.Tunables.MaxMachines; n > 0 {
 		limit = n
 	}
-	if ramMiB := l.env.Settings.Cluster.Limits.RAMMB; ramMiB > 0 {
-		targetMiB := ramMiB * tuning.MemoryTargetShare
+	if memoryMiB := l.env.Settings.Cluster.Limits.MemoryMiB; memoryMiB > 0 {
+		targetMiB := memoryMiB * tuning.MemoryTargetShare
 		limit = min(limit, max(1, machinesFittingIn(targetMiB-tuning.ProcessMiB), l.maxMachinesByMemoryInUse(targetMiB)))
 	}
 	return limit
--- a/internal/scheduler/leader/fleet_size_test.go
+++ b/internal/scheduler/leader/fleet_size_test.go
@@ -11,7 +11,7 @@
 	if n := l.maxMachines(); n < 1e9 {
 		t.Errorf("at most %d machines without any limit", n)
 	}
-	l.env.Settings.Cluster.Limits.RAMMB = 322
+	l.env.Settings.Cluster.Limits.MemoryMiB = 322
 	if n := l.maxMachines(); n < 2500 || n > 5000 {
 		t.Errorf("at most %d machines with 322 MB", n)
 	}
@@ -25,7 +25,7 @@
 // with 322 MB, though each machine needed only 42 KiB, half of which was garbage. The fleet may grow as long as the
 // memory in use leaves room, and no further.
 func TestMachinesAreRentedByTheMemoryInUse(t *testing.T) {
-	const ramMB, processMiB = 322, 12
+	const memoryMiB, processMiB = 322, 12
 	for _, c := range []struct {
 		name          string
 		kibPerMachine float64 // KiB in use for each machine that sends heartbeats
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, clock := newTestLoop(t)
 			clear(l.machines.Machines)
-			l.env.Settings.Cluster.Limits.RAMMB = ramMB
+			l.env.Settings.Cluster.Limits.MemoryMiB = memoryMiB
 			inUse := 0.0
 			l.env.MemoryInUse = func() uint64 { return uint64(inUse * (1 << 20)) }
 			for limit := l.maxMachines(); len(l.machines.Machines) < limit; limit = l.maxMachines() {
@@ -49,7 +49,7 @@
 				inUse = processMiB + c.kibPerMachine*float64(len(l.machines.Machines))/1024
 			}
 			if n := len(l.machines.Machines); n < c.least || n > c.most {
-				t.Errorf("%d machines with %d MB, want %d to %d", n, ramMB, c.least, c.most)
+				t.Errorf("%d machines with %d MiB, want %d to %d", n, memoryMiB, c.least, c.most)
 			}
 			// A booting machine takes one of the places that the limit allows, though it uses no memory yet. Registering it
 			// does not change the limit.
--- a/internal/scheduler/leader/formats_test.go
+++ b/internal/scheduler/leader/formats_test.go
@@ -22,7 +22,7 @@
 
 func TestStoredImages(t *testing.T) {
 	loop, _ := newTestLoop(t)
-	loop.env.Settings.Cluster.State.ValueKB = 16
+	loop.env.Settings.Cluster.State.MaxValueKiB = 16
 	images := machines.ImageLocations{Machines: []string{"n-1", "n-2"}, Images: []machines.CachedImage{{Name: "img-07", GB: 6.25, MachineBits: []byte{3}}}}
 	value := loop.encodeImages(images)
 	golden.Check(t, "images-of-machines", value)
--- a/internal/scheduler/leader/image_hints.go
+++ b/internal/scheduler/leader/image_hints.go
@@ -125,7 +125,7 @@
 	}
 	for ; len(images.Images) > 0; images.Images = images.Images[:len(images.Images)/2] {
 		value := wire.EncodeRecord(imagesRecord{l.images.codec.Encode(images)})
-		if float64(len(value)) <= l.env.Settings.Cluster.State.ValueKB*1024 && len(value) <= tuning.TxnTargetBytes {
+		if float64(len(value)) <= l.env.Settings.Cluster.State.MaxValueKiB*1024 && len(value) <= tuning.TxnTargetBytes {
 			return value
 		}
 	}
--- a/internal/scheduler/leader/image_hints_test.go
+++ b/internal/scheduler/leader/image_hints_test.go
@@ -14,7 +14,7 @@
 // left out.
 func TestImagesRecordFitsAValue(t *testing.T) {
 	l, _ := newTestLoop(t)
-	l.env.Settings.Cluster.State.ValueKB = 2
+	l.env.Settings.Cluster.State.MaxValueKiB = 2
 	var images machines.ImageLocations
 	for i := range 200 {
 		images.Machines = append(images.Machines, fmt.Sprintf("n-%06d", i))
--- a/internal/scheduler/leader/large_fleet_test.go
+++ b/internal/scheduler/leader/large_fleet_test.go
@@ -143,7 +143,7 @@
 	w := &largeWorkload{Loop: l, t: t}
 	clear(l.machines.Machines)
 	l.env.Teams["t"] = config.Team{Name: "t", CPUs: 1e6, CPUsMax: 1e6}
-	l.env.Settings.Cluster.State.TxnOps = 40
+	l.env.Settings.Cluster.State.MaxTxnOps = 40
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, Price: 0.2, Zones: []string{"a", "b", "c"}}}
 	l.env.MachineTypes = func() []wire.MachineType { return types }
 	for i := range jobCount {
--- a/internal/scheduler/leader/loop.go
+++ b/internal/scheduler/leader/loop.go
@@ -68,7 +68,7 @@
 		startedAt:     now,
 		inbox:         make(chan func(), tuning.InboxCapacity),
 		store:         env.Store.WithShare(tuning.LeaderRateShare),
-		jobs:          jobs.NewStore(env.Settings.Cluster.State.TxnOps),
+		jobs:          jobs.NewStore(env.Settings.Cluster.State.MaxTxnOps),
 		machines:      machines.New(leadership.Term, env.Settings.Cluster.Workers.LeaseS),
 		writer:        recordWriter{overdueLimit: newOverdueLimiter(env.Settings.Cluster.State.WriteRPS)},
 		cycle:         newSchedulingCycle(),
--- a/internal/scheduler/leader/testloop_test.go
+++ b/internal/scheduler/leader/testloop_test.go
@@ -32,7 +32,7 @@
 	settings := &config.Settings{
 		Member: "m0", External: config.ExternalAddresses{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
 		Cluster: config.Cluster{
-			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.State{RPS: 1, WriteRPS: 1, TxnOps: 12}, Cloud: config.Cloud{RPS: 1},
+			Workers: config.Workers{HeartbeatS: 1, LeaseS: 10}, State: config.StateLimits{RPS: 1, WriteRPS: 1, MaxTxnOps: 12}, Cloud: config.CloudLimits{RPS: 1},
 		},
 	}
 	types := []wire.MachineType{
--- a/internal/sim/faults/node_test.go
+++ b/internal/sim/faults/node_test.go
@@ -21,7 +21,7 @@
 	name          string
 	addr          string // address at which users and workers reach it
 	bindAddr      string // address at which it listens for them
-	meshAddr      string // address at which it listens for the other controllers
+	peerAddr      string // address at which it listens for the other controllers
 	zone          string
 	clock         *clockwork.FakeClock // its own clock: follows the simulation's unless the process is stalled
 	endpoint      *fakes.Endpoint
@@ -42,11 +42,11 @@
 // start starts the controller as a new process, without any state of an earlier one.
 func (n *node) start() {
 	s := &config.Settings{
-		Member: n.name, Zone: n.zone, Bind: n.bindAddr, MeshAddr: n.meshAddr, External: config.ExternalAddresses{Cloud: n.cloudAddr, State: n.stateAddr},
+		Member: n.name, Zone: n.zone, Bind: n.bindAddr, PeerAddr: n.peerAddr, External: config.ExternalAddresses{Cloud: n.cloudAddr, State: n.stateAddr},
 		Cluster: config.Cluster{
 			Zones:   []string{"a", "b"},
 			Workers: config.Workers{HeartbeatS: n.sim.deployment.heartbeatS, LeaseS: n.sim.deployment.leaseS, CancelS: n.sim.deployment.cancelS},
-			State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 24}, Cloud: config.Cloud{RPS: 1e6},
+			State:   config.StateLimits{RPS: 1e6, WriteRPS: 1e6, MaxValueKiB: 16, MaxTxnOps: 24}, Cloud: config.CloudLimits{RPS: 1e6},
 		},
 	}
 	for _, other := range n.sim.nodes {
--- a/internal/sim/faults/simulation_test.go
+++ b/internal/sim/faults/simulation_test.go
@@ -131,7 +131,7 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%200, number/250, 1+number%250)
 	for i := range params.nodes {
 		n := &node{
-			sim: sim, name: fmt.Sprintf("m%d", i), bindAddr: fmt.Sprintf("%s:%d", host, 20001+i), meshAddr: fmt.Sprintf("%s:%d", host, 21001+i),
+			sim: sim, name: fmt.Sprintf("m%d", i), bindAddr: fmt.Sprintf("%s:%d", host, 20001+i), peerAddr: fmt.Sprintf("%s:%d", host, 21001+i),
 			zone: string(rune('a' + i%2)), clock: clockwork.NewFakeClockAt(clock.Now()), endpoint: sim.state.Endpoint(), peerLinks: map[string]*link{},
 		}
 		connect := func(to string) string {
@@ -145,7 +145,7 @@
 	for _, n := range sim.nodes {
 		for _, o := range sim.nodes {
 			if o != n {
-				n.peerLinks[o.name] = newLink(t, o.meshAddr)
+				n.peerLinks[o.name] = newLink(t, o.peerAddr)
 			}
 		}
 	}
