--- a/internal/api/userapi/status_reader.go
+++ b/internal/api/userapi/status_reader.go
@@ -10,11 +10,11 @@
 	"poppypass/internal/scheduler/jobs"
 )
 
-// statusReader reads jobs' states from the state service for polls that the leader does not answer. While there is no
-// leader, or the leader hangs, these are all polls. statusReader reads one batch of polls at a time; the polls that
-// arrive meanwhile form the next batch. A large batch shares one listing of the live jobs: with two reads for each
-// poll, users that poll eight times as often as usual would use up the rate limit. Each answer is read after its poll
-// arrived, so it is never older than the poll.
+// statusReader reads jobs' states from the state service for polls that the leader does not answer: for all polls while
+// there is no leader or the leader hangs. statusReader reads one batch of polls at a time; the polls that arrive
+// meanwhile form the next batch. A large batch shares one listing of the live jobs. Without the listing, each poll would
+// need two reads, and users that poll eight times as often as usual would use up the rate limit. Each answer is read
+// after its poll arrived, so it is never older than the poll.
 type statusReader struct {
 	h *Handler
 
@@ -85,7 +85,7 @@
 			}
 			return
 		}
-		read = r.h.storedFinalStatus // the listing has shown that the others have no job record
+		read = r.h.storedFinalStatus // the listing has shown that a job that is not in live has no job record
 	}
 	var wg sync.WaitGroup
 	for id, waiters := range batch {
--- a/internal/api/userapi/submit_validation_test.go
+++ b/internal/api/userapi/submit_validation_test.go
@@ -50,7 +50,7 @@
 // machine or limit allows, and unusual valid ones.
 func submissionCases() []submissionCase {
 	var cases []submissionCase
-	wrong := map[string][]any{ // of a wrong type, or out of range
+	wrong := map[string][]any{ // by field: values of a wrong type or out of range
 		"ref": {7, "", "7", "job-", "job-x", "job-1/0", "JOB-1", "job-" + strings.Repeat("1", 33)}, "lane": {1, "", strings.Repeat("x", 201)}, "desk": {1, "", []string{"t"}},
 		"shape": {1, "", "group", "Array"}, "urgency": {2, "", "high"}, "seats": {0, -1, 1.5, "1", 100_001, true}, "cpus": {-1, "4", true}, "gpus": {-1, "0"},
 		"mem_gb": {-0.1, "1"}, "bundle": {1, ""}, "image_gb": {-1, "1"}, "same_place": {0, "no"}, "apart": {1, "yes"}, "standby": {1, "yes"},
--- a/internal/api/workerapi/handler_test.go
+++ b/internal/api/workerapi/handler_test.go
@@ -24,7 +24,7 @@
 	"poppypass/internal/scheduler/leader"
 )
 
-// grantingLeases grants every request of Acquire. It holds no zone lease.
+// grantingLeases is a LeaseAcquirer that permits every answer, and a ZoneLease that permits none.
 type grantingLeases struct{}
 
 func (grantingLeases) Acquire(context.Context, string) error { return nil }
--- a/internal/api/workerapi/renewals_test.go
+++ b/internal/api/workerapi/renewals_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// Guards against a worker whose heartbeats count as copies because its machine was restarted.
+// Guards against a restarted worker whose lease is not renewed because its heartbeats, whose sequence numbers are lower
+// than before, are taken for delayed copies.
 func TestARestartedWorkersLeaseIsRenewed(t *testing.T) {
 	f := newRenewalsFixture(t)
 	f.answers["a:1"] = newHeartbeat(500, 3)
@@ -230,7 +231,7 @@
 		t.Errorf("%d queries are in flight", n)
 	}
 	close(block)
-	// What is known of workers is dropped after their leases.
+	// A worker is forgotten some time after its lease has expired.
 	for i := range 4 * tuning.RedirectsSweepMin {
 		hb := newHeartbeat(1, 3)
 		hb.Machine = "m-" + time.Duration(i).String()
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -133,14 +133,14 @@
 		e.pause(ctx, tuning.CampaignRetryPause)
 		return
 	}
-	eligible, err := e.checkEligibility(ctx, seen.term)
+	eligibility, err := e.checkEligibility(ctx, seen.term)
 	if err != nil {
-		e.log.Debug("member may not campaign yet; trying again", "err", err)
+		e.log.Debug("this member may not campaign yet; checking again after a pause", "err", err)
 		e.endCampaign()
 		e.pause(ctx, tuning.CampaignRetryPause)
 		return
 	}
-	leadership, ok := e.campaign(ctx, seen.term, seen.termVersion, eligible)
+	leadership, ok := e.campaign(ctx, seen.term, seen.termVersion, eligibility)
 	if !ok {
 		e.endCampaign()
 		e.pause(ctx, time.Duration(rand.Int64N(int64(tuning.ElectionRetryPause))))
@@ -209,7 +209,7 @@
 // unknown, it revokes the lease and reports failure: a transaction that is executed later then attaches the leader
 // key to a revoked lease, and nobody acts on it. The campaign also fails if the eligibility has expired when the
 // transaction succeeds, because the member that confirmed may no longer remember its confirmation by then.
-func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligible eligibility) (Leadership, bool) {
+func (e *Elector) campaign(ctx context.Context, lastTerm, termVersion uint64, eligibility campaignEligibility) (Leadership, bool) {
 	sentAt := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, tuning.LeaderLeaseTTL)
 	if err != nil {
@@ -217,8 +217,8 @@
 		return Leadership{}, false
 	}
 	next := holder{Member: e.member, Term: lastTerm + 1, Lease: lease}
-	version, err := e.takeLeaderKey(ctx, next, termVersion, eligible.guards)
-	if err == nil && eligible.expired(e.clock.Now()) {
+	version, err := e.takeLeaderKey(ctx, next, termVersion, eligibility.guards)
+	if err == nil && eligibility.expired(e.clock.Now()) {
 		err = errConfirmationTooOld
 	}
 	if err != nil {
@@ -254,6 +254,6 @@
 
 func (e *Elector) revokeLease(ctx context.Context, lease uint64) {
 	if err := e.store.RevokeLease(ctx, lease); err != nil {
-		e.log.Debug("lease could not be revoked; it ends when it expires", "err", err)
+		e.log.Debug("campaign, term or fencing lease could not be revoked; it stays in force until it expires", "err", err)
 	}
 }
--- a/internal/cluster/election/confirmation_test.go
+++ b/internal/cluster/election/confirmation_test.go
@@ -41,7 +41,9 @@
 	if elector.ConfirmTermOver(5) {
 		t.Error("confirms although an earlier process of the member may have voted")
 	}
-	elector.noteStillLeading(5, clock.Now()) // an earlier process of the member may have confirmed just before it ended
+	// This read does not count yet: an earlier process of the member may have confirmed the term's end just before that
+	// process ended.
+	elector.noteStillLeading(5, clock.Now())
 	clock.Advance(voteBindsFor)
 	if got := elector.Vote(t.Context(), 5); got != GrantedWithoutMemory {
 		t.Errorf("a member that was just restarted answers the vote request with %v, want GrantedWithoutMemory", got)
--- a/internal/cluster/election/election.go
+++ b/internal/cluster/election/election.go
@@ -50,7 +50,8 @@
 // Peers asks the other members. A member that does not answer may be in any state:
 // it may lead, campaign or be down.
 type Peers interface {
-	// RequestVotes asks all other members to vote for the leader of a term.
+	// RequestVotes asks all other members for votes that let this member, the leader of the given term, continue
+	// to lead.
 	RequestVotes(ctx context.Context, term uint64) Votes
 	// NobodyLeads reports whether every other member answered that it does not lead.
 	NobodyLeads(ctx context.Context) bool
@@ -103,7 +104,7 @@
 	lease                         uint64        // the lease that the leader key is attached to
 	resigned                      chan struct{} // closed when this member resigns
 	failedRenewals                int           // consecutive failed renewals of the lease
-	failedRenewalsWhenOtherServed int           // failedRenewals when the state service was first seen to serve another member; 0: not seen
+	failedRenewalsWhenOtherServed int           // the value of failedRenewals when the state service was first seen to serve another member; 0: not seen yet
 	voteRound                     uint64        // number of the current vote round; a round with an older number is void
 	fencing                       fencingLease  // the fencing lease that this leader holds on a silent member
 
--- a/internal/cluster/election/fencing.go
+++ b/internal/cluster/election/fencing.go
@@ -128,33 +128,33 @@
 	}
 }
 
-// eligibility is the reason why a member may campaign: no leader has fenced it off, or another member has confirmed
-// that the last term is over.
-type eligibility struct {
-	guards    []wire.Condition // further conditions of the campaign's transaction
+// campaignEligibility is the reason why a member may campaign: no leader has fenced it off, or another member has
+// confirmed that the last term is over.
+type campaignEligibility struct {
+	guards    []wire.Condition // conditions of the campaign's transaction, besides those on the leader key and the term
 	expiresAt time.Time        // when the confirmation expires; zero: never, since there is none
 }
 
 // expired reports whether it is too late to act on the eligibility.
-func (el eligibility) expired(now time.Time) bool {
+func (el campaignEligibility) expired(now time.Time) bool {
 	return !el.expiresAt.IsZero() && !now.Before(el.expiresAt)
 }
 
 // checkEligibility returns the reason why this member may campaign. term is the last term that began; the leader key
 // was read after that term and found vacant. The validity of a confirmation counts from before the other members are
 // asked. The error is errNotConfirmed if this member is fenced off and no other member confirms that the term is over.
-func (e *Elector) checkEligibility(ctx context.Context, term uint64) (eligibility, error) {
+func (e *Elector) checkEligibility(ctx context.Context, term uint64) (campaignEligibility, error) {
 	key := prefixFencing + e.member
 	_, fenced, err := e.store.Get(ctx, key)
 	if err != nil {
-		return eligibility{}, fmt.Errorf("reading %s: %w", key, err)
+		return campaignEligibility{}, fmt.Errorf("reading %s: %w", key, err)
 	}
 	if !fenced {
-		return eligibility{guards: []wire.Condition{{Key: key}}}, nil
+		return campaignEligibility{guards: []wire.Condition{{Key: key}}}, nil
 	}
-	eligible := eligibility{expiresAt: e.clock.Now().Add(tuning.ConfirmationValidity)}
+	eligibility := campaignEligibility{expiresAt: e.clock.Now().Add(tuning.ConfirmationValidity)}
 	if !e.peers.ConfirmTermOver(ctx, term) {
-		return eligibility{}, errNotConfirmed
+		return campaignEligibility{}, errNotConfirmed
 	}
-	return eligible, nil
+	return eligibility, nil
 }
--- a/internal/cluster/election/fencing_test.go
+++ b/internal/cluster/election/fencing_test.go
@@ -48,7 +48,7 @@
 func TestFencedOffMemberNeedsAConfirmation(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), &fakePeers{confirm: always(false)}, "b", clock)
-	eligibleBefore, err := elector.checkEligibility(t.Context(), 0)
+	eligibilityBefore, err := elector.checkEligibility(t.Context(), 0)
 	if err != nil {
 		t.Fatalf("a member that is not fenced off needs a confirmation: %v", err)
 	}
@@ -63,14 +63,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := elector.campaign(t.Context(), leadership.Term, version, eligibleBefore); ok {
+	if _, ok := elector.campaign(t.Context(), leadership.Term, version, eligibilityBefore); ok {
 		t.Error("won a campaign with an eligibility from before it was fenced off")
 	}
 	if _, err := elector.checkEligibility(t.Context(), leadership.Term); !errors.Is(err, errNotConfirmed) {
 		t.Error("may campaign although it is fenced off and nobody confirms")
 	}
 	elector.peers = &fakePeers{confirm: always(true)}
-	if eligible, err := elector.checkEligibility(t.Context(), leadership.Term); err != nil || eligible.expiresAt.IsZero() {
+	if eligibility, err := elector.checkEligibility(t.Context(), leadership.Term); err != nil || eligibility.expiresAt.IsZero() {
 		t.Error("a confirmation does not make it eligible for a limited time")
 	}
 	elector.peers = &fakePeers{confirm: always(false)}
@@ -85,8 +85,8 @@
 func TestMemberThatAnswersAgainIsReleased(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "a", clock)
-	eligible, _ := elector.checkEligibility(t.Context(), 0)
-	leadership, ok := elector.campaign(t.Context(), 0, 0, eligible)
+	eligibility, _ := elector.checkEligibility(t.Context(), 0)
+	leadership, ok := elector.campaign(t.Context(), 0, 0, eligibility)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
@@ -112,8 +112,8 @@
 func TestRenewalVoidsTheOpenVoteRound(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(statestore.New(state.Addr(), 1e6, 1e6), &fakePeers{silent: []string{"b"}}, "a", clock)
-	eligible, _ := elector.checkEligibility(t.Context(), 0)
-	leadership, ok := elector.campaign(t.Context(), 0, 0, eligible)
+	eligibility, _ := elector.checkEligibility(t.Context(), 0)
+	leadership, ok := elector.campaign(t.Context(), 0, 0, eligibility)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
@@ -143,8 +143,8 @@
 func TestLateFencingLeaseDoesNotReplaceANewerOne(t *testing.T) {
 	clock, state := newStateService(t)
 	elector := newElector(unrevokableStore{statestore.New(state.Addr(), 1e6, 1e6)}, &fakePeers{silent: []string{"b"}}, "a", clock)
-	eligible, _ := elector.checkEligibility(t.Context(), 0)
-	leadership, ok := elector.campaign(t.Context(), 0, 0, eligible)
+	eligibility, _ := elector.checkEligibility(t.Context(), 0)
+	leadership, ok := elector.campaign(t.Context(), 0, 0, eligibility)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
--- a/internal/cluster/election/formats_test.go
+++ b/internal/cluster/election/formats_test.go
@@ -23,8 +23,8 @@
 	state := fakes.NewStore(clock)
 	t.Cleanup(state.Close)
 	elector := New(statestore.New(state.Addr(), 1e6, 1e6), unreachablePeers, "m1", clock, slog.New(slog.DiscardHandler))
-	eligible, _ := elector.checkEligibility(t.Context(), 0)
-	leadership, ok := elector.campaign(t.Context(), 0, 0, eligible)
+	eligibility, _ := elector.checkEligibility(t.Context(), 0)
+	leadership, ok := elector.campaign(t.Context(), 0, 0, eligibility)
 	if !ok {
 		t.Fatal("the campaign failed")
 	}
--- a/internal/cluster/election/knowledge_test.go
+++ b/internal/cluster/election/knowledge_test.go
@@ -25,7 +25,7 @@
 	elector.NoteLeader("b", 2) // from a member whose knowledge is out of date
 	elector.NoteLeader("", 9)
 	wantLeader("a", 3)
-	clock.Advance(tuning.LeaderLeaseTTL) // renewals are refused: the term is no longer valid, but not over
+	clock.Advance(tuning.LeaderLeaseTTL) // the term is no longer valid without a renewal, but this member has not resigned yet
 	elector.NoteLeader("b", 4)
 	wantLeader("b", 4)
 	if elector.MayAct(4) || elector.MayAct(3) {
--- a/internal/cluster/peers/claims.go
+++ b/internal/cluster/peers/claims.go
@@ -11,8 +11,8 @@
 	Inherit(claim []byte)
 }
 
-// ShareZoneLease makes this member's pings carry the claim to its zone lease, and passes the claim that an answer
-// returns to Inherit. It must be called before Run.
+// ShareZoneLease makes this member's pings carry the claim to its zone lease. Each claim that an answer to a ping
+// contains is passed to z.Inherit. ShareZoneLease must be called before Run.
 func (p *Peers) ShareZoneLease(z ZoneLease) { p.zoneLease = z }
 
 // claims holds each other member's last claim to its zone lease.
--- a/internal/cluster/peers/peers.go
+++ b/internal/cluster/peers/peers.go
@@ -37,8 +37,8 @@
 	claims           claims
 }
 
-// New makes the Peers for the other members that the settings name. SetElector must be called before any method other
-// than those that an elector calls, and ShareZoneLease before Run.
+// New makes the Peers for the other members that the settings name. Before SetElector is called, only the methods that
+// an elector calls (election.Peers) may be used. ShareZoneLease must be called before Run.
 func New(s *config.Settings, clock clockwork.Clock, log *slog.Logger) *Peers {
 	p := &Peers{
 		client: peerrpc.NewClient(), endpoints: map[string]string{}, member: s.Member, otherMemberCount: len(s.Members),
@@ -103,7 +103,7 @@
 	}
 	resp, err := p.Call(ctx, leader, req)
 	if err != nil {
-		p.log.Debug("call to the leader failed; request not relayed", "job", req.Job, "err", err)
+		p.log.Debug("call to the leader failed; the relayed request has no answer", "job", req.Job, "err", err)
 		return peerrpc.Response{}, fmt.Errorf("asking the leader %s: %w", leader, err)
 	}
 	if resp.Status != http.StatusOK && resp.Status != http.StatusNotFound {
--- a/internal/cluster/peers/relay_test.go
+++ b/internal/cluster/peers/relay_test.go
@@ -15,7 +15,7 @@
 	"poppypass/internal/platform/config"
 )
 
-// newPeersAnswering makes the peers of a member with one other member, m0, which answers every request with a
+// newPeersAnswering makes the Peers of a member whose only other member, m0, answers every request with the given
 // status.
 func newPeersAnswering(t *testing.T, status int) *Peers {
 	t.Helper()
--- a/internal/cluster/workerlease/followerrecord.go
+++ b/internal/cluster/workerlease/followerrecord.go
@@ -66,7 +66,7 @@
 	if wasEmpty && len(f.lastRenewed) > 0 {
 		level = slog.LevelInfo
 	}
-	f.log.Log(ctx, level, "record of machines stored; renewing their workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
+	f.log.Log(ctx, level, "stored the record of machines that this follower answers; renewing their workers' leases on behalf of the leader", "machines", len(f.lastRenewed))
 	return nil
 }
 
@@ -152,7 +152,7 @@
 	f.removeExpired()
 	if slices.ContainsFunc(f.pages, func(p *page) bool { return p.changed }) {
 		if err := f.writeRecord(ctx); err != nil {
-			f.log.Debug("record of machines not updated; machines whose leases expired may stay in it until the next update", "err", err)
+			f.log.Debug("could not update the record of machines that this follower answers; machines whose leases expired may stay in it until the next update", "err", err)
 			return
 		}
 	}
--- a/internal/cluster/workerlease/followers.go
+++ b/internal/cluster/workerlease/followers.go
@@ -43,7 +43,7 @@
 
 	leaseID          uint64               // the lease of this process's record; 0: there is no record
 	leaseRequestedAt time.Time            // when the last successful grant or renewal of that lease was sent
-	lastRenewed      map[string]time.Time // when Acquire was last asked for each machine
+	lastRenewed      map[string]time.Time // by machine: when a call of Acquire for it was last handled, whether granted or not
 	pages            []*page
 	pageOf           map[string]*page // the page that names each machine
 	nextPage         int              // the index of the page at which the next removeExpired starts
--- a/internal/cluster/workerlease/followers_test.go
+++ b/internal/cluster/workerlease/followers_test.go
@@ -47,7 +47,7 @@
 	return err == nil
 }
 
-// recorded reports whether the records that a leader would read name a machine.
+// recorded reports whether a machine is named in the records that a leader would read.
 func (h *followerHarness) recorded(machine string) bool {
 	h.t.Helper()
 	renewed, _, err := ReadAll(h.t.Context(), h.store)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -95,7 +95,7 @@
 		worker.finish()
 		if retried < unanswered.Load() {
 			retried++
-			h.advanceWhenIdle(tuning.StateRetryPause) // the pause before the transaction is retried
+			h.advanceWhenCallPauses(tuning.StateRetryPause) // the pause before the transaction is retried
 		}
 		return h.jobState("job-1") == "done"
 	})
@@ -206,7 +206,7 @@
 	h.submit("job-1", 2)
 	for n := 1; n < 3; n++ {
 		h.until("the cloud has got the rental request", func() bool { return len(h.cloud.RentRequests()) >= n })
-		h.advanceWhenIdle(tuning.CloudRetryPause)
+		h.advanceWhenCallPauses(tuning.CloudRetryPause)
 	}
 	h.until("the cloud has got the request that it answers", func() bool { return len(h.cloud.RentRequests()) >= 3 })
 	names := map[string]bool{}
--- a/internal/controller/graphs_test.go
+++ b/internal/controller/graphs_test.go
@@ -16,13 +16,13 @@
 	"poppypass/internal/sim/fakes"
 )
 
-// descriptions is an HTTP server that receives the descriptions of steps and remembers them by job.
-type descriptions struct {
+// descriptionServer is an HTTP server that receives the descriptions of steps and remembers them by job.
+type descriptionServer struct {
 	mu    sync.Mutex
 	steps map[string]runner.Description // by job ID
 }
 
-func (d *descriptions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *descriptionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var steps []runner.Description
 	if err := json.NewDecoder(r.Body).Decode(&steps); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -36,7 +36,7 @@
 }
 
 // get returns the description of a job.
-func (d *descriptions) get(job string) (runner.Description, bool) {
+func (d *descriptionServer) get(job string) (runner.Description, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s, ok := d.steps[job]
@@ -44,14 +44,14 @@
 }
 
 // stepOf returns the name of the step that a job runs; empty if the job is no step.
-func (d *descriptions) stepOf(job string) string {
+func (d *descriptionServer) stepOf(job string) string {
 	s, _ := d.get(job)
 	return s.Step
 }
 
 // newGraphHarness returns a harness whose controller serves graphs, and the server that receives their descriptions.
-func newGraphHarness(t *testing.T) (*harness, *descriptions) {
-	received := &descriptions{steps: map[string]runner.Description{}}
+func newGraphHarness(t *testing.T) (*harness, *descriptionServer) {
+	received := &descriptionServer{steps: map[string]runner.Description{}}
 	srv := httptest.NewServer(received)
 	t.Cleanup(srv.Close)
 	return newHarnessWith(t, "graphs = on\ngraphs.descriptions = "+srv.URL+"\ngraphs.pool.t.db = 2\n"), received
@@ -356,7 +356,7 @@
 // Guards against a step that runs though its team's budget was used up by an earlier step: it waits, and its
 // explanation names the budget.
 func TestAStepWaitsWhenItsBudgetRunsOut(t *testing.T) {
-	srv := httptest.NewServer(&descriptions{steps: map[string]runner.Description{}})
+	srv := httptest.NewServer(&descriptionServer{steps: map[string]runner.Description{}})
 	defer srv.Close()
 	h := newHarnessWith(t, "ledger = on\ngraphs = on\ngraphs.descriptions = "+srv.URL+"\nbudget.t.ever.core-hours = 0.012\n")
 	h.expectStatus("PUT", "/dags/g", map[string]any{"dag_id": "g", "tasks": []any{jobStep("a"), jobStep("b", "a")}}, 201)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -163,10 +163,11 @@
 	}
 }
 
-// advanceWhenIdle advances the clock once a call waits on it for its retry. That is the seventh waiter: six always
-// wait for the leader's next tick, the renewal of its lease, its next request for votes, its next check of the
-// fencing lease, the next reading of the machine types and the next comparison with the stored jobs.
-func (h *harness) advanceWhenIdle(d time.Duration) {
+// advanceWhenCallPauses waits until a call pauses before its retry, and then advances the clock by d. That pause is the
+// seventh wait on the clock. Six others are always there: for the leader's next tick, the renewal of its lease, its next
+// request for votes, its next check of the fencing lease, the next reading of the machine types and the next comparison
+// with the stored jobs.
+func (h *harness) advanceWhenCallPauses(d time.Duration) {
 	h.t.Helper()
 	ctx, cancel := context.WithTimeout(h.t.Context(), waitLimit)
 	defer cancel()
--- a/internal/controller/subsystems.go
+++ b/internal/controller/subsystems.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// addGraphs adds the graphs subsystem: graphs of jobs are run and served. descriptionsURL is where the descriptions of
-// steps are sent; if it is empty, they are sent nowhere.
+// addGraphs adds the graphs subsystem, which runs graphs of jobs, and the API for graphs. descriptionsURL is the URL to
+// which the descriptions of steps are sent; if it is empty, the subsystem sends none.
 func (c *Controller) addGraphs(descriptionsURL string) {
 	cluster := c.settings.Cluster
 	cfg := runner.Config{
--- a/internal/platform/config/operator_settings.go
+++ b/internal/platform/config/operator_settings.go
@@ -35,7 +35,8 @@
 	MetricsAddr string
 	// GraphsEnabled reports whether graphs of jobs are served.
 	GraphsEnabled bool
-	// DescriptionsURL is the URL of the service that describes steps of graphs; empty: only clients describe steps.
+	// DescriptionsURL is the URL of the service to which the descriptions of graphs' steps are sent; empty: only clients
+	// describe steps.
 	DescriptionsURL string
 	// Pools holds the number of slots of each pool.
 	Pools map[Pool]int
--- a/internal/platform/config/settings.go
+++ b/internal/platform/config/settings.go
@@ -68,7 +68,7 @@
 }
 
 // Workers holds the times of workers, in seconds: the heartbeat interval, the duration of a lease, and the time allowed for a
-// cancellation, which is checked but not used.
+// cancellation. The last one is only checked, not used.
 type Workers struct {
 	HeartbeatS float64 `toml:"report_s"`
 	LeaseS     float64 `toml:"lease_s"`
--- a/internal/platform/config/watcher.go
+++ b/internal/platform/config/watcher.go
@@ -19,7 +19,7 @@
 	settings         *Settings
 	operatorSettings *OperatorSettings
 	budgets          atomic.Pointer[budget.Settings]
-	lastRead         os.FileInfo // of the file when it was last read
+	lastRead         os.FileInfo // the file's metadata when it was last read; nil: not known
 }
 
 // Watch returns a watcher for a properties file, whose settings were already loaded and checked. An empty path means that
--- a/internal/platform/metrics/collectors.go
+++ b/internal/platform/metrics/collectors.go
@@ -12,7 +12,7 @@
 type loopMetrics struct {
 	leading        prometheus.Gauge
 	failover       prometheus.Histogram
-	cycle          prometheus.Histogram
+	cycleDuration  prometheus.Histogram
 	changesWritten prometheus.Counter
 }
 
@@ -22,7 +22,7 @@
 		leading: gauge(f, "poppypass_leading", "1 while this controller leads."),
 		failover: histogram(f, "poppypass_takeover_seconds", "From the begin of a tenure until the records are loaded.",
 			prometheus.ExponentialBuckets(0.01, 2, 12)),
-		cycle: histogram(f, "poppypass_pass_seconds", "How long a pass over the waiting tasks takes.",
+		cycleDuration: histogram(f, "poppypass_pass_seconds", "How long a pass over the waiting tasks takes.",
 			prometheus.ExponentialBuckets(0.0001, 2, 16)),
 		changesWritten: f.NewCounter(prometheus.CounterOpts{Name: "poppypass_state_changes_total", Help: "Changes that the leader wrote to the state service."}),
 	}
@@ -34,7 +34,7 @@
 	missingFound prometheus.Counter
 	waitingTasks *prometheus.GaugeVec
 	oldestWait   *prometheus.GaugeVec
-	started      *prometheus.CounterVec
+	allocated    *prometheus.CounterVec
 	ended        *prometheus.CounterVec
 	accepted     *prometheus.CounterVec
 	begun        *prometheus.CounterVec
@@ -47,7 +47,7 @@
 		missingFound: f.NewCounter(prometheus.CounterOpts{Name: "poppypass_jobs_found_total", Help: "Stored jobs that the leader did not know."}),
 		waitingTasks: gauges(f, "poppypass_queue_tasks", "Tasks that wait to be placed.", "class"),
 		oldestWait:   gauges(f, "poppypass_oldest_unbegun_seconds", "For how long the oldest job waits to begin.", "class"),
-		started:      counters(f, "poppypass_starts_total", "Attempts that were placed.", "class"),
+		allocated:    counters(f, "poppypass_starts_total", "Attempts that were placed.", "class"),
 		ended:        counters(f, "poppypass_ends_total", "Attempts that are proven over.", "class", "how"),
 		accepted:     counters(f, "poppypass_jobs_accepted_total", "Jobs that came; size is largest for the largest tenth of the class's last ones.", "class", "team", "size"),
 		begun:        counters(f, "poppypass_jobs_begun_total", "Jobs of which a first task ran.", "class", "team", "size"),
@@ -59,11 +59,11 @@
 
 // machineMetrics are the metrics of machines and their heartbeats.
 type machineMetrics struct {
-	known       prometheus.Gauge
-	unreachable prometheus.Gauge
-	unconfirmed prometheus.Gauge
-	heartbeat   prometheus.Histogram
-	rejected    *prometheus.CounterVec
+	known         prometheus.Gauge
+	unreachable   prometheus.Gauge
+	unconfirmed   prometheus.Gauge
+	heartbeatWait prometheus.Histogram
+	rejected      *prometheus.CounterVec
 }
 
 func newMachineMetrics(f promauto.Factory) machineMetrics {
@@ -71,7 +71,7 @@
 		known:       gauge(f, "poppypass_machines", "Machines that the leader knows."),
 		unreachable: gauge(f, "poppypass_machines_deaf", "Machines that report but do not hear the leader."),
 		unconfirmed: gauge(f, "poppypass_machines_unproven", "Machines that report and have not yet proved to hear this leader."),
-		heartbeat: histogram(f, "poppypass_report_seconds", "How long a worker's report waits for the leader's answer.",
+		heartbeatWait: histogram(f, "poppypass_report_seconds", "How long a worker's report waits for the leader's answer.",
 			prometheus.ExponentialBuckets(0.0001, 2, 16)),
 		rejected: counters(f, "poppypass_reports_set_aside_total",
 			"Workers' reports that changed nothing: older than one before, of a returned machine, or contradicting what is known of it.", "why"),
--- a/internal/platform/metrics/metrics.go
+++ b/internal/platform/metrics/metrics.go
@@ -54,15 +54,15 @@
 func (m *Metrics) FailoverDone(duration time.Duration) { m.loop.failover.Observe(duration.Seconds()) }
 
 // CycleDone records the duration of a scheduling cycle.
-func (m *Metrics) CycleDone(duration time.Duration) { m.loop.cycle.Observe(duration.Seconds()) }
+func (m *Metrics) CycleDone(duration time.Duration) { m.loop.cycleDuration.Observe(duration.Seconds()) }
 
 // HeartbeatHandled records how long a heartbeat waited for the leader's answer.
 func (m *Metrics) HeartbeatHandled(duration time.Duration) {
-	m.machines.heartbeat.Observe(duration.Seconds())
+	m.machines.heartbeatWait.Observe(duration.Seconds())
 }
 
 // TaskAllocated counts an attempt that was placed.
-func (m *Metrics) TaskAllocated(class string) { m.jobs.started.WithLabelValues(class).Inc() }
+func (m *Metrics) TaskAllocated(class string) { m.jobs.allocated.WithLabelValues(class).Inc() }
 
 // AttemptEnded counts an attempt that has ended, by its outcome.
 func (m *Metrics) AttemptEnded(class, outcome string) {
--- a/internal/platform/tuning/accounting.go
+++ b/internal/platform/tuning/accounting.go
@@ -16,9 +16,9 @@
 	// LedgerMinValueKB is the smallest value size limit of the key-value store, in KiB, with which progress
 	// records that contain charges can be stored.
 	LedgerMinValueKB = 14
-	// RollUpAfter is how long charges stay in the records of their jobs before they are rolled up. Charges
-	// are rolled up earlier if there are as many as fit one transaction. A longer time lets more charges
-	// share a transaction.
+	// RollUpAfter is how long records of detached charges wait before they are rolled up. They are rolled up
+	// earlier if there are enough of them to fill one transaction. A longer wait lets more charges share a
+	// transaction.
 	RollUpAfter = 60 * time.Second
 	// RollUpMinChanges is the number of changes that the write rate limit must allow before a roll-up starts.
 	// If all due charges can be rolled up with fewer changes, or if a transaction cannot hold that many, a smaller
--- a/internal/platform/tuning/graphs.go
+++ b/internal/platform/tuning/graphs.go
@@ -26,7 +26,8 @@
 	GraphMemoryShare = 0.15
 	GraphStepBytes   = 1000
 	RunStepBytes     = 200
-	// GraphConfMaxBytes bounds the conf of a run, and a note, in bytes. Each record of a run contains the conf.
+	// GraphConfMaxBytes bounds the conf of a run, in bytes, and also the note in a user's command. Each record of
+	// a run contains the conf.
 	GraphConfMaxBytes = 2 << 10
 	// GraphDeleteAfter is how long a stored graph may be unreferenced before it is deleted. A client registers an
 	// uploaded graph within seconds.
@@ -44,7 +45,7 @@
 	// DescribeBatchSteps is the number of steps that one call describes, and DescribeTimeout bounds that call.
 	DescribeBatchSteps = 100
 	DescribeTimeout    = 5 * time.Second
-	// DescribeRetryPause is the first pause after a failed call for descriptions. The pause doubles with each
+	// DescribeRetryPause is the first pause after a failed call that describes steps. The pause doubles with each
 	// failure up to DescribeRetryPauseMax.
 	DescribeRetryPause    = 500 * time.Millisecond
 	DescribeRetryPauseMax = 30 * time.Second
--- a/internal/platform/tuning/placement.go
+++ b/internal/platform/tuning/placement.go
@@ -35,15 +35,15 @@
 	CycleBackoffMin = 1 * time.Second
 	CycleBackoffMax = 10 * time.Second
 	// CyclePauseFactor is the pause after a scheduling cycle or a scale-out plan, as a multiple of its
-	// duration. Cycles and plans therefore use at most a seventeenth of the processor each, although during a
+	// duration. Cycles and plans therefore use at most 1/17 of the processor each, although during a
 	// backlog each of hundreds of changes per second requests a cycle. A cycle over 1,200 machines needs a
 	// millisecond or two on a share of a core, and the strictest service-level objective for starts is a
 	// second.
 	CyclePauseFactor = 16
 	// CyclePauseMin and ScaleOutPauseMin are the shortest pauses after a cycle and after a scale-out plan. With
-	// CyclePauseFactor alone, each of the two could use a seventeenth of a core, which is a fifth of the
-	// processor of a machine with 0.3 of a core. The start of a task takes a second or more, and the boot of a
-	// machine takes 20 s, so these pauses cause no noticeable delay.
+	// CyclePauseFactor alone, cycles and plans could each use 1/17 of a core. On a machine with 0.3 of a core,
+	// that is a fifth of the processor. The start of a task takes a second or more, and the boot of a machine
+	// takes 20 s, so these pauses cause no noticeable delay.
 	CyclePauseMin    = 20 * time.Millisecond
 	ScaleOutPauseMin = 200 * time.Millisecond
 	// PreemptWaitShare is the share of a class's allowed wait after which other tasks may be preempted for the
@@ -58,7 +58,7 @@
 	// PreemptBackoff is how long a job waits for tasks that were preempted for it before more are preempted.
 	PreemptBackoff = 2 * time.Second
 	// PreemptFreshCostS is the extra cost, in seconds of work, of preempting a task that has run for less than
-	// PreemptMinRun, because its start then does not count as a start.
+	// PreemptMinRun. The start of a task that is stopped so early does not count (see PreemptMinRun).
 	PreemptFreshCostS = 30.0
 	// PreemptPriorityCostS is the cost, in seconds of work, that each level of a task's priority adds to its
 	// preemption. Of the borrowed resources, those of low-priority work are therefore reclaimed first.
--- a/internal/platform/tuning/scaleout.go
+++ b/internal/platform/tuning/scaleout.go
@@ -14,7 +14,8 @@
 	// the initial backlog: the jobs that waited for the service to start. Users retry after a second or more.
 	InitialBacklogWindow = 5 * time.Second
 	// InitialBacklogDivisor is the number of jobs of the initial backlog that count as one arrival in the
-	// forecast. If none of them counted, the services that arrive in the first minute would find no room.
+	// forecast. If none of them counted, the forecast would expect no jobs at first, and the services that
+	// arrive in the first minute would find no room.
 	InitialBacklogDivisor = 8
 	// ForecastShareLatencySensitive is the share of the work expected within a boot time for which room is
 	// reserved, for classes that must start sooner than a machine boots. ForecastShareGuaranteed is that share
--- a/internal/platform/tuning/tuning.go
+++ b/internal/platform/tuning/tuning.go
@@ -16,7 +16,7 @@
 // Defaults returns the values that apply when no properties are given.
 func Defaults() Tunables {
 	return Tunables{
-		// A rental costs at least 60 s, and a machine boots for 20 s or more. Jobs arrive every few
+		// A rented machine is charged for at least 60 s, and its boot takes 20 s or more. Jobs arrive every few
 		// seconds, so a short idle time costs less than a new boot.
 		IdleKeep: 30 * time.Second,
 	}
--- a/internal/platform/tuning/workerlease.go
+++ b/internal/platform/tuning/workerlease.go
@@ -80,7 +80,7 @@
 	// RedirectLeaseShare is the share of the duration of a worker's lease within which the worker must be able
 	// to return if it is redirected to a leader that does not answer this member.
 	RedirectLeaseShare = 0.8
-	// RenewedQueryTimeout bounds one query of the leader for leases that other members renewed. In this query
+	// RenewedQueryTimeout bounds one query by the leader for leases that other members renewed. In this query
 	// the leader reads the stored records of followers and of zone leases, and asks the members that hold zone
 	// leases. If the query takes longer, the leader concludes nothing from it. The records and the members
 	// report renewals for the duration of a worker's lease plus RenewedQueryTimeout, so that each report covers
@@ -88,6 +88,6 @@
 	// key-value store that answers in half a second, and for several pages of records. It is also the additional
 	// time after which a dead machine that a follower answered is detected.
 	RenewedQueryTimeout = 3 * time.Second
-	// RenewedReadMinInterval is the shortest time between two queries of the leader for renewed leases.
+	// RenewedReadMinInterval is the shortest time between two queries by the leader for renewed leases.
 	RenewedReadMinInterval = 500 * time.Millisecond
 )
--- a/internal/platform/tuning/workers.go
+++ b/internal/platform/tuning/workers.go
@@ -15,10 +15,11 @@
 	SilentHeartbeatIntervals = 2.5
 	// FaultyMachineJobsMin is the number of jobs that must fail on a machine before the machine is avoided.
 	FaultyMachineJobsMin = 2
-	// SlowFactor is the slowdown that the detection of slow machines tests for, as a multiple of the run
-	// time on other machines. SlowLogLikelihoodRatio is the log-likelihood ratio, for that slowdown against none, at
-	// which a machine counts as slow. SlowPeersMin is the smallest number of tasks of the same job with which a
-	// run is compared, and RememberedRunsMax the largest number of runs of a job that are remembered.
+	// SlowFactor and SlowLogLikelihoodRatio define when a machine counts as slow: when the evidence that its
+	// tasks take SlowFactor times as long as on other machines, rather than equally long, reaches
+	// SlowLogLikelihoodRatio. The evidence is the logarithm of a likelihood ratio. A run is compared with runs of
+	// the same job on other machines only if there are at least SlowPeersMin of them. RememberedRunsMax is the
+	// largest number of runs of a job that are remembered.
 	SlowFactor             = 3.0
 	SlowLogLikelihoodRatio = 9.0
 	SlowPeersMin           = 5
--- a/internal/scheduler/autoscale/forecast.go
+++ b/internal/scheduler/autoscale/forecast.go
@@ -60,7 +60,7 @@
 	return byClass, min(max(now.Sub(first), tuning.ArrivalWindowMin), tuning.ArrivalWindow)
 }
 
-// UnlimitedTeams returns the jobs' teams without quotas, for planning work that has not arrived yet.
+// UnlimitedTeams returns the teams of the jobs, each with infinite quotas, for planning work that has not arrived yet.
 func UnlimitedTeams(pending []*placement.PendingJob) map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, p := range pending {
--- a/internal/scheduler/jobs/store_test.go
+++ b/internal/scheduler/jobs/store_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against a cancellation that overtakes the last task's end: the final state that is stored first is
-// the one that is reported to everybody.
+// Guards against a cancellation that is reported although the job's end is already being stored: the final state that
+// is stored first is the one that is reported to everybody.
 func TestCancellationOfAJobWhoseEndIsBeingStoredReportsThatEnd(t *testing.T) {
 	kv, s, j, a := newAllocatedJob(t, 1)
 	s.MarkDone(a, t0)
--- a/internal/scheduler/leader/cloud_listing.go
+++ b/internal/scheduler/leader/cloud_listing.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		l.log.Info("cloud lists machines as failed; ending their attempts and deleting them", "machines", failed)
+		l.log.Info("cloud lists machines as failed; ending the attempts on them and deleting the machines", "machines", failed)
 		// A failed machine has stopped, together with all tasks on it.
 		l.machinesLost(failed)
 		l.deleteMachines(failed)
--- a/internal/scheduler/leader/cycle.go
+++ b/internal/scheduler/leader/cycle.go
@@ -33,9 +33,11 @@
 	return c.changed && !now.Before(c.notBefore) || !now.Before(c.next)
 }
 
-// nothingPending ends a cycle in which no job had tasks to place. If nothing changes, the next cycle runs after the
-// longest pause.
-func (c *schedulingCycle) nothingPending(now time.Time) { c.next = now.Add(tuning.CycleBackoffMax) }
+// finishWithNothingPending ends a cycle in which no job had tasks to place. If nothing changes, the next cycle runs
+// after the longest pause.
+func (c *schedulingCycle) finishWithNothingPending(now time.Time) {
+	c.next = now.Add(tuning.CycleBackoffMax)
+}
 
 // finish ends a cycle. After a cycle that placed tasks, the pause before the next one is 1 s. Each cycle that placed
 // nothing doubles the pause, up to 10 s. A change triggers the next cycle earlier.
--- a/internal/scheduler/leader/env.go
+++ b/internal/scheduler/leader/env.go
@@ -46,7 +46,8 @@
 	MayAct func(term uint64) bool
 	// MayHaveRenewed asks a member, this one or another, which of the named machines the member may have answered under
 	// its zone lease. Such an answer renews the lease of the machine's worker. An error means that the member does not
-	// know or gave no answer to this question: it may then have answered any of the machines.
+	// know, or did not respond to this question. The caller must then assume that the member may have answered any of
+	// the machines.
 	MayHaveRenewed func(ctx context.Context, member string, names []string) (renewed []string, err error)
 	// ProbeWorkers asks the other members whether any of them gets an answer from a worker at one of the addresses.
 	// The function is nil if there are no other members.
--- a/internal/scheduler/leader/failures.go
+++ b/internal/scheduler/leader/failures.go
@@ -10,9 +10,9 @@
 )
 
 // taskFailed decides whether a task's failure counts against its machine or its job. Usually the machine is at
-// fault, and the job avoids it. But as long as no task of the job has worked, the job itself may be faulty. It is
-// then on probation, and its failures count against no machine. Without this rule, as few as two jobs that were
-// submitted with a mistake would cause healthy machines to be drained.
+// fault, and the job avoids it. But as long as no task of the job has completed or run for tuning.HealthyRunAfter, the
+// job itself may be faulty. It is then on probation, and its failures count against no machine. Without this rule, as
+// few as two jobs that were submitted with a mistake would cause healthy machines to be drained.
 func (l *Loop) taskFailed(a *jobs.Allocation, now time.Time) {
 	j := a.Job
 	j.AvoidMachines[a.Machine] = now.Add(tuning.AvoidMachineFor)
@@ -31,8 +31,8 @@
 
 // onProbation reports whether all attempts of a job have failed so far. Such a job is tried with one task at a
 // time, after growing pauses. No room is made for it: no machine is rented, no task is stopped, no room is
-// reserved, and no machine is kept free for it when it is at the head of the queue. If a task of the job has worked by
-// now, onProbation ends the probation.
+// reserved, and no machine is kept free for it when it is at the head of the queue. If a task of the job has completed
+// or run for tuning.HealthyRunAfter by now, onProbation ends the probation.
 func (l *Loop) onProbation(j *jobs.Job, now time.Time) bool {
 	if j.FailureWaves == 0 {
 		return false
--- a/internal/scheduler/leader/failures_test.go
+++ b/internal/scheduler/leader/failures_test.go
@@ -93,9 +93,9 @@
 func TestRefusedStartIsRetriedAfterAPause(t *testing.T) {
 	l, clock := newTestLoop(t)
 	now := clock.Now()
-	full := l.addRunning(t, "job-1", "n-small", 1)
-	l.endAttempt(full, wire.ExitNoRoom)
-	if full.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusalPauseUntil.After(now) {
+	refusedForRoom := l.addRunning(t, "job-1", "n-small", 1)
+	l.endAttempt(refusedForRoom, wire.ExitNoRoom)
+	if refusedForRoom.Job.Waiting() != 1 || !l.machines.Machines["n-small"].RefusalPauseUntil.After(now) {
 		t.Error("a machine that refused a task for lack of room gets another at once")
 	}
 	unknown := l.addRunning(t, "job-2", "n-large", 1)
@@ -113,8 +113,8 @@
 	l.endAttempt(a, wire.ExitError)
 	avoids := func() bool {
 		l.jobs.Jobs["job-1"].BackoffUntil = time.Time{}
-		items, _ := l.pendingJobs(clock.Now())
-		return len(items) == 1 && items[0].Avoid != nil && items[0].Avoid("n-large")
+		pending, _ := l.pendingJobs(clock.Now())
+		return len(pending) == 1 && pending[0].Avoid != nil && pending[0].Avoid("n-large")
 	}
 	if !avoids() {
 		t.Fatal("the machine is not avoided after a task failed there")
--- a/internal/scheduler/leader/interruptions_test.go
+++ b/internal/scheduler/leader/interruptions_test.go
@@ -69,7 +69,7 @@
 		{60, 500 * time.Second, 22 * time.Second, true}, // overdue, and much would be lost
 		{3, 0, 12 * time.Second, true},
 		{60, 50 * time.Second, 0, false},
-		{0, 50 * time.Second, 22 * time.Second, false}, // a service
+		{0, 50 * time.Second, 22 * time.Second, false}, // a service, which has no estimate
 	} {
 		if got := shouldKeepRunning(&jobs.Job{Job: wire.Job{EstimateS: c.estimate}}, c.ran, c.timeLeft); got != c.want {
 			t.Errorf("estimate %v s, ran %v, %v left: should keep running is %v", c.estimate, c.ran, c.timeLeft, got)
--- a/internal/scheduler/leader/job_requests.go
+++ b/internal/scheduler/leader/job_requests.go
@@ -77,8 +77,9 @@
 func (l *Loop) finalStateMayBeStored(j *jobs.Job) bool { return j.EndSent() && l.writer.inDoubt.Load() }
 
 // Cancel cancels a job and returns its final state once that is stored. No further task of the job is started, and
-// its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone. Once a user knows
-// that a job is cancelled, its tasks have to end within a limited time, and a task in a partitioned zone may run longer.
+// its running tasks are stopped. The cancellation is stored only when all tasks are proven to be gone. The reason is that
+// the tasks have to end within a limited time after a user learns that the job is cancelled, and a task in a partitioned
+// zone may run for longer than that time.
 //
 // While a task is unreachable, the error is ErrTaskUnreachable, and the user has to ask again. The other errors are
 // ErrUnknownJob, ErrLoading, ErrLeadershipOver and that of ctx, which ends after tuning.CancelTimeout at the latest.
--- a/internal/scheduler/leader/machine_views.go
+++ b/internal/scheduler/leader/machine_views.go
@@ -86,7 +86,7 @@
 	return placement.Machine{
 		Name: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Price: t.Price,
 		Total: placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, Free: freeResources(m, t),
-		FetchS: fetchS(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
+		FetchS: fetchEstimator(m, t), Unacknowledged: !m.Reachability.EverAcknowledged(),
 	}
 }
 
@@ -153,10 +153,10 @@
 	return afterS, true
 }
 
-// fetchS returns a function that estimates how many seconds a machine needs to fetch an image of gb gigabytes. The
-// estimate is 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at the same time
-// share the machine's fetch rate.
-func fetchS(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
+// fetchEstimator returns a function that estimates how many seconds a machine needs to fetch an image of gb gigabytes.
+// The estimate is 0 for an image that the machine holds, as far as its tasks show. Images that are fetched at the same
+// time share the machine's fetch rate.
+func fetchEstimator(m *machines.Machine, t *wire.MachineType) func(image string, gb float64) float64 {
 	concurrentFetches := 0 // counted at the first call, since the function is never called for full machines
 	return func(image string, gb float64) float64 {
 		if t.FetchGBPerS <= 0 || m.HasImage(image, t.CacheGB) {
--- a/internal/scheduler/leader/pending.go
+++ b/internal/scheduler/leader/pending.go
@@ -14,10 +14,10 @@
 // jobs of the job store.
 func (l *Loop) pendingJobs(now time.Time) (pending []*placement.PendingJob, byID map[string]*jobs.Job) {
 	var waiting []*jobs.Job
-	probation := map[*jobs.Job]bool{}
+	onProbation := map[*jobs.Job]bool{}
 	for _, j := range l.jobs.Jobs {
 		if l.onProbation(j, now) { // called for every job, because the call may end a probation
-			probation[j] = true
+			onProbation[j] = true
 		}
 		if j.CanStart() && j.Waiting() > 0 && !now.Before(j.BackoffUntil) {
 			waiting = append(waiting, j)
@@ -28,12 +28,12 @@
 	byID = make(map[string]*jobs.Job, len(waiting))
 	for i, n := range l.subsystems.startLimits(waiting, now) {
 		j := waiting[i]
-		if n <= 0 || probation[j] && j.Allocated > 0 {
+		if n <= 0 || onProbation[j] && j.Allocated > 0 {
 			continue
 		}
 		views = append(views, l.pendingJob(j, n, now))
 		p := &views[len(views)-1]
-		if probation[j] {
+		if onProbation[j] {
 			limitToOneTask(p, now)
 		}
 		byID[j.ID] = j
--- a/internal/scheduler/leader/probing.go
+++ b/internal/scheduler/leader/probing.go
@@ -132,8 +132,8 @@
 	return 0, false
 }
 
-// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent the leader no heartbeat for longer
-// than the usual pauses between heartbeats explain.
+// heartbeatsMayGoElsewhere reports whether a live machine with tasks has sent the leader no heartbeat for longer than
+// probeAfter. Its worker may be sending its heartbeats to another controller.
 func (l *Loop) heartbeatsMayGoElsewhere(m *machines.Machine, now time.Time) bool {
 	lastHeard := m.LastHeartbeat
 	if lastHeard.Before(l.startedAt) {
@@ -204,7 +204,9 @@
 		if err := l.handleDirectAnswer(hb); err != nil {
 			l.log.Debug("heartbeat in the answer to a probe rejected; ignoring it", "machine", name, "err", err)
 		}
-		m.SuspectCopy = false // even if the answer is rejected because a newer heartbeat arrived before it
+		// The answer proves that the process was not restarted, even if it is rejected because a newer heartbeat arrived
+		// before it.
+		m.SuspectCopy = false
 	}
 }
 
--- a/internal/scheduler/leader/reconcile_test.go
+++ b/internal/scheduler/leader/reconcile_test.go
@@ -33,7 +33,7 @@
 	if counter.found != 1 {
 		t.Errorf("%d jobs count as missed, want 1", counter.found)
 	}
-	// The listing overtakes the watch: the job is loaded, and does not count as missed.
+	// A listing may show a job before the watch reports it: the job is loaded, and does not count as missed.
 	aheadOfWatch := item("job-5")
 	aheadOfWatch.Version = l.loading.watchedRevision + 1
 	l.reconcileJobs([]wire.Item{aheadOfWatch})
--- a/internal/scheduler/leader/record_writer.go
+++ b/internal/scheduler/leader/record_writer.go
@@ -89,6 +89,6 @@
 	for _, s := range l.subsystems.active {
 		s.Finished(f, l.env.Clock.Now())
 	}
-	l.log.Debug("final state of a job stored", "job", f.Job.ID, "state", f.State)
+	l.log.Debug("final state of a job stored; requesting a scheduling cycle", "job", f.Job.ID, "state", f.State)
 	l.cycle.wake()
 }
--- a/internal/scheduler/leader/schedule.go
+++ b/internal/scheduler/leader/schedule.go
@@ -14,7 +14,7 @@
 	l.cycle.changed = false
 	pending, byID := l.pendingJobs(now)
 	if len(pending) == 0 {
-		l.cycle.nothingPending(now)
+		l.cycle.finishWithNothingPending(now)
 		return
 	}
 	candidates := append(slices.Clone(pending), l.placeholders(now)...)
@@ -55,6 +55,6 @@
 		s.Placed(a, m.Spot, l.env.machineType(m.Type), now)
 	}
 	l.env.observe(func(o Observer) { o.TaskAllocated(j.Class) })
-	l.log.Debug("task allocated", "task", a.Task().String(), "attempt", a.Attempt, "class", j.Class, "machine", m.Name,
+	l.log.Debug("task allocated; starting it once the allocation is stored", "task", a.Task().String(), "attempt", a.Attempt, "class", j.Class, "machine", m.Name,
 		"type", m.Type, "spot", m.Spot, "waited_s", now.Sub(j.WaitingSince).Seconds())
 }
--- a/internal/scheduler/leader/subsystems.go
+++ b/internal/scheduler/leader/subsystems.go
@@ -95,7 +95,7 @@
 	for _, construct := range constructors {
 		s, err := construct(log)
 		if err != nil {
-			log.Error("constructing a subsystem failed; the loop runs without it", "err", err)
+			log.Error("constructing a subsystem failed; leading without it in this term", "err", err)
 			continue
 		}
 		set.active = append(set.active, s)
--- a/internal/scheduler/machines/commands_test.go
+++ b/internal/scheduler/machines/commands_test.go
@@ -76,11 +76,11 @@
 // counts as unanswered although it was never sent: its attempt would never be forgotten.
 func TestRefusedDirectRequestsNameTheirReason(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		machine  string
-		prepare  func(*Machine, *jobs.Allocation)
-		commands error // the error wanted from CommandsFor
-		probe    error // the error wanted from ProbeRequest for n-1
+		name        string
+		machine     string
+		prepare     func(*Machine, *jobs.Allocation)
+		commandsErr error // the error wanted from CommandsFor
+		probeErr    error // the error wanted from ProbeRequest for n-1
 	}{
 		{"a request can be sent", "n-1", func(*Machine, *jobs.Allocation) {}, nil, nil},
 		{"the machine is not in the registry", "n-2", func(*Machine, *jobs.Allocation) {}, ErrUnknownMachine, nil},
@@ -98,15 +98,15 @@
 			f.AddAllocation(allocation, t0)
 			c.prepare(m, allocation)
 			addr, req, err := f.CommandsFor(c.machine, []*jobs.Allocation{allocation})
-			if !errors.Is(err, c.commands) || (err == nil) != (addr != "" && req != nil) {
-				t.Errorf("CommandsFor: address %q, request %+v, error %v, want %v", addr, req, err, c.commands)
+			if !errors.Is(err, c.commandsErr) || (err == nil) != (addr != "" && req != nil) {
+				t.Errorf("CommandsFor: address %q, request %+v, error %v, want %v", addr, req, err, c.commandsErr)
 			}
 			if unanswered := len(m.unansweredStarts); (unanswered > 0) != (err == nil) {
 				t.Errorf("%d starts count as unanswered after error %v", unanswered, err)
 			}
 			addr, req, _, err = f.ProbeRequest(m, t0)
-			if !errors.Is(err, c.probe) || (err == nil) != (addr != "" && req != nil) {
-				t.Errorf("ProbeRequest: address %q, request %+v, error %v, want %v", addr, req, err, c.probe)
+			if !errors.Is(err, c.probeErr) || (err == nil) != (addr != "" && req != nil) {
+				t.Errorf("ProbeRequest: address %q, request %+v, error %v, want %v", addr, req, err, c.probeErr)
 			}
 		})
 	}
--- a/internal/scheduler/machines/delayed_copies_test.go
+++ b/internal/scheduler/machines/delayed_copies_test.go
@@ -16,8 +16,8 @@
 	return hb
 }
 
-// Guards against a lasting effect of a delayed copy on the spot notice: a healthy machine was drained, or one that
-// will be interrupted looked safe.
+// Guards against a delayed copy of a heartbeat that changes a machine's spot notice for good: a healthy machine was
+// drained, or one that will be interrupted looked safe.
 func TestSpotNoticeOfADelayedCopyDoesNotLast(t *testing.T) {
 	f := newFixture(t)
 	f.RestoreAllocation(newAllocation(1), t0)
@@ -98,7 +98,7 @@
 func TestNewIncarnationInADirectAnswerHasItsOwnLease(t *testing.T) {
 	f := newFixture(t)
 	f.receive(heartbeat(1, 1, term), 0, mayNotForget)
-	// Long after the machine's lease expired. Nothing was concluded, since followers may have renewed the lease.
+	// The machine's lease expired long ago, but nothing was concluded from that, since followers may have renewed it.
 	back := 30 * time.Second
 	if _, err := f.DirectAnswer(heartbeat(2, 9, term), t0.Add(back), mayNotForget); err != nil {
 		t.Fatal(err)
--- a/internal/scheduler/machines/heartbeat.go
+++ b/internal/scheduler/machines/heartbeat.go
@@ -13,7 +13,7 @@
 	Outcomes      []Outcome
 	Commands      []wire.Command     // for the reply; empty for a direct answer
 	Started       []*jobs.Allocation // allocations whose tasks are reported running for the first time
-	RetainedExits []AttemptID        // exited attempts without an allocation that the worker may not forget yet
+	RetainedExits []AttemptID        // exited attempts that have no allocation and that the worker may not forget yet
 	Changed       bool               // something besides the outcomes changed that matters to placement
 }
 
--- a/internal/scheduler/machines/reconcile.go
+++ b/internal/scheduler/machines/reconcile.go
@@ -17,9 +17,9 @@
 	now               time.Time
 	newIncarnation    bool      // the heartbeat is the first message of its incarnation; beginIncarnation has ended the earlier ones
 	previousHeartbeat time.Time // when the previous heartbeat arrived; zero: none in this term
-	// hasTermToken is true if the worker has seen this term's fencing token (Registry.hasTermToken), so that it
-	// refuses a direct start of an older leader that arrives late. A heartbeat without the token may be a delayed
-	// copy from before a restart of the worker process.
+	// hasTermToken is true if the worker has seen this term's fencing token (Registry.hasTermToken). The worker
+	// then refuses a direct start that an older leader sent and that arrives late. A heartbeat without the token
+	// may be a delayed copy from before a restart of the worker process.
 	hasTermToken bool
 
 	stops, forgets, starts []wire.Command
--- a/internal/scheduler/machines/speed.go
+++ b/internal/scheduler/machines/speed.go
@@ -26,7 +26,8 @@
 		return false
 	}
 	logSlowFactor := math.Log(tuning.SlowFactor)
-	logRatio := min(math.Log(ranS/median), logSlowFactor) // a longer task counts as one slower by SlowFactor
+	// A task that took more than SlowFactor times the median counts as if it took exactly that.
+	logRatio := min(math.Log(ranS/median), logSlowFactor)
 	s.evidence = max(0, s.evidence+(logRatio-logSlowFactor/2)*logSlowFactor/(tuning.EstimateLogStdDev*tuning.EstimateLogStdDev))
 	return s.evidence >= tuning.SlowLogLikelihoodRatio
 }
--- a/internal/scheduler/placement/cycle.go
+++ b/internal/scheduler/placement/cycle.go
@@ -109,7 +109,7 @@
 
 // placeTasks places as many tasks of the job at index i as the phase, its team's quota and the machines of
 // the given kind allow.
-func (c *cycle) placeTasks(i int, ph phase, kind KindPreference) {
+func (c *cycle) placeTasks(i int, ph phase, kind MachineKindPreference) {
 	job := c.pending[i]
 	if c.blocked[i] || job.Placeholder != (ph == placeholderPhase) {
 		return
--- a/internal/scheduler/placement/cycle_test.go
+++ b/internal/scheduler/placement/cycle_test.go
@@ -99,7 +99,7 @@
 // A job that prefers a kind of machine gets room there before jobs that do not. Room that no job prefers is
 // used by any job.
 func TestPreferredKindIsTriedFirstThenAnyKind(t *testing.T) {
-	prefers := func(id string, kind KindPreference, tasks int) *PendingJob {
+	prefers := func(id string, kind MachineKindPreference, tasks int) *PendingJob {
 		p := pendingJob(id, wire.PriorityNormal, time.Second, tasks, 4)
 		p.Job.Spot, p.Preference = true, kind
 		return p
--- a/internal/scheduler/placement/pending.go
+++ b/internal/scheduler/placement/pending.go
@@ -21,7 +21,7 @@
 	Zones            map[string]int
 	Avoid            func(machine string) bool // reports whether the job must not run on a machine; nil: it may run on all
 	ExpectedRunS     float64                   // expected run time of a task in seconds; 0: use the estimate in Job
-	Preference       KindPreference            // the kind of machine that is tried first
+	Preference       MachineKindPreference     // the kind of machine that is tried first
 	LatencySensitive bool                      // its tasks should start sooner than a new machine boots
 	AwaitSpot        bool                      // no on-demand machine may be rented for it yet
 	OnProbation      bool                      // all its attempts have failed so far: no room is made for it
@@ -30,20 +30,22 @@
 	Placeholder bool
 }
 
-// KindPreference is the kind of machine, spot or on-demand, that is tried first for a job. While spot machines
+// MachineKindPreference is the kind of machine, spot or on-demand, that is tried first for a job. While spot machines
 // are scarce, the jobs that would lose most on a spot machine prefer on-demand machines, and all others prefer
 // spot machines. Tasks that find no room on the preferred kind are then tried on any kind.
-type KindPreference int
+type MachineKindPreference int
 
 // The kinds of machine that a job can prefer.
 const (
-	AnyKind KindPreference = iota
+	AnyKind MachineKindPreference = iota
 	PreferOnDemand
 	PreferSpot
 )
 
 // matches reports whether a machine, spot or not, is of the preferred kind.
-func (k KindPreference) matches(spot bool) bool { return k == AnyKind || spot == (k == PreferSpot) }
+func (k MachineKindPreference) matches(spot bool) bool {
+	return k == AnyKind || spot == (k == PreferSpot)
+}
 
 // Request returns the resources that one task of the job requests.
 func (p *PendingJob) Request() Resources {
--- a/internal/scheduler/placement/quota.go
+++ b/internal/scheduler/placement/quota.go
@@ -19,7 +19,7 @@
 	FairShareCPUs float64
 
 	reservedFor string    // ID of the starving job for which a part of the quota is reserved; empty: none
-	reserved    Resources // the reserved part
+	reserved    Resources // the part of the quota that is reserved for that job
 }
 
 // unlimitedTeam returns a team without a quota.
--- a/internal/scheduler/placement/ranking.go
+++ b/internal/scheduler/placement/ranking.go
@@ -13,10 +13,10 @@
 	imageGB                float64
 	types                  string // the allowed machine types, each after a zero byte; empty: all types
 	spot, latencySensitive bool
-	kind                   KindPreference
+	kind                   MachineKindPreference
 }
 
-func shapeOf(job *PendingJob, kind KindPreference) taskShape {
+func shapeOf(job *PendingJob, kind MachineKindPreference) taskShape {
 	shape := taskShape{
 		request: job.Request(), image: job.Job.Image, imageGB: job.Job.ImageGB, spot: job.Job.Spot,
 		latencySensitive: job.LatencySensitive, kind: kind,
--- a/internal/scheduler/placement/search.go
+++ b/internal/scheduler/placement/search.go
@@ -34,7 +34,7 @@
 }
 
 // forJob returns the ranking of the machines of the given kind for a job's tasks.
-func (r *rankings) forJob(job *PendingJob, kind KindPreference) *machineRanking {
+func (r *rankings) forJob(job *PendingJob, kind MachineKindPreference) *machineRanking {
 	shape := shapeOf(job, kind)
 	if ranking := r.byShape[shape]; ranking != nil {
 		return ranking
